--- /dev/null
+++ b/accord/digest_test.go
@@ -0,0 +1,99 @@
+package main
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/binary"
+	"flag"
+	"fmt"
+	"hash"
+	"os"
+	"slices"
+	"sync"
+	"testing"
+)
+
+var digestFlag = flag.String("digest", "", "file that takes one line for each simulated world: its seed, its size and a hash over all that left its daemons")
+
+// runDigests holds the digests of all worlds of this process.
+var runDigests struct {
+	mu  sync.Mutex
+	all []*runDigest
+}
+
+// runDigest hashes everything that leaves the daemons of one simulated world, in
+// order and with its simulated time: frames, disk writes, orders and HTTP
+// replies. Log text is left out. Two revisions with equal digests behave the
+// same in that run, whatever their names and packages are.
+//
+// A nil *runDigest takes no notice of anything.
+type runDigest struct {
+	label string
+	hash  hash.Hash
+	count int
+}
+
+// newRunDigest gives a world its digest, or nil where none is asked for.
+func newRunDigest(label string) *runDigest {
+	if *digestFlag == "" {
+		return nil
+	}
+	d := &runDigest{label: label, hash: sha256.New()}
+	runDigests.mu.Lock()
+	defer runDigests.mu.Unlock()
+	runDigests.all = append(runDigests.all, d)
+	return d
+}
+
+// add hashes one effect of a daemon.
+func (d *runDigest) add(atUs int64, node, effect string, numbers []int64, parts ...[]byte) {
+	if d == nil {
+		return
+	}
+	d.count++
+	b := binary.BigEndian.AppendUint64(nil, uint64(atUs))
+	for _, n := range numbers {
+		b = binary.BigEndian.AppendUint64(b, uint64(n))
+	}
+	for _, part := range append([][]byte{[]byte(node), []byte(effect)}, parts...) {
+		b = binary.BigEndian.AppendUint32(b, uint32(len(part)))
+		b = append(b, part...)
+	}
+	_, _ = d.hash.Write(b)
+}
+
+func boolNumber(b bool) int64 {
+	if b {
+		return 1
+	}
+	return 0
+}
+
+// writeDigests writes the digests of all worlds in the order of their lines,
+// since tests that run side by side make their worlds in any order.
+func writeDigests(path string) error {
+	runDigests.mu.Lock()
+	defer runDigests.mu.Unlock()
+	lines := make([]string, 0, len(runDigests.all))
+	for _, d := range runDigests.all {
+		lines = append(lines, fmt.Sprintf("%s effects %d sha256 %x\n", d.label, d.count, d.hash.Sum(nil)))
+	}
+	slices.Sort(lines)
+	var out bytes.Buffer
+	for _, line := range lines {
+		out.WriteString(line)
+	}
+	return os.WriteFile(path, out.Bytes(), 0o600)
+}
+
+func TestMain(m *testing.M) {
+	flag.Parse()
+	code := m.Run()
+	if *digestFlag != "" {
+		if err := writeDigests(*digestFlag); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			code = 1
+		}
+	}
+	os.Exit(code)
+}
--- /dev/null
+++ b/accord/fixture_test.go
@@ -0,0 +1,283 @@
+package main
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/shoenig/test/must"
+)
+
+// The fixtures under testdata were written by the release of 2 December 2026,
+// before its sources were renamed and parted into packages. They are what that
+// release left on disks and sent to others: whatever is changed since must read
+// and write the same. They are written again, with -update-fixtures, only with a
+// change of a form that is meant and announced.
+var updateFixtures = flag.Bool("update-fixtures", false, "write the files under testdata anew instead of comparing with them")
+
+// compareFixture compares a file under testdata with what it is to hold.
+func compareFixture(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", filepath.FromSlash(name))
+	if *updateFixtures {
+		must.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
+		must.NoError(t, os.WriteFile(path, got, 0o600))
+		return
+	}
+	want, err := os.ReadFile(path)
+	must.NoError(t, err)
+	must.True(t, bytes.Equal(want, got), must.Sprintf("%s differs: %d bytes are\n%.2000s", name, len(got), got))
+}
+
+// sampleValue fills a value so that no two fields next to each other are alike.
+func sampleValue(v reflect.Value, next *uint64) {
+	*next++
+	n := *next
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			sampleValue(v.Field(i), next)
+		}
+	case reflect.Slice:
+		if v.Type().Elem().Kind() == reflect.Uint8 {
+			v.SetBytes([]byte(fmt.Sprintf("bytes %d", n)))
+			return
+		}
+		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+		for i := range 2 {
+			sampleValue(v.Index(i), next)
+		}
+	case reflect.String:
+		v.SetString(fmt.Sprintf("text %d", n))
+	case reflect.Bool:
+		v.SetBool(n%2 == 1)
+	case reflect.Int8:
+		v.SetInt(int64(n%5) + 1)
+	case reflect.Uint8:
+		v.SetUint(n%5 + 1)
+	case reflect.Int, reflect.Int32, reflect.Int64:
+		v.SetInt(int64(n))
+	case reflect.Uint64:
+		v.SetUint(n << 32)
+	case reflect.Float64:
+		v.SetFloat(float64(n) + 0.5)
+	default:
+		panic("no sample for " + v.Type().String())
+	}
+}
+
+// Frames of each kind that the release before the renaming sent are read, and
+// written again to the same bytes.
+func TestFixtureFrames(t *testing.T) {
+	for _, kind := range sorted(messageTypes) {
+		t.Run(fmt.Sprint(kind), func(t *testing.T) {
+			sample, next := reflect.New(messageTypes[kind]), uint64(0)
+			sampleValue(sample.Elem(), &next)
+			head := wireHead{Cluster: 11, From: "edge-1", Life: 12, To: 13}
+			name := fmt.Sprintf("frames/%02d.hex", kind)
+			compareFixture(t, name, []byte(hex.EncodeToString(sealFrame(head, sample.Interface()))+"\n"))
+
+			text, err := os.ReadFile(filepath.Join("testdata", filepath.FromSlash(name)))
+			must.NoError(t, err)
+			frame, err := hex.DecodeString(strings.TrimSpace(string(text)))
+			must.NoError(t, err)
+			readHead, message, err := openFrame(frame)
+			must.NoError(t, err)
+			must.Eq(t, sample.Interface(), message)
+			must.Eq(t, frame, sealFrame(readHead, message))
+		})
+	}
+}
+
+// fixtureMembers are the core members whose data folders are kept.
+var fixtureMembers = []string{"d00", "d01", "d02"}
+
+// storeSummary is what a data folder must be read as.
+type storeSummary struct {
+	Disk      string
+	Cluster   string
+	CoreSet   string
+	Registers map[string]string
+	Slices    map[string]sliceSummary
+	Dump      string // hash over all entries that build the store again
+}
+
+type sliceSummary struct {
+	Sealed, Served uint64
+	Live           map[string]string
+	Finished       []string
+	Unsettled      []string
+}
+
+func summaryOf(d *disk, st *store) storeSummary {
+	out := storeSummary{Disk: fmt.Sprintf("%x from %d", d.id, d.first), Cluster: fmt.Sprintf("%x", st.cluster),
+		CoreSet: hashOf(pack(nil, st.set)), Registers: map[string]string{}, Slices: map[string]sliceSummary{}}
+	for name, r := range st.regs {
+		out.Registers[name] = fmt.Sprintf("%+v %+v %s", r.Promised, r.Accepted, hashOf(r.Value))
+	}
+	for name, x := range st.slices {
+		s := sliceSummary{Sealed: x.sealed, Served: x.served, Live: map[string]string{}, Finished: sorted(x.past.ids()), Unsettled: sorted(x.unsure)}
+		for id, r := range x.live {
+			s.Live[id] = fmt.Sprintf("epoch %d version %d value %s", r.Epoch, r.Version, hashOf(r.Value))
+		}
+		out.Slices[name] = s
+	}
+	all := sha256.New()
+	for _, e := range st.dump() {
+		_, _ = all.Write(pack(nil, e))
+	}
+	out.Dump = hex.EncodeToString(all.Sum(nil))
+	return out
+}
+
+// ids gives the names of all records in an archive.
+func (a *archive) ids() map[string]bool {
+	out := map[string]bool{}
+	for _, c := range a.chunks {
+		eachFrame(c.frames, func(_ int, r record) { out[r.ID] = true })
+	}
+	return out
+}
+
+func hashOf(b []byte) string {
+	sum := sha256.Sum256(b)
+	return fmt.Sprintf("%d bytes %x", len(b), sum[:8])
+}
+
+// writeFixtureFolder writes a member's entries as its daemon would: a segment,
+// a snapshot of all before it, more segments.
+func writeFixtureFolder(t *testing.T, folder string, member *simNode) {
+	t.Helper()
+	must.NoError(t, os.MkdirAll(folder, 0o755))
+	d, _, err := openDisk(folder, member.DiskID, quiet)
+	must.NoError(t, err)
+	d.post = func(func(*shell)) {}
+	st := newStore()
+	add := func(packed [][]byte) {
+		for _, b := range packed {
+			var e logEntry
+			must.NoError(t, unpack(b, &e))
+			st.apply(e)
+			must.NoError(t, d.commit([]diskJob{{entries: []logEntry{e}, done: func() {}}}))
+		}
+	}
+	entries := member.disk.entries
+	add(entries[:len(entries)/2])
+	must.NoError(t, d.commit([]diskJob{{snapshot: true, entries: st.dump(), done: func() {}}}))
+	d.shots.Wait()
+	add(entries[len(entries)/2:])
+	closed(d)
+	must.NoError(t, os.Remove(filepath.Join(folder, "lock")))
+}
+
+// writeFixtureFolders plays a short run and keeps the core members' disks.
+func writeFixtureFolders(t *testing.T, root string) {
+	t.Helper()
+	w := formed(t, 1, "hakata")
+	w.traffic(700)
+	w.run(3000)
+	w.killHolder("slice/east")
+	w.run(4000)
+	w.traffic(300)
+	w.run(600) // some jobs are live at the end
+	for _, name := range fixtureMembers {
+		writeFixtureFolder(t, filepath.Join(root, name), w.nodes[name])
+	}
+	damaged := filepath.Join(root, "damaged")
+	writeFixtureFolder(t, damaged, w.nodes["d00"])
+	path := lastLog(t, damaged)
+	b, err := os.ReadFile(path)
+	must.NoError(t, err)
+	b[len(b)/2] ^= 0xff
+	must.NoError(t, os.WriteFile(path, b, 0o600))
+	d, _, err := openDisk(damaged, 99, quiet) // puts the files aside
+	must.NoError(t, err)
+	closed(d)
+	must.NoError(t, os.Remove(filepath.Join(damaged, "lock")))
+}
+
+// Data folders of the release before the renaming are read as the same state.
+func TestFixtureDataFolders(t *testing.T) {
+	root := filepath.Join("testdata", "data")
+	if *updateFixtures {
+		must.NoError(t, os.RemoveAll(root))
+		writeFixtureFolders(t, root)
+	}
+	for _, name := range append([]string{"damaged"}, fixtureMembers...) {
+		t.Run(name, func(t *testing.T) {
+			dir := t.TempDir() // opening a folder writes to it
+			must.NoError(t, os.CopyFS(dir, os.DirFS(filepath.Join(root, name))))
+			d, st, err := openDisk(dir, 77, quiet)
+			must.NoError(t, err)
+			defer closed(d)
+			got, err := json.MarshalIndent(summaryOf(d, st), "", " ")
+			must.NoError(t, err)
+			compareFixture(t, "data-"+name+".json", append(got, '\n'))
+		})
+	}
+}
+
+// fixtureCalls are calls of callers, workers and operators, in order.
+var fixtureCalls = []evAsk{
+	{Op: "job.put", Key: "fix-1", Body: []byte(`{"queue":"confirm","steps":[{"name":"a","tasks":[{"name":"t","room":1,"payload":{"ms":300}}]}]}`)},
+	{Op: "job.put", Key: "fix-1", Body: []byte(`{"queue":"confirm","steps":[{"name":"a","tasks":[{"name":"t","room":2,"payload":{"ms":300}}]}]}`)},
+	{Op: "job.put", Key: "fix-2", Body: []byte(`{"queue":"nowhere","steps":[{"name":"a","tasks":[{"name":"t","room":1}]}]}`)},
+	{Op: "job.put", Key: "fix-3", Body: []byte(`{"queue":"confirm","steps":[]}`)},
+	{Op: "job.get", Key: "fix-1"},
+	{Op: "job.get", Key: "nobody"},
+	{Op: "job.cancel", Key: "fix-1"},
+	{Op: "job.cancel", Key: "nobody"},
+	{Op: "setup.put", Key: "1", Body: []byte(`{"queues":[{"name":"other"}]}`)},
+	{Op: "setup.put", Key: "7", Body: []byte(`{"queues":[{"name":"other"}]}`)},
+	{Op: "setup.put", Key: "2", Body: []byte(`{"queues":[{"name":"other","urgency":"high"}]}`)},
+	{Op: "setup.get"},
+	{Op: "members"},
+	{Op: "workers"},
+	{Op: "soundness"},
+	{Op: "site.empty", Key: "east"},
+	{Op: "site.open", Key: "east"},
+	{Op: "nothing", Key: "x"},
+}
+
+// Calls get the answers that the release before the renaming gave.
+func TestFixtureAnswers(t *testing.T) {
+	w := formed(t, 1, "hakata")
+	w.run(2000)
+	var out bytes.Buffer
+	for _, call := range fixtureCalls {
+		if call.Op != "setup.put" {
+			call.Expect = -1
+		}
+		answered := false
+		w.call("caller", w.nodes["d04"], call, 5000, func(status int, retryMs int64, body []byte) {
+			answered = true
+			fmt.Fprintf(&out, "%s %s\n%d retry %d\n%s\n\n", call.Op, call.Key, status, retryMs, body)
+		})
+		must.True(t, w.until(6000, func() bool { return answered }))
+		w.run(300)
+	}
+	compareFixture(t, "answers.txt", out.Bytes())
+}
+
+// What programs and operators write by hand keeps its names.
+func TestFixtureNames(t *testing.T) {
+	var out bytes.Buffer
+	for _, key := range sorted(settingsFields.Fields) {
+		fmt.Fprintln(&out, "setting", key)
+	}
+	for _, key := range sorted(setupFields.Fields) {
+		fmt.Fprintln(&out, "setup", key)
+	}
+	for _, key := range sorted(setupFields.Fields["queues"].Elem.Fields) {
+		fmt.Fprintln(&out, "queue", key)
+	}
+	compareFixture(t, "names.txt", out.Bytes())
+}
--- a/accord/world_test.go
+++ b/accord/world_test.go
@@ -29,6 +29,7 @@
 	hold         map[[2]string]int64 // us that everything one way takes longer
 	history      []verdict.Event
 	trace        uint64
+	digest       *runDigest
 	logs         []string
 	keepLog      bool
 	dep          verdict.Deployment
@@ -83,7 +84,8 @@
 func newWorld(seed uint64, dep verdict.Deployment) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), nodes: map[string]*simNode{}, workers: map[string]*simWorker{}, cuts: map[[2]string]bool{},
 		lastUs: map[[2]string]int64{}, hold: map[[2]string]int64{}, dep: dep, jobs: map[string]*simJob{}, syncUs: map[string]int64{},
-		resetUs: map[[2]string]int64{}, answerLoss: map[string]float64{}, msgs: map[string]int{}, trace: 14695981039346656037}
+		resetUs: map[[2]string]int64{}, answerLoss: map[string]float64{}, msgs: map[string]int{}, trace: 14695981039346656037,
+		digest: newRunDigest(fmt.Sprintf("seed %d daemons %d workers %d cores %d", seed, dep.Daemons, dep.Workers, dep.Cores))}
 	var seeds []string
 	for i := range 3 {
 		seeds = append(seeds, fmt.Sprintf("10.0.0.%d:7000", i))
@@ -359,6 +361,7 @@
 
 func (n *simNode) Send(head wireHead, to, addr string, msg any) {
 	frame := sealFrame(head, msg)
+	n.w.digest.add(n.w.nowUs, n.Name, "send", nil, []byte(to), []byte(addr), frame)
 	if n.w.largest = max(n.w.largest, len(frame)); len(frame) > frameMax {
 		return // the other end hangs up on it
 	}
@@ -397,10 +400,18 @@
 
 func (n *simNode) Append(entries []logEntry, done func()) { n.disk.append(n, entries, done) }
 func (n *simNode) Snapshot(entries []logEntry)            { n.disk.snapshot(n, entries) }
-func (n *simNode) Wipe(id uint64)                         { n.wipe(); n.place.DiskID = id }
-func (n *simNode) Exit()                                  { n.kill(false) }
+func (n *simNode) Wipe(id uint64) {
+	n.w.digest.add(n.w.nowUs, n.Name, "wipe", []int64{int64(id)})
+	n.wipe()
+	n.place.DiskID = id
+}
+func (n *simNode) Exit() {
+	n.w.digest.add(n.w.nowUs, n.Name, "exit", nil)
+	n.kill(false)
+}
 
 func (n *simNode) Reply(e effReply) {
+	n.w.digest.add(n.w.nowUs, n.Name, "reply", []int64{int64(e.ID), int64(e.Status), e.RetryMs}, e.Body)
 	if cb := n.asks[e.ID]; cb != nil {
 		delete(n.asks, e.ID)
 		cb(e.Status, e.RetryMs, e.Body)
@@ -417,6 +428,7 @@
 // Order sends to a worker. The clock is read again at the moment of writing,
 // as the product does.
 func (n *simNode) Order(e effOrder) {
+	n.w.digest.add(n.w.nowUs, n.Name, "order", []int64{e.NotAfterMs, boolNumber(e.Stop)}, []byte(e.Worker), []byte(e.Addr), pack(nil, e.Key), e.Body)
 	if n.w.freezeOrders > 0 && !e.Stop {
 		n.w.freezeOrders--
 		n.freeze(9000) // between the check and the write
@@ -487,6 +499,7 @@
 func (d *simDisk) append(n *simNode, entries []logEntry, done func()) {
 	for _, e := range entries {
 		d.entries = append(d.entries, pack(nil, e))
+		n.w.digest.add(n.w.nowUs, n.Name, "append", nil, d.entries[len(d.entries)-1])
 	}
 	d.waiting = append(d.waiting, done)
 	if len(entries) == 0 && !d.syncing && !d.failed && d.synced == len(d.entries) {
@@ -556,6 +569,7 @@
 	var dump [][]byte
 	for _, e := range entries {
 		dump = append(dump, pack(nil, e))
+		n.w.digest.add(n.w.nowUs, n.Name, "snapshot", nil, dump[len(dump)-1])
 	}
 	wipes := d.wipes
 	n.later(20_000, func() {
