--- a/accord/brief_test.go
+++ b/accord/brief_test.go
@@ -69,7 +69,7 @@
 				must.Positive(t, at, must.Sprint(d.j.id, " never started"))
 				must.LessEq(t, d.dueMs+2500, at, must.Sprint(d.j.id, " was held back"))
 			}
-			for _, n := range w.nodes {
+			for _, n := range w.nodesInOrder() {
 				n.skewMs = 0
 			}
 			w.run(11_000)
@@ -94,7 +94,7 @@
 			w.killHolder("slice/" + s)
 		}
 		w.run(12_000)
-		for _, n := range w.nodes {
+		for _, n := range w.nodesInOrder() {
 			n.start()
 		}
 	}, 30_000}
@@ -182,7 +182,7 @@
 		must.True(t, w.until(20_000, func() bool { return open == 0 }), must.Sprint("a setup was never answered"))
 		w.run(max(0, at+18_000-w.nowMs()))
 		w.stays(t, "storm", at+12_000, at+18_000, usual)
-		for _, n := range w.nodes {
+		for _, n := range w.nodesInOrder() {
 			n.start()
 		}
 		j := w.submit(w.oneTask("guild-4999", 100, 1, 5000, 1))
@@ -271,7 +271,7 @@
 			w.run(4000)
 			w.wave(i, []int{200, 80, 20}[i])
 			w.run(3000)
-			for _, n := range w.nodes {
+			for _, n := range w.nodesInOrder() {
 				n.start()
 			}
 			w.workers["w06"].start()
--- a/accord/campaign_test.go
+++ b/accord/campaign_test.go
@@ -439,7 +439,7 @@
 
 func (w *world) jumpOf(n *simNode) func() {
 	wrong := 0
-	for _, o := range w.nodes {
+	for _, o := range w.nodesInOrder() {
 		if o.skewMs != 0 {
 			wrong++
 		}
--- a/accord/formation_test.go
+++ b/accord/formation_test.go
@@ -48,7 +48,7 @@
 // clusters counts the clusters that any daemon or disk took for formed.
 func (w *world) clusters() map[uint64]bool {
 	all := map[uint64]bool{}
-	for _, n := range w.nodes {
+	for _, n := range w.nodesInOrder() {
 		if n.sh == nil {
 			continue
 		}
@@ -170,7 +170,7 @@
 // Only a first start forms a core.
 func TestFormationOnlyAtAFirstStart(t *testing.T) {
 	w := coreWorld(4300, 5, eightDisks, 2)
-	for _, n := range w.nodes {
+	for _, n := range w.nodesInOrder() {
 		n.place.FirstStart = false
 	}
 	w.run(15_000)
--- a/accord/lease_test.go
+++ b/accord/lease_test.go
@@ -176,7 +176,7 @@
 // members names the newest core's members.
 func (w *world) members() []string {
 	var set coreSet
-	for _, n := range w.nodes {
+	for _, n := range w.nodesInOrder() {
 		if n.sh.n.core.Version > set.Version {
 			set = n.sh.n.core
 		}
--- a/accord/outcome_test.go
+++ b/accord/outcome_test.go
@@ -154,7 +154,7 @@
 				must.SliceContains(t, []int{200, 201}, second)
 				must.True(t, w.until(20_000, func() bool { return w.startsNamed(id) > 0 }), must.Sprint("it was taken and never runs"))
 				holders := 0
-				for _, n := range w.nodes {
+				for _, n := range w.nodesInOrder() {
 					for _, sl := range n.sh.n.owned {
 						if sl.jobs[id] != nil || sl.finished[id] != nil {
 							holders++
--- a/accord/scenario_test.go
+++ b/accord/scenario_test.go
@@ -542,7 +542,7 @@
 			all = append(all, w.submit(w.oneTask("signoff", 60_000, 4, 90_000, 1)))
 		}
 		w.run(3000)
-		for _, n := range w.nodes { // no daemon hears any owner for a moment
+		for _, n := range w.nodesInOrder() { // no daemon hears any owner for a moment
 			for _, s := range verdict.Sites {
 				if h := w.holderOf("slice/" + s); h != nil && h != n {
 					w.cuts[[2]string{h.Name, n.Name}] = true
@@ -616,7 +616,7 @@
 
 func init() {
 	scenarios["a member that missed an end, after the end's keeping is over"] = scenario{"hakata", func(t *testing.T, w *world) {
-		for _, n := range w.nodes {
+		for _, n := range w.nodesInOrder() {
 			n.place.KeepMs, n.sh.n.KeepMs = 20_000, 20_000
 		}
 		j, owner, _ := w.ownerCut(t, func() verdict.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
--- a/accord/world_test.go
+++ b/accord/world_test.go
@@ -77,6 +77,15 @@
 	heap.Push(&w.queue, happening{w.nowUs + us, w.seq, do})
 }
 
+// nodesInOrder gives the daemons by name: a run must not depend on a map's order.
+func (w *world) nodesInOrder() []*simNode {
+	out := make([]*simNode, 0, len(w.nodes))
+	for _, name := range sorted(w.nodes) {
+		out = append(out, w.nodes[name])
+	}
+	return out
+}
+
 func (w *world) nowMs() int64 { return w.nowUs / 1000 }
 
 const wallStart = 1_800_000_000_000 // ms; any day will do
@@ -948,7 +957,7 @@
 
 func (w *world) setupVersion() int64 {
 	v := int64(0)
-	for _, n := range w.nodes {
+	for _, n := range w.nodesInOrder() {
 		if n.up {
 			v = max(v, n.sh.n.setup.doc.Version)
 		}
@@ -978,7 +987,7 @@
 
 func (w *world) total(count string) int64 {
 	sum := int64(0)
-	for _, n := range w.nodes {
+	for _, n := range w.nodesInOrder() {
 		if n.up {
 			sum += n.sh.n.counts[count]
 		}
