--- a/guise/downstream.go
+++ b/cmd/otterchute-standin/downstream.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"otterchute/verdict"
+	"otterchute/internal/historycheck"
 
 	"github.com/google/subcommands"
 	"github.com/tidwall/gjson"
@@ -37,7 +37,7 @@
 	return "be all callers of a deployment, and judge the run"
 }
 func (*downstreamCommand) Usage() string {
-	return "guise downstream -deployment hakata|ikenna -daemons LIST -records DIR [flags]\n  exit 1 where a rule was broken or an accepted job did not end.\n"
+	return "otterchute-standin downstream -deployment hakata|ikenna -daemons LIST -records DIR [flags]\n  exit 1 where a rule was broken or an accepted job did not end.\n"
 }
 func (c *downstreamCommand) SetFlags(fs *flag.FlagSet) {
 	fs.StringVar(&c.deployment, "deployment", "hakata", "whose mix and rate")
@@ -56,11 +56,11 @@
 
 type downstreamRun struct {
 	*downstreamCommand
-	dep     verdict.Deployment
+	dep     historycheck.Deployment
 	daemons []string
 	http    *http.Client
 	mu      sync.Mutex
-	history []verdict.Event
+	history []historycheck.Event
 	states  map[string]string
 	bounced map[int]int
 	doneMs  []int64
@@ -68,7 +68,7 @@
 }
 
 func (c *downstreamCommand) Execute(_ context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	dep, ok := verdict.Deployments[c.deployment]
+	dep, ok := historycheck.Deployments[c.deployment]
 	if !ok {
 		return fail(2, fmt.Errorf("no deployment %q", c.deployment))
 	}
@@ -130,7 +130,7 @@
 	return r.judge(n)
 }
 
-func (r *downstreamRun) note(e verdict.Event) {
+func (r *downstreamRun) note(e historycheck.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e.AtMs = time.Now().UnixMilli()
@@ -144,11 +144,11 @@
 	if r.night != nil {
 		setup = r.night.with(setup)
 	}
-	r.note(verdict.Event{Kind: verdict.SetupSent, Version: 1, Setup: &setup})
+	r.note(historycheck.Event{Kind: historycheck.SetupSent, Version: 1, Setup: &setup})
 	for range 60 {
 		status, _, b := ask(r.http, "PUT", "http://"+r.any()+"/v1/setups/1", mustJSON(setup))
 		if status == 200 {
-			r.note(verdict.Event{Kind: verdict.SetupAcked, Version: 1, Setup: &setup})
+			r.note(historycheck.Event{Kind: historycheck.SetupAcked, Version: 1, Setup: &setup})
 			return nil
 		}
 		if status == 400 || status == 409 {
@@ -160,21 +160,21 @@
 }
 
 // follow hands a job in, again after silence, and asks for its state until it ends.
-func (r *downstreamRun) follow(id string, job verdict.Job, limit time.Time, cancel bool) {
-	r.note(verdict.Event{Kind: verdict.JobSent, Job: id, Spec: &job})
+func (r *downstreamRun) follow(id string, job historycheck.Job, limit time.Time, cancel bool) {
+	r.note(historycheck.Event{Kind: historycheck.JobSent, Job: id, Spec: &job})
 	r.state(id, "unsent")
 	body, sent := mustJSON(job), time.Now()
 	for {
 		status, retry, _ := ask(r.http, "PUT", "http://"+r.any()+"/v1/jobs/"+id, body)
 		if status == 200 || status == 201 {
-			r.note(verdict.Event{Kind: verdict.JobAcked, Job: id})
+			r.note(historycheck.Event{Kind: historycheck.JobAcked, Job: id})
 			r.state(id, "accepted")
 			break
 		}
 		r.mu.Lock()
 		r.bounced[status]++
 		r.mu.Unlock()
-		r.note(verdict.Event{Kind: verdict.NoEntry, Job: id})
+		r.note(historycheck.Event{Kind: historycheck.NoEntry, Job: id})
 		if status == 400 || status == 409 || time.Now().After(limit) {
 			return
 		}
@@ -185,7 +185,7 @@
 		if cancel {
 			status, _, _ := ask(r.http, "POST", "http://"+r.any()+"/v1/jobs/"+id+"/cancel", nil)
 			if status == 200 {
-				r.note(verdict.Event{Kind: verdict.CancelAcked, Job: id})
+				r.note(historycheck.Event{Kind: historycheck.CancelAcked, Job: id})
 			}
 			cancel = status != 200 && status != 409
 		}
@@ -195,10 +195,10 @@
 		if status == 404 {
 			state = "unknown"
 		} else if status != 200 {
-			r.note(verdict.Event{Kind: verdict.NoState, Job: id})
+			r.note(historycheck.Event{Kind: historycheck.NoState, Job: id})
 			continue
 		}
-		r.note(verdict.Event{Kind: verdict.JobState, Job: id, Text: state, AskedMs: asked})
+		r.note(historycheck.Event{Kind: historycheck.JobState, Job: id, Text: state, AskedMs: asked})
 		r.state(id, state)
 		if r.night != nil {
 			r.night.shown(id, state, string(b))
@@ -237,7 +237,7 @@
 		lines := bufio.NewScanner(file)
 		lines.Buffer(nil, 1<<20)
 		for lines.Scan() {
-			var e verdict.Event
+			var e historycheck.Event
 			if json.Unmarshal(lines.Bytes(), &e) == nil {
 				history = append(history, e)
 			}
@@ -251,21 +251,21 @@
 	}
 	mine := map[string]int64{}
 	for _, e := range r.history {
-		if e.Kind == verdict.JobSent {
+		if e.Kind == historycheck.JobSent {
 			mine[e.Job] = e.AtMs
 		}
 	}
 	// A run of another caller's job is not judged here.
 	prefix, _, _ := strings.Cut(firstKey(mine), "-")
-	history = slices.DeleteFunc(history, func(e verdict.Event) bool {
+	history = slices.DeleteFunc(history, func(e historycheck.Event) bool {
 		_, ok := mine[e.Job]
 		return e.Job != "" && !ok && strings.HasPrefix(e.Job, prefix)
 	})
-	breaches := verdict.Check(history, verdict.Usual)
+	breaches := historycheck.Check(history, historycheck.Usual)
 	first, starts := map[string][]int64{}, map[string]int{}
 	seen := map[string]bool{}
 	for _, e := range history {
-		if e.Kind != verdict.Start {
+		if e.Kind != historycheck.Start {
 			continue
 		}
 		starts[e.Text]++
@@ -281,7 +281,7 @@
 	unended := sent - count["complete"] - count["failed"] - count["cancelled"]
 	out := map[string]any{"deployment": r.deployment, "sent": sent, "states": count, "unended": unended, "bounces": r.bounced, "runs_by_class": starts,
 		"to_end_ms": map[string]int64{"median": quantile(r.doneMs, 0.5), "p99": quantile(r.doneMs, 0.99)}, "breaches": len(breaches)}
-	stateMs, entryMs := verdict.Dark(r.history)
+	stateMs, entryMs := historycheck.Dark(r.history)
 	out["dark_ms"] = map[string]int64{"states": stateMs, "entry": entryMs}
 	starting := map[string]any{}
 	for _, class := range []string{"guaranteed", "queueable"} {
--- a/guise/main.go
+++ b/cmd/otterchute-standin/main.go
@@ -1,4 +1,4 @@
-// Program guise holds the stand-ins: workers that run whatever they are told,
+// Program otterchute-standin holds the stand-ins: workers that run whatever they are told,
 // callers with their users' mixes, and the verdict over what both recorded.
 package main
 
@@ -18,7 +18,7 @@
 )
 
 func main() {
-	cmd := subcommands.NewCommander(flag.CommandLine, "guise")
+	cmd := subcommands.NewCommander(flag.CommandLine, "otterchute-standin")
 	cmd.Register(cmd.HelpCommand(), "")
 	cmd.Register(&workerCommand{}, "")
 	cmd.Register(&downstreamCommand{}, "")
@@ -53,7 +53,7 @@
 }
 
 func fail(code int, err error) subcommands.ExitStatus {
-	fmt.Fprintln(os.Stderr, "guise:", err)
+	fmt.Fprintln(os.Stderr, "otterchute-standin:", err)
 	return subcommands.ExitStatus(code)
 }
 
--- a/guise/night.go
+++ b/cmd/otterchute-standin/night.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"otterchute/verdict"
+	"otterchute/internal/historycheck"
 )
 
 // nightQueue is the queue of batches, from a night of two minutes.
@@ -33,13 +33,13 @@
 // job that must start in dear hours.
 func (n *night) finishBy() time.Duration { return 7 * time.Minute }
 
-func (n *night) with(s verdict.Setup) verdict.Setup {
-	s.Contracts = []verdict.Contract{{Name: "night", Price: 0.12, Hours: []verdict.Hours{{From: n.opens.Format("15:04"), To: n.closes.Format("15:04"), Price: 0.04}}}}
+func (n *night) with(s historycheck.Setup) historycheck.Setup {
+	s.Contracts = []historycheck.Contract{{Name: "night", Price: 0.12, Hours: []historycheck.Hours{{From: n.opens.Format("15:04"), To: n.closes.Format("15:04"), Price: 0.04}}}}
 	if n.closes.Format("15:04") == "00:00" {
 		s.Contracts[0].Hours[0].To = "24:00"
 	}
-	s.Queues = append(slices.Clone(s.Queues), verdict.Queue{Name: nightQueue, Selector: map[string][]string{"tier": {"fast", "bulk"}},
-		Batch: verdict.Batch{Contract: "night", FinishByHours: n.finishBy().Hours(), SharePercent: 40}})
+	s.Queues = append(slices.Clone(s.Queues), historycheck.Queue{Name: nightQueue, Selector: map[string][]string{"tier": {"fast", "bulk"}},
+		Batch: historycheck.Batch{Contract: "night", FinishByHours: n.finishBy().Hours(), SharePercent: 40}})
 	return s
 }
 
@@ -68,7 +68,7 @@
 }
 
 // judge tells how the batches fared, and how many times one did not as it should.
-func (n *night) judge(history []verdict.Event) (map[string]any, int) {
+func (n *night) judge(history []historycheck.Event) (map[string]any, int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	ends, early, cheap, dear, doubled, late := map[string]int{}, 0, 0, 0, 0, 0
@@ -77,13 +77,13 @@
 			continue
 		}
 		switch {
-		case e.Kind == verdict.Start && e.AtMs < n.opens.UnixMilli():
+		case e.Kind == historycheck.Start && e.AtMs < n.opens.UnixMilli():
 			early++
-		case e.Kind == verdict.Start && e.AtMs < n.closes.UnixMilli():
+		case e.Kind == historycheck.Start && e.AtMs < n.closes.UnixMilli():
 			cheap++
-		case e.Kind == verdict.Start:
+		case e.Kind == historycheck.Start:
 			dear++
-		case e.Kind == verdict.End && e.Text == "ok":
+		case e.Kind == historycheck.End && e.Text == "ok":
 			if ends[fmt.Sprint(e.Job, "#", e.Task)]++; ends[fmt.Sprint(e.Job, "#", e.Task)] > 1 {
 				doubled++
 			}
--- a/guise/worker.go
+++ b/cmd/otterchute-standin/worker.go
@@ -18,7 +18,7 @@
 	"syscall"
 	"time"
 
-	"otterchute/verdict"
+	"otterchute/internal/historycheck"
 
 	"github.com/google/subcommands"
 	"github.com/tidwall/gjson"
@@ -38,7 +38,7 @@
 func (*workerCommand) Name() string     { return "worker" }
 func (*workerCommand) Synopsis() string { return "be one worker" }
 func (*workerCommand) Usage() string {
-	return "guise worker -name N -site S -listen IP:PORT -daemons LIST -room N [flags]\n  SIGUSR1 makes it leave; SIGTERM ends it.\n"
+	return "otterchute-standin worker -name N -site S -listen IP:PORT -daemons LIST -room N [flags]\n  SIGUSR1 makes it leave; SIGTERM ends it.\n"
 }
 func (c *workerCommand) SetFlags(fs *flag.FlagSet) {
 	fs.StringVar(&c.name, "name", "w00", "its name")
@@ -105,7 +105,7 @@
 	mux.HandleFunc("POST /stop", w.stopRun)
 	go func() { _ = http.Serve(ln, mux) }()
 	w.readJournal()
-	w.note(verdict.Event{Kind: verdict.WorkerRoom, Room: c.room, Labels: w.labels, Site: c.site})
+	w.note(historycheck.Event{Kind: historycheck.WorkerRoom, Room: c.room, Labels: w.labels, Site: c.site})
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1)
 	var vanish <-chan time.Time
@@ -133,7 +133,7 @@
 	}
 }
 
-func (w *worker) note(e verdict.Event) {
+func (w *worker) note(e historycheck.Event) {
 	if w.out == nil {
 		return
 	}
@@ -145,8 +145,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(w.running)) {
-		job, task, _ := verdict.ParseRun(id)
-		w.note(verdict.Event{Kind: verdict.End, Job: job, Task: task, Run: id, Text: "crash"})
+		job, task, _ := historycheck.ParseRun(id)
+		w.note(historycheck.Event{Kind: historycheck.End, Job: job, Task: task, Run: id, Text: "crash"})
 		delete(w.running, id)
 	}
 }
@@ -177,17 +177,17 @@
 	var o struct {
 		ID, Tag, Class string
 		Room           int64
-		Payload        verdict.Work
+		Payload        historycheck.Work
 	}
 	if err := json.NewDecoder(req.Body).Decode(&o); err != nil {
 		http.Error(rw, err.Error(), 400)
 		return
 	}
 	r := &run{ID: o.ID, Tag: o.Tag, Room: o.Room, started: time.Now(), stop: make(chan struct{}, 1)}
-	job, task, _ := verdict.ParseRun(o.ID)
+	job, task, _ := historycheck.ParseRun(o.ID)
 	w.mu.Lock()
 	w.running[o.ID] = r
-	w.note(verdict.Event{Kind: verdict.Start, Job: job, Task: task, Run: o.ID, Text: o.Class})
+	w.note(historycheck.Event{Kind: historycheck.Start, Job: job, Task: task, Run: o.ID, Text: o.Class})
 	w.mu.Unlock()
 	outcome, last := "ok", time.Duration(float64(o.Payload.Ms)*w.slow)*time.Millisecond
 	if rand.IntN(100) < w.failPct || rand.IntN(100) < o.Payload.FailPct {
@@ -212,7 +212,7 @@
 		r.Outcome, r.RanMs = outcome, time.Since(r.started).Milliseconds()
 		delete(w.running, o.ID)
 		w.ended[o.ID] = r
-		w.note(verdict.Event{Kind: verdict.End, Job: job, Task: task, Run: o.ID, Text: outcome})
+		w.note(historycheck.Event{Kind: historycheck.End, Job: job, Task: task, Run: o.ID, Text: outcome})
 		w.mu.Unlock()
 		w.poke()
 	}()
@@ -279,7 +279,7 @@
 		delete(w.ended, id.Str)
 	}
 	if leaving {
-		w.note(verdict.Event{Kind: verdict.WorkerLeaves})
+		w.note(historycheck.Event{Kind: historycheck.WorkerLeaves})
 	}
 	return true
 }
--- a/experiments/run.sh
+++ b/experiments/run.sh
@@ -4,8 +4,8 @@
 # Takes about 20 minutes. GOMAXPROCS bounds the cores.
 set -euo pipefail
 cd "$(dirname "$0")/.."
-go build -o bin/ ./accord
+go build -o bin/ ./cmd/otterchute
 files=("$@")
 [ ${#files[@]} -gt 0 ] || for f in experiments/*.json; do [[ "$f" == experiments/target* ]] || files+=("$f"); done
-GOMAXPROCS=${GOMAXPROCS:-5} ./bin/accord experiment "${files[@]}"
-./bin/accord experiment -target experiments/target.json | tee experiments/results/target.txt
+GOMAXPROCS=${GOMAXPROCS:-5} ./bin/otterchute experiment "${files[@]}"
+./bin/otterchute experiment -target experiments/target.json | tee experiments/results/target.txt
--- a/fleet.sh
+++ b/fleet.sh
@@ -29,7 +29,7 @@
 {"name": "$name", "addr": "127.0.0.1:$((base + i))", "http": "$(http "$i")", "site": "${sites[$((i % 3))]}",
  "seeds": ["127.0.0.1:$base", "127.0.0.1:$((base + 1))", "127.0.0.1:$((base + 2))"], "data": "$data"}
 J
-  ./bin/accord run -settings "$dir/$name.json" ${ACCORD_FLAGS:-} >> "$dir/$name.log" 2>&1 &
+  ./bin/otterchute run -settings "$dir/$name.json" ${OTTERCHUTE_FLAGS:-} >> "$dir/$name.log" 2>&1 &
   echo $! > "$dir/$name.pid"
 }
 
@@ -38,7 +38,7 @@
   name=$(printf 'w%02d' "$i")
   [ $((i % 2)) = 0 ] && tier=bulk
   [ $((i % 3)) = 0 ] && disk=ssd
-  ./bin/guise worker -name "$name" -site "${sites[$((i % 3))]}" -labels "tier=$tier,disk=$disk" -room "$2" \
+  ./bin/otterchute-standin worker -name "$name" -site "${sites[$((i % 3))]}" -labels "tier=$tier,disk=$disk" -room "$2" \
     -listen "127.0.0.1:$((base + 200 + i))" -daemons "$(http $((i % 17))),$(http $(((i + 5) % 17))),$(http $(((i + 10) % 17)))" \
     -record "$dir/records/$name.jsonl" -journal "$dir/$name.journal" >> "$dir/$name.log" 2>&1 &
   echo $! > "$dir/$name.pid"
@@ -51,7 +51,7 @@
   dep=${2:-hakata}
   [ -e "$dir/deployment" ] && { echo "a fleet is there already: ./fleet.sh stop first" >&2; exit 1; }
   mkdir -p bin "$dir/records"
-  go build -o bin/ ./accord ./guise
+  go build -o bin/ ./cmd/otterchute ./cmd/otterchute-standin
   echo "$dep" > "$dir/deployment"
   read -r count room < <(size "$dep")
   for ((i = 0; i < count; i++)); do daemon "$i"; done
--- /dev/null
+++ b/internal/daemon/archive_test.go
@@ -0,0 +1,118 @@
+package daemon
+
+import (
+	"flag"
+	"fmt"
+	"otterchute/internal/quorum"
+	"otterchute/internal/statestore"
+	"runtime"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+)
+
+var dayFlag = flag.Int("day", 0, "finished jobs in TestMeasureDay; 0 to leave it out")
+
+// recordsIn counts what can be found of a shard.
+func recordsIn(st *statestore.Store, shard string) int {
+	x := st.Shard(shard)
+	return len(x.Live()) + x.Finished()
+}
+
+func finishedEntry(slice string, i int, doneMs int64) statestore.Entry {
+	j := &job{ID: fmt.Sprintf("confirm-17999990-%07d", i), Queue: "confirm", Digest: make([]byte, 16), SubmitMs: doneMs - 500, State: jobComplete, DoneMs: doneMs, Version: 9}
+	return statestore.Entry{Kind: statestore.EntryRecord, Name: slice, Record: statestore.Record{ID: j.ID, Epoch: 3, Version: 9, DoneMs: doneMs, Confirmed: true, Value: j.kept()}}
+}
+
+// A replaced member copies many finished jobs in parts: no message grows with
+// them, and each can be found there afterwards.
+func TestCopyInParts(t *testing.T) {
+	w := formed(t, 6, "ikenna")
+	const many = 20_000
+	for _, name := range []string{"d00", "d01", "d02"} {
+		for i := range many {
+			w.nodes[name].sh.node.store.Apply(finishedEntry("mid", i, wallStart+int64(i)))
+		}
+	}
+	n := w.nodes["d02"]
+	n.kill(true)
+	n.wipe()
+	n.start()
+	w.largest = 0
+	must.True(t, w.until(30_000, func() bool { return w.coreWhole() != nil }))
+	must.GreaterEq(t, many, recordsIn(n.sh.node.store, "mid"))
+	must.Less(t, 3*statestore.ChunkBytes, w.largest)
+}
+
+// A slice's live jobs are bounded in bytes too, since a new owner gets them in
+// one message: beyond that jobs are bounced, and a takeover still works.
+func TestLargeLiveJobsAreBounded(t *testing.T) {
+	w := formed(t, 6, "hakata")
+	big := w.oneTask("refresh", 100, 1, 5000, 1)
+	big.DelayMs = 3_600_000
+	big.Steps[0].Tasks[0].Payload = map[string]string{"list": string(make([]byte, 100_000))} // six times that as JSON
+	for range 160 {
+		w.submit(big)
+		w.run(50)
+	}
+	w.run(4000)
+	bounced := 0
+	for _, j := range w.jobs {
+		if !j.acked {
+			bounced++
+		}
+	}
+	must.Positive(t, bounced)
+	n := w.holderOf("slice/east")
+	n.kill(false)
+	must.True(t, w.until(8000, func() bool {
+		h := w.holderOf("slice/east")
+		return h != nil && h.sh.node.owned["east"].serving
+	}))
+	must.Less(t, frameMax, w.largest)
+}
+
+// What a day's jobs cost a core member, on this machine.
+func TestMeasureDay(t *testing.T) {
+	if *dayFlag == 0 {
+		t.Skip("only with -day")
+	}
+	heap := func() float64 {
+		runtime.GC()
+		var m runtime.MemStats
+		runtime.ReadMemStats(&m)
+		return float64(m.HeapAlloc) / 1e6
+	}
+	slices := []string{"east", "mid", "west"}
+	before, dir := heap(), t.TempDir()
+	d, st := opened(t, dir)
+	for i := range *dayFlag {
+		st.Apply(finishedEntry(slices[i%3], i, wallStart+int64(i)*90))
+	}
+	t.Logf("%d finished jobs: %.0f MB of heap, %.0f bytes each, %d bytes on disk", *dayFlag, heap()-before, (heap()-before)*1e6/float64(*dayFlag), st.Size())
+	took := func(what string, do func()) {
+		began := time.Now()
+		do()
+		t.Logf("%s: %.1f ms", what, float64(time.Since(began).Microseconds())/1000)
+	}
+	var dump []statestore.Entry
+	took("dump for a snapshot, on the control thread", func() { dump = st.Dump() })
+	took("snapshot written beside it", func() { must.NoError(t, d.commit([]logJob{{snapshot: true, entries: dump}})); d.snapshots.Wait() })
+	n := newNode(nodeConfig{Name: "d00"}, st)
+	n.core = quorum.Set{Cluster: 1, Version: 1, Members: []quorum.Member{{Name: "d00", DiskID: 0}}}
+	st.Apply(statestore.Entry{Kind: statestore.EntryForm, Value: quorum.Set{Cluster: 1}.Encode()})
+	took("seal", func() { n.onSeal("d01", &sealRequest{CoreVer: 1, Slice: "east", Epoch: 9}) })
+	took("a part of a copy", func() {
+		n.onCopy("d01", &copyRequest{CoreVer: 1, At: statestore.Cursor{Shard: "mid", Chunk: 5, Instance: n.Instance}})
+	})
+	took("drop of an hour", func() {
+		for _, s := range slices {
+			st.Apply(statestore.Entry{Kind: statestore.EntryDrop, Name: s, Epoch: uint64(wallStart + 3_600_000)})
+		}
+	})
+	closed(d)
+	took("start from the snapshot", func() { d, st = opened(t, dir) })
+	must.Eq(t, *dayFlag, recordsIn(st, "east")+recordsIn(st, "mid")+recordsIn(st, "west"))
+	closed(d)
+}
--- /dev/null
+++ b/internal/daemon/asks.go
@@ -0,0 +1,481 @@
+package daemon
+
+import (
+	"bytes"
+	"cmp"
+	"net"
+	"otterchute/internal/statestore"
+	"slices"
+	"strings"
+)
+
+// request is one thing a caller, worker or operator wants, at the daemon that got
+// it or handed over to the one that can settle it.
+type request struct {
+	id             uint64
+	origin         string // "" when it came by HTTP here
+	originInstance uint64 // of the origin's process: no later one is answered
+	hops           int32
+	op             string
+	key            string
+	body           []byte
+	atMs           int64
+	pollsBefore    uint64         // sent here before it came: only a later one confirms a setup for it
+	config         *configuration // of the body, where it is known to be sound
+	host           string         // with path, the address a caller used
+	path           string
+	expect         int64  // the version a setup builds on; -1 for one less than its own
+	digest         []byte // SHA-256 of an operator's order as it was sent, where that isn't the setup itself
+	queue          string // the queue that the address belongs to
+	maybeApplied   bool   // it may have been done: handed over and not answered, or under way here
+	byAddress      bool   // it came with an address: an unknown job is told apart from an unknown queue
+}
+
+type forwardedRequest struct {
+	request *request
+	to      string
+	limitMs int64
+}
+
+var requestHandlers map[string]func(*node, *request)
+
+func init() {
+	requestHandlers = map[string]func(*node, *request){
+		"job.put": (*node).routeJob, "job.get": (*node).routeJob, "job.cancel": (*node).routeJob,
+		"worker.report": (*node).routeReport, "worker.beat": (*node).handleHeartbeat, "worker.gone": (*node).handleWorkerGone, "worker.lost": (*node).routeWorkerLost,
+		"queue.submit": (*node).resolveAddress, "queue.state": (*node).resolveAddress, "queue.cancel": (*node).resolveAddress,
+		"job.state": (*node).routeJob,
+		"setup.put": (*node).putConfig, "setup.taken": (*node).findChange, "setup.get": (*node).getConfig,
+		"setup.where": (*node).locateConfig, "site.empty": (*node).setZone, "site.open": (*node).setZone, "ready": (*node).getReady,
+		"members": (*node).getMembers, "workers": (*node).getWorkers, "soundness": (*node).getHealth,
+	}
+}
+
+// operatorRequests are the calls of operators, who turn to another daemon after a second.
+var operatorRequests = map[string]bool{"setup.put": true, "setup.taken": true, "site.empty": true, "site.open": true}
+
+// retryBudget bounds what this daemon does beyond the first try, for all asks
+// together: under a crowd that sends again and again the fleet's own work must
+// not grow with what it gives up on.
+type retryBudget struct{ left int64 }
+
+func (b *retryBudget) earn(v int64) { b.left = min(b.left+v, retryBudgetMax*retryShare) }
+
+// spend takes one try, if one is left.
+func (b *retryBudget) spend() bool {
+	if b.left < retryShare {
+		return false
+	}
+	b.left -= retryShare
+	return true
+}
+
+func (n *node) onRequest(e evRequest) {
+	if len(n.forwarded) >= requestsMax {
+		n.count("asks_bounced")
+		n.emit(effReply{ID: e.ID, Status: 429, RetryMs: 1000, Body: mustJSON(map[string]any{"error": "too many asks in flight here"})})
+		return
+	}
+	n.count("asks_in")
+	n.retries.earn(1)
+	n.handleRequest(&request{atMs: n.now, pollsBefore: n.poll.seq, id: e.ID, op: e.Op, key: e.Key, body: e.Body, config: e.Ready, host: e.Host, path: e.Path, expect: e.Expect, digest: e.Digest})
+}
+
+func (n *node) onForwarded(from string, m *forwardMsg) {
+	body, ok := m.Body, true
+	if operatorRequests[m.Op] {
+		if body, ok = inflate(m.Body); !ok {
+			return
+		}
+	}
+	n.handleRequest(&request{atMs: n.now, pollsBefore: n.poll.seq, id: m.ID, origin: from, originInstance: n.sender.instance, hops: m.Hop, op: m.Op, key: m.Key, body: body, queue: m.Queue, expect: m.Expect, digest: m.Digest})
+}
+
+func (n *node) handleRequest(a *request) {
+	op, ok := requestHandlers[a.op]
+	if !ok {
+		n.respond(a, 404, 0, mustJSON(map[string]any{"error": "no such ask"}))
+		return
+	}
+	op(n, a)
+}
+
+func (n *node) respond(a *request, status int, retryMs int64, body []byte) {
+	if status >= 400 {
+		n.count("asks_bounced")
+	}
+	if a.outcomeUnknown(status) {
+		status, body = 504, mustJSON(map[string]any{"error": "outcome unknown: send the same call again"})
+	}
+	if a.byAddress && a.origin == "" && status == 404 && a.queue != "" {
+		status, body = 410, mustJSON(map[string]any{"missing": "job", "error": "no such job"})
+	}
+	m := forwardReply{ID: a.id, Status: int32(status), RetryMs: retryMs, Body: body}
+	if a.origin == "" {
+		n.reply(a.id, m)
+		return
+	}
+	n.respondTo(peerInstance{a.origin, a.originInstance}, &m)
+}
+
+// outcomeUnknown tells that a refusal can't be passed on as it is: an earlier try
+// of this call may have been done all the same. "Not taken" is only said when
+// it is surely so. That another job has the id stands, whoever says so.
+func (a *request) outcomeUnknown(status int) bool {
+	if a.queue == "" || !a.maybeApplied {
+		return false
+	}
+	switch a.op {
+	case "job.put":
+		return status == 503 || status == 429 || status == 404 || status == 400
+	case "job.cancel":
+		return status == 503 || status == 429
+	}
+	return false
+}
+
+func (n *node) reject(a *request, reason string) {
+	n.respond(a, 503, 1000, mustJSON(map[string]any{"error": reason}))
+}
+
+func (n *node) rejectFaults(a *request, status int, retryMs int64, faults []fault) {
+	n.respond(a, status, retryMs, faultsJSON(faults))
+}
+
+func faultsJSON(faults []fault) []byte {
+	return mustJSON(map[string]any{"error": faults[0].Path + " " + faults[0].Reason, "faults": faults})
+}
+
+// forward passes an ask on, once per daemon and at most forwardsMax times; an
+// answer that does not come is given up on long before the caller's limit.
+func (n *node) forward(a *request, to string) {
+	if a.hops >= forwardsMax || to == n.Name || to == "" || !n.alive(to) {
+		n.readFromCore(a, "nobody surely settles this now")
+		return
+	}
+	if a.hops > 0 && a.op != "worker.report" { // a second time; reports are few and feed everything
+		if !n.retries.spend() {
+			n.reject(a, "nobody surely settles this now")
+			return
+		}
+		n.count("asks_again")
+	}
+	n.forwardSeq++
+	limitMs, body := n.now+forwardMs, a.body
+	if operatorRequests[a.op] {
+		limitMs, body = n.now+configForwardMs, deflate(a.body)
+	}
+	n.forwarded[n.forwardSeq] = &forwardedRequest{request: a, to: to, limitMs: limitMs}
+	n.count("asks_handed_over")
+	n.send(to, &forwardMsg{ID: n.forwardSeq, Origin: n.Name, Hop: a.hops + 1, WaitMs: forwardMs, Op: a.op, Key: a.key, Body: body, Queue: a.queue, Expect: a.expect, Digest: a.digest})
+}
+
+func (n *node) onForwardReply(from string, m *forwardReply) {
+	p := n.forwarded[m.ID]
+	if p == nil || p.to != from { // given up on, or handed to another since
+		n.count("late_answers")
+		return
+	}
+	delete(n.forwarded, m.ID)
+	n.respond(p.request, int(m.Status), m.RetryMs, m.Body)
+}
+
+// retryForwarded settles anew what waits for a daemon that has lost its duty.
+func (n *node) retryForwarded(to string) {
+	for _, id := range sorted(n.forwarded) {
+		if p := n.forwarded[id]; p.to == to && to != "" && n.retries.spend() {
+			delete(n.forwarded, id)
+			p.request.maybeApplied = true
+			n.count("asks_again")
+			n.handleRequest(p.request)
+		}
+	}
+}
+
+func (n *node) tickRequests() {
+	n.retries.earn(retriesPerTick * retryShare)
+	n.coreReads.earn(readsPerTick * retryShare)
+	for _, id := range sorted(n.forwarded) {
+		if p := n.forwarded[id]; n.forwardTimedOut(p) {
+			delete(n.forwarded, id)
+			p.request.maybeApplied = true
+			n.readFromCore(p.request, "the daemon that settles this did not answer")
+		}
+	}
+	for _, id := range sorted(n.quorumReads) {
+		if r := n.quorumReads[id]; n.now >= r.limitMs || n.cutOff() {
+			delete(n.quorumReads, id)
+			n.reject(r.request, "neither the owner nor the core answered")
+		}
+	}
+}
+
+// readFromCore is for asks that no owner settles now: a job's state can still be
+// had from the core, anything else is bounced.
+func (n *node) readFromCore(a *request, reason string) {
+	if a.op != "job.get" && a.op != "job.state" || len(n.core.Members) == 0 || n.cutOff() || !n.coreReads.spend() {
+		n.reject(a, reason)
+		return
+	}
+	n.opSeq++
+	n.quorumReads[n.opSeq] = &quorumRead{request: a, got: map[string]statestore.Record{}, limitMs: n.now + quorumReadMs}
+	for _, m := range n.core.Members {
+		n.send(m.Name, &fetchRequest{CoreVer: n.core.Version, Op: n.opSeq, Slice: n.shardOf(a.key), IDs: []string{a.key}})
+	}
+}
+
+// quorumRead is a job's state on its way from the core, while no owner tells it.
+type quorumRead struct {
+	request *request
+	got     map[string]statestore.Record
+	limitMs int64
+}
+
+// onQuorumRead answers with a state that a majority holds. Where two members differ, the
+// later one may yet be lost and the earlier one be long past, at a member that
+// was away: only the others' word tells, for an end that was told already mustn't
+// be taken back. Absence it does not tell: only an owner can say that a job is
+// unknown.
+func (n *node) onQuorumRead(r *quorumRead, op uint64, from string, records []statestore.Record) {
+	var rec statestore.Record
+	if len(records) == 1 {
+		rec = records[0]
+	}
+	r.got[from] = rec
+	need := n.core.Majority()
+	if len(r.got) < need {
+		return
+	}
+	all := make([]statestore.Record, 0, len(r.got))
+	for _, rec := range r.got {
+		all = append(all, rec)
+	}
+	slices.SortFunc(all, func(a, b statestore.Record) int {
+		return cmp.Or(cmp.Compare(b.Epoch, a.Epoch), cmp.Compare(b.Version, a.Version))
+	})
+	at := need - 1
+	for at < len(all) && !bytes.Equal(all[at-need+1].Value, all[at].Value) {
+		at++
+	}
+	if at == len(all) { // no majority agrees
+		if !n.answeredByFullSet(r) {
+			return
+		}
+		at = need - 1
+	}
+	if j, ok := jobOf(all[at]); ok {
+		delete(n.quorumReads, op)
+		n.count("states_from_core")
+		if r.request.queue != "" && j.Queue != r.request.queue {
+			n.respond(r.request, 404, 0, mustJSON(map[string]any{"error": "no such job"}))
+			return
+		}
+		if r.request.op == "job.state" {
+			n.respond(r.request, 200, 0, mustJSON(map[string]any{"state": (&jobState{job: *j, runtime: make([]taskRuntime, len(j.Tasks))}).brief()}))
+			return
+		}
+		n.respond(r.request, 200, 0, mustJSON(j.view(func(t *task) string {
+			if t.State == taskPending || t.State == taskPlaced {
+				return "its slice is being taken over"
+			}
+			return ""
+		})))
+	} else if len(r.got) == len(n.core.Members) {
+		delete(n.quorumReads, op)
+		n.reject(r.request, "no owner settles this now, and a majority of the core does not know it")
+	}
+}
+
+// answeredByFullSet tells whether all of a full set have answered a read. In a set that is
+// larger or smaller, what a majority of the one before it held may be at fewer.
+func (n *node) answeredByFullSet(r *quorumRead) bool {
+	return len(r.got) == len(n.core.Members) && len(r.got) == n.coreGoal()
+}
+
+// shardOf decides which slice owns a job: callers never name one.
+func (n *node) shardOf(id string) string {
+	if len(n.core.Shards) == 0 {
+		return ""
+	}
+	return rendezvous(id, n.core.Shards)[0]
+}
+
+func (n *node) routeJob(a *request) {
+	name := n.shardOf(a.key)
+	if name == "" {
+		n.reject(a, "no cluster yet")
+		return
+	}
+	n.routeToShard(a, name)
+}
+
+func (n *node) routeToShard(a *request, name string) {
+	if sl := n.owned[name]; sl != nil && n.holds("slice/"+name) {
+		if !sl.serving {
+			n.readFromCore(a, "the slice is being taken over")
+			return
+		}
+		op := jobOps[a.op]
+		if op == nil {
+			n.respond(a, 404, 0, mustJSON(map[string]any{"error": "no such ask"}))
+			return
+		}
+		op(n, sl, a)
+		return
+	}
+	to, _ := n.holder("slice/" + name)
+	n.forward(a, to)
+}
+
+func (n *node) routeWorkerLost(a *request) {
+	slice, _, ok := strings.Cut(a.key, "/")
+	if !ok {
+		n.respond(a, 404, 0, mustJSON(map[string]any{"error": "no such slice"}))
+		return
+	}
+	n.routeToShard(a, slice)
+}
+
+// putConfig has a whole setup accepted. Only the register can say whether it was
+// accepted before, or lost: what this daemon itself knows may be old.
+func (n *node) putConfig(a *request) {
+	if !n.inContact() {
+		n.reject(a, "the core can't be reached from here")
+		return
+	}
+	if a.config == nil {
+		var faults []fault
+		if a.config, faults = parseConfig(a.key, a.body); len(faults) > 0 {
+			n.rejectFaults(a, 400, 0, faults)
+			return
+		}
+	}
+	id, faults := changeIDOf(a)
+	if len(faults) > 0 {
+		n.rejectFaults(a, 400, 0, faults)
+		return
+	}
+	if n.forwardToCore(a) {
+		return
+	}
+	o := n.startChange("setup", "setup", a.body, 0)
+	o.change, o.request = id, a
+}
+
+// forwardToCore passes a change of the setup on to a core member that answers
+// polls, the own site's first: a machine without a disk may have a thin line,
+// and a change takes the whole document to and from each member.
+func (n *node) forwardToCore(a *request) bool {
+	best := n.nearestMember()
+	if best == "" || a.hops > 0 {
+		return false
+	}
+	n.forward(a, best)
+	return true
+}
+
+// nearestMember gives a core member that answers polls, the own site's first; none
+// where this daemon is one itself.
+func (n *node) nearestMember() (best string) {
+	if n.inCore() {
+		return ""
+	}
+	for _, m := range n.core.Names() {
+		if n.alive(m) && n.now-n.poll.heardMs[m] < 2*pollColocatedMs && (best == "" || n.zoneOf(m) == n.Zone && n.zoneOf(best) != n.Zone) {
+			best = m
+		}
+	}
+	return best
+}
+
+// locateConfig names the machine that a setup is best read from, where it is another.
+func (n *node) locateConfig(a *request) {
+	host, _, _ := net.SplitHostPort(n.addrOf(n.nearestMember()))
+	n.respond(a, 200, 0, mustJSON(map[string]any{"host": host}))
+}
+
+// setZone empties a site or opens it again, beside the document.
+func (n *node) setZone(a *request) {
+	if !nameOK(a.key) {
+		n.rejectFaults(a, 400, 0, []fault{{"site", "must be a name"}})
+		return
+	}
+	if !n.inContact() {
+		n.reject(a, "the core can't be reached from here")
+		return
+	}
+	if !n.forwardToCore(a) {
+		n.startChange("setup", strings.TrimPrefix(a.op, "site."), []byte(a.key), 0).request = a
+	}
+}
+
+// addressOps are what calls at a queue's address ask of a job's owner.
+var addressOps = map[string]string{"queue.submit": "job.put", "queue.state": "job.state", "queue.cancel": "job.cancel"}
+
+// resolveAddress finds the queue that an address belongs to, by the setup that a
+// majority confirmed lately. That an address belongs to none is only said by
+// a setup confirmed after the call came.
+func (n *node) resolveAddress(a *request) {
+	c := n.config.current
+	if c.Version == 0 {
+		n.reject(a, "no setup yet")
+		return
+	}
+	queue, id, ok := c.resolve(a.host, a.path)
+	switch {
+	case !ok && n.configConfirmedSince(a):
+		n.respond(a, 404, 0, mustJSON(map[string]any{"missing": "queue", "error": "no queue has this address"}))
+		return
+	case !ok || !n.configFresh():
+		n.awaitConfirmation(a, "the setup is not confirmed here")
+		return
+	}
+	a.queue, a.byAddress, a.key = queue, true, id
+	switch {
+	case id == "" && a.op == "queue.state":
+		n.respond(a, 200, 0, mustJSON(map[string]any{"waiting": n.waitingIn(queue)}))
+	case !nameOK(id):
+		n.respond(a, 404, 0, nil)
+	default:
+		a.op = addressOps[a.op]
+		n.handleRequest(a)
+	}
+}
+
+// awaitConfirmation keeps an ask until a newer confirmation of the setup, for a while,
+// where one may still come.
+func (n *node) awaitConfirmation(a *request, reason string) {
+	if n.cutOff() || len(n.config.awaiting) >= requestsMax {
+		n.reject(a, reason)
+		return
+	}
+	n.config.awaiting = append(n.config.awaiting, a)
+	n.poll.nextMs = min(n.poll.nextMs, n.poll.lastMs+tickMs) // at the next tick, if none is on its way
+}
+
+// getConfig tells a setup that was confirmed after it was asked for, so that
+// nobody reads an older one than was acknowledged before.
+func (n *node) getConfig(a *request) {
+	if !n.configConfirmedSince(a) {
+		n.awaitConfirmation(a, "the setup is not confirmed here")
+		return
+	}
+	past := make([]map[string]any, 0, len(n.config.record.Past))
+	for _, p := range n.config.record.Past {
+		past = append(past, map[string]any{"version": p.Version, "digest": p.Digest, "queues": p.Queues, "bytes": p.Bytes, "at_ms": p.AtMs})
+	}
+	emptied := n.config.record.Emptied
+	if emptied == nil {
+		emptied = []string{}
+	}
+	plain, _ := inflate(n.config.record.Doc)
+	doc := string(plain)
+	if doc == "" {
+		doc = "null"
+	}
+	n.respond(a, 200, 0, mustJSON(map[string]any{"version": n.config.record.Version, "setup": rawJSON(doc), "emptied": emptied, "history": past}))
+}
+
+type rawJSON string
+
+func (r rawJSON) MarshalJSON() ([]byte, error) { return []byte(r), nil }
--- a/accord/ballot_test.go
+++ b/internal/daemon/ballot_test.go
@@ -1,31 +1,33 @@
-package main
+package daemon
 
 import (
 	"encoding/binary"
 	"hash/crc32"
 	"os"
+	"otterchute/internal/codec"
+	"otterchute/internal/quorum"
+	"otterchute/internal/register"
+	"otterchute/internal/statestore"
 	"reflect"
 	"testing"
 
-	"otterchute/register"
-
 	"github.com/shoenig/test/must"
 )
 
 // quorumOfThree is a core of three members that are spoken to one message at a
 // time, so that a test can lose, repeat and delay each of them.
 type quorumOfThree struct {
-	set     coreSet
+	set     quorum.Set
 	members map[string]*node
 }
 
 func newQuorumOfThree() *quorumOfThree {
-	set := coreSet{Cluster: 9, Version: 1, Members: []coreMember{{"a", 1}, {"b", 2}, {"c", 3}}}
+	set := quorum.Set{Cluster: 9, Version: 1, Members: []quorum.Member{{Name: "a", DiskID: 1}, {Name: "b", DiskID: 2}, {Name: "c", DiskID: 3}}}
 	q := &quorumOfThree{set: set, members: map[string]*node{}}
 	for _, m := range set.Members {
-		st := newStore()
-		st.set, st.cluster = set, set.Cluster
-		n := newNode(place{Name: m.Name, DiskID: m.DiskID, Disk: true}, st)
+		st := statestore.New()
+		st.Apply(statestore.Entry{Kind: statestore.EntrySet, Value: set.Encode()})
+		n := newNode(nodeConfig{Name: m.Name, DiskID: m.DiskID, Disk: true}, st)
 		n.core = set
 		q.members[m.Name] = n
 	}
@@ -34,7 +36,7 @@
 
 // life begins a process of the proposer "p".
 func (q *quorumOfThree) life(number uint64) *node {
-	n := newNode(place{Name: "p", Inc: number, Life: number}, nil)
+	n := newNode(nodeConfig{Name: "p", Incarnation: number, Instance: number}, nil)
 	n.core = q.set
 	return n
 }
@@ -43,9 +45,9 @@
 // The message is addressed to the present life, whichever it was meant for: ballots
 // must be safe without the check of addressees.
 func sentBy(n *node, from string, msg any) []effSend {
-	head := wireHead{From: from, Cluster: 9, To: addressOf(n.Name)}
+	head := frameHeader{From: from, Cluster: 9, To: addressOf(n.Name)}
 	if responses[reflect.TypeOf(msg)] {
-		head.To = n.Life
+		head.To = n.Instance
 	}
 	var out []effSend
 	for _, e := range reduce(n, event{NowMs: n.now + 1, Seed: 1, Body: evMsg{Head: head, Msg: msg}}) {
@@ -65,10 +67,10 @@
 
 // propose begins a change of the setup to version 1 with this queue, and gives
 // what is sent for it.
-func propose(n *node, queue string) (*casOp, map[string]any) {
+func propose(n *node, queue string) (*registerChange, map[string]any) {
 	n.out = nil
-	o := n.startCas("setup", "setup", queueSetup(queue, ""), 0)
-	o.order = orderID{Version: 1}
+	o := n.startChange("setup", "setup", queueSetup(queue, ""), 0)
+	o.change = changeID{Version: 1}
 	return o, byMember(n.out)
 }
 
@@ -116,11 +118,11 @@
 		for _, m := range []string{"b", "c"} {
 			sentBy(second, m, answer(m, accepts2[m]))
 		}
-		must.MapNotContainsKey(t, second.ops, op.ID, must.Sprint("the second order is acknowledged"))
+		must.MapNotContainsKey(t, second.changes, op.ID, must.Sprint("the second order is acknowledged"))
 		answer("b", accepts["b"]) // late
 		for _, m := range []string{"b", "c"} {
-			var d setupDoc
-			must.NoError(t, unpack(q.members[m].store.reg("setup").Value, &d))
+			var d configRecord
+			must.NoError(t, codec.Unmarshal(q.members[m].store.Register("setup").Value, &d))
 			doc, _ := inflate(d.Doc)
 			must.StrContains(t, string(doc), "right", must.Sprint("what was acknowledged is gone at ", m))
 		}
@@ -138,8 +140,8 @@
 			o, _ := propose(n, queue)
 			must.MapNotContainsKey(t, seen, o.Ballot)
 			seen[o.Ballot] = true
-			n.now += casTiming.AnswersMs + 1
-			n.tickOps()
+			n.now += changeTiming.AnswersMs + 1
+			n.tickChanges()
 			must.MapNotContainsKey(t, seen, o.Ballot)
 			seen[o.Ballot] = true
 		}
@@ -156,13 +158,13 @@
 	b, err := os.ReadFile(path)
 	must.NoError(t, err)
 	for at := 0; at < len(b); {
-		size := wholeRecord(b[at:])
+		size := recordSize(b[at:])
 		must.Positive(t, size)
 		inFormat(b[at:at+size], diskFormat-1)
 		at += size
 	}
 	must.NoError(t, os.WriteFile(path, b, 0o600))
-	_, _, err = openDisk(dir, 5, quiet)
+	_, _, err = openLog(dir, 5, quiet)
 	must.ErrorIs(t, err, errDiskFormat)
 	kept, err := os.ReadFile(path)
 	must.NoError(t, err)
@@ -182,7 +184,7 @@
 	for _, ask := range []any{&register.Prepare{Op: 1, SetVersion: 1, Register: "setup", Ballot: b},
 		&register.Accept{Op: 1, SetVersion: 1, Register: "setup", Ballot: b, Value: []byte("v")}} {
 		n := q.members["a"]
-		effects := reduce(n, event{NowMs: n.now + 1, Seed: 1, Body: evMsg{Head: wireHead{From: "p", Cluster: 9, To: addressOf("a")}, Msg: ask}})
+		effects := reduce(n, event{NowMs: n.now + 1, Seed: 1, Body: evMsg{Head: frameHeader{From: "p", Cluster: 9, To: addressOf("a")}, Msg: ask}})
 		must.Len(t, 1, effects)
 		kept, ok := effects[0].(effAppend)
 		must.True(t, ok)
--- a/accord/batch.go
+++ b/internal/daemon/batch.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"cmp"
@@ -46,19 +46,19 @@
 
 var weekdays = []string{"mon", "tue", "wed", "thu", "fri", "sat", "sun"}
 
-var contractFields = fieldSpec{Kind: "object", Fields: map[string]fieldSpec{
+var contractFields = fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
 	"name":               {Kind: "name", Required: true},
 	"utc_offset_minutes": {Kind: "count", Required: true, Min: -minutesPerDay + 1, Max: minutesPerDay - 1},
 	"price":              {Kind: "number", Required: true},
-	"hours": {Kind: "list", Max: 100, Elem: &fieldSpec{Kind: "object", Fields: map[string]fieldSpec{
+	"hours": {Kind: "list", Max: 100, Elem: &fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
 		"from":  {Kind: "text", Required: true, Min: 5, Max: 5},
 		"to":    {Kind: "text", Required: true, Min: 5, Max: 5},
-		"days":  {Kind: "list", Min: 1, Max: 7, Elem: &fieldSpec{Kind: "text", Min: 3, Max: 3}},
+		"days":  {Kind: "list", Min: 1, Max: 7, Elem: &fieldSchema{Kind: "text", Min: 3, Max: 3}},
 		"price": {Kind: "number", Required: true},
 	}}},
 }}
 
-var batchFields = fieldSpec{Kind: "object", Fields: map[string]fieldSpec{
+var batchFields = fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
 	"contract":        {Kind: "name", Required: true},
 	"finish_by_hours": {Kind: "number", Required: true},
 	"share_percent":   {Kind: "count", Required: true, Min: 1, Max: 100},
@@ -152,7 +152,7 @@
 }
 
 // compileBatch checks what a queue says of its batches.
-func (c *compiled) compileBatch(path string, doc gjson.Result) (*batchRules, []fault) {
+func (c *configuration) compileBatch(path string, doc gjson.Result) (*batchRules, []fault) {
 	r := &batchRules{Contract: c.Contracts[doc.Get("contract").Str], FinishByMs: int64(doc.Get("finish_by_hours").Num * msPerHour), SharePercent: doc.Get("share_percent").Int()}
 	var faults []fault
 	if r.Contract == nil {
@@ -251,7 +251,7 @@
 // batchOf gives the rules that a job is held by. Gangs and lasting tasks, which a
 // queue may have had before it took batches, run as they did.
 func (n *node) batchOf(j *job) *batchRules {
-	q := n.setup.cur.Queues[j.Queue]
+	q := n.config.current.Queues[j.Queue]
 	if q == nil || q.Batch == nil || slices.ContainsFunc(j.Steps, func(s step) bool { return s.Gang || s.Lasting }) {
 		return nil
 	}
@@ -260,7 +260,7 @@
 
 // batchSpec gives the rules for a task at a worker, if it is a batch's.
 func (n *node) batchSpec(s *orderSpec) *batchRules {
-	if q := n.setup.cur.Queues[s.Queue]; q != nil && s.Class == classQueueable {
+	if q := n.config.current.Queues[s.Queue]; q != nil && s.Class == classQueueable {
 		return q.Batch
 	}
 	return nil
@@ -269,27 +269,27 @@
 // batchFrom is when the time that a job has to finish began.
 func (j *job) batchFrom() int64 {
 	for i := range j.Tasks {
-		if t := &j.Tasks[i]; !t.settled() {
+		if t := &j.Tasks[i]; !t.resolved() {
 			return max(j.SubmitMs, j.dueOf(t.Round))
 		}
 	}
 	return max(j.SubmitMs, j.DueMs)
 }
 
-func (n *node) tickBatches(sl *slice) {
-	sl.batchStarts, sl.batchTries, sl.batchLoads = 0, 0, map[queueAt]amount{}
+func (n *node) tickBatches(sl *shard) {
+	sl.batchStarts, sl.batchTries, sl.batchLoads = 0, 0, map[queueOnWorker]resources{}
 	n.planBatches(sl)
 }
 
 // planBatches plans all batch jobs of a slice anew, those that must finish first
 // first: each needs the time of its longest chain, and that of all the work that
 // must be done before it in the room that batches may have.
-func (n *node) planBatches(sl *slice) {
-	wall := n.poll.medianWall(n)
-	if wall == 0 || !n.setupFresh() || n.now-sl.startMs < batchLearnMs || n.now < sl.batchAt && sl.batchVersion == n.setup.cur.Version {
+func (n *node) planBatches(sl *shard) {
+	wall := n.poll.fleetTime(n)
+	if wall == 0 || !n.configFresh() || n.now-sl.startMs < batchLearnMs || n.now < sl.batchAt && sl.batchVersion == n.config.current.Version {
 		return
 	}
-	sl.batchAt, sl.batchVersion = n.now+batchPlanMs, n.setup.cur.Version
+	sl.batchAt, sl.batchVersion = n.now+batchPlanMs, n.config.current.Version
 	type due struct {
 		js      *jobState
 		r       *batchRules
@@ -309,7 +309,7 @@
 		return
 	}
 	slices.SortStableFunc(list, func(a, b due) int { return cmp.Compare(a.d, b.d) })
-	room, ahead := map[string]amount{}, 0.0
+	room, ahead := map[string]resources{}, 0.0
 	for _, e := range list {
 		all, known := room[e.js.Queue]
 		if !known {
@@ -317,7 +317,7 @@
 			room[e.js.Queue] = all
 		}
 		chain, work := n.batchNeed(e.js, all)
-		ahead += work * float64(max(1, len(n.core.Slices))) // the other slices hold as much
+		ahead += work * float64(max(1, len(n.core.Shards))) // the other slices hold as much
 		need := (int64(ahead)+chain)*batchSlack/100 + batchMarginMs
 		p := e.r.plan(e.js.ID, e.from, wall, need)
 		if p.Must && (e.js.batch == nil || !e.js.batch.Must) {
@@ -329,10 +329,10 @@
 }
 
 // batchRoom is all the room that a queue's batches may have at once.
-func (n *node) batchRoom(queue string, r *batchRules) (all amount) {
-	q := n.setup.cur.Queues[queue]
+func (n *node) batchRoom(queue string, r *batchRules) (all resources) {
+	q := n.config.current.Queues[queue]
 	for _, w := range n.workers {
-		if n.now-w.heardMs < silentMs && !w.leaving && !n.setup.cur.Empty[w.site] && q.matches(w.labels, w.site) {
+		if n.now-w.heardMs < silentMs && !w.leaving && !n.config.current.EmptyZones[w.site] && q.matches(w.labels, w.site) {
 			all = all.plus(w.capacity.share(r.SharePercent))
 		}
 	}
@@ -341,17 +341,17 @@
 
 // batchNeed is what a job still needs, in ms: along its longest chain of steps, and
 // of all the room that batches may have.
-func (n *node) batchNeed(js *jobState, room amount) (chainMs int64, workMs float64) {
+func (n *node) batchNeed(js *jobState, room resources) (chainMs int64, workMs float64) {
 	longest := make([]int64, len(js.Steps))
 	for i := range js.Tasks {
 		t := &js.Tasks[i]
-		if t.settled() {
+		if t.resolved() {
 			continue
 		}
 		est := n.estimateMs(js, t)
 		longest[t.Step] = max(longest[t.Step], est)
 		part := 0.0
-		for _, d := range [][2]int64{{t.Room.CPU, room.CPU}, {t.Room.Memory, room.Memory}, {t.Room.GPU, room.GPU}} {
+		for _, d := range [][2]int64{{t.Resources.CPU, room.CPU}, {t.Resources.Memory, room.Memory}, {t.Resources.GPU, room.GPU}} {
 			if d[1] > 0 {
 				part = max(part, float64(d[0])/float64(d[1]))
 			}
@@ -379,7 +379,7 @@
 
 // shortOfRoom tells whether more urgent work waits: of this slice for a place, of
 // any slice for a firm one, or at many of the workers.
-func (n *node) shortOfRoom(sl *slice) bool {
+func (n *node) shortOfRoom(sl *shard) bool {
 	if sl.starvedMs != 0 && n.now-sl.starvedMs < batchCalmMs || n.ranks.short && n.now-n.ranks.heardMs < rankStaleMs {
 		return true
 	}
@@ -395,18 +395,18 @@
 	return waits > 0 && waits*batchCalmShare >= all
 }
 
-// queueAt names a queue's part of a worker.
-type queueAt struct{ queue, worker string }
+// queueOnWorker names a queue's part of a worker.
+type queueOnWorker struct{ queue, worker string }
 
 // batchLoad is the room that a queue's batches, or all queues', take at a worker,
 // as far as known; it is summed up once in a tick.
-func (n *node) batchLoad(sl *slice, queue, worker string) (sum amount) {
-	if sum, ok := sl.batchLoads[queueAt{queue, worker}]; ok {
+func (n *node) batchLoad(sl *shard, queue, worker string) (sum resources) {
+	if sum, ok := sl.batchLoads[queueOnWorker{queue, worker}]; ok {
 		return sum
 	}
 	defer func() {
 		if sl.batchLoads != nil {
-			sl.batchLoads[queueAt{queue, worker}] = sum
+			sl.batchLoads[queueOnWorker{queue, worker}] = sum
 		}
 	}()
 	for at, room := range sl.placed[worker] {
@@ -417,7 +417,7 @@
 	if w := n.workers[worker]; w != nil {
 		for _, b := range w.batch[sl.name] {
 			if b.Queue == queue || queue == "" {
-				sum = sum.plus(b.Room)
+				sum = sum.plus(b.Resources)
 			}
 		}
 	}
@@ -428,17 +428,17 @@
 // least of them, by its size, where nothing more urgent waits and enough room for
 // that stays free, counting on what was left over lately. A job that must start now
 // takes the worker with the most room, and may take the last of it.
-func (n *node) selectBatchWorker(sl *slice, js *jobState, i int) string {
+func (n *node) selectBatchWorker(sl *shard, js *jobState, i int) string {
 	if sl.batchStarts >= batchStartsTick || sl.batchTries >= batchTriesTick {
 		return ""
 	}
 	sl.batchTries++
-	js.run[i].retryMs = n.now + batchAgainMs/2 + n.rand().Int64N(batchAgainMs)
+	js.runtime[i].retryMs = n.now + batchAgainMs/2 + n.rand().Int64N(batchAgainMs)
 	if !js.batch.Must && n.shortOfRoom(sl) {
 		return ""
 	}
 	t := &js.Tasks[i]
-	st, q := &js.Steps[t.Step], n.setup.cur.Queues[js.Queue]
+	st, q := &js.Steps[t.Step], n.config.current.Queues[js.Queue]
 	var used map[string]int32
 	if st.PerWorker > 0 {
 		used = js.usedBy(i)
@@ -446,21 +446,21 @@
 	best, least, bestWeight := "", 0.0, uint64(0)
 	for _, name := range sorted(n.workers) {
 		w := n.workers[name]
-		if !n.allowed(w, q, t.Needs, t.Room) || w.suspect || w.waiting > 0 || n.ranks.unsound[name] != 0 || st.PerWorker > 0 && used[name] >= st.PerWorker {
+		if !n.allowed(w, q, t.Needs, t.Resources) || w.suspect || w.waiting > 0 || n.ranks.unhealthy[name] != 0 || st.PerWorker > 0 && used[name] >= st.PerWorker {
 			continue
 		}
 		kept := w.capacity.share(batchHeadroom)
 		if js.batch.Must {
-			kept = amount{}
+			kept = resources{}
 		}
-		if !t.Room.plus(kept).fits(n.freeAt(sl, name, w)) {
+		if !t.Resources.plus(kept).fits(n.freeAt(sl, name, w)) {
 			continue
 		}
-		if !js.batch.Must && !n.batchLoad(sl, "", name).plus(t.Room).plus(kept).fits(w.low.least()) {
+		if !js.batch.Must && !n.batchLoad(sl, "", name).plus(t.Resources).plus(kept).fits(w.spare.least()) {
 			continue
 		}
 		load := n.batchLoad(sl, js.Queue, name)
-		if !load.plus(t.Room).fits(w.capacity.share(q.Batch.SharePercent)) {
+		if !load.plus(t.Resources).fits(w.capacity.share(q.Batch.SharePercent)) {
 			continue
 		}
 		part := float64(load.CPU) / float64(max(w.capacity.CPU, 1))
@@ -481,8 +481,8 @@
 	if best != "" {
 		sl.batchStarts++
 		for _, queue := range []string{js.Queue, ""} {
-			load := n.batchLoad(sl, queue, best).plus(t.Room)
-			sl.batchLoads[queueAt{queue, best}] = load
+			load := n.batchLoad(sl, queue, best).plus(t.Resources)
+			sl.batchLoads[queueOnWorker{queue, best}] = load
 		}
 	}
 	return best
@@ -490,7 +490,7 @@
 
 // whyHeld tells why a task of a batch has not started, and until when.
 func (n *node) whyHeld(js *jobState, t *task) string {
-	r, p, wall := n.batchOf(&js.job), js.batch, n.poll.medianWall(n)
+	r, p, wall := n.batchOf(&js.job), js.batch, n.poll.fleetTime(n)
 	if r == nil {
 		return ""
 	}
@@ -511,7 +511,7 @@
 	if !p.Must && n.shortOfRoomAnywhere() {
 		return "held while more urgent work waits for room" + by
 	}
-	if !t.Room.fits(n.batchMost(js.Queue, r)) {
+	if !t.Resources.fits(n.batchMost(js.Queue, r)) {
 		return fmt.Sprintf("no worker can hold it within the %d percent that batches of this queue may take", r.SharePercent)
 	}
 	return "waiting for its share of the workers' room" + by
@@ -528,11 +528,11 @@
 }
 
 // batchMost is the largest share that one worker has for a queue's batches.
-func (n *node) batchMost(queue string, r *batchRules) (most amount) {
-	q := n.setup.cur.Queues[queue]
+func (n *node) batchMost(queue string, r *batchRules) (most resources) {
+	q := n.config.current.Queues[queue]
 	for _, w := range n.workers {
-		if s := w.capacity.share(r.SharePercent); n.allowed(w, q, nil, amount{}) {
-			most = amount{max(most.CPU, s.CPU), max(most.Memory, s.Memory), max(most.GPU, s.GPU)}
+		if s := w.capacity.share(r.SharePercent); n.allowed(w, q, nil, resources{}) {
+			most = resources{max(most.CPU, s.CPU), max(most.Memory, s.Memory), max(most.GPU, s.GPU)}
 		}
 	}
 	return most
@@ -562,7 +562,7 @@
 // meterBatch counts the core seconds of a run that just ended, at what each
 // part of it cost.
 func (n *node) meterBatch(js *jobState, t *task, ranMs int64) {
-	r, wall := n.batchOf(&js.job), n.poll.medianWall(n)
+	r, wall := n.batchOf(&js.job), n.poll.fleetTime(n)
 	if r == nil || wall == 0 || ranMs <= 0 {
 		return
 	}
@@ -571,7 +571,7 @@
 	}
 	for _, w := range r.Contract.windows(wall-ranMs, wall) {
 		if ms := min(w.ToMs, wall) - max(w.FromMs, wall-ranMs); ms > 0 {
-			n.batchMeter[meterKey{r.Contract.Name, w.Price}] += float64(ms) / 1000 * float64(t.Room.CPU)
+			n.batchMeter[meterKey{r.Contract.Name, w.Price}] += float64(ms) / 1000 * float64(t.Resources.CPU)
 		}
 	}
 }
@@ -610,61 +610,61 @@
 }
 
 // batchHeld is the room that each queue's batches take at a worker.
-func (ag *agent) batchHeld(n *node, but string) (out []queueRoom) {
-	sum := map[string]amount{}
-	for _, h := range ag.held {
-		if h.state != heldEnded && (but == "" || h.spec.Slice != but) && n.batchSpec(&h.spec) != nil {
-			sum[h.spec.Queue] = sum[h.spec.Queue].plus(h.spec.Room)
+func (ag *agent) batchHeld(n *node, but string) (out []queueResources) {
+	sum := map[string]resources{}
+	for _, h := range ag.attempts {
+		if h.state != attemptEnded && (but == "" || h.spec.Slice != but) && n.batchSpec(&h.spec) != nil {
+			sum[h.spec.Queue] = sum[h.spec.Queue].plus(h.spec.Resources)
 		}
 	}
 	for _, q := range sorted(sum) {
-		out = append(out, queueRoom{q, sum[q]})
+		out = append(out, queueResources{q, sum[q]})
 	}
 	return out
 }
 
-// besideBatches gives the unstarted tasks at a worker that are no batch's, and the
+// withoutBatches gives the unstarted tasks at a worker that are no batch's, and the
 // room that those and the running ones leave.
-func (ag *agent) besideBatches(n *node) (waiting int64, spare amount) {
+func (ag *agent) withoutBatches(n *node) (waiting int64, spare resources) {
 	spare = ag.capacity
-	for _, h := range ag.held {
-		if h.state == heldEnded || n.batchSpec(&h.spec) != nil {
+	for _, h := range ag.attempts {
+		if h.state == attemptEnded || n.batchSpec(&h.spec) != nil {
 			continue
 		}
-		spare = spare.minus(h.spec.Room)
-		if h.state == heldQueued {
+		spare = spare.minus(h.spec.Resources)
+		if h.state == attemptQueued {
 			waiting++
 		}
 	}
 	return waiting, spare
 }
 
-// lowRoom keeps the least of some room over the last one to two spans of batchLowMs.
-type lowRoom struct {
-	now, past amount
+// spareWindow keeps the least of some room over the last one to two spans of batchLowMs.
+type spareWindow struct {
+	now, past resources
 	known     int // spans seen
 	atMs      int64
 }
 
-func (l lowRoom) with(nowMs int64, room amount) lowRoom {
+func (l spareWindow) with(nowMs int64, room resources) spareWindow {
 	if l.known == 0 || nowMs-l.atMs >= batchLowMs {
-		l = lowRoom{now: room, past: l.now, known: l.known + 1, atMs: nowMs}
+		l = spareWindow{now: room, past: l.now, known: l.known + 1, atMs: nowMs}
 	}
-	l.now = amount{min(l.now.CPU, room.CPU), min(l.now.Memory, room.Memory), min(l.now.GPU, room.GPU)}
+	l.now = resources{min(l.now.CPU, room.CPU), min(l.now.Memory, room.Memory), min(l.now.GPU, room.GPU)}
 	return l
 }
 
 // least gives nothing until a whole span was seen.
-func (l lowRoom) least() amount {
+func (l spareWindow) least() resources {
 	if l.known < 2 {
-		return amount{}
+		return resources{}
 	}
-	return amount{min(l.now.CPU, l.past.CPU), min(l.now.Memory, l.past.Memory), min(l.now.GPU, l.past.GPU)}
+	return resources{min(l.now.CPU, l.past.CPU), min(l.now.Memory, l.past.Memory), min(l.now.GPU, l.past.GPU)}
 }
 
-// wantsWait tells whether firm work has waited for room some time.
-func (n *node) wantsWait(c *central) bool {
-	for _, ws := range c.wants {
+// allocationsWait tells whether firm work has waited for room some time.
+func (n *node) allocationsWait(c *central) bool {
+	for _, ws := range c.pending {
 		if n.now-ws.firstMs > batchCalmMs && len(ws.open()) > 0 {
 			return true
 		}
@@ -674,14 +674,14 @@
 
 // mayStartBatch guards a worker's room once more when a batch task would start:
 // nothing more urgent waits there, and its queue stays within its share.
-func (n *node) mayStartBatch(ag *agent, h *held, r *batchRules) bool {
-	if waiting, _ := ag.besideBatches(n); waiting > 0 {
+func (n *node) mayStartBatch(ag *agent, h *attempt, r *batchRules) bool {
+	if waiting, _ := ag.withoutBatches(n); waiting > 0 {
 		return false
 	}
-	sum := h.spec.Room
-	for _, o := range ag.held {
-		if o != h && o.spec.Queue == h.spec.Queue && (o.state == heldOrdered || o.state == heldRunning) && n.batchSpec(&o.spec) != nil {
-			sum = sum.plus(o.spec.Room)
+	sum := h.spec.Resources
+	for _, o := range ag.attempts {
+		if o != h && o.spec.Queue == h.spec.Queue && (o.state == attemptOrdered || o.state == attemptRunning) && n.batchSpec(&o.spec) != nil {
+			sum = sum.plus(o.spec.Resources)
 		}
 	}
 	return sum.fits(ag.capacity.share(r.SharePercent))
@@ -689,13 +689,13 @@
 
 // returnBatches gives back batch tasks that could not start here at once, and
 // leaves the others in the queue: batches never wait at a worker.
-func (n *node) returnBatches(ag *agent, queue []*held) []*held {
+func (n *node) returnBatches(ag *agent, queue []*attempt) []*attempt {
 	some := false
-	queue = slices.DeleteFunc(queue, func(h *held) bool {
+	queue = slices.DeleteFunc(queue, func(h *attempt) bool {
 		if n.batchSpec(&h.spec) == nil || n.now-h.queuedMs <= batchWaitMs {
 			return false
 		}
-		h.state, h.result, some = heldEnded, resultShed, true
+		h.state, h.result, some = attemptEnded, resultShed, true
 		n.count("batches_returned")
 		return true
 	})
@@ -706,7 +706,7 @@
 }
 
 // explainContracts tells an operator what the hours of a setup come to.
-func (c *compiled) explainContracts() (out []string) {
+func (c *configuration) explainContracts() (out []string) {
 	at := func(m int64) string {
 		day := weekdays[m/minutesPerDay%7]
 		return fmt.Sprintf("%s %02d:%02d", day, m%minutesPerDay/60, m%60)
--- a/accord/batch_test.go
+++ b/internal/daemon/batch_test.go
@@ -1,7 +1,8 @@
-package main
+package daemon
 
 import (
 	"fmt"
+	"otterchute/internal/quorum"
 	"strings"
 	"testing"
 
@@ -18,7 +19,7 @@
 
 func mustContract(t *testing.T, doc string) *contract {
 	t.Helper()
-	c, faults := compileSetup(1, []byte(`{"contracts":[`+doc+`],"queues":[]}`))
+	c, faults := compileConfig(1, []byte(`{"contracts":[`+doc+`],"queues":[]}`))
 	must.SliceEmpty(t, faults)
 	for _, k := range c.Contracts {
 		return k
@@ -28,7 +29,7 @@
 
 func TestBatchSetupFaults(t *testing.T) {
 	good := `{"contract":"night","finish_by_hours":20,"share_percent":30}`
-	c, faults := compileSetup(1, []byte(batchSetup(nightContract, good)))
+	c, faults := compileConfig(1, []byte(batchSetup(nightContract, good)))
 	must.SliceEmpty(t, faults)
 	must.Eq(t, int64(20*msPerHour), c.Queues["refresh"].Batch.FinishByMs)
 	must.Eq(t, "night", c.Queues["refresh"].Batch.Contract.Name)
@@ -61,12 +62,12 @@
 		{with(`{"from":"22:00","to":"06:00","price":1},{"from":"05:00","to":"07:00","price":2}`), good, "contracts.0.hours.1", "overlap hours.0"},
 		{with(`{"from":"00:00","to":"01:00","days":["mon"],"price":1},{"from":"23:00","to":"00:30","days":["sun"],"price":2}`), good, "contracts.0.hours.1", "overlap hours.0"},
 	} {
-		_, faults := compileSetup(1, []byte(batchSetup(x.contracts, x.batch)))
+		_, faults := compileConfig(1, []byte(batchSetup(x.contracts, x.batch)))
 		must.Positive(t, len(faults), must.Sprint(x))
 		must.Eq(t, x.path, faults[0].Path, must.Sprint(faults))
 		must.StrContains(t, faults[0].Reason, x.reason, must.Sprint(x.path))
 	}
-	_, faults = compileSetup(1, []byte(batchSetup(with(`{"from":"00:00","to":"24:00","days":["mon"],"price":1},{"from":"00:00","to":"01:00","days":["tue"],"price":2}`), good)))
+	_, faults = compileConfig(1, []byte(batchSetup(with(`{"from":"00:00","to":"24:00","days":["mon"],"price":1},{"from":"00:00","to":"01:00","days":["tue"],"price":2}`), good)))
 	must.SliceEmpty(t, faults) // they touch
 }
 
@@ -159,33 +160,33 @@
 // batchNode gives a daemon by itself, at some time by the fleet's clock.
 func batchNode(t *testing.T, wallMs int64) *node {
 	t.Helper()
-	c, faults := compileSetup(1, []byte(`{"contracts":[`+nightContract+`],"queues":[{"name":"confirm","urgency":90},{"name":"import","urgency":0},
+	c, faults := compileConfig(1, []byte(`{"contracts":[`+nightContract+`],"queues":[{"name":"confirm","urgency":90},{"name":"import","urgency":0},
 		{"name":"refresh","urgency":95,"batch":{"contract":"night","finish_by_hours":20,"share_percent":30}}]}`))
 	must.SliceEmpty(t, faults)
-	n := newNode(place{Name: "d0"}, nil)
+	n := newNode(nodeConfig{Name: "d0"}, nil)
 	n.now = 1_000_000
-	n.setup.cur, n.setup.confirmedMs = c, n.now
-	n.core = coreSet{Members: []coreMember{{Name: "d0"}}, Slices: []string{"east"}}
-	n.poll.clocks = map[string]clockRead{"d0": {least: wallMs - n.now, most: wallMs - n.now}}
+	n.config.current, n.config.confirmedMs = c, n.now
+	n.core = quorum.Set{Members: []quorum.Member{{Name: "d0"}}, Shards: []string{"east"}}
+	n.poll.clocks = map[string]clockBounds{"d0": {least: wallMs - n.now, most: wallMs - n.now}}
 	return n
 }
 
-func (n *node) batchSlice() *slice {
-	sl := &slice{name: "east", serving: true, jobs: map[string]*jobState{}, placed: map[string]map[placedAt]amount{}, load: map[string]amount{}, batchLoads: map[queueAt]amount{}}
+func (n *node) batchSlice() *shard {
+	sl := &shard{name: "east", serving: true, jobs: map[string]*jobState{}, placed: map[string]map[placedAt]resources{}, load: map[string]resources{}, batchLoads: map[queueOnWorker]resources{}}
 	n.owned["east"] = sl
 	return sl
 }
 
 // batchJob puts a job into a slice that came some time before now.
-func (n *node) batchJob(t *testing.T, sl *slice, id, steps string, agoMs int64) *jobState {
+func (n *node) batchJob(t *testing.T, sl *shard, id, steps string, agoMs int64) *jobState {
 	t.Helper()
 	j, faults := parseJob(id, "", []byte(`{"queue":"refresh","steps":`+steps+`}`))
 	must.SliceEmpty(t, faults)
 	for i := range j.Tasks {
 		j.Tasks[i].LimitMs = 600_000
 	}
-	j.SubmitMs = n.poll.medianWall(n) - agoMs
-	js := &jobState{job: *j, run: make([]taskState, len(j.Tasks)), committed: 1}
+	j.SubmitMs = n.poll.fleetTime(n) - agoMs
+	js := &jobState{job: *j, runtime: make([]taskRuntime, len(j.Tasks)), committed: 1}
 	sl.jobs[id] = js
 	return js
 }
@@ -198,51 +199,51 @@
 // that urgent work pushes batches out at once, and nothing else sooner.
 func TestBatchAtTheAgent(t *testing.T) {
 	n := batchNode(t, aMonday)
-	ag := &agent{worker: "w", pinned: true, rebuilt: true, tokenMs: n.now, heardMs: n.now, lastOK: n.now, capacity: amount{CPU: 100}, free: amount{CPU: 100}, held: map[attemptKey]*held{},
-		tombs: map[attemptKey]int64{}, owners: map[string]uint64{}, ownerMs: map[string]int64{}, ends: map[int64]attemptKey{}}
+	ag := &agent{worker: "w", colocated: true, rebuilt: true, tokenMs: n.now, heardMs: n.now, lastOK: n.now, capacity: resources{CPU: 100}, free: resources{CPU: 100}, attempts: map[attemptKey]*attempt{},
+		tombstones: map[attemptKey]int64{}, owners: map[string]uint64{}, ownerMs: map[string]int64{}, ends: map[int64]attemptKey{}}
 	n.agents["w"] = ag
-	queued := func(id, queue string, class int8, room int64) *held {
-		h := &held{spec: orderSpec{Key: attemptKey{Job: id, Attempt: 1}, Slice: "east", Queue: queue, Class: class, Room: amount{CPU: room}}, confirmedMs: n.now, queuedMs: n.now}
-		ag.held[h.spec.Key] = h
+	queued := func(id, queue string, class int8, room int64) *attempt {
+		h := &attempt{spec: orderSpec{Key: attemptKey{Job: id, Attempt: 1}, Slice: "east", Queue: queue, Class: class, Resources: resources{CPU: room}}, confirmedMs: n.now, queuedMs: n.now}
+		ag.attempts[h.spec.Key] = h
 		return h
 	}
 	pump := func() {
-		ag.beating = true
-		n.pump(ag)
-		ag.beating = false
+		ag.answering = true
+		n.startPending(ag)
+		ag.answering = false
 	}
-	running := func(h *held) { h.state, h.startedMs = heldRunning, n.now }
+	running := func(h *attempt) { h.state, h.startedMs = attemptRunning, n.now }
 
 	one, two := queued("b1", "refresh", classQueueable, 20), queued("b2", "refresh", classQueueable, 20)
 	pump()
-	must.Eq(t, []int8{heldOrdered, heldQueued}, []int8{one.state, two.state}) // a second would be above 30 percent
-	must.Eq(t, []queueRoom{{"refresh", amount{CPU: 40}}}, ag.batchHeld(n, ""))
+	must.Eq(t, []int8{attemptOrdered, attemptQueued}, []int8{one.state, two.state}) // a second would be above 30 percent
+	must.Eq(t, []queueResources{{"refresh", resources{CPU: 40}}}, ag.batchHeld(n, ""))
 	must.SliceEmpty(t, ag.batchHeld(n, "east"))
 	n.now += batchWaitMs + 1
-	ag.tokenMs, n.setup.confirmedMs = n.now, n.now
+	ag.tokenMs, n.config.confirmedMs = n.now, n.now
 	pump()
 	must.Eq(t, resultShed, two.result) // it goes back, and never waits here
 
 	running(one)
 	other := queued("i1", "import", classQueueable, 60)
 	pump()
-	must.Eq(t, heldOrdered, other.state)
+	must.Eq(t, attemptOrdered, other.state)
 	running(other)
 	urgent := queued("c1", "confirm", classQueueable, 40) // 20 are free
 	pump()
-	must.Eq(t, heldQueued, urgent.state)
+	must.Eq(t, attemptQueued, urgent.state)
 	must.Eq(t, resultPreempted, one.stopWhy) // the batch makes room at once
 	must.Zero(t, other.stopMs)
 	three := queued("b3", "refresh", classQueueable, 1)
 	pump()
-	must.Eq(t, heldQueued, three.state) // something more urgent waits
-	one.state = heldEnded
+	must.Eq(t, attemptQueued, three.state) // something more urgent waits
+	one.state = attemptEnded
 	pump()
-	must.Eq(t, heldOrdered, urgent.state)
+	must.Eq(t, attemptOrdered, urgent.state)
 	running(urgent)
 
 	// what is no batch's is still left its time before it is pushed out
-	ag.held = map[attemptKey]*held{}
+	ag.attempts = map[attemptKey]*attempt{}
 	low := queued("i2", "import", classQueueable, 90)
 	pump()
 	running(low)
@@ -250,12 +251,12 @@
 	pump()
 	must.Zero(t, low.stopMs)
 	n.now += urgentWaitMs + 1
-	urgent.confirmedMs, ag.tokenMs, n.setup.confirmedMs = n.now, n.now, n.now
+	urgent.confirmedMs, ag.tokenMs, n.config.confirmedMs = n.now, n.now, n.now
 	pump()
 	must.Positive(t, low.stopMs)
 
 	// a batch's run never becomes firm, and weighs nothing in the worker's rank
-	ag.held = map[attemptKey]*held{}
+	ag.attempts = map[attemptKey]*attempt{}
 	batch := queued("b4", "refresh", classQueueable, 10)
 	batch.spec.EstMs = 50_000
 	running(batch)
@@ -269,36 +270,36 @@
 func TestBatchChoosesAWorker(t *testing.T) {
 	n := batchNode(t, aMonday)
 	sl := n.batchSlice()
-	roomy := lowRoom{}.with(0, amount{CPU: 100}).with(batchLowMs, amount{CPU: 100})
+	roomy := spareWindow{}.with(0, resources{CPU: 100}).with(batchLowMs, resources{CPU: 100})
 	for _, name := range []string{"w1", "w2", "w3"} {
-		n.workers[name] = &workerView{heardMs: n.now, rebuilt: true, fresh: true, capacity: amount{CPU: 100}, low: roomy, others: map[string]amount{}, batch: map[string][]queueRoom{}}
+		n.workers[name] = &workerView{heardMs: n.now, rebuilt: true, fresh: true, capacity: resources{CPU: 100}, spare: roomy, otherShards: map[string]resources{}, batch: map[string][]queueResources{}}
 	}
 	js := n.batchJob(t, sl, "b1", oneBatch(10, 1000), 0)
 	js.batch = &batchPlan{}
 	choose := func() string {
-		sl.batchStarts, sl.batchTries, sl.batchLoads = 0, 0, map[queueAt]amount{}
+		sl.batchStarts, sl.batchTries, sl.batchLoads = 0, 0, map[queueOnWorker]resources{}
 		return n.selectBatchWorker(sl, js, 0)
 	}
-	n.workers["w1"].batch["east"] = []queueRoom{{"refresh", amount{CPU: 10}}}
-	n.workers["w2"].batch["east"] = []queueRoom{{"refresh", amount{CPU: 5}}}
+	n.workers["w1"].batch["east"] = []queueResources{{"refresh", resources{CPU: 10}}}
+	n.workers["w2"].batch["east"] = []queueResources{{"refresh", resources{CPU: 5}}}
 	must.Eq(t, "w3", choose())
-	must.Greater(t, n.now, js.run[0].retryMs)
+	must.Greater(t, n.now, js.runtime[0].retryMs)
 	n.workers["w3"].waiting = 1 // something more urgent waits there
 	must.Eq(t, "", choose())    // and at one worker of three that is a sign for all
 	js.batch.Must = true        // but a job that must start takes the emptiest of the others
-	n.workers["w2"].others["east"] = amount{CPU: 90}
+	n.workers["w2"].otherShards["east"] = resources{CPU: 90}
 	must.Eq(t, "w1", choose())
-	n.workers["w1"].others["east"] = amount{CPU: 91}
+	n.workers["w1"].otherShards["east"] = resources{CPU: 91}
 	must.Eq(t, "w2", choose())
-	js.batch.Must, n.workers["w1"].others, n.workers["w2"].others = false, map[string]amount{}, map[string]amount{}
+	js.batch.Must, n.workers["w1"].otherShards, n.workers["w2"].otherShards = false, map[string]resources{}, map[string]resources{}
 	n.workers["w3"].waiting = 0
-	n.workers["w3"].low = lowRoom{}.with(0, amount{CPU: 100}) // not seen long enough
+	n.workers["w3"].spare = spareWindow{}.with(0, resources{CPU: 100}) // not seen long enough
 	must.Eq(t, "w2", choose())
-	n.workers["w2"].others["east"] = amount{CPU: 70} // less than headroom would be left
+	n.workers["w2"].otherShards["east"] = resources{CPU: 70} // less than headroom would be left
 	must.Eq(t, "w1", choose())
-	n.workers["w1"].batch["east"] = []queueRoom{{"refresh", amount{CPU: 21}}} // above its share
+	n.workers["w1"].batch["east"] = []queueResources{{"refresh", resources{CPU: 21}}} // above its share
 	must.Eq(t, "", choose())
-	n.workers["w2"].others["east"] = amount{}
+	n.workers["w2"].otherShards["east"] = resources{}
 	sl.starvedMs = n.now - batchCalmMs + 1
 	must.Eq(t, "", choose())
 	sl.starvedMs = 0
@@ -310,9 +311,9 @@
 	sl.batchStarts = batchStartsTick
 	must.Eq(t, "", n.selectBatchWorker(sl, js, 0))
 
-	low := lowRoom{}.with(0, amount{CPU: 9}).with(100, amount{CPU: 4}).with(batchLowMs, amount{CPU: 7})
+	low := spareWindow{}.with(0, resources{CPU: 9}).with(100, resources{CPU: 4}).with(batchLowMs, resources{CPU: 7})
 	must.Eq(t, int64(4), low.least().CPU)
-	must.Eq(t, int64(7), low.with(2*batchLowMs, amount{CPU: 8}).least().CPU)
+	must.Eq(t, int64(7), low.with(2*batchLowMs, resources{CPU: 8}).least().CPU)
 }
 
 // Work that many jobs need together before a deadline makes each start earlier
@@ -322,7 +323,7 @@
 	n := batchNode(t, at(0, 14))
 	sl := n.batchSlice()
 	for i := range 4 {
-		n.workers[fmt.Sprint("w", i)] = &workerView{heardMs: n.now, rebuilt: true, fresh: true, capacity: amount{CPU: 100}}
+		n.workers[fmt.Sprint("w", i)] = &workerView{heardMs: n.now, rebuilt: true, fresh: true, capacity: resources{CPU: 100}}
 	}
 	// 120 units at once are batches'; 60 jobs of 30 units and an hour need 15 hours of that
 	var all []*jobState
@@ -346,7 +347,7 @@
 	must.Eq(t, 0.12, all[59].batch.Price)
 	late := n.batchJob(t, sl, "late", oneBatch(1, 4000), 20*msPerHour-30_000)
 	n.now += batchPlanMs
-	n.setup.confirmedMs = n.now
+	n.config.confirmedMs = n.now
 	for _, w := range n.workers {
 		w.heardMs = n.now
 	}
@@ -364,11 +365,11 @@
 
 	// a new owner, with nothing but the records, plans the same once it has heard the agents
 	other := batchNode(t, at(0, 14))
-	other.now, other.setup.confirmedMs = n.now, n.now
+	other.now, other.config.confirmedMs = n.now, n.now
 	other.workers = n.workers
 	osl := other.batchSlice()
 	for _, js := range all {
-		osl.jobs[js.ID] = &jobState{job: js.job, run: make([]taskState, 1), committed: 1}
+		osl.jobs[js.ID] = &jobState{job: js.job, runtime: make([]taskRuntime, 1), committed: 1}
 	}
 	osl.startMs = other.now
 	other.planBatches(osl)
@@ -381,8 +382,8 @@
 	}
 
 	// a queue that takes no batches any more lets its jobs go at once
-	c, _ := compileSetup(2, []byte(`{"queues":[{"name":"refresh"}]}`))
-	n.setup.cur = c
+	c, _ := compileConfig(2, []byte(`{"queues":[{"name":"refresh"}]}`))
+	n.config.current = c
 	n.planBatches(sl)
 	must.Nil(t, all[0].batch)
 	must.Eq(t, "", n.whyHeld(all[0], &all[0].Tasks[0]))
@@ -411,20 +412,20 @@
 // leave room in the records.
 func TestBatchEntry(t *testing.T) {
 	n := batchNode(t, aMonday)
-	q := n.setup.cur.Queues["refresh"]
+	q := n.config.current.Queues["refresh"]
 	j, faults := parseJob("j", "refresh", []byte(`{"steps":[{"name":"a","count":2,"room":1,"gang":true},{"name":"b","count":1,"room":1,"lasting":true}]}`))
 	must.SliceEmpty(t, faults)
-	b := interpret(&askContext{job: j, queue: q})
+	b := admit(&admission{job: j, queue: q})
 	must.Eq(t, []fault{{"steps.0.gang", "can't be in a batch queue: it needs a firm place"}, {"steps.1.lasting", "can't be in a batch queue: it never finishes"}}, b.faults)
 	must.Eq(t, 400, b.status)
 	j, _ = parseJob("j", "refresh", []byte(`{"steps":[{"name":"a","count":2,"room":1}]}`))
-	must.Nil(t, interpret(&askContext{job: j, queue: q, base: true, batch: true, all: sliceJobsMax*batchRecords/100 - 1}))
-	must.Eq(t, 429, interpret(&askContext{job: j, queue: q, base: true, batch: true, all: sliceJobsMax * batchRecords / 100}).status)
-	must.Eq(t, 429, interpret(&askContext{job: j, queue: q, base: true, batch: true, bytes: sliceBytes*batchRecords/100 + 1}).status)
+	must.Nil(t, admit(&admission{job: j, queue: q, base: true, batch: true, all: shardJobsMax*batchRecords/100 - 1}))
+	must.Eq(t, 429, admit(&admission{job: j, queue: q, base: true, batch: true, all: shardJobsMax * batchRecords / 100}).status)
+	must.Eq(t, 429, admit(&admission{job: j, queue: q, base: true, batch: true, bytes: shardBytesMax*batchRecords/100 + 1}).status)
 }
 
 func TestBatchExplained(t *testing.T) {
-	c, faults := compileSetup(1, []byte(batchSetup(`{"name":"night","utc_offset_minutes":-210,"price":0.12,"hours":[{"from":"22:00","to":"06:00","days":["sat"],"price":0.04}]}`,
+	c, faults := compileConfig(1, []byte(batchSetup(`{"name":"night","utc_offset_minutes":-210,"price":0.12,"hours":[{"from":"22:00","to":"06:00","days":["sat"],"price":0.04}]}`,
 		`{"contract":"night","finish_by_hours":20.5,"share_percent":30}`)))
 	must.SliceEmpty(t, faults)
 	must.Eq(t, []string{"contract night, clock UTC-03:30 all year:", "  mon 00:00 to sat 22:00: 0.12 a core hour", "  sat 22:00 to sun 06:00: 0.04 a core hour, the cheapest",
--- a/accord/batchnight_test.go
+++ b/internal/daemon/batchnight_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"fmt"
@@ -106,7 +106,7 @@
 		b.run(5000)
 		if len(r.batch) > 0 && len(r.samples) < 40 {
 			j := r.batch[len(r.samples)%len(r.batch)]
-			b.world.call("operator", b.edge(), evAsk{Op: "job.get", Key: j.id}, 1000, func(status int, _ int64, body []byte) {
+			b.world.call("operator", b.edge(), evRequest{Op: "job.get", Key: j.id}, 1000, func(status int, _ int64, body []byte) {
 				if status == 200 {
 					r.samples = append(r.samples, string(body))
 				}
@@ -291,14 +291,14 @@
 		at(88_000, func() { b.after(3_500_000, b.kill(b.spots[2], false)) })
 		at(95_000, func() { b.crashFor(b.worker(5), 4500) })
 		at(185_000, func() {
-			site := b.nodes[b.spots[0]].Site
+			site := b.nodes[b.spots[0]].Zone
 			b.order("site.empty", site, func() { b.after(9_000_000, func() { b.order("site.open", site, nil) }) })
 		})
 		at(202_000, func() {
 			b.cutTogether = true
 			var hosts []string
 			for _, host := range sorted(b.nodes) {
-				if b.nodes[host].Site == b.nodes[b.spots[1]].Site {
+				if b.nodes[host].Zone == b.nodes[b.spots[1]].Zone {
 					hosts = append(hosts, host)
 				}
 			}
--- a/accord/beatdays_test.go
+++ b/internal/daemon/beatdays_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"flag"
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"otterchute/verdict"
+	"otterchute/internal/historycheck"
 
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
@@ -236,7 +236,7 @@
 	}
 	for _, host := range sorted(b.nodes) {
 		n := b.nodes[host]
-		n.place.Seeds = seeds
+		n.nodeConfig.Seeds = seeds
 		if n.up {
 			n.event(evSeeds{Seeds: seeds})
 		}
@@ -348,7 +348,7 @@
 	func(r *rand.Rand) (string, func(b *beatWorld)) {
 		ms, at := between(r, 2000, 5000), r.IntN(3)
 		return fmt.Sprintf("zone %d lost for %d ms", at, ms), func(b *beatWorld) {
-			zone := verdict.Sites[at]
+			zone := historycheck.Sites[at]
 			b.whenAllowed(func() []string { return b.zoneHosts(zone) }, func([]string) { b.loseZone(zone, ms) })
 		}
 	},
@@ -377,8 +377,8 @@
 	}, func([]string) { do() })
 }
 
-// changeKinds are an operator's usual changes.
-var changeKinds = map[string]func(b *beatWorld){
+// dayChangeKinds are an operator's usual changes.
+var dayChangeKinds = map[string]func(b *beatWorld){
 	"note": func(b *beatWorld) { b.change(nil) },
 	"weights": func(b *beatWorld) {
 		b.change(func(s *beatSetup) { s.queues[1].urgency += b.rng.Int64N(10) })
@@ -481,8 +481,8 @@
 		}
 	},
 	func(r *rand.Rand) (string, func(b *beatWorld)) {
-		kind := choose(r, sorted(changeKinds)...)
-		return "change: " + kind, func(b *beatWorld) { changeKinds[kind](b) }
+		kind := choose(r, sorted(dayChangeKinds)...)
+		return "change: " + kind, func(b *beatWorld) { dayChangeKinds[kind](b) }
 	},
 	func(r *rand.Rand) (string, func(b *beatWorld)) {
 		queues := choose(r, 200, 1500)
@@ -512,7 +512,7 @@
 	func(r *rand.Rand) (string, func(b *beatWorld)) {
 		at := r.IntN(3)
 		return fmt.Sprintf("zone %d evacuated", at), func(b *beatWorld) {
-			zone := verdict.Sites[at]
+			zone := historycheck.Sites[at]
 			if len(b.emptied) == 0 {
 				b.order("site.empty", zone, func() { b.after(7_000_000, func() { b.order("site.open", zone, nil) }) })
 			}
@@ -560,7 +560,7 @@
 	func(r *rand.Rand) (string, func(b *beatWorld)) {
 		ms, at := between(r, 2000, 9000), r.IntN(3)
 		return fmt.Sprintf("zone %d cut off for %d ms", at, ms), func(b *beatWorld) {
-			zone := verdict.Sites[at]
+			zone := historycheck.Sites[at]
 			b.whenAllowed(func() []string { return b.zoneHosts(zone) }, func([]string) { b.after(ms*1000, b.cutZone(zone)) })
 		}
 	},
--- a/accord/beatjudge_test.go
+++ b/internal/daemon/beatjudge_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// The judge of the users' rules on jobs. It knows nothing of accord's own
+// The judge of the users' rules on jobs. It knows nothing of the daemons' own
 // state: only what callers and operators sent and were answered, what workers
 // were told and did, and which machines were in trouble.
 
--- a/accord/beats_test.go
+++ b/internal/daemon/beats_test.go
@@ -1,31 +1,32 @@
-package main
+package daemon
 
 import (
 	"encoding/json"
 	"fmt"
+	"otterchute/internal/quorum"
 	"testing"
 
 	"github.com/shoenig/test/must"
 )
 
 // pinned gives a daemon that a worker beats to, and a way to beat.
-func pinned(t *testing.T) (*node, func(afterMs int64, lists string) beatAnswer) {
-	n := newNode(place{Name: "side-1", Inc: 7, Site: "east", HoldMostMs: holdMostMs}, nil)
-	n.core = coreSet{Cluster: 1, Version: 1, Members: []coreMember{{"d00", 1}}, Slices: []string{"east"}}
+func pinned(t *testing.T) (*node, func(afterMs int64, lists string) heartbeatReply) {
+	n := newNode(nodeConfig{Name: "side-1", Incarnation: 7, Zone: "east", MaxHoldMs: holdMostMs}, nil)
+	n.core = quorum.Set{Cluster: 1, Version: 1, Members: []quorum.Member{{Name: "d00", DiskID: 1}}, Shards: []string{"east"}}
 	seq := int64(0)
-	return n, func(afterMs int64, lists string) beatAnswer {
+	return n, func(afterMs int64, lists string) heartbeatReply {
 		seq++
 		body := fmt.Sprintf(`{"seq":%d,"site":"east","labels":{"service":"s"},"rack":"r1","capacity":{"cpu":8000,"memory":8000,"accelerators":0}%s}`, seq, lists)
-		for _, e := range reduce(n, event{NowMs: n.now + afterMs, WallMs: 1_800_000_000_000, Seed: 1, Body: evAsk{ID: uint64(seq), Op: "worker.beat", Key: "w1", Expect: -1, Body: []byte(body)}}) {
+		for _, e := range reduce(n, event{NowMs: n.now + afterMs, WallMs: 1_800_000_000_000, Seed: 1, Body: evRequest{ID: uint64(seq), Op: "worker.beat", Key: "w1", Expect: -1, Body: []byte(body)}}) {
 			if r, ok := e.(effReply); ok {
 				must.Eq(t, 200, r.Status, must.Sprint(string(r.Body)))
-				var a beatAnswer
+				var a heartbeatReply
 				must.NoError(t, jsonTo(r.Body, &a))
 				return a
 			}
 		}
 		t.Fatal("a beat was not answered")
-		return beatAnswer{}
+		return heartbeatReply{}
 	}
 }
 
@@ -44,7 +45,7 @@
 	}{{true, 99, 0}, {true, 50, 1}, {true, 0, 0}, {false, 50, 1}, {false, 99, 1}} {
 		n, beat := pinned(t)
 		beat(100, running("j1", 0, 1, c.percent))
-		h := n.agents["w1"].held[attemptKey{"j1", placeID(0, 0, 0), 1}]
+		h := n.agents["w1"].attempts[attemptKey{"j1", placeID(0, 0, 0), 1}]
 		h.unknown, h.confirmedMs, h.spec.Gang, h.spec.EstMs = false, n.now+60_000, c.gang, 1000
 		beat(100, running("j1", 0, 1, c.percent))
 		must.Len(t, c.stops, beat(standMs+200, running("j1", 0, 1, c.percent)).Stop, must.Sprint(c))
@@ -59,7 +60,7 @@
 	a := beat(50, running("j1", 0, 1, 10))
 	must.Eq(t, int64(0), a.HoldMs) // found running, and no owner has spoken: what an earlier answer held must do
 	ag := n.agents["w1"]
-	h := ag.held[attemptKey{"j1", placeID(0, 0, 0), 1}]
+	h := ag.attempts[attemptKey{"j1", placeID(0, 0, 0), 1}]
 	h.unknown, h.confirmedMs = false, n.now
 	must.Eq(t, int64(holdSpanMs), beat(50, running("j1", 0, 1, 20)).HoldMs)
 	a = beat(ownerSpanMs-1500, running("j1", 0, 1, 30))
@@ -67,9 +68,9 @@
 	must.Len(t, 0, a.Stop)
 	must.Eq(t, int64(0), beat(1600, running("j1", 0, 1, 40)).HoldMs)
 
-	ag.held[attemptKey{"j2", placeID(0, 0, 1), 3}] = &held{state: heldOrdered, orderSeq: ag.repSeq, confirmedMs: n.now, spec: orderSpec{Key: attemptKey{"j2", placeID(0, 0, 1), 3}}}
+	ag.attempts[attemptKey{"j2", placeID(0, 0, 1), 3}] = &attempt{state: attemptOrdered, orderSeq: ag.reportSeq, confirmedMs: n.now, spec: orderSpec{Key: attemptKey{"j2", placeID(0, 0, 1), 3}}}
 	beat(50, "")
-	must.Eq(t, resultBounced, ag.held[attemptKey{"j2", placeID(0, 0, 1), 3}].result)
+	must.Eq(t, resultRejected, ag.attempts[attemptKey{"j2", placeID(0, 0, 1), 3}].result)
 }
 
 // Another worker at the same place means that the former has crashed; an end is
@@ -81,14 +82,14 @@
 	ended := `,"ended":[{"n":1,"job":"j1","round":0,"step":0,"index":0,"run":1,"saved":"","outcome":"ok"}]`
 	must.Eq(t, int64(0), beat(50, ended).Seen)
 	must.Eq(t, int64(0), beat(50, ended).Seen)
-	n.agents["w1"].held[key].acked = true
+	n.agents["w1"].attempts[key].acked = true
 	must.Eq(t, int64(1), beat(50, ended).Seen)
 
 	beat(50, running("j1", 1, 1, 10))
-	reduce(n, event{NowMs: n.now + 50, WallMs: 1, Body: evAsk{ID: 99, Op: "worker.beat", Key: "w2", Expect: -1, Body: []byte(`{"seq":1,"site":"east","capacity":{"cpu":1,"memory":1,"accelerators":0}}`)}})
+	reduce(n, event{NowMs: n.now + 50, WallMs: 1, Body: evRequest{ID: 99, Op: "worker.beat", Key: "w2", Expect: -1, Body: []byte(`{"seq":1,"site":"east","capacity":{"cpu":1,"memory":1,"accelerators":0}}`)}})
 	old := n.agents["w1"]
 	must.True(t, old.replaced)
-	must.Eq(t, resultLost, old.held[attemptKey{"j1", placeID(0, 0, 1), 1}].result)
+	must.Eq(t, resultLost, old.attempts[attemptKey{"j1", placeID(0, 0, 1), 1}].result)
 }
 
 func jsonTo(b []byte, out any) error { return json.Unmarshal(b, out) }
@@ -102,25 +103,25 @@
 		name  string
 		lists string // of the next beat
 		state int8
-	}{{"the answer arrived", running("j1", 0, 1, 0), heldRunning}, {"the answer was lost", "", heldEnded}} {
+	}{{"the answer arrived", running("j1", 0, 1, 0), attemptRunning}, {"the answer was lost", "", attemptEnded}} {
 		n, beat := pinned(t)
 		beat(100, "")
 		ag := n.agents["w1"]
-		h := &held{state: heldOrdered, orderSeq: ag.repSeq + 1, confirmedMs: n.now + 60_000, spec: orderSpec{Key: key, Payload: []byte(`"text"`)}}
-		ag.held[key], ag.outbox = h, []*held{h}
+		h := &attempt{state: attemptOrdered, orderSeq: ag.reportSeq + 1, confirmedMs: n.now + 60_000, spec: orderSpec{Key: key, Payload: []byte(`"text"`)}}
+		ag.attempts[key], ag.outbox = h, []*attempt{h}
 		must.Len(t, 1, beat(50, "").Start, must.Sprint(c.name))
 		for seq := range int64(2) { // the same beat again and those before it, over other connections
-			for _, e := range reduce(n, event{NowMs: n.now, WallMs: 1, Seed: 1, Body: evAsk{ID: 77, Op: "worker.beat", Key: "w1", Expect: -1,
+			for _, e := range reduce(n, event{NowMs: n.now, WallMs: 1, Seed: 1, Body: evRequest{ID: 77, Op: "worker.beat", Key: "w1", Expect: -1,
 				Body: fmt.Appendf(nil, `{"seq":%d,"site":"east","capacity":{"cpu":8000}}`, seq+1)}}) {
 				if r, ok := e.(effReply); ok {
-					var a beatAnswer
+					var a heartbeatReply
 					must.NoError(t, jsonTo(r.Body, &a))
 					must.Len(t, 0, a.Start, must.Sprint(c.name, " ", seq))
 					must.Zero(t, a.HoldMs)
 				}
 			}
 		}
-		must.Eq(t, heldOrdered, h.state)
+		must.Eq(t, attemptOrdered, h.state)
 		must.Len(t, 0, beat(50, c.lists).Start, must.Sprint(c.name))
 		must.Eq(t, c.state, h.state, must.Sprint(c.name))
 		must.Len(t, 0, beat(50, c.lists).Start, must.Sprint(c.name))
--- a/accord/beatscenario_test.go
+++ b/internal/daemon/beatscenario_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"flag"
@@ -10,15 +10,15 @@
 )
 
 // placeBeatNode gives a daemon of the users' platform its place.
-func placeBeatNode(p *place, site beatSite, side bool) {
-	p.Beside, p.HoldMostMs, p.GangWaitMs = side, site.holdMaxMs, site.gangWaitMs
+func placeBeatNode(p *nodeConfig, site beatSite, side bool) {
+	p.Colocated, p.MaxHoldMs, p.GangWaitMs = side, site.holdMaxMs, site.gangWaitMs
 	p.CoreSize = site.coreSize
 	p.SaveMs, p.RestoreMs, p.SpreadFactor = int64(site.saveMs), site.restoreMs, site.spread
 }
 
 // eventOf is a call as a daemon gets it.
-func eventOf(c beatCall) evAsk {
-	return evAsk{Op: c.op, Key: c.key, Host: c.host, Path: c.path, Expect: c.expect, Body: c.body}
+func eventOf(c beatCall) evRequest {
+	return evRequest{Op: c.op, Key: c.key, Host: c.host, Path: c.path, Expect: c.expect, Body: c.body}
 }
 
 // formBeats gives a world whose daemons have formed a fleet, with its setup
@@ -31,7 +31,7 @@
 	b.putSetup(b.usualSetup(), 1, 0, nil)
 	must.True(t, b.until(5000, func() bool { return b.version == 1 }), must.Sprint("the first setup was not taken"))
 	for _, n := range b.nodes { // from here on they start into a fleet
-		n.place.FirstStart = false
+		n.nodeConfig.FirstStart = false
 	}
 	b.run(max(0, 10_000-b.nowMs()))
 	return b
@@ -57,7 +57,7 @@
 }
 
 func (b *beatWorld) someSlice() string {
-	return "slice/" + b.some(b.nodes["d00"].sh.n.core.Slices)
+	return "slice/" + b.some(b.nodes["d00"].sh.node.core.Shards)
 }
 
 var beatScenarios = map[string]beatScenario{
@@ -254,7 +254,7 @@
 	},
 	"a site emptied and opened": func(t *testing.T, b *beatWorld) {
 		b.day(6000)
-		site := b.nodes[b.spots[0]].Site
+		site := b.nodes[b.spots[0]].Zone
 		b.order("site.empty", site, nil)
 		b.run(9000)
 		b.order("site.open", site, nil)
@@ -312,9 +312,9 @@
 	"a whole site lost": func(t *testing.T, b *beatWorld) {
 		b.day(6000)
 		var undo []func()
-		site := b.nodes[b.spots[1]].Site
+		site := b.nodes[b.spots[1]].Zone
 		for _, host := range sorted(b.nodes) {
-			if b.nodes[host].Site == site {
+			if b.nodes[host].Zone == site {
 				undo = append(undo, b.kill(host, true))
 				if s := b.byHost[host]; s != nil {
 					b.crashFor(s, 6000)
@@ -329,9 +329,9 @@
 		b.cutTogether = true
 		b.day(6000)
 		var hosts []string
-		site := b.nodes[b.spots[2]].Site
+		site := b.nodes[b.spots[2]].Zone
 		for _, host := range sorted(b.nodes) {
-			if b.nodes[host].Site == site {
+			if b.nodes[host].Zone == site {
 				hosts = append(hosts, host)
 			}
 		}
@@ -582,7 +582,7 @@
 		}
 	},
 	"evacuate": func(b *beatWorld) {
-		site := b.nodes[b.some(b.spots)].Site
+		site := b.nodes[b.some(b.spots)].Zone
 		b.order("site.empty", site, func() { b.after(7_000_000, func() { b.order("site.open", site, nil) }) })
 	},
 	"race": func(b *beatWorld) {
--- a/accord/beatunit_test.go
+++ b/internal/daemon/beatunit_test.go
@@ -1,7 +1,8 @@
-package main
+package daemon
 
 import (
 	"fmt"
+	"otterchute/internal/statestore"
 	"testing"
 
 	"github.com/shoenig/test/must"
@@ -10,14 +11,14 @@
 // What a queue says for tasks that name nothing of their own holds in all
 // rounds, and for whoever takes the job over from its record.
 func TestQueueDefaultsOutliveTheRecord(t *testing.T) {
-	set, faults := compileSetup(1, []byte(`{"queues":[{"name":"q","default_failures":3,"default_limit_ms":7000}]}`))
+	set, faults := compileConfig(1, []byte(`{"queues":[{"name":"q","default_failures":3,"default_limit_ms":7000}]}`))
 	must.SliceEmpty(t, faults)
 	for _, rounds := range []string{"", `,"rounds":3,"first_ms":1000,"period_ms":1000`} {
 		j, faults := parseJob("j", "q", []byte(fmt.Sprintf(`{"payload":"x","steps":[{"name":"a","count":2,"room":1}]%s}`, rounds)))
 		must.SliceEmpty(t, faults)
-		must.Nil(t, interpret(&askContext{job: j, queue: set.Queues["q"]}))
+		must.Nil(t, admit(&admission{job: j, queue: set.Queues["q"]}))
 		j.openRound()
-		j, ok := jobOf(record{ID: "j", Value: j.kept()})
+		j, ok := jobOf(statestore.Record{ID: "j", Value: j.kept()})
 		must.True(t, ok)
 		j.openRound()
 		for i := range j.Tasks {
@@ -40,7 +41,7 @@
 			j.Tasks[i].State = taskEnded
 		}
 		j.State = jobCancelled
-		state, over := j.verdict()
+		state, over := j.outcome()
 		must.True(t, over)
 		want := jobCancelled
 		if opened == 3 {
@@ -54,30 +55,30 @@
 // had any more when the grant comes.
 func TestGangGrantIsWhole(t *testing.T) {
 	for gone := range 3 {
-		n := newNode(place{Name: "d0"}, nil)
+		n := newNode(nodeConfig{Name: "d0"}, nil)
 		n.now = 100_000
-		cur, faults := compileSetup(1, []byte(`{"queues":[{"name":"q","default_failures":3}]}`))
+		cur, faults := compileConfig(1, []byte(`{"queues":[{"name":"q","default_failures":3}]}`))
 		must.SliceEmpty(t, faults)
-		n.setup.cur, n.setup.confirmedMs = cur, n.now
-		n.duties["slice/s"] = &duty{name: "slice/s", epoch: 1, phase: dutyHeld, untilMs: n.now + 60_000}
-		n.startSlice(n.duties["slice/s"])
+		n.config.current, n.config.confirmedMs = cur, n.now
+		n.roles["slice/s"] = &roleLease{name: "slice/s", epoch: 1, phase: roleHeld, untilMs: n.now + 60_000}
+		n.startShard(n.roles["slice/s"])
 		sl := n.owned["s"]
 		j, faults := parseJob("j", "q", []byte(`{"payload":"x","steps":[{"name":"a","count":3,"room":1,"gang":true}]}`))
 		must.SliceEmpty(t, faults)
-		js := &jobState{job: *j, committed: 1, run: make([]taskState, 3)}
+		js := &jobState{job: *j, committed: 1, runtime: make([]taskRuntime, 3)}
 		sl.jobs["j"] = js
-		m := &grantMsg{Slice: "s", Job: "j"}
+		m := &allocation{Slice: "s", Job: "j"}
 		for i := range 3 {
 			name := fmt.Sprint("w", i)
-			n.workers[name] = &workerView{heardMs: n.now, rebuilt: true, fresh: true, leaving: i == gone, capacity: amount{CPU: 4}, agent: "d1", epoch: 1}
-			m.Places = append(m.Places, grantView{Task: js.taskID(i), Attempt: 1, Worker: name})
+			n.workers[name] = &workerView{heardMs: n.now, rebuilt: true, fresh: true, leaving: i == gone, capacity: resources{CPU: 4}, agent: "d1", epoch: 1}
+			m.Places = append(m.Places, allocatedTask{Task: js.taskID(i), Attempt: 1, Worker: name})
 		}
-		n.onGrant("d1", m)
+		n.onAllocation("d1", m)
 		for i := range js.Tasks {
 			must.Eq(t, taskPending, js.Tasks[i].State, must.Sprintf("task %d was placed though w%d leaves", i, gone))
 		}
 		n.workers[fmt.Sprint("w", gone)].leaving = false
-		n.onGrant("d1", m)
+		n.onAllocation("d1", m)
 		for i := range js.Tasks {
 			must.Eq(t, taskPlaced, js.Tasks[i].State)
 		}
@@ -86,19 +87,19 @@
 
 // What is placed at a worker that another has taken the place of comes back at once.
 func TestReplacedWorkerRejectsPlaces(t *testing.T) {
-	n := newNode(place{Name: "d0", Inc: 7}, nil)
+	n := newNode(nodeConfig{Name: "d0", Incarnation: 7}, nil)
 	n.now = 100_000
 	beat := func(id string) {
 		n.now += 50
-		n.takeBeat(&ask{key: id, body: []byte(`{"seq":1,"site":"east","capacity":{"cpu":4},"running":[],"ended":[]}`)})
+		n.handleHeartbeat(&request{key: id, body: []byte(`{"seq":1,"site":"east","capacity":{"cpu":4},"running":[],"ended":[]}`)})
 	}
 	beat("w1")
 	beat("w2")
 	must.True(t, n.agents["w1"].replaced)
 	key := attemptKey{"j", placeID(0, 0, 1), 1}
-	n.onPlace("d1", &placeMsg{Worker: "w1", AgentEpoch: 7, SliceEpoch: 1, EchoMs: n.now, Spec: orderSpec{Key: key, Slice: "s", Room: amount{CPU: 1}}})
-	h := n.agents["w1"].held[key]
+	n.onPlacement("d1", &placement{Worker: "w1", AgentEpoch: 7, SliceEpoch: 1, EchoMs: n.now, Spec: orderSpec{Key: key, Slice: "s", Resources: resources{CPU: 1}}})
+	h := n.agents["w1"].attempts[key]
 	must.NotNil(t, h)
-	must.Eq(t, heldEnded, h.state)
-	must.Eq(t, resultBounced, h.result)
+	must.Eq(t, attemptEnded, h.state)
+	must.Eq(t, resultRejected, h.result)
 }
--- a/accord/beatworld_test.go
+++ b/internal/daemon/beatworld_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"otterchute/verdict"
+	"otterchute/internal/historycheck"
 
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
@@ -108,7 +108,7 @@
 			}
 		}
 	}
-	return jsonOf(doc)
+	return mustJSON(doc)
 }
 
 var beatSites = map[string]beatSite{
@@ -279,7 +279,7 @@
 	if j.rounds > 0 {
 		m["rounds"], m["first_ms"], m["period_ms"] = j.rounds, wallStart+j.firstMs, j.periodMs
 	}
-	return jsonOf(m)
+	return mustJSON(m)
 }
 
 func emptyValue(v any) bool {
@@ -357,7 +357,7 @@
 // and a side daemon beside each worker.
 func newBeatWorld(seed uint64, name string) *beatWorld {
 	site := beatSiteOf(name)
-	dep := verdict.Deployment{Name: name, Daemons: site.edges + site.sides}
+	dep := historycheck.Deployment{Name: name, Daemons: site.edges + site.sides}
 	b := &beatWorld{world: newWorld(seed, dep), site: site, byHost: map[string]*beatWorker{}, jobs: map[string]*beatJob{}, gangs: map[gangName]*beatEffort{},
 		texts: map[string]savedPoint{}, waste: map[string]float64{}, answers: map[string]int{}, cutOff: map[string]bool{}, emptied: map[string]bool{}, pace: 1,
 		cutOneWay: map[string]cutWay{}, sentSetups: map[string]*sentSetup{}, troubled: map[string]int{}, calmMs: map[string]int64{}}
@@ -365,7 +365,7 @@
 	b.whenAnswered(b.noteTaken)
 	b.edgeHosts, b.diskHosts = sorted(b.nodes)[:site.edges], sorted(b.nodes)[:site.disks]
 	for i, host := range sorted(b.nodes) {
-		p := &b.nodes[host].place
+		p := &b.nodes[host].nodeConfig
 		placeBeatNode(p, site, i >= site.edges)
 		if i < site.disks && !p.Disk {
 			p.Disk, p.DiskID = true, b.rng.Uint64()|1
@@ -484,7 +484,7 @@
 	s.gen++
 	s.bootUs, s.drift, s.holdUs, s.nextUs, s.out, s.again = b.nowUs-b.rng.Int64N(1_000_000_000), b.rng.Float64()*0.02, 0, 0, false, false
 	s.runs, s.floor, s.ends, s.used = map[runName]*beatRun{}, map[runName]int64{}, nil, amounts{}
-	b.see(beatEvent{kind: bWorkerUp, worker: s.id, host: s.node.Name, facts: &workerFacts{capacity: s.capacity, labels: s.labels, site: s.node.Site, rack: s.rack, guards: s.guards}})
+	b.see(beatEvent{kind: bWorkerUp, worker: s.id, host: s.node.Name, facts: &workerFacts{capacity: s.capacity, labels: s.labels, site: s.node.Zone, rack: s.rack, guards: s.guards}})
 	s.beatIn(b.rng.Int64N(50_000))
 }
 
@@ -585,7 +585,7 @@
 		m["n"], m["outcome"], m["saved"] = e.n, e.how, e.saved
 		ended = append(ended, m)
 	}
-	doc := map[string]any{"seq": s.seq, "site": s.node.Site, "labels": s.labels, "rack": s.rack, "leaving": s.leaving, "running": running, "ended": ended,
+	doc := map[string]any{"seq": s.seq, "site": s.node.Zone, "labels": s.labels, "rack": s.rack, "leaving": s.leaving, "running": running, "ended": ended,
 		"capacity": map[string]int64{"cpu": s.capacity[0], "memory": s.capacity[1], "accelerators": s.capacity[2]}}
 	if s.leaving {
 		doc["leaves_ms"] = int64(2000)
@@ -620,14 +620,14 @@
 		}
 	}
 	if s.deliver != nil {
-		s.deliver(jsonOf(doc), done)
+		s.deliver(mustJSON(doc), done)
 		return
 	}
 	if !s.node.up { // nobody listens there
 		b.after(1000, func() { done(0, nil) })
 		return
 	}
-	b.call(s.node.Name, s.node, beatCall{op: "worker.beat", key: s.id, body: jsonOf(doc)}, 1000, func(status int, _ int64, body []byte) { done(status, body) })
+	b.call(s.node.Name, s.node, beatCall{op: "worker.beat", key: s.id, body: mustJSON(doc)}, 1000, func(status int, _ int64, body []byte) { done(status, body) })
 }
 
 // take does what an answer says.
@@ -1149,7 +1149,7 @@
 	b.putSetupAt("", 0, s, version, base, done)
 }
 
-// putSetupAt is putSetup with so many tries at one machine first.
+// putSetupAt is putConfig with so many tries at one machine first.
 func (b *beatWorld) putSetupAt(host string, tries int, s *beatSetup, version, base int64, done func(status int)) {
 	b.see(beatEvent{kind: bSetupSent, n: version, base: base, setup: s})
 	o := &sentSetup{setup: s, version: version, base: base, body: s.body()}
@@ -1559,7 +1559,7 @@
 	b.cuts = map[[2]string]bool{}
 	for x := range b.cutOff {
 		for y := range b.nodes {
-			if x != y && !(b.cutTogether && b.cutOff[y] && b.nodes[x].Site == b.nodes[y].Site) {
+			if x != y && !(b.cutTogether && b.cutOff[y] && b.nodes[x].Zone == b.nodes[y].Zone) {
 				b.cuts[[2]string{x, y}] = b.cuts[[2]string{x, y}] || b.cutOneWay[x] != cutInward
 				b.cuts[[2]string{y, x}] = b.cuts[[2]string{y, x}] || b.cutOneWay[x] != cutOutward
 			}
@@ -1574,7 +1574,7 @@
 	n.event(evStop{})
 	b.trouble("stopped", host)
 	b.after((6000+downMs)*1000, func() {
-		if n.up && n.sh.n.leaving != 0 {
+		if n.up && n.sh.node.leavingSince != 0 {
 			n.kill(false)
 		}
 		n.start()
@@ -1589,7 +1589,7 @@
 	n.wipe()
 	b.trouble("wiped", host)
 	if newAddr {
-		n.place.Addr = "10.9.0." + fmt.Sprint(b.lives+b.textSeq%200) + ":7000"
+		n.nodeConfig.Addr = "10.9.0." + fmt.Sprint(b.lives+b.textSeq%200) + ":7000"
 		b.lives++
 	}
 	b.after(downMs*1000, func() {
@@ -1681,26 +1681,26 @@
 	tell := func(format string, args ...any) {
 		b.logs = append(b.logs, fmt.Sprintf("%d %s %s ", b.nowMs(), n.Name, id)+fmt.Sprintf(format, args...))
 	}
-	c, now := n.sh.n.central, n.sh.n.now
+	c, now := n.sh.node.central, n.sh.node.now
 	for _, name := range sorted(c.workers) {
 		w := c.workers[name]
 		tell("sees %s heard %d ms ago, rebuilt %v fresh %v leaving %v suspect %v bad for %d, capacity %v firm %v busy %v promised %v held %d", name, now-w.heardMs, w.Rebuilt, w.Fresh, w.Leaving,
-			w.Suspect, w.badMs-now, w.Capacity, w.firm, w.busy, c.promised(name), len(w.Held))
+			w.Suspect, w.unhealthyUntilMs-now, w.Capacity, w.firm, w.busy, c.promised(name), len(w.Attempts))
 	}
-	for k, ws := range c.wants {
-		tell("wants %s queue %s since %d ms, last %d ms ago, %d tasks of %v, open %d, gang %v needs %v", k.Job, ws.Queue, now-ws.firstMs, now-ws.lastMs, len(ws.Tasks), ws.Room, len(ws.open()), ws.Gang, ws.Needs)
+	for k, ws := range c.pending {
+		tell("wants %s queue %s since %d ms, last %d ms ago, %d tasks of %v, open %d, gang %v needs %v", k.Job, ws.Queue, now-ws.firstMs, now-ws.lastMs, len(ws.Tasks), ws.Resources, len(ws.open()), ws.Gang, ws.Needs)
 	}
 	for _, name := range sorted(b.nodes) {
 		if !b.nodes[name].up {
 			continue
 		}
-		for _, sl := range b.nodes[name].sh.n.owned {
+		for _, sl := range b.nodes[name].sh.node.owned {
 			if js := sl.jobs[id]; js != nil {
-				o := b.nodes[name].sh.n
+				o := b.nodes[name].sh.node
 				for i := range js.Tasks {
-					t, r := &js.Tasks[i], &js.run[i]
+					t, r := &js.Tasks[i], &js.runtime[i]
 					tell("owner %s task %d.%d.%d state %s attempt %d class %s failures %d at %s, retry in %d, wanted %d ms ago, committed %v", name, t.Round, t.Step, t.InStep, taskNames[t.State], t.Attempt,
-						classNames[t.Class], t.Failures, t.Worker, r.retryMs-o.now, o.now-r.wantMs, t.SetVer <= js.committed)
+						classNames[t.Class], t.Failures, t.Worker, r.retryMs-o.now, o.now-r.allocationMs, t.ChangedIn <= js.committed)
 				}
 			}
 		}
@@ -1734,7 +1734,7 @@
 				need = int64(2 * s.count)
 			}
 			for _, w := range free {
-				if b.emptied[w.node.Site] || s.labels != nil && w.labels["kind"] != s.labels["kind"] {
+				if b.emptied[w.node.Zone] || s.labels != nil && w.labels["kind"] != s.labels["kind"] {
 					continue
 				}
 				left := w.capacity.plus(w.used, -1)
@@ -1821,7 +1821,7 @@
 				if a == nil {
 					cb(0, nil)
 				} else {
-					cb(200, jsonOf(a))
+					cb(200, mustJSON(a))
 				}
 			})
 		}
@@ -1894,7 +1894,7 @@
 					if a == nil {
 						b.after(1_000_000, func() { cb(0, nil) })
 					} else {
-						cb(200, jsonOf(a))
+						cb(200, mustJSON(a))
 					}
 				})
 			}
@@ -1946,7 +1946,7 @@
 		must.NotEq(t, "", saved)
 		w.worker(1).deliver = func(_ []byte, cb func(int, []byte)) {
 			w.after(2000, func() {
-				cb(200, jsonOf(map[string]any{"hold_ms": 3000, "again_ms": 100, "start": []map[string]any{order(0, 2, saved)}}))
+				cb(200, mustJSON(map[string]any{"hold_ms": 3000, "again_ms": 100, "start": []map[string]any{order(0, 2, saved)}}))
 			})
 		}
 		w.run(4000)
@@ -1996,7 +1996,7 @@
 		w := play(3000, []scriptLine{{0, 500, start(order(0, 1, ""), order(1, 1, ""))}}, 700, jobs)
 		must.MapLen(t, 2, w.worker(0).runs)
 		w.worker(1).guards = true
-		w.worker(1).take(jsonOf(map[string]any{"hold_ms": 1000, "start": []map[string]any{order(0, 2, ""), order(1, 2, "")}}), w.worker(1).clockUs(), false)
+		w.worker(1).take(mustJSON(map[string]any{"hold_ms": 1000, "start": []map[string]any{order(0, 2, ""), order(1, 2, "")}}), w.worker(1).clockUs(), false)
 		must.MapLen(t, 1, w.worker(1).runs)
 		must.Eq(t, 1, w.turned)
 	})
--- a/accord/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -1,18 +1,18 @@
-package main
+package daemon
 
 import (
 	"fmt"
 	"testing"
 
-	"otterchute/verdict"
+	"otterchute/internal/historycheck"
 )
 
 func manyQueues(count int) []byte {
-	s := verdict.Deployments["ikenna"].SetupOf()
+	s := historycheck.Deployments["ikenna"].SetupOf()
 	for i := range count {
-		s.Queues = append(s.Queues, verdict.Queue{Name: fmt.Sprintf("guild-%d", i), Selector: map[string][]string{"tier": {"fast"}, "site": {"east", "mid"}}, Urgency: 1})
+		s.Queues = append(s.Queues, historycheck.Queue{Name: fmt.Sprintf("guild-%d", i), Selector: map[string][]string{"tier": {"fast"}, "site": {"east", "mid"}}, Urgency: 1})
 	}
-	return jsonOf(s)
+	return mustJSON(s)
 }
 
 func BenchmarkCompileSetup(b *testing.B) {
@@ -20,7 +20,7 @@
 		doc := manyQueues(count)
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			for b.Loop() {
-				compileSetup(1, doc)
+				compileConfig(1, doc)
 			}
 		})
 	}
@@ -28,7 +28,7 @@
 
 // A selector against a worker's labels, and what looking up a kept answer would cost.
 func BenchmarkSelector(b *testing.B) {
-	c, _ := compileSetup(1, manyQueues(5000))
+	c, _ := compileConfig(1, manyQueues(5000))
 	labels := []label{{"disk", "ssd"}, {"tier", "fast"}}
 	kept := map[string]bool{}
 	for name, q := range c.Queues {
@@ -49,14 +49,14 @@
 
 // One placing by a local scheduler among eleven workers, with many queues.
 func BenchmarkPlacing(b *testing.B) {
-	n := newNode(place{Name: "d00"}, nil)
-	c, _ := compileSetup(1, manyQueues(5000))
-	n.setup.cur = c
+	n := newNode(nodeConfig{Name: "d00"}, nil)
+	c, _ := compileConfig(1, manyQueues(5000))
+	n.config.current = c
 	for i := range 11 {
-		n.workers[fmt.Sprintf("w%02d", i)] = &workerView{rebuilt: true, fresh: true, capacity: amount{CPU: 16}, site: verdict.Sites[i%3], labels: []label{{"disk", "ssd"}, {"tier", "fast"}}}
+		n.workers[fmt.Sprintf("w%02d", i)] = &workerView{rebuilt: true, fresh: true, capacity: resources{CPU: 16}, site: historycheck.Sites[i%3], labels: []label{{"disk", "ssd"}, {"tier", "fast"}}}
 	}
-	js := &jobState{job: job{Queue: "guild-4000", Steps: []step{{Size: 1}}, Tasks: []task{{Room: amount{CPU: 1}}}}}
-	sl := &slice{name: "east"}
+	js := &jobState{job: job{Queue: "guild-4000", Steps: []step{{Size: 1}}, Tasks: []task{{Resources: resources{CPU: 1}}}}}
+	sl := &shard{name: "east"}
 	for b.Loop() {
 		n.selectWorker(sl, js, 0)
 	}
--- a/accord/brief_test.go
+++ b/internal/daemon/brief_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 
 	"testing"
 
-	"otterchute/verdict"
+	"otterchute/internal/historycheck"
 
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
@@ -21,7 +21,7 @@
 // firstStart tells when a job's first task began, in simulated ms; 0 for not yet.
 func (w *world) firstStart(j *simJob) int64 {
 	for _, e := range w.history {
-		if e.Kind == verdict.Start && e.Job == j.id {
+		if e.Kind == historycheck.Start && e.Job == j.id {
 			return e.AtMs
 		}
 	}
@@ -90,7 +90,7 @@
 		}
 		w.run(1500)
 		w.syncUs = map[string]int64{}
-		for _, s := range verdict.Sites {
+		for _, s := range historycheck.Sites {
 			w.killHolder("slice/" + s)
 		}
 		w.run(12_000)
@@ -101,7 +101,7 @@
 
 	scenarios["a silent worker, with and without trust in its run limit"] = scenario{"hakata", func(t *testing.T, w *world) {
 		s := w.dep.SetupOf()
-		s.Queues = append([]verdict.Queue{}, s.Queues...)
+		s.Queues = append([]historycheck.Queue{}, s.Queues...)
 		s.Queues[1].Trust = true
 		accepted := 0
 		w.putSetup(2, s, func(status int) { accepted = status })
@@ -119,8 +119,8 @@
 		must.Eq(t, 2, w.startsOf(trusted))
 		must.Eq(t, "running", plain.state)
 		must.StrContains(t, plain.last, at)
-		must.StrContains(t, plain.last, "accord workers lost")
-		for _, site := range verdict.Sites {
+		must.StrContains(t, plain.last, "otterchute workers lost")
+		for _, site := range historycheck.Sites {
 			status, _, _, _ := w.asked("operator", w.nodes["d09"], "worker.lost", site+"/"+at, nil)
 			must.Eq(t, 200, status)
 		}
@@ -169,7 +169,7 @@
 		usual := w.endedIn(w.nowMs()-10_000, w.nowMs())
 		s := w.dep.SetupOf()
 		for i := range 5000 {
-			s.Queues = append(s.Queues, verdict.Queue{Name: fmt.Sprintf("guild-%d", i), Selector: map[string][]string{"tier": {"fast"}}, Urgency: int64(i % 7)})
+			s.Queues = append(s.Queues, historycheck.Queue{Name: fmt.Sprintf("guild-%d", i), Selector: map[string][]string{"tier": {"fast"}}, Urgency: int64(i % 7)})
 		}
 		at, open := w.nowMs(), 0
 		w.holderOf("slice/west").kill(false)
@@ -265,7 +265,7 @@
 			w.run(8000)
 			w.wave(i, []int{400, 150, 40}[i])
 			w.run(200)
-			w.killHolder("slice/" + w.some(verdict.Sites))
+			w.killHolder("slice/" + w.some(historycheck.Sites))
 			w.killHolder("central")
 			w.workers["w06"].crash()
 			w.run(4000)
@@ -293,7 +293,7 @@
 				n = w.nodes["d01"]
 			} else if duty == "none" {
 				for _, name := range sorted(w.nodes) {
-					if o := w.nodes[name]; !o.Disk && len(o.sh.n.duties) == 0 {
+					if o := w.nodes[name]; !o.Disk && len(o.sh.node.roles) == 0 {
 						n = o
 					}
 				}
@@ -320,12 +320,12 @@
 		w.run(5000)
 		seeds := []string{w.nodes["d07"].Addr, w.nodes["d08"].Addr, w.nodes["d09"].Addr}
 		for _, name := range sorted(w.nodes) {
-			w.nodes[name].place.Seeds = seeds // from their next start on
+			w.nodes[name].nodeConfig.Seeds = seeds // from their next start on
 		}
 		n := w.nodes["d02"]
 		n.kill(true)
 		n.wipe()
-		n.place.Addr, n.place.HTTP = "10.0.3.2:7000", "10.0.3.2:8000"
+		n.nodeConfig.Addr, n.nodeConfig.HTTP = "10.0.3.2:7000", "10.0.3.2:8000"
 		w.run(1500)
 		n.start()
 		for _, name := range []string{"d00", "d06", "d10"} { // restarted meanwhile, one of them core
@@ -336,20 +336,20 @@
 		must.True(t, w.until(40_000, func() bool { return w.coreWhole() != nil }), must.Sprint("the core is not whole"))
 		other := w.nodes["d11"] // and one that isn't core
 		other.kill(true)
-		other.place.Addr, other.place.HTTP = "10.0.3.11:7000", "10.0.3.11:8000"
+		other.nodeConfig.Addr, other.nodeConfig.HTTP = "10.0.3.11:7000", "10.0.3.11:8000"
 		other.start()
 		w.run(4000)
-		must.Eq(t, "10.0.3.11:7000", w.nodes["d14"].sh.n.siblings["d11"].Addr)
+		must.Eq(t, "10.0.3.11:7000", w.nodes["d14"].sh.node.peers["d11"].Addr)
 	}, 90_000}
 
 	for _, loss := range []string{"power", "a disk"} {
 		scenarios["lost right after a job, a cancel, an end: "+loss] = scenario{"ikenna", func(t *testing.T, w *world) {
 			w.traffic(70_000)
 			w.run(5000)
-			for _, kind := range []string{verdict.JobAcked, verdict.CancelAcked, verdict.End} {
+			for _, kind := range []string{historycheck.JobAcked, historycheck.CancelAcked, historycheck.End} {
 				for _, gapUs := range []int64{0, 300, 1500} {
 					armed, undo := true, func() {}
-					w.onNote = func(e verdict.Event) {
+					w.onNote = func(e historycheck.Event) {
 						if e.Kind == kind && armed {
 							armed = false
 							w.after(gapUs, func() {
@@ -378,10 +378,10 @@
 // runsAt tells where a job's last run is or was, and whether it still goes on.
 func (w *world) runsAt(j *simJob) (worker string, open bool) {
 	for _, e := range w.history {
-		if e.Job == j.id && e.Kind == verdict.Start {
+		if e.Job == j.id && e.Kind == historycheck.Start {
 			worker, open = e.Worker, true
 		}
-		if e.Job == j.id && e.Kind == verdict.End {
+		if e.Job == j.id && e.Kind == historycheck.End {
 			open = false
 		}
 	}
@@ -424,7 +424,7 @@
 	must.Positive(t, entered)
 	again, reads := w.total("asks_again"), w.total("states_from_core")
 	must.LessEq(t, int64(sent), handed-again, must.Sprintf("%d handed over of %d sent", handed, sent))
-	most := int64(sent/againShare + len(w.nodes)*(budgetMost+(11_000/tickMs)*againTick))
+	most := int64(sent/retryShare + len(w.nodes)*(retryBudgetMax+(11_000/tickMs)*retriesPerTick))
 	must.LessEq(t, most, again+reads, must.Sprintf("%d tries beyond the first", again+reads))
 	t.Log("sent", sent, "handed over", handed, "entered", entered, strings.TrimSpace(w.counts()))
 }
@@ -450,7 +450,7 @@
 		{"clock spread", func(w *world) { w.nodes["d11"].skewMs = 60_000 }, 3000},
 		{"unmatched queues", func(w *world) {
 			s := w.dep.SetupOf()
-			s.Queues = append(s.Queues, verdict.Queue{Name: "lone", Selector: map[string][]string{"tier": {"none"}}})
+			s.Queues = append(s.Queues, historycheck.Queue{Name: "lone", Selector: map[string][]string{"tier": {"none"}}})
 			w.putSetup(2, s, nil)
 		}, 4000},
 		{"no setup", nil, 3000},
@@ -475,7 +475,7 @@
 		t.Run(c.check, func(t *testing.T) {
 			t.Parallel()
 			// Of a worker that gets no work nothing can be known: with this seed w06 does.
-			w := newWorld(10, verdict.Deployments["hakata"])
+			w := newWorld(10, historycheck.Deployments["hakata"])
 			must.True(t, w.until(20_000, func() bool { return w.holderOf("central") != nil }))
 			w.run(4000)
 			if c.do != nil {
--- a/accord/campaign_test.go
+++ b/internal/daemon/campaign_test.go
@@ -1,16 +1,16 @@
-package main
+package daemon
 
 import (
 	"flag"
 	"fmt"
+	"otterchute/internal/historycheck"
+	"otterchute/internal/quorum"
 	"runtime"
 	"slices"
 	"strings"
 	"sync"
 	"testing"
 
-	"otterchute/verdict"
-
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
 )
@@ -38,16 +38,16 @@
 // of them may lose its disk.
 func (w *world) coreWhole() []*simNode {
 	var out []*simNode
-	var set coreSet
+	var set quorum.Set
 	for _, name := range sorted(w.nodes) {
 		n := w.nodes[name]
-		if n.up && n.sh.n.core.Version > set.Version {
-			set = n.sh.n.core
+		if n.up && n.sh.node.core.Version > set.Version {
+			set = n.sh.node.core
 		}
 	}
 	for _, m := range set.Members {
 		n := w.nodes[m.Name]
-		if n.up && w.nowUs >= n.frozenTo && n.sh.n.inCore() && n.sh.n.core.Version == set.Version && n.sh.n.now-n.sh.n.poll.okMs < 1000 {
+		if n.up && w.nowUs >= n.frozenTo && n.sh.node.inCore() && n.sh.node.core.Version == set.Version && n.sh.node.now-n.sh.node.poll.contactMs < 1000 {
 			out = append(out, n)
 		}
 	}
@@ -78,8 +78,8 @@
 	for _, name := range sorted(w.nodes) {
 		undo = append(undo, killed(w, w.nodes[name], power))
 	}
-	w.note(verdict.Event{Kind: verdict.Unreachable})
-	undo = append(undo, func() { w.note(verdict.Event{Kind: verdict.Reachable}) })
+	w.note(historycheck.Event{Kind: historycheck.Unreachable})
+	undo = append(undo, func() { w.note(historycheck.Event{Kind: historycheck.Reachable}) })
 	return allOf(undo)
 }
 
@@ -100,8 +100,8 @@
 	n.kill(true)
 	n.wipe()
 	if newAddr { // whoever installs it names machines that stand now as its seeds
-		n.place.Seeds = []string{w.someNode().Addr, w.someNode().Addr, w.nodes["d05"].Addr}
-		n.place.Addr, n.place.HTTP = strings.Replace(n.place.Addr, "10.0.0", "10.0.1", 1), strings.Replace(n.place.HTTP, "10.0.0", "10.0.1", 1)
+		n.nodeConfig.Seeds = []string{w.someNode().Addr, w.someNode().Addr, w.nodes["d05"].Addr}
+		n.nodeConfig.Addr, n.nodeConfig.HTTP = strings.Replace(n.nodeConfig.Addr, "10.0.0", "10.0.1", 1), strings.Replace(n.nodeConfig.HTTP, "10.0.0", "10.0.1", 1)
 	}
 	return n.start
 }
@@ -109,7 +109,7 @@
 var worldFaults = map[string]worldFault{
 	"kill":         func(w *world) func() { return killed(w, w.someNode(), false) },
 	"kill_central": func(w *world) func() { return w.killHolder("central") },
-	"kill_owner":   func(w *world) func() { return w.killHolder("slice/" + w.some(verdict.Sites)) },
+	"kill_owner":   func(w *world) func() { return w.killHolder("slice/" + w.some(historycheck.Sites)) },
 	"kill_agent":   func(w *world) func() { return w.killHolder("agent/" + w.some(sorted(w.workers))) },
 	"stop_nicely": func(w *world) func() {
 		n := w.someNode()
@@ -117,7 +117,7 @@
 			n.event(evStop{})
 		}
 		return func() {
-			if n.up && n.sh.n.leaving != 0 { // it froze on its way out
+			if n.up && n.sh.node.leavingSince != 0 { // it froze on its way out
 				n.kill(false)
 			}
 			n.start()
@@ -127,7 +127,7 @@
 	"power_all": func(w *world) func() { return w.killAll(true) },
 	"freeze":    func(w *world) func() { w.someNode().freeze(500 + w.rng.Int64N(9000)); return func() {} },
 	"freeze_owner": func(w *world) func() {
-		if n := w.holderOf("slice/" + w.some(verdict.Sites)); n != nil {
+		if n := w.holderOf("slice/" + w.some(historycheck.Sites)); n != nil {
 			n.freeze(2000 + w.rng.Int64N(6000))
 		}
 		return func() {}
@@ -140,7 +140,7 @@
 	},
 	"wipe":      func(w *world) func() { return wipeOne(w, false) },
 	"wipe_move": func(w *world) func() { return wipeOne(w, true) },
-	"cut_site":  func(w *world) func() { w.cutSite(w.some(verdict.Sites)); return w.heal },
+	"cut_site":  func(w *world) func() { w.cutSite(w.some(historycheck.Sites)); return w.heal },
 	"cut_host":  func(w *world) func() { w.cutHost(w.some(w.hosts())); return w.heal },
 	"cut_some": func(w *world) func() {
 		hosts := w.hosts()
@@ -192,7 +192,7 @@
 	"seeds_turned": func(w *world) func() {
 		seeds := []string{w.someNode().Addr, w.someNode().Addr, w.someNode().Addr}
 		for _, name := range sorted(w.nodes) {
-			w.nodes[name].place.Seeds = seeds
+			w.nodes[name].nodeConfig.Seeds = seeds
 			w.nodes[name].event(evSeeds{Seeds: seeds})
 		}
 		return func() {}
@@ -280,7 +280,7 @@
 		return allOf(append(undo, w.heal))
 	},
 	"isolated_duty": func(w *world) func() {
-		if n := w.holderOf(w.some([]string{"central", "slice/" + w.some(verdict.Sites), "agent/" + w.some(sorted(w.workers))})); n != nil {
+		if n := w.holderOf(w.some([]string{"central", "slice/" + w.some(historycheck.Sites), "agent/" + w.some(sorted(w.workers))})); n != nil {
 			w.cutHost(n.Name)
 		}
 		return w.heal
@@ -291,13 +291,13 @@
 			return func() {}
 		}
 		n.kill(true)
-		n.place.Addr, n.place.HTTP = strings.Replace(n.place.Addr, "10.0.0", "10.0.2", 1), strings.Replace(n.place.HTTP, "10.0.0", "10.0.2", 1)
+		n.nodeConfig.Addr, n.nodeConfig.HTTP = strings.Replace(n.nodeConfig.Addr, "10.0.0", "10.0.2", 1), strings.Replace(n.nodeConfig.HTTP, "10.0.0", "10.0.2", 1)
 		return n.start
 	},
 	"lost_after_ack": func(w *world) func() { // power, or a whole disk, right after a job, a cancel or an end was confirmed
-		kind, wipe := w.some([]string{verdict.JobAcked, verdict.CancelAcked, verdict.End}), w.rng.IntN(2) == 0
+		kind, wipe := w.some([]string{historycheck.JobAcked, historycheck.CancelAcked, historycheck.End}), w.rng.IntN(2) == 0
 		undo, armed, over := func() {}, true, false
-		w.onNote = func(e verdict.Event) {
+		w.onNote = func(e historycheck.Event) {
 			if e.Kind != kind || !armed {
 				return
 			}
@@ -317,7 +317,7 @@
 	"storm": func(w *world) func() { // quick bursts by two operators, with many queues
 		s := w.dep.SetupOf()
 		for i := range 300 {
-			s.Queues = append(s.Queues, verdict.Queue{Name: fmt.Sprint("guild-", i), Selector: map[string][]string{"tier": {"fast"}}, Urgency: int64(i % 5)})
+			s.Queues = append(s.Queues, historycheck.Queue{Name: fmt.Sprint("guild-", i), Selector: map[string][]string{"tier": {"fast"}}, Urgency: int64(i % 5)})
 		}
 		for i := range 20 {
 			s.Note = fmt.Sprint("storm ", i, w.rng.IntN(1000))
@@ -334,11 +334,11 @@
 		return func() {
 			var say func(site int)
 			say = func(site int) {
-				if site == len(verdict.Sites) {
+				if site == len(historycheck.Sites) {
 					s.start()
 					return
 				}
-				w.ask("operator", w.someNode(), "worker.lost", verdict.Sites[site]+"/"+s.name, nil, 2000, func(status int, _ int64, _ []byte) {
+				w.ask("operator", w.someNode(), "worker.lost", historycheck.Sites[site]+"/"+s.name, nil, 2000, func(status int, _ int64, _ []byte) {
 					if status == 200 {
 						site++
 					}
@@ -359,14 +359,14 @@
 	"hopeless": func(w *world) func() {
 		for range 5 {
 			j := w.dep.Kinds[0].Make(w.rng)
-			j.Steps[0].Tasks[0].Payload = verdict.Work{Ms: 100, FailPct: 100}
+			j.Steps[0].Tasks[0].Payload = historycheck.Work{Ms: 100, FailPct: 100}
 			w.submit(j)
 		}
 		return func() {}
 	},
 	"standing": func(w *world) func() {
 		j := w.dep.Kinds[0].Make(w.rng)
-		j.Steps[0].Tasks[0].Payload = verdict.Work{Stall: true}
+		j.Steps[0].Tasks[0].Payload = historycheck.Work{Stall: true}
 		j.Steps[0].Tasks[0].LimitMs, j.Steps[0].Tasks[0].Allowed = 2000, 2
 		w.submit(j)
 		return func() {}
@@ -384,7 +384,7 @@
 	},
 	"empty_site": func(w *world) func() {
 		s := w.dep.SetupOf()
-		s.EmptySites = []string{w.some(verdict.Sites)}
+		s.EmptySites = []string{w.some(historycheck.Sites)}
 		w.putSetup(w.setupVersion()+1, s, nil)
 		return w.restoreSetup
 	},
@@ -410,7 +410,7 @@
 			seeds = append(seeds, w.nodes[w.some(names)].Addr)
 		}
 		for _, name := range names {
-			w.nodes[name].place.Seeds = seeds
+			w.nodes[name].nodeConfig.Seeds = seeds
 		}
 		return killed(w, w.someNode(), false)
 	},
@@ -456,9 +456,9 @@
 var finalFaults = map[string]worldFault{
 	"power of all": func(w *world) func() { return w.killAll(true) },
 	"a whole site": func(w *world) func() {
-		site, undo := w.some(verdict.Sites), []func(){}
+		site, undo := w.some(historycheck.Sites), []func(){}
 		for _, name := range sorted(w.nodes) {
-			if n := w.nodes[name]; n.Site == site {
+			if n := w.nodes[name]; n.Zone == site {
 				undo = append(undo, killed(w, n, true))
 			}
 		}
@@ -476,7 +476,7 @@
 	},
 	"owner, central and their successors": func(w *world) func() {
 		var undo []func()
-		for _, duty := range []string{"slice/" + w.some(verdict.Sites), "central"} {
+		for _, duty := range []string{"slice/" + w.some(historycheck.Sites), "central"} {
 			n := w.holderOf(duty)
 			if n == nil {
 				continue
@@ -485,7 +485,7 @@
 			if duty != "central" {
 				site = strings.TrimPrefix(duty, "slice/")
 			}
-			for _, name := range n.sh.n.candidates(duty, site)[:3] {
+			for _, name := range n.sh.node.candidates(duty, site)[:3] {
 				undo = append(undo, killed(w, w.nodes[name], false))
 			}
 			undo = append(undo, killed(w, n, false))
@@ -503,13 +503,13 @@
 // goes on until work must be back.
 func (w *world) finalFault(name string) {
 	w.run(20_000)
-	w.note(verdict.Event{Kind: verdict.HardLoss})
+	w.note(historycheck.Event{Kind: historycheck.HardLoss})
 	undo := finalFaults[name](w)
 	w.run(1000 + w.rng.Int64N(9000))
 	undo()
-	w.note(verdict.Event{Kind: verdict.MachinesBack})
-	w.run(verdict.Usual.Back + 14_000)
-	w.note(verdict.Event{Kind: verdict.TrafficEnds})
+	w.note(historycheck.Event{Kind: historycheck.MachinesBack})
+	w.run(historycheck.Usual.Back + 14_000)
+	w.note(historycheck.Event{Kind: historycheck.TrafficEnds})
 	w.trafficEnds = true
 }
 
@@ -523,7 +523,7 @@
 }
 
 // spice makes some jobs late-due or in need of a label.
-func spice(w *world, j verdict.Job) verdict.Job {
+func spice(w *world, j historycheck.Job) historycheck.Job {
 	switch w.rng.IntN(12) {
 	case 0:
 		j.DelayMs = 500 + w.rng.Int64N(4000)
@@ -552,7 +552,7 @@
 	asked := w.nowMs()
 	w.ask("operator", w.someNode(), "setup.get", "", nil, 2000, func(status int, _ int64, b []byte) {
 		if status == 200 {
-			w.note(verdict.Event{Kind: verdict.SetupShown, Version: gjson.GetBytes(b, "version").Int(), AskedMs: asked})
+			w.note(historycheck.Event{Kind: historycheck.SetupShown, Version: gjson.GetBytes(b, "version").Int(), AskedMs: asked})
 		}
 	})
 	w.after(1_000_000, w.watchSetups)
@@ -561,7 +561,7 @@
 // campaign runs one seed: faults on top of usual traffic, then peace. It gives
 // what was wrong.
 func campaign(seed uint64, dep string, only []string) (bad []string, w *world, told []string) {
-	w = newWorld(seed, verdict.Deployments[dep])
+	w = newWorld(seed, historycheck.Deployments[dep])
 	w.keepLog = true
 	if !w.until(20_000, func() bool { return w.holderOf("central") != nil }) {
 		return []string{"the fleet never formed"}, w, nil
@@ -601,7 +601,7 @@
 	if w.coreWhole() == nil && !w.until(30_000, func() bool { return w.coreWhole() != nil }) {
 		bad = append(bad, "the core is not whole again long after peace")
 	}
-	for i, b := range verdict.Check(w.history, verdict.Usual) {
+	for i, b := range historycheck.Check(w.history, historycheck.Usual) {
 		if i < 6 {
 			bad = append(bad, b.String())
 		}
@@ -626,8 +626,8 @@
 			for _, b := range bad {
 				t.Error(b)
 			}
-			for _, r := range verdict.Recoveries(w.history, verdict.Usual) {
-				stateMs, entryMs := verdict.Dark(w.history)
+			for _, r := range historycheck.Recoveries(w.history, historycheck.Usual) {
+				stateMs, entryMs := historycheck.Dark(w.history)
 				t.Logf("%s, %s: share %.2f at worst; dark: states %d ms, entry %d ms", dep, told[len(told)-1], r.Share, stateMs, entryMs)
 			}
 			if len(bad) > 0 {
@@ -636,15 +636,15 @@
 				if *dumpFlag != "" {
 					t.Log(w.jobs[*dumpFlag].last)
 					if n := w.holderOf("central"); n != nil {
-						for name, f := range n.sh.n.central.workers {
-							t.Log("central", name, f.Capacity, f.firm, f.busy, f.badMs-n.sh.n.now, f.Fresh, f.Rebuilt, f.Leaving, n.sh.n.now-f.heardMs, len(f.Held))
+						for name, f := range n.sh.node.central.workers {
+							t.Log("central", name, f.Capacity, f.firm, f.busy, f.unhealthyUntilMs-n.sh.node.now, f.Fresh, f.Rebuilt, f.Leaving, n.sh.node.now-f.heardMs, len(f.Attempts))
 						}
-						for k, ws := range n.sh.n.central.wants {
-							t.Log("want", k, ws.granted, ws.Room, ws.Tasks, n.sh.n.now-ws.lastMs, n.sh.n.now-ws.firstMs)
+						for k, ws := range n.sh.node.central.pending {
+							t.Log("want", k, ws.granted, ws.Resources, ws.Tasks, n.sh.node.now-ws.lastMs, n.sh.node.now-ws.firstMs)
 						}
 					}
 					for _, e := range w.history {
-						if e.Job == *dumpFlag && e.Kind != verdict.JobState {
+						if e.Job == *dumpFlag && e.Kind != historycheck.JobState {
 							t.Log(e.AtMs, e.Kind, e.Worker, e.Run, e.Text)
 						}
 					}
--- a/accord/catchup.go
+++ b/internal/daemon/catchup.go
@@ -1,24 +1,27 @@
-package main
+package daemon
 
-import "maps"
+import (
+	"maps"
+	"otterchute/internal/statestore"
+)
 
-// memberLag is what one core member lacks of a slice's records that a majority
+// replicaLag is what one core member lacks of a slice's records that a majority
 // holds: it was away, or a message to it was lost. The owner sends these again in
 // bounded parts, each once the one before is synced there, so that the member
 // holds all again soon after its return and counts for the next loss.
-type memberLag struct {
+type replicaLag struct {
 	missed map[string]int64 // record -> the newest version that the member lacks
 	part   map[string]int64 // of those, what is on its way
 	seq    uint64           // of the write that brings the part
 	sentMs int64
 }
 
-// noteMissed remembers by name what a member did not acknowledge, so that one
+// recordMissed remembers by name what a member did not acknowledge, so that one
 // that is gone for long costs little.
-func (sl *slice) noteMissed(member string, records []record) {
+func (sl *shard) recordMissed(member string, records []statestore.Record) {
 	lag := sl.lag[member]
 	if lag == nil {
-		lag = &memberLag{missed: map[string]int64{}}
+		lag = &replicaLag{missed: map[string]int64{}}
 		sl.lag[member] = lag
 	}
 	for _, r := range records {
@@ -29,26 +32,26 @@
 }
 
 // tickCatchUp sends a part to each member that lacks records, or sends it again.
-func (n *node) tickCatchUp(sl *slice) {
+func (n *node) tickCatchUp(sl *shard) {
 	for _, member := range sorted(sl.lag) {
 		lag := sl.lag[member]
 		switch {
 		case len(lag.missed) == 0:
 			delete(sl.lag, member)
-		case n.live(member) && n.core.hasName(member) && (lag.part == nil || n.now-lag.sentMs >= writeRetry):
-			n.sendMissed(sl, member, lag)
+		case n.alive(member) && n.core.HasName(member) && (lag.part == nil || n.now-lag.sentMs >= writeRetry):
+			n.sendCatchUp(sl, member, lag)
 		}
 	}
 }
 
-// sendMissed sends the next part of what a member lacks.
-func (n *node) sendMissed(sl *slice, member string, lag *memberLag) {
+// sendCatchUp sends the next part of what a member lacks.
+func (n *node) sendCatchUp(sl *shard, member string, lag *replicaLag) {
 	sl.writeSeq++
 	lag.seq, lag.sentMs, lag.part = sl.writeSeq, n.now, map[string]int64{}
-	w := &writeMsg{CoreVer: n.core.Version, Slice: sl.name, Epoch: sl.epoch, Seq: lag.seq}
+	w := &writeRequest{CoreVer: n.core.Version, Slice: sl.name, Epoch: sl.epoch, Seq: lag.seq}
 	size := 0
 	for _, id := range sorted(lag.missed) {
-		if size > chunkBytes {
+		if size > statestore.ChunkBytes {
 			break
 		}
 		if sl.dirty[id] {
@@ -61,7 +64,7 @@
 		}
 		lag.part[id] = lag.missed[id]
 		w.Records = append(w.Records, r)
-		size += entryBytes + len(r.Value)
+		size += r.Size()
 	}
 	if len(w.Records) == 0 {
 		lag.part = nil
@@ -72,22 +75,22 @@
 }
 
 // recordOf gives a job's record as the owner has it.
-func (sl *slice) recordOf(id string) (record, bool) {
+func (sl *shard) recordOf(id string) (statestore.Record, bool) {
 	if js := sl.jobs[id]; js != nil {
-		return record{ID: id, Epoch: sl.epoch, Version: js.Version, Live: js.DoneMs == 0, DoneMs: js.DoneMs, Value: js.kept()}, true
+		return statestore.Record{ID: id, Epoch: sl.epoch, Version: js.Version, Live: js.DoneMs == 0, DoneMs: js.DoneMs, Value: js.kept()}, true
 	}
 	j := sl.finished[id]
 	if j == nil {
-		return record{}, false
+		return statestore.Record{}, false
 	}
 	// A finished record never changes again.
-	return record{ID: id, Epoch: sl.epoch, Version: finishedVersion, Live: j.DoneMs == 0, Settled: true, DoneMs: j.DoneMs, Value: j.kept()}, true
+	return statestore.Record{ID: id, Epoch: sl.epoch, Version: finishedVersion, Live: j.DoneMs == 0, Confirmed: true, DoneMs: j.DoneMs, Value: j.kept()}, true
 }
 
 const finishedVersion = 1 << 60 // above that of any live record
 
 // onCaughtUp takes a member's word that a part is synced there, and sends the next.
-func (n *node) onCaughtUp(sl *slice, member string, seq uint64) {
+func (n *node) onCaughtUp(sl *shard, member string, seq uint64) {
 	lag := sl.lag[member]
 	if lag == nil || lag.part == nil || lag.seq != seq {
 		return
@@ -98,30 +101,20 @@
 		return ok && version <= sent
 	})
 	if lag.part = nil; len(lag.missed) > 0 {
-		n.sendMissed(sl, member, lag)
+		n.sendCatchUp(sl, member, lag)
 	}
 }
 
-// hasName tells whether a daemon is a member, with whatever disk.
-func (c coreSet) hasName(name string) bool {
-	for _, m := range c.Members {
-		if m.Name == name {
-			return true
-		}
-	}
-	return false
-}
-
-// acceptLate keeps a register's value that another member has accepted and this
+// acceptMissedValue keeps a register's value that another member has accepted and this
 // one has not: the same as the proposer's own message, come late. Until then one
 // of the others would have to be asked whenever the third is away.
-func (n *node) acceptLate(m *regMsg) {
-	if !n.inCore() || !m.Whole {
+func (n *node) acceptMissedValue(m *registerValue) {
+	if !n.inCore() || !m.Complete {
 		return
 	}
-	r := n.store.reg(m.Reg)
+	r := n.store.Register(m.Register)
 	if r.Accepted.Less(m.Ballot) && !m.Ballot.Less(r.Promised) {
 		n.count("registers_caught_up")
-		n.keep([]logEntry{{Kind: entryAccept, Name: m.Reg, Ballot: m.Ballot, Value: m.Value}})
+		n.persist([]statestore.Entry{{Kind: statestore.EntryAccept, Name: m.Register, Ballot: m.Ballot, Value: m.Value}})
 	}
 }
--- a/accord/catchup_test.go
+++ b/internal/daemon/catchup_test.go
@@ -1,8 +1,9 @@
-package main
+package daemon
 
 import (
 	"bytes"
 	"fmt"
+	"otterchute/internal/statestore"
 	"testing"
 
 	"github.com/shoenig/test/must"
@@ -25,7 +26,7 @@
 	s.t.Helper()
 	next := s.version + 1
 	must.True(s.t, s.until(15_000, func() bool {
-		return s.settle(s.asker(), evAsk{Op: "setup.put", Key: fmt.Sprint(next), Expect: -1, Body: body}, 3000).status == 200
+		return s.settle(s.asker(), evRequest{Op: "setup.put", Key: fmt.Sprint(next), Expect: -1, Body: body}, 3000).status == 200
 	}), s.why())
 	s.version = next
 }
@@ -36,7 +37,7 @@
 	for range count {
 		id := fmt.Sprint("job", len(s.jobs))
 		must.True(s.t, s.until(15_000, func() bool {
-			status := s.settle(s.asker(), evAsk{Op: "job.put", Key: id, Expect: -1, Body: []byte(`{"queue":"q","steps":[{"name":"s","tasks":[{"name":"t","room":1}]}]}`)}, 3000).status
+			status := s.settle(s.asker(), evRequest{Op: "job.put", Key: id, Expect: -1, Body: []byte(`{"queue":"q","steps":[{"name":"s","tasks":[{"name":"t","room":1}]}]}`)}, 3000).status
 			return status == 200 || status == 201
 		}), s.why())
 		s.jobs = append(s.jobs, id)
@@ -48,15 +49,15 @@
 	s.t.Helper()
 	for _, id := range ids {
 		must.True(s.t, s.until(15_000, func() bool {
-			return s.settle(s.asker(), evAsk{Op: "job.cancel", Key: id, Expect: -1}, 3000).status < 300
+			return s.settle(s.asker(), evRequest{Op: "job.cancel", Key: id, Expect: -1}, 3000).status < 300
 		}), s.why())
 	}
 }
 
 // lacks tells what a member holds in an older state than another one.
 func (s *seatWorld) lacks(member, other *simNode) (out []string) {
-	mine, theirs := member.sh.n.store, other.sh.n.store
-	a, b := mine.reg("setup"), theirs.reg("setup")
+	mine, theirs := member.sh.node.store, other.sh.node.store
+	a, b := mine.Register("setup"), theirs.Register("setup")
 	if a.Accepted.Less(b.Accepted) {
 		out = append(out, fmt.Sprint("setup ", a.Accepted, " < ", b.Accepted))
 	}
@@ -65,11 +66,11 @@
 	if a.Accepted == b.Accepted && !bytes.Equal(a.Value, b.Value) {
 		out = append(out, fmt.Sprintf("setup of %d bytes, not %d", len(a.Value), len(b.Value)))
 	}
-	for _, name := range sorted(theirs.slices) {
+	for _, name := range theirs.ShardNames() {
 		for _, id := range s.jobs {
-			want, there := theirs.slices[name].get(id)
-			got, here := mine.slice(name).get(id)
-			if there && (!here || got.Live != want.Live || want.Live && older(got, want)) {
+			want, there := theirs.Shard(name).Get(id)
+			got, here := mine.Shard(name).Get(id)
+			if there && (!here || got.Live != want.Live || want.Live && got.OlderThan(want)) {
 				out = append(out, name+" "+id)
 			}
 		}
@@ -100,11 +101,11 @@
 			}
 		}
 		s.cancel(s.jobs[5:60])
-		last := s.settle(s.asker(), evAsk{Op: "setup.get"}, 2000).body
-		before := dark.sh.n.store.reg("setup").Accepted
+		last := s.settle(s.asker(), evRequest{Op: "setup.get"}, 2000).body
+		before := dark.sh.node.store.Register("setup").Accepted
 		away.start()
 		s.run(4000)
-		must.Eq(t, before, dark.sh.n.store.reg("setup").Accepted, s.why()) // it isn't written anew for all, nor read by all
+		must.Eq(t, before, dark.sh.node.store.Register("setup").Accepted, s.why()) // it isn't written anew for all, nor read by all
 		must.SliceEmpty(t, s.lacks(away, dark), s.why())
 		must.SliceEmpty(t, s.lacks(away, wiped), s.why())
 		wiped.kill(true)
@@ -114,16 +115,16 @@
 		s.after(600_000, dark.start)
 		for range 40 { // whoever answers tells the newest
 			s.run(100)
-			if r := s.settle(s.asker(), evAsk{Op: "setup.get"}, 1000); r.status == 200 {
+			if r := s.settle(s.asker(), evRequest{Op: "setup.get"}, 1000); r.status == 200 {
 				must.Eq(t, gjson.Get(last, "version").Int(), gjson.Get(r.body, "version").Int())
 			}
-			if r := s.settle(s.asker(), evAsk{Op: "job.get", Key: s.jobs[30], Expect: -1}, 1000); r.status == 200 {
+			if r := s.settle(s.asker(), evRequest{Op: "job.get", Key: s.jobs[30], Expect: -1}, 1000); r.status == 200 {
 				must.Eq(t, "cancelled", gjson.Get(r.body, "state").Str, must.Sprint(r.body))
 			}
 		}
 		s.keepsAll()
 		for _, id := range s.jobs[5:60] {
-			r := s.settle(s.asker(), evAsk{Op: "job.get", Key: id, Expect: -1}, 2000)
+			r := s.settle(s.asker(), evRequest{Op: "job.get", Key: id, Expect: -1}, 2000)
 			must.Eq(t, "cancelled", gjson.Get(r.body, "state").Str, must.Sprint(r.body))
 		}
 	}
@@ -150,18 +151,18 @@
 // member that has been away, nor from one that alone has a later one.
 func TestCoreReadNeedsAgreement(t *testing.T) {
 	s := newSeatWorld(t, 60, 3)
-	n := s.asker().sh.n
-	stored := func(version int64, state int8) record {
+	n := s.asker().sh.node
+	stored := func(version int64, state int8) statestore.Record {
 		j := job{ID: "j", Queue: "q", State: state, SubmitMs: 1, DoneMs: map[int8]int64{jobCancelled: 9}[state], Version: version}
-		return record{ID: "j", Epoch: 4, Version: version, Live: true, Value: j.kept()}
+		return statestore.Record{ID: "j", Epoch: 4, Version: version, Live: true, Value: j.kept()}
 	}
-	members := memberNames(n.core)
-	read := func(answers ...record) string {
-		n.asks, n.out = map[uint64]*pendingAsk{}, nil
-		r := &coreRead{ask: &ask{id: 1, op: "job.get", key: "j"}, got: map[string]record{}, limitMs: n.now + readMs}
-		n.reads[7] = r
+	members := n.core.Names()
+	read := func(answers ...statestore.Record) string {
+		n.forwarded, n.out = map[uint64]*forwardedRequest{}, nil
+		r := &quorumRead{request: &request{id: 1, op: "job.get", key: "j"}, got: map[string]statestore.Record{}, limitMs: n.now + quorumReadMs}
+		n.quorumReads[7] = r
 		for i, a := range answers {
-			n.onRead(r, 7, members[i], []record{a})
+			n.onQuorumRead(r, 7, members[i], []statestore.Record{a})
 		}
 		for _, e := range n.out {
 			if reply, ok := e.(effReply); ok && reply.Status == 200 {
--- a/accord/central.go
+++ b/internal/daemon/central.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"cmp"
@@ -12,46 +12,46 @@
 type central struct {
 	epoch   uint64
 	startMs int64
-	workers map[string]*firmView
-	wants   map[wantKey]*wantState
+	workers map[string]*workerCapacity
+	pending map[allocationKey]*pendingAllocation
 	roundAt int64
 	round   int64
 }
 
-// wantKey names a want by its first task's step: (job, round and step), or the
+// allocationKey names a want by its first task's step: (job, round and step), or the
 // task itself where tasks of a step aren't alike.
-type wantKey struct {
+type allocationKey struct {
 	Job  string
 	Step int64
 }
 
-func (m *wantMsg) key() wantKey {
+func (m *allocationRequest) key() allocationKey {
 	if len(m.Tasks) == 0 {
-		return wantKey{m.Job, -1}
+		return allocationKey{m.Job, -1}
 	}
 	if round, step, _, ok := placeOf(m.Tasks[0].Task); ok {
-		return wantKey{m.Job, placeID(round, step, 0)}
+		return allocationKey{m.Job, placeID(round, step, 0)}
 	}
-	return wantKey{m.Job, m.Tasks[0].Task}
+	return allocationKey{m.Job, m.Tasks[0].Task}
 }
 
-type wantState struct {
-	wantMsg
+type pendingAllocation struct {
+	allocationRequest
 	from    string
 	firstMs int64
 	lastMs  int64
-	granted map[int64]grantState // by task
+	granted map[int64]grantedTask // by task
 }
 
-type grantState struct {
+type grantedTask struct {
 	attempt int32
 	worker  string
 	atMs    int64
 }
 
 // open gives the tasks without a grant.
-func (ws *wantState) open() []wantTask {
-	out := make([]wantTask, 0, len(ws.Tasks))
+func (ws *pendingAllocation) open() []requestedTask {
+	out := make([]requestedTask, 0, len(ws.Tasks))
 	for _, t := range ws.Tasks {
 		if g, ok := ws.granted[t.Task]; !ok || g.attempt != t.Attempt {
 			out = append(out, t)
@@ -60,26 +60,26 @@
 	return out
 }
 
-type firmView struct {
+type workerCapacity struct {
 	syncMsg
-	heardMs  int64
-	firmKeys map[attemptKey]bool
-	firm     amount // room of the firm tasks it holds
-	busy     amount // room of all it holds that is not ended
-	badMs    int64  // unsound until
-	badTimes int64
+	heardMs          int64
+	firmKeys         map[attemptKey]bool
+	firm             resources // room of the firm tasks it holds
+	busy             resources // room of all it holds that is not ended
+	unhealthyUntilMs int64     // unsound until
+	unhealthyTimes   int64
 }
 
 // rankState is what this daemon last heard from the coordinator.
 type rankState struct {
-	epoch    uint64
-	round    int64
-	heardMs  int64
-	targetMs int64
-	short    bool
-	ranks    map[string]int64
-	unsound  map[string]int8
-	added    map[string]int64 // estimates of what was placed from here since the round
+	epoch     uint64
+	round     int64
+	heardMs   int64
+	targetMs  int64
+	short     bool
+	ranks     map[string]int64
+	unhealthy map[string]int8
+	added     map[string]int64 // estimates of what was placed from here since the round
 }
 
 // of gives a worker's rank: the coordinator's, and what this daemon itself has
@@ -98,8 +98,8 @@
 	r.added[worker] += estMs
 }
 
-func (n *node) startCentral(d *duty) {
-	n.central = &central{epoch: d.epoch, startMs: n.now, workers: map[string]*firmView{}, wants: map[wantKey]*wantState{}, roundAt: n.now + rebuildMs}
+func (n *node) startCentral(d *roleLease) {
+	n.central = &central{epoch: d.epoch, startMs: n.now, workers: map[string]*workerCapacity{}, pending: map[allocationKey]*pendingAllocation{}, roundAt: n.now + rebuildMs}
 }
 
 func (n *node) syncCentral(_ string, m *syncMsg) {
@@ -109,89 +109,89 @@
 	}
 	w := c.workers[m.Worker]
 	if w == nil {
-		w = &firmView{}
+		w = &workerCapacity{}
 		c.workers[m.Worker] = w
 	}
 	if m.Epoch < w.Epoch {
 		return
 	}
-	w.syncMsg, w.heardMs, w.firm, w.busy, w.firmKeys = *m, n.now, amount{}, amount{}, map[attemptKey]bool{}
-	for _, h := range m.Held {
-		w.busy = w.busy.plus(h.Room)
+	w.syncMsg, w.heardMs, w.firm, w.busy, w.firmKeys = *m, n.now, resources{}, resources{}, map[attemptKey]bool{}
+	for _, h := range m.Attempts {
+		w.busy = w.busy.plus(h.Resources)
 		if h.Class != classGuaranteed {
 			continue
 		}
-		w.firm = w.firm.plus(h.Room)
+		w.firm = w.firm.plus(h.Resources)
 		w.firmKeys[h.Key] = true
-		key := wantKey{h.Key.Job, h.Key.Task}
+		key := allocationKey{h.Key.Job, h.Key.Task}
 		if round, step, _, ok := placeOf(h.Key.Task); ok {
 			key.Step = placeID(round, step, 0)
 		}
-		if ws := c.wants[key]; ws != nil {
+		if ws := c.pending[key]; ws != nil {
 			if g, ok := ws.granted[h.Key.Task]; ok && g.attempt <= h.Key.Attempt {
 				delete(ws.granted, h.Key.Task)
-				ws.Tasks = slices.DeleteFunc(ws.Tasks, func(t wantTask) bool { return t.Task == h.Key.Task && t.Attempt <= h.Key.Attempt })
+				ws.Tasks = slices.DeleteFunc(ws.Tasks, func(t requestedTask) bool { return t.Task == h.Key.Task && t.Attempt <= h.Key.Attempt })
 				if len(ws.Tasks) == 0 {
-					delete(c.wants, key)
+					delete(c.pending, key)
 				}
 			}
 		}
 	}
 	n.promote(c, w)
-	if len(c.wants) <= grantNow {
-		n.grantAll(c)
+	if len(c.pending) <= allocateNowMax {
+		n.allocateAll(c)
 	}
 }
 
-func (n *node) onWant(from string, m *wantMsg) {
+func (n *node) onAllocationRequest(from string, m *allocationRequest) {
 	c := n.central
 	if c == nil || !n.holds("central") || len(m.Tasks) == 0 {
 		return
 	}
 	key := m.key()
-	ws := c.wants[key]
+	ws := c.pending[key]
 	if ws == nil {
-		ws = &wantState{firstMs: n.now, granted: map[int64]grantState{}}
-		c.wants[key] = ws
+		ws = &pendingAllocation{firstMs: n.now, granted: map[int64]grantedTask{}}
+		c.pending[key] = ws
 	}
-	ws.wantMsg, ws.from, ws.lastMs = *m, from, n.now
+	ws.allocationRequest, ws.from, ws.lastMs = *m, from, n.now
 	for _, t := range m.Tasks { // still wanted some time after it was granted: the grant was lost or could not be taken
 		if g, ok := ws.granted[t.Task]; ok && (g.attempt != t.Attempt || n.now-g.atMs > regrantMs) {
 			delete(ws.granted, t.Task)
 		}
 	}
-	if len(c.wants) <= grantNow {
-		n.grantAll(c)
+	if len(c.pending) <= allocateNowMax {
+		n.allocateAll(c)
 	}
 }
 
 // promised is the firm room of a worker that its agent does not show yet.
-func (c *central) promised(worker string) (room amount) {
-	for _, ws := range c.wants {
+func (c *central) promised(worker string) (room resources) {
+	for _, ws := range c.pending {
 		for _, g := range ws.granted {
 			if g.worker == worker {
-				room = room.plus(ws.Room)
+				room = room.plus(ws.Resources)
 			}
 		}
 	}
 	return room
 }
 
-// firmRoom is a worker as the central scheduler sees it while it grants.
-type firmRoom struct {
+// candidateWorker is a worker as the central scheduler sees it while it grants.
+type candidateWorker struct {
 	name       string
-	sure, free amount
-	w          *firmView
+	sure, free resources
+	w          *workerCapacity
 }
 
-// grantAll gives firm places in order of urgency and age, only where the room
+// allocateAll gives firm places in order of urgency and age, only where the room
 // is sure: what queueable tasks hold counts as room, since it can be freed.
-func (n *node) grantAll(c *central) {
-	if !n.holds("central") || n.now-c.startMs < rebuildMs || !n.setupFresh() {
+func (n *node) allocateAll(c *central) {
+	if !n.holds("central") || n.now-c.startMs < rebuildMs || !n.configFresh() {
 		return
 	}
-	var keys []wantKey
-	for k, ws := range c.wants {
+	var keys []allocationKey
+	for k, ws := range c.pending {
 		if len(ws.open()) > 0 {
 			keys = append(keys, k)
 		}
@@ -199,31 +199,31 @@
 	if len(keys) == 0 {
 		return
 	}
-	urgency := func(k wantKey) int64 { return n.setup.cur.urgencyOf(c.wants[k].Queue) }
-	slices.SortFunc(keys, func(a, b wantKey) int {
-		return cmp.Or(cmp.Compare(urgency(b), urgency(a)), cmp.Compare(c.wants[a].SubmitMs, c.wants[b].SubmitMs),
+	urgency := func(k allocationKey) int64 { return n.config.current.urgencyOf(c.pending[k].Queue) }
+	slices.SortFunc(keys, func(a, b allocationKey) int {
+		return cmp.Or(cmp.Compare(urgency(b), urgency(a)), cmp.Compare(c.pending[a].SubmitMs, c.pending[b].SubmitMs),
 			cmp.Compare(a.Job, b.Job), cmp.Compare(a.Step, b.Step))
 	})
-	var rooms []*firmRoom
+	var rooms []*candidateWorker
 	for _, name := range sorted(c.workers) {
 		w := c.workers[name]
-		if n.now-w.heardMs < contactMs && w.Rebuilt && w.Fresh && !w.Leaving && !n.setup.cur.Empty[w.Site] {
+		if n.now-w.heardMs < contactMs && w.Rebuilt && w.Fresh && !w.Leaving && !n.config.current.EmptyZones[w.Zone] {
 			p := c.promised(name)
-			rooms = append(rooms, &firmRoom{name: name, sure: w.Capacity.minus(w.firm).minus(p), free: w.Capacity.minus(w.busy).minus(p), w: w})
+			rooms = append(rooms, &candidateWorker{name: name, sure: w.Capacity.minus(w.firm).minus(p), free: w.Capacity.minus(w.busy).minus(p), w: w})
 		}
 	}
 	reserved, idle := map[string]bool{}, mostlyIdle(rooms)
 	for _, k := range keys {
-		ws := c.wants[k]
-		q := n.setup.cur.Queues[ws.Queue]
+		ws := c.pending[k]
+		q := n.config.current.Queues[ws.Queue]
 		if q == nil {
 			continue
 		}
-		var fit, sound []*firmRoom
+		var fit, sound []*candidateWorker
 		for _, r := range rooms {
-			if _, lack := lacks(r.w.Labels, ws.Needs); !lack && q.matches(r.w.Labels, r.w.Site) && ws.Room.fits(r.w.Capacity) {
+			if _, lack := lacks(r.w.Labels, ws.Needs); !lack && q.matches(r.w.Labels, r.w.Zone) && ws.Resources.fits(r.w.Capacity) {
 				fit = append(fit, r)
-				if r.w.badMs <= n.now && !r.w.Suspect {
+				if r.w.unhealthyUntilMs <= n.now && !r.w.Suspect {
 					sound = append(sound, r)
 				}
 			}
@@ -231,7 +231,7 @@
 		if len(sound) == 0 { // unsound workers only where nothing else may ever do
 			sound = fit
 		}
-		f := &fitting{n: n, ws: ws, used: map[string]int32{}, reserved: reserved, urgent: q.Urgency >= n.setup.cur.Highest}
+		f := &fitting{n: n, ws: ws, used: map[string]int32{}, reserved: reserved, urgent: q.Urgency >= n.config.current.Highest}
 		for _, u := range ws.Used {
 			f.used[u.Worker] += u.Count
 		}
@@ -249,10 +249,10 @@
 			n.reserve(ws, sound, reserved, len(rooms))
 			continue
 		}
-		m := &grantMsg{Slice: ws.Slice, Job: ws.Job, Epoch: c.epoch}
+		m := &allocation{Slice: ws.Slice, Job: ws.Job, Epoch: c.epoch}
 		for _, p := range places {
-			m.Places = append(m.Places, grantView{p.task.Task, p.task.Attempt, p.at.name})
-			ws.granted[p.task.Task] = grantState{p.task.Attempt, p.at.name, n.now}
+			m.Places = append(m.Places, allocatedTask{p.task.Task, p.task.Attempt, p.at.name})
+			ws.granted[p.task.Task] = grantedTask{p.task.Attempt, p.at.name, n.now}
 			n.count("grants")
 		}
 		n.send(ws.from, m)
@@ -261,8 +261,8 @@
 
 // mostlyIdle tells whether little more than half of the room is in use, in some
 // dimension.
-func mostlyIdle(rooms []*firmRoom) bool {
-	var free, all amount
+func mostlyIdle(rooms []*candidateWorker) bool {
+	var free, all resources
 	for _, r := range rooms {
 		free, all = free.plus(r.free), all.plus(r.w.Capacity)
 	}
@@ -274,15 +274,15 @@
 // behind it: one worker for a task, as many as hold it whole for a gang. A gang
 // that waits for one rack keeps workers of one rack, from the beginning: else
 // others take what gets free there.
-func (n *node) reserve(ws *wantState, fit []*firmRoom, reserved map[string]bool, all int) {
-	var likely []*firmRoom
+func (n *node) reserve(ws *pendingAllocation, fit []*candidateWorker, reserved map[string]bool, all int) {
+	var likely []*candidateWorker
 	switch waitedMs := n.now - ws.firstMs; {
 	case ws.Gang && ws.SameRack && waitedMs < n.rackWaitMs(ws):
 		likely = ws.likeliestRack(fit, reserved)
 	case waitedMs > reserveMs:
 		likely = slices.Clone(fit)
 	}
-	slices.SortStableFunc(likely, func(a, b *firmRoom) int { return cmp.Compare(b.sure.CPU, a.sure.CPU) })
+	slices.SortStableFunc(likely, func(a, b *candidateWorker) int { return cmp.Compare(b.sure.CPU, a.sure.CPU) })
 	need := int64(1)
 	if ws.Gang {
 		need = int64(len(ws.Tasks))
@@ -292,20 +292,20 @@
 			return
 		}
 		reserved[r.name] = true
-		need -= timesIn(ws.Room, r.w.Capacity)
+		need -= timesIn(ws.Resources, r.w.Capacity)
 	}
 }
 
 // rackWaitMs is how long a gang that asks for one rack waits for one: a part of
 // what its run would take longer over several.
-func (n *node) rackWaitMs(ws *wantState) int64 {
+func (n *node) rackWaitMs(ws *pendingAllocation) int64 {
 	longerMs := int64((n.SpreadFactor - 1) * float64(ws.EstMs))
 	return min(max(longerMs*rackWaitShare/100, spreadAfterMs), rackWaitMost)
 }
 
 // byRack groups rooms by the rack they are in.
-func byRack(rooms []*firmRoom) map[string][]*firmRoom {
-	racks := map[string][]*firmRoom{}
+func byRack(rooms []*candidateWorker) map[string][]*candidateWorker {
+	racks := map[string][]*candidateWorker{}
 	for _, r := range rooms {
 		racks[r.w.Rack] = append(racks[r.w.Rack], r)
 	}
@@ -313,7 +313,7 @@
 }
 
 // wholeIn tells whether workers hold all tasks of a want once nothing else is there.
-func (ws *wantState) wholeIn(rooms []*firmRoom) bool {
+func (ws *pendingAllocation) wholeIn(rooms []*candidateWorker) bool {
 	times := int64(0)
 	for _, r := range rooms {
 		times += ws.timesAt(r.w.Capacity)
@@ -322,8 +322,8 @@
 }
 
 // timesAt is how many tasks of a want some room of one worker holds.
-func (ws *wantState) timesAt(room amount) int64 {
-	times := timesIn(ws.Room, room)
+func (ws *pendingAllocation) timesAt(room resources) int64 {
+	times := timesIn(ws.Resources, room)
 	if ws.PerWorker > 0 {
 		times = min(times, int64(ws.PerWorker))
 	}
@@ -332,10 +332,10 @@
 
 // likeliestRack gives the rooms of the rack that holds most of a gang already, of
 // those that hold all of it once they are empty and are not reserved.
-func (ws *wantState) likeliestRack(fit []*firmRoom, reserved map[string]bool) []*firmRoom {
-	var best []*firmRoom
+func (ws *pendingAllocation) likeliestRack(fit []*candidateWorker, reserved map[string]bool) []*candidateWorker {
+	var best []*candidateWorker
 	bestTimes := int64(-1)
-	racks := byRack(slices.DeleteFunc(slices.Clone(fit), func(r *firmRoom) bool { return reserved[r.name] }))
+	racks := byRack(slices.DeleteFunc(slices.Clone(fit), func(r *candidateWorker) bool { return reserved[r.name] }))
 	for _, name := range sorted(racks) {
 		if !ws.wholeIn(racks[name]) {
 			continue
@@ -352,7 +352,7 @@
 }
 
 // timesIn is how often some room fits into another.
-func timesIn(room, in amount) int64 {
+func timesIn(room, in resources) int64 {
 	times := int64(1 << 20)
 	for _, d := range [][2]int64{{room.CPU, in.CPU}, {room.Memory, in.Memory}, {room.GPU, in.GPU}} {
 		if d[0] > 0 {
@@ -365,21 +365,21 @@
 // fitting finds places for one want among the rooms that may hold it.
 type fitting struct {
 	n        *node
-	ws       *wantState
+	ws       *pendingAllocation
 	used     map[string]int32 // tasks of the step on a worker
 	reserved map[string]bool
 	urgent   bool // of the most urgent queues: nothing is kept back from it
 	anyRack  bool // so much room is free that a gang doesn't wait for one rack
 }
 
-type firmPlace struct {
-	task wantTask
-	at   *firmRoom
+type assignment struct {
+	task requestedTask
+	at   *candidateWorker
 }
 
 // find gives places for as many open tasks as have sure room; for a gang all of
 // them or none, in one rack where it asks for that and one can hold it.
-func (f *fitting) find(fit []*firmRoom) []firmPlace {
+func (f *fitting) find(fit []*candidateWorker) []assignment {
 	open := f.ws.open()
 	if !f.ws.Gang {
 		return f.fill(open, fit)
@@ -428,9 +428,9 @@
 }
 
 // fill takes the best room for each task in turn, and stops at the first that has none.
-func (f *fitting) fill(tasks []wantTask, fit []*firmRoom) (out []firmPlace) {
+func (f *fitting) fill(tasks []requestedTask, fit []*candidateWorker) (out []assignment) {
 	for _, t := range tasks {
-		var best *firmRoom
+		var best *candidateWorker
 		for _, r := range fit {
 			if f.may(r) && (best == nil || f.score(r) > f.score(best)) {
 				best = r
@@ -439,42 +439,42 @@
 		if best == nil {
 			return out
 		}
-		best.sure, best.free = best.sure.minus(f.ws.Room), best.free.minus(f.ws.Room)
+		best.sure, best.free = best.sure.minus(f.ws.Resources), best.free.minus(f.ws.Resources)
 		f.used[best.name]++
-		out = append(out, firmPlace{t, best})
+		out = append(out, assignment{t, best})
 	}
 	return out
 }
 
-func (f *fitting) undo(places []firmPlace) {
+func (f *fitting) undo(places []assignment) {
 	for _, p := range places {
-		p.at.sure, p.at.free = p.at.sure.plus(f.ws.Room), p.at.free.plus(f.ws.Room)
+		p.at.sure, p.at.free = p.at.sure.plus(f.ws.Resources), p.at.free.plus(f.ws.Resources)
 		f.used[p.at.name]--
 	}
 }
 
 // may tells whether a worker's sure room holds one more. Queues below the most
 // urgent ones leave a part of each worker to those, where they can do without it.
-func (f *fitting) may(r *firmRoom) bool {
+func (f *fitting) may(r *candidateWorker) bool {
 	if f.reserved[r.name] || f.ws.PerWorker > 0 && f.used[r.name] >= f.ws.PerWorker {
 		return false
 	}
 	sure, kept := r.sure, r.w.Capacity.share(urgentRoom)
-	if !f.urgent && f.ws.Room.fits(r.w.Capacity.minus(kept)) {
+	if !f.urgent && f.ws.Resources.fits(r.w.Capacity.minus(kept)) {
 		sure = sure.minus(kept)
 	}
-	return f.ws.Room.fits(sure)
+	return f.ws.Resources.fits(sure)
 }
 
 // score prefers a worker that is free without a stop, then one near the data,
 // then the emptiest; one that just failed the task comes last.
-func (f *fitting) score(r *firmRoom) int64 {
+func (f *fitting) score(r *candidateWorker) int64 {
 	s := r.free.CPU * 1000 / max(r.w.Capacity.CPU, 1)
 	if r.w.Capacity.Memory > 0 {
 		s = min(s, r.free.Memory*1000/r.w.Capacity.Memory)
 	}
 	s += 1000 * 1000
-	if f.ws.Room.fits(r.free) {
+	if f.ws.Resources.fits(r.free) {
 		s += 1 << 40
 	}
 	if f.nearness(r.w.Rack) > 0 {
@@ -488,17 +488,17 @@
 
 // promote makes long-running queueable tasks firm where the room is sure, so
 // that their work is not thrown away.
-func (n *node) promote(c *central, w *firmView) {
+func (n *node) promote(c *central, w *workerCapacity) {
 	if !n.holds("central") || n.now-c.startMs < rebuildMs {
 		return
 	}
 	sure := w.Capacity.minus(w.firm).minus(c.promised(w.Worker))
-	for _, h := range w.Held {
-		if q := n.setup.cur.Queues[h.Queue]; q != nil && q.Batch != nil {
+	for _, h := range w.Attempts {
+		if q := n.config.current.Queues[h.Queue]; q != nil && q.Batch != nil {
 			continue // batches are never firm
 		}
-		if h.Class == classQueueable && h.State == heldRunning && h.RanMs > max(2*h.EstMs, n.ThresholdMs) && h.Room.fits(sure) {
-			sure = sure.minus(h.Room)
+		if h.Class == classQueueable && h.State == attemptRunning && h.RanMs > max(2*h.EstMs, n.ThresholdMs) && h.Resources.fits(sure) {
+			sure = sure.minus(h.Resources)
 			n.send(w.Agent, &promoteMsg{Worker: w.Worker, Epoch: w.Epoch, Key: h.Key})
 		}
 	}
@@ -509,14 +509,14 @@
 	if c == nil {
 		return
 	}
-	for k, ws := range c.wants { // each is judged alone, so the order does not matter
+	for k, ws := range c.pending { // each is judged alone, so the order does not matter
 		for t, g := range ws.granted {
 			if n.now-g.atMs > grantMs {
 				delete(ws.granted, t)
 			}
 		}
-		if n.now-ws.lastMs > wantStaleMs {
-			delete(c.wants, k)
+		if n.now-ws.lastMs > allocationStaleMs {
+			delete(c.pending, k)
 		}
 	}
 	for _, name := range sorted(c.workers) {
@@ -524,14 +524,14 @@
 			delete(c.workers, name)
 		}
 	}
-	n.grantAll(c)
+	n.allocateAll(c)
 	if n.now < c.roundAt || !n.holds("central") {
 		return
 	}
 	c.roundAt += rankMs
 	c.round++
-	n.judgeSoundness(c)
-	m := &ranksMsg{Epoch: c.epoch, Round: c.round, Short: n.wantsWait(c)}
+	n.judgeHealth(c)
+	m := &ranksMsg{Epoch: c.epoch, Round: c.round, Short: n.allocationsWait(c)}
 	var sum, sum2, count float64
 	for _, name := range sorted(c.workers) {
 		w := c.workers[name]
@@ -539,8 +539,8 @@
 			continue
 		}
 		v := rankView{Worker: name, RankMs: w.RankMs}
-		if w.badMs > n.now || w.Suspect {
-			v.Unsound = 1
+		if w.unhealthyUntilMs > n.now || w.Suspect {
+			v.Unhealthy = 1
 		}
 		m.Ranks = append(m.Ranks, v)
 		sum, sum2, count = sum+float64(w.RankMs), sum2+float64(w.RankMs)*float64(w.RankMs), count+1
@@ -552,11 +552,11 @@
 	// Ranks are for those that place tasks; agents need the target alone.
 	brief := &ranksMsg{Epoch: m.Epoch, Round: m.Round, TargetMs: m.TargetMs}
 	owners := map[string]bool{n.Name: true}
-	for _, s := range n.core.Slices {
+	for _, s := range n.core.Shards {
 		to, _ := n.holder("slice/" + s)
 		owners[to] = true
 	}
-	for _, name := range n.liveNames() {
+	for _, name := range n.aliveNames() {
 		if owners[name] {
 			n.send(name, m)
 		} else {
@@ -565,10 +565,10 @@
 	}
 }
 
-// judgeSoundness finds workers that fail or lag far more than their siblings.
+// judgeHealth finds workers that fail or lag far more than their siblings.
 // Where most look bad the jobs are, and nobody is judged. A worker judged
 // unsound is tried again with real work after a while.
-func (n *node) judgeSoundness(c *central) {
+func (n *node) judgeHealth(c *central) {
 	var bad []string
 	for _, name := range sorted(c.workers) {
 		w := c.workers[name]
@@ -578,13 +578,13 @@
 				oks, fails, lag, others = oks+o.Oks, fails+o.Fails, lag+o.LagPct, others+1
 			}
 		}
-		if others == 0 || w.badMs > n.now {
+		if others == 0 || w.unhealthyUntilMs > n.now {
 			continue
 		}
 		rate := float64(w.Fails) / float64(max(1, w.Oks+w.Fails))
 		rest := float64(fails) / float64(max(1, oks+fails))
-		if w.Oks+w.Fails >= unsoundMin && rate > 0.25 && rate > 3*rest ||
-			w.Oks >= unsoundMin && w.LagPct > 300 && w.LagPct > 3*lag/others {
+		if w.Oks+w.Fails >= healthMinEnds && rate > 0.25 && rate > 3*rest ||
+			w.Oks >= healthMinEnds && w.LagPct > 300 && w.LagPct > 3*lag/others {
 			bad = append(bad, name)
 		}
 	}
@@ -593,9 +593,9 @@
 	}
 	for _, name := range bad {
 		w := c.workers[name]
-		w.badTimes = min(w.badTimes+1, 5)
-		w.badMs = n.now + 10_000<<w.badTimes
-		n.log("worker_unsound", "worker", name, "fails", w.Fails, "oks", w.Oks, "lag_pct", w.LagPct, "for_ms", w.badMs-n.now)
+		w.unhealthyTimes = min(w.unhealthyTimes+1, 5)
+		w.unhealthyUntilMs = n.now + 10_000<<w.unhealthyTimes
+		n.log("worker_unsound", "worker", name, "fails", w.Fails, "oks", w.Oks, "lag_pct", w.LagPct, "for_ms", w.unhealthyUntilMs-n.now)
 	}
 }
 
@@ -604,11 +604,11 @@
 	if m.Epoch < r.epoch || m.Epoch == r.epoch && m.Round <= r.round {
 		return
 	}
-	*r = rankState{epoch: m.Epoch, round: m.Round, heardMs: n.now, targetMs: m.TargetMs, short: m.Short, ranks: map[string]int64{}, unsound: map[string]int8{}}
+	*r = rankState{epoch: m.Epoch, round: m.Round, heardMs: n.now, targetMs: m.TargetMs, short: m.Short, ranks: map[string]int64{}, unhealthy: map[string]int8{}}
 	for _, v := range m.Ranks {
 		r.ranks[v.Worker] = v.RankMs
-		if v.Unsound != 0 {
-			r.unsound[v.Worker] = v.Unsound
+		if v.Unhealthy != 0 {
+			r.unhealthy[v.Worker] = v.Unhealthy
 		}
 	}
 	if m.TargetMs > 0 {
--- a/accord/central_test.go
+++ b/internal/daemon/central_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"fmt"
@@ -10,16 +10,16 @@
 // rackNode is a node that holds the central scheduler over two racks of three
 // workers with 4 cores each.
 func rackNode(t *testing.T, spreadFactor float64) *node {
-	n := newNode(place{Name: "d0", SpreadFactor: spreadFactor}, nil)
+	n := newNode(nodeConfig{Name: "d0", SpreadFactor: spreadFactor}, nil)
 	n.now = 100_000
-	setup, faults := compileSetup(1, []byte(`{"queues":[{"name":"high","urgency":90},{"name":"mid","urgency":60},{"name":"low","urgency":30}]}`))
+	setup, faults := compileConfig(1, []byte(`{"queues":[{"name":"high","urgency":90},{"name":"mid","urgency":60},{"name":"low","urgency":30}]}`))
 	must.SliceEmpty(t, faults)
-	n.setup.cur = setup
-	n.duties["central"] = &duty{name: "central", epoch: 1, phase: dutyHeld, untilMs: 1 << 40}
-	n.startCentral(n.duties["central"])
+	n.config.current = setup
+	n.roles["central"] = &roleLease{name: "central", epoch: 1, phase: roleHeld, untilMs: 1 << 40}
+	n.startCentral(n.roles["central"])
 	n.now += rebuildMs
 	for i := range 6 {
-		w := &firmView{syncMsg: syncMsg{Worker: fmt.Sprint("w", i), Rack: fmt.Sprint("r", i/3), Rebuilt: true, Fresh: true, Capacity: amount{CPU: 4000}}}
+		w := &workerCapacity{syncMsg: syncMsg{Worker: fmt.Sprint("w", i), Rack: fmt.Sprint("r", i/3), Rebuilt: true, Fresh: true, Capacity: resources{CPU: 4000}}}
 		n.central.workers[w.Worker] = w
 	}
 	return n
@@ -28,19 +28,19 @@
 // occupy gives a worker firm work.
 func occupy(n *node, worker string, cpu int64) {
 	w := n.central.workers[worker]
-	w.firm, w.busy = amount{CPU: cpu}, amount{CPU: cpu}
+	w.firm, w.busy = resources{CPU: cpu}, resources{CPU: cpu}
 }
 
 // grantAfter lets time pass and grants; it gives the workers of a job's grants.
 func grantAfter(n *node, ms int64, job string) map[string]int {
 	n.now += ms
-	n.setup.confirmedMs = n.now
+	n.config.confirmedMs = n.now
 	for _, w := range n.central.workers {
 		w.heardMs = n.now
 	}
-	n.grantAll(n.central)
+	n.allocateAll(n.central)
 	placed := map[string]int{}
-	for k, ws := range n.central.wants {
+	for k, ws := range n.central.pending {
 		if k.Job != job {
 			continue
 		}
@@ -51,17 +51,17 @@
 	return placed
 }
 
-func wantOf(job, queue string, tasks int, cpu, estMs int64) *wantState {
-	ws := &wantState{granted: map[int64]grantState{}, wantMsg: wantMsg{Slice: "s", Job: job, Queue: queue, Room: amount{CPU: cpu}, EstMs: estMs}}
+func wantOf(job, queue string, tasks int, cpu, estMs int64) *pendingAllocation {
+	ws := &pendingAllocation{granted: map[int64]grantedTask{}, allocationRequest: allocationRequest{Slice: "s", Job: job, Queue: queue, Resources: resources{CPU: cpu}, EstMs: estMs}}
 	for i := range tasks {
-		ws.Tasks = append(ws.Tasks, wantTask{placeID(0, 0, int32(i)), 1})
+		ws.Tasks = append(ws.Tasks, requestedTask{placeID(0, 0, int32(i)), 1})
 	}
 	return ws
 }
 
-func (c *central) add(now int64, ws *wantState) {
+func (c *central) add(now int64, ws *pendingAllocation) {
 	ws.firstMs, ws.lastMs = now, now
-	c.wants[ws.key()] = ws
+	c.pending[ws.key()] = ws
 }
 
 // A gang that asks for one rack waits for one as long as that is worth more than
@@ -83,7 +83,7 @@
 			gang.Gang, gang.SameRack = true, true
 			n.central.add(n.now, gang)
 			for _, i := range []int{1, 2, 4, 5} { // queueable work, so that the fleet isn't idle
-				n.central.workers[fmt.Sprint("w", i)].busy = amount{CPU: 3000}
+				n.central.workers[fmt.Sprint("w", i)].busy = resources{CPU: 3000}
 			}
 			must.MapEmpty(t, grantAfter(n, c.waitMs-100, "gang"))
 			must.MapLen(t, 3, grantAfter(n, 100, "gang"))
--- a/accord/cold_test.go
+++ b/internal/daemon/cold_test.go
@@ -1,10 +1,10 @@
-package main
+package daemon
 
 import (
 	"slices"
 	"testing"
 
-	"otterchute/verdict"
+	"otterchute/internal/historycheck"
 )
 
 // How long the fleet takes, in simulated ms, from the return of all machines
@@ -16,7 +16,7 @@
 	for _, what := range []string{"first start", "power of all", "owner killed", "agent killed", "central killed"} {
 		var slicesMs, agentsMs, centralMs, startMs []int64
 		for seed := range uint64(40) {
-			w := newWorld(500+seed, verdict.Deployments[[]string{"hakata", "ikenna"}[seed%2]])
+			w := newWorld(500+seed, historycheck.Deployments[[]string{"hakata", "ikenna"}[seed%2]])
 			at := w.nowMs()
 			duties := append([]string{"central", "slice/east", "slice/mid", "slice/west"}, agentDuties(w)...)
 			if what != "first start" {
@@ -43,8 +43,8 @@
 					if _, ok := done[d]; ok || h == nil {
 						continue
 					}
-					kind := kindOfDuty(d)
-					if kind == "agent" && !h.sh.n.agents[d[6:]].rebuilt {
+					kind := roleKind(d)
+					if kind == "agent" && !h.sh.node.agents[d[6:]].rebuilt {
 						continue
 					}
 					done[d] = w.nowMs() - at
@@ -52,7 +52,7 @@
 				return len(done) == len(duties)
 			})
 			for d, ms := range done {
-				switch kindOfDuty(d) {
+				switch roleKind(d) {
 				case "agent":
 					agentsMs = append(agentsMs, ms)
 				case "central":
@@ -61,7 +61,7 @@
 					slicesMs = append(slicesMs, ms)
 				}
 			}
-			if i := slices.IndexFunc(w.history[from:], func(e verdict.Event) bool { return e.Kind == verdict.Start }); i >= 0 {
+			if i := slices.IndexFunc(w.history[from:], func(e historycheck.Event) bool { return e.Kind == historycheck.Start }); i >= 0 {
 				startMs = append(startMs, w.history[from+i].AtMs-at)
 			}
 		}
--- a/accord/compile_bench_test.go
+++ b/internal/daemon/compile_bench_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"fmt"
@@ -19,6 +19,6 @@
 	doc := bigSetup(400)
 	b.Log(len(doc))
 	for b.Loop() {
-		compileSetup(3, doc)
+		compileConfig(3, doc)
 	}
 }
--- a/accord/contact.go
+++ b/internal/daemon/contact.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 // Contact with the core. A daemon's polls prove it, both ways at once: a round
 // counts from when it was sent, and only once a majority has answered it. So a
@@ -13,17 +13,17 @@
 // inContact tells whether a majority of the core answered a poll that was sent
 // within the span of a lease.
 func (n *node) inContact() bool {
-	return n.core.Cluster != 0 && n.now-n.poll.okMs <= leaseHeldMs
+	return n.core.Cluster != 0 && n.now-n.poll.contactMs <= leaseHeldMs
 }
 
 // cutOff tells whether this daemon ran for a whole lease without contact. One
 // that has just started, or woken from a freeze, can't tell yet: its first polls
 // are under way.
-func (n *node) cutOff() bool { return n.now-max(n.poll.okMs, n.wokeMs) > leaseHeldMs }
+func (n *node) cutOff() bool { return n.now-max(n.poll.contactMs, n.wokeMs) > leaseHeldMs }
 
-// unanswered tells whether to stop waiting for the daemon that a call was handed
+// forwardTimedOut tells whether to stop waiting for the daemon that a call was handed
 // to: at the call's limit, where this daemon is cut off, and for an operator's
 // order where the core member that has it answers no polls.
-func (n *node) unanswered(p *pendingAsk) bool {
-	return n.now >= p.limitMs || n.cutOff() || mapSetups[p.ask.op] && n.now-n.poll.heardMs[p.to] > leaseHeldMs
+func (n *node) forwardTimedOut(p *forwardedRequest) bool {
+	return n.now >= p.limitMs || n.cutOff() || operatorRequests[p.request.op] && n.now-n.poll.heardMs[p.to] > leaseHeldMs
 }
--- a/accord/cutoff_test.go
+++ b/internal/daemon/cutoff_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"fmt"
@@ -52,7 +52,7 @@
 
 func (w *world) twoMembersBeside(at string) []string {
 	var out []string
-	for _, m := range memberNames(w.nodes[at].sh.n.core) {
+	for _, m := range w.nodes[at].sh.node.core.Names() {
 		if m != at && len(out) < 2 {
 			out = append(out, m)
 		}
@@ -61,8 +61,8 @@
 }
 
 // atQueue is a call at the address of the tests' queue.
-func atQueue(op, id string) evAsk {
-	e := evAsk{Op: op, Host: "one.example", Path: "/a/" + id, Expect: -1}
+func atQueue(op, id string) evRequest {
+	e := evRequest{Op: op, Host: "one.example", Path: "/a/" + id, Expect: -1}
 	if op == "queue.submit" {
 		e.Body = []byte(`{"steps":[{"name":"s","tasks":[{"name":"t","room":1}]}]}`)
 	}
@@ -75,7 +75,7 @@
 func (w *world) putAnywhere(t *testing.T, version, base int64) {
 	t.Helper()
 	for _, name := range []string{"d06", "d07", "d08", "d01"} {
-		e := evAsk{Op: "setup.put", Key: fmt.Sprint(version), Expect: base, Body: queueSetup("a", fmt.Sprintf(`%s,"max_limit_ms":%d`, addressOfQueue, version))}
+		e := evRequest{Op: "setup.put", Key: fmt.Sprint(version), Expect: base, Body: queueSetup("a", fmt.Sprintf(`%s,"max_limit_ms":%d`, addressOfQueue, version))}
 		if w.settle(w.nodes[name], e, 4000).status == 200 {
 			return
 		}
@@ -114,7 +114,7 @@
 	w.run(1000)
 	cutKinds[kind](w, at)
 	cutMs := w.nowMs()
-	probes := map[string]evAsk{
+	probes := map[string]evRequest{
 		"read":           {Op: "setup.get", Expect: -1},
 		"outdated order": {Op: "setup.put", Key: "1", Expect: 0, Body: queueSetup("b", "")},
 		"empty a site":   {Op: "site.empty", Key: "west", Expect: -1},
@@ -126,7 +126,7 @@
 		"count":          atQueue("queue.state", ""),
 	}
 	open, last := 0, ""
-	probe := func(name string, e evAsk) {
+	probe := func(name string, e evRequest) {
 		sent, awake := w.nowMs(), n.frozenTo
 		open++
 		w.call("caller", n, e, 15_000, func(status int, retryMs int64, b []byte) {
@@ -146,11 +146,11 @@
 		for _, name := range sorted(probes) {
 			probe(name, probes[name])
 		}
-		probe("order", evAsk{Op: "setup.put", Key: fmt.Sprint(1000 + i), Expect: version, Body: queueSetup("lost", addressOfQueue)})
+		probe("order", evRequest{Op: "setup.put", Key: fmt.Sprint(1000 + i), Expect: version, Body: queueSetup("lost", addressOfQueue)})
 		probe("submit", atQueue("queue.submit", fmt.Sprint("k", i)))
 		w.run(lastsMs / 40)
 		if i%10 == 5 {
-			current := w.settle(w.nodes["d07"], evAsk{Op: "setup.get"}, 3000) // an order from before the lease ended may stand
+			current := w.settle(w.nodes["d07"], evRequest{Op: "setup.get"}, 3000) // an order from before the lease ended may stand
 			must.Eq(t, 200, current.status)
 			w.putAnywhere(t, max(version, gjson.Get(current.body, "version").Int())+2000, gjson.Get(current.body, "version").Int())
 			version = gjson.Get(current.body, "version").Int() + 2000
@@ -170,7 +170,7 @@
 	t.Helper()
 	w.heal()
 	healedMs, served := w.nowMs(), map[string]int64{}
-	try := func(name string, e evAsk, good func(status int, body string) bool) {
+	try := func(name string, e evRequest, good func(status int, body string) bool) {
 		if served[name] != 0 {
 			return
 		}
@@ -181,18 +181,18 @@
 		})
 	}
 	for i := int64(0); i < 100 && len(served) < 5; i++ {
-		try("read", evAsk{Op: "setup.get", Expect: -1}, func(status int, body string) bool {
+		try("read", evRequest{Op: "setup.get", Expect: -1}, func(status int, body string) bool {
 			if status == 200 && gjson.Get(body, "version").Int() < version {
 				t.Errorf("an old setup %d ms after the cut: %s", w.nowMs()-healedMs, body)
 			}
 			return status == 200
 		})
-		try("order", evAsk{Op: "site.empty", Key: "east", Expect: -1}, func(status int, _ string) bool { return status == 200 })
+		try("order", evRequest{Op: "site.empty", Key: "east", Expect: -1}, func(status int, _ string) bool { return status == 200 })
 		try("submit", atQueue("queue.submit", fmt.Sprint("m", i)), func(status int, _ string) bool { return status == 200 || status == 201 })
 		try("known job", atQueue("queue.state", "j1"), func(status int, body string) bool {
 			return status == 200 && gjson.Get(body, "state").Str == "complete"
 		})
-		try("put", evAsk{Op: "setup.put", Key: fmt.Sprint(version + 50), Expect: version, Body: queueSetup("a", addressOfQueue)},
+		try("put", evRequest{Op: "setup.put", Key: fmt.Sprint(version + 50), Expect: version, Body: queueSetup("a", addressOfQueue)},
 			func(status int, _ string) bool { return status == 200 })
 		w.run(20)
 	}
@@ -213,12 +213,12 @@
 			w.run(1000)
 			n := w.nodes[at]
 			var got []answered
-			w.call("caller", n, evAsk{Op: "setup.get", Expect: -1}, 20_000, func(status int, _ int64, b []byte) {
+			w.call("caller", n, evRequest{Op: "setup.get", Expect: -1}, 20_000, func(status int, _ int64, b []byte) {
 				got = append(got, answered{status, string(b)})
 			})
-			must.True(t, w.stepUntil(1000, func() bool { return len(n.sh.n.setup.unsure) > 0 }))
-			polls := n.sh.n.poll.seq
-			must.True(t, w.stepUntil(1000, func() bool { return n.sh.n.poll.seq > polls }))
+			must.True(t, w.stepUntil(1000, func() bool { return len(n.sh.node.config.awaiting) > 0 }))
+			polls := n.sh.node.poll.seq
+			must.True(t, w.stepUntil(1000, func() bool { return n.sh.node.poll.seq > polls }))
 			n.freeze(9000) // its poll is on its way: the answers wait for it
 			w.run(2000)
 			w.putAnywhere(t, 3, 2)
@@ -239,12 +239,12 @@
 		w := served(t, 7920+seed)
 		w.putAnywhere(t, 2, 0)
 		w.run(1000)
-		owner := w.holderOf("slice/" + w.nodes["d00"].sh.n.sliceOf("j9"))
+		owner := w.holderOf("slice/" + w.nodes["d00"].sh.node.shardOf("j9"))
 		var got []answered
 		w.call("caller", owner, atQueue("queue.state", "j9"), 20_000, func(status int, _ int64, b []byte) {
 			got = append(got, answered{status, string(b)})
 		})
-		sl := owner.sh.n.owned[w.nodes["d00"].sh.n.sliceOf("j9")]
+		sl := owner.sh.node.owned[w.nodes["d00"].sh.node.shardOf("j9")]
 		must.True(t, w.stepUntil(1000, func() bool { return len(sl.fetches) > 0 }))
 		owner.freeze(9000)
 		w.run(4000)
--- a/accord/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"context"
@@ -7,14 +7,14 @@
 	"io"
 	"os"
 	"os/signal"
+	"otterchute/internal/statestore"
+	"otterchute/platform"
 	"runtime/debug"
 	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
 
-	"otterchute/platform"
-
 	"github.com/go-logfmt/logfmt"
 	"github.com/go-logr/logr"
 	"go.uber.org/fx"
@@ -22,9 +22,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// steady is the clock of leases and limits. Jumps of the wall time do not
+// steadyClock is the clock of leases and limits. Jumps of the wall time do not
 // move it, and it counts while the machine sleeps.
-type steady struct{ base int64 }
+type steadyClock struct{ base int64 }
 
 func bootMs() int64 {
 	var ts unix.Timespec
@@ -34,9 +34,9 @@
 	return ts.Nano() / 1e6
 }
 
-func newSteady() *steady { return &steady{base: bootMs() - 1000} }
+func newSteadyClock() *steadyClock { return &steadyClock{base: bootMs() - 1000} }
 
-func (s *steady) nowMs() int64 { return bootMs() - s.base }
+func (s *steadyClock) nowMs() int64 { return bootMs() - s.base }
 
 func newSeed() uint64 {
 	var b [8]byte
@@ -69,7 +69,7 @@
 	all := append([]any{"at", time.Now().UTC().Format(time.RFC3339Nano), "level", level, "event", msg}, append(l.pairs, kv...)...)
 	for i := 0; i+1 < len(all); i += 2 {
 		if e.EncodeKeyval(all[i], all[i+1]) != nil {
-			_ = e.EncodeKeyval(all[i], jsonOf(all[i+1]))
+			_ = e.EncodeKeyval(all[i], mustJSON(all[i+1]))
 		}
 	}
 	_ = e.EndRecord()
@@ -87,18 +87,18 @@
 	if s.LogLevel == "debug" {
 		level = 1
 	}
-	return logr.New(&lineSink{mu: &sync.Mutex{}, out: os.Stderr, level: level}).WithValues("daemon", s.Name, "site", s.Site)
+	return logr.New(&lineSink{mu: &sync.Mutex{}, out: os.Stderr, level: level}).WithValues("daemon", s.Name, "site", s.Zone)
 }
 
-// loop is the one thread of control state. Everything else posts to it.
-type loop struct {
-	clock *steady
-	jobs  chan func(*shell)
-	quit  chan struct{}
-	ended chan struct{}
-	sh    *shell
-	own   []func(*shell) // messages to ourselves, in order, after the event that sent them
-	ready atomic.Pointer[readiness]
+// controlLoop is the one thread of control state. Everything else posts to it.
+type controlLoop struct {
+	clock    *steadyClock
+	jobs     chan func(*executor)
+	quit     chan struct{}
+	ended    chan struct{}
+	executor *executor
+	own      []func(*executor) // messages to ourselves, in order, after the event that sent them
+	ready    atomic.Pointer[readiness]
 }
 
 // readiness is what the control thread last said of itself. It is read without
@@ -109,7 +109,7 @@
 }
 
 // notReady says why this daemon should get no callers; "" if it should.
-func (l *loop) notReady() string {
+func (l *controlLoop) notReady() string {
 	r := l.ready.Load()
 	if r == nil || l.clock.nowMs()-r.atMs > frozenMs {
 		return "the control thread is behind"
@@ -117,18 +117,18 @@
 	return r.reason
 }
 
-func newLoop(clock *steady) *loop {
-	return &loop{clock: clock, jobs: make(chan func(*shell), loopJobs), quit: make(chan struct{}), ended: make(chan struct{})}
+func newControlLoop(clock *steadyClock) *controlLoop {
+	return &controlLoop{clock: clock, jobs: make(chan func(*executor), loopJobs), quit: make(chan struct{}), ended: make(chan struct{})}
 }
 
-func (l *loop) post(do func(*shell)) {
+func (l *controlLoop) post(do func(*executor)) {
 	select {
 	case l.jobs <- do:
 	case <-l.quit:
 	}
 }
 
-func (l *loop) run() {
+func (l *controlLoop) run() {
 	defer close(l.ended)
 	tick := time.NewTicker(tickMs * time.Millisecond)
 	defer tick.Stop()
@@ -136,14 +136,14 @@
 		for len(l.own) > 0 {
 			do := l.own[0]
 			l.own = l.own[1:]
-			do(l.sh)
+			do(l.executor)
 		}
 		select {
 		case do := <-l.jobs:
-			do(l.sh)
+			do(l.executor)
 		case <-tick.C:
-			l.sh.event(evTick{})
-			l.ready.Store(&readiness{l.clock.nowMs(), l.sh.n.notReady()})
+			l.executor.event(evTick{})
+			l.ready.Store(&readiness{l.clock.nowMs(), l.executor.node.notReady()})
 		case <-l.quit:
 			return
 		}
@@ -151,103 +151,105 @@
 }
 
 // event stamps something with the clocks and a seed, and reduces it.
-func (s *shell) event(body any) {
-	p := s.p.(*realPorts)
+func (s *executor) event(body any) {
+	p := s.ports.(*processPorts)
 	s.step(event{NowMs: p.loop.clock.nowMs(), WallMs: time.Now().UnixMilli(), Seed: newSeed(), Body: body})
 }
 
-// realPorts carry effects out on the real machine.
-type realPorts struct {
-	loop    *loop
-	wire    *wire
-	disk    *disk
-	courier *courier
+// processPorts carry effects out on the real machine.
+type processPorts struct {
+	loop    *controlLoop
+	wire    *transport
+	disk    *segmentLog
+	courier *orderSender
 	log     logr.Logger
 	waiting map[uint64]chan effReply // only the control thread touches it
 	exit    func()
 	self    string
 }
 
-func (p *realPorts) Send(head wireHead, to, addr string, msg any) {
+func (p *processPorts) Send(head frameHeader, to, addr string, msg any) {
 	frame := sealFrame(head, msg)
 	if addr == p.self { // our own words go through the same form, not the network
 		h, m, err := openFrame(frame)
 		if err == nil {
-			p.loop.own = append(p.loop.own, func(s *shell) { s.event(evMsg{Head: h, Msg: m}) })
+			p.loop.own = append(p.loop.own, func(s *executor) { s.event(evMsg{Head: h, Msg: m}) })
 		}
 		return
 	}
 	p.wire.send(addr, frame)
 }
 
-func (p *realPorts) Append(entries []logEntry, done func()) {
+func (p *processPorts) Append(entries []statestore.Entry, done func()) {
 	if p.disk != nil {
-		p.disk.add(diskJob{entries: entries, done: done})
+		p.disk.enqueue(logJob{entries: entries, done: done})
 	}
 }
 
-func (p *realPorts) Snapshot(entries []logEntry) {
-	p.disk.add(diskJob{entries: entries, snapshot: true})
+func (p *processPorts) Snapshot(entries []statestore.Entry) {
+	p.disk.enqueue(logJob{entries: entries, snapshot: true})
 }
-func (p *realPorts) Wipe(id uint64) { p.disk.add(diskJob{wipe: id}) }
+func (p *processPorts) Wipe(id uint64) { p.disk.enqueue(logJob{wipe: id}) }
 
-func (p *realPorts) Reply(e effReply) {
+func (p *processPorts) Reply(e effReply) {
 	if ch := p.waiting[e.ID]; ch != nil {
 		delete(p.waiting, e.ID)
 		ch <- e
 	}
 }
 
-func (p *realPorts) Order(e effOrder) {
+func (p *processPorts) Order(e effOrder) {
 	go func() {
-		outcome := p.courier.bring(e)
-		p.loop.post(func(s *shell) {
+		outcome := p.courier.deliver(e)
+		p.loop.post(func(s *executor) {
 			s.event(evOrder{Worker: e.Worker, Key: e.Key, Stop: e.Stop, Outcome: outcome})
 		})
 	}()
 }
 
-func (p *realPorts) Log(event string, pairs []any) { p.log.Info(event, pairs...) }
-func (p *realPorts) Exit()                         { p.exit() }
+func (p *processPorts) Log(event string, pairs []any) { p.log.Info(event, pairs...) }
+func (p *processPorts) Exit()                         { p.exit() }
 
-// daemonModules are the parts of `accord run`.
+// daemonModules are the parts of `otterchute run`.
 func daemonModules(s settings) fx.Option {
 	return fx.Options(
 		fx.Supply(s),
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
-		fx.Module("clock", fx.Provide(newSteady)),
+		fx.Module("clock", fx.Provide(newSteadyClock)),
 		fx.Module("log", fx.Provide(newLog)),
-		fx.Module("loop", fx.Provide(newLoop)),
+		fx.Module("loop", fx.Provide(newControlLoop)),
 		fx.Module("disk", fx.Provide(provideDisk)),
 		fx.Module("wire", fx.Provide(provideWire)),
-		fx.Module("orders", fx.Provide(func(c *steady) *courier { return &courier{clock: c, slots: make(chan struct{}, ordersMax)} })),
-		fx.Module("node", fx.Provide(provideShell), fx.Invoke(runShell)),
-		fx.Module("http", fx.Provide(newDoor), fx.Invoke(runDoor)),
+		fx.Module("orders", fx.Provide(func(c *steadyClock) *orderSender {
+			return &orderSender{clock: c, slots: make(chan struct{}, ordersMax)}
+		})),
+		fx.Module("node", fx.Provide(provideExecutor), fx.Invoke(runExecutor)),
+		fx.Module("http", fx.Provide(newHTTPServer), fx.Invoke(runHTTPServer)),
 		fx.Module("platform", fx.Invoke(runPlatform)), // last, so that it ends first, while all it needs still works
 	)
 }
 
 type diskParts struct {
-	disk  *disk
-	store *store
+	disk  *segmentLog
+	store *statestore.Store
 }
 
-func provideDisk(lc fx.Lifecycle, s settings, l *loop, log logr.Logger) (diskParts, error) {
+func provideDisk(lc fx.Lifecycle, s settings, l *controlLoop, log logr.Logger) (diskParts, error) {
 	if s.Data == "" {
 		return diskParts{}, nil
 	}
-	d, st, err := openDisk(s.Data, newSeed()|1, func(e string, kv ...any) { log.Info(e, kv...) })
+	d, st, err := openLog(s.Data, newSeed()|1, func(e string, kv ...any) { log.Info(e, kv...) })
 	if err != nil {
 		return diskParts{}, err
 	}
 	d.post = l.post
-	lc.Append(fx.Hook{OnStart: func(context.Context) error { go d.work(); return nil },
+	lc.Append(fx.Hook{OnStart: func(context.Context) error { go d.run(); return nil },
 		OnStop: func(context.Context) error { d.stop(); return nil }})
 	return diskParts{d, st}, nil
 }
 
-func provideWire(lc fx.Lifecycle, s settings, l *loop, log logr.Logger) (*wire, error) {
-	w, err := newWire(s.Addr, l.post, func(e string, kv ...any) { log.Info(e, kv...) })
+func provideWire(lc fx.Lifecycle, s settings, l *controlLoop, log logr.Logger) (*transport, error) {
+	w, err := newTransport(s.Addr, l.post, func(e string, kv ...any) { log.Info(e, kv...) })
 	if err != nil {
 		return nil, err
 	}
@@ -256,20 +258,20 @@
 	return w, nil
 }
 
-func provideShell(s settings, l *loop, w *wire, d diskParts, c *courier, log logr.Logger, down fx.Shutdowner) *shell {
-	p := place{Name: s.Name, Inc: uint64(time.Now().UnixNano()), Life: newLife(), Addr: s.Addr, HTTP: s.HTTP, Site: s.Site, Seeds: s.Seeds, Disk: d.disk != nil,
+func provideExecutor(s settings, l *controlLoop, w *transport, d diskParts, c *orderSender, log logr.Logger, down fx.Shutdowner) *executor {
+	p := nodeConfig{Name: s.Name, Incarnation: uint64(time.Now().UnixNano()), Instance: newInstanceID(), Addr: s.Addr, HTTP: s.HTTP, Zone: s.Zone, Seeds: s.Seeds, Disk: d.disk != nil,
 		KeepMs: s.KeepHours * msPerHour, SnapshotBytes: snapshotMin, ThresholdMs: s.ThresholdMs, KLowest: int(s.KLowest), TargetSigma: s.TargetSigma,
-		CoreSize: int(s.CoreSize), FirstStart: s.FirstStart, Beside: s.Beside, HoldMostMs: s.HoldMostMs, GangWaitMs: s.GangWaitMs, SaveMs: s.SaveMs, RestoreMs: s.RestoreMs, SpreadFactor: s.SpreadFactor}
+		CoreSize: int(s.CoreSize), FirstStart: s.FirstStart, Colocated: s.Colocated, MaxHoldMs: s.MaxHoldMs, GangWaitMs: s.GangWaitMs, SaveMs: s.SaveMs, RestoreMs: s.RestoreMs, SpreadFactor: s.SpreadFactor}
 	if d.disk != nil {
 		p.DiskID = d.disk.id
 	}
-	ports := &realPorts{loop: l, wire: w, disk: d.disk, courier: c, log: log, waiting: map[uint64]chan effReply{}, self: s.Addr,
+	ports := &processPorts{loop: l, wire: w, disk: d.disk, courier: c, log: log, waiting: map[uint64]chan effReply{}, self: s.Addr,
 		exit: sync.OnceFunc(func() { go func() { _ = down.Shutdown() }() })}
-	l.sh = &shell{n: newNode(p, d.store), p: ports}
-	return l.sh
+	l.executor = &executor{node: newNode(p, d.store), ports: ports}
+	return l.executor
 }
 
-func runShell(lc fx.Lifecycle, l *loop, _ *shell, log logr.Logger) {
+func runExecutor(lc fx.Lifecycle, l *controlLoop, _ *executor, log logr.Logger) {
 	lc.Append(fx.Hook{OnStart: func(context.Context) error {
 		log.Info("started", "pid", os.Getpid())
 		go l.run()
@@ -277,7 +279,7 @@
 		signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 		go func() {
 			<-signals
-			l.post(func(s *shell) { s.event(evStop{}) })
+			l.post(func(s *executor) { s.event(evStop{}) })
 			<-signals // a second signal does not wait
 			os.Exit(1)
 		}()
@@ -293,7 +295,7 @@
 // runPlatform serves the platform's addresses, if there is a platform. It
 // begins at once: what can't be done yet is answered so. At a stop the duties
 // are handed over first; then every call that was read gets its answer.
-func runPlatform(lc fx.Lifecycle, s settings, d *door, l *loop, log logr.Logger, down fx.Shutdowner) {
+func runPlatform(lc fx.Lifecycle, s settings, d *httpServer, l *controlLoop, log logr.Logger, down fx.Shutdowner) {
 	if s.adapter == nil {
 		return
 	}
@@ -303,7 +305,7 @@
 	a := s.adapter
 	lc.Append(fx.Hook{OnStart: func(context.Context) error {
 		a.OnChange(func(p platform.Place) {
-			l.post(func(s *shell) { s.event(evSeeds{Seeds: p.Seeds}) })
+			l.post(func(s *executor) { s.event(evSeeds{Seeds: p.Seeds}) })
 		})
 		go func() {
 			if err := a.Serve(d.product); err != nil {
--- a/accord/datafolder.go
+++ b/internal/daemon/datafolder.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"os"
@@ -7,23 +7,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// dataFolder is where a disk keeps its files. Its methods persist what the
+// folder is where a disk keeps its files. Its methods persist what the
 // system calls of the same names do, and no more: a file's content by the
 // file's own Sync, a new file by that too, a rename or removal by the folder's.
 // Tests put a model of power losses in its place.
-type dataFolder interface {
+type folder interface {
 	List() ([]string, error)
 	Size(name string) (int64, error)
 	Read(name string) ([]byte, error)
-	Create(name string) (dataFile, error) // fails where the file exists
-	Open(name string) (dataFile, error)   // for appending
+	Create(name string) (file, error) // fails where the file exists
+	Open(name string) (file, error)   // for appending
 	Rename(from, to string) error
 	Remove(name string) error
 	Sync() error
 }
 
-// dataFile is a file that is written from its start or its end on.
-type dataFile interface {
+// file is a file that is written from its start or its end on.
+type file interface {
 	Write(b []byte) (int, error)
 	Truncate(size int64) error
 	Sync() error
@@ -58,12 +58,12 @@
 func (f osFolder) Read(name string) ([]byte, error) { return os.ReadFile(f.path(name)) }
 
 // Create makes a new file.
-func (f osFolder) Create(name string) (dataFile, error) {
+func (f osFolder) Create(name string) (file, error) {
 	return openDataFile(f.path(name), os.O_CREATE|os.O_EXCL|os.O_WRONLY)
 }
 
 // Open opens a file that exists.
-func (f osFolder) Open(name string) (dataFile, error) {
+func (f osFolder) Open(name string) (file, error) {
 	return openDataFile(f.path(name), os.O_WRONLY|os.O_APPEND)
 }
 
@@ -90,7 +90,7 @@
 // Sync makes the content written so far last.
 func (f syncedFile) Sync() error { return unix.Fdatasync(int(f.Fd())) }
 
-func openDataFile(path string, how int) (dataFile, error) {
+func openDataFile(path string, how int) (file, error) {
 	file, err := os.OpenFile(path, how, 0o600)
 	if err != nil {
 		return nil, err
--- a/accord/digest_test.go
+++ b/internal/daemon/digest_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"bytes"
--- a/accord/disk.go
+++ b/internal/daemon/disk.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"bufio"
@@ -6,6 +6,8 @@
 	"fmt"
 	"hash/crc32"
 	"os"
+	"otterchute/internal/codec"
+	"otterchute/internal/statestore"
 	"path/filepath"
 	"slices"
 	"strings"
@@ -16,7 +18,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// disk is a log in checksummed segments with snapshots beside it. A record is
+// segmentLog is a log in checksummed segments with snapshots beside it. A record is
 //
 //	length u32 | checksum u32 | batch u64 | last-of-batch u8 | entry
 //
@@ -24,33 +26,33 @@
 // A batch is written and synced before the next one begins; so a bad record
 // that a later batch stands behind was damaged after it had been synced, and
 // one that nothing of a later batch follows is the torn end of the last write.
-type disk struct {
+type segmentLog struct {
 	diskIdentity
-	folder dataFolder
+	folder folder
 	lock   *os.File
-	post   func(func(*shell)) // runs something on the control thread
+	post   func(func(*executor)) // runs something on the control thread
 	log    func(event string, pairs ...any)
 
-	shots   sync.WaitGroup // snapshots being written
-	mu      sync.Mutex
-	wake    chan struct{}
-	pending []diskJob
-	stopped bool
-	ended   chan struct{}
+	snapshots sync.WaitGroup // snapshots being written
+	mu        sync.Mutex
+	wake      chan struct{}
+	pending   []logJob
+	stopped   bool
+	ended     chan struct{}
 
-	file    dataFile
-	base    uint64 // what was read began at this number
-	segment uint64
-	size    int64 // bytes of the segment that are synced
-	batch   uint64
-	held    []diskJob     // not done since the disk failed
-	broken  error         // why the first segment could not be begun
-	uncut   bool          // the segment still has a tail to be cut, or to be synced
-	retry   time.Duration // the first wait after a failure
+	file       file
+	base       uint64 // what was read began at this number
+	segment    uint64
+	size       int64 // bytes of the segment that are synced
+	batch      uint64
+	unfinished []logJob      // not done since the disk failed
+	startErr   error         // why the first segment could not be begun
+	untrimmed  bool          // the segment still has a tail to be cut, or to be synced
+	retry      time.Duration // the first wait after a failure
 }
 
-type diskJob struct {
-	entries  []logEntry
+type logJob struct {
+	entries  []statestore.Entry
 	done     func()
 	snapshot bool
 	wipe     uint64
@@ -68,10 +70,10 @@
 	recordMarkAt      = recordHead - 1
 )
 
-func appendRecord(dst []byte, e logEntry, batch uint64, last bool) []byte {
+func appendRecord(dst []byte, e statestore.Entry, batch uint64, last bool) []byte {
 	at := len(dst)
 	dst = append(dst, make([]byte, recordHead)...)
-	dst = pack(dst, e)
+	dst = codec.Append(dst, e)
 	binary.BigEndian.PutUint32(dst[at:], uint32(len(dst)-at-recordHead))
 	binary.BigEndian.PutUint64(dst[at+8:], batch)
 	dst[at+recordMarkAt] = diskFormat << formatShift
@@ -82,9 +84,9 @@
 	return dst
 }
 
-// wholeRecord gives the size of the record that stands here undamaged, in
+// recordSize gives the size of the record that stands here undamaged, in
 // whatever format; 0 if there is none.
-func wholeRecord(b []byte) int {
+func recordSize(b []byte) int {
 	if len(b) < recordHead {
 		return 0
 	}
@@ -98,14 +100,14 @@
 // otherFormat tells whether a file begins with a record of another format. To
 // take it for a torn one would cut it off.
 func otherFormat(b []byte) bool {
-	return wholeRecord(b) > 0 && b[recordMarkAt]>>formatShift != diskFormat
+	return recordSize(b) > 0 && b[recordMarkAt]>>formatShift != diskFormat
 }
 
 // readRecord reads one record; size 0 means there is no whole one here.
-func readRecord(b []byte) (e logEntry, batch uint64, last bool, size int) {
-	size = wholeRecord(b)
-	if size == 0 || otherFormat(b) || unpack(b[recordHead:size], &e) != nil {
-		return logEntry{}, 0, false, 0
+func readRecord(b []byte) (e statestore.Entry, batch uint64, last bool, size int) {
+	size = recordSize(b)
+	if size == 0 || otherFormat(b) || codec.Unmarshal(b[recordHead:size], &e) != nil {
+		return statestore.Entry{}, 0, false, 0
 	}
 	return e, binary.BigEndian.Uint64(b[8:]), b[recordMarkAt]&lastOfBatch != 0, size
 }
@@ -119,9 +121,9 @@
 func segmentName(n uint64) string  { return fmt.Sprintf("%s%016d", segmentPrefix, n) }
 func snapshotName(n uint64) string { return fmt.Sprintf("%s%016d", snapshotPrefix, n) }
 
-// openDisk reads the data folder. A log damaged before its end is put aside
+// openLog reads the data folder. A log damaged before its end is put aside
 // and the disk begins again as a new, empty one: never as a shorter history.
-func openDisk(path string, newID uint64, log func(string, ...any)) (*disk, *store, error) {
+func openLog(path string, newID uint64, log func(string, ...any)) (*segmentLog, *statestore.Store, error) {
 	lock, err := os.OpenFile(filepath.Join(path, "lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, nil, errors.Wrap(errDisk, err.Error())
@@ -138,10 +140,10 @@
 	return d, st, nil
 }
 
-// openFolder is openDisk for a folder that no other process uses. A disk that
+// openFolder is openLog for a folder that no other process uses. A disk that
 // takes no writes now may take them later: until then it tells nobody anything.
-func openFolder(folder dataFolder, newID uint64, log func(string, ...any)) (*disk, *store, error) {
-	d := &disk{folder: folder, log: log, wake: make(chan struct{}, 1), ended: make(chan struct{}), retry: diskRetryMs * time.Millisecond}
+func openFolder(folder folder, newID uint64, log func(string, ...any)) (*segmentLog, *statestore.Store, error) {
+	d := &segmentLog{folder: folder, log: log, wake: make(chan struct{}, 1), ended: make(chan struct{}), retry: diskRetryMs * time.Millisecond}
 	st, err := d.load(newID)
 	if errors.Is(err, errDiskFormat) {
 		return nil, nil, err
@@ -149,7 +151,7 @@
 	if err != nil {
 		return nil, nil, errors.Wrap(errDisk, err.Error())
 	}
-	if d.broken = d.start(); d.broken != nil {
+	if d.startErr = d.start(); d.startErr != nil {
 		return d, st, nil
 	}
 	if err := d.removeBefore(d.base); err != nil { // what earlier lives left
@@ -159,19 +161,19 @@
 }
 
 // start makes what was read last, and begins the next segment.
-func (d *disk) start() error {
-	if d.uncut {
-		if err := d.cutSegment(); err != nil {
+func (d *segmentLog) start() error {
+	if d.untrimmed {
+		if err := d.trimSegment(); err != nil {
 			return errors.Wrap(errDisk, err.Error())
 		}
-		d.uncut = false
+		d.untrimmed = false
 	}
 	return d.roll()
 }
 
 // load reads the disk under its identity, or begins a new one where it has none
 // or where the store under it isn't whole.
-func (d *disk) load(newID uint64) (*store, error) {
+func (d *segmentLog) load(newID uint64) (*statestore.Store, error) {
 	names, err := d.folder.List()
 	if err != nil {
 		return nil, err
@@ -187,27 +189,27 @@
 		d.diskIdentity = found
 		st, err := d.read()
 		if err == nil && found.first == 0 { // written by an earlier release
-			err = d.begin(diskIdentity{id: found.id, first: d.base})
+			err = d.writeIdentity(diskIdentity{id: found.id, first: d.base})
 		}
 		if !errors.Is(err, errDamaged) {
 			return st, err
 		}
 	}
-	if err := d.begin(diskIdentity{id: newID, first: top + 1}); err != nil {
+	if err := d.writeIdentity(diskIdentity{id: newID, first: top + 1}); err != nil {
 		return nil, err
 	}
 	d.segment, d.batch, d.base = top, 0, top+1
 	if top == 0 {
-		return newStore(), nil
+		return statestore.New(), nil
 	}
-	if err := d.removeAside(); err != nil { // of an earlier time: only the newest is kept
+	if err := d.removeQuarantined(); err != nil { // of an earlier time: only the newest is kept
 		return nil, err
 	}
-	return newStore(), d.putAside()
+	return statestore.New(), d.quarantine()
 }
 
 // writeSynced writes a file that gets its name only once it is whole and synced.
-func (d *disk) writeSynced(name string, parts func(w *bufio.Writer)) error {
+func (d *segmentLog) writeSynced(name string, parts func(w *bufio.Writer)) error {
 	unnamed := name + unnamedSuffix
 	err := d.writeUnnamed(unnamed, parts)
 	if err == nil {
@@ -224,7 +226,7 @@
 	return nil
 }
 
-func (d *disk) writeUnnamed(name string, parts func(w *bufio.Writer)) error {
+func (d *segmentLog) writeUnnamed(name string, parts func(w *bufio.Writer)) error {
 	if err := d.folder.Remove(name); err != nil { // of an earlier try
 		return err
 	}
@@ -232,7 +234,7 @@
 	if err != nil {
 		return err
 	}
-	w := bufio.NewWriterSize(f, chunkBytes)
+	w := bufio.NewWriterSize(f, statestore.ChunkBytes)
 	parts(w)
 	err = w.Flush() // and with it the first error of any write
 	if err == nil {
@@ -245,7 +247,7 @@
 }
 
 // roll begins the next segment.
-func (d *disk) roll() error {
+func (d *segmentLog) roll() error {
 	if d.file != nil {
 		if err := d.file.Close(); err != nil {
 			return errors.Wrap(errDisk, err.Error())
@@ -265,7 +267,7 @@
 	return nil
 }
 
-func (d *disk) add(j diskJob) {
+func (d *segmentLog) enqueue(j logJob) {
 	d.mu.Lock()
 	d.pending = append(d.pending, j)
 	d.mu.Unlock()
@@ -275,7 +277,7 @@
 	}
 }
 
-func (d *disk) stop() {
+func (d *segmentLog) stop() {
 	d.mu.Lock()
 	d.stopped = true
 	d.mu.Unlock()
@@ -284,23 +286,23 @@
 	default:
 	}
 	<-d.ended
-	d.shots.Wait()
+	d.snapshots.Wait()
 	if d.file != nil {
 		_ = d.file.Close()
 	}
 	_ = d.lock.Close()
 }
 
-// work commits what has gathered since the last sync as one batch, again and
+// run commits what has gathered since the last sync as one batch, again and
 // again. After a failure nothing is acknowledged until recover has written all
 // that was held up.
-func (d *disk) work() {
+func (d *segmentLog) run() {
 	defer close(d.ended)
-	if d.broken != nil && !d.recover(d.broken) {
+	if d.startErr != nil && !d.recover(d.startErr) {
 		return
 	}
 	for range d.wake {
-		jobs, stopped := d.gathered()
+		jobs, stopped := d.takePending()
 		if err := d.commit(jobs); err != nil && !d.recover(err) {
 			return
 		}
@@ -310,8 +312,8 @@
 	}
 }
 
-// gathered takes the jobs that wait.
-func (d *disk) gathered() (jobs []diskJob, stopped bool) {
+// takePending takes the jobs that wait.
+func (d *segmentLog) takePending() (jobs []logJob, stopped bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	jobs, stopped = d.pending, d.stopped
@@ -320,9 +322,9 @@
 }
 
 // commit does jobs in their order. Those that are not done when it fails are held.
-func (d *disk) commit(jobs []diskJob) (err error) {
+func (d *segmentLog) commit(jobs []logJob) (err error) {
 	for len(jobs) > 0 {
-		run := slices.IndexFunc(jobs, func(j diskJob) bool { return j.snapshot || j.wipe != 0 })
+		run := slices.IndexFunc(jobs, func(j logJob) bool { return j.snapshot || j.wipe != 0 })
 		if run < 0 {
 			run = len(jobs)
 		}
@@ -335,17 +337,17 @@
 			run, err = 1, d.snapshot(jobs[0].entries)
 		}
 		if err != nil {
-			d.held = jobs
+			d.unfinished = jobs
 			return err
 		}
 		jobs = jobs[run:]
 	}
-	d.held = nil
+	d.unfinished = nil
 	return nil
 }
 
-func (d *disk) writeBatch(jobs []diskJob) error {
-	var flat []logEntry
+func (d *segmentLog) writeBatch(jobs []logJob) error {
+	var flat []statestore.Entry
 	for _, j := range jobs {
 		flat = append(flat, j.entries...)
 	}
@@ -371,10 +373,10 @@
 		tookMs = time.Since(began).Milliseconds()
 		d.size += int64(len(b))
 	}
-	d.post(func(s *shell) {
+	d.post(func(s *executor) {
 		if len(flat) > 0 {
-			s.n.syncMs = tookMs
-			s.n.count("syncs")
+			s.node.syncMs = tookMs
+			s.node.count("syncs")
 		}
 		for _, j := range jobs {
 			j.done()
@@ -385,15 +387,15 @@
 
 // snapshot begins a new segment and writes the store's dump beside it, while
 // appends go on; older segments go once it is synced under its name.
-func (d *disk) snapshot(entries []logEntry) error {
-	d.shots.Wait() // one at a time
+func (d *segmentLog) snapshot(entries []statestore.Entry) error {
+	d.snapshots.Wait() // one at a time
 	if err := d.roll(); err != nil {
 		return err
 	}
 	at, batch := d.segment, max(d.batch, 1)
-	d.shots.Add(1)
+	d.snapshots.Add(1)
 	go func() {
-		defer d.shots.Done()
+		defer d.snapshots.Done()
 		if err := d.writeSnapshot(at, batch, entries); err != nil { // the segments still hold all
 			d.log("snapshot_failed", "err", err.Error())
 		}
@@ -403,7 +405,7 @@
 
 // writeSnapshot writes a dump that takes the place of all segments before a
 // number. Its records carry the last batch of those.
-func (d *disk) writeSnapshot(at, batch uint64, entries []logEntry) error {
+func (d *segmentLog) writeSnapshot(at, batch uint64, entries []statestore.Entry) error {
 	err := d.writeSynced(snapshotName(at), func(w *bufio.Writer) {
 		var b []byte
 		for i, e := range entries {
@@ -415,14 +417,14 @@
 		err = d.removeBefore(at)
 	}
 	if err == nil {
-		err = d.removeAside()
+		err = d.removeQuarantined()
 	}
 	return err
 }
 
 // removeBefore removes the segments and snapshots before a number, and what was
 // begun and never got its name. Nothing needs it to last.
-func (d *disk) removeBefore(n uint64) error {
+func (d *segmentLog) removeBefore(n uint64) error {
 	return d.removeFiles(func(name string) bool {
 		number, ok := fileNumber(name)
 		return ok && number < n || strings.HasSuffix(name, unnamedSuffix)
