--- a/accord/disk_test.go
+++ b/internal/daemon/disk_test.go
@@ -1,10 +1,11 @@
-package main
+package daemon
 
 import (
 	"encoding/binary"
 	"fmt"
 	"hash/crc32"
 	"os"
+	"otterchute/internal/statestore"
 	"path/filepath"
 	"sync"
 	"sync/atomic"
@@ -18,27 +19,27 @@
 
 func quiet(string, ...any) {}
 
-func opened(t *testing.T, dir string) (*disk, *store) {
+func opened(t *testing.T, dir string) (*segmentLog, *statestore.Store) {
 	t.Helper()
-	d, st, err := openDisk(dir, 77, quiet)
+	d, st, err := openLog(dir, 77, quiet)
 	must.NoError(t, err)
-	d.post = func(func(*shell)) {}
+	d.post = func(func(*executor)) {}
 	return d, st
 }
 
-func closed(d *disk) {
+func closed(d *segmentLog) {
 	_ = d.file.Close()
 	_ = d.lock.Close()
 }
 
-func recordEntry(i int) logEntry {
-	return logEntry{Kind: entryRecord, Name: "east", Rec: record{ID: fmt.Sprintf("job-%d", i), Epoch: 1, Version: int64(i), Live: true, Value: []byte("value")}}
+func recordEntry(i int) statestore.Entry {
+	return statestore.Entry{Kind: statestore.EntryRecord, Name: "east", Record: statestore.Record{ID: fmt.Sprintf("job-%d", i), Epoch: 1, Version: int64(i), Live: true, Value: []byte("value")}}
 }
 
-func write(t *testing.T, d *disk, from, to int) {
+func write(t *testing.T, d *segmentLog, from, to int) {
 	t.Helper()
 	for i := from; i < to; i++ {
-		must.NoError(t, d.commit([]diskJob{{entries: []logEntry{recordEntry(i)}, done: func() {}}}))
+		must.NoError(t, d.commit([]logJob{{entries: []statestore.Entry{recordEntry(i)}, done: func() {}}}))
 	}
 }
 
@@ -60,21 +61,21 @@
 	dir := t.TempDir()
 	d, _ := opened(t, dir)
 	write(t, d, 0, 20)
-	_, _, err := openDisk(dir, 1, quiet)
+	_, _, err := openLog(dir, 1, quiet)
 	must.ErrorIs(t, err, errDisk) // one process at a time
 	closed(d)
 	d, st := opened(t, dir)
-	must.Eq(t, 20, st.records("east"))
+	must.Eq(t, 20, recordsIn(st, "east"))
 	must.Eq(t, 77, d.id)
-	must.NoError(t, d.commit([]diskJob{{snapshot: true, entries: st.dump()}}))
+	must.NoError(t, d.commit([]logJob{{snapshot: true, entries: st.Dump()}}))
 	write(t, d, 20, 30)
-	d.shots.Wait()
+	d.snapshots.Wait()
 	closed(d)
 	names, err := d.folder.List()
 	must.NoError(t, err)
 	must.Len(t, 1, numbers(names, segmentPrefix, 0)) // what the snapshot holds is gone
 	d, st = opened(t, dir)
-	must.Eq(t, 30, st.records("east"))
+	must.Eq(t, 30, recordsIn(st, "east"))
 	closed(d)
 }
 
@@ -89,12 +90,12 @@
 		s, _ := os.Stat(f)
 		must.NoError(t, os.Truncate(f, s.Size()-cut))
 		d, st := opened(t, dir)
-		must.Eq(t, 9, st.records("east"))
+		must.Eq(t, 9, recordsIn(st, "east"))
 		must.Eq(t, 77, d.id)
 		write(t, d, 10, 12)
 		closed(d)
 		d, st = opened(t, dir)
-		must.Eq(t, 11, st.records("east"))
+		must.Eq(t, 11, recordsIn(st, "east"))
 		closed(d)
 	}
 }
@@ -112,10 +113,10 @@
 	b[len(b)/2] ^= 0x40
 	must.NoError(t, os.WriteFile(f, b, 0o600))
 	said := ""
-	d, st, err := openDisk(dir, 99, func(e string, _ ...any) { said = e })
+	d, st, err := openLog(dir, 99, func(e string, _ ...any) { said = e })
 	must.NoError(t, err)
 	must.Eq(t, "disk_damaged", said)
-	must.Zero(t, st.records("east"))
+	must.Zero(t, recordsIn(st, "east"))
 	must.Eq(t, 99, d.id)
 	closed(d)
 }
@@ -123,23 +124,23 @@
 // troubled is a segment file of a disk that refuses writes, or tears them, or
 // fails to sync.
 type troubled struct {
-	dataFile
+	file
 	trouble *diskTrouble
 }
 
 // troubledFolder is the folder of such a disk.
 type troubledFolder struct {
-	dataFolder
+	folder
 	trouble *diskTrouble
 }
 
-func (f troubledFolder) Create(name string) (dataFile, error) {
-	file, err := f.dataFolder.Create(name)
+func (f troubledFolder) Create(name string) (file, error) {
+	file, err := f.folder.Create(name)
 	return troubled{file, f.trouble}, err
 }
 
-func (f troubledFolder) Open(name string) (dataFile, error) {
-	file, err := f.dataFolder.Open(name)
+func (f troubledFolder) Open(name string) (file, error) {
+	file, err := f.folder.Open(name)
 	return troubled{file, f.trouble}, err
 }
 
@@ -166,21 +167,21 @@
 
 func (f troubled) Write(b []byte) (int, error) {
 	if f.trouble.fails(&f.trouble.refuses) {
-		n, _ := f.dataFile.Write(b[:min(f.trouble.torn, len(b))])
+		n, _ := f.file.Write(b[:min(f.trouble.torn, len(b))])
 		return n, unix.ENOSPC
 	}
-	return f.dataFile.Write(b)
+	return f.file.Write(b)
 }
 
 func (f troubled) Sync() error {
 	if f.trouble.fails(&f.trouble.syncs) {
 		return unix.EIO
 	}
-	return f.dataFile.Sync()
+	return f.file.Sync()
 }
 
 // troubledDisk gives a working disk whose segments can be made to fail.
-func troubledDisk(t *testing.T, dir string) (*disk, *diskTrouble) {
+func troubledDisk(t *testing.T, dir string) (*segmentLog, *diskTrouble) {
 	t.Helper()
 	d, _ := opened(t, dir)
 	trouble := &diskTrouble{tries: make(chan struct{}, 1)}
@@ -191,18 +192,18 @@
 }
 
 // toldOf gives what a disk's daemon makes of its state, as it changes.
-func toldOf(d *disk) chan string {
+func toldOf(d *segmentLog) chan string {
 	told := make(chan string, 100)
-	sh := &shell{n: newNode(place{DiskID: d.id}, newStore()), p: &realPorts{loop: newLoop(newSteady()), disk: d, log: logr.Discard()}}
-	d.post = func(do func(*shell)) {
-		was, id := sh.n.diskFailed, sh.n.DiskID
+	sh := &executor{node: newNode(nodeConfig{DiskID: d.id}, statestore.New()), ports: &processPorts{loop: newControlLoop(newSteadyClock()), disk: d, log: logr.Discard()}}
+	d.post = func(do func(*executor)) {
+		was, id := sh.node.diskFailed, sh.node.DiskID
 		do(sh)
 		switch {
-		case id != sh.n.DiskID:
+		case id != sh.node.DiskID:
 			told <- "lost"
-		case was == "" && sh.n.diskFailed != "":
+		case was == "" && sh.node.diskFailed != "":
 			told <- "failed"
-		case was != "" && sh.n.diskFailed == "":
+		case was != "" && sh.node.diskFailed == "":
 			told <- "recovered"
 		}
 	}
@@ -223,24 +224,24 @@
 			trouble.refuses, trouble.torn, trouble.syncs = c.refuses, c.torn, c.syncs
 			trouble.mu.Unlock()
 			var done atomic.Int64
-			go d.work()
-			d.add(diskJob{entries: []logEntry{recordEntry(20)}, done: func() { done.Add(1) }})
+			go d.run()
+			d.enqueue(logJob{entries: []statestore.Entry{recordEntry(20)}, done: func() { done.Add(1) }})
 			must.Eq(t, "failed", <-told)
 			for range 3 { // tried again, and again in vain
 				<-trouble.tries
 			}
-			d.add(diskJob{entries: []logEntry{recordEntry(21)}, done: func() { done.Add(1) }})
+			d.enqueue(logJob{entries: []statestore.Entry{recordEntry(21)}, done: func() { done.Add(1) }})
 			<-trouble.tries
 			must.Zero(t, done.Load())
 			trouble.mu.Lock()
 			trouble.refuses, trouble.syncs = false, false
 			trouble.mu.Unlock()
 			must.Eq(t, "recovered", <-told)
-			d.add(diskJob{entries: []logEntry{recordEntry(22)}, done: func() { done.Add(1) }})
+			d.enqueue(logJob{entries: []statestore.Entry{recordEntry(22)}, done: func() { done.Add(1) }})
 			d.stop()
 			must.Eq(t, 3, done.Load())
 			d, st := opened(t, dir)
-			must.Eq(t, 5*synced+3, st.records("east"))
+			must.Eq(t, 5*synced+3, recordsIn(st, "east"))
 			must.Eq(t, 77, d.id)
 			closed(d)
 		}
@@ -269,8 +270,8 @@
 		told := toldOf(d)
 		trouble.refuses = true
 		done := atomic.Int64{}
-		go d.work()
-		d.add(diskJob{entries: []logEntry{recordEntry(20)}, done: func() { done.Add(1) }})
+		go d.run()
+		d.enqueue(logJob{entries: []statestore.Entry{recordEntry(20)}, done: func() { done.Add(1) }})
 		must.Eq(t, "failed", <-told)
 		must.NoError(t, harm(path, size))
 		must.Eq(t, "lost", <-told)
@@ -278,13 +279,13 @@
 		trouble.refuses = false
 		trouble.mu.Unlock()
 		must.Eq(t, "recovered", <-told)
-		d.add(diskJob{entries: []logEntry{recordEntry(30)}, done: func() { done.Add(1) }})
+		d.enqueue(logJob{entries: []statestore.Entry{recordEntry(30)}, done: func() { done.Add(1) }})
 		d.stop()
 		must.Eq(t, 1, done.Load()) // and what was held up is never acknowledged
 		id := d.id
 		must.NotEq(t, 77, id)
 		d, st := opened(t, dir)
-		must.Eq(t, 1, st.records("east"))
+		must.Eq(t, 1, recordsIn(st, "east"))
 		must.Eq(t, id, d.id)
 		closed(d)
 	}
@@ -295,16 +296,16 @@
 	dir := t.TempDir()
 	d, _ := opened(t, dir)
 	write(t, d, 0, 5)
-	d.broken = errDisk
+	d.startErr = errDisk
 	told, done := toldOf(d), atomic.Int64{}
-	go d.work()
+	go d.run()
 	must.Eq(t, "failed", <-told)
 	must.Eq(t, "recovered", <-told)
-	d.add(diskJob{entries: []logEntry{recordEntry(5)}, done: func() { done.Add(1) }})
+	d.enqueue(logJob{entries: []statestore.Entry{recordEntry(5)}, done: func() { done.Add(1) }})
 	d.stop()
 	must.Eq(t, 1, done.Load())
 	d, st := opened(t, dir)
-	must.Eq(t, 6, st.records("east"))
+	must.Eq(t, 6, recordsIn(st, "east"))
 	closed(d)
 }
 
@@ -315,9 +316,9 @@
 	write(t, d, 0, 5)
 	closed(d)
 	must.NoError(t, os.Remove(filepath.Join(dir, identityName)))
-	d, st, err := openDisk(dir, 99, quiet)
+	d, st, err := openLog(dir, 99, quiet)
 	must.NoError(t, err)
-	must.Zero(t, st.records("east"))
+	must.Zero(t, recordsIn(st, "east"))
 	must.Eq(t, 99, d.id)
 	closed(d)
 }
@@ -327,7 +328,7 @@
 	w := formed(t, 2, "ikenna")
 	w.nodes["d01"].event(evDisk{Failed: "no space left"})
 	w.run(1000)
-	must.False(t, w.nodes["d01"].sh.n.inCore())
+	must.False(t, w.nodes["d01"].sh.node.inCore())
 	w.traffic(5000)
 	w.run(5000)
 	allDone(t, w, 20_000)
@@ -337,8 +338,8 @@
 func FuzzDiskReader(f *testing.F) {
 	f.Add(appendRecord(appendRecord(nil, recordEntry(1), 1, true), recordEntry(2), 2, true))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		st := newStore()
-		sound, _, _ := readRecords(b, 0, st.apply)
+		st := statestore.New()
+		sound, _, _ := readRecords(b, 0, st.Apply)
 		if sound > len(b) {
 			t.Fatal("read past the end")
 		}
@@ -346,8 +347,8 @@
 }
 
 func FuzzFrame(f *testing.F) {
-	for _, m := range []any{&pollMsg{Holds: []dutyAsk{{Name: "a"}}}, &gossipMsg{Table: []sibling{{Name: "x"}}}, &syncMsg{Held: []heldView{{}}}, &writeMsg{Records: []record{{ID: "j"}}}} {
-		f.Add(sealFrame(wireHead{From: "d01"}, m))
+	for _, m := range []any{&pollRequest{Holds: []leaseRequest{{Name: "a"}}}, &gossipMsg{Table: []peerInfo{{Name: "x"}}}, &syncMsg{Attempts: []attemptView{{}}}, &writeRequest{Records: []statestore.Record{{ID: "j"}}}} {
+		f.Add(sealFrame(frameHeader{From: "d01"}, m))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if len(b) >= 4 { // past the checksum, into the forms behind it
@@ -363,7 +364,7 @@
 func FuzzSetup(f *testing.F) {
 	f.Add([]byte(`{"queues":[{"name":"a","selector":{"tier":["fast"]},"urgency":3}],"empty_sites":["x"]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		c, faults := compileSetup(1, b)
+		c, faults := compileConfig(1, b)
 		must.Eq(t, c == nil, len(faults) > 0)
 	})
 }
@@ -378,11 +379,11 @@
 
 // A frame of another version, or damaged, is bounced.
 func TestFrameBounced(t *testing.T) {
-	good := sealFrame(wireHead{From: "d01", Cluster: 9}, &copyMsg{Op: 3})
+	good := sealFrame(frameHeader{From: "d01", Cluster: 9}, &copyRequest{Op: 3})
 	h, m, err := openFrame(good)
 	must.NoError(t, err)
 	must.Eq(t, "d01", h.From)
-	must.Eq(t, uint64(3), m.(*copyMsg).Op)
+	must.Eq(t, uint64(3), m.(*copyRequest).Op)
 	for i := range good {
 		bad := append([]byte(nil), good...)
 		bad[i] ^= 1
--- a/accord/diskidentity.go
+++ b/internal/daemon/diskidentity.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"bufio"
@@ -21,7 +21,7 @@
 const identityName = "disk-id"
 
 // readIdentity gives the folder's identity; false where there is none.
-func (d *disk) readIdentity() (found diskIdentity, ok bool) {
+func (d *segmentLog) readIdentity() (found diskIdentity, ok bool) {
 	content, err := d.folder.Read(identityName)
 	if err != nil {
 		return diskIdentity{}, false
@@ -31,8 +31,8 @@
 	return found, found.id != 0 && read == fields && (read == 1 || read == 2 && found.first != 0)
 }
 
-// begin makes the disk an empty one under a new identity.
-func (d *disk) begin(next diskIdentity) error {
+// writeIdentity makes the disk an empty one under a new identity.
+func (d *segmentLog) writeIdentity(next diskIdentity) error {
 	err := d.writeSynced(identityName, func(w *bufio.Writer) { fmt.Fprintf(w, "%x %d\n", next.id, next.first) })
 	if err == nil {
 		d.diskIdentity = next
@@ -40,14 +40,14 @@
 	return err
 }
 
-// putAside keeps files that no identity stands for any more under other names,
-// unless they are large: see removeAside for when they go.
-func (d *disk) putAside() error {
+// quarantine keeps files that no identity stands for any more under other names,
+// unless they are large: see removeQuarantined for when they go.
+func (d *segmentLog) quarantine() error {
 	names, err := d.folder.List()
 	if err != nil {
 		return err
 	}
-	prefix := fmt.Sprintf("%s%d-", asidePrefix, time.Now().UnixNano())
+	prefix := fmt.Sprintf("%s%d-", quarantinePrefix, time.Now().UnixNano())
 	kept := int64(0)
 	for _, name := range names {
 		number, ok := fileNumber(name)
@@ -58,7 +58,7 @@
 		if err != nil {
 			return err
 		}
-		if kept+size > asideBytes {
+		if kept+size > quarantineBytes {
 			err = d.folder.Remove(name)
 		} else {
 			kept += size
@@ -72,15 +72,15 @@
 	return nil
 }
 
-const asidePrefix = "damaged-"
+const quarantinePrefix = "damaged-"
 
-// removeAside removes what was put aside.
-func (d *disk) removeAside() error {
-	return d.removeFiles(func(name string) bool { return strings.HasPrefix(name, asidePrefix) })
+// removeQuarantined removes what was put aside.
+func (d *segmentLog) removeQuarantined() error {
+	return d.removeFiles(func(name string) bool { return strings.HasPrefix(name, quarantinePrefix) })
 }
 
 // removeFiles removes the files that a test picks.
-func (d *disk) removeFiles(pick func(name string) bool) error {
+func (d *segmentLog) removeFiles(pick func(name string) bool) error {
 	names, err := d.folder.List()
 	if err != nil {
 		return err
--- a/accord/diskloss_test.go
+++ b/internal/daemon/diskloss_test.go
@@ -1,10 +1,11 @@
-package main
+package daemon
 
 import (
 	"bufio"
 	"fmt"
 	"maps"
 	"os"
+	"otterchute/internal/statestore"
 	"slices"
 	"strings"
 	"sync/atomic"
@@ -19,8 +20,8 @@
 type diskPlay struct {
 	t      *testing.T
 	folder *powerFolder
-	disk   *disk
-	store  *store
+	disk   *segmentLog
+	store  *statestore.Store
 	wrote  int
 	due    diskDue
 	points []diskPoint
@@ -51,14 +52,23 @@
 	return p
 }
 
+// liveRecords gives the live records of the one shard of these tests, by id.
+func liveRecords(st *statestore.Store) map[string]statestore.Record {
+	out := map[string]statestore.Record{}
+	for _, r := range st.Shard("east").Live() {
+		out[r.ID] = r
+	}
+	return out
+}
+
 // open starts a daemon. What it reads others may go by from then on.
 func (p *diskPlay) open(newID uint64) {
 	d, st, err := openFolder(p.folder, newID, quiet)
 	must.NoError(p.t, err)
-	d.post = func(func(*shell)) {}
+	d.post = func(func(*executor)) {}
 	p.disk, p.store = d, st
 	due := map[string]bool{}
-	for id := range st.slice("east").live {
+	for id := range liveRecords(st) {
 		due[id] = true
 	}
 	p.due = diskDue{byID: map[uint64]map[string]bool{d.id: due}}
@@ -66,16 +76,16 @@
 
 func (p *diskPlay) write(count int) {
 	for range count {
-		var batch []logEntry
+		var batch []statestore.Entry
 		for i := range 2 { // of a batch all or nothing counts
 			p.wrote++
 			id := fmt.Sprintf("job-%x-%d-%d", p.disk.id, p.wrote, i)
-			batch = append(batch, logEntry{Kind: entryRecord, Name: "east", Rec: record{ID: id, Epoch: 1, Version: int64(p.wrote), Live: true, Value: []byte("value")}})
+			batch = append(batch, statestore.Entry{Kind: statestore.EntryRecord, Name: "east", Record: statestore.Record{ID: id, Epoch: 1, Version: int64(p.wrote), Live: true, Value: []byte("value")}})
 		}
-		must.NoError(p.t, p.disk.commit([]diskJob{{entries: batch, done: func() {}}}))
+		must.NoError(p.t, p.disk.commit([]logJob{{entries: batch, done: func() {}}}))
 		for _, e := range batch {
-			p.store.apply(e)
-			p.due.byID[p.disk.id][e.Rec.ID] = true
+			p.store.Apply(e)
+			p.due.byID[p.disk.id][e.Record.ID] = true
 		}
 	}
 }
@@ -83,15 +93,15 @@
 // snapshot writes one, with a batch in the middle of it.
 func (p *diskPlay) snapshot() {
 	must.NoError(p.t, p.disk.roll())
-	at, batch, dump := p.disk.segment, p.disk.batch, p.store.dump()
+	at, batch, dump := p.disk.segment, p.disk.batch, p.store.Dump()
 	p.write(1)
 	must.NoError(p.t, p.disk.writeSnapshot(at, batch, dump))
 }
 
 func (p *diskPlay) wipe(id uint64) {
 	p.due.byID[id] = map[string]bool{}
-	must.NoError(p.t, p.disk.commit([]diskJob{{wipe: id}}))
-	p.store, p.due.byID = newStore(), map[uint64]map[string]bool{id: {}}
+	must.NoError(p.t, p.disk.commit([]logJob{{wipe: id}}))
+	p.store, p.due.byID = statestore.New(), map[uint64]map[string]bool{id: {}}
 }
 
 // check opens what a loss left. An identity that comes up must hold all that was
@@ -107,9 +117,9 @@
 	play.open(newID)
 	must.MapContainsKey(t, due, play.disk.id, must.Sprintf("%x came up, of %v", play.disk.id, sorted(due)))
 	for id := range due[play.disk.id] {
-		must.MapContainsKey(t, play.store.slice("east").live, id)
+		must.MapContainsKey(t, liveRecords(play.store), id)
 	}
-	for id := range play.store.slice("east").live {
+	for id := range liveRecords(play.store) {
 		must.StrHasPrefix(t, fmt.Sprintf("job-%x-", play.disk.id), id)
 	}
 	for _, name := range sorted(left.now) {
@@ -134,11 +144,11 @@
 	p.snapshot()
 	p.write(1)
 	for range 2 { // with nothing written in the middle of it, nor before the kill
-		must.NoError(t, p.disk.commit([]diskJob{{snapshot: true, entries: p.store.dump()}}))
-		p.disk.shots.Wait()
+		must.NoError(t, p.disk.commit([]logJob{{snapshot: true, entries: p.store.Dump()}}))
+		p.disk.snapshots.Wait()
 		p.write(1)
-		must.NoError(t, p.disk.commit([]diskJob{{snapshot: true, entries: p.store.dump()}}))
-		p.disk.shots.Wait()
+		must.NoError(t, p.disk.commit([]logJob{{snapshot: true, entries: p.store.Dump()}}))
+		p.disk.snapshots.Wait()
 		p.open(0xc)
 	}
 	p.write(1)
@@ -209,7 +219,7 @@
 		}
 		newest := snapshots[len(snapshots)-1]
 		whole := point.folder.now[snapshotName(newest)].now
-		identity, _ := (&disk{folder: point.folder}).readIdentity()
+		identity, _ := (&segmentLog{folder: point.folder}).readIdentity()
 		removing := slices.ContainsFunc(point.folder.changes, func(c entryChange) bool {
 			_, ok := fileNumber(c.name)
 			return ok && c.kind == "removed"
@@ -232,13 +242,13 @@
 				must.Eq(t, spare, play.disk.id != 0xc)
 				if !spare {
 					none++
-					must.MapEmpty(t, play.store.slice("east").live)
+					must.MapEmpty(t, liveRecords(play.store))
 					continue
 				}
 				older++
 				must.MapContainsKey(t, point.due.byID, play.disk.id)
 				for id := range point.due.byID[play.disk.id] {
-					must.MapContainsKey(t, play.store.slice("east").live, id)
+					must.MapContainsKey(t, liveRecords(play.store), id)
 				}
 			}
 		}
@@ -289,7 +299,7 @@
 	p := newDiskPlay(t, newPowerFolder(), diskDue{byID: map[uint64]map[string]bool{0xa: {}}, unnamed: true})
 	aside := func() (count, bytes int) {
 		for name, file := range p.folder.now {
-			if strings.HasPrefix(name, asidePrefix) {
+			if strings.HasPrefix(name, quarantinePrefix) {
 				count, bytes = count+1, bytes+len(file.now)
 			}
 		}
@@ -302,7 +312,7 @@
 		p.write(1)
 		segments := numbers(sorted(p.folder.now), segmentPrefix, 0)
 		file := p.folder.now[segmentName(segments[0])]
-		file.now = append(file.now[:len(file.now)/2], make([]byte, (i%2)*asideBytes)...)
+		file.now = append(file.now[:len(file.now)/2], make([]byte, (i%2)*quarantineBytes)...)
 		left, err := p.folder.Create("snap-0000000000000099" + unnamedSuffix)
 		must.NoError(t, err)
 		must.NoError(t, left.Close())
@@ -310,7 +320,7 @@
 		must.Eq(t, uint64(0xb+i), p.disk.id)
 		count, bytes := aside()
 		must.Between(t, 1, count, 3)
-		must.Less(t, asideBytes, bytes)
+		must.Less(t, quarantineBytes, bytes)
 		must.MapNotContainsKey(t, p.folder.now, "snap-0000000000000099"+unnamedSuffix)
 	}
 	p.snapshot()
@@ -326,19 +336,19 @@
 	p.write(2)
 	full := &fullFolder{p.folder}
 	p.disk.folder = full
-	must.Error(t, p.disk.writeSnapshot(p.disk.segment, 1, p.store.dump()))
+	must.Error(t, p.disk.writeSnapshot(p.disk.segment, 1, p.store.Dump()))
 	must.MapLen(t, 2, p.folder.now) // identity and segment
 }
 
 // fullFolder takes no more bytes in new files.
 type fullFolder struct{ *powerFolder }
 
-func (f *fullFolder) Create(name string) (dataFile, error) {
+func (f *fullFolder) Create(name string) (file, error) {
 	file, err := f.powerFolder.Create(name)
 	return &fullFile{file}, err
 }
 
-type fullFile struct{ dataFile }
+type fullFile struct{ file }
 
 func (f *fullFile) Write([]byte) (int, error) { return 0, errClosed }
 
@@ -358,7 +368,7 @@
 			must.Eq(t, 0xa, p.disk.id)
 			must.Positive(t, p.disk.first)
 			for id := range due {
-				must.MapContainsKey(t, p.store.slice("east").live, id)
+				must.MapContainsKey(t, liveRecords(p.store), id)
 			}
 		}
 	}
@@ -378,12 +388,12 @@
 	trouble := &diskTrouble{tries: make(chan struct{}, 1), syncs: true}
 	d, st, err := openFolder(troubledFolder{osFolder(dir), trouble}, 99, quiet)
 	must.NoError(t, err)
-	must.Eq(t, 4, st.records("east"))
+	must.Eq(t, 4, recordsIn(st, "east"))
 	d.retry = time.Millisecond
 	told, done := toldOf(d), atomic.Int64{}
-	go d.work()
+	go d.run()
 	must.Eq(t, "failed", <-told)
-	d.add(diskJob{done: func() { done.Add(1) }}) // a read
+	d.enqueue(logJob{done: func() { done.Add(1) }}) // a read
 	for range 3 {
 		<-trouble.tries
 	}
--- a/accord/diskread.go
+++ b/internal/daemon/diskread.go
@@ -1,7 +1,8 @@
-package main
+package daemon
 
 import (
 	"encoding/binary"
+	"otterchute/internal/statestore"
 	"slices"
 	"strconv"
 	"strings"
@@ -13,8 +14,8 @@
 // after a whole batch: one that was torn counts for nothing, since it was never
 // synced. Damage with a later batch behind it gives errDamaged; an end that is
 // merely torn does not.
-func readRecords(b []byte, batch uint64, into func(logEntry)) (sound int, lastBatch uint64, err error) {
-	var open []logEntry // of a batch whose last record is still to come
+func readRecords(b []byte, batch uint64, into func(statestore.Entry)) (sound int, lastBatch uint64, err error) {
+	var open []statestore.Entry // of a batch whose last record is still to come
 	for at := 0; at < len(b); {
 		e, number, last, size := readRecord(b[at:])
 		if size == 0 || len(open) > 0 && number != batch+1 {
@@ -56,7 +57,7 @@
 
 // readSnapshot gives a snapshot's entries and the batch before which it was
 // taken; false where it isn't whole.
-func readSnapshot(b []byte, into func(logEntry)) (batch uint64, whole bool) {
+func readSnapshot(b []byte, into func(statestore.Entry)) (batch uint64, whole bool) {
 	for at := 0; at < len(b); {
 		e, number, last, size := readRecord(b[at:])
 		if size == 0 || batch != 0 && number != batch {
@@ -96,7 +97,7 @@
 // read builds the store from the newest snapshot that is whole and the segments
 // from it on. Older snapshots and segments stand only until a newer snapshot is
 // sure to last, so that one of the two always is whole.
-func (d *disk) read() (*store, error) {
+func (d *segmentLog) read() (*statestore.Store, error) {
 	names, err := d.folder.List()
 	if err != nil {
 		return nil, errors.Wrap(errDisk, err.Error())
@@ -106,7 +107,7 @@
 	if len(snapshots) == 0 && len(segments) == 0 {
 		d.base = max(d.first, 1)
 		d.segment = d.base - 1
-		return newStore(), nil
+		return statestore.New(), nil
 	}
 	last := uint64(0)
 	if len(segments) > 0 {
@@ -135,8 +136,8 @@
 
 // readFrom builds the store from one snapshot, or from nothing, and all
 // segments from its number on.
-func (d *disk) readFrom(from uint64, snapshot bool) (*store, error) {
-	st := newStore()
+func (d *segmentLog) readFrom(from uint64, snapshot bool) (*statestore.Store, error) {
+	st := statestore.New()
 	d.batch, d.base = 0, from
 	if snapshot {
 		b, err := d.folder.Read(snapshotName(from))
@@ -146,11 +147,12 @@
 		if otherFormat(b) {
 			return nil, errDiskFormat
 		}
-		batch, whole := readSnapshot(b, st.apply)
+		batch, whole := readSnapshot(b, st.Apply)
 		if !whole {
 			return nil, errDamaged
 		}
-		d.batch, st.logged = batch, 0
+		d.batch = batch
+		st.SnapshotTaken()
 	}
 	names, err := d.folder.List()
 	if err != nil {
@@ -174,7 +176,7 @@
 // readSegment applies a segment's records. Only the last segment may end torn.
 // Its end is to be cut and the rest synced before anything follows from it: a
 // process that was killed may have left what the next loss of power takes away.
-func (d *disk) readSegment(at uint64, st *store) error {
+func (d *segmentLog) readSegment(at uint64, st *statestore.Store) error {
 	b, err := d.folder.Read(segmentName(at))
 	if err != nil {
 		return errors.Wrap(errDisk, err.Error())
@@ -182,7 +184,7 @@
 	if otherFormat(b) {
 		return errDiskFormat
 	}
-	sound, batch, err := readRecords(b, d.batch, st.apply)
+	sound, batch, err := readRecords(b, d.batch, st.Apply)
 	if err != nil {
 		return err
 	}
@@ -196,12 +198,12 @@
 	if sound < len(b) {
 		d.log("disk_tail_cut", "segment", at, "bytes", len(b)-sound)
 	}
-	d.size, d.uncut = int64(sound), true
+	d.size, d.untrimmed = int64(sound), true
 	return nil
 }
 
-// cutSegment gives the segment the length of its sound part, and syncs it.
-func (d *disk) cutSegment() error {
+// trimSegment gives the segment the length of its sound part, and syncs it.
+func (d *segmentLog) trimSegment() error {
 	file, err := d.folder.Open(segmentName(d.segment))
 	if err != nil {
 		return err
--- a/accord/diskrecovery.go
+++ b/internal/daemon/diskrecovery.go
@@ -1,7 +1,8 @@
-package main
+package daemon
 
 import (
 	"os"
+	"otterchute/internal/statestore"
 	"time"
 
 	"github.com/go-faster/errors"
@@ -22,40 +23,40 @@
 
 // recover tries to bring the disk back until it works; false if it was
 // stopped before.
-func (d *disk) recover(cause error) bool {
-	d.post(func(s *shell) { s.event(evDisk{Failed: cause.Error()}) })
+func (d *segmentLog) recover(cause error) bool {
+	d.post(func(s *executor) { s.event(evDisk{Failed: cause.Error()}) })
 	lost := false
 	for wait := d.retry; ; wait = min(2*wait, diskRetryMost*time.Millisecond) {
 		if d.sleep(wait) {
 			return false
 		}
-		jobs, _ := d.gathered()
-		if d.held = append(d.held, jobs...); lost {
-			d.held = fromWipe(d.held)
+		jobs, _ := d.takePending()
+		if d.unfinished = append(d.unfinished, jobs...); lost {
+			d.unfinished = jobsFromWipe(d.unfinished)
 		}
-		wiping := len(d.held) > 0 && d.held[0].wipe != 0
+		wiping := len(d.unfinished) > 0 && d.unfinished[0].wipe != 0
 		if lost && !wiping { // only the daemon's order to wipe it makes it a disk again
 			continue
 		}
 		if !wiping { // else nothing of the log is kept
 			if err := d.resume(); errors.Is(err, errDamaged) {
 				lost = true
-				d.post(func(s *shell) { s.event(evDisk{Lost: true}) })
+				d.post(func(s *executor) { s.event(evDisk{Lost: true}) })
 				continue
 			} else if err != nil {
 				continue
 			}
 		}
-		if d.commit(d.held) == nil {
-			d.post(func(s *shell) { s.event(evDisk{Recovered: true}) })
+		if d.commit(d.unfinished) == nil {
+			d.post(func(s *executor) { s.event(evDisk{Recovered: true}) })
 			return true
 		}
-		lost = lost && d.held[0].wipe != 0
+		lost = lost && d.unfinished[0].wipe != 0
 	}
 }
 
-// fromWipe drops the jobs before a wipe: what they were to add to is gone.
-func fromWipe(jobs []diskJob) []diskJob {
+// jobsFromWipe drops the jobs before a wipe: what they were to add to is gone.
+func jobsFromWipe(jobs []logJob) []logJob {
 	for i, j := range jobs {
 		if j.wipe != 0 {
 			return jobs[i:]
@@ -65,7 +66,7 @@
 }
 
 // sleep waits, and tells whether the disk was stopped meanwhile.
-func (d *disk) sleep(wait time.Duration) bool {
+func (d *segmentLog) sleep(wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -84,7 +85,7 @@
 }
 
 // resume makes the log ready for the next batch after a failure.
-func (d *disk) resume() error {
+func (d *segmentLog) resume() error {
 	if d.file != nil {
 		_ = d.file.Close()
 		d.file = nil
@@ -92,14 +93,14 @@
 	if err := d.removeUnused(); err != nil {
 		return err
 	}
-	if d.broken != nil {
+	if d.startErr != nil {
 		if err := d.start(); err != nil {
 			return err
 		}
-		d.broken = nil
+		d.startErr = nil
 		return nil
 	}
-	f, err := d.cutTail()
+	f, err := d.trimToSynced()
 	if err != nil {
 		return err
 	}
@@ -111,16 +112,16 @@
 
 // removeUnused removes the segment that a failed roll may have left: nothing
 // was ever written there.
-func (d *disk) removeUnused() error {
+func (d *segmentLog) removeUnused() error {
 	if err := d.folder.Remove(segmentName(d.segment + 1)); err != nil {
 		return errors.Wrap(errDisk, err.Error())
 	}
 	return nil
 }
 
-// cutTail checks what was synced of the segment, cuts off and syncs the rest,
+// trimToSynced checks what was synced of the segment, cuts off and syncs the rest,
 // and gives the file.
-func (d *disk) cutTail() (dataFile, error) {
+func (d *segmentLog) trimToSynced() (file, error) {
 	name := segmentName(d.segment)
 	if d.size > 0 {
 		b, err := d.folder.Read(name)
@@ -130,7 +131,7 @@
 		if err != nil {
 			return nil, errors.Wrap(errDisk, err.Error())
 		}
-		if sound, _, err := readRecords(b[:d.size], 0, func(logEntry) {}); err != nil || int64(sound) != d.size {
+		if sound, _, err := readRecords(b[:d.size], 0, func(statestore.Entry) {}); err != nil || int64(sound) != d.size {
 			return nil, errDamaged
 		}
 	}
@@ -153,19 +154,19 @@
 
 // wipe makes the disk an empty one under a new id. The new identity is what ends
 // the old one: its files go after that, in any order.
-func (d *disk) wipe(id uint64) error {
-	d.shots.Wait()
+func (d *segmentLog) wipe(id uint64) error {
+	d.snapshots.Wait()
 	if err := d.removeUnused(); err != nil {
 		return err
 	}
-	if err := d.begin(diskIdentity{id: id, first: d.segment + 1}); err != nil {
+	if err := d.writeIdentity(diskIdentity{id: id, first: d.segment + 1}); err != nil {
 		return err
 	}
 	if err := d.roll(); err != nil {
 		return err
 	}
 	// A reader of the new identity counts batches from 0.
-	d.batch, d.broken, d.uncut = 0, nil, false
+	d.batch, d.startErr, d.untrimmed = 0, nil, false
 	if err := d.removeBefore(d.first); err != nil {
 		d.log("removal_failed", "err", err.Error()) // the next snapshot tries again
 	}
--- a/accord/doctor.go
+++ b/internal/daemon/doctor.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"context"
@@ -86,7 +86,7 @@
 		}
 		return nil
 	}},
-	{"no setup", "declare one with `accord setup apply`", func(s gjson.Result) []string {
+	{"no setup", "declare one with `otterchute setup apply`", func(s gjson.Result) []string {
 		if s.Get("setup_confirmed").Bool() && s.Get("setup_version").Int() == 0 {
 			return []string{"no setup has been declared"}
 		}
@@ -98,7 +98,7 @@
 		}
 		return nil
 	}},
-	{"unsettled tasks", "if the worker is gone for good say so with `accord workers lost NAME`; if its runs surely end at their limit, `trust_run_limit` in the queue settles them", func(s gjson.Result) (out []string) {
+	{"unsettled tasks", "if the worker is gone for good say so with `otterchute workers lost NAME`; if its runs surely end at their limit, `trust_run_limit` in the queue settles them", func(s gjson.Result) (out []string) {
 		s.Get("slices").ForEach(func(slice, v gjson.Result) bool {
 			v.Get("unsettled").ForEach(func(worker, u gjson.Result) bool {
 				out = append(out, fmt.Sprintf("%d placed tasks of slice %s at the silent worker %s", u.Int(), slice.Str, worker.Str))
@@ -114,7 +114,7 @@
 		}
 		return nil
 	}},
-	{"sites empty", "nothing, if they are meant to be; else `accord empty undo SITE`", func(s gjson.Result) []string {
+	{"sites empty", "nothing, if they are meant to be; else `otterchute empty undo SITE`", func(s gjson.Result) []string {
 		if e := s.Get("empty_sites").Array(); len(e) > 0 && s.Get("slices.@keys.0").Exists() {
 			return []string{s.Get("empty_sites").Raw}
 		}
@@ -143,8 +143,8 @@
 }
 
 // visit asks every live daemon once.
-func visit(ctx context.Context, at string) (out []finding, asked int, t told, err error) {
-	t, err = newDownstream(at).ask(ctx, "GET", "/v1/members", nil)
+func visit(ctx context.Context, at string) (out []finding, asked int, t response, err error) {
+	t, err = newClient(at).request(ctx, "GET", "/v1/members", nil)
 	if err != nil || t.status != 200 {
 		return nil, 0, t, err
 	}
@@ -154,8 +154,8 @@
 		if !m.Get("live").Bool() {
 			continue // its siblings say so
 		}
-		c := newDownstream(m.Get("http").Str)
-		if a, err := c.ask(ctx, "GET", "/v1/soundness", nil); err == nil && a.status == 200 {
+		c := newClient(m.Get("http").Str)
+		if a, err := c.request(ctx, "GET", "/v1/soundness", nil); err == nil && a.status == 200 {
 			words[name] = a.body
 		} else {
 			out = append(out, finding{"daemon silent", name, "its HTTP address " + c.at[0] + " does not answer", "see its log and its machine"})
@@ -188,7 +188,7 @@
 				return show(t, err)
 			}
 			if *asJSON {
-				fmt.Println(pretty(jsonOf(out)))
+				fmt.Println(pretty(mustJSON(out)))
 			} else {
 				for _, f := range out {
 					fmt.Printf("%s at %s: %s\n  do: %s\n", f.Check, f.Where, f.What, f.Do)
--- a/accord/door.go
+++ b/internal/daemon/door.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"context"
@@ -20,19 +20,19 @@
 	"go.uber.org/fx"
 )
 
-// door is the HTTP side: it turns requests into asks for the control thread
+// httpServer is the HTTP side: it turns requests into asks for the control thread
 // and its replies into answers.
-type door struct {
-	loop   *loop
+type httpServer struct {
+	loop   *controlLoop
 	server *http.Server
 	ln     net.Listener
 	mu     sync.Mutex
 	seq    uint64
 }
 
-func newDoor(s settings, l *loop, _ *shell) (*door, error) {
+func newHTTPServer(s settings, l *controlLoop, _ *executor) (*httpServer, error) {
 	gin.SetMode(gin.ReleaseMode)
-	d := &door{loop: l}
+	d := &httpServer{loop: l}
 	if s.HTTP != "" {
 		ln, err := net.Listen("tcp", s.HTTP)
 		if err != nil {
@@ -60,7 +60,7 @@
 	return d, nil
 }
 
-func runDoor(lc fx.Lifecycle, d *door) {
+func runHTTPServer(lc fx.Lifecycle, d *httpServer) {
 	if d.ln == nil {
 		return
 	}
@@ -72,17 +72,17 @@
 		}})
 }
 
-// ask posts one ask and waits for its reply.
-func (d *door) ask(ctx context.Context, e evAsk) effReply {
+// request posts one ask and waits for its reply.
+func (d *httpServer) request(ctx context.Context, e evRequest) effReply {
 	switch e.Op {
 	case "setup.put": // checked here, since thousands of queues would hold the control thread up
 		var faults []fault
-		if e.Ready, faults = checkSetup(e.Key, e.Body); len(faults) > 0 {
-			return effReply{Status: 400, Body: faultsBody(faults)}
+		if e.Ready, faults = parseConfig(e.Key, e.Body); len(faults) > 0 {
+			return effReply{Status: 400, Body: faultsJSON(faults)}
 		}
 	case "ready":
 		if reason := d.loop.notReady(); reason != "" {
-			return effReply{Status: 503, RetryMs: 1000, Body: jsonOf(map[string]any{"error": reason})}
+			return effReply{Status: 503, RetryMs: 1000, Body: mustJSON(map[string]any{"error": reason})}
 		}
 		return effReply{Status: 200, Body: []byte(`{"ready":true}`)}
 	}
@@ -92,8 +92,8 @@
 	e.ID = d.seq
 	d.mu.Unlock()
 	select {
-	case d.loop.jobs <- func(s *shell) {
-		s.p.(*realPorts).waiting[e.ID] = ch
+	case d.loop.jobs <- func(s *executor) {
+		s.ports.(*processPorts).waiting[e.ID] = ch
 		s.event(e)
 	}:
 	default: // the control thread is far behind: say so at once
@@ -108,7 +108,7 @@
 	case <-limit.C:
 	case <-d.loop.quit:
 	}
-	d.loop.post(func(s *shell) { delete(s.p.(*realPorts).waiting, e.ID) })
+	d.loop.post(func(s *executor) { delete(s.ports.(*processPorts).waiting, e.ID) })
 	status := 503
 	if e.Op == "queue.submit" || e.Op == "queue.cancel" { // it may be done all the same
 		status = 504
@@ -117,18 +117,18 @@
 }
 
 // product answers the platform's calls.
-func (d *door) product(ctx context.Context, c platform.Call) platform.Answer {
+func (d *httpServer) product(ctx context.Context, c platform.Call) platform.Answer {
 	if len(c.Body) > bodyMax && c.Op != "setup.put" && c.Op != "worker.beat" {
-		return platform.Answer{Status: 400, Body: faultsBody([]fault{{"", fmt.Sprintf("is larger than %d bytes", bodyMax)}})}
+		return platform.Answer{Status: 400, Body: faultsJSON([]fault{{"", fmt.Sprintf("is larger than %d bytes", bodyMax)}})}
 	}
-	r := d.ask(ctx, evAsk{Op: c.Op, Key: c.Key, Host: c.Host, Path: c.Path, Expect: c.Expect, Digest: c.Digest, Body: c.Body})
+	r := d.request(ctx, evRequest{Op: c.Op, Key: c.Key, Host: c.Host, Path: c.Path, Expect: c.Expect, Digest: c.Digest, Body: c.Body})
 	return platform.Answer{Status: r.Status, RetryMs: r.RetryMs, Body: r.Body}
 }
 
-func (d *door) serve(c *gin.Context, op, key string) {
+func (d *httpServer) serve(c *gin.Context, op, key string) {
 	limit := int64(bodyMax + 1)
 	if op == "setup.put" || op == "worker.report" {
-		limit = setupMax + 1
+		limit = configBytesMax + 1
 	}
 	body, err := io.ReadAll(io.LimitReader(c.Request.Body, limit))
 	if err != nil {
@@ -139,14 +139,14 @@
 		c.JSON(400, gin.H{"error": "the body is too large", "faults": []fault{{"", fmt.Sprintf("is larger than %d bytes", limit-1)}}})
 		return
 	}
-	e := evAsk{Op: op, Key: key, Expect: -1, Body: body}
+	e := evRequest{Op: op, Key: key, Expect: -1, Body: body}
 	if on := c.Query("on"); on != "" && op == "setup.put" {
 		if e.Expect, err = strconv.ParseInt(on, 10, 64); err != nil || e.Expect < 0 {
-			answer(c, effReply{Status: 400, Body: faultsBody([]fault{{"on", "must be the version it builds on, a whole number of 0 or more"}})})
+			answer(c, effReply{Status: 400, Body: faultsJSON([]fault{{"on", "must be the version it builds on, a whole number of 0 or more"}})})
 			return
 		}
 	}
-	answer(c, d.ask(c.Request.Context(), e))
+	answer(c, d.request(c.Request.Context(), e))
 }
 
 func answer(c *gin.Context, r effReply) {
@@ -157,12 +157,12 @@
 }
 
 // lost tells every slice's owner that a worker is gone for good.
-func (d *door) lost(c *gin.Context) {
+func (d *httpServer) lost(c *gin.Context) {
 	ctx := c.Request.Context()
 	tasks := int64(0)
-	members := d.ask(ctx, evAsk{Op: "members", Expect: -1})
+	members := d.request(ctx, evRequest{Op: "members", Expect: -1})
 	for _, s := range gjson.GetBytes(members.Body, "slices").Array() {
-		r := d.ask(ctx, evAsk{Op: "worker.lost", Key: s.Str + "/" + c.Param("id"), Expect: -1})
+		r := d.request(ctx, evRequest{Op: "worker.lost", Key: s.Str + "/" + c.Param("id"), Expect: -1})
 		if r.Status != 200 {
 			answer(c, r)
 			return
@@ -174,18 +174,18 @@
 
 // Describe names nothing beforehand: to do so it would have to ask a control
 // thread that has not begun. The collector lets such counts come and go.
-func (d *door) Describe(chan<- *prometheus.Desc) {}
+func (d *httpServer) Describe(chan<- *prometheus.Desc) {}
 
 // Collect reads the counts once.
-func (d *door) Collect(ch chan<- prometheus.Metric) {
+func (d *httpServer) Collect(ch chan<- prometheus.Metric) {
 	got := make(chan struct{})
 	counts, gauges, meter := map[string]int64{}, map[string]float64{}, map[meterKey]float64{}
-	d.loop.post(func(s *shell) {
-		for k, v := range s.n.counts {
+	d.loop.post(func(s *executor) {
+		for k, v := range s.node.counts {
 			counts[k] = v
 		}
-		s.n.gauges(gauges)
-		for k, v := range s.n.batchMeter {
+		s.node.gauges(gauges)
+		for k, v := range s.node.batchMeter {
 			meter[k] = v
 		}
 		close(got)
@@ -198,36 +198,36 @@
 		return
 	}
 	for _, k := range sorted(counts) {
-		ch <- prometheus.MustNewConstMetric(prometheus.NewDesc("accord_"+k+"_total", "Count of "+k+" since the start.", nil, nil), prometheus.CounterValue, float64(counts[k]))
+		ch <- prometheus.MustNewConstMetric(prometheus.NewDesc("otterchute_"+k+"_total", "Count of "+k+" since the start.", nil, nil), prometheus.CounterValue, float64(counts[k]))
 	}
 	for _, k := range sorted(gauges) {
-		ch <- prometheus.MustNewConstMetric(prometheus.NewDesc("accord_"+k, "Now: "+k+".", nil, nil), prometheus.GaugeValue, gauges[k])
+		ch <- prometheus.MustNewConstMetric(prometheus.NewDesc("otterchute_"+k, "Now: "+k+".", nil, nil), prometheus.GaugeValue, gauges[k])
 	}
 	for k, v := range meter { // the registry sorts them
-		ch <- prometheus.MustNewConstMetric(prometheus.NewDesc("accord_batch_core_seconds_total", "Processor room of ended batch runs, in the unit of the jobs' room, times seconds, by what it cost.",
+		ch <- prometheus.MustNewConstMetric(prometheus.NewDesc("otterchute_batch_core_seconds_total", "Processor room of ended batch runs, in the unit of the jobs' room, times seconds, by what it cost.",
 			[]string{"contract", "price"}, nil), prometheus.CounterValue, v, k.Contract, priceText(k.Price))
 	}
 }
 
 func (n *node) gauges(out map[string]float64) {
 	n.batchGauges(out)
-	for k, v := range map[string]int{"duties_held": len(n.duties), "siblings": len(n.siblings), "workers": len(n.workers), "asks_open": len(n.asks)} {
+	for k, v := range map[string]int{"duties_held": len(n.roles), "siblings": len(n.peers), "workers": len(n.workers), "asks_open": len(n.forwarded)} {
 		out[k] = float64(v)
 	}
-	out["setup_version"] = float64(n.setup.doc.Version)
+	out["setup_version"] = float64(n.config.record.Version)
 	out["sync_ms"] = float64(n.syncMs)
 	for _, sl := range n.owned {
 		out["jobs_live"] += float64(len(sl.jobs))
 		out["writes_open"] += float64(len(sl.writes))
 	}
 	for _, ag := range n.agents {
-		for _, h := range ag.held {
+		for _, h := range ag.attempts {
 			switch {
-			case h.state == heldQueued:
+			case h.state == attemptQueued:
 				out["queued_"+classNames[h.spec.Class]]++
-			case h.state == heldOrdered && h.answeredMs == 0:
+			case h.state == attemptOrdered && h.answeredMs == 0:
 				out["unsettled"]++
-			case h.state == heldRunning:
+			case h.state == attemptRunning:
 				out["running_"+classNames[h.spec.Class]]++
 			}
 		}
--- a/accord/door_test.go
+++ b/internal/daemon/door_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"context"
@@ -11,12 +11,12 @@
 
 // doorTaken gives a door and the shell behind it, whose control thread the test
 // plays: each posted job is run when the test says so.
-func doorTaken() (*door, *realPorts, func()) {
-	l := newLoop(newSteady())
-	ports := &realPorts{loop: l, waiting: map[uint64]chan effReply{}}
-	l.sh = &shell{n: newNode(place{Name: "a"}, nil), p: ports}
-	l.sh.n.poll.okMs = 1 << 40 // in contact with the core: calls are held, not turned away
-	return &door{loop: l}, ports, func() { (<-l.jobs)(l.sh) }
+func doorTaken() (*httpServer, *processPorts, func()) {
+	l := newControlLoop(newSteadyClock())
+	ports := &processPorts{loop: l, waiting: map[uint64]chan effReply{}}
+	l.executor = &executor{node: newNode(nodeConfig{Name: "a"}, nil), ports: ports}
+	l.executor.node.poll.contactMs = 1 << 40 // in contact with the core: calls are held, not turned away
+	return &httpServer{loop: l}, ports, func() { (<-l.jobs)(l.executor) }
 }
 
 // A caller gives up, and the reply to its call comes later: it reaches nobody,
@@ -28,15 +28,15 @@
 	}{{"queue.submit", 504}, {"queue.cancel", 504}, {"queue.state", 503}} {
 		d, ports, run := doorTaken()
 		l := d.loop
-		l.sh.n.setup.cur.Version = 1 // calls wait for a newer confirmation of the setup
+		l.executor.node.config.current.Version = 1 // calls wait for a newer confirmation of the setup
 		ctx, giveUp := context.WithCancel(context.Background())
 		first, second := make(chan effReply, 1), make(chan effReply, 1)
-		go func() { first <- d.ask(ctx, evAsk{Op: c.op, Host: "h", Path: "/first"}) }()
+		go func() { first <- d.request(ctx, evRequest{Op: c.op, Host: "h", Path: "/first"}) }()
 		run()
 		must.MapContainsKey(t, ports.waiting, 1)
 		giveUp()
 		must.Eq(t, c.status, (<-first).Status)
-		go func() { second <- d.ask(context.Background(), evAsk{Op: c.op, Host: "h", Path: "/second"}) }()
+		go func() { second <- d.request(context.Background(), evRequest{Op: c.op, Host: "h", Path: "/second"}) }()
 		run() // the first is given up on
 		must.MapNotContainsKey(t, ports.waiting, 1)
 		ports.Reply(effReply{ID: 1, Status: 200, Body: []byte("first")})
@@ -52,7 +52,7 @@
 // Calls at once, answered in any order and some of them given up on, each get their own reply.
 func TestDoorManyAtOnce(t *testing.T) {
 	d, ports, _ := doorTaken()
-	d.loop.sh.n.setup.cur.Version = 1
+	d.loop.executor.node.config.current.Version = 1
 	const calls = 200
 	var wg sync.WaitGroup
 	for i := range calls {
@@ -62,7 +62,7 @@
 			if i%5 == 0 {
 				cancel()
 			}
-			r := d.ask(ctx, evAsk{Op: "queue.state", Host: "h", Path: fmt.Sprint("/", i)})
+			r := d.request(ctx, evRequest{Op: "queue.state", Host: "h", Path: fmt.Sprint("/", i)})
 			if body := string(r.Body); body != fmt.Sprint("/", i) && !(i%5 == 0 && r.Status == 503) {
 				t.Errorf("call %d got %d %s", i, r.Status, body)
 			}
@@ -70,13 +70,13 @@
 	}
 	ended := make(chan struct{})
 	go func() { wg.Wait(); close(ended) }()
-	held := &d.loop.sh.n.setup.unsure
+	held := &d.loop.executor.node.config.awaiting
 	for {
 		select {
 		case <-ended:
 			return
 		case job := <-d.loop.jobs:
-			job(d.loop.sh)
+			job(d.loop.executor)
 			for _, a := range *held {
 				if a.id%3 != 0 || len(d.loop.jobs) == 0 { // some wait for others that came later
 					ports.Reply(effReply{ID: a.id, Status: 200, Body: []byte(a.path)})
--- a/accord/downstream.go
+++ b/internal/daemon/downstream.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"bytes"
@@ -20,42 +20,42 @@
 	"github.com/tidwall/gjson"
 )
 
-// downstream asks any daemon of a list, the next one after silence or a 503.
-type downstream struct {
+// client asks any daemon of a list, the next one after silence or a 503.
+type client struct {
 	at   []string
 	http http.Client
 }
 
-type told struct {
+type response struct {
 	status int
 	body   []byte
 }
 
-func newDownstream(at string) *downstream {
-	return &downstream{at: strings.Split(at, ","), http: http.Client{Timeout: 6 * time.Second}}
+func newClient(at string) *client {
+	return &client{at: strings.Split(at, ","), http: http.Client{Timeout: 6 * time.Second}}
 }
 
-// ask sends one ask until it is finally answered, at most a few times.
+// request sends one ask until it is finally answered, at most a few times.
 //
-// Example: t, err := newDownstream("127.0.0.1:8000").ask(ctx, "GET", "/v1/members", nil)
-func (c *downstream) ask(ctx context.Context, method, path string, body []byte) (told, error) {
+// Example: t, err := newClient("127.0.0.1:8000").ask(ctx, "GET", "/v1/members", nil)
+func (c *client) request(ctx context.Context, method, path string, body []byte) (response, error) {
 	try := 0
-	policy := retrypolicy.NewBuilder[told]().WithMaxRetries(6).WithBackoff(300*time.Millisecond, 2*time.Second).WithJitterFactor(0.3).
-		HandleIf(func(t told, err error) bool { return err != nil || t.status == 503 || t.status == 429 }).ReturnLastFailure().Build()
-	t, err := failsafe.With[told](policy).WithContext(ctx).Get(func() (told, error) {
+	policy := retrypolicy.NewBuilder[response]().WithMaxRetries(6).WithBackoff(300*time.Millisecond, 2*time.Second).WithJitterFactor(0.3).
+		HandleIf(func(t response, err error) bool { return err != nil || t.status == 503 || t.status == 429 }).ReturnLastFailure().Build()
+	t, err := failsafe.With[response](policy).WithContext(ctx).Get(func() (response, error) {
 		at := c.at[try%len(c.at)]
 		try++
 		req, err := http.NewRequestWithContext(ctx, method, "http://"+at+path, bytes.NewReader(body))
 		if err != nil {
-			return told{}, err
+			return response{}, err
 		}
 		resp, err := c.http.Do(req)
 		if err != nil {
-			return told{}, err
+			return response{}, err
 		}
 		defer resp.Body.Close()
 		b, err := io.ReadAll(io.LimitReader(resp.Body, frameMax))
-		return told{resp.StatusCode, b}, err
+		return response{resp.StatusCode, b}, err
 	})
 	if err != nil {
 		return t, errors.Wrap(errDownstream, err.Error())
@@ -72,9 +72,9 @@
 }
 
 // show prints an answer and gives the exit code for it.
-func show(t told, err error) subcommands.ExitStatus {
+func show(t response, err error) subcommands.ExitStatus {
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "accord:", err)
+		fmt.Fprintln(os.Stderr, "otterchute:", err)
 		return exitUnreachable
 	}
 	if t.status >= 400 {
@@ -89,7 +89,7 @@
 }
 
 func usage(words string) subcommands.ExitStatus {
-	fmt.Fprintln(os.Stderr, "accord: usage: accord", words)
+	fmt.Fprintln(os.Stderr, "otterchute: usage: otterchute", words)
 	return exitUsage
 }
 
@@ -100,7 +100,7 @@
 	return os.ReadFile(path)
 }
 
-type verb func(context.Context, *downstream, []string) subcommands.ExitStatus
+type verb func(context.Context, *client, []string) subcommands.ExitStatus
 
 // verbs makes a command of a table of second words.
 func verbs(name, args, about string, table map[string]verb) *command {
@@ -119,38 +119,38 @@
 			if !ok {
 				return usage(name + " " + args)
 			}
-			return do(ctx, newDownstream(*at), words)
+			return do(ctx, newClient(*at), words)
 		}}
 }
 
 func operatorCommands() []*command {
 	get := func(path string) verb {
-		return func(ctx context.Context, c *downstream, _ []string) subcommands.ExitStatus {
-			return show(c.ask(ctx, "GET", path, nil))
+		return func(ctx context.Context, c *client, _ []string) subcommands.ExitStatus {
+			return show(c.request(ctx, "GET", path, nil))
 		}
 	}
 	one := func(words, method, path string) verb {
-		return func(ctx context.Context, c *downstream, w []string) subcommands.ExitStatus {
+		return func(ctx context.Context, c *client, w []string) subcommands.ExitStatus {
 			if len(w) != 1 || !nameOK(w[0]) {
 				return usage(words)
 			}
-			return show(c.ask(ctx, method, strings.ReplaceAll(path, "ID", w[0]), nil))
+			return show(c.request(ctx, method, strings.ReplaceAll(path, "ID", w[0]), nil))
 		}
 	}
 	return []*command{
 		verbs("setup", "[-at LIST] apply FILE [N] | check FILE | show | history", "declare the whole setup as its next version, check it offline, or read it", map[string]verb{
-			"apply": applySetup, "check": checkSetupFile, "show": get("/v1/setups/current"), "history": showHistory}),
+			"apply": applyConfig, "check": checkConfigFile, "show": get("/v1/setups/current"), "history": showHistory}),
 		verbs("job", "[-at LIST] submit ID FILE | show ID | cancel ID", "hand in a job, read its state, or cancel it", map[string]verb{
 			"submit": submitJob, "show": one("job show ID", "GET", "/v1/jobs/ID"), "cancel": one("job cancel ID", "POST", "/v1/jobs/ID/cancel")}),
 		verbs("workers", "[-at LIST] [lost NAME]", "list the workers, or declare a silent one gone for good", map[string]verb{
 			"": get("/v1/workers"), "lost": one("workers lost NAME", "POST", "/v1/workers/ID/lost")}),
 		verbs("members", "[-at LIST]", "list daemons, core members and who holds which duty", map[string]verb{"": get("/v1/members")}),
 		verbs("empty", "[-at LIST] SITE | undo SITE", "give a site no new work, by the next setup version", map[string]verb{
-			"": func(ctx context.Context, c *downstream, w []string) subcommands.ExitStatus {
-				return emptySite(ctx, c, w, true)
+			"": func(ctx context.Context, c *client, w []string) subcommands.ExitStatus {
+				return emptyZone(ctx, c, w, true)
 			},
-			"undo": func(ctx context.Context, c *downstream, w []string) subcommands.ExitStatus {
-				return emptySite(ctx, c, w, false)
+			"undo": func(ctx context.Context, c *client, w []string) subcommands.ExitStatus {
+				return emptyZone(ctx, c, w, false)
 			}}),
 		doctorCommand(),
 		importCommand(),
@@ -158,25 +158,25 @@
 	}
 }
 
-func submitJob(ctx context.Context, c *downstream, w []string) subcommands.ExitStatus {
+func submitJob(ctx context.Context, c *client, w []string) subcommands.ExitStatus {
 	if len(w) != 2 || !nameOK(w[0]) {
 		return usage("job submit ID FILE")
 	}
 	doc, err := readDoc(w[1])
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "accord:", err)
+		fmt.Fprintln(os.Stderr, "otterchute:", err)
 		return exitUsage
 	}
-	return show(c.ask(ctx, "PUT", "/v1/jobs/"+w[0], doc))
+	return show(c.request(ctx, "PUT", "/v1/jobs/"+w[0], doc))
 }
 
-func applySetup(ctx context.Context, c *downstream, w []string) subcommands.ExitStatus {
+func applyConfig(ctx context.Context, c *client, w []string) subcommands.ExitStatus {
 	if len(w) < 1 || len(w) > 2 {
 		return usage("setup apply FILE [N]")
 	}
 	doc, err := readDoc(w[0])
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "accord:", err)
+		fmt.Fprintln(os.Stderr, "otterchute:", err)
 		return exitUsage
 	}
 	var n int64
@@ -185,41 +185,41 @@
 			return usage("setup apply FILE [N]")
 		}
 	} else {
-		t, err := c.ask(ctx, "GET", "/v1/setups/current", nil)
+		t, err := c.request(ctx, "GET", "/v1/setups/current", nil)
 		if err != nil || t.status != 200 {
 			return show(t, err)
 		}
 		n = gjson.GetBytes(t.body, "version").Int() + 1
 	}
-	return show(c.ask(ctx, "PUT", "/v1/setups/"+strconv.FormatInt(n, 10), doc))
+	return show(c.request(ctx, "PUT", "/v1/setups/"+strconv.FormatInt(n, 10), doc))
 }
 
-// checkSetupFile makes the checks of a setup without asking anybody.
-func checkSetupFile(_ context.Context, _ *downstream, w []string) subcommands.ExitStatus {
+// checkConfigFile makes the checks of a setup without asking anybody.
+func checkConfigFile(_ context.Context, _ *client, w []string) subcommands.ExitStatus {
 	if len(w) != 1 {
 		return usage("setup check FILE")
 	}
 	doc, err := readDoc(w[0])
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "accord:", err)
+		fmt.Fprintln(os.Stderr, "otterchute:", err)
 		return exitUsage
 	}
-	c, faults := compileSetup(1, doc)
+	c, faults := compileConfig(1, doc)
 	for _, f := range faults {
 		fmt.Fprintf(os.Stderr, "%s: %s %s\n", w[0], orText(f.Path, "the document"), f.Reason)
 	}
 	if len(faults) > 0 {
 		return exitFound
 	}
-	fmt.Printf("sound: %d queues, %d sites to empty\n", len(c.Queues), len(c.Empty))
+	fmt.Printf("sound: %d queues, %d sites to empty\n", len(c.Queues), len(c.EmptyZones))
 	for _, line := range c.explainContracts() {
 		fmt.Println(line)
 	}
 	return exitOK
 }
 
-func showHistory(ctx context.Context, c *downstream, _ []string) subcommands.ExitStatus {
-	t, err := c.ask(ctx, "GET", "/v1/setups/current", nil)
+func showHistory(ctx context.Context, c *client, _ []string) subcommands.ExitStatus {
+	t, err := c.request(ctx, "GET", "/v1/setups/current", nil)
 	if err != nil || t.status != 200 {
 		return show(t, err)
 	}
@@ -230,20 +230,20 @@
 	return exitOK
 }
 
-// emptySite reads the setup, changes its list of sites to empty and declares
+// emptyZone reads the setup, changes its list of sites to empty and declares
 // that as the next version; where another operator was first it begins again.
-func emptySite(ctx context.Context, c *downstream, w []string, empty bool) subcommands.ExitStatus {
+func emptyZone(ctx context.Context, c *client, w []string, empty bool) subcommands.ExitStatus {
 	if len(w) != 1 || !nameOK(w[0]) {
 		return usage("empty SITE | empty undo SITE")
 	}
 	for range 5 {
-		t, err := c.ask(ctx, "GET", "/v1/setups/current", nil)
+		t, err := c.request(ctx, "GET", "/v1/setups/current", nil)
 		if err != nil || t.status != 200 {
 			return show(t, err)
 		}
 		var doc map[string]json.RawMessage
 		if json.Unmarshal([]byte(gjson.GetBytes(t.body, "setup").Raw), &doc) != nil || doc == nil {
-			fmt.Fprintln(os.Stderr, "accord: there is no setup yet")
+			fmt.Fprintln(os.Stderr, "otterchute: there is no setup yet")
 			return exitFound
 		}
 		sites := []string{}
@@ -255,12 +255,12 @@
 		if empty {
 			sites = append(sites, w[0])
 		}
-		doc["empty_sites"] = jsonOf(sites)
-		t, err = c.ask(ctx, "PUT", "/v1/setups/"+strconv.FormatInt(gjson.GetBytes(t.body, "version").Int()+1, 10), jsonOf(doc))
+		doc["empty_sites"] = mustJSON(sites)
+		t, err = c.request(ctx, "PUT", "/v1/setups/"+strconv.FormatInt(gjson.GetBytes(t.body, "version").Int()+1, 10), mustJSON(doc))
 		if err != nil || t.status != 409 {
 			return show(t, err)
 		}
 	}
-	fmt.Fprintln(os.Stderr, "accord: other operators were faster each time; try again")
+	fmt.Fprintln(os.Stderr, "otterchute: other operators were faster each time; try again")
 	return exitFound
 }
--- a/accord/draft.go
+++ b/internal/daemon/draft.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"context"
@@ -174,17 +174,17 @@
 			}
 			text, err := readDoc(fs.Arg(0))
 			if err != nil {
-				fmt.Fprintln(os.Stderr, "accord:", err)
+				fmt.Fprintln(os.Stderr, "otterchute:", err)
 				return exitUsage
 			}
 			d, err := draftOf(string(text))
 			if err != nil {
-				fmt.Fprintf(os.Stderr, "accord: %s: %v\n", fs.Arg(0), err)
+				fmt.Fprintf(os.Stderr, "otterchute: %s: %v\n", fs.Arg(0), err)
 				return exitFound
 			}
-			doc := jsonOf(map[string]any{"note": "draft made of " + fs.Arg(0), "queues": d.queues})
-			if _, faults := compileSetup(1, doc); len(faults) > 0 {
-				fmt.Fprintf(os.Stderr, "accord: %s: line 1: %s %s\n", fs.Arg(0), faults[0].Path, faults[0].Reason)
+			doc := mustJSON(map[string]any{"note": "draft made of " + fs.Arg(0), "queues": d.queues})
+			if _, faults := compileConfig(1, doc); len(faults) > 0 {
+				fmt.Fprintf(os.Stderr, "otterchute: %s: line 1: %s %s\n", fs.Arg(0), faults[0].Path, faults[0].Reason)
 				return exitFound
 			}
 			for _, s := range d.dropped {
--- a/accord/durability_test.go
+++ b/internal/daemon/durability_test.go
@@ -1,7 +1,9 @@
-package main
+package daemon
 
 import (
 	"fmt"
+	"otterchute/internal/quorum"
+	"otterchute/internal/statestore"
 	"testing"
 
 	"github.com/shoenig/test/must"
@@ -52,12 +54,10 @@
 		}
 		must.True(t, b.until(20_000, ended))
 		for _, host := range b.disks() {
-			for _, sl := range b.nodes[host].sh.n.store.slices {
-				for _, c := range sl.past.chunks {
-					eachFrame(c.frames, func(_ int, r record) {
-						must.Greater(t, int64(wallStart), r.DoneMs, must.Sprint(host, " keeps ", r.ID, " as done at ", r.DoneMs))
-					})
-				}
+			for _, name := range b.nodes[host].sh.node.store.ShardNames() {
+				b.nodes[host].sh.node.store.Shard(name).EachFinished(func(r statestore.Record) {
+					must.Greater(t, int64(wallStart), r.DoneMs, must.Sprint(host, " keeps ", r.ID, " as done at ", r.DoneMs))
+				})
 			}
 		}
 		b.run(12_000) // past the next look for what was kept long enough
@@ -128,12 +128,13 @@
 		source.disk.plant(finishedEntry("mid", i, wallStart+int64(i)*1000))
 	}
 	keepFrom := int64(wallStart + gone*1000)
-	source.disk.plant(logEntry{Kind: entryDrop, Name: "mid", Epoch: uint64(keepFrom)})
+	source.disk.plant(statestore.Entry{Kind: statestore.EntryDrop, Name: "mid", Epoch: uint64(keepFrom)})
 	source.kill(false)
 	source.start()
-	past := source.sh.n.store.slice("mid").past
-	must.Greater(t, 3, past.first)
-	kept := len(past.index)
+	past := source.sh.node.store.Shard("mid")
+	firstChunk := past.FirstChunk()
+	must.Greater(t, 3, firstChunk)
+	kept := past.Finished()
 	must.Greater(t, many-gone-1, kept)
 
 	joiner := w.nodes["d02"]
@@ -142,22 +143,22 @@
 	joiner.wipe()
 	joiner.start()
 	asked := func() uint64 {
-		if j := joiner.sh.n.joining; j != nil && j.at["d00"].Slice == "mid" {
-			return j.at["d00"].Chunk
+		if j := joiner.sh.node.learner; j != nil && j.cursors["d00"].Shard == "mid" {
+			return j.cursors["d00"].Chunk
 		}
 		return 0
 	}
-	for end := w.nowMs() + 20_000; asked() < past.first+3 && w.nowMs() < end; {
+	for end := w.nowMs() + 20_000; asked() < firstChunk+3 && w.nowMs() < end; {
 		w.step()
 	}
-	must.Greater(t, past.first, asked())
+	must.Greater(t, firstChunk, asked())
 	source.disk.entries, source.disk.synced = nil, 0 // as after a snapshot
-	source.disk.plant(source.sh.n.store.dump()...)
+	source.disk.plant(source.sh.node.store.Dump()...)
 	source.kill(false)
 	source.start()
-	must.Less(t, past.first, source.sh.n.store.slice("mid").past.first)
+	must.Less(t, firstChunk, source.sh.node.store.Shard("mid").FirstChunk())
 	must.True(t, w.until(30_000, func() bool { return w.coreWhole() != nil }))
-	must.Eq(t, kept, len(joiner.sh.n.store.slice("mid").past.index))
+	must.Eq(t, kept, joiner.sh.node.store.Shard("mid").Finished())
 }
 
 // Finished jobs go only by a time that a majority of the core tells: a member that
@@ -178,19 +179,19 @@
 	w.nodes["d00"].start()
 	member.start()
 	w.run(25_000)
-	must.Eq(t, 100, len(member.sh.n.store.slice("mid").past.index))
+	must.Eq(t, 100, member.sh.node.store.Shard("mid").Finished())
 	member.skewMs = 0
 	w.heal()
 	w.run(25_000)
 	for _, name := range []string{"d00", "d01"} {
-		must.Eq(t, 100, len(w.nodes[name].sh.n.store.slice("mid").past.index), must.Sprint(name))
+		must.Eq(t, 100, w.nodes[name].sh.node.store.Shard("mid").Finished(), must.Sprint(name))
 	}
 	for _, name := range sorted(w.nodes) { // once a week has passed they go
 		w.nodes[name].skewMs = week
 	}
 	w.run(30_000)
 	for _, name := range []string{"d00", "d01"} {
-		must.Zero(t, len(w.nodes[name].sh.n.store.slice("mid").past.index), must.Sprint(name))
+		must.Zero(t, w.nodes[name].sh.node.store.Shard("mid").Finished(), must.Sprint(name))
 	}
 }
 
@@ -198,49 +199,49 @@
 // job as finished and another as live, only those who have not answered yet can say.
 func TestStateFromCoreDoesNotGoBack(t *testing.T) {
 	w := formed(t, 4, "ikenna")
-	n := w.nodes["d05"].sh.n
-	held := func(state int8, version, doneMs int64) []record {
+	n := w.nodes["d05"].sh.node
+	held := func(state int8, version, doneMs int64) []statestore.Record {
 		j := &job{ID: "j", Queue: "q", State: state, Version: version, DoneMs: doneMs}
-		return []record{{ID: "j", Epoch: 1, Version: version, Live: doneMs == 0, DoneMs: doneMs, Value: j.kept()}}
+		return []statestore.Record{{ID: "j", Epoch: 1, Version: version, Live: doneMs == 0, DoneMs: doneMs, Value: j.kept()}}
 	}
 	live, finished := held(jobRunning, 3, 0), held(jobComplete, 5, wallStart)
 	full := n.core
 	for _, c := range []struct {
 		members int
-		answers [][]record
+		answers [][]statestore.Record
 		want    string
 	}{
-		{3, [][]record{finished, live, finished}, "complete"},
-		{3, [][]record{live, finished, finished}, "complete"},
-		{3, [][]record{live, finished, live}, "running"}, // nobody can have been told of that end
-		{3, [][]record{live, live}, "running"},
-		{3, [][]record{finished, finished}, "complete"},
-		{3, [][]record{finished, live}, ""},
-		{2, [][]record{finished, live}, ""}, // it may have been told by who left since, and this member
-		{2, [][]record{live, live}, "running"},
-		{4, [][]record{live, finished, live}, ""},
-		{4, [][]record{live, finished, finished, live}, ""}, // and here before the set grew
-		{4, [][]record{finished, live, finished, finished}, "complete"},
+		{3, [][]statestore.Record{finished, live, finished}, "complete"},
+		{3, [][]statestore.Record{live, finished, finished}, "complete"},
+		{3, [][]statestore.Record{live, finished, live}, "running"}, // nobody can have been told of that end
+		{3, [][]statestore.Record{live, live}, "running"},
+		{3, [][]statestore.Record{finished, finished}, "complete"},
+		{3, [][]statestore.Record{finished, live}, ""},
+		{2, [][]statestore.Record{finished, live}, ""}, // it may have been told by who left since, and this member
+		{2, [][]statestore.Record{live, live}, "running"},
+		{4, [][]statestore.Record{live, finished, live}, ""},
+		{4, [][]statestore.Record{live, finished, finished, live}, ""}, // and here before the set grew
+		{4, [][]statestore.Record{finished, live, finished, finished}, "complete"},
 	} {
 		n.out, n.core = nil, full
 		if c.members < len(full.Members) {
 			n.core.Members = full.Members[:c.members]
 		} else if c.members > len(full.Members) {
-			n.core = full.with(coreMember{"d03", 1})
+			n.core = full.With(quorum.Member{Name: "d03", DiskID: 1})
 		}
-		n.fresh.earn(budgetMost)
-		n.giveUpOn(&ask{id: 7, op: "job.get", key: "j", atMs: n.now}, "no owner")
+		n.coreReads.earn(retryBudgetMax)
+		n.readFromCore(&request{id: 7, op: "job.get", key: "j", atMs: n.now}, "no owner")
 		op, state := n.opSeq, ""
 		for i, records := range c.answers {
 			must.Eq(t, "", state, must.Sprint("answered before ", i))
-			head := wireHead{From: fmt.Sprint("d0", i), To: n.Life}
-			for _, e := range reduce(n, event{NowMs: n.now, WallMs: n.wall, Body: evMsg{Head: head, Msg: &fetchedMsg{Op: op, Records: records}}}) {
+			head := frameHeader{From: fmt.Sprint("d0", i), To: n.Instance}
+			for _, e := range reduce(n, event{NowMs: n.now, WallMs: n.wall, Body: evMsg{Head: head, Msg: &fetchResponse{Op: op, Records: records}}}) {
 				if r, ok := e.(effReply); ok {
 					state = gjson.GetBytes(r.Body, "state").Str
 				}
 			}
 		}
 		must.Eq(t, c.want, state, must.Sprint(len(c.answers), " answers"))
-		delete(n.reads, op)
+		delete(n.quorumReads, op)
 	}
 }
--- a/accord/entering_test.go
+++ b/internal/daemon/entering_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"testing"
@@ -16,7 +16,7 @@
 	_, owner := frontAndOwner(t, w)
 	id, queue := idOwnedBy(w, owner, "job"), w.dep.SetupOf().Queues[0].Name
 	w.detain = func(_, _ string, msg any) int64 {
-		if _, ok := msg.(*fetchedMsg); ok {
+		if _, ok := msg.(*fetchResponse); ok {
 			return 100_000 // so long the owner looks
 		}
 		return 0
@@ -53,7 +53,7 @@
 	_, owner := frontAndOwner(t, w)
 	id, queue := idOwnedBy(w, owner, "job"), w.dep.SetupOf().Queues[0].Name
 	w.detain = func(_, _ string, msg any) int64 {
-		if _, ok := msg.(*fetchedMsg); ok {
+		if _, ok := msg.(*fetchResponse); ok {
 			return 100_000
 		}
 		return 0
@@ -66,9 +66,9 @@
 	send("job.put", jobBody(queue))
 	send("job.state", nil)
 	send("job.cancel", nil)
-	owner.sh.n.setup.confirmedMs = -1 << 40 // the setup isn't confirmed when the look has ended
+	owner.sh.node.config.confirmedMs = -1 << 40 // the setup isn't confirmed when the look has ended
 	w.detain = func(_, _ string, msg any) int64 {
-		if _, ok := msg.(*pollAck); ok {
+		if _, ok := msg.(*pollResponse); ok {
 			return 2_000_000
 		}
 		return 0
--- a/accord/errors.go
+++ b/internal/daemon/errors.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import "github.com/go-faster/errors"
 
--- a/accord/experiment.go
+++ b/internal/daemon/experiment.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"bytes"
@@ -76,9 +76,9 @@
 	least, most, def int64
 	of               func(*experiment) *int64
 }{
-	"daemons": {3, siblingsMax, 8, func(e *experiment) *int64 { return &e.Daemons }},
+	"daemons": {3, peersMax, 8, func(e *experiment) *int64 { return &e.Daemons }},
 	"sites":   {1, 12, 3, func(e *experiment) *int64 { return &e.Sites }},
-	"workers": {0, siblingsMax, 0, func(e *experiment) *int64 { return &e.Workers }},
+	"workers": {0, peersMax, 0, func(e *experiment) *int64 { return &e.Workers }},
 	"room":    {1, 1 << 20, 16, func(e *experiment) *int64 { return &e.Room }},
 	"running": {0, 20_000, 0, func(e *experiment) *int64 { return &e.Running }},
 	"starts":  {0, 1000, 0, func(e *experiment) *int64 { return &e.Starts }},
@@ -95,17 +95,17 @@
 	"port":    {1024, 30_000, 10_000, func(e *experiment) *int64 { return &e.Port }},
 }
 
-var experimentFields = func() fieldSpec {
-	s := fieldSpec{Kind: "object", Fields: map[string]fieldSpec{
+var experimentFields = func() fieldSchema {
+	s := fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
 		"about": {Kind: "text", Max: 2000},
-		"sweep": {Kind: "object", Fields: map[string]fieldSpec{"of": {Kind: "name", Required: true},
-			"sizes": {Kind: "list", Required: true, Min: 1, Max: 20, Elem: &fieldSpec{Kind: "count"}}}},
-		"faults": {Kind: "list", Max: 100, Elem: &fieldSpec{Kind: "object", Fields: map[string]fieldSpec{
+		"sweep": {Kind: "object", Fields: map[string]fieldSchema{"of": {Kind: "name", Required: true},
+			"sizes": {Kind: "list", Required: true, Min: 1, Max: 20, Elem: &fieldSchema{Kind: "count"}}}},
+		"faults": {Kind: "list", Max: 100, Elem: &fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
 			"at_s": {Kind: "count", Required: true}, "do": {Kind: "name", Required: true},
 			"daemon": {Kind: "count"}, "role": {Kind: "text", Max: 40}, "site": {Kind: "name"}, "for_s": {Kind: "count", Required: true, Min: 1}}}},
 	}}
 	for name, f := range experimentNumbers {
-		s.Fields[name] = fieldSpec{Kind: "count", Min: f.least, Max: f.most}
+		s.Fields[name] = fieldSchema{Kind: "count", Min: f.least, Max: f.most}
 	}
 	return s
 }()
@@ -114,7 +114,7 @@
 //
 // Example: e, faults := readExperiment("workers", []byte(`{"daemons": 8, "sweep": {"of": "workers", "sizes": [10, 20]}}`))
 func readExperiment(name string, doc []byte) (*experiment, []fault) {
-	if f := checkDoc(doc, experimentFields); len(f) > 0 {
+	if f := checkDocument(doc, experimentFields); len(f) > 0 {
 		return nil, f
 	}
 	e, root := &experiment{Name: name}, gjson.ParseBytes(doc)
@@ -167,7 +167,7 @@
 		return h.start(ctx)
 	},
 	"silence": func(_ context.Context, h *hollow, forS int64) error {
-		h.loop.post(func(*shell) { time.Sleep(time.Duration(forS) * time.Second) })
+		h.loop.post(func(*executor) { time.Sleep(time.Duration(forS) * time.Second) })
 		return nil
 	},
 }
@@ -232,21 +232,21 @@
 }
 
 // call makes one HTTP call; status 0 stands for silence.
-func call(ctx context.Context, c *http.Client, method, url string, body []byte) told {
+func call(ctx context.Context, c *http.Client, method, url string, body []byte) response {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return told{}
+		return response{}
 	}
 	resp, err := c.Do(req)
 	if err != nil {
-		return told{}
+		return response{}
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(io.LimitReader(resp.Body, frameMax))
 	if err != nil {
-		return told{}
+		return response{}
 	}
-	return told{resp.StatusCode, b}
+	return response{resp.StatusCode, b}
 }
 
 func (c *callers) fail() {
@@ -258,7 +258,7 @@
 }
 
 // insist calls one daemon after the other until one answers for good.
-func (c *callers) insist(ctx context.Context, first int, method, path string, body []byte) told {
+func (c *callers) insist(ctx context.Context, first int, method, path string, body []byte) response {
 	for i := first; ctx.Err() == nil; i++ {
 		t := call(ctx, &c.calls, method, "http://"+c.fleet.daemons[i%c.fleet.edges].settings.HTTP+path, body)
 		if t.status != 0 && t.status != 503 && t.status != 429 {
@@ -267,7 +267,7 @@
 		c.fail()
 		time.Sleep(200 * time.Millisecond)
 	}
-	return told{}
+	return response{}
 }
 
 // declare makes the next version of the setup and waits until it is in force everywhere.
@@ -278,7 +278,7 @@
 		queues[i] = map[string]any{"name": fmt.Sprintf("q%04d", i), "urgency": i % 100, "max_live_jobs": queueJobsMax}
 	}
 	began := time.Now()
-	t := c.insist(ctx, int(c.version), "PUT", fmt.Sprint("/v1/setups/", c.version), jsonOf(map[string]any{"note": fmt.Sprint("version ", c.version), "queues": queues}))
+	t := c.insist(ctx, int(c.version), "PUT", fmt.Sprint("/v1/setups/", c.version), mustJSON(map[string]any{"note": fmt.Sprint("version ", c.version), "queues": queues}))
 	if t.status != 200 && t.status != 409 { // 409: an earlier try of this very version came through
 		return errors.Wrapf(errExperiment, "the setup was answered %d %s", t.status, t.body)
 	}
@@ -295,7 +295,7 @@
 }
 
 func (c *callers) submit(ctx context.Context, id string, tasks, ms int64, gang bool, first int) error {
-	body := jsonOf(map[string]any{"queue": fmt.Sprintf("q%04d", first%int(c.e.Queues)), "payload": map[string]any{"ms": ms},
+	body := mustJSON(map[string]any{"queue": fmt.Sprintf("q%04d", first%int(c.e.Queues)), "payload": map[string]any{"ms": ms},
 		"steps": []any{map[string]any{"name": "a", "count": tasks, "room": 1, "limit_ms": max(4*ms, 60_000), "estimate_ms": ms, "allowed_failures": 3, "gang": gang}}})
 	c.mu.Lock()
 	c.sent[id] = time.Now()
@@ -784,7 +784,7 @@
 		do: func(ctx context.Context, fs *flag.FlagSet) subcommands.ExitStatus {
 			if *target != "" {
 				if err := tellTarget(*target, *results, os.Stdout); err != nil {
-					fmt.Fprintln(os.Stderr, "accord:", err)
+					fmt.Fprintln(os.Stderr, "otterchute:", err)
 					return exitFound
 				}
 				return exitOK
@@ -797,7 +797,7 @@
 			for _, path := range fs.Args() {
 				doc, err := readDoc(path)
 				if err != nil {
-					fmt.Fprintln(os.Stderr, "accord:", err)
+					fmt.Fprintln(os.Stderr, "otterchute:", err)
 					return exitUsage
 				}
 				e, faults := readExperiment(strings.TrimSuffix(filepath.Base(path), ".json"), doc)
@@ -812,7 +812,7 @@
 					err = report(e, rows, kinds, *results, os.Stdout)
 				}
 				if err != nil {
-					fmt.Fprintln(os.Stderr, "accord:", err)
+					fmt.Fprintln(os.Stderr, "otterchute:", err)
 					return exitFound
 				}
 			}
--- a/accord/experiment_test.go
+++ b/internal/daemon/experiment_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"fmt"
@@ -102,7 +102,7 @@
 // Every kind of message has a role that sends it and one that takes it.
 func TestKindRoles(t *testing.T) {
 	for _, typ := range messageTypes {
-		roles := kindRoles[typ.Name()]
+		roles := kindRoles[typ]
 		must.NotEq(t, "", roles[0], must.Sprint(typ.Name()))
 		must.NotEq(t, "", takerOf(reflect.New(typ).Interface()), must.Sprint(typ.Name()))
 	}
@@ -121,7 +121,7 @@
 		must.Len(t, 1, faults, must.Sprint(c.doc))
 		must.Eq(t, c.path, faults[0].Path)
 	}
-	files, err := filepath.Glob("../experiments/[^t]*.json") // all but the target
+	files, err := filepath.Glob("../../experiments/[^t]*.json") // all but the target
 	must.NoError(t, err)
 	for _, path := range files {
 		doc, err := os.ReadFile(path)
--- a/accord/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -1,12 +1,12 @@
-package main
+package daemon
 
 import (
 	"fmt"
+	"otterchute/internal/historycheck"
+	"otterchute/internal/statestore"
 	"slices"
 	"testing"
 
-	"otterchute/verdict"
-
 	"github.com/shoenig/test/must"
 )
 
@@ -62,7 +62,7 @@
 type sentAnswer struct {
 	caller string
 	from   *simNode
-	call   evAsk
+	call   evRequest
 	status int
 }
 
@@ -89,10 +89,10 @@
 // install adds a machine like another one, with an empty disk and at a new
 // address. Whoever installs it names machines that stand now as its seeds.
 func (w *world) install(like *simNode, name string, number int, seeds []string) *simNode {
-	n := &simNode{w: w, disk: &simDisk{w: w, host: name}, place: like.place}
-	n.place.Name, n.place.Seeds, n.place.FirstStart = name, seeds, false
-	n.place.Addr, n.place.HTTP = fmt.Sprintf("10.8.0.%d:7000", number), fmt.Sprintf("10.8.0.%d:8000", number)
-	n.place.DiskID = w.rng.Uint64() | 1
+	n := &simNode{w: w, disk: &simDisk{w: w, host: name}, nodeConfig: like.nodeConfig}
+	n.nodeConfig.Name, n.nodeConfig.Seeds, n.nodeConfig.FirstStart = name, seeds, false
+	n.nodeConfig.Addr, n.nodeConfig.HTTP = fmt.Sprintf("10.8.0.%d:7000", number), fmt.Sprintf("10.8.0.%d:8000", number)
+	n.nodeConfig.DiskID = w.rng.Uint64() | 1
 	w.nodes[name] = n
 	return n
 }
@@ -103,7 +103,7 @@
 	if n.up {
 		n.kill(true)
 	}
-	n.removed, n.place.Disk = true, false
+	n.removed, n.nodeConfig.Disk = true, false
 }
 
 // stopOrKill sends SIGTERM, and SIGKILL once the grace is over.
@@ -209,7 +209,7 @@
 
 // zoneHosts gives the machines that stand in a zone.
 func (b *beatWorld) zoneHosts(zone string) []string {
-	return slices.DeleteFunc(sorted(b.nodes), func(host string) bool { return b.nodes[host].removed || b.nodes[host].Site != zone })
+	return slices.DeleteFunc(sorted(b.nodes), func(host string) bool { return b.nodes[host].removed || b.nodes[host].Zone != zone })
 }
 
 // loseZone takes the power of a zone's machines and workers for a while.
@@ -238,7 +238,7 @@
 	}
 	name := fmt.Sprintf("n%02d", b.newHosts)
 	n := b.install(b.nodes[of], name, b.newHosts, seeds)
-	n.place.Disk = true
+	n.nodeConfig.Disk = true
 	for _, list := range [][]string{b.edgeHosts, b.diskHosts} {
 		if i := slices.Index(list, of); i >= 0 {
 			list[i] = name
@@ -347,11 +347,11 @@
 	must.True(t, b.putNow(5000), must.Sprint("two disks of three take a change"))
 	b.run(1000)
 	must.True(t, n.disk.failed)
-	must.False(t, n.sh.n.inCore())
+	must.False(t, n.sh.node.inCore())
 	must.True(t, b.putNow(5000))
 	must.LessEq(t, synced, n.disk.synced)
 	undo()
-	must.True(t, b.until(3000, func() bool { return n.sh.n.inCore() && n.disk.synced > synced }), must.Sprint("it is back without a restart"))
+	must.True(t, b.until(3000, func() bool { return n.sh.node.inCore() && n.disk.synced > synced }), must.Sprint("it is back without a restart"))
 	must.True(t, b.until(5000, func() bool { return len(b.coreWhole()) == coreSize }))
 	must.True(t, b.putNow(5000))
 }
@@ -372,7 +372,7 @@
 		n.start()
 		must.True(t, b.putNow(5000))
 		b.run(2000)
-		must.False(t, n.sh.n.inCore())
+		must.False(t, n.sh.node.inCore())
 		undo()
 		must.True(t, b.until(8000, func() bool { return len(b.coreWhole()) == coreSize }))
 	}
@@ -407,16 +407,16 @@
 func TestFaultTornBatch(t *testing.T) {
 	left := map[int]bool{}
 	stopped := func(seed uint64, power bool) int {
-		w := newWorld(seed, verdict.Deployments["hakata"])
+		w := newWorld(seed, historycheck.Deployments["hakata"])
 		n := w.nodes["d00"]
 		w.run(400)
 		d := n.disk
 		d.stop(false)
-		d.append(n, []logEntry{{}}, func() {})
+		d.append(n, []statestore.Entry{{}}, func() {})
 		w.run(10)
 		synced := d.synced
-		d.append(n, []logEntry{{}, {}, {}}, func() { t.Error("it was acknowledged") })
-		d.append(n, []logEntry{{}}, func() { t.Error("it was acknowledged") })
+		d.append(n, []statestore.Entry{{}, {}, {}}, func() { t.Error("it was acknowledged") })
+		d.append(n, []statestore.Entry{{}}, func() { t.Error("it was acknowledged") })
 		n.kill(power)
 		w.run(100)
 		return len(d.entries) - synced
@@ -434,7 +434,7 @@
 	must.True(t, b.until(10_000, func() bool { return b.nodes["d01"].removed }))
 	must.Eq(t, []string{"d00", "n01", "d02"}, b.disks())
 	must.True(t, b.until(15_000, func() bool { return len(b.coreWhole()) == coreSize }), must.Sprint("the new machine has the seat"))
-	must.True(t, b.nodes["n01"].sh.n.inCore())
+	must.True(t, b.nodes["n01"].sh.node.inCore())
 	b.nodes["d01"].start()
 	must.False(t, b.nodes["d01"].up)
 }
@@ -522,7 +522,7 @@
 	try("d02", "d00")
 	b.run(10)
 	must.MapLen(t, 1, arrived)
-	zone := b.nodes["d00"].Site
+	zone := b.nodes["d00"].Zone
 	undo := b.cutZone(zone)
 	must.False(t, b.cuts[[2]string{"d00", "d03"}])
 	must.True(t, b.cuts[[2]string{"d00", "d01"}])
--- a/accord/fence_test.go
+++ b/internal/daemon/fence_test.go
@@ -1,10 +1,11 @@
-package main
+package daemon
 
 import (
+	"otterchute/internal/codec"
+	"otterchute/internal/register"
+	"otterchute/internal/statestore"
 	"testing"
 
-	"otterchute/register"
-
 	"github.com/shoenig/test/must"
 )
 
@@ -12,7 +13,7 @@
 // what it sends back.
 func coreMemberOf(t *testing.T) (*node, func(from string, msg any) any) {
 	w := formed(t, 4, "ikenna")
-	n := w.nodes["d01"].sh.n
+	n := w.nodes["d01"].sh.node
 	return n, func(from string, msg any) any {
 		var back any
 		look := func(effects []effect) {
@@ -22,7 +23,7 @@
 				}
 			}
 		}
-		for _, e := range reduce(n, event{NowMs: n.now, WallMs: n.wall, Seed: 1, Body: evMsg{Head: wireHead{From: from, Cluster: n.core.Cluster, To: addressOf(n.Name)}, Msg: msg}}) {
+		for _, e := range reduce(n, event{NowMs: n.now, WallMs: n.wall, Seed: 1, Body: evMsg{Head: frameHeader{From: from, Cluster: n.core.Cluster, To: addressOf(n.Name)}, Msg: msg}}) {
 			if a, ok := e.(effAppend); ok {
 				look(a.Then)
 			} else {
@@ -37,13 +38,13 @@
 func TestOldEpochIsFenced(t *testing.T) {
 	n, say := coreMemberOf(t)
 	v := n.core.Version
-	must.True(t, say("d09", &sealMsg{CoreVer: v, Slice: "fenced", Epoch: 7}).(*sealedMsg).OK)
-	rec := []record{{ID: "j", Epoch: 6, Version: 3, Live: true}}
-	must.False(t, say("d08", &writeMsg{CoreVer: v, Slice: "fenced", Epoch: 6, Seq: 1, Records: rec}).(*wroteMsg).OK)
-	must.Zero(t, n.store.records("fenced"))
-	must.False(t, say("d08", &sealMsg{CoreVer: v, Slice: "fenced", Epoch: 6}).(*sealedMsg).OK)
-	must.True(t, say("d09", &writeMsg{CoreVer: v, Slice: "fenced", Epoch: 7, Seq: 1, Records: rec}).(*wroteMsg).OK)
-	must.Nil(t, say("d09", &writeMsg{CoreVer: v - 1, Slice: "fenced", Epoch: 7, Seq: 2, Records: rec})) // asked under another core set
+	must.True(t, say("d09", &sealRequest{CoreVer: v, Slice: "fenced", Epoch: 7}).(*sealResponse).OK)
+	rec := []statestore.Record{{ID: "j", Epoch: 6, Version: 3, Live: true}}
+	must.False(t, say("d08", &writeRequest{CoreVer: v, Slice: "fenced", Epoch: 6, Seq: 1, Records: rec}).(*writeResponse).OK)
+	must.Zero(t, recordsIn(n.store, "fenced"))
+	must.False(t, say("d08", &sealRequest{CoreVer: v, Slice: "fenced", Epoch: 6}).(*sealResponse).OK)
+	must.True(t, say("d09", &writeRequest{CoreVer: v, Slice: "fenced", Epoch: 7, Seq: 1, Records: rec}).(*writeResponse).OK)
+	must.Nil(t, say("d09", &writeRequest{CoreVer: v - 1, Slice: "fenced", Epoch: 7, Seq: 2, Records: rec})) // asked under another core set
 }
 
 // A lease excludes others until it ends, and a member that has just started
@@ -51,7 +52,7 @@
 func TestLeaseExcludes(t *testing.T) {
 	n, say := coreMemberOf(t)
 	poll := func(from string, inc uint64) bool {
-		return say(from, &pollMsg{Inc: inc, CoreVer: n.core.Version, Holds: []dutyAsk{{Name: "slice/some"}}}).(*pollAck).Granted[0]
+		return say(from, &pollRequest{Incarnation: inc, CoreVer: n.core.Version, Holds: []leaseRequest{{Name: "slice/some"}}}).(*pollResponse).Granted[0]
 	}
 	must.True(t, poll("x08", 1))
 	must.True(t, poll("x08", 1))
@@ -60,8 +61,8 @@
 	n.now += leaseMs + 1
 	must.True(t, poll("x09", 1))
 	n.now += leaseMs + 1
-	n.store.guardMs = n.now + leaseMs // as after a start
-	n.store.reg("duty/slice/some").Value = pack(nil, dutyView{Name: "slice/some", Holder: "x07", Inc: 5, Addr: "10.0.0.7:7000", Epoch: 3})
+	n.granter.guardMs = n.now + leaseMs // as after a start
+	n.store.Register("duty/slice/some").Value = codec.Append(nil, roleHolder{Name: "slice/some", Holder: "x07", Incarnation: 5, Addr: "10.0.0.7:7000", Epoch: 3})
 	must.False(t, poll("x09", 1))
 	n.now += leaseMs
 	must.True(t, poll("x09", 1))
@@ -72,11 +73,11 @@
 // address the former may still run.
 func TestLeaseOfALifeThatIsOver(t *testing.T) {
 	n, say := coreMemberOf(t)
-	poll := func(from string, inc uint64) *pollAck {
-		return say(from, &pollMsg{Inc: inc, CoreVer: n.core.Version, Holds: []dutyAsk{{Name: "slice/some"}}}).(*pollAck)
+	poll := func(from string, inc uint64) *pollResponse {
+		return say(from, &pollRequest{Incarnation: inc, CoreVer: n.core.Version, Holds: []leaseRequest{{Name: "slice/some"}}}).(*pollResponse)
 	}
 	heard := func(name string, inc uint64, addr string) {
-		n.siblings[name] = &siblingState{sibling: sibling{Name: name, Inc: inc, Addr: addr}, heardMs: n.now}
+		n.peers[name] = &peer{peerInfo: peerInfo{Name: name, Incarnation: inc, Addr: addr}, heardMs: n.now}
 	}
 	heard("x08", 1, "10.0.0.8:7000")
 	heard("x09", 1, "10.0.0.9:7000")
@@ -87,9 +88,9 @@
 	must.True(t, poll("x09", 1).Granted[0])
 
 	// After a start the grants are forgotten: what the register says of the last holder counts.
-	n.store.grants = map[string]*grant{}
-	n.store.guardMs = n.now + leaseMs
-	n.store.reg("duty/slice/some").Value = pack(nil, dutyView{Name: "slice/some", Holder: "x07", Inc: 5, Addr: "10.0.0.7:7000", Epoch: 3})
+	n.granter.grants = map[string]*leaseGrant{}
+	n.granter.guardMs = n.now + leaseMs
+	n.store.Register("duty/slice/some").Value = codec.Append(nil, roleHolder{Name: "slice/some", Holder: "x07", Incarnation: 5, Addr: "10.0.0.7:7000", Epoch: 3})
 	must.False(t, poll("x09", 1).Granted[0])
 	heard("x07", 6, "10.0.0.77:7000")
 	must.False(t, poll("x09", 1).Granted[0])
@@ -103,17 +104,17 @@
 // that builds on an older one is lost.
 func TestDutyTakenMeanwhile(t *testing.T) {
 	n, _ := coreMemberOf(t)
-	n.duties["slice/some"] = &duty{name: "slice/some", seen: 3}
+	n.roles["slice/some"] = &roleLease{name: "slice/some", knownEpoch: 3}
 	cur := func(holder string, inc, epoch uint64) []byte {
-		return pack(nil, dutyView{Name: "slice/some", Holder: holder, Inc: inc, Epoch: epoch})
+		return codec.Append(nil, roleHolder{Name: "slice/some", Holder: holder, Incarnation: inc, Epoch: epoch})
 	}
 	decide := func(current []byte) register.Decision {
-		decision, _ := computeDuty(n, &casOp{arg: []byte("slice/some")}, current)
+		decision, _ := advanceEpoch(n, &registerChange{arg: []byte("slice/some")}, current)
 		return decision
 	}
 	must.Eq(t, register.Replace, decide(cur("d07", 5, 3)))
 	must.Eq(t, register.Refuse, decide(cur("d09", 1, 4)))
-	must.Eq(t, register.Replace, decide(cur(n.Name, n.Inc, 4))) // an own earlier try
+	must.Eq(t, register.Replace, decide(cur(n.Name, n.Incarnation, 4))) // an own earlier try
 }
 
 // A finished record that only a minority may hold is told to a new owner until
@@ -122,36 +123,36 @@
 func TestUnsureFinishIsWrittenBack(t *testing.T) {
 	n, say := coreMemberOf(t)
 	v := n.core.Version
-	sealed := func(epoch uint64) []record {
-		return say("d09", &sealMsg{CoreVer: v, Slice: "s", Epoch: epoch}).(*sealedMsg).Records
+	sealed := func(epoch uint64) []statestore.Record {
+		return say("d09", &sealRequest{CoreVer: v, Slice: "s", Epoch: epoch}).(*sealResponse).Records
 	}
 	sealed(1)
-	finished := record{ID: "j", Epoch: 1, Version: 4, DoneMs: 5, Value: (&job{ID: "j", Queue: "q", State: jobComplete, DoneMs: 5, Version: 4}).kept()}
-	say("d09", &writeMsg{CoreVer: v, Slice: "s", Epoch: 1, Seq: 1, Records: []record{finished}})
+	finished := statestore.Record{ID: "j", Epoch: 1, Version: 4, DoneMs: 5, Value: (&job{ID: "j", Queue: "q", State: jobComplete, DoneMs: 5, Version: 4}).kept()}
+	say("d09", &writeRequest{CoreVer: v, Slice: "s", Epoch: 1, Seq: 1, Records: []statestore.Record{finished}})
 	must.Len(t, 1, sealed(2))
-	say("d09", &writeMsg{CoreVer: v, Slice: "s", Epoch: 2, Seq: 1, Settled: []string{"j"}})
+	say("d09", &writeRequest{CoreVer: v, Slice: "s", Epoch: 2, Seq: 1, Confirmed: []string{"j"}})
 	must.Len(t, 0, sealed(3))
-	again := newStore()
-	for _, e := range n.store.dump() {
-		again.apply(e)
+	again := statestore.New()
+	for _, e := range n.store.Dump() {
+		again.Apply(e)
 	}
-	must.MapEmpty(t, again.slice("s").unsure)
+	must.SliceEmpty(t, again.Shard("s").Unconfirmed())
 
 	w := formed(t, 4, "ikenna")
 	must.True(t, w.until(5000, func() bool { return w.holderOf("slice/east") != nil }))
-	owner := w.holderOf("slice/east").sh.n
-	owner.startSlice(&duty{name: "slice/east", epoch: 99})
-	var wrote []record
-	for from, recs := range map[string][]record{"d00": nil, "d01": {finished}} {
-		for _, e := range reduce(owner, event{NowMs: owner.now, WallMs: owner.wall, Body: evMsg{Head: wireHead{From: from, To: owner.Life}, Msg: &sealedMsg{CoreVer: owner.core.Version, Slice: "east", Epoch: 99, OK: true, Records: recs}}}) {
+	owner := w.holderOf("slice/east").sh.node
+	owner.startShard(&roleLease{name: "slice/east", epoch: 99})
+	var wrote []statestore.Record
+	for from, recs := range map[string][]statestore.Record{"d00": nil, "d01": {finished}} {
+		for _, e := range reduce(owner, event{NowMs: owner.now, WallMs: owner.wall, Body: evMsg{Head: frameHeader{From: from, To: owner.Instance}, Msg: &sealResponse{CoreVer: owner.core.Version, Slice: "east", Epoch: 99, OK: true, Records: recs}}}) {
 			if s, ok := e.(effSend); ok {
-				if m, ok := s.Msg.(*writeMsg); ok {
+				if m, ok := s.Msg.(*writeRequest); ok {
 					wrote = m.Records
 				}
-				if m, ok := s.Msg.(*fetchMsg); ok { // the other member is asked for it by name
-					for _, e := range reduce(owner, event{NowMs: owner.now, WallMs: owner.wall, Body: evMsg{Head: wireHead{From: s.To, To: owner.Life}, Msg: &fetchedMsg{Op: m.Op}}}) {
+				if m, ok := s.Msg.(*fetchRequest); ok { // the other member is asked for it by name
+					for _, e := range reduce(owner, event{NowMs: owner.now, WallMs: owner.wall, Body: evMsg{Head: frameHeader{From: s.To, To: owner.Instance}, Msg: &fetchResponse{Op: m.Op}}}) {
 						if s, ok := e.(effSend); ok {
-							if m, ok := s.Msg.(*writeMsg); ok {
+							if m, ok := s.Msg.(*writeRequest); ok {
 								wrote = m.Records
 							}
 						}
--- a/accord/fields.go
+++ b/internal/daemon/fields.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"slices"
@@ -7,33 +7,33 @@
 	"github.com/tidwall/gjson"
 )
 
-// fieldSpec says what a field of a document may be. Setups, jobs, reports and
+// fieldSchema says what a field of a document may be. Setups, jobs, reports and
 // the settings file are all checked by such tables.
-type fieldSpec struct {
+type fieldSchema struct {
 	Kind     string
 	Required bool
 	Min, Max int64 // of a number, or of a list's or text's length
-	Fields   map[string]fieldSpec
-	Elem     *fieldSpec
+	Fields   map[string]fieldSchema
+	Elem     *fieldSchema
 }
 
-var fieldKinds map[string]func(gjson.Result, string, fieldSpec, *[]fault)
+var fieldKinds map[string]func(gjson.Result, string, fieldSchema, *[]fault)
 
 func init() {
-	fieldKinds = map[string]func(gjson.Result, string, fieldSpec, *[]fault){
-		"text": func(v gjson.Result, path string, s fieldSpec, out *[]fault) {
+	fieldKinds = map[string]func(gjson.Result, string, fieldSchema, *[]fault){
+		"text": func(v gjson.Result, path string, s fieldSchema, out *[]fault) {
 			if v.Type != gjson.String {
 				*out = append(*out, fault{path, "must be a text"})
 			} else if n := int64(len(v.Str)); n < s.Min || s.Max > 0 && n > s.Max {
 				*out = append(*out, fault{path, "must have " + bounds(s) + " bytes"})
 			}
 		},
-		"name": func(v gjson.Result, path string, _ fieldSpec, out *[]fault) {
+		"name": func(v gjson.Result, path string, _ fieldSchema, out *[]fault) {
 			if v.Type != gjson.String || !nameOK(v.Str) {
 				*out = append(*out, fault{path, "must be a name: 1 to 128 letters, digits, '-', '_', '.' or ':'"})
 			}
 		},
-		"count": func(v gjson.Result, path string, s fieldSpec, out *[]fault) {
+		"count": func(v gjson.Result, path string, s fieldSchema, out *[]fault) {
 			i, err := strconv.ParseInt(v.Raw, 10, 64)
 			if v.Type != gjson.Number || err != nil {
 				*out = append(*out, fault{path, "must be a whole number"})
@@ -41,17 +41,17 @@
 				*out = append(*out, fault{path, "must be " + bounds(s)})
 			}
 		},
-		"number": func(v gjson.Result, path string, _ fieldSpec, out *[]fault) {
+		"number": func(v gjson.Result, path string, _ fieldSchema, out *[]fault) {
 			if v.Type != gjson.Number || v.Num < 0 {
 				*out = append(*out, fault{path, "must be a number of 0 or more"})
 			}
 		},
-		"flag": func(v gjson.Result, path string, _ fieldSpec, out *[]fault) {
+		"flag": func(v gjson.Result, path string, _ fieldSchema, out *[]fault) {
 			if !v.IsBool() {
 				*out = append(*out, fault{path, "must be true or false"})
 			}
 		},
-		"room": func(v gjson.Result, path string, _ fieldSpec, out *[]fault) {
+		"room": func(v gjson.Result, path string, _ fieldSchema, out *[]fault) {
 			if v.IsObject() {
 				any := false
 				v.ForEach(func(k, e gjson.Result) bool {
@@ -69,9 +69,9 @@
 				}
 				return
 			}
-			checkField(v, path, fieldSpec{Kind: "count", Min: 1, Max: 1 << 40}, out)
+			checkField(v, path, fieldSchema{Kind: "count", Min: 1, Max: 1 << 40}, out)
 		},
-		"labels": func(v gjson.Result, path string, _ fieldSpec, out *[]fault) {
+		"labels": func(v gjson.Result, path string, _ fieldSchema, out *[]fault) {
 			if !v.IsObject() {
 				*out = append(*out, fault{path, "must be an object of names to texts"})
 				return
@@ -83,7 +83,7 @@
 				return true
 			})
 		},
-		"choices": func(v gjson.Result, path string, _ fieldSpec, out *[]fault) {
+		"choices": func(v gjson.Result, path string, _ fieldSchema, out *[]fault) {
 			if !v.IsObject() {
 				*out = append(*out, fault{path, "must be an object of label names to lists of values"})
 				return
@@ -99,7 +99,7 @@
 				return true
 			})
 		},
-		"list": func(v gjson.Result, path string, s fieldSpec, out *[]fault) {
+		"list": func(v gjson.Result, path string, s fieldSchema, out *[]fault) {
 			if !v.IsArray() {
 				*out = append(*out, fault{path, "must be a list"})
 				return
@@ -113,7 +113,7 @@
 				checkField(e, path+"."+strconv.Itoa(i), *s.Elem, out)
 			}
 		},
-		"object": func(v gjson.Result, path string, s fieldSpec, out *[]fault) {
+		"object": func(v gjson.Result, path string, s fieldSchema, out *[]fault) {
 			if !v.IsObject() {
 				*out = append(*out, fault{path, "must be an object"})
 				return
@@ -149,11 +149,11 @@
 				*out = append(*out, fault{join(k), "is missing"})
 			}
 		},
-		"any": func(gjson.Result, string, fieldSpec, *[]fault) {},
+		"any": func(gjson.Result, string, fieldSchema, *[]fault) {},
 	}
 }
 
-func bounds(s fieldSpec) string {
+func bounds(s fieldSchema) string {
 	if s.Max == 0 {
 		return "at least " + strconv.FormatInt(s.Min, 10)
 	}
@@ -172,14 +172,14 @@
 	return true
 }
 
-func checkField(v gjson.Result, path string, s fieldSpec, out *[]fault) {
+func checkField(v gjson.Result, path string, s fieldSchema, out *[]fault) {
 	fieldKinds[s.Kind](v, path, s, out)
 }
 
-// checkDoc gives all faults of a JSON document against its table.
+// checkDocument gives all faults of a JSON document against its table.
 //
-// Example: faults := checkDoc(body, jobSpecFields)
-func checkDoc(doc []byte, spec fieldSpec) []fault {
+// Example: faults := checkDocument(body, jobSpecFields)
+func checkDocument(doc []byte, spec fieldSchema) []fault {
 	if !gjson.ValidBytes(doc) {
 		return []fault{{"", "is not JSON"}}
 	}
--- a/accord/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"bytes"
@@ -8,6 +8,8 @@
 	"flag"
 	"fmt"
 	"os"
+	"otterchute/internal/codec"
+	"otterchute/internal/statestore"
 	"path/filepath"
 	"reflect"
 	"strings"
@@ -81,7 +83,7 @@
 		t.Run(fmt.Sprint(kind), func(t *testing.T) {
 			sample, next := reflect.New(messageTypes[kind]), uint64(0)
 			sampleValue(sample.Elem(), &next)
-			head := wireHead{Cluster: 11, From: "edge-1", Life: 12, To: 13}
+			head := frameHeader{Cluster: 11, From: "edge-1", Instance: 12, To: 13}
 			name := fmt.Sprintf("frames/%02d.hex", kind)
 			compareFixture(t, name, []byte(hex.EncodeToString(sealFrame(head, sample.Interface()))+"\n"))
 
@@ -117,36 +119,35 @@
 	Unsettled      []string
 }
 
-func summaryOf(d *disk, st *store) storeSummary {
-	out := storeSummary{Disk: fmt.Sprintf("%x from %d", d.id, d.first), Cluster: fmt.Sprintf("%x", st.cluster),
-		CoreSet: hashOf(pack(nil, st.set)), Registers: map[string]string{}, Slices: map[string]sliceSummary{}}
-	for name, r := range st.regs {
+func summaryOf(d *segmentLog, st *statestore.Store) storeSummary {
+	out := storeSummary{Disk: fmt.Sprintf("%x from %d", d.id, d.first), Cluster: fmt.Sprintf("%x", st.Cluster()),
+		CoreSet: hashOf(st.Set().Encode()), Registers: map[string]string{}, Slices: map[string]sliceSummary{}}
+	for _, name := range st.RegisterNames() {
+		r := st.Register(name)
 		out.Registers[name] = fmt.Sprintf("%+v %+v %s", r.Promised, r.Accepted, hashOf(r.Value))
 	}
-	for name, x := range st.slices {
-		s := sliceSummary{Sealed: x.sealed, Served: x.served, Live: map[string]string{}, Finished: sorted(x.past.ids()), Unsettled: sorted(x.unsure)}
-		for id, r := range x.live {
-			s.Live[id] = fmt.Sprintf("epoch %d version %d value %s", r.Epoch, r.Version, hashOf(r.Value))
+	for _, name := range st.ShardNames() {
+		x := st.Shard(name)
+		s := sliceSummary{Sealed: x.Sealed(), Served: x.Served(), Live: map[string]string{}, Finished: []string{}}
+		finished := map[string]bool{}
+		x.EachFinished(func(r statestore.Record) { finished[r.ID] = true })
+		s.Finished = append(s.Finished, sorted(finished)...)
+		for _, r := range x.Unconfirmed() {
+			s.Unsettled = append(s.Unsettled, r.ID)
+		}
+		for _, r := range x.Live() {
+			s.Live[r.ID] = fmt.Sprintf("epoch %d version %d value %s", r.Epoch, r.Version, hashOf(r.Value))
 		}
 		out.Slices[name] = s
 	}
 	all := sha256.New()
-	for _, e := range st.dump() {
-		_, _ = all.Write(pack(nil, e))
+	for _, e := range st.Dump() {
+		_, _ = all.Write(codec.Append(nil, e))
 	}
 	out.Dump = hex.EncodeToString(all.Sum(nil))
 	return out
 }
 
-// ids gives the names of all records in an archive.
-func (a *archive) ids() map[string]bool {
-	out := map[string]bool{}
-	for _, c := range a.chunks {
-		eachFrame(c.frames, func(_ int, r record) { out[r.ID] = true })
-	}
-	return out
-}
-
 func hashOf(b []byte) string {
 	sum := sha256.Sum256(b)
 	return fmt.Sprintf("%d bytes %x", len(b), sum[:8])
@@ -157,22 +158,22 @@
 func writeFixtureFolder(t *testing.T, folder string, member *simNode) {
 	t.Helper()
 	must.NoError(t, os.MkdirAll(folder, 0o755))
-	d, _, err := openDisk(folder, member.DiskID, quiet)
+	d, _, err := openLog(folder, member.DiskID, quiet)
 	must.NoError(t, err)
-	d.post = func(func(*shell)) {}
-	st := newStore()
+	d.post = func(func(*executor)) {}
+	st := statestore.New()
 	add := func(packed [][]byte) {
 		for _, b := range packed {
-			var e logEntry
-			must.NoError(t, unpack(b, &e))
-			st.apply(e)
-			must.NoError(t, d.commit([]diskJob{{entries: []logEntry{e}, done: func() {}}}))
+			var e statestore.Entry
+			must.NoError(t, codec.Unmarshal(b, &e))
+			st.Apply(e)
+			must.NoError(t, d.commit([]logJob{{entries: []statestore.Entry{e}, done: func() {}}}))
 		}
 	}
 	entries := member.disk.entries
 	add(entries[:len(entries)/2])
-	must.NoError(t, d.commit([]diskJob{{snapshot: true, entries: st.dump(), done: func() {}}}))
-	d.shots.Wait()
+	must.NoError(t, d.commit([]logJob{{snapshot: true, entries: st.Dump(), done: func() {}}}))
+	d.snapshots.Wait()
 	add(entries[len(entries)/2:])
 	closed(d)
 	must.NoError(t, os.Remove(filepath.Join(folder, "lock")))
@@ -198,7 +199,7 @@
 	must.NoError(t, err)
 	b[len(b)/2] ^= 0xff
 	must.NoError(t, os.WriteFile(path, b, 0o600))
-	d, _, err := openDisk(damaged, 99, quiet) // puts the files aside
+	d, _, err := openLog(damaged, 99, quiet) // puts the files aside
 	must.NoError(t, err)
 	closed(d)
 	must.NoError(t, os.Remove(filepath.Join(damaged, "lock")))
@@ -215,7 +216,7 @@
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir() // opening a folder writes to it
 			must.NoError(t, os.CopyFS(dir, os.DirFS(filepath.Join(root, name))))
-			d, st, err := openDisk(dir, 77, quiet)
+			d, st, err := openLog(dir, 77, quiet)
 			must.NoError(t, err)
 			defer closed(d)
 			got, err := json.MarshalIndent(summaryOf(d, st), "", " ")
@@ -226,7 +227,7 @@
 }
 
 // fixtureCalls are calls of callers, workers and operators, in order.
-var fixtureCalls = []evAsk{
+var fixtureCalls = []evRequest{
 	{Op: "job.put", Key: "fix-1", Body: []byte(`{"queue":"confirm","steps":[{"name":"a","tasks":[{"name":"t","room":1,"payload":{"ms":300}}]}]}`)},
 	{Op: "job.put", Key: "fix-1", Body: []byte(`{"queue":"confirm","steps":[{"name":"a","tasks":[{"name":"t","room":2,"payload":{"ms":300}}]}]}`)},
 	{Op: "job.put", Key: "fix-2", Body: []byte(`{"queue":"nowhere","steps":[{"name":"a","tasks":[{"name":"t","room":1}]}]}`)},
@@ -273,10 +274,10 @@
 	for _, key := range sorted(settingsFields.Fields) {
 		fmt.Fprintln(&out, "setting", key)
 	}
-	for _, key := range sorted(setupFields.Fields) {
+	for _, key := range sorted(configFields.Fields) {
 		fmt.Fprintln(&out, "setup", key)
 	}
-	for _, key := range sorted(setupFields.Fields["queues"].Elem.Fields) {
+	for _, key := range sorted(configFields.Fields["queues"].Elem.Fields) {
 		fmt.Fprintln(&out, "queue", key)
 	}
 	compareFixture(t, "names.txt", out.Bytes())
--- a/accord/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"otterchute/verdict"
+	"otterchute/internal/historycheck"
 
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
@@ -44,7 +44,7 @@
 		gjson.GetBytes(b, "core_contact_ms").Int() < 1000
 }
 
-func (u *unrest) note(e verdict.Event) {
+func (u *unrest) note(e historycheck.Event) {
 	e.AtMs = time.Now().UnixMilli()
 	b, _ := json.Marshal(e)
 	_, _ = u.out.Write(append(b, '\n'))
@@ -52,24 +52,24 @@
 }
 
 // declare races two operators for the next version.
-func (u *unrest) declare(dep verdict.Deployment, empty []string) {
+func (u *unrest) declare(dep historycheck.Deployment, empty []string) {
 	u.version++
 	for i := range 2 {
 		s := dep.SetupOf()
 		s.Note, s.EmptySites = fmt.Sprint("operator ", i, " version ", u.version), empty
-		u.note(verdict.Event{Kind: verdict.SetupSent, Version: u.version, Setup: &s})
+		u.note(historycheck.Event{Kind: historycheck.SetupSent, Version: u.version, Setup: &s})
 		for range 40 {
-			status, b, err := u.call("PUT", fmt.Sprint("/v1/setups/", u.version), string(jsonOf(s)))
+			status, b, err := u.call("PUT", fmt.Sprint("/v1/setups/", u.version), string(mustJSON(s)))
 			if err != nil || status == 503 || status == 429 {
 				continue // each try takes its own time
 			}
-			kind := verdict.SetupBounced
+			kind := historycheck.SetupBounced
 			if status == 200 {
-				kind = verdict.SetupAcked
+				kind = historycheck.SetupAcked
 			} else {
 				u.version = max(u.version, gjson.GetBytes(b, "current").Int())
 			}
-			u.note(verdict.Event{Kind: kind, Version: u.version, Setup: &s})
+			u.note(historycheck.Event{Kind: kind, Version: u.version, Setup: &s})
 			break
 		}
 	}
@@ -77,14 +77,14 @@
 
 func (u *unrest) signal(name string, sig syscall.Signal) { _ = u.procs[name].Process.Signal(sig) }
 
-var unrests = map[string]func(u *unrest, dep verdict.Deployment){
-	"killed": func(u *unrest, _ verdict.Deployment) {
+var unrests = map[string]func(u *unrest, dep historycheck.Deployment){
+	"killed": func(u *unrest, _ historycheck.Deployment) {
 		i := u.some()
 		_ = u.end(u.name(i), syscall.SIGKILL)
 		u.pause(500, 4000)
 		u.daemon(i)
 	},
-	"two killed": func(u *unrest, _ verdict.Deployment) {
+	"two killed": func(u *unrest, _ historycheck.Deployment) {
 		i := u.some()
 		j := (i + 1 + u.rng.IntN(len(u.addr)-1)) % len(u.addr)
 		_, _ = u.end(u.name(i), syscall.SIGKILL), u.end(u.name(j), syscall.SIGKILL)
@@ -92,19 +92,19 @@
 		u.daemon(i)
 		u.daemon(j)
 	},
-	"frozen": func(u *unrest, _ verdict.Deployment) {
+	"frozen": func(u *unrest, _ historycheck.Deployment) {
 		name := u.name(u.some())
 		u.signal(name, syscall.SIGSTOP)
 		u.pause(500, 9000)
 		u.signal(name, syscall.SIGCONT)
 	},
-	"stopped": func(u *unrest, _ verdict.Deployment) {
+	"stopped": func(u *unrest, _ historycheck.Deployment) {
 		i := u.some()
 		must.NoError(u.t, u.end(u.name(i), syscall.SIGTERM))
 		u.pause(100, 2000)
 		u.daemon(i)
 	},
-	"empty and at a new address": func(u *unrest, _ verdict.Deployment) {
+	"empty and at a new address": func(u *unrest, _ historycheck.Deployment) {
 		if !u.whole() {
 			return
 		}
@@ -116,34 +116,34 @@
 		u.pause(100, 3000)
 		u.daemon(i)
 	},
-	"moved": func(u *unrest, _ verdict.Deployment) {
+	"moved": func(u *unrest, _ historycheck.Deployment) {
 		i := coreSize + u.rng.IntN(len(u.addr)-coreSize)
 		_ = u.end(u.name(i), syscall.SIGKILL)
 		u.addr[i] = freePorts(u.t, 1)[0]
 		u.daemon(i)
 	},
-	"worker crashed": func(u *unrest, _ verdict.Deployment) {
+	"worker crashed": func(u *unrest, _ historycheck.Deployment) {
 		i := u.rng.IntN(11)
 		_ = u.end(fmt.Sprintf("w%02d", i), syscall.SIGTERM)
 		u.pause(100, 4000)
 		u.worker(i)
 	},
-	"worker frozen": func(u *unrest, _ verdict.Deployment) {
+	"worker frozen": func(u *unrest, _ historycheck.Deployment) {
 		name := fmt.Sprintf("w%02d", u.rng.IntN(11))
 		u.signal(name, syscall.SIGSTOP)
 		u.pause(500, 6000)
 		u.signal(name, syscall.SIGCONT)
 	},
-	"worker leaves": func(u *unrest, _ verdict.Deployment) {
+	"worker leaves": func(u *unrest, _ historycheck.Deployment) {
 		i := u.rng.IntN(11)
 		u.signal(fmt.Sprintf("w%02d", i), syscall.SIGUSR1)
 		u.pause(3000, 5000)
 		_ = u.end(fmt.Sprintf("w%02d", i), syscall.SIGTERM)
 		u.worker(i)
 	},
-	"operators race": func(u *unrest, dep verdict.Deployment) { u.declare(dep, nil) },
-	"site emptied": func(u *unrest, dep verdict.Deployment) {
-		u.declare(dep, []string{verdict.Sites[u.rng.IntN(3)]})
+	"operators race": func(u *unrest, dep historycheck.Deployment) { u.declare(dep, nil) },
+	"site emptied": func(u *unrest, dep historycheck.Deployment) {
+		u.declare(dep, []string{historycheck.Sites[u.rng.IntN(3)]})
 		u.pause(6000, 8000)
 		u.declare(dep, nil)
 	},
@@ -156,7 +156,7 @@
 // A whole fleet of real processes at a deployment's size, with its usual
 // traffic, while things go wrong; judged by verdict alone. It takes minutes.
 func TestFleet(t *testing.T) {
-	dep, ok := verdict.Deployments[*fleetFlag]
+	dep, ok := historycheck.Deployments[*fleetFlag]
 	if !ok {
 		t.Skip("only with -fleet hakata or ikenna")
 	}
--- a/accord/formation.go
+++ b/internal/daemon/formation.go
@@ -1,6 +1,9 @@
-package main
+package daemon
 
 import (
+	"otterchute/internal/codec"
+	"otterchute/internal/quorum"
+	"otterchute/internal/statestore"
 	"slices"
 	"strings"
 )
@@ -15,10 +18,10 @@
 // lowest names of each site, so two proposers that see the fleet differently
 // still share some, unless neither hears of any the other takes.
 type formation struct {
-	set    coreSet
-	votes  map[string]bool // members that voted for it
-	sinceM int64           // since when this disk is bound by its vote
-	sentMs int64
+	set     quorum.Set
+	votes   map[string]bool // members that voted for it
+	sinceMs int64           // since when this disk is bound by its vote
+	sentMs  int64
 }
 
 // coreGoal is how many disks are to hold the state: an odd number, since an
@@ -30,16 +33,16 @@
 	return coreSize
 }
 
-// spread picks so many disks, spread over the sites as evenly as possible: in
+// spreadOverZones picks so many disks, spread over the sites as evenly as possible: in
 // turns through the sites in the order of their names, each turn the lowest
 // name that is left. No site gets more than its even share while another has
 // disks to give, so a site's loss leaves a majority wherever that is possible.
-func spread(disks []sibling, most int) []coreMember {
-	bySite := map[string][]coreMember{}
+func spreadOverZones(disks []peerInfo, most int) []quorum.Member {
+	bySite := map[string][]quorum.Member{}
 	for _, d := range disks {
-		bySite[d.Site] = append(bySite[d.Site], coreMember{d.Name, d.DiskID})
+		bySite[d.Zone] = append(bySite[d.Zone], quorum.Member{Name: d.Name, DiskID: d.DiskID})
 	}
-	var out []coreMember
+	var out []quorum.Member
 	for len(out) < most {
 		before := len(out)
 		for _, site := range sorted(bySite) {
@@ -51,7 +54,7 @@
 			break
 		}
 	}
-	slices.SortFunc(out, func(a, b coreMember) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b quorum.Member) int { return strings.Compare(a.Name, b.Name) })
 	return out
 }
 
@@ -60,23 +63,23 @@
 		n.forming = nil
 		return
 	}
-	if n.store.set.Version != 0 { // a restart: the disk knows the set
-		n.core = n.store.set
-		n.store.guardMs, n.store.startMs = n.now+leaseMs, n.now
-		n.log("core_set", "version", n.core.Version, "members", memberNames(n.core))
+	if n.store.Set().Version != 0 { // a restart: the disk knows the set
+		n.core = n.store.Set()
+		n.granter.guardMs, n.granter.startMs = n.now+leaseMs, n.now
+		n.log("core_set", "version", n.core.Version, "members", n.core.Names())
 		return
 	}
-	if len(n.store.formed.Members) > 0 {
+	if len(n.store.Formed().Members) > 0 {
 		n.driveFormation()
 		return
 	}
 	n.forming = nil
-	var disks []sibling
+	var disks []peerInfo
 	key := ""
-	for _, name := range n.liveNames() {
-		s := n.self()
+	for _, name := range n.aliveNames() {
+		s := n.selfInfo()
 		if name != n.Name {
-			s = n.siblings[name].sibling
+			s = n.peers[name].peerInfo
 		}
 		if s.Disk && s.Empty { // and at its first start, see self
 			disks = append(disks, s)
@@ -89,78 +92,78 @@
 	if len(disks) < n.coreGoal() || n.now-n.formSince < formStableMs {
 		return
 	}
-	set := coreSet{Cluster: n.rand().Uint64() | 1, Version: 1, Members: spread(disks, n.coreGoal())}
+	set := quorum.Set{Cluster: n.rand().Uint64() | 1, Version: 1, Members: spreadOverZones(disks, n.coreGoal())}
 	for _, d := range disks {
-		if !slices.Contains(set.Slices, d.Site) {
-			set.Slices = append(set.Slices, d.Site)
+		if !slices.Contains(set.Shards, d.Zone) {
+			set.Shards = append(set.Shards, d.Zone)
 		}
 	}
-	slices.Sort(set.Slices)
+	slices.Sort(set.Shards)
 	if set.Members[0].Name == n.Name { // one proposes: the lowest name among the members
 		n.voteFor(set)
 	}
 }
 
 // voteFor binds this disk to a formation; its own word comes back once that is synced.
-func (n *node) voteFor(set coreSet, then ...effect) {
-	n.forming = &formation{set: set, votes: map[string]bool{}, sinceM: n.now}
+func (n *node) voteFor(set quorum.Set, then ...effect) {
+	n.forming = &formation{set: set, votes: map[string]bool{}, sinceMs: n.now}
 	if first := set.Members[0].Name; first != n.Name {
 		n.forming.votes[first] = true // who proposed it had synced its vote before it asked
 	}
-	n.keep([]logEntry{{Kind: entryForm, Value: pack(nil, set)}}, append(then, n.sendEffect(n.Name, &formedMsg{Cluster: set.Cluster, OK: true}))...)
+	n.persist([]statestore.Entry{{Kind: statestore.EntryForm, Value: codec.Append(nil, set)}}, append(then, n.sendEffect(n.Name, &formResponse{Cluster: set.Cluster, OK: true}))...)
 }
 
 // driveFormation asks for the members' votes: the first member at once, each
 // later one only if it hasn't heard of an end for longer.
 func (n *node) driveFormation() {
 	if n.forming == nil { // a restart with a vote on disk
-		n.forming = &formation{set: n.store.formed, votes: map[string]bool{n.Name: true, n.store.formed.Members[0].Name: true}, sinceM: n.now}
+		n.forming = &formation{set: n.store.Formed(), votes: map[string]bool{n.Name: true, n.store.Formed().Members[0].Name: true}, sinceMs: n.now}
 	}
 	f := n.forming
-	turn := int64(slices.Index(f.set.Members, coreMember{n.Name, n.DiskID}))
-	if !f.votes[n.Name] || n.now-f.sinceM < turn*formTurnMs || n.now-f.sentMs < formAgainMs && f.sentMs != 0 {
+	turn := int64(slices.Index(f.set.Members, quorum.Member{Name: n.Name, DiskID: n.DiskID}))
+	if !f.votes[n.Name] || n.now-f.sinceMs < turn*formTurnMs || n.now-f.sentMs < formAgainMs && f.sentMs != 0 {
 		return
 	}
 	f.sentMs = n.now
 	for _, m := range f.set.Members {
 		if m.Name != n.Name && !f.votes[m.Name] {
-			n.send(m.Name, &formMsg{Set: f.set})
+			n.send(m.Name, &formRequest{Set: f.set})
 		}
 	}
 }
 
 // onForm votes. Members of a formation that failed are told so and go free.
-func (n *node) onForm(from string, m *formMsg) {
-	if n.store == nil || n.diskFailed != "" || !m.Set.has(n.Name, n.DiskID) {
+func (n *node) onForm(from string, m *formRequest) {
+	if n.store == nil || n.diskFailed != "" || !m.Set.Has(n.Name, n.DiskID) {
 		return
 	}
 	id := m.Set.Cluster
 	against := func() {
 		n.forming = nil
-		n.keep([]logEntry{{Kind: entryAgainst, Epoch: id}}, n.sendEffect(from, &formedMsg{Cluster: id}))
+		n.persist([]statestore.Entry{{Kind: statestore.EntryRefused, Epoch: id}}, n.sendEffect(from, &formResponse{Cluster: id}))
 	}
 	switch {
-	case n.core.Cluster == id || n.store.set.Cluster == id && n.store.set.Version != 0:
+	case n.core.Cluster == id || n.store.Set().Cluster == id && n.store.Set().Version != 0:
 		n.send(from, n.gossip(false)) // it stands
 	case m.Dead:
-		if n.store.formed.Cluster == id {
+		if n.store.Formed().Cluster == id {
 			n.forming = nil
 		}
-		n.keep([]logEntry{{Kind: entryAgainst, Epoch: id}})
-	case n.store.refused[id]:
-		n.keep(nil, n.sendEffect(from, &formedMsg{Cluster: id}))
-	case n.store.formed.Cluster == id:
-		n.keep(nil, n.sendEffect(from, &formedMsg{Cluster: id, OK: true}))
-	case n.store.cluster != 0 || n.core.Cluster != 0: // bound to another
-		n.keep([]logEntry{{Kind: entryAgainst, Epoch: id}}, n.sendEffect(from, &formedMsg{Cluster: id}))
+		n.persist([]statestore.Entry{{Kind: statestore.EntryRefused, Epoch: id}})
+	case n.store.Refused(id):
+		n.persist(nil, n.sendEffect(from, &formResponse{Cluster: id}))
+	case n.store.Formed().Cluster == id:
+		n.persist(nil, n.sendEffect(from, &formResponse{Cluster: id, OK: true}))
+	case n.store.Cluster() != 0 || n.core.Cluster != 0: // bound to another
+		n.persist([]statestore.Entry{{Kind: statestore.EntryRefused, Epoch: id}}, n.sendEffect(from, &formResponse{Cluster: id}))
 	case !n.FirstStart:
 		against()
 	default:
-		n.voteFor(m.Set, n.sendEffect(from, &formedMsg{Cluster: id, OK: true}))
+		n.voteFor(m.Set, n.sendEffect(from, &formResponse{Cluster: id, OK: true}))
 	}
 }
 
-func (n *node) onFormed(from string, m *formedMsg) {
+func (n *node) onFormResponse(from string, m *formResponse) {
 	f := n.forming
 	if f == nil || m.Cluster != f.set.Cluster || n.core.Cluster != 0 {
 		return
@@ -172,10 +175,10 @@
 		then := make([]effect, 0, len(f.set.Members))
 		for _, mem := range f.set.Members {
 			if mem.Name != n.Name && mem.Name != from {
-				then = append(then, n.sendEffect(mem.Name, &formMsg{Set: f.set, Dead: true}))
+				then = append(then, n.sendEffect(mem.Name, &formRequest{Set: f.set, Dead: true}))
 			}
 		}
-		n.keep([]logEntry{{Kind: entryAgainst, Epoch: f.set.Cluster}}, then...)
+		n.persist([]statestore.Entry{{Kind: statestore.EntryRefused, Epoch: f.set.Cluster}}, then...)
 		return
 	}
 	f.votes[from] = true
@@ -184,8 +187,8 @@
 	}
 	set := f.set
 	n.forming = nil
-	n.keep([]logEntry{{Kind: entrySet, Value: pack(nil, set)}})
+	n.persist([]statestore.Entry{{Kind: statestore.EntrySet, Value: codec.Append(nil, set)}})
 	n.core = set
-	n.log("cluster_formed", "cluster", set.Cluster, "members", memberNames(set), "slices", set.Slices)
-	n.tellCore()
+	n.log("cluster_formed", "cluster", set.Cluster, "members", set.Names(), "slices", set.Shards)
+	n.broadcastCoreSet()
 }
--- a/accord/formation_test.go
+++ b/internal/daemon/formation_test.go
@@ -1,27 +1,28 @@
-package main
+package daemon
 
 import (
 	"fmt"
+	"otterchute/internal/historycheck"
+	"otterchute/internal/quorum"
+	"otterchute/internal/register"
+	"otterchute/internal/statestore"
 	"slices"
 	"strings"
 	"testing"
 
-	"otterchute/register"
-	"otterchute/verdict"
-
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
 )
 
 // coreWorld is a world with disks in the sites of sitesOf, and a core of size.
 func coreWorld(seed uint64, size int, sitesOf []string, diskless int) *world {
-	w := newWorld(seed, verdict.Deployment{Daemons: len(sitesOf) + diskless, Workers: 0, Cores: 4, JobsPerSec: 1})
+	w := newWorld(seed, historycheck.Deployment{Daemons: len(sitesOf) + diskless, Workers: 0, Cores: 4, JobsPerSec: 1})
 	for i, name := range sorted(w.nodes) {
 		n := w.nodes[name]
-		n.place.CoreSize, n.place.Disk = size, i < len(sitesOf)
-		if n.place.Disk {
-			n.place.Site = sitesOf[i]
-			n.place.DiskID = w.rng.Uint64() | 1
+		n.nodeConfig.CoreSize, n.nodeConfig.Disk = size, i < len(sitesOf)
+		if n.nodeConfig.Disk {
+			n.nodeConfig.Zone = sitesOf[i]
+			n.nodeConfig.DiskID = w.rng.Uint64() | 1
 		}
 	}
 	w.keepLog = true
@@ -29,14 +30,14 @@
 }
 
 // cluster gives the one core that all daemons that are up know, or nil.
-func (w *world) cluster() *coreSet {
-	var set *coreSet
+func (w *world) cluster() *quorum.Set {
+	var set *quorum.Set
 	for _, name := range sorted(w.nodes) {
 		n := w.nodes[name]
 		if !n.up {
 			continue
 		}
-		c := n.sh.n.core
+		c := n.sh.node.core
 		if c.Cluster == 0 || set != nil && (c.Cluster != set.Cluster || c.Version != set.Version) {
 			return nil
 		}
@@ -52,11 +53,11 @@
 		if n.sh == nil {
 			continue
 		}
-		if c := n.sh.n.core.Cluster; c != 0 {
+		if c := n.sh.node.core.Cluster; c != 0 {
 			all[c] = true
 		}
-		if st := n.sh.n.store; st != nil && st.set.Version != 0 {
-			all[st.set.Cluster] = true
+		if st := n.sh.node.store; st != nil && st.Set().Version != 0 {
+			all[st.Set().Cluster] = true
 		}
 	}
 	return all
@@ -67,9 +68,9 @@
 	if c == nil {
 		return false
 	}
-	for _, s := range c.Slices {
+	for _, s := range c.Shards {
 		h := w.holderOf("slice/" + s)
-		if h == nil || !h.sh.n.owned[s].serving {
+		if h == nil || !h.sh.node.owned[s].serving {
 			return false
 		}
 	}
@@ -88,10 +89,10 @@
 		worstFormed = max(worstFormed, w.nowMs())
 		set := w.cluster()
 		must.Len(t, 5, set.Members)
-		must.Eq(t, []string{"east", "far", "mid", "west"}, set.Slices)
+		must.Eq(t, []string{"east", "far", "mid", "west"}, set.Shards)
 		bySite := map[string]int{}
 		for _, m := range set.Members {
-			bySite[w.nodes[m.Name].Site]++
+			bySite[w.nodes[m.Name].Zone]++
 		}
 		for site, k := range bySite {
 			must.LessEq(t, 2, k, must.Sprint(site))
@@ -149,7 +150,7 @@
 		first := w.nodes["d00"]
 		must.True(t, w.until(10_000, func() bool {
 			for _, name := range sorted(w.nodes) {
-				if n := w.nodes[name]; name != "d00" && n.up && n.sh.n.store != nil && n.sh.n.store.formed.Cluster != 0 {
+				if n := w.nodes[name]; name != "d00" && n.up && n.sh.node.store != nil && n.sh.node.store.Formed().Cluster != 0 {
 					return true
 				}
 			}
@@ -160,7 +161,7 @@
 		}
 		w.after(w.rng.Int64N(20_000), func() { first.kill(true) })
 		must.True(t, w.until(40_000, func() bool {
-			return w.cluster() != nil && w.allServed() && len(w.cluster().Members) == 5 && !w.cluster().has("d00", first.DiskID)
+			return w.cluster() != nil && w.allServed() && len(w.cluster().Members) == 5 && !w.cluster().Has("d00", first.DiskID)
 		}), must.Sprint(seed, w.told()))
 		first.sh = nil
 		must.MapLen(t, 1, w.clusters())
@@ -171,7 +172,7 @@
 func TestFormationOnlyAtAFirstStart(t *testing.T) {
 	w := coreWorld(4300, 5, eightDisks, 2)
 	for _, n := range w.nodesInOrder() {
-		n.place.FirstStart = false
+		n.nodeConfig.FirstStart = false
 	}
 	w.run(15_000)
 	must.MapEmpty(t, w.clusters())
@@ -189,7 +190,7 @@
 			version++
 			got := answered{}
 			must.True(t, w.until(15_000, func() bool {
-				got = w.settle(w.anyNode(int(version)+5), evAsk{Op: "setup.put", Key: fmt.Sprint(version), Expect: -1, Body: queueSetup(fmt.Sprint("q", version), "")}, 4000)
+				got = w.settle(w.anyNode(int(version)+5), evRequest{Op: "setup.put", Key: fmt.Sprint(version), Expect: -1, Body: queueSetup(fmt.Sprint("q", version), "")}, 4000)
 				return got.status == 200
 			}), must.Sprint(got))
 		}
@@ -198,7 +199,7 @@
 			for _, name := range lost {
 				w.nodes[name].kill(true)
 				w.nodes[name].wipe()
-				w.nodes[name].place.FirstStart = false
+				w.nodes[name].nodeConfig.FirstStart = false
 			}
 			for _, name := range lost {
 				w.after(500_000, w.nodes[name].start)
@@ -210,14 +211,14 @@
 					return false
 				}
 				for _, name := range lost {
-					if n := w.nodes[name]; !n.up || !c.has(name, n.place.DiskID) {
+					if n := w.nodes[name]; !n.up || !c.Has(name, n.nodeConfig.DiskID) {
 						return false
 					}
 				}
 				return true
 			}), must.Sprint(seed, lost, w.told()))
 			must.Less(t, 500+6000*int64(len(lost)), w.nowMs()-at, must.Sprint(lost))
-			r := w.settle(w.nodes["d05"], evAsk{Op: "setup.get"}, 3000)
+			r := w.settle(w.nodes["d05"], evRequest{Op: "setup.get"}, 3000)
 			must.Eq(t, version, gjson.Get(r.body, "version").Int(), must.Sprint(r.body))
 			if i == 4 { // all five were replaced since the last change
 				put()
@@ -232,15 +233,15 @@
 	must.True(t, w.until(20_000, w.allServed))
 	set := w.cluster()
 	lost := set.Members[2].Name
-	site := w.nodes[lost].Site
+	site := w.nodes[lost].Zone
 	w.nodes[lost].kill(true)
 	must.True(t, w.until(30_000, func() bool {
 		c := w.cluster()
 		return c != nil && c.Version == set.Version+2 && len(c.Members) == 5
 	}))
 	for _, m := range w.cluster().Members {
-		if !set.has(m.Name, m.DiskID) {
-			must.Eq(t, site, w.nodes[m.Name].Site)
+		if !set.Has(m.Name, m.DiskID) {
+			must.Eq(t, site, w.nodes[m.Name].Zone)
 		}
 	}
 	w.run(20_000)
@@ -256,16 +257,16 @@
 		n := w.nodes["d05"]
 		n.kill(false)
 		if move {
-			n.place.Addr = "10.0.7.5:7000"
+			n.nodeConfig.Addr = "10.0.7.5:7000"
 		}
 		n.incs = ^uint64(0) // its next incarnation is far below the last
 		w.run(1500)
 		n.start()
-		must.Less(t, w.nodes["d00"].sh.n.siblings["d05"].Inc, n.sh.n.Inc)
+		must.Less(t, w.nodes["d00"].sh.node.peers["d05"].Incarnation, n.sh.node.Incarnation)
 		at := w.nowMs()
 		must.True(t, w.until(4000, func() bool {
 			for _, name := range sorted(w.nodes) {
-				if s := w.nodes[name].sh.n.siblings["d05"]; name != "d05" && (s == nil || s.Inc != n.sh.n.Inc || s.Addr != n.Addr) {
+				if s := w.nodes[name].sh.node.peers["d05"]; name != "d05" && (s == nil || s.Incarnation != n.sh.node.Incarnation || s.Addr != n.Addr) {
 					return false
 				}
 			}
@@ -278,11 +279,11 @@
 // Seeds that changed while running are used.
 func TestSeedsChange(t *testing.T) {
 	w := coreWorld(4700, 3, []string{"east", "west", "mid"}, 5)
-	w.nodes["d07"].place.Seeds = []string{"10.9.9.9:7000"}
+	w.nodes["d07"].nodeConfig.Seeds = []string{"10.9.9.9:7000"}
 	w.run(5000)
-	must.MapEmpty(t, w.nodes["d07"].sh.n.siblings)
+	must.MapEmpty(t, w.nodes["d07"].sh.node.peers)
 	w.nodes["d07"].event(evSeeds{Seeds: []string{"10.9.9.9:7000", w.nodes["d02"].Addr}})
-	must.True(t, w.until(2000, func() bool { return len(w.nodes["d07"].sh.n.siblings) == 7 }))
+	must.True(t, w.until(2000, func() bool { return len(w.nodes["d07"].sh.node.peers) == 7 }))
 }
 
 // told gives the log without the siblings that were met.
@@ -294,13 +295,13 @@
 // the two it may have taken another's change.
 func TestAnswersBelongToTheirTry(t *testing.T) {
 	w := served(t, 4800)
-	n := w.nodes["d00"].sh.n
+	n := w.nodes["d00"].sh.node
 	n.out = nil
-	o := n.startCas("setup", "setup", queueSetup("a", ""), 0)
-	o.order = orderID{Version: 1}
+	o := n.startChange("setup", "setup", queueSetup("a", ""), 0)
+	o.change = changeID{Version: 1}
 	first := o.Ballot
-	n.now += casTiming.AnswersMs + 1
-	n.tickOps()
+	n.now += changeTiming.AnswersMs + 1
+	n.tickChanges()
 	must.True(t, first.Less(o.Ballot))
 	accepts := func() int {
 		return len(slices.DeleteFunc(slices.Clone(n.out), func(e effect) bool {
@@ -312,18 +313,18 @@
 			return !ok
 		}))
 	}
-	for _, from := range memberNames(n.core) {
+	for _, from := range n.core.Names() {
 		n.onPromise(from, &register.Promise{Op: o.ID, OK: true, Ballot: first})
 	}
 	must.Zero(t, accepts())
-	for _, from := range memberNames(n.core) {
+	for _, from := range n.core.Names() {
 		n.onPromise(from, &register.Promise{Op: o.ID, OK: true, Ballot: o.Ballot})
 	}
 	must.Eq(t, len(n.core.Members), accepts())
-	for _, from := range memberNames(n.core) {
+	for _, from := range n.core.Names() {
 		n.onAccepted(from, &register.Accepted{Op: o.ID, OK: true, Ballot: first})
 	}
-	must.NotNil(t, n.ops[o.ID])
+	must.NotNil(t, n.changes[o.ID])
 	must.Eq(t, register.Pending, o.Outcome())
 }
 
@@ -331,19 +332,19 @@
 // majority: one that left may be back under its name with an empty disk.
 func TestAcksBelongToTheirSet(t *testing.T) {
 	w := served(t, 4801)
-	n := w.holderOf("slice/east").sh.n
+	n := w.holderOf("slice/east").sh.node
 	sl := n.owned["east"]
 	sl.writes[99] = &writeBatch{acked: map[string]bool{"d00": true}}
 	old := n.core.Version
 	next := n.core
 	next.Version++
-	n.learnCore(next)
+	n.adoptCoreSet(next)
 	must.MapEmpty(t, sl.writes[99].acked)
-	n.onWroteNow("d01", &wroteMsg{CoreVer: old, Slice: "east", Epoch: sl.epoch, Seq: 99, OK: true})
-	n.onWroteNow("d02", &wroteMsg{CoreVer: old, Slice: "east", Epoch: sl.epoch, Seq: 99, OK: true})
+	n.onWriteResponse("d01", &writeResponse{CoreVer: old, Slice: "east", Epoch: sl.epoch, Seq: 99, OK: true})
+	n.onWriteResponse("d02", &writeResponse{CoreVer: old, Slice: "east", Epoch: sl.epoch, Seq: 99, OK: true})
 	must.False(t, sl.writes[99].done)
-	n.onWroteNow("d01", &wroteMsg{CoreVer: next.Version, Slice: "east", Epoch: sl.epoch, Seq: 99, OK: true})
-	n.onWroteNow("d02", &wroteMsg{CoreVer: next.Version, Slice: "east", Epoch: sl.epoch, Seq: 99, OK: true})
+	n.onWriteResponse("d01", &writeResponse{CoreVer: next.Version, Slice: "east", Epoch: sl.epoch, Seq: 99, OK: true})
+	n.onWriteResponse("d02", &writeResponse{CoreVer: next.Version, Slice: "east", Epoch: sl.epoch, Seq: 99, OK: true})
 	must.True(t, sl.writes[99].done)
 }
 
@@ -351,18 +352,18 @@
 // told that it was not taken.
 func TestUnansweredSubmitIsNotDenied(t *testing.T) {
 	w := served(t, 4802)
-	must.Eq(t, 200, w.settle(w.nodes["d00"], evAsk{Op: "setup.put", Key: "1", Expect: 0, Body: queueSetup("a", `,"addresses":[{"host":"h","prefix":"/a/"}]`)}, 4000).status)
+	must.Eq(t, 200, w.settle(w.nodes["d00"], evRequest{Op: "setup.put", Key: "1", Expect: 0, Body: queueSetup("a", `,"addresses":[{"host":"h","prefix":"/a/"}]`)}, 4000).status)
 	w.run(2000)
 	asked := 0
 	for i := range 40 {
 		id := fmt.Sprint("job", i)
 		to := w.nodes["d04"]
-		owner := w.holderOf("slice/" + to.sh.n.sliceOf(id))
+		owner := w.holderOf("slice/" + to.sh.node.shardOf(id))
 		if owner == nil || owner == to {
 			continue
 		}
 		w.cuts[[2]string{owner.Name, to.Name}] = true // it gets there; the answer doesn't
-		r := w.settle(to, evAsk{Op: "queue.submit", Host: "h", Path: "/a/" + id, Expect: -1, Body: []byte(`{"queue":"a","steps":[{"tasks":[{"room":1}]}]}`)}, 5000)
+		r := w.settle(to, evRequest{Op: "queue.submit", Host: "h", Path: "/a/" + id, Expect: -1, Body: []byte(`{"queue":"a","steps":[{"tasks":[{"room":1}]}]}`)}, 5000)
 		must.Eq(t, 504, r.status, must.Sprint(r.body))
 		delete(w.cuts, [2]string{owner.Name, to.Name})
 		w.run(5000)
@@ -376,31 +377,31 @@
 // A disk that voted for one formation votes against any other that may stand
 // beside it, and keeps that vote also once the first has failed.
 func TestFormationOneVote(t *testing.T) {
-	n := newNode(place{Name: "b", DiskID: 2, Disk: true, FirstStart: true}, newStore())
-	say := func(m *formMsg) *formedMsg {
-		var got *formedMsg
-		for _, e := range reduce(n, event{NowMs: 1000, WallMs: 1000, Body: evMsg{Head: wireHead{From: "a", To: addressOf("b")}, Msg: m}}) {
+	n := newNode(nodeConfig{Name: "b", DiskID: 2, Disk: true, FirstStart: true}, statestore.New())
+	say := func(m *formRequest) *formResponse {
+		var got *formResponse
+		for _, e := range reduce(n, event{NowMs: 1000, WallMs: 1000, Body: evMsg{Head: frameHeader{From: "a", To: addressOf("b")}, Msg: m}}) {
 			if a, ok := e.(effAppend); ok {
 				for _, then := range a.Then {
 					if s, ok := then.(effSend); ok && s.To == "a" {
-						got, _ = s.Msg.(*formedMsg)
+						got, _ = s.Msg.(*formResponse)
 					}
 				}
 			}
 		}
 		return got
 	}
-	set := func(id uint64) coreSet {
-		return coreSet{Cluster: id, Version: 1, Members: []coreMember{{"a", 1}, {"b", 2}, {"c", 3}}, Slices: []string{"x"}}
+	set := func(id uint64) quorum.Set {
+		return quorum.Set{Cluster: id, Version: 1, Members: []quorum.Member{{Name: "a", DiskID: 1}, {Name: "b", DiskID: 2}, {Name: "c", DiskID: 3}}, Shards: []string{"x"}}
 	}
-	must.Eq(t, &formedMsg{Cluster: 11, OK: true}, say(&formMsg{Set: set(11)}))
-	must.Eq(t, &formedMsg{Cluster: 13}, say(&formMsg{Set: set(13)}))
-	must.Eq(t, uint64(11), n.store.formed.Cluster)
-	say(&formMsg{Set: set(11), Dead: true})
-	must.Eq(t, uint64(0), n.store.cluster)
-	must.Eq(t, &formedMsg{Cluster: 13}, say(&formMsg{Set: set(13)}))
-	must.Eq(t, &formedMsg{Cluster: 11}, say(&formMsg{Set: set(11)}))
-	must.Eq(t, &formedMsg{Cluster: 15, OK: true}, say(&formMsg{Set: set(15)}))
+	must.Eq(t, &formResponse{Cluster: 11, OK: true}, say(&formRequest{Set: set(11)}))
+	must.Eq(t, &formResponse{Cluster: 13}, say(&formRequest{Set: set(13)}))
+	must.Eq(t, uint64(11), n.store.Formed().Cluster)
+	say(&formRequest{Set: set(11), Dead: true})
+	must.Eq(t, uint64(0), n.store.Cluster())
+	must.Eq(t, &formResponse{Cluster: 13}, say(&formRequest{Set: set(13)}))
+	must.Eq(t, &formResponse{Cluster: 11}, say(&formRequest{Set: set(11)}))
+	must.Eq(t, &formResponse{Cluster: 15, OK: true}, say(&formRequest{Set: set(15)}))
 }
 
 // A new member has copied a majority of those left before it is one.
@@ -416,7 +417,7 @@
 		w.run(500)
 		w.logs = nil
 		w.nodes["d02"].start()
-		must.True(t, w.until(20_000, func() bool { c := w.cluster(); return c != nil && c.has("d02", w.nodes["d02"].place.DiskID) }), must.Sprint(seed, w.told()))
+		must.True(t, w.until(20_000, func() bool { c := w.cluster(); return c != nil && c.Has("d02", w.nodes["d02"].nodeConfig.DiskID) }), must.Sprint(seed, w.told()))
 		copied := 0
 		for _, l := range w.logs {
 			if strings.Contains(l, " core_copied ") {
--- a/accord/forms_test.go
+++ b/internal/daemon/forms_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"flag"
@@ -65,7 +65,7 @@
 
 // All faults of a setup are listed, not only the first.
 func TestSetupFaults(t *testing.T) {
-	_, faults := compileSetup(1, []byte(`{"queues":[{"name":"a","urgency":-1},{"urgency":"x","selector":{"t":[]}}],"empty":1}`))
+	_, faults := compileConfig(1, []byte(`{"queues":[{"name":"a","urgency":-1},{"urgency":"x","selector":{"t":[]}}],"empty":1}`))
 	paths := map[string]bool{}
 	for _, f := range faults {
 		paths[f.Path] = true
@@ -73,7 +73,7 @@
 	for _, p := range []string{"queues.0.urgency", "queues.1.urgency", "queues.1.selector.t", "queues.1.name", "empty"} {
 		must.MapContainsKey(t, paths, p)
 	}
-	_, faults = compileSetup(1, []byte(`{"queues":[{"name":"a"},{"name":"a"}]}`))
+	_, faults = compileConfig(1, []byte(`{"queues":[{"name":"a"},{"name":"a"}]}`))
 	must.Eq(t, []fault{{"queues.1.name", "stands twice"}}, faults)
 }
 
@@ -103,7 +103,7 @@
 
 // docs/settings.md and the code agree on every key, its flag and its default.
 func TestSettingsPage(t *testing.T) {
-	page, err := os.ReadFile("../docs/settings.md")
+	page, err := os.ReadFile("../../docs/settings.md")
 	must.NoError(t, err)
 	f, fs := &settingsFlags{}, flag.NewFlagSet("run", flag.ContinueOnError)
 	f.bind(fs)
@@ -130,14 +130,14 @@
 
 // Each text that guards.sh takes out still stands in the code.
 func TestGuardsAreNotStale(t *testing.T) {
-	script, err := os.ReadFile("../guards.sh")
+	script, err := os.ReadFile("../../guards.sh")
 	must.NoError(t, err)
 	_, list, _ := strings.Cut(string(script), "cat << 'G'\n")
 	list, _, _ = strings.Cut(list, "\nG\n")
 	for _, line := range strings.Split(list, "\n") {
 		parts := strings.Split(strings.ReplaceAll(line, `\|`, "\x00"), "|")
 		must.Len(t, 4, parts, must.Sprint(line))
-		code, err := os.ReadFile(parts[1])
+		code, err := os.ReadFile(filepath.Join("../..", filepath.FromSlash(parts[1])))
 		must.NoError(t, err)
 		old := strings.NewReplacer("\x00", "|", `\n`, "\n", `\t`, "\t").Replace(parts[2])
 		must.True(t, strings.Contains(string(code), old), must.Sprint(parts[0]))
@@ -153,7 +153,7 @@
 	must.Len(t, 3, d.dropped)
 	must.StrHasPrefix(t, "line 1: worker_processes", d.dropped[0])
 	must.StrHasPrefix(t, "line 5: gzip", d.dropped[2])
-	_, faults := compileSetup(1, jsonOf(map[string]any{"queues": d.queues}))
+	_, faults := compileConfig(1, mustJSON(map[string]any{"queues": d.queues}))
 	must.SliceEmpty(t, faults)
 	for _, bad := range []string{"", "http {", "a \"b", "upstream \"x y\" { }", "upstream a { }\nupstream a { }", "http {\n upstream a { server x }\n}",
 		"upstream a { }\nhttp { server { location / { proxy_pass http://a; proxy_read_timeout x; } } }"} {
--- a/accord/history.go
+++ b/internal/daemon/history.go
@@ -1,26 +1,26 @@
-package main
+package daemon
 
 import (
 	"bytes"
 	"crypto/sha256"
 	"encoding/binary"
+	"otterchute/internal/codec"
+	"otterchute/internal/register"
 	"strconv"
-
-	"otterchute/register"
 )
 
-// orderID tells an operator's order from all others: the version it makes, the
+// changeID tells an operator's order from all others: the version it makes, the
 // version it builds on, and a SHA-256 of what was sent. An order without a
 // clear answer is sent again as it was, so it comes with the same identity.
-type orderID struct {
+type changeID struct {
 	Version, Base int64
 	Digest        [sha256.Size]byte
 }
 
-// orderHistory holds the identities of the setup's last accepted orders. Each
+// changeHistory holds the identities of the setup's last accepted orders. Each
 // built on the one before it, so a base needs no room of its own: an order takes
 // its digest and what the version rose by, 33 bytes or little more.
-type orderHistory struct {
+type changeHistory struct {
 	Base   int64 // the oldest order here built on it; what led to it is known no more
 	Count  int64
 	Packed []byte // for each order: uvarint of the version less its base, digest
@@ -28,14 +28,14 @@
 
 // each calls f with every order, the oldest first, until f gives false. It
 // tells whether the history is sound.
-func (h *orderHistory) each(f func(orderID) bool) bool {
+func (h *changeHistory) each(f func(changeID) bool) bool {
 	base := h.Base
 	for rest := h.Packed; len(rest) > 0; {
 		rise, n := binary.Uvarint(rest)
 		if n <= 0 || len(rest) < n+sha256.Size {
 			return false
 		}
-		id := orderID{Version: base + int64(rise), Base: base}
+		id := changeID{Version: base + int64(rise), Base: base}
 		copy(id.Digest[:], rest[n:])
 		rest = rest[n+sha256.Size:]
 		if !f(id) {
@@ -47,8 +47,8 @@
 }
 
 // contains tells whether an order was accepted.
-func (h *orderHistory) contains(id orderID) (found bool) {
-	h.each(func(o orderID) bool {
+func (h *changeHistory) contains(id changeID) (found bool) {
+	h.each(func(o changeID) bool {
 		found = o == id
 		return !found && o.Version < id.Version
 	})
@@ -57,12 +57,12 @@
 
 // covers tells whether this history can say of an order that it was not
 // accepted: those that it once held and let go of it can't.
-func (h *orderHistory) covers(id orderID) bool { return id.Base >= h.Base }
+func (h *changeHistory) covers(id changeID) bool { return id.Base >= h.Base }
 
 // with gives the history with one more order, which builds on the last one.
-func (h orderHistory) with(id orderID) orderHistory {
+func (h changeHistory) with(id changeID) changeHistory {
 	packed := h.Packed
-	if h.Count >= ordersKept {
+	if h.Count >= changesKept {
 		rise, n := binary.Uvarint(packed)
 		h.Base += int64(rise)
 		h.Count--
@@ -79,13 +79,13 @@
 	return h
 }
 
-// orderOf gives the identity of the order in an ask, and what is wrong with it.
-func orderOf(a *ask) (orderID, []fault) {
+// changeIDOf gives the identity of the order in an ask, and what is wrong with it.
+func changeIDOf(a *request) (changeID, []fault) {
 	version, err := strconv.ParseInt(a.key, 10, 64)
-	if err != nil || version < 1 || version > setupVersionMax {
-		return orderID{}, []fault{{"version", "must be a whole number of 1 or more"}}
+	if err != nil || version < 1 || version > configVersionMax {
+		return changeID{}, []fault{{"version", "must be a whole number of 1 or more"}}
 	}
-	id := orderID{Version: version, Base: a.expect}
+	id := changeID{Version: version, Base: a.expect}
 	if a.expect < 0 {
 		id.Base = version - 1
 	}
@@ -96,101 +96,101 @@
 		id.Digest = [sha256.Size]byte(a.digest)
 	case len(a.digest) > 0:
 		return id, []fault{{"digest", "must be a SHA-256"}}
-	case a.setup != nil && a.setup.digest != [sha256.Size]byte{}:
-		id.Digest = a.setup.digest
+	case a.config != nil && a.config.digest != [sha256.Size]byte{}:
+		id.Digest = a.config.digest
 	default:
 		id.Digest = sha256.Sum256(a.body)
 	}
 	return id, nil
 }
 
-// findOrder tells whether an order was accepted, for one whose document is not
+// findChange tells whether an order was accepted, for one whose document is not
 // at hand any more: a change by items that built on a version long passed. The
 // register itself is asked, and what it says stands at a majority then.
-func (n *node) findOrder(a *ask) {
+func (n *node) findChange(a *request) {
 	if !n.inContact() {
-		n.bounce(a, "the core can't be reached from here")
+		n.reject(a, "the core can't be reached from here")
 		return
 	}
-	id, faults := orderOf(a)
+	id, faults := changeIDOf(a)
 	if len(faults) > 0 {
-		n.answerFaults(a, 400, 0, faults)
+		n.rejectFaults(a, 400, 0, faults)
 		return
 	}
-	if n.handToCore(a) {
+	if n.forwardToCore(a) {
 		return
 	}
-	o := n.startCas("setup", "taken", nil, 0)
-	o.order, o.ask = id, a
+	o := n.startChange("setup", "taken", nil, 0)
+	o.change, o.request = id, a
 }
 
-// computeTaken leaves the setup as it stands. What isn't taken, and can't be any
+// findChangeDecision leaves the setup as it stands. What isn't taken, and can't be any
 // more, is refused: only then is no try of it left that may yet take effect.
-func computeTaken(_ *node, o *casOp, current []byte) (register.Decision, []byte) {
-	var cur setupDoc
+func findChangeDecision(_ *node, o *registerChange, current []byte) (register.Decision, []byte) {
+	var cur configRecord
 	switch {
-	case len(current) > 0 && unpack(current, &cur) != nil:
+	case len(current) > 0 && codec.Unmarshal(current, &cur) != nil:
 		return register.Fail, nil
-	case cur.Taken.contains(o.order) || cur.Version == o.order.Base:
+	case cur.Accepted.contains(o.change) || cur.Version == o.change.Base:
 		return register.Keep, nil
 	}
 	return register.Refuse, nil
 }
 
-// takenRead answers findOrder.
-func (n *node) takenRead(o *casOp, outcome register.Outcome) {
-	var cur setupDoc
+// changeFound answers findChange.
+func (n *node) changeFound(o *registerChange, outcome register.Outcome) {
+	var cur configRecord
 	switch {
-	case outcome == register.Unknown || len(o.Value()) > 0 && unpack(o.Value(), &cur) != nil:
-		n.bounce(o.ask, "outcome unknown: send it again")
+	case outcome == register.Unknown || len(o.Value()) > 0 && codec.Unmarshal(o.Value(), &cur) != nil:
+		n.reject(o.request, "outcome unknown: send it again")
 	case outcome == register.Refused:
-		n.answerRefused(o, &cur)
-	case cur.Taken.contains(o.order):
-		n.answerTaken(o)
+		n.respondRefused(o, &cur)
+	case cur.Accepted.contains(o.change):
+		n.respondAccepted(o)
 	default:
-		n.bounce(o.ask, "not accepted yet, and its base is current: send it again")
+		n.reject(o.request, "not accepted yet, and its base is current: send it again")
 	}
 }
 
-// answerTaken acknowledges an order, whatever was accepted since.
-func (n *node) answerTaken(o *casOp) {
-	n.answer(o.ask, 200, 0, jsonOf(map[string]any{"version": o.order.Version}))
+// respondAccepted acknowledges an order, whatever was accepted since.
+func (n *node) respondAccepted(o *registerChange) {
+	n.respond(o.request, 200, 0, mustJSON(map[string]any{"version": o.change.Version}))
 }
 
-// answerRefused says that another version stands: only of an order that surely
+// respondRefused says that another version stands: only of an order that surely
 // was not accepted, else its outcome is unknown.
-func (n *node) answerRefused(o *casOp, cur *setupDoc) {
-	if !cur.Taken.covers(o.order) {
+func (n *node) respondRefused(o *registerChange, cur *configRecord) {
+	if !cur.Accepted.covers(o.change) {
 		n.count("orders_forgotten")
-		n.bounce(o.ask, "outcome unknown: too many versions were accepted since")
+		n.reject(o.request, "outcome unknown: too many versions were accepted since")
 		return
 	}
-	n.answer(o.ask, 409, 0, jsonOf(map[string]any{"error": "another version stands", "current": cur.Version}))
+	n.respond(o.request, 409, 0, mustJSON(map[string]any{"error": "another version stands", "current": cur.Version}))
 }
 
-// setupForReaders is the register's value without the history of its orders,
+// readerCopy is the register's value without the history of its orders,
 // which only a change of the register needs. All daemons read each new value,
 // so it is packed once for each.
-type setupForReaders struct {
+type readerCopy struct {
 	ballot ballot
 	value  []byte
 }
 
 // of gives the value as readers get it.
-func (s *setupForReaders) of(r *register.Acceptor) []byte {
+func (s *readerCopy) of(r *register.Acceptor) []byte {
 	if s.ballot == r.Accepted && s.value != nil {
 		return s.value
 	}
-	var d setupDoc
-	if unpack(r.Value, &d) != nil {
+	var d configRecord
+	if codec.Unmarshal(r.Value, &d) != nil {
 		return r.Value
 	}
-	d.Taken = orderHistory{}
-	s.ballot, s.value = r.Accepted, pack(nil, d)
+	d.Accepted = changeHistory{}
+	s.ballot, s.value = r.Accepted, codec.Append(nil, d)
 	return s.value
 }
 
 // sameDoc tells whether two values hold the same document.
-func (d *setupDoc) sameDoc(other *setupDoc) bool {
+func (d *configRecord) sameDoc(other *configRecord) bool {
 	return d.Version == other.Version && bytes.Equal(d.Doc, other.Doc)
 }
--- a/accord/history_test.go
+++ b/internal/daemon/history_test.go
@@ -1,13 +1,13 @@
-package main
+package daemon
 
 import (
 	"crypto/sha256"
 	"fmt"
+	"otterchute/internal/codec"
+	"otterchute/internal/register"
 	"slices"
 	"testing"
 
-	"otterchute/register"
-
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
 )
@@ -27,13 +27,13 @@
 	return sum[:]
 }
 
-func (o operatorOrder) put() evAsk {
-	return evAsk{Op: "setup.put", Key: fmt.Sprint(o.version), Expect: o.base, Digest: o.digest(), Body: queueSetup(o.queue, "")}
+func (o operatorOrder) put() evRequest {
+	return evRequest{Op: "setup.put", Key: fmt.Sprint(o.version), Expect: o.base, Digest: o.digest(), Body: queueSetup(o.queue, "")}
 }
 
 // again is how it comes once its base has passed: of a change by items the
 // whole can't be made any more.
-func (o operatorOrder) again() evAsk {
+func (o operatorOrder) again() evRequest {
 	e := o.put()
 	if o.byItems {
 		e.Op, e.Body = "setup.taken", nil
@@ -42,7 +42,7 @@
 }
 
 // acknowledged sends an order to a daemon until it has a clear answer.
-func (w *world) acknowledged(t *testing.T, to *simNode, e evAsk) answered {
+func (w *world) acknowledged(t *testing.T, to *simNode, e evRequest) answered {
 	t.Helper()
 	var got answered
 	must.True(t, w.until(20_000, func() bool {
@@ -132,10 +132,10 @@
 	lost := w.nodes["d00"]
 	lost.kill(true)
 	lost.wipe()
-	lost.place.FirstStart = false
+	lost.nodeConfig.FirstStart = false
 	w.run(500)
 	lost.start()
-	must.True(t, w.until(30_000, func() bool { return lost.sh.n.inCore() && lost.sh.n.core.Version >= 3 }))
+	must.True(t, w.until(30_000, func() bool { return lost.sh.node.inCore() && lost.sh.node.core.Version >= 3 }))
 	w.nodes["d01"].kill(true) // what is left is the new member and one that was there
 	w.run(3000)
 	delete(w.nodes, "d01")
@@ -150,8 +150,8 @@
 		inForce := map[int64]string{} // version to queue, as any daemon had it
 		look := func() {
 			for _, name := range sorted(w.nodes) {
-				if n := w.nodes[name]; n.up && n.sh.n.setup.doc.Version > 0 {
-					d := n.sh.n.setup.doc
+				if n := w.nodes[name]; n.up && n.sh.node.config.record.Version > 0 {
+					d := n.sh.node.config.record
 					doc, _ := inflate(d.Doc)
 					queue := gjson.GetBytes(doc, "queues.0.name").Str
 					must.True(t, inForce[d.Version] == "" || inForce[d.Version] == queue, must.Sprint("two under ", d.Version))
@@ -224,7 +224,7 @@
 		for _, afterMs := range []int64{0, 700, 2000, 20_000} {
 			w.run(afterMs)
 			for _, o := range []operatorOrder{first, {version: 3, base: 0, queue: "never"}} {
-				for _, e := range []evAsk{o.put(), {Op: "setup.taken", Key: "3", Expect: 0, Digest: make([]byte, 32)}, {Op: "site.empty", Key: "west"}} {
+				for _, e := range []evRequest{o.put(), {Op: "setup.taken", Key: "3", Expect: 0, Digest: make([]byte, 32)}, {Op: "site.empty", Key: "west"}} {
 					at := w.nowMs()
 					got := w.settle(w.nodes[name], e, 4000)
 					must.Eq(t, 503, got.status, must.Sprint(name, " ", afterMs, " ", e.Op, " ", got.body))
@@ -241,19 +241,19 @@
 }
 
 func TestOrderHistory(t *testing.T) {
-	var h orderHistory
-	id := func(version, base int64) orderID {
-		return orderID{Version: version, Base: base, Digest: sha256.Sum256(fmt.Append(nil, version))}
+	var h changeHistory
+	id := func(version, base int64) changeID {
+		return changeID{Version: version, Base: base, Digest: sha256.Sum256(fmt.Append(nil, version))}
 	}
 	last := int64(0)
-	var all []orderID
-	for i := range int64(ordersKept + 10) {
+	var all []changeID
+	for i := range int64(changesKept + 10) {
 		next := last + 1 + i%5
 		all = append(all, id(next, last))
 		h = h.with(all[i])
 		last = next
 	}
-	must.Eq(t, int64(ordersKept), h.Count)
+	must.Eq(t, int64(changesKept), h.Count)
 	for i, o := range all {
 		must.Eq(t, i >= 10, h.contains(o), must.Sprint(i))
 		must.Eq(t, i >= 10, h.covers(o), must.Sprint(i))
@@ -264,10 +264,10 @@
 		changed.Base--
 		must.False(t, h.contains(changed))
 	}
-	must.LessEq(t, 33*ordersKept, len(h.Packed))
-	must.True(t, h.each(func(orderID) bool { return true }))
+	must.LessEq(t, 33*changesKept, len(h.Packed))
+	must.True(t, h.each(func(changeID) bool { return true }))
 	h.Packed = h.Packed[:len(h.Packed)-1]
-	must.False(t, h.each(func(orderID) bool { return true }))
+	must.False(t, h.each(func(changeID) bool { return true }))
 }
 
 // What the history costs: 33 bytes for each change at the members, and nothing
@@ -279,9 +279,9 @@
 	last := w.storm(t, first, pastShown) // from here on the list that is shown stays as long as it is
 	size := func() (kept, read int) {
 		w.run(1500)
-		n := w.nodes["d00"].sh.n
-		r := n.store.reg("setup")
-		return len(r.Value), len(n.setup.forReaders.of(r))
+		n := w.nodes["d00"].sh.node
+		r := n.store.Register("setup")
+		return len(r.Value), len(n.config.readerCopy.of(r))
 	}
 	keptBefore, readBefore := size()
 	w.storm(t, last[len(last)-1], 100)
@@ -290,27 +290,27 @@
 	must.LessEq(t, 34*100, kept-keptBefore)
 	must.LessEq(t, 20, read-readBefore) // names of other lengths
 	for _, name := range sorted(w.nodes) {
-		must.Zero(t, w.nodes[name].sh.n.setup.doc.Taken.Count)
+		must.Zero(t, w.nodes[name].sh.node.config.record.Accepted.Count)
 	}
 }
 
 // An order so old that the history has let go of it has no clear answer.
 func TestForgottenOrdersAreNotRefused(t *testing.T) {
 	n := newQuorumOfThree().life(1)
-	value := setupDoc{Version: 9000, Taken: orderHistory{Base: 5000}}
-	value.Taken = value.Taken.with(orderID{Version: 9000, Base: 5000})
+	value := configRecord{Version: 9000, Accepted: changeHistory{Base: 5000}}
+	value.Accepted = value.Accepted.with(changeID{Version: 9000, Base: 5000})
 	for _, c := range []struct {
-		id     orderID
+		id     changeID
 		status int
-	}{{orderID{Version: 5000, Base: 4999}, 503}, {orderID{Version: 8999, Base: 5000}, 409}, {orderID{Version: 9000, Base: 5000}, 200}} {
-		n.out, n.ops = nil, map[uint64]*casOp{}
-		o := n.startCas("setup", "taken", nil, 0)
-		o.order, o.ask = c.id, &ask{id: 5}
-		for _, m := range memberNames(n.core)[:2] {
-			n.onPromise(m, &register.Promise{Op: o.ID, OK: true, Ballot: o.Ballot, Accepted: ballot{Round: 1}, Value: pack(nil, value)})
+	}{{changeID{Version: 5000, Base: 4999}, 503}, {changeID{Version: 8999, Base: 5000}, 409}, {changeID{Version: 9000, Base: 5000}, 200}} {
+		n.out, n.changes = nil, map[uint64]*registerChange{}
+		o := n.startChange("setup", "taken", nil, 0)
+		o.change, o.request = c.id, &request{id: 5}
+		for _, m := range n.core.Names()[:2] {
+			n.onPromise(m, &register.Promise{Op: o.ID, OK: true, Ballot: o.Ballot, Accepted: ballot{Round: 1}, Value: codec.Append(nil, value)})
 		}
 		n.out = slices.DeleteFunc(n.out, func(e effect) bool { _, isSend := e.(effSend); return isSend })
-		for _, m := range memberNames(n.core)[:2] {
+		for _, m := range n.core.Names()[:2] {
 			n.onAccepted(m, &register.Accepted{Op: o.ID, OK: true, Ballot: o.Ballot})
 		}
 		must.Len(t, 1, n.out)
--- a/accord/hollow.go
+++ b/internal/daemon/hollow.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"context"
@@ -13,6 +13,7 @@
 	"sync"
 	"time"
 
+	"otterchute/internal/register"
 	"otterchute/platform"
 
 	"github.com/go-faster/errors"
@@ -41,15 +42,38 @@
 
 // kindRoles names, for each kind of message, the role that sends it and the one
 // whose work it is to take it.
-var kindRoles = map[string][2]string{
-	"gossipMsg": {roleEvery, roleEvery}, "digestMsg": {roleEvery, roleEvery}, "digestAck": {roleEvery, roleEvery}, "pollMsg": {roleEvery, roleCore}, "pollAck": {roleCore, roleEvery},
-	"Prepare": {roleEvery, roleCore}, "Promise": {roleCore, roleEvery}, "Accept": {roleEvery, roleCore}, "Accepted": {roleCore, roleEvery},
-	"readRegMsg": {roleEvery, roleCore}, "regMsg": {roleCore, roleEvery},
-	"sealMsg": {roleOwner, roleCore}, "sealedMsg": {roleCore, roleOwner}, "writeMsg": {roleOwner, roleCore}, "wroteMsg": {roleCore, roleOwner},
-	"fetchMsg": {roleOwner, roleCore}, "fetchedMsg": {roleCore, roleOwner}, "askMsg": {roleFront, roleOwner}, "answerMsg": {roleOwner, roleFront},
-	"placeMsg": {roleLocal, roleAgent}, "syncMsg": {roleAgent, roleOwner}, "syncAck": {roleOwner, roleAgent}, "wantMsg": {roleOwner, roleCentral},
-	"grantMsg": {roleCentral, roleOwner}, "ranksMsg": {roleCentral, roleLocal}, "promoteMsg": {roleCentral, roleAgent}, "learnedMsg": {roleOwner, roleLocal},
-	"formMsg": {roleCore, roleCore}, "formedMsg": {roleCore, roleCore}, "copyMsg": {roleCore, roleCore}, "copiedMsg": {roleCore, roleCore},
+var kindRoles = map[reflect.Type][2]string{
+	reflect.TypeFor[gossipMsg]():         {roleEvery, roleEvery},
+	reflect.TypeFor[digestMsg]():         {roleEvery, roleEvery},
+	reflect.TypeFor[digestAck]():         {roleEvery, roleEvery},
+	reflect.TypeFor[pollRequest]():       {roleEvery, roleCore},
+	reflect.TypeFor[pollResponse]():      {roleCore, roleEvery},
+	reflect.TypeFor[register.Prepare]():  {roleEvery, roleCore},
+	reflect.TypeFor[register.Promise]():  {roleCore, roleEvery},
+	reflect.TypeFor[register.Accept]():   {roleEvery, roleCore},
+	reflect.TypeFor[register.Accepted](): {roleCore, roleEvery},
+	reflect.TypeFor[registerRead]():      {roleEvery, roleCore},
+	reflect.TypeFor[registerValue]():     {roleCore, roleEvery},
+	reflect.TypeFor[sealRequest]():       {roleOwner, roleCore},
+	reflect.TypeFor[sealResponse]():      {roleCore, roleOwner},
+	reflect.TypeFor[writeRequest]():      {roleOwner, roleCore},
+	reflect.TypeFor[writeResponse]():     {roleCore, roleOwner},
+	reflect.TypeFor[fetchRequest]():      {roleOwner, roleCore},
+	reflect.TypeFor[fetchResponse]():     {roleCore, roleOwner},
+	reflect.TypeFor[forwardMsg]():        {roleFront, roleOwner},
+	reflect.TypeFor[forwardReply]():      {roleOwner, roleFront},
+	reflect.TypeFor[placement]():         {roleLocal, roleAgent},
+	reflect.TypeFor[syncMsg]():           {roleAgent, roleOwner},
+	reflect.TypeFor[syncAck]():           {roleOwner, roleAgent},
+	reflect.TypeFor[allocationRequest](): {roleOwner, roleCentral},
+	reflect.TypeFor[allocation]():        {roleCentral, roleOwner},
+	reflect.TypeFor[ranksMsg]():          {roleCentral, roleLocal},
+	reflect.TypeFor[promoteMsg]():        {roleCentral, roleAgent},
+	reflect.TypeFor[estimatesMsg]():      {roleOwner, roleLocal},
+	reflect.TypeFor[formRequest]():       {roleCore, roleCore},
+	reflect.TypeFor[formResponse]():      {roleCore, roleCore},
+	reflect.TypeFor[copyRequest]():       {roleCore, roleCore},
+	reflect.TypeFor[copyResponse]():      {roleCore, roleCore},
 }
 
 // stateRoles names the parts of a daemon's state by the role that needs them.
@@ -73,12 +97,12 @@
 		if m.Slice == "" {
 			return roleCentral
 		}
-	case *askMsg:
+	case *forwardMsg:
 		if strings.HasPrefix(m.Op, "worker.") {
 			return roleAgent
 		}
 	}
-	return kindRoles[reflect.TypeOf(msg).Elem().Name()][1]
+	return kindRoles[reflect.TypeOf(msg).Elem()][1]
 }
 
 // tally is a count and what it sums up.
@@ -150,8 +174,8 @@
 	if m == nil {
 		return
 	}
-	kind := kindName(frameKind(frame))
-	m.add(flow{kindRoles[kind][0], kind, true}, len(frame))
+	kind := frameKind(frame)
+	m.add(flow{kindRoles[messageTypes[kind]][0], kindName(kind), true}, len(frame))
 }
 
 func (m *meter) heard(msg any, bytes int) {
@@ -184,7 +208,7 @@
 	switch e := body.(type) {
 	case evMsg:
 		role = takerOf(e.Msg)
-	case evAsk:
+	case evRequest:
 		role = roleFront
 		if strings.HasPrefix(e.Op, "worker.") {
 			role = roleAgent
@@ -202,8 +226,8 @@
 	role := roleEvery
 	switch x := e.(type) {
 	case effSend:
-		role = kindRoles[reflect.TypeOf(x.Msg).Elem().Name()][0]
-		if _, ok := x.Msg.(*answerMsg); ok {
+		role = kindRoles[reflect.TypeOf(x.Msg).Elem()][0]
+		if _, ok := x.Msg.(*forwardReply); ok {
 			role = roleOwner
 		}
 	case effAppend, effSnapshot, effWipe:
@@ -233,9 +257,9 @@
 type hollow struct {
 	settings settings
 	app      *fx.App
-	loop     *loop
-	shell    *shell
-	door     *door
+	loop     *controlLoop
+	shell    *executor
+	door     *httpServer
 	meter    *meter
 	up       bool
 	note     func(daemon, event string, kv []any)
@@ -254,14 +278,14 @@
 func (l hollowLog) WithName(string) logr.LogSink   { return l }
 
 func (h *hollow) start(ctx context.Context) error {
-	var w *wire
+	var w *transport
 	h.meter = newMeter()
 	h.app = fx.New(daemonModules(h.settings), fx.Decorate(func(logr.Logger) logr.Logger { return logr.New(hollowLog{h}) }),
 		fx.Populate(&h.loop, &h.shell, &h.door, &w))
 	if err := h.app.Err(); err != nil {
 		return errors.Wrap(errExperiment, err.Error())
 	}
-	w.meter, h.shell.meter, h.shell.n.lap = h.meter, h.meter, h.meter.lap
+	w.meter, h.shell.meter, h.shell.node.onTickPart = h.meter, h.meter, h.meter.lap
 	h.up = true
 	return h.app.Start(ctx)
 }
@@ -277,9 +301,9 @@
 }
 
 // on runs something on the daemon's control thread and waits for it.
-func (h *hollow) on(do func(*shell)) {
+func (h *hollow) on(do func(*executor)) {
 	done := make(chan struct{})
-	h.loop.post(func(s *shell) {
+	h.loop.post(func(s *executor) {
 		do(s)
 		close(done)
 	})
@@ -294,7 +318,7 @@
 	if !h.up {
 		return r
 	}
-	h.on(func(s *shell) {
+	h.on(func(s *executor) {
 		h.meter.mu.Lock()
 		for k, v := range h.meter.flows {
 			r.flows[k] = v
@@ -303,12 +327,12 @@
 			r.spent[k] = v.time()
 		}
 		h.meter.mu.Unlock()
-		for k, v := range s.n.counts {
+		for k, v := range s.node.counts {
 			r.counts[k] = v
 		}
-		r.roles = s.n.rolesHeld()
+		r.roles = s.node.rolesHeld()
 		if whole {
-			r.state = stateOf(s.n)
+			r.state = stateOf(s.node)
 		}
 	})
 	return r
@@ -354,7 +378,7 @@
 		size = max(size, int64(v.Type().Size()))
 	case reflect.Slice:
 		size += int64(v.Cap()-v.Len()) * int64(v.Type().Elem().Size())
-		if plain(v.Type().Elem().Kind()) {
+		if plainNumber(v.Type().Elem().Kind()) {
 			return size + int64(v.Len())*int64(v.Type().Elem().Size())
 		}
 		for i := range v.Len() {
@@ -369,7 +393,7 @@
 	return size
 }
 
-func plain(k reflect.Kind) bool { return k >= reflect.Bool && k <= reflect.Complex128 }
+func plainNumber(k reflect.Kind) bool { return k >= reflect.Bool && k <= reflect.Complex128 }
 
 // hollowWorkers are all workers of an experiment: they take orders and run nothing.
 type hollowWorkers struct {
@@ -418,7 +442,7 @@
 }
 
 func (w *hollowWorker) beats(ctx context.Context) {
-	for again := int64(beatMs); ctx.Err() == nil; {
+	for again := int64(heartbeatMs); ctx.Err() == nil; {
 		if a := w.beat(ctx); a.AgainMs > 0 {
 			again = a.AgainMs
 		}
@@ -430,7 +454,7 @@
 }
 
 // beat tells all that runs and has ended, and does what the answer says.
-func (w *hollowWorker) beat(ctx context.Context) (a beatAnswer) {
+func (w *hollowWorker) beat(ctx context.Context) (a heartbeatReply) {
 	w.mu.Lock()
 	w.seq++
 	running := make([]*hollowRun, 0, len(w.running))
@@ -439,14 +463,14 @@
 		r.Percent = min(99, int64(100*time.Since(r.began)/r.lasts))
 		running = append(running, r)
 	}
-	body := jsonOf(map[string]any{"seq": w.seq, "site": w.site, "rack": w.site, "labels": map[string]string{}, "capacity": w.room, "running": running, "ended": w.ended})
+	body := mustJSON(map[string]any{"seq": w.seq, "site": w.site, "rack": w.site, "labels": map[string]string{}, "capacity": w.room, "running": running, "ended": w.ended})
 	w.mu.Unlock()
 	t := w.beside.door.product(ctx, platform.Call{Op: "worker.beat", Key: w.name, Expect: -1, Body: body})
 	if t.Status != 200 || json.Unmarshal(t.Body, &a) != nil {
 		if time.Now().After(w.held) {
 			w.lapse()
 		}
-		return beatAnswer{}
+		return heartbeatReply{}
 	}
 	w.held = time.Now().Add(time.Duration(a.HoldMs) * time.Millisecond)
 	for _, o := range a.Start {
@@ -560,9 +584,9 @@
 		s := defaultSettings()
 		s.Addr, s.Seeds = addrs[i], addrs[:coreSize]
 		if i < f.edges {
-			s.Name, s.HTTP, s.Site = fmt.Sprintf("d%03d", i), addrs[int(e.Daemons+e.Workers)+i], siteName(i, e)
+			s.Name, s.HTTP, s.Zone = fmt.Sprintf("d%03d", i), addrs[int(e.Daemons+e.Workers)+i], siteName(i, e)
 		} else {
-			s.Name, s.Site, s.Beside = fmt.Sprintf("s%03d", i-f.edges), siteName(i-f.edges, e), true
+			s.Name, s.Zone, s.Colocated = fmt.Sprintf("s%03d", i-f.edges), siteName(i-f.edges, e), true
 		}
 		if i < coreSize {
 			s.Data = filepath.Join(folder, s.Name)
@@ -579,7 +603,7 @@
 			time.Sleep(startPauseMs * time.Millisecond)
 		}
 		if i >= f.edges {
-			f.workers.add(ctx, fmt.Sprintf("w%03d", i-f.edges), s.Site, h, e.Room)
+			f.workers.add(ctx, fmt.Sprintf("w%03d", i-f.edges), s.Zone, h, e.Room)
 		}
 	}
 	return f, nil
@@ -617,9 +641,9 @@
 // struck gives the daemons that a fault is for.
 func (f *hollowFleet) struck(p plannedFault) (out []*hollow) {
 	for i, h := range f.daemons {
-		has := p.Daemon == int64(i) || p.Site != "" && p.Site == h.settings.Site
+		has := p.Daemon == int64(i) || p.Site != "" && p.Site == h.settings.Zone
 		if p.Role != "" && len(out) == 0 && h.up {
-			h.on(func(s *shell) { has = s.n.rolesHeld()[p.Role] })
+			h.on(func(s *executor) { has = s.node.rolesHeld()[p.Role] })
 		}
 		if has {
 			out = append(out, h)
@@ -633,7 +657,7 @@
 	return !slices.ContainsFunc(f.daemons, func(h *hollow) bool {
 		ok := true
 		if h.up {
-			h.on(func(s *shell) { ok = s.n.setup.cur.Version >= version && s.n.setupFresh() })
+			h.on(func(s *executor) { ok = s.node.config.current.Version >= version && s.node.configFresh() })
 		}
 		return !ok
 	})
--- a/accord/identity.go
+++ b/internal/daemon/identity.go
@@ -1,10 +1,10 @@
-package main
+package daemon
 
 import (
 	"hash/fnv"
 	"reflect"
 
-	"otterchute/register"
+	"otterchute/internal/register"
 )
 
 // Each frame names the process that sent it and the one it is meant for, since
@@ -31,24 +31,24 @@
 // toAnyone addresses whoever listens at an address.
 const toAnyone uint64 = 0
 
-// peerLife is one process of a daemon.
-type peerLife struct {
-	name string
-	life uint64
+// peerInstance is one process of a daemon.
+type peerInstance struct {
+	name     string
+	instance uint64
 }
 
 // responses are the messages that answer one request of one process.
 var responses = map[reflect.Type]bool{
-	reflect.TypeFor[*pollAck](): true, reflect.TypeFor[*register.Promise](): true, reflect.TypeFor[*register.Accepted](): true,
-	reflect.TypeFor[*sealedMsg](): true, reflect.TypeFor[*wroteMsg](): true, reflect.TypeFor[*fetchedMsg](): true,
-	reflect.TypeFor[*answerMsg](): true, reflect.TypeFor[*formedMsg](): true, reflect.TypeFor[*copiedMsg](): true,
-	reflect.TypeFor[*regMsg](): true, reflect.TypeFor[*digestAck](): true,
+	reflect.TypeFor[*pollResponse](): true, reflect.TypeFor[*register.Promise](): true, reflect.TypeFor[*register.Accepted](): true,
+	reflect.TypeFor[*sealResponse](): true, reflect.TypeFor[*writeResponse](): true, reflect.TypeFor[*fetchResponse](): true,
+	reflect.TypeFor[*forwardReply](): true, reflect.TypeFor[*formResponse](): true, reflect.TypeFor[*copyResponse](): true,
+	reflect.TypeFor[*registerValue](): true, reflect.TypeFor[*digestAck](): true,
 }
 
 // greetings are the messages that may go to an address without a name.
 var greetings = map[reflect.Type]bool{reflect.TypeFor[*gossipMsg](): true, reflect.TypeFor[*digestMsg](): true}
 
-func newLife() uint64 { return newSeed() | 1 }
+func newInstanceID() uint64 { return newSeed() | 1 }
 
 // addressOf is a name as frames bear it, never toAnyone.
 func addressOf(name string) uint64 {
@@ -57,12 +57,12 @@
 	return h.Sum64() | 1
 }
 
-// addressed tells whether a message is meant for this process. It counts what isn't.
-func (n *node) addressed(head wireHead, msg any) bool {
+// acceptsFrame tells whether a message is meant for this process. It counts what isn't.
+func (n *node) acceptsFrame(head frameHeader, msg any) bool {
 	kind := reflect.TypeOf(msg)
 	switch {
 	case responses[kind]:
-		if head.To == n.Life {
+		if head.To == n.Instance {
 			return true
 		}
 		n.count("late_answers")
@@ -81,17 +81,17 @@
 	case !responses[reflect.TypeOf(msg)]:
 		return addressOf(to)
 	case to == n.Name:
-		return n.Life
+		return n.Instance
 	case to == n.sender.name:
-		return n.sender.life
+		return n.sender.instance
 	}
 	return toAnyone // nobody takes a response that answers no request
 }
 
-// respond answers a request that was kept for a while.
-func (n *node) respond(to peerLife, msg any) {
+// respondTo answers a request that was kept for a while.
+func (n *node) respondTo(to peerInstance, msg any) {
 	e := n.sendEffect(to.name, msg).(effSend)
-	e.Dest = to.life
+	e.Dest = to.instance
 	n.emit(e)
 }
 
--- a/accord/identity_test.go
+++ b/internal/daemon/identity_test.go
@@ -1,14 +1,14 @@
-package main
+package daemon
 
 import (
 	"encoding/binary"
 	"fmt"
 	"hash/crc32"
+	"otterchute/internal/codec"
+	"otterchute/internal/register"
 	"reflect"
 	"testing"
 
-	"otterchute/register"
-
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
 )
@@ -22,7 +22,7 @@
 func idOwnedBy(w *world, owner *simNode, prefix string) string {
 	for i := 0; ; i++ {
 		id := fmt.Sprintf("%s-%d", prefix, i)
-		if w.holderOf("slice/"+owner.sh.n.sliceOf(id)) == owner {
+		if w.holderOf("slice/"+owner.sh.node.shardOf(id)) == owner {
 			return id
 		}
 	}
@@ -34,9 +34,9 @@
 	for _, name := range sorted(w.nodes) {
 		n := w.nodes[name]
 		switch {
-		case len(n.sh.n.owned) > 0:
+		case len(n.sh.node.owned) > 0:
 			owner = n
-		case !n.place.Disk:
+		case !n.nodeConfig.Disk:
 			front = n
 		}
 	}
@@ -58,12 +58,12 @@
 	handed, withheld := false, 0
 	w.detain = func(from, to string, msg any) int64 {
 		switch m := msg.(type) {
-		case *answerMsg: // of the first life, until the second has handed a request over
+		case *forwardReply: // of the first life, until the second has handed a request over
 			if from == owner.Name && to == front.Name && !handed {
 				withheld++
 				return 700_000
 			}
-		case *askMsg:
+		case *forwardMsg:
 			if from == front.Name && m.Key == second {
 				handed = true
 				return 400_000 // the owner knows nothing of it while the late answer comes
@@ -77,30 +77,36 @@
 		front.start()
 	}
 	restart() // its numbers begin anew
-	w.until(2000, func() bool { h, _ := front.sh.n.holder("slice/" + front.sh.n.sliceOf(first)); return h == owner.Name })
+	w.until(2000, func() bool {
+		h, _ := front.sh.node.holder("slice/" + front.sh.node.shardOf(first))
+		return h == owner.Name
+	})
 	w.ask("caller", front, "job.put", first, jobBody(queue), 5000, func(int, int64, []byte) {})
 	must.True(t, w.until(500, func() bool { return withheld > 0 }), must.Sprint("the owner answered nothing"))
-	numbers := front.sh.n.askSeq
+	numbers := front.sh.node.forwardSeq
 	restart()
-	must.True(t, w.until(600, func() bool { h, _ := front.sh.n.holder("slice/" + front.sh.n.sliceOf(second)); return h == owner.Name }),
+	must.True(t, w.until(600, func() bool {
+		h, _ := front.sh.node.holder("slice/" + front.sh.node.shardOf(second))
+		return h == owner.Name
+	}),
 		must.Sprint("the second life knows no owner in time"))
-	front.sh.n.askSeq = numbers - 1 // workers' reports may have taken numbers: the next one is that of the first caller
+	front.sh.node.forwardSeq = numbers - 1 // workers' reports may have taken numbers: the next one is that of the first caller
 	status, _, body, took := w.asked("caller", front, "job.put", second, jobBody(queue))
 	must.True(t, handed)
 	must.Eq(t, 201, status)
 	must.Eq(t, second, gjson.GetBytes(body, "id").Str, must.Sprintf("the answer after %d ms is another caller's: %s", took, body))
-	must.Positive(t, front.sh.n.counts["late_answers"])
+	must.Positive(t, front.sh.node.counts["late_answers"])
 }
 
 // addressedTo tells whether a daemon takes a message with that addressee.
 func addressedTo(n *node, to uint64, msg any) bool {
-	return n.addressed(wireHead{From: "b", Life: 77, To: to}, msg)
+	return n.acceptsFrame(frameHeader{From: "b", Instance: 77, To: to}, msg)
 }
 
 // A message is taken by the one it names only: a request by its name, a
 // response by the life that asked, a greeting by whoever listens.
 func TestMessageBelongsToItsAddressee(t *testing.T) {
-	n := newNode(place{Name: "a", Inc: 5, Life: 1234}, nil)
+	n := newNode(nodeConfig{Name: "a", Incarnation: 5, Instance: 1234}, nil)
 	for _, typ := range messageTypes {
 		msg := reflect.New(typ).Interface()
 		response, greeting := responses[reflectPtr(typ)], greetings[reflectPtr(typ)]
@@ -110,8 +116,8 @@
 		must.False(t, addressedTo(n, addressOf("b"), msg), must.Sprint(typ))
 		must.False(t, addressedTo(n, 1235, msg), must.Sprint(typ))
 	}
-	n.Inc = 99 // is raised within a life; the life is not
-	must.True(t, addressedTo(n, 1234, &answerMsg{}))
+	n.Incarnation = 99 // is raised within a life; the life is not
+	must.True(t, addressedTo(n, 1234, &forwardReply{}))
 	must.Positive(t, n.counts["late_answers"])
 	must.Positive(t, n.counts["messages_misaddressed"])
 }
@@ -120,7 +126,7 @@
 // asker has by then.
 func TestResponseBelongsToTheLifeThatAsked(t *testing.T) {
 	w := formed(t, 2, "ikenna")
-	n := w.nodes["d01"].sh.n
+	n := w.nodes["d01"].sh.node
 	var dest []uint64
 	look := func(effects []effect) {
 		for _, e := range effects {
@@ -129,12 +135,12 @@
 			}
 		}
 	}
-	for _, msg := range []any{&pollMsg{CoreVer: n.core.Version}, &register.Prepare{SetVersion: n.core.Version, Register: "x", Ballot: ballot{Round: 1, Proposer: "b", Life: 4321}},
-		&register.Accept{SetVersion: n.core.Version, Register: "x", Ballot: ballot{Round: 1, Proposer: "b", Life: 4321}}, &sealMsg{CoreVer: n.core.Version, Slice: "x", Epoch: 3},
-		&writeMsg{CoreVer: n.core.Version, Slice: "x", Epoch: 3}, &fetchMsg{CoreVer: n.core.Version, Slice: "x"}, &readRegMsg{CoreVer: n.core.Version, Reg: "x"},
-		&copyMsg{CoreVer: n.core.Version}, &digestMsg{Self: sibling{Name: "b"}}, &askMsg{Op: "members"}} {
+	for _, msg := range []any{&pollRequest{CoreVer: n.core.Version}, &register.Prepare{SetVersion: n.core.Version, Register: "x", Ballot: ballot{Round: 1, Proposer: "b", Life: 4321}},
+		&register.Accept{SetVersion: n.core.Version, Register: "x", Ballot: ballot{Round: 1, Proposer: "b", Life: 4321}}, &sealRequest{CoreVer: n.core.Version, Slice: "x", Epoch: 3},
+		&writeRequest{CoreVer: n.core.Version, Slice: "x", Epoch: 3}, &fetchRequest{CoreVer: n.core.Version, Slice: "x"}, &registerRead{CoreVer: n.core.Version, Register: "x"},
+		&copyRequest{CoreVer: n.core.Version}, &digestMsg{Self: peerInfo{Name: "b"}}, &forwardMsg{Op: "members"}} {
 		before := len(dest)
-		for _, e := range reduce(n, event{NowMs: n.now, WallMs: n.wall, Seed: 1, Body: evMsg{Head: wireHead{From: "b", Life: 4321, To: addressOf(n.Name)}, Msg: msg}}) {
+		for _, e := range reduce(n, event{NowMs: n.now, WallMs: n.wall, Seed: 1, Body: evMsg{Head: frameHeader{From: "b", Instance: 4321, To: addressOf(n.Name)}, Msg: msg}}) {
 			if a, ok := e.(effAppend); ok {
 				look(a.Then)
 			} else {
@@ -148,7 +154,7 @@
 
 // The head stays small: each daemon has 3 KB/s for what it says to others.
 func TestHeadIsSmall(t *testing.T) {
-	must.Eq(t, 37+len("edge-fukuoka-a-1"), len(sealFrame(wireHead{From: "edge-fukuoka-a-1", Cluster: 1, Life: 2, To: 3}, &formMsg{}))-len(pack(nil, formMsg{})))
+	must.Eq(t, 37+len("edge-fukuoka-a-1"), len(sealFrame(frameHeader{From: "edge-fukuoka-a-1", Cluster: 1, Instance: 2, To: 3}, &formRequest{}))-len(codec.Append(nil, formRequest{})))
 }
 
 // Frames of the form before are refused, whatever they hold, and not misread.
@@ -160,7 +166,7 @@
 		From          string
 		Inc           uint64
 	}{0x6f74746572636875, 3, 15, 9, "d01", 7}
-	frame := pack(pack(make([]byte, 4), former), answerMsg{ID: 1, Status: 200})
+	frame := codec.Append(codec.Append(make([]byte, 4), former), forwardReply{ID: 1, Status: 200})
 	binary.BigEndian.PutUint32(frame, crc32.ChecksumIEEE(frame[4:]))
 	_, _, err := openFrame(frame)
 	must.ErrorIs(t, err, errForeign)
--- a/accord/incident_test.go
+++ b/internal/daemon/incident_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"fmt"
@@ -38,28 +38,28 @@
 		beat(50, "")
 		ag := n.agents["w1"]
 		if c.ordered {
-			ag.held[key] = &held{state: heldOrdered, ordered: true, orderedMs: n.now, orderSeq: ag.repSeq, confirmedMs: n.now + 60_000, spec: orderSpec{Key: key, EstMs: 100}}
+			ag.attempts[key] = &attempt{state: attemptOrdered, ordered: true, orderedMs: n.now, orderSeq: ag.reportSeq, confirmedMs: n.now + 60_000, spec: orderSpec{Key: key, EstMs: 100}}
 		}
 		for _, l := range c.beats {
 			beat(l.afterMs, l.text)
 		}
-		h := ag.held[key]
-		must.Eq(t, heldEnded, h.state, must.Sprint(name))
+		h := ag.attempts[key]
+		must.Eq(t, attemptEnded, h.state, must.Sprint(name))
 		must.Eq(t, resultOK, h.result, must.Sprint(name))
 		must.Eq(t, c.ranMs, h.ranMs, must.Sprint(name))
 	}
 
 	n, _ := pinned(t)
 	js := &jobState{job: job{Queue: "q", Steps: []step{{Alike: true}}}}
-	n.learnRun(js, &task{HintMs: 1000}, 1200)
-	n.learnRun(js, &task{HintMs: 1000}, 0)
-	must.Eq(t, 120.0, n.learned["q/%"].meanMs)
+	n.recordRunTime(js, &task{HintMs: 1000}, 1200)
+	n.recordRunTime(js, &task{HintMs: 1000}, 0)
+	must.Eq(t, 120.0, n.estimates["q/%"].meanMs)
 }
 
 // A daemon that stood still says so and for how long: the logs of the incidents
 // told a freeze from a cut only by when a lease was seen to be over.
 func TestIncidentFreezeIsLogged(t *testing.T) {
-	n := newNode(place{Name: "edge-1", Inc: 1, Site: "east"}, nil)
+	n := newNode(nodeConfig{Name: "edge-1", Incarnation: 1, Zone: "east"}, nil)
 	var told []effLog
 	for _, ms := range []int64{5_000_000, 5_000_100, 5_001_100, 5_006_000, 5_006_100} {
 		for _, e := range reduce(n, event{NowMs: ms, WallMs: ms, Seed: 1, Body: evTick{}}) {
--- a/accord/jobs.go
+++ b/internal/daemon/jobs.go
@@ -1,10 +1,12 @@
-package main
+package daemon
 
 import (
 	"bytes"
 	"crypto/sha256"
 	"encoding/json"
 	"fmt"
+	"otterchute/internal/codec"
+	"otterchute/internal/statestore"
 	"slices"
 	"strconv"
 
@@ -42,7 +44,7 @@
 	Round        int32
 	Step, InStep int32
 	Name         string
-	Room         amount
+	Resources    resources
 	Needs        []label
 	LimitMs      int64
 	HintMs       int64
@@ -58,47 +60,47 @@
 	Failures   int32
 	Preempts   int32
 	RanMs      int64
-	SetVer     int64  // record version of the last change of state
+	ChangedIn  int64  // record version of the last change of state
 	Last       string // the worker of the last failure, avoided next time
 	Cause      string
 	FailedRun  int32  // the last run counted as a failure
 	Saved      string // the newest text it can go on from
 }
 
-// amount is room in its dimensions.
-type amount struct{ CPU, Memory, GPU int64 }
+// resources is room in its dimensions.
+type resources struct{ CPU, Memory, GPU int64 }
 
-func (a amount) plus(b amount) amount {
-	return amount{a.CPU + b.CPU, a.Memory + b.Memory, a.GPU + b.GPU}
+func (a resources) plus(b resources) resources {
+	return resources{a.CPU + b.CPU, a.Memory + b.Memory, a.GPU + b.GPU}
 }
-func (a amount) minus(b amount) amount {
-	return amount{a.CPU - b.CPU, a.Memory - b.Memory, a.GPU - b.GPU}
+func (a resources) minus(b resources) resources {
+	return resources{a.CPU - b.CPU, a.Memory - b.Memory, a.GPU - b.GPU}
 }
-func (a amount) fits(in amount) bool {
+func (a resources) fits(in resources) bool {
 	return a.CPU <= in.CPU && a.Memory <= in.Memory && a.GPU <= in.GPU
 }
 
 // share is a part of an amount, in percent.
-func (a amount) share(percent int64) amount {
-	return amount{a.CPU * percent / 100, a.Memory * percent / 100, a.GPU * percent / 100}
+func (a resources) share(percent int64) resources {
+	return resources{a.CPU * percent / 100, a.Memory * percent / 100, a.GPU * percent / 100}
 }
 
 // MarshalJSON tells room as a number where processor time is all there is.
 //
 // Example: {"free": 61} or {"free": {"cpu": 61, "memory": 512, "accelerators": 0}}
-func (a amount) MarshalJSON() ([]byte, error) {
+func (a resources) MarshalJSON() ([]byte, error) {
 	if a.Memory == 0 && a.GPU == 0 {
 		return strconv.AppendInt(nil, a.CPU, 10), nil
 	}
 	return json.Marshal(map[string]int64{"cpu": a.CPU, "memory": a.Memory, "accelerators": a.GPU})
 }
 
-// amountOf reads room, a number or an object.
-func amountOf(r gjson.Result) amount {
+// resourcesOf reads room, a number or an object.
+func resourcesOf(r gjson.Result) resources {
 	if r.IsObject() {
-		return amount{r.Get("cpu").Int(), r.Get("memory").Int(), r.Get("accelerators").Int()}
+		return resources{r.Get("cpu").Int(), r.Get("memory").Int(), r.Get("accelerators").Int()}
 	}
-	return amount{CPU: r.Int()}
+	return resources{CPU: r.Int()}
 }
 
 type step struct {
@@ -107,7 +109,7 @@
 	Size  int32 // tasks of a round
 	// A step of Size alike tasks is held as one specification.
 	Alike     bool
-	Room      amount
+	Resources resources
 	Needs     []label
 	LimitMs   int64
 	HintMs    int64
@@ -134,17 +136,17 @@
 	Size     int32 // tasks, when finished
 	Payload  []byte
 	// A timed job runs its steps Rounds times, the one numbered K from FirstMs + K x PeriodMs on.
-	Rounds   int32
-	FirstMs  int64
-	PeriodMs int64
-	Begun    int32 // the first round that Tasks still holds
-	Opened   int32 // rounds opened so far; Tasks holds those from Begun on
-	Steps    []step
-	Tasks    []task
-	GaveUp   []gaveUp // runs whose worker was silent for too long: an end of theirs that comes later doesn't count
+	Rounds    int32
+	FirstMs   int64
+	PeriodMs  int64
+	Begun     int32 // the first round that Tasks still holds
+	Opened    int32 // rounds opened so far; Tasks holds those from Begun on
+	Steps     []step
+	Tasks     []task
+	Abandoned []abandonedRun // runs whose worker was silent for too long: an end of theirs that comes later doesn't count
 }
 
-type gaveUp struct {
+type abandonedRun struct {
 	Task    int64
 	Attempt int32
 }
@@ -218,8 +220,8 @@
 	return at
 }
 
-// mates gives the positions of all tasks of a task's step in its round.
-func (j *job) mates(pos int) (from, to int) {
+// gangRange gives the positions of all tasks of a task's step in its round.
+func (j *job) gangRange(pos int) (from, to int) {
 	t := &j.Tasks[pos]
 	from = pos - int(t.InStep)
 	return from, from + int(j.Steps[t.Step].Size)
@@ -255,12 +257,12 @@
 			continue
 		}
 		if s := &j.Steps[t.Step]; s.Alike {
-			t.Name, t.Room, t.Needs, t.LimitMs, t.HintMs, t.Allowed, t.Payload = s.Name, s.Room, s.Needs, s.LimitMs, s.HintMs, s.Allowed, j.Payload
+			t.Name, t.Resources, t.Needs, t.LimitMs, t.HintMs, t.Allowed, t.Payload = s.Name, s.Resources, s.Needs, s.LimitMs, s.HintMs, s.Allowed, j.Payload
 		}
 	}
 }
 
-var jobFields = fieldSpec{Kind: "object", Fields: map[string]fieldSpec{
+var jobFields = fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
 	"queue":     {Kind: "name"},
 	"payload":   {Kind: "any"},
 	"rounds":    {Kind: "count", Max: 100_000},
@@ -268,14 +270,14 @@
 	"period_ms": {Kind: "count", Min: 0, Max: 365 * 24 * msPerHour},
 	"due_ms":    {Kind: "count", Min: 0},
 	"delay_ms":  {Kind: "count", Min: 0, Max: 365 * 24 * msPerHour},
-	"steps": {Kind: "list", Required: true, Min: 1, Max: stepsMax, Elem: &fieldSpec{Kind: "object", Fields: map[string]fieldSpec{
+	"steps": {Kind: "list", Required: true, Min: 1, Max: stepsMax, Elem: &fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
 		"name":  {Kind: "name", Required: true},
-		"after": {Kind: "list", Max: stepsMax, Elem: &fieldSpec{Kind: "name"}},
+		"after": {Kind: "list", Max: stepsMax, Elem: &fieldSchema{Kind: "name"}},
 		"count": {Kind: "count", Min: 1, Max: tasksMax}, "room": {Kind: "room"}, "labels": {Kind: "labels"},
 		"limit_ms": {Kind: "count", Min: 1, Max: 30 * 24 * msPerHour}, "estimate_ms": {Kind: "count", Min: 0, Max: 30 * 24 * msPerHour},
 		"allowed_failures": {Kind: "count", Min: 0, Max: 100}, "gang": {Kind: "flag"}, "same_rack": {Kind: "flag"}, "near": {Kind: "text", Max: 200},
 		"per_worker": {Kind: "count", Min: 0, Max: tasksMax}, "copies": {Kind: "flag"}, "lasting": {Kind: "flag"}, "saves": {Kind: "flag"},
-		"tasks": {Kind: "list", Min: 1, Max: tasksMax, Elem: &fieldSpec{Kind: "object", Fields: map[string]fieldSpec{
+		"tasks": {Kind: "list", Min: 1, Max: tasksMax, Elem: &fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
 			"name":             {Kind: "name", Required: true},
 			"payload":          {Kind: "any"},
 			"room":             {Kind: "room", Required: true},
@@ -298,7 +300,7 @@
 	if len(body) > bodyMax {
 		return nil, []fault{{"", "is larger than 1 MiB"}}
 	}
-	if f := checkDoc(body, jobFields); len(f) > 0 {
+	if f := checkDocument(body, jobFields); len(f) > 0 {
 		return nil, f
 	}
 	var faults []fault
@@ -355,7 +357,7 @@
 			if a := t.Get("allowed_failures"); a.Exists() {
 				allowed = int32(a.Int())
 			}
-			j.Tasks = append(j.Tasks, task{Step: int32(i), InStep: int32(k), Name: t.Get("name").Str, Room: amountOf(t.Get("room")),
+			j.Tasks = append(j.Tasks, task{Step: int32(i), InStep: int32(k), Name: t.Get("name").Str, Resources: resourcesOf(t.Get("room")),
 				Needs: labelsOf(t.Get("labels")), LimitMs: t.Get("limit_ms").Int(), HintMs: t.Get("estimate_ms").Int(),
 				Allowed: allowed, Payload: []byte(t.Get("payload").Raw)})
 		}
@@ -388,7 +390,7 @@
 
 // alike reads the specification that all tasks of a step share.
 func (st *step) alike(s gjson.Result) {
-	st.Alike, st.Size, st.Room, st.Needs = true, int32(s.Get("count").Int()), amountOf(s.Get("room")), labelsOf(s.Get("labels"))
+	st.Alike, st.Size, st.Resources, st.Needs = true, int32(s.Get("count").Int()), resourcesOf(s.Get("room")), labelsOf(s.Get("labels"))
 	st.LimitMs, st.HintMs, st.Allowed = s.Get("limit_ms").Int(), s.Get("estimate_ms").Int(), -1
 	if a := s.Get("allowed_failures"); a.Exists() {
 		st.Allowed = int32(a.Int())
@@ -426,7 +428,7 @@
 // failures are used up is never started again, and every task starts once.
 func (t *task) allowedRuns() int32 { return max(t.Allowed, 1) }
 
-func (t *task) settled() bool { return t.State >= taskEnded }
+func (t *task) resolved() bool { return t.State >= taskEnded }
 
 // readySteps tells for each step of each round held whether all it waits on
 // ended well, and durably: at (round - Begun) x steps + step.
@@ -437,7 +439,7 @@
 		done[i] = true
 	}
 	for i := range j.Tasks {
-		if t := &j.Tasks[i]; t.State != taskEnded || t.SetVer > committed {
+		if t := &j.Tasks[i]; t.State != taskEnded || t.ChangedIn > committed {
 			done[j.stepAt(t)] = false
 		}
 	}
@@ -461,7 +463,7 @@
 func (j *job) closeRounds(committed int64) (some bool) {
 	for size := int(j.roundSize()); j.Rounds > 0 && len(j.Tasks) > size; some = true {
 		for i := range j.Tasks[:size] {
-			if t := &j.Tasks[i]; t.State != taskEnded || t.SetVer > committed {
+			if t := &j.Tasks[i]; t.State != taskEnded || t.ChangedIn > committed {
 				return some
 			}
 		}
@@ -471,14 +473,14 @@
 	return some
 }
 
-// verdict derives a job's state from its tasks, where it has one.
-func (j *job) verdict() (int8, bool) {
+// outcome derives a job's state from its tasks, where it has one.
+func (j *job) outcome() (int8, bool) {
 	all := true
 	if j.State == jobRunning && j.Opened < j.roundsAll() {
 		return j.State, false
 	}
 	for i := range j.Tasks {
-		if !j.Tasks[i].settled() {
+		if !j.Tasks[i].resolved() {
 			return j.State, false
 		}
 		all = all && j.Tasks[i].State == taskEnded
@@ -509,16 +511,16 @@
 		c.Tasks = slices.Clone(j.Tasks)
 		for i := range c.Tasks {
 			t := &c.Tasks[i]
-			t.Name, t.Room, t.Needs, t.LimitMs, t.HintMs, t.Allowed, t.Payload = "", amount{}, nil, 0, 0, 0, nil
+			t.Name, t.Resources, t.Needs, t.LimitMs, t.HintMs, t.Allowed, t.Payload = "", resources{}, nil, 0, 0, 0, nil
 		}
 	}
-	return pack(nil, c)
+	return codec.Append(nil, c)
 }
 
 // jobOf reads the job in a record.
-func jobOf(r record) (*job, bool) {
+func jobOf(r statestore.Record) (*job, bool) {
 	j := &job{}
-	if r.ID == "" || unpack(r.Value, j) != nil {
+	if r.ID == "" || codec.Unmarshal(r.Value, j) != nil {
 		return nil, false
 	}
 	j.ID = r.ID
--- a/accord/lease_test.go
+++ b/internal/daemon/lease_test.go
@@ -1,6 +1,8 @@
-package main
+package daemon
 
 import (
+	"otterchute/internal/codec"
+	"otterchute/internal/quorum"
 	"slices"
 	"strings"
 	"testing"
@@ -17,7 +19,7 @@
 		if !n.up {
 			continue
 		}
-		if d := n.sh.n.duties[duty]; d != nil && d.phase == dutyHeld && n.steadyMs() < d.untilMs-leaseSlack {
+		if d := n.sh.node.roles[duty]; d != nil && d.phase == roleHeld && n.steadyMs() < d.untilMs-leaseSlackMs {
 			out = append(out, name)
 		}
 	}
@@ -62,30 +64,30 @@
 		first, second := w.nodes["d05"], w.nodes["d06"]
 		const name = "slice/spare"
 		w.oneWay("d05", "d02", true) // its poll reaches d00 and d01 only
-		first.sh.n.want(name)
-		d := first.sh.n.duties[name]
-		must.True(t, w.stepUntil(1000, func() bool { return d.phase == dutyCas }))
+		first.sh.node.acquire(name)
+		d := first.sh.node.roles[name]
+		must.True(t, w.stepUntil(1000, func() bool { return d.phase == roleAdvancingEpoch }))
 		w.oneWay("d05", "d02", false) // its accept reaches d01 and d02 only
-		must.True(t, w.stepUntil(100, func() bool { return first.sh.n.accepts("duty/" + name) }))
+		must.True(t, w.stepUntil(100, func() bool { return first.sh.node.accepts("duty/" + name) }))
 		w.oneWay("d05", "d00", true)
-		must.True(t, w.stepUntil(100, func() bool { return d.phase == dutyHeld }))
+		must.True(t, w.stepUntil(100, func() bool { return d.phase == roleHeld }))
 		w.oneWay("d05", "d02", true) // no renewal gets there
 		w.nodes["d00"].kill(false)
 		w.nodes["d00"].start()
-		second.sh.n.want(name)
+		second.sh.node.acquire(name)
 		w.heldOnce(t, 3000, name)
 		w.heal()
 		w.run(2 * leaseMs)
-		second.sh.n.want(name)
-		must.True(t, w.until(1000, func() bool { return second.sh.n.holds(name) }))
+		second.sh.node.acquire(name)
+		must.True(t, w.until(1000, func() bool { return second.sh.node.holds(name) }))
 		w.heldOnce(t, 1000, name)
 	}
 }
 
 // accepts tells whether a change of a register is in its second round.
 func (n *node) accepts(reg string) bool {
-	for _, id := range sorted(n.ops) {
-		if o := n.ops[id]; o.Register == reg {
+	for _, id := range sorted(n.changes) {
+		if o := n.changes[id]; o.Register == reg {
 			return o.ValueBallot() == o.Ballot
 		}
 	}
@@ -139,9 +141,9 @@
 	func(w *world, _ []string) { w.someNode().skewMs += w.rng.Int64N(40_000) - 20_000 },
 	func(w *world, _ []string) { // a holder hands a duty on
 		if n := w.holderOf("slice/" + w.some([]string{"east", "west", "mid"})); n != nil {
-			for _, name := range sorted(n.sh.n.duties) {
-				if d := n.sh.n.duties[name]; d.phase == dutyHeld && kindOfDuty(name) == "slice" {
-					n.sh.n.resign(d, w.someNode().Name)
+			for _, name := range sorted(n.sh.node.roles) {
+				if d := n.sh.node.roles[name]; d.phase == roleHeld && roleKind(name) == "slice" {
+					n.sh.node.handOff(d, w.someNode().Name)
 				}
 			}
 		}
@@ -175,13 +177,13 @@
 
 // members names the newest core's members.
 func (w *world) members() []string {
-	var set coreSet
+	var set quorum.Set
 	for _, n := range w.nodesInOrder() {
-		if n.sh.n.core.Version > set.Version {
-			set = n.sh.n.core
+		if n.sh.node.core.Version > set.Version {
+			set = n.sh.node.core
 		}
 	}
-	return memberNames(set)
+	return set.Names()
 }
 
 // seedsOr is how many seeds to run: those asked for, or CI's number.
@@ -198,87 +200,87 @@
 	w := served(t, 7300)
 	first, second := w.nodes["d05"], w.nodes["d06"]
 	const name = "slice/spare"
-	first.sh.n.want(name)
-	must.True(t, w.until(2000, func() bool { return first.sh.n.holds(name) }))
-	said := first.sh.n.self()
-	said.Inc++
+	first.sh.node.acquire(name)
+	must.True(t, w.until(2000, func() bool { return first.sh.node.holds(name) }))
+	said := first.sh.node.selfInfo()
+	said.Incarnation++
 	for _, other := range sorted(w.nodes) { // a daemon that is back tells of a life with a later clock
 		if other != "d05" {
-			w.nodes[other].sh.n.learnSibling(said)
+			w.nodes[other].sh.node.mergePeer(said)
 		}
 	}
-	first.event(evMsg{Head: wireHead{From: "d07", Cluster: first.sh.n.core.Cluster}, Msg: &gossipMsg{Self: w.nodes["d07"].sh.n.self(), Table: []sibling{said}}})
-	must.Greater(t, said.Inc, first.sh.n.Inc)
+	first.event(evMsg{Head: frameHeader{From: "d07", Cluster: first.sh.node.core.Cluster}, Msg: &gossipMsg{Self: w.nodes["d07"].sh.node.selfInfo(), Table: []peerInfo{said}}})
+	must.Greater(t, said.Incarnation, first.sh.node.Incarnation)
 	w.cutHost("d05")
-	second.sh.n.want(name)
+	second.sh.node.acquire(name)
 	w.heldOnce(t, 3000, name)
-	must.True(t, w.until(1000, func() bool { return second.sh.n.holds(name) }))
+	must.True(t, w.until(1000, func() bool { return second.sh.node.holds(name) }))
 }
 
 // A grant that was asked for before a duty was let go says nothing of the duty
 // when it is wanted again.
 func TestLeaseAskedForBeforeItWasReleased(t *testing.T) {
 	w := served(t, 7301)
-	n := w.nodes["d05"].sh.n
+	n := w.nodes["d05"].sh.node
 	const name = "slice/spare"
-	n.want(name)
+	n.acquire(name)
 	must.True(t, w.until(2000, func() bool { return n.holds(name) }))
 	n.poll.nextMs = 0
 	n.tickPoll()
 	asked := n.poll.sent[n.poll.seq]
-	i := slices.IndexFunc(asked.holds, func(h dutyAsk) bool { return h.Name == name })
-	n.dropDuty(n.duties[name], "released")
-	n.want(name)
-	for _, m := range memberNames(n.core) {
-		a := &pollAck{Seq: n.poll.seq, CoreVer: n.core.Version, Granted: make([]bool, len(asked.holds)), Epochs: make([]uint64, len(asked.holds))}
+	i := slices.IndexFunc(asked.holds, func(h leaseRequest) bool { return h.Name == name })
+	n.loseRole(n.roles[name], "released")
+	n.acquire(name)
+	for _, m := range n.core.Names() {
+		a := &pollResponse{Seq: n.poll.seq, CoreVer: n.core.Version, Granted: make([]bool, len(asked.holds)), Epochs: make([]uint64, len(asked.holds))}
 		a.Granted[i] = true
-		n.onPollAck(m, a)
+		n.onPollResponse(m, a)
 	}
-	must.Eq(t, dutyWanted, n.duties[name].phase)
+	must.Eq(t, roleWanted, n.roles[name].phase)
 }
 
 // A lease that has run out is not brought back by a late grant, even before the
 // tick that drops it: others may have held the duty in between.
 func TestLeaseThatRanOutIsNotRenewed(t *testing.T) {
 	w := served(t, 7302)
-	n := w.nodes["d05"].sh.n
+	n := w.nodes["d05"].sh.node
 	const name = "slice/spare"
-	n.want(name)
+	n.acquire(name)
 	must.True(t, w.until(2000, func() bool { return n.holds(name) }))
-	epoch := n.duties[name].epoch
+	epoch := n.roles[name].epoch
 	n.now += 850
 	n.poll.nextMs = 0
 	n.tickPoll()
 	asked := n.poll.sent[n.poll.seq]
 	n.now += 150
-	for _, m := range memberNames(n.core) {
-		a := &pollAck{Seq: n.poll.seq, CoreVer: n.core.Version, Granted: make([]bool, len(asked.holds)), Epochs: make([]uint64, len(asked.holds))}
+	for _, m := range n.core.Names() {
+		a := &pollResponse{Seq: n.poll.seq, CoreVer: n.core.Version, Granted: make([]bool, len(asked.holds)), Epochs: make([]uint64, len(asked.holds))}
 		for i := range a.Granted {
 			a.Granted[i] = true
 		}
-		n.onPollAck(m, a)
+		n.onPollResponse(m, a)
 	}
 	must.False(t, n.holds(name))
-	must.True(t, n.duties[name] == nil || n.duties[name].epoch != epoch)
+	must.True(t, n.roles[name] == nil || n.roles[name].epoch != epoch)
 }
 
 // A member takes no release and renews no lease from a poll that a later one of
 // the same life has overtaken, and renews none under an epoch that has passed.
 func TestLeasePollsOutOfOrder(t *testing.T) {
 	n, say := coreMemberOf(t)
-	poll := func(from string, seq, epoch uint64, released bool) *pollAck {
-		m := &pollMsg{Inc: 1, Seq: seq, CoreVer: n.core.Version, Holds: []dutyAsk{{Name: "slice/some", Epoch: epoch}}}
+	poll := func(from string, seq, epoch uint64, released bool) *pollResponse {
+		m := &pollRequest{Incarnation: 1, Seq: seq, CoreVer: n.core.Version, Holds: []leaseRequest{{Name: "slice/some", Epoch: epoch}}}
 		if released {
-			m.Holds, m.Releases = nil, []release{{Name: "slice/some", Successor: "x09"}}
+			m.Holds, m.Releases = nil, []leaseRelease{{Name: "slice/some", Successor: "x09"}}
 		}
-		a, _ := say(from, m).(*pollAck)
+		a, _ := say(from, m).(*pollResponse)
 		return a
 	}
 	must.True(t, poll("x08", 5, 0, false).Granted[0])
 	must.Nil(t, poll("x08", 4, 0, true)) // held up on its way: the duty was taken anew since
 	must.False(t, poll("x09", 1, 0, false).Granted[0])
 	must.True(t, poll("x08", 6, 4, false).Granted[0])
-	n.store.reg("duty/slice/some").Value = pack(nil, dutyView{Name: "slice/some", Holder: "x09", Inc: 1, Epoch: 5})
+	n.store.Register("duty/slice/some").Value = codec.Append(nil, roleHolder{Name: "slice/some", Holder: "x09", Incarnation: 1, Epoch: 5})
 	must.False(t, poll("x08", 7, 4, false).Granted[0])
 }
 
@@ -287,16 +289,16 @@
 func TestRestartedMemberKeepsItsCoreSet(t *testing.T) {
 	w := served(t, 7303)
 	member := w.nodes["d01"]
-	older := member.sh.n.core
+	older := member.sh.node.core
 	next := older
 	next.Version++
-	tell := func(c coreSet) evMsg {
-		return evMsg{Head: wireHead{From: "d09", Cluster: older.Cluster}, Msg: &gossipMsg{Self: sibling{Name: "d09", Inc: 1, Beat: 1}, Core: c}}
+	tell := func(c quorum.Set) evMsg {
+		return evMsg{Head: frameHeader{From: "d09", Cluster: older.Cluster}, Msg: &gossipMsg{Self: peerInfo{Name: "d09", Incarnation: 1, Heartbeat: 1}, Core: c}}
 	}
 	member.event(tell(next))
 	w.run(50)
 	member.kill(false)
-	n := newNode(member.place, member.disk.load())
+	n := newNode(member.nodeConfig, member.disk.load())
 	reduce(n, event{NowMs: 1000, WallMs: wallStart, Body: tell(older)})
 	must.NotEq(t, older.Version, n.core.Version)
 	reduce(n, event{NowMs: 1010, WallMs: wallStart, Body: evTick{}})
@@ -316,13 +318,13 @@
 	b.run(300)
 	b.cutFrom(host, sorted(b.nodes), true, true) // its worker's beats come before any word of its former life
 	n.start()
-	must.True(t, b.until(4000, func() bool { return n.sh.n.agents[worker] != nil }))
+	must.True(t, b.until(4000, func() bool { return n.sh.node.agents[worker] != nil }))
 	b.cuts = map[[2]string]bool{}
 	heard := func() bool {
-		ag := n.sh.n.agents[worker]
-		for _, s := range b.nodes["d00"].sh.n.core.Slices {
+		ag := n.sh.node.agents[worker]
+		for _, s := range b.nodes["d00"].sh.node.core.Shards {
 			owner := b.holderOf("slice/" + s)
-			if ag == nil || owner == nil || owner.sh.n.workers[worker] == nil || owner.sh.n.workers[worker].epoch != ag.epoch {
+			if ag == nil || owner == nil || owner.sh.node.workers[worker] == nil || owner.sh.node.workers[worker].epoch != ag.epoch {
 				return false
 			}
 		}
