--- /dev/null
+++ b/internal/daemon/limits.go
@@ -0,0 +1,194 @@
+package daemon
+
+// All constants of the daemon stand here, each with its unit in the name and
+// the reason for its size.
+const configVersionMax = 1 << 50 // a version's bound: exact as a number in JSON
+
+const (
+	tickMs            = 100            // the reducer's heartbeat; every wait below is a multiple
+	pollMs            = 200            // lease renewals; five tries fit in one lease
+	pollColocatedMs   = 400            // daemons beside workers hold no lease; the setup they go by is confirmed this often
+	leaseMs           = 1000           // long enough for five renewals, short enough that urgent work hardly misses its aim
+	clockWaitMs       = 800            // a core member hears clocks this long before it tells the fleet's time
+	leaseSlackMs      = 100            // ms a holder gives up before its lease ends, for clock drift, see leaseHeldMs
+	flightMs          = 700            // an order that has not been answered by then is closed and unsettled
+	contactMs         = 1500           // an order needs the owner's word this fresh; a cancel must bite in 3 s
+	configFreshMs     = 1500           // a setup must be confirmed this freshly; an acked one must bite in 2 s
+	reportMs          = 1500           // a worker's word must be this fresh; leaving must bite in 2 s
+	gossipMs          = 500            // sibling tables are exchanged at this pace
+	peerAliveMs       = 4000           // a sibling whose beat stood still this long counts as gone
+	forgetMs          = 3600_000       // a worker not heard of for an hour leaves the views
+	peerKeepMs        = 48 * msPerHour // a site cut off for hours must still know where the others were
+	frozenMs          = 1000           // no event for that long, with ten ticks a second: the machine stood still
+	peersMax          = 1000           // names in the table; the longest silent one goes first
+	rankMs            = 3000           // the paper's and the design's round of ranks and targets
+	rankStaleMs       = 3 * rankMs     // three missed rounds: ranks and targets are ignored
+	syncMs            = 300            // agents tell owners and the central scheduler all they hold
+	allocationRetryMs = 1000           // owners repeat their asks for firm places
+	allocationStaleMs = 3000           // the central scheduler drops asks not repeated
+	grantMs           = 2500           // a grant not seen at the agent by then frees its room
+	configForwardMs   = 2400           // the same for a change of the setup, which a core member tries for changeMs
+	forwardMs         = 1200           // an ask handed over without an answer is given up on
+	quorumReadMs      = 500            // a state read from the core that takes longer is given up on
+	changeMs          = 2500           // a register change that has not ended by then is given up on
+	changeRetryMs     = 150            // base of the jittered wait between two tries of a change
+	writeRetry        = 600            // ms before unacknowledged record writes are sent again
+	acquireStepMs     = 700            // each lower-ranked candidate waits this much longer for a free duty
+	returnMs          = 8000           // a slice owner outside its site goes home when the site stood this long
+	replaceMs         = 10000          // a core member gone this long may be replaced by a spare disk
+	stopMs            = 2000           // a graceful stop ends in this time whatever happens, but for a core member's
+	slotHandoverMs    = 3000           // a core member that stops waits this long for a spare to take its seat
+	slotUndoMs        = 600            // before that it takes a spare out again that has not finished
+	wantAgentMs       = 3000           // a candidate keeps trying for a worker's agent this long after a report
+	agentIdleMs       = 600_000        // an agent whose worker is silent and owes nothing lets go
+	tombstoneMs       = 6000           // dropped attempts are remembered longer than any placement stays fresh
+	silentMs          = 5000           // a worker not heard of for this long is shown as silent
+	limitMargin       = 5000           // ms past a run limit before a queue that trusts it has a silent run settled
+	bypassMs          = 3000           // queued tasks may overtake a larger head for this long, no longer
+	backoffMs         = 500            // base wait of a failing task's next try, doubled each time
+	backoffMax        = 30_000         // ms; the longest such wait
+	finishedMs        = 600_000        // finished jobs answered from the owner's memory this long
+	dueMarginMs       = 50             // starts wait this much past the due time, for what sound clocks differ by
+	clockOldMs        = 10_000         // a clock reading older than this is replaced by a later one, or has no say
+	rebuildMs         = 500            // a new central scheduler listens this long before it grants: agents speak each 300 ms
+	reserveMs         = 4000           // the longest-waiting firm task holds a worker back after this
+	formStableMs      = 700            // so long the same empty disks must be seen before a core is formed of them
+	unresponsiveMs    = 1600           // a new empty disk takes the place of a member that missed four polls
+	formTurnMs        = 1500           // each later member waits this much longer before it brings a formation to its end
+	formAgainMs       = 300            // votes that did not come are asked for again
+	firstGossipMs     = 200            // a disk without a core gossips at this pace
+	holdMostMs        = 10_000         // defaults of what a platform bounds: see docs/settings.md
+	gangWaitMs        = 3000
+	saveMs            = 1000
+	restoreMs         = 250
+	spareStepMs       = 1500 // each later spare disk waits this much longer before it goes for the core
+
+	gossipFanout       = 4        // siblings a daemon exchanges with; log2 of today's fleets
+	coreSize           = 3        // disks that hold the state
+	kLowest            = 50       // the design's k: the most workers a queueable task is drawn among
+	kLeast             = 3        // and the fewest; between them a quarter of the allowed ones, see docs/rounds.md
+	thresholdMs        = 2500     // learned run time below this is queueable; see docs/rounds.md
+	quotaTasks         = 100      // the paper's queueable quota per job
+	preemptMax         = 2        // after two preemptions a task is guaranteed
+	healthMinEnds      = 8        // ends an agent needs before it judges its worker
+	forwardsMax        = 2        // an ask is handed over at most this often
+	finishedMax        = 5000     // finished jobs an owner keeps in memory
+	learnedMax         = 4096     // run-time estimates a daemon keeps
+	learnedTell        = 500      // of them told to all others in one round
+	queueJobsMax       = 2000     // live jobs one queue may have in a slice, unless the setup says less
+	shardJobsMax       = 4000     // live jobs a slice may have; see urgentShare
+	urgentShare        = 25       // percent of a slice's jobs kept for queues above the lowest urgency
+	agentQueueMax      = 400      // unstarted tasks an agent holds before it bounces
+	allocationsPerTick = 64       // asks for firm places a slice sends in one tick, most urgent first
+	allocateNowMax     = 64       // waiting asks up to which each event tries to grant; beyond, only ticks do
+	requestsMax        = 4000     // asks in flight through one daemon before it bounces
+	retryShare         = 5        // every so many asks allow one to be handed over again: a crowd costs a fifth more at most
+	retriesPerTick     = 1        // and so many a tick, that few asks need not wait
+	readsPerTick       = 10       // states read from the core a tick: 100 a second for each daemon
+	retryBudgetMax     = 100      // what either budget saves up for a burst
+	changesKept        = 4096     // identities of accepted setups, some 33 bytes each: a storm makes hundreds in a day
+	pastShown          = 50       // accepted setups that operators are shown
+	bodyMax            = 1 << 20  // bytes of a job's body
+	configBytesMax     = 16 << 20 // bytes of a setup
+	frameMax           = 64 << 20 // bytes of one message between daemons
+	stepsMax           = 64       // steps of a job
+	roundTasksMax      = 2000     // tasks of the rounds of a job that are open at once
+	tasksMax           = 1000     // tasks of a job
+	snapshotMin        = 8 << 20  // bytes of log before a snapshot is worth its writing
+	copyAgainMs        = 2000     // a part of a copy that does not come is asked for again
+	shardBytesMax      = 24 << 20 // live jobs of a slice as packed: a seal's answer must fit a frame
+	segmentBytes       = 8 << 20  // a segment is closed at this size
+	quarantineBytes    = 8 << 20  // of a damaged disk's files that are kept for a look, until the next snapshot; a disk may hold 128 MB
+	batchesMax         = 1 << 32  // batches of one segment, far above what it may hold
+	keepHoursDef       = 24       // hours a finished job is kept; callers check states within a day
+
+	dialMs           = 350       // a sibling in reach answers in milliseconds; one that a cut hid must be found soon after it
+	unackedMs        = 1500      // a line whose bytes nobody acknowledges for so long is given up
+	aliveMs          = 1000      // a quiet line is probed at this pace; after two lost probes it is given up. Go rounds up to seconds
+	frameOldMs       = 1000      // frames that waited longer are not sent: what matters was sent again
+	sendBytes        = 256 << 10 // frames that wait go out together, up to about this many bytes
+	readBytes        = 16 << 10  // of a connection's buffer
+	writeMs          = 2000      // a frame not taken by then ends its connection
+	connectionIdleMs = 300_000   // a line without frames is closed
+	replyMs          = 4000      // the control thread answers long before; this guards against a fault in it
+	visitAgainMs     = 2000      // doctor's second look; every bound on a passing state is shorter
+	spreadMs         = 1000      // a clock this far off is wrong, whatever the network
+	slowSyncMs       = 200       // a sync this slow sets the pace of every change
+
+	outboundFrames = 512  // frames waiting for one sibling; beyond, the newest are dropped
+	connsMax       = 2000 // connections taken from siblings
+	loopJobs       = 8192 // events waiting for the control thread before posters wait
+	ordersMax      = 256  // orders on their way at once from one daemon
+
+	diskRetryMs   = 100  // a failed disk is tried again after this, doubled each time
+	diskRetryMost = 1000 // ms; the longest such wait: the member is missed meanwhile
+
+	msPerHour = 3600_000
+)
+
+// Of leases.
+const (
+	// leaseHeldMs is how long a holder keeps a lease, from when it asked; members
+	// keep it for leaseMs, from when they granted it, which is later. So a holder's
+	// steady clock may run slower than a member's by a tenth (900 of 1000) before
+	// two could hold one duty. Steady clocks of machines differ by less than a
+	// thousandth; both read whole ms, which takes 2 of the 100; and a freeze or a
+	// sleep counts on both, since they read the boot clock.
+	leaseHeldMs = leaseMs - leaseSlackMs
+)
+
+// Of batches.
+const (
+	finishByMost    = 720    // hours a batch may be given: a month, within what is kept of jobs
+	batchBelow      = 2000   // urgency that batch queues lie below all others: those have 0 to 1000
+	batchPlanMs     = 2000   // batches are planned anew at this pace; far below batchMarginMs
+	batchLearnMs    = 2500   // a new owner hears all agents first, or the room would look small and all jobs late
+	batchSlack      = 200    // percent of the time a batch needs that is kept for it: it is pushed out, runs off its guess, finds half the room
+	batchMarginMs   = 60_000 // and beside that: a lost worker, a takeover and another try
+	batchHeadroom   = 25     // percent of a worker that stays free when a batch task starts there
+	batchLowMs      = 3000   // batches count on room that was left for so long at the least
+	batchStartsTick = 4      // batch tasks a slice places in one tick
+	batchTriesTick  = 64     // and those it looks for a place for
+	batchAgainMs    = 400    // a task that found no place is looked at again after this, about
+	batchCalmMs     = 1500   // so long after a more urgent task found no place none is placed
+	batchCalmShare  = 4      // nor while something waits at one in so many workers
+	batchWaitMs     = 300    // a batch task that can't start at its worker by then goes back
+	batchBackMs     = 1500   // and one that was pushed out waits this long, up to twice
+	batchRecords    = 50     // percent of a slice's records that may be full when a batch is taken
+)
+
+// Of agents beside their workers, of gangs and of firm room.
+const (
+	holdSpanMs    = 4000   // a beat's answer holds its worker this long; a daemon that is killed is back before
+	ownerSpanMs   = 7000   // an agent keeps a run without its owner's word this long: longer than a takeover or a short cut
+	staleStopMs   = 900    // before that it stops the run, in time for the stop to be listed
+	lapseMarginMs = 300    // past the longest a hold may last, for what clocks and messages differ by
+	driftPercent  = 2      // a worker's clock may run this much slow
+	recallMs      = 150    // a task that waits this long at its worker is called back where another has room now
+	heartbeatMs   = 50     // a worker beats again after this; an order waits half of it in the mean
+	urgentWaitMs  = 350    // a queueable task of a more urgent queue waits this long, and may be called back meanwhile, before it pushes others out
+	gangSlackMs   = 2000   // a gang not whole by then is begun anew, before any member waits too long alone
+	regrantMs     = 400    // a place still wanted this long after its grant was not taken
+	spreadAfterMs = 1500   // a gang that wants one rack takes several after this, at the earliest
+	rackWaitShare = 50     // percent of what its run takes longer over several that it waits for one
+	rackWaitMost  = 15_000 // ms, and no longer than this
+	urgentRoom    = 12     // percent of a worker that firm work of lesser queues leaves to the most urgent ones
+	standMs       = 1500   // work that does not move for this long, and a tenth of its estimate, stands still
+	lastPercent   = 99     // a worker tells no more of work that has not ended
+	suspectMs     = 3000   // a worker where work stood still gets no more for this long, doubled each time
+	busyPercent   = 55     // of all room in use: below it no reservation holds, for a job must not wait beside idle workers
+	backfillMs    = 2000   // against anything that waited this long
+	lateEndsMax   = 100    // ends that wait behind a late one before the hold is let run out
+	endsPage      = 500    // ends that one beat tells of at most
+	openAheadMs   = 400    // a round is written down this long before it is due
+	goneMs        = 500    // a worker that said it goes has ended this long after
+	leaveStopMs   = 800    // so long before its worker leaves, work that saves is stopped, to go on elsewhere
+	workerKeepMs  = 60_000 // a worker's agent whose worker is gone keeps the ends nobody took note of for this long
+)
+
+// Of experiments (experiment.go).
+const (
+	settleMaxS   = 240 // s until a hollow fleet stands with its load; a few hundred daemons take half a minute
+	startGroup   = 10  // hollow daemons started at once
+	startPauseMs = 200 // and then a pause, so that the fleet's first words don't come all at one time
+)
--- a/accord/linear_test.go
+++ b/internal/daemon/linear_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"cmp"
@@ -16,15 +16,15 @@
 	w := served(t, seed)
 	w.putAnywhere(t, 2, 0)
 	w.run(1000)
-	n = w.nodes["d05"].sh.n
+	n = w.nodes["d05"].sh.node
 	n.now, n.poll.nextMs, n.out = n.now+pollMs, 0, nil
 	n.tickPoll()
 	confirm = func() {
 		r := n.poll.sent[n.poll.seq]
-		for _, m := range memberNames(n.core) {
-			n.onPollAck(m, &pollAck{Seq: n.poll.seq, CoreVer: n.core.Version, Granted: make([]bool, len(r.holds)), Epochs: make([]uint64, len(r.holds)), Setup: n.setup.ballot})
+		for _, m := range n.core.Names() {
+			n.onPollResponse(m, &pollResponse{Seq: n.poll.seq, CoreVer: n.core.Version, Granted: make([]bool, len(r.holds)), Epochs: make([]uint64, len(r.holds)), Setup: n.config.ballot})
 		}
-		n.tickSetup()
+		n.tickConfig()
 	}
 	read = func(status int) bool {
 		return slices.ContainsFunc(n.out, func(e effect) bool { r, ok := e.(effReply); return ok && r.Status == status })
@@ -36,7 +36,7 @@
 // says nothing of what was acknowledged in between.
 func TestReadWaitsForALaterPoll(t *testing.T) {
 	n, confirm, read := readingNode(t, 7500)
-	n.onAsk(evAsk{ID: 9, Op: "setup.get", Expect: -1})
+	n.onRequest(evRequest{ID: 9, Op: "setup.get", Expect: -1})
 	confirm()
 	must.False(t, read(200))
 	n.poll.nextMs = 0
@@ -49,7 +49,7 @@
 // a call that is answered after it woke.
 func TestReadIsCheckedAfterAFreeze(t *testing.T) {
 	n, confirm, read := readingNode(t, 7501)
-	n.onAsk(evAsk{ID: 9, Op: "setup.get", Expect: -1})
+	n.onRequest(evRequest{ID: 9, Op: "setup.get", Expect: -1})
 	n.poll.nextMs = 0
 	n.tickPoll()
 	n.now, n.wokeMs = n.now+9000, n.now+9000
@@ -77,9 +77,9 @@
 // call has an operator send one call to some daemon; done gets its answer, or
 // none after the time that operators wait.
 func (h *registerHistory) call(from string, op *registerOp, done func()) {
-	e := evAsk{Op: "setup.get", Expect: -1}
+	e := evRequest{Op: "setup.get", Expect: -1}
 	if !op.read {
-		e = evAsk{Op: "setup.put", Key: fmt.Sprint(op.version), Expect: op.base, Body: fmt.Appendf(nil, `{"note":%q,"queues":[]}`, op.text)}
+		e = evRequest{Op: "setup.put", Key: fmt.Sprint(op.version), Expect: op.base, Body: fmt.Appendf(nil, `{"note":%q,"queues":[]}`, op.text)}
 	}
 	op.sentUs = h.w.nowUs
 	h.ops = append(h.ops, op)
--- a/accord/main.go
+++ b/internal/daemon/main.go
@@ -1,5 +1,5 @@
-// Program accord is otterchute's daemon and its operators' command line.
-package main
+// Package daemon is otterchute's daemon and its operators' command line.
+package daemon
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"go.uber.org/fx"
 )
 
-// version is told by `accord version`; the wire form has its own number.
+// version is told by `otterchute version`; the wire form has its own number.
 const version = "0.1.0"
 
 // exit codes, the same for every command
@@ -33,7 +33,7 @@
 func (c *command) Name() string     { return c.name }
 func (c *command) Synopsis() string { return c.about }
 func (c *command) Usage() string {
-	return fmt.Sprintf("accord %s %s\n  %s\n", c.name, c.args, c.about)
+	return fmt.Sprintf("otterchute %s %s\n  %s\n", c.name, c.args, c.about)
 }
 func (c *command) SetFlags(fs *flag.FlagSet) {
 	if c.bind != nil {
@@ -44,8 +44,12 @@
 	return c.do(ctx, fs)
 }
 
-func main() {
-	cmd := subcommands.NewCommander(flag.CommandLine, "accord")
+// Main runs the program: it parses the command line, runs one subcommand and
+// exits with its code.
+//
+// Example: func main() { daemon.Main() }
+func Main() {
+	cmd := subcommands.NewCommander(flag.CommandLine, "otterchute")
 	cmd.Register(cmd.HelpCommand(), "help")
 	cmd.Register(cmd.FlagsCommand(), "help")
 	cmd.Register(runCommand(), "daemon")
@@ -53,7 +57,7 @@
 		cmd.Register(c, "operators")
 	}
 	cmd.Register(&command{name: "version", about: "tell the version", do: func(context.Context, *flag.FlagSet) subcommands.ExitStatus {
-		fmt.Printf("accord %s, wire %d\n", version, wireForm)
+		fmt.Printf("otterchute %s, wire %d\n", version, wireForm)
 		return exitOK
 	}}, "help")
 	flag.Parse()
@@ -66,23 +70,23 @@
 		do: func(ctx context.Context, fs *flag.FlagSet) subcommands.ExitStatus {
 			s, err := f.load(fs)
 			if err != nil {
-				fmt.Fprintln(os.Stderr, "accord:", err)
+				fmt.Fprintln(os.Stderr, "otterchute:", err)
 				return exitUsage
 			}
 			app := fx.New(daemonModules(s))
 			if err := app.Err(); err != nil {
-				fmt.Fprintln(os.Stderr, "accord:", dig.RootCause(err))
+				fmt.Fprintln(os.Stderr, "otterchute:", dig.RootCause(err))
 				return exitUsage
 			}
 			if err := app.Start(ctx); err != nil {
-				fmt.Fprintln(os.Stderr, "accord:", dig.RootCause(err))
+				fmt.Fprintln(os.Stderr, "otterchute:", dig.RootCause(err))
 				return exitFound
 			}
 			<-app.Wait()
 			stop, cancel := context.WithTimeout(context.Background(), 5*stopMs*1e6)
 			defer cancel()
 			if err := app.Stop(stop); err != nil {
-				fmt.Fprintln(os.Stderr, "accord:", err)
+				fmt.Fprintln(os.Stderr, "otterchute:", err)
 				return exitFound
 			}
 			return exitOK
--- a/accord/measure_test.go
+++ b/internal/daemon/measure_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"flag"
@@ -7,7 +7,7 @@
 	"slices"
 	"testing"
 
-	"otterchute/verdict"
+	"otterchute/internal/historycheck"
 )
 
 var measureFlag = flag.Bool("measure", false, "print measurements of both deployments in simulated time")
@@ -32,11 +32,11 @@
 
 // measure runs the same jobs at the same times whatever the settings, so that
 // runs of one seed are pairs.
-func measure(seed uint64, dep string, rate float64, change func(*place), during func(*world)) measured {
-	d := verdict.Deployments[dep]
+func measure(seed uint64, dep string, rate float64, change func(*nodeConfig), during func(*world)) measured {
+	d := historycheck.Deployments[dep]
 	w := newWorld(seed, d)
 	for _, name := range sorted(w.nodes) {
-		change(&w.nodes[name].place)
+		change(&w.nodes[name].nodeConfig)
 	}
 	w.until(20_000, func() bool { return w.holderOf("central") != nil })
 	w.putSetup(1, d.SetupOf(), nil)
@@ -60,9 +60,9 @@
 	var g, q, all, urgent []int64
 	for _, e := range w.history {
 		switch e.Kind {
-		case verdict.JobSent:
+		case historycheck.JobSent:
 			sent[e.Job], queue[e.Job] = e.AtMs, e.Spec.Queue
-		case verdict.Start:
+		case historycheck.Start:
 			if !first[e.Job] {
 				first[e.Job] = true
 				if e.Text == "guaranteed" {
@@ -71,7 +71,7 @@
 					q = append(q, e.AtMs-sent[e.Job])
 				}
 			}
-		case verdict.End:
+		case historycheck.End:
 			last[e.Job] = e.AtMs
 		}
 	}
@@ -101,7 +101,7 @@
 	if !*measureFlag {
 		t.Skip("only with -measure")
 	}
-	plain, quietly := func(*place) {}, func(*world) {}
+	plain, quietly := func(*nodeConfig) {}, func(*world) {}
 	wave := func(w *world) {
 		for range 300 {
 			w.submit(w.dep.Draw(w.rng))
@@ -110,26 +110,26 @@
 	type row struct {
 		name   string
 		rate   float64
-		change func(*place)
+		change func(*nodeConfig)
 		during func(*world)
 	}
 	rows := []row{
 		{"quiet", 1, plain, quietly},
-		{"only guaranteed", 1, func(p *place) { p.ThresholdMs = 0 }, quietly},
-		{"only queueable", 1, func(p *place) { p.ThresholdMs = -1 }, quietly},
-		{"threshold 500", 1, func(p *place) { p.ThresholdMs = 500 }, quietly},
-		{"threshold 5000", 1, func(p *place) { p.ThresholdMs = 5000 }, quietly},
-		{"k 50", 1, func(p *place) { p.KLowest = 50 }, quietly},
+		{"only guaranteed", 1, func(p *nodeConfig) { p.ThresholdMs = 0 }, quietly},
+		{"only queueable", 1, func(p *nodeConfig) { p.ThresholdMs = -1 }, quietly},
+		{"threshold 500", 1, func(p *nodeConfig) { p.ThresholdMs = 500 }, quietly},
+		{"threshold 5000", 1, func(p *nodeConfig) { p.ThresholdMs = 5000 }, quietly},
+		{"k 50", 1, func(p *nodeConfig) { p.KLowest = 50 }, quietly},
 		{"double rate", 2, plain, quietly},
-		{"double, only guaranteed", 2, func(p *place) { p.ThresholdMs = 0 }, quietly},
-		{"double, only queueable", 2, func(p *place) { p.ThresholdMs = -1 }, quietly},
-		{"double, k 50", 2, func(p *place) { p.KLowest = 50 }, quietly},
-		{"double, sigma 1", 2, func(p *place) { p.TargetSigma = 1 }, quietly},
+		{"double, only guaranteed", 2, func(p *nodeConfig) { p.ThresholdMs = 0 }, quietly},
+		{"double, only queueable", 2, func(p *nodeConfig) { p.ThresholdMs = -1 }, quietly},
+		{"double, k 50", 2, func(p *nodeConfig) { p.KLowest = 50 }, quietly},
+		{"double, sigma 1", 2, func(p *nodeConfig) { p.TargetSigma = 1 }, quietly},
 		{"wave", 1, plain, wave},
-		{"double, k 5", 2, func(p *place) { p.KLowest = 5 }, quietly},
-		{"wave, k 5", 1, func(p *place) { p.KLowest = 5 }, wave},
-		{"wave, only guaranteed", 1, func(p *place) { p.ThresholdMs = 0 }, wave},
-		{"wave, k 50", 1, func(p *place) { p.KLowest = 50 }, wave},
+		{"double, k 5", 2, func(p *nodeConfig) { p.KLowest = 5 }, quietly},
+		{"wave, k 5", 1, func(p *nodeConfig) { p.KLowest = 5 }, wave},
+		{"wave, only guaranteed", 1, func(p *nodeConfig) { p.ThresholdMs = 0 }, wave},
+		{"wave, k 50", 1, func(p *nodeConfig) { p.KLowest = 50 }, wave},
 		{"owner killed", 1, plain, func(w *world) { w.killHolder("slice/east") }},
 		{"agent killed", 1, plain, func(w *world) { w.killHolder("agent/w04") }},
 		{"central killed", 1, plain, func(w *world) { w.killHolder("central") }},
--- a/accord/membership_test.go
+++ b/internal/daemon/membership_test.go
@@ -1,12 +1,13 @@
-package main
+package daemon
 
 import (
 	"fmt"
+	"otterchute/internal/quorum"
+	"otterchute/internal/register"
+	"otterchute/internal/statestore"
 	"slices"
 	"testing"
 
-	"otterchute/register"
-
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
 )
@@ -33,7 +34,7 @@
 	s := &seatWorld{world: coreWorld(seed, size, []string{"east", "west", "mid", "east", "west"}[:size], 5), t: t, size: size, seed: seed, away: map[string]bool{}}
 	must.True(t, s.until(20_000, s.allServed), s.why())
 	for _, n := range s.nodes {
-		n.place.FirstStart = false
+		n.nodeConfig.FirstStart = false
 	}
 	s.run(1500)
 	s.acknowledge()
@@ -49,7 +50,7 @@
 func (s *seatWorld) newcomer(i int) *simNode {
 	n := s.nodes[fmt.Sprintf("d%02d", s.size+1+i)]
 	n.kill(true)
-	n.place.Disk, n.place.Addr = true, fmt.Sprintf("10.7.0.%d:7000", i+1)
+	n.nodeConfig.Disk, n.nodeConfig.Addr = true, fmt.Sprintf("10.7.0.%d:7000", i+1)
 	n.wipe()
 	n.start()
 	return n
@@ -60,12 +61,12 @@
 	s.t.Helper()
 	next := s.version + 1
 	must.True(s.t, s.until(15_000, func() bool {
-		return s.settle(s.asker(), evAsk{Op: "setup.put", Key: fmt.Sprint(next), Expect: -1, Body: queueSetup("q", "")}, 3000).status == 200
+		return s.settle(s.asker(), evRequest{Op: "setup.put", Key: fmt.Sprint(next), Expect: -1, Body: queueSetup("q", "")}, 3000).status == 200
 	}), s.why())
 	s.version = next
 	id := fmt.Sprint("job", len(s.jobs))
 	must.True(s.t, s.until(15_000, func() bool {
-		status := s.settle(s.asker(), evAsk{Op: "job.put", Key: id, Expect: -1, Body: []byte(`{"queue":"q","steps":[{"name":"s","tasks":[{"name":"t","room":1}]}]}`)}, 3000).status
+		status := s.settle(s.asker(), evRequest{Op: "job.put", Key: id, Expect: -1, Body: []byte(`{"queue":"q","steps":[{"name":"s","tasks":[{"name":"t","room":1}]}]}`)}, 3000).status
 		return status == 200 || status == 201
 	}), s.why())
 	s.jobs = append(s.jobs, id)
@@ -75,13 +76,13 @@
 func (s *seatWorld) keepsAll() {
 	s.t.Helper()
 	must.True(s.t, s.until(12_000, func() bool {
-		r := s.settle(s.asker(), evAsk{Op: "setup.get"}, 2000)
+		r := s.settle(s.asker(), evRequest{Op: "setup.get"}, 2000)
 		return gjson.Get(r.body, "version").Int() == s.version
 	}), s.why())
 	for _, id := range s.jobs {
 		last := answered{}
 		must.True(s.t, s.until(12_000, func() bool {
-			last = s.settle(s.asker(), evAsk{Op: "job.get", Key: id, Expect: -1}, 2000)
+			last = s.settle(s.asker(), evRequest{Op: "job.get", Key: id, Expect: -1}, 2000)
 			return last.status == 200
 		}), must.Sprint(id, last), s.why())
 	}
@@ -94,7 +95,7 @@
 		return false
 	}
 	for _, m := range c.Members {
-		if n := s.nodes[m.Name]; !n.up || !n.sh.n.inCore() {
+		if n := s.nodes[m.Name]; !n.up || !n.sh.node.inCore() {
 			return false
 		}
 	}
@@ -106,7 +107,7 @@
 func (s *seatWorld) wipeSome(count int, but ...*simNode) {
 	var from []*simNode
 	for _, m := range s.newestSet().Members {
-		if n := s.nodes[m.Name]; n.up && n.sh.n.leaving == 0 && !slices.Contains(but, n) {
+		if n := s.nodes[m.Name]; n.up && n.sh.node.leavingSince == 0 && !slices.Contains(but, n) {
 			from = append(from, n)
 		}
 	}
@@ -120,10 +121,10 @@
 }
 
 // newestSet gives the newest core set that any daemon knows.
-func (s *seatWorld) newestSet() (set coreSet) {
+func (s *seatWorld) newestSet() (set quorum.Set) {
 	for _, name := range sorted(s.nodes) {
-		if n := s.nodes[name]; n.up && n.sh.n.core.Version > set.Version {
-			set = n.sh.n.core
+		if n := s.nodes[name]; n.up && n.sh.node.core.Version > set.Version {
+			set = n.sh.node.core
 		}
 	}
 	return set
@@ -163,7 +164,7 @@
 		s.run(catchUpMs + 2500)
 		s.acknowledge()
 		leaving.event(evStop{})
-		must.True(s.t, s.until(seatMs+500, func() bool { return !leaving.up }), s.why())
+		must.True(s.t, s.until(slotHandoverMs+500, func() bool { return !leaving.up }), s.why())
 		s.run(s.rng.Int64N(40))
 		s.wipeSome(s.losses())
 	},
@@ -198,7 +199,7 @@
 				s.wipeSome(s.losses())
 			}
 		}
-		must.True(s.t, s.until(seatMs+500, func() bool { return !leaving.up }), s.why())
+		must.True(s.t, s.until(slotHandoverMs+500, func() bool { return !leaving.up }), s.why())
 		s.away[leaving.Name] = true
 		if s.cluster() != nil && s.full() {
 			s.wipeSome(s.losses())
@@ -224,7 +225,7 @@
 		fresh.kill(s.rng.IntN(2) == 0)
 		s.after(300_000+s.rng.Int64N(4_000_000), fresh.start)
 		s.acknowledge() // the others go on
-		must.True(s.t, s.until(seatMs+500, func() bool { return !leaving.up }), s.why())
+		must.True(s.t, s.until(slotHandoverMs+500, func() bool { return !leaving.up }), s.why())
 		s.gone(leaving)
 		must.True(s.t, s.until(16_000, s.full), s.why())
 		s.acknowledge()
@@ -244,7 +245,7 @@
 		}
 		fresh.disk.stallUs = s.nowUs + 9_000_000
 		s.acknowledge()
-		must.True(s.t, s.until(seatMs+500, func() bool { return !leaving.up }), s.why())
+		must.True(s.t, s.until(slotHandoverMs+500, func() bool { return !leaving.up }), s.why())
 		s.gone(leaving)
 		s.acknowledge() // though the newcomer still stands still
 		must.Less(s.t, fresh.disk.stallUs, s.nowUs, s.why())
@@ -261,7 +262,7 @@
 		s.newcomer(0)
 		s.run(catchUpMs)
 		leaving.event(evStop{})
-		must.True(s.t, s.until(seatMs+500, func() bool { return !leaving.up }), s.why())
+		must.True(s.t, s.until(slotHandoverMs+500, func() bool { return !leaving.up }), s.why())
 		s.gone(leaving)
 		holders := s.newestSet().Members[:] // those that have it beside the newcomer
 		for range s.losses() {
@@ -338,8 +339,8 @@
 			if planned {
 				lost.event(evStop{})
 				id := lost.DiskID
-				for set := s.newestSet(); set.has(lost.Name, id) || len(set.Members) != s.size; set = s.newestSet() {
-					must.True(t, lost.up && s.nowMs() < at+seatMs, s.why())
+				for set := s.newestSet(); set.Has(lost.Name, id) || len(set.Members) != s.size; set = s.newestSet() {
+					must.True(t, lost.up && s.nowMs() < at+slotHandoverMs, s.why())
 					s.step()
 				}
 				worstLeft = max(worstLeft, s.nowMs()-at)
@@ -352,7 +353,7 @@
 		}
 	}
 	t.Logf("full again %d ms after a kill, %d ms after a stop, at most", worstKilled, worstLeft)
-	must.Less(t, quietMs+2000, worstKilled)
+	must.Less(t, unresponsiveMs+2000, worstKilled)
 	must.Less(t, 2000, worstLeft)
 }
 
@@ -384,7 +385,7 @@
 			s.fillDisk(n, 3000)
 			s.acknowledge()
 			s.run(500)
-			must.False(t, n.sh.n.inCore(), s.why())
+			must.False(t, n.sh.node.inCore(), s.why())
 			must.True(t, s.until(6000, s.full), s.why())
 		}
 		must.Eq(t, set.Version, s.newestSet().Version, s.why())
@@ -404,14 +405,14 @@
 // under that set before the leaving one is removed: what these acknowledged
 // between its first copy and their hearing of the larger set is in no other copy.
 func TestCopiedAgainBeforeRemoval(t *testing.T) {
-	n := newNode(place{Name: "d", Addr: "d:1", Life: 7, Disk: true, DiskID: 4}, newStore())
-	n.store.cluster = 9
-	n.core = coreSet{Cluster: 9, Version: 2, Members: []coreMember{{"a", 1}, {"b", 2}, {"c", 3}, {"d", 4}}}
+	n := newNode(nodeConfig{Name: "d", Addr: "d:1", Instance: 7, Disk: true, DiskID: 4}, statestore.New())
+	n.store.Apply(statestore.Entry{Kind: statestore.EntryForm, Value: quorum.Set{Cluster: 9}.Encode()})
+	n.core = quorum.Set{Cluster: 9, Version: 2, Members: []quorum.Member{{Name: "a", DiskID: 1}, {Name: "b", DiskID: 2}, {Name: "c", DiskID: 3}, {Name: "d", DiskID: 4}}}
 	nowMs := int64(1000)
 	for i, name := range []string{"a", "b", "c"} {
-		n.siblings[name] = &siblingState{sibling: sibling{Name: name, Addr: name + ":1", Disk: true, DiskID: uint64(i + 1), Leaving: name == "c"}, heardMs: nowMs}
+		n.peers[name] = &peer{peerInfo: peerInfo{Name: name, Addr: name + ":1", Disk: true, DiskID: uint64(i + 1), Leaving: name == "c"}, heardMs: nowMs}
 	}
-	var asked []*copyMsg
+	var asked []*copyRequest
 	removes := false
 	var step func(body any)
 	step = func(body any) {
@@ -424,12 +425,12 @@
 				effects = append(effects, e.Then...)
 			case effSend:
 				switch m := e.Msg.(type) {
-				case *copyMsg:
+				case *copyRequest:
 					asked = append(asked, m)
 				case *register.Prepare:
 					removes = removes || m.Register == "core"
-				case *copiedMsg:
-					step(evMsg{Head: wireHead{From: n.Name, To: n.Life}, Msg: m})
+				case *copyResponse:
+					step(evMsg{Head: frameHeader{From: n.Name, To: n.Instance}, Msg: m})
 				}
 			}
 		}
@@ -438,11 +439,11 @@
 	must.Len(t, 3, asked)
 	must.Eq(t, 2, asked[0].CoreVer)
 	must.False(t, removes)
-	step(evMsg{Head: wireHead{From: "a", To: n.Life}, Msg: &copiedMsg{Op: asked[0].Op}})
+	step(evMsg{Head: frameHeader{From: "a", To: n.Instance}, Msg: &copyResponse{Op: asked[0].Op}})
 	nowMs += tickMs
 	step(evTick{})
 	must.False(t, removes)
-	step(evMsg{Head: wireHead{From: "b", To: n.Life}, Msg: &copiedMsg{Op: asked[0].Op}})
+	step(evMsg{Head: frameHeader{From: "b", To: n.Instance}, Msg: &copyResponse{Op: asked[0].Op}})
 	must.True(t, removes)
 }
 
@@ -459,9 +460,9 @@
 			s.step()
 		}
 		fresh.disk.stallUs = s.nowUs + 20_000_000
-		must.True(t, s.until(seatMs+500, func() bool { return !leaving.up }), s.why())
+		must.True(t, s.until(slotHandoverMs+500, func() bool { return !leaving.up }), s.why())
 		must.Len(t, size, s.newestSet().Members, s.why())
-		must.False(t, s.newestSet().has(fresh.Name, fresh.DiskID), s.why())
+		must.False(t, s.newestSet().Has(fresh.Name, fresh.DiskID), s.why())
 		s.acknowledge()
 		must.Less(t, fresh.disk.stallUs, s.nowUs, s.why())
 	}
@@ -479,12 +480,12 @@
 		s.acknowledge()
 		s.newcomer(0)
 		s.run(catchUpMs)
-		must.False(t, failing.sh.n.inCore(), s.why())
+		must.False(t, failing.sh.node.inCore(), s.why())
 		must.Eq(t, set.Version, s.newestSet().Version, s.why())
 		leaving.event(evStop{})
-		must.True(t, s.until(seatMs+500, func() bool { return !leaving.up }), s.why())
-		must.True(t, s.newestSet().has(failing.Name, failing.DiskID), s.why())
-		must.False(t, s.newestSet().has(leaving.Name, id), s.why())
+		must.True(t, s.until(slotHandoverMs+500, func() bool { return !leaving.up }), s.why())
+		must.True(t, s.newestSet().Has(failing.Name, failing.DiskID), s.why())
+		must.False(t, s.newestSet().Has(leaving.Name, id), s.why())
 		must.True(t, s.until(8000, s.full), s.why())
 		s.keepsAll()
 	}
@@ -492,31 +493,31 @@
 
 // Of several seats that can be had the surest loss goes first.
 func TestSurestLossFirst(t *testing.T) {
-	n := newNode(place{Name: "d", Disk: true, DiskID: 4}, newStore())
+	n := newNode(nodeConfig{Name: "d", Disk: true, DiskID: 4}, statestore.New())
 	n.now = 20_000
-	n.core = coreSet{Cluster: 9, Version: 2, Members: []coreMember{{"a", 1}, {"b", 2}, {"c", 3}}}
+	n.core = quorum.Set{Cluster: 9, Version: 2, Members: []quorum.Member{{Name: "a", DiskID: 1}, {Name: "b", DiskID: 2}, {Name: "c", DiskID: 3}}}
 	for i, name := range []string{"a", "b", "c"} {
-		n.siblings[name] = &siblingState{sibling: sibling{Name: name, Disk: true, DiskID: uint64(i + 1)}, heardMs: n.now}
+		n.peers[name] = &peer{peerInfo: peerInfo{Name: name, Disk: true, DiskID: uint64(i + 1)}, heardMs: n.now}
 	}
-	j := &joining{goneMs: map[string]int64{"a": 1, "b": 1, "c": 1}}
-	says := func(want int, state seatState) {
+	j := &learner{vacantSince: map[string]int64{"a": 1, "b": 1, "c": 1}}
+	says := func(want int, state slotState) {
 		t.Helper()
 		for _, name := range []string{"a", "b", "c"} {
-			j.goneMs[name] = 1
+			j.vacantSince[name] = 1
 		}
-		at, got := n.vacantSeat(j)
+		at, got := n.vacantSlot(j)
 		must.Eq(t, want, at)
 		must.Eq(t, state, got)
 	}
-	says(-1, seatKept)
-	n.siblings["a"].Disk = false
-	says(0, seatFailed)
-	n.siblings["b"].heardMs = 0
-	says(1, seatSilent)
-	n.siblings["c"].Leaving = true
-	says(2, seatLeaving)
-	n.siblings["a"].DiskID = 7
-	says(0, seatWiped)
+	says(-1, slotOccupied)
+	n.peers["a"].Disk = false
+	says(0, slotDiskFailed)
+	n.peers["b"].heardMs = 0
+	says(1, slotSilent)
+	n.peers["c"].Leaving = true
+	says(2, slotLeaving)
+	n.peers["a"].DiskID = 7
+	says(0, slotWiped)
 }
 
 // A member that loses its seat while it runs begins again as another disk.
@@ -527,10 +528,10 @@
 	s.fillDisk(other, 25_000)
 	s.acknowledge()
 	s.newcomer(0)
-	must.True(t, s.until(20_000, func() bool { return s.full() && !s.newestSet().has(other.Name, id) }), s.why())
+	must.True(t, s.until(20_000, func() bool { return s.full() && !s.newestSet().Has(other.Name, id) }), s.why())
 	s.run(16_000)
-	must.NotEq(t, id, other.sh.n.DiskID, s.why())
-	must.True(t, other.up && other.sh.n.diskFailed == "", s.why())
+	must.NotEq(t, id, other.sh.node.DiskID, s.why())
+	must.True(t, other.up && other.sh.node.diskFailed == "", s.why())
 	must.True(t, s.full(), s.why())
 }
 
@@ -538,17 +539,18 @@
 // anew, a new member isn't silent yet, and the newest member of a set that became
 // full grants no lease for as long as one may be held that it never knew of.
 func TestNextSetIsLearned(t *testing.T) {
-	n := newNode(place{Name: "d", Addr: "d:1", Disk: true, DiskID: 4}, newStore())
-	n.store.cluster, n.now = 9, 50_000
-	n.poll.firstMs, n.poll.okMs = 1, n.now
-	larger := coreSet{Cluster: 9, Version: 2, Members: []coreMember{{"a", 1}, {"b", 2}, {"c", 3}, {"d", 4}}}
-	n.learnCore(larger)
-	must.False(t, n.quiet("a"))
-	o := n.startCas("setup", "setup", nil, 0)
+	n := newNode(nodeConfig{Name: "d", Addr: "d:1", Disk: true, DiskID: 4}, statestore.New())
+	n.store.Apply(statestore.Entry{Kind: statestore.EntryForm, Value: quorum.Set{Cluster: 9}.Encode()})
+	n.now = 50_000
+	n.poll.firstMs, n.poll.contactMs = 1, n.now
+	larger := quorum.Set{Cluster: 9, Version: 2, Members: []quorum.Member{{Name: "a", DiskID: 1}, {Name: "b", DiskID: 2}, {Name: "c", DiskID: 3}, {Name: "d", DiskID: 4}}}
+	n.adoptCoreSet(larger)
+	must.False(t, n.unresponsive("a"))
+	o := n.startChange("setup", "setup", nil, 0)
 	former := o.Ballot
 	n.now += 400
-	n.store.guardMs = 0
-	n.learnCore(larger.without(2))
+	n.granter.guardMs = 0
+	n.adoptCoreSet(larger.Without(2))
 	must.True(t, former.Less(o.Ballot))
 	var versions []int64
 	for _, e := range n.out {
@@ -559,9 +561,9 @@
 		}
 	}
 	must.Eq(t, []int64{3, 3, 3}, versions)
-	must.Eq(t, n.now+leaseMs, n.store.guardMs)
-	n.store.guardMs = 0
-	n.learnCore(larger.without(2).without(0).with(coreMember{"e", 5}))
-	n.now += quietMs
-	must.False(t, n.quiet("e"))
+	must.Eq(t, n.now+leaseMs, n.granter.guardMs)
+	n.granter.guardMs = 0
+	n.adoptCoreSet(larger.Without(2).Without(0).With(quorum.Member{Name: "e", DiskID: 5}))
+	n.now += unresponsiveMs
+	must.False(t, n.unresponsive("e"))
 }
--- a/accord/orderbytes_test.go
+++ b/internal/daemon/orderbytes_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"bufio"
@@ -76,14 +76,14 @@
 	order := []byte(`{"id":"job.0.0.1"}`)
 	whole := orderBytes(t, order)
 	var wg sync.WaitGroup
-	clock := newSteady()
+	clock := newSteadyClock()
 	play := func(request, response int, stall bool) {
 		wg.Go(func() {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			must.NoError(t, err)
 			c := &cutWorker{ln: ln, request: request, response: response, stall: stall, done: make(chan struct{})}
 			go c.serve(t)
-			outcome := (&courier{clock: clock, slots: make(chan struct{}, 1)}).bring(effOrder{Addr: ln.Addr().String(), NotAfterMs: clock.nowMs() + 60_000, Body: order})
+			outcome := (&orderSender{clock: clock, slots: make(chan struct{}, 1)}).deliver(effOrder{Addr: ln.Addr().String(), NotAfterMs: clock.nowMs() + 60_000, Body: order})
 			close(c.done)
 			_ = ln.Close()
 			c.mu.Lock()
@@ -134,8 +134,8 @@
 		_, _ = conn.Write([]byte(workerResponse))
 		got <- seen.Bytes()
 	}()
-	clock := newSteady()
-	must.Eq(t, "started", (&courier{clock: clock, slots: make(chan struct{}, 1)}).bring(effOrder{Addr: ln.Addr().String(), NotAfterMs: clock.nowMs() + 60_000, Body: body}))
+	clock := newSteadyClock()
+	must.Eq(t, "started", (&orderSender{clock: clock, slots: make(chan struct{}, 1)}).deliver(effOrder{Addr: ln.Addr().String(), NotAfterMs: clock.nowMs() + 60_000, Body: body}))
 	return <-got
 }
 
@@ -150,8 +150,8 @@
 			w.Header().Set("Location", other.URL+r.URL.Path)
 			w.WriteHeader(status)
 		}))
-		clock := newSteady()
-		outcome := (&courier{clock: clock, slots: make(chan struct{}, 1)}).bring(effOrder{Addr: strings.TrimPrefix(worker.URL, "http://"), NotAfterMs: clock.nowMs() + 60_000, Body: []byte("{}")})
+		clock := newSteadyClock()
+		outcome := (&orderSender{clock: clock, slots: make(chan struct{}, 1)}).deliver(effOrder{Addr: strings.TrimPrefix(worker.URL, "http://"), NotAfterMs: clock.nowMs() + 60_000, Body: []byte("{}")})
 		worker.Close()
 		other.Close()
 		must.Eq(t, 1, first.Load(), must.Sprint(status))
--- a/accord/orders.go
+++ b/internal/daemon/orders.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"bytes"
@@ -12,14 +12,14 @@
 	"github.com/go-faster/errors"
 )
 
-// courier brings orders to workers. Each order has a connection of its own,
+// orderSender brings orders to workers. Each order has a connection of its own,
 // whose first byte is written only while the order is still good, and which
 // is torn down without a trace when the order's flight ends. So no order meets
 // the answer to another, and the library, which sends a request again only where
 // a connection was used before, never does so. An answer that points elsewhere
 // is not followed: with 307 the order would be told twice.
-type courier struct {
-	clock *steady
+type orderSender struct {
+	clock *steadyClock
 	slots chan struct{}
 }
 
@@ -28,7 +28,7 @@
 // guardedConn checks the clock right before bytes leave.
 type guardedConn struct {
 	*net.TCPConn
-	clock      *steady
+	clock      *steadyClock
 	notAfterMs int64
 	wrote      atomic.Bool
 	whole      atomic.Bool // answered in full; the transport may close it from another goroutine
@@ -51,10 +51,10 @@
 
 func takeAsItIs(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// bring sends one order and tells how it went, as a key of orderOutcomes.
+// deliver sends one order and tells how it went, as a key of orderOutcomes.
 //
 // Example: outcome := c.bring(effOrder{Addr: "127.0.0.1:9000", NotAfterMs: now + 500, Body: body})
-func (c *courier) bring(e effOrder) string {
+func (c *orderSender) deliver(e effOrder) string {
 	select {
 	case c.slots <- struct{}{}:
 		defer func() { <-c.slots }()
--- a/accord/orders_test.go
+++ b/internal/daemon/orders_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"net/http"
@@ -26,13 +26,13 @@
 	}))
 	defer s.Close()
 	defer close(hang)
-	c := &courier{clock: newSteady(), slots: make(chan struct{}, 2)}
+	c := &orderSender{clock: newSteadyClock(), slots: make(chan struct{}, 2)}
 	addr := strings.TrimPrefix(s.URL, "http://")
 	late, good := c.clock.nowMs()-1, c.clock.nowMs()+60_000
-	must.Eq(t, "not_sent", c.bring(effOrder{Addr: addr, NotAfterMs: late, Body: []byte("{}")}))
+	must.Eq(t, "not_sent", c.deliver(effOrder{Addr: addr, NotAfterMs: late, Body: []byte("{}")}))
 	must.Zero(t, hits.Load(), must.Sprint("a late order left"))
-	must.Eq(t, "started", c.bring(effOrder{Addr: addr, NotAfterMs: good, Body: []byte("{}")}))
-	must.Eq(t, "turned_away", c.bring(effOrder{Addr: addr, NotAfterMs: good, Stop: true, Body: []byte("{}")}))
-	must.Eq(t, "unknown", c.bring(effOrder{Addr: addr, NotAfterMs: good, Body: []byte(`{"id":"never answered"}`)}))
-	must.Eq(t, "not_sent", c.bring(effOrder{Addr: freePorts(t, 1)[0], NotAfterMs: good, Body: []byte("{}")}))
+	must.Eq(t, "started", c.deliver(effOrder{Addr: addr, NotAfterMs: good, Body: []byte("{}")}))
+	must.Eq(t, "turned_away", c.deliver(effOrder{Addr: addr, NotAfterMs: good, Stop: true, Body: []byte("{}")}))
+	must.Eq(t, "unknown", c.deliver(effOrder{Addr: addr, NotAfterMs: good, Body: []byte(`{"id":"never answered"}`)}))
+	must.Eq(t, "not_sent", c.deliver(effOrder{Addr: freePorts(t, 1)[0], NotAfterMs: good, Body: []byte("{}")}))
 }
--- a/accord/outcome_test.go
+++ b/internal/daemon/outcome_test.go
@@ -1,9 +1,9 @@
-package main
+package daemon
 
 import (
 	"testing"
 
-	"otterchute/verdict"
+	"otterchute/internal/historycheck"
 
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
@@ -25,8 +25,8 @@
 		{"job.state", "q", true, 503, 503}, // nothing is done by it
 		{"job.put", "", true, 503, 503},    // the product's own interface: each call is safe to repeat
 	} {
-		n := newNode(place{Name: "a"}, nil)
-		n.answer(&ask{id: 1, op: c.op, queue: c.queue, unsure: c.unsure}, c.status, 0, nil)
+		n := newNode(nodeConfig{Name: "a"}, nil)
+		n.respond(&request{id: 1, op: c.op, queue: c.queue, maybeApplied: c.unsure}, c.status, 0, nil)
 		must.Eq(t, c.want, n.out[0].(effReply).Status, must.Sprintf("%+v", c))
 	}
 }
@@ -36,7 +36,7 @@
 func addressedWorld(t *testing.T) (w *world, front, owner *simNode) {
 	t.Helper()
 	w = served(t, 11)
-	status := w.settle(w.nodes["d00"], evAsk{Op: "setup.put", Key: "1", Expect: -1,
+	status := w.settle(w.nodes["d00"], evRequest{Op: "setup.put", Key: "1", Expect: -1,
 		Body: queueSetup("q", `,"addresses":[{"host":"h.example","prefix":"/p/"}]`)}, 5000).status
 	must.Eq(t, 200, status)
 	w.run(2000)
@@ -47,7 +47,7 @@
 // startsNamed is how many runs of a job were begun at workers.
 func (w *world) startsNamed(job string) (starts int) {
 	for _, e := range w.history {
-		if e.Kind == verdict.Start && e.Job == job {
+		if e.Kind == historycheck.Start && e.Job == job {
 			starts++
 		}
 	}
@@ -61,12 +61,12 @@
 }
 
 var exchanges = []exchange{
-	{"request", func(m any) bool { a, ok := m.(*askMsg); return ok && (a.Op == "job.put" || a.Op == "job.cancel") }},
-	{"look", func(m any) bool { _, ok := m.(*fetchMsg); return ok }},
-	{"looked", func(m any) bool { _, ok := m.(*fetchedMsg); return ok }},
-	{"write", func(m any) bool { w, ok := m.(*writeMsg); return ok && len(w.Records) > 0 }},
-	{"written", func(m any) bool { _, ok := m.(*wroteMsg); return ok }},
-	{"answer", func(m any) bool { _, ok := m.(*answerMsg); return ok }},
+	{"request", func(m any) bool { a, ok := m.(*forwardMsg); return ok && (a.Op == "job.put" || a.Op == "job.cancel") }},
+	{"look", func(m any) bool { _, ok := m.(*fetchRequest); return ok }},
+	{"looked", func(m any) bool { _, ok := m.(*fetchResponse); return ok }},
+	{"write", func(m any) bool { w, ok := m.(*writeRequest); return ok && len(w.Records) > 0 }},
+	{"written", func(m any) bool { _, ok := m.(*writeResponse); return ok }},
+	{"answer", func(m any) bool { _, ok := m.(*forwardReply); return ok }},
 }
 
 // faults are what happens when a message of an exchange is sent. Each gives
@@ -121,7 +121,7 @@
 					return fault.do(w, front, owner)
 				}
 				send := func(to *simNode) int {
-					return w.settle(to, evAsk{Op: "queue.submit", Host: "h.example", Path: "/p/" + id, Expect: -1,
+					return w.settle(to, evRequest{Op: "queue.submit", Host: "h.example", Path: "/p/" + id, Expect: -1,
 						Body: []byte(`{"steps":[{"name":"a","count":1,"room":1,"estimate_ms":50}]}`)}, 4000).status
 				}
 				first := send(front)
@@ -130,7 +130,7 @@
 				w.detain = nil
 				known := func() (status int, state string) {
 					for range 20 {
-						got := w.settle(w.nodes["d00"], evAsk{Op: "queue.state", Host: "h.example", Path: "/p/" + id, Expect: -1}, 3000)
+						got := w.settle(w.nodes["d00"], evRequest{Op: "queue.state", Host: "h.example", Path: "/p/" + id, Expect: -1}, 3000)
 						if got.status == 200 || got.status == 410 {
 							return got.status, gjson.Get(got.body, "state").Str
 						}
@@ -155,7 +155,7 @@
 				must.True(t, w.until(20_000, func() bool { return w.startsNamed(id) > 0 }), must.Sprint("it was taken and never runs"))
 				holders := 0
 				for _, n := range w.nodesInOrder() {
-					for _, sl := range n.sh.n.owned {
+					for _, sl := range n.sh.node.owned {
 						if sl.jobs[id] != nil || sl.finished[id] != nil {
 							holders++
 						}
@@ -180,7 +180,7 @@
 				w, front, owner := addressedWorld(t)
 				id := idOwnedBy(w, owner, "job")
 				call := func(to *simNode, op string) answered {
-					return w.settle(to, evAsk{Op: op, Host: "h.example", Path: "/p/" + id, Expect: -1,
+					return w.settle(to, evRequest{Op: op, Host: "h.example", Path: "/p/" + id, Expect: -1,
 						Body: []byte(`{"steps":[{"name":"a","count":1,"room":1,"lasting":true}]}`)}, 4000)
 				}
 				must.Eq(t, 201, call(front, "queue.submit").status)
--- a/accord/path_test.go
+++ b/internal/daemon/path_test.go
@@ -1,11 +1,11 @@
-package main
+package daemon
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"otterchute/verdict"
+	"otterchute/internal/historycheck"
 
 	"github.com/shoenig/test/must"
 )
@@ -13,7 +13,7 @@
 // formed gives a world that has formed and taken its first setup.
 func formed(t *testing.T, seed uint64, dep string) *world {
 	t.Helper()
-	w := newWorld(seed, verdict.Deployments[dep])
+	w := newWorld(seed, historycheck.Deployments[dep])
 	w.keepLog = true
 	must.True(t, w.until(20_000, func() bool { return w.holderOf("central") != nil }), must.Sprint("the fleet never formed"))
 	status := 0
@@ -25,7 +25,7 @@
 
 func verdictOf(t *testing.T, w *world) {
 	t.Helper()
-	b := verdict.Check(w.history, verdict.Usual)
+	b := historycheck.Check(w.history, historycheck.Usual)
 	for i, x := range b {
 		if i < 10 {
 			t.Error(x.String())
--- a/accord/powerfolder_test.go
+++ b/internal/daemon/powerfolder_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"errors"
@@ -77,7 +77,7 @@
 	return nil, fs.ErrNotExist
 }
 
-func (f *powerFolder) Create(name string) (dataFile, error) {
+func (f *powerFolder) Create(name string) (file, error) {
 	if f.now[name] != nil {
 		return nil, fs.ErrExist
 	}
@@ -88,7 +88,7 @@
 	return &powerHandle{folder: f, file: file}, nil
 }
 
-func (f *powerFolder) Open(name string) (dataFile, error) {
+func (f *powerFolder) Open(name string) (file, error) {
 	if f.now[name] == nil {
 		return nil, fs.ErrNotExist
 	}
--- a/accord/process_test.go
+++ b/internal/daemon/process_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"otterchute/verdict"
+	"otterchute/internal/historycheck"
 
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
@@ -69,13 +69,13 @@
 	if i < 3 {
 		args = append(args, "-data", filepath.Join(f.dir, name))
 	}
-	f.start(name, "accord", args...)
+	f.start(name, "otterchute", args...)
 }
 
 func (f *fleet) worker(i int) {
-	name, tier, disk := fmt.Sprintf("w%02d", i), verdict.WorkerLabels(i)["tier"], verdict.WorkerLabels(i)["disk"]
+	name, tier, disk := fmt.Sprintf("w%02d", i), historycheck.WorkerLabels(i)["tier"], historycheck.WorkerLabels(i)["disk"]
 	at := i % len(f.http)
-	f.start(name, "guise", "worker", "-name", name, "-site", verdict.Sites[i%3], "-labels", "tier="+tier+",disk="+disk, "-listen", f.lists[i],
+	f.start(name, "guise", "worker", "-name", name, "-site", historycheck.Sites[i%3], "-labels", "tier="+tier+",disk="+disk, "-listen", f.lists[i],
 		"-daemons", strings.Join(append(append([]string{}, f.http[at:]...), f.http[:at]...), ","), "-room", fmt.Sprint(f.cores),
 		"-record", filepath.Join(f.dir, "records", name+".jsonl"), "-journal", filepath.Join(f.dir, name+".journal"))
 }
@@ -121,7 +121,7 @@
 func newFleet(t *testing.T, daemons, workers int, cores int64) *fleet {
 	f := &fleet{t: t, bin: t.TempDir(), dir: t.TempDir(), cores: cores, procs: map[string]*exec.Cmd{}, clock: startRunningTime(t)}
 	must.NoError(t, os.Mkdir(filepath.Join(f.dir, "records"), 0o755))
-	out, err := exec.Command("go", "build", "-o", f.bin+"/", "otterchute/accord", "otterchute/guise").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", f.bin+"/", "otterchute/cmd/otterchute", "otterchute/cmd/otterchute-standin").CombinedOutput()
 	must.NoError(t, err, must.Sprint(string(out)))
 	ports := freePorts(t, 2*daemons+workers)
 	f.addr, f.http, f.lists = ports[:daemons], ports[daemons:2*daemons], ports[2*daemons:]
@@ -181,7 +181,7 @@
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
-	doc, err := os.ReadFile("../docs/protocol.md")
+	doc, err := os.ReadFile("../../docs/protocol.md")
 	must.NoError(t, err)
 	text := strings.ReplaceAll(string(doc), `"utc_offset_minutes": 60`, fmt.Sprintf(`"utc_offset_minutes": %d`, offsetOfNoon(time.Now())))
 	f := newFleet(t, 4, 2, 8)
--- a/accord/product_test.go
+++ b/internal/daemon/product_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"context"
@@ -17,10 +17,10 @@
 // A daemon that can't do anything yet says so at once; a submit that was handed
 // to it and not answered is not called refused.
 func TestProductBeforeTheCore(t *testing.T) {
-	l := newLoop(newSteady())
-	ports := &realPorts{loop: l, log: logr.Discard(), waiting: map[uint64]chan effReply{}, self: "127.0.0.1:7000", exit: func() {}}
-	l.sh = &shell{n: newNode(place{Name: "d1", Addr: "127.0.0.1:7000", Site: "east"}, nil), p: ports}
-	d := &door{loop: l}
+	l := newControlLoop(newSteadyClock())
+	ports := &processPorts{loop: l, log: logr.Discard(), waiting: map[uint64]chan effReply{}, self: "127.0.0.1:7000", exit: func() {}}
+	l.executor = &executor{node: newNode(nodeConfig{Name: "d1", Addr: "127.0.0.1:7000", Zone: "east"}, nil), ports: ports}
+	d := &httpServer{loop: l}
 	call := func(c platform.Call) (int, string) {
 		a := d.product(context.Background(), c)
 		return a.Status, gjson.GetBytes(a.Body, "error").Str
@@ -61,28 +61,28 @@
 // must not end without an answer, and a job that may be kept isn't called refused.
 func TestSliceThatMovesAnswersWhoWaits(t *testing.T) {
 	w := served(t, 4900)
-	must.Eq(t, 200, w.settle(w.nodes["d00"], evAsk{Op: "setup.put", Key: "1", Expect: 0, Body: queueSetup("a", `,"addresses":[{"host":"h","prefix":"/a/"}]`)}, 4000).status)
+	must.Eq(t, 200, w.settle(w.nodes["d00"], evRequest{Op: "setup.put", Key: "1", Expect: 0, Body: queueSetup("a", `,"addresses":[{"host":"h","prefix":"/a/"}]`)}, 4000).status)
 	w.run(2000)
 	for i := range 40 {
 		id := fmt.Sprint("job", i)
-		owner := w.holderOf("slice/" + w.nodes["d00"].sh.n.sliceOf(id))
+		owner := w.holderOf("slice/" + w.nodes["d00"].sh.node.shardOf(id))
 		if owner == nil {
 			continue
 		}
-		n := owner.sh.n
-		name := n.sliceOf(id)
-		for _, m := range memberNames(n.core) { // nothing is committed
+		n := owner.sh.node
+		name := n.shardOf(id)
+		for _, m := range n.core.Names() { // nothing is committed
 			w.cuts[[2]string{owner.Name, m}] = m != owner.Name
 		}
 		sl := n.owned[name]
 		js := &jobState{job: job{ID: id, Queue: "a"}}
-		put, get := &ask{id: 900001, op: "job.put", key: id, queue: "a"}, &ask{id: 900002, op: "job.state", key: id, queue: "a"}
-		js.waiters = []waiter{{version: 1, ask: put, status: 201}, {version: 1, ask: get, status: 200}}
+		put, get := &request{id: 900001, op: "job.put", key: id, queue: "a"}, &request{id: 900002, op: "job.state", key: id, queue: "a"}
+		js.waiters = []waiter{{version: 1, request: put, status: 201}, {version: 1, request: get, status: 200}}
 		sl.jobs[id] = js
-		look := &ask{id: 900003, op: "job.put", key: "other", queue: "a"}
-		sl.fetches[77] = &fetchOp{id: "other", job: &job{ID: "other"}, asks: []*ask{look}}
+		look := &request{id: 900003, op: "job.put", key: "other", queue: "a"}
+		sl.fetches[77] = &fetchOp{id: "other", job: &job{ID: "other"}, requests: []*request{look}}
 		n.out = nil
-		n.endSlice(name)
+		n.endShard(name)
 		got := map[uint64]int{}
 		for _, e := range n.out {
 			if r, ok := e.(effReply); ok {
--- a/accord/reduce.go
+++ b/internal/daemon/reduce.go
@@ -1,24 +1,25 @@
-package main
+package daemon
 
 import (
 	"cmp"
 	"hash/fnv"
 	"maps"
 	"math/rand/v2"
+	"otterchute/internal/quorum"
+	"otterchute/internal/register"
+	"otterchute/internal/statestore"
 	"reflect"
 	"slices"
-
-	"otterchute/register"
 )
 
-// place is what a daemon learns from its settings and its start.
-type place struct {
+// nodeConfig is what a daemon learns from its settings and its start.
+type nodeConfig struct {
 	Name          string
-	Inc           uint64
-	Life          uint64 // names this process among all that ever ran, see identity.go: unlike Inc it comes from no clock and never changes
+	Incarnation   uint64
+	Instance      uint64 // names this process among all that ever ran, see identity.go: unlike Inc it comes from no clock and never changes
 	Addr          string
 	HTTP          string
-	Site          string
+	Zone          string
 	Seeds         []string
 	Disk          bool
 	DiskID        uint64
@@ -27,10 +28,10 @@
 	ThresholdMs   int64
 	KLowest       int
 	TargetSigma   float64
-	Beside        bool // it stands beside a worker: no duty of the fleet's
+	Colocated     bool // it stands beside a worker: no duty of the fleet's
 	CoreSize      int  // disks that hold the state; 0 for coreSize
 	FirstStart    bool // the whole fleet starts for the first time: empty disks may form a core
-	HoldMostMs    int64
+	MaxHoldMs     int64
 	GangWaitMs    int64
 	SaveMs        int64
 	RestoreMs     int64
@@ -49,12 +50,12 @@
 type (
 	evTick struct{}
 	evMsg  struct {
-		Head  wireHead
+		Head  frameHeader
 		Msg   any
-		Ready *compiled // of the setup in it, where a traffic thread compiled that already
+		Ready *configuration // of the setup in it, where a traffic thread compiled that already
 	}
-	// evAsk is a caller's, worker's or operator's ask at this daemon.
-	evAsk struct {
+	// evRequest is a caller's, worker's or operator's ask at this daemon.
+	evRequest struct {
 		ID         uint64
 		Op         string
 		Key        string
@@ -63,7 +64,7 @@
 		Digest     []byte // SHA-256 of an operator's order, where it isn't that of the body
 		Body       []byte
 		// Ready is the setup in Body, where a traffic thread compiled it already.
-		Ready *compiled
+		Ready *configuration
 	}
 	// evOrder tells how an order to a worker went.
 	evOrder struct {
@@ -91,15 +92,15 @@
 	effSend struct {
 		To   string // sibling name, or "" for a bare address
 		Addr string
-		Dest uint64 // see wireHead.To
+		Dest uint64 // see frameHeader.To
 		Msg  any
 	}
 	// effAppend syncs entries, and only then carries out what waits on them.
 	effAppend struct {
-		Entries []logEntry
+		Entries []statestore.Entry
 		Then    []effect
 	}
-	effSnapshot struct{ Entries []logEntry }
+	effSnapshot struct{ Entries []statestore.Entry }
 	effWipe     struct{ DiskID uint64 }
 	effReply    struct {
 		ID      uint64
@@ -123,64 +124,65 @@
 	effExit struct{}
 )
 
-type siblingState struct {
-	sibling
+type peer struct {
+	peerInfo
 	heardMs int64 // when its beat last moved, by our clock
 	hash    uint64
 }
 
 // node is the whole state of a daemon. Only reduce changes it.
 type node struct {
-	place
-	now, wall int64
-	wokeMs    int64 // when this daemon last woke from a freeze, or began
-	seed      uint64
-	rng       *rand.Rand
-	out       []effect
-	counts    map[string]int64
-	lap       func(role string) // told of each part of a tick; only in experiments
-
-	beat     uint64
-	gossipAt int64
-	siblings map[string]*siblingState
-	byHash   map[uint64]string // siblings by what is said of them, see gossip.go
-	core     coreSet
-	leaving  int64
-
-	store     *store
+	nodeConfig
+	now, wall  int64
+	wokeMs     int64 // when this daemon last woke from a freeze, or began
+	seed       uint64
+	rng        *rand.Rand
+	out        []effect
+	counts     map[string]int64
+	onTickPart func(role string) // told of each part of a tick; only in experiments
+
+	heartbeat    uint64
+	gossipAt     int64
+	peers        map[string]*peer
+	byHash       map[uint64]string // siblings by what is said of them, see gossip.go
+	core         quorum.Set
+	leavingSince int64
+
+	store     *statestore.Store
+	granter   *leaseGranter // of a core member
 	forming   *formation
 	formKey   string // the empty disks seen
 	formSince int64  // since when they are the same
-	joining   *joining
+	learner   *learner
 	// newcomer: this disk came into a fleet that isn't new, most likely in the
 	// place of a member that went or is about to. It doesn't wait as long as a
 	// disk that stood by before; if that member is back it becomes a spare.
 	newcomer bool
-	ops      map[uint64]*casOp
+	changes  map[uint64]*registerChange
 	opSeq    uint64
 	proposer register.Proposer
 
-	poll   pollState
-	duties map[string]*duty
-	views  map[string]dutyView
+	poll    pollState
+	roles   map[string]*roleLease
+	holders map[string]roleHolder
 
-	setup setupState
-	ready *compiled // came with this event
+	config configState
+	ready  *configuration // came with this event
 
-	sender peerLife // of the message that is being handled
+	sender peerInstance // of the message that is being handled
 
-	asks   map[uint64]*pendingAsk
-	reads  map[uint64]*coreRead
-	again  budget // for handing an ask over a second time
-	fresh  budget // for reading states from the core
-	askSeq uint64
+	forwarded   map[uint64]*forwardedRequest
+	quorumReads map[uint64]*quorumRead
+	retries     retryBudget // for handing an ask over a second time
+	coreReads   retryBudget // for reading states from the core
+	forwardSeq  uint64
 
-	owned     map[string]*slice
+	owned     map[string]*shard
 	agents    map[string]*agent
 	central   *central
 	ranks     rankState
 	workers   map[string]*workerView
-	learned   map[string]*estimate
+	estimates map[string]*estimate
 	learnedAt int64
 
 	batchMeter map[meterKey]float64 // core seconds of batches
@@ -189,12 +191,12 @@
 	syncMs     int64
 }
 
-func newNode(p place, st *store) *node {
-	return &node{place: p, store: st, newcomer: st != nil && st.set.Version == 0 && !p.FirstStart, counts: map[string]int64{}, siblings: map[string]*siblingState{},
-		ops: map[uint64]*casOp{}, proposer: register.Proposer{Name: p.Name, Life: p.Life, Timing: casTiming}, duties: map[string]*duty{}, views: map[string]dutyView{},
-		asks: map[uint64]*pendingAsk{}, reads: map[uint64]*coreRead{}, owned: map[string]*slice{}, agents: map[string]*agent{},
-		workers: map[string]*workerView{}, learned: map[string]*estimate{}, poll: pollState{sent: map[uint64]*pollRound{}, slowMs: map[string]int64{}},
-		setup: newSetupState()}
+func newNode(p nodeConfig, st *statestore.Store) *node {
+	return &node{nodeConfig: p, store: st, granter: newLeaseGranter(), newcomer: st != nil && st.Set().Version == 0 && !p.FirstStart, counts: map[string]int64{}, peers: map[string]*peer{},
+		changes: map[uint64]*registerChange{}, proposer: register.Proposer{Name: p.Name, Life: p.Instance, Timing: changeTiming}, roles: map[string]*roleLease{}, holders: map[string]roleHolder{},
+		forwarded: map[uint64]*forwardedRequest{}, quorumReads: map[uint64]*quorumRead{}, owned: map[string]*shard{}, agents: map[string]*agent{},
+		workers: map[string]*workerView{}, estimates: map[string]*estimate{}, poll: pollState{sent: map[uint64]*pollRound{}, slowMs: map[string]int64{}},
+		config: newConfigState()}
 }
 
 // reduce applies one event to the state and gives the effects. It reads no
@@ -234,7 +236,7 @@
 	event := func(t reflect.Type, f func(*node, any)) { eventHandlers[t] = f }
 	event(onEvent((*node).onTick))
 	event(onEvent((*node).onMsg))
-	event(onEvent((*node).onAsk))
+	event(onEvent((*node).onRequest))
 	event(onEvent((*node).onOrder))
 	event(onEvent((*node).onDisk))
 	event(onEvent((*node).onStop))
@@ -245,33 +247,33 @@
 	message(onMessage((*node).onDigest))
 	message(onMessage((*node).onDigestAck))
 	message(onMessage((*node).onPoll))
-	message(onMessage((*node).onPollAck))
+	message(onMessage((*node).onPollResponse))
 	message(onMessage((*node).onPrepare))
 	message(onMessage((*node).onPromise))
 	message(onMessage((*node).onAccept))
 	message(onMessage((*node).onAccepted))
 	message(onMessage((*node).onSeal))
-	message(onMessage((*node).onSealedNow))
+	message(onMessage((*node).onSealResponse))
 	message(onMessage((*node).onWrite))
-	message(onMessage((*node).onWroteNow))
+	message(onMessage((*node).onWriteResponse))
 	message(onMessage((*node).onFetch))
-	message(onMessage((*node).onFetched))
-	message(onMessage((*node).onHandedOver))
-	message(onMessage((*node).onAnswer))
-	message(onMessage((*node).onPlace))
+	message(onMessage((*node).onFetchResponse))
+	message(onMessage((*node).onForwarded))
+	message(onMessage((*node).onForwardReply))
+	message(onMessage((*node).onPlacement))
 	message(onMessage((*node).onSync))
 	message(onMessage((*node).onSyncAck))
-	message(onMessage((*node).onWant))
-	message(onMessage((*node).onGrant))
+	message(onMessage((*node).onAllocationRequest))
+	message(onMessage((*node).onAllocation))
 	message(onMessage((*node).onRanks))
 	message(onMessage((*node).onPromote))
-	message(onMessage((*node).onLearned))
+	message(onMessage((*node).onEstimates))
 	message(onMessage((*node).onForm))
-	message(onMessage((*node).onFormed))
+	message(onMessage((*node).onFormResponse))
 	message(onMessage((*node).onCopy))
-	message(onMessage((*node).onCopied))
-	message(onMessage((*node).onReadReg))
-	message(onMessage((*node).onReg))
+	message(onMessage((*node).onCopyResponse))
+	message(onMessage((*node).onRegisterRead))
+	message(onMessage((*node).onRegisterValue))
 }
 
 // tickParts are what a tick does, each part with the role whose work it is.
@@ -283,17 +285,17 @@
 }
 
 func init() {
-	tickParts = []tickPart{{roleEvery, (*node).tickSiblings}, {roleCore, (*node).tickFormation}, {roleCore, (*node).tickJoining},
-		{roleEvery, (*node).tickOps}, {roleEvery, (*node).tickPoll}, {roleEvery, (*node).tickDuties}, {roleEvery, (*node).tickSetup},
-		{roleOwner, (*node).tickSlices}, {roleOwner, (*node).tickLearned}, {roleAgent, (*node).tickAgents},
-		{roleCentral, (*node).tickCentral}, {roleFront, (*node).tickAsks}, {roleCore, (*node).tickStore}, {roleEvery, (*node).tickLeaving}}
+	tickParts = []tickPart{{roleEvery, (*node).tickGossip}, {roleCore, (*node).tickFormation}, {roleCore, (*node).tickLearner},
+		{roleEvery, (*node).tickChanges}, {roleEvery, (*node).tickPoll}, {roleEvery, (*node).tickRoles}, {roleEvery, (*node).tickConfig},
+		{roleOwner, (*node).tickShards}, {roleOwner, (*node).tickEstimates}, {roleAgent, (*node).tickAgents},
+		{roleCentral, (*node).tickCentral}, {roleFront, (*node).tickRequests}, {roleCore, (*node).tickStore}, {roleEvery, (*node).tickShutdown}}
 }
 
 func (n *node) onTick(evTick) {
 	for _, p := range tickParts {
 		p.do(n)
-		if n.lap != nil {
-			n.lap(p.role)
+		if n.onTickPart != nil {
+			n.onTickPart(p.role)
 		}
 	}
 }
@@ -305,12 +307,12 @@
 		}
 		return
 	}
-	if !n.addressed(e.Head, e.Msg) {
+	if !n.acceptsFrame(e.Head, e.Msg) {
 		return
 	}
 	n.count("messages_in")
-	n.ready, n.sender = e.Ready, peerLife{e.Head.From, e.Head.Life}
-	defer func() { n.ready, n.sender = nil, peerLife{} }()
+	n.ready, n.sender = e.Ready, peerInstance{e.Head.From, e.Head.Instance}
+	defer func() { n.ready, n.sender = nil, peerInstance{} }()
 	if h, ok := messageHandlers[reflect.TypeOf(e.Msg)]; ok {
 		h(n, e.Head.From, e.Msg)
 	}
@@ -319,16 +321,16 @@
 func (n *node) emit(e effect)               { n.out = append(n.out, e) }
 func (n *node) count(name string)           { n.counts[name]++ }
 func (n *node) log(event string, kv ...any) { n.emit(effLog{Event: event, Pairs: kv}) }
-func (n *node) headOf() wireHead {
-	return wireHead{Cluster: n.core.Cluster, From: n.Name, Life: n.Life}
+func (n *node) headOf() frameHeader {
+	return frameHeader{Cluster: n.core.Cluster, From: n.Name, Instance: n.Instance}
 }
-func (n *node) reply(id uint64, a answerMsg) {
+func (n *node) reply(id uint64, a forwardReply) {
 	n.emit(effReply{ID: id, Status: int(a.Status), RetryMs: a.RetryMs, Body: a.Body})
 }
 
 func (n *node) sendEffect(to string, msg any) effect {
 	addr := ""
-	if s := n.siblings[to]; s != nil {
+	if s := n.peers[to]; s != nil {
 		addr = s.Addr
 	}
 	if to == n.Name {
--- a/accord/rules_test.go
+++ b/internal/daemon/rules_test.go
@@ -1,10 +1,11 @@
-package main
+package daemon
 
 import (
 	"fmt"
 	"go/ast"
 	"go/parser"
 	"go/token"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -30,38 +31,40 @@
 // The numbers only go down: a file that isn't named here has none, and one
 // that got better gets the lower number at once.
 var hidingLeft = map[string]int{
-	"accord/agents.go":        1,
-	"accord/archive_test.go":  1,
-	"accord/asks.go":          11,
-	"accord/central.go":       1,
-	"accord/disk_test.go":     1,
-	"accord/door.go":          1,
-	"accord/downstream.go":    3,
-	"accord/errors.go":        1,
-	"accord/limits.go":        4,
-	"accord/messages.go":      3,
-	"accord/process_test.go":  1,
-	"accord/reduce.go":        5,
-	"accord/registers.go":     1,
-	"accord/scenario_test.go": 2,
-	"accord/setup.go":         2,
-	"accord/siblings.go":      2,
-	"accord/slices.go":        2,
-	"accord/world_test.go":    3,
-	"guise/downstream.go":     3,
-	"guise/main.go":           1,
-	"verdict/verdict.go":      1,
-	"verdict/verdict_test.go": 1,
+	"cmd/otterchute-standin/downstream.go":       3,
+	"cmd/otterchute-standin/main.go":             1,
+	"internal/daemon/archive_test.go":            1,
+	"internal/daemon/disk_test.go":               1,
+	"internal/daemon/errors.go":                  1,
+	"internal/daemon/process_test.go":            1,
+	"internal/daemon/scenario_test.go":           2,
+	"internal/daemon/world_test.go":              3,
+	"internal/historycheck/historycheck.go":      1,
+	"internal/historycheck/historycheck_test.go": 1,
+}
+
+// sourceFiles gives all Go files of the repository, tests too.
+func sourceFiles(t *testing.T) (files []string) {
+	t.Helper()
+	for _, root := range []string{"cmd", "internal", "platform"} {
+		err := filepath.WalkDir(filepath.Join("../..", root), func(path string, _ fs.DirEntry, err error) error {
+			if strings.HasSuffix(path, ".go") {
+				files = append(files, path)
+			}
+			return err
+		})
+		must.NoError(t, err)
+	}
+	return files
 }
 
 // The code keeps to its own rules: no new name that hides a term of the field,
 // an example in the comment of each public function, no child processes in the
 // daemon, and no library that would do the fleet's own work.
 func TestOwnRules(t *testing.T) {
-	files, err := filepath.Glob("../*/*.go")
-	must.NoError(t, err)
+	files := sourceFiles(t)
 	must.Greater(t, 30, len(files))
-	must.SliceContains(t, files, "../platform/platform.go")
+	must.SliceContains(t, files, "../../platform/platform.go")
 	found := map[string][]string{}
 	for _, path := range files {
 		set := token.NewFileSet()
@@ -76,7 +79,7 @@
 		}
 		named := func(id *ast.Ident) {
 			if hidingWords.MatchString(identifierWords(id.Name)) {
-				key := strings.TrimPrefix(path, "../")
+				key := strings.TrimPrefix(path, "../../")
 				found[key] = append(found[key], id.Name)
 			}
 		}
@@ -124,7 +127,7 @@
 	if t.Failed() {
 		t.Log("as it is:\n" + now)
 	}
-	mod, err := os.ReadFile("../go.mod")
+	mod, err := os.ReadFile("../../go.mod")
 	must.NoError(t, err)
 	must.False(t, regexp.MustCompile(`(?i)raft|paxos|etcd|consul|zookeeper|memberlist|serf|gossip|nats|redis|kafka|envoy|traefik|caddy|haproxy`).Match(mod))
 }
--- a/accord/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"otterchute/verdict"
+	"otterchute/internal/historycheck"
 
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
@@ -23,7 +23,7 @@
 
 // sameQueue gives the queue that stands at the same place in a deployment.
 func (w *world) sameQueue(name string) string {
-	for _, d := range verdict.Deployments {
+	for _, d := range historycheck.Deployments {
 		for i, q := range d.Queues {
 			if q.Name == name {
 				return w.dep.Queues[i].Name
@@ -35,17 +35,17 @@
 
 // oneTask makes a job of one task; its room is in sixteenths of a worker, so
 // that it presses alike at both sizes.
-func (w *world) oneTask(queue string, ms, room, limitMs int64, allowed int) verdict.Job {
+func (w *world) oneTask(queue string, ms, room, limitMs int64, allowed int) historycheck.Job {
 	room = room * w.dep.Cores / 16
-	return verdict.Job{Queue: w.sameQueue(queue), Steps: []verdict.Step{{Name: "s", Tasks: []verdict.Task{{Name: fmt.Sprint("t", ms), Room: room, LimitMs: limitMs,
-		Allowed: allowed, Payload: verdict.Work{Ms: ms}}}}}}
+	return historycheck.Job{Queue: w.sameQueue(queue), Steps: []historycheck.Step{{Name: "s", Tasks: []historycheck.Task{{Name: fmt.Sprint("t", ms), Room: room, LimitMs: limitMs,
+		Allowed: allowed, Payload: historycheck.Work{Ms: ms}}}}}}
 }
 
 // endedIn counts the task ends of a stretch of simulated time.
 func (w *world) endedIn(fromMs, toMs int64) int {
 	n := 0
 	for _, e := range w.history {
-		if e.Kind == verdict.End && e.Text == "ok" && e.AtMs >= fromMs && e.AtMs < toMs {
+		if e.Kind == historycheck.End && e.Text == "ok" && e.AtMs >= fromMs && e.AtMs < toMs {
 			n++
 		}
 	}
@@ -55,7 +55,7 @@
 func (w *world) startsOf(j *simJob) int {
 	n := 0
 	for _, e := range w.history {
-		if e.Kind == verdict.Start && e.Job == j.id {
+		if e.Kind == historycheck.Start && e.Job == j.id {
 			n++
 		}
 	}
@@ -162,7 +162,7 @@
 		at := w.nowMs()
 		must.True(t, w.until(8000, func() bool {
 			h := w.holderOf("slice/west")
-			return h != nil && h.Site != "west"
+			return h != nil && h.Zone != "west"
 		}), must.Sprint("the slice of the cut-off site did not move"))
 		w.run(3000)
 		// The cut-off side says so at once, and when to come back.
@@ -172,7 +172,7 @@
 		must.Less(t, 1500, tookMs)
 		started := 0
 		for _, e := range w.history {
-			if e.Kind == verdict.Start && e.AtMs > at+4000 && w.siteOf(e.Worker) == "west" {
+			if e.Kind == historycheck.Start && e.AtMs > at+4000 && w.siteOf(e.Worker) == "west" {
 				started++
 			}
 		}
@@ -180,12 +180,12 @@
 		w.run(240_000)
 		w.heal()
 		healed := w.nowMs()
-		must.True(t, w.until(20_000, func() bool { h := w.holderOf("slice/west"); return h != nil && h.Site == "west" }), must.Sprint("the slice did not go home"))
+		must.True(t, w.until(20_000, func() bool { h := w.holderOf("slice/west"); return h != nil && h.Zone == "west" }), must.Sprint("the slice did not go home"))
 		w.traffic(10_000)
 		w.run(10_000)
 		back := 0
 		for _, e := range w.history {
-			if e.Kind == verdict.Start && e.AtMs > healed && w.siteOf(e.Worker) == "west" {
+			if e.Kind == historycheck.Start && e.AtMs > healed && w.siteOf(e.Worker) == "west" {
 				back++
 			}
 		}
@@ -237,7 +237,7 @@
 	"huge setup": {"ikenna", func(t *testing.T, w *world) {
 		s := w.dep.SetupOf()
 		for i := range 5000 {
-			s.Queues = append(s.Queues, verdict.Queue{Name: fmt.Sprintf("guild-%d", i), Selector: map[string][]string{"tier": {"fast"}}, Urgency: 1})
+			s.Queues = append(s.Queues, historycheck.Queue{Name: fmt.Sprintf("guild-%d", i), Selector: map[string][]string{"tier": {"fast"}}, Urgency: 1})
 		}
 		done := 0
 		w.traffic(12_000)
@@ -261,7 +261,7 @@
 		open := len(w.open())
 		must.Positive(t, open, must.Sprint("nothing was running there"))
 		lost := int64(0)
-		for _, s := range verdict.Sites {
+		for _, s := range historycheck.Sites {
 			for _, name := range []string{"w02", "w05"} {
 				status, _, b, _ := w.asked("operator", w.nodes["d09"], "worker.lost", s+"/"+name, nil)
 				must.Eq(t, 200, status)
@@ -290,8 +290,8 @@
 		w.run(5000)
 		for _, old := range []string{"d00", "d01", "d02"} { // the core and the seeds at once
 			w.nodes[old].kill(false)
-			w.nodes[old].place.Seeds = []string{w.nodes["d05"].Addr, w.nodes["d06"].Addr, w.nodes["d07"].Addr}
-			w.nodes[old].place.Addr = "10.0.9." + old[2:] + ":7000"
+			w.nodes[old].nodeConfig.Seeds = []string{w.nodes["d05"].Addr, w.nodes["d06"].Addr, w.nodes["d07"].Addr}
+			w.nodes[old].nodeConfig.Addr = "10.0.9." + old[2:] + ":7000"
 			w.run(2000)
 			w.nodes[old].start()
 			must.True(t, w.until(30_000, func() bool { return w.coreWhole() != nil }))
@@ -318,7 +318,7 @@
 	"hopeless and unmatched jobs hold up nobody": {"ikenna", func(t *testing.T, w *world) {
 		for range 20 {
 			j := w.oneTask("signoff", 100, 1, 5000, 3)
-			j.Steps[0].Tasks[0].Payload = verdict.Work{Ms: 100, FailPct: 100}
+			j.Steps[0].Tasks[0].Payload = historycheck.Work{Ms: 100, FailPct: 100}
 			w.submit(j)
 		}
 		lone := w.oneTask("signoff", 100, 1, 5000, 3)
@@ -343,7 +343,7 @@
 	}, 150_000},
 	"standing tasks": {"hakata", func(t *testing.T, w *world) {
 		j := w.oneTask("confirm", 100, 1, 1500, 2)
-		j.Steps[0].Tasks[0].Payload = verdict.Work{Stall: true}
+		j.Steps[0].Tasks[0].Payload = historycheck.Work{Stall: true}
 		var all []*simJob
 		for range 5 {
 			all = append(all, w.submit(j))
@@ -370,15 +370,15 @@
 
 // ownerCut finds a job whose owner is no core member, and gives what cuts that
 // owner off from the core, though not from agents.
-func (w *world) ownerCut(t *testing.T, make func() verdict.Job) (*simJob, *simNode, func()) {
+func (w *world) ownerCut(t *testing.T, make func() historycheck.Job) (*simJob, *simNode, func()) {
 	w.run(3000) // all agents are rebuilt by then
 	// Machines with a disk are preferred for slices: here each hands its own to one without.
 	for i, name := range []string{"d00", "d01", "d02"} {
-		n := w.nodes[name].sh.n
-		n.Beside = true
-		for _, duty := range sorted(n.duties) {
-			if d := n.duties[duty]; kindOfDuty(duty) == "slice" && d.phase == dutyHeld {
-				n.resign(d, fmt.Sprintf("d%02d", 3+i))
+		n := w.nodes[name].sh.node
+		n.Colocated = true
+		for _, duty := range sorted(n.roles) {
+			if d := n.roles[duty]; roleKind(duty) == "slice" && d.phase == roleHeld {
+				n.handOff(d, fmt.Sprintf("d%02d", 3+i))
 			}
 		}
 	}
@@ -386,7 +386,7 @@
 	for range 20 {
 		j := w.submit(make())
 		w.run(400)
-		n := w.holderOf("slice/" + w.nodes["d00"].sh.n.sliceOf(j.id))
+		n := w.holderOf("slice/" + w.nodes["d00"].sh.node.shardOf(j.id))
 		if n != nil && !n.Disk {
 			return j, n, func() {
 				for i := range coreSize {
@@ -405,7 +405,7 @@
 		for range 15 { // each owner learns that this is short: it places it by itself
 			w.submit(w.oneTask("confirm", 400, 1, 20_000, 1))
 		}
-		j, owner, cut := w.ownerCut(t, func() verdict.Job {
+		j, owner, cut := w.ownerCut(t, func() historycheck.Job {
 			j := w.oneTask("confirm", 400, 1, 20_000, 1)
 			j.DelayMs = 2000
 			return j
@@ -414,17 +414,17 @@
 		cut()
 		w.run(leaseMs - 200) // it falls due here, while the owner's lease still holds
 		must.Zero(t, w.startsOf(j))
-		must.True(t, w.until(8000, func() bool { h := w.holderOf("slice/" + owner.sh.n.sliceOf(j.id)); return h != nil && h != owner }))
+		must.True(t, w.until(8000, func() bool { h := w.holderOf("slice/" + owner.sh.node.shardOf(j.id)); return h != nil && h != owner }))
 		w.run(2000)
 		w.heal()
 	}, 20_000}
 	scenarios["owner can't write when a run ends"] = scenario{"hakata", func(t *testing.T, w *world) {
-		j, owner, cut := w.ownerCut(t, func() verdict.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
+		j, owner, cut := w.ownerCut(t, func() historycheck.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
 		must.Eq(t, 1, w.startsOf(j))
 		w.run(600)
 		cut()
-		must.True(t, w.until(8000, func() bool { h := w.holderOf("slice/" + owner.sh.n.sliceOf(j.id)); return h != nil && h != owner }))
-		w.run(2 * tombMs)
+		must.True(t, w.until(8000, func() bool { h := w.holderOf("slice/" + owner.sh.node.shardOf(j.id)); return h != nil && h != owner }))
+		w.run(2 * tombstoneMs)
 		must.Eq(t, 1, w.startsOf(j))
 		w.heal()
 	}, 20_000}
@@ -458,12 +458,12 @@
 	}, 60_000}
 	scenarios["group shrinks with full queues"] = scenario{"ikenna", func(t *testing.T, w *world) {
 		w.queuesFull()
-		s := verdict.Setup{Queues: []verdict.Queue{{Name: w.sameQueue("logbook"), Selector: map[string][]string{"tier": {"fast"}}, Urgency: 1}}}
+		s := historycheck.Setup{Queues: []historycheck.Queue{{Name: w.sameQueue("logbook"), Selector: map[string][]string{"tier": {"fast"}}, Urgency: 1}}}
 		w.putSetup(2, s, nil)
 		w.run(15_000)
 	}, 90_000}
 	scenarios["owner can't write when it is told to cancel"] = scenario{"hakata", func(t *testing.T, w *world) {
-		j, owner, cut := w.ownerCut(t, func() verdict.Job {
+		j, owner, cut := w.ownerCut(t, func() historycheck.Job {
 			j := w.oneTask("confirm", 400, 1, 20_000, 1)
 			j.DelayMs = 9000
 			return j
@@ -472,10 +472,10 @@
 		cut()
 		w.ask("caller", owner, "job.cancel", j.id, nil, 2000, func(status int, _ int64, _ []byte) {
 			if status == 200 {
-				w.note(verdict.Event{Kind: verdict.CancelAcked, Job: j.id})
+				w.note(historycheck.Event{Kind: historycheck.CancelAcked, Job: j.id})
 			}
 		})
-		must.True(t, w.until(8000, func() bool { h := w.holderOf("slice/" + owner.sh.n.sliceOf(j.id)); return h != nil && h != owner }))
+		must.True(t, w.until(8000, func() bool { h := w.holderOf("slice/" + owner.sh.node.shardOf(j.id)); return h != nil && h != owner }))
 		w.heal()
 		w.run(10_000)
 	}, 20_000}
@@ -483,7 +483,7 @@
 
 func init() {
 	scenarios["a late write of a frozen owner"] = scenario{"hakata", func(t *testing.T, w *world) {
-		j, owner, _ := w.ownerCut(t, func() verdict.Job {
+		j, owner, _ := w.ownerCut(t, func() historycheck.Job {
 			j := w.oneTask("confirm", 400, 1, 20_000, 1)
 			j.DelayMs = 12_000
 			return j
@@ -493,12 +493,12 @@
 		}
 		w.ask("caller", owner, "job.cancel", j.id, nil, 30_000, func(status int, _ int64, _ []byte) {
 			if status == 200 {
-				w.note(verdict.Event{Kind: verdict.CancelAcked, Job: j.id})
+				w.note(historycheck.Event{Kind: historycheck.CancelAcked, Job: j.id})
 			}
 		})
 		w.run(5)
 		owner.freeze(8000)
-		must.True(t, w.until(8000, func() bool { h := w.holderOf("slice/" + owner.sh.n.sliceOf(j.id)); return h != nil && h != owner }))
+		must.True(t, w.until(8000, func() bool { h := w.holderOf("slice/" + owner.sh.node.shardOf(j.id)); return h != nil && h != owner }))
 		w.run(10_000)
 		w.hold = map[[2]string]int64{}
 		w.run(6000)
@@ -543,14 +543,14 @@
 		}
 		w.run(3000)
 		for _, n := range w.nodesInOrder() { // no daemon hears any owner for a moment
-			for _, s := range verdict.Sites {
+			for _, s := range historycheck.Sites {
 				if h := w.holderOf("slice/" + s); h != nil && h != n {
 					w.cuts[[2]string{h.Name, n.Name}] = true
 				}
 			}
 		}
 		for _, j := range all {
-			owner := w.holderOf("slice/" + w.nodes["d00"].sh.n.sliceOf(j.id))
+			owner := w.holderOf("slice/" + w.nodes["d00"].sh.node.shardOf(j.id))
 			w.ask("caller", owner, "job.cancel", j.id, nil, 2000, func(int, int64, []byte) {})
 		}
 		w.run(800)
@@ -591,9 +591,9 @@
 
 func init() {
 	scenarios["a finish that only one core member heard of"] = scenario{"hakata", func(t *testing.T, w *world) {
-		j, owner, _ := w.ownerCut(t, func() verdict.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
+		j, owner, _ := w.ownerCut(t, func() historycheck.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
 		must.Eq(t, 1, w.startsOf(j))
-		name := "slice/" + owner.sh.n.sliceOf(j.id)
+		name := "slice/" + owner.sh.node.shardOf(j.id)
 		w.run(600)
 		w.cuts[[2]string{owner.Name, "d00"}], w.cuts[[2]string{owner.Name, "d02"}] = true, true
 		w.run(1200) // the run ends, and d01 alone stores it
@@ -607,7 +607,7 @@
 		w.nodes["d01"].kill(false)
 		second.kill(false)
 		must.True(t, w.until(8000, func() bool { h := w.holderOf(name); return h != nil && h != second }))
-		w.run(2 * tombMs)
+		w.run(2 * tombstoneMs)
 		must.Eq(t, 1, w.startsOf(j))
 		w.nodes["d01"].start()
 		second.start()
@@ -617,10 +617,10 @@
 func init() {
 	scenarios["a member that missed an end, after the end's keeping is over"] = scenario{"hakata", func(t *testing.T, w *world) {
 		for _, n := range w.nodesInOrder() {
-			n.place.KeepMs, n.sh.n.KeepMs = 20_000, 20_000
+			n.nodeConfig.KeepMs, n.sh.node.KeepMs = 20_000, 20_000
 		}
-		j, owner, _ := w.ownerCut(t, func() verdict.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
-		name := "slice/" + owner.sh.n.sliceOf(j.id)
+		j, owner, _ := w.ownerCut(t, func() historycheck.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
+		name := "slice/" + owner.sh.node.shardOf(j.id)
 		w.run(600)
 		w.cutHost("d02")
 		must.True(t, w.until(3000, func() bool { _, open := w.runsAt(j); return !open }))
@@ -646,16 +646,16 @@
 		body, _ := json.Marshal(spec)
 		for i := range 6 {
 			id := fmt.Sprintf("j%05d", w.jobSeq+1) // what the next submit will call its job
-			name := "slice/" + w.nodes["d00"].sh.n.sliceOf(id)
+			name := "slice/" + w.nodes["d00"].sh.node.shardOf(id)
 			owner := w.holderOf(name)
 			must.NotNil(t, owner)
 			lone := fmt.Sprintf("d%02d", i%coreSize)
 			if owner.Disk {
 				lone = owner.Name
 			}
-			w.note(verdict.Event{Kind: verdict.JobSent, Job: id, Spec: &spec})
+			w.note(historycheck.Event{Kind: historycheck.JobSent, Job: id, Spec: &spec})
 			w.ask("early", owner, "job.put", id, body, 2000, func(int, int64, []byte) {})
-			for owner.sh.n.owned[name[6:]].jobs[id] == nil {
+			for owner.sh.node.owned[name[6:]].jobs[id] == nil {
 				w.step()
 			}
 			for c := range coreSize { // its write is on its way, and reaches one member only
@@ -706,7 +706,7 @@
 	w.heal()
 	w.run(60_000)
 	must.NotNil(t, w.holderOf("slice/mid"))
-	must.Eq(t, "mid", w.holderOf("slice/mid").Site)
+	must.Eq(t, "mid", w.holderOf("slice/mid").Zone)
 	allDone(t, w, 60_000)
 	verdictOf(t, w)
 	t.Log(len(w.jobs), "jobs", w.counts())
@@ -720,7 +720,7 @@
 		from, count = *fromFlag, *seedsFlag
 	}
 	for _, name := range sorted(scenarios) {
-		for _, dep := range sorted(verdict.Deployments) {
+		for _, dep := range sorted(historycheck.Deployments) {
 			for i := range count {
 				seed := from + uint64(i)
 				t.Run(fmt.Sprintf("%s/%s-%d", name, dep, seed), func(t *testing.T) {
@@ -729,7 +729,7 @@
 					w := formed(t, seed, dep)
 					t.Cleanup(func() {
 						for _, e := range w.history {
-							if t.Failed() && e.Job != "" && e.Job == *dumpFlag && e.Kind != verdict.JobState {
+							if t.Failed() && e.Job != "" && e.Job == *dumpFlag && e.Kind != historycheck.JobState {
 								t.Log(e.AtMs, e.Kind, e.Worker, e.Run, e.Text)
 							}
 						}
@@ -742,7 +742,7 @@
 					s.do(t, w)
 					allDone(t, w, s.waitMs)
 					verdictOf(t, w)
-					stateMs, entryMs := verdict.Dark(w.history)
+					stateMs, entryMs := historycheck.Dark(w.history)
 					t.Logf("dark: states %d ms, entry %d ms", stateMs, entryMs)
 					if t.Failed() {
 						t.Log(w.counts())
--- a/accord/settings.go
+++ b/internal/daemon/settings.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"flag"
@@ -20,7 +20,7 @@
 	Name        string
 	Addr        string
 	HTTP        string
-	Site        string
+	Zone        string
 	Seeds       []string
 	Data        string
 	KeepHours   int64
@@ -31,8 +31,8 @@
 
 	CoreSize     int64
 	FirstStart   bool
-	Beside       bool
-	HoldMostMs   int64
+	Colocated    bool
+	MaxHoldMs    int64
 	GangWaitMs   int64
 	SaveMs       int64
 	RestoreMs    int64
@@ -42,9 +42,9 @@
 	adapter  *platform.Adapter // nil without a platform
 }
 
-var settingsFields = fieldSpec{Kind: "object", Fields: map[string]fieldSpec{
+var settingsFields = fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
 	"name": {Kind: "name"}, "addr": {Kind: "text", Min: 1, Max: 100}, "http": {Kind: "text", Min: 1, Max: 100}, "site": {Kind: "name"},
-	"seeds": {Kind: "list", Min: 1, Max: 16, Elem: &fieldSpec{Kind: "text", Min: 1, Max: 100}},
+	"seeds": {Kind: "list", Min: 1, Max: 16, Elem: &fieldSchema{Kind: "text", Min: 1, Max: 100}},
 	"data":  {Kind: "text", Max: 4096}, "keep_hours": {Kind: "count", Min: 1, Max: 24 * 366},
 	"threshold_ms": {Kind: "count", Min: -1, Max: msPerHour},
 	"k_lowest":     {Kind: "count", Min: 0, Max: 10_000}, "target_sigma": {Kind: "number"}, "log_level": {Kind: "name"}, "beside": {Kind: "flag"},
@@ -55,7 +55,7 @@
 
 func defaultSettings() settings {
 	return settings{KeepHours: keepHoursDef, ThresholdMs: thresholdMs, TargetSigma: 2, LogLevel: "info",
-		CoreSize: coreSize, FirstStart: true, HoldMostMs: holdMostMs, GangWaitMs: gangWaitMs, SaveMs: saveMs, RestoreMs: restoreMs, SpreadFactor: 1.5}
+		CoreSize: coreSize, FirstStart: true, MaxHoldMs: holdMostMs, GangWaitMs: gangWaitMs, SaveMs: saveMs, RestoreMs: restoreMs, SpreadFactor: 1.5}
 }
 
 // settingReaders puts each known key of the file into its place.
@@ -63,7 +63,7 @@
 	"name": func(s *settings, v gjson.Result) { s.Name = v.Str },
 	"addr": func(s *settings, v gjson.Result) { s.Addr = v.Str },
 	"http": func(s *settings, v gjson.Result) { s.HTTP = v.Str },
-	"site": func(s *settings, v gjson.Result) { s.Site = v.Str },
+	"site": func(s *settings, v gjson.Result) { s.Zone = v.Str },
 	"data": func(s *settings, v gjson.Result) { s.Data = v.Str },
 	"seeds": func(s *settings, v gjson.Result) {
 		s.Seeds = nil
@@ -79,15 +79,15 @@
 
 	"core_size":     func(s *settings, v gjson.Result) { s.CoreSize = v.Int() },
 	"first_start":   func(s *settings, v gjson.Result) { s.FirstStart = v.Bool() },
-	"beside":        func(s *settings, v gjson.Result) { s.Beside = v.Bool() },
-	"hold_most_ms":  func(s *settings, v gjson.Result) { s.HoldMostMs = v.Int() },
+	"beside":        func(s *settings, v gjson.Result) { s.Colocated = v.Bool() },
+	"hold_most_ms":  func(s *settings, v gjson.Result) { s.MaxHoldMs = v.Int() },
 	"gang_wait_ms":  func(s *settings, v gjson.Result) { s.GangWaitMs = v.Int() },
 	"save_ms":       func(s *settings, v gjson.Result) { s.SaveMs = v.Int() },
 	"restore_ms":    func(s *settings, v gjson.Result) { s.RestoreMs = v.Int() },
 	"spread_factor": func(s *settings, v gjson.Result) { s.SpreadFactor = v.Num },
 }
 
-// settingsFlags binds the flags of `accord run`.
+// settingsFlags binds the flags of `otterchute run`.
 type settingsFlags struct {
 	file, name, addr, http, site, seeds, data, level string
 	keep, threshold, k                               int64
@@ -115,7 +115,7 @@
 	fs.Int64Var(&f.core, "core-size", d.CoreSize, "disks that hold the state; an even number counts as the odd one below")
 	fs.BoolVar(&f.first, "first-start", d.FirstStart, "the whole fleet starts for the first time: empty disks may form a core")
 	fs.BoolVar(&f.beside, "beside", false, "this machine stands beside a worker: it takes no duty of the fleet's")
-	fs.Int64Var(&f.hold, "hold-most-ms", d.HoldMostMs, "the longest a worker holds its runs after one answer to its beat")
+	fs.Int64Var(&f.hold, "hold-most-ms", d.MaxHoldMs, "the longest a worker holds its runs after one answer to its beat")
 	fs.Int64Var(&f.gang, "gang-wait-ms", d.GangWaitMs, "how long a member of a gang waits for the others")
 	fs.Int64Var(&f.save, "save-ms", d.SaveMs, "a run that saves does so after this much work")
 	fs.Int64Var(&f.restore, "restore-ms", d.RestoreMs, "what a start from a saved state takes longer")
@@ -137,7 +137,7 @@
 		if err != nil {
 			return s, errors.Wrapf(errSettings, "settings: %v", err)
 		}
-		if faults := checkDoc(doc, settingsFields); len(faults) > 0 {
+		if faults := checkDocument(doc, settingsFields); len(faults) > 0 {
 			return s, errors.Wrapf(errSettings, "%s: %s", orText(faults[0].Path, f.file), faults[0].Reason)
 		}
 		gjson.ParseBytes(doc).ForEach(func(k, v gjson.Result) bool {
@@ -146,12 +146,12 @@
 		})
 	}
 	over := map[string]func(){
-		"name": func() { s.Name = f.name }, "addr": func() { s.Addr = f.addr }, "http": func() { s.HTTP = f.http }, "site": func() { s.Site = f.site },
+		"name": func() { s.Name = f.name }, "addr": func() { s.Addr = f.addr }, "http": func() { s.HTTP = f.http }, "site": func() { s.Zone = f.site },
 		"seeds": func() { s.Seeds = strings.Split(f.seeds, ",") }, "data": func() { s.Data = f.data }, "log-level": func() { s.LogLevel = f.level },
 		"keep-hours": func() { s.KeepHours = f.keep }, "threshold-ms": func() { s.ThresholdMs = f.threshold }, "k-lowest": func() { s.KLowest = f.k },
 		"target-sigma": func() { s.TargetSigma = f.sigma }, "core-size": func() { s.CoreSize = f.core }, "first-start": func() { s.FirstStart = f.first },
-		"beside":       func() { s.Beside = f.beside },
-		"hold-most-ms": func() { s.HoldMostMs = f.hold }, "gang-wait-ms": func() { s.GangWaitMs = f.gang }, "save-ms": func() { s.SaveMs = f.save },
+		"beside":       func() { s.Colocated = f.beside },
+		"hold-most-ms": func() { s.MaxHoldMs = f.hold }, "gang-wait-ms": func() { s.GangWaitMs = f.gang }, "save-ms": func() { s.SaveMs = f.save },
 		"restore-ms": func() { s.RestoreMs = f.restore }, "spread-factor": func() { s.SpreadFactor = f.spread },
 	}
 	fs.Visit(func(fl *flag.Flag) {
@@ -174,11 +174,11 @@
 // take fills in what the platform says of this process. What it leaves out
 // stays as it is by default.
 func (s *settings) take(p platform.Place) {
-	s.Name, s.Addr, s.HTTP, s.Site, s.Data, s.Seeds = p.Name, p.Addr, p.HTTP, p.Site, p.Data, p.Seeds
+	s.Name, s.Addr, s.HTTP, s.Zone, s.Data, s.Seeds = p.Name, p.Addr, p.HTTP, p.Site, p.Data, p.Seeds
 	s.FirstStart, s.MemoryMb = p.FirstStart, p.MemoryMb
 	s.CoreSize = orElse(int64(p.CoreSize), s.CoreSize)
-	s.Beside = p.Beside
-	s.HoldMostMs, s.GangWaitMs = orElse(p.HoldMostMs, s.HoldMostMs), orElse(p.GangWaitMs, s.GangWaitMs)
+	s.Colocated = p.Beside
+	s.MaxHoldMs, s.GangWaitMs = orElse(p.HoldMostMs, s.MaxHoldMs), orElse(p.GangWaitMs, s.GangWaitMs)
 	s.SaveMs, s.RestoreMs = orElse(p.SaveMs, s.SaveMs), orElse(p.RestoreMs, s.RestoreMs)
 	if p.SpreadFactor > 0 {
 		s.SpreadFactor = p.SpreadFactor
@@ -197,7 +197,7 @@
 	if !nameOK(s.Name) {
 		return bad("name", "must be a name of letters, digits, '-', '_', '.' or ':'")
 	}
-	if !nameOK(s.Site) {
+	if !nameOK(s.Zone) {
 		return bad("site", "must be a name of letters, digits, '-', '_', '.' or ':'")
 	}
 	for _, a := range []struct{ key, value string }{{"addr", s.Addr}, {"http", s.HTTP}} {
@@ -225,7 +225,7 @@
 	if s.KeepHours < 1 || s.KLowest < 0 || s.TargetSigma < 0 || s.ThresholdMs < -1 {
 		return bad("keep_hours, k_lowest, target_sigma, threshold_ms", "must be at least 1, 0, 0 and -1")
 	}
-	if s.CoreSize < 1 || s.HoldMostMs < 1 || s.GangWaitMs < 1 || s.SaveMs < 1 || s.RestoreMs < 0 || s.SpreadFactor < 1 {
+	if s.CoreSize < 1 || s.MaxHoldMs < 1 || s.GangWaitMs < 1 || s.SaveMs < 1 || s.RestoreMs < 0 || s.SpreadFactor < 1 {
 		return bad("core_size, hold_most_ms, gang_wait_ms, save_ms, restore_ms, spread_factor", "must be at least 1, 1, 1, 1, 0 and 1")
 	}
 	if s.Data != "" {
--- a/accord/setup.go
+++ b/internal/daemon/setup.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"bytes"
@@ -9,20 +9,20 @@
 	"fmt"
 	"io"
 	"net"
+	"otterchute/internal/codec"
+	"otterchute/internal/register"
 	"slices"
 	"strconv"
 	"strings"
 	"sync"
 
-	"otterchute/register"
-
 	"github.com/tidwall/gjson"
 )
 
-// setupFields is the table a setup is checked by.
-var setupFields = fieldSpec{Kind: "object", Fields: map[string]fieldSpec{
+// configFields is the table a setup is checked by.
+var configFields = fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
 	"note": {Kind: "text", Max: 1000},
-	"queues": {Kind: "list", Required: true, Max: 20_000, Elem: &fieldSpec{Kind: "object", Fields: map[string]fieldSpec{
+	"queues": {Kind: "list", Required: true, Max: 20_000, Elem: &fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
 		"name":             {Kind: "name", Required: true},
 		"selector":         {Kind: "choices"},
 		"urgency":          {Kind: "count", Min: 0, Max: 1000},
@@ -37,26 +37,26 @@
 		"latency_ms":       {Kind: "count", Min: 0, Max: 1 << 40},
 		"stretch":          {Kind: "number"},
 		"batch":            batchFields,
-		"addresses": {Kind: "list", Max: 100, Elem: &fieldSpec{Kind: "object", Fields: map[string]fieldSpec{
+		"addresses": {Kind: "list", Max: 100, Elem: &fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
 			"host":   {Kind: "text", Required: true, Min: 1, Max: 256},
 			"prefix": {Kind: "text", Required: true, Min: 1, Max: 1024},
 		}}},
 	}}},
 	"contracts":   {Kind: "list", Max: 100, Elem: &contractFields},
-	"empty_sites": {Kind: "list", Max: 100, Elem: &fieldSpec{Kind: "name"}},
+	"empty_sites": {Kind: "list", Max: 100, Elem: &fieldSchema{Kind: "name"}},
 	"source":      {Kind: "any"},
 }}
 
-// setupDoc is the value of the register "setup".
-type setupDoc struct {
-	Version int64
-	Doc     []byte // deflated
-	Past    []setupPast
-	Emptied []string // sites emptied by an operator's word beside the document, in order
-	Taken   orderHistory
+// configRecord is the value of the register "setup".
+type configRecord struct {
+	Version  int64
+	Doc      []byte // deflated
+	Past     []configVersion
+	Emptied  []string // sites emptied by an operator's word beside the document, in order
+	Accepted changeHistory
 }
 
-type setupPast struct {
+type configVersion struct {
 	Version int64
 	Digest  uint64
 	Queues  int64
@@ -92,13 +92,13 @@
 	Values []string
 }
 
-// compiled is a setup turned into what the daemons run on.
-type compiled struct {
-	Version int64
-	Queues  map[string]*queueRules
-	Empty   map[string]bool
-	Lowest  int64 // urgency, of the queues that are no batches
-	Highest int64
+// configuration is a setup turned into what the daemons run on.
+type configuration struct {
+	Version    int64
+	Queues     map[string]*queueRules
+	EmptyZones map[string]bool
+	Lowest     int64 // urgency, of the queues that are no batches
+	Highest    int64
 
 	Contracts map[string]*contract
 
@@ -115,7 +115,7 @@
 }
 
 // resolve gives the queue that an address belongs to and what follows its prefix.
-func (c *compiled) resolve(host, path string) (queue, rest string, ok bool) {
+func (c *configuration) resolve(host, path string) (queue, rest string, ok bool) {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
@@ -135,52 +135,52 @@
 }
 
 // withEmptied gives the setup with the sites that were emptied beside it.
-func (c *compiled) withEmptied(sites []string) *compiled {
+func (c *configuration) withEmptied(sites []string) *configuration {
 	next := *c
-	next.Empty = map[string]bool{}
+	next.EmptyZones = map[string]bool{}
 	for _, s := range append(slices.Clone(c.emptied), sites...) {
-		next.Empty[s] = true
+		next.EmptyZones[s] = true
 	}
 	return &next
 }
 
 // urgencyOf ranks a queue; one that is no longer in the setup comes last.
-func (c *compiled) urgencyOf(queue string) int64 {
+func (c *configuration) urgencyOf(queue string) int64 {
 	if q := c.Queues[queue]; q != nil {
 		return q.Urgency
 	}
 	return -1
 }
 
-type setupState struct {
-	cur         *compiled
-	doc         setupDoc
+type configState struct {
+	current     *configuration
+	record      configRecord
 	ballot      ballot
 	confirmedMs int64
 	confirmedBy uint64 // the newest poll that confirmed it
 	askedMs     int64
 	repairMs    int64
-	forReaders  setupForReaders
-	unsure      []*ask // asks that name a queue not known here, until a newer confirmation
+	readerCopy  readerCopy
+	awaiting    []*request // asks that name a queue not known here, until a newer confirmation
 }
 
-func newSetupState() setupState {
-	return setupState{cur: &compiled{Queues: map[string]*queueRules{}, Empty: map[string]bool{}}, confirmedMs: -1 << 40}
+func newConfigState() configState {
+	return configState{current: &configuration{Queues: map[string]*queueRules{}, EmptyZones: map[string]bool{}}, confirmedMs: -1 << 40}
 }
 
-// compileSetup checks a setup and turns it into rules.
+// compileConfig checks a setup and turns it into rules.
 //
-// Example: c, faults := compileSetup(3, []byte(`{"queues":[{"name":"checks","urgency":5}]}`))
-func compileSetup(version int64, doc []byte) (*compiled, []fault) {
-	if len(doc) > setupMax {
+// Example: c, faults := compileConfig(3, []byte(`{"queues":[{"name":"checks","urgency":5}]}`))
+func compileConfig(version int64, doc []byte) (*configuration, []fault) {
+	if len(doc) > configBytesMax {
 		return nil, []fault{{"", "is larger than 16 MiB"}}
 	}
-	if f := checkDoc(doc, setupFields); len(f) > 0 {
+	if f := checkDocument(doc, configFields); len(f) > 0 {
 		return nil, f
 	}
 	var faults []fault
 	root := gjson.ParseBytes(doc)
-	c := &compiled{Version: version, Queues: map[string]*queueRules{}, Empty: map[string]bool{}, Lowest: 1 << 40, hosts: map[string]*hostPrefixes{},
+	c := &configuration{Version: version, Queues: map[string]*queueRules{}, EmptyZones: map[string]bool{}, Lowest: 1 << 40, hosts: map[string]*hostPrefixes{},
 		Contracts: map[string]*contract{}}
 	for i, doc := range root.Get("contracts").Array() {
 		k, bad := compileContract(fmt.Sprintf("contracts.%d", i), doc)
@@ -241,9 +241,9 @@
 		c.Highest = max(c.Highest, r.Urgency)
 	}
 	for _, s := range root.Get("empty_sites").Array() {
-		c.Empty[s.Str] = true
+		c.EmptyZones[s.Str] = true
 	}
-	c.emptied = sorted(c.Empty)
+	c.emptied = sorted(c.EmptyZones)
 	for _, h := range c.hosts {
 		seen := map[int]bool{}
 		for prefix := range h.queues {
@@ -265,7 +265,7 @@
 func (f queueFields) Get(name string) gjson.Result { return f[name] }
 
 // addAddress tells whether an address is the first of its kind.
-func (c *compiled) addAddress(a address, queue string) bool {
+func (c *configuration) addAddress(a address, queue string) bool {
 	h := c.hosts[a.Host]
 	if h == nil {
 		h = &hostPrefixes{queues: map[string]string{}}
@@ -285,15 +285,15 @@
 	return v
 }
 
-// checkSetup is compileSetup for a version as an operator writes it.
+// parseConfig is compileConfig for a version as an operator writes it.
 //
-// Example: c, faults := checkSetup("3", body)
-func checkSetup(key string, doc []byte) (*compiled, []fault) {
+// Example: c, faults := parseConfig("3", body)
+func parseConfig(key string, doc []byte) (*configuration, []fault) {
 	version, err := strconv.ParseInt(key, 10, 64)
-	if err != nil || version < 1 || version > setupVersionMax {
+	if err != nil || version < 1 || version > configVersionMax {
 		return nil, []fault{{"version", "must be a whole number of 1 or more"}}
 	}
-	c, faults := compileSetup(version, doc)
+	c, faults := compileConfig(version, doc)
 	if c != nil {
 		c.digest = sha256.Sum256(doc)
 	}
@@ -323,32 +323,32 @@
 	if len(packed) == 0 {
 		return nil, true
 	}
-	doc, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), setupMax+1))
-	return doc, err == nil && len(doc) <= setupMax
+	doc, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), configBytesMax+1))
+	return doc, err == nil && len(doc) <= configBytesMax
 }
 
 // compile compiles the document of a register's value.
-func (d *setupDoc) compile() (*compiled, []fault) {
+func (d *configRecord) compile() (*configuration, []fault) {
 	doc, ok := inflate(d.Doc)
 	if !ok {
 		return nil, []fault{{"", "is damaged"}}
 	}
-	return compileSetup(d.Version, doc)
+	return compileConfig(d.Version, doc)
 }
 
-// setupReader compiles the setups that messages from the core bring, on the
+// configCompiler compiles the setups that messages from the core bring, on the
 // thread that read them: thousands of queues would hold the control thread up.
 // A document that it met last is not compiled again.
-type setupReader struct {
+type configCompiler struct {
 	mu   sync.Mutex
 	doc  []byte
-	last *compiled
+	last *configuration
 }
 
-func (r *setupReader) ready(msg any) *compiled {
-	m, ok := msg.(*regMsg)
-	var d setupDoc
-	if !ok || m.Reg != "setup" || unpack(m.Value, &d) != nil || d.Version == 0 {
+func (r *configCompiler) ready(msg any) *configuration {
+	m, ok := msg.(*registerValue)
+	var d configRecord
+	if !ok || m.Register != "setup" || codec.Unmarshal(m.Value, &d) != nil || d.Version == 0 {
 		return nil
 	}
 	r.mu.Lock()
@@ -394,21 +394,21 @@
 	return label{}, false
 }
 
-// setupFresh tells whether the setup was confirmed at a majority lately.
-func (n *node) setupFresh() bool { return n.now-n.setup.confirmedMs <= setupMs }
+// configFresh tells whether the setup was confirmed at a majority lately.
+func (n *node) configFresh() bool { return n.now-n.config.confirmedMs <= configFreshMs }
 
-// setupConfirmedFor tells whether the setup was confirmed by a poll that was sent
+// configConfirmedSince tells whether the setup was confirmed by a poll that was sent
 // after a call came: then no version acknowledged before the call is newer. Polls
 // are counted for this, since times within one millisecond are in no order. After
 // a freeze what was confirmed before it is old, though the call is older still.
-func (n *node) setupConfirmedFor(a *ask) bool {
-	return n.setup.confirmedBy > a.polls && n.setupFresh()
+func (n *node) configConfirmedSince(a *request) bool {
+	return n.config.confirmedBy > a.pollsBefore && n.configFresh()
 }
 
-// confirmSetup takes a round of answers: where a majority holds the same
+// confirmConfig takes a round of answers: where a majority holds the same
 // accepted ballot, that value is chosen, and if it is ours it is confirmed as
 // of the time the round was sent.
-func (n *node) confirmSetup(r *pollRound) {
+func (n *node) confirmConfig(r *pollRound) {
 	votes := map[ballot]int{}
 	for _, a := range r.acks {
 		votes[a.Setup]++
@@ -418,24 +418,24 @@
 		if n.poll.setup.Less(b) {
 			n.poll.setup = b
 		}
-		if votes[b] < n.core.majority() {
+		if votes[b] < n.core.Majority() {
 			continue
 		}
-		if b == n.setup.ballot {
-			n.setup.confirmedMs, n.setup.confirmedBy = max(n.setup.confirmedMs, r.sentMs), max(n.setup.confirmedBy, r.seq)
-		} else if n.setup.ballot.Less(b) && n.now-n.setup.askedMs > 300 {
-			n.setup.askedMs = n.now
-			n.send(n.nearestWith(r, b), &readRegMsg{CoreVer: n.core.Version, Reg: "setup"})
+		if b == n.config.ballot {
+			n.config.confirmedMs, n.config.confirmedBy = max(n.config.confirmedMs, r.sentMs), max(n.config.confirmedBy, r.seq)
+		} else if n.config.ballot.Less(b) && n.now-n.config.askedMs > 300 {
+			n.config.askedMs = n.now
+			n.send(n.nearestWith(r, b), &registerRead{CoreVer: n.core.Version, Register: "setup"})
 		}
 		return
 	}
-	if len(r.acks) == len(n.core.Members) || n.now-max(n.setup.confirmedMs, n.poll.firstMs) > pollAsideMs*2 {
+	if len(r.acks) == len(n.core.Members) || n.now-max(n.config.confirmedMs, n.poll.firstMs) > pollColocatedMs*2 {
 		// The members differ: somebody's change stopped half way. Any daemon
 		// may finish it; core members do, at random, so that few compete. One
 		// that was away hears all first: it may be the only one that differs.
-		if n.inCore() && n.now >= n.setup.repairMs {
-			n.setup.repairMs = n.now + 200 + n.rand().Int64N(600)
-			n.startCas("setup", "read", nil, 0)
+		if n.inCore() && n.now >= n.config.repairMs {
+			n.config.repairMs = n.now + 200 + n.rand().Int64N(600)
+			n.startChange("setup", "read", nil, 0)
 		}
 	}
 }
@@ -449,7 +449,7 @@
 			continue
 		}
 		all = append(all, from)
-		if n.siteOf(from) == n.Site {
+		if n.zoneOf(from) == n.Zone {
 			near = append(near, from)
 		}
 	}
@@ -459,27 +459,27 @@
 	return all[n.rand().IntN(len(all))]
 }
 
-func (n *node) onReg(_ string, m *regMsg) {
-	n.acceptLate(m)
-	if m.Reg != "setup" || !n.setup.ballot.Less(m.Ballot) {
+func (n *node) onRegisterValue(_ string, m *registerValue) {
+	n.acceptMissedValue(m)
+	if m.Register != "setup" || !n.config.ballot.Less(m.Ballot) {
 		return
 	}
-	var d setupDoc
-	if len(m.Value) > 0 && unpack(m.Value, &d) != nil {
+	var d configRecord
+	if len(m.Value) > 0 && codec.Unmarshal(m.Value, &d) != nil {
 		return
 	}
-	n.adoptSetup(m.Ballot, d)
+	n.adoptConfig(m.Ballot, d)
 }
 
-// adoptSetup compiles a value; it counts only once a poll confirms its ballot.
-func (n *node) adoptSetup(b ballot, d setupDoc) {
-	n.setup.askedMs = 0      // what was asked for has come: a newer one may be asked for at once
-	d.Taken = orderHistory{} // only a change of the register needs it
-	if d.sameDoc(&n.setup.doc) {
-		n.setup.ballot = b
-		if !slices.Equal(d.Emptied, n.setup.doc.Emptied) {
-			n.setup.cur, n.setup.doc = n.setup.cur.withEmptied(d.Emptied), d
-			n.setup.confirmedMs, n.setup.confirmedBy = -1<<40, 0
+// adoptConfig compiles a value; it counts only once a poll confirms its ballot.
+func (n *node) adoptConfig(b ballot, d configRecord) {
+	n.config.askedMs = 0         // what was asked for has come: a newer one may be asked for at once
+	d.Accepted = changeHistory{} // only a change of the register needs it
+	if d.sameDoc(&n.config.record) {
+		n.config.ballot = b
+		if !slices.Equal(d.Emptied, n.config.record.Emptied) {
+			n.config.current, n.config.record = n.config.current.withEmptied(d.Emptied), d
+			n.config.confirmedMs, n.config.confirmedBy = -1<<40, 0
 			n.log("sites_adopted", "emptied", d.Emptied)
 			n.poll.nextMs = 0
 		}
@@ -493,56 +493,56 @@
 			return
 		}
 	}
-	n.setup.cur, n.setup.doc, n.setup.ballot = c.withEmptied(d.Emptied), d, b
-	n.setup.confirmedMs, n.setup.confirmedBy = -1<<40, 0
+	n.config.current, n.config.record, n.config.ballot = c.withEmptied(d.Emptied), d, b
+	n.config.confirmedMs, n.config.confirmedBy = -1<<40, 0
 	n.log("setup_adopted", "version", d.Version, "queues", len(c.Queues))
 	n.poll.nextMs = 0
 }
 
-func (n *node) tickSetup() {
-	kept, again := n.setup.unsure[:0:0], []*ask{}
-	for _, a := range n.setup.unsure {
+func (n *node) tickConfig() {
+	kept, again := n.config.awaiting[:0:0], []*request{}
+	for _, a := range n.config.awaiting {
 		switch {
-		case n.setupConfirmedFor(a):
+		case n.configConfirmedSince(a):
 			again = append(again, a)
-		case n.cutOff() || n.now-a.atMs > handOverMs*2/3:
-			n.bounce(a, "the setup is not confirmed here")
+		case n.cutOff() || n.now-a.atMs > forwardMs*2/3:
+			n.reject(a, "the setup is not confirmed here")
 		default:
 			kept = append(kept, a)
 		}
 	}
-	n.setup.unsure = kept
+	n.config.awaiting = kept
 	for _, a := range again {
-		n.settleAsk(a)
+		n.handleRequest(a)
 	}
 }
 
-// computeSetup takes an order that builds on what stands. One that was taken
+// changeConfig takes an order that builds on what stands. One that was taken
 // before leaves it as it is, whatever came since.
-func computeSetup(n *node, o *casOp, current []byte) (register.Decision, []byte) {
-	var cur setupDoc
+func changeConfig(n *node, o *registerChange, current []byte) (register.Decision, []byte) {
+	var cur configRecord
 	switch {
-	case len(current) > 0 && unpack(current, &cur) != nil:
+	case len(current) > 0 && codec.Unmarshal(current, &cur) != nil:
 		return register.Fail, nil
-	case cur.Taken.contains(o.order):
+	case cur.Accepted.contains(o.change):
 		return register.Keep, nil
-	case cur.Version != o.order.Base:
+	case cur.Version != o.change.Base:
 		return register.Refuse, nil
 	}
-	next := setupDoc{Version: o.order.Version, Doc: deflate(o.arg), Emptied: cur.Emptied, Taken: cur.Taken.with(o.order),
-		Past: append(slices.Clone(cur.Past), setupPast{Version: o.order.Version, Digest: binary.BigEndian.Uint64(o.order.Digest[:]),
-			Queues: gjson.GetBytes(o.arg, "queues.#").Int(), Bytes: int64(len(o.arg)), AtMs: n.poll.medianWall(n)})}
+	next := configRecord{Version: o.change.Version, Doc: deflate(o.arg), Emptied: cur.Emptied, Accepted: cur.Accepted.with(o.change),
+		Past: append(slices.Clone(cur.Past), configVersion{Version: o.change.Version, Digest: binary.BigEndian.Uint64(o.change.Digest[:]),
+			Queues: gjson.GetBytes(o.arg, "queues.#").Int(), Bytes: int64(len(o.arg)), AtMs: n.poll.fleetTime(n)})}
 	if len(next.Past) > pastShown {
 		next.Past = next.Past[len(next.Past)-pastShown:]
 	}
-	return register.Replace, pack(nil, next)
+	return register.Replace, codec.Append(nil, next)
 }
 
-// computeSites empties a site beside the document, or takes that back. It
+// changeEmptiedZones empties a site beside the document, or takes that back. It
 // builds on no version: whatever stands, the site's word is added to it.
-func computeSites(_ *node, o *casOp, current []byte) (register.Decision, []byte) {
-	var cur setupDoc
-	if len(current) > 0 && unpack(current, &cur) != nil {
+func changeEmptiedZones(_ *node, o *registerChange, current []byte) (register.Decision, []byte) {
+	var cur configRecord
+	if len(current) > 0 && codec.Unmarshal(current, &cur) != nil {
 		return register.Fail, nil
 	}
 	site := string(o.arg)
@@ -552,49 +552,49 @@
 		slices.Sort(sites)
 	}
 	cur.Emptied = sites
-	return register.Replace, pack(nil, cur)
+	return register.Replace, codec.Append(nil, cur)
 }
 
-func (n *node) sitesChanged(o *casOp, outcome register.Outcome) {
-	if o.ask == nil {
+func (n *node) zonesChanged(o *registerChange, outcome register.Outcome) {
+	if o.request == nil {
 		return
 	}
 	if outcome != register.Done {
-		n.bounce(o.ask, "outcome unknown: send it again")
+		n.reject(o.request, "outcome unknown: send it again")
 		return
 	}
-	var next setupDoc
-	if unpack(o.Value(), &next) == nil && n.setup.ballot.Less(o.ValueBallot()) {
-		n.adoptSetup(o.ValueBallot(), next)
+	var next configRecord
+	if codec.Unmarshal(o.Value(), &next) == nil && n.config.ballot.Less(o.ValueBallot()) {
+		n.adoptConfig(o.ValueBallot(), next)
 	}
 	n.log("sites_accepted", "emptied", next.Emptied)
-	n.answer(o.ask, 200, 0, jsonOf(map[string]any{"emptied": append([]string{}, next.Emptied...)}))
+	n.respond(o.request, 200, 0, mustJSON(map[string]any{"emptied": append([]string{}, next.Emptied...)}))
 }
 
-func (n *node) setupChanged(o *casOp, outcome register.Outcome) {
-	var cur setupDoc
-	if o.ask == nil || len(o.Value()) > 0 && unpack(o.Value(), &cur) != nil {
+func (n *node) configChanged(o *registerChange, outcome register.Outcome) {
+	var cur configRecord
+	if o.request == nil || len(o.Value()) > 0 && codec.Unmarshal(o.Value(), &cur) != nil {
 		return
 	}
 	switch outcome {
 	case register.Done:
 		// A newer document, where the order was taken before, comes by the polls,
 		// compiled on another thread.
-		if cur.Version == o.order.Version && n.setup.ballot.Less(o.ValueBallot()) {
-			n.ready = o.ask.setup
-			n.adoptSetup(o.ValueBallot(), cur)
+		if cur.Version == o.change.Version && n.config.ballot.Less(o.ValueBallot()) {
+			n.ready = o.request.config
+			n.adoptConfig(o.ValueBallot(), cur)
 			n.ready = nil
 		}
-		n.log("setup_accepted", "version", o.order.Version, "current", cur.Version)
-		n.answerTaken(o)
+		n.log("setup_accepted", "version", o.change.Version, "current", cur.Version)
+		n.respondAccepted(o)
 	case register.Refused:
-		n.answerRefused(o, &cur)
+		n.respondRefused(o, &cur)
 	default:
-		n.answer(o.ask, 503, 1000, jsonOf(map[string]any{"error": "outcome unknown: read the current setup, then send the same version again"}))
+		n.respond(o.request, 503, 1000, mustJSON(map[string]any{"error": "outcome unknown: read the current setup, then send the same version again"}))
 	}
 }
 
-func jsonOf(v any) []byte {
+func mustJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
 		panic(err) // only our own types come here
@@ -603,7 +603,7 @@
 }
 
 // ask verdicts of the interpreter
-type askContext struct {
+type admission struct {
 	job   *job
 	queue *queueRules
 	live  int // live jobs of this queue in the slice
@@ -613,15 +613,15 @@
 	batch bool
 }
 
-type bounceError struct {
+type rejection struct {
 	status  int32
 	retryMs int64
 	faults  []fault
 }
 
 // ruleOps is the instruction table of the interpreter.
-var ruleOps = map[string]func(*askContext, int64) *bounceError{
-	"defaultLimit": func(c *askContext, v int64) *bounceError {
+var ruleOps = map[string]func(*admission, int64) *rejection{
+	"defaultLimit": func(c *admission, v int64) *rejection {
 		for i := range c.job.Steps {
 			c.job.Steps[i].LimitMs = orElse(c.job.Steps[i].LimitMs, v)
 		}
@@ -630,7 +630,7 @@
 		}
 		return nil
 	},
-	"defaultFailures": func(c *askContext, v int64) *bounceError {
+	"defaultFailures": func(c *admission, v int64) *rejection {
 		for i := range c.job.Steps {
 			if c.job.Steps[i].Allowed < 0 {
 				c.job.Steps[i].Allowed = int32(v)
@@ -643,19 +643,19 @@
 		}
 		return nil
 	},
-	"mostTasks": func(c *askContext, v int64) *bounceError {
+	"mostTasks": func(c *admission, v int64) *rejection {
 		if v > 0 && int64(len(c.job.Tasks)) > v {
-			return &bounceError{status: 400, faults: []fault{{"steps", fmt.Sprintf("have more than the queue's %d tasks", v)}}}
+			return &rejection{status: 400, faults: []fault{{"steps", fmt.Sprintf("have more than the queue's %d tasks", v)}}}
 		}
 		return nil
 	},
-	"mostRoom": func(c *askContext, v int64) *bounceError {
-		return c.eachTask(func(t *task) bool { return v > 0 && t.Room.CPU > v }, "room", "is above the queue's bound")
+	"mostRoom": func(c *admission, v int64) *rejection {
+		return c.eachTask(func(t *task) bool { return v > 0 && t.Resources.CPU > v }, "room", "is above the queue's bound")
 	},
-	"mostLimit": func(c *askContext, v int64) *bounceError {
+	"mostLimit": func(c *admission, v int64) *rejection {
 		return c.eachTask(func(t *task) bool { return v > 0 && t.LimitMs > v }, "limit_ms", "is above the queue's bound")
 	},
-	"noGangs": func(c *askContext, _ int64) *bounceError {
+	"noGangs": func(c *admission, _ int64) *rejection {
 		var out []fault
 		for i, s := range c.job.Steps {
 			if s.Gang {
@@ -666,27 +666,27 @@
 			}
 		}
 		if len(out) > 0 {
-			return &bounceError{status: 400, faults: out}
+			return &rejection{status: 400, faults: out}
 		}
 		return nil
 	},
-	"grantEntry": func(c *askContext, v int64) *bounceError {
-		all := sliceJobsMax
+	"grantEntry": func(c *admission, v int64) *rejection {
+		all := shardJobsMax
 		if c.base { // queues of the lowest urgency leave the others their share
-			all = sliceJobsMax * (100 - urgentShare) / 100
+			all = shardJobsMax * (100 - urgentShare) / 100
 		}
-		bytes := sliceBytes
+		bytes := shardBytesMax
 		if c.batch { // held jobs leave the others room in the records
-			all, bytes = sliceJobsMax*batchRecords/100, sliceBytes*batchRecords/100
+			all, bytes = shardJobsMax*batchRecords/100, shardBytesMax*batchRecords/100
 		}
 		if int64(c.live) >= v || c.all >= all || c.bytes > bytes {
-			return &bounceError{status: 429, retryMs: 2000, faults: []fault{{"queue", "has as many live jobs as it may"}}}
+			return &rejection{status: 429, retryMs: 2000, faults: []fault{{"queue", "has as many live jobs as it may"}}}
 		}
 		return nil
 	},
 }
 
-func (c *askContext) eachTask(bad func(*task) bool, field, reason string) *bounceError {
+func (c *admission) eachTask(bad func(*task) bool, field, reason string) *rejection {
 	var out []fault
 	for i := range c.job.Tasks {
 		t := &c.job.Tasks[i]
@@ -695,13 +695,13 @@
 		}
 	}
 	if len(out) > 0 {
-		return &bounceError{status: 400, faults: out}
+		return &rejection{status: 400, faults: out}
 	}
 	return nil
 }
 
-// interpret runs an ask for a job through its queue's rules.
-func interpret(c *askContext) *bounceError {
+// admit runs an ask for a job through its queue's rules.
+func admit(c *admission) *rejection {
 	for _, r := range c.queue.Rules {
 		if b := ruleOps[r.Op](c, r.N); b != nil {
 			return b
--- a/accord/setup_test.go
+++ b/internal/daemon/setup_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"otterchute/verdict"
+	"otterchute/internal/historycheck"
 
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
@@ -19,7 +19,7 @@
 }
 
 // settle runs the world on until a call is answered.
-func (w *world) settle(to *simNode, e evAsk, waitMs int64) answered {
+func (w *world) settle(to *simNode, e evRequest, waitMs int64) answered {
 	var got answered
 	done := false
 	w.call("caller", to, e, waitMs, func(status int, _ int64, b []byte) { got, done = answered{status, string(b)}, true })
@@ -30,9 +30,9 @@
 // served gives a world whose core, slices and polls stand.
 func served(t *testing.T, seed uint64) *world {
 	t.Helper()
-	w := newWorld(seed, verdict.Deployments["hakata"])
+	w := newWorld(seed, historycheck.Deployments["hakata"])
 	must.True(t, w.until(20_000, func() bool {
-		for _, s := range verdict.Sites {
+		for _, s := range historycheck.Sites {
 			if w.holderOf("slice/"+s) == nil {
 				return false
 			}
@@ -50,7 +50,7 @@
 func TestSetupResolve(t *testing.T) {
 	doc := `{"queues":[{"name":"a","addresses":[{"host":"One.example","prefix":"/x/"},{"host":"two.example","prefix":"/"}]},
 		{"name":"b","addresses":[{"host":"one.example","prefix":"/x/y/"}],"latency_ms":1500,"stretch":2.5},{"name":"c","addresses":[{"host":"one.example","prefix":"/x/yz"}]}],"source":{"any":[1]}}`
-	c, faults := compileSetup(1, []byte(doc))
+	c, faults := compileConfig(1, []byte(doc))
 	must.SliceEmpty(t, faults)
 	must.Eq(t, int64(1500), c.Queues["b"].LatencyMs)
 	must.Eq(t, 2.5, c.Queues["b"].Stretch)
@@ -63,7 +63,7 @@
 		must.Eq(t, x.queue, queue, must.Sprint(x))
 		must.Eq(t, x.rest, rest, must.Sprint(x))
 	}
-	_, faults = compileSetup(1, []byte(`{"queues":[{"name":"a","addresses":[{"host":"h","prefix":"/a"}]},{"name":"b","addresses":[{"host":"g","prefix":"/a"},{"host":"H","prefix":"/a"}]}]}`))
+	_, faults = compileConfig(1, []byte(`{"queues":[{"name":"a","addresses":[{"host":"h","prefix":"/a"}]},{"name":"b","addresses":[{"host":"g","prefix":"/a"},{"host":"H","prefix":"/a"}]}]}`))
 	must.Eq(t, []fault{{"queues.1.addresses.1", "stands twice"}}, faults)
 }
 
@@ -79,7 +79,7 @@
 	}
 	b.WriteString(`]}`)
 	start := time.Now()
-	c, faults := compileSetup(1, []byte(b.String()))
+	c, faults := compileConfig(1, []byte(b.String()))
 	t.Logf("%d bytes, %d queues in %v", b.Len(), len(c.Queues), time.Since(start))
 	must.SliceEmpty(t, faults)
 	queue, rest, _ := c.resolve("h17.example", "/p7817/abc")
@@ -92,10 +92,10 @@
 func TestSetupOperatorsRace(t *testing.T) {
 	for seed := range uint64(12) {
 		w := served(t, 900+seed)
-		must.Eq(t, 200, w.settle(w.nodes["d00"], evAsk{Op: "setup.put", Key: "5", Expect: 0, Body: queueSetup("first", "")}, 4000).status)
+		must.Eq(t, 200, w.settle(w.nodes["d00"], evRequest{Op: "setup.put", Key: "5", Expect: 0, Body: queueSetup("first", "")}, 4000).status)
 		got := map[string]int{}
 		for i, o := range []struct{ key, name string }{{"7", "left"}, {"9", "right"}, {"8", "mid"}} {
-			w.call("caller", w.anyNode(i+int(seed)), evAsk{Op: "setup.put", Key: o.key, Expect: 5, Body: queueSetup(o.name, "")}, 4000,
+			w.call("caller", w.anyNode(i+int(seed)), evRequest{Op: "setup.put", Key: o.key, Expect: 5, Body: queueSetup(o.name, "")}, 4000,
 				func(status int, _ int64, b []byte) { got[o.name] = status })
 		}
 		must.True(t, w.until(5000, func() bool { return len(got) == 3 }))
@@ -111,17 +111,17 @@
 		w.run(2000)
 		key := map[string]string{"left": "7", "mid": "8", "right": "9"}[won]
 		for i := range 4 {
-			r := w.settle(w.anyNode(i), evAsk{Op: "setup.get"}, 3000)
+			r := w.settle(w.anyNode(i), evRequest{Op: "setup.get"}, 3000)
 			must.Eq(t, 200, r.status)
 			must.Eq(t, won, gjson.Get(r.body, "setup.queues.0.name").Str)
 			must.Eq(t, key, gjson.Get(r.body, "version").Raw)
 		}
-		must.Eq(t, 200, w.settle(w.anyNode(1), evAsk{Op: "setup.put", Key: key, Expect: 5, Body: queueSetup(won, "")}, 4000).status)
-		must.Eq(t, 409, w.settle(w.anyNode(2), evAsk{Op: "setup.put", Key: key, Expect: 5, Body: queueSetup("other", "")}, 4000).status)
-		lost := w.settle(w.anyNode(3), evAsk{Op: "setup.put", Key: "40", Expect: 6, Body: queueSetup("other", "")}, 4000)
+		must.Eq(t, 200, w.settle(w.anyNode(1), evRequest{Op: "setup.put", Key: key, Expect: 5, Body: queueSetup(won, "")}, 4000).status)
+		must.Eq(t, 409, w.settle(w.anyNode(2), evRequest{Op: "setup.put", Key: key, Expect: 5, Body: queueSetup("other", "")}, 4000).status)
+		lost := w.settle(w.anyNode(3), evRequest{Op: "setup.put", Key: "40", Expect: 6, Body: queueSetup("other", "")}, 4000)
 		must.Eq(t, 409, lost.status)
 		must.Eq(t, key, gjson.Get(lost.body, "current").Raw)
-		must.Eq(t, 400, w.settle(w.anyNode(3), evAsk{Op: "setup.put", Key: "9", Expect: 9, Body: queueSetup("other", "")}, 4000).status)
+		must.Eq(t, 400, w.settle(w.anyNode(3), evRequest{Op: "setup.put", Key: "9", Expect: 9, Body: queueSetup("other", "")}, 4000).status)
 	}
 }
 
@@ -129,13 +129,13 @@
 func TestSetupEmptiedSites(t *testing.T) {
 	for seed := range uint64(8) {
 		w := served(t, 940+seed)
-		none := w.settle(w.nodes["d01"], evAsk{Op: "setup.get"}, 3000)
+		none := w.settle(w.nodes["d01"], evRequest{Op: "setup.get"}, 3000)
 		must.Eq(t, 200, none.status)
 		must.Eq(t, int64(0), gjson.Get(none.body, "version").Int())
-		must.Eq(t, 200, w.settle(w.nodes["d00"], evAsk{Op: "site.empty", Key: "west"}, 4000).status)
+		must.Eq(t, 200, w.settle(w.nodes["d00"], evRequest{Op: "site.empty", Key: "west"}, 4000).status)
 		done := map[string]int{}
 		put := func(name, op, key string, doc []byte) {
-			w.call("caller", w.anyNode(len(done)+int(seed)), evAsk{Op: op, Key: key, Expect: 0, Body: doc}, 4000, func(status int, _ int64, _ []byte) { done[name] = status })
+			w.call("caller", w.anyNode(len(done)+int(seed)), evRequest{Op: op, Key: key, Expect: 0, Body: doc}, 4000, func(status int, _ int64, _ []byte) { done[name] = status })
 		}
 		put("setup", "setup.put", "3", queueSetup("a", ""))
 		put("empty", "site.empty", "mid", nil)
@@ -144,15 +144,15 @@
 		must.Eq(t, map[string]int{"setup": 200, "empty": 200, "open": 200}, done)
 		w.run(1500)
 		for _, name := range sorted(w.nodes) {
-			n := w.nodes[name].sh.n
-			must.Eq(t, map[string]bool{"mid": true}, n.setup.cur.Empty, must.Sprint(name))
-			must.Eq(t, int64(3), n.setup.cur.Version)
-			must.True(t, n.setupFresh())
+			n := w.nodes[name].sh.node
+			must.Eq(t, map[string]bool{"mid": true}, n.config.current.EmptyZones, must.Sprint(name))
+			must.Eq(t, int64(3), n.config.current.Version)
+			must.True(t, n.configFresh())
 		}
-		must.Eq(t, 200, w.settle(w.nodes["d02"], evAsk{Op: "setup.put", Key: "4", Expect: 3, Body: []byte(`{"queues":[],"empty_sites":["east"]}`)}, 4000).status)
-		must.Eq(t, 200, w.settle(w.nodes["d01"], evAsk{Op: "site.open", Key: "east"}, 4000).status)
+		must.Eq(t, 200, w.settle(w.nodes["d02"], evRequest{Op: "setup.put", Key: "4", Expect: 3, Body: []byte(`{"queues":[],"empty_sites":["east"]}`)}, 4000).status)
+		must.Eq(t, 200, w.settle(w.nodes["d01"], evRequest{Op: "site.open", Key: "east"}, 4000).status)
 		w.run(1000)
-		must.Eq(t, map[string]bool{"mid": true, "east": true}, w.nodes["d00"].sh.n.setup.cur.Empty) // the document's own word stays
+		must.Eq(t, map[string]bool{"mid": true, "east": true}, w.nodes["d00"].sh.node.config.current.EmptyZones) // the document's own word stays
 	}
 }
 
@@ -160,14 +160,14 @@
 // after the call came; one that was just added is found at every daemon.
 func TestSetupAddressesAreSure(t *testing.T) {
 	w := served(t, 960)
-	at := func(op, path string) evAsk { return evAsk{Op: op, Host: "one.example", Path: path, Expect: -1} }
+	at := func(op, path string) evRequest { return evRequest{Op: op, Host: "one.example", Path: path, Expect: -1} }
 	must.Eq(t, 503, w.settle(w.nodes["d03"], at("queue.state", "/a/1"), 3000).status)
-	must.Eq(t, 200, w.settle(w.nodes["d00"], evAsk{Op: "setup.put", Key: "2", Expect: 0, Body: queueSetup("a", `,"addresses":[{"host":"one.example","prefix":"/a/"}]`)}, 4000).status)
+	must.Eq(t, 200, w.settle(w.nodes["d00"], evRequest{Op: "setup.put", Key: "2", Expect: 0, Body: queueSetup("a", `,"addresses":[{"host":"one.example","prefix":"/a/"}]`)}, 4000).status)
 	w.run(2000)
 	for step := range 6 {
 		doc := queueSetup("a", fmt.Sprintf(`,"addresses":[{"host":"one.example","prefix":"/a/"},{"host":"one.example","prefix":"/b%d/"}]`, step))
 		key := fmt.Sprint(10 + 10*step)
-		must.Eq(t, 200, w.settle(w.anyNode(step), evAsk{Op: "setup.put", Key: key, Expect: int64(gjson.Parse(key).Int() - 10 + map[bool]int64{true: 2}[step == 0]), Body: doc}, 4000).status)
+		must.Eq(t, 200, w.settle(w.anyNode(step), evRequest{Op: "setup.put", Key: key, Expect: int64(gjson.Parse(key).Int() - 10 + map[bool]int64{true: 2}[step == 0]), Body: doc}, 4000).status)
 		for i := range 4 {
 			r := w.settle(w.anyNode(step+i), at("queue.state", fmt.Sprintf("/b%d/x1", step)), 3000)
 			must.Eq(t, 410, r.status, must.Sprint(r.body))
@@ -179,11 +179,11 @@
 		must.Eq(t, 410, w.settle(w.anyNode(step), at("queue.cancel", "/a/no/name"), 3000).status)
 		must.Eq(t, 200, w.settle(w.anyNode(step), at("queue.state", "/a/"), 3000).status)
 	}
-	must.Eq(t, 200, w.settle(w.nodes["d04"], evAsk{Op: "ready"}, 1000).status)
+	must.Eq(t, 200, w.settle(w.nodes["d04"], evRequest{Op: "ready"}, 1000).status)
 	w.cutHost("d04")
 	delete(w.cuts, [2]string{"caller", "d04"})
 	w.run(3000)
-	must.Eq(t, 503, w.settle(w.nodes["d04"], evAsk{Op: "ready"}, 1000).status)
+	must.Eq(t, 503, w.settle(w.nodes["d04"], evRequest{Op: "ready"}, 1000).status)
 	must.Eq(t, 503, w.settle(w.nodes["d04"], at("queue.state", "/c/x1"), 3000).status)
 	must.Eq(t, 503, w.settle(w.nodes["d04"], at("queue.state", "/a/x1"), 3000).status)
 }
