--- a/accord/slices.go
+++ b/internal/daemon/slices.go
@@ -1,52 +1,53 @@
-package main
+package daemon
 
 import (
 	"bytes"
 	"cmp"
+	"otterchute/internal/statestore"
 	"slices"
 	"strings"
 )
 
-// slice is a part of the jobs, owned by one daemon at a time. The owner alone
+// shard is a part of the jobs, owned by one daemon at a time. The owner alone
 // says what is true of each of its jobs and tasks.
-type slice struct {
-	name     string
-	epoch    uint64
-	serving  bool
-	startMs  int64
-	sealed   map[string]map[string]record // core member -> its live records
-	sealSent int64
-	doubts   map[string]map[string]bool // member -> records it is asked for one by one
-	doubtOp  map[uint64]string
-	best     map[string]record
-	served   uint64          // the last owner that had all live jobs committed under its epoch
-	loading  map[string]bool // loaded jobs not committed under this epoch yet
-	wholeAt  uint64          // the batch that tells the core that none is left; 0 before
-
-	jobs     map[string]*jobState
-	finished map[string]*job
-	order    []string // of finished, oldest first
-	dirty    map[string]bool
-	writeSeq uint64
-	writes   map[uint64]*writeBatch
-	lag      map[string]*memberLag // member -> records it has not acknowledged
-	fetches  map[uint64]*fetchOp
-	entering map[string]*fetchOp
-	lateMs   map[string]int64 // when the record of a job was last read for a late end
-	absent   map[string]bool  // jobs that late ends speak of and the core doesn't know any more
-	liveBy   map[string]int
-	bytes    int                            // of all live jobs' records
-	placed   map[string]map[placedAt]amount // worker -> tasks placed there, and their room
-	load     map[string]amount              // worker -> room of those
-	settled  []string                       // finished at a majority, not yet told to the members
-	toldMs   int64
-	wants    int // asks for firm places sent in this tick
+type shard struct {
+	name       string
+	epoch      uint64
+	serving    bool
+	startMs    int64
+	seals      map[string]map[string]statestore.Record // core member -> its live records
+	sealSent   int64
+	missing    map[string]map[string]bool // member -> records it is asked for one by one
+	missingOps map[uint64]string
+	merged     map[string]statestore.Record
+	served     uint64          // the last owner that had all live jobs committed under its epoch
+	loading    map[string]bool // loaded jobs not committed under this epoch yet
+	completeAt uint64          // the batch that tells the core that none is left; 0 before
+
+	jobs               map[string]*jobState
+	finished           map[string]*job
+	order              []string // of finished, oldest first
+	dirty              map[string]bool
+	writeSeq           uint64
+	writes             map[uint64]*writeBatch
+	lag                map[string]*replicaLag // member -> records it has not acknowledged
+	fetches            map[uint64]*fetchOp
+	admitting          map[string]*fetchOp
+	lateMs             map[string]int64 // when the record of a job was last read for a late end
+	absent             map[string]bool  // jobs that late ends speak of and the core doesn't know any more
+	liveByQueue        map[string]int
+	bytes              int                               // of all live jobs' records
+	placed             map[string]map[placedAt]resources // worker -> tasks placed there, and their room
+	load               map[string]resources              // worker -> room of those
+	confirmed          []string                          // finished at a majority, not yet told to the members
+	confirmedSentMs    int64
+	allocationRequests int // asks for firm places sent in this tick
 
 	batchAt      int64 // when batches are planned anew
 	batchVersion int64 // the setup that they were planned by
 	batchStarts  int   // in this tick
 	batchTries   int   // and tasks looked at
-	batchLoads   map[queueAt]amount
+	batchLoads   map[queueOnWorker]resources
 	starvedMs    int64 // when a task that is no batch's last found no place
 }
 
@@ -56,9 +57,9 @@
 	task int64
 }
 
-// note keeps the index of tasks by worker in line with a task's state. Rounds
+// indexTask keeps the index of tasks by worker in line with a task's state. Rounds
 // that are over shift positions, so tasks go by their names.
-func (sl *slice) note(js *jobState, i int) {
+func (sl *shard) indexTask(js *jobState, i int) {
 	t := &js.Tasks[i]
 	at := placedAt{js.ID, js.taskID(i)}
 	if room, was := sl.placed[t.Worker][at]; was {
@@ -67,10 +68,10 @@
 	}
 	if t.State == taskPlaced {
 		if sl.placed[t.Worker] == nil {
-			sl.placed[t.Worker] = map[placedAt]amount{}
+			sl.placed[t.Worker] = map[placedAt]resources{}
 		}
-		sl.placed[t.Worker][at] = t.Room
-		sl.load[t.Worker] = sl.load[t.Worker].plus(t.Room)
+		sl.placed[t.Worker][at] = t.Resources
+		sl.load[t.Worker] = sl.load[t.Worker].plus(t.Resources)
 	}
 	if len(sl.placed[t.Worker]) == 0 {
 		delete(sl.placed, t.Worker)
@@ -79,7 +80,7 @@
 }
 
 // placedOn gives the tasks placed at a worker, in order.
-func (sl *slice) placedOn(worker string) []placedAt {
+func (sl *shard) placedOn(worker string) []placedAt {
 	out := make([]placedAt, 0, len(sl.placed[worker]))
 	for p := range sl.placed[worker] {
 		out = append(out, p)
@@ -93,31 +94,31 @@
 	committed int64
 	bytes     int // of its record when it entered
 	waiters   []waiter
-	run       []taskState
+	runtime   []taskRuntime
 	batch     *batchPlan // of a batch, once it is planned
 }
 
-// taskState is what an owner need not keep across a takeover.
-type taskState struct {
-	retryMs   int64
-	wantMs    int64
-	sentMs    int64
-	echoMs    int64 // the agent's clock that the last placement carried
-	abandonMs int64
-	state     int8 // as the agent last told
-	saved     string
-	abort     bool  // of a gang that is begun anew
-	runMs     int64 // since when it is told to run
+// taskRuntime is what an owner need not keep across a takeover.
+type taskRuntime struct {
+	retryMs      int64
+	allocationMs int64
+	sentMs       int64
+	echoMs       int64 // the agent's clock that the last placement carried
+	abandonMs    int64
+	state        int8 // as the agent last told
+	saved        string
+	abort        bool  // of a gang that is begun anew
+	runMs        int64 // since when it is told to run
 }
 
 type waiter struct {
 	version int64
-	ask     *ask
+	request *request
 	status  int
 }
 
 type writeBatch struct {
-	records []record
+	records []statestore.Record
 	settled []string
 	acked   map[string]bool
 	done    bool
@@ -125,12 +126,12 @@
 }
 
 type fetchOp struct {
-	id      string
-	job     *job
-	asks    []*ask
-	got     map[string]bool
-	best    record
-	startMs int64
+	id       string
+	job      *job
+	requests []*request
+	got      map[string]bool
+	best     statestore.Record
+	startMs  int64
 }
 
 type estimate struct {
@@ -141,47 +142,47 @@
 
 // workerView is what this daemon was last told of a worker by its agent.
 type workerView struct {
-	agent    string
-	epoch    uint64
-	echoMs   int64
-	heardMs  int64
-	site     string
-	labels   []label
-	leaving  bool
-	rebuilt  bool
-	fresh    bool
-	free     amount
-	capacity amount
-	others   map[string]amount      // slice -> room there of what isn't this slice's
-	batch    map[string][]queueRoom // slice -> of that, the batches'
-	waiting  int64                  // unstarted tasks that are no batch's
-	low      lowRoom                // the least room lately that batches didn't have to leave
-	rack     string
-	suspect  bool
-	pinned   bool
-	queued   int64
-	rankMs   int64
-	silentMs int64
-}
-
-var jobOps map[string]func(*node, *slice, *ask)
+	agent       string
+	epoch       uint64
+	echoMs      int64
+	heardMs     int64
+	site        string
+	labels      []label
+	leaving     bool
+	rebuilt     bool
+	fresh       bool
+	free        resources
+	capacity    resources
+	otherShards map[string]resources        // slice -> room there of what isn't this slice's
+	batch       map[string][]queueResources // slice -> of that, the batches'
+	waiting     int64                       // unstarted tasks that are no batch's
+	spare       spareWindow                 // the least room lately that batches didn't have to leave
+	rack        string
+	suspect     bool
+	colocated   bool
+	queued      int64
+	rankMs      int64
+	silentMs    int64
+}
+
+var jobOps map[string]func(*node, *shard, *request)
 
 func init() {
-	jobOps = map[string]func(*node, *slice, *ask){"job.put": (*node).putJob, "job.get": (*node).getJob,
-		"job.cancel": (*node).cancelJob, "job.state": (*node).tellState, "worker.lost": (*node).loseWorker}
+	jobOps = map[string]func(*node, *shard, *request){"job.put": (*node).handleSubmit, "job.get": (*node).handleGet,
+		"job.cancel": (*node).handleCancel, "job.state": (*node).handleState, "worker.lost": (*node).handleWorkerLost}
 }
 
-func (n *node) startSlice(d *duty) {
+func (n *node) startShard(d *roleLease) {
 	name := strings.TrimPrefix(d.name, "slice/")
-	n.owned[name] = &slice{name: name, epoch: d.epoch, startMs: n.now, sealed: map[string]map[string]record{}, doubts: map[string]map[string]bool{},
-		doubtOp: map[uint64]string{}, best: map[string]record{}, jobs: map[string]*jobState{}, finished: map[string]*job{}, dirty: map[string]bool{}, loading: map[string]bool{},
-		writes: map[uint64]*writeBatch{}, lag: map[string]*memberLag{}, fetches: map[uint64]*fetchOp{}, entering: map[string]*fetchOp{}, absent: map[string]bool{}, lateMs: map[string]int64{}, liveBy: map[string]int{}, placed: map[string]map[placedAt]amount{}, load: map[string]amount{}}
+	n.owned[name] = &shard{name: name, epoch: d.epoch, startMs: n.now, seals: map[string]map[string]statestore.Record{}, missing: map[string]map[string]bool{},
+		missingOps: map[uint64]string{}, merged: map[string]statestore.Record{}, jobs: map[string]*jobState{}, finished: map[string]*job{}, dirty: map[string]bool{}, loading: map[string]bool{},
+		writes: map[uint64]*writeBatch{}, lag: map[string]*replicaLag{}, fetches: map[uint64]*fetchOp{}, admitting: map[string]*fetchOp{}, absent: map[string]bool{}, lateMs: map[string]int64{}, liveByQueue: map[string]int{}, placed: map[string]map[placedAt]resources{}, load: map[string]resources{}}
 	n.sendSeals(n.owned[name])
 }
 
-// endSlice lets go of a slice. Who waits here for a commit is told at once that the
+// endShard lets go of a slice. Who waits here for a commit is told at once that the
 // outcome is unknown, and who waits for a look at the core that nothing was kept.
-func (n *node) endSlice(name string) {
+func (n *node) endShard(name string) {
 	sl := n.owned[name]
 	if sl == nil {
 		return
@@ -189,82 +190,82 @@
 	delete(n.owned, name)
 	for _, id := range sorted(sl.jobs) {
 		for _, w := range sl.jobs[id].waiters {
-			w.ask.unsure = true
-			n.bounce(w.ask, "the slice moved while this was written down")
+			w.request.maybeApplied = true
+			n.reject(w.request, "the slice moved while this was written down")
 		}
 	}
 	for _, op := range sorted(sl.fetches) {
-		for _, a := range sl.fetches[op].asks {
-			n.giveUpOn(a, "the slice moved")
+		for _, a := range sl.fetches[op].requests {
+			n.readFromCore(a, "the slice moved")
 		}
 	}
 }
 
-func (n *node) sendSeals(sl *slice) {
+func (n *node) sendSeals(sl *shard) {
 	sl.sealSent = n.now
 	for _, m := range n.core.Members {
-		if sl.sealed[m.Name] == nil {
-			n.send(m.Name, &sealMsg{CoreVer: n.core.Version, Slice: sl.name, Epoch: sl.epoch})
+		if sl.seals[m.Name] == nil {
+			n.send(m.Name, &sealRequest{CoreVer: n.core.Version, Slice: sl.name, Epoch: sl.epoch})
 		}
 	}
 }
 
-// onSealed merges what a majority holds of records that are live, or finished
+// mergeSeal merges what a majority holds of records that are live, or finished
 // without a majority known to hold that: those are finished again here. A record live at one member
 // and absent among another's live ones may have finished there: it is asked
 // for by name before the slice is served.
-func (n *node) onSealed(from string, m *sealedMsg) {
+func (n *node) mergeSeal(from string, m *sealResponse) {
 	sl := n.owned[m.Slice]
-	if sl == nil || m.Epoch != sl.epoch || sl.serving || sl.sealed[from] != nil || len(sl.doubts) > 0 {
+	if sl == nil || m.Epoch != sl.epoch || sl.serving || sl.seals[from] != nil || len(sl.missing) > 0 {
 		return
 	}
 	if !m.OK {
-		if d := n.duties["slice/"+m.Slice]; d != nil {
-			n.dropDuty(d, "sealed_higher")
+		if d := n.roles["slice/"+m.Slice]; d != nil {
+			n.loseRole(d, "sealed_higher")
 		}
 		return
 	}
 	sl.served = max(sl.served, m.Served)
-	recs := map[string]record{}
+	recs := map[string]statestore.Record{}
 	for _, r := range m.Records {
 		recs[r.ID] = r
-		if old, ok := sl.best[r.ID]; !ok || older(old, r) {
-			sl.best[r.ID] = r
+		if old, ok := sl.merged[r.ID]; !ok || old.OlderThan(r) {
+			sl.merged[r.ID] = r
 		}
 	}
-	sl.sealed[from] = recs
-	if len(sl.sealed) < n.core.majority() {
+	sl.seals[from] = recs
+	if len(sl.seals) < n.core.Majority() {
 		return
 	}
-	for id, r := range sl.best {
+	for id, r := range sl.merged {
 		if r.Live && r.Epoch < sl.served { // of a member that was away: ended since, or never accepted
-			delete(sl.best, id)
+			delete(sl.merged, id)
 		}
 	}
-	for _, member := range sorted(sl.sealed) {
+	for _, member := range sorted(sl.seals) {
 		var ids []string
-		for _, id := range sorted(sl.best) {
-			if _, ok := sl.sealed[member][id]; !ok {
+		for _, id := range sorted(sl.merged) {
+			if _, ok := sl.seals[member][id]; !ok {
 				ids = append(ids, id)
 			}
 		}
 		if len(ids) > 0 {
 			n.opSeq++
-			sl.doubts[member] = map[string]bool{}
-			sl.doubtOp[n.opSeq] = member
-			n.send(member, &fetchMsg{CoreVer: n.core.Version, Op: n.opSeq, Slice: sl.name, IDs: ids})
+			sl.missing[member] = map[string]bool{}
+			sl.missingOps[n.opSeq] = member
+			n.send(member, &fetchRequest{CoreVer: n.core.Version, Op: n.opSeq, Slice: sl.name, IDs: ids})
 		}
 	}
-	if len(sl.doubts) == 0 {
-		n.loadSlice(sl)
+	if len(sl.missing) == 0 {
+		n.loadShard(sl)
 	}
 }
 
-// loadSlice writes what was merged back under the own epoch; the slice is
+// loadShard writes what was merged back under the own epoch; the slice is
 // served once a majority holds that.
-func (n *node) loadSlice(sl *slice) {
-	for _, id := range sorted(sl.best) {
-		r := sl.best[id]
+func (n *node) loadShard(sl *shard) {
+	for _, id := range sorted(sl.merged) {
+		r := sl.merged[id]
 		j, ok := jobOf(r)
 		if !ok {
 			n.log("record_unreadable", "slice", sl.name, "job", id)
@@ -272,20 +273,20 @@
 		}
 		js := &jobState{job: *j, bytes: len(r.Value)}
 		sl.bytes += js.bytes
-		js.run = make([]taskState, len(js.Tasks))
+		js.runtime = make([]taskRuntime, len(js.Tasks))
 		sl.jobs[id] = js
 		for i := range js.Tasks {
-			sl.note(js, i)
+			sl.indexTask(js, i)
 		}
-		sl.liveBy[js.Queue]++
+		sl.liveByQueue[js.Queue]++
 		sl.dirty[id], sl.loading[id] = true, true
 	}
-	sl.best, sl.sealed = nil, map[string]map[string]record{}
+	sl.merged, sl.seals = nil, map[string]map[string]statestore.Record{}
 	sl.serving = true // nothing is confirmed or placed before its record is committed
 	n.log("slice_served", "slice", sl.name, "epoch", sl.epoch, "jobs", len(sl.jobs))
 }
 
-func (n *node) touch(sl *slice, js *jobState) {
+func (n *node) markDirty(sl *shard, js *jobState) {
 	if !sl.dirty[js.ID] {
 		js.Version++
 	}
@@ -296,44 +297,44 @@
 func (n *node) flushWrites() {
 	for _, name := range sorted(n.owned) {
 		sl := n.owned[name]
-		whole := sl.serving && len(sl.loading) == 0 && sl.wholeAt == 0
-		if len(sl.dirty) == 0 && !whole && (len(sl.settled) == 0 || n.now-sl.toldMs < writeRetry) {
+		whole := sl.serving && len(sl.loading) == 0 && sl.completeAt == 0
+		if len(sl.dirty) == 0 && !whole && (len(sl.confirmed) == 0 || n.now-sl.confirmedSentMs < writeRetry) {
 			continue
 		}
-		b := &writeBatch{acked: map[string]bool{}, sentMs: n.now, settled: sl.settled}
-		sl.settled, sl.toldMs = nil, n.now
+		b := &writeBatch{acked: map[string]bool{}, sentMs: n.now, settled: sl.confirmed}
+		sl.confirmed, sl.confirmedSentMs = nil, n.now
 		for _, id := range sorted(sl.dirty) {
 			js := sl.jobs[id]
-			b.records = append(b.records, record{ID: id, Epoch: sl.epoch, Version: js.Version, Live: js.DoneMs == 0, DoneMs: js.DoneMs, Value: js.kept()})
+			b.records = append(b.records, statestore.Record{ID: id, Epoch: sl.epoch, Version: js.Version, Live: js.DoneMs == 0, DoneMs: js.DoneMs, Value: js.kept()})
 		}
 		sl.dirty = map[string]bool{}
 		sl.writeSeq++
 		sl.writes[sl.writeSeq] = b
 		if whole {
-			sl.wholeAt = sl.writeSeq
+			sl.completeAt = sl.writeSeq
 		}
 		n.sendBatch(sl, sl.writeSeq, b)
 	}
 }
 
-func (n *node) sendBatch(sl *slice, seq uint64, b *writeBatch) {
+func (n *node) sendBatch(sl *shard, seq uint64, b *writeBatch) {
 	for _, m := range n.core.Members {
 		if !b.acked[m.Name] {
 			n.count("record_writes")
-			n.send(m.Name, &writeMsg{CoreVer: n.core.Version, Slice: sl.name, Epoch: sl.epoch, Seq: seq, Records: b.records, Settled: b.settled, Whole: sl.wholeAt != 0})
+			n.send(m.Name, &writeRequest{CoreVer: n.core.Version, Slice: sl.name, Epoch: sl.epoch, Seq: seq, Records: b.records, Confirmed: b.settled, Complete: sl.completeAt != 0})
 		}
 	}
 }
 
-func (n *node) onWrote(from string, m *wroteMsg) {
+func (n *node) applyWriteResponse(from string, m *writeResponse) {
 	sl := n.owned[m.Slice]
 	if sl == nil || m.Epoch != sl.epoch {
 		return
 	}
 	b := sl.writes[m.Seq]
 	if !m.OK {
-		if d := n.duties["slice/"+m.Slice]; d != nil {
-			n.dropDuty(d, "epoch_passed")
+		if d := n.roles["slice/"+m.Slice]; d != nil {
+			n.loseRole(d, "epoch_passed")
 		}
 		return
 	}
@@ -342,17 +343,17 @@
 		return
 	}
 	b.acked[from] = true
-	if len(b.acked) >= n.core.majority() && !b.done {
+	if len(b.acked) >= n.core.Majority() && !b.done {
 		b.done = true
 		n.count("commits")
 		for _, r := range b.records {
 			delete(sl.loading, r.ID)
 			if !r.Live {
-				sl.settled = append(sl.settled, r.ID)
+				sl.confirmed = append(sl.confirmed, r.ID)
 			}
 			if js := sl.jobs[r.ID]; js != nil {
 				js.committed = max(js.committed, r.Version)
-				n.advance(sl, js)
+				n.advanceJob(sl, js)
 			}
 		}
 	}
@@ -361,13 +362,13 @@
 	}
 }
 
-func (n *node) tickSlices() {
+func (n *node) tickShards() {
 	for _, name := range sorted(n.owned) {
 		sl := n.owned[name]
 		if !sl.serving {
 			if n.now-sl.sealSent > writeRetry {
-				if len(sl.doubts) > 0 { // a member went away between seal and fetch: begin again
-					sl.doubts, sl.doubtOp, sl.sealed = map[string]map[string]bool{}, map[uint64]string{}, map[string]map[string]record{}
+				if len(sl.missing) > 0 { // a member went away between seal and fetch: begin again
+					sl.missing, sl.missingOps, sl.seals = map[string]map[string]bool{}, map[uint64]string{}, map[string]map[string]statestore.Record{}
 				}
 				n.sendSeals(sl)
 			}
@@ -375,18 +376,18 @@
 		}
 		n.tickWrites(sl)
 		for _, op := range sorted(sl.fetches) {
-			if f := sl.fetches[op]; n.now-f.startMs > handOverMs*2/3 {
+			if f := sl.fetches[op]; n.now-f.startMs > forwardMs*2/3 {
 				delete(sl.fetches, op)
-				delete(sl.entering, f.id)
-				for _, a := range f.asks {
-					n.giveUpOn(a, "the core did not answer")
+				delete(sl.admitting, f.id)
+				for _, a := range f.requests {
+					n.readFromCore(a, "the core did not answer")
 				}
 			}
 		}
-		sl.wants = 0
+		sl.allocationRequests = 0
 		n.tickBatches(sl)
-		for _, js := range n.inTurn(sl) {
-			n.advance(sl, js)
+		for _, js := range n.jobsByUrgency(sl) {
+			n.advanceJob(sl, js)
 		}
 		cut := 0
 		for cut < len(sl.order) && (len(sl.order)-cut > finishedMax || n.now-sl.finished[sl.order[cut]].Version > finishedMs) {
@@ -397,15 +398,15 @@
 	}
 }
 
-// inTurn gives a slice's live jobs, those of urgent queues first, then the oldest.
-func (n *node) inTurn(sl *slice) []*jobState {
+// jobsByUrgency gives a slice's live jobs, those of urgent queues first, then the oldest.
+func (n *node) jobsByUrgency(sl *shard) []*jobState {
 	type turn struct {
 		urgency int64
 		js      *jobState
 	}
 	list := make([]turn, 0, len(sl.jobs))
 	for _, js := range sl.jobs {
-		list = append(list, turn{n.setup.cur.urgencyOf(js.Queue), js})
+		list = append(list, turn{n.config.current.urgencyOf(js.Queue), js})
 	}
 	slices.SortFunc(list, func(a, b turn) int {
 		return cmp.Or(cmp.Compare(b.urgency, a.urgency), cmp.Compare(a.js.SubmitMs, b.js.SubmitMs), cmp.Compare(a.js.ID, b.js.ID))
@@ -419,7 +420,7 @@
 
 // tickWrites repeats unacknowledged writes. What a majority holds and one
 // member lacks is remembered by name, so that a long-gone member costs little.
-func (n *node) tickWrites(sl *slice) {
+func (n *node) tickWrites(sl *shard) {
 	for _, seq := range sorted(sl.writes) {
 		b := sl.writes[seq]
 		if n.now-b.sentMs < writeRetry {
@@ -435,39 +436,39 @@
 			if b.acked[m.Name] {
 				continue
 			}
-			sl.noteMissed(m.Name, b.records)
+			sl.recordMissed(m.Name, b.records)
 		}
 	}
 	n.tickCatchUp(sl)
 }
 
 // fetchRecord reads one record at a majority: whoever calls goes on once it is known.
-func (n *node) fetchRecord(sl *slice, f *fetchOp) {
+func (n *node) fetchRecord(sl *shard, f *fetchOp) {
 	f.startMs, f.got = n.now, map[string]bool{}
 	n.opSeq++
 	sl.fetches[n.opSeq] = f
 	for _, m := range n.core.Members {
-		n.send(m.Name, &fetchMsg{CoreVer: n.core.Version, Op: n.opSeq, Slice: sl.name, IDs: []string{f.id}})
+		n.send(m.Name, &fetchRequest{CoreVer: n.core.Version, Op: n.opSeq, Slice: sl.name, IDs: []string{f.id}})
 	}
 }
 
-func (n *node) onFetched(from string, m *fetchedMsg) {
-	if r := n.reads[m.Op]; r != nil {
-		n.onRead(r, m.Op, from, m.Records)
+func (n *node) onFetchResponse(from string, m *fetchResponse) {
+	if r := n.quorumReads[m.Op]; r != nil {
+		n.onQuorumRead(r, m.Op, from, m.Records)
 		return
 	}
 	for _, name := range sorted(n.owned) {
 		sl := n.owned[name]
-		if member, ok := sl.doubtOp[m.Op]; ok && member == from {
+		if member, ok := sl.missingOps[m.Op]; ok && member == from {
 			for _, r := range m.Records {
-				if old := sl.best[r.ID]; older(old, r) {
-					sl.best[r.ID] = r
+				if old := sl.merged[r.ID]; old.OlderThan(r) {
+					sl.merged[r.ID] = r
 				}
 			}
-			delete(sl.doubtOp, m.Op)
-			delete(sl.doubts, from)
-			if len(sl.doubts) == 0 && !sl.serving {
-				n.loadSlice(sl)
+			delete(sl.missingOps, m.Op)
+			delete(sl.missing, from)
+			if len(sl.missing) == 0 && !sl.serving {
+				n.loadShard(sl)
 			}
 			return
 		}
@@ -477,28 +478,28 @@
 		}
 		f.got[from] = true
 		for _, r := range m.Records {
-			if older(f.best, r) {
+			if f.best.OlderThan(r) {
 				f.best = r
 			}
 		}
-		if len(f.got) < n.core.majority() {
+		if len(f.got) < n.core.Majority() {
 			return
 		}
 		delete(sl.fetches, m.Op)
-		delete(sl.entering, f.id)
+		delete(sl.admitting, f.id)
 		old, _ := jobOf(f.best)
 		if f.best.Live { // all live jobs that count are here: a member that was away has it, or a write that was given up
 			old = sl.finished[f.id]
 		}
-		n.fetched(sl, f, old)
+		n.onRecordFetched(sl, f, old)
 		return
 	}
 }
 
-func (n *node) fetched(sl *slice, f *fetchOp, old *job) {
+func (n *node) onRecordFetched(sl *shard, f *fetchOp, old *job) {
 	if !n.holds("slice/" + sl.name) {
-		for _, a := range f.asks {
-			n.giveUpOn(a, "the slice moved")
+		for _, a := range f.requests {
+			n.readFromCore(a, "the slice moved")
 		}
 		return
 	}
@@ -506,10 +507,10 @@
 		old = nil
 	}
 	if old == nil && f.job != nil && sl.jobs[f.id] == nil {
-		n.enterJob(sl, f)
+		n.admitJob(sl, f)
 		return
 	}
-	if len(f.asks) == 0 && sl.jobs[f.id] == nil { // read for the sake of a late end
+	if len(f.requests) == 0 && sl.jobs[f.id] == nil { // read for the sake of a late end
 		if old == nil {
 			sl.absent[f.id] = true
 		} else if sl.finished[f.id] == nil {
@@ -519,7 +520,7 @@
 		}
 		return
 	}
-	for _, a := range f.asks {
+	for _, a := range f.requests {
 		switch {
 		case sl.jobs[f.id] != nil:
 			jobOps[a.op](n, sl, a)
@@ -531,41 +532,41 @@
 	}
 }
 
-func (n *node) answerFinished(a *ask, j *job) {
+func (n *node) answerFinished(a *request, j *job) {
 	switch {
 	case a.op == "job.put":
 		p, faults := parseJob(j.ID, a.queue, a.body)
 		if len(faults) > 0 {
-			n.answerFaults(a, 400, 0, faults)
+			n.rejectFaults(a, 400, 0, faults)
 		} else if !bytes.Equal(p.Digest, j.Digest) {
-			n.answer(a, 409, 0, jsonOf(map[string]any{"error": "another job has this id"}))
+			n.respond(a, 409, 0, mustJSON(map[string]any{"error": "another job has this id"}))
 		} else {
-			n.answer(a, 200, 0, jsonOf(map[string]any{"id": j.ID, "state": jobNames[j.State]}))
+			n.respond(a, 200, 0, mustJSON(map[string]any{"id": j.ID, "state": jobNames[j.State]}))
 		}
 	case a.queue != "" && a.queue != j.Queue:
 		n.answerMissing(a)
 	case a.op == "job.state":
-		n.answer(a, 200, 0, jsonOf(map[string]any{"state": jobNames[j.State]}))
+		n.respond(a, 200, 0, mustJSON(map[string]any{"state": jobNames[j.State]}))
 	case a.op == "job.cancel" && j.State != jobCancelled:
-		n.answer(a, 409, 0, jsonOf(map[string]any{"error": "the job has ended", "state": jobNames[j.State]}))
+		n.respond(a, 409, 0, mustJSON(map[string]any{"error": "the job has ended", "state": jobNames[j.State]}))
 	default:
-		n.answer(a, 200, 0, jsonOf(j.view(func(*task) string { return "" })))
+		n.respond(a, 200, 0, mustJSON(j.view(func(*task) string { return "" })))
 	}
 }
 
-func (n *node) answerMissing(a *ask) {
-	n.answer(a, 404, 0, jsonOf(map[string]any{"error": "no such job", "missing": "job"}))
+func (n *node) answerMissing(a *request) {
+	n.respond(a, 404, 0, mustJSON(map[string]any{"error": "no such job", "missing": "job"}))
 }
 
-func (n *node) putJob(sl *slice, a *ask) {
+func (n *node) handleSubmit(sl *shard, a *request) {
 	if js := sl.jobs[a.key]; js != nil {
 		p, faults := parseJob(a.key, a.queue, a.body)
 		if len(faults) > 0 {
-			n.answerFaults(a, 400, 0, faults)
+			n.rejectFaults(a, 400, 0, faults)
 		} else if !bytes.Equal(p.Digest, js.Digest) {
-			n.answer(a, 409, 0, jsonOf(map[string]any{"error": "another job has this id"}))
+			n.respond(a, 409, 0, mustJSON(map[string]any{"error": "another job has this id"}))
 		} else {
-			n.whenCommitted(js, waiter{version: 1, ask: a, status: 200})
+			n.whenCommitted(js, waiter{version: 1, request: a, status: 200})
 		}
 		return
 	}
@@ -573,79 +574,79 @@
 		n.answerFinished(a, j)
 		return
 	}
-	if f := sl.entering[a.key]; f != nil {
-		if len(f.asks) > 16 {
-			a.unsure = true // the others may have it taken in
-			n.bounce(a, "too many of the same ask")
+	if f := sl.admitting[a.key]; f != nil {
+		if len(f.requests) > 16 {
+			a.maybeApplied = true // the others may have it taken in
+			n.reject(a, "too many of the same ask")
 			return
 		}
-		f.asks = append(f.asks, a)
+		f.requests = append(f.requests, a)
 		return
 	}
 	j, faults := parseJob(a.key, a.queue, a.body)
 	if len(faults) > 0 {
-		n.answerFaults(a, 400, 0, faults)
+		n.rejectFaults(a, 400, 0, faults)
 		return
 	}
-	if !n.setupFresh() {
-		n.bounce(a, "the setup is not confirmed here")
+	if !n.configFresh() {
+		n.reject(a, "the setup is not confirmed here")
 		return
 	}
-	if n.setup.cur.Queues[j.Queue] == nil {
-		if !n.setupConfirmedFor(a) && len(n.setup.unsure) < asksMax {
+	if n.config.current.Queues[j.Queue] == nil {
+		if !n.configConfirmedSince(a) && len(n.config.awaiting) < requestsMax {
 			// A version acknowledged just now may have it: ask the core first.
-			n.setup.unsure = append(n.setup.unsure, a)
+			n.config.awaiting = append(n.config.awaiting, a)
 			n.poll.nextMs = 0
 			return
 		}
 		if a.queue != "" { // whoever resolved its address had another setup: soon it has this one
-			n.bounce(a, "the queue is not in the newest setup")
+			n.reject(a, "the queue is not in the newest setup")
 			return
 		}
-		n.answerFaults(a, 400, 0, []fault{{"queue", "is not in the setup"}})
+		n.rejectFaults(a, 400, 0, []fault{{"queue", "is not in the setup"}})
 		return
 	}
-	f := &fetchOp{id: a.key, job: j, asks: []*ask{a}}
-	sl.entering[a.key] = f
+	f := &fetchOp{id: a.key, job: j, requests: []*request{a}}
+	sl.admitting[a.key] = f
 	n.fetchRecord(sl, f)
 }
 
-// enterJob runs a new job through the rules of its queue and makes it durable.
-func (n *node) enterJob(sl *slice, f *fetchOp) {
-	j, a := f.job, f.asks[0]
-	q := n.setup.cur.Queues[j.Queue]
-	wall := n.poll.medianWall(n)
-	if q == nil || wall == 0 || !n.setupFresh() {
-		n.turnAway(f, func(a *ask) { n.bounce(a, "the setup or the core's time is not confirmed here") })
+// admitJob runs a new job through the rules of its queue and makes it durable.
+func (n *node) admitJob(sl *shard, f *fetchOp) {
+	j, a := f.job, f.requests[0]
+	q := n.config.current.Queues[j.Queue]
+	wall := n.poll.fleetTime(n)
+	if q == nil || wall == 0 || !n.configFresh() {
+		n.rejectAdmission(f, func(a *request) { n.reject(a, "the setup or the core's time is not confirmed here") })
 		return
 	}
 	size := len(j.kept())
-	c := &askContext{job: j, queue: q, live: sl.liveBy[j.Queue], all: len(sl.jobs), bytes: sl.bytes + size, base: q.Urgency <= n.setup.cur.Lowest && len(n.setup.cur.Queues) > 1, batch: q.Batch != nil}
-	if b := interpret(c); b != nil {
+	c := &admission{job: j, queue: q, live: sl.liveByQueue[j.Queue], all: len(sl.jobs), bytes: sl.bytes + size, base: q.Urgency <= n.config.current.Lowest && len(n.config.current.Queues) > 1, batch: q.Batch != nil}
+	if b := admit(c); b != nil {
 		n.count("jobs_bounced")
-		n.turnAway(f, func(a *ask) { n.answerFaults(a, int(b.status), b.retryMs, b.faults) })
+		n.rejectAdmission(f, func(a *request) { n.rejectFaults(a, int(b.status), b.retryMs, b.faults) })
 		return
 	}
 	j.SubmitMs = wall
 	if j.DelayMs > 0 {
-		j.DueMs = n.poll.latestWall(n) + j.DelayMs
+		j.DueMs = n.poll.latestFleetTime(n) + j.DelayMs
 	}
-	js := &jobState{job: *j, run: make([]taskState, len(j.Tasks)), bytes: size}
+	js := &jobState{job: *j, runtime: make([]taskRuntime, len(j.Tasks)), bytes: size}
 	sl.jobs[j.ID] = js
 	sl.bytes += size
-	sl.liveBy[j.Queue]++
+	sl.liveByQueue[j.Queue]++
 	n.count("jobs_entered")
-	n.touch(sl, js)
-	n.whenCommitted(js, waiter{version: 1, ask: a, status: 201})
-	for _, other := range f.asks[1:] { // the same job again, or its state, or its end
+	n.markDirty(sl, js)
+	n.whenCommitted(js, waiter{version: 1, request: a, status: 201})
+	for _, other := range f.requests[1:] { // the same job again, or its state, or its end
 		jobOps[other.op](n, sl, other)
 	}
 }
 
-// turnAway answers all who wait for a new job that isn't taken: who hands it in
+// rejectAdmission answers all who wait for a new job that isn't taken: who hands it in
 // is told why, and for the others there is no such job.
-func (n *node) turnAway(f *fetchOp, tell func(*ask)) {
-	for _, a := range f.asks {
+func (n *node) rejectAdmission(f *fetchOp, tell func(*request)) {
+	for _, a := range f.requests {
 		if a.op == "job.put" {
 			tell(a)
 		} else {
@@ -656,8 +657,8 @@
 
 func (n *node) whenCommitted(js *jobState, w waiter) {
 	if len(js.waiters) > 64 {
-		w.ask.unsure = true // it is done, but not yet durable
-		n.bounce(w.ask, "too many of the same ask")
+		w.request.maybeApplied = true // it is done, but not yet durable
+		n.reject(w.request, "too many of the same ask")
 		return
 	}
 	js.waiters = append(js.waiters, w)
@@ -675,51 +676,51 @@
 		if js.DoneMs == 0 && js.State > jobComplete {
 			state = map[int8]string{jobFailed: "failing", jobCancelled: "cancelling"}[js.State]
 		}
-		if w.ask.op == "job.state" {
+		if w.request.op == "job.state" {
 			state = js.brief()
 		}
-		n.answer(w.ask, w.status, 0, jsonOf(map[string]any{"id": js.ID, "state": state}))
+		n.respond(w.request, w.status, 0, mustJSON(map[string]any{"id": js.ID, "state": state}))
 	}
 	js.waiters = kept
 }
 
-func (n *node) getJob(sl *slice, a *ask) {
+func (n *node) handleGet(sl *shard, a *request) {
 	if js := sl.jobs[a.key]; js != nil && a.queue != "" && js.Queue != a.queue {
 		n.answerMissing(a)
 		return
 	}
 	if js := sl.jobs[a.key]; js != nil {
 		if js.committed == 0 {
-			n.whenCommitted(js, waiter{version: 1, ask: a, status: 200})
+			n.whenCommitted(js, waiter{version: 1, request: a, status: 200})
 			return
 		}
-		n.answer(a, 200, 0, jsonOf(js.view(func(t *task) string { return n.whyWaits(js, t) })))
+		n.respond(a, 200, 0, mustJSON(js.view(func(t *task) string { return n.whyWaits(js, t) })))
 		return
 	}
 	if j := sl.finished[a.key]; j != nil {
 		n.answerFinished(a, j)
 		return
 	}
-	if f := sl.entering[a.key]; f != nil && len(f.asks) < 16 {
-		f.asks = append(f.asks, a)
+	if f := sl.admitting[a.key]; f != nil && len(f.requests) < 16 {
+		f.requests = append(f.requests, a)
 		return
 	}
-	n.fetchRecord(sl, &fetchOp{id: a.key, asks: []*ask{a}})
+	n.fetchRecord(sl, &fetchOp{id: a.key, requests: []*request{a}})
 }
 
-// tellState tells no more than a job's state, and one that stands only: what ended
+// handleState tells no more than a job's state, and one that stands only: what ended
 // is told once a majority has it.
-func (n *node) tellState(sl *slice, a *ask) {
+func (n *node) handleState(sl *shard, a *request) {
 	js := sl.jobs[a.key]
 	if js == nil || a.queue != "" && js.Queue != a.queue {
-		n.getJob(sl, a)
+		n.handleGet(sl, a)
 		return
 	}
 	version := int64(1)
 	if js.DoneMs != 0 || js.State != jobRunning {
 		version = js.Version
 	}
-	n.whenCommitted(js, waiter{version: version, ask: a, status: 200})
+	n.whenCommitted(js, waiter{version: version, request: a, status: 200})
 }
 
 // brief is a job's state in one word: pending until a task of it was placed.
@@ -728,7 +729,7 @@
 		return jobNames[js.State]
 	}
 	for i := range js.Tasks {
-		if t := &js.Tasks[i]; t.State == taskEnded || t.State == taskPlaced && js.run[i].state >= heldRunning {
+		if t := &js.Tasks[i]; t.State == taskEnded || t.State == taskPlaced && js.runtime[i].state >= attemptRunning {
 			return jobNames[jobRunning]
 		}
 	}
@@ -753,21 +754,21 @@
 // whyWaits tells an operator why a task has not started.
 func (n *node) whyWaits(js *jobState, t *task) string {
 	i := slices.IndexFunc(js.Tasks, func(x task) bool { return x.Round == t.Round && x.Step == t.Step && x.InStep == t.InStep })
-	rt := &js.run[i]
+	rt := &js.runtime[i]
 	switch {
 	case t.State == taskPlaced && rt.abandonMs != 0:
-		return "its worker " + t.Worker + " is silent and the run unsettled; once it surely runs nothing: accord workers lost " + t.Worker
-	case t.State == taskPlaced && rt.state == heldQueued:
+		return "its worker " + t.Worker + " is silent and the run unsettled; once it surely runs nothing: otterchute workers lost " + t.Worker
+	case t.State == taskPlaced && rt.state == attemptQueued:
 		return "queued at its worker"
 	case t.State != taskPending:
 		return ""
-	case js.dueOf(t.Round) > n.poll.medianWall(n):
+	case js.dueOf(t.Round) > n.poll.fleetTime(n):
 		return "not due yet"
 	case !js.readySteps(js.committed)[js.stepAt(t)]:
 		return "steps before it have not all ended well"
 	case n.now < rt.retryMs && (t.Failures > 0 || js.batch == nil):
 		return "backing off after a failure"
-	case n.setup.cur.Queues[js.Queue] == nil:
+	case n.config.current.Queues[js.Queue] == nil:
 		return "its queue is not in the setup"
 	}
 	if why := n.whyNoWorker(js, t); why != "" {
@@ -784,18 +785,18 @@
 func (n *node) whyNoWorker(js *jobState, t *task) string {
 	reasons := []string{"", "all allowed workers are leaving or in emptied sites", "all allowed workers are silent",
 		"no allowed worker has so much room", "no worker of its queue's group has the labels it needs"}
-	q, best := n.setup.cur.Queues[js.Queue], len(reasons)-1
+	q, best := n.config.current.Queues[js.Queue], len(reasons)-1
 	for _, name := range sorted(n.workers) {
 		w, at := n.workers[name], 0
 		_, lack := lacks(w.labels, t.Needs)
 		switch {
 		case lack || !q.matches(w.labels, w.site):
 			at = 4
-		case !t.Room.fits(w.capacity):
+		case !t.Resources.fits(w.capacity):
 			at = 3
 		case n.now-w.heardMs > silentMs || w.silentMs > silentMs:
 			at = 2
-		case w.leaving || n.setup.cur.Empty[w.site]:
+		case w.leaving || n.config.current.EmptyZones[w.site]:
 			at = 1
 		}
 		best = min(best, at)
@@ -803,7 +804,7 @@
 	return reasons[best]
 }
 
-func (n *node) cancelJob(sl *slice, a *ask) {
+func (n *node) handleCancel(sl *shard, a *request) {
 	js := sl.jobs[a.key]
 	if js != nil && a.queue != "" && js.Queue != a.queue {
 		n.answerMissing(a)
@@ -812,88 +813,88 @@
 	if js == nil {
 		if j := sl.finished[a.key]; j != nil {
 			n.answerFinished(a, j)
-		} else if f := sl.entering[a.key]; f != nil {
-			f.asks = append(f.asks, a)
+		} else if f := sl.admitting[a.key]; f != nil {
+			f.requests = append(f.requests, a)
 		} else {
-			n.fetchRecord(sl, &fetchOp{id: a.key, asks: []*ask{a}})
+			n.fetchRecord(sl, &fetchOp{id: a.key, requests: []*request{a}})
 		}
 		return
 	}
 	if js.DoneMs != 0 && js.State != jobCancelled || js.State == jobFailed {
-		n.answer(a, 409, 0, jsonOf(map[string]any{"error": "the job has ended", "state": jobNames[js.State]}))
+		n.respond(a, 409, 0, mustJSON(map[string]any{"error": "the job has ended", "state": jobNames[js.State]}))
 		return
 	}
 	if js.State == jobRunning {
 		js.State = jobCancelled
 		n.log("job_cancelled", "job", js.ID, "slice", sl.name, "epoch", sl.epoch)
-		n.giveUp(sl, js)
+		n.cancelTasks(sl, js)
 	}
-	n.whenCommitted(js, waiter{version: js.Version, ask: a, status: 200})
+	n.whenCommitted(js, waiter{version: js.Version, request: a, status: 200})
 }
 
-// giveUp ends all tasks of a job that are not placed, and has the placed ones dropped.
-func (n *node) giveUp(sl *slice, js *jobState) {
-	n.touch(sl, js)
+// cancelTasks ends all tasks of a job that are not placed, and has the placed ones dropped.
+func (n *node) cancelTasks(sl *shard, js *jobState) {
+	n.markDirty(sl, js)
 	for i := range js.Tasks {
 		t := &js.Tasks[i]
 		if t.State == taskPending {
-			t.State, t.SetVer = taskCancelled, js.Version
+			t.State, t.ChangedIn = taskCancelled, js.Version
 		}
 		if t.State == taskPlaced {
 			if w := n.workers[t.Worker]; w != nil && w.epoch == t.AgentEpoch {
 				n.send(w.agent, &syncAck{Worker: t.Worker, Epoch: w.epoch, Slice: sl.name, SliceEpoch: sl.epoch,
-					Verdicts: []verdictView{{Key: attemptKey{js.ID, js.taskID(i), t.Attempt}, Verdict: verdictDrop}}})
+					Decisions: []attemptDecision{{Key: attemptKey{js.ID, js.taskID(i), t.Attempt}, Decision: decisionDrop}}})
 			}
 		}
 	}
 }
 
-// loseWorker is an operator's word that a worker is gone for good.
-func (n *node) loseWorker(sl *slice, a *ask) {
+// handleWorkerLost is an operator's word that a worker is gone for good.
+func (n *node) handleWorkerLost(sl *shard, a *request) {
 	_, worker, _ := strings.Cut(a.key, "/")
 	if w := n.workers[worker]; w != nil && n.now-w.heardMs < silentMs && w.fresh {
-		n.answer(a, 409, 0, jsonOf(map[string]any{"error": "the worker is heard from; it can't be declared lost"}))
+		n.respond(a, 409, 0, mustJSON(map[string]any{"error": "the worker is heard from; it can't be declared lost"}))
 		return
 	}
 	lost := 0
 	for _, at := range sl.placedOn(worker) {
 		if js := sl.jobs[at.job]; js != nil {
 			if i, _, ok := js.position(at.task); ok {
-				n.settle(sl, js, i, resultLost, 0)
+				n.resolveAttempt(sl, js, i, resultLost, 0)
 				lost++
 			}
 		}
 	}
 	n.log("worker_declared_lost", "worker", worker, "slice", sl.name, "tasks", lost)
-	n.answer(a, 200, 0, jsonOf(map[string]any{"slice": sl.name, "tasks": lost}))
+	n.respond(a, 200, 0, mustJSON(map[string]any{"slice": sl.name, "tasks": lost}))
 }
 
-// advance does whatever a job's committed state now allows.
-func (n *node) advance(sl *slice, js *jobState) {
+// advanceJob does whatever a job's committed state now allows.
+func (n *node) advanceJob(sl *shard, js *jobState) {
 	n.answerWaiters(js)
 	if js.committed == 0 || !n.holds("slice/"+sl.name) {
 		return
 	}
 	if js.DoneMs != 0 {
 		if js.committed >= js.Version && !sl.dirty[js.ID] && len(js.waiters) == 0 {
-			n.retire(sl, js)
+			n.retireJob(sl, js)
 		}
 		return
 	}
-	if state, ended := js.verdict(); ended {
-		wall := n.poll.medianWall(n)
+	if state, ended := js.outcome(); ended {
+		wall := n.poll.fleetTime(n)
 		if wall == 0 {
 			return // how long the job is kept counts from its end: that waits for the fleet's time
 		}
-		n.touch(sl, js)
+		n.markDirty(sl, js)
 		js.State, js.DoneMs = state, wall
 		n.count("jobs_" + jobNames[state])
 		n.batchEnded(js)
 		return
 	}
 	n.turnRounds(sl, js)
-	wall := n.poll.medianWall(n)
-	q := n.setup.cur.Queues[js.Queue]
+	wall := n.poll.fleetTime(n)
+	q := n.config.current.Queues[js.Queue]
 	outstanding, batch := 0, n.batchOf(&js.job) != nil
 	for i := range js.Tasks {
 		if t := &js.Tasks[i]; t.State == taskPlaced && t.Class == classQueueable {
@@ -902,11 +903,11 @@
 	}
 	var ready []bool
 	for i := range js.Tasks {
-		t, rt := &js.Tasks[i], &js.run[i]
+		t, rt := &js.Tasks[i], &js.runtime[i]
 		switch {
 		case t.State == taskPlaced:
-			n.tendPlaced(sl, js, i, rt)
-		case t.State == taskPending && js.State == jobRunning && wall != 0 && q != nil && n.now >= rt.retryMs && n.setupFresh():
+			n.tickPlacedTask(sl, js, i, rt)
+		case t.State == taskPending && js.State == jobRunning && wall != 0 && q != nil && n.now >= rt.retryMs && n.configFresh():
 			if due := js.dueOf(t.Round); due != 0 && wall < due+dueMarginMs {
 				continue
 			}
@@ -916,7 +917,7 @@
 			if ready == nil {
 				ready = js.readySteps(js.committed)
 			}
-			if !ready[js.stepAt(t)] || t.SetVer > js.committed {
+			if !ready[js.stepAt(t)] || t.ChangedIn > js.committed {
 				continue
 			}
 			if n.classify(js, t) == classQueueable {
@@ -933,45 +934,45 @@
 					n.placeTask(sl, js, i, w, classQueueable)
 					outstanding++
 				}
-			} else if n.now-rt.wantMs >= wantMs && sl.wants < wantsTick {
-				if rt.wantMs != 0 { // not the first time
+			} else if n.now-rt.allocationMs >= allocationRetryMs && sl.allocationRequests < allocationsPerTick {
+				if rt.allocationMs != 0 { // not the first time
 					sl.starvedMs = n.now
 				}
-				sl.wants++
-				n.sendWant(sl, js, i)
+				sl.allocationRequests++
+				n.requestAllocation(sl, js, i)
 			}
 		}
 	}
 }
 
 // turnRounds opens the rounds that are due soon, and lets go of those that are over.
-func (n *node) turnRounds(sl *slice, js *jobState) {
-	wall := n.poll.medianWall(n)
+func (n *node) turnRounds(sl *shard, js *jobState) {
+	wall := n.poll.fleetTime(n)
 	if js.Rounds == 0 || js.State != jobRunning || wall == 0 {
 		return
 	}
 	if begun := js.Begun; js.closeRounds(js.committed) {
-		js.run = js.run[int(js.Begun-begun)*int(js.roundSize()):]
-		n.touch(sl, js)
+		js.runtime = js.runtime[int(js.Begun-begun)*int(js.roundSize()):]
+		n.markDirty(sl, js)
 	}
 	for js.Opened < js.Rounds && wall >= js.dueOf(js.Opened)-openAheadMs && len(js.Tasks)+int(js.roundSize()) <= roundTasksMax {
 		js.openRound()
 		for range js.roundSize() {
-			js.run = append(js.run, taskState{})
+			js.runtime = append(js.runtime, taskRuntime{})
 		}
-		n.touch(sl, js)
+		n.markDirty(sl, js)
 		for i := len(js.Tasks) - int(js.roundSize()); i < len(js.Tasks); i++ {
-			js.Tasks[i].SetVer = js.Version
+			js.Tasks[i].ChangedIn = js.Version
 		}
 	}
 }
 
-func (n *node) retire(sl *slice, js *jobState) {
+func (n *node) retireJob(sl *shard, js *jobState) {
 	delete(sl.jobs, js.ID)
 	sl.bytes -= js.bytes
-	sl.liveBy[js.Queue]--
-	if sl.liveBy[js.Queue] <= 0 {
-		delete(sl.liveBy, js.Queue)
+	sl.liveByQueue[js.Queue]--
+	if sl.liveByQueue[js.Queue] <= 0 {
+		delete(sl.liveByQueue, js.Queue)
 	}
 	j := js.job
 	j.Version = n.now // reused as the time it was put here
@@ -979,16 +980,16 @@
 	sl.order = append(sl.order, j.ID)
 }
 
-// tendPlaced sends a committed placement, and settles one whose worker stayed
+// tickPlacedTask sends a committed placement, and settles one whose worker stayed
 // silent past a trusted contract.
-func (n *node) tendPlaced(sl *slice, js *jobState, i int, rt *taskState) {
+func (n *node) tickPlacedTask(sl *shard, js *jobState, i int, rt *taskRuntime) {
 	t := &js.Tasks[i]
 	w := n.workers[t.Worker]
-	if t.SetVer <= js.committed && rt.sentMs == 0 && js.State == jobRunning {
-		n.sendPlace(sl, js, i)
+	if t.ChangedIn <= js.committed && rt.sentMs == 0 && js.State == jobRunning {
+		n.sendPlacement(sl, js, i)
 	}
-	if w == nil || w.pinned {
-		n.tendPinned(sl, js, i, rt, w)
+	if w == nil || w.colocated {
+		n.tickColocatedTask(sl, js, i, rt, w)
 	}
 	silent := w == nil && n.now-sl.startMs > silentMs || w != nil && (n.now-w.heardMs > silentMs || w.silentMs > silentMs)
 	if !silent {
@@ -998,61 +999,61 @@
 	if rt.abandonMs == 0 {
 		rt.abandonMs = n.now
 	}
-	if q := n.setup.cur.Queues[js.Queue]; q != nil && q.TrustLimit && n.setupFresh() && n.now-rt.abandonMs > contactMs+flightMs+t.LimitMs+limitMargin {
+	if q := n.config.current.Queues[js.Queue]; q != nil && q.TrustLimit && n.configFresh() && n.now-rt.abandonMs > contactMs+flightMs+t.LimitMs+limitMargin {
 		n.count("contract_settled")
-		n.settle(sl, js, i, resultLost, 0)
+		n.resolveAttempt(sl, js, i, resultLost, 0)
 	}
 }
 
-// tendPinned settles a task whose worker's agent has been silent for longer than
+// tickColocatedTask settles a task whose worker's agent has been silent for longer than
 // it may hold anything without an owner's word, and begins a gang anew that did
 // not come together.
-func (n *node) tendPinned(sl *slice, js *jobState, i int, rt *taskState, w *workerView) {
+func (n *node) tickColocatedTask(sl *shard, js *jobState, i int, rt *taskRuntime, w *workerView) {
 	t := &js.Tasks[i]
 	heardMs := sl.startMs
 	if w != nil {
 		heardMs = max(heardMs, w.heardMs)
 	}
-	if (w != nil || n.allPinned()) && t.SetVer <= js.committed && n.now-heardMs > ownerSpanMs*(100+driftPercent)/100+lapseMarginMs && n.now-n.wokeMs > frozenMs {
+	if (w != nil || n.allColocated()) && t.ChangedIn <= js.committed && n.now-heardMs > ownerSpanMs*(100+driftPercent)/100+lapseMarginMs && n.now-n.wokeMs > frozenMs {
 		n.count("lapses_settled")
-		js.GaveUp = append(js.GaveUp, gaveUp{js.taskID(i), t.Attempt})
-		n.settle(sl, js, i, resultLost, 0)
+		js.Abandoned = append(js.Abandoned, abandonedRun{js.taskID(i), t.Attempt})
+		n.resolveAttempt(sl, js, i, resultLost, 0)
 		return
 	}
 	if !js.Steps[t.Step].Gang || rt.abort || t.InStep != 0 {
 		return
 	}
-	from, to := js.mates(i)
+	from, to := js.gangRange(i)
 	first, whole := int64(0), true
 	for k := from; k < to; k++ {
-		if r := &js.run[k]; r.runMs != 0 && (first == 0 || r.runMs < first) {
+		if r := &js.runtime[k]; r.runMs != 0 && (first == 0 || r.runMs < first) {
 			first = r.runMs
 		}
-		whole = whole && js.run[k].runMs != 0
+		whole = whole && js.runtime[k].runMs != 0
 	}
 	if !whole && first != 0 && n.now-first > gangSlackMs {
 		n.count("gangs_begun_anew")
 		for k := from; k < to; k++ {
-			js.run[k].abort = true
+			js.runtime[k].abort = true
 		}
 	}
 }
 
-// allPinned tells whether every worker heard of has its agent beside it.
-func (n *node) allPinned() bool {
+// allColocated tells whether every worker heard of has its agent beside it.
+func (n *node) allColocated() bool {
 	for _, w := range n.workers {
-		if !w.pinned {
+		if !w.colocated {
 			return false
 		}
 	}
 	return len(n.workers) > 0
 }
 
-// gangWhole tells whether all of a task's gang is placed in one run.
-func (js *jobState) gangWhole(i int) bool {
-	from, to := js.mates(i)
+// gangComplete tells whether all of a task's gang is placed in one run.
+func (js *jobState) gangComplete(i int) bool {
+	from, to := js.gangRange(i)
 	for k := from; k < to; k++ {
-		if js.Tasks[k].State != taskPlaced || js.Tasks[k].Attempt != js.Tasks[i].Attempt || js.run[k].abort {
+		if js.Tasks[k].State != taskPlaced || js.Tasks[k].Attempt != js.Tasks[i].Attempt || js.runtime[k].abort {
 			return false
 		}
 	}
@@ -1074,7 +1075,7 @@
 		}
 		return classQueueable
 	}
-	e := n.learned[js.Queue+"/"+t.Name]
+	e := n.estimates[js.Queue+"/"+t.Name]
 	if e == nil || int64(e.meanMs) >= n.ThresholdMs {
 		return classGuaranteed
 	}
@@ -1084,12 +1085,12 @@
 func (n *node) estimateMs(js *jobState, t *task) int64 {
 	if js.Steps[t.Step].Alike && t.HintMs > 0 {
 		percent := 100.0
-		if e := n.learned[js.Queue+"/%"]; e != nil {
+		if e := n.estimates[js.Queue+"/%"]; e != nil {
 			percent = e.meanMs
 		}
 		return max(int64(float64(t.HintMs)*percent/100), 1)
 	}
-	if e := n.learned[js.Queue+"/"+t.Name]; e != nil {
+	if e := n.estimates[js.Queue+"/"+t.Name]; e != nil {
 		return int64(e.meanMs)
 	}
 	if t.HintMs > 0 {
@@ -1098,21 +1099,21 @@
 	return min(5000, t.LimitMs) // nothing known yet
 }
 
-// learnRun takes one run's time: into its name's mean, or into how far the guesses
+// recordRunTime takes one run's time: into its name's mean, or into how far the guesses
 // of its queue are off, in percent.
-func (n *node) learnRun(js *jobState, t *task, ranMs int64) {
+func (n *node) recordRunTime(js *jobState, t *task, ranMs int64) {
 	if ranMs <= 0 {
 		return // nobody saw how long it took
 	}
 	if js.Steps[t.Step].Alike && t.HintMs > 0 {
-		n.learn(js.Queue, "%", min(100*ranMs/t.HintMs, 1000))
+		n.learnRunTime(js.Queue, "%", min(100*ranMs/t.HintMs, 1000))
 		return
 	}
-	n.learn(js.Queue, t.Name, ranMs)
+	n.learnRunTime(js.Queue, t.Name, ranMs)
 }
 
-// learn takes one run's time into the mean of its queue's task name.
-func (n *node) learn(queue, name string, ranMs int64) {
+// learnRunTime takes one run's time into the mean of its queue's task name.
+func (n *node) learnRunTime(queue, name string, ranMs int64) {
 	e := n.estimateOf(queue+"/"+name, float64(ranMs))
 	e.meanMs += 0.2 * (float64(ranMs) - e.meanMs) // an even memory of about the last ten runs
 	e.usedMs, e.told = n.now, false
@@ -1121,48 +1122,48 @@
 // estimateOf gives an estimate, made with a first mean where there is none; the
 // longest unused one makes room.
 func (n *node) estimateOf(key string, meanMs float64) *estimate {
-	e := n.learned[key]
+	e := n.estimates[key]
 	if e == nil {
-		if len(n.learned) >= learnedMax {
+		if len(n.estimates) >= learnedMax {
 			oldest, usedMs := "", int64(0)
-			for k, o := range n.learned {
+			for k, o := range n.estimates {
 				if oldest == "" || o.usedMs < usedMs || o.usedMs == usedMs && k < oldest {
 					oldest, usedMs = k, o.usedMs
 				}
 			}
-			delete(n.learned, oldest)
+			delete(n.estimates, oldest)
 		}
 		e = &estimate{meanMs: meanMs}
-		n.learned[key] = e
+		n.estimates[key] = e
 	}
 	return e
 }
 
-// tickLearned tells all daemons what this one learned since the last round, so
+// tickEstimates tells all daemons what this one learned since the last round, so
 // that estimates outlive their owner: whoever takes a slice has them.
-func (n *node) tickLearned() {
+func (n *node) tickEstimates() {
 	if n.now < n.learnedAt || len(n.owned) == 0 {
 		return
 	}
 	n.learnedAt = n.now + rankMs
-	m := &learnedMsg{}
-	for _, key := range sorted(n.learned) {
-		if e := n.learned[key]; !e.told && len(m.Means) < learnedTell {
+	m := &estimatesMsg{}
+	for _, key := range sorted(n.estimates) {
+		if e := n.estimates[key]; !e.told && len(m.Means) < learnedTell {
 			e.told = true
-			m.Means = append(m.Means, meanView{key, e.meanMs})
+			m.Means = append(m.Means, estimateView{key, e.meanMs})
 		}
 	}
 	if len(m.Means) == 0 {
 		return
 	}
-	for _, name := range n.liveNames() {
+	for _, name := range n.aliveNames() {
 		if name != n.Name {
 			n.send(name, m)
 		}
 	}
 }
 
-func (n *node) onLearned(_ string, m *learnedMsg) {
+func (n *node) onEstimates(_ string, m *estimatesMsg) {
 	for _, v := range m.Means {
 		if e := n.estimateOf(v.Key, v.MeanMs); n.now-e.usedMs > rankStaleMs { // what was seen here itself lately counts more
 			e.meanMs, e.told = v.MeanMs, true
@@ -1171,22 +1172,22 @@
 }
 
 // allowed tells whether a task may go to a worker now, as far as is known here.
-func (n *node) allowed(w *workerView, q *queueRules, needs []label, room amount) bool {
+func (n *node) allowed(w *workerView, q *queueRules, needs []label, room resources) bool {
 	_, lack := lacks(w.labels, needs)
-	return n.now-w.heardMs < contactMs && w.rebuilt && w.fresh && !w.leaving && !n.setup.cur.Empty[w.site] &&
+	return n.now-w.heardMs < contactMs && w.rebuilt && w.fresh && !w.leaving && !n.config.current.EmptyZones[w.site] &&
 		room.fits(w.capacity) && !lack && q.matches(w.labels, w.site)
 }
 
 // freeAt is the room of a worker that nothing known here takes: what its agent
 // holds for other slices, and all that this slice has placed there.
-func (n *node) freeAt(sl *slice, name string, w *workerView) amount {
-	return w.capacity.minus(w.others[sl.name]).minus(sl.load[name])
+func (n *node) freeAt(sl *shard, name string, w *workerView) resources {
+	return w.capacity.minus(w.otherShards[sl.name]).minus(sl.load[name])
 }
 
 // usedBy counts the tasks of a task's step and round by worker.
 func (js *jobState) usedBy(i int) map[string]int32 {
 	used := map[string]int32{}
-	from, to := js.mates(i)
+	from, to := js.gangRange(i)
 	for k := from; k < to; k++ {
 		if js.Tasks[k].State == taskPlaced {
 			used[js.Tasks[k].Worker]++
@@ -1198,10 +1199,10 @@
 // selectWorker is the local scheduler: at random among the k allowed workers
 // of lowest rank. Those with room now go before those where it would wait, and
 // among them those near its data.
-func (n *node) selectWorker(sl *slice, js *jobState, i int) string {
+func (n *node) selectWorker(sl *shard, js *jobState, i int) string {
 	t := &js.Tasks[i]
 	st := &js.Steps[t.Step]
-	q := n.setup.cur.Queues[js.Queue]
+	q := n.config.current.Queues[js.Queue]
 	var used map[string]int32
 	if st.PerWorker > 0 {
 		used = js.usedBy(i)
@@ -1214,17 +1215,17 @@
 	var list []ranked
 	for _, name := range sorted(n.workers) {
 		w := n.workers[name]
-		if n.allowed(w, q, t.Needs, t.Room) && (st.PerWorker == 0 || used[name] < st.PerWorker) {
+		if n.allowed(w, q, t.Needs, t.Resources) && (st.PerWorker == 0 || used[name] < st.PerWorker) {
 			list = append(list, ranked{name, n.ranks.of(n, name), w})
 		}
 	}
-	pinned := slices.ContainsFunc(list, func(r ranked) bool { return r.w.pinned })
+	pinned := slices.ContainsFunc(list, func(r ranked) bool { return r.w.colocated })
 	for _, shun := range []func(ranked) bool{ // as long as others are left
-		func(r ranked) bool { return n.ranks.unsound[r.name] != 0 || r.w.suspect },
+		func(r ranked) bool { return n.ranks.unhealthy[r.name] != 0 || r.w.suspect },
 		func(r ranked) bool { return r.name == t.Last },
-		func(r ranked) bool { return pinned && !t.Room.fits(n.freeAt(sl, r.name, r.w)) },
+		func(r ranked) bool { return pinned && !t.Resources.fits(n.freeAt(sl, r.name, r.w)) },
 		func(r ranked) bool {
-			return pinned && !t.Room.fits(n.freeAt(sl, r.name, r.w).plus(n.batchLoad(sl, "", r.name)))
+			return pinned && !t.Resources.fits(n.freeAt(sl, r.name, r.w).plus(n.batchLoad(sl, "", r.name)))
 		},
 		func(r ranked) bool { return st.Near != "" && r.w.rack != st.Near },
 	} {
@@ -1233,7 +1234,7 @@
 		}
 	}
 	// The agents' queues are bounded, and so is what is sent to them.
-	list = slices.DeleteFunc(list, func(r ranked) bool { return n.workers[r.name].queued >= agentQueue/2 })
+	list = slices.DeleteFunc(list, func(r ranked) bool { return n.workers[r.name].queued >= agentQueueMax/2 })
 	if len(list) == 0 {
 		return ""
 	}
@@ -1246,85 +1247,85 @@
 	return list[n.rand().IntN(len(list))].name
 }
 
-func (n *node) placeTask(sl *slice, js *jobState, i int, worker string, class int8) {
+func (n *node) placeTask(sl *shard, js *jobState, i int, worker string, class int8) {
 	t := &js.Tasks[i]
-	n.touch(sl, js)
-	t.State, t.Class, t.Worker, t.Agent, t.AgentEpoch, t.SetVer = taskPlaced, class, worker, n.workers[worker].agent, n.workers[worker].epoch, js.Version
+	n.markDirty(sl, js)
+	t.State, t.Class, t.Worker, t.Agent, t.AgentEpoch, t.ChangedIn = taskPlaced, class, worker, n.workers[worker].agent, n.workers[worker].epoch, js.Version
 	t.Attempt++
-	sl.note(js, i)
+	sl.indexTask(js, i)
 	n.workers[worker].queued++ // until its agent's next word
 	if class == classQueueable {
 		n.ranks.add(worker, n.estimateMs(js, t))
 	}
-	js.run[i] = taskState{}
+	js.runtime[i] = taskRuntime{}
 	n.count("placements_" + classNames[class])
 }
 
-func (n *node) sendPlace(sl *slice, js *jobState, i int) {
+func (n *node) sendPlacement(sl *shard, js *jobState, i int) {
 	t := &js.Tasks[i]
 	w := n.workers[t.Worker]
 	if w == nil || w.epoch != t.AgentEpoch || !n.holds("slice/"+sl.name) {
 		return
 	}
-	js.run[i].sentMs, js.run[i].echoMs = n.now, w.echoMs
-	n.send(w.agent, &placeMsg{Worker: t.Worker, AgentEpoch: t.AgentEpoch, SliceEpoch: sl.epoch, EchoMs: w.echoMs, Spec: n.specOf(sl, js, i)})
+	js.runtime[i].sentMs, js.runtime[i].echoMs = n.now, w.echoMs
+	n.send(w.agent, &placement{Worker: t.Worker, AgentEpoch: t.AgentEpoch, SliceEpoch: sl.epoch, EchoMs: w.echoMs, Spec: n.specOf(sl, js, i)})
 }
 
 // specOf is what an agent must know of a placed task.
-func (n *node) specOf(sl *slice, js *jobState, i int) orderSpec {
+func (n *node) specOf(sl *shard, js *jobState, i int) orderSpec {
 	t := &js.Tasks[i]
 	return orderSpec{
-		Key: attemptKey{js.ID, js.taskID(i), t.Attempt}, Slice: sl.name, Queue: js.Queue, Name: t.Name, Class: t.Class, Room: t.Room,
+		Key: attemptKey{js.ID, js.taskID(i), t.Attempt}, Slice: sl.name, Queue: js.Queue, Name: t.Name, Class: t.Class, Resources: t.Resources,
 		Needs: t.Needs, SubmitMs: js.SubmitMs, EstMs: n.estimateMs(js, t), LimitMs: t.LimitMs, Payload: t.Payload, Saved: t.Saved,
 		Gang: js.Steps[t.Step].Gang, Lasting: js.Steps[t.Step].Lasting, Saves: js.Steps[t.Step].Saves, PerWorker: js.Steps[t.Step].PerWorker}
 }
 
-// sendWant asks for a firm place for a task; where tasks of its step are alike,
+// requestAllocation asks for a firm place for a task; where tasks of its step are alike,
 // for all of them that wait now, and for a gang once nobody of it is placed.
-func (n *node) sendWant(sl *slice, js *jobState, i int) {
+func (n *node) requestAllocation(sl *shard, js *jobState, i int) {
 	to, _ := n.holder("central")
 	if to == "" {
 		return
 	}
 	t := &js.Tasks[i]
 	st := &js.Steps[t.Step]
-	m := &wantMsg{Slice: sl.name, Job: js.ID, Queue: js.Queue, Room: t.Room, Needs: t.Needs, SubmitMs: js.SubmitMs, Avoid: t.Last,
+	m := &allocationRequest{Slice: sl.name, Job: js.ID, Queue: js.Queue, Resources: t.Resources, Needs: t.Needs, SubmitMs: js.SubmitMs, Avoid: t.Last,
 		Gang: st.Gang, SameRack: st.SameRack, Near: st.Near, PerWorker: st.PerWorker, EstMs: n.estimateMs(js, t)}
 	from, to_ := i, i+1
 	if st.Alike {
-		from, to_ = js.mates(i)
+		from, to_ = js.gangRange(i)
 	}
 	attempt := int32(0)
 	for k := from; k < to_; k++ {
 		o := &js.Tasks[k]
-		if st.Gang && (o.State != taskPending || o.SetVer > js.committed || n.now < js.run[k].retryMs) {
+		if st.Gang && (o.State != taskPending || o.ChangedIn > js.committed || n.now < js.runtime[k].retryMs) {
 			return
 		}
 		attempt = max(attempt, o.Attempt+1)
 	}
 	for k := from; k < to_; k++ {
-		o, rt := &js.Tasks[k], &js.run[k]
-		if o.State != taskPending || o.SetVer > js.committed || n.now < rt.retryMs || k != i && n.classify(js, o) != classGuaranteed {
+		o, rt := &js.Tasks[k], &js.runtime[k]
+		if o.State != taskPending || o.ChangedIn > js.committed || n.now < rt.retryMs || k != i && n.classify(js, o) != classGuaranteed {
 			continue
 		}
-		rt.wantMs = n.now
+		rt.allocationMs = n.now
 		next := o.Attempt + 1
 		if st.Gang {
 			next = attempt
 		}
-		m.Tasks = append(m.Tasks, wantTask{js.taskID(k), next})
+		m.Tasks = append(m.Tasks, requestedTask{js.taskID(k), next})
 	}
 	if st.PerWorker > 0 {
 		used := js.usedBy(i)
 		for _, w := range sorted(used) {
-			m.Used = append(m.Used, usedView{w, used[w]})
+			m.Used = append(m.Used, workerUse{w, used[w]})
 		}
 	}
 	n.send(to, m)
 }
 
-// onGrant takes firm places from the central scheduler; a gang's all or none.
-func (n *node) onGrant(_ string, m *grantMsg) {
+// onAllocation takes firm places from the central scheduler; a gang's all or none.
+func (n *node) onAllocation(_ string, m *allocation) {
 	sl := n.owned[m.Slice]
 	if sl == nil || !n.holds("slice/"+m.Slice) {
 		return
@@ -1333,15 +1334,15 @@
 	if js == nil || js.State != jobRunning {
 		return
 	}
-	q := n.setup.cur.Queues[js.Queue]
-	good := func(p grantView) (int, bool) {
+	q := n.config.current.Queues[js.Queue]
+	good := func(p allocatedTask) (int, bool) {
 		i, _, ok := js.position(p.Task)
 		w := n.workers[p.Worker]
 		if !ok || w == nil || q == nil {
 			return 0, false
 		}
 		t := &js.Tasks[i]
-		return i, t.State == taskPending && p.Attempt > t.Attempt && t.SetVer <= js.committed && n.allowed(w, q, t.Needs, t.Room)
+		return i, t.State == taskPending && p.Attempt > t.Attempt && t.ChangedIn <= js.committed && n.allowed(w, q, t.Needs, t.Resources)
 	}
 	whole := 0
 	for _, p := range m.Places {
@@ -1368,22 +1369,22 @@
 	}
 }
 
-// settle applies how an attempt ended to its task.
-func (n *node) settle(sl *slice, js *jobState, i int, result int8, ranMs int64) {
-	t, rt := &js.Tasks[i], &js.run[i]
+// resolveAttempt applies how an attempt ended to its task.
+func (n *node) resolveAttempt(sl *shard, js *jobState, i int, result int8, ranMs int64) {
+	t, rt := &js.Tasks[i], &js.runtime[i]
 	st := &js.Steps[t.Step]
-	n.touch(sl, js)
-	t.SetVer, t.RanMs = js.Version, ranMs
+	n.markDirty(sl, js)
+	t.ChangedIn, t.RanMs = js.Version, ranMs
 	n.meterBatch(js, t, ranMs)
 	n.count("ends_" + resultNames[result])
 	if rt.saved != "" {
 		t.Saved = rt.saved
 	}
-	*rt = taskState{}
-	defer sl.note(js, i)
+	*rt = taskRuntime{}
+	defer sl.indexTask(js, i)
 	switch result {
 	case resultOK:
-		n.learnRun(js, t, ranMs)
+		n.recordRunTime(js, t, ranMs)
 		if st.Lasting {
 			rt.retryMs = n.now + backoffMs/2
 			break
@@ -1406,9 +1407,9 @@
 	case resultPreempted:
 		t.Preempts++
 		rt.retryMs = n.batchBack(js)
-	case resultStanding, resultLost:
+	case resultStalled, resultLost:
 		t.Last = t.Worker
-	case resultShed, resultBounced:
+	case resultShed, resultRejected:
 		rt.retryMs = n.now + 20 + n.rand().Int64N(100)
 	}
 	if st.Gang && js.Steps[t.Step].Saves {
@@ -1420,7 +1421,7 @@
 		if js.State == jobRunning {
 			js.State = jobFailed
 			n.log("job_failing", "job", js.ID, "task", t.Name, "cause", t.Cause, "failures", t.Failures)
-			n.giveUp(sl, js)
+			n.cancelTasks(sl, js)
 		}
 	case js.State != jobRunning:
 		t.State = taskCancelled
@@ -1440,7 +1441,7 @@
 	if t.FailedRun == t.Attempt {
 		return false
 	}
-	from, to := js.mates(i)
+	from, to := js.gangRange(i)
 	for k := from; k < to; k++ {
 		js.Tasks[k].Failures++
 		js.Tasks[k].FailedRun = t.Attempt
@@ -1449,13 +1450,13 @@
 }
 
 // endGang takes one member's good end for all of its run.
-func (n *node) endGang(sl *slice, js *jobState, i int) {
-	from, to := js.mates(i)
+func (n *node) endGang(sl *shard, js *jobState, i int) {
+	from, to := js.gangRange(i)
 	for k := from; k < to; k++ {
 		if o := &js.Tasks[k]; k != i && o.Attempt == js.Tasks[i].Attempt && o.State != taskEnded {
-			o.State, o.Cause, o.SetVer = taskEnded, "", js.Version
-			js.run[k] = taskState{}
-			sl.note(js, k)
+			o.State, o.Cause, o.ChangedIn = taskEnded, "", js.Version
+			js.runtime[k] = taskRuntime{}
+			sl.indexTask(js, k)
 		}
 	}
 }
@@ -1463,7 +1464,7 @@
 // shareSaved gives all members of a gang the newest saved text of one of them:
 // they must go on from the same.
 func (n *node) shareSaved(js *jobState, i int) {
-	from, to := js.mates(i)
+	from, to := js.gangRange(i)
 	saved := js.Tasks[i].Saved
 	for k := from; k < to; k++ {
 		js.Tasks[k].Saved = saved
@@ -1482,16 +1483,16 @@
 		return // an agent whose time is over
 	}
 	if m.Epoch > w.epoch || m.SentMs > w.echoMs {
-		others, batch := w.others, w.batch
+		others, batch := w.otherShards, w.batch
 		if others == nil || m.Epoch > w.epoch {
-			others, batch = map[string]amount{}, map[string][]queueRoom{}
+			others, batch = map[string]resources{}, map[string][]queueResources{}
 		}
-		*w = workerView{agent: from, epoch: m.Epoch, echoMs: m.SentMs, heardMs: n.now, site: m.Site, labels: m.Labels, leaving: m.Leaving,
+		*w = workerView{agent: from, epoch: m.Epoch, echoMs: m.SentMs, heardMs: n.now, site: m.Zone, labels: m.Labels, leaving: m.Leaving,
 			rebuilt: m.Rebuilt, fresh: m.Fresh, free: m.Free, capacity: m.Capacity, queued: m.Queued, rankMs: m.RankMs, silentMs: m.SilentMs,
-			others: others, batch: batch, waiting: m.Waiting, low: w.low.with(n.now, m.Spare), rack: m.Rack, suspect: m.Suspect, pinned: m.Pinned}
+			otherShards: others, batch: batch, waiting: m.Waiting, spare: w.spare.with(n.now, m.Spare), rack: m.Rack, suspect: m.Suspect, colocated: m.Colocated}
 	}
 	if m.Epoch == w.epoch && m.Slice != "" {
-		w.others[m.Slice], w.batch[m.Slice] = m.Others, m.Batch
+		w.otherShards[m.Slice], w.batch[m.Slice] = m.Others, m.Batch
 	}
 	if m.Slice == "" {
 		n.syncCentral(from, m)
@@ -1503,11 +1504,11 @@
 	}
 	ack := &syncAck{Worker: m.Worker, Epoch: m.Epoch, Slice: m.Slice, SliceEpoch: sl.epoch, SentMs: m.SentMs}
 	listed := map[attemptKey]bool{}
-	for _, h := range m.Held {
+	for _, h := range m.Attempts {
 		listed[h.Key] = true
-		if v := n.judge(sl, m, h); v != 0 {
-			ack.Verdicts = append(ack.Verdicts, verdictView{h.Key, v})
-			if js := sl.jobs[h.Key.Job]; js != nil && h.Unknown && v == verdictKeep {
+		if v := n.decideAttempt(sl, m, h); v != 0 {
+			ack.Decisions = append(ack.Decisions, attemptDecision{h.Key, v})
+			if js := sl.jobs[h.Key.Job]; js != nil && h.Unknown && v == decisionKeep {
 				i, _, _ := js.position(h.Key.Task)
 				ack.Specs = append(ack.Specs, n.specOf(sl, js, i))
 			}
@@ -1523,115 +1524,115 @@
 			continue
 		}
 		t := &js.Tasks[i]
-		if t.SetVer > js.committed || listed[attemptKey{at.job, at.task, t.Attempt}] {
+		if t.ChangedIn > js.committed || listed[attemptKey{at.job, at.task, t.Attempt}] {
 			continue
 		}
 		switch {
 		case m.Epoch > t.AgentEpoch && m.Rebuilt:
 			// The new agent has the worker's own word, begun after the
 			// last order of the old one could arrive.
-			n.settle(sl, js, i, resultLost, 0)
+			n.resolveAttempt(sl, js, i, resultLost, 0)
 		case m.Epoch == t.AgentEpoch && js.State != jobRunning:
 			// Given up: once no placement of it, ours or a former
 			// owner's, is fresh enough to be taken, it never starts.
-			if n.now-sl.startMs > 2*contactMs && m.SentMs-js.run[i].echoMs > 2*contactMs {
-				n.settle(sl, js, i, resultBounced, 0)
+			if n.now-sl.startMs > 2*contactMs && m.SentMs-js.runtime[i].echoMs > 2*contactMs {
+				n.resolveAttempt(sl, js, i, resultRejected, 0)
 			}
-		case m.Epoch == t.AgentEpoch && n.now-js.run[i].sentMs > 2*syncMs:
-			n.sendPlace(sl, js, i)
+		case m.Epoch == t.AgentEpoch && n.now-js.runtime[i].sentMs > 2*syncMs:
+			n.sendPlacement(sl, js, i)
 		}
 	}
-	n.loseReplaced(sl, m)
+	n.resolveReplaced(sl, m)
 	n.send(from, ack)
 }
 
 // counted tells whether an end is the one that stands for its task, or a failure
 // that was counted.
-func (t *task) counted(h heldView) bool {
+func (t *task) counted(h attemptView) bool {
 	return h.Result == resultOK && h.Key.Attempt == t.Attempt && t.State == taskEnded || h.Result == resultFailed && h.Key.Attempt == t.FailedRun
 }
 
-// judge gives the owner's verdict on one attempt an agent holds.
-func (n *node) judge(sl *slice, m *syncMsg, h heldView) int8 {
+// decideAttempt gives the owner's verdict on one attempt an agent holds.
+func (n *node) decideAttempt(sl *shard, m *syncMsg, h attemptView) int8 {
 	js := sl.jobs[h.Key.Job]
 	over := func() int8 { // nothing of it is wanted
-		if h.State == heldEnded {
-			return verdictAcked
+		if h.State == attemptEnded {
+			return decisionAcknowledged
 		}
-		return verdictDrop
+		return decisionDrop
 	}
-	if js == nil && h.State == heldEnded && h.Late {
-		return n.judgeLate(sl, h.Key)
+	if js == nil && h.State == attemptEnded && h.Late {
+		return n.decideLateEnd(sl, h.Key)
 	}
 	if js == nil {
-		if j := sl.finished[h.Key.Job]; j != nil && h.State == heldEnded {
+		if j := sl.finished[h.Key.Job]; j != nil && h.State == attemptEnded {
 			if i, _, ok := j.position(h.Key.Task); ok && j.Tasks[i].counted(h) {
-				return verdictCounted
+				return decisionCounted
 			}
 		}
 		return over()
 	}
 	i, _, ok := js.position(h.Key.Task)
-	if !ok && h.State == heldEnded && !js.gaveUpOn(h.Key) {
-		return verdictCounted
+	if !ok && h.State == attemptEnded && !js.abandoned(h.Key) {
+		return decisionCounted
 	}
 	if !ok { // no such task, or its round is over
 		return over()
 	}
-	t, rt := &js.Tasks[i], &js.run[i]
+	t, rt := &js.Tasks[i], &js.runtime[i]
 	if js.committed == 0 {
 		return 0
 	}
 	if h.Key.Attempt > t.Attempt {
 		n.log("attempt_unknown", "job", js.ID, "task", h.Key.Task, "attempt", h.Key.Attempt, "known", t.Attempt)
-		return verdictDrop
+		return decisionDrop
 	}
-	late := h.State == heldEnded && (h.Result == resultOK || h.Result == resultFailed && t.FailedRun != t.Attempt) &&
-		h.Key.Attempt == t.Attempt && t.State == taskPending && js.State == jobRunning && (!js.Steps[t.Step].Gang || js.noneSince(i))
+	late := h.State == attemptEnded && (h.Result == resultOK || h.Result == resultFailed && t.FailedRun != t.Attempt) &&
+		h.Key.Attempt == t.Attempt && t.State == taskPending && js.State == jobRunning && (!js.Steps[t.Step].Gang || js.notRestartedSince(i))
 	if (h.Key.Attempt < t.Attempt || t.State != taskPlaced) && !late {
-		if h.State != heldEnded {
-			return verdictDrop
+		if h.State != attemptEnded {
+			return decisionDrop
 		}
-		if t.SetVer > js.committed {
+		if t.ChangedIn > js.committed {
 			return 0
 		}
-		if !t.counted(h) && js.gaveUpOn(h.Key) {
-			return verdictAcked
+		if !t.counted(h) && js.abandoned(h.Key) {
+			return decisionAcknowledged
 		}
-		return verdictCounted
+		return decisionCounted
 	}
-	if h.State == heldRunning && rt.runMs == 0 {
+	if h.State == attemptRunning && rt.runMs == 0 {
 		rt.runMs = n.now
 	}
 	rt.state = h.State
 	if h.Saved != "" {
 		rt.saved = h.Saved
 	}
-	if h.State == heldEnded {
+	if h.State == attemptEnded {
 		if late { // given up, but nothing was started since: it counts
-			js.GaveUp = slices.DeleteFunc(js.GaveUp, func(g gaveUp) bool { return g == gaveUp{h.Key.Task, h.Key.Attempt} })
+			js.Abandoned = slices.DeleteFunc(js.Abandoned, func(g abandonedRun) bool { return g == abandonedRun{h.Key.Task, h.Key.Attempt} })
 		}
-		n.settle(sl, js, i, h.Result, h.RanMs)
+		n.resolveAttempt(sl, js, i, h.Result, h.RanMs)
 		return 0 // acknowledged once it is committed
 	}
-	if js.State != jobRunning || js.Steps[t.Step].Gang && !js.gangWhole(i) {
-		return verdictDrop
+	if js.State != jobRunning || js.Steps[t.Step].Gang && !js.gangComplete(i) {
+		return decisionDrop
 	}
 	if t.Class == classQueueable && h.Class == classGuaranteed {
 		t.Class = classGuaranteed // promoted; kept with the next write
 	}
-	if t.SetVer > js.committed {
+	if t.ChangedIn > js.committed {
 		return 0
 	}
-	if m.Pinned && h.State == heldQueued && h.Class == classQueueable && n.now-rt.sentMs > recallMs && n.roomElsewhere(sl, js, i) {
-		return verdictRecall
+	if m.Colocated && h.State == attemptQueued && h.Class == classQueueable && n.now-rt.sentMs > recallMs && n.roomElsewhere(sl, js, i) {
+		return decisionRecall
 	}
-	return verdictKeep
+	return decisionKeep
 }
 
-// noneSince tells whether no member of a task's gang was placed again after its run.
-func (js *jobState) noneSince(i int) bool {
-	from, to := js.mates(i)
+// notRestartedSince tells whether no member of a task's gang was placed again after its run.
+func (js *jobState) notRestartedSince(i int) bool {
+	from, to := js.gangRange(i)
 	for k := from; k < to; k++ {
 		if js.Tasks[k].Attempt != js.Tasks[i].Attempt {
 			return false
@@ -1640,20 +1641,20 @@
 	return true
 }
 
-// gaveUpOn tells whether a run was given up since its worker was silent.
-func (j *job) gaveUpOn(k attemptKey) bool {
-	return slices.Contains(j.GaveUp, gaveUp{k.Task, k.Attempt})
+// abandoned tells whether a run was given up since its worker was silent.
+func (j *job) abandoned(k attemptKey) bool {
+	return slices.Contains(j.Abandoned, abandonedRun{k.Task, k.Attempt})
 }
 
-// judgeLate says of a late end of a job that is over whether another run took
+// decideLateEnd says of a late end of a job that is over whether another run took
 // its place: the job's record tells, which is read first where it isn't at hand.
-func (n *node) judgeLate(sl *slice, k attemptKey) int8 {
+func (n *node) decideLateEnd(sl *shard, k attemptKey) int8 {
 	switch j := sl.finished[k.Job]; {
-	case j != nil && j.gaveUpOn(k): // unless it was taken after all, before anything else was started
-		return verdictAcked
+	case j != nil && j.abandoned(k): // unless it was taken after all, before anything else was started
+		return decisionAcknowledged
 	case j != nil || sl.absent[k.Job]:
-		return verdictCounted
-	case n.now-sl.lateMs[k.Job] > handOverMs && len(sl.fetches) < grantNow:
+		return decisionCounted
+	case n.now-sl.lateMs[k.Job] > forwardMs && len(sl.fetches) < allocateNowMax:
 		sl.lateMs[k.Job] = n.now
 		n.fetchRecord(sl, &fetchOp{id: k.Job})
 	}
@@ -1662,24 +1663,24 @@
 
 // roomElsewhere tells whether another worker than its own could start a waiting
 // task at once.
-func (n *node) roomElsewhere(sl *slice, js *jobState, i int) bool {
+func (n *node) roomElsewhere(sl *shard, js *jobState, i int) bool {
 	t := &js.Tasks[i]
-	q := n.setup.cur.Queues[js.Queue]
+	q := n.config.current.Queues[js.Queue]
 	if q == nil || js.Steps[t.Step].PerWorker > 0 {
 		return false
 	}
 	for name, w := range n.workers {
-		if name != t.Worker && !w.suspect && n.ranks.unsound[name] == 0 && n.allowed(w, q, t.Needs, t.Room) && t.Room.fits(n.freeAt(sl, name, w)) {
+		if name != t.Worker && !w.suspect && n.ranks.unhealthy[name] == 0 && n.allowed(w, q, t.Needs, t.Resources) && t.Resources.fits(n.freeAt(sl, name, w)) {
 			return true
 		}
 	}
 	return false
 }
 
-// loseReplaced settles what stood at workers whose place another worker has taken
+// resolveReplaced settles what stood at workers whose place another worker has taken
 // since: its beats come from the same machine, to a later life of the same agent.
-func (n *node) loseReplaced(sl *slice, m *syncMsg) {
-	if !m.Pinned || !m.Rebuilt {
+func (n *node) resolveReplaced(sl *shard, m *syncMsg) {
+	if !m.Colocated || !m.Rebuilt {
 		return
 	}
 	for _, worker := range sorted(sl.placed) {
@@ -1695,9 +1696,9 @@
 			if !ok || js.Tasks[i].State != taskPlaced || js.Tasks[i].Agent != m.Agent || js.Tasks[i].AgentEpoch >= m.Epoch {
 				break
 			}
-			if js.Tasks[i].SetVer <= js.committed {
+			if js.Tasks[i].ChangedIn <= js.committed {
 				n.count("replaced_settled")
-				n.settle(sl, js, i, resultLost, 0)
+				n.resolveAttempt(sl, js, i, resultLost, 0)
 			}
 		}
 	}
--- a/accord/start_test.go
+++ b/internal/daemon/start_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"testing"
@@ -13,7 +13,7 @@
 func TestStartAtOnce(t *testing.T) {
 	ports := freePorts(t, 2)
 	s := defaultSettings()
-	s.Name, s.Site, s.Addr, s.HTTP, s.Seeds = "a", "z", ports[0], ports[1], []string{"127.0.0.1:1"}
+	s.Name, s.Zone, s.Addr, s.HTTP, s.Seeds = "a", "z", ports[0], ports[1], []string{"127.0.0.1:1"}
 	began := time.Now()
 	app := fx.New(daemonModules(s))
 	must.NoError(t, app.Err())
--- a/accord/status.go
+++ b/internal/daemon/status.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 // Status requests tell what this daemon knows of the fleet: whether it is ready,
 // the daemons and leases, the workers, and the common faults.
@@ -8,16 +8,16 @@
 	switch {
 	case n.core.Cluster == 0:
 		return "no cluster yet"
-	case n.leaving != 0:
+	case n.leavingSince != 0:
 		return "this daemon is stopping"
-	case n.now-n.poll.okMs > contactMs:
+	case n.now-n.poll.contactMs > contactMs:
 		return "the core can't be reached from here"
-	case n.setup.cur.Version == 0:
+	case n.config.current.Version == 0:
 		return "no setup yet"
-	case !n.setupFresh():
+	case !n.configFresh():
 		return "the setup is not confirmed here"
 	}
-	for _, s := range n.core.Slices {
+	for _, s := range n.core.Shards {
 		if h, _ := n.holder("slice/" + s); h == "" {
 			return "slice " + s + " has no holder"
 		}
@@ -25,38 +25,38 @@
 	return ""
 }
 
-func (n *node) getReady(a *ask) {
+func (n *node) getReady(a *request) {
 	if reason := n.notReady(); reason != "" {
-		n.bounce(a, reason)
+		n.reject(a, reason)
 		return
 	}
-	n.answer(a, 200, 0, jsonOf(map[string]any{"ready": true}))
+	n.respond(a, 200, 0, mustJSON(map[string]any{"ready": true}))
 }
 
-func (n *node) getMembers(a *ask) {
+func (n *node) getMembers(a *request) {
 	var list []map[string]any
-	for _, name := range append([]string{n.Name}, sorted(n.siblings)...) {
-		s, ago := n.self(), int64(0)
+	for _, name := range append([]string{n.Name}, sorted(n.peers)...) {
+		s, ago := n.selfInfo(), int64(0)
 		if name != n.Name {
-			s, ago = n.siblings[name].sibling, n.now-n.siblings[name].heardMs
+			s, ago = n.peers[name].peerInfo, n.now-n.peers[name].heardMs
 		}
-		list = append(list, map[string]any{"name": s.Name, "site": s.Site, "addr": s.Addr, "http": s.HTTP, "disk": s.Disk,
-			"live": n.live(name), "heard_ms": ago, "core": n.core.has(s.Name, s.DiskID)})
+		list = append(list, map[string]any{"name": s.Name, "site": s.Zone, "addr": s.Addr, "http": s.HTTP, "disk": s.Disk,
+			"live": n.alive(name), "heard_ms": ago, "core": n.core.Has(s.Name, s.DiskID)})
 	}
 	duties := []map[string]any{}
-	for _, name := range sorted(n.views) {
-		v := n.views[name]
+	for _, name := range sorted(n.holders) {
+		v := n.holders[name]
 		duties = append(duties, map[string]any{"duty": name, "holder": v.Holder, "epoch": v.Epoch})
 	}
-	n.answer(a, 200, 0, jsonOf(map[string]any{"cluster": n.core.Cluster, "core_version": n.core.Version, "core": memberNames(n.core),
-		"slices": n.core.Slices, "members": list, "duties": duties}))
+	n.respond(a, 200, 0, mustJSON(map[string]any{"cluster": n.core.Cluster, "core_version": n.core.Version, "core": n.core.Names(),
+		"slices": n.core.Shards, "members": list, "duties": duties}))
 }
 
 // getWorkers is settled where all workers are known: at the central scheduler.
-func (n *node) getWorkers(a *ask) {
+func (n *node) getWorkers(a *request) {
 	if !n.holds("central") {
 		to, _ := n.holder("central")
-		n.handOver(a, to)
+		n.forward(a, to)
 		return
 	}
 	list := []map[string]any{}
@@ -64,9 +64,9 @@
 		w := n.workers[name]
 		list = append(list, map[string]any{"name": name, "site": w.site, "labels": labelMap(w.labels), "free": w.free, "capacity": w.capacity,
 			"leaving": w.leaving, "agent": w.agent, "epoch": w.epoch, "heard_ms": n.now - w.heardMs, "silent_ms": w.silentMs,
-			"queued": w.queued, "rank_ms": w.rankMs, "unsound": n.ranks.unsound[name], "rebuilt": w.rebuilt})
+			"queued": w.queued, "rank_ms": w.rankMs, "unsound": n.ranks.unhealthy[name], "rebuilt": w.rebuilt})
 	}
-	n.answer(a, 200, 0, jsonOf(map[string]any{"workers": list}))
+	n.respond(a, 200, 0, mustJSON(map[string]any{"workers": list}))
 }
 
 func labelMap(ls []label) map[string]string {
@@ -78,34 +78,34 @@
 }
 
 // getHealth is what doctor reads: this daemon's view of the common faults.
-func (n *node) getHealth(a *ask) {
+func (n *node) getHealth(a *request) {
 	slow := map[string]int64{}
 	for m, ms := range n.poll.slowMs {
 		slow[m] = ms
 	}
 	unsound := []string{}
 	if n.central != nil {
-		unsound = append(unsound, sorted(n.ranks.unsound)...)
+		unsound = append(unsound, sorted(n.ranks.unhealthy)...)
 	}
 	coreLive := 0
 	for _, m := range n.core.Members {
-		if n.live(m.Name) {
+		if n.alive(m.Name) {
 			coreLive++
 		}
 	}
-	n.answer(a, 200, 0, jsonOf(map[string]any{"name": n.Name, "site": n.Site, "cluster": n.core.Cluster, "siblings_lost": n.lostPeers(),
-		"core_size": len(n.core.Members), "core_live": coreLive, "core_contact_ms": n.now - n.poll.okMs,
-		"clock_spread_ms": n.clockOffsets(), "sync_ms": slow, "disk_failed": n.diskFailed, "setup_version": n.setup.doc.Version,
-		"setup_confirmed": n.setupFresh(), "unmatched_queues": n.unmatchedQueues(), "without_holder": n.leasesWithoutHolder(),
-		"unsound_workers": unsound, "empty_sites": sorted(n.setup.cur.Empty), "slices": n.ownedSlices(),
-		"workers": len(n.workers), "asks_open": len(n.asks)}))
+	n.respond(a, 200, 0, mustJSON(map[string]any{"name": n.Name, "site": n.Zone, "cluster": n.core.Cluster, "siblings_lost": n.lostPeers(),
+		"core_size": len(n.core.Members), "core_live": coreLive, "core_contact_ms": n.now - n.poll.contactMs,
+		"clock_spread_ms": n.clockOffsets(), "sync_ms": slow, "disk_failed": n.diskFailed, "setup_version": n.config.record.Version,
+		"setup_confirmed": n.configFresh(), "unmatched_queues": n.unmatchedQueues(), "without_holder": n.leasesWithoutHolder(),
+		"unsound_workers": unsound, "empty_sites": sorted(n.config.current.EmptyZones), "slices": n.ownedShards(),
+		"workers": len(n.workers), "asks_open": len(n.forwarded)}))
 }
 
 // lostPeers names the daemons that were known and aren't heard any more.
 func (n *node) lostPeers() []string {
 	lost := []string{}
-	for _, name := range sorted(n.siblings) {
-		if !n.live(name) {
+	for _, name := range sorted(n.peers) {
+		if !n.alive(name) {
 			lost = append(lost, name)
 		}
 	}
@@ -118,8 +118,8 @@
 	if !n.inCore() {
 		return offsets
 	}
-	if med := n.poll.medianWall(n); med != 0 {
-		for name, c := range n.store.clocks {
+	if med := n.poll.fleetTime(n); med != 0 {
+		for name, c := range n.granter.clocks {
 			offsets[name] = c.offset + n.now - med
 		}
 	}
@@ -128,7 +128,7 @@
 
 func (n *node) leasesWithoutHolder() []string {
 	free := []string{}
-	for _, s := range n.core.Slices {
+	for _, s := range n.core.Shards {
 		if h, _ := n.holder("slice/" + s); h == "" {
 			free = append(free, "slice/"+s)
 		}
@@ -146,10 +146,10 @@
 	if len(n.workers) == 0 || n.central == nil {
 		return unmatched
 	}
-	for _, q := range sorted(n.setup.cur.Queues) {
+	for _, q := range sorted(n.config.current.Queues) {
 		found := false
 		for _, w := range n.workers {
-			found = found || n.now-w.heardMs < liveMs && n.setup.cur.Queues[q].matches(w.labels, w.site)
+			found = found || n.now-w.heardMs < peerAliveMs && n.config.current.Queues[q].matches(w.labels, w.site)
 		}
 		if !found {
 			unmatched = append(unmatched, q)
@@ -158,8 +158,8 @@
 	return unmatched
 }
 
-// ownedSlices tells of each slice held here what waits in it.
-func (n *node) ownedSlices() map[string]any {
+// ownedShards tells of each slice held here what waits in it.
+func (n *node) ownedShards() map[string]any {
 	owned := map[string]any{}
 	for _, name := range sorted(n.owned) {
 		sl := n.owned[name]
@@ -170,7 +170,7 @@
 }
 
 // openTasks counts a slice's tasks at silent workers, by worker, and those without a place.
-func (n *node) openTasks(sl *slice) (unsettled map[string]int, waiting int) {
+func (n *node) openTasks(sl *shard) (unsettled map[string]int, waiting int) {
 	unsettled = map[string]int{}
 	for _, js := range sl.jobs {
 		for i := range js.Tasks {
--- a/accord/target.go
+++ b/internal/daemon/target.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"encoding/csv"
@@ -18,9 +18,9 @@
 // line by its own variable, each further one adds what its variable costs above
 // what the first had of it.
 
-var targetFields = fieldSpec{Kind: "object", Fields: map[string]fieldSpec{
+var targetFields = fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
 	"about":       {Kind: "text", Max: 2000},
-	"experiments": {Kind: "list", Required: true, Min: 1, Max: 20, Elem: &fieldSpec{Kind: "name"}},
+	"experiments": {Kind: "list", Required: true, Min: 1, Max: 20, Elem: &fieldSchema{Kind: "name"}},
 	"values":      {Kind: "any", Required: true},
 	"bounds":      {Kind: "any"},
 }}
@@ -68,7 +68,7 @@
 
 // atTarget works out every role's measures.
 func atTarget(doc []byte, declared func(name string) (*experiment, error), folder string) (map[[2]string]estimated, error) {
-	if f := checkDoc(doc, targetFields); len(f) > 0 {
+	if f := checkDocument(doc, targetFields); len(f) > 0 {
 		return nil, errors.Wrapf(errExperiment, "%s %s", f[0].Path, f[0].Reason)
 	}
 	root, out := gjson.ParseBytes(doc), map[[2]string]estimated{}
--- a/accord/wire.go
+++ b/internal/daemon/wire.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"bufio"
@@ -14,25 +14,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// wire carries frames between daemons over TCP: one connection per sibling
+// transport carries frames between daemons over TCP: one connection per sibling
 // and direction, a bounded queue before each, frames dropped when it is full.
-type wire struct {
-	ln    net.Listener
-	post  func(func(*shell))
-	log   func(event string, pairs ...any)
-	mu    sync.Mutex
-	lines map[string]*line
-	open  map[net.Conn]bool
-	stop  bool
-	setup setupReader
-	meter *meter // only in experiments
+type transport struct {
+	ln        net.Listener
+	post      func(func(*executor))
+	log       func(event string, pairs ...any)
+	mu        sync.Mutex
+	outbounds map[string]*outbound
+	open      map[net.Conn]bool
+	stop      bool
+	setup     configCompiler
+	meter     *meter // only in experiments
 }
 
-type line struct {
-	frames chan outFrame
+type outbound struct {
+	frames chan queuedFrame
 }
 
-type outFrame struct {
+type queuedFrame struct {
 	bytes []byte
 	at    time.Time
 }
@@ -41,9 +41,9 @@
 // or behind a cut says nothing.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: aliveMs * time.Millisecond, Interval: aliveMs * time.Millisecond, Count: 2}
 
-// giveUpEarly sets how long what was written may stay unacknowledged before
+// setUserTimeout sets how long what was written may stay unacknowledged before
 // the system ends the line. Accepted lines take it from their listener.
-func giveUpEarly(_, _ string, c syscall.RawConn) error {
+func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	var bad error
 	if err := c.Control(func(fd uintptr) {
 		bad = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, unackedMs)
@@ -53,29 +53,29 @@
 	return bad
 }
 
-func newWire(addr string, post func(func(*shell)), log func(string, ...any)) (*wire, error) {
-	lc := net.ListenConfig{Control: giveUpEarly, KeepAliveConfig: keepAlive}
+func newTransport(addr string, post func(func(*executor)), log func(string, ...any)) (*transport, error) {
+	lc := net.ListenConfig{Control: setUserTimeout, KeepAliveConfig: keepAlive}
 	ln, err := lc.Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, errors.Wrapf(errSettings, "addr: %v", err)
 	}
-	return &wire{ln: ln, post: post, log: log, lines: map[string]*line{}, open: map[net.Conn]bool{}}, nil
+	return &transport{ln: ln, post: post, log: log, outbounds: map[string]*outbound{}, open: map[net.Conn]bool{}}, nil
 }
 
-func (w *wire) send(addr string, frame []byte) {
+func (w *transport) send(addr string, frame []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.stop || addr == "" {
 		return
 	}
-	l := w.lines[addr]
+	l := w.outbounds[addr]
 	if l == nil {
-		l = &line{frames: make(chan outFrame, lineFrames)}
-		w.lines[addr] = l
+		l = &outbound{frames: make(chan queuedFrame, outboundFrames)}
+		w.outbounds[addr] = l
 		go w.write(addr, l)
 	}
 	select {
-	case l.frames <- outFrame{frame, time.Now()}:
+	case l.frames <- queuedFrame{frame, time.Now()}:
 		w.meter.sent(frame)
 	default: // all that matters is sent again by who needs it
 	}
@@ -85,10 +85,10 @@
 // bytes: they go out in one system call. Frames that waited for long, while a
 // dead line was found out, are left: who needs them has sent them again.
 // It gives nothing when the line was idle, and ok false when it is closed.
-func (l *line) next(idle *time.Timer) (frames [][]byte, ok bool) {
-	idle.Reset(lineIdleMs * time.Millisecond)
+func (l *outbound) next(idle *time.Timer) (frames [][]byte, ok bool) {
+	idle.Reset(connectionIdleMs * time.Millisecond)
 	size := 0
-	take := func(f outFrame) {
+	take := func(f queuedFrame) {
 		if time.Since(f.at) < frameOldMs*time.Millisecond {
 			frames, size = append(frames, f.bytes), size+len(f.bytes)
 		}
@@ -116,7 +116,7 @@
 	return frames, true
 }
 
-func (w *wire) write(addr string, l *line) {
+func (w *transport) write(addr string, l *outbound) {
 	var conn net.Conn
 	hangUp := func() {
 		if conn != nil {
@@ -128,7 +128,7 @@
 		}
 	}
 	defer hangUp()
-	dialer := net.Dialer{Timeout: dialMs * time.Millisecond, Control: giveUpEarly, KeepAliveConfig: keepAlive}
+	dialer := net.Dialer{Timeout: dialMs * time.Millisecond, Control: setUserTimeout, KeepAliveConfig: keepAlive}
 	idle := time.NewTimer(time.Hour)
 	defer idle.Stop()
 	var failedAt time.Time
@@ -139,8 +139,8 @@
 		}
 		if len(frames) == 0 {
 			w.mu.Lock()
-			if len(l.frames) == 0 && time.Since(began) >= lineIdleMs*time.Millisecond {
-				delete(w.lines, addr)
+			if len(l.frames) == 0 && time.Since(began) >= connectionIdleMs*time.Millisecond {
+				delete(w.outbounds, addr)
 				w.mu.Unlock()
 				return
 			}
@@ -171,7 +171,7 @@
 	}
 }
 
-func (w *wire) serve() {
+func (w *transport) serve() {
 	for {
 		conn, err := w.ln.Accept()
 		if err != nil {
@@ -191,7 +191,7 @@
 	}
 }
 
-func (w *wire) read(conn net.Conn) {
+func (w *transport) read(conn net.Conn) {
 	defer func() {
 		w.mu.Lock()
 		delete(w.open, conn)
@@ -201,7 +201,7 @@
 	head := make([]byte, 4)
 	in := bufio.NewReaderSize(conn, readBytes)
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(2 * lineIdleMs * time.Millisecond))
+		_ = conn.SetReadDeadline(time.Now().Add(2 * connectionIdleMs * time.Millisecond))
 		if _, err := io.ReadFull(in, head); err != nil {
 			return
 		}
@@ -221,7 +221,7 @@
 		}
 		w.meter.heard(msg, len(frame))
 		ready := w.setup.ready(msg)
-		w.post(func(s *shell) { s.event(evMsg{Head: h, Msg: msg, Ready: ready}) })
+		w.post(func(s *executor) { s.event(evMsg{Head: h, Msg: msg, Ready: ready}) })
 	}
 }
 
@@ -236,7 +236,7 @@
 	return frame, err
 }
 
-func (w *wire) close() {
+func (w *transport) close() {
 	_ = w.ln.Close()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -244,7 +244,7 @@
 	for c := range w.open {
 		_ = c.Close()
 	}
-	for _, l := range w.lines {
+	for _, l := range w.outbounds {
 		close(l.frames)
 	}
 }
--- a/accord/wire_test.go
+++ b/internal/daemon/wire_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"net"
@@ -32,11 +32,11 @@
 func TestLineToADeadPeer(t *testing.T) {
 	var mu sync.Mutex
 	var got []uint64
-	post := func(do func(*shell)) {}
-	b, err := newWire("127.0.0.1:0", func(func(*shell)) { mu.Lock(); got = append(got, 1); mu.Unlock() }, func(string, ...any) {})
+	post := func(do func(*executor)) {}
+	b, err := newTransport("127.0.0.1:0", func(func(*executor)) { mu.Lock(); got = append(got, 1); mu.Unlock() }, func(string, ...any) {})
 	must.NoError(t, err)
 	go b.serve()
-	a, err := newWire("127.0.0.1:0", post, func(string, ...any) {})
+	a, err := newTransport("127.0.0.1:0", post, func(string, ...any) {})
 	must.NoError(t, err)
 	defer a.close()
 	addr := b.ln.Addr().String()
@@ -52,7 +52,7 @@
 		return false
 	}
 	for range 300 {
-		a.send(addr, sealFrame(wireHead{From: "a"}, &gossipMsg{}))
+		a.send(addr, sealFrame(frameHeader{From: "a"}, &gossipMsg{}))
 	}
 	must.True(t, heard(300))
 	b.mu.Lock()
@@ -63,13 +63,13 @@
 	must.MapLen(t, 1, b.open)
 	b.mu.Unlock()
 	b.close() // its port answers with a reset from now on
-	b, err = newWire(addr, func(func(*shell)) { mu.Lock(); got = append(got, 1); mu.Unlock() }, func(string, ...any) {})
+	b, err = newTransport(addr, func(func(*executor)) { mu.Lock(); got = append(got, 1); mu.Unlock() }, func(string, ...any) {})
 	must.NoError(t, err)
 	defer b.close()
 	go b.serve()
 	ok := false
 	for range 200 {
-		a.send(addr, sealFrame(wireHead{From: "a"}, &gossipMsg{}))
+		a.send(addr, sealFrame(frameHeader{From: "a"}, &gossipMsg{}))
 		time.Sleep(10 * time.Millisecond)
 		mu.Lock()
 		ok = len(got) > 300
@@ -86,7 +86,7 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer func() { _ = ln.Close() }()
-	c, err := (&net.Dialer{Control: giveUpEarly, KeepAliveConfig: keepAlive}).Dial("tcp", ln.Addr().String())
+	c, err := (&net.Dialer{Control: setUserTimeout, KeepAliveConfig: keepAlive}).Dial("tcp", ln.Addr().String())
 	must.NoError(t, err)
 	defer func() { _ = c.Close() }()
 	unacked, idle, every, probes := lineOptions(t, c)
@@ -95,10 +95,10 @@
 
 // Waiting frames are taken together; those that waited for long are left.
 func TestLineLeavesOldFrames(t *testing.T) {
-	l := &line{frames: make(chan outFrame, 8)}
-	l.frames <- outFrame{[]byte("old"), time.Now().Add(-2 * frameOldMs * time.Millisecond)}
-	l.frames <- outFrame{[]byte("a"), time.Now()}
-	l.frames <- outFrame{[]byte("b"), time.Now()}
+	l := &outbound{frames: make(chan queuedFrame, 8)}
+	l.frames <- queuedFrame{[]byte("old"), time.Now().Add(-2 * frameOldMs * time.Millisecond)}
+	l.frames <- queuedFrame{[]byte("a"), time.Now()}
+	l.frames <- queuedFrame{[]byte("b"), time.Now()}
 	idle := time.NewTimer(time.Hour)
 	frames, ok := l.next(idle)
 	must.True(t, ok)
--- a/accord/world_test.go
+++ b/internal/daemon/world_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"container/heap"
@@ -6,11 +6,12 @@
 	"fmt"
 	"hash/fnv"
 	"math/rand/v2"
+	"otterchute/internal/codec"
+	"otterchute/internal/historycheck"
+	"otterchute/internal/statestore"
 	"reflect"
 	"slices"
 
-	"otterchute/verdict"
-
 	"github.com/tidwall/gjson"
 )
 
@@ -27,12 +28,12 @@
 	cuts         map[[2]string]bool // one way, by host name
 	lastUs       map[[2]string]int64
 	hold         map[[2]string]int64 // us that everything one way takes longer
-	history      []verdict.Event
+	history      []historycheck.Event
 	trace        uint64
 	digest       *runDigest
 	logs         []string
 	keepLog      bool
-	dep          verdict.Deployment
+	dep          historycheck.Deployment
 	jobs         map[string]*simJob
 	jobSeq       int
 	syncUs       map[string]int64
@@ -44,7 +45,7 @@
 	freezeOrders int // so many daemons freeze with an order in hand
 	trafficEnds  bool
 	largest      int // bytes of the largest frame so far
-	onNote       func(verdict.Event)
+	onNote       func(historycheck.Event)
 	resetUs      map[[2]string]int64 // when the connections one way were last reset
 	answerLoss   map[string]float64  // by caller, the share of answers lost on their way
 	onAnswer     []func(sentAnswer) (over bool)
@@ -90,7 +91,7 @@
 
 const wallStart = 1_800_000_000_000 // ms; any day will do
 
-func newWorld(seed uint64, dep verdict.Deployment) *world {
+func newWorld(seed uint64, dep historycheck.Deployment) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), nodes: map[string]*simNode{}, workers: map[string]*simWorker{}, cuts: map[[2]string]bool{},
 		lastUs: map[[2]string]int64{}, hold: map[[2]string]int64{}, dep: dep, jobs: map[string]*simJob{}, syncUs: map[string]int64{},
 		resetUs: map[[2]string]int64{}, answerLoss: map[string]float64{}, msgs: map[string]int{}, trace: 14695981039346656037,
@@ -101,10 +102,10 @@
 	}
 	for i := range dep.Daemons {
 		name := fmt.Sprintf("d%02d", i)
-		n := &simNode{w: w, disk: &simDisk{w: w, host: name}, place: place{Name: name, Addr: fmt.Sprintf("10.0.0.%d:7000", i), HTTP: fmt.Sprintf("10.0.0.%d:8000", i),
-			Site: verdict.Sites[i%3], Seeds: seeds, Disk: i < coreSize, KeepMs: keepHoursDef * msPerHour, SnapshotBytes: 1 << 20, ThresholdMs: thresholdMs, TargetSigma: 2, FirstStart: true}}
+		n := &simNode{w: w, disk: &simDisk{w: w, host: name}, nodeConfig: nodeConfig{Name: name, Addr: fmt.Sprintf("10.0.0.%d:7000", i), HTTP: fmt.Sprintf("10.0.0.%d:8000", i),
+			Zone: historycheck.Sites[i%3], Seeds: seeds, Disk: i < coreSize, KeepMs: keepHoursDef * msPerHour, SnapshotBytes: 1 << 20, ThresholdMs: thresholdMs, TargetSigma: 2, FirstStart: true}}
 		if n.Disk {
-			n.place.DiskID = w.rng.Uint64() | 1
+			n.nodeConfig.DiskID = w.rng.Uint64() | 1
 		}
 		w.nodes[name] = n
 	}
@@ -113,7 +114,7 @@
 		w.after(w.rng.Int64N(300_000), n.start)
 	}
 	for i := range dep.Workers {
-		sw := &simWorker{w: w, name: fmt.Sprintf("w%02d", i), site: verdict.Sites[i%3], labels: verdict.WorkerLabels(i), room: dep.Cores, slow: 1,
+		sw := &simWorker{w: w, name: fmt.Sprintf("w%02d", i), site: historycheck.Sites[i%3], labels: historycheck.WorkerLabels(i), room: dep.Cores, slow: 1,
 			running: map[string]*simRun{}, ended: map[string]*simRun{}}
 		w.workers[sw.name] = sw
 		w.after(500_000+w.rng.Int64N(300_000), sw.start)
@@ -147,7 +148,7 @@
 	return holds()
 }
 
-func (w *world) note(e verdict.Event) {
+func (w *world) note(e historycheck.Event) {
 	e.AtMs = w.nowMs()
 	w.history = append(w.history, e)
 	if w.onNote != nil {
@@ -225,7 +226,7 @@
 
 func (w *world) siteOf(host string) string {
 	if n := w.nodes[host]; n != nil {
-		return n.Site
+		return n.Zone
 	}
 	return w.workers[host].site
 }
@@ -243,7 +244,7 @@
 
 func (w *world) cutHost(host string) {
 	if w.workers[host] != nil {
-		w.note(verdict.Event{Kind: verdict.Unreachable, Worker: host})
+		w.note(historycheck.Event{Kind: historycheck.Unreachable, Worker: host})
 	}
 	for _, b := range w.hosts() {
 		if b != host {
@@ -255,15 +256,15 @@
 func (w *world) heal() {
 	w.cuts = map[[2]string]bool{}
 	for _, name := range sorted(w.workers) {
-		w.note(verdict.Event{Kind: verdict.Reachable, Worker: name})
+		w.note(historycheck.Event{Kind: historycheck.Reachable, Worker: name})
 	}
 }
 
 // simNode is one daemon's machine.
 type simNode struct {
-	place
+	nodeConfig
 	w        *world
-	sh       *shell
+	sh       *executor
 	gen      int
 	up       bool
 	frozenTo int64
@@ -290,14 +291,14 @@
 	n.incs++
 	n.asks = map[uint64]func(int, int64, []byte){}
 	n.bootUs = n.w.nowUs - 1_000_000 - n.w.rng.Int64N(3_000_000_000)
-	p := n.place
-	p.Inc = n.incs<<32 | uint64(n.w.nowMs())&0xffffffff
-	p.Life = addressOf(fmt.Sprintf("%s life %d", n.Name, n.gen)) // draws nothing, so that a seed's run stays as it was
-	var st *store
+	p := n.nodeConfig
+	p.Incarnation = n.incs<<32 | uint64(n.w.nowMs())&0xffffffff
+	p.Instance = addressOf(fmt.Sprintf("%s life %d", n.Name, n.gen)) // draws nothing, so that a seed's run stays as it was
+	var st *statestore.Store
 	if p.Disk {
 		st = n.disk.load()
 	}
-	n.sh = &shell{n: newNode(p, st), p: n}
+	n.sh = &executor{node: newNode(p, st), ports: n}
 	gen := n.gen
 	var tick func()
 	tick = func() {
@@ -365,10 +366,10 @@
 func (n *simNode) wipe() {
 	n.disk.entries, n.disk.synced = nil, 0
 	n.disk.wipes++
-	n.place.DiskID = n.w.rng.Uint64() | 1
+	n.nodeConfig.DiskID = n.w.rng.Uint64() | 1
 }
 
-func (n *simNode) Send(head wireHead, to, addr string, msg any) {
+func (n *simNode) Send(head frameHeader, to, addr string, msg any) {
 	frame := sealFrame(head, msg)
 	n.w.digest.add(n.w.nowUs, n.Name, "send", nil, []byte(to), []byte(addr), frame)
 	if n.w.largest = max(n.w.largest, len(frame)); len(frame) > frameMax {
@@ -407,12 +408,12 @@
 	n.w.carryTo(n.Name, target.Name, arrive)
 }
 
-func (n *simNode) Append(entries []logEntry, done func()) { n.disk.append(n, entries, done) }
-func (n *simNode) Snapshot(entries []logEntry)            { n.disk.snapshot(n, entries) }
+func (n *simNode) Append(entries []statestore.Entry, done func()) { n.disk.append(n, entries, done) }
+func (n *simNode) Snapshot(entries []statestore.Entry)            { n.disk.snapshot(n, entries) }
 func (n *simNode) Wipe(id uint64) {
 	n.w.digest.add(n.w.nowUs, n.Name, "wipe", []int64{int64(id)})
 	n.wipe()
-	n.place.DiskID = id
+	n.nodeConfig.DiskID = id
 }
 func (n *simNode) Exit() {
 	n.w.digest.add(n.w.nowUs, n.Name, "exit", nil)
@@ -437,7 +438,7 @@
 // Order sends to a worker. The clock is read again at the moment of writing,
 // as the product does.
 func (n *simNode) Order(e effOrder) {
-	n.w.digest.add(n.w.nowUs, n.Name, "order", []int64{e.NotAfterMs, boolNumber(e.Stop)}, []byte(e.Worker), []byte(e.Addr), pack(nil, e.Key), e.Body)
+	n.w.digest.add(n.w.nowUs, n.Name, "order", []int64{e.NotAfterMs, boolNumber(e.Stop)}, []byte(e.Worker), []byte(e.Addr), codec.Append(nil, e.Key), e.Body)
 	if n.w.freezeOrders > 0 && !e.Stop {
 		n.w.freezeOrders--
 		n.freeze(9000) // between the check and the write
@@ -492,22 +493,22 @@
 	stallUs  int64 // nothing is answered before
 }
 
-func (d *simDisk) load() *store {
-	st := newStore()
+func (d *simDisk) load() *statestore.Store {
+	st := statestore.New()
 	for _, b := range d.entries {
-		var e logEntry
-		if err := unpack(b, &e); err != nil {
+		var e statestore.Entry
+		if err := codec.Unmarshal(b, &e); err != nil {
 			panic(err)
 		}
-		st.apply(e)
+		st.Apply(e)
 	}
 	d.syncing, d.waiting, d.failed = false, nil, false
 	return st
 }
 
-func (d *simDisk) append(n *simNode, entries []logEntry, done func()) {
+func (d *simDisk) append(n *simNode, entries []statestore.Entry, done func()) {
 	for _, e := range entries {
-		d.entries = append(d.entries, pack(nil, e))
+		d.entries = append(d.entries, codec.Append(nil, e))
 		n.w.digest.add(n.w.nowUs, n.Name, "append", nil, d.entries[len(d.entries)-1])
 	}
 	d.waiting = append(d.waiting, done)
@@ -573,11 +574,11 @@
 	}
 }
 
-func (d *simDisk) snapshot(n *simNode, entries []logEntry) {
+func (d *simDisk) snapshot(n *simNode, entries []statestore.Entry) {
 	at := d.folded + len(d.entries)
 	var dump [][]byte
 	for _, e := range entries {
-		dump = append(dump, pack(nil, e))
+		dump = append(dump, codec.Append(nil, e))
 		n.w.digest.add(n.w.nowUs, n.Name, "snapshot", nil, dump[len(dump)-1])
 	}
 	wipes := d.wipes
@@ -596,9 +597,9 @@
 }
 
 // plant puts entries on the disk, synced, beside what its daemon writes.
-func (d *simDisk) plant(entries ...logEntry) {
+func (d *simDisk) plant(entries ...statestore.Entry) {
 	for _, e := range entries {
-		d.entries = append(d.entries, pack(nil, e))
+		d.entries = append(d.entries, codec.Append(nil, e))
 	}
 	d.synced = len(d.entries)
 }
@@ -633,11 +634,11 @@
 
 // ask sends an HTTP ask from a host to a daemon; cb gets status 0 on silence.
 func (w *world) ask(from string, to *simNode, op, key string, body []byte, waitMs int64, cb func(status int, retryMs int64, body []byte)) {
-	w.call(from, to, evAsk{Op: op, Key: key, Expect: -1, Body: body}, waitMs, cb)
+	w.call(from, to, evRequest{Op: op, Key: key, Expect: -1, Body: body}, waitMs, cb)
 }
 
 // call is ask for all that an ask may hold.
-func (w *world) call(from string, to *simNode, e evAsk, waitMs int64, cb func(status int, retryMs int64, body []byte)) {
+func (w *world) call(from string, to *simNode, e evRequest, waitMs int64, cb func(status int, retryMs int64, body []byte)) {
 	done := false
 	finish := func(status int, retryMs int64, b []byte) {
 		if !done {
@@ -712,7 +713,7 @@
 	s.up, s.seq, s.token, s.busy, s.leaving = true, 0, "", false, false
 	s.gen++
 	s.inc++
-	s.w.note(verdict.Event{Kind: verdict.WorkerRoom, Worker: s.name, Room: s.room, Labels: s.labels, Site: s.site})
+	s.w.note(historycheck.Event{Kind: historycheck.WorkerRoom, Worker: s.name, Room: s.room, Labels: s.labels, Site: s.site})
 	gen := s.gen
 	var tick func()
 	tick = func() {
@@ -730,7 +731,7 @@
 	s.gen++
 	for _, id := range sorted(s.running) {
 		r := s.running[id]
-		s.w.note(verdict.Event{Kind: verdict.End, Job: r.job, Task: r.task, Worker: s.name, Run: id, Text: "crash"})
+		s.w.note(historycheck.Event{Kind: historycheck.End, Job: r.job, Task: r.task, Worker: s.name, Run: id, Text: "crash"})
 	}
 	s.running = map[string]*simRun{}
 }
@@ -745,11 +746,11 @@
 		return "started"
 	}
 	o := gjson.ParseBytes(e.Body)
-	job, task, _ := verdict.ParseRun(id)
+	job, task, _ := historycheck.ParseRun(id)
 	r := &simRun{id: id, tag: o.Get("tag").Str, job: job, task: task, room: o.Get("room").Int(), startMs: s.w.nowMs(), gen: s.gen}
 	s.running[id] = r
 	s.starts++
-	s.w.note(verdict.Event{Kind: verdict.Start, Job: job, Task: task, Worker: s.name, Run: id, Text: o.Get("class").Str})
+	s.w.note(historycheck.Event{Kind: historycheck.Start, Job: job, Task: task, Worker: s.name, Run: id, Text: o.Get("class").Str})
 	ms := o.Get("payload.ms").Int() * s.slow
 	outcome := "ok"
 	if s.w.rng.IntN(100) < s.failPct || s.w.rng.IntN(100) < int(o.Get("payload.fail_pct").Int()) {
@@ -774,7 +775,7 @@
 	delete(s.running, id)
 	r.outcome, r.ranMs = outcome, s.w.nowMs()-r.startMs
 	s.ended[id] = r
-	s.w.note(verdict.Event{Kind: verdict.End, Job: r.job, Task: r.task, Worker: s.name, Run: id, Text: outcome})
+	s.w.note(historycheck.Event{Kind: historycheck.End, Job: r.job, Task: r.task, Worker: s.name, Run: id, Text: outcome})
 	s.report()
 }
 
@@ -806,7 +807,7 @@
 		free -= r.room
 	}
 	leaving := s.leaving
-	body := jsonOf(map[string]any{"incarnation": fmt.Sprintf("i%d", s.inc), "seq": s.seq, "address": s.name, "site": s.site, "labels": s.labels,
+	body := mustJSON(map[string]any{"incarnation": fmt.Sprintf("i%d", s.inc), "seq": s.seq, "address": s.name, "site": s.site, "labels": s.labels,
 		"free": max(free, 0), "leaving": leaving, "token": s.token, "running": list(s.running), "ended": list(s.ended)})
 	gen := s.gen
 	s.w.ask(s.name, s.w.anyNode(s.use+int(s.name[2])), "worker.report", s.name, body, 2000, func(status int, _ int64, b []byte) {
@@ -820,7 +821,7 @@
 				delete(s.ended, a.Str)
 			}
 			if leaving {
-				s.w.note(verdict.Event{Kind: verdict.WorkerLeaves, Worker: s.name})
+				s.w.note(historycheck.Event{Kind: historycheck.WorkerLeaves, Worker: s.name})
 			}
 		} else {
 			s.use++
@@ -834,7 +835,7 @@
 // simJob is a caller's view of one job.
 type simJob struct {
 	id     string
-	spec   verdict.Job
+	spec   historycheck.Job
 	body   []byte
 	sentMs int64
 	acked  bool
@@ -846,7 +847,7 @@
 }
 
 // submit sends a job, again after silence, and then asks for its state until it ends.
-func (w *world) submit(spec verdict.Job) *simJob {
+func (w *world) submit(spec historycheck.Job) *simJob {
 	w.jobSeq++
 	j := &simJob{id: fmt.Sprintf("j%05d", w.jobSeq), spec: spec, sentMs: w.nowMs()}
 	j.body, _ = json.Marshal(spec)
@@ -855,7 +856,7 @@
 	if seen.DueMs > 0 {
 		seen.DueMs -= wallStart // the history speaks in the world's time
 	}
-	w.note(verdict.Event{Kind: verdict.JobSent, Job: j.id, Spec: &seen})
+	w.note(historycheck.Event{Kind: historycheck.JobSent, Job: j.id, Spec: &seen})
 	w.put(j)
 	return j
 }
@@ -867,7 +868,7 @@
 		case status == 200 || status == 201:
 			if !j.acked {
 				j.acked = true
-				w.note(verdict.Event{Kind: verdict.JobAcked, Job: j.id})
+				w.note(historycheck.Event{Kind: historycheck.JobAcked, Job: j.id})
 			}
 			w.after(500_000, func() { w.get(j) })
 		case status == 400 || status == 409:
@@ -875,7 +876,7 @@
 		case j.tries > 200:
 			j.gaveUp = true
 		default:
-			w.note(verdict.Event{Kind: verdict.NoEntry, Job: j.id})
+			w.note(historycheck.Event{Kind: historycheck.NoEntry, Job: j.id})
 			w.after(max(retryMs, 500)*1000, func() { w.put(j) })
 		}
 	})
@@ -891,9 +892,9 @@
 		}
 		if state != "" {
 			j.state = state
-			w.note(verdict.Event{Kind: verdict.JobState, Job: j.id, Text: state, AskedMs: asked})
+			w.note(historycheck.Event{Kind: historycheck.JobState, Job: j.id, Text: state, AskedMs: asked})
 		} else {
-			w.note(verdict.Event{Kind: verdict.NoState, Job: j.id})
+			w.note(historycheck.Event{Kind: historycheck.NoState, Job: j.id})
 		}
 		if state == "complete" || state == "failed" || state == "cancelled" {
 			w.doneAt = append(w.doneAt, w.nowMs())
@@ -908,7 +909,7 @@
 		switch status {
 		case 200:
 			j.cancel = true
-			w.note(verdict.Event{Kind: verdict.CancelAcked, Job: j.id})
+			w.note(historycheck.Event{Kind: historycheck.CancelAcked, Job: j.id})
 		case 409, 404:
 		default:
 			w.after(500_000, func() { w.cancelJob(j) })
@@ -917,18 +918,18 @@
 }
 
 // putSetup sends a setup version until it is finally answered.
-func (w *world) putSetup(version int64, s verdict.Setup, done func(status int)) {
+func (w *world) putSetup(version int64, s historycheck.Setup, done func(status int)) {
 	body, _ := json.Marshal(s)
 	kept := &s
-	w.note(verdict.Event{Kind: verdict.SetupSent, Version: version, Setup: kept})
+	w.note(historycheck.Event{Kind: historycheck.SetupSent, Version: version, Setup: kept})
 	var try func()
 	try = func() {
 		w.ask("operator", w.anyNode(w.rng.IntN(1000)), "setup.put", fmt.Sprint(version), body, 4000, func(status int, _ int64, b []byte) {
 			switch status {
 			case 200:
-				w.note(verdict.Event{Kind: verdict.SetupAcked, Version: version, Setup: kept})
+				w.note(historycheck.Event{Kind: historycheck.SetupAcked, Version: version, Setup: kept})
 			case 400, 409:
-				w.note(verdict.Event{Kind: verdict.SetupBounced, Version: version, Setup: kept})
+				w.note(historycheck.Event{Kind: historycheck.SetupBounced, Version: version, Setup: kept})
 			default:
 				w.after(500_000, try)
 				return
@@ -959,7 +960,7 @@
 	v := int64(0)
 	for _, n := range w.nodesInOrder() {
 		if n.up {
-			v = max(v, n.sh.n.setup.doc.Version)
+			v = max(v, n.sh.node.config.record.Version)
 		}
 	}
 	return v
@@ -978,7 +979,7 @@
 
 func (w *world) holderOf(duty string) *simNode {
 	for _, name := range sorted(w.nodes) {
-		if n := w.nodes[name]; n.up && w.nowUs >= n.frozenTo && n.sh.n.holds(duty) {
+		if n := w.nodes[name]; n.up && w.nowUs >= n.frozenTo && n.sh.node.holds(duty) {
 			return n
 		}
 	}
@@ -989,7 +990,7 @@
 	sum := int64(0)
 	for _, n := range w.nodesInOrder() {
 		if n.up {
-			sum += n.sh.n.counts[count]
+			sum += n.sh.node.counts[count]
 		}
 	}
 	return sum
--- a/verdict/after.go
+++ b/internal/historycheck/after.go
@@ -1,4 +1,4 @@
-package verdict
+package historycheck
 
 // What callers feel after a loss: how much work is done, and how long states
 // and submissions are not to be had.
@@ -20,7 +20,7 @@
 // Recoveries gives for each hard loss the span with the least work, from
 // bounds.Back after the machines' return until the next loss or the end of traffic.
 //
-// Example: for _, r := range verdict.Recoveries(events, verdict.Usual) { fmt.Println(r.Share) }
+// Example: for _, r := range historycheck.Recoveries(events, historycheck.Usual) { fmt.Println(r.Share) }
 func Recoveries(ordered []Event, bounds Bounds) []Recovery {
 	ended := func(from, to int64) int {
 		n := 0
@@ -63,7 +63,7 @@
 // Dark gives the longest time, in ms, that an accepted job's state was asked
 // for in vain, and that a job was handed in in vain.
 //
-// Example: stateMs, entryMs := verdict.Dark(events)
+// Example: stateMs, entryMs := historycheck.Dark(events)
 func Dark(ordered []Event) (stateMs, entryMs int64) {
 	since := map[[2]string]int64{}
 	begin := func(kind string, e *Event) {
--- a/verdict/verdict.go
+++ b/internal/historycheck/historycheck.go
@@ -1,8 +1,8 @@
 // Package verdict judges a history of what callers, workers and operators saw
-// against the rules that must never be broken. It knows nothing of accord's
+// against the rules that must never be broken. It knows nothing of the daemons'
 // own state: only what was sent, what was acknowledged, and what workers
 // recorded as started and ended.
-package verdict
+package historycheck
 
 import (
 	"cmp"
@@ -162,7 +162,7 @@
 
 // ParseRun splits an order's id into job and flat task number.
 //
-// Example: job, task, ok := verdict.ParseRun("order-1#0#2")
+// Example: job, task, ok := historycheck.ParseRun("order-1#0#2")
 func ParseRun(id string) (job string, task int, ok bool) {
 	p := strings.Split(id, "#")
 	if len(p) != 3 {
@@ -222,7 +222,7 @@
 
 // Check gives every breach in a history. Events are put in order of time first.
 //
-// Example: if b := verdict.Check(events, verdict.Usual); len(b) > 0 { ... }
+// Example: if b := historycheck.Check(events, historycheck.Usual); len(b) > 0 { ... }
 func Check(events []Event, bounds Bounds) []Breach {
 	ordered := slices.Clone(events)
 	slices.SortStableFunc(ordered, func(a, b Event) int { return cmp.Compare(a.AtMs, b.AtMs) })
--- a/verdict/verdict_test.go
+++ b/internal/historycheck/historycheck_test.go
@@ -1,4 +1,4 @@
-package verdict
+package historycheck
 
 import (
 	"fmt"
--- a/verdict/mix.go
+++ b/internal/historycheck/mix.go
@@ -1,4 +1,4 @@
-package verdict
+package historycheck
 
 import (
 	"fmt"
@@ -89,7 +89,7 @@
 
 // Draw gives the next job of a deployment's mix.
 //
-// Example: job := verdict.Deployments["hakata"].Draw(rng)
+// Example: job := historycheck.Deployments["hakata"].Draw(rng)
 func (d Deployment) Draw(r *rand.Rand) Job {
 	sum := 0
 	for _, k := range d.Kinds {
@@ -106,7 +106,7 @@
 
 // WorkerLabels are the labels of a deployment's worker number i.
 //
-// Example: labels := verdict.WorkerLabels(4)
+// Example: labels := historycheck.WorkerLabels(4)
 func WorkerLabels(i int) map[string]string {
 	m := map[string]string{"tier": "fast", "disk": "none"}
 	if i%2 == 0 {
@@ -123,5 +123,5 @@
 
 // SetupOf is a deployment's first setup.
 //
-// Example: setup := verdict.Deployments["ikenna"].SetupOf()
+// Example: setup := historycheck.Deployments["ikenna"].SetupOf()
 func (d Deployment) SetupOf() Setup { return Setup{Queues: d.Queues} }
