--- a/guards.sh
+++ b/guards.sh
@@ -13,11 +13,11 @@
 # name | file, from the repository's root | text that stands there | what stands there instead
 guards() {
   cat << 'G'
-room|internal/daemon/agents.go|if h.spec.Resources.fits(avail) {|if true {
+room|internal/daemon/agents.go|if h.spec.Resources.Fits(avail) {|if true {
 unsettled orders hold room|internal/daemon/agents.go|if ag.colocated \|\| !h.listed {|if ag.colocated {
 new agent waits for the worker's fresh word|internal/daemon/agents.go|if !ag.rebuilt && ag.tokenMs > ag.startMs+flightMs {|if !ag.rebuilt {
 lost only once rebuilt|internal/daemon/slices.go|case m.Epoch > t.AgentEpoch && m.Rebuilt:|case m.Epoch > t.AgentEpoch:
-unknown is not ended|internal/daemon/agents.go|"unknown": func(n *node, _ *agent, h *attempt) { n.count("orders_unsettled") },|"unknown": func(n *node, _ *agent, h *attempt) { h.state, h.result = attemptEnded, resultRejected },
+unknown is not ended|internal/daemon/agents.go|"unknown": func(n *node, _ *agent, h *attempt) { n.count("orders_unsettled") },|"unknown": func(n *node, _ *agent, h *attempt) { h.state, h.result = wire.AttemptEnded, wire.ResultRejected },
 placement is durable first|internal/daemon/slices.go|if t.ChangedIn <= js.committed && rt.sentMs == 0|if rt.sentMs == 0
 end is durable before it is acknowledged|internal/daemon/slices.go|if t.ChangedIn > js.committed {\n\t\t\treturn 0\n\t\t}\n\t\tif !t.counted|if !t.counted
 steps in order|internal/daemon/slices.go|if !ready[js.stepAt(t)] \|\| |if 
@@ -86,10 +86,10 @@
 takeover merges a majority|internal/daemon/slices.go|if len(sl.seals) < n.core.Majority() {|if len(sl.seals) < 1 {
 a resend finds the finished job|internal/daemon/slices.go|if old == nil && f.job != nil|if f.job != nil
 batches wait for their hours|internal/daemon/batch.go|return wallMs >= p.StartMs && wallMs < p.CloseMs|return wallMs > 0
-batches keep to their share|internal/daemon/batch.go|return sum.fits(ag.capacity.share(r.SharePercent))|return true
+batches keep to their share|internal/daemon/batch.go|return sum.Fits(ag.capacity.Share(r.SharePercent))|return true
 batches are below all others|internal/daemon/setup.go|r.Urgency -= batchBelow|r.Urgency -= 0
 batches make room at once|internal/daemon/agents.go|n.now-wants.queuedMs <= urgentWaitMs && n.batchSpec(&h.spec) == nil|n.now-wants.queuedMs <= urgentWaitMs
-batches are never firm|internal/daemon/agents.go|h.spec.Class != classQueueable \|\| n.batchSpec(&h.spec) != nil {\n\t\treturn|h.spec.Class != classQueueable {\n\t\treturn
+batches are never firm|internal/daemon/agents.go|h.spec.Class != wire.ClassQueueable \|\| n.batchSpec(&h.spec) != nil {\n\t\treturn|h.spec.Class != wire.ClassQueueable {\n\t\treturn
 batches leave urgent work its room|internal/daemon/batch.go|if waiting, _ := ag.withoutBatches(n); waiting > 0 {|if false {
 G
 }
--- a/internal/daemon/agents.go
+++ b/internal/daemon/agents.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"encoding/json"
 	"fmt"
+	"otterchute/internal/resource"
+	"otterchute/internal/wire"
 	"slices"
 	"strconv"
 	"strings"
@@ -11,39 +13,6 @@
 	"github.com/tidwall/gjson"
 )
 
-const (
-	attemptQueued  int8 = iota
-	attemptOrdered      // ordered; it may have started
-	attemptRunning
-	attemptEnded
-)
-
-const (
-	resultOK int8 = iota + 1
-	resultFailed
-	resultOverrun
-	resultPreempted
-	resultShed
-	resultRejected
-	resultLost
-	resultCancelled
-	resultMoved      // stopped since its worker leaves
-	resultStalled    // stopped since it stood still
-	resultGangBroken // another member of its gang ended, or did not come
-)
-
-var resultNames = map[int8]string{resultOK: "ok", resultFailed: "failed", resultOverrun: "overrun", resultPreempted: "preempted",
-	resultShed: "shed", resultRejected: "bounced", resultLost: "lost", resultCancelled: "cancelled",
-	resultMoved: "moved", resultStalled: "standing", resultGangBroken: "broken"}
-
-const (
-	decisionKeep int8 = iota + 1
-	decisionDrop
-	decisionAcknowledged // nothing more is wanted of it
-	decisionCounted      // the same, and no other run took its place since its worker was silent
-	decisionRecall       // to be given back if it has not started: there is room elsewhere
-)
-
 // agent is the only giver of one worker's orders and the guard of its room.
 type agent struct {
 	worker  string
@@ -54,17 +23,17 @@
 	pastIncarnations  []string
 	addr              string
 	site              string
-	labels            []label
+	labels            []wire.Label
 	leaving           bool
-	free              resources
-	capacity          resources
+	free              resource.Amount
+	capacity          resource.Amount
 	reportSeq         int64
 	tokenMs           int64 // our clock when the token was issued that the last report carried
 	heardMs           int64
 	rebuilt           bool
 
-	attempts   map[attemptKey]*attempt
-	tombstones map[attemptKey]int64
+	attempts   map[wire.AttemptKey]*attempt
+	tombstones map[wire.AttemptKey]int64
 	owners     map[string]uint64 // slice -> highest owner epoch heard
 	lastOK     int64
 	syncAt     int64
@@ -77,7 +46,7 @@
 	rack             string
 	holdUntil        int64 // all that runs there has surely ended by then, if no beat comes
 	acknowledgedEnds int64 // ends up to this number were taken note of
-	ends             map[int64]attemptKey
+	ends             map[int64]wire.AttemptKey
 	ownerMs          map[string]int64 // slice -> our clock at the last sync that its owner answered
 	outbox           []*attempt       // what the answer to this beat starts
 	answering        bool             // a beat is being answered
@@ -91,9 +60,9 @@
 }
 
 type attempt struct {
-	spec        orderSpec
-	state       int8
-	result      int8
+	spec        wire.TaskSpec
+	state       wire.AttemptState
+	result      wire.AttemptResult
 	ranMs       int64
 	confirmedMs int64
 	queuedMs    int64
@@ -104,7 +73,7 @@
 	listed      bool // the last report shows it running
 	stopMs      int64
 	stopSentMs  int64
-	stopWhy     int8
+	stopWhy     wire.AttemptResult
 	ordered     bool // an order may have left; the worker may know it
 	acked       bool
 
@@ -120,14 +89,14 @@
 // orderTag travels with an order and comes back in the worker's lists, so that
 // a successor can rebuild what it needs from the worker alone.
 type orderTag struct {
-	Slice    string    `json:"slice"`
-	Queue    string    `json:"queue"`
-	Name     string    `json:"name"`
-	Class    int8      `json:"class"`
-	Room     resources `json:"room"`
-	LimitMs  int64     `json:"limit_ms"`
-	EstMs    int64     `json:"est_ms"`
-	SubmitMs int64     `json:"submit_ms"`
+	Slice    string          `json:"slice"`
+	Queue    string          `json:"queue"`
+	Name     string          `json:"name"`
+	Class    wire.TaskClass  `json:"class"`
+	Room     resource.Amount `json:"room"`
+	LimitMs  int64           `json:"limit_ms"`
+	EstMs    int64           `json:"est_ms"`
+	SubmitMs int64           `json:"submit_ms"`
 }
 
 var reportFields = fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
@@ -151,34 +120,18 @@
 	"outcome": {Kind: "name"},
 }}
 
-func (k attemptKey) String() string { return fmt.Sprintf("%s#%d#%d", k.Job, k.Task, k.Attempt) }
-
-func parseKey(s string) (attemptKey, bool) {
-	parts := strings.Split(s, "#")
-	if len(parts) != 3 {
-		return attemptKey{}, false
-	}
-	t, err1 := strconv.ParseInt(parts[1], 10, 64)
-	a, err2 := strconv.ParseInt(parts[2], 10, 32)
-	return attemptKey{parts[0], t, int32(a)}, err1 == nil && err2 == nil && t >= 0
-}
-
-func compareKeys(a, b attemptKey) int {
-	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
-}
-
-func (ag *agent) keys() []attemptKey {
-	out := make([]attemptKey, 0, len(ag.attempts))
+func (ag *agent) keys() []wire.AttemptKey {
+	out := make([]wire.AttemptKey, 0, len(ag.attempts))
 	for k := range ag.attempts {
 		out = append(out, k)
 	}
-	slices.SortFunc(out, compareKeys)
+	slices.SortFunc(out, wire.CompareAttemptKeys)
 	return out
 }
 
 func (n *node) startAgent(d *roleLease) {
 	w := strings.TrimPrefix(d.name, "agent/")
-	n.agents[w] = &agent{worker: w, epoch: d.epoch, startMs: n.now, attempts: map[attemptKey]*attempt{}, tombstones: map[attemptKey]int64{},
+	n.agents[w] = &agent{worker: w, epoch: d.epoch, startMs: n.now, attempts: map[wire.AttemptKey]*attempt{}, tombstones: map[wire.AttemptKey]int64{},
 		owners: map[string]uint64{}, lastOK: n.now, heardMs: n.now, tokenMs: -1 << 40}
 }
 
@@ -228,19 +181,19 @@
 	}
 	ag.workerIncarnation, ag.reportSeq, ag.heardMs = inc, seq, n.now
 	ag.addr, ag.site, ag.leaving = r.Get("address").Str, r.Get("site").Str, r.Get("leaving").Bool()
-	ag.labels, ag.free = labelsOf(r.Get("labels")), resourcesOf(r.Get("free"))
+	ag.labels, ag.free = labelsOf(r.Get("labels")), resource.Parse(r.Get("free"))
 	ag.tokenMs = -1 << 40
 	if epoch, ms, ok := strings.Cut(r.Get("token").Str, "."); ok && epoch == strconv.FormatUint(ag.epoch, 10) {
 		if v, err := strconv.ParseInt(ms, 10, 64); err == nil && v <= n.now {
 			ag.tokenMs = v
 		}
 	}
-	running, ended := map[attemptKey]bool{}, map[attemptKey]bool{}
+	running, ended := map[wire.AttemptKey]bool{}, map[wire.AttemptKey]bool{}
 	ag.capacity = ag.free
 	for _, e := range r.Get("running").Array() {
-		key, ok := parseKey(e.Get("id").Str)
+		key, ok := wire.ParseAttemptKey(e.Get("id").Str)
 		if !ok {
-			ag.capacity = ag.capacity.plus(resourcesOf(e.Get("room")))
+			ag.capacity = ag.capacity.Plus(resource.Parse(e.Get("room")))
 			continue // not one of ours, but it takes room
 		}
 		running[key] = true
@@ -248,18 +201,18 @@
 		if h == nil {
 			h = ag.adopt(key, e, n.now)
 		}
-		if h.state != attemptRunning {
-			if h.state == attemptEnded {
+		if h.state != wire.AttemptRunning {
+			if h.state == wire.AttemptEnded {
 				n.log("attempt_runs_after_end", "attempt", key.String(), "worker", ag.worker)
 			}
-			h.state, h.ordered = attemptRunning, true
+			h.state, h.ordered = wire.AttemptRunning, true
 			h.startedMs = n.now - e.Get("ran_ms").Int()
 		}
-		ag.capacity = ag.capacity.plus(h.spec.Resources)
+		ag.capacity = ag.capacity.Plus(h.spec.Resources)
 	}
 	changed := false
 	for _, e := range r.Get("ended").Array() {
-		key, ok := parseKey(e.Get("id").Str)
+		key, ok := wire.ParseAttemptKey(e.Get("id").Str)
 		if !ok {
 			continue
 		}
@@ -272,7 +225,7 @@
 			h = ag.adopt(key, e, n.now)
 		}
 		h.ordered = true
-		if h.state != attemptEnded {
+		if h.state != wire.AttemptEnded {
 			changed = true
 			n.endAttempt(ag, h, e.Get("outcome").Str, max(e.Get("ran_ms").Int(), 1))
 		}
@@ -283,11 +236,11 @@
 		h.listed = running[key]
 		switch {
 		case running[key] || ended[key]:
-		case h.state == attemptRunning && (wasListed || h.answeredMs > 0 && ag.tokenMs > h.answeredMs):
-			h.state, h.result, changed = attemptEnded, resultLost, true
-		case h.state == attemptOrdered && ag.tokenMs > h.orderedMs+flightMs:
-			h.state, h.result, changed = attemptEnded, resultRejected, true
-		case h.state == attemptEnded && h.acked:
+		case h.state == wire.AttemptRunning && (wasListed || h.answeredMs > 0 && ag.tokenMs > h.answeredMs):
+			h.state, h.result, changed = wire.AttemptEnded, wire.ResultLost, true
+		case h.state == wire.AttemptOrdered && ag.tokenMs > h.orderedMs+flightMs:
+			h.state, h.result, changed = wire.AttemptEnded, wire.ResultRejected, true
+		case h.state == wire.AttemptEnded && h.acked:
 			ag.forget(key, n.now)
 		}
 	}
@@ -304,30 +257,30 @@
 }
 
 // adopt takes a run that only the worker knew of.
-func (ag *agent) adopt(key attemptKey, e gjson.Result, now int64) *attempt {
+func (ag *agent) adopt(key wire.AttemptKey, e gjson.Result, now int64) *attempt {
 	var t orderTag
 	_ = json.Unmarshal([]byte(e.Get("tag").Str), &t)
-	h := &attempt{state: attemptOrdered, ordered: true, orderedMs: now, startedMs: now - e.Get("ran_ms").Int(), spec: orderSpec{Key: key, Slice: t.Slice,
-		Queue: t.Queue, Name: t.Name, Class: t.Class, Resources: t.Room, LimitMs: t.LimitMs, EstMs: t.EstMs, SubmitMs: t.SubmitMs}}
-	if h.spec.Resources == (resources{}) {
-		h.spec.Resources = resourcesOf(e.Get("room"))
+	h := &attempt{state: wire.AttemptOrdered, ordered: true, orderedMs: now, startedMs: now - e.Get("ran_ms").Int(), spec: wire.TaskSpec{Key: key, Shard: t.Slice,
+		Queue: t.Queue, Name: t.Name, Class: t.Class, Resources: t.Room, LimitMs: t.LimitMs, EstimateMs: t.EstMs, SubmittedMs: t.SubmitMs}}
+	if h.spec.Resources == (resource.Amount{}) {
+		h.spec.Resources = resource.Parse(e.Get("room"))
 	}
 	ag.attempts[key] = h
 	return h
 }
 
-func (ag *agent) forget(key attemptKey, now int64) {
+func (ag *agent) forget(key wire.AttemptKey, now int64) {
 	delete(ag.attempts, key)
 	ag.tombstones[key] = now
 }
 
-func (n *node) answerReport(ag *agent, a *request, ended map[attemptKey]bool) {
+func (n *node) answerReport(ag *agent, a *request, ended map[wire.AttemptKey]bool) {
 	acked := []string{}
-	keys := make([]attemptKey, 0, len(ended))
+	keys := make([]wire.AttemptKey, 0, len(ended))
 	for k := range ended {
 		keys = append(keys, k)
 	}
-	slices.SortFunc(keys, compareKeys)
+	slices.SortFunc(keys, wire.CompareAttemptKeys)
 	for _, k := range keys {
 		_, buried := ag.tombstones[k]
 		if h := ag.attempts[k]; buried || h != nil && h.acked {
@@ -339,55 +292,55 @@
 
 // endAttempt takes a worker's word on how a run ended.
 func (n *node) endAttempt(ag *agent, h *attempt, outcome string, ranMs int64) {
-	h.state, h.ranMs = attemptEnded, ranMs
+	h.state, h.ranMs = wire.AttemptEnded, ranMs
 	if h.vague {
 		h.ranMs = 0 // nothing is learned from it
 	}
 	switch outcome {
 	case "ok":
-		h.result = resultOK
+		h.result = wire.ResultOK
 		ag.oks++
-		if h.spec.Class == classQueueable {
+		if h.spec.Class == wire.ClassQueueable {
 			ag.lastOK = n.now
 		}
-		if h.spec.EstMs > 0 && !h.vague {
-			ag.lagPct += (min(100*ranMs/h.spec.EstMs, 2000) - ag.lagPct) / 8
+		if h.spec.EstimateMs > 0 && !h.vague {
+			ag.lagPct += (min(100*ranMs/h.spec.EstimateMs, 2000) - ag.lagPct) / 8
 		}
 	case "failed":
-		h.result = resultFailed
+		h.result = wire.ResultFailed
 		ag.fails++
 	case "overrun":
-		h.result = resultOverrun
+		h.result = wire.ResultOverrun
 		ag.fails++
 	case "lapsed":
-		h.result = resultLost
+		h.result = wire.ResultLost
 	case "broken", "alone":
-		h.result = resultGangBroken
+		h.result = wire.ResultGangBroken
 		n.count("gang_" + outcome)
 	case "turned_away":
-		h.result = resultRejected
+		h.result = wire.ResultRejected
 		n.count("starts_turned_away")
 	default:
 		h.result = h.stopWhy
 		if h.result == 0 {
-			h.result = resultPreempted // stopped on a former agent's order: never the task's own failure
+			h.result = wire.ResultPreempted // stopped on a former agent's order: never the task's own failure
 		}
 		if h.spec.LimitMs > 0 && ranMs >= h.spec.LimitMs {
-			h.result = resultOverrun // whoever had it stopped first, it ran past its limit
+			h.result = wire.ResultOverrun // whoever had it stopped first, it ran past its limit
 		}
-		if h.result == resultOverrun {
+		if h.result == wire.ResultOverrun {
 			ag.fails++
 		}
 	}
 }
 
-func (n *node) onPlacement(_ string, m *placement) {
+func (n *node) onPlacement(_ string, m *wire.Placement) {
 	ag := n.agents[m.Worker]
-	if ag == nil || ag.epoch != m.AgentEpoch || !n.isActiveAgent(ag) && !ag.replaced || m.SliceEpoch < ag.owners[m.Spec.Slice] || n.now-m.EchoMs > contactMs {
+	if ag == nil || ag.epoch != m.AgentEpoch || !n.isActiveAgent(ag) && !ag.replaced || m.SliceEpoch < ag.owners[m.Spec.Shard] || n.now-m.EchoMs > contactMs {
 		n.count("places_stale")
 		return
 	}
-	ag.owners[m.Spec.Slice] = m.SliceEpoch
+	ag.owners[m.Spec.Shard] = m.SliceEpoch
 	if h := ag.attempts[m.Spec.Key]; h != nil {
 		h.confirmedMs = max(h.confirmedMs, m.EchoMs)
 		return
@@ -397,17 +350,17 @@
 	}
 	h := &attempt{spec: m.Spec, confirmedMs: m.EchoMs, queuedMs: n.now}
 	ag.attempts[m.Spec.Key] = h
-	firm, queued := resources{}, 0
+	firm, queued := resource.Amount{}, 0
 	for _, o := range ag.attempts {
-		if o.state != attemptEnded && o.spec.Class == classGuaranteed {
-			firm = firm.plus(o.spec.Resources)
+		if o.state != wire.AttemptEnded && o.spec.Class == wire.ClassGuaranteed {
+			firm = firm.Plus(o.spec.Resources)
 		}
-		if o.state == attemptQueued {
+		if o.state == wire.AttemptQueued {
 			queued++
 		}
 	}
-	if !ag.rebuilt || ag.replaced || !m.Spec.Resources.fits(ag.capacity) || m.Spec.Class == classGuaranteed && !firm.fits(ag.capacity) || queued > agentQueueMax {
-		h.state, h.result = attemptEnded, resultRejected
+	if !ag.rebuilt || ag.replaced || !m.Spec.Resources.Fits(ag.capacity) || m.Spec.Class == wire.ClassGuaranteed && !firm.Fits(ag.capacity) || queued > agentQueueMax {
+		h.state, h.result = wire.AttemptEnded, wire.ResultRejected
 		n.count("places_bounced")
 		n.syncAgent(ag)
 		return
@@ -415,13 +368,13 @@
 	n.startPending(ag)
 }
 
-func (n *node) onSyncAck(_ string, m *syncAck) {
+func (n *node) onSyncAck(_ string, m *wire.OwnerReply) {
 	ag := n.agents[m.Worker]
-	if ag == nil || ag.epoch != m.Epoch || m.SliceEpoch < ag.owners[m.Slice] {
+	if ag == nil || ag.epoch != m.Epoch || m.SliceEpoch < ag.owners[m.Shard] {
 		return
 	}
-	ag.owners[m.Slice] = m.SliceEpoch
-	ag.heardOwner(m.Slice, m.SentMs, n.now)
+	ag.owners[m.Shard] = m.SliceEpoch
+	ag.heardOwner(m.Shard, m.SentMs, n.now)
 	recalled := false
 	for _, s := range m.Specs {
 		if h := ag.attempts[s.Key]; h != nil && h.unknown {
@@ -434,28 +387,28 @@
 			continue
 		}
 		switch v.Decision {
-		case decisionKeep:
+		case wire.DecisionKeep:
 			h.confirmedMs = max(h.confirmedMs, m.SentMs)
-		case decisionRecall:
-			if h.state == attemptQueued {
-				h.state, h.result, recalled = attemptEnded, resultShed, true
+		case wire.DecisionRecall:
+			if h.state == wire.AttemptQueued {
+				h.state, h.result, recalled = wire.AttemptEnded, wire.ResultShed, true
 				n.count("recalls")
 			} else {
 				h.confirmedMs = max(h.confirmedMs, m.SentMs)
 			}
-		case decisionDrop:
-			if h.state == attemptQueued {
-				h.state, h.result = attemptEnded, resultCancelled
-			} else if h.state != attemptEnded {
-				n.stopAttempt(ag, h, resultCancelled)
+		case wire.DecisionDrop:
+			if h.state == wire.AttemptQueued {
+				h.state, h.result = wire.AttemptEnded, wire.ResultCancelled
+			} else if h.state != wire.AttemptEnded {
+				n.stopAttempt(ag, h, wire.ResultCancelled)
 			}
-		case decisionAcknowledged, decisionCounted:
-			if h.state == attemptEnded && !h.acked {
-				if h.late && v.Decision != decisionCounted {
+		case wire.DecisionAcknowledged, wire.DecisionCounted:
+			if h.state == wire.AttemptEnded && !h.acked {
+				if h.late && v.Decision != wire.DecisionCounted {
 					continue // another run may have taken its place
 				}
 				h.acked = true
-				if !h.ordered || h.result == resultLost || h.result == resultRejected {
+				if !h.ordered || h.result == wire.ResultLost || h.result == wire.ResultRejected {
 					ag.forget(v.Key, n.now)
 				}
 			}
@@ -467,10 +420,10 @@
 	n.startPending(ag)
 }
 
-func (n *node) stopAttempt(ag *agent, h *attempt, why int8) {
+func (n *node) stopAttempt(ag *agent, h *attempt, why wire.AttemptResult) {
 	if h.stopMs == 0 {
 		h.stopMs, h.stopWhy = n.now, why
-		n.log("run_stopped", "attempt", h.spec.Key.String(), "worker", ag.worker, "why", resultNames[why], "queue", h.spec.Queue, "class", classNames[h.spec.Class],
+		n.log("run_stopped", "attempt", h.spec.Key.String(), "worker", ag.worker, "why", why.String(), "queue", h.spec.Queue, "class", h.spec.Class.String(),
 			"ran_ms", n.now-max(h.startedMs, h.orderedMs), "percent", h.percent, "cpu", h.spec.Resources.CPU, "gang", h.spec.Gang)
 	}
 	if n.now-h.stopSentMs < 1000 && h.stopSentMs != 0 || ag.addr == "" || ag.colocated {
@@ -505,48 +458,48 @@
 	}
 	if ag.leaving || n.config.current.EmptyZones[ag.site] {
 		for _, h := range queue { // others can take them; they never started
-			h.state, h.result = attemptEnded, resultShed
+			h.state, h.result = wire.AttemptEnded, wire.ResultShed
 		}
 		n.syncAgent(ag)
 		return
 	}
 	avail := ag.free
 	for _, h := range ag.attempts {
-		if h.state != attemptOrdered && h.state != attemptRunning {
+		if h.state != wire.AttemptOrdered && h.state != wire.AttemptRunning {
 			continue
 		}
 		if h.unknown {
 			return // it takes room, nobody has told yet how much
 		}
 		if ag.colocated || !h.listed {
-			avail = avail.minus(h.spec.Resources)
+			avail = avail.Minus(h.spec.Resources)
 		}
 	}
 	for _, h := range queue {
 		q := n.config.current.Queues[h.spec.Queue]
 		_, lack := lacks(ag.labels, h.spec.Needs)
 		if q == nil || lack || !q.matches(ag.labels, ag.site) || h.spec.PerWorker > 0 && ag.ofStep(h) >= int(h.spec.PerWorker) {
-			h.state, h.result = attemptEnded, resultRejected
+			h.state, h.result = wire.AttemptEnded, wire.ResultRejected
 			n.syncAgent(ag)
 			continue
 		}
 		if n.now-h.confirmedMs > contactMs {
 			continue
 		}
-		if r := n.batchSpec(&h.spec); r != nil && (!h.spec.Resources.fits(avail) || !n.mayStartBatch(ag, h, r)) {
+		if r := n.batchSpec(&h.spec); r != nil && (!h.spec.Resources.Fits(avail) || !n.mayStartBatch(ag, h, r)) {
 			continue
 		}
-		if h.spec.Resources.fits(avail) {
-			avail = avail.minus(h.spec.Resources)
+		if h.spec.Resources.Fits(avail) {
+			avail = avail.Minus(h.spec.Resources)
 			n.dispatch(ag, h)
 			continue
 		}
-		if h.spec.Class == classGuaranteed {
-			n.preempt(ag, h, h.spec.Resources.minus(avail))
-			avail = avail.minus(h.spec.Resources) // what is free and what gets free is kept for it
+		if h.spec.Class == wire.ClassGuaranteed {
+			n.preempt(ag, h, h.spec.Resources.Minus(avail))
+			avail = avail.Minus(h.spec.Resources) // what is free and what gets free is kept for it
 			continue
 		}
-		n.preempt(ag, h, h.spec.Resources.minus(avail)) // of lesser queues only, batches at once
+		n.preempt(ag, h, h.spec.Resources.Minus(avail)) // of lesser queues only, batches at once
 		if n.now-h.queuedMs > bypassMs {
 			return
 		}
@@ -558,7 +511,7 @@
 	round, step, _, ok := placeOf(h.spec.Key.Task)
 	for k, o := range ag.attempts {
 		r, s, _, _ := placeOf(k.Task)
-		if ok && k.Job == h.spec.Key.Job && r == round && s == step && (o.state == attemptOrdered || o.state == attemptRunning) {
+		if ok && k.Job == h.spec.Key.Job && r == round && s == step && (o.state == wire.AttemptOrdered || o.state == wire.AttemptRunning) {
 			count++
 		}
 	}
@@ -569,13 +522,13 @@
 func (ag *agent) waiting(n *node) []*attempt {
 	var out []*attempt
 	for _, key := range ag.keys() {
-		if ag.attempts[key].state == attemptQueued {
+		if ag.attempts[key].state == wire.AttemptQueued {
 			out = append(out, ag.attempts[key])
 		}
 	}
 	urgency := func(h *attempt) int64 { return n.config.current.urgencyOf(h.spec.Queue) }
 	slices.SortStableFunc(out, func(a, b *attempt) int {
-		return cmp.Or(cmp.Compare(urgency(b), urgency(a)), cmp.Compare(a.spec.Class, b.spec.Class), cmp.Compare(a.spec.SubmitMs, b.spec.SubmitMs))
+		return cmp.Or(cmp.Compare(urgency(b), urgency(a)), cmp.Compare(a.spec.Class, b.spec.Class), cmp.Compare(a.spec.SubmittedMs, b.spec.SubmittedMs))
 	})
 	return out
 }
@@ -583,22 +536,22 @@
 // preempt stops queueable runs until so much room is on its way: the least
 // urgent first, and of those the ones that lose the least work. For a queueable
 // task only runs of less urgent queues are stopped.
-func (n *node) preempt(ag *agent, wants *attempt, room resources) {
+func (n *node) preempt(ag *agent, wants *attempt, room resource.Amount) {
 	urgency := func(h *attempt) int64 { return n.config.current.urgencyOf(h.spec.Queue) }
 	var runs []*attempt
 	for _, key := range ag.keys() {
 		h := ag.attempts[key]
-		if h.spec.Class != classQueueable || h.state != attemptRunning {
+		if h.spec.Class != wire.ClassQueueable || h.state != wire.AttemptRunning {
 			continue
 		}
 		if h.stopMs != 0 {
-			room = room.minus(h.spec.Resources)
+			room = room.Minus(h.spec.Resources)
 			continue
 		}
-		if wants.spec.Class == classQueueable && n.now-wants.queuedMs <= urgentWaitMs && n.batchSpec(&h.spec) == nil {
+		if wants.spec.Class == wire.ClassQueueable && n.now-wants.queuedMs <= urgentWaitMs && n.batchSpec(&h.spec) == nil {
 			continue
 		}
-		if urgency(h) < urgency(wants) || wants.spec.Class == classGuaranteed && urgency(h) == urgency(wants) {
+		if urgency(h) < urgency(wants) || wants.spec.Class == wire.ClassGuaranteed && urgency(h) == urgency(wants) {
 			runs = append(runs, h)
 		}
 	}
@@ -606,32 +559,32 @@
 	slices.SortStableFunc(runs, func(a, b *attempt) int {
 		return cmp.Or(cmp.Compare(urgency(a), urgency(b)), cmp.Compare(lost(a), lost(b)))
 	})
-	if wants.spec.Class == classQueueable {
-		all := resources{}
+	if wants.spec.Class == wire.ClassQueueable {
+		all := resource.Amount{}
 		for _, h := range runs {
-			all = all.plus(h.spec.Resources)
+			all = all.Plus(h.spec.Resources)
 		}
-		if !room.fits(all) {
+		if !room.Fits(all) {
 			return // it would not be enough
 		}
 	}
 	for _, h := range runs {
-		if room.fits(resources{}) {
+		if room.Fits(resource.Amount{}) {
 			return
 		}
 		if room.CPU <= 0 && h.spec.Resources.Memory == 0 && h.spec.Resources.GPU == 0 {
 			continue
 		}
-		room = room.minus(h.spec.Resources)
+		room = room.Minus(h.spec.Resources)
 		n.count("preemptions")
-		n.stopAttempt(ag, h, resultPreempted)
+		n.stopAttempt(ag, h, wire.ResultPreempted)
 	}
 }
 
 func (n *node) dispatch(ag *agent, h *attempt) {
-	h.state, h.ordered, h.orderedMs, h.listed = attemptOrdered, true, n.now, false
+	h.state, h.ordered, h.orderedMs, h.listed = wire.AttemptOrdered, true, n.now, false
 	s := &h.spec
-	n.count("orders_" + classNames[s.Class])
+	n.count("orders_" + s.Class.String())
 	if ag.colocated {
 		h.orderSeq = ag.reportSeq
 		ag.outbox = append(ag.outbox, h)
@@ -641,29 +594,29 @@
 	if len(s.Payload) == 0 {
 		payload = "null"
 	}
-	tag := mustJSON(orderTag{s.Slice, s.Queue, s.Name, s.Class, s.Resources, s.LimitMs, s.EstMs, s.SubmitMs})
+	tag := mustJSON(orderTag{s.Shard, s.Queue, s.Name, s.Class, s.Resources, s.LimitMs, s.EstimateMs, s.SubmittedMs})
 	d := n.roles["agent/"+ag.worker]
 	n.emit(effOrder{Worker: ag.worker, Addr: ag.addr, Key: s.Key,
 		NotAfterMs: min(d.untilMs-leaseSlackMs, h.confirmedMs+contactMs, n.config.confirmedMs+configFreshMs, ag.tokenMs+reportMs),
-		Body: mustJSON(map[string]any{"id": s.Key.String(), "job": s.Key.Job, "name": s.Name, "queue": s.Queue, "class": classNames[s.Class], "room": s.Resources, "limit_ms": s.LimitMs,
+		Body: mustJSON(map[string]any{"id": s.Key.String(), "job": s.Key.Job, "name": s.Name, "queue": s.Queue, "class": s.Class.String(), "room": s.Resources, "limit_ms": s.LimitMs,
 			"payload": payload, "tag": string(tag)})})
 }
 
 var orderOutcomes = map[string]func(*node, *agent, *attempt){
 	"started": func(n *node, _ *agent, h *attempt) {
-		if h.state == attemptOrdered {
-			h.state, h.startedMs, h.answeredMs = attemptRunning, n.now, n.now
+		if h.state == wire.AttemptOrdered {
+			h.state, h.startedMs, h.answeredMs = wire.AttemptRunning, n.now, n.now
 		}
 	},
 	"turned_away": func(n *node, ag *agent, h *attempt) {
-		if h.state == attemptOrdered {
-			h.state, h.result, h.ordered = attemptEnded, resultRejected, false
+		if h.state == wire.AttemptOrdered {
+			h.state, h.result, h.ordered = wire.AttemptEnded, wire.ResultRejected, false
 			n.syncAgent(ag)
 		}
 	},
 	"not_sent": func(n *node, _ *agent, h *attempt) {
-		if h.state == attemptOrdered {
-			h.state, h.ordered = attemptQueued, false
+		if h.state == wire.AttemptOrdered {
+			h.state, h.ordered = wire.AttemptQueued, false
 		}
 	},
 	// It may have started: it holds its room until the worker's word settles it.
@@ -689,11 +642,11 @@
 			continue
 		}
 		switch h.state {
-		case attemptQueued:
-			tq += h.spec.EstMs
+		case wire.AttemptQueued:
+			tq += h.spec.EstimateMs
 			queued++
-		case attemptOrdered, attemptRunning:
-			tr += max(0, h.spec.EstMs-(now-max(h.startedMs, h.orderedMs)))
+		case wire.AttemptOrdered, wire.AttemptRunning:
+			tr += max(0, h.spec.EstimateMs-(now-max(h.startedMs, h.orderedMs)))
 		}
 	}
 	return tq + tr + (now - ag.lastOK), tq, queued
@@ -707,10 +660,10 @@
 	}
 	rank, tq, queued := ag.rankOf(n)
 	waiting, spare := ag.withoutBatches(n)
-	base := syncMsg{Waiting: waiting, Spare: spare, Worker: ag.worker, Agent: n.Name, Epoch: ag.epoch, SentMs: n.now, Rebuilt: ag.rebuilt, Fresh: n.now-ag.tokenMs <= reportMs,
+	base := wire.AgentReport{Waiting: waiting, Spare: spare, Worker: ag.worker, Agent: n.Name, Epoch: ag.epoch, SentMs: n.now, Rebuilt: ag.rebuilt, Fresh: n.now-ag.tokenMs <= reportMs,
 		SilentMs: n.now - ag.heardMs, Zone: ag.site, Labels: ag.labels, Leaving: ag.leaving, Rack: ag.rack, Free: ag.free, Capacity: ag.capacity,
 		Suspect: n.now < ag.suspectMs, Colocated: ag.colocated,
-		RankMs: rank, QueuedMs: tq, Queued: queued, Oks: ag.oks, Fails: ag.fails, LagPct: ag.lagPct}
+		RankMs: rank, QueuedMs: tq, Queued: queued, Succeeded: ag.oks, Failed: ag.fails, LagPercent: ag.lagPct}
 	keys := ag.keys()
 	for _, target := range append([]string{""}, n.core.Shards...) {
 		duty := "central"
@@ -722,25 +675,25 @@
 			continue
 		}
 		m := base
-		m.Slice = target
+		m.Shard = target
 		m.Batch = ag.batchHeld(n, target)
 		for _, key := range keys {
 			h := ag.attempts[key]
-			if h.spec.Slice == "" {
-				h.spec.Slice = n.shardOf(key.Job)
+			if h.spec.Shard == "" {
+				h.spec.Shard = n.shardOf(key.Job)
 			}
-			if h.state != attemptEnded && h.spec.Slice != target {
-				m.Others = m.Others.plus(h.spec.Resources)
+			if h.state != wire.AttemptEnded && h.spec.Shard != target {
+				m.Others = m.Others.Plus(h.spec.Resources)
 			}
-			if target == "" && h.state == attemptEnded || target != "" && (h.spec.Slice != target || h.state == attemptEnded && h.acked) {
+			if target == "" && h.state == wire.AttemptEnded || target != "" && (h.spec.Shard != target || h.state == wire.AttemptEnded && h.acked) {
 				continue
 			}
 			ran := h.ranMs
-			if h.state == attemptRunning {
+			if h.state == wire.AttemptRunning {
 				ran = n.now - h.startedMs
 			}
-			m.Attempts = append(m.Attempts, attemptView{Key: key, Class: h.spec.Class, State: h.state, Result: h.result, Resources: h.spec.Resources, RanMs: ran,
-				EstMs: h.spec.EstMs, Queue: h.spec.Queue, Name: h.spec.Name, Saved: h.spec.Saved, Unknown: h.unknown, Late: h.late})
+			m.Attempts = append(m.Attempts, wire.AttemptStatus{Key: key, Class: h.spec.Class, State: h.state, Result: h.result, Resources: h.spec.Resources, RanMs: ran,
+				EstimateMs: h.spec.EstimateMs, Queue: h.spec.Queue, Name: h.spec.Name, Saved: h.spec.Saved, Unknown: h.unknown, Late: h.late})
 		}
 		n.send(to, &m)
 	}
@@ -756,15 +709,15 @@
 		for _, key := range ag.keys() {
 			h := ag.attempts[key]
 			switch {
-			case h.state == attemptRunning && h.stopMs != 0:
+			case h.state == wire.AttemptRunning && h.stopMs != 0:
 				n.stopAttempt(ag, h, h.stopWhy)
-			case h.state == attemptRunning && h.spec.LimitMs > 0 && n.now-h.startedMs > h.spec.LimitMs,
-				h.state == attemptOrdered && h.spec.LimitMs > 0 && n.now-h.orderedMs > h.spec.LimitMs+flightMs:
-				n.stopAttempt(ag, h, resultOverrun)
-			case h.state == attemptOrdered && h.stopMs != 0:
+			case h.state == wire.AttemptRunning && h.spec.LimitMs > 0 && n.now-h.startedMs > h.spec.LimitMs,
+				h.state == wire.AttemptOrdered && h.spec.LimitMs > 0 && n.now-h.orderedMs > h.spec.LimitMs+flightMs:
+				n.stopAttempt(ag, h, wire.ResultOverrun)
+			case h.state == wire.AttemptOrdered && h.stopMs != 0:
 				n.stopAttempt(ag, h, h.stopWhy)
-			case h.state == attemptQueued && n.now-ag.heardMs > silentMs:
-				h.state, h.result = attemptEnded, resultShed // its worker is silent; it never started
+			case h.state == wire.AttemptQueued && n.now-ag.heardMs > silentMs:
+				h.state, h.result = wire.AttemptEnded, wire.ResultShed // its worker is silent; it never started
 			}
 		}
 		for k, at := range ag.tombstones {
@@ -797,11 +750,11 @@
 		if rank <= targetMs {
 			break
 		}
-		if h.spec.Class != classQueueable || n.batchSpec(&h.spec) != nil {
+		if h.spec.Class != wire.ClassQueueable || n.batchSpec(&h.spec) != nil {
 			continue
 		}
-		rank -= h.spec.EstMs
-		h.state, h.result, some = attemptEnded, resultShed, true
+		rank -= h.spec.EstimateMs
+		h.state, h.result, some = wire.AttemptEnded, wire.ResultShed, true
 		n.count("sheds")
 	}
 	if some {
@@ -810,31 +763,23 @@
 }
 
 // onPromote makes a running queueable task firm, if its room is sure.
-func (n *node) onPromote(_ string, m *promoteMsg) {
+func (n *node) onPromote(_ string, m *wire.Promotion) {
 	ag := n.agents[m.Worker]
 	if ag == nil || ag.epoch != m.Epoch || !n.isActiveAgent(ag) {
 		return
 	}
 	h := ag.attempts[m.Key]
-	if h == nil || h.state != attemptRunning || h.stopMs != 0 || h.spec.Class != classQueueable || n.batchSpec(&h.spec) != nil {
+	if h == nil || h.state != wire.AttemptRunning || h.stopMs != 0 || h.spec.Class != wire.ClassQueueable || n.batchSpec(&h.spec) != nil {
 		return
 	}
 	firm := h.spec.Resources
 	for _, o := range ag.attempts {
-		if o.state != attemptEnded && o.spec.Class == classGuaranteed {
-			firm = firm.plus(o.spec.Resources)
+		if o.state != wire.AttemptEnded && o.spec.Class == wire.ClassGuaranteed {
+			firm = firm.Plus(o.spec.Resources)
 		}
 	}
-	if firm.fits(ag.capacity) {
-		h.spec.Class = classGuaranteed
+	if firm.Fits(ag.capacity) {
+		h.spec.Class = wire.ClassGuaranteed
 		n.count("promotions")
 	}
 }
-
-// UnmarshalJSON reads what MarshalJSON wrote.
-//
-// Example: json.Unmarshal([]byte("61"), &room)
-func (a *resources) UnmarshalJSON(b []byte) error {
-	*a = resourcesOf(gjson.ParseBytes(b))
-	return nil
-}
--- a/internal/daemon/archive_test.go
+++ b/internal/daemon/archive_test.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"otterchute/internal/quorum"
 	"otterchute/internal/statestore"
+	"otterchute/internal/storage"
+	"otterchute/internal/wire"
 	"runtime"
 	"testing"
 	"time"
@@ -70,7 +72,7 @@
 		h := w.holderOf("slice/east")
 		return h != nil && h.sh.node.owned["east"].serving
 	}))
-	must.Less(t, frameMax, w.largest)
+	must.Less(t, wire.MaxFrame, w.largest)
 }
 
 // What a day's jobs cost a core member, on this machine.
@@ -86,7 +88,9 @@
 	}
 	slices := []string{"east", "mid", "west"}
 	before, dir := heap(), t.TempDir()
-	d, st := opened(t, dir)
+	d, st, err := storage.Open(dir, 77, quiet)
+	must.NoError(t, err)
+	go d.Run(diskListener{func(func(*executor)) {}})
 	for i := range *dayFlag {
 		st.Apply(finishedEntry(slices[i%3], i, wallStart+int64(i)*90))
 	}
@@ -98,21 +102,22 @@
 	}
 	var dump []statestore.Entry
 	took("dump for a snapshot, on the control thread", func() { dump = st.Dump() })
-	took("snapshot written beside it", func() { must.NoError(t, d.commit([]logJob{{snapshot: true, entries: dump}})); d.snapshots.Wait() })
+	took("snapshot written beside it", func() {
+		d.Snapshot(dump)
+		d.Close()
+	})
 	n := newNode(nodeConfig{Name: "d00"}, st)
 	n.core = quorum.Set{Cluster: 1, Version: 1, Members: []quorum.Member{{Name: "d00", DiskID: 0}}}
 	st.Apply(statestore.Entry{Kind: statestore.EntryForm, Value: quorum.Set{Cluster: 1}.Encode()})
-	took("seal", func() { n.onSeal("d01", &sealRequest{CoreVer: 1, Slice: "east", Epoch: 9}) })
+	took("seal", func() { n.onSeal("d01", &wire.SealRequest{SetVersion: 1, Shard: "east", Epoch: 9}) })
 	took("a part of a copy", func() {
-		n.onCopy("d01", &copyRequest{CoreVer: 1, At: statestore.Cursor{Shard: "mid", Chunk: 5, Instance: n.Instance}})
+		n.onCopy("d01", &wire.CopyRequest{SetVersion: 1, At: statestore.Cursor{Shard: "mid", Chunk: 5, Instance: n.Instance}})
 	})
 	took("drop of an hour", func() {
 		for _, s := range slices {
 			st.Apply(statestore.Entry{Kind: statestore.EntryDrop, Name: s, Epoch: uint64(wallStart + 3_600_000)})
 		}
 	})
-	closed(d)
-	took("start from the snapshot", func() { d, st = opened(t, dir) })
+	took("start from the snapshot", func() { _, st, err = storage.Open(dir, 77, quiet) })
 	must.Eq(t, *dayFlag, recordsIn(st, "east")+recordsIn(st, "mid")+recordsIn(st, "west"))
-	closed(d)
 }
--- a/internal/daemon/asks.go
+++ b/internal/daemon/asks.go
@@ -5,6 +5,7 @@
 	"cmp"
 	"net"
 	"otterchute/internal/statestore"
+	"otterchute/internal/wire"
 	"slices"
 	"strings"
 )
@@ -81,14 +82,14 @@
 	n.handleRequest(&request{atMs: n.now, pollsBefore: n.poll.seq, id: e.ID, op: e.Op, key: e.Key, body: e.Body, config: e.Ready, host: e.Host, path: e.Path, expect: e.Expect, digest: e.Digest})
 }
 
-func (n *node) onForwarded(from string, m *forwardMsg) {
+func (n *node) onForwarded(from string, m *wire.Forward) {
 	body, ok := m.Body, true
 	if operatorRequests[m.Op] {
 		if body, ok = inflate(m.Body); !ok {
 			return
 		}
 	}
-	n.handleRequest(&request{atMs: n.now, pollsBefore: n.poll.seq, id: m.ID, origin: from, originInstance: n.sender.instance, hops: m.Hop, op: m.Op, key: m.Key, body: body, queue: m.Queue, expect: m.Expect, digest: m.Digest})
+	n.handleRequest(&request{atMs: n.now, pollsBefore: n.poll.seq, id: m.ID, origin: from, originInstance: n.sender.instance, hops: m.Hops, op: m.Op, key: m.Key, body: body, queue: m.Queue, expect: m.Expect, digest: m.Digest})
 }
 
 func (n *node) handleRequest(a *request) {
@@ -110,7 +111,7 @@
 	if a.byAddress && a.origin == "" && status == 404 && a.queue != "" {
 		status, body = 410, mustJSON(map[string]any{"missing": "job", "error": "no such job"})
 	}
-	m := forwardReply{ID: a.id, Status: int32(status), RetryMs: retryMs, Body: body}
+	m := wire.ForwardReply{ID: a.id, Status: int32(status), RetryMs: retryMs, Body: body}
 	if a.origin == "" {
 		n.reply(a.id, m)
 		return
@@ -167,10 +168,10 @@
 	}
 	n.forwarded[n.forwardSeq] = &forwardedRequest{request: a, to: to, limitMs: limitMs}
 	n.count("asks_handed_over")
-	n.send(to, &forwardMsg{ID: n.forwardSeq, Origin: n.Name, Hop: a.hops + 1, WaitMs: forwardMs, Op: a.op, Key: a.key, Body: body, Queue: a.queue, Expect: a.expect, Digest: a.digest})
+	n.send(to, &wire.Forward{ID: n.forwardSeq, Origin: n.Name, Hops: a.hops + 1, WaitMs: forwardMs, Op: a.op, Key: a.key, Body: body, Queue: a.queue, Expect: a.expect, Digest: a.digest})
 }
 
-func (n *node) onForwardReply(from string, m *forwardReply) {
+func (n *node) onForwardReply(from string, m *wire.ForwardReply) {
 	p := n.forwarded[m.ID]
 	if p == nil || p.to != from { // given up on, or handed to another since
 		n.count("late_answers")
@@ -220,7 +221,7 @@
 	n.opSeq++
 	n.quorumReads[n.opSeq] = &quorumRead{request: a, got: map[string]statestore.Record{}, limitMs: n.now + quorumReadMs}
 	for _, m := range n.core.Members {
-		n.send(m.Name, &fetchRequest{CoreVer: n.core.Version, Op: n.opSeq, Slice: n.shardOf(a.key), IDs: []string{a.key}})
+		n.send(m.Name, &wire.FetchRequest{SetVersion: n.core.Version, Op: n.opSeq, Shard: n.shardOf(a.key), IDs: []string{a.key}})
 	}
 }
 
--- a/internal/daemon/ballot_test.go
+++ b/internal/daemon/ballot_test.go
@@ -1,13 +1,11 @@
 package daemon
 
 import (
-	"encoding/binary"
-	"hash/crc32"
-	"os"
 	"otterchute/internal/codec"
 	"otterchute/internal/quorum"
 	"otterchute/internal/register"
 	"otterchute/internal/statestore"
+	"otterchute/internal/wire"
 	"reflect"
 	"testing"
 
@@ -45,7 +43,7 @@
 // The message is addressed to the present life, whichever it was meant for: ballots
 // must be safe without the check of addressees.
 func sentBy(n *node, from string, msg any) []effSend {
-	head := frameHeader{From: from, Cluster: 9, To: addressOf(n.Name)}
+	head := wire.Header{From: from, Cluster: 9, To: addressOf(n.Name)}
 	if responses[reflect.TypeOf(msg)] {
 		head.To = n.Instance
 	}
@@ -134,7 +132,7 @@
 // All tries of one life have ballots of their own too, whatever the register.
 func TestBallotsAreUniqueWithinALife(t *testing.T) {
 	n := newQuorumOfThree().life(1)
-	seen := map[ballot]bool{}
+	seen := map[register.Ballot]bool{}
 	for range 3 {
 		for _, queue := range []string{"left", "right"} {
 			o, _ := propose(n, queue)
@@ -148,43 +146,14 @@
 	}
 }
 
-// A log in another format is refused, and left as it is.
-func TestDiskOfAnotherFormat(t *testing.T) {
-	dir := t.TempDir()
-	d, _ := opened(t, dir)
-	write(t, d, 0, 3)
-	closed(d)
-	path := lastLog(t, dir)
-	b, err := os.ReadFile(path)
-	must.NoError(t, err)
-	for at := 0; at < len(b); {
-		size := recordSize(b[at:])
-		must.Positive(t, size)
-		inFormat(b[at:at+size], diskFormat-1)
-		at += size
-	}
-	must.NoError(t, os.WriteFile(path, b, 0o600))
-	_, _, err = openLog(dir, 5, quiet)
-	must.ErrorIs(t, err, errDiskFormat)
-	kept, err := os.ReadFile(path)
-	must.NoError(t, err)
-	must.Eq(t, b, kept)
-}
-
-// inFormat marks a record as one of another format, with a checksum that is right.
-func inFormat(record []byte, format byte) {
-	record[recordMarkAt] = record[recordMarkAt]&lastOfBatch | format<<formatShift
-	binary.BigEndian.PutUint32(record[4:], crc32.ChecksumIEEE(record[8:]))
-}
-
 // A member's promise, or that it accepted, leaves only once its disk has it.
 func TestAcceptorsAnswerAfterTheSync(t *testing.T) {
 	q := newQuorumOfThree()
-	b := ballot{Round: 1, Proposer: "p", Life: 1}
+	b := register.Ballot{Round: 1, Proposer: "p", Life: 1}
 	for _, ask := range []any{&register.Prepare{Op: 1, SetVersion: 1, Register: "setup", Ballot: b},
 		&register.Accept{Op: 1, SetVersion: 1, Register: "setup", Ballot: b, Value: []byte("v")}} {
 		n := q.members["a"]
-		effects := reduce(n, event{NowMs: n.now + 1, Seed: 1, Body: evMsg{Head: frameHeader{From: "p", Cluster: 9, To: addressOf("a")}, Msg: ask}})
+		effects := reduce(n, event{NowMs: n.now + 1, Seed: 1, Body: evMsg{Head: wire.Header{From: "p", Cluster: 9, To: addressOf("a")}, Msg: ask}})
 		must.Len(t, 1, effects)
 		kept, ok := effects[0].(effAppend)
 		must.True(t, ok)
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"fmt"
 	"math"
+	"otterchute/internal/resource"
+	"otterchute/internal/wire"
 	"slices"
 	"strings"
 	"time"
@@ -259,8 +261,8 @@
 }
 
 // batchSpec gives the rules for a task at a worker, if it is a batch's.
-func (n *node) batchSpec(s *orderSpec) *batchRules {
-	if q := n.config.current.Queues[s.Queue]; q != nil && s.Class == classQueueable {
+func (n *node) batchSpec(s *wire.TaskSpec) *batchRules {
+	if q := n.config.current.Queues[s.Queue]; q != nil && s.Class == wire.ClassQueueable {
 		return q.Batch
 	}
 	return nil
@@ -277,7 +279,7 @@
 }
 
 func (n *node) tickBatches(sl *shard) {
-	sl.batchStarts, sl.batchTries, sl.batchLoads = 0, 0, map[queueOnWorker]resources{}
+	sl.batchStarts, sl.batchTries, sl.batchLoads = 0, 0, map[queueOnWorker]resource.Amount{}
 	n.planBatches(sl)
 }
 
@@ -309,7 +311,7 @@
 		return
 	}
 	slices.SortStableFunc(list, func(a, b due) int { return cmp.Compare(a.d, b.d) })
-	room, ahead := map[string]resources{}, 0.0
+	room, ahead := map[string]resource.Amount{}, 0.0
 	for _, e := range list {
 		all, known := room[e.js.Queue]
 		if !known {
@@ -329,11 +331,11 @@
 }
 
 // batchRoom is all the room that a queue's batches may have at once.
-func (n *node) batchRoom(queue string, r *batchRules) (all resources) {
+func (n *node) batchRoom(queue string, r *batchRules) (all resource.Amount) {
 	q := n.config.current.Queues[queue]
 	for _, w := range n.workers {
 		if n.now-w.heardMs < silentMs && !w.leaving && !n.config.current.EmptyZones[w.site] && q.matches(w.labels, w.site) {
-			all = all.plus(w.capacity.share(r.SharePercent))
+			all = all.Plus(w.capacity.Share(r.SharePercent))
 		}
 	}
 	return all
@@ -341,7 +343,7 @@
 
 // batchNeed is what a job still needs, in ms: along its longest chain of steps, and
 // of all the room that batches may have.
-func (n *node) batchNeed(js *jobState, room resources) (chainMs int64, workMs float64) {
+func (n *node) batchNeed(js *jobState, room resource.Amount) (chainMs int64, workMs float64) {
 	longest := make([]int64, len(js.Steps))
 	for i := range js.Tasks {
 		t := &js.Tasks[i]
@@ -400,7 +402,7 @@
 
 // batchLoad is the room that a queue's batches, or all queues', take at a worker,
 // as far as known; it is summed up once in a tick.
-func (n *node) batchLoad(sl *shard, queue, worker string) (sum resources) {
+func (n *node) batchLoad(sl *shard, queue, worker string) (sum resource.Amount) {
 	if sum, ok := sl.batchLoads[queueOnWorker{queue, worker}]; ok {
 		return sum
 	}
@@ -411,13 +413,13 @@
 	}()
 	for at, room := range sl.placed[worker] {
 		if js := sl.jobs[at.job]; js != nil && js.batch != nil && (js.Queue == queue || queue == "") {
-			sum = sum.plus(room)
+			sum = sum.Plus(room)
 		}
 	}
 	if w := n.workers[worker]; w != nil {
 		for _, b := range w.batch[sl.name] {
 			if b.Queue == queue || queue == "" {
-				sum = sum.plus(b.Resources)
+				sum = sum.Plus(b.Resources)
 			}
 		}
 	}
@@ -449,18 +451,18 @@
 		if !n.allowed(w, q, t.Needs, t.Resources) || w.suspect || w.waiting > 0 || n.ranks.unhealthy[name] != 0 || st.PerWorker > 0 && used[name] >= st.PerWorker {
 			continue
 		}
-		kept := w.capacity.share(batchHeadroom)
+		kept := w.capacity.Share(batchHeadroom)
 		if js.batch.Must {
-			kept = resources{}
+			kept = resource.Amount{}
 		}
-		if !t.Resources.plus(kept).fits(n.freeAt(sl, name, w)) {
+		if !t.Resources.Plus(kept).Fits(n.freeAt(sl, name, w)) {
 			continue
 		}
-		if !js.batch.Must && !n.batchLoad(sl, "", name).plus(t.Resources).plus(kept).fits(w.spare.least()) {
+		if !js.batch.Must && !n.batchLoad(sl, "", name).Plus(t.Resources).Plus(kept).Fits(w.spare.least()) {
 			continue
 		}
 		load := n.batchLoad(sl, js.Queue, name)
-		if !load.plus(t.Resources).fits(w.capacity.share(q.Batch.SharePercent)) {
+		if !load.Plus(t.Resources).Fits(w.capacity.Share(q.Batch.SharePercent)) {
 			continue
 		}
 		part := float64(load.CPU) / float64(max(w.capacity.CPU, 1))
@@ -481,7 +483,7 @@
 	if best != "" {
 		sl.batchStarts++
 		for _, queue := range []string{js.Queue, ""} {
-			load := n.batchLoad(sl, queue, best).plus(t.Resources)
+			load := n.batchLoad(sl, queue, best).Plus(t.Resources)
 			sl.batchLoads[queueOnWorker{queue, best}] = load
 		}
 	}
@@ -511,7 +513,7 @@
 	if !p.Must && n.shortOfRoomAnywhere() {
 		return "held while more urgent work waits for room" + by
 	}
-	if !t.Resources.fits(n.batchMost(js.Queue, r)) {
+	if !t.Resources.Fits(n.batchMost(js.Queue, r)) {
 		return fmt.Sprintf("no worker can hold it within the %d percent that batches of this queue may take", r.SharePercent)
 	}
 	return "waiting for its share of the workers' room" + by
@@ -528,11 +530,11 @@
 }
 
 // batchMost is the largest share that one worker has for a queue's batches.
-func (n *node) batchMost(queue string, r *batchRules) (most resources) {
+func (n *node) batchMost(queue string, r *batchRules) (most resource.Amount) {
 	q := n.config.current.Queues[queue]
 	for _, w := range n.workers {
-		if s := w.capacity.share(r.SharePercent); n.allowed(w, q, nil, resources{}) {
-			most = resources{max(most.CPU, s.CPU), max(most.Memory, s.Memory), max(most.GPU, s.GPU)}
+		if s := w.capacity.Share(r.SharePercent); n.allowed(w, q, nil, resource.Amount{}) {
+			most = resource.Amount{CPU: max(most.CPU, s.CPU), Memory: max(most.Memory, s.Memory), GPU: max(most.GPU, s.GPU)}
 		}
 	}
 	return most
@@ -610,29 +612,29 @@
 }
 
 // batchHeld is the room that each queue's batches take at a worker.
-func (ag *agent) batchHeld(n *node, but string) (out []queueResources) {
-	sum := map[string]resources{}
+func (ag *agent) batchHeld(n *node, but string) (out []wire.QueueUse) {
+	sum := map[string]resource.Amount{}
 	for _, h := range ag.attempts {
-		if h.state != attemptEnded && (but == "" || h.spec.Slice != but) && n.batchSpec(&h.spec) != nil {
-			sum[h.spec.Queue] = sum[h.spec.Queue].plus(h.spec.Resources)
+		if h.state != wire.AttemptEnded && (but == "" || h.spec.Shard != but) && n.batchSpec(&h.spec) != nil {
+			sum[h.spec.Queue] = sum[h.spec.Queue].Plus(h.spec.Resources)
 		}
 	}
 	for _, q := range sorted(sum) {
-		out = append(out, queueResources{q, sum[q]})
+		out = append(out, wire.QueueUse{Queue: q, Resources: sum[q]})
 	}
 	return out
 }
 
 // withoutBatches gives the unstarted tasks at a worker that are no batch's, and the
 // room that those and the running ones leave.
-func (ag *agent) withoutBatches(n *node) (waiting int64, spare resources) {
+func (ag *agent) withoutBatches(n *node) (waiting int64, spare resource.Amount) {
 	spare = ag.capacity
 	for _, h := range ag.attempts {
-		if h.state == attemptEnded || n.batchSpec(&h.spec) != nil {
+		if h.state == wire.AttemptEnded || n.batchSpec(&h.spec) != nil {
 			continue
 		}
-		spare = spare.minus(h.spec.Resources)
-		if h.state == attemptQueued {
+		spare = spare.Minus(h.spec.Resources)
+		if h.state == wire.AttemptQueued {
 			waiting++
 		}
 	}
@@ -641,25 +643,25 @@
 
 // spareWindow keeps the least of some room over the last one to two spans of batchLowMs.
 type spareWindow struct {
-	now, past resources
+	now, past resource.Amount
 	known     int // spans seen
 	atMs      int64
 }
 
-func (l spareWindow) with(nowMs int64, room resources) spareWindow {
+func (l spareWindow) with(nowMs int64, room resource.Amount) spareWindow {
 	if l.known == 0 || nowMs-l.atMs >= batchLowMs {
 		l = spareWindow{now: room, past: l.now, known: l.known + 1, atMs: nowMs}
 	}
-	l.now = resources{min(l.now.CPU, room.CPU), min(l.now.Memory, room.Memory), min(l.now.GPU, room.GPU)}
+	l.now = resource.Amount{CPU: min(l.now.CPU, room.CPU), Memory: min(l.now.Memory, room.Memory), GPU: min(l.now.GPU, room.GPU)}
 	return l
 }
 
 // least gives nothing until a whole span was seen.
-func (l spareWindow) least() resources {
+func (l spareWindow) least() resource.Amount {
 	if l.known < 2 {
-		return resources{}
+		return resource.Amount{}
 	}
-	return resources{min(l.now.CPU, l.past.CPU), min(l.now.Memory, l.past.Memory), min(l.now.GPU, l.past.GPU)}
+	return resource.Amount{CPU: min(l.now.CPU, l.past.CPU), Memory: min(l.now.Memory, l.past.Memory), GPU: min(l.now.GPU, l.past.GPU)}
 }
 
 // allocationsWait tells whether firm work has waited for room some time.
@@ -680,11 +682,11 @@
 	}
 	sum := h.spec.Resources
 	for _, o := range ag.attempts {
-		if o != h && o.spec.Queue == h.spec.Queue && (o.state == attemptOrdered || o.state == attemptRunning) && n.batchSpec(&o.spec) != nil {
-			sum = sum.plus(o.spec.Resources)
+		if o != h && o.spec.Queue == h.spec.Queue && (o.state == wire.AttemptOrdered || o.state == wire.AttemptRunning) && n.batchSpec(&o.spec) != nil {
+			sum = sum.Plus(o.spec.Resources)
 		}
 	}
-	return sum.fits(ag.capacity.share(r.SharePercent))
+	return sum.Fits(ag.capacity.Share(r.SharePercent))
 }
 
 // returnBatches gives back batch tasks that could not start here at once, and
@@ -695,7 +697,7 @@
 		if n.batchSpec(&h.spec) == nil || n.now-h.queuedMs <= batchWaitMs {
 			return false
 		}
-		h.state, h.result, some = attemptEnded, resultShed, true
+		h.state, h.result, some = wire.AttemptEnded, wire.ResultShed, true
 		n.count("batches_returned")
 		return true
 	})
--- a/internal/daemon/batch_test.go
+++ b/internal/daemon/batch_test.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"otterchute/internal/quorum"
+	"otterchute/internal/resource"
+	"otterchute/internal/wire"
 	"strings"
 	"testing"
 
@@ -172,7 +174,7 @@
 }
 
 func (n *node) batchSlice() *shard {
-	sl := &shard{name: "east", serving: true, jobs: map[string]*jobState{}, placed: map[string]map[placedAt]resources{}, load: map[string]resources{}, batchLoads: map[queueOnWorker]resources{}}
+	sl := &shard{name: "east", serving: true, jobs: map[string]*jobState{}, placed: map[string]map[placedAt]resource.Amount{}, load: map[string]resource.Amount{}, batchLoads: map[queueOnWorker]resource.Amount{}}
 	n.owned["east"] = sl
 	return sl
 }
@@ -199,11 +201,11 @@
 // that urgent work pushes batches out at once, and nothing else sooner.
 func TestBatchAtTheAgent(t *testing.T) {
 	n := batchNode(t, aMonday)
-	ag := &agent{worker: "w", colocated: true, rebuilt: true, tokenMs: n.now, heardMs: n.now, lastOK: n.now, capacity: resources{CPU: 100}, free: resources{CPU: 100}, attempts: map[attemptKey]*attempt{},
-		tombstones: map[attemptKey]int64{}, owners: map[string]uint64{}, ownerMs: map[string]int64{}, ends: map[int64]attemptKey{}}
+	ag := &agent{worker: "w", colocated: true, rebuilt: true, tokenMs: n.now, heardMs: n.now, lastOK: n.now, capacity: resource.Amount{CPU: 100}, free: resource.Amount{CPU: 100}, attempts: map[wire.AttemptKey]*attempt{},
+		tombstones: map[wire.AttemptKey]int64{}, owners: map[string]uint64{}, ownerMs: map[string]int64{}, ends: map[int64]wire.AttemptKey{}}
 	n.agents["w"] = ag
-	queued := func(id, queue string, class int8, room int64) *attempt {
-		h := &attempt{spec: orderSpec{Key: attemptKey{Job: id, Attempt: 1}, Slice: "east", Queue: queue, Class: class, Resources: resources{CPU: room}}, confirmedMs: n.now, queuedMs: n.now}
+	queued := func(id, queue string, class wire.TaskClass, room int64) *attempt {
+		h := &attempt{spec: wire.TaskSpec{Key: wire.AttemptKey{Job: id, Attempt: 1}, Shard: "east", Queue: queue, Class: class, Resources: resource.Amount{CPU: room}}, confirmedMs: n.now, queuedMs: n.now}
 		ag.attempts[h.spec.Key] = h
 		return h
 	}
@@ -212,42 +214,42 @@
 		n.startPending(ag)
 		ag.answering = false
 	}
-	running := func(h *attempt) { h.state, h.startedMs = attemptRunning, n.now }
+	running := func(h *attempt) { h.state, h.startedMs = wire.AttemptRunning, n.now }
 
-	one, two := queued("b1", "refresh", classQueueable, 20), queued("b2", "refresh", classQueueable, 20)
+	one, two := queued("b1", "refresh", wire.ClassQueueable, 20), queued("b2", "refresh", wire.ClassQueueable, 20)
 	pump()
-	must.Eq(t, []int8{attemptOrdered, attemptQueued}, []int8{one.state, two.state}) // a second would be above 30 percent
-	must.Eq(t, []queueResources{{"refresh", resources{CPU: 40}}}, ag.batchHeld(n, ""))
+	must.Eq(t, []wire.AttemptState{wire.AttemptOrdered, wire.AttemptQueued}, []wire.AttemptState{one.state, two.state}) // a second would be above 30 percent
+	must.Eq(t, []wire.QueueUse{{Queue: "refresh", Resources: resource.Amount{CPU: 40}}}, ag.batchHeld(n, ""))
 	must.SliceEmpty(t, ag.batchHeld(n, "east"))
 	n.now += batchWaitMs + 1
 	ag.tokenMs, n.config.confirmedMs = n.now, n.now
 	pump()
-	must.Eq(t, resultShed, two.result) // it goes back, and never waits here
+	must.Eq(t, wire.ResultShed, two.result) // it goes back, and never waits here
 
 	running(one)
-	other := queued("i1", "import", classQueueable, 60)
+	other := queued("i1", "import", wire.ClassQueueable, 60)
 	pump()
-	must.Eq(t, attemptOrdered, other.state)
+	must.Eq(t, wire.AttemptOrdered, other.state)
 	running(other)
-	urgent := queued("c1", "confirm", classQueueable, 40) // 20 are free
+	urgent := queued("c1", "confirm", wire.ClassQueueable, 40) // 20 are free
 	pump()
-	must.Eq(t, attemptQueued, urgent.state)
-	must.Eq(t, resultPreempted, one.stopWhy) // the batch makes room at once
+	must.Eq(t, wire.AttemptQueued, urgent.state)
+	must.Eq(t, wire.ResultPreempted, one.stopWhy) // the batch makes room at once
 	must.Zero(t, other.stopMs)
-	three := queued("b3", "refresh", classQueueable, 1)
+	three := queued("b3", "refresh", wire.ClassQueueable, 1)
 	pump()
-	must.Eq(t, attemptQueued, three.state) // something more urgent waits
-	one.state = attemptEnded
+	must.Eq(t, wire.AttemptQueued, three.state) // something more urgent waits
+	one.state = wire.AttemptEnded
 	pump()
-	must.Eq(t, attemptOrdered, urgent.state)
+	must.Eq(t, wire.AttemptOrdered, urgent.state)
 	running(urgent)
 
 	// what is no batch's is still left its time before it is pushed out
-	ag.attempts = map[attemptKey]*attempt{}
-	low := queued("i2", "import", classQueueable, 90)
+	ag.attempts = map[wire.AttemptKey]*attempt{}
+	low := queued("i2", "import", wire.ClassQueueable, 90)
 	pump()
 	running(low)
-	urgent = queued("c2", "confirm", classQueueable, 40)
+	urgent = queued("c2", "confirm", wire.ClassQueueable, 40)
 	pump()
 	must.Zero(t, low.stopMs)
 	n.now += urgentWaitMs + 1
@@ -256,12 +258,12 @@
 	must.Positive(t, low.stopMs)
 
 	// a batch's run never becomes firm, and weighs nothing in the worker's rank
-	ag.attempts = map[attemptKey]*attempt{}
-	batch := queued("b4", "refresh", classQueueable, 10)
-	batch.spec.EstMs = 50_000
+	ag.attempts = map[wire.AttemptKey]*attempt{}
+	batch := queued("b4", "refresh", wire.ClassQueueable, 10)
+	batch.spec.EstimateMs = 50_000
 	running(batch)
-	n.onPromote("", &promoteMsg{Worker: "w", Key: batch.spec.Key})
-	must.Eq(t, classQueueable, batch.spec.Class)
+	n.onPromote("", &wire.Promotion{Worker: "w", Key: batch.spec.Key})
+	must.Eq(t, wire.ClassQueueable, batch.spec.Class)
 	rank, _, _ := ag.rankOf(n)
 	must.Less(t, 50_000, rank)
 }
@@ -270,36 +272,36 @@
 func TestBatchChoosesAWorker(t *testing.T) {
 	n := batchNode(t, aMonday)
 	sl := n.batchSlice()
-	roomy := spareWindow{}.with(0, resources{CPU: 100}).with(batchLowMs, resources{CPU: 100})
+	roomy := spareWindow{}.with(0, resource.Amount{CPU: 100}).with(batchLowMs, resource.Amount{CPU: 100})
 	for _, name := range []string{"w1", "w2", "w3"} {
-		n.workers[name] = &workerView{heardMs: n.now, rebuilt: true, fresh: true, capacity: resources{CPU: 100}, spare: roomy, otherShards: map[string]resources{}, batch: map[string][]queueResources{}}
+		n.workers[name] = &workerView{heardMs: n.now, rebuilt: true, fresh: true, capacity: resource.Amount{CPU: 100}, spare: roomy, otherShards: map[string]resource.Amount{}, batch: map[string][]wire.QueueUse{}}
 	}
 	js := n.batchJob(t, sl, "b1", oneBatch(10, 1000), 0)
 	js.batch = &batchPlan{}
 	choose := func() string {
-		sl.batchStarts, sl.batchTries, sl.batchLoads = 0, 0, map[queueOnWorker]resources{}
+		sl.batchStarts, sl.batchTries, sl.batchLoads = 0, 0, map[queueOnWorker]resource.Amount{}
 		return n.selectBatchWorker(sl, js, 0)
 	}
-	n.workers["w1"].batch["east"] = []queueResources{{"refresh", resources{CPU: 10}}}
-	n.workers["w2"].batch["east"] = []queueResources{{"refresh", resources{CPU: 5}}}
+	n.workers["w1"].batch["east"] = []wire.QueueUse{{Queue: "refresh", Resources: resource.Amount{CPU: 10}}}
+	n.workers["w2"].batch["east"] = []wire.QueueUse{{Queue: "refresh", Resources: resource.Amount{CPU: 5}}}
 	must.Eq(t, "w3", choose())
 	must.Greater(t, n.now, js.runtime[0].retryMs)
 	n.workers["w3"].waiting = 1 // something more urgent waits there
 	must.Eq(t, "", choose())    // and at one worker of three that is a sign for all
 	js.batch.Must = true        // but a job that must start takes the emptiest of the others
-	n.workers["w2"].otherShards["east"] = resources{CPU: 90}
+	n.workers["w2"].otherShards["east"] = resource.Amount{CPU: 90}
 	must.Eq(t, "w1", choose())
-	n.workers["w1"].otherShards["east"] = resources{CPU: 91}
+	n.workers["w1"].otherShards["east"] = resource.Amount{CPU: 91}
 	must.Eq(t, "w2", choose())
-	js.batch.Must, n.workers["w1"].otherShards, n.workers["w2"].otherShards = false, map[string]resources{}, map[string]resources{}
+	js.batch.Must, n.workers["w1"].otherShards, n.workers["w2"].otherShards = false, map[string]resource.Amount{}, map[string]resource.Amount{}
 	n.workers["w3"].waiting = 0
-	n.workers["w3"].spare = spareWindow{}.with(0, resources{CPU: 100}) // not seen long enough
+	n.workers["w3"].spare = spareWindow{}.with(0, resource.Amount{CPU: 100}) // not seen long enough
 	must.Eq(t, "w2", choose())
-	n.workers["w2"].otherShards["east"] = resources{CPU: 70} // less than headroom would be left
+	n.workers["w2"].otherShards["east"] = resource.Amount{CPU: 70} // less than headroom would be left
 	must.Eq(t, "w1", choose())
-	n.workers["w1"].batch["east"] = []queueResources{{"refresh", resources{CPU: 21}}} // above its share
+	n.workers["w1"].batch["east"] = []wire.QueueUse{{Queue: "refresh", Resources: resource.Amount{CPU: 21}}} // above its share
 	must.Eq(t, "", choose())
-	n.workers["w2"].otherShards["east"] = resources{}
+	n.workers["w2"].otherShards["east"] = resource.Amount{}
 	sl.starvedMs = n.now - batchCalmMs + 1
 	must.Eq(t, "", choose())
 	sl.starvedMs = 0
@@ -311,9 +313,9 @@
 	sl.batchStarts = batchStartsTick
 	must.Eq(t, "", n.selectBatchWorker(sl, js, 0))
 
-	low := spareWindow{}.with(0, resources{CPU: 9}).with(100, resources{CPU: 4}).with(batchLowMs, resources{CPU: 7})
+	low := spareWindow{}.with(0, resource.Amount{CPU: 9}).with(100, resource.Amount{CPU: 4}).with(batchLowMs, resource.Amount{CPU: 7})
 	must.Eq(t, int64(4), low.least().CPU)
-	must.Eq(t, int64(7), low.with(2*batchLowMs, resources{CPU: 8}).least().CPU)
+	must.Eq(t, int64(7), low.with(2*batchLowMs, resource.Amount{CPU: 8}).least().CPU)
 }
 
 // Work that many jobs need together before a deadline makes each start earlier
@@ -323,7 +325,7 @@
 	n := batchNode(t, at(0, 14))
 	sl := n.batchSlice()
 	for i := range 4 {
-		n.workers[fmt.Sprint("w", i)] = &workerView{heardMs: n.now, rebuilt: true, fresh: true, capacity: resources{CPU: 100}}
+		n.workers[fmt.Sprint("w", i)] = &workerView{heardMs: n.now, rebuilt: true, fresh: true, capacity: resource.Amount{CPU: 100}}
 	}
 	// 120 units at once are batches'; 60 jobs of 30 units and an hour need 15 hours of that
 	var all []*jobState
--- a/internal/daemon/beats.go
+++ b/internal/daemon/beats.go
@@ -2,6 +2,8 @@
 
 import (
 	"encoding/json"
+	"otterchute/internal/resource"
+	"otterchute/internal/wire"
 	"slices"
 
 	"github.com/tidwall/gjson"
@@ -49,16 +51,16 @@
 	Stop    []orderView `json:"stop"`
 }
 
-func viewOf(k attemptKey) orderView {
+func viewOf(k wire.AttemptKey) orderView {
 	round, step, index, _ := placeOf(k.Task)
 	return orderView{Job: k.Job, Round: round, Step: step, Index: index, Run: k.Attempt}
 }
 
 // runOf reads which run an entry of a beat speaks of; false for one that no
 // otterchute ever ordered.
-func runOf(e gjson.Result) (attemptKey, bool) {
+func runOf(e gjson.Result) (wire.AttemptKey, bool) {
 	round, run := e.Get("round").Int(), e.Get("run").Int()
-	k := attemptKey{e.Get("job").Str, placeID(int32(round), int32(e.Get("step").Int()), int32(e.Get("index").Int())), int32(run)}
+	k := wire.AttemptKey{Job: e.Get("job").Str, Task: placeID(int32(round), int32(e.Get("step").Int()), int32(e.Get("index").Int())), Attempt: int32(run)}
 	return k, round >= 0 && nameOK(k.Job) && run > 0
 }
 
@@ -86,7 +88,7 @@
 	changed, missed := !ag.rebuilt, n.now-ag.heardMs > frozenMs
 	ag.reportSeq, ag.heardMs, ag.tokenMs = seq, n.now, n.now
 	ag.site, ag.rack, ag.labels = r.Get("site").Str, r.Get("rack").Str, labelsOf(r.Get("labels"))
-	ag.capacity = resourcesOf(r.Get("capacity"))
+	ag.capacity = resource.Parse(r.Get("capacity"))
 	ag.free = ag.capacity
 	if leaving := r.Get("leaving").Bool(); leaving != ag.leaving {
 		ag.leaving, changed = leaving, true
@@ -122,8 +124,8 @@
 			n.syncAgent(old)
 		}
 	}
-	ag := &agent{worker: worker, epoch: n.Incarnation, startMs: n.now, attempts: map[attemptKey]*attempt{}, tombstones: map[attemptKey]int64{},
-		owners: map[string]uint64{}, lastOK: n.now, heardMs: n.now, tokenMs: -1 << 40, colocated: true, ends: map[int64]attemptKey{}, ownerMs: map[string]int64{}}
+	ag := &agent{worker: worker, epoch: n.Incarnation, startMs: n.now, attempts: map[wire.AttemptKey]*attempt{}, tombstones: map[wire.AttemptKey]int64{},
+		owners: map[string]uint64{}, lastOK: n.now, heardMs: n.now, tokenMs: -1 << 40, colocated: true, ends: map[int64]wire.AttemptKey{}, ownerMs: map[string]int64{}}
 	n.agents[worker] = ag
 	n.log("worker_new", "worker", worker, "epoch", ag.epoch)
 	return ag
@@ -133,16 +135,16 @@
 func (n *node) loseAttempts(ag *agent) (some bool) {
 	for _, key := range ag.keys() {
 		h := ag.attempts[key]
-		if h.state == attemptEnded {
+		if h.state == wire.AttemptEnded {
 			continue
 		}
-		if h.state == attemptQueued {
-			h.result = resultShed
+		if h.state == wire.AttemptQueued {
+			h.result = wire.ResultShed
 		} else {
-			h.result = resultLost
+			h.result = wire.ResultLost
 			n.count("runs_lost")
 		}
-		h.state, some = attemptEnded, true
+		h.state, some = wire.AttemptEnded, true
 	}
 	return some
 }
@@ -150,7 +152,7 @@
 // applyHeartbeatLists brings what is held in line with what the worker lists; missed says
 // that no beat was heard for so long that nobody knows when it came about.
 func (n *node) applyHeartbeatLists(ag *agent, r gjson.Result, missed bool) (changed bool) {
-	running, ended := map[attemptKey]bool{}, map[attemptKey]bool{}
+	running, ended := map[wire.AttemptKey]bool{}, map[wire.AttemptKey]bool{}
 	r.Get("running").ForEach(func(_, e gjson.Result) bool {
 		key, ok := runOf(e)
 		if !ok {
@@ -159,16 +161,16 @@
 		running[key] = true
 		h := ag.attempts[key]
 		if h == nil {
-			h = &attempt{state: attemptOrdered, unknown: true, ordered: true, vague: true, orderedMs: n.now, adoptedMs: n.now, spec: orderSpec{Key: key}, confirmedMs: -1 << 40}
+			h = &attempt{state: wire.AttemptOrdered, unknown: true, ordered: true, vague: true, orderedMs: n.now, adoptedMs: n.now, spec: wire.TaskSpec{Key: key}, confirmedMs: -1 << 40}
 			ag.attempts[key] = h
 			changed = true
 		}
-		if h.state != attemptRunning {
-			if h.state == attemptEnded {
+		if h.state != wire.AttemptRunning {
+			if h.state == wire.AttemptEnded {
 				n.log("attempt_runs_after_end", "attempt", key.String(), "worker", ag.worker)
 			}
 			changed = changed || h.spec.Gang
-			h.state, h.ordered, h.startedMs, h.movedMs = attemptRunning, true, n.now, n.now
+			h.state, h.ordered, h.startedMs, h.movedMs = wire.AttemptRunning, true, n.now, n.now
 			h.vague = h.vague || missed
 		}
 		if p := e.Get("percent").Int(); p != h.percent {
@@ -191,7 +193,7 @@
 		}
 		key, ok := runOf(e)
 		if !ok || !heartbeatOutcomes[outcome] {
-			ag.ends[number] = attemptKey{}
+			ag.ends[number] = wire.AttemptKey{}
 			return true
 		}
 		ended[key], ag.ends[number] = true, key
@@ -200,14 +202,14 @@
 		}
 		h := ag.attempts[key]
 		if h == nil { // of a former agent, that may have been cut off for long
-			h = &attempt{state: attemptOrdered, unknown: true, ordered: true, vague: true, startedMs: n.now, adoptedMs: n.now, spec: orderSpec{Key: key}, confirmedMs: -1 << 40}
+			h = &attempt{state: wire.AttemptOrdered, unknown: true, ordered: true, vague: true, startedMs: n.now, adoptedMs: n.now, spec: wire.TaskSpec{Key: key}, confirmedMs: -1 << 40}
 			h.late = finalOutcomes[outcome]
 			ag.attempts[key] = h
 		}
 		if saved := e.Get("saved").Str; saved != "" {
 			h.spec.Saved = saved
 		}
-		if lost := h.state == attemptEnded && h.result == resultLost && !h.acked && finalOutcomes[outcome]; h.state != attemptEnded || lost {
+		if lost := h.state == wire.AttemptEnded && h.result == wire.ResultLost && !h.acked && finalOutcomes[outcome]; h.state != wire.AttemptEnded || lost {
 			// A run given up as lost that ended by itself after all: its owner says whether it still counts.
 			h.late = (h.late || lost) && !h.void
 			changed = true
@@ -228,13 +230,13 @@
 		h := ag.attempts[key]
 		h.listed = running[key]
 		switch {
-		case running[key] || ended[key] || count >= endsPage && h.state == attemptRunning: // there may be more than it could list
-		case h.state == attemptOrdered && h.orderSeq < ag.reportSeq:
-			h.state, h.result, changed = attemptEnded, resultRejected, true
+		case running[key] || ended[key] || count >= endsPage && h.state == wire.AttemptRunning: // there may be more than it could list
+		case h.state == wire.AttemptOrdered && h.orderSeq < ag.reportSeq:
+			h.state, h.result, changed = wire.AttemptEnded, wire.ResultRejected, true
 			n.count("starts_not_taken")
-		case h.state == attemptRunning:
-			h.state, h.result, changed = attemptEnded, resultLost, true
-		case h.state == attemptEnded && h.acked:
+		case h.state == wire.AttemptRunning:
+			h.state, h.result, changed = wire.AttemptEnded, wire.ResultLost, true
+		case h.state == wire.AttemptEnded && h.acked:
 			ag.forget(key, n.now)
 		}
 	}
@@ -251,7 +253,7 @@
 			break
 		}
 		_, buried := ag.tombstones[key]
-		if h := ag.attempts[key]; key != (attemptKey{}) && !(buried && h == nil) && (h == nil || !h.acked) {
+		if h := ag.attempts[key]; key != (wire.AttemptKey{}) && !(buried && h == nil) && (h == nil || !h.acked) {
 			break
 		}
 		ag.acknowledgedEnds++
@@ -279,7 +281,7 @@
 	}
 	for _, key := range ag.keys() {
 		h := ag.attempts[key]
-		if h.state != attemptOrdered && h.state != attemptRunning {
+		if h.state != wire.AttemptOrdered && h.state != wire.AttemptRunning {
 			continue
 		}
 		if h.stopMs != 0 {
@@ -317,7 +319,7 @@
 	}
 	if before, ok := ag.ownerMs[slice]; !ok || now-before > ownerSpanMs {
 		for _, h := range ag.attempts {
-			if h.spec.Slice == slice && h.state == attemptEnded && (h.result == resultOK || h.result == resultFailed) && !h.acked && !h.void {
+			if h.spec.Shard == slice && h.state == wire.AttemptEnded && (h.result == wire.ResultOK || h.result == wire.ResultFailed) && !h.acked && !h.void {
 				h.late = true
 			}
 		}
@@ -346,21 +348,21 @@
 	standing := false
 	for _, key := range ag.keys() {
 		h := ag.attempts[key]
-		if h.state != attemptRunning || h.stopMs != 0 || h.unknown {
+		if h.state != wire.AttemptRunning || h.stopMs != 0 || h.unknown {
 			continue
 		}
 		// A member of a gang waits for the others at its beginning, and at its end,
 		// which comes for all at once.
 		waits := h.spec.Gang && (h.percent == 0 || h.percent >= lastPercent)
 		switch {
-		case !h.spec.Lasting && !waits && h.percent < 100 && n.now-h.movedMs > standMs+h.spec.EstMs/10:
+		case !h.spec.Lasting && !waits && h.percent < 100 && n.now-h.movedMs > standMs+h.spec.EstimateMs/10:
 			standing = true
 			n.count("standing")
-			n.stopAttempt(ag, h, resultStalled)
+			n.stopAttempt(ag, h, wire.ResultStalled)
 		case ag.leavesMs != 0 && h.spec.Saves && ag.leavesMs-n.now < leaveStopMs:
-			n.stopAttempt(ag, h, resultMoved)
+			n.stopAttempt(ag, h, wire.ResultMoved)
 		case h.spec.LimitMs > 0 && n.now-h.startedMs > h.spec.LimitMs:
-			n.stopAttempt(ag, h, resultOverrun)
+			n.stopAttempt(ag, h, wire.ResultOverrun)
 		}
 	}
 	if standing && n.now >= ag.suspectMs {
@@ -390,11 +392,11 @@
 	for _, key := range ag.keys() {
 		h := ag.attempts[key]
 		switch {
-		case h.state == attemptQueued && (n.now-ag.heardMs > contactMs || ag.goneMs != 0):
-			h.state, h.result, changed = attemptEnded, resultShed, true
-		case (h.state == attemptRunning || h.state == attemptOrdered) && h.stopMs == 0 && n.now > max(h.confirmedMs+ownerSpanMs, h.adoptedMs+ownerSpanMs)-staleStopMs:
+		case h.state == wire.AttemptQueued && (n.now-ag.heardMs > contactMs || ag.goneMs != 0):
+			h.state, h.result, changed = wire.AttemptEnded, wire.ResultShed, true
+		case (h.state == wire.AttemptRunning || h.state == wire.AttemptOrdered) && h.stopMs == 0 && n.now > max(h.confirmedMs+ownerSpanMs, h.adoptedMs+ownerSpanMs)-staleStopMs:
 			n.count("stale_stops")
-			n.stopAttempt(ag, h, resultLost)
+			n.stopAttempt(ag, h, wire.ResultLost)
 		}
 	}
 	for k, at := range ag.tombstones {
@@ -409,14 +411,14 @@
 			ag.suspects = max(0, ag.suspects-1)
 		}
 	}
-	waits := slices.ContainsFunc(ag.keys(), func(k attemptKey) bool {
+	waits := slices.ContainsFunc(ag.keys(), func(k wire.AttemptKey) bool {
 		h := ag.attempts[k]
-		return h.state == attemptQueued && n.now-h.queuedMs > recallMs
+		return h.state == wire.AttemptQueued && n.now-h.queuedMs > recallMs
 	})
 	if changed || n.now >= ag.syncAt || waits && n.now >= ag.syncAt-syncMs/2 {
 		n.syncAgent(ag)
 	}
-	if over := ag.replaced || ag.goneMs != 0; over && n.now-ag.heardMs > workerKeepMs || over && !slices.ContainsFunc(ag.keys(), func(k attemptKey) bool { return !ag.attempts[k].acked }) && n.now-ag.heardMs > contactMs {
+	if over := ag.replaced || ag.goneMs != 0; over && n.now-ag.heardMs > workerKeepMs || over && !slices.ContainsFunc(ag.keys(), func(k wire.AttemptKey) bool { return !ag.attempts[k].acked }) && n.now-ag.heardMs > contactMs {
 		delete(n.agents, ag.worker)
 	}
 }
--- a/internal/daemon/beats_test.go
+++ b/internal/daemon/beats_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"otterchute/internal/quorum"
+	"otterchute/internal/wire"
 	"testing"
 
 	"github.com/shoenig/test/must"
@@ -45,8 +46,8 @@
 	}{{true, 99, 0}, {true, 50, 1}, {true, 0, 0}, {false, 50, 1}, {false, 99, 1}} {
 		n, beat := pinned(t)
 		beat(100, running("j1", 0, 1, c.percent))
-		h := n.agents["w1"].attempts[attemptKey{"j1", placeID(0, 0, 0), 1}]
-		h.unknown, h.confirmedMs, h.spec.Gang, h.spec.EstMs = false, n.now+60_000, c.gang, 1000
+		h := n.agents["w1"].attempts[wire.AttemptKey{Job: "j1", Task: placeID(0, 0, 0), Attempt: 1}]
+		h.unknown, h.confirmedMs, h.spec.Gang, h.spec.EstimateMs = false, n.now+60_000, c.gang, 1000
 		beat(100, running("j1", 0, 1, c.percent))
 		must.Len(t, c.stops, beat(standMs+200, running("j1", 0, 1, c.percent)).Stop, must.Sprint(c))
 	}
@@ -60,7 +61,7 @@
 	a := beat(50, running("j1", 0, 1, 10))
 	must.Eq(t, int64(0), a.HoldMs) // found running, and no owner has spoken: what an earlier answer held must do
 	ag := n.agents["w1"]
-	h := ag.attempts[attemptKey{"j1", placeID(0, 0, 0), 1}]
+	h := ag.attempts[wire.AttemptKey{Job: "j1", Task: placeID(0, 0, 0), Attempt: 1}]
 	h.unknown, h.confirmedMs = false, n.now
 	must.Eq(t, int64(holdSpanMs), beat(50, running("j1", 0, 1, 20)).HoldMs)
 	a = beat(ownerSpanMs-1500, running("j1", 0, 1, 30))
@@ -68,9 +69,9 @@
 	must.Len(t, 0, a.Stop)
 	must.Eq(t, int64(0), beat(1600, running("j1", 0, 1, 40)).HoldMs)
 
-	ag.attempts[attemptKey{"j2", placeID(0, 0, 1), 3}] = &attempt{state: attemptOrdered, orderSeq: ag.reportSeq, confirmedMs: n.now, spec: orderSpec{Key: attemptKey{"j2", placeID(0, 0, 1), 3}}}
+	ag.attempts[wire.AttemptKey{Job: "j2", Task: placeID(0, 0, 1), Attempt: 3}] = &attempt{state: wire.AttemptOrdered, orderSeq: ag.reportSeq, confirmedMs: n.now, spec: wire.TaskSpec{Key: wire.AttemptKey{Job: "j2", Task: placeID(0, 0, 1), Attempt: 3}}}
 	beat(50, "")
-	must.Eq(t, resultRejected, ag.attempts[attemptKey{"j2", placeID(0, 0, 1), 3}].result)
+	must.Eq(t, wire.ResultRejected, ag.attempts[wire.AttemptKey{Job: "j2", Task: placeID(0, 0, 1), Attempt: 3}].result)
 }
 
 // Another worker at the same place means that the former has crashed; an end is
@@ -78,7 +79,7 @@
 func TestWorkerReplacedAtItsPlace(t *testing.T) {
 	n, beat := pinned(t)
 	beat(100, running("j1", 0, 1, 10))
-	key := attemptKey{"j1", placeID(0, 0, 0), 1}
+	key := wire.AttemptKey{Job: "j1", Task: placeID(0, 0, 0), Attempt: 1}
 	ended := `,"ended":[{"n":1,"job":"j1","round":0,"step":0,"index":0,"run":1,"saved":"","outcome":"ok"}]`
 	must.Eq(t, int64(0), beat(50, ended).Seen)
 	must.Eq(t, int64(0), beat(50, ended).Seen)
@@ -89,7 +90,7 @@
 	reduce(n, event{NowMs: n.now + 50, WallMs: 1, Body: evRequest{ID: 99, Op: "worker.beat", Key: "w2", Expect: -1, Body: []byte(`{"seq":1,"site":"east","capacity":{"cpu":1,"memory":1,"accelerators":0}}`)}})
 	old := n.agents["w1"]
 	must.True(t, old.replaced)
-	must.Eq(t, resultLost, old.attempts[attemptKey{"j1", placeID(0, 0, 1), 1}].result)
+	must.Eq(t, wire.ResultLost, old.attempts[wire.AttemptKey{Job: "j1", Task: placeID(0, 0, 1), Attempt: 1}].result)
 }
 
 func jsonTo(b []byte, out any) error { return json.Unmarshal(b, out) }
@@ -98,16 +99,16 @@
 // the answer to the same beat sent again, nor to an earlier one that comes late,
 // nor to later ones.
 func TestBeatOrderIsGivenOnce(t *testing.T) {
-	key := attemptKey{"j1", placeID(0, 0, 0), 1}
+	key := wire.AttemptKey{Job: "j1", Task: placeID(0, 0, 0), Attempt: 1}
 	for _, c := range []struct {
 		name  string
 		lists string // of the next beat
-		state int8
-	}{{"the answer arrived", running("j1", 0, 1, 0), attemptRunning}, {"the answer was lost", "", attemptEnded}} {
+		state wire.AttemptState
+	}{{"the answer arrived", running("j1", 0, 1, 0), wire.AttemptRunning}, {"the answer was lost", "", wire.AttemptEnded}} {
 		n, beat := pinned(t)
 		beat(100, "")
 		ag := n.agents["w1"]
-		h := &attempt{state: attemptOrdered, orderSeq: ag.reportSeq + 1, confirmedMs: n.now + 60_000, spec: orderSpec{Key: key, Payload: []byte(`"text"`)}}
+		h := &attempt{state: wire.AttemptOrdered, orderSeq: ag.reportSeq + 1, confirmedMs: n.now + 60_000, spec: wire.TaskSpec{Key: key, Payload: []byte(`"text"`)}}
 		ag.attempts[key], ag.outbox = h, []*attempt{h}
 		must.Len(t, 1, beat(50, "").Start, must.Sprint(c.name))
 		for seq := range int64(2) { // the same beat again and those before it, over other connections
@@ -121,7 +122,7 @@
 				}
 			}
 		}
-		must.Eq(t, attemptOrdered, h.state)
+		must.Eq(t, wire.AttemptOrdered, h.state)
 		must.Len(t, 0, beat(50, c.lists).Start, must.Sprint(c.name))
 		must.Eq(t, c.state, h.state, must.Sprint(c.name))
 		must.Len(t, 0, beat(50, c.lists).Start, must.Sprint(c.name))
--- a/internal/daemon/beatunit_test.go
+++ b/internal/daemon/beatunit_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"fmt"
+	"otterchute/internal/resource"
 	"otterchute/internal/statestore"
+	"otterchute/internal/wire"
 	"testing"
 
 	"github.com/shoenig/test/must"
@@ -67,11 +69,11 @@
 		must.SliceEmpty(t, faults)
 		js := &jobState{job: *j, committed: 1, runtime: make([]taskRuntime, 3)}
 		sl.jobs["j"] = js
-		m := &allocation{Slice: "s", Job: "j"}
+		m := &wire.Allocation{Shard: "s", Job: "j"}
 		for i := range 3 {
 			name := fmt.Sprint("w", i)
-			n.workers[name] = &workerView{heardMs: n.now, rebuilt: true, fresh: true, leaving: i == gone, capacity: resources{CPU: 4}, agent: "d1", epoch: 1}
-			m.Places = append(m.Places, allocatedTask{Task: js.taskID(i), Attempt: 1, Worker: name})
+			n.workers[name] = &workerView{heardMs: n.now, rebuilt: true, fresh: true, leaving: i == gone, capacity: resource.Amount{CPU: 4}, agent: "d1", epoch: 1}
+			m.Places = append(m.Places, wire.AllocatedTask{Task: js.taskID(i), Attempt: 1, Worker: name})
 		}
 		n.onAllocation("d1", m)
 		for i := range js.Tasks {
@@ -96,10 +98,10 @@
 	beat("w1")
 	beat("w2")
 	must.True(t, n.agents["w1"].replaced)
-	key := attemptKey{"j", placeID(0, 0, 1), 1}
-	n.onPlacement("d1", &placement{Worker: "w1", AgentEpoch: 7, SliceEpoch: 1, EchoMs: n.now, Spec: orderSpec{Key: key, Slice: "s", Resources: resources{CPU: 1}}})
+	key := wire.AttemptKey{Job: "j", Task: placeID(0, 0, 1), Attempt: 1}
+	n.onPlacement("d1", &wire.Placement{Worker: "w1", AgentEpoch: 7, SliceEpoch: 1, EchoMs: n.now, Spec: wire.TaskSpec{Key: key, Shard: "s", Resources: resource.Amount{CPU: 1}}})
 	h := n.agents["w1"].attempts[key]
 	must.NotNil(t, h)
-	must.Eq(t, attemptEnded, h.state)
-	must.Eq(t, resultRejected, h.result)
+	must.Eq(t, wire.AttemptEnded, h.state)
+	must.Eq(t, wire.ResultRejected, h.result)
 }
--- a/internal/daemon/beatworld_test.go
+++ b/internal/daemon/beatworld_test.go
@@ -11,6 +11,7 @@
 	"testing"
 
 	"otterchute/internal/historycheck"
+	"otterchute/internal/wire"
 
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
@@ -361,7 +362,7 @@
 	b := &beatWorld{world: newWorld(seed, dep), site: site, byHost: map[string]*beatWorker{}, jobs: map[string]*beatJob{}, gangs: map[gangName]*beatEffort{},
 		texts: map[string]savedPoint{}, waste: map[string]float64{}, answers: map[string]int{}, cutOff: map[string]bool{}, emptied: map[string]bool{}, pace: 1,
 		cutOneWay: map[string]cutWay{}, sentSetups: map[string]*sentSetup{}, troubled: map[string]int{}, calmMs: map[string]int64{}}
-	b.holdUpMs = unackedMs
+	b.holdUpMs = wire.UnackedMs
 	b.whenAnswered(b.noteTaken)
 	b.edgeHosts, b.diskHosts = sorted(b.nodes)[:site.edges], sorted(b.nodes)[:site.disks]
 	for i, host := range sorted(b.nodes) {
@@ -1699,8 +1700,8 @@
 				o := b.nodes[name].sh.node
 				for i := range js.Tasks {
 					t, r := &js.Tasks[i], &js.runtime[i]
-					tell("owner %s task %d.%d.%d state %s attempt %d class %s failures %d at %s, retry in %d, wanted %d ms ago, committed %v", name, t.Round, t.Step, t.InStep, taskNames[t.State], t.Attempt,
-						classNames[t.Class], t.Failures, t.Worker, r.retryMs-o.now, o.now-r.allocationMs, t.ChangedIn <= js.committed)
+					tell("owner %s task %d.%d.%d state %s attempt %d class %s failures %d at %s, retry in %d, wanted %d ms ago, committed %v", name, t.Round, t.Step, t.InStep, t.State.String(), t.Attempt,
+						t.Class.String(), t.Failures, t.Worker, r.retryMs-o.now, o.now-r.allocationMs, t.ChangedIn <= js.committed)
 				}
 			}
 		}
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
-	"testing"
-
 	"otterchute/internal/historycheck"
+	"otterchute/internal/resource"
+	"otterchute/internal/wire"
+	"testing"
 )
 
 func manyQueues(count int) []byte {
@@ -29,7 +30,7 @@
 // A selector against a worker's labels, and what looking up a kept answer would cost.
 func BenchmarkSelector(b *testing.B) {
 	c, _ := compileConfig(1, manyQueues(5000))
-	labels := []label{{"disk", "ssd"}, {"tier", "fast"}}
+	labels := []wire.Label{{Key: "disk", Value: "ssd"}, {Key: "tier", Value: "fast"}}
 	kept := map[string]bool{}
 	for name, q := range c.Queues {
 		kept[name] = q.matches(labels, "east")
@@ -53,9 +54,9 @@
 	c, _ := compileConfig(1, manyQueues(5000))
 	n.config.current = c
 	for i := range 11 {
-		n.workers[fmt.Sprintf("w%02d", i)] = &workerView{rebuilt: true, fresh: true, capacity: resources{CPU: 16}, site: historycheck.Sites[i%3], labels: []label{{"disk", "ssd"}, {"tier", "fast"}}}
+		n.workers[fmt.Sprintf("w%02d", i)] = &workerView{rebuilt: true, fresh: true, capacity: resource.Amount{CPU: 16}, site: historycheck.Sites[i%3], labels: []wire.Label{{Key: "disk", Value: "ssd"}, {Key: "tier", Value: "fast"}}}
 	}
-	js := &jobState{job: job{Queue: "guild-4000", Steps: []step{{Size: 1}}, Tasks: []task{{Resources: resources{CPU: 1}}}}}
+	js := &jobState{job: job{Queue: "guild-4000", Steps: []step{{Size: 1}}, Tasks: []task{{Resources: resource.Amount{CPU: 1}}}}}
 	sl := &shard{name: "east"}
 	for b.Loop() {
 		n.selectWorker(sl, js, 0)
--- a/internal/daemon/catchup.go
+++ b/internal/daemon/catchup.go
@@ -3,6 +3,7 @@
 import (
 	"maps"
 	"otterchute/internal/statestore"
+	"otterchute/internal/wire"
 )
 
 // replicaLag is what one core member lacks of a slice's records that a majority
@@ -48,7 +49,7 @@
 func (n *node) sendCatchUp(sl *shard, member string, lag *replicaLag) {
 	sl.writeSeq++
 	lag.seq, lag.sentMs, lag.part = sl.writeSeq, n.now, map[string]int64{}
-	w := &writeRequest{CoreVer: n.core.Version, Slice: sl.name, Epoch: sl.epoch, Seq: lag.seq}
+	w := &wire.WriteRequest{SetVersion: n.core.Version, Shard: sl.name, Epoch: sl.epoch, Seq: lag.seq}
 	size := 0
 	for _, id := range sorted(lag.missed) {
 		if size > statestore.ChunkBytes {
@@ -108,7 +109,7 @@
 // acceptMissedValue keeps a register's value that another member has accepted and this
 // one has not: the same as the proposer's own message, come late. Until then one
 // of the others would have to be asked whenever the third is away.
-func (n *node) acceptMissedValue(m *registerValue) {
+func (n *node) acceptMissedValue(m *wire.RegisterValue) {
 	if !n.inCore() || !m.Complete {
 		return
 	}
--- a/internal/daemon/catchup_test.go
+++ b/internal/daemon/catchup_test.go
@@ -152,8 +152,8 @@
 func TestCoreReadNeedsAgreement(t *testing.T) {
 	s := newSeatWorld(t, 60, 3)
 	n := s.asker().sh.node
-	stored := func(version int64, state int8) statestore.Record {
-		j := job{ID: "j", Queue: "q", State: state, SubmitMs: 1, DoneMs: map[int8]int64{jobCancelled: 9}[state], Version: version}
+	stored := func(version int64, state jobStatus) statestore.Record {
+		j := job{ID: "j", Queue: "q", State: state, SubmitMs: 1, DoneMs: map[jobStatus]int64{jobCancelled: 9}[state], Version: version}
 		return statestore.Record{ID: "j", Epoch: 4, Version: version, Live: true, Value: j.kept()}
 	}
 	members := n.core.Names()
--- a/internal/daemon/central.go
+++ b/internal/daemon/central.go
@@ -3,6 +3,8 @@
 import (
 	"cmp"
 	"math"
+	"otterchute/internal/resource"
+	"otterchute/internal/wire"
 	"slices"
 )
 
@@ -25,7 +27,7 @@
 	Step int64
 }
 
-func (m *allocationRequest) key() allocationKey {
+func keyOf(m *wire.AllocationRequest) allocationKey {
 	if len(m.Tasks) == 0 {
 		return allocationKey{m.Job, -1}
 	}
@@ -36,7 +38,7 @@
 }
 
 type pendingAllocation struct {
-	allocationRequest
+	wire.AllocationRequest
 	from    string
 	firstMs int64
 	lastMs  int64
@@ -50,8 +52,8 @@
 }
 
 // open gives the tasks without a grant.
-func (ws *pendingAllocation) open() []requestedTask {
-	out := make([]requestedTask, 0, len(ws.Tasks))
+func (ws *pendingAllocation) open() []wire.RequestedTask {
+	out := make([]wire.RequestedTask, 0, len(ws.Tasks))
 	for _, t := range ws.Tasks {
 		if g, ok := ws.granted[t.Task]; !ok || g.attempt != t.Attempt {
 			out = append(out, t)
@@ -61,12 +63,12 @@
 }
 
 type workerCapacity struct {
-	syncMsg
+	wire.AgentReport
 	heardMs          int64
-	firmKeys         map[attemptKey]bool
-	firm             resources // room of the firm tasks it holds
-	busy             resources // room of all it holds that is not ended
-	unhealthyUntilMs int64     // unsound until
+	firmKeys         map[wire.AttemptKey]bool
+	firm             resource.Amount // room of the firm tasks it holds
+	busy             resource.Amount // room of all it holds that is not ended
+	unhealthyUntilMs int64           // unsound until
 	unhealthyTimes   int64
 }
 
@@ -102,7 +104,7 @@
 	n.central = &central{epoch: d.epoch, startMs: n.now, workers: map[string]*workerCapacity{}, pending: map[allocationKey]*pendingAllocation{}, roundAt: n.now + rebuildMs}
 }
 
-func (n *node) syncCentral(_ string, m *syncMsg) {
+func (n *node) syncCentral(_ string, m *wire.AgentReport) {
 	c := n.central
 	if c == nil {
 		return
@@ -115,13 +117,13 @@
 	if m.Epoch < w.Epoch {
 		return
 	}
-	w.syncMsg, w.heardMs, w.firm, w.busy, w.firmKeys = *m, n.now, resources{}, resources{}, map[attemptKey]bool{}
+	w.AgentReport, w.heardMs, w.firm, w.busy, w.firmKeys = *m, n.now, resource.Amount{}, resource.Amount{}, map[wire.AttemptKey]bool{}
 	for _, h := range m.Attempts {
-		w.busy = w.busy.plus(h.Resources)
-		if h.Class != classGuaranteed {
+		w.busy = w.busy.Plus(h.Resources)
+		if h.Class != wire.ClassGuaranteed {
 			continue
 		}
-		w.firm = w.firm.plus(h.Resources)
+		w.firm = w.firm.Plus(h.Resources)
 		w.firmKeys[h.Key] = true
 		key := allocationKey{h.Key.Job, h.Key.Task}
 		if round, step, _, ok := placeOf(h.Key.Task); ok {
@@ -130,7 +132,7 @@
 		if ws := c.pending[key]; ws != nil {
 			if g, ok := ws.granted[h.Key.Task]; ok && g.attempt <= h.Key.Attempt {
 				delete(ws.granted, h.Key.Task)
-				ws.Tasks = slices.DeleteFunc(ws.Tasks, func(t requestedTask) bool { return t.Task == h.Key.Task && t.Attempt <= h.Key.Attempt })
+				ws.Tasks = slices.DeleteFunc(ws.Tasks, func(t wire.RequestedTask) bool { return t.Task == h.Key.Task && t.Attempt <= h.Key.Attempt })
 				if len(ws.Tasks) == 0 {
 					delete(c.pending, key)
 				}
@@ -143,18 +145,18 @@
 	}
 }
 
-func (n *node) onAllocationRequest(from string, m *allocationRequest) {
+func (n *node) onAllocationRequest(from string, m *wire.AllocationRequest) {
 	c := n.central
 	if c == nil || !n.holds("central") || len(m.Tasks) == 0 {
 		return
 	}
-	key := m.key()
+	key := keyOf(m)
 	ws := c.pending[key]
 	if ws == nil {
 		ws = &pendingAllocation{firstMs: n.now, granted: map[int64]grantedTask{}}
 		c.pending[key] = ws
 	}
-	ws.allocationRequest, ws.from, ws.lastMs = *m, from, n.now
+	ws.AllocationRequest, ws.from, ws.lastMs = *m, from, n.now
 	for _, t := range m.Tasks { // still wanted some time after it was granted: the grant was lost or could not be taken
 		if g, ok := ws.granted[t.Task]; ok && (g.attempt != t.Attempt || n.now-g.atMs > regrantMs) {
 			delete(ws.granted, t.Task)
@@ -166,11 +168,11 @@
 }
 
 // promised is the firm room of a worker that its agent does not show yet.
-func (c *central) promised(worker string) (room resources) {
+func (c *central) promised(worker string) (room resource.Amount) {
 	for _, ws := range c.pending {
 		for _, g := range ws.granted {
 			if g.worker == worker {
-				room = room.plus(ws.Resources)
+				room = room.Plus(ws.Resources)
 			}
 		}
 	}
@@ -180,7 +182,7 @@
 // candidateWorker is a worker as the central scheduler sees it while it grants.
 type candidateWorker struct {
 	name       string
-	sure, free resources
+	sure, free resource.Amount
 	w          *workerCapacity
 }
 
@@ -201,7 +203,7 @@
 	}
 	urgency := func(k allocationKey) int64 { return n.config.current.urgencyOf(c.pending[k].Queue) }
 	slices.SortFunc(keys, func(a, b allocationKey) int {
-		return cmp.Or(cmp.Compare(urgency(b), urgency(a)), cmp.Compare(c.pending[a].SubmitMs, c.pending[b].SubmitMs),
+		return cmp.Or(cmp.Compare(urgency(b), urgency(a)), cmp.Compare(c.pending[a].SubmittedMs, c.pending[b].SubmittedMs),
 			cmp.Compare(a.Job, b.Job), cmp.Compare(a.Step, b.Step))
 	})
 	var rooms []*candidateWorker
@@ -209,7 +211,7 @@
 		w := c.workers[name]
 		if n.now-w.heardMs < contactMs && w.Rebuilt && w.Fresh && !w.Leaving && !n.config.current.EmptyZones[w.Zone] {
 			p := c.promised(name)
-			rooms = append(rooms, &candidateWorker{name: name, sure: w.Capacity.minus(w.firm).minus(p), free: w.Capacity.minus(w.busy).minus(p), w: w})
+			rooms = append(rooms, &candidateWorker{name: name, sure: w.Capacity.Minus(w.firm).Minus(p), free: w.Capacity.Minus(w.busy).Minus(p), w: w})
 		}
 	}
 	reserved, idle := map[string]bool{}, mostlyIdle(rooms)
@@ -221,7 +223,7 @@
 		}
 		var fit, sound []*candidateWorker
 		for _, r := range rooms {
-			if _, lack := lacks(r.w.Labels, ws.Needs); !lack && q.matches(r.w.Labels, r.w.Zone) && ws.Resources.fits(r.w.Capacity) {
+			if _, lack := lacks(r.w.Labels, ws.Needs); !lack && q.matches(r.w.Labels, r.w.Zone) && ws.Resources.Fits(r.w.Capacity) {
 				fit = append(fit, r)
 				if r.w.unhealthyUntilMs <= n.now && !r.w.Suspect {
 					sound = append(sound, r)
@@ -249,9 +251,9 @@
 			n.reserve(ws, sound, reserved, len(rooms))
 			continue
 		}
-		m := &allocation{Slice: ws.Slice, Job: ws.Job, Epoch: c.epoch}
+		m := &wire.Allocation{Shard: ws.Shard, Job: ws.Job, Epoch: c.epoch}
 		for _, p := range places {
-			m.Places = append(m.Places, allocatedTask{p.task.Task, p.task.Attempt, p.at.name})
+			m.Places = append(m.Places, wire.AllocatedTask{Task: p.task.Task, Attempt: p.task.Attempt, Worker: p.at.name})
 			ws.granted[p.task.Task] = grantedTask{p.task.Attempt, p.at.name, n.now}
 			n.count("grants")
 		}
@@ -262,11 +264,11 @@
 // mostlyIdle tells whether little more than half of the room is in use, in some
 // dimension.
 func mostlyIdle(rooms []*candidateWorker) bool {
-	var free, all resources
+	var free, all resource.Amount
 	for _, r := range rooms {
-		free, all = free.plus(r.free), all.plus(r.w.Capacity)
+		free, all = free.Plus(r.free), all.Plus(r.w.Capacity)
 	}
-	idle := all.share(100 - busyPercent)
+	idle := all.Share(100 - busyPercent)
 	return free.CPU > idle.CPU || free.Memory > idle.Memory || free.GPU > idle.GPU
 }
 
@@ -299,7 +301,7 @@
 // rackWaitMs is how long a gang that asks for one rack waits for one: a part of
 // what its run would take longer over several.
 func (n *node) rackWaitMs(ws *pendingAllocation) int64 {
-	longerMs := int64((n.SpreadFactor - 1) * float64(ws.EstMs))
+	longerMs := int64((n.SpreadFactor - 1) * float64(ws.EstimateMs))
 	return min(max(longerMs*rackWaitShare/100, spreadAfterMs), rackWaitMost)
 }
 
@@ -322,7 +324,7 @@
 }
 
 // timesAt is how many tasks of a want some room of one worker holds.
-func (ws *pendingAllocation) timesAt(room resources) int64 {
+func (ws *pendingAllocation) timesAt(room resource.Amount) int64 {
 	times := timesIn(ws.Resources, room)
 	if ws.PerWorker > 0 {
 		times = min(times, int64(ws.PerWorker))
@@ -352,7 +354,7 @@
 }
 
 // timesIn is how often some room fits into another.
-func timesIn(room, in resources) int64 {
+func timesIn(room, in resource.Amount) int64 {
 	times := int64(1 << 20)
 	for _, d := range [][2]int64{{room.CPU, in.CPU}, {room.Memory, in.Memory}, {room.GPU, in.GPU}} {
 		if d[0] > 0 {
@@ -373,7 +375,7 @@
 }
 
 type assignment struct {
-	task requestedTask
+	task wire.RequestedTask
 	at   *candidateWorker
 }
 
@@ -428,7 +430,7 @@
 }
 
 // fill takes the best room for each task in turn, and stops at the first that has none.
-func (f *fitting) fill(tasks []requestedTask, fit []*candidateWorker) (out []assignment) {
+func (f *fitting) fill(tasks []wire.RequestedTask, fit []*candidateWorker) (out []assignment) {
 	for _, t := range tasks {
 		var best *candidateWorker
 		for _, r := range fit {
@@ -439,7 +441,7 @@
 		if best == nil {
 			return out
 		}
-		best.sure, best.free = best.sure.minus(f.ws.Resources), best.free.minus(f.ws.Resources)
+		best.sure, best.free = best.sure.Minus(f.ws.Resources), best.free.Minus(f.ws.Resources)
 		f.used[best.name]++
 		out = append(out, assignment{t, best})
 	}
@@ -448,7 +450,7 @@
 
 func (f *fitting) undo(places []assignment) {
 	for _, p := range places {
-		p.at.sure, p.at.free = p.at.sure.plus(f.ws.Resources), p.at.free.plus(f.ws.Resources)
+		p.at.sure, p.at.free = p.at.sure.Plus(f.ws.Resources), p.at.free.Plus(f.ws.Resources)
 		f.used[p.at.name]--
 	}
 }
@@ -459,11 +461,11 @@
 	if f.reserved[r.name] || f.ws.PerWorker > 0 && f.used[r.name] >= f.ws.PerWorker {
 		return false
 	}
-	sure, kept := r.sure, r.w.Capacity.share(urgentRoom)
-	if !f.urgent && f.ws.Resources.fits(r.w.Capacity.minus(kept)) {
-		sure = sure.minus(kept)
+	sure, kept := r.sure, r.w.Capacity.Share(urgentRoom)
+	if !f.urgent && f.ws.Resources.Fits(r.w.Capacity.Minus(kept)) {
+		sure = sure.Minus(kept)
 	}
-	return f.ws.Resources.fits(sure)
+	return f.ws.Resources.Fits(sure)
 }
 
 // score prefers a worker that is free without a stop, then one near the data,
@@ -474,7 +476,7 @@
 		s = min(s, r.free.Memory*1000/r.w.Capacity.Memory)
 	}
 	s += 1000 * 1000
-	if f.ws.Resources.fits(r.free) {
+	if f.ws.Resources.Fits(r.free) {
 		s += 1 << 40
 	}
 	if f.nearness(r.w.Rack) > 0 {
@@ -492,14 +494,14 @@
 	if !n.holds("central") || n.now-c.startMs < rebuildMs {
 		return
 	}
-	sure := w.Capacity.minus(w.firm).minus(c.promised(w.Worker))
+	sure := w.Capacity.Minus(w.firm).Minus(c.promised(w.Worker))
 	for _, h := range w.Attempts {
 		if q := n.config.current.Queues[h.Queue]; q != nil && q.Batch != nil {
 			continue // batches are never firm
 		}
-		if h.Class == classQueueable && h.State == attemptRunning && h.RanMs > max(2*h.EstMs, n.ThresholdMs) && h.Resources.fits(sure) {
-			sure = sure.minus(h.Resources)
-			n.send(w.Agent, &promoteMsg{Worker: w.Worker, Epoch: w.Epoch, Key: h.Key})
+		if h.Class == wire.ClassQueueable && h.State == wire.AttemptRunning && h.RanMs > max(2*h.EstimateMs, n.ThresholdMs) && h.Resources.Fits(sure) {
+			sure = sure.Minus(h.Resources)
+			n.send(w.Agent, &wire.Promotion{Worker: w.Worker, Epoch: w.Epoch, Key: h.Key})
 		}
 	}
 }
@@ -531,14 +533,14 @@
 	c.roundAt += rankMs
 	c.round++
 	n.judgeHealth(c)
-	m := &ranksMsg{Epoch: c.epoch, Round: c.round, Short: n.allocationsWait(c)}
+	m := &wire.Ranks{Epoch: c.epoch, Round: c.round, WaitsForRoom: n.allocationsWait(c)}
 	var sum, sum2, count float64
 	for _, name := range sorted(c.workers) {
 		w := c.workers[name]
 		if n.now-w.heardMs > rankMs {
 			continue
 		}
-		v := rankView{Worker: name, RankMs: w.RankMs}
+		v := wire.WorkerRank{Worker: name, RankMs: w.RankMs}
 		if w.unhealthyUntilMs > n.now || w.Suspect {
 			v.Unhealthy = 1
 		}
@@ -550,7 +552,7 @@
 		m.TargetMs = int64(mean + n.TargetSigma*math.Sqrt(max(0, sum2/count-mean*mean)))
 	}
 	// Ranks are for those that place tasks; agents need the target alone.
-	brief := &ranksMsg{Epoch: m.Epoch, Round: m.Round, TargetMs: m.TargetMs}
+	brief := &wire.Ranks{Epoch: m.Epoch, Round: m.Round, TargetMs: m.TargetMs}
 	owners := map[string]bool{n.Name: true}
 	for _, s := range n.core.Shards {
 		to, _ := n.holder("slice/" + s)
@@ -575,16 +577,16 @@
 		var oks, fails, lag, others int64
 		for other, o := range c.workers {
 			if other != name && n.now-o.heardMs < contactMs {
-				oks, fails, lag, others = oks+o.Oks, fails+o.Fails, lag+o.LagPct, others+1
+				oks, fails, lag, others = oks+o.Succeeded, fails+o.Failed, lag+o.LagPercent, others+1
 			}
 		}
 		if others == 0 || w.unhealthyUntilMs > n.now {
 			continue
 		}
-		rate := float64(w.Fails) / float64(max(1, w.Oks+w.Fails))
+		rate := float64(w.Failed) / float64(max(1, w.Succeeded+w.Failed))
 		rest := float64(fails) / float64(max(1, oks+fails))
-		if w.Oks+w.Fails >= healthMinEnds && rate > 0.25 && rate > 3*rest ||
-			w.Oks >= healthMinEnds && w.LagPct > 300 && w.LagPct > 3*lag/others {
+		if w.Succeeded+w.Failed >= healthMinEnds && rate > 0.25 && rate > 3*rest ||
+			w.Succeeded >= healthMinEnds && w.LagPercent > 300 && w.LagPercent > 3*lag/others {
 			bad = append(bad, name)
 		}
 	}
@@ -595,16 +597,16 @@
 		w := c.workers[name]
 		w.unhealthyTimes = min(w.unhealthyTimes+1, 5)
 		w.unhealthyUntilMs = n.now + 10_000<<w.unhealthyTimes
-		n.log("worker_unsound", "worker", name, "fails", w.Fails, "oks", w.Oks, "lag_pct", w.LagPct, "for_ms", w.unhealthyUntilMs-n.now)
+		n.log("worker_unsound", "worker", name, "fails", w.Failed, "oks", w.Succeeded, "lag_pct", w.LagPercent, "for_ms", w.unhealthyUntilMs-n.now)
 	}
 }
 
-func (n *node) onRanks(_ string, m *ranksMsg) {
+func (n *node) onRanks(_ string, m *wire.Ranks) {
 	r := &n.ranks
 	if m.Epoch < r.epoch || m.Epoch == r.epoch && m.Round <= r.round {
 		return
 	}
-	*r = rankState{epoch: m.Epoch, round: m.Round, heardMs: n.now, targetMs: m.TargetMs, short: m.Short, ranks: map[string]int64{}, unhealthy: map[string]int8{}}
+	*r = rankState{epoch: m.Epoch, round: m.Round, heardMs: n.now, targetMs: m.TargetMs, short: m.WaitsForRoom, ranks: map[string]int64{}, unhealthy: map[string]int8{}}
 	for _, v := range m.Ranks {
 		r.ranks[v.Worker] = v.RankMs
 		if v.Unhealthy != 0 {
--- a/internal/daemon/central_test.go
+++ b/internal/daemon/central_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"otterchute/internal/resource"
+	"otterchute/internal/wire"
 	"testing"
 
 	"github.com/shoenig/test/must"
@@ -19,7 +21,7 @@
 	n.startCentral(n.roles["central"])
 	n.now += rebuildMs
 	for i := range 6 {
-		w := &workerCapacity{syncMsg: syncMsg{Worker: fmt.Sprint("w", i), Rack: fmt.Sprint("r", i/3), Rebuilt: true, Fresh: true, Capacity: resources{CPU: 4000}}}
+		w := &workerCapacity{AgentReport: wire.AgentReport{Worker: fmt.Sprint("w", i), Rack: fmt.Sprint("r", i/3), Rebuilt: true, Fresh: true, Capacity: resource.Amount{CPU: 4000}}}
 		n.central.workers[w.Worker] = w
 	}
 	return n
@@ -28,7 +30,7 @@
 // occupy gives a worker firm work.
 func occupy(n *node, worker string, cpu int64) {
 	w := n.central.workers[worker]
-	w.firm, w.busy = resources{CPU: cpu}, resources{CPU: cpu}
+	w.firm, w.busy = resource.Amount{CPU: cpu}, resource.Amount{CPU: cpu}
 }
 
 // grantAfter lets time pass and grants; it gives the workers of a job's grants.
@@ -52,16 +54,16 @@
 }
 
 func wantOf(job, queue string, tasks int, cpu, estMs int64) *pendingAllocation {
-	ws := &pendingAllocation{granted: map[int64]grantedTask{}, allocationRequest: allocationRequest{Slice: "s", Job: job, Queue: queue, Resources: resources{CPU: cpu}, EstMs: estMs}}
+	ws := &pendingAllocation{granted: map[int64]grantedTask{}, AllocationRequest: wire.AllocationRequest{Shard: "s", Job: job, Queue: queue, Resources: resource.Amount{CPU: cpu}, EstimateMs: estMs}}
 	for i := range tasks {
-		ws.Tasks = append(ws.Tasks, requestedTask{placeID(0, 0, int32(i)), 1})
+		ws.Tasks = append(ws.Tasks, wire.RequestedTask{Task: placeID(0, 0, int32(i)), Attempt: 1})
 	}
 	return ws
 }
 
 func (c *central) add(now int64, ws *pendingAllocation) {
 	ws.firstMs, ws.lastMs = now, now
-	c.pending[ws.key()] = ws
+	c.pending[keyOf(&ws.AllocationRequest)] = ws
 }
 
 // A gang that asks for one rack waits for one as long as that is worth more than
@@ -83,7 +85,7 @@
 			gang.Gang, gang.SameRack = true, true
 			n.central.add(n.now, gang)
 			for _, i := range []int{1, 2, 4, 5} { // queueable work, so that the fleet isn't idle
-				n.central.workers[fmt.Sprint("w", i)].busy = resources{CPU: 3000}
+				n.central.workers[fmt.Sprint("w", i)].busy = resource.Amount{CPU: 3000}
 			}
 			must.MapEmpty(t, grantAfter(n, c.waitMs-100, "gang"))
 			must.MapLen(t, 3, grantAfter(n, 100, "gang"))
--- a/internal/daemon/copypace_test.go
+++ b/internal/daemon/copypace_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"fmt"
+	"otterchute/internal/register"
 	"otterchute/internal/statestore"
+	"otterchute/internal/wire"
 	"testing"
 	"time"
 
@@ -21,13 +23,13 @@
 	for i := range count {
 		st.Apply(statestore.Entry{Kind: statestore.EntryRecord, Name: "east", Record: statestore.Record{ID: fmt.Sprintf("job-%06d", i), Epoch: 1, Version: 1, Live: true, Value: value}})
 	}
-	st.Apply(statestore.Entry{Kind: statestore.EntryAccept, Name: "setup", Ballot: ballot{Round: 1, Proposer: "d00"}, Value: deflate(largeSetup(1500))})
+	st.Apply(statestore.Entry{Kind: statestore.EntryAccept, Name: "setup", Ballot: register.Ballot{Round: 1, Proposer: "d00"}, Value: deflate(largeSetup(1500))})
 	copied := statestore.New()
 	parts, largest, longest := 0, 0, time.Duration(0)
 	for c := (statestore.Cursor{}); ; {
 		began := time.Now()
 		part, next := st.CopyPart(c, statestore.ChunkBytes)
-		frame := sealFrame(frameHeader{From: "d00"}, &copyResponse{At: c, Next: next, Entries: part})
+		frame := wire.EncodeFrame(wire.Header{From: "d00"}, &wire.CopyResponse{At: c, Next: next, Entries: part})
 		longest = max(longest, time.Since(began))
 		parts, largest = parts+1, max(largest, len(frame))
 		for _, e := range part {
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -4,6 +4,7 @@
 	"otterchute/internal/codec"
 	"otterchute/internal/quorum"
 	"otterchute/internal/statestore"
+	"otterchute/internal/wire"
 	"slices"
 )
 
@@ -59,8 +60,8 @@
 	return n.inCore() && coreVer == n.core.Version
 }
 
-func (n *node) onRegisterRead(from string, m *registerRead) {
-	if !n.servesSet(m.CoreVer) {
+func (n *node) onRegisterRead(from string, m *wire.RegisterRead) {
+	if !n.servesSet(m.SetVersion) {
 		return
 	}
 	r := n.store.Register(m.Register)
@@ -68,58 +69,58 @@
 	if m.Register == "setup" && !n.core.HasName(from) {
 		value, whole = n.config.readerCopy.of(r), false
 	}
-	n.persist(nil, n.sendEffect(from, &registerValue{Register: m.Register, Ballot: r.Accepted, Value: value, Complete: whole}))
+	n.persist(nil, n.sendEffect(from, &wire.RegisterValue{Register: m.Register, Ballot: r.Accepted, Value: value, Complete: whole}))
 }
 
-func (n *node) onSeal(from string, m *sealRequest) {
-	if !n.servesSet(m.CoreVer) {
+func (n *node) onSeal(from string, m *wire.SealRequest) {
+	if !n.servesSet(m.SetVersion) {
 		return
 	}
-	x := n.store.Shard(m.Slice)
+	x := n.store.Shard(m.Shard)
 	if m.Epoch < x.Sealed() {
-		n.send(from, &sealResponse{CoreVer: m.CoreVer, Slice: m.Slice, Epoch: m.Epoch})
+		n.send(from, &wire.SealResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch})
 		return
 	}
-	a := &sealResponse{CoreVer: m.CoreVer, Slice: m.Slice, Epoch: m.Epoch, OK: true, Served: x.Served()}
+	a := &wire.SealResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch, OK: true, Served: x.Served()}
 	a.Records = append(a.Records, x.Live()...)
 	a.Records = append(a.Records, x.Unconfirmed()...)
-	n.persist([]statestore.Entry{{Kind: statestore.EntrySeal, Name: m.Slice, Epoch: m.Epoch}}, n.sendEffect(from, a))
+	n.persist([]statestore.Entry{{Kind: statestore.EntrySeal, Name: m.Shard, Epoch: m.Epoch}}, n.sendEffect(from, a))
 }
 
-func (n *node) onWrite(from string, m *writeRequest) {
-	if !n.servesSet(m.CoreVer) {
+func (n *node) onWrite(from string, m *wire.WriteRequest) {
+	if !n.servesSet(m.SetVersion) {
 		return
 	}
-	x := n.store.Shard(m.Slice)
+	x := n.store.Shard(m.Shard)
 	if m.Epoch != x.Sealed() {
 		if m.Epoch > x.Sealed() { // a member that missed the seal learns it with the write
-			n.persist([]statestore.Entry{{Kind: statestore.EntrySeal, Name: m.Slice, Epoch: m.Epoch}})
+			n.persist([]statestore.Entry{{Kind: statestore.EntrySeal, Name: m.Shard, Epoch: m.Epoch}})
 		} else {
 			n.count("writes_bounced")
-			n.send(from, &writeResponse{CoreVer: m.CoreVer, Slice: m.Slice, Epoch: m.Epoch, Seq: m.Seq})
+			n.send(from, &wire.WriteResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch, Seq: m.Seq})
 			return
 		}
 	}
 	entries := make([]statestore.Entry, 0, len(m.Records)+len(m.Confirmed)+1)
 	if m.Complete && x.Served() < m.Epoch {
-		entries = append(entries, statestore.Entry{Kind: statestore.EntryServed, Name: m.Slice, Epoch: m.Epoch})
+		entries = append(entries, statestore.Entry{Kind: statestore.EntryServed, Name: m.Shard, Epoch: m.Epoch})
 	}
 	for _, id := range m.Confirmed {
-		entries = append(entries, statestore.Entry{Kind: statestore.EntryConfirmed, Name: m.Slice, Record: statestore.Record{ID: id}})
+		entries = append(entries, statestore.Entry{Kind: statestore.EntryConfirmed, Name: m.Shard, Record: statestore.Record{ID: id}})
 	}
 	for _, r := range m.Records {
-		entries = append(entries, statestore.Entry{Kind: statestore.EntryRecord, Name: m.Slice, Record: r})
+		entries = append(entries, statestore.Entry{Kind: statestore.EntryRecord, Name: m.Shard, Record: r})
 	}
-	n.persist(entries, n.sendEffect(from, &writeResponse{CoreVer: m.CoreVer, Slice: m.Slice, Epoch: m.Epoch, Seq: m.Seq, OK: true}))
+	n.persist(entries, n.sendEffect(from, &wire.WriteResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch, Seq: m.Seq, OK: true}))
 }
 
-func (n *node) onFetch(from string, m *fetchRequest) {
-	if !n.servesSet(m.CoreVer) {
+func (n *node) onFetch(from string, m *wire.FetchRequest) {
+	if !n.servesSet(m.SetVersion) {
 		return
 	}
-	a := &fetchResponse{Op: m.Op}
+	a := &wire.FetchResponse{Op: m.Op}
 	for _, id := range m.IDs {
-		if r, ok := n.store.Shard(m.Slice).Get(id); ok {
+		if r, ok := n.store.Shard(m.Shard).Get(id); ok {
 			a.Records = append(a.Records, r)
 		}
 	}
@@ -127,8 +128,8 @@
 }
 
 // onPoll grants leases and tells what every daemon must know.
-func (n *node) onPoll(from string, m *pollRequest) {
-	if !n.servesSet(m.CoreVer) {
+func (n *node) onPoll(from string, m *wire.PollRequest) {
+	if !n.servesSet(m.SetVersion) {
 		return
 	}
 	st, inc := n.granter, m.Incarnation
@@ -142,14 +143,14 @@
 	if c, known := st.clocks[from]; !known || m.WallMs-n.now >= c.offset || n.now-c.atMs > clockOldMs {
 		st.clocks[from] = clockReading{m.WallMs - n.now, n.now}
 	}
-	a := &pollResponse{Seq: m.Seq, CoreVer: n.core.Version, GuardMs: max(0, st.guardMs-n.now), FleetMs: n.fleetTimeHeard(), DiskSlow: n.syncMs}
+	a := &wire.PollResponse{Seq: m.Seq, SetVersion: n.core.Version, GuardMs: max(0, st.guardMs-n.now), FleetMs: n.fleetTimeHeard(), SyncMs: n.syncMs}
 	for _, r := range m.Releases {
 		if g := st.grants[r.Name]; g != nil && g.holder == from && g.incarnation == inc {
 			*g = leaseGrant{holder: "", untilMs: n.now + leaseMs, epoch: g.epoch, successor: r.Successor}
 		}
 	}
 	addr := n.addrOf(from)
-	for _, d := range m.Holds {
+	for _, d := range m.Wanted {
 		g := st.grants[d.Name]
 		free := g == nil || g.untilMs <= n.now || g.holder == from && g.incarnation == inc ||
 			g.holder == "" && (g.successor == from || g.successor == "") || n.incarnationEnded(g.holder, g.incarnation, g.addr)
@@ -170,16 +171,16 @@
 			delete(st.grants, name)
 			continue
 		}
-		a.Holders = append(a.Holders, roleHolder{Name: name, Holder: g.holder, Incarnation: g.incarnation, Epoch: g.epoch, Successor: g.successor})
+		a.Holders = append(a.Holders, wire.RoleHolder{Name: name, Holder: g.holder, Incarnation: g.incarnation, Epoch: g.epoch, Successor: g.successor})
 	}
 	r := n.store.Register("setup")
-	a.Setup = r.Accepted
+	a.Config = r.Accepted
 	n.persist(nil, n.sendEffect(from, a))
 }
 
 // lastHolder is who took a duty last, as far as this disk knows. Of any majority
 // one member at least knows the newest.
-func (n *node) lastHolder(name string) (v roleHolder) {
+func (n *node) lastHolder(name string) (v wire.RoleHolder) {
 	if value := n.store.RegisterValue("duty/" + name); value != nil {
 		_ = codec.Unmarshal(value, &v) // a value that can't be read is nobody's
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -8,6 +8,8 @@
 	"os"
 	"os/signal"
 	"otterchute/internal/statestore"
+	"otterchute/internal/storage"
+	"otterchute/internal/wire"
 	"otterchute/platform"
 	"runtime/debug"
 	"sync"
@@ -15,6 +17,7 @@
 	"syscall"
 	"time"
 
+	"github.com/go-faster/errors"
 	"github.com/go-logfmt/logfmt"
 	"github.com/go-logr/logr"
 	"go.uber.org/fx"
@@ -159,8 +162,8 @@
 // processPorts carry effects out on the real machine.
 type processPorts struct {
 	loop    *controlLoop
-	wire    *transport
-	disk    *segmentLog
+	wire    *wire.Transport
+	disk    *storage.Log
 	courier *orderSender
 	log     logr.Logger
 	waiting map[uint64]chan effReply // only the control thread touches it
@@ -168,28 +171,28 @@
 	self    string
 }
 
-func (p *processPorts) Send(head frameHeader, to, addr string, msg any) {
-	frame := sealFrame(head, msg)
+func (p *processPorts) Send(head wire.Header, to, addr string, msg any) {
+	frame := wire.EncodeFrame(head, msg)
 	if addr == p.self { // our own words go through the same form, not the network
-		h, m, err := openFrame(frame)
+		h, m, err := wire.DecodeFrame(frame)
 		if err == nil {
 			p.loop.own = append(p.loop.own, func(s *executor) { s.event(evMsg{Head: h, Msg: m}) })
 		}
 		return
 	}
-	p.wire.send(addr, frame)
+	p.wire.Send(addr, frame)
 }
 
 func (p *processPorts) Append(entries []statestore.Entry, done func()) {
 	if p.disk != nil {
-		p.disk.enqueue(logJob{entries: entries, done: done})
+		p.disk.Append(entries, done)
 	}
 }
 
 func (p *processPorts) Snapshot(entries []statestore.Entry) {
-	p.disk.enqueue(logJob{entries: entries, snapshot: true})
+	p.disk.Snapshot(entries)
 }
-func (p *processPorts) Wipe(id uint64) { p.disk.enqueue(logJob{wipe: id}) }
+func (p *processPorts) Wipe(id uint64) { p.disk.Wipe(id) }
 
 func (p *processPorts) Reply(e effReply) {
 	if ch := p.waiting[e.ID]; ch != nil {
@@ -219,7 +222,7 @@
 		fx.Module("log", fx.Provide(newLog)),
 		fx.Module("loop", fx.Provide(newControlLoop)),
 		fx.Module("disk", fx.Provide(provideDisk)),
-		fx.Module("wire", fx.Provide(provideWire)),
+		fx.Module("wire", fx.Provide(provideWire, noObserver)),
 		fx.Module("orders", fx.Provide(func(c *steadyClock) *orderSender {
 			return &orderSender{clock: c, slots: make(chan struct{}, ordersMax)}
 		})),
@@ -230,40 +233,74 @@
 }
 
 type diskParts struct {
-	disk  *segmentLog
+	disk  *storage.Log
 	store *statestore.Store
 }
 
+// diskListener brings what the disk tells to the control thread.
+type diskListener struct{ post func(func(*executor)) }
+
+// Committed lets go what waited for entries to be durable.
+func (d diskListener) Committed(entries int, took time.Duration, done []func()) {
+	d.post(func(s *executor) {
+		if entries > 0 {
+			s.node.syncMs = took.Milliseconds()
+			s.node.count("syncs")
+		}
+		for _, do := range done {
+			do()
+		}
+	})
+}
+
+// Failed has the daemon stop counting itself to the core's quorum.
+func (d diskListener) Failed(cause error) {
+	d.post(func(s *executor) { s.event(evDisk{Failed: cause.Error()}) })
+}
+
+// Lost has the daemon start over with an empty disk.
+func (d diskListener) Lost() { d.post(func(s *executor) { s.event(evDisk{Lost: true}) }) }
+
+// Recovered has the daemon count itself again.
+func (d diskListener) Recovered() { d.post(func(s *executor) { s.event(evDisk{Recovered: true}) }) }
+
 func provideDisk(lc fx.Lifecycle, s settings, l *controlLoop, log logr.Logger) (diskParts, error) {
 	if s.Data == "" {
 		return diskParts{}, nil
 	}
-	d, st, err := openLog(s.Data, newSeed()|1, func(e string, kv ...any) { log.Info(e, kv...) })
+	d, st, err := storage.Open(s.Data, newSeed()|1, func(e string, kv ...any) { log.Info(e, kv...) })
 	if err != nil {
 		return diskParts{}, err
 	}
-	d.post = l.post
-	lc.Append(fx.Hook{OnStart: func(context.Context) error { go d.run(); return nil },
-		OnStop: func(context.Context) error { d.stop(); return nil }})
+	lc.Append(fx.Hook{OnStart: func(context.Context) error { go d.Run(diskListener{l.post}); return nil },
+		OnStop: func(context.Context) error { d.Close(); return nil }})
 	return diskParts{d, st}, nil
 }
 
-func provideWire(lc fx.Lifecycle, s settings, l *controlLoop, log logr.Logger) (*transport, error) {
-	w, err := newTransport(s.Addr, l.post, func(e string, kv ...any) { log.Info(e, kv...) })
+// noObserver is the product's: only experiments count messages.
+func noObserver() wire.Observer { return nil }
+
+func provideWire(lc fx.Lifecycle, s settings, l *controlLoop, log logr.Logger, observer wire.Observer) (*wire.Transport, error) {
+	compiler := &configCompiler{}
+	receive := func(h wire.Header, msg any) {
+		ready := compiler.ready(msg)
+		l.post(func(s *executor) { s.event(evMsg{Head: h, Msg: msg, Ready: ready}) })
+	}
+	w, err := wire.NewTransport(wire.Options{Addr: s.Addr, Receive: receive, Events: func(e string, kv ...any) { log.Info(e, kv...) }, Observer: observer})
 	if err != nil {
-		return nil, err
+		return nil, errors.Wrapf(errSettings, "addr: %v", err)
 	}
-	lc.Append(fx.Hook{OnStart: func(context.Context) error { go w.serve(); return nil },
-		OnStop: func(context.Context) error { w.close(); return nil }})
+	lc.Append(fx.Hook{OnStart: func(context.Context) error { go w.Serve(); return nil },
+		OnStop: func(context.Context) error { w.Close(); return nil }})
 	return w, nil
 }
 
-func provideExecutor(s settings, l *controlLoop, w *transport, d diskParts, c *orderSender, log logr.Logger, down fx.Shutdowner) *executor {
+func provideExecutor(s settings, l *controlLoop, w *wire.Transport, d diskParts, c *orderSender, log logr.Logger, down fx.Shutdowner) *executor {
 	p := nodeConfig{Name: s.Name, Incarnation: uint64(time.Now().UnixNano()), Instance: newInstanceID(), Addr: s.Addr, HTTP: s.HTTP, Zone: s.Zone, Seeds: s.Seeds, Disk: d.disk != nil,
 		KeepMs: s.KeepHours * msPerHour, SnapshotBytes: snapshotMin, ThresholdMs: s.ThresholdMs, KLowest: int(s.KLowest), TargetSigma: s.TargetSigma,
 		CoreSize: int(s.CoreSize), FirstStart: s.FirstStart, Colocated: s.Colocated, MaxHoldMs: s.MaxHoldMs, GangWaitMs: s.GangWaitMs, SaveMs: s.SaveMs, RestoreMs: s.RestoreMs, SpreadFactor: s.SpreadFactor}
 	if d.disk != nil {
-		p.DiskID = d.disk.id
+		p.DiskID = d.disk.ID()
 	}
 	ports := &processPorts{loop: l, wire: w, disk: d.disk, courier: c, log: log, waiting: map[uint64]chan effReply{}, self: s.Addr,
 		exit: sync.OnceFunc(func() { go func() { _ = down.Shutdown() }() })}
--- a/internal/daemon/door.go
+++ b/internal/daemon/door.go
@@ -6,12 +6,12 @@
 	"io"
 	"net"
 	"net/http"
+	"otterchute/internal/wire"
+	"otterchute/platform"
 	"strconv"
 	"sync"
 	"time"
 
-	"otterchute/platform"
-
 	"github.com/gin-gonic/gin"
 	"github.com/go-faster/errors"
 	"github.com/prometheus/client_golang/prometheus"
@@ -223,12 +223,12 @@
 	for _, ag := range n.agents {
 		for _, h := range ag.attempts {
 			switch {
-			case h.state == attemptQueued:
-				out["queued_"+classNames[h.spec.Class]]++
-			case h.state == attemptOrdered && h.answeredMs == 0:
+			case h.state == wire.AttemptQueued:
+				out["queued_"+h.spec.Class.String()]++
+			case h.state == wire.AttemptOrdered && h.answeredMs == 0:
 				out["unsettled"]++
-			case h.state == attemptRunning:
-				out["running_"+classNames[h.spec.Class]]++
+			case h.state == wire.AttemptRunning:
+				out["running_"+h.spec.Class.String()]++
 			}
 		}
 	}
--- a/internal/daemon/downstream.go
+++ b/internal/daemon/downstream.go
@@ -9,6 +9,7 @@
 	"io"
 	"net/http"
 	"os"
+	"otterchute/internal/wire"
 	"strconv"
 	"strings"
 	"time"
@@ -54,7 +55,7 @@
 			return response{}, err
 		}
 		defer resp.Body.Close()
-		b, err := io.ReadAll(io.LimitReader(resp.Body, frameMax))
+		b, err := io.ReadAll(io.LimitReader(resp.Body, wire.MaxFrame))
 		return response{resp.StatusCode, b}, err
 	})
 	if err != nil {
--- a/internal/daemon/durability_test.go
+++ b/internal/daemon/durability_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"otterchute/internal/quorum"
 	"otterchute/internal/statestore"
+	"otterchute/internal/wire"
 	"testing"
 
 	"github.com/shoenig/test/must"
@@ -200,7 +201,7 @@
 func TestStateFromCoreDoesNotGoBack(t *testing.T) {
 	w := formed(t, 4, "ikenna")
 	n := w.nodes["d05"].sh.node
-	held := func(state int8, version, doneMs int64) []statestore.Record {
+	held := func(state jobStatus, version, doneMs int64) []statestore.Record {
 		j := &job{ID: "j", Queue: "q", State: state, Version: version, DoneMs: doneMs}
 		return []statestore.Record{{ID: "j", Epoch: 1, Version: version, Live: doneMs == 0, DoneMs: doneMs, Value: j.kept()}}
 	}
@@ -234,8 +235,8 @@
 		op, state := n.opSeq, ""
 		for i, records := range c.answers {
 			must.Eq(t, "", state, must.Sprint("answered before ", i))
-			head := frameHeader{From: fmt.Sprint("d0", i), To: n.Instance}
-			for _, e := range reduce(n, event{NowMs: n.now, WallMs: n.wall, Body: evMsg{Head: head, Msg: &fetchResponse{Op: op, Records: records}}}) {
+			head := wire.Header{From: fmt.Sprint("d0", i), To: n.Instance}
+			for _, e := range reduce(n, event{NowMs: n.now, WallMs: n.wall, Body: evMsg{Head: head, Msg: &wire.FetchResponse{Op: op, Records: records}}}) {
 				if r, ok := e.(effReply); ok {
 					state = gjson.GetBytes(r.Body, "state").Str
 				}
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -3,6 +3,7 @@
 import (
 	"otterchute/internal/codec"
 	"otterchute/internal/register"
+	"otterchute/internal/wire"
 	"slices"
 	"strings"
 )
@@ -17,7 +18,7 @@
 	lastMs      int64 // when the last round was sent
 	sent        map[uint64]*pollRound
 	contactMs   int64 // send time of the newest round a majority answered
-	setup       ballot
+	setup       register.Ballot
 	clocks      map[string]clockBounds // by core member
 	slowMs      map[string]int64
 	freeSince   map[string]int64 // duty -> since when no majority lists a holder
@@ -36,10 +37,10 @@
 type pollRound struct {
 	seq    uint64
 	sentMs int64
-	holds  []leaseRequest
+	holds  []wire.LeaseRequest
 	leases []*roleLease // what each of holds was asked for: one let go of since is another
-	frees  []leaseRelease
-	acks   map[string]*pollResponse
+	frees  []wire.LeaseRelease
+	acks   map[string]*wire.PollResponse
 }
 
 type roleLease struct {
@@ -47,7 +48,7 @@
 	epoch       uint64
 	knownEpoch  uint64 // the newest epoch that a majority of grants was given in knowledge of
 	untilMs     int64  // end of the lease
-	phase       int8
+	phase       rolePhase
 	takenMs     int64 // when the lease was first had
 	wantMs      int64 // asked for since
 	rounds      int   // polls that asked for it
@@ -55,11 +56,14 @@
 	releaseAcks map[string]bool
 }
 
+// rolePhase is how far this daemon is with a role.
+type rolePhase int8
+
 const (
-	roleWanted         int8 = iota // asked for in polls
-	roleAdvancingEpoch             // the epoch is being counted up
-	roleHeld                       // served
-	roleReleasing                  // being handed to a successor
+	roleWanted         rolePhase = iota // asked for in polls
+	roleAdvancingEpoch                  // the epoch is being counted up
+	roleHeld                            // served
+	roleReleasing                       // being handed to a successor
 )
 
 // holds tells whether this daemon surely holds a duty now.
@@ -96,8 +100,8 @@
 		n.poll.nextMs = n.now + pollColocatedMs
 	}
 	n.poll.seq++
-	m := &pollRequest{Incarnation: n.Incarnation, Seq: n.poll.seq, CoreVer: n.core.Version, WallMs: n.wall}
-	r := &pollRound{seq: n.poll.seq, sentMs: n.now, acks: map[string]*pollResponse{}}
+	m := &wire.PollRequest{Incarnation: n.Incarnation, Seq: n.poll.seq, SetVersion: n.core.Version, WallMs: n.wall}
+	r := &pollRound{seq: n.poll.seq, sentMs: n.now, acks: map[string]*wire.PollResponse{}}
 	n.poll.sent[m.Seq] = r
 	for _, name := range sorted(n.roles) {
 		d := n.roles[name]
@@ -107,13 +111,13 @@
 			}
 		}
 		if d.phase == roleReleasing {
-			m.Releases = append(m.Releases, leaseRelease{Name: name, Successor: d.releasing})
+			m.Releases = append(m.Releases, wire.LeaseRelease{Name: name, Successor: d.releasing})
 		} else {
-			m.Holds = append(m.Holds, leaseRequest{Name: name, Epoch: d.epoch})
+			m.Wanted = append(m.Wanted, wire.LeaseRequest{Name: name, Epoch: d.epoch})
 			r.leases = append(r.leases, d)
 		}
 	}
-	r.holds, r.frees = m.Holds, m.Releases
+	r.holds, r.frees = m.Wanted, m.Releases
 	for _, seq := range sorted(n.poll.sent) {
 		if n.now-n.poll.sent[seq].sentMs > leaseMs {
 			delete(n.poll.sent, seq)
@@ -143,15 +147,15 @@
 	p.heardMs[member] = nowMs
 }
 
-func (n *node) onPollResponse(from string, m *pollResponse) {
+func (n *node) onPollResponse(from string, m *wire.PollResponse) {
 	n.poll.recordAnswer(from, n.now)
 	r := n.poll.sent[m.Seq]
-	if r == nil || m.CoreVer != n.core.Version || r.acks[from] != nil || len(m.Granted) != len(r.holds) || len(m.Epochs) != len(r.holds) {
+	if r == nil || m.SetVersion != n.core.Version || r.acks[from] != nil || len(m.Granted) != len(r.holds) || len(m.Epochs) != len(r.holds) {
 		return
 	}
 	r.acks[from] = m
 	n.poll.observeClock(n, from, r.sentMs, m.FleetMs)
-	n.poll.slowMs[from] = m.DiskSlow
+	n.poll.slowMs[from] = m.SyncMs
 	need := n.core.Majority()
 	for i, d := range r.leases {
 		if n.roles[d.name] == d {
@@ -250,14 +254,14 @@
 
 func advanceEpoch(n *node, o *registerChange, current []byte) (register.Decision, []byte) {
 	d := n.roles[string(o.arg)]
-	var v roleHolder
+	var v wire.RoleHolder
 	if d == nil || len(current) > 0 && codec.Unmarshal(current, &v) != nil {
 		return register.Fail, nil
 	}
 	if v.Epoch > d.knownEpoch && (v.Holder != n.Name || v.Incarnation != n.Incarnation) {
 		return register.Refuse, nil // taken by another since our lease was granted, by members that have started anew
 	}
-	return register.Replace, codec.Append(nil, roleHolder{Name: d.name, Holder: n.Name, Incarnation: n.Incarnation, Addr: n.Addr, Epoch: v.Epoch + 1})
+	return register.Replace, codec.Append(nil, wire.RoleHolder{Name: d.name, Holder: n.Name, Incarnation: n.Incarnation, Addr: n.Addr, Epoch: v.Epoch + 1})
 }
 
 func (n *node) epochAdvanced(o *registerChange, outcome register.Outcome) {
@@ -265,7 +269,7 @@
 	if d == nil || d.phase != roleAdvancingEpoch {
 		return
 	}
-	var v roleHolder
+	var v wire.RoleHolder
 	if outcome == register.Refused && n.now < d.untilMs-leaseSlackMs {
 		d.phase, d.rounds, n.poll.nextMs = roleWanted, 0, 0 // the members know the newer epoch now
 		return
@@ -340,7 +344,7 @@
 		rank := func(s string) int {
 			me := n.selfInfo()
 			if s != n.Name {
-				me = n.peers[s].peerInfo
+				me = n.peers[s].Peer
 			}
 			return map[bool]int{true: 2}[me.Colocated] + map[bool]int{true: 1}[!me.Disk]
 		}
--- a/internal/daemon/entering_test.go
+++ b/internal/daemon/entering_test.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"otterchute/internal/wire"
 	"testing"
 
 	"github.com/shoenig/test/must"
@@ -16,7 +17,7 @@
 	_, owner := frontAndOwner(t, w)
 	id, queue := idOwnedBy(w, owner, "job"), w.dep.SetupOf().Queues[0].Name
 	w.detain = func(_, _ string, msg any) int64 {
-		if _, ok := msg.(*fetchResponse); ok {
+		if _, ok := msg.(*wire.FetchResponse); ok {
 			return 100_000 // so long the owner looks
 		}
 		return 0
@@ -53,7 +54,7 @@
 	_, owner := frontAndOwner(t, w)
 	id, queue := idOwnedBy(w, owner, "job"), w.dep.SetupOf().Queues[0].Name
 	w.detain = func(_, _ string, msg any) int64 {
-		if _, ok := msg.(*fetchResponse); ok {
+		if _, ok := msg.(*wire.FetchResponse); ok {
 			return 100_000
 		}
 		return 0
@@ -68,7 +69,7 @@
 	send("job.cancel", nil)
 	owner.sh.node.config.confirmedMs = -1 << 40 // the setup isn't confirmed when the look has ended
 	w.detain = func(_, _ string, msg any) int64 {
-		if _, ok := msg.(*pollResponse); ok {
+		if _, ok := msg.(*wire.PollResponse); ok {
 			return 2_000_000
 		}
 		return 0
--- a/internal/daemon/errors.go
+++ b/internal/daemon/errors.go
@@ -4,11 +4,6 @@
 
 // Each layer has its own errors; a layer turns those from below into its own.
 var (
-	errFrame      = errors.New("frame damaged")
-	errForeign    = errors.New("frame of another cluster or version")
-	errDamaged    = errors.New("disk: log damaged before its end")
-	errDiskFormat = errors.New("disk: written by another version of the program")
-	errDisk       = errors.New("disk failed")
 	errSettings   = errors.New("settings")
 	errOrder      = errors.New("order")
 	errDraft      = errors.New("import")
--- a/internal/daemon/experiment.go
+++ b/internal/daemon/experiment.go
@@ -12,6 +12,7 @@
 	"net/http"
 	"os"
 	"os/signal"
+	"otterchute/internal/wire"
 	"path/filepath"
 	"runtime"
 	"slices"
@@ -242,7 +243,7 @@
 		return response{}
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, frameMax))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, wire.MaxFrame))
 	if err != nil {
 		return response{}
 	}
--- a/internal/daemon/experiment_test.go
+++ b/internal/daemon/experiment_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"io"
 	"os"
+	"otterchute/internal/wire"
 	"path/filepath"
 	"reflect"
 	"slices"
@@ -101,7 +102,8 @@
 
 // Every kind of message has a role that sends it and one that takes it.
 func TestKindRoles(t *testing.T) {
-	for _, typ := range messageTypes {
+	for _, kind := range wire.Kinds() {
+		typ := messageType(kind)
 		roles := kindRoles[typ]
 		must.NotEq(t, "", roles[0], must.Sprint(typ.Name()))
 		must.NotEq(t, "", takerOf(reflect.New(typ).Interface()), must.Sprint(typ.Name()))
--- a/internal/daemon/fence_test.go
+++ b/internal/daemon/fence_test.go
@@ -4,6 +4,7 @@
 	"otterchute/internal/codec"
 	"otterchute/internal/register"
 	"otterchute/internal/statestore"
+	"otterchute/internal/wire"
 	"testing"
 
 	"github.com/shoenig/test/must"
@@ -23,7 +24,7 @@
 				}
 			}
 		}
-		for _, e := range reduce(n, event{NowMs: n.now, WallMs: n.wall, Seed: 1, Body: evMsg{Head: frameHeader{From: from, Cluster: n.core.Cluster, To: addressOf(n.Name)}, Msg: msg}}) {
+		for _, e := range reduce(n, event{NowMs: n.now, WallMs: n.wall, Seed: 1, Body: evMsg{Head: wire.Header{From: from, Cluster: n.core.Cluster, To: addressOf(n.Name)}, Msg: msg}}) {
 			if a, ok := e.(effAppend); ok {
 				look(a.Then)
 			} else {
@@ -38,13 +39,13 @@
 func TestOldEpochIsFenced(t *testing.T) {
 	n, say := coreMemberOf(t)
 	v := n.core.Version
-	must.True(t, say("d09", &sealRequest{CoreVer: v, Slice: "fenced", Epoch: 7}).(*sealResponse).OK)
+	must.True(t, say("d09", &wire.SealRequest{SetVersion: v, Shard: "fenced", Epoch: 7}).(*wire.SealResponse).OK)
 	rec := []statestore.Record{{ID: "j", Epoch: 6, Version: 3, Live: true}}
-	must.False(t, say("d08", &writeRequest{CoreVer: v, Slice: "fenced", Epoch: 6, Seq: 1, Records: rec}).(*writeResponse).OK)
+	must.False(t, say("d08", &wire.WriteRequest{SetVersion: v, Shard: "fenced", Epoch: 6, Seq: 1, Records: rec}).(*wire.WriteResponse).OK)
 	must.Zero(t, recordsIn(n.store, "fenced"))
-	must.False(t, say("d08", &sealRequest{CoreVer: v, Slice: "fenced", Epoch: 6}).(*sealResponse).OK)
-	must.True(t, say("d09", &writeRequest{CoreVer: v, Slice: "fenced", Epoch: 7, Seq: 1, Records: rec}).(*writeResponse).OK)
-	must.Nil(t, say("d09", &writeRequest{CoreVer: v - 1, Slice: "fenced", Epoch: 7, Seq: 2, Records: rec})) // asked under another core set
+	must.False(t, say("d08", &wire.SealRequest{SetVersion: v, Shard: "fenced", Epoch: 6}).(*wire.SealResponse).OK)
+	must.True(t, say("d09", &wire.WriteRequest{SetVersion: v, Shard: "fenced", Epoch: 7, Seq: 1, Records: rec}).(*wire.WriteResponse).OK)
+	must.Nil(t, say("d09", &wire.WriteRequest{SetVersion: v - 1, Shard: "fenced", Epoch: 7, Seq: 2, Records: rec})) // asked under another core set
 }
 
 // A lease excludes others until it ends, and a member that has just started
@@ -52,7 +53,7 @@
 func TestLeaseExcludes(t *testing.T) {
 	n, say := coreMemberOf(t)
 	poll := func(from string, inc uint64) bool {
-		return say(from, &pollRequest{Incarnation: inc, CoreVer: n.core.Version, Holds: []leaseRequest{{Name: "slice/some"}}}).(*pollResponse).Granted[0]
+		return say(from, &wire.PollRequest{Incarnation: inc, SetVersion: n.core.Version, Wanted: []wire.LeaseRequest{{Name: "slice/some"}}}).(*wire.PollResponse).Granted[0]
 	}
 	must.True(t, poll("x08", 1))
 	must.True(t, poll("x08", 1))
@@ -62,7 +63,7 @@
 	must.True(t, poll("x09", 1))
 	n.now += leaseMs + 1
 	n.granter.guardMs = n.now + leaseMs // as after a start
-	n.store.Register("duty/slice/some").Value = codec.Append(nil, roleHolder{Name: "slice/some", Holder: "x07", Incarnation: 5, Addr: "10.0.0.7:7000", Epoch: 3})
+	n.store.Register("duty/slice/some").Value = codec.Append(nil, wire.RoleHolder{Name: "slice/some", Holder: "x07", Incarnation: 5, Addr: "10.0.0.7:7000", Epoch: 3})
 	must.False(t, poll("x09", 1))
 	n.now += leaseMs
 	must.True(t, poll("x09", 1))
@@ -73,11 +74,11 @@
 // address the former may still run.
 func TestLeaseOfALifeThatIsOver(t *testing.T) {
 	n, say := coreMemberOf(t)
-	poll := func(from string, inc uint64) *pollResponse {
-		return say(from, &pollRequest{Incarnation: inc, CoreVer: n.core.Version, Holds: []leaseRequest{{Name: "slice/some"}}}).(*pollResponse)
+	poll := func(from string, inc uint64) *wire.PollResponse {
+		return say(from, &wire.PollRequest{Incarnation: inc, SetVersion: n.core.Version, Wanted: []wire.LeaseRequest{{Name: "slice/some"}}}).(*wire.PollResponse)
 	}
 	heard := func(name string, inc uint64, addr string) {
-		n.peers[name] = &peer{peerInfo: peerInfo{Name: name, Incarnation: inc, Addr: addr}, heardMs: n.now}
+		n.peers[name] = &peer{Peer: wire.Peer{Name: name, Incarnation: inc, Addr: addr}, heardMs: n.now}
 	}
 	heard("x08", 1, "10.0.0.8:7000")
 	heard("x09", 1, "10.0.0.9:7000")
@@ -90,7 +91,7 @@
 	// After a start the grants are forgotten: what the register says of the last holder counts.
 	n.granter.grants = map[string]*leaseGrant{}
 	n.granter.guardMs = n.now + leaseMs
-	n.store.Register("duty/slice/some").Value = codec.Append(nil, roleHolder{Name: "slice/some", Holder: "x07", Incarnation: 5, Addr: "10.0.0.7:7000", Epoch: 3})
+	n.store.Register("duty/slice/some").Value = codec.Append(nil, wire.RoleHolder{Name: "slice/some", Holder: "x07", Incarnation: 5, Addr: "10.0.0.7:7000", Epoch: 3})
 	must.False(t, poll("x09", 1).Granted[0])
 	heard("x07", 6, "10.0.0.77:7000")
 	must.False(t, poll("x09", 1).Granted[0])
@@ -106,7 +107,7 @@
 	n, _ := coreMemberOf(t)
 	n.roles["slice/some"] = &roleLease{name: "slice/some", knownEpoch: 3}
 	cur := func(holder string, inc, epoch uint64) []byte {
-		return codec.Append(nil, roleHolder{Name: "slice/some", Holder: holder, Incarnation: inc, Epoch: epoch})
+		return codec.Append(nil, wire.RoleHolder{Name: "slice/some", Holder: holder, Incarnation: inc, Epoch: epoch})
 	}
 	decide := func(current []byte) register.Decision {
 		decision, _ := advanceEpoch(n, &registerChange{arg: []byte("slice/some")}, current)
@@ -124,13 +125,13 @@
 	n, say := coreMemberOf(t)
 	v := n.core.Version
 	sealed := func(epoch uint64) []statestore.Record {
-		return say("d09", &sealRequest{CoreVer: v, Slice: "s", Epoch: epoch}).(*sealResponse).Records
+		return say("d09", &wire.SealRequest{SetVersion: v, Shard: "s", Epoch: epoch}).(*wire.SealResponse).Records
 	}
 	sealed(1)
 	finished := statestore.Record{ID: "j", Epoch: 1, Version: 4, DoneMs: 5, Value: (&job{ID: "j", Queue: "q", State: jobComplete, DoneMs: 5, Version: 4}).kept()}
-	say("d09", &writeRequest{CoreVer: v, Slice: "s", Epoch: 1, Seq: 1, Records: []statestore.Record{finished}})
+	say("d09", &wire.WriteRequest{SetVersion: v, Shard: "s", Epoch: 1, Seq: 1, Records: []statestore.Record{finished}})
 	must.Len(t, 1, sealed(2))
-	say("d09", &writeRequest{CoreVer: v, Slice: "s", Epoch: 2, Seq: 1, Confirmed: []string{"j"}})
+	say("d09", &wire.WriteRequest{SetVersion: v, Shard: "s", Epoch: 2, Seq: 1, Confirmed: []string{"j"}})
 	must.Len(t, 0, sealed(3))
 	again := statestore.New()
 	for _, e := range n.store.Dump() {
@@ -144,15 +145,15 @@
 	owner.startShard(&roleLease{name: "slice/east", epoch: 99})
 	var wrote []statestore.Record
 	for from, recs := range map[string][]statestore.Record{"d00": nil, "d01": {finished}} {
-		for _, e := range reduce(owner, event{NowMs: owner.now, WallMs: owner.wall, Body: evMsg{Head: frameHeader{From: from, To: owner.Instance}, Msg: &sealResponse{CoreVer: owner.core.Version, Slice: "east", Epoch: 99, OK: true, Records: recs}}}) {
+		for _, e := range reduce(owner, event{NowMs: owner.now, WallMs: owner.wall, Body: evMsg{Head: wire.Header{From: from, To: owner.Instance}, Msg: &wire.SealResponse{SetVersion: owner.core.Version, Shard: "east", Epoch: 99, OK: true, Records: recs}}}) {
 			if s, ok := e.(effSend); ok {
-				if m, ok := s.Msg.(*writeRequest); ok {
+				if m, ok := s.Msg.(*wire.WriteRequest); ok {
 					wrote = m.Records
 				}
-				if m, ok := s.Msg.(*fetchRequest); ok { // the other member is asked for it by name
-					for _, e := range reduce(owner, event{NowMs: owner.now, WallMs: owner.wall, Body: evMsg{Head: frameHeader{From: s.To, To: owner.Instance}, Msg: &fetchResponse{Op: m.Op}}}) {
+				if m, ok := s.Msg.(*wire.FetchRequest); ok { // the other member is asked for it by name
+					for _, e := range reduce(owner, event{NowMs: owner.now, WallMs: owner.wall, Body: evMsg{Head: wire.Header{From: s.To, To: owner.Instance}, Msg: &wire.FetchResponse{Op: m.Op}}}) {
 						if s, ok := e.(effSend); ok {
-							if m, ok := s.Msg.(*writeRequest); ok {
+							if m, ok := s.Msg.(*wire.WriteRequest); ok {
 								wrote = m.Records
 							}
 						}
--- a/internal/daemon/fields.go
+++ b/internal/daemon/fields.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"otterchute/internal/wire"
 	"slices"
 	"strconv"
 
@@ -188,11 +189,11 @@
 	return out
 }
 
-func labelsOf(v gjson.Result) []label {
-	var out []label
+func labelsOf(v gjson.Result) []wire.Label {
+	var out []wire.Label
 	m := v.Map()
 	for _, k := range sorted(m) {
-		out = append(out, label{k, m[k].Str})
+		out = append(out, wire.Label{Key: k, Value: m[k].Str})
 	}
 	return out
 }
--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -10,6 +10,8 @@
 	"os"
 	"otterchute/internal/codec"
 	"otterchute/internal/statestore"
+	"otterchute/internal/storage"
+	"otterchute/internal/wire"
 	"path/filepath"
 	"reflect"
 	"strings"
@@ -79,22 +81,22 @@
 // Frames of each kind that the release before the renaming sent are read, and
 // written again to the same bytes.
 func TestFixtureFrames(t *testing.T) {
-	for _, kind := range sorted(messageTypes) {
+	for _, kind := range wire.Kinds() {
 		t.Run(fmt.Sprint(kind), func(t *testing.T) {
-			sample, next := reflect.New(messageTypes[kind]), uint64(0)
+			sample, next := reflect.New(messageType(kind)), uint64(0)
 			sampleValue(sample.Elem(), &next)
-			head := frameHeader{Cluster: 11, From: "edge-1", Instance: 12, To: 13}
+			head := wire.Header{Cluster: 11, From: "edge-1", Instance: 12, To: 13}
 			name := fmt.Sprintf("frames/%02d.hex", kind)
-			compareFixture(t, name, []byte(hex.EncodeToString(sealFrame(head, sample.Interface()))+"\n"))
+			compareFixture(t, name, []byte(hex.EncodeToString(wire.EncodeFrame(head, sample.Interface()))+"\n"))
 
 			text, err := os.ReadFile(filepath.Join("testdata", filepath.FromSlash(name)))
 			must.NoError(t, err)
 			frame, err := hex.DecodeString(strings.TrimSpace(string(text)))
 			must.NoError(t, err)
-			readHead, message, err := openFrame(frame)
+			readHead, message, err := wire.DecodeFrame(frame)
 			must.NoError(t, err)
 			must.Eq(t, sample.Interface(), message)
-			must.Eq(t, frame, sealFrame(readHead, message))
+			must.Eq(t, frame, wire.EncodeFrame(readHead, message))
 		})
 	}
 }
@@ -119,8 +121,8 @@
 	Unsettled      []string
 }
 
-func summaryOf(d *segmentLog, st *statestore.Store) storeSummary {
-	out := storeSummary{Disk: fmt.Sprintf("%x from %d", d.id, d.first), Cluster: fmt.Sprintf("%x", st.Cluster()),
+func summaryOf(identity string, st *statestore.Store) storeSummary {
+	out := storeSummary{Disk: strings.Replace(strings.TrimSpace(identity), " ", " from ", 1), Cluster: fmt.Sprintf("%x", st.Cluster()),
 		CoreSet: hashOf(st.Set().Encode()), Registers: map[string]string{}, Slices: map[string]sliceSummary{}}
 	for _, name := range st.RegisterNames() {
 		r := st.Register(name)
@@ -148,6 +150,8 @@
 	return out
 }
 
+func quiet(string, ...any) {}
+
 func hashOf(b []byte) string {
 	sum := sha256.Sum256(b)
 	return fmt.Sprintf("%d bytes %x", len(b), sum[:8])
@@ -158,27 +162,42 @@
 func writeFixtureFolder(t *testing.T, folder string, member *simNode) {
 	t.Helper()
 	must.NoError(t, os.MkdirAll(folder, 0o755))
-	d, _, err := openLog(folder, member.DiskID, quiet)
+	d, _, err := storage.Open(folder, member.DiskID, quiet)
 	must.NoError(t, err)
-	d.post = func(func(*executor)) {}
+	go d.Run(diskListener{func(do func(*executor)) { do(&executor{node: newNode(nodeConfig{}, nil)}) }})
 	st := statestore.New()
 	add := func(packed [][]byte) {
 		for _, b := range packed {
 			var e statestore.Entry
 			must.NoError(t, codec.Unmarshal(b, &e))
 			st.Apply(e)
-			must.NoError(t, d.commit([]logJob{{entries: []statestore.Entry{e}, done: func() {}}}))
+			synced := make(chan bool)
+			d.Append([]statestore.Entry{e}, func() { close(synced) })
+			<-synced
 		}
 	}
 	entries := member.disk.entries
 	add(entries[:len(entries)/2])
-	must.NoError(t, d.commit([]logJob{{snapshot: true, entries: st.Dump(), done: func() {}}}))
-	d.snapshots.Wait()
+	d.Snapshot(st.Dump())
 	add(entries[len(entries)/2:])
-	closed(d)
+	d.Close()
 	must.NoError(t, os.Remove(filepath.Join(folder, "lock")))
 }
 
+// lastSegment gives the path of the newest segment that holds anything.
+func lastSegment(t *testing.T, dir string) (path string) {
+	t.Helper()
+	list, err := filepath.Glob(filepath.Join(dir, "log-*"))
+	must.NoError(t, err)
+	for _, f := range list {
+		if s, err := os.Stat(f); err == nil && s.Size() > 0 {
+			path = f
+		}
+	}
+	must.NotEq(t, "", path)
+	return path
+}
+
 // writeFixtureFolders plays a short run and keeps the core members' disks.
 func writeFixtureFolders(t *testing.T, root string) {
 	t.Helper()
@@ -194,14 +213,15 @@
 	}
 	damaged := filepath.Join(root, "damaged")
 	writeFixtureFolder(t, damaged, w.nodes["d00"])
-	path := lastLog(t, damaged)
+	path := lastSegment(t, damaged)
 	b, err := os.ReadFile(path)
 	must.NoError(t, err)
 	b[len(b)/2] ^= 0xff
 	must.NoError(t, os.WriteFile(path, b, 0o600))
-	d, _, err := openLog(damaged, 99, quiet) // puts the files aside
+	d, _, err := storage.Open(damaged, 99, quiet) // quarantines the files
 	must.NoError(t, err)
-	closed(d)
+	go d.Run(diskListener{})
+	d.Close()
 	must.NoError(t, os.Remove(filepath.Join(damaged, "lock")))
 }
 
@@ -216,10 +236,14 @@
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir() // opening a folder writes to it
 			must.NoError(t, os.CopyFS(dir, os.DirFS(filepath.Join(root, name))))
-			d, st, err := openLog(dir, 77, quiet)
+			d, st, err := storage.Open(dir, 77, quiet)
+			must.NoError(t, err)
+			go d.Run(diskListener{func(func(*executor)) {}})
+			defer d.Close()
+			identity, err := os.ReadFile(filepath.Join(dir, "disk-id"))
 			must.NoError(t, err)
-			defer closed(d)
-			got, err := json.MarshalIndent(summaryOf(d, st), "", " ")
+			must.StrHasPrefix(t, fmt.Sprintf("%x ", d.ID()), string(identity))
+			got, err := json.MarshalIndent(summaryOf(string(identity), st), "", " ")
 			must.NoError(t, err)
 			compareFixture(t, "data-"+name+".json", append(got, '\n'))
 		})
--- a/internal/daemon/formation.go
+++ b/internal/daemon/formation.go
@@ -4,6 +4,7 @@
 	"otterchute/internal/codec"
 	"otterchute/internal/quorum"
 	"otterchute/internal/statestore"
+	"otterchute/internal/wire"
 	"slices"
 	"strings"
 )
@@ -37,7 +38,7 @@
 // turns through the sites in the order of their names, each turn the lowest
 // name that is left. No site gets more than its even share while another has
 // disks to give, so a site's loss leaves a majority wherever that is possible.
-func spreadOverZones(disks []peerInfo, most int) []quorum.Member {
+func spreadOverZones(disks []wire.Peer, most int) []quorum.Member {
 	bySite := map[string][]quorum.Member{}
 	for _, d := range disks {
 		bySite[d.Zone] = append(bySite[d.Zone], quorum.Member{Name: d.Name, DiskID: d.DiskID})
@@ -74,12 +75,12 @@
 		return
 	}
 	n.forming = nil
-	var disks []peerInfo
+	var disks []wire.Peer
 	key := ""
 	for _, name := range n.aliveNames() {
 		s := n.selfInfo()
 		if name != n.Name {
-			s = n.peers[name].peerInfo
+			s = n.peers[name].Peer
 		}
 		if s.Disk && s.Empty { // and at its first start, see self
 			disks = append(disks, s)
@@ -110,7 +111,7 @@
 	if first := set.Members[0].Name; first != n.Name {
 		n.forming.votes[first] = true // who proposed it had synced its vote before it asked
 	}
-	n.persist([]statestore.Entry{{Kind: statestore.EntryForm, Value: codec.Append(nil, set)}}, append(then, n.sendEffect(n.Name, &formResponse{Cluster: set.Cluster, OK: true}))...)
+	n.persist([]statestore.Entry{{Kind: statestore.EntryForm, Value: codec.Append(nil, set)}}, append(then, n.sendEffect(n.Name, &wire.FormResponse{Cluster: set.Cluster, OK: true}))...)
 }
 
 // driveFormation asks for the members' votes: the first member at once, each
@@ -127,43 +128,43 @@
 	f.sentMs = n.now
 	for _, m := range f.set.Members {
 		if m.Name != n.Name && !f.votes[m.Name] {
-			n.send(m.Name, &formRequest{Set: f.set})
+			n.send(m.Name, &wire.FormRequest{Set: f.set})
 		}
 	}
 }
 
 // onForm votes. Members of a formation that failed are told so and go free.
-func (n *node) onForm(from string, m *formRequest) {
+func (n *node) onForm(from string, m *wire.FormRequest) {
 	if n.store == nil || n.diskFailed != "" || !m.Set.Has(n.Name, n.DiskID) {
 		return
 	}
 	id := m.Set.Cluster
 	against := func() {
 		n.forming = nil
-		n.persist([]statestore.Entry{{Kind: statestore.EntryRefused, Epoch: id}}, n.sendEffect(from, &formResponse{Cluster: id}))
+		n.persist([]statestore.Entry{{Kind: statestore.EntryRefused, Epoch: id}}, n.sendEffect(from, &wire.FormResponse{Cluster: id}))
 	}
 	switch {
 	case n.core.Cluster == id || n.store.Set().Cluster == id && n.store.Set().Version != 0:
 		n.send(from, n.gossip(false)) // it stands
-	case m.Dead:
+	case m.Failed:
 		if n.store.Formed().Cluster == id {
 			n.forming = nil
 		}
 		n.persist([]statestore.Entry{{Kind: statestore.EntryRefused, Epoch: id}})
 	case n.store.Refused(id):
-		n.persist(nil, n.sendEffect(from, &formResponse{Cluster: id}))
+		n.persist(nil, n.sendEffect(from, &wire.FormResponse{Cluster: id}))
 	case n.store.Formed().Cluster == id:
-		n.persist(nil, n.sendEffect(from, &formResponse{Cluster: id, OK: true}))
+		n.persist(nil, n.sendEffect(from, &wire.FormResponse{Cluster: id, OK: true}))
 	case n.store.Cluster() != 0 || n.core.Cluster != 0: // bound to another
-		n.persist([]statestore.Entry{{Kind: statestore.EntryRefused, Epoch: id}}, n.sendEffect(from, &formResponse{Cluster: id}))
+		n.persist([]statestore.Entry{{Kind: statestore.EntryRefused, Epoch: id}}, n.sendEffect(from, &wire.FormResponse{Cluster: id}))
 	case !n.FirstStart:
 		against()
 	default:
-		n.voteFor(m.Set, n.sendEffect(from, &formResponse{Cluster: id, OK: true}))
+		n.voteFor(m.Set, n.sendEffect(from, &wire.FormResponse{Cluster: id, OK: true}))
 	}
 }
 
-func (n *node) onFormResponse(from string, m *formResponse) {
+func (n *node) onFormResponse(from string, m *wire.FormResponse) {
 	f := n.forming
 	if f == nil || m.Cluster != f.set.Cluster || n.core.Cluster != 0 {
 		return
@@ -175,7 +176,7 @@
 		then := make([]effect, 0, len(f.set.Members))
 		for _, mem := range f.set.Members {
 			if mem.Name != n.Name && mem.Name != from {
-				then = append(then, n.sendEffect(mem.Name, &formRequest{Set: f.set, Dead: true}))
+				then = append(then, n.sendEffect(mem.Name, &wire.FormRequest{Set: f.set, Failed: true}))
 			}
 		}
 		n.persist([]statestore.Entry{{Kind: statestore.EntryRefused, Epoch: f.set.Cluster}}, then...)
--- a/internal/daemon/formation_test.go
+++ b/internal/daemon/formation_test.go
@@ -6,6 +6,7 @@
 	"otterchute/internal/quorum"
 	"otterchute/internal/register"
 	"otterchute/internal/statestore"
+	"otterchute/internal/wire"
 	"slices"
 	"strings"
 	"testing"
@@ -340,11 +341,11 @@
 	next.Version++
 	n.adoptCoreSet(next)
 	must.MapEmpty(t, sl.writes[99].acked)
-	n.onWriteResponse("d01", &writeResponse{CoreVer: old, Slice: "east", Epoch: sl.epoch, Seq: 99, OK: true})
-	n.onWriteResponse("d02", &writeResponse{CoreVer: old, Slice: "east", Epoch: sl.epoch, Seq: 99, OK: true})
+	n.onWriteResponse("d01", &wire.WriteResponse{SetVersion: old, Shard: "east", Epoch: sl.epoch, Seq: 99, OK: true})
+	n.onWriteResponse("d02", &wire.WriteResponse{SetVersion: old, Shard: "east", Epoch: sl.epoch, Seq: 99, OK: true})
 	must.False(t, sl.writes[99].done)
-	n.onWriteResponse("d01", &writeResponse{CoreVer: next.Version, Slice: "east", Epoch: sl.epoch, Seq: 99, OK: true})
-	n.onWriteResponse("d02", &writeResponse{CoreVer: next.Version, Slice: "east", Epoch: sl.epoch, Seq: 99, OK: true})
+	n.onWriteResponse("d01", &wire.WriteResponse{SetVersion: next.Version, Shard: "east", Epoch: sl.epoch, Seq: 99, OK: true})
+	n.onWriteResponse("d02", &wire.WriteResponse{SetVersion: next.Version, Shard: "east", Epoch: sl.epoch, Seq: 99, OK: true})
 	must.True(t, sl.writes[99].done)
 }
 
@@ -378,13 +379,13 @@
 // beside it, and keeps that vote also once the first has failed.
 func TestFormationOneVote(t *testing.T) {
 	n := newNode(nodeConfig{Name: "b", DiskID: 2, Disk: true, FirstStart: true}, statestore.New())
-	say := func(m *formRequest) *formResponse {
-		var got *formResponse
-		for _, e := range reduce(n, event{NowMs: 1000, WallMs: 1000, Body: evMsg{Head: frameHeader{From: "a", To: addressOf("b")}, Msg: m}}) {
+	say := func(m *wire.FormRequest) *wire.FormResponse {
+		var got *wire.FormResponse
+		for _, e := range reduce(n, event{NowMs: 1000, WallMs: 1000, Body: evMsg{Head: wire.Header{From: "a", To: addressOf("b")}, Msg: m}}) {
 			if a, ok := e.(effAppend); ok {
 				for _, then := range a.Then {
 					if s, ok := then.(effSend); ok && s.To == "a" {
-						got, _ = s.Msg.(*formResponse)
+						got, _ = s.Msg.(*wire.FormResponse)
 					}
 				}
 			}
@@ -394,14 +395,14 @@
 	set := func(id uint64) quorum.Set {
 		return quorum.Set{Cluster: id, Version: 1, Members: []quorum.Member{{Name: "a", DiskID: 1}, {Name: "b", DiskID: 2}, {Name: "c", DiskID: 3}}, Shards: []string{"x"}}
 	}
-	must.Eq(t, &formResponse{Cluster: 11, OK: true}, say(&formRequest{Set: set(11)}))
-	must.Eq(t, &formResponse{Cluster: 13}, say(&formRequest{Set: set(13)}))
+	must.Eq(t, &wire.FormResponse{Cluster: 11, OK: true}, say(&wire.FormRequest{Set: set(11)}))
+	must.Eq(t, &wire.FormResponse{Cluster: 13}, say(&wire.FormRequest{Set: set(13)}))
 	must.Eq(t, uint64(11), n.store.Formed().Cluster)
-	say(&formRequest{Set: set(11), Dead: true})
+	say(&wire.FormRequest{Set: set(11), Failed: true})
 	must.Eq(t, uint64(0), n.store.Cluster())
-	must.Eq(t, &formResponse{Cluster: 13}, say(&formRequest{Set: set(13)}))
-	must.Eq(t, &formResponse{Cluster: 11}, say(&formRequest{Set: set(11)}))
-	must.Eq(t, &formResponse{Cluster: 15, OK: true}, say(&formRequest{Set: set(15)}))
+	must.Eq(t, &wire.FormResponse{Cluster: 13}, say(&wire.FormRequest{Set: set(13)}))
+	must.Eq(t, &wire.FormResponse{Cluster: 11}, say(&wire.FormRequest{Set: set(11)}))
+	must.Eq(t, &wire.FormResponse{Cluster: 15, OK: true}, say(&wire.FormRequest{Set: set(15)}))
 }
 
 // A new member has copied a majority of those left before it is one.
--- a/internal/daemon/gossip_test.go
+++ b/internal/daemon/gossip_test.go
@@ -4,6 +4,7 @@
 	"otterchute/internal/codec"
 	"otterchute/internal/historycheck"
 	"otterchute/internal/quorum"
+	"otterchute/internal/wire"
 	"reflect"
 	"testing"
 
@@ -26,10 +27,10 @@
 	for _, name := range sorted(w.nodes) {
 		must.True(t, told(name, func(s *peer) bool { return w.nodes[name].sh.node.heartbeat-s.Heartbeat <= 4 }), must.Sprint(name))
 	}
-	before, rounds := w.msgs[reflect.TypeFor[gossipMsg]().Name()], w.msgs[reflect.TypeFor[digestMsg]().Name()]
+	before, rounds := w.msgs[reflect.TypeFor[wire.Gossip]().Name()], w.msgs[reflect.TypeFor[wire.Digest]().Name()]
 	w.run(10_000)
-	must.Greater(t, 10*len(w.nodes), w.msgs[reflect.TypeFor[digestMsg]().Name()]-rounds)
-	must.Less(t, (w.msgs[reflect.TypeFor[digestMsg]().Name()]-rounds)/10, w.msgs[reflect.TypeFor[gossipMsg]().Name()]-before)
+	must.Greater(t, 10*len(w.nodes), w.msgs[reflect.TypeFor[wire.Digest]().Name()]-rounds)
+	must.Less(t, (w.msgs[reflect.TypeFor[wire.Digest]().Name()]-rounds)/10, w.msgs[reflect.TypeFor[wire.Gossip]().Name()]-before)
 
 	w.nodes["d07"].kill(false)
 	w.run(1000)
@@ -51,10 +52,10 @@
 	}
 	a, b := nodes["a"], nodes["b"]
 	for _, name := range []string{"c", "d", "e"} {
-		a.mergePeer(peerInfo{Name: name, Incarnation: 1, Heartbeat: 3, Addr: "127.0.0.1:7000", HTTP: "127.0.0.1:8000", Zone: "z"})
+		a.mergePeer(wire.Peer{Name: name, Incarnation: 1, Heartbeat: 3, Addr: "127.0.0.1:7000", HTTP: "127.0.0.1:8000", Zone: "z"})
 	}
-	b.mergePeer(peerInfo{Name: "e", Incarnation: 1, Heartbeat: 8, Addr: "127.0.0.1:7000", HTTP: "127.0.0.1:8000", Zone: "z"})
-	b.mergePeer(peerInfo{Name: "f", Incarnation: 1, Heartbeat: 8, Zone: "z"})
+	b.mergePeer(wire.Peer{Name: "e", Incarnation: 1, Heartbeat: 8, Addr: "127.0.0.1:7000", HTTP: "127.0.0.1:8000", Zone: "z"})
+	b.mergePeer(wire.Peer{Name: "f", Incarnation: 1, Heartbeat: 8, Zone: "z"})
 	must.Less(t, len(codec.Append(nil, a.gossip(true)))/2, len(codec.Append(nil, a.gossipRound())))
 	sent := func(n *node) (out []any) {
 		for _, e := range n.out {
@@ -66,18 +67,18 @@
 		return out
 	}
 	b.onDigest("a", a.gossipRound())
-	ack := sent(b)[0].(*digestAck)
-	must.Len(t, 2, ack.Lacks)
+	ack := sent(b)[0].(*wire.DigestReply)
+	must.Len(t, 2, ack.Unknown)
 	a.onDigestAck("b", ack)
 	must.Eq(t, 8, a.peers["e"].Heartbeat)
 	must.NotNil(t, a.peers["f"])
 	must.NotNil(t, a.peers["b"])
-	b.onGossip("a", sent(a)[0].(*gossipMsg))
+	b.onGossip("a", sent(a)[0].(*wire.Gossip))
 	must.Eq(t, 3, b.peers["c"].Heartbeat)
 	must.Eq(t, 3, b.peers["d"].Heartbeat)
 	must.Eq(t, 8, b.peers["e"].Heartbeat)
 	b.onDigest("a", a.gossipRound()) // all is known now
-	again := sent(b)[0].(*digestAck)
-	must.SliceEmpty(t, again.Lacks)
+	again := sent(b)[0].(*wire.DigestReply)
+	must.SliceEmpty(t, again.Unknown)
 	must.SliceEmpty(t, again.Table)
 }
--- a/internal/daemon/history.go
+++ b/internal/daemon/history.go
@@ -172,7 +172,7 @@
 // which only a change of the register needs. All daemons read each new value,
 // so it is packed once for each.
 type readerCopy struct {
-	ballot ballot
+	ballot register.Ballot
 	value  []byte
 }
 
--- a/internal/daemon/history_test.go
+++ b/internal/daemon/history_test.go
@@ -307,7 +307,7 @@
 		o := n.startChange("setup", "taken", nil, 0)
 		o.change, o.request = c.id, &request{id: 5}
 		for _, m := range n.core.Names()[:2] {
-			n.onPromise(m, &register.Promise{Op: o.ID, OK: true, Ballot: o.Ballot, Accepted: ballot{Round: 1}, Value: codec.Append(nil, value)})
+			n.onPromise(m, &register.Promise{Op: o.ID, OK: true, Ballot: o.Ballot, Accepted: register.Ballot{Round: 1}, Value: codec.Append(nil, value)})
 		}
 		n.out = slices.DeleteFunc(n.out, func(e effect) bool { _, isSend := e.(effSend); return isSend })
 		for _, m := range n.core.Names()[:2] {
--- a/internal/daemon/hollow.go
+++ b/internal/daemon/hollow.go
@@ -6,6 +6,9 @@
 	"fmt"
 	"net"
 	"os"
+	"otterchute/internal/register"
+	"otterchute/internal/wire"
+	"otterchute/platform"
 	"path/filepath"
 	"reflect"
 	"slices"
@@ -13,9 +16,6 @@
 	"sync"
 	"time"
 
-	"otterchute/internal/register"
-	"otterchute/platform"
-
 	"github.com/go-faster/errors"
 	"github.com/go-logr/logr"
 	"github.com/tidwall/gjson"
@@ -43,37 +43,37 @@
 // kindRoles names, for each kind of message, the role that sends it and the one
 // whose work it is to take it.
 var kindRoles = map[reflect.Type][2]string{
-	reflect.TypeFor[gossipMsg]():         {roleEvery, roleEvery},
-	reflect.TypeFor[digestMsg]():         {roleEvery, roleEvery},
-	reflect.TypeFor[digestAck]():         {roleEvery, roleEvery},
-	reflect.TypeFor[pollRequest]():       {roleEvery, roleCore},
-	reflect.TypeFor[pollResponse]():      {roleCore, roleEvery},
-	reflect.TypeFor[register.Prepare]():  {roleEvery, roleCore},
-	reflect.TypeFor[register.Promise]():  {roleCore, roleEvery},
-	reflect.TypeFor[register.Accept]():   {roleEvery, roleCore},
-	reflect.TypeFor[register.Accepted](): {roleCore, roleEvery},
-	reflect.TypeFor[registerRead]():      {roleEvery, roleCore},
-	reflect.TypeFor[registerValue]():     {roleCore, roleEvery},
-	reflect.TypeFor[sealRequest]():       {roleOwner, roleCore},
-	reflect.TypeFor[sealResponse]():      {roleCore, roleOwner},
-	reflect.TypeFor[writeRequest]():      {roleOwner, roleCore},
-	reflect.TypeFor[writeResponse]():     {roleCore, roleOwner},
-	reflect.TypeFor[fetchRequest]():      {roleOwner, roleCore},
-	reflect.TypeFor[fetchResponse]():     {roleCore, roleOwner},
-	reflect.TypeFor[forwardMsg]():        {roleFront, roleOwner},
-	reflect.TypeFor[forwardReply]():      {roleOwner, roleFront},
-	reflect.TypeFor[placement]():         {roleLocal, roleAgent},
-	reflect.TypeFor[syncMsg]():           {roleAgent, roleOwner},
-	reflect.TypeFor[syncAck]():           {roleOwner, roleAgent},
-	reflect.TypeFor[allocationRequest](): {roleOwner, roleCentral},
-	reflect.TypeFor[allocation]():        {roleCentral, roleOwner},
-	reflect.TypeFor[ranksMsg]():          {roleCentral, roleLocal},
-	reflect.TypeFor[promoteMsg]():        {roleCentral, roleAgent},
-	reflect.TypeFor[estimatesMsg]():      {roleOwner, roleLocal},
-	reflect.TypeFor[formRequest]():       {roleCore, roleCore},
-	reflect.TypeFor[formResponse]():      {roleCore, roleCore},
-	reflect.TypeFor[copyRequest]():       {roleCore, roleCore},
-	reflect.TypeFor[copyResponse]():      {roleCore, roleCore},
+	reflect.TypeFor[wire.Gossip]():            {roleEvery, roleEvery},
+	reflect.TypeFor[wire.Digest]():            {roleEvery, roleEvery},
+	reflect.TypeFor[wire.DigestReply]():       {roleEvery, roleEvery},
+	reflect.TypeFor[wire.PollRequest]():       {roleEvery, roleCore},
+	reflect.TypeFor[wire.PollResponse]():      {roleCore, roleEvery},
+	reflect.TypeFor[register.Prepare]():       {roleEvery, roleCore},
+	reflect.TypeFor[register.Promise]():       {roleCore, roleEvery},
+	reflect.TypeFor[register.Accept]():        {roleEvery, roleCore},
+	reflect.TypeFor[register.Accepted]():      {roleCore, roleEvery},
+	reflect.TypeFor[wire.RegisterRead]():      {roleEvery, roleCore},
+	reflect.TypeFor[wire.RegisterValue]():     {roleCore, roleEvery},
+	reflect.TypeFor[wire.SealRequest]():       {roleOwner, roleCore},
+	reflect.TypeFor[wire.SealResponse]():      {roleCore, roleOwner},
+	reflect.TypeFor[wire.WriteRequest]():      {roleOwner, roleCore},
+	reflect.TypeFor[wire.WriteResponse]():     {roleCore, roleOwner},
+	reflect.TypeFor[wire.FetchRequest]():      {roleOwner, roleCore},
+	reflect.TypeFor[wire.FetchResponse]():     {roleCore, roleOwner},
+	reflect.TypeFor[wire.Forward]():           {roleFront, roleOwner},
+	reflect.TypeFor[wire.ForwardReply]():      {roleOwner, roleFront},
+	reflect.TypeFor[wire.Placement]():         {roleLocal, roleAgent},
+	reflect.TypeFor[wire.AgentReport]():       {roleAgent, roleOwner},
+	reflect.TypeFor[wire.OwnerReply]():        {roleOwner, roleAgent},
+	reflect.TypeFor[wire.AllocationRequest](): {roleOwner, roleCentral},
+	reflect.TypeFor[wire.Allocation]():        {roleCentral, roleOwner},
+	reflect.TypeFor[wire.Ranks]():             {roleCentral, roleLocal},
+	reflect.TypeFor[wire.Promotion]():         {roleCentral, roleAgent},
+	reflect.TypeFor[wire.Estimates]():         {roleOwner, roleLocal},
+	reflect.TypeFor[wire.FormRequest]():       {roleCore, roleCore},
+	reflect.TypeFor[wire.FormResponse]():      {roleCore, roleCore},
+	reflect.TypeFor[wire.CopyRequest]():       {roleCore, roleCore},
+	reflect.TypeFor[wire.CopyResponse]():      {roleCore, roleCore},
 }
 
 // stateRoles names the parts of a daemon's state by the role that needs them.
@@ -84,20 +84,26 @@
 }
 
 func kindName(kind uint8) string {
-	if t, ok := messageTypes[kind]; ok {
+	if t := messageType(kind); t != nil {
 		return t.Name()
 	}
 	return fmt.Sprint("kind ", kind)
 }
 
+// messageType gives the type of a kind's messages, nil for an unknown kind.
+func messageType(kind uint8) reflect.Type {
+	t, _ := wire.MessageType(kind)
+	return t
+}
+
 // takerOf tells whose work a message is at the daemon that takes it.
 func takerOf(msg any) string {
 	switch m := msg.(type) {
-	case *syncMsg:
-		if m.Slice == "" {
+	case *wire.AgentReport:
+		if m.Shard == "" {
 			return roleCentral
 		}
-	case *forwardMsg:
+	case *wire.Forward:
 		if strings.HasPrefix(m.Op, "worker.") {
 			return roleAgent
 		}
@@ -170,15 +176,15 @@
 	m.flows[f] = tally{t.N + 1, t.Bytes + int64(bytes) + 4} // the length that the stream puts before a frame
 }
 
-func (m *meter) sent(frame []byte) {
+func (m *meter) Sent(frame []byte) {
 	if m == nil {
 		return
 	}
-	kind := frameKind(frame)
-	m.add(flow{kindRoles[messageTypes[kind]][0], kindName(kind), true}, len(frame))
+	kind := wire.FrameKind(frame)
+	m.add(flow{kindRoles[messageType(kind)][0], kindName(kind), true}, len(frame))
 }
 
-func (m *meter) heard(msg any, bytes int) {
+func (m *meter) Received(msg any, bytes int) {
 	if m == nil {
 		return
 	}
@@ -227,7 +233,7 @@
 	switch x := e.(type) {
 	case effSend:
 		role = kindRoles[reflect.TypeOf(x.Msg).Elem()][0]
-		if _, ok := x.Msg.(*forwardReply); ok {
+		if _, ok := x.Msg.(*wire.ForwardReply); ok {
 			role = roleOwner
 		}
 	case effAppend, effSnapshot, effWipe:
@@ -278,14 +284,14 @@
 func (l hollowLog) WithName(string) logr.LogSink   { return l }
 
 func (h *hollow) start(ctx context.Context) error {
-	var w *transport
 	h.meter = newMeter()
 	h.app = fx.New(daemonModules(h.settings), fx.Decorate(func(logr.Logger) logr.Logger { return logr.New(hollowLog{h}) }),
-		fx.Populate(&h.loop, &h.shell, &h.door, &w))
+		fx.Decorate(func(wire.Observer) wire.Observer { return h.meter }),
+		fx.Populate(&h.loop, &h.shell, &h.door))
 	if err := h.app.Err(); err != nil {
 		return errors.Wrap(errExperiment, err.Error())
 	}
-	w.meter, h.shell.meter, h.shell.node.onTickPart = h.meter, h.meter, h.meter.lap
+	h.shell.meter, h.shell.node.onTickPart = h.meter, h.meter.lap
 	h.up = true
 	return h.app.Start(ctx)
 }
--- a/internal/daemon/identity.go
+++ b/internal/daemon/identity.go
@@ -2,9 +2,9 @@
 
 import (
 	"hash/fnv"
-	"reflect"
-
 	"otterchute/internal/register"
+	"otterchute/internal/wire"
+	"reflect"
 )
 
 // Each frame names the process that sent it and the one it is meant for, since
@@ -39,14 +39,14 @@
 
 // responses are the messages that answer one request of one process.
 var responses = map[reflect.Type]bool{
-	reflect.TypeFor[*pollResponse](): true, reflect.TypeFor[*register.Promise](): true, reflect.TypeFor[*register.Accepted](): true,
-	reflect.TypeFor[*sealResponse](): true, reflect.TypeFor[*writeResponse](): true, reflect.TypeFor[*fetchResponse](): true,
-	reflect.TypeFor[*forwardReply](): true, reflect.TypeFor[*formResponse](): true, reflect.TypeFor[*copyResponse](): true,
-	reflect.TypeFor[*registerValue](): true, reflect.TypeFor[*digestAck](): true,
+	reflect.TypeFor[*wire.PollResponse](): true, reflect.TypeFor[*register.Promise](): true, reflect.TypeFor[*register.Accepted](): true,
+	reflect.TypeFor[*wire.SealResponse](): true, reflect.TypeFor[*wire.WriteResponse](): true, reflect.TypeFor[*wire.FetchResponse](): true,
+	reflect.TypeFor[*wire.ForwardReply](): true, reflect.TypeFor[*wire.FormResponse](): true, reflect.TypeFor[*wire.CopyResponse](): true,
+	reflect.TypeFor[*wire.RegisterValue](): true, reflect.TypeFor[*wire.DigestReply](): true,
 }
 
 // greetings are the messages that may go to an address without a name.
-var greetings = map[reflect.Type]bool{reflect.TypeFor[*gossipMsg](): true, reflect.TypeFor[*digestMsg](): true}
+var greetings = map[reflect.Type]bool{reflect.TypeFor[*wire.Gossip](): true, reflect.TypeFor[*wire.Digest](): true}
 
 func newInstanceID() uint64 { return newSeed() | 1 }
 
@@ -58,7 +58,7 @@
 }
 
 // acceptsFrame tells whether a message is meant for this process. It counts what isn't.
-func (n *node) acceptsFrame(head frameHeader, msg any) bool {
+func (n *node) acceptsFrame(head wire.Header, msg any) bool {
 	kind := reflect.TypeOf(msg)
 	switch {
 	case responses[kind]:
--- a/internal/daemon/identity_test.go
+++ b/internal/daemon/identity_test.go
@@ -6,6 +6,7 @@
 	"hash/crc32"
 	"otterchute/internal/codec"
 	"otterchute/internal/register"
+	"otterchute/internal/wire"
 	"reflect"
 	"testing"
 
@@ -58,12 +59,12 @@
 	handed, withheld := false, 0
 	w.detain = func(from, to string, msg any) int64 {
 		switch m := msg.(type) {
-		case *forwardReply: // of the first life, until the second has handed a request over
+		case *wire.ForwardReply: // of the first life, until the second has handed a request over
 			if from == owner.Name && to == front.Name && !handed {
 				withheld++
 				return 700_000
 			}
-		case *forwardMsg:
+		case *wire.Forward:
 			if from == front.Name && m.Key == second {
 				handed = true
 				return 400_000 // the owner knows nothing of it while the late answer comes
@@ -100,14 +101,15 @@
 
 // addressedTo tells whether a daemon takes a message with that addressee.
 func addressedTo(n *node, to uint64, msg any) bool {
-	return n.acceptsFrame(frameHeader{From: "b", Instance: 77, To: to}, msg)
+	return n.acceptsFrame(wire.Header{From: "b", Instance: 77, To: to}, msg)
 }
 
 // A message is taken by the one it names only: a request by its name, a
 // response by the life that asked, a greeting by whoever listens.
 func TestMessageBelongsToItsAddressee(t *testing.T) {
 	n := newNode(nodeConfig{Name: "a", Incarnation: 5, Instance: 1234}, nil)
-	for _, typ := range messageTypes {
+	for _, kind := range wire.Kinds() {
+		typ := messageType(kind)
 		msg := reflect.New(typ).Interface()
 		response, greeting := responses[reflectPtr(typ)], greetings[reflectPtr(typ)]
 		must.Eq(t, !response, addressedTo(n, addressOf("a"), msg), must.Sprint(typ))
@@ -117,7 +119,7 @@
 		must.False(t, addressedTo(n, 1235, msg), must.Sprint(typ))
 	}
 	n.Incarnation = 99 // is raised within a life; the life is not
-	must.True(t, addressedTo(n, 1234, &forwardReply{}))
+	must.True(t, addressedTo(n, 1234, &wire.ForwardReply{}))
 	must.Positive(t, n.counts["late_answers"])
 	must.Positive(t, n.counts["messages_misaddressed"])
 }
@@ -135,12 +137,12 @@
 			}
 		}
 	}
-	for _, msg := range []any{&pollRequest{CoreVer: n.core.Version}, &register.Prepare{SetVersion: n.core.Version, Register: "x", Ballot: ballot{Round: 1, Proposer: "b", Life: 4321}},
-		&register.Accept{SetVersion: n.core.Version, Register: "x", Ballot: ballot{Round: 1, Proposer: "b", Life: 4321}}, &sealRequest{CoreVer: n.core.Version, Slice: "x", Epoch: 3},
-		&writeRequest{CoreVer: n.core.Version, Slice: "x", Epoch: 3}, &fetchRequest{CoreVer: n.core.Version, Slice: "x"}, &registerRead{CoreVer: n.core.Version, Register: "x"},
-		&copyRequest{CoreVer: n.core.Version}, &digestMsg{Self: peerInfo{Name: "b"}}, &forwardMsg{Op: "members"}} {
+	for _, msg := range []any{&wire.PollRequest{SetVersion: n.core.Version}, &register.Prepare{SetVersion: n.core.Version, Register: "x", Ballot: register.Ballot{Round: 1, Proposer: "b", Life: 4321}},
+		&register.Accept{SetVersion: n.core.Version, Register: "x", Ballot: register.Ballot{Round: 1, Proposer: "b", Life: 4321}}, &wire.SealRequest{SetVersion: n.core.Version, Shard: "x", Epoch: 3},
+		&wire.WriteRequest{SetVersion: n.core.Version, Shard: "x", Epoch: 3}, &wire.FetchRequest{SetVersion: n.core.Version, Shard: "x"}, &wire.RegisterRead{SetVersion: n.core.Version, Register: "x"},
+		&wire.CopyRequest{SetVersion: n.core.Version}, &wire.Digest{Self: wire.Peer{Name: "b"}}, &wire.Forward{Op: "members"}} {
 		before := len(dest)
-		for _, e := range reduce(n, event{NowMs: n.now, WallMs: n.wall, Seed: 1, Body: evMsg{Head: frameHeader{From: "b", Instance: 4321, To: addressOf(n.Name)}, Msg: msg}}) {
+		for _, e := range reduce(n, event{NowMs: n.now, WallMs: n.wall, Seed: 1, Body: evMsg{Head: wire.Header{From: "b", Instance: 4321, To: addressOf(n.Name)}, Msg: msg}}) {
 			if a, ok := e.(effAppend); ok {
 				look(a.Then)
 			} else {
@@ -152,11 +154,6 @@
 	}
 }
 
-// The head stays small: each daemon has 3 KB/s for what it says to others.
-func TestHeadIsSmall(t *testing.T) {
-	must.Eq(t, 37+len("edge-fukuoka-a-1"), len(sealFrame(frameHeader{From: "edge-fukuoka-a-1", Cluster: 1, Instance: 2, To: 3}, &formRequest{}))-len(codec.Append(nil, formRequest{})))
-}
-
 // Frames of the form before are refused, whatever they hold, and not misread.
 func TestFormerFormIsRefused(t *testing.T) {
 	former := struct {
@@ -166,8 +163,8 @@
 		From          string
 		Inc           uint64
 	}{0x6f74746572636875, 3, 15, 9, "d01", 7}
-	frame := codec.Append(codec.Append(make([]byte, 4), former), forwardReply{ID: 1, Status: 200})
+	frame := codec.Append(codec.Append(make([]byte, 4), former), wire.ForwardReply{ID: 1, Status: 200})
 	binary.BigEndian.PutUint32(frame, crc32.ChecksumIEEE(frame[4:]))
-	_, _, err := openFrame(frame)
-	must.ErrorIs(t, err, errForeign)
+	_, _, err := wire.DecodeFrame(frame)
+	must.ErrorIs(t, err, wire.ErrForeign)
 }
--- a/internal/daemon/incident_test.go
+++ b/internal/daemon/incident_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"otterchute/internal/wire"
 	"slices"
 	"testing"
 
@@ -14,7 +15,7 @@
 // at work, says so and nothing is learned from it: in the incidents such runs
 // counted as the daemon's own age, or as nothing.
 func TestIncidentRunTimesThatNobodySaw(t *testing.T) {
-	key := attemptKey{"j1", placeID(0, 0, 0), 1}
+	key := wire.AttemptKey{Job: "j1", Task: placeID(0, 0, 0), Attempt: 1}
 	ended := `,"ended":[{"n":1,"job":"j1","round":0,"step":0,"index":0,"run":1,"saved":"","outcome":"ok"}]`
 	type lists struct {
 		afterMs int64
@@ -38,14 +39,14 @@
 		beat(50, "")
 		ag := n.agents["w1"]
 		if c.ordered {
-			ag.attempts[key] = &attempt{state: attemptOrdered, ordered: true, orderedMs: n.now, orderSeq: ag.reportSeq, confirmedMs: n.now + 60_000, spec: orderSpec{Key: key, EstMs: 100}}
+			ag.attempts[key] = &attempt{state: wire.AttemptOrdered, ordered: true, orderedMs: n.now, orderSeq: ag.reportSeq, confirmedMs: n.now + 60_000, spec: wire.TaskSpec{Key: key, EstimateMs: 100}}
 		}
 		for _, l := range c.beats {
 			beat(l.afterMs, l.text)
 		}
 		h := ag.attempts[key]
-		must.Eq(t, attemptEnded, h.state, must.Sprint(name))
-		must.Eq(t, resultOK, h.result, must.Sprint(name))
+		must.Eq(t, wire.AttemptEnded, h.state, must.Sprint(name))
+		must.Eq(t, wire.ResultOK, h.result, must.Sprint(name))
 		must.Eq(t, c.ranMs, h.ranMs, must.Sprint(name))
 	}
 
--- a/internal/daemon/jobs.go
+++ b/internal/daemon/jobs.go
@@ -6,53 +6,28 @@
 	"encoding/json"
 	"fmt"
 	"otterchute/internal/codec"
+	"otterchute/internal/resource"
 	"otterchute/internal/statestore"
+	"otterchute/internal/wire"
 	"slices"
-	"strconv"
 
 	"github.com/tidwall/gjson"
 )
 
-const (
-	taskPending int8 = iota
-	taskPlaced
-	taskEnded
-	taskFailed
-	taskCancelled
-)
-
-var taskNames = map[int8]string{taskPending: "pending", taskPlaced: "placed", taskEnded: "ended", taskFailed: "failed", taskCancelled: "cancelled"}
-
-const (
-	jobRunning int8 = iota
-	jobComplete
-	jobFailed
-	jobCancelled
-)
-
-var jobNames = map[int8]string{jobRunning: "running", jobComplete: "complete", jobFailed: "failed", jobCancelled: "cancelled"}
-
-const (
-	classGuaranteed int8 = iota + 1
-	classQueueable
-)
-
-var classNames = map[int8]string{0: "", classGuaranteed: "guaranteed", classQueueable: "queueable"}
-
 // task and job are kept as they stand in the slice's record.
 type task struct {
 	Round        int32
 	Step, InStep int32
 	Name         string
-	Resources    resources
-	Needs        []label
+	Resources    resource.Amount
+	Needs        []wire.Label
 	LimitMs      int64
 	HintMs       int64
 	Allowed      int32
 	Payload      []byte
 
-	State      int8
-	Class      int8
+	State      taskState
+	Class      wire.TaskClass
 	Attempt    int32
 	Worker     string
 	Agent      string // the daemon that tends the worker
@@ -67,50 +42,14 @@
 	Saved      string // the newest text it can go on from
 }
 
-// resources is room in its dimensions.
-type resources struct{ CPU, Memory, GPU int64 }
-
-func (a resources) plus(b resources) resources {
-	return resources{a.CPU + b.CPU, a.Memory + b.Memory, a.GPU + b.GPU}
-}
-func (a resources) minus(b resources) resources {
-	return resources{a.CPU - b.CPU, a.Memory - b.Memory, a.GPU - b.GPU}
-}
-func (a resources) fits(in resources) bool {
-	return a.CPU <= in.CPU && a.Memory <= in.Memory && a.GPU <= in.GPU
-}
-
-// share is a part of an amount, in percent.
-func (a resources) share(percent int64) resources {
-	return resources{a.CPU * percent / 100, a.Memory * percent / 100, a.GPU * percent / 100}
-}
-
-// MarshalJSON tells room as a number where processor time is all there is.
-//
-// Example: {"free": 61} or {"free": {"cpu": 61, "memory": 512, "accelerators": 0}}
-func (a resources) MarshalJSON() ([]byte, error) {
-	if a.Memory == 0 && a.GPU == 0 {
-		return strconv.AppendInt(nil, a.CPU, 10), nil
-	}
-	return json.Marshal(map[string]int64{"cpu": a.CPU, "memory": a.Memory, "accelerators": a.GPU})
-}
-
-// resourcesOf reads room, a number or an object.
-func resourcesOf(r gjson.Result) resources {
-	if r.IsObject() {
-		return resources{r.Get("cpu").Int(), r.Get("memory").Int(), r.Get("accelerators").Int()}
-	}
-	return resources{CPU: r.Int()}
-}
-
 type step struct {
 	Name  string
 	After []int32
 	Size  int32 // tasks of a round
 	// A step of Size alike tasks is held as one specification.
 	Alike     bool
-	Resources resources
-	Needs     []label
+	Resources resource.Amount
+	Needs     []wire.Label
 	LimitMs   int64
 	HintMs    int64
 	Allowed   int32
@@ -130,7 +69,7 @@
 	SubmitMs int64
 	DueMs    int64
 	DelayMs  int64
-	State    int8
+	State    jobStatus
 	DoneMs   int64
 	Version  int64
 	Size     int32 // tasks, when finished
@@ -357,7 +296,7 @@
 			if a := t.Get("allowed_failures"); a.Exists() {
 				allowed = int32(a.Int())
 			}
-			j.Tasks = append(j.Tasks, task{Step: int32(i), InStep: int32(k), Name: t.Get("name").Str, Resources: resourcesOf(t.Get("room")),
+			j.Tasks = append(j.Tasks, task{Step: int32(i), InStep: int32(k), Name: t.Get("name").Str, Resources: resource.Parse(t.Get("room")),
 				Needs: labelsOf(t.Get("labels")), LimitMs: t.Get("limit_ms").Int(), HintMs: t.Get("estimate_ms").Int(),
 				Allowed: allowed, Payload: []byte(t.Get("payload").Raw)})
 		}
@@ -390,7 +329,7 @@
 
 // alike reads the specification that all tasks of a step share.
 func (st *step) alike(s gjson.Result) {
-	st.Alike, st.Size, st.Resources, st.Needs = true, int32(s.Get("count").Int()), resourcesOf(s.Get("room")), labelsOf(s.Get("labels"))
+	st.Alike, st.Size, st.Resources, st.Needs = true, int32(s.Get("count").Int()), resource.Parse(s.Get("room")), labelsOf(s.Get("labels"))
 	st.LimitMs, st.HintMs, st.Allowed = s.Get("limit_ms").Int(), s.Get("estimate_ms").Int(), -1
 	if a := s.Get("allowed_failures"); a.Exists() {
 		st.Allowed = int32(a.Int())
@@ -474,7 +413,7 @@
 }
 
 // outcome derives a job's state from its tasks, where it has one.
-func (j *job) outcome() (int8, bool) {
+func (j *job) outcome() (jobStatus, bool) {
 	all := true
 	if j.State == jobRunning && j.Opened < j.roundsAll() {
 		return j.State, false
@@ -511,7 +450,7 @@
 		c.Tasks = slices.Clone(j.Tasks)
 		for i := range c.Tasks {
 			t := &c.Tasks[i]
-			t.Name, t.Resources, t.Needs, t.LimitMs, t.HintMs, t.Allowed, t.Payload = "", resources{}, nil, 0, 0, 0, nil
+			t.Name, t.Resources, t.Needs, t.LimitMs, t.HintMs, t.Allowed, t.Payload = "", resource.Amount{}, nil, 0, 0, 0, nil
 		}
 	}
 	return codec.Append(nil, c)
@@ -539,7 +478,7 @@
 	}
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
-		m := map[string]any{"name": t.Name, "state": taskNames[t.State], "attempt": t.Attempt, "class": classNames[t.Class],
+		m := map[string]any{"name": t.Name, "state": t.State.String(), "attempt": t.Attempt, "class": t.Class.String(),
 			"worker": t.Worker, "failures": t.Failures, "preemptions": t.Preempts, "ran_ms": t.RanMs}
 		if t.Cause != "" {
 			m["cause"] = t.Cause
@@ -552,9 +491,9 @@
 		}
 		steps[t.Step]["tasks"] = append(steps[t.Step]["tasks"].([]map[string]any), m)
 	}
-	state := jobNames[j.State]
+	state := j.State.String()
 	if j.DoneMs == 0 && j.State > jobComplete {
-		state = map[int8]string{jobFailed: "failing", jobCancelled: "cancelling"}[j.State]
+		state = map[jobStatus]string{jobFailed: "failing", jobCancelled: "cancelling"}[j.State]
 	}
 	out := map[string]any{"id": j.ID, "queue": j.Queue, "state": state, "submitted_ms": j.SubmitMs, "due_ms": j.DueMs, "done_ms": j.DoneMs,
 		"tasks": max(int(j.Size), len(j.Tasks))}
--- a/internal/daemon/lease_test.go
+++ b/internal/daemon/lease_test.go
@@ -3,6 +3,7 @@
 import (
 	"otterchute/internal/codec"
 	"otterchute/internal/quorum"
+	"otterchute/internal/wire"
 	"slices"
 	"strings"
 	"testing"
@@ -209,7 +210,7 @@
 			w.nodes[other].sh.node.mergePeer(said)
 		}
 	}
-	first.event(evMsg{Head: frameHeader{From: "d07", Cluster: first.sh.node.core.Cluster}, Msg: &gossipMsg{Self: w.nodes["d07"].sh.node.selfInfo(), Table: []peerInfo{said}}})
+	first.event(evMsg{Head: wire.Header{From: "d07", Cluster: first.sh.node.core.Cluster}, Msg: &wire.Gossip{Self: w.nodes["d07"].sh.node.selfInfo(), Table: []wire.Peer{said}}})
 	must.Greater(t, said.Incarnation, first.sh.node.Incarnation)
 	w.cutHost("d05")
 	second.sh.node.acquire(name)
@@ -228,11 +229,11 @@
 	n.poll.nextMs = 0
 	n.tickPoll()
 	asked := n.poll.sent[n.poll.seq]
-	i := slices.IndexFunc(asked.holds, func(h leaseRequest) bool { return h.Name == name })
+	i := slices.IndexFunc(asked.holds, func(h wire.LeaseRequest) bool { return h.Name == name })
 	n.loseRole(n.roles[name], "released")
 	n.acquire(name)
 	for _, m := range n.core.Names() {
-		a := &pollResponse{Seq: n.poll.seq, CoreVer: n.core.Version, Granted: make([]bool, len(asked.holds)), Epochs: make([]uint64, len(asked.holds))}
+		a := &wire.PollResponse{Seq: n.poll.seq, SetVersion: n.core.Version, Granted: make([]bool, len(asked.holds)), Epochs: make([]uint64, len(asked.holds))}
 		a.Granted[i] = true
 		n.onPollResponse(m, a)
 	}
@@ -254,7 +255,7 @@
 	asked := n.poll.sent[n.poll.seq]
 	n.now += 150
 	for _, m := range n.core.Names() {
-		a := &pollResponse{Seq: n.poll.seq, CoreVer: n.core.Version, Granted: make([]bool, len(asked.holds)), Epochs: make([]uint64, len(asked.holds))}
+		a := &wire.PollResponse{Seq: n.poll.seq, SetVersion: n.core.Version, Granted: make([]bool, len(asked.holds)), Epochs: make([]uint64, len(asked.holds))}
 		for i := range a.Granted {
 			a.Granted[i] = true
 		}
@@ -268,19 +269,19 @@
 // the same life has overtaken, and renews none under an epoch that has passed.
 func TestLeasePollsOutOfOrder(t *testing.T) {
 	n, say := coreMemberOf(t)
-	poll := func(from string, seq, epoch uint64, released bool) *pollResponse {
-		m := &pollRequest{Incarnation: 1, Seq: seq, CoreVer: n.core.Version, Holds: []leaseRequest{{Name: "slice/some", Epoch: epoch}}}
+	poll := func(from string, seq, epoch uint64, released bool) *wire.PollResponse {
+		m := &wire.PollRequest{Incarnation: 1, Seq: seq, SetVersion: n.core.Version, Wanted: []wire.LeaseRequest{{Name: "slice/some", Epoch: epoch}}}
 		if released {
-			m.Holds, m.Releases = nil, []leaseRelease{{Name: "slice/some", Successor: "x09"}}
+			m.Wanted, m.Releases = nil, []wire.LeaseRelease{{Name: "slice/some", Successor: "x09"}}
 		}
-		a, _ := say(from, m).(*pollResponse)
+		a, _ := say(from, m).(*wire.PollResponse)
 		return a
 	}
 	must.True(t, poll("x08", 5, 0, false).Granted[0])
 	must.Nil(t, poll("x08", 4, 0, true)) // held up on its way: the duty was taken anew since
 	must.False(t, poll("x09", 1, 0, false).Granted[0])
 	must.True(t, poll("x08", 6, 4, false).Granted[0])
-	n.store.Register("duty/slice/some").Value = codec.Append(nil, roleHolder{Name: "slice/some", Holder: "x09", Incarnation: 1, Epoch: 5})
+	n.store.Register("duty/slice/some").Value = codec.Append(nil, wire.RoleHolder{Name: "slice/some", Holder: "x09", Incarnation: 1, Epoch: 5})
 	must.False(t, poll("x08", 7, 4, false).Granted[0])
 }
 
@@ -293,7 +294,7 @@
 	next := older
 	next.Version++
 	tell := func(c quorum.Set) evMsg {
-		return evMsg{Head: frameHeader{From: "d09", Cluster: older.Cluster}, Msg: &gossipMsg{Self: peerInfo{Name: "d09", Incarnation: 1, Heartbeat: 1}, Core: c}}
+		return evMsg{Head: wire.Header{From: "d09", Cluster: older.Cluster}, Msg: &wire.Gossip{Self: wire.Peer{Name: "d09", Incarnation: 1, Heartbeat: 1}, Core: c}}
 	}
 	member.event(tell(next))
 	w.run(50)
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -90,38 +90,21 @@
 	pastShown          = 50       // accepted setups that operators are shown
 	bodyMax            = 1 << 20  // bytes of a job's body
 	configBytesMax     = 16 << 20 // bytes of a setup
-	frameMax           = 64 << 20 // bytes of one message between daemons
 	stepsMax           = 64       // steps of a job
 	roundTasksMax      = 2000     // tasks of the rounds of a job that are open at once
 	tasksMax           = 1000     // tasks of a job
 	snapshotMin        = 8 << 20  // bytes of log before a snapshot is worth its writing
 	copyAgainMs        = 2000     // a part of a copy that does not come is asked for again
 	shardBytesMax      = 24 << 20 // live jobs of a slice as packed: a seal's answer must fit a frame
-	segmentBytes       = 8 << 20  // a segment is closed at this size
-	quarantineBytes    = 8 << 20  // of a damaged disk's files that are kept for a look, until the next snapshot; a disk may hold 128 MB
-	batchesMax         = 1 << 32  // batches of one segment, far above what it may hold
 	keepHoursDef       = 24       // hours a finished job is kept; callers check states within a day
 
-	dialMs           = 350       // a sibling in reach answers in milliseconds; one that a cut hid must be found soon after it
-	unackedMs        = 1500      // a line whose bytes nobody acknowledges for so long is given up
-	aliveMs          = 1000      // a quiet line is probed at this pace; after two lost probes it is given up. Go rounds up to seconds
-	frameOldMs       = 1000      // frames that waited longer are not sent: what matters was sent again
-	sendBytes        = 256 << 10 // frames that wait go out together, up to about this many bytes
-	readBytes        = 16 << 10  // of a connection's buffer
-	writeMs          = 2000      // a frame not taken by then ends its connection
-	connectionIdleMs = 300_000   // a line without frames is closed
-	replyMs          = 4000      // the control thread answers long before; this guards against a fault in it
-	visitAgainMs     = 2000      // doctor's second look; every bound on a passing state is shorter
-	spreadMs         = 1000      // a clock this far off is wrong, whatever the network
-	slowSyncMs       = 200       // a sync this slow sets the pace of every change
+	replyMs      = 4000 // the control thread answers long before; this guards against a fault in it
+	visitAgainMs = 2000 // doctor's second look; every bound on a passing state is shorter
+	spreadMs     = 1000 // a clock this far off is wrong, whatever the network
+	slowSyncMs   = 200  // a sync this slow sets the pace of every change
 
-	outboundFrames = 512  // frames waiting for one sibling; beyond, the newest are dropped
-	connsMax       = 2000 // connections taken from siblings
-	loopJobs       = 8192 // events waiting for the control thread before posters wait
-	ordersMax      = 256  // orders on their way at once from one daemon
-
-	diskRetryMs   = 100  // a failed disk is tried again after this, doubled each time
-	diskRetryMost = 1000 // ms; the longest such wait: the member is missed meanwhile
+	loopJobs  = 8192 // events waiting for the control thread before posters wait
+	ordersMax = 256  // orders on their way at once from one daemon
 
 	msPerHour = 3600_000
 )
--- a/internal/daemon/linear_test.go
+++ b/internal/daemon/linear_test.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"fmt"
+	"otterchute/internal/wire"
 	"slices"
 	"testing"
 
@@ -22,7 +23,7 @@
 	confirm = func() {
 		r := n.poll.sent[n.poll.seq]
 		for _, m := range n.core.Names() {
-			n.onPollResponse(m, &pollResponse{Seq: n.poll.seq, CoreVer: n.core.Version, Granted: make([]bool, len(r.holds)), Epochs: make([]uint64, len(r.holds)), Setup: n.config.ballot})
+			n.onPollResponse(m, &wire.PollResponse{Seq: n.poll.seq, SetVersion: n.core.Version, Granted: make([]bool, len(r.holds)), Epochs: make([]uint64, len(r.holds)), Config: n.config.ballot})
 		}
 		n.tickConfig()
 	}
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -6,6 +6,7 @@
 	"flag"
 	"fmt"
 	"os"
+	"otterchute/internal/wire"
 
 	"github.com/google/subcommands"
 	"go.uber.org/dig"
@@ -57,7 +58,7 @@
 		cmd.Register(c, "operators")
 	}
 	cmd.Register(&command{name: "version", about: "tell the version", do: func(context.Context, *flag.FlagSet) subcommands.ExitStatus {
-		fmt.Printf("otterchute %s, wire %d\n", version, wireForm)
+		fmt.Printf("otterchute %s, wire %d\n", version, wire.FormVersion)
 		return exitOK
 	}}, "help")
 	flag.Parse()
--- a/internal/daemon/membership.go
+++ b/internal/daemon/membership.go
@@ -5,6 +5,7 @@
 	"otterchute/internal/codec"
 	"otterchute/internal/quorum"
 	"otterchute/internal/statestore"
+	"otterchute/internal/wire"
 	"slices"
 	"strconv"
 )
@@ -243,7 +244,7 @@
 		j.sentMs = n.now
 		for _, m := range n.core.Members {
 			if m.Name != n.Name && !j.copied[m.Name] {
-				n.send(m.Name, &copyRequest{CoreVer: n.core.Version, Op: j.op, At: j.cursors[m.Name]})
+				n.send(m.Name, &wire.CopyRequest{SetVersion: n.core.Version, Op: j.op, At: j.cursors[m.Name]})
 			}
 		}
 	}
@@ -281,14 +282,14 @@
 
 // spares gives the disks outside the core whose daemons were heard of lately: a
 // member that was just removed because it is gone is none.
-func (n *node) spares() (out []peerInfo) {
+func (n *node) spares() (out []wire.Peer) {
 	for _, name := range n.aliveNames() {
 		s := n.selfInfo()
 		if name != n.Name {
 			if n.now-n.peers[name].heardMs > unresponsiveMs {
 				continue
 			}
-			s = n.peers[name].peerInfo
+			s = n.peers[name].Peer
 		}
 		if s.Disk && !s.Leaving && !n.core.Has(s.Name, s.DiskID) {
 			out = append(out, s)
@@ -317,11 +318,11 @@
 	}
 	spares := n.spares()
 	key := "core" + strconv.FormatInt(n.core.Version, 10)
-	slices.SortFunc(spares, func(a, b peerInfo) int {
+	slices.SortFunc(spares, func(a, b wire.Peer) int {
 		return cmp.Or(compareBool(a.Name != missing, b.Name != missing), cmp.Compare(members[a.Zone], members[b.Zone]),
 			cmp.Compare(weight(key, b.Name), weight(key, a.Name)), cmp.Compare(a.Name, b.Name))
 	})
-	return int64(max(0, slices.IndexFunc(spares, func(s peerInfo) bool { return s.Name == n.Name })))
+	return int64(max(0, slices.IndexFunc(spares, func(s wire.Peer) bool { return s.Name == n.Name })))
 }
 
 func compareBool(a, b bool) int {
@@ -334,8 +335,8 @@
 	return 1
 }
 
-func (n *node) onCopy(from string, m *copyRequest) {
-	if !n.servesSet(m.CoreVer) {
+func (n *node) onCopy(from string, m *wire.CopyRequest) {
+	if !n.servesSet(m.SetVersion) {
 		return
 	}
 	at := m.At
@@ -346,12 +347,12 @@
 	if next.Shard != "" {
 		next.Instance = n.Instance
 	}
-	n.persist(nil, n.sendEffect(from, &copyResponse{Op: m.Op, At: m.At, Next: next, Entries: part}))
+	n.persist(nil, n.sendEffect(from, &wire.CopyResponse{Op: m.Op, At: m.At, Next: next, Entries: part}))
 }
 
 // onCopyResponse keeps one part of a survivor's copy, and asks for the next once it is
 // synced. The highest of both survivors wins entry by entry.
-func (n *node) onCopyResponse(from string, m *copyResponse) {
+func (n *node) onCopyResponse(from string, m *wire.CopyResponse) {
 	j := n.learner
 	if j == nil || j.op != m.Op {
 		return
@@ -367,10 +368,10 @@
 	}
 	j.cursors[from], j.sentMs = m.Next, n.now
 	if m.Next.Shard != "" {
-		n.persist(m.Entries, n.sendEffect(from, &copyRequest{CoreVer: n.core.Version, Op: j.op, At: m.Next}))
+		n.persist(m.Entries, n.sendEffect(from, &wire.CopyRequest{SetVersion: n.core.Version, Op: j.op, At: m.Next}))
 		return
 	}
-	n.persist(m.Entries, n.sendEffect(n.Name, &copyResponse{Op: m.Op, Finished: from}))
+	n.persist(m.Entries, n.sendEffect(n.Name, &wire.CopyResponse{Op: m.Op, Finished: from}))
 }
 
 // resetDisk makes this daemon's disk a new, empty one. Where its seat was taken,
--- a/internal/daemon/membership_test.go
+++ b/internal/daemon/membership_test.go
@@ -5,6 +5,7 @@
 	"otterchute/internal/quorum"
 	"otterchute/internal/register"
 	"otterchute/internal/statestore"
+	"otterchute/internal/wire"
 	"slices"
 	"testing"
 
@@ -410,9 +411,9 @@
 	n.core = quorum.Set{Cluster: 9, Version: 2, Members: []quorum.Member{{Name: "a", DiskID: 1}, {Name: "b", DiskID: 2}, {Name: "c", DiskID: 3}, {Name: "d", DiskID: 4}}}
 	nowMs := int64(1000)
 	for i, name := range []string{"a", "b", "c"} {
-		n.peers[name] = &peer{peerInfo: peerInfo{Name: name, Addr: name + ":1", Disk: true, DiskID: uint64(i + 1), Leaving: name == "c"}, heardMs: nowMs}
+		n.peers[name] = &peer{Peer: wire.Peer{Name: name, Addr: name + ":1", Disk: true, DiskID: uint64(i + 1), Leaving: name == "c"}, heardMs: nowMs}
 	}
-	var asked []*copyRequest
+	var asked []*wire.CopyRequest
 	removes := false
 	var step func(body any)
 	step = func(body any) {
@@ -425,25 +426,25 @@
 				effects = append(effects, e.Then...)
 			case effSend:
 				switch m := e.Msg.(type) {
-				case *copyRequest:
+				case *wire.CopyRequest:
 					asked = append(asked, m)
 				case *register.Prepare:
 					removes = removes || m.Register == "core"
-				case *copyResponse:
-					step(evMsg{Head: frameHeader{From: n.Name, To: n.Instance}, Msg: m})
+				case *wire.CopyResponse:
+					step(evMsg{Head: wire.Header{From: n.Name, To: n.Instance}, Msg: m})
 				}
 			}
 		}
 	}
 	step(evTick{})
 	must.Len(t, 3, asked)
-	must.Eq(t, 2, asked[0].CoreVer)
+	must.Eq(t, 2, asked[0].SetVersion)
 	must.False(t, removes)
-	step(evMsg{Head: frameHeader{From: "a", To: n.Instance}, Msg: &copyResponse{Op: asked[0].Op}})
+	step(evMsg{Head: wire.Header{From: "a", To: n.Instance}, Msg: &wire.CopyResponse{Op: asked[0].Op}})
 	nowMs += tickMs
 	step(evTick{})
 	must.False(t, removes)
-	step(evMsg{Head: frameHeader{From: "b", To: n.Instance}, Msg: &copyResponse{Op: asked[0].Op}})
+	step(evMsg{Head: wire.Header{From: "b", To: n.Instance}, Msg: &wire.CopyResponse{Op: asked[0].Op}})
 	must.True(t, removes)
 }
 
@@ -497,7 +498,7 @@
 	n.now = 20_000
 	n.core = quorum.Set{Cluster: 9, Version: 2, Members: []quorum.Member{{Name: "a", DiskID: 1}, {Name: "b", DiskID: 2}, {Name: "c", DiskID: 3}}}
 	for i, name := range []string{"a", "b", "c"} {
-		n.peers[name] = &peer{peerInfo: peerInfo{Name: name, Disk: true, DiskID: uint64(i + 1)}, heardMs: n.now}
+		n.peers[name] = &peer{Peer: wire.Peer{Name: name, Disk: true, DiskID: uint64(i + 1)}, heardMs: n.now}
 	}
 	j := &learner{vacantSince: map[string]int64{"a": 1, "b": 1, "c": 1}}
 	says := func(want int, state slotState) {
--- a/internal/daemon/outcome_test.go
+++ b/internal/daemon/outcome_test.go
@@ -1,9 +1,9 @@
 package daemon
 
 import (
-	"testing"
-
 	"otterchute/internal/historycheck"
+	"otterchute/internal/wire"
+	"testing"
 
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
@@ -61,12 +61,12 @@
 }
 
 var exchanges = []exchange{
-	{"request", func(m any) bool { a, ok := m.(*forwardMsg); return ok && (a.Op == "job.put" || a.Op == "job.cancel") }},
-	{"look", func(m any) bool { _, ok := m.(*fetchRequest); return ok }},
-	{"looked", func(m any) bool { _, ok := m.(*fetchResponse); return ok }},
-	{"write", func(m any) bool { w, ok := m.(*writeRequest); return ok && len(w.Records) > 0 }},
-	{"written", func(m any) bool { _, ok := m.(*writeResponse); return ok }},
-	{"answer", func(m any) bool { _, ok := m.(*forwardReply); return ok }},
+	{"request", func(m any) bool { a, ok := m.(*wire.Forward); return ok && (a.Op == "job.put" || a.Op == "job.cancel") }},
+	{"look", func(m any) bool { _, ok := m.(*wire.FetchRequest); return ok }},
+	{"looked", func(m any) bool { _, ok := m.(*wire.FetchResponse); return ok }},
+	{"write", func(m any) bool { w, ok := m.(*wire.WriteRequest); return ok && len(w.Records) > 0 }},
+	{"written", func(m any) bool { _, ok := m.(*wire.WriteResponse); return ok }},
+	{"answer", func(m any) bool { _, ok := m.(*wire.ForwardReply); return ok }},
 }
 
 // faults are what happens when a message of an exchange is sent. Each gives
--- a/internal/daemon/reduce.go
+++ b/internal/daemon/reduce.go
@@ -8,6 +8,7 @@
 	"otterchute/internal/quorum"
 	"otterchute/internal/register"
 	"otterchute/internal/statestore"
+	"otterchute/internal/wire"
 	"reflect"
 	"slices"
 )
@@ -50,7 +51,7 @@
 type (
 	evTick struct{}
 	evMsg  struct {
-		Head  frameHeader
+		Head  wire.Header
 		Msg   any
 		Ready *configuration // of the setup in it, where a traffic thread compiled that already
 	}
@@ -69,7 +70,7 @@
 	// evOrder tells how an order to a worker went.
 	evOrder struct {
 		Worker  string
-		Key     attemptKey
+		Key     wire.AttemptKey
 		Stop    bool
 		Outcome string // see orderOutcomes
 	}
@@ -112,7 +113,7 @@
 	effOrder struct {
 		Worker     string
 		Addr       string
-		Key        attemptKey
+		Key        wire.AttemptKey
 		Stop       bool
 		NotAfterMs int64
 		Body       []byte
@@ -125,7 +126,7 @@
 )
 
 type peer struct {
-	peerInfo
+	wire.Peer
 	heardMs int64 // when its beat last moved, by our clock
 	hash    uint64
 }
@@ -164,7 +165,7 @@
 
 	poll    pollState
 	roles   map[string]*roleLease
-	holders map[string]roleHolder
+	holders map[string]wire.RoleHolder
 
 	config configState
 	ready  *configuration // came with this event
@@ -193,7 +194,7 @@
 
 func newNode(p nodeConfig, st *statestore.Store) *node {
 	return &node{nodeConfig: p, store: st, granter: newLeaseGranter(), newcomer: st != nil && st.Set().Version == 0 && !p.FirstStart, counts: map[string]int64{}, peers: map[string]*peer{},
-		changes: map[uint64]*registerChange{}, proposer: register.Proposer{Name: p.Name, Life: p.Instance, Timing: changeTiming}, roles: map[string]*roleLease{}, holders: map[string]roleHolder{},
+		changes: map[uint64]*registerChange{}, proposer: register.Proposer{Name: p.Name, Life: p.Instance, Timing: changeTiming}, roles: map[string]*roleLease{}, holders: map[string]wire.RoleHolder{},
 		forwarded: map[uint64]*forwardedRequest{}, quorumReads: map[uint64]*quorumRead{}, owned: map[string]*shard{}, agents: map[string]*agent{},
 		workers: map[string]*workerView{}, estimates: map[string]*estimate{}, poll: pollState{sent: map[uint64]*pollRound{}, slowMs: map[string]int64{}},
 		config: newConfigState()}
@@ -321,10 +322,10 @@
 func (n *node) emit(e effect)               { n.out = append(n.out, e) }
 func (n *node) count(name string)           { n.counts[name]++ }
 func (n *node) log(event string, kv ...any) { n.emit(effLog{Event: event, Pairs: kv}) }
-func (n *node) headOf() frameHeader {
-	return frameHeader{Cluster: n.core.Cluster, From: n.Name, Instance: n.Instance}
+func (n *node) headOf() wire.Header {
+	return wire.Header{Cluster: n.core.Cluster, From: n.Name, Instance: n.Instance}
 }
-func (n *node) reply(id uint64, a forwardReply) {
+func (n *node) reply(id uint64, a wire.ForwardReply) {
 	n.emit(effReply{ID: id, Status: int(a.Status), RetryMs: a.RetryMs, Body: a.Body})
 }
 
--- a/internal/daemon/rules_test.go
+++ b/internal/daemon/rules_test.go
@@ -34,7 +34,6 @@
 	"cmd/otterchute-standin/downstream.go":       3,
 	"cmd/otterchute-standin/main.go":             1,
 	"internal/daemon/archive_test.go":            1,
-	"internal/daemon/disk_test.go":               1,
 	"internal/daemon/errors.go":                  1,
 	"internal/daemon/process_test.go":            1,
 	"internal/daemon/scenario_test.go":           2,
--- a/internal/daemon/setup.go
+++ b/internal/daemon/setup.go
@@ -11,6 +11,7 @@
 	"net"
 	"otterchute/internal/codec"
 	"otterchute/internal/register"
+	"otterchute/internal/wire"
 	"slices"
 	"strconv"
 	"strings"
@@ -155,7 +156,7 @@
 type configState struct {
 	current     *configuration
 	record      configRecord
-	ballot      ballot
+	ballot      register.Ballot
 	confirmedMs int64
 	confirmedBy uint64 // the newest poll that confirmed it
 	askedMs     int64
@@ -346,7 +347,7 @@
 }
 
 func (r *configCompiler) ready(msg any) *configuration {
-	m, ok := msg.(*registerValue)
+	m, ok := msg.(*wire.RegisterValue)
 	var d configRecord
 	if !ok || m.Register != "setup" || codec.Unmarshal(m.Value, &d) != nil || d.Version == 0 {
 		return nil
@@ -362,7 +363,7 @@
 
 // matches tells whether a worker's labels put it in a queue's group. The
 // worker's site counts as its label "site".
-func (q *queueRules) matches(labels []label, site string) bool {
+func (q *queueRules) matches(labels []wire.Label, site string) bool {
 	for _, c := range q.Selector {
 		v := site
 		if c.Key != "site" {
@@ -375,7 +376,7 @@
 	return true
 }
 
-func labelOf(labels []label, key string) string {
+func labelOf(labels []wire.Label, key string) string {
 	for _, l := range labels {
 		if l.Key == key {
 			return l.Value
@@ -385,13 +386,13 @@
 }
 
 // lacks gives the first needed label that a worker lacks.
-func lacks(have, needs []label) (label, bool) {
+func lacks(have, needs []wire.Label) (wire.Label, bool) {
 	for _, l := range needs {
 		if labelOf(have, l.Key) != l.Value {
 			return l, true
 		}
 	}
-	return label{}, false
+	return wire.Label{}, false
 }
 
 // configFresh tells whether the setup was confirmed at a majority lately.
@@ -409,12 +410,12 @@
 // accepted ballot, that value is chosen, and if it is ours it is confirmed as
 // of the time the round was sent.
 func (n *node) confirmConfig(r *pollRound) {
-	votes := map[ballot]int{}
+	votes := map[register.Ballot]int{}
 	for _, a := range r.acks {
-		votes[a.Setup]++
+		votes[a.Config]++
 	}
 	for _, from := range sorted(r.acks) {
-		b := r.acks[from].Setup
+		b := r.acks[from].Config
 		if n.poll.setup.Less(b) {
 			n.poll.setup = b
 		}
@@ -425,7 +426,7 @@
 			n.config.confirmedMs, n.config.confirmedBy = max(n.config.confirmedMs, r.sentMs), max(n.config.confirmedBy, r.seq)
 		} else if n.config.ballot.Less(b) && n.now-n.config.askedMs > 300 {
 			n.config.askedMs = n.now
-			n.send(n.nearestWith(r, b), &registerRead{CoreVer: n.core.Version, Register: "setup"})
+			n.send(n.nearestWith(r, b), &wire.RegisterRead{SetVersion: n.core.Version, Register: "setup"})
 		}
 		return
 	}
@@ -442,10 +443,10 @@
 
 // nearestWith picks whom to read a value from: of the members that hold it one in
 // the own site, or else any, so that not all daemons ask the same.
-func (n *node) nearestWith(r *pollRound, b ballot) string {
+func (n *node) nearestWith(r *pollRound, b register.Ballot) string {
 	var near, all []string
 	for _, from := range sorted(r.acks) {
-		if r.acks[from].Setup != b {
+		if r.acks[from].Config != b {
 			continue
 		}
 		all = append(all, from)
@@ -459,7 +460,7 @@
 	return all[n.rand().IntN(len(all))]
 }
 
-func (n *node) onRegisterValue(_ string, m *registerValue) {
+func (n *node) onRegisterValue(_ string, m *wire.RegisterValue) {
 	n.acceptMissedValue(m)
 	if m.Register != "setup" || !n.config.ballot.Less(m.Ballot) {
 		return
@@ -472,7 +473,7 @@
 }
 
 // adoptConfig compiles a value; it counts only once a poll confirms its ballot.
-func (n *node) adoptConfig(b ballot, d configRecord) {
+func (n *node) adoptConfig(b register.Ballot, d configRecord) {
 	n.config.askedMs = 0         // what was asked for has come: a newer one may be asked for at once
 	d.Accepted = changeHistory{} // only a change of the register needs it
 	if d.sameDoc(&n.config.record) {
--- a/internal/daemon/shell.go
+++ b/internal/daemon/shell.go
@@ -2,13 +2,14 @@
 
 import (
 	"otterchute/internal/statestore"
+	"otterchute/internal/wire"
 	"reflect"
 )
 
 // effectPorts are what the shell carries effects out with. The product and the
 // simulator each bring their own; the reducer and the shell are the same.
 type effectPorts interface {
-	Send(head frameHeader, to, addr string, msg any)
+	Send(head wire.Header, to, addr string, msg any)
 	// Append calls done once all entries so far are synced, at once if none wait.
 	Append(entries []statestore.Entry, done func())
 	Snapshot(entries []statestore.Entry)
--- a/internal/daemon/siblings.go
+++ b/internal/daemon/siblings.go
@@ -3,11 +3,12 @@
 import (
 	"otterchute/internal/quorum"
 	"otterchute/internal/statestore"
+	"otterchute/internal/wire"
 	"slices"
 )
 
-func (n *node) selfInfo() peerInfo {
-	s := peerInfo{Name: n.Name, Incarnation: n.Incarnation, Heartbeat: n.heartbeat, Addr: n.Addr, HTTP: n.HTTP, Zone: n.Zone, Disk: n.Disk && n.diskFailed == "", Leaving: n.leavingSince != 0, Colocated: n.Colocated}
+func (n *node) selfInfo() wire.Peer {
+	s := wire.Peer{Name: n.Name, Incarnation: n.Incarnation, Heartbeat: n.heartbeat, Addr: n.Addr, HTTP: n.HTTP, Zone: n.Zone, Disk: n.Disk && n.diskFailed == "", Leaving: n.leavingSince != 0, Colocated: n.Colocated}
 	if n.store != nil {
 		s.DiskID, s.Empty = n.DiskID, n.store.Cluster() == 0 && n.FirstStart
 	}
@@ -102,30 +103,30 @@
 	}
 }
 
-func (n *node) gossip(back bool) *gossipMsg {
-	m := &gossipMsg{Self: n.selfInfo(), Core: n.core, Back: back}
+func (n *node) gossip(back bool) *wire.Gossip {
+	m := &wire.Gossip{Self: n.selfInfo(), Core: n.core, WantsReply: back}
 	for _, name := range sorted(n.peers) {
 		if n.alive(name) {
-			m.Table = append(m.Table, n.peers[name].peerInfo)
+			m.Table = append(m.Table, n.peers[name].Peer)
 		}
 	}
 	return m
 }
 
-func (n *node) onGossip(from string, m *gossipMsg) {
+func (n *node) onGossip(from string, m *wire.Gossip) {
 	n.mergePeer(m.Self)
 	for _, s := range m.Table {
 		n.mergePeer(s)
 	}
 	n.adoptCoreSet(m.Core)
-	if m.Back && from != n.Name {
+	if m.WantsReply && from != n.Name {
 		// To where it says it is: a daemon that is new at its address, with a
 		// clock set back, is known at its old one until it has heard of that.
 		n.sendAt(from, m.Self.Addr, n.gossip(false))
 	}
 }
 
-func (n *node) mergePeer(s peerInfo) {
+func (n *node) mergePeer(s wire.Peer) {
 	if s.Name == n.Name && (s.Incarnation > n.Incarnation || s.Incarnation == n.Incarnation && (s.Heartbeat > n.heartbeat || s.Addr != n.Addr)) {
 		// An earlier life of this daemon began by a later clock, or another
 		// process has our name: only above it are we heard. To the core the
@@ -151,7 +152,7 @@
 	if old == nil {
 		n.log("sibling_new", "sibling", s.Name, "site", s.Zone, "addr", s.Addr)
 	}
-	n.peers[s.Name] = &peer{peerInfo: s, heardMs: n.now}
+	n.peers[s.Name] = &peer{Peer: s, heardMs: n.now}
 	n.indexPeer(n.peers[s.Name])
 }
 
@@ -227,14 +228,14 @@
 }
 
 // onSealResponse and onWriteResponse drop what a member said under another set.
-func (n *node) onSealResponse(from string, m *sealResponse) {
-	if m.CoreVer == n.core.Version {
+func (n *node) onSealResponse(from string, m *wire.SealResponse) {
+	if m.SetVersion == n.core.Version {
 		n.mergeSeal(from, m)
 	}
 }
 
-func (n *node) onWriteResponse(from string, m *writeResponse) {
-	if m.CoreVer == n.core.Version {
+func (n *node) onWriteResponse(from string, m *wire.WriteResponse) {
+	if m.SetVersion == n.core.Version {
 		n.applyWriteResponse(from, m)
 	}
 }
