--- a/internal/daemon/slices.go
+++ b/internal/daemon/slices.go
@@ -3,7 +3,9 @@
 import (
 	"bytes"
 	"cmp"
+	"otterchute/internal/resource"
 	"otterchute/internal/statestore"
+	"otterchute/internal/wire"
 	"slices"
 	"strings"
 )
@@ -36,10 +38,10 @@
 	lateMs             map[string]int64 // when the record of a job was last read for a late end
 	absent             map[string]bool  // jobs that late ends speak of and the core doesn't know any more
 	liveByQueue        map[string]int
-	bytes              int                               // of all live jobs' records
-	placed             map[string]map[placedAt]resources // worker -> tasks placed there, and their room
-	load               map[string]resources              // worker -> room of those
-	confirmed          []string                          // finished at a majority, not yet told to the members
+	bytes              int                                     // of all live jobs' records
+	placed             map[string]map[placedAt]resource.Amount // worker -> tasks placed there, and their room
+	load               map[string]resource.Amount              // worker -> room of those
+	confirmed          []string                                // finished at a majority, not yet told to the members
 	confirmedSentMs    int64
 	allocationRequests int // asks for firm places sent in this tick
 
@@ -47,7 +49,7 @@
 	batchVersion int64 // the setup that they were planned by
 	batchStarts  int   // in this tick
 	batchTries   int   // and tasks looked at
-	batchLoads   map[queueOnWorker]resources
+	batchLoads   map[queueOnWorker]resource.Amount
 	starvedMs    int64 // when a task that is no batch's last found no place
 }
 
@@ -64,14 +66,14 @@
 	at := placedAt{js.ID, js.taskID(i)}
 	if room, was := sl.placed[t.Worker][at]; was {
 		delete(sl.placed[t.Worker], at)
-		sl.load[t.Worker] = sl.load[t.Worker].minus(room)
+		sl.load[t.Worker] = sl.load[t.Worker].Minus(room)
 	}
 	if t.State == taskPlaced {
 		if sl.placed[t.Worker] == nil {
-			sl.placed[t.Worker] = map[placedAt]resources{}
+			sl.placed[t.Worker] = map[placedAt]resource.Amount{}
 		}
 		sl.placed[t.Worker][at] = t.Resources
-		sl.load[t.Worker] = sl.load[t.Worker].plus(t.Resources)
+		sl.load[t.Worker] = sl.load[t.Worker].Plus(t.Resources)
 	}
 	if len(sl.placed[t.Worker]) == 0 {
 		delete(sl.placed, t.Worker)
@@ -105,7 +107,7 @@
 	sentMs       int64
 	echoMs       int64 // the agent's clock that the last placement carried
 	abandonMs    int64
-	state        int8 // as the agent last told
+	state        wire.AttemptState // as the agent last told
 	saved        string
 	abort        bool  // of a gang that is begun anew
 	runMs        int64 // since when it is told to run
@@ -147,16 +149,16 @@
 	echoMs      int64
 	heardMs     int64
 	site        string
-	labels      []label
+	labels      []wire.Label
 	leaving     bool
 	rebuilt     bool
 	fresh       bool
-	free        resources
-	capacity    resources
-	otherShards map[string]resources        // slice -> room there of what isn't this slice's
-	batch       map[string][]queueResources // slice -> of that, the batches'
-	waiting     int64                       // unstarted tasks that are no batch's
-	spare       spareWindow                 // the least room lately that batches didn't have to leave
+	free        resource.Amount
+	capacity    resource.Amount
+	otherShards map[string]resource.Amount // slice -> room there of what isn't this slice's
+	batch       map[string][]wire.QueueUse // slice -> of that, the batches'
+	waiting     int64                      // unstarted tasks that are no batch's
+	spare       spareWindow                // the least room lately that batches didn't have to leave
 	rack        string
 	suspect     bool
 	colocated   bool
@@ -176,7 +178,7 @@
 	name := strings.TrimPrefix(d.name, "slice/")
 	n.owned[name] = &shard{name: name, epoch: d.epoch, startMs: n.now, seals: map[string]map[string]statestore.Record{}, missing: map[string]map[string]bool{},
 		missingOps: map[uint64]string{}, merged: map[string]statestore.Record{}, jobs: map[string]*jobState{}, finished: map[string]*job{}, dirty: map[string]bool{}, loading: map[string]bool{},
-		writes: map[uint64]*writeBatch{}, lag: map[string]*replicaLag{}, fetches: map[uint64]*fetchOp{}, admitting: map[string]*fetchOp{}, absent: map[string]bool{}, lateMs: map[string]int64{}, liveByQueue: map[string]int{}, placed: map[string]map[placedAt]resources{}, load: map[string]resources{}}
+		writes: map[uint64]*writeBatch{}, lag: map[string]*replicaLag{}, fetches: map[uint64]*fetchOp{}, admitting: map[string]*fetchOp{}, absent: map[string]bool{}, lateMs: map[string]int64{}, liveByQueue: map[string]int{}, placed: map[string]map[placedAt]resource.Amount{}, load: map[string]resource.Amount{}}
 	n.sendSeals(n.owned[name])
 }
 
@@ -205,7 +207,7 @@
 	sl.sealSent = n.now
 	for _, m := range n.core.Members {
 		if sl.seals[m.Name] == nil {
-			n.send(m.Name, &sealRequest{CoreVer: n.core.Version, Slice: sl.name, Epoch: sl.epoch})
+			n.send(m.Name, &wire.SealRequest{SetVersion: n.core.Version, Shard: sl.name, Epoch: sl.epoch})
 		}
 	}
 }
@@ -214,13 +216,13 @@
 // without a majority known to hold that: those are finished again here. A record live at one member
 // and absent among another's live ones may have finished there: it is asked
 // for by name before the slice is served.
-func (n *node) mergeSeal(from string, m *sealResponse) {
-	sl := n.owned[m.Slice]
+func (n *node) mergeSeal(from string, m *wire.SealResponse) {
+	sl := n.owned[m.Shard]
 	if sl == nil || m.Epoch != sl.epoch || sl.serving || sl.seals[from] != nil || len(sl.missing) > 0 {
 		return
 	}
 	if !m.OK {
-		if d := n.roles["slice/"+m.Slice]; d != nil {
+		if d := n.roles["slice/"+m.Shard]; d != nil {
 			n.loseRole(d, "sealed_higher")
 		}
 		return
@@ -253,7 +255,7 @@
 			n.opSeq++
 			sl.missing[member] = map[string]bool{}
 			sl.missingOps[n.opSeq] = member
-			n.send(member, &fetchRequest{CoreVer: n.core.Version, Op: n.opSeq, Slice: sl.name, IDs: ids})
+			n.send(member, &wire.FetchRequest{SetVersion: n.core.Version, Op: n.opSeq, Shard: sl.name, IDs: ids})
 		}
 	}
 	if len(sl.missing) == 0 {
@@ -321,19 +323,19 @@
 	for _, m := range n.core.Members {
 		if !b.acked[m.Name] {
 			n.count("record_writes")
-			n.send(m.Name, &writeRequest{CoreVer: n.core.Version, Slice: sl.name, Epoch: sl.epoch, Seq: seq, Records: b.records, Confirmed: b.settled, Complete: sl.completeAt != 0})
+			n.send(m.Name, &wire.WriteRequest{SetVersion: n.core.Version, Shard: sl.name, Epoch: sl.epoch, Seq: seq, Records: b.records, Confirmed: b.settled, Complete: sl.completeAt != 0})
 		}
 	}
 }
 
-func (n *node) applyWriteResponse(from string, m *writeResponse) {
-	sl := n.owned[m.Slice]
+func (n *node) applyWriteResponse(from string, m *wire.WriteResponse) {
+	sl := n.owned[m.Shard]
 	if sl == nil || m.Epoch != sl.epoch {
 		return
 	}
 	b := sl.writes[m.Seq]
 	if !m.OK {
-		if d := n.roles["slice/"+m.Slice]; d != nil {
+		if d := n.roles["slice/"+m.Shard]; d != nil {
 			n.loseRole(d, "epoch_passed")
 		}
 		return
@@ -448,11 +450,11 @@
 	n.opSeq++
 	sl.fetches[n.opSeq] = f
 	for _, m := range n.core.Members {
-		n.send(m.Name, &fetchRequest{CoreVer: n.core.Version, Op: n.opSeq, Slice: sl.name, IDs: []string{f.id}})
+		n.send(m.Name, &wire.FetchRequest{SetVersion: n.core.Version, Op: n.opSeq, Shard: sl.name, IDs: []string{f.id}})
 	}
 }
 
-func (n *node) onFetchResponse(from string, m *fetchResponse) {
+func (n *node) onFetchResponse(from string, m *wire.FetchResponse) {
 	if r := n.quorumReads[m.Op]; r != nil {
 		n.onQuorumRead(r, m.Op, from, m.Records)
 		return
@@ -541,14 +543,14 @@
 		} else if !bytes.Equal(p.Digest, j.Digest) {
 			n.respond(a, 409, 0, mustJSON(map[string]any{"error": "another job has this id"}))
 		} else {
-			n.respond(a, 200, 0, mustJSON(map[string]any{"id": j.ID, "state": jobNames[j.State]}))
+			n.respond(a, 200, 0, mustJSON(map[string]any{"id": j.ID, "state": j.State.String()}))
 		}
 	case a.queue != "" && a.queue != j.Queue:
 		n.answerMissing(a)
 	case a.op == "job.state":
-		n.respond(a, 200, 0, mustJSON(map[string]any{"state": jobNames[j.State]}))
+		n.respond(a, 200, 0, mustJSON(map[string]any{"state": j.State.String()}))
 	case a.op == "job.cancel" && j.State != jobCancelled:
-		n.respond(a, 409, 0, mustJSON(map[string]any{"error": "the job has ended", "state": jobNames[j.State]}))
+		n.respond(a, 409, 0, mustJSON(map[string]any{"error": "the job has ended", "state": j.State.String()}))
 	default:
 		n.respond(a, 200, 0, mustJSON(j.view(func(*task) string { return "" })))
 	}
@@ -672,9 +674,9 @@
 			kept = append(kept, w)
 			continue
 		}
-		state := jobNames[js.State]
+		state := js.State.String()
 		if js.DoneMs == 0 && js.State > jobComplete {
-			state = map[int8]string{jobFailed: "failing", jobCancelled: "cancelling"}[js.State]
+			state = map[jobStatus]string{jobFailed: "failing", jobCancelled: "cancelling"}[js.State]
 		}
 		if w.request.op == "job.state" {
 			state = js.brief()
@@ -726,15 +728,15 @@
 // brief is a job's state in one word: pending until a task of it was placed.
 func (js *jobState) brief() string {
 	if js.State != jobRunning {
-		return jobNames[js.State]
+		return js.State.String()
 	}
 	for i := range js.Tasks {
-		if t := &js.Tasks[i]; t.State == taskEnded || t.State == taskPlaced && js.runtime[i].state >= attemptRunning {
-			return jobNames[jobRunning]
+		if t := &js.Tasks[i]; t.State == taskEnded || t.State == taskPlaced && js.runtime[i].state >= wire.AttemptRunning {
+			return jobRunning.String()
 		}
 	}
 	if js.Begun > 0 {
-		return jobNames[jobRunning]
+		return jobRunning.String()
 	}
 	return "pending"
 }
@@ -758,7 +760,7 @@
 	switch {
 	case t.State == taskPlaced && rt.abandonMs != 0:
 		return "its worker " + t.Worker + " is silent and the run unsettled; once it surely runs nothing: otterchute workers lost " + t.Worker
-	case t.State == taskPlaced && rt.state == attemptQueued:
+	case t.State == taskPlaced && rt.state == wire.AttemptQueued:
 		return "queued at its worker"
 	case t.State != taskPending:
 		return ""
@@ -792,7 +794,7 @@
 		switch {
 		case lack || !q.matches(w.labels, w.site):
 			at = 4
-		case !t.Resources.fits(w.capacity):
+		case !t.Resources.Fits(w.capacity):
 			at = 3
 		case n.now-w.heardMs > silentMs || w.silentMs > silentMs:
 			at = 2
@@ -821,7 +823,7 @@
 		return
 	}
 	if js.DoneMs != 0 && js.State != jobCancelled || js.State == jobFailed {
-		n.respond(a, 409, 0, mustJSON(map[string]any{"error": "the job has ended", "state": jobNames[js.State]}))
+		n.respond(a, 409, 0, mustJSON(map[string]any{"error": "the job has ended", "state": js.State.String()}))
 		return
 	}
 	if js.State == jobRunning {
@@ -842,8 +844,8 @@
 		}
 		if t.State == taskPlaced {
 			if w := n.workers[t.Worker]; w != nil && w.epoch == t.AgentEpoch {
-				n.send(w.agent, &syncAck{Worker: t.Worker, Epoch: w.epoch, Slice: sl.name, SliceEpoch: sl.epoch,
-					Decisions: []attemptDecision{{Key: attemptKey{js.ID, js.taskID(i), t.Attempt}, Decision: decisionDrop}}})
+				n.send(w.agent, &wire.OwnerReply{Worker: t.Worker, Epoch: w.epoch, Shard: sl.name, SliceEpoch: sl.epoch,
+					Decisions: []wire.AttemptDecision{{Key: wire.AttemptKey{Job: js.ID, Task: js.taskID(i), Attempt: t.Attempt}, Decision: wire.DecisionDrop}}})
 			}
 		}
 	}
@@ -860,7 +862,7 @@
 	for _, at := range sl.placedOn(worker) {
 		if js := sl.jobs[at.job]; js != nil {
 			if i, _, ok := js.position(at.task); ok {
-				n.resolveAttempt(sl, js, i, resultLost, 0)
+				n.resolveAttempt(sl, js, i, wire.ResultLost, 0)
 				lost++
 			}
 		}
@@ -888,7 +890,7 @@
 		}
 		n.markDirty(sl, js)
 		js.State, js.DoneMs = state, wall
-		n.count("jobs_" + jobNames[state])
+		n.count("jobs_" + state.String())
 		n.batchEnded(js)
 		return
 	}
@@ -897,7 +899,7 @@
 	q := n.config.current.Queues[js.Queue]
 	outstanding, batch := 0, n.batchOf(&js.job) != nil
 	for i := range js.Tasks {
-		if t := &js.Tasks[i]; t.State == taskPlaced && t.Class == classQueueable {
+		if t := &js.Tasks[i]; t.State == taskPlaced && t.Class == wire.ClassQueueable {
 			outstanding++
 		}
 	}
@@ -920,7 +922,7 @@
 			if !ready[js.stepAt(t)] || t.ChangedIn > js.committed {
 				continue
 			}
-			if n.classify(js, t) == classQueueable {
+			if n.classify(js, t) == wire.ClassQueueable {
 				if int64(outstanding) >= q.Quota {
 					continue
 				}
@@ -931,7 +933,7 @@
 					sl.starvedMs = n.now
 				}
 				if w != "" {
-					n.placeTask(sl, js, i, w, classQueueable)
+					n.placeTask(sl, js, i, w, wire.ClassQueueable)
 					outstanding++
 				}
 			} else if n.now-rt.allocationMs >= allocationRetryMs && sl.allocationRequests < allocationsPerTick {
@@ -1001,7 +1003,7 @@
 	}
 	if q := n.config.current.Queues[js.Queue]; q != nil && q.TrustLimit && n.configFresh() && n.now-rt.abandonMs > contactMs+flightMs+t.LimitMs+limitMargin {
 		n.count("contract_settled")
-		n.resolveAttempt(sl, js, i, resultLost, 0)
+		n.resolveAttempt(sl, js, i, wire.ResultLost, 0)
 	}
 }
 
@@ -1017,7 +1019,7 @@
 	if (w != nil || n.allColocated()) && t.ChangedIn <= js.committed && n.now-heardMs > ownerSpanMs*(100+driftPercent)/100+lapseMarginMs && n.now-n.wokeMs > frozenMs {
 		n.count("lapses_settled")
 		js.Abandoned = append(js.Abandoned, abandonedRun{js.taskID(i), t.Attempt})
-		n.resolveAttempt(sl, js, i, resultLost, 0)
+		n.resolveAttempt(sl, js, i, wire.ResultLost, 0)
 		return
 	}
 	if !js.Steps[t.Step].Gang || rt.abort || t.InStep != 0 {
@@ -1062,24 +1064,24 @@
 
 // classify is the paper's hybrid-GQ rule: a task known to be short may wait
 // or be stopped, all others get a firm place.
-func (n *node) classify(js *jobState, t *task) int8 {
+func (n *node) classify(js *jobState, t *task) wire.TaskClass {
 	if n.ThresholdMs < 0 || n.batchOf(&js.job) != nil { // only-queueable, for comparisons
-		return classQueueable
+		return wire.ClassQueueable
 	}
 	if js.Steps[t.Step].Gang || js.Steps[t.Step].Lasting || t.Preempts >= preemptMax {
-		return classGuaranteed
+		return wire.ClassGuaranteed
 	}
 	if js.Steps[t.Step].Alike && t.HintMs > 0 { // a guess, corrected by how guesses of its queue turned out
 		if n.estimateMs(js, t) >= n.ThresholdMs {
-			return classGuaranteed
+			return wire.ClassGuaranteed
 		}
-		return classQueueable
+		return wire.ClassQueueable
 	}
 	e := n.estimates[js.Queue+"/"+t.Name]
 	if e == nil || int64(e.meanMs) >= n.ThresholdMs {
-		return classGuaranteed
+		return wire.ClassGuaranteed
 	}
-	return classQueueable
+	return wire.ClassQueueable
 }
 
 func (n *node) estimateMs(js *jobState, t *task) int64 {
@@ -1146,11 +1148,11 @@
 		return
 	}
 	n.learnedAt = n.now + rankMs
-	m := &estimatesMsg{}
+	m := &wire.Estimates{}
 	for _, key := range sorted(n.estimates) {
 		if e := n.estimates[key]; !e.told && len(m.Means) < learnedTell {
 			e.told = true
-			m.Means = append(m.Means, estimateView{key, e.meanMs})
+			m.Means = append(m.Means, wire.Estimate{Key: key, MeanMs: e.meanMs})
 		}
 	}
 	if len(m.Means) == 0 {
@@ -1163,7 +1165,7 @@
 	}
 }
 
-func (n *node) onEstimates(_ string, m *estimatesMsg) {
+func (n *node) onEstimates(_ string, m *wire.Estimates) {
 	for _, v := range m.Means {
 		if e := n.estimateOf(v.Key, v.MeanMs); n.now-e.usedMs > rankStaleMs { // what was seen here itself lately counts more
 			e.meanMs, e.told = v.MeanMs, true
@@ -1172,16 +1174,16 @@
 }
 
 // allowed tells whether a task may go to a worker now, as far as is known here.
-func (n *node) allowed(w *workerView, q *queueRules, needs []label, room resources) bool {
+func (n *node) allowed(w *workerView, q *queueRules, needs []wire.Label, room resource.Amount) bool {
 	_, lack := lacks(w.labels, needs)
 	return n.now-w.heardMs < contactMs && w.rebuilt && w.fresh && !w.leaving && !n.config.current.EmptyZones[w.site] &&
-		room.fits(w.capacity) && !lack && q.matches(w.labels, w.site)
+		room.Fits(w.capacity) && !lack && q.matches(w.labels, w.site)
 }
 
 // freeAt is the room of a worker that nothing known here takes: what its agent
 // holds for other slices, and all that this slice has placed there.
-func (n *node) freeAt(sl *shard, name string, w *workerView) resources {
-	return w.capacity.minus(w.otherShards[sl.name]).minus(sl.load[name])
+func (n *node) freeAt(sl *shard, name string, w *workerView) resource.Amount {
+	return w.capacity.Minus(w.otherShards[sl.name]).Minus(sl.load[name])
 }
 
 // usedBy counts the tasks of a task's step and round by worker.
@@ -1223,9 +1225,9 @@
 	for _, shun := range []func(ranked) bool{ // as long as others are left
 		func(r ranked) bool { return n.ranks.unhealthy[r.name] != 0 || r.w.suspect },
 		func(r ranked) bool { return r.name == t.Last },
-		func(r ranked) bool { return pinned && !t.Resources.fits(n.freeAt(sl, r.name, r.w)) },
+		func(r ranked) bool { return pinned && !t.Resources.Fits(n.freeAt(sl, r.name, r.w)) },
 		func(r ranked) bool {
-			return pinned && !t.Resources.fits(n.freeAt(sl, r.name, r.w).plus(n.batchLoad(sl, "", r.name)))
+			return pinned && !t.Resources.Fits(n.freeAt(sl, r.name, r.w).Plus(n.batchLoad(sl, "", r.name)))
 		},
 		func(r ranked) bool { return st.Near != "" && r.w.rack != st.Near },
 	} {
@@ -1247,18 +1249,18 @@
 	return list[n.rand().IntN(len(list))].name
 }
 
-func (n *node) placeTask(sl *shard, js *jobState, i int, worker string, class int8) {
+func (n *node) placeTask(sl *shard, js *jobState, i int, worker string, class wire.TaskClass) {
 	t := &js.Tasks[i]
 	n.markDirty(sl, js)
 	t.State, t.Class, t.Worker, t.Agent, t.AgentEpoch, t.ChangedIn = taskPlaced, class, worker, n.workers[worker].agent, n.workers[worker].epoch, js.Version
 	t.Attempt++
 	sl.indexTask(js, i)
 	n.workers[worker].queued++ // until its agent's next word
-	if class == classQueueable {
+	if class == wire.ClassQueueable {
 		n.ranks.add(worker, n.estimateMs(js, t))
 	}
 	js.runtime[i] = taskRuntime{}
-	n.count("placements_" + classNames[class])
+	n.count("placements_" + class.String())
 }
 
 func (n *node) sendPlacement(sl *shard, js *jobState, i int) {
@@ -1268,15 +1270,15 @@
 		return
 	}
 	js.runtime[i].sentMs, js.runtime[i].echoMs = n.now, w.echoMs
-	n.send(w.agent, &placement{Worker: t.Worker, AgentEpoch: t.AgentEpoch, SliceEpoch: sl.epoch, EchoMs: w.echoMs, Spec: n.specOf(sl, js, i)})
+	n.send(w.agent, &wire.Placement{Worker: t.Worker, AgentEpoch: t.AgentEpoch, SliceEpoch: sl.epoch, EchoMs: w.echoMs, Spec: n.specOf(sl, js, i)})
 }
 
 // specOf is what an agent must know of a placed task.
-func (n *node) specOf(sl *shard, js *jobState, i int) orderSpec {
+func (n *node) specOf(sl *shard, js *jobState, i int) wire.TaskSpec {
 	t := &js.Tasks[i]
-	return orderSpec{
-		Key: attemptKey{js.ID, js.taskID(i), t.Attempt}, Slice: sl.name, Queue: js.Queue, Name: t.Name, Class: t.Class, Resources: t.Resources,
-		Needs: t.Needs, SubmitMs: js.SubmitMs, EstMs: n.estimateMs(js, t), LimitMs: t.LimitMs, Payload: t.Payload, Saved: t.Saved,
+	return wire.TaskSpec{
+		Key: wire.AttemptKey{Job: js.ID, Task: js.taskID(i), Attempt: t.Attempt}, Shard: sl.name, Queue: js.Queue, Name: t.Name, Class: t.Class, Resources: t.Resources,
+		Needs: t.Needs, SubmittedMs: js.SubmitMs, EstimateMs: n.estimateMs(js, t), LimitMs: t.LimitMs, Payload: t.Payload, Saved: t.Saved,
 		Gang: js.Steps[t.Step].Gang, Lasting: js.Steps[t.Step].Lasting, Saves: js.Steps[t.Step].Saves, PerWorker: js.Steps[t.Step].PerWorker}
 }
 
@@ -1289,8 +1291,8 @@
 	}
 	t := &js.Tasks[i]
 	st := &js.Steps[t.Step]
-	m := &allocationRequest{Slice: sl.name, Job: js.ID, Queue: js.Queue, Resources: t.Resources, Needs: t.Needs, SubmitMs: js.SubmitMs, Avoid: t.Last,
-		Gang: st.Gang, SameRack: st.SameRack, Near: st.Near, PerWorker: st.PerWorker, EstMs: n.estimateMs(js, t)}
+	m := &wire.AllocationRequest{Shard: sl.name, Job: js.ID, Queue: js.Queue, Resources: t.Resources, Needs: t.Needs, SubmittedMs: js.SubmitMs, Avoid: t.Last,
+		Gang: st.Gang, SameRack: st.SameRack, Near: st.Near, PerWorker: st.PerWorker, EstimateMs: n.estimateMs(js, t)}
 	from, to_ := i, i+1
 	if st.Alike {
 		from, to_ = js.gangRange(i)
@@ -1305,7 +1307,7 @@
 	}
 	for k := from; k < to_; k++ {
 		o, rt := &js.Tasks[k], &js.runtime[k]
-		if o.State != taskPending || o.ChangedIn > js.committed || n.now < rt.retryMs || k != i && n.classify(js, o) != classGuaranteed {
+		if o.State != taskPending || o.ChangedIn > js.committed || n.now < rt.retryMs || k != i && n.classify(js, o) != wire.ClassGuaranteed {
 			continue
 		}
 		rt.allocationMs = n.now
@@ -1313,21 +1315,21 @@
 		if st.Gang {
 			next = attempt
 		}
-		m.Tasks = append(m.Tasks, requestedTask{js.taskID(k), next})
+		m.Tasks = append(m.Tasks, wire.RequestedTask{Task: js.taskID(k), Attempt: next})
 	}
 	if st.PerWorker > 0 {
 		used := js.usedBy(i)
 		for _, w := range sorted(used) {
-			m.Used = append(m.Used, workerUse{w, used[w]})
+			m.Used = append(m.Used, wire.WorkerUse{Worker: w, Count: used[w]})
 		}
 	}
 	n.send(to, m)
 }
 
 // onAllocation takes firm places from the central scheduler; a gang's all or none.
-func (n *node) onAllocation(_ string, m *allocation) {
-	sl := n.owned[m.Slice]
-	if sl == nil || !n.holds("slice/"+m.Slice) {
+func (n *node) onAllocation(_ string, m *wire.Allocation) {
+	sl := n.owned[m.Shard]
+	if sl == nil || !n.holds("slice/"+m.Shard) {
 		return
 	}
 	js := sl.jobs[m.Job]
@@ -1335,7 +1337,7 @@
 		return
 	}
 	q := n.config.current.Queues[js.Queue]
-	good := func(p allocatedTask) (int, bool) {
+	good := func(p wire.AllocatedTask) (int, bool) {
 		i, _, ok := js.position(p.Task)
 		w := n.workers[p.Worker]
 		if !ok || w == nil || q == nil {
@@ -1364,26 +1366,26 @@
 		if st.PerWorker > 0 && js.usedBy(i)[p.Worker] >= st.PerWorker {
 			continue
 		}
-		n.placeTask(sl, js, i, p.Worker, classGuaranteed)
+		n.placeTask(sl, js, i, p.Worker, wire.ClassGuaranteed)
 		js.Tasks[i].Attempt = p.Attempt
 	}
 }
 
 // resolveAttempt applies how an attempt ended to its task.
-func (n *node) resolveAttempt(sl *shard, js *jobState, i int, result int8, ranMs int64) {
+func (n *node) resolveAttempt(sl *shard, js *jobState, i int, result wire.AttemptResult, ranMs int64) {
 	t, rt := &js.Tasks[i], &js.runtime[i]
 	st := &js.Steps[t.Step]
 	n.markDirty(sl, js)
 	t.ChangedIn, t.RanMs = js.Version, ranMs
 	n.meterBatch(js, t, ranMs)
-	n.count("ends_" + resultNames[result])
+	n.count("ends_" + result.String())
 	if rt.saved != "" {
 		t.Saved = rt.saved
 	}
 	*rt = taskRuntime{}
 	defer sl.indexTask(js, i)
 	switch result {
-	case resultOK:
+	case wire.ResultOK:
 		n.recordRunTime(js, t, ranMs)
 		if st.Lasting {
 			rt.retryMs = n.now + backoffMs/2
@@ -1394,8 +1396,8 @@
 			n.endGang(sl, js, i)
 		}
 		return
-	case resultFailed, resultOverrun:
-		t.Last, t.Cause = t.Worker, resultNames[result]
+	case wire.ResultFailed, wire.ResultOverrun:
+		t.Last, t.Cause = t.Worker, result.String()
 		if !n.countFailure(js, i) {
 			break
 		}
@@ -1404,12 +1406,12 @@
 		if st.Alike { // of many tasks alike some fail; the next try is elsewhere
 			rt.retryMs = n.now + min(wait/4, backoffMs)
 		}
-	case resultPreempted:
+	case wire.ResultPreempted:
 		t.Preempts++
 		rt.retryMs = n.batchBack(js)
-	case resultStalled, resultLost:
+	case wire.ResultStalled, wire.ResultLost:
 		t.Last = t.Worker
-	case resultShed, resultRejected:
+	case wire.ResultShed, wire.ResultRejected:
 		rt.retryMs = n.now + 20 + n.rand().Int64N(100)
 	}
 	if st.Gang && js.Steps[t.Step].Saves {
@@ -1473,7 +1475,7 @@
 
 // onSync takes an agent's word on all it holds, settles what it says ended,
 // and answers what it may go on with.
-func (n *node) onSync(from string, m *syncMsg) {
+func (n *node) onSync(from string, m *wire.AgentReport) {
 	w := n.workers[m.Worker]
 	if w == nil {
 		w = &workerView{}
@@ -1485,30 +1487,30 @@
 	if m.Epoch > w.epoch || m.SentMs > w.echoMs {
 		others, batch := w.otherShards, w.batch
 		if others == nil || m.Epoch > w.epoch {
-			others, batch = map[string]resources{}, map[string][]queueResources{}
+			others, batch = map[string]resource.Amount{}, map[string][]wire.QueueUse{}
 		}
 		*w = workerView{agent: from, epoch: m.Epoch, echoMs: m.SentMs, heardMs: n.now, site: m.Zone, labels: m.Labels, leaving: m.Leaving,
 			rebuilt: m.Rebuilt, fresh: m.Fresh, free: m.Free, capacity: m.Capacity, queued: m.Queued, rankMs: m.RankMs, silentMs: m.SilentMs,
 			otherShards: others, batch: batch, waiting: m.Waiting, spare: w.spare.with(n.now, m.Spare), rack: m.Rack, suspect: m.Suspect, colocated: m.Colocated}
 	}
-	if m.Epoch == w.epoch && m.Slice != "" {
-		w.otherShards[m.Slice], w.batch[m.Slice] = m.Others, m.Batch
+	if m.Epoch == w.epoch && m.Shard != "" {
+		w.otherShards[m.Shard], w.batch[m.Shard] = m.Others, m.Batch
 	}
-	if m.Slice == "" {
+	if m.Shard == "" {
 		n.syncCentral(from, m)
 		return
 	}
-	sl := n.owned[m.Slice]
-	if sl == nil || !sl.serving || !n.holds("slice/"+m.Slice) {
+	sl := n.owned[m.Shard]
+	if sl == nil || !sl.serving || !n.holds("slice/"+m.Shard) {
 		return
 	}
-	ack := &syncAck{Worker: m.Worker, Epoch: m.Epoch, Slice: m.Slice, SliceEpoch: sl.epoch, SentMs: m.SentMs}
-	listed := map[attemptKey]bool{}
+	ack := &wire.OwnerReply{Worker: m.Worker, Epoch: m.Epoch, Shard: m.Shard, SliceEpoch: sl.epoch, SentMs: m.SentMs}
+	listed := map[wire.AttemptKey]bool{}
 	for _, h := range m.Attempts {
 		listed[h.Key] = true
 		if v := n.decideAttempt(sl, m, h); v != 0 {
-			ack.Decisions = append(ack.Decisions, attemptDecision{h.Key, v})
-			if js := sl.jobs[h.Key.Job]; js != nil && h.Unknown && v == decisionKeep {
+			ack.Decisions = append(ack.Decisions, wire.AttemptDecision{Key: h.Key, Decision: v})
+			if js := sl.jobs[h.Key.Job]; js != nil && h.Unknown && v == wire.DecisionKeep {
 				i, _, _ := js.position(h.Key.Task)
 				ack.Specs = append(ack.Specs, n.specOf(sl, js, i))
 			}
@@ -1524,19 +1526,19 @@
 			continue
 		}
 		t := &js.Tasks[i]
-		if t.ChangedIn > js.committed || listed[attemptKey{at.job, at.task, t.Attempt}] {
+		if t.ChangedIn > js.committed || listed[wire.AttemptKey{Job: at.job, Task: at.task, Attempt: t.Attempt}] {
 			continue
 		}
 		switch {
 		case m.Epoch > t.AgentEpoch && m.Rebuilt:
 			// The new agent has the worker's own word, begun after the
 			// last order of the old one could arrive.
-			n.resolveAttempt(sl, js, i, resultLost, 0)
+			n.resolveAttempt(sl, js, i, wire.ResultLost, 0)
 		case m.Epoch == t.AgentEpoch && js.State != jobRunning:
 			// Given up: once no placement of it, ours or a former
 			// owner's, is fresh enough to be taken, it never starts.
 			if n.now-sl.startMs > 2*contactMs && m.SentMs-js.runtime[i].echoMs > 2*contactMs {
-				n.resolveAttempt(sl, js, i, resultRejected, 0)
+				n.resolveAttempt(sl, js, i, wire.ResultRejected, 0)
 			}
 		case m.Epoch == t.AgentEpoch && n.now-js.runtime[i].sentMs > 2*syncMs:
 			n.sendPlacement(sl, js, i)
@@ -1548,33 +1550,33 @@
 
 // counted tells whether an end is the one that stands for its task, or a failure
 // that was counted.
-func (t *task) counted(h attemptView) bool {
-	return h.Result == resultOK && h.Key.Attempt == t.Attempt && t.State == taskEnded || h.Result == resultFailed && h.Key.Attempt == t.FailedRun
+func (t *task) counted(h wire.AttemptStatus) bool {
+	return h.Result == wire.ResultOK && h.Key.Attempt == t.Attempt && t.State == taskEnded || h.Result == wire.ResultFailed && h.Key.Attempt == t.FailedRun
 }
 
 // decideAttempt gives the owner's verdict on one attempt an agent holds.
-func (n *node) decideAttempt(sl *shard, m *syncMsg, h attemptView) int8 {
+func (n *node) decideAttempt(sl *shard, m *wire.AgentReport, h wire.AttemptStatus) wire.Decision {
 	js := sl.jobs[h.Key.Job]
-	over := func() int8 { // nothing of it is wanted
-		if h.State == attemptEnded {
-			return decisionAcknowledged
+	over := func() wire.Decision { // nothing of it is wanted
+		if h.State == wire.AttemptEnded {
+			return wire.DecisionAcknowledged
 		}
-		return decisionDrop
+		return wire.DecisionDrop
 	}
-	if js == nil && h.State == attemptEnded && h.Late {
+	if js == nil && h.State == wire.AttemptEnded && h.Late {
 		return n.decideLateEnd(sl, h.Key)
 	}
 	if js == nil {
-		if j := sl.finished[h.Key.Job]; j != nil && h.State == attemptEnded {
+		if j := sl.finished[h.Key.Job]; j != nil && h.State == wire.AttemptEnded {
 			if i, _, ok := j.position(h.Key.Task); ok && j.Tasks[i].counted(h) {
-				return decisionCounted
+				return wire.DecisionCounted
 			}
 		}
 		return over()
 	}
 	i, _, ok := js.position(h.Key.Task)
-	if !ok && h.State == attemptEnded && !js.abandoned(h.Key) {
-		return decisionCounted
+	if !ok && h.State == wire.AttemptEnded && !js.abandoned(h.Key) {
+		return wire.DecisionCounted
 	}
 	if !ok { // no such task, or its round is over
 		return over()
@@ -1585,30 +1587,30 @@
 	}
 	if h.Key.Attempt > t.Attempt {
 		n.log("attempt_unknown", "job", js.ID, "task", h.Key.Task, "attempt", h.Key.Attempt, "known", t.Attempt)
-		return decisionDrop
+		return wire.DecisionDrop
 	}
-	late := h.State == attemptEnded && (h.Result == resultOK || h.Result == resultFailed && t.FailedRun != t.Attempt) &&
+	late := h.State == wire.AttemptEnded && (h.Result == wire.ResultOK || h.Result == wire.ResultFailed && t.FailedRun != t.Attempt) &&
 		h.Key.Attempt == t.Attempt && t.State == taskPending && js.State == jobRunning && (!js.Steps[t.Step].Gang || js.notRestartedSince(i))
 	if (h.Key.Attempt < t.Attempt || t.State != taskPlaced) && !late {
-		if h.State != attemptEnded {
-			return decisionDrop
+		if h.State != wire.AttemptEnded {
+			return wire.DecisionDrop
 		}
 		if t.ChangedIn > js.committed {
 			return 0
 		}
 		if !t.counted(h) && js.abandoned(h.Key) {
-			return decisionAcknowledged
+			return wire.DecisionAcknowledged
 		}
-		return decisionCounted
+		return wire.DecisionCounted
 	}
-	if h.State == attemptRunning && rt.runMs == 0 {
+	if h.State == wire.AttemptRunning && rt.runMs == 0 {
 		rt.runMs = n.now
 	}
 	rt.state = h.State
 	if h.Saved != "" {
 		rt.saved = h.Saved
 	}
-	if h.State == attemptEnded {
+	if h.State == wire.AttemptEnded {
 		if late { // given up, but nothing was started since: it counts
 			js.Abandoned = slices.DeleteFunc(js.Abandoned, func(g abandonedRun) bool { return g == abandonedRun{h.Key.Task, h.Key.Attempt} })
 		}
@@ -1616,18 +1618,18 @@
 		return 0 // acknowledged once it is committed
 	}
 	if js.State != jobRunning || js.Steps[t.Step].Gang && !js.gangComplete(i) {
-		return decisionDrop
+		return wire.DecisionDrop
 	}
-	if t.Class == classQueueable && h.Class == classGuaranteed {
-		t.Class = classGuaranteed // promoted; kept with the next write
+	if t.Class == wire.ClassQueueable && h.Class == wire.ClassGuaranteed {
+		t.Class = wire.ClassGuaranteed // promoted; kept with the next write
 	}
 	if t.ChangedIn > js.committed {
 		return 0
 	}
-	if m.Colocated && h.State == attemptQueued && h.Class == classQueueable && n.now-rt.sentMs > recallMs && n.roomElsewhere(sl, js, i) {
-		return decisionRecall
+	if m.Colocated && h.State == wire.AttemptQueued && h.Class == wire.ClassQueueable && n.now-rt.sentMs > recallMs && n.roomElsewhere(sl, js, i) {
+		return wire.DecisionRecall
 	}
-	return decisionKeep
+	return wire.DecisionKeep
 }
 
 // notRestartedSince tells whether no member of a task's gang was placed again after its run.
@@ -1642,18 +1644,18 @@
 }
 
 // abandoned tells whether a run was given up since its worker was silent.
-func (j *job) abandoned(k attemptKey) bool {
+func (j *job) abandoned(k wire.AttemptKey) bool {
 	return slices.Contains(j.Abandoned, abandonedRun{k.Task, k.Attempt})
 }
 
 // decideLateEnd says of a late end of a job that is over whether another run took
 // its place: the job's record tells, which is read first where it isn't at hand.
-func (n *node) decideLateEnd(sl *shard, k attemptKey) int8 {
+func (n *node) decideLateEnd(sl *shard, k wire.AttemptKey) wire.Decision {
 	switch j := sl.finished[k.Job]; {
 	case j != nil && j.abandoned(k): // unless it was taken after all, before anything else was started
-		return decisionAcknowledged
+		return wire.DecisionAcknowledged
 	case j != nil || sl.absent[k.Job]:
-		return decisionCounted
+		return wire.DecisionCounted
 	case n.now-sl.lateMs[k.Job] > forwardMs && len(sl.fetches) < allocateNowMax:
 		sl.lateMs[k.Job] = n.now
 		n.fetchRecord(sl, &fetchOp{id: k.Job})
@@ -1670,7 +1672,7 @@
 		return false
 	}
 	for name, w := range n.workers {
-		if name != t.Worker && !w.suspect && n.ranks.unhealthy[name] == 0 && n.allowed(w, q, t.Needs, t.Resources) && t.Resources.fits(n.freeAt(sl, name, w)) {
+		if name != t.Worker && !w.suspect && n.ranks.unhealthy[name] == 0 && n.allowed(w, q, t.Needs, t.Resources) && t.Resources.Fits(n.freeAt(sl, name, w)) {
 			return true
 		}
 	}
@@ -1679,7 +1681,7 @@
 
 // resolveReplaced settles what stood at workers whose place another worker has taken
 // since: its beats come from the same machine, to a later life of the same agent.
-func (n *node) resolveReplaced(sl *shard, m *syncMsg) {
+func (n *node) resolveReplaced(sl *shard, m *wire.AgentReport) {
 	if !m.Colocated || !m.Rebuilt {
 		return
 	}
@@ -1698,7 +1700,7 @@
 			}
 			if js.Tasks[i].ChangedIn <= js.committed {
 				n.count("replaced_settled")
-				n.resolveAttempt(sl, js, i, resultLost, 0)
+				n.resolveAttempt(sl, js, i, wire.ResultLost, 0)
 			}
 		}
 	}
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -1,5 +1,7 @@
 package daemon
 
+import "otterchute/internal/wire"
+
 // Status requests tell what this daemon knows of the fleet: whether it is ready,
 // the daemons and leases, the workers, and the common faults.
 
@@ -38,7 +40,7 @@
 	for _, name := range append([]string{n.Name}, sorted(n.peers)...) {
 		s, ago := n.selfInfo(), int64(0)
 		if name != n.Name {
-			s, ago = n.peers[name].peerInfo, n.now-n.peers[name].heardMs
+			s, ago = n.peers[name].Peer, n.now-n.peers[name].heardMs
 		}
 		list = append(list, map[string]any{"name": s.Name, "site": s.Zone, "addr": s.Addr, "http": s.HTTP, "disk": s.Disk,
 			"live": n.alive(name), "heard_ms": ago, "core": n.core.Has(s.Name, s.DiskID)})
@@ -69,7 +71,7 @@
 	n.respond(a, 200, 0, mustJSON(map[string]any{"workers": list}))
 }
 
-func labelMap(ls []label) map[string]string {
+func labelMap(ls []wire.Label) map[string]string {
 	m := map[string]string{}
 	for _, l := range ls {
 		m[l.Key] = l.Value
--- a/internal/daemon/world_test.go
+++ b/internal/daemon/world_test.go
@@ -9,6 +9,8 @@
 	"otterchute/internal/codec"
 	"otterchute/internal/historycheck"
 	"otterchute/internal/statestore"
+	"otterchute/internal/storage"
+	"otterchute/internal/wire"
 	"reflect"
 	"slices"
 
@@ -369,10 +371,10 @@
 	n.nodeConfig.DiskID = n.w.rng.Uint64() | 1
 }
 
-func (n *simNode) Send(head frameHeader, to, addr string, msg any) {
-	frame := sealFrame(head, msg)
+func (n *simNode) Send(head wire.Header, to, addr string, msg any) {
+	frame := wire.EncodeFrame(head, msg)
 	n.w.digest.add(n.w.nowUs, n.Name, "send", nil, []byte(to), []byte(addr), frame)
-	if n.w.largest = max(n.w.largest, len(frame)); len(frame) > frameMax {
+	if n.w.largest = max(n.w.largest, len(frame)); len(frame) > wire.MaxFrame {
 		return // the other end hangs up on it
 	}
 	n.w.msgs[reflect.TypeOf(msg).Elem().Name()]++
@@ -392,7 +394,7 @@
 		if !target.up {
 			return
 		}
-		h, m, err := openFrame(frame)
+		h, m, err := wire.DecodeFrame(frame)
 		if err != nil {
 			panic(err)
 		}
@@ -552,13 +554,13 @@
 func (d *simDisk) fail(n *simNode, reason string) {
 	d.failed, d.syncing = true, false
 	n.event(evDisk{Failed: reason})
-	n.later(diskRetryMs*1000, func() { d.again(n, 2*diskRetryMs) })
+	n.later(storage.RetryFirst.Microseconds(), func() { d.again(n, 2*storage.RetryFirst.Milliseconds()) })
 }
 
 // again tries a failed disk anew, as diskrecovery.go does.
 func (d *simDisk) again(n *simNode, nextMs int64) {
 	if d.full || d.stallUs > d.w.nowUs {
-		n.later(nextMs*1000, func() { d.again(n, min(2*nextMs, diskRetryMost)) })
+		n.later(nextMs*1000, func() { d.again(n, min(2*nextMs, storage.RetryMax.Milliseconds())) })
 		return
 	}
 	d.failed, d.synced = false, len(d.entries)
--- a/internal/historycheck/historycheck.go
+++ b/internal/historycheck/historycheck.go
@@ -79,7 +79,7 @@
 	Payload any               `json:"payload,omitempty"`
 }
 
-// Setup is the part of an operator's setup that bears on the rules.
+// Config is the part of an operator's setup that bears on the rules.
 type Setup struct {
 	Queues     []Queue    `json:"queues"`
 	Contracts  []Contract `json:"contracts,omitempty"`
--- /dev/null
+++ b/internal/storage/errors_test.go
@@ -0,0 +1,29 @@
+package storage
+
+import (
+	"io/fs"
+	"testing"
+
+	"github.com/go-faster/errors"
+	"github.com/shoenig/test/must"
+)
+
+// Errors tell what was tried on what, and keep their cause.
+func TestErrors(t *testing.T) {
+	for _, c := range []struct {
+		err  error
+		text string
+		is   error
+	}{
+		{failed("sync", "", fs.ErrInvalid), "disk failed: sync data folder: invalid argument", fs.ErrInvalid},
+		{failed("read", "log-1", ErrFormat), "disk failed: read log-1: written by another version of the program", ErrFormat},
+	} {
+		t.Run(c.text, func(t *testing.T) {
+			must.EqError(t, c.err, c.text)
+			must.ErrorIs(t, c.err, c.is)
+			var typed *Error
+			must.True(t, errors.As(c.err, &typed))
+		})
+	}
+	must.NoError(t, failed("sync", "", nil))
+}
--- a/internal/daemon/datafolder.go
+++ b/internal/storage/folder.go
@@ -1,4 +1,4 @@
-package daemon
+package storage
 
 import (
 	"os"
@@ -7,10 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// folder is where a disk keeps its files. Its methods persist what the
-// system calls of the same names do, and no more: a file's content by the
-// file's own Sync, a new file by that too, a rename or removal by the folder's.
-// Tests put a model of power losses in its place.
+// folder is where a log keeps its files. Its methods persist what the system
+// calls of the same names do, and no more: a file's content by the file's own
+// Sync, a new file by that too, a rename or removal by the folder's. Tests put a
+// model of power losses in its place.
 type folder interface {
 	List() ([]string, error)
 	Size(name string) (int64, error)
@@ -35,7 +35,7 @@
 
 func (f osFolder) path(name string) string { return filepath.Join(string(f), name) }
 
-// List gives the names of all that is in the folder.
+// List returns the names of all that is in the folder.
 func (f osFolder) List() ([]string, error) {
 	list, err := os.ReadDir(string(f))
 	names := make([]string, 0, len(list))
@@ -45,7 +45,7 @@
 	return names, err
 }
 
-// Size gives a file's length in bytes.
+// Size returns a file's length in bytes.
 func (f osFolder) Size(name string) (int64, error) {
 	info, err := os.Stat(f.path(name))
 	if err != nil {
@@ -54,17 +54,17 @@
 	return info.Size(), nil
 }
 
-// Read gives a file's content.
+// Read returns a file's content.
 func (f osFolder) Read(name string) ([]byte, error) { return os.ReadFile(f.path(name)) }
 
 // Create makes a new file.
 func (f osFolder) Create(name string) (file, error) {
-	return openDataFile(f.path(name), os.O_CREATE|os.O_EXCL|os.O_WRONLY)
+	return openFile(f.path(name), os.O_CREATE|os.O_EXCL|os.O_WRONLY)
 }
 
 // Open opens a file that exists.
 func (f osFolder) Open(name string) (file, error) {
-	return openDataFile(f.path(name), os.O_WRONLY|os.O_APPEND)
+	return openFile(f.path(name), os.O_WRONLY|os.O_APPEND)
 }
 
 // Rename gives a file another name.
@@ -73,27 +73,30 @@
 // Remove removes a file, or a folder with all that is in it.
 func (f osFolder) Remove(name string) error { return os.RemoveAll(f.path(name)) }
 
-// Sync makes renames and removals last.
+// Sync makes renames and removals durable.
 func (f osFolder) Sync() error {
-	folder, err := os.Open(string(f))
+	dir, err := os.Open(string(f))
 	if err != nil {
 		return err
 	}
-	defer folder.Close()
-	return folder.Sync()
+	err = dir.Sync()
+	if closing := dir.Close(); err == nil {
+		err = closing
+	}
+	return err
 }
 
-// syncedFile is a file whose Sync covers its content and its length, but not
-// the times of its use.
-type syncedFile struct{ *os.File }
+// dataFile is a file whose Sync covers its content and its length, but not the
+// times of its use.
+type dataFile struct{ *os.File }
 
-// Sync makes the content written so far last.
-func (f syncedFile) Sync() error { return unix.Fdatasync(int(f.Fd())) }
+// Sync makes the content written so far durable.
+func (f dataFile) Sync() error { return unix.Fdatasync(int(f.Fd())) }
 
-func openDataFile(path string, how int) (file, error) {
-	file, err := os.OpenFile(path, how, 0o600)
+func openFile(path string, flags int) (file, error) {
+	f, err := os.OpenFile(path, flags, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	return syncedFile{file}, nil
+	return dataFile{f}, nil
 }
--- a/internal/daemon/powerfolder_test.go
+++ b/internal/storage/powerfolder_test.go
@@ -1,4 +1,4 @@
-package daemon
+package storage
 
 import (
 	"errors"
@@ -63,7 +63,7 @@
 	return out
 }
 
-func (f *powerFolder) List() ([]string, error) { return sorted(f.now), nil }
+func (f *powerFolder) List() ([]string, error) { return slices.Sorted(maps.Keys(f.now)), nil }
 
 func (f *powerFolder) Size(name string) (int64, error) {
 	b, err := f.Read(name)
@@ -241,7 +241,7 @@
 		}
 	}
 	left := newPowerFolder()
-	for _, name := range sorted(lasting) {
+	for _, name := range slices.Sorted(maps.Keys(lasting)) {
 		content := lasting[name].lose(c)
 		file := &powerFile{now: content, lasting: slices.Clone(content)}
 		left.now[name], left.lasting[name] = file, file
--- a/internal/daemon/diskloss_test.go
+++ b/internal/storage/powerloss_test.go
@@ -1,8 +1,9 @@
-package daemon
+package storage
 
 import (
 	"bufio"
 	"fmt"
+	"io/fs"
 	"maps"
 	"os"
 	"otterchute/internal/statestore"
@@ -20,7 +21,7 @@
 type diskPlay struct {
 	t      *testing.T
 	folder *powerFolder
-	disk   *segmentLog
+	disk   *Log
 	store  *statestore.Store
 	wrote  int
 	due    diskDue
@@ -65,7 +66,6 @@
 func (p *diskPlay) open(newID uint64) {
 	d, st, err := openFolder(p.folder, newID, quiet)
 	must.NoError(p.t, err)
-	d.post = func(func(*executor)) {}
 	p.disk, p.store = d, st
 	due := map[string]bool{}
 	for id := range liveRecords(st) {
@@ -82,7 +82,7 @@
 			id := fmt.Sprintf("job-%x-%d-%d", p.disk.id, p.wrote, i)
 			batch = append(batch, statestore.Entry{Kind: statestore.EntryRecord, Name: "east", Record: statestore.Record{ID: id, Epoch: 1, Version: int64(p.wrote), Live: true, Value: []byte("value")}})
 		}
-		must.NoError(p.t, p.disk.commit([]logJob{{entries: batch, done: func() {}}}))
+		must.NoError(p.t, p.disk.commit([]job{{entries: batch, done: func() {}}}))
 		for _, e := range batch {
 			p.store.Apply(e)
 			p.due.byID[p.disk.id][e.Record.ID] = true
@@ -100,7 +100,7 @@
 
 func (p *diskPlay) wipe(id uint64) {
 	p.due.byID[id] = map[string]bool{}
-	must.NoError(p.t, p.disk.commit([]logJob{{wipe: id}}))
+	must.NoError(p.t, p.disk.commit([]job{{wipe: id}}))
 	p.store, p.due.byID = statestore.New(), map[uint64]map[string]bool{id: {}}
 }
 
@@ -115,15 +115,15 @@
 	}
 	due := play.due.byID
 	play.open(newID)
-	must.MapContainsKey(t, due, play.disk.id, must.Sprintf("%x came up, of %v", play.disk.id, sorted(due)))
+	must.MapContainsKey(t, due, play.disk.id, must.Sprintf("%x came up, of %v", play.disk.id, slices.Sorted(maps.Keys(due))))
 	for id := range due[play.disk.id] {
 		must.MapContainsKey(t, liveRecords(play.store), id)
 	}
 	for id := range liveRecords(play.store) {
 		must.StrHasPrefix(t, fmt.Sprintf("job-%x-", play.disk.id), id)
 	}
-	for _, name := range sorted(left.now) {
-		must.False(t, strings.HasSuffix(name, unnamedSuffix), must.Sprint(name))
+	for _, name := range slices.Sorted(maps.Keys(left.now)) {
+		must.False(t, strings.HasSuffix(name, unfinishedSuffix), must.Sprint(name))
 	}
 	return play
 }
@@ -144,10 +144,10 @@
 	p.snapshot()
 	p.write(1)
 	for range 2 { // with nothing written in the middle of it, nor before the kill
-		must.NoError(t, p.disk.commit([]logJob{{snapshot: true, entries: p.store.Dump()}}))
+		must.NoError(t, p.disk.commit([]job{{snapshot: true, entries: p.store.Dump()}}))
 		p.disk.snapshots.Wait()
 		p.write(1)
-		must.NoError(t, p.disk.commit([]logJob{{snapshot: true, entries: p.store.Dump()}}))
+		must.NoError(t, p.disk.commit([]job{{snapshot: true, entries: p.store.Dump()}}))
 		p.disk.snapshots.Wait()
 		p.open(0xc)
 	}
@@ -208,23 +208,23 @@
 func TestDiskUnreadableSnapshot(t *testing.T) {
 	older, none, before := 0, 0, ""
 	for _, point := range playAll(t).points {
-		names := sorted(point.folder.now)
+		names := slices.Sorted(maps.Keys(point.folder.now))
 		if before == fmt.Sprint(names) {
 			continue
 		}
 		before = fmt.Sprint(names)
-		snapshots := numbers(names, snapshotPrefix, 0)
+		snapshots := fileNumbers(names, snapshotPrefix, 0)
 		if len(snapshots) == 0 {
 			continue
 		}
 		newest := snapshots[len(snapshots)-1]
 		whole := point.folder.now[snapshotName(newest)].now
-		identity, _ := (&segmentLog{folder: point.folder}).readIdentity()
+		identity, _ := readIdentity(point.folder)
 		removing := slices.ContainsFunc(point.folder.changes, func(c entryChange) bool {
 			_, ok := fileNumber(c.name)
 			return ok && c.kind == "removed"
 		})
-		spare := newest < identity.first || numbers(names, segmentPrefix, 0)[0] < newest && !removing
+		spare := newest < identity.first || fileNumbers(names, segmentPrefix, 0)[0] < newest && !removing
 		for at := range whole {
 			for way, damage := range []func() []byte{
 				func() []byte { return whole[:at] },
@@ -270,7 +270,7 @@
 	p.write(2)
 	must.NoError(t, p.disk.roll())
 	p.write(1)
-	segments := numbers(sorted(p.folder.now), segmentPrefix, 0)
+	segments := fileNumbers(slices.Sorted(maps.Keys(p.folder.now)), segmentPrefix, 0)
 	damaged := p.folder.now[segmentName(segments[0])]
 	damaged.now[len(damaged.now)/2] ^= 1
 	damaged.lasting = damaged.now
@@ -310,10 +310,10 @@
 		p.write(3)
 		must.NoError(t, p.disk.roll())
 		p.write(1)
-		segments := numbers(sorted(p.folder.now), segmentPrefix, 0)
+		segments := fileNumbers(slices.Sorted(maps.Keys(p.folder.now)), segmentPrefix, 0)
 		file := p.folder.now[segmentName(segments[0])]
 		file.now = append(file.now[:len(file.now)/2], make([]byte, (i%2)*quarantineBytes)...)
-		left, err := p.folder.Create("snap-0000000000000099" + unnamedSuffix)
+		left, err := p.folder.Create("snap-0000000000000099" + unfinishedSuffix)
 		must.NoError(t, err)
 		must.NoError(t, left.Close())
 		p.open(uint64(0xb + i))
@@ -321,7 +321,7 @@
 		count, bytes := aside()
 		must.Between(t, 1, count, 3)
 		must.Less(t, quarantineBytes, bytes)
-		must.MapNotContainsKey(t, p.folder.now, "snap-0000000000000099"+unnamedSuffix)
+		must.MapNotContainsKey(t, p.folder.now, "snap-0000000000000099"+unfinishedSuffix)
 	}
 	p.snapshot()
 	count, _ := aside()
@@ -350,7 +350,7 @@
 
 type fullFile struct{ file }
 
-func (f *fullFile) Write([]byte) (int, error) { return 0, errClosed }
+func (f *fullFile) Write([]byte) (int, error) { return 0, fs.ErrClosed }
 
 // A disk of an earlier release names no first segment; it is read, and named.
 func TestDiskOfEarlierRelease(t *testing.T) {
@@ -388,12 +388,12 @@
 	trouble := &diskTrouble{tries: make(chan struct{}, 1), syncs: true}
 	d, st, err := openFolder(troubledFolder{osFolder(dir), trouble}, 99, quiet)
 	must.NoError(t, err)
-	must.Eq(t, 4, recordsIn(st, "east"))
+	must.Eq(t, 4, len(liveRecords(st)))
 	d.retry = time.Millisecond
-	told, done := toldOf(d), atomic.Int64{}
-	go d.run()
-	must.Eq(t, "failed", <-told)
-	d.enqueue(logJob{done: func() { done.Add(1) }}) // a read
+	listener, done := newRecorder(d), atomic.Int64{}
+	go d.Run(listener)
+	must.Eq(t, "failed", <-listener.heard)
+	d.Append(nil, func() { done.Add(1) }) // a read
 	for range 3 {
 		<-trouble.tries
 	}
@@ -401,8 +401,8 @@
 	trouble.mu.Lock()
 	trouble.syncs = false
 	trouble.mu.Unlock()
-	must.Eq(t, "recovered", <-told)
-	d.stop()
+	must.Eq(t, "recovered", <-listener.heard)
+	d.Close()
 	must.Eq(t, 1, done.Load())
 	info, err := os.Stat(path)
 	must.NoError(t, err)
--- /dev/null
+++ b/internal/wire/cluster.go
@@ -0,0 +1,137 @@
+package wire
+
+import (
+	"hash/fnv"
+	"otterchute/internal/codec"
+	"otterchute/internal/quorum"
+	"otterchute/internal/register"
+	"otterchute/internal/statestore"
+)
+
+// Messages about daemons, leases and the core set.
+
+// Peer is what a daemon says of itself and others repeat.
+type Peer struct {
+	Name        string
+	Incarnation uint64
+	Heartbeat   uint64
+	Addr        string // for daemons
+	HTTP        string // for callers, workers, operators
+	Zone        string
+	Disk        bool
+	DiskID      uint64
+	Empty       bool // has a disk with no cluster on it
+	Leaving     bool
+	Colocated   bool // stands beside a worker, and takes no duty of the fleet's
+}
+
+// Gossip tells the whole table of peers: to a daemon that hears nobody yet, at a
+// seed's address, and of entries that a Digest showed to be unknown.
+type Gossip struct {
+	Self       Peer
+	Table      []Peer
+	Core       quorum.Set
+	WantsReply bool // an answer is wanted
+}
+
+// Heartbeat is one daemon in a digest: a hash of all that is said of it but for its
+// heartbeat (Peer.DetailHash), and the low bits of the heartbeat.
+type Heartbeat struct {
+	Hash      uint64
+	Heartbeat int32
+}
+
+// Digest is one round of gossip: a short entry for each live daemon.
+type Digest struct {
+	Self       Peer
+	SetVersion int64
+	Heartbeats []Heartbeat
+}
+
+// DigestReply answers a Digest with what differs here.
+type DigestReply struct {
+	SetVersion int64
+	Heartbeats []Heartbeat // that are higher here
+	Table      []Peer      // daemons as they are known here and not there
+	Unknown    []uint64    // hashes that nobody here has
+}
+
+// LeaseRequest asks for, or renews, the lease of one role.
+type LeaseRequest struct {
+	Name  string
+	Epoch uint64 // 0 while being taken
+}
+
+// LeaseRelease gives a lease back before its end.
+type LeaseRelease struct {
+	Name, Successor string
+}
+
+// PollRequest goes to every core member at a fixed pace. It renews and asks for
+// leases, tells the sender's clock, and reads what every daemon must know.
+type PollRequest struct {
+	Incarnation uint64
+	Seq         uint64
+	SetVersion  int64
+	WallMs      int64 // the sender's wall clock
+	Wanted      []LeaseRequest
+	Releases    []LeaseRelease
+}
+
+// RoleHolder is who holds a role. It is also the value of the role's register, whose
+// Epoch counts the holders.
+type RoleHolder struct {
+	Name, Holder string
+	Incarnation  uint64
+	Addr         string // of the holder: only one process at a time can listen there
+	Epoch        uint64
+	Successor    string // set when released
+}
+
+// PollResponse answers a PollRequest.
+type PollResponse struct {
+	Seq        uint64
+	SetVersion int64
+	Granted    []bool
+	Epochs     []uint64 // of what was granted: the last epoch that this member knows
+	Holders    []RoleHolder
+	Config     register.Ballot
+	GuardMs    int64 // so long this member grants nothing yet
+	FleetMs    int64 // the fleet's time; 0 while too few clocks are heard
+	SyncMs     int64 // ms of the last sync
+}
+
+// FormRequest asks a disk for its vote on a formation, or tells that it failed.
+type FormRequest struct {
+	Set    quorum.Set
+	Failed bool // a member voted no: whoever voted yes is free again
+}
+
+// FormResponse is a vote; OK is one for the formation.
+type FormResponse struct {
+	Cluster uint64
+	OK      bool
+}
+
+// CopyRequest asks a core member for the part of its store at a cursor.
+type CopyRequest struct {
+	SetVersion int64
+	Op         uint64
+	At         statestore.Cursor
+}
+
+// CopyResponse brings one part of a store.
+type CopyResponse struct {
+	Op       uint64
+	At, Next statestore.Cursor
+	Finished string // to oneself: the member whose copy is synced to its end
+	Entries  []statestore.Entry
+}
+
+// DetailHash is a hash of all that a daemon says of itself but for its heartbeat.
+func (p Peer) DetailHash() uint64 {
+	p.Heartbeat = 0
+	h := fnv.New64a()
+	_, _ = h.Write(codec.Append(nil, p)) // a hash takes any bytes
+	return h.Sum64()
+}
