--- a/guards.sh
+++ b/guards.sh
@@ -23,7 +23,7 @@
 steps in order|internal/daemon/slices.go|if !ready[js.stepAt(t)] \|\| |if 
 a median of all clocks|internal/daemon/core.go|return all[(len(all)-1)/2] + n.now|return n.wall
 due time|internal/daemon/slices.go|due != 0 && wall < due+dueMarginMs|false
-group at the agent|internal/daemon/agents.go|if q == nil \|\| lack \|\| !q.matches(ag.labels, ag.site) \|\| |if q == nil \|\| false && lack \|\| 
+group at the agent|internal/daemon/agents.go|if q == nil \|\| lack \|\| !q.Matches(ag.labels, ag.site) \|\| |if q == nil \|\| false && lack \|\| 
 allowed failures|internal/daemon/slices.go|case t.Failures >= t.allowedRuns() && !st.Lasting:|case t.Failures > t.allowedRuns() && !st.Lasting:
 cancel reaches the agent|internal/daemon/slices.go|if js.State != jobRunning \|\| js.Steps[t.Step].Gang|if js.Steps[t.Step].Gang
 leaving and emptied|internal/daemon/agents.go|if ag.leaving \|\| n.config.current.EmptyZones[ag.site] {|if false {
@@ -39,8 +39,8 @@
 passed epochs are not renewed|internal/daemon/core.go|if d.Epoch != 0 && d.Epoch < last.Epoch {|if false {
 leases end with their incarnation|internal/daemon/siblings.go|n.loseRole(n.roles[name], "incarnation_raised")|_ = name
 a start takes no older set|internal/daemon/siblings.go|c.Version < n.store.Set().Version {|false {
-reads by a later poll|internal/daemon/setup.go|return n.config.confirmedBy > a.pollsBefore|return n.config.confirmedMs >= a.atMs
-reads are checked after a freeze|internal/daemon/setup.go|confirmedBy > a.pollsBefore && n.configFresh()|confirmedBy > a.pollsBefore
+reads by a later poll|internal/daemon/config_state.go|return n.config.confirmedBy > a.pollsBefore|return n.config.confirmedMs >= a.atMs
+reads are checked after a freeze|internal/daemon/config_state.go|confirmedBy > a.pollsBefore && n.configFresh()|confirmedBy > a.pollsBefore
 copied before joining|internal/daemon/membership.go|if len(j.copied) >= need {|if true {
 a copy begins again after a restart|internal/daemon/membership.go|if at.Instance != n.Instance {|if at.Shard == "" {
 a job ends at a known time|internal/daemon/slices.go|return // how long the job is kept|wall = 1 // how long the job is kept
@@ -63,9 +63,9 @@
 acceptors answer for their set|internal/register/acceptor.go|m.SetVersion != setVersion {|false {
 what is kept stands at a majority|internal/register/proposer.go|if !o.split {|if true {
 an answer leaves after its write is synced|internal/daemon/registers.go|n.persist([]statestore.Entry{entry}, n.sendEffect(to, answer))|n.persist([]statestore.Entry{entry})\n\tn.send(to, answer)
-an order is known again|internal/daemon/history.go|found = o == id|found = false
-an order that was forgotten is not refused|internal/daemon/history.go|if !cur.Accepted.covers(o.change) {|if false {
-orders have the base in their identity|internal/daemon/history.go|id := changeID{Version: base + int64(rise), Base: base}|id := changeID{Version: base + int64(rise)}
+an order is known again|internal/configuration/history.go|found = o == id|found = false
+an order that was forgotten is not refused|internal/daemon/config_change.go|if !cur.Accepted.Covers(o.change) {|if false {
+orders have the base in their identity|internal/configuration/history.go|id := ChangeID{Version: base + int64(rise), Base: base}|id := ChangeID{Version: base + int64(rise)}
 a refusal is written back|internal/register/proposer.go|\t\to.atEnd = Refused\n|\t\to.outcome = Refused\n\t\treturn nil\n
 a leaving member waits for its successor|internal/daemon/duties.go|if n.leavingSince == 0 \|\| n.awaitsSuccessor() {|if n.leavingSince == 0 {
 copied again before a member leaves|internal/daemon/membership.go|if at == newest \|\| n.copyComplete(j, n.core.Majority()-1) {|if true {
@@ -80,14 +80,14 @@
 a change begins anew under another set|internal/daemon/siblings.go|	n.restartChanges()|
 void live records are not loaded|internal/daemon/slices.go|if r.Live && r.Epoch < sl.served {|if r.Live && false {
 void live records are not finished jobs|internal/daemon/slices.go|if f.best.Live {|if false {
-setup is fresh|internal/daemon/setup.go|n.now-n.config.confirmedMs <= configFreshMs|true
+setup is fresh|internal/daemon/config_state.go|n.now-n.config.confirmedMs <= configFreshMs|true
 complete needs all well|internal/daemon/jobs.go|all = all && j.Tasks[i].State == taskEnded|all = true
 clock read at writing|internal/daemon/world_test.go|if n.steadyMs() > e.NotAfterMs|if false
 takeover merges a majority|internal/daemon/slices.go|if len(sl.seals) < n.core.Majority() {|if len(sl.seals) < 1 {
 a resend finds the finished job|internal/daemon/slices.go|if old == nil && f.job != nil|if f.job != nil
 batches wait for their hours|internal/daemon/batch.go|return wallMs >= p.StartMs && wallMs < p.CloseMs|return wallMs > 0
 batches keep to their share|internal/daemon/batch.go|return sum.Fits(ag.capacity.Share(r.SharePercent))|return true
-batches are below all others|internal/daemon/setup.go|r.Urgency -= batchBelow|r.Urgency -= 0
+batches are below all others|internal/configuration/queue.go|q.Urgency -= batchUrgencyOffset|q.Urgency -= 0
 batches make room at once|internal/daemon/agents.go|n.now-wants.queuedMs <= urgentWaitMs && n.batchSpec(&h.spec) == nil|n.now-wants.queuedMs <= urgentWaitMs
 batches are never firm|internal/daemon/agents.go|h.spec.Class != wire.ClassQueueable \|\| n.batchSpec(&h.spec) != nil {\n\t\treturn|h.spec.Class != wire.ClassQueueable {\n\t\treturn
 batches leave urgent work its room|internal/daemon/batch.go|if waiting, _ := ag.withoutBatches(n); waiting > 0 {|if false {
--- /dev/null
+++ b/internal/configuration/record.go
@@ -0,0 +1,148 @@
+package configuration
+
+import (
+	"bytes"
+	"compress/flate"
+	"encoding/binary"
+	"io"
+	"slices"
+	"sync"
+
+	"otterchute/internal/codec"
+	"otterchute/internal/register"
+	"otterchute/internal/schema"
+	"otterchute/internal/wire"
+
+	"github.com/tidwall/gjson"
+)
+
+// Register is the name of the register that holds the newest Record. It stands on
+// disks and on the wire.
+const Register = "setup"
+
+// MaxShown is how many accepted versions operators are shown.
+const MaxShown = 50
+
+// Record is the value of the register: the newest version and what led to it. The
+// zero Record is that of a fleet without a configuration.
+type Record struct {
+	Version  int64
+	Document []byte // deflated
+	Past     []VersionInfo
+	Emptied  []string // zones emptied by an operator's word beside the document, in order
+	Accepted History
+}
+
+// VersionInfo is what operators are shown of an accepted version.
+type VersionInfo struct {
+	Version int64
+	Digest  uint64 // the first bytes of the document's SHA-256
+	Queues  int64
+	Bytes   int64
+	AtMs    int64 // wall time, in ms
+}
+
+// Next returns the record after a change was accepted with this document at this
+// wall time, in ms.
+func (r *Record) Next(change ChangeID, doc []byte, atMs int64) Record {
+	info := VersionInfo{
+		Version: change.Version,
+		Digest:  binary.BigEndian.Uint64(change.Digest[:]),
+		Queues:  gjson.GetBytes(doc, "queues.#").Int(),
+		Bytes:   int64(len(doc)),
+		AtMs:    atMs,
+	}
+	past := append(slices.Clone(r.Past), info)
+	if len(past) > MaxShown {
+		past = past[len(past)-MaxShown:]
+	}
+	return Record{Version: change.Version, Document: Deflate(doc), Emptied: r.Emptied, Accepted: r.Accepted.With(change), Past: past}
+}
+
+// Compile compiles the record's document, without the zones emptied beside it.
+func (r *Record) Compile() (*Configuration, []schema.Fault) {
+	doc, ok := Inflate(r.Document)
+	if !ok {
+		return nil, []schema.Fault{{Path: "", Reason: "is damaged"}}
+	}
+	return Compile(r.Version, doc)
+}
+
+// SameDocument tells whether two records hold the same document and version.
+func (r *Record) SameDocument(other *Record) bool {
+	return r.Version == other.Version && bytes.Equal(r.Document, other.Document)
+}
+
+// Deflate packs a document for the wire and the disk: documents say much the same
+// of each queue, and machines with thin lines take each version too.
+//
+// Example: packed := configuration.Deflate([]byte(`{"queues":[]}`))
+func Deflate(doc []byte) []byte {
+	var out bytes.Buffer
+	w, err := flate.NewWriter(&out, flate.BestSpeed)
+	if err != nil {
+		panic(err) // the level is known
+	}
+	_, _ = w.Write(doc) // a buffer takes any bytes
+	_ = w.Close()
+	return out.Bytes()
+}
+
+// Inflate is the opposite of Deflate; false for what is damaged or larger than any
+// document may be.
+//
+// Example: doc, ok := configuration.Inflate(packed)
+func Inflate(packed []byte) ([]byte, bool) {
+	if len(packed) == 0 {
+		return nil, true
+	}
+	doc, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), MaxBytes+1))
+	return doc, err == nil && len(doc) <= MaxBytes
+}
+
+// Precompiler compiles the records that messages from the core bring, on the
+// goroutines that read them: thousands of queues would hold the control thread up.
+// A document that it met last is not compiled again. The zero Precompiler is ready.
+type Precompiler struct {
+	mu       sync.Mutex
+	document []byte
+	last     *Configuration
+}
+
+// Compile returns the configuration in a message; nil where there is none in it.
+func (p *Precompiler) Compile(msg any) *Configuration {
+	m, ok := msg.(*wire.RegisterValue)
+	var r Record
+	if !ok || m.Register != Register || codec.Unmarshal(m.Value, &r) != nil || r.Version == 0 {
+		return nil
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.last == nil || p.last.Version != r.Version || !bytes.Equal(p.document, r.Document) {
+		p.document = r.Document
+		p.last, _ = r.Compile() // nil where it has faults: the control thread tells of them
+	}
+	return p.last
+}
+
+// ReaderCopy is the register's value without the history of its changes, which
+// only a change of the register needs. All daemons read each new value, so it is
+// encoded once for each. The zero ReaderCopy is ready.
+type ReaderCopy struct {
+	ballot register.Ballot
+	value  []byte
+}
+
+// Of returns an acceptor's value as readers get it.
+func (c *ReaderCopy) Of(a *register.Acceptor) []byte {
+	if c.ballot == a.Accepted && c.value != nil {
+		return c.value
+	}
+	var r Record
+	if codec.Unmarshal(a.Value, &r) != nil {
+		return a.Value
+	}
+	r.Accepted = History{}
+	c.ballot, c.value = a.Accepted, codec.Append(nil, r)
+	return c.value
+}
--- /dev/null
+++ b/internal/daemon/admission.go
@@ -0,0 +1,116 @@
+package daemon
+
+import (
+	"cmp"
+	"fmt"
+	"otterchute/internal/configuration"
+	"otterchute/internal/schema"
+)
+
+// admission is a new job on its way through the rules of its queue.
+type admission struct {
+	job   *job
+	queue *configuration.Queue
+	live  int // live jobs of this queue in the slice
+	all   int // live jobs of the slice
+	bytes int // of their records, with this one
+	base  bool
+	batch bool
+}
+
+type rejection struct {
+	status  int32
+	retryMs int64
+	faults  []schema.Fault
+}
+
+// ruleOps is the instruction table of the interpreter.
+var ruleOps = map[configuration.RuleOp]func(*admission, int64) *rejection{
+	configuration.RuleDefaultLimit: func(c *admission, v int64) *rejection {
+		for i := range c.job.Steps {
+			c.job.Steps[i].LimitMs = cmp.Or(c.job.Steps[i].LimitMs, v)
+		}
+		for i := range c.job.Tasks {
+			c.job.Tasks[i].LimitMs = cmp.Or(c.job.Tasks[i].LimitMs, v)
+		}
+		return nil
+	},
+	configuration.RuleDefaultFailures: func(c *admission, v int64) *rejection {
+		for i := range c.job.Steps {
+			if c.job.Steps[i].Allowed < 0 {
+				c.job.Steps[i].Allowed = int32(v)
+			}
+		}
+		for i := range c.job.Tasks {
+			if c.job.Tasks[i].Allowed < 0 {
+				c.job.Tasks[i].Allowed = int32(v)
+			}
+		}
+		return nil
+	},
+	configuration.RuleMaxTasks: func(c *admission, v int64) *rejection {
+		if v > 0 && int64(len(c.job.Tasks)) > v {
+			return &rejection{status: 400, faults: []schema.Fault{{Path: "steps", Reason: fmt.Sprintf("have more than the queue's %d tasks", v)}}}
+		}
+		return nil
+	},
+	configuration.RuleMaxResources: func(c *admission, v int64) *rejection {
+		return c.eachTask(func(t *task) bool { return v > 0 && t.Resources.CPU > v }, "room", "is above the queue's bound")
+	},
+	configuration.RuleMaxLimit: func(c *admission, v int64) *rejection {
+		return c.eachTask(func(t *task) bool { return v > 0 && t.LimitMs > v }, "limit_ms", "is above the queue's bound")
+	},
+	configuration.RuleNoGangs: func(c *admission, _ int64) *rejection {
+		var out []schema.Fault
+		for i, s := range c.job.Steps {
+			if s.Gang {
+				out = append(out, schema.Fault{Path: fmt.Sprintf("steps.%d.gang", i), Reason: "can't be in a batch queue: it needs a firm place"})
+			}
+			if s.Lasting {
+				out = append(out, schema.Fault{Path: fmt.Sprintf("steps.%d.lasting", i), Reason: "can't be in a batch queue: it never finishes"})
+			}
+		}
+		if len(out) > 0 {
+			return &rejection{status: 400, faults: out}
+		}
+		return nil
+	},
+	configuration.RuleAdmit: func(c *admission, v int64) *rejection {
+		all := shardJobsMax
+		if c.base { // queues of the lowest urgency leave the others their share
+			all = shardJobsMax * (100 - urgentShare) / 100
+		}
+		bytes := shardBytesMax
+		if c.batch { // held jobs leave the others room in the records
+			all, bytes = shardJobsMax*batchRecords/100, shardBytesMax*batchRecords/100
+		}
+		if int64(c.live) >= v || c.all >= all || c.bytes > bytes {
+			return &rejection{status: 429, retryMs: 2000, faults: []schema.Fault{{Path: "queue", Reason: "has as many live jobs as it may"}}}
+		}
+		return nil
+	},
+}
+
+func (c *admission) eachTask(bad func(*task) bool, field, reason string) *rejection {
+	var out []schema.Fault
+	for i := range c.job.Tasks {
+		t := &c.job.Tasks[i]
+		if bad(t) {
+			out = append(out, schema.Fault{Path: fmt.Sprintf("steps.%d.tasks.%d.%s", t.Step, t.InStep, field), Reason: reason})
+		}
+	}
+	if len(out) > 0 {
+		return &rejection{status: 400, faults: out}
+	}
+	return nil
+}
+
+// admit runs an ask for a job through its queue's rules.
+func admit(c *admission) *rejection {
+	for _, r := range c.queue.Admission {
+		if b := ruleOps[r.Op](c, r.N); b != nil {
+			return b
+		}
+	}
+	return nil
+}
--- a/internal/daemon/agents.go
+++ b/internal/daemon/agents.go
@@ -4,7 +4,9 @@
 	"cmp"
 	"encoding/json"
 	"fmt"
+	"otterchute/internal/configuration"
 	"otterchute/internal/resource"
+	"otterchute/internal/schema"
 	"otterchute/internal/wire"
 	"slices"
 	"strconv"
@@ -99,25 +101,25 @@
 	SubmitMs int64           `json:"submit_ms"`
 }
 
-var reportFields = fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
-	"incarnation": {Kind: "name", Required: true},
-	"seq":         {Kind: "count", Required: true, Min: 1},
-	"address":     {Kind: "text", Required: true, Min: 3, Max: 200},
-	"site":        {Kind: "name", Required: true},
-	"labels":      {Kind: "labels"},
-	"free":        {Kind: "count", Required: true, Min: 0},
-	"leaving":     {Kind: "flag"},
-	"token":       {Kind: "text", Max: 100},
-	"running":     {Kind: "list", Max: 100_000, Elem: &runFields},
-	"ended":       {Kind: "list", Max: 100_000, Elem: &runFields},
+var reportFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
+	"incarnation": {Kind: schema.Name, Required: true},
+	"seq":         {Kind: schema.Count, Required: true, Min: 1},
+	"address":     {Kind: schema.Text, Required: true, Min: 3, Max: 200},
+	"site":        {Kind: schema.Name, Required: true},
+	"labels":      {Kind: schema.Labels},
+	"free":        {Kind: schema.Count, Required: true, Min: 0},
+	"leaving":     {Kind: schema.Flag},
+	"token":       {Kind: schema.Text, Max: 100},
+	"running":     {Kind: schema.List, Max: 100_000, Elem: &runFields},
+	"ended":       {Kind: schema.List, Max: 100_000, Elem: &runFields},
 }}
 
-var runFields = fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
-	"id":      {Kind: "text", Required: true, Min: 1, Max: 300},
-	"tag":     {Kind: "text", Max: 4000},
-	"room":    {Kind: "count", Min: 0},
-	"ran_ms":  {Kind: "count", Min: 0},
-	"outcome": {Kind: "name"},
+var runFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
+	"id":      {Kind: schema.Text, Required: true, Min: 1, Max: 300},
+	"tag":     {Kind: schema.Text, Max: 4000},
+	"room":    {Kind: schema.Count, Min: 0},
+	"ran_ms":  {Kind: schema.Count, Min: 0},
+	"outcome": {Kind: schema.Name},
 }}
 
 func (ag *agent) keys() []wire.AttemptKey {
@@ -143,8 +145,8 @@
 		n.applyReport(ag, a)
 		return
 	}
-	if !nameOK(a.key) {
-		n.rejectFaults(a, 400, 0, []fault{{"name", "must be a name"}})
+	if !schema.ValidName(a.key) {
+		n.rejectFaults(a, 400, 0, []schema.Fault{{Path: "name", Reason: "must be a name"}})
 		return
 	}
 	if to, _ := n.holder(name); to != "" {
@@ -164,7 +166,7 @@
 }
 
 func (n *node) applyReport(ag *agent, a *request) {
-	if f := checkDocument(a.body, reportFields); len(f) > 0 {
+	if f := schema.Check(a.body, reportFields); len(f) > 0 {
 		n.rejectFaults(a, 400, 0, f)
 		return
 	}
@@ -477,8 +479,8 @@
 	}
 	for _, h := range queue {
 		q := n.config.current.Queues[h.spec.Queue]
-		_, lack := lacks(ag.labels, h.spec.Needs)
-		if q == nil || lack || !q.matches(ag.labels, ag.site) || h.spec.PerWorker > 0 && ag.ofStep(h) >= int(h.spec.PerWorker) {
+		_, lack := configuration.MissingLabel(ag.labels, h.spec.Needs)
+		if q == nil || lack || !q.Matches(ag.labels, ag.site) || h.spec.PerWorker > 0 && ag.ofStep(h) >= int(h.spec.PerWorker) {
 			h.state, h.result = wire.AttemptEnded, wire.ResultRejected
 			n.syncAgent(ag)
 			continue
@@ -526,7 +528,7 @@
 			out = append(out, ag.attempts[key])
 		}
 	}
-	urgency := func(h *attempt) int64 { return n.config.current.urgencyOf(h.spec.Queue) }
+	urgency := func(h *attempt) int64 { return n.config.current.Urgency(h.spec.Queue) }
 	slices.SortStableFunc(out, func(a, b *attempt) int {
 		return cmp.Or(cmp.Compare(urgency(b), urgency(a)), cmp.Compare(a.spec.Class, b.spec.Class), cmp.Compare(a.spec.SubmittedMs, b.spec.SubmittedMs))
 	})
@@ -537,7 +539,7 @@
 // urgent first, and of those the ones that lose the least work. For a queueable
 // task only runs of less urgent queues are stopped.
 func (n *node) preempt(ag *agent, wants *attempt, room resource.Amount) {
-	urgency := func(h *attempt) int64 { return n.config.current.urgencyOf(h.spec.Queue) }
+	urgency := func(h *attempt) int64 { return n.config.current.Urgency(h.spec.Queue) }
 	var runs []*attempt
 	for _, key := range ag.keys() {
 		h := ag.attempts[key]
--- a/internal/daemon/asks.go
+++ b/internal/daemon/asks.go
@@ -4,6 +4,9 @@
 	"bytes"
 	"cmp"
 	"net"
+	"otterchute/internal/configuration"
+	"otterchute/internal/rendezvous"
+	"otterchute/internal/schema"
 	"otterchute/internal/statestore"
 	"otterchute/internal/wire"
 	"slices"
@@ -21,9 +24,9 @@
 	key            string
 	body           []byte
 	atMs           int64
-	pollsBefore    uint64         // sent here before it came: only a later one confirms a setup for it
-	config         *configuration // of the body, where it is known to be sound
-	host           string         // with path, the address a caller used
+	pollsBefore    uint64                       // sent here before it came: only a later one confirms a setup for it
+	config         *configuration.Configuration // of the body, where it is known to be sound
+	host           string                       // with path, the address a caller used
 	path           string
 	expect         int64  // the version a setup builds on; -1 for one less than its own
 	digest         []byte // SHA-256 of an operator's order as it was sent, where that isn't the setup itself
@@ -85,7 +88,7 @@
 func (n *node) onForwarded(from string, m *wire.Forward) {
 	body, ok := m.Body, true
 	if operatorRequests[m.Op] {
-		if body, ok = inflate(m.Body); !ok {
+		if body, ok = configuration.Inflate(m.Body); !ok {
 			return
 		}
 	}
@@ -139,11 +142,11 @@
 	n.respond(a, 503, 1000, mustJSON(map[string]any{"error": reason}))
 }
 
-func (n *node) rejectFaults(a *request, status int, retryMs int64, faults []fault) {
+func (n *node) rejectFaults(a *request, status int, retryMs int64, faults []schema.Fault) {
 	n.respond(a, status, retryMs, faultsJSON(faults))
 }
 
-func faultsJSON(faults []fault) []byte {
+func faultsJSON(faults []schema.Fault) []byte {
 	return mustJSON(map[string]any{"error": faults[0].Path + " " + faults[0].Reason, "faults": faults})
 }
 
@@ -164,7 +167,7 @@
 	n.forwardSeq++
 	limitMs, body := n.now+forwardMs, a.body
 	if operatorRequests[a.op] {
-		limitMs, body = n.now+configForwardMs, deflate(a.body)
+		limitMs, body = n.now+configForwardMs, configuration.Deflate(a.body)
 	}
 	n.forwarded[n.forwardSeq] = &forwardedRequest{request: a, to: to, limitMs: limitMs}
 	n.count("asks_handed_over")
@@ -298,7 +301,7 @@
 	if len(n.core.Shards) == 0 {
 		return ""
 	}
-	return rendezvous(id, n.core.Shards)[0]
+	return rendezvous.Order(id, n.core.Shards)[0]
 }
 
 func (n *node) routeJob(a *request) {
@@ -345,8 +348,8 @@
 		return
 	}
 	if a.config == nil {
-		var faults []fault
-		if a.config, faults = parseConfig(a.key, a.body); len(faults) > 0 {
+		var faults []schema.Fault
+		if a.config, faults = configuration.Parse(a.key, a.body); len(faults) > 0 {
 			n.rejectFaults(a, 400, 0, faults)
 			return
 		}
@@ -397,8 +400,8 @@
 
 // setZone empties a site or opens it again, beside the document.
 func (n *node) setZone(a *request) {
-	if !nameOK(a.key) {
-		n.rejectFaults(a, 400, 0, []fault{{"site", "must be a name"}})
+	if !schema.ValidName(a.key) {
+		n.rejectFaults(a, 400, 0, []schema.Fault{{Path: "site", Reason: "must be a name"}})
 		return
 	}
 	if !n.inContact() {
@@ -422,7 +425,7 @@
 		n.reject(a, "no setup yet")
 		return
 	}
-	queue, id, ok := c.resolve(a.host, a.path)
+	queue, id, ok := c.Resolve(a.host, a.path)
 	switch {
 	case !ok && n.configConfirmedSince(a):
 		n.respond(a, 404, 0, mustJSON(map[string]any{"missing": "queue", "error": "no queue has this address"}))
@@ -435,7 +438,7 @@
 	switch {
 	case id == "" && a.op == "queue.state":
 		n.respond(a, 200, 0, mustJSON(map[string]any{"waiting": n.waitingIn(queue)}))
-	case !nameOK(id):
+	case !schema.ValidName(id):
 		n.respond(a, 404, 0, nil)
 	default:
 		a.op = addressOps[a.op]
@@ -469,7 +472,7 @@
 	if emptied == nil {
 		emptied = []string{}
 	}
-	plain, _ := inflate(n.config.record.Doc)
+	plain, _ := configuration.Inflate(n.config.record.Document)
 	doc := string(plain)
 	if doc == "" {
 		doc = "null"
--- a/internal/daemon/ballot_test.go
+++ b/internal/daemon/ballot_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"otterchute/internal/codec"
+	"otterchute/internal/configuration"
 	"otterchute/internal/quorum"
 	"otterchute/internal/register"
 	"otterchute/internal/statestore"
@@ -68,7 +69,7 @@
 func propose(n *node, queue string) (*registerChange, map[string]any) {
 	n.out = nil
 	o := n.startChange("setup", "setup", queueSetup(queue, ""), 0)
-	o.change = changeID{Version: 1}
+	o.change = configuration.ChangeID{Version: 1}
 	return o, byMember(n.out)
 }
 
@@ -119,9 +120,9 @@
 		must.MapNotContainsKey(t, second.changes, op.ID, must.Sprint("the second order is acknowledged"))
 		answer("b", accepts["b"]) // late
 		for _, m := range []string{"b", "c"} {
-			var d configRecord
+			var d configuration.Record
 			must.NoError(t, codec.Unmarshal(q.members[m].store.Register("setup").Value, &d))
-			doc, _ := inflate(d.Doc)
+			doc, _ := configuration.Inflate(d.Document)
 			must.StrContains(t, string(doc), "right", must.Sprint("what was acknowledged is gone at ", m))
 		}
 		t.Fatal("a promise to an earlier life was counted")
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -3,14 +3,12 @@
 import (
 	"cmp"
 	"fmt"
-	"math"
+	"otterchute/internal/configuration"
+	"otterchute/internal/rendezvous"
 	"otterchute/internal/resource"
 	"otterchute/internal/wire"
 	"slices"
-	"strings"
 	"time"
-
-	"github.com/tidwall/gjson"
 )
 
 // Batch queues: work that may wait for the cheapest hours of a contract, and
@@ -18,192 +16,6 @@
 // a function of the job's record, the setup in force, the fleet's time and what
 // agents last told; a new owner comes to the same.
 
-// contract is what an hour of a core costs, through a week that repeats.
-type contract struct {
-	Name          string
-	OffsetMinutes int64 // of its clock from UTC, all year: daylight saving is declared, never known
-	Cheapest      float64
-	spans         []priceSpan // all of the week in order, neighbours of different prices
-}
-
-// priceSpan is a part of the week, in minutes from Monday 00:00 of the contract's clock.
-type priceSpan struct {
-	From, To int64
-	Price    float64
-}
-
-// batchRules are what a queue says of its batches.
-type batchRules struct {
-	Contract     *contract
-	FinishByMs   int64 // a job is complete so long after it came or was due
-	SharePercent int64 // the most of each worker's room
-}
-
-const (
-	minutesPerDay  = 24 * 60
-	minutesPerWeek = 7 * minutesPerDay
-	msPerMinute    = 60_000
-	epochWeekday   = 3 // 1 January 1970 was a Thursday
-)
-
-var weekdays = []string{"mon", "tue", "wed", "thu", "fri", "sat", "sun"}
-
-var contractFields = fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
-	"name":               {Kind: "name", Required: true},
-	"utc_offset_minutes": {Kind: "count", Required: true, Min: -minutesPerDay + 1, Max: minutesPerDay - 1},
-	"price":              {Kind: "number", Required: true},
-	"hours": {Kind: "list", Max: 100, Elem: &fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
-		"from":  {Kind: "text", Required: true, Min: 5, Max: 5},
-		"to":    {Kind: "text", Required: true, Min: 5, Max: 5},
-		"days":  {Kind: "list", Min: 1, Max: 7, Elem: &fieldSchema{Kind: "text", Min: 3, Max: 3}},
-		"price": {Kind: "number", Required: true},
-	}}},
-}}
-
-var batchFields = fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
-	"contract":        {Kind: "name", Required: true},
-	"finish_by_hours": {Kind: "number", Required: true},
-	"share_percent":   {Kind: "count", Required: true, Min: 1, Max: 100},
-}}
-
-// compileContract turns a contract into its week. The path is for its faults.
-func compileContract(path string, doc gjson.Result) (*contract, []fault) {
-	c := &contract{Name: doc.Get("name").Str, OffsetMinutes: doc.Get("utc_offset_minutes").Int()}
-	var faults []fault
-	type listed struct {
-		priceSpan
-		at int
-	}
-	var list []listed
-	for i, h := range doc.Get("hours").Array() {
-		at := fmt.Sprintf("%s.hours.%d", path, i)
-		from, ok1 := minuteOfDay(h.Get("from").Str)
-		to, ok2 := minuteOfDay(h.Get("to").Str)
-		if !ok1 || from == minutesPerDay {
-			faults = append(faults, fault{at + ".from", "must be a time of day, 00:00 to 23:59"})
-		}
-		if !ok2 {
-			faults = append(faults, fault{at + ".to", "must be a time of day, 00:00 to 24:00"})
-		}
-		if ok1 && ok2 && from == to {
-			faults = append(faults, fault{at + ".to", "is the same as from: a whole day is 00:00 to 24:00"})
-		}
-		days := []int{0, 1, 2, 3, 4, 5, 6}
-		if given := h.Get("days"); given.Exists() {
-			days = nil
-			for k, d := range given.Array() {
-				day := slices.Index(weekdays, d.Str)
-				if day < 0 || slices.Contains(days, day) {
-					faults = append(faults, fault{fmt.Sprintf("%s.days.%d", at, k), "must be one of " + strings.Join(weekdays, ", ") + ", once"})
-				}
-				days = append(days, day)
-			}
-		}
-		length := to - from
-		if length < 0 { // over midnight, into the next day
-			length += minutesPerDay
-		}
-		for _, day := range days {
-			begin := int64(day)*minutesPerDay + from
-			end := begin + length
-			list = append(list, listed{priceSpan{begin, min(end, minutesPerWeek), h.Get("price").Num}, i})
-			if end > minutesPerWeek {
-				list = append(list, listed{priceSpan{0, end - minutesPerWeek, h.Get("price").Num}, i})
-			}
-		}
-	}
-	if len(faults) > 0 {
-		return nil, faults
-	}
-	slices.SortStableFunc(list, func(a, b listed) int { return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.at, b.at)) })
-	overlaps := map[int]bool{}
-	for i := 1; i < len(list); i++ {
-		if a, b := list[i-1], list[i]; b.From < a.To && !overlaps[max(a.at, b.at)] {
-			overlaps[max(a.at, b.at)] = true
-			faults = append(faults, fault{fmt.Sprintf("%s.hours.%d", path, max(a.at, b.at)), fmt.Sprintf("overlap hours.%d", min(a.at, b.at))})
-		}
-	}
-	usual, at := doc.Get("price").Num, int64(0)
-	add := func(s priceSpan) {
-		if last := len(c.spans) - 1; last >= 0 && c.spans[last].Price == s.Price {
-			c.spans[last].To = s.To
-		} else if s.From < s.To {
-			c.spans = append(c.spans, s)
-		}
-	}
-	for _, l := range list {
-		add(priceSpan{at, max(at, l.From), usual})
-		add(l.priceSpan)
-		at = max(at, l.To)
-	}
-	add(priceSpan{at, minutesPerWeek, usual})
-	c.Cheapest = math.Inf(1)
-	for _, s := range c.spans {
-		c.Cheapest = min(c.Cheapest, s.Price)
-	}
-	return c, faults
-}
-
-// minuteOfDay reads a time of day such as 22:00.
-func minuteOfDay(s string) (int64, bool) {
-	if s == "24:00" {
-		return minutesPerDay, true
-	}
-	t, err := time.Parse("15:04", s)
-	return int64(t.Hour()*60 + t.Minute()), err == nil && len(s) == 5
-}
-
-// compileBatch checks what a queue says of its batches.
-func (c *configuration) compileBatch(path string, doc gjson.Result) (*batchRules, []fault) {
-	r := &batchRules{Contract: c.Contracts[doc.Get("contract").Str], FinishByMs: int64(doc.Get("finish_by_hours").Num * msPerHour), SharePercent: doc.Get("share_percent").Int()}
-	var faults []fault
-	if r.Contract == nil {
-		faults = append(faults, fault{path + ".contract", "is not among the contracts"})
-	}
-	if r.FinishByMs < msPerMinute || r.FinishByMs > finishByMost*msPerHour {
-		faults = append(faults, fault{path + ".finish_by_hours", fmt.Sprintf("must be a minute to %d hours", finishByMost)})
-	}
-	return r, faults
-}
-
-// priceWindow is a stretch of one price, by the fleet's time.
-type priceWindow struct {
-	FromMs, ToMs int64
-	Price        float64
-}
-
-// windows gives the stretches of one price that lie between two times, in
-// order. The first may have opened before, the last may go on after.
-func (c *contract) windows(fromMs, toMs int64) (out []priceWindow) {
-	if len(c.spans) == 1 {
-		return []priceWindow{{math.MinInt64 / 2, math.MaxInt64 / 2, c.spans[0].Price}}
-	}
-	minute := fromMs/msPerMinute + c.OffsetMinutes + epochWeekday*minutesPerDay
-	week := (fromMs/msPerMinute - minute%minutesPerWeek) * msPerMinute // when this week began
-	last := len(c.spans) - 1
-	for at := range 2 * len(c.spans) * (finishByMost/(7*24) + 2) {
-		s := c.spans[at%len(c.spans)]
-		w := priceWindow{week + s.From*msPerMinute, week + s.To*msPerMinute, s.Price}
-		if at%len(c.spans) == last {
-			week += minutesPerWeek * msPerMinute
-		}
-		if k := len(out) - 1; k >= 0 && out[k].Price == w.Price { // over the week's end
-			out[k].ToMs = w.ToMs
-			continue
-		}
-		if w.FromMs > toMs {
-			return out
-		}
-		if at == 0 && c.spans[last].Price == s.Price {
-			w.FromMs -= (minutesPerWeek - c.spans[last].From) * msPerMinute
-		}
-		if w.ToMs > fromMs {
-			out = append(out, w)
-		}
-	}
-	return out
-}
-
 // batchPlan is when a job's tasks may start, by the fleet's time.
 type batchPlan struct {
 	StartMs    int64
@@ -214,19 +26,19 @@
 	Must       bool // it starts at any price now, to be complete in time
 }
 
-// plan decides when a job may start that came, or was due, at some time and
+// planBatch decides when a job may start that came, or was due, at some time and
 // needs some time. It takes the cheapest window that leaves that time before
 // the deadline, the first of several; starts are spread over the first half of
 // it, or of what of it the job can use, each at a point of its own.
-func (r *batchRules) plan(id string, fromMs, nowMs, needMs int64) batchPlan {
+func planBatch(r *configuration.Batch, id string, fromMs, nowMs, needMs int64) batchPlan {
 	p := batchPlan{DeadlineMs: fromMs + r.FinishByMs}
 	latest := p.DeadlineMs - needMs
 	if nowMs >= latest {
 		p.StartMs, p.OpenMs, p.CloseMs, p.Must = max(fromMs, latest), nowMs, p.DeadlineMs, true
-		p.Price = r.Contract.windows(nowMs, nowMs)[0].Price
+		p.Price = r.Contract.Windows(nowMs, nowMs)[0].Price
 		return p
 	}
-	all := r.Contract.windows(max(nowMs, fromMs), max(latest, fromMs))
+	all := r.Contract.Windows(max(nowMs, fromMs), max(latest, fromMs))
 	best := all[0]
 	for _, w := range all {
 		if w.Price < best.Price {
@@ -236,7 +48,7 @@
 	p.OpenMs, p.CloseMs, p.Price = max(best.FromMs, fromMs), best.ToMs, best.Price
 	p.StartMs = p.OpenMs
 	if spread := min(best.ToMs-p.OpenMs, latest-p.OpenMs) / 2; best.FromMs >= fromMs && spread > 0 {
-		p.StartMs += int64(float64(weight(id, "start")>>11) / (1 << 53) * float64(spread)) // what the job needs may be learned anew: its point moves little
+		p.StartMs += int64(float64(rendezvous.Weight(id, "start")>>11) / (1 << 53) * float64(spread)) // what the job needs may be learned anew: its point moves little
 	}
 	return p
 }
@@ -252,7 +64,7 @@
 
 // batchOf gives the rules that a job is held by. Gangs and lasting tasks, which a
 // queue may have had before it took batches, run as they did.
-func (n *node) batchOf(j *job) *batchRules {
+func (n *node) batchOf(j *job) *configuration.Batch {
 	q := n.config.current.Queues[j.Queue]
 	if q == nil || q.Batch == nil || slices.ContainsFunc(j.Steps, func(s step) bool { return s.Gang || s.Lasting }) {
 		return nil
@@ -261,7 +73,7 @@
 }
 
 // batchSpec gives the rules for a task at a worker, if it is a batch's.
-func (n *node) batchSpec(s *wire.TaskSpec) *batchRules {
+func (n *node) batchSpec(s *wire.TaskSpec) *configuration.Batch {
 	if q := n.config.current.Queues[s.Queue]; q != nil && s.Class == wire.ClassQueueable {
 		return q.Batch
 	}
@@ -294,7 +106,7 @@
 	sl.batchAt, sl.batchVersion = n.now+batchPlanMs, n.config.current.Version
 	type due struct {
 		js      *jobState
-		r       *batchRules
+		r       *configuration.Batch
 		from, d int64
 	}
 	var list []due
@@ -321,7 +133,7 @@
 		chain, work := n.batchNeed(e.js, all)
 		ahead += work * float64(max(1, len(n.core.Shards))) // the other slices hold as much
 		need := (int64(ahead)+chain)*batchSlack/100 + batchMarginMs
-		p := e.r.plan(e.js.ID, e.from, wall, need)
+		p := planBatch(e.r, e.js.ID, e.from, wall, need)
 		if p.Must && (e.js.batch == nil || !e.js.batch.Must) {
 			n.count("batches_at_any_price")
 			n.log("batch_at_any_price", "job", e.js.ID, "queue", e.js.Queue, "need_ms", need, "price", p.Price)
@@ -331,10 +143,10 @@
 }
 
 // batchRoom is all the room that a queue's batches may have at once.
-func (n *node) batchRoom(queue string, r *batchRules) (all resource.Amount) {
+func (n *node) batchRoom(queue string, r *configuration.Batch) (all resource.Amount) {
 	q := n.config.current.Queues[queue]
 	for _, w := range n.workers {
-		if n.now-w.heardMs < silentMs && !w.leaving && !n.config.current.EmptyZones[w.site] && q.matches(w.labels, w.site) {
+		if n.now-w.heardMs < silentMs && !w.leaving && !n.config.current.EmptyZones[w.site] && q.Matches(w.labels, w.site) {
 			all = all.Plus(w.capacity.Share(r.SharePercent))
 		}
 	}
@@ -476,7 +288,7 @@
 		if name == t.Last {
 			part++ // it failed there: anywhere else first
 		}
-		if own := weight(js.ID, name); best == "" || part < least || part == least && own > bestWeight {
+		if own := rendezvous.Weight(js.ID, name); best == "" || part < least || part == least && own > bestWeight {
 			best, least, bestWeight = name, part, own
 		}
 	}
@@ -499,16 +311,16 @@
 	if p == nil {
 		return "held: its hours are being planned"
 	}
-	by := "; it is to be complete by " + r.Contract.clock(p.DeadlineMs)
+	by := "; it is to be complete by " + clockText(r.Contract, p.DeadlineMs)
 	if !p.mayStart(wall, n.estimateMs(js, t)) {
 		if p.StartMs <= wall {
-			return "held until the next window: this one ends at " + r.Contract.clock(p.CloseMs) + by
+			return "held until the next window: this one ends at " + clockText(r.Contract, p.CloseMs) + by
 		}
 		what := "the cheapest contracted hours"
 		if p.Price > r.Contract.Cheapest {
 			what = "the cheapest contracted hours that leave it time"
 		}
-		return fmt.Sprintf("held until %s, %s: %s, %s a core hour%s", r.Contract.clock(p.StartMs), what, r.Contract.Name, priceText(p.Price), by)
+		return fmt.Sprintf("held until %s, %s: %s, %s a core hour%s", clockText(r.Contract, p.StartMs), what, r.Contract.Name, priceText(p.Price), by)
 	}
 	if !p.Must && n.shortOfRoomAnywhere() {
 		return "held while more urgent work waits for room" + by
@@ -530,7 +342,7 @@
 }
 
 // batchMost is the largest share that one worker has for a queue's batches.
-func (n *node) batchMost(queue string, r *batchRules) (most resource.Amount) {
+func (n *node) batchMost(queue string, r *configuration.Batch) (most resource.Amount) {
 	q := n.config.current.Queues[queue]
 	for _, w := range n.workers {
 		if s := w.capacity.Share(r.SharePercent); n.allowed(w, q, nil, resource.Amount{}) {
@@ -540,9 +352,9 @@
 	return most
 }
 
-// clock tells a time as the contract's clock shows it.
-func (c *contract) clock(ms int64) string {
-	return time.UnixMilli(ms).In(time.FixedZone("", int(c.OffsetMinutes)*60)).Format("Mon 2006-01-02 15:04 -07:00")
+// clockText tells a time as the contract's clock shows it.
+func clockText(c *configuration.Contract, ms int64) string {
+	return time.UnixMilli(ms).In(c.Location()).Format("Mon 2006-01-02 15:04 -07:00")
 }
 
 func priceText(p float64) string { return fmt.Sprintf("%g", p) }
@@ -571,7 +383,7 @@
 	if n.batchMeter == nil {
 		n.batchMeter = map[meterKey]float64{}
 	}
-	for _, w := range r.Contract.windows(wall-ranMs, wall) {
+	for _, w := range r.Contract.Windows(wall-ranMs, wall) {
 		if ms := min(w.ToMs, wall) - max(w.FromMs, wall-ranMs); ms > 0 {
 			n.batchMeter[meterKey{r.Contract.Name, w.Price}] += float64(ms) / 1000 * float64(t.Resources.CPU)
 		}
@@ -676,7 +488,7 @@
 
 // mayStartBatch guards a worker's room once more when a batch task would start:
 // nothing more urgent waits there, and its queue stays within its share.
-func (n *node) mayStartBatch(ag *agent, h *attempt, r *batchRules) bool {
+func (n *node) mayStartBatch(ag *agent, h *attempt, r *configuration.Batch) bool {
 	if waiting, _ := ag.withoutBatches(n); waiting > 0 {
 		return false
 	}
@@ -706,29 +518,3 @@
 	}
 	return queue
 }
-
-// explainContracts tells an operator what the hours of a setup come to.
-func (c *configuration) explainContracts() (out []string) {
-	at := func(m int64) string {
-		day := weekdays[m/minutesPerDay%7]
-		return fmt.Sprintf("%s %02d:%02d", day, m%minutesPerDay/60, m%60)
-	}
-	for _, name := range sorted(c.Contracts) {
-		k := c.Contracts[name]
-		out = append(out, fmt.Sprintf("contract %s, clock %s all year:", name, time.UnixMilli(0).In(time.FixedZone("", int(k.OffsetMinutes)*60)).Format("UTC-07:00")))
-		for _, s := range k.spans {
-			mark := ""
-			if s.Price == k.Cheapest {
-				mark = ", the cheapest"
-			}
-			out = append(out, fmt.Sprintf("  %s to %s: %s a core hour%s", at(s.From), at(s.To), priceText(s.Price), mark))
-		}
-	}
-	for _, name := range sorted(c.Queues) {
-		if b := c.Queues[name].Batch; b != nil {
-			out = append(out, fmt.Sprintf("queue %s: batches by contract %s, complete within %g hours, at most %d percent of each worker",
-				name, b.Contract.Name, float64(b.FinishByMs)/msPerHour, b.SharePercent))
-		}
-	}
-	return out
-}
--- a/internal/daemon/beats.go
+++ b/internal/daemon/beats.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"otterchute/internal/resource"
+	"otterchute/internal/schema"
 	"otterchute/internal/wire"
 	"slices"
 
@@ -19,17 +20,17 @@
 // taken note of where another run took their place.
 var finalOutcomes = map[string]bool{"ok": true, "failed": true}
 
-var placeFields = map[string]fieldSchema{
-	"job": {Kind: "text", Required: true, Min: 1, Max: 300}, "round": {Kind: "any", Required: true}, "step": {Kind: "count"}, "index": {Kind: "count"},
-	"run": {Kind: "count"}, "saved": {Kind: "text", Max: 1 << 16}, "percent": {Kind: "number"}, "n": {Kind: "count"}, "outcome": {Kind: "name"},
+var placeFields = map[string]schema.Field{
+	"job": {Kind: schema.Text, Required: true, Min: 1, Max: 300}, "round": {Kind: schema.Any, Required: true}, "step": {Kind: schema.Count}, "index": {Kind: schema.Count},
+	"run": {Kind: schema.Count}, "saved": {Kind: schema.Text, Max: 1 << 16}, "percent": {Kind: schema.Number}, "n": {Kind: schema.Count}, "outcome": {Kind: schema.Name},
 }
 
-var heartbeatFields = fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
-	"seq": {Kind: "count", Required: true, Min: 1}, "site": {Kind: "name", Required: true}, "address": {Kind: "text", Max: 200},
-	"labels": {Kind: "labels"}, "rack": {Kind: "text", Max: 200}, "capacity": {Kind: "any", Required: true},
-	"leaving": {Kind: "flag"}, "leaves_ms": {Kind: "count"}, "cold_ms": {Kind: "count"},
-	"running": {Kind: "list", Max: 100_000, Elem: &fieldSchema{Kind: "object", Fields: placeFields}},
-	"ended":   {Kind: "list", Max: 100_000, Elem: &fieldSchema{Kind: "object", Fields: placeFields}},
+var heartbeatFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
+	"seq": {Kind: schema.Count, Required: true, Min: 1}, "site": {Kind: schema.Name, Required: true}, "address": {Kind: schema.Text, Max: 200},
+	"labels": {Kind: schema.Labels}, "rack": {Kind: schema.Text, Max: 200}, "capacity": {Kind: schema.Any, Required: true},
+	"leaving": {Kind: schema.Flag}, "leaves_ms": {Kind: schema.Count}, "cold_ms": {Kind: schema.Count},
+	"running": {Kind: schema.List, Max: 100_000, Elem: &schema.Field{Kind: schema.Object, Fields: placeFields}},
+	"ended":   {Kind: schema.List, Max: 100_000, Elem: &schema.Field{Kind: schema.Object, Fields: placeFields}},
 }}
 
 // orderView is one task in the answer to a beat.
@@ -61,16 +62,16 @@
 func runOf(e gjson.Result) (wire.AttemptKey, bool) {
 	round, run := e.Get("round").Int(), e.Get("run").Int()
 	k := wire.AttemptKey{Job: e.Get("job").Str, Task: placeID(int32(round), int32(e.Get("step").Int()), int32(e.Get("index").Int())), Attempt: int32(run)}
-	return k, round >= 0 && nameOK(k.Job) && run > 0
+	return k, round >= 0 && schema.ValidName(k.Job) && run > 0
 }
 
 // handleHeartbeat takes a worker's word and answers with what is to start and stop.
 func (n *node) handleHeartbeat(a *request) {
-	if !nameOK(a.key) {
-		n.rejectFaults(a, 400, 0, []fault{{"worker", "must be a name"}})
+	if !schema.ValidName(a.key) {
+		n.rejectFaults(a, 400, 0, []schema.Fault{{Path: "worker", Reason: "must be a name"}})
 		return
 	}
-	if f := checkDocument(a.body, heartbeatFields); len(f) > 0 {
+	if f := schema.Check(a.body, heartbeatFields); len(f) > 0 {
 		n.log("beat_unreadable", "worker", a.key, "path", f[0].Path, "reason", f[0].Reason)
 		n.rejectFaults(a, 400, 0, f)
 		return
--- a/internal/daemon/beatunit_test.go
+++ b/internal/daemon/beatunit_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"otterchute/internal/configuration"
 	"otterchute/internal/resource"
 	"otterchute/internal/statestore"
 	"otterchute/internal/wire"
@@ -13,7 +14,7 @@
 // What a queue says for tasks that name nothing of their own holds in all
 // rounds, and for whoever takes the job over from its record.
 func TestQueueDefaultsOutliveTheRecord(t *testing.T) {
-	set, faults := compileConfig(1, []byte(`{"queues":[{"name":"q","default_failures":3,"default_limit_ms":7000}]}`))
+	set, faults := configuration.Compile(1, []byte(`{"queues":[{"name":"q","default_failures":3,"default_limit_ms":7000}]}`))
 	must.SliceEmpty(t, faults)
 	for _, rounds := range []string{"", `,"rounds":3,"first_ms":1000,"period_ms":1000`} {
 		j, faults := parseJob("j", "q", []byte(fmt.Sprintf(`{"payload":"x","steps":[{"name":"a","count":2,"room":1}]%s}`, rounds)))
@@ -59,7 +60,7 @@
 	for gone := range 3 {
 		n := newNode(nodeConfig{Name: "d0"}, nil)
 		n.now = 100_000
-		cur, faults := compileConfig(1, []byte(`{"queues":[{"name":"q","default_failures":3}]}`))
+		cur, faults := configuration.Compile(1, []byte(`{"queues":[{"name":"q","default_failures":3}]}`))
 		must.SliceEmpty(t, faults)
 		n.config.current, n.config.confirmedMs = cur, n.now
 		n.roles["slice/s"] = &roleLease{name: "slice/s", epoch: 1, phase: roleHeld, untilMs: n.now + 60_000}
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"otterchute/internal/configuration"
 	"otterchute/internal/historycheck"
 	"otterchute/internal/resource"
 	"otterchute/internal/wire"
@@ -21,7 +22,7 @@
 		doc := manyQueues(count)
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			for b.Loop() {
-				compileConfig(1, doc)
+				configuration.Compile(1, doc)
 			}
 		})
 	}
@@ -29,16 +30,16 @@
 
 // A selector against a worker's labels, and what looking up a kept answer would cost.
 func BenchmarkSelector(b *testing.B) {
-	c, _ := compileConfig(1, manyQueues(5000))
+	c, _ := configuration.Compile(1, manyQueues(5000))
 	labels := []wire.Label{{Key: "disk", Value: "ssd"}, {Key: "tier", Value: "fast"}}
 	kept := map[string]bool{}
 	for name, q := range c.Queues {
-		kept[name] = q.matches(labels, "east")
+		kept[name] = q.Matches(labels, "east")
 	}
 	b.Run("evaluated", func(b *testing.B) {
 		q := c.Queues["guild-4000"]
 		for b.Loop() {
-			q.matches(labels, "east")
+			q.Matches(labels, "east")
 		}
 	})
 	b.Run("kept", func(b *testing.B) {
@@ -51,7 +52,7 @@
 // One placing by a local scheduler among eleven workers, with many queues.
 func BenchmarkPlacing(b *testing.B) {
 	n := newNode(nodeConfig{Name: "d00"}, nil)
-	c, _ := compileConfig(1, manyQueues(5000))
+	c, _ := configuration.Compile(1, manyQueues(5000))
 	n.config.current = c
 	for i := range 11 {
 		n.workers[fmt.Sprintf("w%02d", i)] = &workerView{rebuilt: true, fresh: true, capacity: resource.Amount{CPU: 16}, site: historycheck.Sites[i%3], labels: []wire.Label{{Key: "disk", Value: "ssd"}, {Key: "tier", Value: "fast"}}}
--- a/internal/daemon/central.go
+++ b/internal/daemon/central.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"math"
+	"otterchute/internal/configuration"
 	"otterchute/internal/resource"
 	"otterchute/internal/wire"
 	"slices"
@@ -201,7 +202,7 @@
 	if len(keys) == 0 {
 		return
 	}
-	urgency := func(k allocationKey) int64 { return n.config.current.urgencyOf(c.pending[k].Queue) }
+	urgency := func(k allocationKey) int64 { return n.config.current.Urgency(c.pending[k].Queue) }
 	slices.SortFunc(keys, func(a, b allocationKey) int {
 		return cmp.Or(cmp.Compare(urgency(b), urgency(a)), cmp.Compare(c.pending[a].SubmittedMs, c.pending[b].SubmittedMs),
 			cmp.Compare(a.Job, b.Job), cmp.Compare(a.Step, b.Step))
@@ -223,7 +224,7 @@
 		}
 		var fit, sound []*candidateWorker
 		for _, r := range rooms {
-			if _, lack := lacks(r.w.Labels, ws.Needs); !lack && q.matches(r.w.Labels, r.w.Zone) && ws.Resources.Fits(r.w.Capacity) {
+			if _, lack := configuration.MissingLabel(r.w.Labels, ws.Needs); !lack && q.Matches(r.w.Labels, r.w.Zone) && ws.Resources.Fits(r.w.Capacity) {
 				fit = append(fit, r)
 				if r.w.unhealthyUntilMs <= n.now && !r.w.Suspect {
 					sound = append(sound, r)
--- a/internal/daemon/central_test.go
+++ b/internal/daemon/central_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"otterchute/internal/configuration"
 	"otterchute/internal/resource"
 	"otterchute/internal/wire"
 	"testing"
@@ -14,7 +15,7 @@
 func rackNode(t *testing.T, spreadFactor float64) *node {
 	n := newNode(nodeConfig{Name: "d0", SpreadFactor: spreadFactor}, nil)
 	n.now = 100_000
-	setup, faults := compileConfig(1, []byte(`{"queues":[{"name":"high","urgency":90},{"name":"mid","urgency":60},{"name":"low","urgency":30}]}`))
+	setup, faults := configuration.Compile(1, []byte(`{"queues":[{"name":"high","urgency":90},{"name":"mid","urgency":60},{"name":"low","urgency":30}]}`))
 	must.SliceEmpty(t, faults)
 	n.config.current = setup
 	n.roles["central"] = &roleLease{name: "central", epoch: 1, phase: roleHeld, untilMs: 1 << 40}
--- a/internal/daemon/compile_bench_test.go
+++ b/internal/daemon/compile_bench_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"otterchute/internal/configuration"
 	"strings"
 	"testing"
 )
@@ -19,6 +20,6 @@
 	doc := bigSetup(400)
 	b.Log(len(doc))
 	for b.Loop() {
-		compileConfig(3, doc)
+		configuration.Compile(3, doc)
 	}
 }
--- /dev/null
+++ b/internal/daemon/config_state.go
@@ -0,0 +1,149 @@
+package daemon
+
+import (
+	"otterchute/internal/codec"
+	"otterchute/internal/configuration"
+	"otterchute/internal/register"
+	"otterchute/internal/schema"
+	"otterchute/internal/wire"
+	"slices"
+)
+
+type configState struct {
+	current     *configuration.Configuration
+	record      configuration.Record
+	ballot      register.Ballot
+	confirmedMs int64
+	confirmedBy uint64 // the newest poll that confirmed it
+	askedMs     int64
+	repairMs    int64
+	readerCopy  configuration.ReaderCopy
+	awaiting    []*request // asks that name a queue not known here, until a newer confirmation
+}
+
+func newConfigState() configState {
+	return configState{current: configuration.Empty(), confirmedMs: -1 << 40}
+}
+
+// configFresh tells whether the setup was confirmed at a majority lately.
+func (n *node) configFresh() bool { return n.now-n.config.confirmedMs <= configFreshMs }
+
+// configConfirmedSince tells whether the setup was confirmed by a poll that was sent
+// after a call came: then no version acknowledged before the call is newer. Polls
+// are counted for this, since times within one millisecond are in no order. After
+// a freeze what was confirmed before it is old, though the call is older still.
+func (n *node) configConfirmedSince(a *request) bool {
+	return n.config.confirmedBy > a.pollsBefore && n.configFresh()
+}
+
+// confirmConfig takes a round of answers: where a majority holds the same
+// accepted ballot, that value is chosen, and if it is ours it is confirmed as
+// of the time the round was sent.
+func (n *node) confirmConfig(r *pollRound) {
+	votes := map[register.Ballot]int{}
+	for _, a := range r.acks {
+		votes[a.Config]++
+	}
+	for _, from := range sorted(r.acks) {
+		b := r.acks[from].Config
+		if n.poll.setup.Less(b) {
+			n.poll.setup = b
+		}
+		if votes[b] < n.core.Majority() {
+			continue
+		}
+		if b == n.config.ballot {
+			n.config.confirmedMs, n.config.confirmedBy = max(n.config.confirmedMs, r.sentMs), max(n.config.confirmedBy, r.seq)
+		} else if n.config.ballot.Less(b) && n.now-n.config.askedMs > 300 {
+			n.config.askedMs = n.now
+			n.send(n.nearestWith(r, b), &wire.RegisterRead{SetVersion: n.core.Version, Register: "setup"})
+		}
+		return
+	}
+	if len(r.acks) == len(n.core.Members) || n.now-max(n.config.confirmedMs, n.poll.firstMs) > pollColocatedMs*2 {
+		// The members differ: somebody's change stopped half way. Any daemon
+		// may finish it; core members do, at random, so that few compete. One
+		// that was away hears all first: it may be the only one that differs.
+		if n.inCore() && n.now >= n.config.repairMs {
+			n.config.repairMs = n.now + 200 + n.rand().Int64N(600)
+			n.startChange("setup", "read", nil, 0)
+		}
+	}
+}
+
+// nearestWith picks whom to read a value from: of the members that hold it one in
+// the own site, or else any, so that not all daemons ask the same.
+func (n *node) nearestWith(r *pollRound, b register.Ballot) string {
+	var near, all []string
+	for _, from := range sorted(r.acks) {
+		if r.acks[from].Config != b {
+			continue
+		}
+		all = append(all, from)
+		if n.zoneOf(from) == n.Zone {
+			near = append(near, from)
+		}
+	}
+	if len(near) > 0 {
+		all = near
+	}
+	return all[n.rand().IntN(len(all))]
+}
+
+func (n *node) onRegisterValue(_ string, m *wire.RegisterValue) {
+	n.acceptMissedValue(m)
+	if m.Register != "setup" || !n.config.ballot.Less(m.Ballot) {
+		return
+	}
+	var d configuration.Record
+	if len(m.Value) > 0 && codec.Unmarshal(m.Value, &d) != nil {
+		return
+	}
+	n.adoptConfig(m.Ballot, d)
+}
+
+// adoptConfig compiles a value; it counts only once a poll confirms its ballot.
+func (n *node) adoptConfig(b register.Ballot, d configuration.Record) {
+	n.config.askedMs = 0                 // what was asked for has come: a newer one may be asked for at once
+	d.Accepted = configuration.History{} // only a change of the register needs it
+	if d.SameDocument(&n.config.record) {
+		n.config.ballot = b
+		if !slices.Equal(d.Emptied, n.config.record.Emptied) {
+			n.config.current, n.config.record = n.config.current.WithEmptied(d.Emptied), d
+			n.config.confirmedMs, n.config.confirmedBy = -1<<40, 0
+			n.log("sites_adopted", "emptied", d.Emptied)
+			n.poll.nextMs = 0
+		}
+		return
+	}
+	c := n.ready
+	if c == nil || c.Version != d.Version {
+		var faults []schema.Fault
+		if c, faults = d.Compile(); len(faults) > 0 {
+			n.log("setup_unreadable", "version", d.Version, "path", faults[0].Path, "reason", faults[0].Reason)
+			return
+		}
+	}
+	n.config.current, n.config.record, n.config.ballot = c.WithEmptied(d.Emptied), d, b
+	n.config.confirmedMs, n.config.confirmedBy = -1<<40, 0
+	n.log("setup_adopted", "version", d.Version, "queues", len(c.Queues))
+	n.poll.nextMs = 0
+}
+
+func (n *node) tickConfig() {
+	kept, again := n.config.awaiting[:0:0], []*request{}
+	for _, a := range n.config.awaiting {
+		switch {
+		case n.configConfirmedSince(a):
+			again = append(again, a)
+		case n.cutOff() || n.now-a.atMs > forwardMs*2/3:
+			n.reject(a, "the setup is not confirmed here")
+		default:
+			kept = append(kept, a)
+		}
+	}
+	n.config.awaiting = kept
+	for _, a := range again {
+		n.handleRequest(a)
+	}
+}
--- a/internal/daemon/copypace_test.go
+++ b/internal/daemon/copypace_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"otterchute/internal/configuration"
 	"otterchute/internal/register"
 	"otterchute/internal/statestore"
 	"otterchute/internal/wire"
@@ -23,7 +24,7 @@
 	for i := range count {
 		st.Apply(statestore.Entry{Kind: statestore.EntryRecord, Name: "east", Record: statestore.Record{ID: fmt.Sprintf("job-%06d", i), Epoch: 1, Version: 1, Live: true, Value: value}})
 	}
-	st.Apply(statestore.Entry{Kind: statestore.EntryAccept, Name: "setup", Ballot: register.Ballot{Round: 1, Proposer: "d00"}, Value: deflate(largeSetup(1500))})
+	st.Apply(statestore.Entry{Kind: statestore.EntryAccept, Name: "setup", Ballot: register.Ballot{Round: 1, Proposer: "d00"}, Value: configuration.Deflate(largeSetup(1500))})
 	copied := statestore.New()
 	parts, largest, longest := 0, 0, time.Duration(0)
 	for c := (statestore.Cursor{}); ; {
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -3,6 +3,7 @@
 import (
 	"otterchute/internal/codec"
 	"otterchute/internal/quorum"
+	"otterchute/internal/rendezvous"
 	"otterchute/internal/statestore"
 	"otterchute/internal/wire"
 	"slices"
@@ -67,7 +68,7 @@
 	r := n.store.Register(m.Register)
 	value, whole := r.Value, true
 	if m.Register == "setup" && !n.core.HasName(from) {
-		value, whole = n.config.readerCopy.of(r), false
+		value, whole = n.config.readerCopy.Of(r), false
 	}
 	n.persist(nil, n.sendEffect(from, &wire.RegisterValue{Register: m.Register, Ballot: r.Accepted, Value: value, Complete: whole}))
 }
@@ -253,7 +254,7 @@
 	}
 	// Members take their snapshots at different lengths of the log, so that
 	// they don't all write one at the same time.
-	if st := n.store; st.LoggedBytes() > n.SnapshotBytes+int64(weight("snapshot", n.Name)%uint64(n.SnapshotBytes)) && st.LoggedBytes() > st.Size() {
+	if st := n.store; st.LoggedBytes() > n.SnapshotBytes+int64(rendezvous.Weight("snapshot", n.Name)%uint64(n.SnapshotBytes)) && st.LoggedBytes() > st.Size() {
 		st.SnapshotTaken()
 		n.emit(effSnapshot{Entries: st.Dump()})
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -7,6 +7,7 @@
 	"io"
 	"os"
 	"os/signal"
+	"otterchute/internal/configuration"
 	"otterchute/internal/statestore"
 	"otterchute/internal/storage"
 	"otterchute/internal/wire"
@@ -281,9 +282,9 @@
 func noObserver() wire.Observer { return nil }
 
 func provideWire(lc fx.Lifecycle, s settings, l *controlLoop, log logr.Logger, observer wire.Observer) (*wire.Transport, error) {
-	compiler := &configCompiler{}
+	compiler := &configuration.Precompiler{}
 	receive := func(h wire.Header, msg any) {
-		ready := compiler.ready(msg)
+		ready := compiler.Compile(msg)
 		l.post(func(s *executor) { s.event(evMsg{Head: h, Msg: msg, Ready: ready}) })
 	}
 	w, err := wire.NewTransport(wire.Options{Addr: s.Addr, Receive: receive, Events: func(e string, kv ...any) { log.Info(e, kv...) }, Observer: observer})
--- a/internal/daemon/disk_test.go
+++ b/internal/daemon/disk_test.go
@@ -20,14 +20,6 @@
 	verdictOf(t, w)
 }
 
-func FuzzSetup(f *testing.F) {
-	f.Add([]byte(`{"queues":[{"name":"a","selector":{"tier":["fast"]},"urgency":3}],"empty_sites":["x"]}`))
-	f.Fuzz(func(t *testing.T, b []byte) {
-		c, faults := compileConfig(1, b)
-		must.Eq(t, c == nil, len(faults) > 0)
-	})
-}
-
 func FuzzJob(f *testing.F) {
 	f.Add([]byte(`{"queue":"a","steps":[{"name":"s","after":["s"],"tasks":[{"name":"t","room":1}]}]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/daemon/door.go
+++ b/internal/daemon/door.go
@@ -6,6 +6,8 @@
 	"io"
 	"net"
 	"net/http"
+	"otterchute/internal/configuration"
+	"otterchute/internal/schema"
 	"otterchute/internal/wire"
 	"otterchute/platform"
 	"strconv"
@@ -76,8 +78,8 @@
 func (d *httpServer) request(ctx context.Context, e evRequest) effReply {
 	switch e.Op {
 	case "setup.put": // checked here, since thousands of queues would hold the control thread up
-		var faults []fault
-		if e.Ready, faults = parseConfig(e.Key, e.Body); len(faults) > 0 {
+		var faults []schema.Fault
+		if e.Ready, faults = configuration.Parse(e.Key, e.Body); len(faults) > 0 {
 			return effReply{Status: 400, Body: faultsJSON(faults)}
 		}
 	case "ready":
@@ -119,7 +121,7 @@
 // product answers the platform's calls.
 func (d *httpServer) product(ctx context.Context, c platform.Call) platform.Answer {
 	if len(c.Body) > bodyMax && c.Op != "setup.put" && c.Op != "worker.beat" {
-		return platform.Answer{Status: 400, Body: faultsJSON([]fault{{"", fmt.Sprintf("is larger than %d bytes", bodyMax)}})}
+		return platform.Answer{Status: 400, Body: faultsJSON([]schema.Fault{{Path: "", Reason: fmt.Sprintf("is larger than %d bytes", bodyMax)}})}
 	}
 	r := d.request(ctx, evRequest{Op: c.Op, Key: c.Key, Host: c.Host, Path: c.Path, Expect: c.Expect, Digest: c.Digest, Body: c.Body})
 	return platform.Answer{Status: r.Status, RetryMs: r.RetryMs, Body: r.Body}
@@ -128,7 +130,7 @@
 func (d *httpServer) serve(c *gin.Context, op, key string) {
 	limit := int64(bodyMax + 1)
 	if op == "setup.put" || op == "worker.report" {
-		limit = configBytesMax + 1
+		limit = configuration.MaxBytes + 1
 	}
 	body, err := io.ReadAll(io.LimitReader(c.Request.Body, limit))
 	if err != nil {
@@ -136,13 +138,13 @@
 		return
 	}
 	if int64(len(body)) >= limit {
-		c.JSON(400, gin.H{"error": "the body is too large", "faults": []fault{{"", fmt.Sprintf("is larger than %d bytes", limit-1)}}})
+		c.JSON(400, gin.H{"error": "the body is too large", "faults": []schema.Fault{{Path: "", Reason: fmt.Sprintf("is larger than %d bytes", limit-1)}}})
 		return
 	}
 	e := evRequest{Op: op, Key: key, Expect: -1, Body: body}
 	if on := c.Query("on"); on != "" && op == "setup.put" {
 		if e.Expect, err = strconv.ParseInt(on, 10, 64); err != nil || e.Expect < 0 {
-			answer(c, effReply{Status: 400, Body: faultsJSON([]fault{{"on", "must be the version it builds on, a whole number of 0 or more"}})})
+			answer(c, effReply{Status: 400, Body: faultsJSON([]schema.Fault{{Path: "on", Reason: "must be the version it builds on, a whole number of 0 or more"}})})
 			return
 		}
 	}
--- a/internal/daemon/downstream.go
+++ b/internal/daemon/downstream.go
@@ -9,6 +9,8 @@
 	"io"
 	"net/http"
 	"os"
+	"otterchute/internal/configuration"
+	"otterchute/internal/schema"
 	"otterchute/internal/wire"
 	"strconv"
 	"strings"
@@ -132,7 +134,7 @@
 	}
 	one := func(words, method, path string) verb {
 		return func(ctx context.Context, c *client, w []string) subcommands.ExitStatus {
-			if len(w) != 1 || !nameOK(w[0]) {
+			if len(w) != 1 || !schema.ValidName(w[0]) {
 				return usage(words)
 			}
 			return show(c.request(ctx, method, strings.ReplaceAll(path, "ID", w[0]), nil))
@@ -160,7 +162,7 @@
 }
 
 func submitJob(ctx context.Context, c *client, w []string) subcommands.ExitStatus {
-	if len(w) != 2 || !nameOK(w[0]) {
+	if len(w) != 2 || !schema.ValidName(w[0]) {
 		return usage("job submit ID FILE")
 	}
 	doc, err := readDoc(w[1])
@@ -205,7 +207,7 @@
 		fmt.Fprintln(os.Stderr, "otterchute:", err)
 		return exitUsage
 	}
-	c, faults := compileConfig(1, doc)
+	c, faults := configuration.Compile(1, doc)
 	for _, f := range faults {
 		fmt.Fprintf(os.Stderr, "%s: %s %s\n", w[0], orText(f.Path, "the document"), f.Reason)
 	}
@@ -213,7 +215,7 @@
 		return exitFound
 	}
 	fmt.Printf("sound: %d queues, %d sites to empty\n", len(c.Queues), len(c.EmptyZones))
-	for _, line := range c.explainContracts() {
+	for _, line := range c.ExplainContracts() {
 		fmt.Println(line)
 	}
 	return exitOK
@@ -234,7 +236,7 @@
 // emptyZone reads the setup, changes its list of sites to empty and declares
 // that as the next version; where another operator was first it begins again.
 func emptyZone(ctx context.Context, c *client, w []string, empty bool) subcommands.ExitStatus {
-	if len(w) != 1 || !nameOK(w[0]) {
+	if len(w) != 1 || !schema.ValidName(w[0]) {
 		return usage("empty SITE | empty undo SITE")
 	}
 	for range 5 {
--- a/internal/daemon/draft.go
+++ b/internal/daemon/draft.go
@@ -5,6 +5,8 @@
 	"flag"
 	"fmt"
 	"os"
+	"otterchute/internal/configuration"
+	"otterchute/internal/schema"
 	"regexp"
 	"slices"
 	"strconv"
@@ -46,7 +48,7 @@
 	},
 	"queue": func(q *draftQueue, d config.IDirective) (err error) {
 		q.LiveJobs, err = strconv.ParseInt(firstOf(d), 10, 32)
-		q.LiveJobs = min(q.LiveJobs, queueJobsMax)
+		q.LiveJobs = min(q.LiveJobs, configuration.MaxQueueJobs)
 		return err
 	},
 }
@@ -101,7 +103,7 @@
 	d := &draft{}
 	for _, u := range allNamed(conf.Block, "upstream") {
 		name := firstOf(u)
-		if !nameOK(name) || d.queue(name) != nil {
+		if !schema.ValidName(name) || d.queue(name) != nil {
 			return nil, errors.Wrapf(errDraft, "line %d: upstream %q: is no name, or stands twice", u.GetLine(), name)
 		}
 		d.queues = append(d.queues, &draftQueue{Name: name, Selector: map[string][]string{"upstream": {name}}, Urgency: 1})
@@ -183,7 +185,7 @@
 				return exitFound
 			}
 			doc := mustJSON(map[string]any{"note": "draft made of " + fs.Arg(0), "queues": d.queues})
-			if _, faults := compileConfig(1, doc); len(faults) > 0 {
+			if _, faults := configuration.Compile(1, doc); len(faults) > 0 {
 				fmt.Fprintf(os.Stderr, "otterchute: %s: line 1: %s %s\n", fs.Arg(0), faults[0].Path, faults[0].Reason)
 				return exitFound
 			}
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -3,6 +3,7 @@
 import (
 	"otterchute/internal/codec"
 	"otterchute/internal/register"
+	"otterchute/internal/rendezvous"
 	"otterchute/internal/wire"
 	"slices"
 	"strings"
@@ -339,7 +340,7 @@
 		}
 		return n.peers[s].Leaving
 	})
-	order := rendezvous(name, all)
+	order := rendezvous.Order(name, all)
 	if roleKind(name) != "agent" { // small machines beside workers come last, then those without a disk
 		rank := func(s string) int {
 			me := n.selfInfo()
--- a/internal/daemon/errors.go
+++ b/internal/daemon/errors.go
@@ -10,11 +10,3 @@
 	errDownstream = errors.New("downstream")
 	errExperiment = errors.New("experiment")
 )
-
-// fault is one thing wrong in a document, with the path of its field.
-//
-// Example: fault{Path: "queues.0.name", Reason: "is missing"}
-type fault struct {
-	Path   string `json:"path"`
-	Reason string `json:"reason"`
-}
--- a/internal/daemon/experiment.go
+++ b/internal/daemon/experiment.go
@@ -12,6 +12,8 @@
 	"net/http"
 	"os"
 	"os/signal"
+	"otterchute/internal/configuration"
+	"otterchute/internal/schema"
 	"otterchute/internal/wire"
 	"path/filepath"
 	"runtime"
@@ -83,7 +85,7 @@
 	"room":    {1, 1 << 20, 16, func(e *experiment) *int64 { return &e.Room }},
 	"running": {0, 20_000, 0, func(e *experiment) *int64 { return &e.Running }},
 	"starts":  {0, 1000, 0, func(e *experiment) *int64 { return &e.Starts }},
-	"tasks":   {1, tasksMax, 4, func(e *experiment) *int64 { return &e.Tasks }},
+	"tasks":   {1, configuration.MaxTasks, 4, func(e *experiment) *int64 { return &e.Tasks }},
 	"faulty":  {0, 1, 1, func(e *experiment) *int64 { return &e.Faulty }},
 	"gang":    {0, 1, 0, func(e *experiment) *int64 { return &e.Gang }},
 	"task_ms": {1, msPerHour, 300, func(e *experiment) *int64 { return &e.TaskMs }},
@@ -96,17 +98,17 @@
 	"port":    {1024, 30_000, 10_000, func(e *experiment) *int64 { return &e.Port }},
 }
 
-var experimentFields = func() fieldSchema {
-	s := fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
-		"about": {Kind: "text", Max: 2000},
-		"sweep": {Kind: "object", Fields: map[string]fieldSchema{"of": {Kind: "name", Required: true},
-			"sizes": {Kind: "list", Required: true, Min: 1, Max: 20, Elem: &fieldSchema{Kind: "count"}}}},
-		"faults": {Kind: "list", Max: 100, Elem: &fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
-			"at_s": {Kind: "count", Required: true}, "do": {Kind: "name", Required: true},
-			"daemon": {Kind: "count"}, "role": {Kind: "text", Max: 40}, "site": {Kind: "name"}, "for_s": {Kind: "count", Required: true, Min: 1}}}},
+var experimentFields = func() schema.Field {
+	s := schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
+		"about": {Kind: schema.Text, Max: 2000},
+		"sweep": {Kind: schema.Object, Fields: map[string]schema.Field{"of": {Kind: schema.Name, Required: true},
+			"sizes": {Kind: schema.List, Required: true, Min: 1, Max: 20, Elem: &schema.Field{Kind: schema.Count}}}},
+		"faults": {Kind: schema.List, Max: 100, Elem: &schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
+			"at_s": {Kind: schema.Count, Required: true}, "do": {Kind: schema.Name, Required: true},
+			"daemon": {Kind: schema.Count}, "role": {Kind: schema.Text, Max: 40}, "site": {Kind: schema.Name}, "for_s": {Kind: schema.Count, Required: true, Min: 1}}}},
 	}}
 	for name, f := range experimentNumbers {
-		s.Fields[name] = fieldSchema{Kind: "count", Min: f.least, Max: f.most}
+		s.Fields[name] = schema.Field{Kind: schema.Count, Min: f.least, Max: f.most}
 	}
 	return s
 }()
@@ -114,8 +116,8 @@
 // readExperiment checks a declared experiment.
 //
 // Example: e, faults := readExperiment("workers", []byte(`{"daemons": 8, "sweep": {"of": "workers", "sizes": [10, 20]}}`))
-func readExperiment(name string, doc []byte) (*experiment, []fault) {
-	if f := checkDocument(doc, experimentFields); len(f) > 0 {
+func readExperiment(name string, doc []byte) (*experiment, []schema.Fault) {
+	if f := schema.Check(doc, experimentFields); len(f) > 0 {
 		return nil, f
 	}
 	e, root := &experiment{Name: name}, gjson.ParseBytes(doc)
@@ -131,14 +133,14 @@
 	for _, s := range root.Get("sweep.sizes").Array() {
 		e.Sizes = append(e.Sizes, s.Int())
 	}
-	var faults []fault
+	var faults []schema.Fault
 	n, ok := experimentNumbers[e.Sweep]
 	if !ok {
-		return nil, []fault{{"sweep.of", "is not a number of an experiment"}}
+		return nil, []schema.Fault{{Path: "sweep.of", Reason: "is not a number of an experiment"}}
 	}
 	for i, s := range e.Sizes {
 		if s < n.least || n.most > 0 && s > n.most {
-			faults = append(faults, fault{fmt.Sprintf("sweep.sizes.%d", i), "is not allowed for " + e.Sweep})
+			faults = append(faults, schema.Fault{Path: fmt.Sprintf("sweep.sizes.%d", i), Reason: "is not allowed for " + e.Sweep})
 		}
 	}
 	for i, x := range root.Get("faults").Array() {
@@ -147,13 +149,13 @@
 			p.Daemon = d.Int()
 		}
 		if p.Role != "" && !slices.Contains(allRoles, p.Role) {
-			faults = append(faults, fault{fmt.Sprintf("faults.%d.role", i), "must be one of " + strings.Join(allRoles, ", ")})
+			faults = append(faults, schema.Fault{Path: fmt.Sprintf("faults.%d.role", i), Reason: "must be one of " + strings.Join(allRoles, ", ")})
 		}
 		if faultActions[p.Do] == nil {
-			faults = append(faults, fault{fmt.Sprintf("faults.%d.do", i), "must be one of " + strings.Join(sorted(faultActions), ", ")})
+			faults = append(faults, schema.Fault{Path: fmt.Sprintf("faults.%d.do", i), Reason: "must be one of " + strings.Join(sorted(faultActions), ", ")})
 		}
 		if p.Daemon >= e.Daemons+e.Workers && e.Sweep != "daemons" {
-			faults = append(faults, fault{fmt.Sprintf("faults.%d.daemon", i), "is not there"})
+			faults = append(faults, schema.Fault{Path: fmt.Sprintf("faults.%d.daemon", i), Reason: "is not there"})
 		}
 		e.Faults = append(e.Faults, p)
 	}
@@ -276,7 +278,7 @@
 	c.version++
 	queues := make([]map[string]any, c.e.Queues)
 	for i := range queues {
-		queues[i] = map[string]any{"name": fmt.Sprintf("q%04d", i), "urgency": i % 100, "max_live_jobs": queueJobsMax}
+		queues[i] = map[string]any{"name": fmt.Sprintf("q%04d", i), "urgency": i % 100, "max_live_jobs": configuration.MaxQueueJobs}
 	}
 	began := time.Now()
 	t := c.insist(ctx, int(c.version), "PUT", fmt.Sprint("/v1/setups/", c.version), mustJSON(map[string]any{"note": fmt.Sprint("version ", c.version), "queues": queues}))
--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -9,6 +9,7 @@
 	"fmt"
 	"os"
 	"otterchute/internal/codec"
+	"otterchute/internal/configuration"
 	"otterchute/internal/statestore"
 	"otterchute/internal/storage"
 	"otterchute/internal/wire"
@@ -298,10 +299,10 @@
 	for _, key := range sorted(settingsFields.Fields) {
 		fmt.Fprintln(&out, "setting", key)
 	}
-	for _, key := range sorted(configFields.Fields) {
+	for _, key := range sorted(configuration.Fields.Fields) {
 		fmt.Fprintln(&out, "setup", key)
 	}
-	for _, key := range sorted(configFields.Fields["queues"].Elem.Fields) {
+	for _, key := range sorted(configuration.Fields.Fields["queues"].Elem.Fields) {
 		fmt.Fprintln(&out, "queue", key)
 	}
 	compareFixture(t, "names.txt", out.Bytes())
--- a/internal/daemon/formation_test.go
+++ b/internal/daemon/formation_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"otterchute/internal/configuration"
 	"otterchute/internal/historycheck"
 	"otterchute/internal/quorum"
 	"otterchute/internal/register"
@@ -299,7 +300,7 @@
 	n := w.nodes["d00"].sh.node
 	n.out = nil
 	o := n.startChange("setup", "setup", queueSetup("a", ""), 0)
-	o.change = changeID{Version: 1}
+	o.change = configuration.ChangeID{Version: 1}
 	first := o.Ballot
 	n.now += changeTiming.AnswersMs + 1
 	n.tickChanges()
--- a/internal/daemon/forms_test.go
+++ b/internal/daemon/forms_test.go
@@ -3,6 +3,7 @@
 import (
 	"flag"
 	"os"
+	"otterchute/internal/configuration"
 	"path/filepath"
 	"reflect"
 	"regexp"
@@ -63,20 +64,6 @@
 	}
 }
 
-// All faults of a setup are listed, not only the first.
-func TestSetupFaults(t *testing.T) {
-	_, faults := compileConfig(1, []byte(`{"queues":[{"name":"a","urgency":-1},{"urgency":"x","selector":{"t":[]}}],"empty":1}`))
-	paths := map[string]bool{}
-	for _, f := range faults {
-		paths[f.Path] = true
-	}
-	for _, p := range []string{"queues.0.urgency", "queues.1.urgency", "queues.1.selector.t", "queues.1.name", "empty"} {
-		must.MapContainsKey(t, paths, p)
-	}
-	_, faults = compileConfig(1, []byte(`{"queues":[{"name":"a"},{"name":"a"}]}`))
-	must.Eq(t, []fault{{"queues.1.name", "stands twice"}}, faults)
-}
-
 func TestDoctorFinds(t *testing.T) {
 	sound := `{"core_size":3,"core_live":3,"core_contact_ms":100,"setup_confirmed":true,"setup_version":2}`
 	must.SliceEmpty(t, examine(map[string][]byte{"d1": []byte(sound)}))
@@ -153,7 +140,7 @@
 	must.Len(t, 3, d.dropped)
 	must.StrHasPrefix(t, "line 1: worker_processes", d.dropped[0])
 	must.StrHasPrefix(t, "line 5: gzip", d.dropped[2])
-	_, faults := compileConfig(1, mustJSON(map[string]any{"queues": d.queues}))
+	_, faults := configuration.Compile(1, mustJSON(map[string]any{"queues": d.queues}))
 	must.SliceEmpty(t, faults)
 	for _, bad := range []string{"", "http {", "a \"b", "upstream \"x y\" { }", "upstream a { }\nupstream a { }", "http {\n upstream a { server x }\n}",
 		"upstream a { }\nhttp { server { location / { proxy_pass http://a; proxy_read_timeout x; } } }"} {
--- a/internal/daemon/history_test.go
+++ b/internal/daemon/history_test.go
@@ -4,6 +4,7 @@
 	"crypto/sha256"
 	"fmt"
 	"otterchute/internal/codec"
+	"otterchute/internal/configuration"
 	"otterchute/internal/register"
 	"slices"
 	"testing"
@@ -152,7 +153,7 @@
 			for _, name := range sorted(w.nodes) {
 				if n := w.nodes[name]; n.up && n.sh.node.config.record.Version > 0 {
 					d := n.sh.node.config.record
-					doc, _ := inflate(d.Doc)
+					doc, _ := configuration.Inflate(d.Document)
 					queue := gjson.GetBytes(doc, "queues.0.name").Str
 					must.True(t, inForce[d.Version] == "" || inForce[d.Version] == queue, must.Sprint("two under ", d.Version))
 					inForce[d.Version] = queue
@@ -240,48 +241,18 @@
 	}
 }
 
-func TestOrderHistory(t *testing.T) {
-	var h changeHistory
-	id := func(version, base int64) changeID {
-		return changeID{Version: version, Base: base, Digest: sha256.Sum256(fmt.Append(nil, version))}
-	}
-	last := int64(0)
-	var all []changeID
-	for i := range int64(changesKept + 10) {
-		next := last + 1 + i%5
-		all = append(all, id(next, last))
-		h = h.with(all[i])
-		last = next
-	}
-	must.Eq(t, int64(changesKept), h.Count)
-	for i, o := range all {
-		must.Eq(t, i >= 10, h.contains(o), must.Sprint(i))
-		must.Eq(t, i >= 10, h.covers(o), must.Sprint(i))
-		changed := o
-		changed.Digest[31] ^= 1
-		must.False(t, h.contains(changed))
-		changed = o
-		changed.Base--
-		must.False(t, h.contains(changed))
-	}
-	must.LessEq(t, 33*changesKept, len(h.Packed))
-	must.True(t, h.each(func(changeID) bool { return true }))
-	h.Packed = h.Packed[:len(h.Packed)-1]
-	must.False(t, h.each(func(changeID) bool { return true }))
-}
-
 // What the history costs: 33 bytes for each change at the members, and nothing
 // at those that read the setup.
 func TestOrderHistoryCost(t *testing.T) {
 	w := served(t, 996)
 	first := operatorOrder{version: 1, base: 0, queue: "first"}
 	must.Eq(t, 200, w.acknowledged(t, w.nodes["d00"], first.put()).status)
-	last := w.storm(t, first, pastShown) // from here on the list that is shown stays as long as it is
+	last := w.storm(t, first, configuration.MaxShown) // from here on the list that is shown stays as long as it is
 	size := func() (kept, read int) {
 		w.run(1500)
 		n := w.nodes["d00"].sh.node
 		r := n.store.Register("setup")
-		return len(r.Value), len(n.config.readerCopy.of(r))
+		return len(r.Value), len(n.config.readerCopy.Of(r))
 	}
 	keptBefore, readBefore := size()
 	w.storm(t, last[len(last)-1], 100)
@@ -297,12 +268,12 @@
 // An order so old that the history has let go of it has no clear answer.
 func TestForgottenOrdersAreNotRefused(t *testing.T) {
 	n := newQuorumOfThree().life(1)
-	value := configRecord{Version: 9000, Accepted: changeHistory{Base: 5000}}
-	value.Accepted = value.Accepted.with(changeID{Version: 9000, Base: 5000})
+	value := configuration.Record{Version: 9000, Accepted: configuration.History{Base: 5000}}
+	value.Accepted = value.Accepted.With(configuration.ChangeID{Version: 9000, Base: 5000})
 	for _, c := range []struct {
-		id     changeID
+		id     configuration.ChangeID
 		status int
-	}{{changeID{Version: 5000, Base: 4999}, 503}, {changeID{Version: 8999, Base: 5000}, 409}, {changeID{Version: 9000, Base: 5000}, 200}} {
+	}{{configuration.ChangeID{Version: 5000, Base: 4999}, 503}, {configuration.ChangeID{Version: 8999, Base: 5000}, 409}, {configuration.ChangeID{Version: 9000, Base: 5000}, 200}} {
 		n.out, n.changes = nil, map[uint64]*registerChange{}
 		o := n.startChange("setup", "taken", nil, 0)
 		o.change, o.request = c.id, &request{id: 5}
--- a/internal/daemon/jobs.go
+++ b/internal/daemon/jobs.go
@@ -6,7 +6,9 @@
 	"encoding/json"
 	"fmt"
 	"otterchute/internal/codec"
+	"otterchute/internal/configuration"
 	"otterchute/internal/resource"
+	"otterchute/internal/schema"
 	"otterchute/internal/statestore"
 	"otterchute/internal/wire"
 	"slices"
@@ -201,29 +203,29 @@
 	}
 }
 
-var jobFields = fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
-	"queue":     {Kind: "name"},
-	"payload":   {Kind: "any"},
-	"rounds":    {Kind: "count", Max: 100_000},
-	"first_ms":  {Kind: "count", Min: 0},
-	"period_ms": {Kind: "count", Min: 0, Max: 365 * 24 * msPerHour},
-	"due_ms":    {Kind: "count", Min: 0},
-	"delay_ms":  {Kind: "count", Min: 0, Max: 365 * 24 * msPerHour},
-	"steps": {Kind: "list", Required: true, Min: 1, Max: stepsMax, Elem: &fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
-		"name":  {Kind: "name", Required: true},
-		"after": {Kind: "list", Max: stepsMax, Elem: &fieldSchema{Kind: "name"}},
-		"count": {Kind: "count", Min: 1, Max: tasksMax}, "room": {Kind: "room"}, "labels": {Kind: "labels"},
-		"limit_ms": {Kind: "count", Min: 1, Max: 30 * 24 * msPerHour}, "estimate_ms": {Kind: "count", Min: 0, Max: 30 * 24 * msPerHour},
-		"allowed_failures": {Kind: "count", Min: 0, Max: 100}, "gang": {Kind: "flag"}, "same_rack": {Kind: "flag"}, "near": {Kind: "text", Max: 200},
-		"per_worker": {Kind: "count", Min: 0, Max: tasksMax}, "copies": {Kind: "flag"}, "lasting": {Kind: "flag"}, "saves": {Kind: "flag"},
-		"tasks": {Kind: "list", Min: 1, Max: tasksMax, Elem: &fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
-			"name":             {Kind: "name", Required: true},
-			"payload":          {Kind: "any"},
-			"room":             {Kind: "room", Required: true},
-			"labels":           {Kind: "labels"},
-			"limit_ms":         {Kind: "count", Min: 1, Max: 30 * 24 * msPerHour},
-			"estimate_ms":      {Kind: "count", Min: 0, Max: 30 * 24 * msPerHour},
-			"allowed_failures": {Kind: "count", Min: 0, Max: 100},
+var jobFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
+	"queue":     {Kind: schema.Name},
+	"payload":   {Kind: schema.Any},
+	"rounds":    {Kind: schema.Count, Max: 100_000},
+	"first_ms":  {Kind: schema.Count, Min: 0},
+	"period_ms": {Kind: schema.Count, Min: 0, Max: 365 * 24 * msPerHour},
+	"due_ms":    {Kind: schema.Count, Min: 0},
+	"delay_ms":  {Kind: schema.Count, Min: 0, Max: 365 * 24 * msPerHour},
+	"steps": {Kind: schema.List, Required: true, Min: 1, Max: stepsMax, Elem: &schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
+		"name":  {Kind: schema.Name, Required: true},
+		"after": {Kind: schema.List, Max: stepsMax, Elem: &schema.Field{Kind: schema.Name}},
+		"count": {Kind: schema.Count, Min: 1, Max: configuration.MaxTasks}, "room": {Kind: schema.Resources}, "labels": {Kind: schema.Labels},
+		"limit_ms": {Kind: schema.Count, Min: 1, Max: 30 * 24 * msPerHour}, "estimate_ms": {Kind: schema.Count, Min: 0, Max: 30 * 24 * msPerHour},
+		"allowed_failures": {Kind: schema.Count, Min: 0, Max: 100}, "gang": {Kind: schema.Flag}, "same_rack": {Kind: schema.Flag}, "near": {Kind: schema.Text, Max: 200},
+		"per_worker": {Kind: schema.Count, Min: 0, Max: configuration.MaxTasks}, "copies": {Kind: schema.Flag}, "lasting": {Kind: schema.Flag}, "saves": {Kind: schema.Flag},
+		"tasks": {Kind: schema.List, Min: 1, Max: configuration.MaxTasks, Elem: &schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
+			"name":             {Kind: schema.Name, Required: true},
+			"payload":          {Kind: schema.Any},
+			"room":             {Kind: schema.Resources, Required: true},
+			"labels":           {Kind: schema.Labels},
+			"limit_ms":         {Kind: schema.Count, Min: 1, Max: 30 * 24 * msPerHour},
+			"estimate_ms":      {Kind: schema.Count, Min: 0, Max: 30 * 24 * msPerHour},
+			"allowed_failures": {Kind: schema.Count, Min: 0, Max: 100},
 		}}},
 	}}},
 }}
@@ -232,18 +234,18 @@
 // queue is the one that the caller's address stands for, or else the body's.
 //
 // Example: j, faults := parseJob("order-7", "", []byte(`{"queue":"checks","steps":[{"name":"a","tasks":[{"name":"t","room":1}]}]}`))
-func parseJob(id, queue string, body []byte) (*job, []fault) {
-	if !nameOK(id) {
-		return nil, []fault{{"id", "must be a name: 1 to 128 letters, digits, '-', '_', '.' or ':'"}}
+func parseJob(id, queue string, body []byte) (*job, []schema.Fault) {
+	if !schema.ValidName(id) {
+		return nil, []schema.Fault{{Path: "id", Reason: "must be a name: 1 to 128 letters, digits, '-', '_', '.' or ':'"}}
 	}
 	if len(body) > bodyMax {
-		return nil, []fault{{"", "is larger than 1 MiB"}}
+		return nil, []schema.Fault{{Path: "", Reason: "is larger than 1 MiB"}}
 	}
-	if f := checkDocument(body, jobFields); len(f) > 0 {
+	if f := schema.Check(body, jobFields); len(f) > 0 {
 		return nil, f
 	}
-	var faults []fault
-	bad := func(path, reason string) { faults = append(faults, fault{path, reason}) }
+	var faults []schema.Fault
+	bad := func(path, reason string) { faults = append(faults, schema.Fault{Path: path, Reason: reason}) }
 	root := gjson.ParseBytes(body)
 	var flat bytes.Buffer
 	_ = json.Compact(&flat, body)
@@ -306,7 +308,7 @@
 			bad("steps", "have tasks in some and counts in others")
 		}
 		j.Tasks = nil
-		if j.Rounds == 0 && len(faults) == 0 && j.roundSize() <= tasksMax {
+		if j.Rounds == 0 && len(faults) == 0 && j.roundSize() <= configuration.MaxTasks {
 			j.openRound()
 		}
 	} else {
@@ -315,8 +317,8 @@
 			bad("rounds", "needs steps with a count")
 		}
 	}
-	if len(j.Tasks) > tasksMax || j.roundSize() > tasksMax {
-		bad("steps", fmt.Sprintf("have more than %d tasks together", tasksMax))
+	if len(j.Tasks) > configuration.MaxTasks || j.roundSize() > configuration.MaxTasks {
+		bad("steps", fmt.Sprintf("have more than %d tasks together", configuration.MaxTasks))
 	}
 	if at, ok := cycle(j.Steps); ok {
 		bad(fmt.Sprintf("steps.%d.after", at), "waits in a circle")
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -2,8 +2,6 @@
 
 // All constants of the daemon stand here, each with its unit in the name and
 // the reason for its size.
-const configVersionMax = 1 << 50 // a version's bound: exact as a number in JSON
-
 const (
 	tickMs            = 100            // the reducer's heartbeat; every wait below is a multiple
 	pollMs            = 200            // lease renewals; five tries fit in one lease
@@ -68,14 +66,12 @@
 	kLowest            = 50       // the design's k: the most workers a queueable task is drawn among
 	kLeast             = 3        // and the fewest; between them a quarter of the allowed ones, see docs/rounds.md
 	thresholdMs        = 2500     // learned run time below this is queueable; see docs/rounds.md
-	quotaTasks         = 100      // the paper's queueable quota per job
 	preemptMax         = 2        // after two preemptions a task is guaranteed
 	healthMinEnds      = 8        // ends an agent needs before it judges its worker
 	forwardsMax        = 2        // an ask is handed over at most this often
 	finishedMax        = 5000     // finished jobs an owner keeps in memory
 	learnedMax         = 4096     // run-time estimates a daemon keeps
 	learnedTell        = 500      // of them told to all others in one round
-	queueJobsMax       = 2000     // live jobs one queue may have in a slice, unless the setup says less
 	shardJobsMax       = 4000     // live jobs a slice may have; see urgentShare
 	urgentShare        = 25       // percent of a slice's jobs kept for queues above the lowest urgency
 	agentQueueMax      = 400      // unstarted tasks an agent holds before it bounces
@@ -86,13 +82,9 @@
 	retriesPerTick     = 1        // and so many a tick, that few asks need not wait
 	readsPerTick       = 10       // states read from the core a tick: 100 a second for each daemon
 	retryBudgetMax     = 100      // what either budget saves up for a burst
-	changesKept        = 4096     // identities of accepted setups, some 33 bytes each: a storm makes hundreds in a day
-	pastShown          = 50       // accepted setups that operators are shown
 	bodyMax            = 1 << 20  // bytes of a job's body
-	configBytesMax     = 16 << 20 // bytes of a setup
 	stepsMax           = 64       // steps of a job
 	roundTasksMax      = 2000     // tasks of the rounds of a job that are open at once
-	tasksMax           = 1000     // tasks of a job
 	snapshotMin        = 8 << 20  // bytes of log before a snapshot is worth its writing
 	copyAgainMs        = 2000     // a part of a copy that does not come is asked for again
 	shardBytesMax      = 24 << 20 // live jobs of a slice as packed: a seal's answer must fit a frame
@@ -122,8 +114,6 @@
 
 // Of batches.
 const (
-	finishByMost    = 720    // hours a batch may be given: a month, within what is kept of jobs
-	batchBelow      = 2000   // urgency that batch queues lie below all others: those have 0 to 1000
 	batchPlanMs     = 2000   // batches are planned anew at this pace; far below batchMarginMs
 	batchLearnMs    = 2500   // a new owner hears all agents first, or the room would look small and all jobs late
 	batchSlack      = 200    // percent of the time a batch needs that is kept for it: it is pushed out, runs off its guess, finds half the room
--- a/internal/daemon/membership.go
+++ b/internal/daemon/membership.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"otterchute/internal/codec"
 	"otterchute/internal/quorum"
+	"otterchute/internal/rendezvous"
 	"otterchute/internal/statestore"
 	"otterchute/internal/wire"
 	"slices"
@@ -320,7 +321,7 @@
 	key := "core" + strconv.FormatInt(n.core.Version, 10)
 	slices.SortFunc(spares, func(a, b wire.Peer) int {
 		return cmp.Or(compareBool(a.Name != missing, b.Name != missing), cmp.Compare(members[a.Zone], members[b.Zone]),
-			cmp.Compare(weight(key, b.Name), weight(key, a.Name)), cmp.Compare(a.Name, b.Name))
+			cmp.Compare(rendezvous.Weight(key, b.Name), rendezvous.Weight(key, a.Name)), cmp.Compare(a.Name, b.Name))
 	})
 	return int64(max(0, slices.IndexFunc(spares, func(s wire.Peer) bool { return s.Name == n.Name })))
 }
--- a/internal/daemon/reduce.go
+++ b/internal/daemon/reduce.go
@@ -2,9 +2,9 @@
 
 import (
 	"cmp"
-	"hash/fnv"
 	"maps"
 	"math/rand/v2"
+	"otterchute/internal/configuration"
 	"otterchute/internal/quorum"
 	"otterchute/internal/register"
 	"otterchute/internal/statestore"
@@ -53,7 +53,7 @@
 	evMsg  struct {
 		Head  wire.Header
 		Msg   any
-		Ready *configuration // of the setup in it, where a traffic thread compiled that already
+		Ready *configuration.Configuration // of the setup in it, where a traffic thread compiled that already
 	}
 	// evRequest is a caller's, worker's or operator's ask at this daemon.
 	evRequest struct {
@@ -65,7 +65,7 @@
 		Digest     []byte // SHA-256 of an operator's order, where it isn't that of the body
 		Body       []byte
 		// Ready is the setup in Body, where a traffic thread compiled it already.
-		Ready *configuration
+		Ready *configuration.Configuration
 	}
 	// evOrder tells how an order to a worker went.
 	evOrder struct {
@@ -168,7 +168,7 @@
 	holders map[string]wire.RoleHolder
 
 	config configState
-	ready  *configuration // came with this event
+	ready  *configuration.Configuration // came with this event
 
 	sender peerInstance // of the message that is being handled
 
@@ -352,29 +352,3 @@
 
 // sorted gives a map's keys in order, so that nothing depends on map order.
 func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
-
-// weight is the rendezvous weight of one name for another.
-func weight(a, b string) uint64 {
-	h := fnv.New64a()
-	h.Write([]byte(a))
-	h.Write([]byte{0})
-	h.Write([]byte(b))
-	x := h.Sum64() // mixed further, since FNV alone spreads close names badly
-	x ^= x >> 33
-	x *= 0xff51afd7ed558ccd
-	x ^= x >> 33
-	x *= 0xc4ceb9fe1a85ec53
-	return x ^ x>>33
-}
-
-// rendezvous orders names by their weight for a key, heaviest first.
-func rendezvous(key string, names []string) []string {
-	out := slices.Clone(names)
-	slices.SortFunc(out, func(a, b string) int {
-		if c := cmp.Compare(weight(key, b), weight(key, a)); c != 0 {
-			return c
-		}
-		return cmp.Compare(a, b)
-	})
-	return out
-}
--- a/internal/daemon/registers.go
+++ b/internal/daemon/registers.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"otterchute/internal/codec"
+	"otterchute/internal/configuration"
 	"otterchute/internal/quorum"
 	"otterchute/internal/register"
 	"otterchute/internal/statestore"
@@ -14,7 +15,7 @@
 	kind    string // names what is computed and what follows, see changeKinds
 	arg     []byte // the wanted value or its part
 	expect  int64  // the version the value must have, where the kind asks
-	change  changeID
+	change  configuration.ChangeID
 	request *request
 }
 
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"otterchute/internal/configuration"
 	"otterchute/internal/historycheck"
 
 	"github.com/shoenig/test/must"
@@ -778,7 +779,7 @@
 	w.run(6000)
 	must.Positive(t, bounced)
 	must.Positive(t, entered)
-	must.LessEq(t, queueJobsMax*3, entered)
+	must.LessEq(t, configuration.MaxQueueJobs*3, entered)
 	status, _, _, _ := w.asked("caller", w.nodes["d05"], "job.put", "urgent-1", []byte(`{"queue":"signoff","steps":[{"name":"a","tasks":[{"name":"t","room":1}]}]}`))
 	must.Eq(t, 201, status)
 	t.Log("entered", entered, "bounced", bounced)
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -1,15 +1,16 @@
 package daemon
 
 import (
+	"cmp"
 	"flag"
 	"net"
 	"os"
+	"otterchute/internal/schema"
+	"otterchute/platform"
 	"path/filepath"
 	"strconv"
 	"strings"
 
-	"otterchute/platform"
-
 	"github.com/go-faster/errors"
 	"github.com/tidwall/gjson"
 )
@@ -42,15 +43,15 @@
 	adapter  *platform.Adapter // nil without a platform
 }
 
-var settingsFields = fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
-	"name": {Kind: "name"}, "addr": {Kind: "text", Min: 1, Max: 100}, "http": {Kind: "text", Min: 1, Max: 100}, "site": {Kind: "name"},
-	"seeds": {Kind: "list", Min: 1, Max: 16, Elem: &fieldSchema{Kind: "text", Min: 1, Max: 100}},
-	"data":  {Kind: "text", Max: 4096}, "keep_hours": {Kind: "count", Min: 1, Max: 24 * 366},
-	"threshold_ms": {Kind: "count", Min: -1, Max: msPerHour},
-	"k_lowest":     {Kind: "count", Min: 0, Max: 10_000}, "target_sigma": {Kind: "number"}, "log_level": {Kind: "name"}, "beside": {Kind: "flag"},
-	"core_size": {Kind: "count", Min: 1, Max: 99}, "first_start": {Kind: "flag"},
-	"hold_most_ms": {Kind: "count", Min: 1, Max: msPerHour}, "gang_wait_ms": {Kind: "count", Min: 1, Max: msPerHour},
-	"save_ms": {Kind: "count", Min: 1, Max: msPerHour}, "restore_ms": {Kind: "count", Min: 0, Max: msPerHour}, "spread_factor": {Kind: "number"},
+var settingsFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
+	"name": {Kind: schema.Name}, "addr": {Kind: schema.Text, Min: 1, Max: 100}, "http": {Kind: schema.Text, Min: 1, Max: 100}, "site": {Kind: schema.Name},
+	"seeds": {Kind: schema.List, Min: 1, Max: 16, Elem: &schema.Field{Kind: schema.Text, Min: 1, Max: 100}},
+	"data":  {Kind: schema.Text, Max: 4096}, "keep_hours": {Kind: schema.Count, Min: 1, Max: 24 * 366},
+	"threshold_ms": {Kind: schema.Count, Min: -1, Max: msPerHour},
+	"k_lowest":     {Kind: schema.Count, Min: 0, Max: 10_000}, "target_sigma": {Kind: schema.Number}, "log_level": {Kind: schema.Name}, "beside": {Kind: schema.Flag},
+	"core_size": {Kind: schema.Count, Min: 1, Max: 99}, "first_start": {Kind: schema.Flag},
+	"hold_most_ms": {Kind: schema.Count, Min: 1, Max: msPerHour}, "gang_wait_ms": {Kind: schema.Count, Min: 1, Max: msPerHour},
+	"save_ms": {Kind: schema.Count, Min: 1, Max: msPerHour}, "restore_ms": {Kind: schema.Count, Min: 0, Max: msPerHour}, "spread_factor": {Kind: schema.Number},
 }}
 
 func defaultSettings() settings {
@@ -137,7 +138,7 @@
 		if err != nil {
 			return s, errors.Wrapf(errSettings, "settings: %v", err)
 		}
-		if faults := checkDocument(doc, settingsFields); len(faults) > 0 {
+		if faults := schema.Check(doc, settingsFields); len(faults) > 0 {
 			return s, errors.Wrapf(errSettings, "%s: %s", orText(faults[0].Path, f.file), faults[0].Reason)
 		}
 		gjson.ParseBytes(doc).ForEach(func(k, v gjson.Result) bool {
@@ -176,10 +177,10 @@
 func (s *settings) take(p platform.Place) {
 	s.Name, s.Addr, s.HTTP, s.Zone, s.Data, s.Seeds = p.Name, p.Addr, p.HTTP, p.Site, p.Data, p.Seeds
 	s.FirstStart, s.MemoryMb = p.FirstStart, p.MemoryMb
-	s.CoreSize = orElse(int64(p.CoreSize), s.CoreSize)
+	s.CoreSize = cmp.Or(int64(p.CoreSize), s.CoreSize)
 	s.Colocated = p.Beside
-	s.MaxHoldMs, s.GangWaitMs = orElse(p.HoldMostMs, s.MaxHoldMs), orElse(p.GangWaitMs, s.GangWaitMs)
-	s.SaveMs, s.RestoreMs = orElse(p.SaveMs, s.SaveMs), orElse(p.RestoreMs, s.RestoreMs)
+	s.MaxHoldMs, s.GangWaitMs = cmp.Or(p.HoldMostMs, s.MaxHoldMs), cmp.Or(p.GangWaitMs, s.GangWaitMs)
+	s.SaveMs, s.RestoreMs = cmp.Or(p.SaveMs, s.SaveMs), cmp.Or(p.RestoreMs, s.RestoreMs)
 	if p.SpreadFactor > 0 {
 		s.SpreadFactor = p.SpreadFactor
 	}
@@ -194,10 +195,10 @@
 
 func (s *settings) check() error {
 	bad := func(key, reason string) error { return errors.Wrapf(errSettings, "%s: %s", key, reason) }
-	if !nameOK(s.Name) {
+	if !schema.ValidName(s.Name) {
 		return bad("name", "must be a name of letters, digits, '-', '_', '.' or ':'")
 	}
-	if !nameOK(s.Zone) {
+	if !schema.ValidName(s.Zone) {
 		return bad("site", "must be a name of letters, digits, '-', '_', '.' or ':'")
 	}
 	for _, a := range []struct{ key, value string }{{"addr", s.Addr}, {"http", s.HTTP}} {
--- a/internal/daemon/setup_test.go
+++ b/internal/daemon/setup_test.go
@@ -2,11 +2,8 @@
 
 import (
 	"fmt"
-	"strings"
-	"testing"
-	"time"
-
 	"otterchute/internal/historycheck"
+	"testing"
 
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
@@ -47,46 +44,6 @@
 	return fmt.Appendf(nil, `{"queues":[{"name":%q,"urgency":1%s}]}`, name, extra)
 }
 
-func TestSetupResolve(t *testing.T) {
-	doc := `{"queues":[{"name":"a","addresses":[{"host":"One.example","prefix":"/x/"},{"host":"two.example","prefix":"/"}]},
-		{"name":"b","addresses":[{"host":"one.example","prefix":"/x/y/"}],"latency_ms":1500,"stretch":2.5},{"name":"c","addresses":[{"host":"one.example","prefix":"/x/yz"}]}],"source":{"any":[1]}}`
-	c, faults := compileConfig(1, []byte(doc))
-	must.SliceEmpty(t, faults)
-	must.Eq(t, int64(1500), c.Queues["b"].LatencyMs)
-	must.Eq(t, 2.5, c.Queues["b"].Stretch)
-	for _, x := range []struct{ host, path, queue, rest string }{
-		{"one.example", "/x/1", "a", "1"}, {"ONE.example", "/x/y/2", "b", "2"}, {"one.example:8080", "/x/y", "a", "y"}, {"one.example", "/x/", "a", ""},
-		{"one.example", "/x/yz/3", "c", "3"}, {"one.example", "/x", "", ""}, {"two.example", "/x/y/4", "a", "x/y/4"}, {"three.example", "/x/1", "", ""}, {"one.example", "", "", ""},
-	} {
-		queue, rest, ok := c.resolve(x.host, x.path)
-		must.Eq(t, x.queue != "", ok, must.Sprint(x))
-		must.Eq(t, x.queue, queue, must.Sprint(x))
-		must.Eq(t, x.rest, rest, must.Sprint(x))
-	}
-	_, faults = compileConfig(1, []byte(`{"queues":[{"name":"a","addresses":[{"host":"h","prefix":"/a"}]},{"name":"b","addresses":[{"host":"g","prefix":"/a"},{"host":"H","prefix":"/a"}]}]}`))
-	must.Eq(t, []fault{{"queues.1.addresses.1", "stands twice"}}, faults)
-}
-
-// Thousands of queues, as the largest documents of the users have them.
-func TestSetupOfThousandsCompiles(t *testing.T) {
-	var b strings.Builder
-	b.WriteString(`{"queues":[`)
-	for i := range 8000 {
-		if i > 0 {
-			b.WriteByte(',')
-		}
-		fmt.Fprintf(&b, `{"name":"q%d","urgency":%d,"latency_ms":2000,"stretch":2.2,"selector":{"service":["s%d"]},"addresses":[{"host":"h%d.example","prefix":"/p%d/"}]}`, i, i%3, i%40, i%200, i)
-	}
-	b.WriteString(`]}`)
-	start := time.Now()
-	c, faults := compileConfig(1, []byte(b.String()))
-	t.Logf("%d bytes, %d queues in %v", b.Len(), len(c.Queues), time.Since(start))
-	must.SliceEmpty(t, faults)
-	queue, rest, _ := c.resolve("h17.example", "/p7817/abc")
-	must.Eq(t, "q7817", queue)
-	must.Eq(t, "abc", rest)
-}
-
 // Two operators build on the same version with uneven steps: one wins, the
 // other's never takes effect, and the same one sent again is told it stands.
 func TestSetupOperatorsRace(t *testing.T) {
--- a/internal/daemon/siblings.go
+++ b/internal/daemon/siblings.go
@@ -2,6 +2,7 @@
 
 import (
 	"otterchute/internal/quorum"
+	"otterchute/internal/rendezvous"
 	"otterchute/internal/statestore"
 	"otterchute/internal/wire"
 	"slices"
@@ -39,7 +40,7 @@
 // gossipTargets names the few siblings this daemon exchanges tables with.
 func (n *node) gossipTargets() []string {
 	all := slices.DeleteFunc(n.aliveNames(), func(s string) bool { return s == n.Name })
-	all = rendezvous(n.Name, all)
+	all = rendezvous.Order(n.Name, all)
 	return all[:min(gossipFanout, len(all))]
 }
 
--- a/internal/daemon/slices.go
+++ b/internal/daemon/slices.go
@@ -3,7 +3,9 @@
 import (
 	"bytes"
 	"cmp"
+	"otterchute/internal/configuration"
 	"otterchute/internal/resource"
+	"otterchute/internal/schema"
 	"otterchute/internal/statestore"
 	"otterchute/internal/wire"
 	"slices"
@@ -408,7 +410,7 @@
 	}
 	list := make([]turn, 0, len(sl.jobs))
 	for _, js := range sl.jobs {
-		list = append(list, turn{n.config.current.urgencyOf(js.Queue), js})
+		list = append(list, turn{n.config.current.Urgency(js.Queue), js})
 	}
 	slices.SortFunc(list, func(a, b turn) int {
 		return cmp.Or(cmp.Compare(b.urgency, a.urgency), cmp.Compare(a.js.SubmitMs, b.js.SubmitMs), cmp.Compare(a.js.ID, b.js.ID))
@@ -605,7 +607,7 @@
 			n.reject(a, "the queue is not in the newest setup")
 			return
 		}
-		n.rejectFaults(a, 400, 0, []fault{{"queue", "is not in the setup"}})
+		n.rejectFaults(a, 400, 0, []schema.Fault{{Path: "queue", Reason: "is not in the setup"}})
 		return
 	}
 	f := &fetchOp{id: a.key, job: j, requests: []*request{a}}
@@ -790,9 +792,9 @@
 	q, best := n.config.current.Queues[js.Queue], len(reasons)-1
 	for _, name := range sorted(n.workers) {
 		w, at := n.workers[name], 0
-		_, lack := lacks(w.labels, t.Needs)
+		_, lack := configuration.MissingLabel(w.labels, t.Needs)
 		switch {
-		case lack || !q.matches(w.labels, w.site):
+		case lack || !q.Matches(w.labels, w.site):
 			at = 4
 		case !t.Resources.Fits(w.capacity):
 			at = 3
@@ -1174,10 +1176,10 @@
 }
 
 // allowed tells whether a task may go to a worker now, as far as is known here.
-func (n *node) allowed(w *workerView, q *queueRules, needs []wire.Label, room resource.Amount) bool {
-	_, lack := lacks(w.labels, needs)
+func (n *node) allowed(w *workerView, q *configuration.Queue, needs []wire.Label, room resource.Amount) bool {
+	_, lack := configuration.MissingLabel(w.labels, needs)
 	return n.now-w.heardMs < contactMs && w.rebuilt && w.fresh && !w.leaving && !n.config.current.EmptyZones[w.site] &&
-		room.Fits(w.capacity) && !lack && q.matches(w.labels, w.site)
+		room.Fits(w.capacity) && !lack && q.Matches(w.labels, w.site)
 }
 
 // freeAt is the room of a worker that nothing known here takes: what its agent
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -151,7 +151,7 @@
 	for _, q := range sorted(n.config.current.Queues) {
 		found := false
 		for _, w := range n.workers {
-			found = found || n.now-w.heardMs < peerAliveMs && n.config.current.Queues[q].matches(w.labels, w.site)
+			found = found || n.now-w.heardMs < peerAliveMs && n.config.current.Queues[q].Matches(w.labels, w.site)
 		}
 		if !found {
 			unmatched = append(unmatched, q)
--- a/internal/daemon/target.go
+++ b/internal/daemon/target.go
@@ -6,6 +6,7 @@
 	"io"
 	"math"
 	"os"
+	"otterchute/internal/schema"
 	"path/filepath"
 	"strconv"
 	"strings"
@@ -18,11 +19,11 @@
 // line by its own variable, each further one adds what its variable costs above
 // what the first had of it.
 
-var targetFields = fieldSchema{Kind: "object", Fields: map[string]fieldSchema{
-	"about":       {Kind: "text", Max: 2000},
-	"experiments": {Kind: "list", Required: true, Min: 1, Max: 20, Elem: &fieldSchema{Kind: "name"}},
-	"values":      {Kind: "any", Required: true},
-	"bounds":      {Kind: "any"},
+var targetFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
+	"about":       {Kind: schema.Text, Max: 2000},
+	"experiments": {Kind: schema.List, Required: true, Min: 1, Max: 20, Elem: &schema.Field{Kind: schema.Name}},
+	"values":      {Kind: schema.Any, Required: true},
+	"bounds":      {Kind: schema.Any},
 }}
 
 // estimated is a measure at the target with its standard error.
@@ -68,7 +69,7 @@
 
 // atTarget works out every role's measures.
 func atTarget(doc []byte, declared func(name string) (*experiment, error), folder string) (map[[2]string]estimated, error) {
-	if f := checkDocument(doc, targetFields); len(f) > 0 {
+	if f := schema.Check(doc, targetFields); len(f) > 0 {
 		return nil, errors.Wrapf(errExperiment, "%s %s", f[0].Path, f[0].Reason)
 	}
 	root, out := gjson.ParseBytes(doc), map[[2]string]estimated{}
