--- a/guards.sh
+++ b/guards.sh
@@ -21,7 +21,7 @@
 placement is durable first|internal/daemon/slices.go|if t.ChangedIn <= js.committed && rt.sentMs == 0|if rt.sentMs == 0
 end is durable before it is acknowledged|internal/daemon/slices.go|if t.ChangedIn > js.committed {\n\t\t\treturn 0\n\t\t}\n\t\tif !t.counted|if !t.counted
 steps in order|internal/daemon/slices.go|if !ready[js.stepAt(t)] \|\| |if 
-a median of all clocks|internal/daemon/core.go|return all[(len(all)-1)/2] + n.now|return n.wall
+a median of all clocks|internal/daemon/core.go|return n.granter.FleetTime(n.now, len(n.peers.AliveNames()))|return n.wall
 due time|internal/daemon/slices.go|due != 0 && wall < due+dueMarginMs|false
 group at the agent|internal/daemon/agents.go|if q == nil \|\| lack \|\| !q.Matches(ag.labels, ag.site) \|\| |if q == nil \|\| false && lack \|\| 
 allowed failures|internal/daemon/slices.go|case t.Failures >= t.allowedRuns() && !st.Lasting:|case t.Failures > t.allowedRuns() && !st.Lasting:
@@ -30,24 +30,24 @@
 acknowledged only when durable|internal/daemon/slices.go|if w.version > js.committed {|if false {
 register needs a majority|internal/quorum/set.go|return len(s.Members)/2 + 1|return 1
 old epochs are fenced|internal/daemon/core.go|if m.Epoch != x.Sealed() {|if false {
-leases exclude|internal/daemon/core.go|ok := free && (n.now >= st.guardMs|ok := true \|\| free && (n.now >= st.guardMs
-a started member waits a lease|internal/daemon/core.go|ok := free && (n.now >= st.guardMs|ok := free && (true \|\| n.now >= st.guardMs
-a lease builds on what its granters know|internal/daemon/duties.go|n.now, epochs[need-1]|n.now, epochs[0]
-a lease that ran out is not renewed|internal/daemon/duties.go|case d.phase == roleHeld && n.now >= d.untilMs-leaseSlackMs:|case false:
-a lease belongs to its duty|internal/daemon/duties.go|if n.roles[d.name] == d {|if d = n.roles[d.name]; d != nil {
-overtaken polls change nothing|internal/daemon/core.go|p.incarnation == inc && m.Seq < p.seq|p.incarnation == inc && false
-passed epochs are not renewed|internal/daemon/core.go|if d.Epoch != 0 && d.Epoch < last.Epoch {|if false {
-leases end with their incarnation|internal/daemon/siblings.go|n.loseRole(n.roles[name], "incarnation_raised")|_ = name
-a start takes no older set|internal/daemon/siblings.go|c.Version < n.store.Set().Version {|false {
+leases exclude|internal/lease/granter.go|if !g.free(r.Name, to, nowMs, ended) {|if false {
+a started member waits a lease|internal/lease/granter.go|if nowMs < g.guardMs && last.Holder != "" && !ended(lastHolder) {|if false && !ended(lastHolder) {
+a lease builds on what its granters know|internal/lease/poll.go|m.host.NowMs(), epochs[need-1]|m.host.NowMs(), epochs[0]
+a lease that ran out is not renewed|internal/lease/poll.go|case l.phase == held && m.ranOut(l):|case false:
+a lease belongs to its role|internal/lease/poll.go|if m.leases[l.role] == l {|if l = m.leases[l.role]; l != nil {
+overtaken polls change nothing|internal/lease/granter.go|p.incarnation == m.Incarnation && m.Seq < p.seq|p.incarnation == m.Incarnation && false
+passed epochs are not renewed|internal/lease/granter.go|if r.Epoch != 0 && r.Epoch < last.Epoch {|if false {
+leases end with their incarnation|internal/daemon/host.go|n.leases.Lose(role, "incarnation_raised")|_ = role
+a start takes no older set|internal/daemon/core_set.go|c.Version < n.store.Set().Version {|false {
 reads by a later poll|internal/daemon/config_state.go|return n.config.confirmedBy > a.pollsBefore|return n.config.confirmedMs >= a.atMs
 reads are checked after a freeze|internal/daemon/config_state.go|confirmedBy > a.pollsBefore && n.configFresh()|confirmedBy > a.pollsBefore
 copied before joining|internal/daemon/membership.go|if len(j.copied) >= need {|if true {
 a copy begins again after a restart|internal/daemon/membership.go|if at.Instance != n.Instance {|if at.Shard == "" {
 a job ends at a known time|internal/daemon/slices.go|return // how long the job is kept|wall = 1 // how long the job is kept
-finished jobs go by the time of a majority|internal/daemon/core.go|if len(n.poll.clocks) < n.core.Majority() {|if false {
+finished jobs go by the time of a majority|internal/daemon/core.go|if n.leases.Clock().Readings() < n.core.Majority() {|if false {
 a told end is not taken back|internal/daemon/asks.go|if !n.answeredByFullSet(r) {|if false {
 copied from a majority|internal/daemon/membership.go|if len(j.copied) >= need {|if len(j.copied) >= 1 {
-an acknowledgement belongs to its set|internal/daemon/siblings.go|b.acked, b.sentMs = map[string]bool{}, 0|b.sentMs = 0
+an acknowledgement belongs to its set|internal/daemon/core_set.go|b.acked, b.sentMs = map[string]bool{}, 0|b.sentMs = 0
 unknown queues by a newer setup|internal/daemon/asks.go|case !ok && n.configConfirmedSince(a):|case !ok:
 one vote for a disk|internal/daemon/formation.go|case n.store.Cluster() != 0 \|\| n.core.Cluster != 0: // bound to another|case false:
 a response belongs to its life|internal/daemon/identity.go|if head.To == n.Instance {|if true {
@@ -67,17 +67,17 @@
 an order that was forgotten is not refused|internal/daemon/config_change.go|if !cur.Accepted.Covers(o.change) {|if false {
 orders have the base in their identity|internal/configuration/history.go|id := ChangeID{Version: base + int64(rise), Base: base}|id := ChangeID{Version: base + int64(rise)}
 a refusal is written back|internal/register/proposer.go|\t\to.atEnd = Refused\n|\t\to.outcome = Refused\n\t\treturn nil\n
-a leaving member waits for its successor|internal/daemon/duties.go|if n.leavingSince == 0 \|\| n.awaitsSuccessor() {|if n.leavingSince == 0 {
+a leaving member waits for its successor|internal/daemon/roles.go|if n.leavingSince == 0 \|\| n.awaitsSuccessor() {|if n.leavingSince == 0 {
 copied again before a member leaves|internal/daemon/membership.go|if at == newest \|\| n.copyComplete(j, n.core.Majority()-1) {|if true {
-a successor that stalls is taken out|internal/daemon/membership.go|if late \|\| n.unresponsive(n.core.Members[newest].Name) {|if late && false {
+a successor that stalls is taken out|internal/daemon/membership.go|if late \|\| n.leases.Unresponsive(n.core.Members[newest].Name, unresponsiveMs) {|if late && false {
 the surest loss goes first|internal/daemon/membership.go|if now > state && n.now-j.vacantSince|if at < 0 && n.now-j.vacantSince
 a failing disk keeps its seat for a while|internal/daemon/membership.go|case !s.Disk:\n\t\treturn slotDiskFailed|case !s.Disk:\n\t\treturn slotLeaving
-a member that restarts keeps its seat|internal/daemon/membership.go|n.unresponsive(m.Name) && n.now-s.heardMs > unresponsiveMs|n.now-s.heardMs > gossipMs
+a member that restarts keeps its seat|internal/daemon/membership.go|n.leases.Unresponsive(m.Name, unresponsiveMs) && n.now-s.HeardMs > unresponsiveMs|n.now-s.HeardMs > cluster.RoundMs
 a former member starts over|internal/daemon/membership.go|if n.store.Set().Has(n.Name, n.DiskID) {|if false {
-a failed disk stops voting|internal/daemon/siblings.go|n.store != nil && n.diskFailed == "" && n.store.Cluster()|n.store != nil && n.store.Cluster()
-a newcomer grants no lease before its set is full|internal/daemon/siblings.go|(!was \|\| settles)|(!was \|\| settles && false)
-a member's silence counts since it joined|internal/daemon/siblings.go|	n.awaitPolls(c)|
-a change begins anew under another set|internal/daemon/siblings.go|	n.restartChanges()|
+a failed disk stops voting|internal/daemon/core_set.go|n.store != nil && n.diskFailed == "" && n.store.Cluster()|n.store != nil && n.store.Cluster()
+a newcomer grants no lease before its set is full|internal/daemon/core_set.go|(!was \|\| settles)|(!was \|\| settles && false)
+a member's silence counts since it joined|internal/daemon/core_set.go|\tn.leases.OnCoreSet(before, c)|\t_ = before
+a change begins anew under another set|internal/daemon/core_set.go|	n.restartChanges()|
 void live records are not loaded|internal/daemon/slices.go|if r.Live && r.Epoch < sl.served {|if r.Live && false {
 void live records are not finished jobs|internal/daemon/slices.go|if f.best.Live {|if false {
 setup is fresh|internal/daemon/config_state.go|n.now-n.config.confirmedMs <= configFreshMs|true
--- a/internal/daemon/agents.go
+++ b/internal/daemon/agents.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"fmt"
 	"otterchute/internal/configuration"
+	"otterchute/internal/lease"
 	"otterchute/internal/resource"
 	"otterchute/internal/schema"
 	"otterchute/internal/wire"
@@ -131,17 +132,16 @@
 	return out
 }
 
-func (n *node) startAgent(d *roleLease) {
-	w := strings.TrimPrefix(d.name, "agent/")
-	n.agents[w] = &agent{worker: w, epoch: d.epoch, startMs: n.now, attempts: map[wire.AttemptKey]*attempt{}, tombstones: map[wire.AttemptKey]int64{},
+func (n *node) startAgent(w string, epoch uint64) {
+	n.agents[w] = &agent{worker: w, epoch: epoch, startMs: n.now, attempts: map[wire.AttemptKey]*attempt{}, tombstones: map[wire.AttemptKey]int64{},
 		owners: map[string]uint64{}, lastOK: n.now, heardMs: n.now, tokenMs: -1 << 40}
 }
 
 // routeReport brings a worker's report to its agent, and where it has none lets
 // the candidate of the worker's site become it.
 func (n *node) routeReport(a *request) {
-	name := "agent/" + a.key
-	if ag := n.agents[a.key]; ag != nil && n.holds(name) {
+	name := lease.AgentRole(a.key)
+	if ag := n.agents[a.key]; ag != nil && n.leases.Holds(name) {
 		n.applyReport(ag, a)
 		return
 	}
@@ -149,19 +149,19 @@
 		n.rejectFaults(a, 400, 0, []schema.Fault{{Path: "name", Reason: "must be a name"}})
 		return
 	}
-	if to, _ := n.holder(name); to != "" {
+	if to, _ := n.leases.Holder(name); to != "" {
 		n.forward(a, to)
 		return
 	}
-	next := n.holders[name].Successor // named by the last holder, or else the first candidate
-	if c := n.candidates(name, gjson.GetBytes(a.body, "site").Str); !n.alive(next) && len(c) > 0 {
+	next := n.leases.Successor(name) // named by the last holder, or else the first candidate
+	if c := n.leases.Candidates(name, gjson.GetBytes(a.body, "site").Str); !n.peers.Alive(next) && len(c) > 0 {
 		next = c[0]
 	}
 	if next != n.Name && a.hops < forwardsMax {
 		n.forward(a, next)
 		return
 	}
-	n.acquire(name)
+	n.leases.Acquire(name)
 	n.respond(a, 503, 200, mustJSON(map[string]any{"error": "the worker has no agent yet"}))
 }
 
@@ -442,7 +442,7 @@
 	if ag.colocated {
 		return !ag.replaced
 	}
-	return n.holds("agent/" + ag.worker)
+	return n.leases.Holds(lease.AgentRole(ag.worker))
 }
 
 // startPending starts what may start now, by the queue's urgency, then firm tasks before
@@ -597,9 +597,8 @@
 		payload = "null"
 	}
 	tag := mustJSON(orderTag{s.Shard, s.Queue, s.Name, s.Class, s.Resources, s.LimitMs, s.EstimateMs, s.SubmittedMs})
-	d := n.roles["agent/"+ag.worker]
 	n.emit(effOrder{Worker: ag.worker, Addr: ag.addr, Key: s.Key,
-		NotAfterMs: min(d.untilMs-leaseSlackMs, h.confirmedMs+contactMs, n.config.confirmedMs+configFreshMs, ag.tokenMs+reportMs),
+		NotAfterMs: min(n.leases.HeldUntilMs(lease.AgentRole(ag.worker)), h.confirmedMs+contactMs, n.config.confirmedMs+configFreshMs, ag.tokenMs+reportMs),
 		Body: mustJSON(map[string]any{"id": s.Key.String(), "job": s.Key.Job, "name": s.Name, "queue": s.Queue, "class": s.Class.String(), "room": s.Resources, "limit_ms": s.LimitMs,
 			"payload": payload, "tag": string(tag)})})
 }
@@ -668,11 +667,11 @@
 		RankMs: rank, QueuedMs: tq, Queued: queued, Succeeded: ag.oks, Failed: ag.fails, LagPercent: ag.lagPct}
 	keys := ag.keys()
 	for _, target := range append([]string{""}, n.core.Shards...) {
-		duty := "central"
+		role := lease.Central
 		if target != "" {
-			duty = "slice/" + target
+			role = lease.ShardRole(target)
 		}
-		to, _ := n.holder(duty)
+		to, _ := n.leases.Holder(role)
 		if to == "" {
 			continue
 		}
@@ -736,7 +735,7 @@
 		}
 		n.startPending(ag)
 		if len(ag.attempts) == 0 && n.now-ag.heardMs > agentIdleMs {
-			n.handOff(n.roles["agent/"+name], "")
+			n.leases.HandOff(lease.AgentRole(name), "")
 		}
 	}
 }
--- a/internal/daemon/asks.go
+++ b/internal/daemon/asks.go
@@ -5,6 +5,7 @@
 	"cmp"
 	"net"
 	"otterchute/internal/configuration"
+	"otterchute/internal/lease"
 	"otterchute/internal/rendezvous"
 	"otterchute/internal/schema"
 	"otterchute/internal/statestore"
@@ -82,7 +83,7 @@
 	}
 	n.count("asks_in")
 	n.retries.earn(1)
-	n.handleRequest(&request{atMs: n.now, pollsBefore: n.poll.seq, id: e.ID, op: e.Op, key: e.Key, body: e.Body, config: e.Ready, host: e.Host, path: e.Path, expect: e.Expect, digest: e.Digest})
+	n.handleRequest(&request{atMs: n.now, pollsBefore: n.leases.Polls(), id: e.ID, op: e.Op, key: e.Key, body: e.Body, config: e.Ready, host: e.Host, path: e.Path, expect: e.Expect, digest: e.Digest})
 }
 
 func (n *node) onForwarded(from string, m *wire.Forward) {
@@ -92,7 +93,7 @@
 			return
 		}
 	}
-	n.handleRequest(&request{atMs: n.now, pollsBefore: n.poll.seq, id: m.ID, origin: from, originInstance: n.sender.instance, hops: m.Hops, op: m.Op, key: m.Key, body: body, queue: m.Queue, expect: m.Expect, digest: m.Digest})
+	n.handleRequest(&request{atMs: n.now, pollsBefore: n.leases.Polls(), id: m.ID, origin: from, originInstance: n.sender.instance, hops: m.Hops, op: m.Op, key: m.Key, body: body, queue: m.Queue, expect: m.Expect, digest: m.Digest})
 }
 
 func (n *node) handleRequest(a *request) {
@@ -153,7 +154,7 @@
 // forward passes an ask on, once per daemon and at most forwardsMax times; an
 // answer that does not come is given up on long before the caller's limit.
 func (n *node) forward(a *request, to string) {
-	if a.hops >= forwardsMax || to == n.Name || to == "" || !n.alive(to) {
+	if a.hops >= forwardsMax || to == n.Name || to == "" || !n.peers.Alive(to) {
 		n.readFromCore(a, "nobody surely settles this now")
 		return
 	}
@@ -207,7 +208,7 @@
 		}
 	}
 	for _, id := range sorted(n.quorumReads) {
-		if r := n.quorumReads[id]; n.now >= r.limitMs || n.cutOff() {
+		if r := n.quorumReads[id]; n.now >= r.limitMs || n.leases.CutOff() {
 			delete(n.quorumReads, id)
 			n.reject(r.request, "neither the owner nor the core answered")
 		}
@@ -217,7 +218,7 @@
 // readFromCore is for asks that no owner settles now: a job's state can still be
 // had from the core, anything else is bounced.
 func (n *node) readFromCore(a *request, reason string) {
-	if a.op != "job.get" && a.op != "job.state" || len(n.core.Members) == 0 || n.cutOff() || !n.coreReads.spend() {
+	if a.op != "job.get" && a.op != "job.state" || len(n.core.Members) == 0 || n.leases.CutOff() || !n.coreReads.spend() {
 		n.reject(a, reason)
 		return
 	}
@@ -314,7 +315,7 @@
 }
 
 func (n *node) routeToShard(a *request, name string) {
-	if sl := n.owned[name]; sl != nil && n.holds("slice/"+name) {
+	if sl := n.owned[name]; sl != nil && n.leases.Holds(lease.ShardRole(name)) {
 		if !sl.serving {
 			n.readFromCore(a, "the slice is being taken over")
 			return
@@ -327,7 +328,7 @@
 		op(n, sl, a)
 		return
 	}
-	to, _ := n.holder("slice/" + name)
+	to, _ := n.leases.Holder(lease.ShardRole(name))
 	n.forward(a, to)
 }
 
@@ -343,7 +344,7 @@
 // putConfig has a whole setup accepted. Only the register can say whether it was
 // accepted before, or lost: what this daemon itself knows may be old.
 func (n *node) putConfig(a *request) {
-	if !n.inContact() {
+	if !n.leases.InContact() {
 		n.reject(a, "the core can't be reached from here")
 		return
 	}
@@ -385,7 +386,7 @@
 		return ""
 	}
 	for _, m := range n.core.Names() {
-		if n.alive(m) && n.now-n.poll.heardMs[m] < 2*pollColocatedMs && (best == "" || n.zoneOf(m) == n.Zone && n.zoneOf(best) != n.Zone) {
+		if n.peers.Alive(m) && n.now-n.leases.HeardMs(m) < 2*lease.PollColocatedMs && (best == "" || n.peers.Zone(m) == n.Zone && n.peers.Zone(best) != n.Zone) {
 			best = m
 		}
 	}
@@ -394,7 +395,7 @@
 
 // locateConfig names the machine that a setup is best read from, where it is another.
 func (n *node) locateConfig(a *request) {
-	host, _, _ := net.SplitHostPort(n.addrOf(n.nearestMember()))
+	host, _, _ := net.SplitHostPort(n.peers.Addr(n.nearestMember()))
 	n.respond(a, 200, 0, mustJSON(map[string]any{"host": host}))
 }
 
@@ -404,7 +405,7 @@
 		n.rejectFaults(a, 400, 0, []schema.Fault{{Path: "site", Reason: "must be a name"}})
 		return
 	}
-	if !n.inContact() {
+	if !n.leases.InContact() {
 		n.reject(a, "the core can't be reached from here")
 		return
 	}
@@ -449,12 +450,12 @@
 // awaitConfirmation keeps an ask until a newer confirmation of the setup, for a while,
 // where one may still come.
 func (n *node) awaitConfirmation(a *request, reason string) {
-	if n.cutOff() || len(n.config.awaiting) >= requestsMax {
+	if n.leases.CutOff() || len(n.config.awaiting) >= requestsMax {
 		n.reject(a, reason)
 		return
 	}
 	n.config.awaiting = append(n.config.awaiting, a)
-	n.poll.nextMs = min(n.poll.nextMs, n.poll.lastMs+tickMs) // at the next tick, if none is on its way
+	n.leases.PollNextTick(tickMs) // at the next tick, if none is on its way
 }
 
 // getConfig tells a setup that was confirmed after it was asked for, so that
@@ -483,3 +484,10 @@
 type rawJSON string
 
 func (r rawJSON) MarshalJSON() ([]byte, error) { return []byte(r), nil }
+
+// forwardTimedOut tells whether to stop waiting for the daemon that a call was handed
+// to: at the call's limit, where this daemon is cut off, and for an operator's
+// order where the core member that has it answers no polls.
+func (n *node) forwardTimedOut(p *forwardedRequest) bool {
+	return n.now >= p.limitMs || n.leases.CutOff() || operatorRequests[p.request.op] && n.now-n.leases.HeardMs(p.to) > lease.HeldMs
+}
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -99,7 +99,7 @@
 // first: each needs the time of its longest chain, and that of all the work that
 // must be done before it in the room that batches may have.
 func (n *node) planBatches(sl *shard) {
-	wall := n.poll.fleetTime(n)
+	wall := n.fleetTime()
 	if wall == 0 || !n.configFresh() || n.now-sl.startMs < batchLearnMs || n.now < sl.batchAt && sl.batchVersion == n.config.current.Version {
 		return
 	}
@@ -304,7 +304,7 @@
 
 // whyHeld tells why a task of a batch has not started, and until when.
 func (n *node) whyHeld(js *jobState, t *task) string {
-	r, p, wall := n.batchOf(&js.job), js.batch, n.poll.fleetTime(n)
+	r, p, wall := n.batchOf(&js.job), js.batch, n.fleetTime()
 	if r == nil {
 		return ""
 	}
@@ -376,7 +376,7 @@
 // meterBatch counts the core seconds of a run that just ended, at what each
 // part of it cost.
 func (n *node) meterBatch(js *jobState, t *task, ranMs int64) {
-	r, wall := n.batchOf(&js.job), n.poll.fleetTime(n)
+	r, wall := n.batchOf(&js.job), n.fleetTime()
 	if r == nil || wall == 0 || ranMs <= 0 {
 		return
 	}
--- a/internal/daemon/batch_test.go
+++ b/internal/daemon/batch_test.go
@@ -116,7 +116,7 @@
 	n.now = 1_000_000
 	n.config.current, n.config.confirmedMs = c, n.now
 	n.core = quorum.Set{Members: []quorum.Member{{Name: "d0"}}, Shards: []string{"east"}}
-	n.poll.clocks = map[string]clockBounds{"d0": {least: wallMs - n.now, most: wallMs - n.now}}
+	n.leases.Clock().Observe("d0", wallMs, n.now, n.now)
 	return n
 }
 
@@ -134,7 +134,7 @@
 	for i := range j.Tasks {
 		j.Tasks[i].LimitMs = 600_000
 	}
-	j.SubmitMs = n.poll.fleetTime(n) - agoMs
+	j.SubmitMs = n.fleetTime() - agoMs
 	js := &jobState{job: *j, runtime: make([]taskRuntime, len(j.Tasks)), committed: 1}
 	sl.jobs[id] = js
 	return js
--- a/internal/daemon/beatunit_test.go
+++ b/internal/daemon/beatunit_test.go
@@ -63,8 +63,8 @@
 		cur, faults := configuration.Compile(1, []byte(`{"queues":[{"name":"q","default_failures":3}]}`))
 		must.SliceEmpty(t, faults)
 		n.config.current, n.config.confirmedMs = cur, n.now
-		n.roles["slice/s"] = &roleLease{name: "slice/s", epoch: 1, phase: roleHeld, untilMs: n.now + 60_000}
-		n.startShard(n.roles["slice/s"])
+		n.leases.Assume("slice/s", 1, n.now+60_000)
+		n.startShard("s", 1)
 		sl := n.owned["s"]
 		j, faults := parseJob("j", "q", []byte(`{"payload":"x","steps":[{"name":"a","count":3,"room":1,"gang":true}]}`))
 		must.SliceEmpty(t, faults)
--- a/internal/daemon/brief_test.go
+++ b/internal/daemon/brief_test.go
@@ -293,7 +293,7 @@
 				n = w.nodes["d01"]
 			} else if duty == "none" {
 				for _, name := range sorted(w.nodes) {
-					if o := w.nodes[name]; !o.Disk && len(o.sh.node.roles) == 0 {
+					if o := w.nodes[name]; !o.Disk && len(o.sh.node.leases.Roles()) == 0 {
 						n = o
 					}
 				}
@@ -339,7 +339,7 @@
 		other.nodeConfig.Addr, other.nodeConfig.HTTP = "10.0.3.11:7000", "10.0.3.11:8000"
 		other.start()
 		w.run(4000)
-		must.Eq(t, "10.0.3.11:7000", w.nodes["d14"].sh.node.peers["d11"].Addr)
+		must.Eq(t, "10.0.3.11:7000", w.nodes["d14"].sh.node.peers.Get("d11").Addr)
 	}, 90_000}
 
 	for _, loss := range []string{"power", "a disk"} {
--- a/internal/daemon/campaign_test.go
+++ b/internal/daemon/campaign_test.go
@@ -47,7 +47,7 @@
 	}
 	for _, m := range set.Members {
 		n := w.nodes[m.Name]
-		if n.up && w.nowUs >= n.frozenTo && n.sh.node.inCore() && n.sh.node.core.Version == set.Version && n.sh.node.now-n.sh.node.poll.contactMs < 1000 {
+		if n.up && w.nowUs >= n.frozenTo && n.sh.node.inCore() && n.sh.node.core.Version == set.Version && n.sh.node.now-n.sh.node.leases.ContactMs() < 1000 {
 			out = append(out, n)
 		}
 	}
@@ -485,7 +485,7 @@
 			if duty != "central" {
 				site = strings.TrimPrefix(duty, "slice/")
 			}
-			for _, name := range n.sh.node.candidates(duty, site)[:3] {
+			for _, name := range n.sh.node.leases.Candidates(duty, site)[:3] {
 				undo = append(undo, killed(w, w.nodes[name], false))
 			}
 			undo = append(undo, killed(w, n, false))
--- a/internal/daemon/catchup.go
+++ b/internal/daemon/catchup.go
@@ -39,7 +39,7 @@
 		switch {
 		case len(lag.missed) == 0:
 			delete(sl.lag, member)
-		case n.alive(member) && n.core.HasName(member) && (lag.part == nil || n.now-lag.sentMs >= writeRetry):
+		case n.peers.Alive(member) && n.core.HasName(member) && (lag.part == nil || n.now-lag.sentMs >= writeRetry):
 			n.sendCatchUp(sl, member, lag)
 		}
 	}
--- a/internal/daemon/central.go
+++ b/internal/daemon/central.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"math"
 	"otterchute/internal/configuration"
+	"otterchute/internal/lease"
 	"otterchute/internal/resource"
 	"otterchute/internal/wire"
 	"slices"
@@ -101,8 +102,8 @@
 	r.added[worker] += estMs
 }
 
-func (n *node) startCentral(d *roleLease) {
-	n.central = &central{epoch: d.epoch, startMs: n.now, workers: map[string]*workerCapacity{}, pending: map[allocationKey]*pendingAllocation{}, roundAt: n.now + rebuildMs}
+func (n *node) startCentral(epoch uint64) {
+	n.central = &central{epoch: epoch, startMs: n.now, workers: map[string]*workerCapacity{}, pending: map[allocationKey]*pendingAllocation{}, roundAt: n.now + rebuildMs}
 }
 
 func (n *node) syncCentral(_ string, m *wire.AgentReport) {
@@ -148,7 +149,7 @@
 
 func (n *node) onAllocationRequest(from string, m *wire.AllocationRequest) {
 	c := n.central
-	if c == nil || !n.holds("central") || len(m.Tasks) == 0 {
+	if c == nil || !n.leases.Holds(lease.Central) || len(m.Tasks) == 0 {
 		return
 	}
 	key := keyOf(m)
@@ -190,7 +191,7 @@
 // allocateAll gives firm places in order of urgency and age, only where the room
 // is sure: what queueable tasks hold counts as room, since it can be freed.
 func (n *node) allocateAll(c *central) {
-	if !n.holds("central") || n.now-c.startMs < rebuildMs || !n.configFresh() {
+	if !n.leases.Holds(lease.Central) || n.now-c.startMs < rebuildMs || !n.configFresh() {
 		return
 	}
 	var keys []allocationKey
@@ -492,7 +493,7 @@
 // promote makes long-running queueable tasks firm where the room is sure, so
 // that their work is not thrown away.
 func (n *node) promote(c *central, w *workerCapacity) {
-	if !n.holds("central") || n.now-c.startMs < rebuildMs {
+	if !n.leases.Holds(lease.Central) || n.now-c.startMs < rebuildMs {
 		return
 	}
 	sure := w.Capacity.Minus(w.firm).Minus(c.promised(w.Worker))
@@ -528,7 +529,7 @@
 		}
 	}
 	n.allocateAll(c)
-	if n.now < c.roundAt || !n.holds("central") {
+	if n.now < c.roundAt || !n.leases.Holds(lease.Central) {
 		return
 	}
 	c.roundAt += rankMs
@@ -556,10 +557,10 @@
 	brief := &wire.Ranks{Epoch: m.Epoch, Round: m.Round, TargetMs: m.TargetMs}
 	owners := map[string]bool{n.Name: true}
 	for _, s := range n.core.Shards {
-		to, _ := n.holder("slice/" + s)
+		to, _ := n.leases.Holder(lease.ShardRole(s))
 		owners[to] = true
 	}
-	for _, name := range n.aliveNames() {
+	for _, name := range n.peers.AliveNames() {
 		if owners[name] {
 			n.send(name, m)
 		} else {
--- a/internal/daemon/central_test.go
+++ b/internal/daemon/central_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"otterchute/internal/configuration"
+	"otterchute/internal/lease"
 	"otterchute/internal/resource"
 	"otterchute/internal/wire"
 	"testing"
@@ -18,8 +19,8 @@
 	setup, faults := configuration.Compile(1, []byte(`{"queues":[{"name":"high","urgency":90},{"name":"mid","urgency":60},{"name":"low","urgency":30}]}`))
 	must.SliceEmpty(t, faults)
 	n.config.current = setup
-	n.roles["central"] = &roleLease{name: "central", epoch: 1, phase: roleHeld, untilMs: 1 << 40}
-	n.startCentral(n.roles["central"])
+	n.leases.Assume(lease.Central, 1, 1<<40)
+	n.startCentral(1)
 	n.now += rebuildMs
 	for i := range 6 {
 		w := &workerCapacity{AgentReport: wire.AgentReport{Worker: fmt.Sprint("w", i), Rack: fmt.Sprint("r", i/3), Rebuilt: true, Fresh: true, Capacity: resource.Amount{CPU: 4000}}}
--- a/internal/daemon/cold_test.go
+++ b/internal/daemon/cold_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"otterchute/internal/historycheck"
+	"otterchute/internal/lease"
 )
 
 // How long the fleet takes, in simulated ms, from the return of all machines
@@ -43,8 +44,8 @@
 					if _, ok := done[d]; ok || h == nil {
 						continue
 					}
-					kind := roleKind(d)
-					if kind == "agent" && !h.sh.node.agents[d[6:]].rebuilt {
+					kind, _ := lease.SplitRole(d)
+					if kind == lease.KindAgent && !h.sh.node.agents[d[6:]].rebuilt {
 						continue
 					}
 					done[d] = w.nowMs() - at
@@ -52,10 +53,10 @@
 				return len(done) == len(duties)
 			})
 			for d, ms := range done {
-				switch roleKind(d) {
-				case "agent":
+				switch kind, _ := lease.SplitRole(d); kind {
+				case lease.KindAgent:
 					agentsMs = append(agentsMs, ms)
-				case "central":
+				case lease.KindCentral:
 					centralMs = append(centralMs, ms)
 				default:
 					slicesMs = append(slicesMs, ms)
--- a/internal/daemon/config_change.go
+++ b/internal/daemon/config_change.go
@@ -21,7 +21,7 @@
 	case cur.Version != o.change.Base:
 		return register.Refuse, nil
 	}
-	return register.Replace, codec.Append(nil, cur.Next(o.change, o.arg, n.poll.fleetTime(n)))
+	return register.Replace, codec.Append(nil, cur.Next(o.change, o.arg, n.fleetTime()))
 }
 
 // changeEmptiedZones empties a site beside the document, or takes that back. It
@@ -109,7 +109,7 @@
 // at hand any more: a change by items that built on a version long passed. The
 // register itself is asked, and what it says stands at a majority then.
 func (n *node) findChange(a *request) {
-	if !n.inContact() {
+	if !n.leases.InContact() {
 		n.reject(a, "the core can't be reached from here")
 		return
 	}
--- a/internal/daemon/config_state.go
+++ b/internal/daemon/config_state.go
@@ -3,6 +3,7 @@
 import (
 	"otterchute/internal/codec"
 	"otterchute/internal/configuration"
+	"otterchute/internal/lease"
 	"otterchute/internal/register"
 	"otterchute/internal/schema"
 	"otterchute/internal/wire"
@@ -13,6 +14,7 @@
 	current     *configuration.Configuration
 	record      configuration.Record
 	ballot      register.Ballot
+	newest      register.Ballot // the highest that any member has accepted
 	confirmedMs int64
 	confirmedBy uint64 // the newest poll that confirmed it
 	askedMs     int64
@@ -39,28 +41,28 @@
 // confirmConfig takes a round of answers: where a majority holds the same
 // accepted ballot, that value is chosen, and if it is ours it is confirmed as
 // of the time the round was sent.
-func (n *node) confirmConfig(r *pollRound) {
+func (n *node) confirmConfig(r *lease.Round) {
 	votes := map[register.Ballot]int{}
-	for _, a := range r.acks {
+	for _, a := range r.Answers {
 		votes[a.Config]++
 	}
-	for _, from := range sorted(r.acks) {
-		b := r.acks[from].Config
-		if n.poll.setup.Less(b) {
-			n.poll.setup = b
+	for _, from := range sorted(r.Answers) {
+		b := r.Answers[from].Config
+		if n.config.newest.Less(b) {
+			n.config.newest = b
 		}
 		if votes[b] < n.core.Majority() {
 			continue
 		}
 		if b == n.config.ballot {
-			n.config.confirmedMs, n.config.confirmedBy = max(n.config.confirmedMs, r.sentMs), max(n.config.confirmedBy, r.seq)
+			n.config.confirmedMs, n.config.confirmedBy = max(n.config.confirmedMs, r.SentMs), max(n.config.confirmedBy, r.Seq)
 		} else if n.config.ballot.Less(b) && n.now-n.config.askedMs > 300 {
 			n.config.askedMs = n.now
 			n.send(n.nearestWith(r, b), &wire.RegisterRead{SetVersion: n.core.Version, Register: "setup"})
 		}
 		return
 	}
-	if len(r.acks) == len(n.core.Members) || n.now-max(n.config.confirmedMs, n.poll.firstMs) > pollColocatedMs*2 {
+	if len(r.Answers) == len(n.core.Members) || n.now-max(n.config.confirmedMs, n.leases.FirstPollMs()) > lease.PollColocatedMs*2 {
 		// The members differ: somebody's change stopped half way. Any daemon
 		// may finish it; core members do, at random, so that few compete. One
 		// that was away hears all first: it may be the only one that differs.
@@ -73,14 +75,14 @@
 
 // nearestWith picks whom to read a value from: of the members that hold it one in
 // the own site, or else any, so that not all daemons ask the same.
-func (n *node) nearestWith(r *pollRound, b register.Ballot) string {
+func (n *node) nearestWith(r *lease.Round, b register.Ballot) string {
 	var near, all []string
-	for _, from := range sorted(r.acks) {
-		if r.acks[from].Config != b {
+	for _, from := range sorted(r.Answers) {
+		if r.Answers[from].Config != b {
 			continue
 		}
 		all = append(all, from)
-		if n.zoneOf(from) == n.Zone {
+		if n.peers.Zone(from) == n.Zone {
 			near = append(near, from)
 		}
 	}
@@ -112,7 +114,7 @@
 			n.config.current, n.config.record = n.config.current.WithEmptied(d.Emptied), d
 			n.config.confirmedMs, n.config.confirmedBy = -1<<40, 0
 			n.log("sites_adopted", "emptied", d.Emptied)
-			n.poll.nextMs = 0
+			n.leases.PollSoon()
 		}
 		return
 	}
@@ -127,7 +129,7 @@
 	n.config.current, n.config.record, n.config.ballot = c.WithEmptied(d.Emptied), d, b
 	n.config.confirmedMs, n.config.confirmedBy = -1<<40, 0
 	n.log("setup_adopted", "version", d.Version, "queues", len(c.Queues))
-	n.poll.nextMs = 0
+	n.leases.PollSoon()
 }
 
 func (n *node) tickConfig() {
@@ -136,7 +138,7 @@
 		switch {
 		case n.configConfirmedSince(a):
 			again = append(again, a)
-		case n.cutOff() || n.now-a.atMs > forwardMs*2/3:
+		case n.leases.CutOff() || n.now-a.atMs > forwardMs*2/3:
 			n.reject(a, "the setup is not confirmed here")
 		default:
 			kept = append(kept, a)
--- /dev/null
+++ b/internal/daemon/core_set.go
@@ -0,0 +1,71 @@
+package daemon
+
+import (
+	"otterchute/internal/quorum"
+	"otterchute/internal/statestore"
+	"otterchute/internal/wire"
+)
+
+func (n *node) adoptCoreSet(c quorum.Set) {
+	if c.Cluster == 0 || n.core.Cluster != 0 && c.Cluster != n.core.Cluster || c.Version <= n.core.Version {
+		return
+	}
+	if n.store != nil && c.Cluster == n.store.Set().Cluster && c.Version < n.store.Set().Version {
+		return // at a start, before the set on disk was taken up
+	}
+	was, first := n.inCore(), n.core.Cluster == 0
+	settles := len(c.Members) == n.coreGoal() && len(n.core.Members) > n.coreGoal() && c.Members[len(c.Members)-1].Name == n.Name
+	before := n.core
+	n.core = c
+	n.leases.OnCoreSet(before, c)
+	if first {
+		n.forming = nil
+		defer n.peers.BroadcastCoreSet()
+	}
+	n.onCoreSetChanged()
+	n.log("core_set", "version", c.Version, "members", c.Names())
+	if n.store != nil && n.store.Cluster() == c.Cluster {
+		// A joined member waits one lease before it grants. At the very first
+		// set there is nothing to wait for: had this disk granted anything
+		// under it, the set would have been synced before.
+		formed := c.Version == 1 && n.store.Set().Version == 0
+		n.persistSet(c)
+		if (!was || settles) && n.inCore() && !formed {
+			n.granter.Guard(n.now)
+		}
+	}
+}
+
+// onCoreSetChanged begins anew what members under the former set acknowledged only
+// in part: a majority counts within one set, and one that left may be back
+// under its old name with an empty disk.
+func (n *node) onCoreSetChanged() {
+	n.restartChanges()
+	for _, sl := range n.owned {
+		if !sl.serving {
+			sl.seals, sl.missing, sl.missingOps, sl.sealSent = map[string]map[string]statestore.Record{}, map[string]map[string]bool{}, map[uint64]string{}, 0
+		}
+		for _, b := range sl.writes {
+			if !b.done {
+				b.acked, b.sentMs = map[string]bool{}, 0
+			}
+		}
+	}
+}
+
+// onSealResponse and onWriteResponse drop what a member said under another set.
+func (n *node) onSealResponse(from string, m *wire.SealResponse) {
+	if m.SetVersion == n.core.Version {
+		n.mergeSeal(from, m)
+	}
+}
+
+func (n *node) onWriteResponse(from string, m *wire.WriteResponse) {
+	if m.SetVersion == n.core.Version {
+		n.applyWriteResponse(from, m)
+	}
+}
+
+func (n *node) inCore() bool {
+	return n.store != nil && n.diskFailed == "" && n.store.Cluster() != 0 && n.core.Has(n.Name, n.DiskID)
+}
--- a/internal/daemon/cutoff_test.go
+++ b/internal/daemon/cutoff_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"otterchute/internal/lease"
 	"testing"
 
 	"github.com/shoenig/test/must"
@@ -134,7 +135,7 @@
 			from := max(sent, awake/1000, n.frozenTo/1000)
 			last = fmt.Sprintf("%s, sent %d ms after the cut, answered after %d ms: %d %s", name, sent-cutMs, w.nowMs()-from, status, b)
 			unsure := name == "submit" && status == 504
-			if sent > cutMs+leaseMs && (status != 503 && !unsure || retryMs <= 0) {
+			if sent > cutMs+lease.DurationMs && (status != 503 && !unsure || retryMs <= 0) {
 				t.Error(last)
 			}
 			if w.nowMs()-from > 1000 {
@@ -217,8 +218,8 @@
 				got = append(got, answered{status, string(b)})
 			})
 			must.True(t, w.stepUntil(1000, func() bool { return len(n.sh.node.config.awaiting) > 0 }))
-			polls := n.sh.node.poll.seq
-			must.True(t, w.stepUntil(1000, func() bool { return n.sh.node.poll.seq > polls }))
+			polls := n.sh.node.leases.Polls()
+			must.True(t, w.stepUntil(1000, func() bool { return n.sh.node.leases.Polls() > polls }))
 			n.freeze(9000) // its poll is on its way: the answers wait for it
 			w.run(2000)
 			w.putAnywhere(t, 3, 2)
--- a/internal/daemon/door.go
+++ b/internal/daemon/door.go
@@ -213,7 +213,7 @@
 
 func (n *node) gauges(out map[string]float64) {
 	n.batchGauges(out)
-	for k, v := range map[string]int{"duties_held": len(n.roles), "siblings": len(n.peers), "workers": len(n.workers), "asks_open": len(n.forwarded)} {
+	for k, v := range map[string]int{"duties_held": len(n.leases.Roles()), "siblings": n.peers.Len(), "workers": len(n.workers), "asks_open": len(n.forwarded)} {
 		out[k] = float64(v)
 	}
 	out["setup_version"] = float64(n.config.record.Version)
--- a/internal/daemon/door_test.go
+++ b/internal/daemon/door_test.go
@@ -15,7 +15,7 @@
 	l := newControlLoop(newSteadyClock())
 	ports := &processPorts{loop: l, waiting: map[uint64]chan effReply{}}
 	l.executor = &executor{node: newNode(nodeConfig{Name: "a"}, nil), ports: ports}
-	l.executor.node.poll.contactMs = 1 << 40 // in contact with the core: calls are held, not turned away
+	l.executor.node.wokeMs = 1 << 40 // its first polls are under way: calls are held, not turned away
 	return &httpServer{loop: l}, ports, func() { (<-l.jobs)(l.executor) }
 }
 
--- a/internal/daemon/experiment.go
+++ b/internal/daemon/experiment.go
@@ -12,6 +12,7 @@
 	"net/http"
 	"os"
 	"os/signal"
+	"otterchute/internal/cluster"
 	"otterchute/internal/configuration"
 	"otterchute/internal/schema"
 	"otterchute/internal/wire"
@@ -79,9 +80,9 @@
 	least, most, def int64
 	of               func(*experiment) *int64
 }{
-	"daemons": {3, peersMax, 8, func(e *experiment) *int64 { return &e.Daemons }},
+	"daemons": {3, cluster.MaxPeers, 8, func(e *experiment) *int64 { return &e.Daemons }},
 	"sites":   {1, 12, 3, func(e *experiment) *int64 { return &e.Sites }},
-	"workers": {0, peersMax, 0, func(e *experiment) *int64 { return &e.Workers }},
+	"workers": {0, cluster.MaxPeers, 0, func(e *experiment) *int64 { return &e.Workers }},
 	"room":    {1, 1 << 20, 16, func(e *experiment) *int64 { return &e.Room }},
 	"running": {0, 20_000, 0, func(e *experiment) *int64 { return &e.Running }},
 	"starts":  {0, 1000, 0, func(e *experiment) *int64 { return &e.Starts }},
--- a/internal/daemon/experiment_test.go
+++ b/internal/daemon/experiment_test.go
@@ -145,6 +145,14 @@
 	must.InDelta(t, 0.8660254, f.StdErr, 1e-6)
 }
 
+// Each part that is measured is a field of the daemon's state.
+func TestStateRoles(t *testing.T) {
+	for name := range stateRoles {
+		_, ok := reflect.TypeFor[node]().FieldByName(name)
+		must.True(t, ok, must.Sprint(name))
+	}
+}
+
 func TestDeepSize(t *testing.T) {
 	type part struct {
 		Name string
--- a/internal/daemon/fence_test.go
+++ b/internal/daemon/fence_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"otterchute/internal/codec"
-	"otterchute/internal/register"
+	"otterchute/internal/lease"
 	"otterchute/internal/statestore"
 	"otterchute/internal/wire"
 	"testing"
@@ -59,13 +59,13 @@
 	must.True(t, poll("x08", 1))
 	must.False(t, poll("x09", 1))
 	must.False(t, poll("x08", 2)) // the same name started again is another holder
-	n.now += leaseMs + 1
+	n.now += lease.DurationMs + 1
 	must.True(t, poll("x09", 1))
-	n.now += leaseMs + 1
-	n.granter.guardMs = n.now + leaseMs // as after a start
+	n.now += lease.DurationMs + 1
+	n.granter.Guard(n.now) // as after a start
 	n.store.Register("duty/slice/some").Value = codec.Append(nil, wire.RoleHolder{Name: "slice/some", Holder: "x07", Incarnation: 5, Addr: "10.0.0.7:7000", Epoch: 3})
 	must.False(t, poll("x09", 1))
-	n.now += leaseMs
+	n.now += lease.DurationMs
 	must.True(t, poll("x09", 1))
 }
 
@@ -78,7 +78,7 @@
 		return say(from, &wire.PollRequest{Incarnation: inc, SetVersion: n.core.Version, Wanted: []wire.LeaseRequest{{Name: "slice/some"}}}).(*wire.PollResponse)
 	}
 	heard := func(name string, inc uint64, addr string) {
-		n.peers[name] = &peer{Peer: wire.Peer{Name: name, Incarnation: inc, Addr: addr}, heardMs: n.now}
+		n.peers.Record(wire.Peer{Name: name, Incarnation: inc, Addr: addr}, n.now)
 	}
 	heard("x08", 1, "10.0.0.8:7000")
 	heard("x09", 1, "10.0.0.9:7000")
@@ -89,8 +89,8 @@
 	must.True(t, poll("x09", 1).Granted[0])
 
 	// After a start the grants are forgotten: what the register says of the last holder counts.
-	n.granter.grants = map[string]*leaseGrant{}
-	n.granter.guardMs = n.now + leaseMs
+	n.granter = lease.NewGranter()
+	n.granter.Guard(n.now)
 	n.store.Register("duty/slice/some").Value = codec.Append(nil, wire.RoleHolder{Name: "slice/some", Holder: "x07", Incarnation: 5, Addr: "10.0.0.7:7000", Epoch: 3})
 	must.False(t, poll("x09", 1).Granted[0])
 	heard("x07", 6, "10.0.0.77:7000")
@@ -101,23 +101,6 @@
 	must.Eq(t, uint64(3), a.Epochs[0])
 }
 
-// Who took a duty after the lease was asked for goes first: a change of the epoch
-// that builds on an older one is lost.
-func TestDutyTakenMeanwhile(t *testing.T) {
-	n, _ := coreMemberOf(t)
-	n.roles["slice/some"] = &roleLease{name: "slice/some", knownEpoch: 3}
-	cur := func(holder string, inc, epoch uint64) []byte {
-		return codec.Append(nil, wire.RoleHolder{Name: "slice/some", Holder: holder, Incarnation: inc, Epoch: epoch})
-	}
-	decide := func(current []byte) register.Decision {
-		decision, _ := advanceEpoch(n, &registerChange{arg: []byte("slice/some")}, current)
-		return decision
-	}
-	must.Eq(t, register.Replace, decide(cur("d07", 5, 3)))
-	must.Eq(t, register.Refuse, decide(cur("d09", 1, 4)))
-	must.Eq(t, register.Replace, decide(cur(n.Name, n.Incarnation, 4))) // an own earlier try
-}
-
 // A finished record that only a minority may hold is told to a new owner until
 // a majority is known to hold it, and the new owner writes it back: else a later
 // owner could meet the job alive again.
@@ -142,7 +125,7 @@
 	w := formed(t, 4, "ikenna")
 	must.True(t, w.until(5000, func() bool { return w.holderOf("slice/east") != nil }))
 	owner := w.holderOf("slice/east").sh.node
-	owner.startShard(&roleLease{name: "slice/east", epoch: 99})
+	owner.startShard("east", 99)
 	var wrote []statestore.Record
 	for from, recs := range map[string][]statestore.Record{"d00": nil, "d01": {finished}} {
 		for _, e := range reduce(owner, event{NowMs: owner.now, WallMs: owner.wall, Body: evMsg{Head: wire.Header{From: from, To: owner.Instance}, Msg: &wire.SealResponse{SetVersion: owner.core.Version, Shard: "east", Epoch: 99, OK: true, Records: recs}}}) {
--- a/internal/daemon/formation.go
+++ b/internal/daemon/formation.go
@@ -66,7 +66,7 @@
 	}
 	if n.store.Set().Version != 0 { // a restart: the disk knows the set
 		n.core = n.store.Set()
-		n.granter.guardMs, n.granter.startMs = n.now+leaseMs, n.now
+		n.granter.Guard(n.now)
 		n.log("core_set", "version", n.core.Version, "members", n.core.Names())
 		return
 	}
@@ -77,11 +77,8 @@
 	n.forming = nil
 	var disks []wire.Peer
 	key := ""
-	for _, name := range n.aliveNames() {
-		s := n.selfInfo()
-		if name != n.Name {
-			s = n.peers[name].Peer
-		}
+	for _, name := range n.peers.AliveNames() {
+		s := n.peers.Describe(name)
 		if s.Disk && s.Empty { // and at its first start, see self
 			disks = append(disks, s)
 			key += s.Name + " "
@@ -145,7 +142,7 @@
 	}
 	switch {
 	case n.core.Cluster == id || n.store.Set().Cluster == id && n.store.Set().Version != 0:
-		n.send(from, n.gossip(false)) // it stands
+		n.send(from, n.peers.Table(false)) // it stands
 	case m.Failed:
 		if n.store.Formed().Cluster == id {
 			n.forming = nil
@@ -191,5 +188,5 @@
 	n.persist([]statestore.Entry{{Kind: statestore.EntrySet, Value: codec.Append(nil, set)}})
 	n.core = set
 	n.log("cluster_formed", "cluster", set.Cluster, "members", set.Names(), "slices", set.Shards)
-	n.broadcastCoreSet()
+	n.peers.BroadcastCoreSet()
 }
--- a/internal/daemon/formation_test.go
+++ b/internal/daemon/formation_test.go
@@ -264,11 +264,11 @@
 		n.incs = ^uint64(0) // its next incarnation is far below the last
 		w.run(1500)
 		n.start()
-		must.Less(t, w.nodes["d00"].sh.node.peers["d05"].Incarnation, n.sh.node.Incarnation)
+		must.Less(t, w.nodes["d00"].sh.node.peers.Get("d05").Incarnation, n.sh.node.Incarnation)
 		at := w.nowMs()
 		must.True(t, w.until(4000, func() bool {
 			for _, name := range sorted(w.nodes) {
-				if s := w.nodes[name].sh.node.peers["d05"]; name != "d05" && (s == nil || s.Incarnation != n.sh.node.Incarnation || s.Addr != n.Addr) {
+				if s := w.nodes[name].sh.node.peers.Get("d05"); name != "d05" && (s == nil || s.Incarnation != n.sh.node.Incarnation || s.Addr != n.Addr) {
 					return false
 				}
 			}
@@ -283,9 +283,9 @@
 	w := coreWorld(4700, 3, []string{"east", "west", "mid"}, 5)
 	w.nodes["d07"].nodeConfig.Seeds = []string{"10.9.9.9:7000"}
 	w.run(5000)
-	must.MapEmpty(t, w.nodes["d07"].sh.node.peers)
+	must.Zero(t, w.nodes["d07"].sh.node.peers.Len())
 	w.nodes["d07"].event(evSeeds{Seeds: []string{"10.9.9.9:7000", w.nodes["d02"].Addr}})
-	must.True(t, w.until(2000, func() bool { return len(w.nodes["d07"].sh.node.peers) == 7 }))
+	must.True(t, w.until(2000, func() bool { return w.nodes["d07"].sh.node.peers.Len() == 7 }))
 }
 
 // told gives the log without the siblings that were met.
--- a/internal/daemon/hollow.go
+++ b/internal/daemon/hollow.go
@@ -78,9 +78,9 @@
 
 // stateRoles names the parts of a daemon's state by the role that needs them.
 var stateRoles = map[string]string{
-	"siblings": roleEvery, "byHash": roleEvery, "core": roleEvery, "duties": roleEvery, "views": roleEvery, "ops": roleEvery, "poll": roleEvery, "setup": roleEvery,
-	"store": roleCore, "forming": roleCore, "joining": roleCore, "owned": roleOwner, "workers": roleOwner, "learned": roleLocal, "ranks": roleLocal,
-	"agents": roleAgent, "central": roleCentral, "asks": roleFront, "reads": roleFront,
+	"peers": roleEvery, "core": roleEvery, "leases": roleEvery, "changes": roleEvery, "config": roleEvery,
+	"store": roleCore, "granter": roleCore, "forming": roleCore, "learner": roleCore, "owned": roleOwner, "workers": roleOwner, "estimates": roleLocal,
+	"ranks": roleLocal, "agents": roleAgent, "central": roleCentral, "forwarded": roleFront, "quorumReads": roleFront,
 }
 
 func kindName(kind uint8) string {
@@ -352,10 +352,11 @@
 // stateOf gives about how many bytes each role's part of the state takes.
 func stateOf(n *node) map[string]int64 {
 	out := map[string]int64{}
-	v := reflect.ValueOf(n).Elem()
+	node := reflect.ValueOf(n)
+	v := node.Elem()
 	for i := range v.NumField() {
 		if role, ok := stateRoles[v.Type().Field(i).Name]; ok {
-			out[role] += deepSize(v.Field(i), map[uintptr]bool{})
+			out[role] += deepSize(v.Field(i), map[uintptr]bool{node.Pointer(): true}) // parts point back to their daemon
 		}
 	}
 	return out
--- a/internal/daemon/identity_test.go
+++ b/internal/daemon/identity_test.go
@@ -79,7 +79,7 @@
 	}
 	restart() // its numbers begin anew
 	w.until(2000, func() bool {
-		h, _ := front.sh.node.holder("slice/" + front.sh.node.shardOf(first))
+		h, _ := front.sh.node.leases.Holder("slice/" + front.sh.node.shardOf(first))
 		return h == owner.Name
 	})
 	w.ask("caller", front, "job.put", first, jobBody(queue), 5000, func(int, int64, []byte) {})
@@ -87,7 +87,7 @@
 	numbers := front.sh.node.forwardSeq
 	restart()
 	must.True(t, w.until(600, func() bool {
-		h, _ := front.sh.node.holder("slice/" + front.sh.node.shardOf(second))
+		h, _ := front.sh.node.leases.Holder("slice/" + front.sh.node.shardOf(second))
 		return h == owner.Name
 	}),
 		must.Sprint("the second life knows no owner in time"))
--- a/internal/daemon/lease_test.go
+++ b/internal/daemon/lease_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"otterchute/internal/codec"
+	"otterchute/internal/lease"
 	"otterchute/internal/quorum"
 	"otterchute/internal/wire"
 	"slices"
@@ -20,13 +21,37 @@
 		if !n.up {
 			continue
 		}
-		if d := n.sh.node.roles[duty]; d != nil && d.phase == roleHeld && n.steadyMs() < d.untilMs-leaseSlackMs {
+		if leases := n.sh.node.leases; leases.Serves(duty) && n.steadyMs() < leases.HeldUntilMs(duty) {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
+// countsEpoch tells whether a daemon is counting a role's epoch up.
+func (n *node) countsEpoch(role string) bool {
+	for _, o := range n.changes {
+		if o.kind == "duty" && string(o.arg) == role {
+			return true
+		}
+	}
+	return false
+}
+
+// lastPoll gives the newest round of polls among a daemon's effects.
+func lastPoll(t *testing.T, n *node) *wire.PollRequest {
+	t.Helper()
+	for _, e := range slices.Backward(n.out) {
+		if s, ok := e.(effSend); ok {
+			if m, ok := s.Msg.(*wire.PollRequest); ok {
+				return m
+			}
+		}
+	}
+	t.Fatal("no poll was sent")
+	return nil
+}
+
 // heldOnce runs the world on and demands that never two daemons hold a duty.
 func (w *world) heldOnce(t *testing.T, ms int64, duties ...string) {
 	t.Helper()
@@ -65,22 +90,21 @@
 		first, second := w.nodes["d05"], w.nodes["d06"]
 		const name = "slice/spare"
 		w.oneWay("d05", "d02", true) // its poll reaches d00 and d01 only
-		first.sh.node.acquire(name)
-		d := first.sh.node.roles[name]
-		must.True(t, w.stepUntil(1000, func() bool { return d.phase == roleAdvancingEpoch }))
+		first.sh.node.leases.Acquire(name)
+		must.True(t, w.stepUntil(1000, func() bool { return first.sh.node.countsEpoch(name) }))
 		w.oneWay("d05", "d02", false) // its accept reaches d01 and d02 only
 		must.True(t, w.stepUntil(100, func() bool { return first.sh.node.accepts("duty/" + name) }))
 		w.oneWay("d05", "d00", true)
-		must.True(t, w.stepUntil(100, func() bool { return d.phase == roleHeld }))
+		must.True(t, w.stepUntil(100, func() bool { return first.sh.node.leases.Serves(name) }))
 		w.oneWay("d05", "d02", true) // no renewal gets there
 		w.nodes["d00"].kill(false)
 		w.nodes["d00"].start()
-		second.sh.node.acquire(name)
+		second.sh.node.leases.Acquire(name)
 		w.heldOnce(t, 3000, name)
 		w.heal()
-		w.run(2 * leaseMs)
-		second.sh.node.acquire(name)
-		must.True(t, w.until(1000, func() bool { return second.sh.node.holds(name) }))
+		w.run(2 * lease.DurationMs)
+		second.sh.node.leases.Acquire(name)
+		must.True(t, w.until(1000, func() bool { return second.sh.node.leases.Holds(name) }))
 		w.heldOnce(t, 1000, name)
 	}
 }
@@ -142,9 +166,9 @@
 	func(w *world, _ []string) { w.someNode().skewMs += w.rng.Int64N(40_000) - 20_000 },
 	func(w *world, _ []string) { // a holder hands a duty on
 		if n := w.holderOf("slice/" + w.some([]string{"east", "west", "mid"})); n != nil {
-			for _, name := range sorted(n.sh.node.roles) {
-				if d := n.sh.node.roles[name]; d.phase == roleHeld && roleKind(name) == "slice" {
-					n.sh.node.handOff(d, w.someNode().Name)
+			for _, name := range n.sh.node.leases.Roles() {
+				if kind, _ := lease.SplitRole(name); kind == lease.KindShard && n.sh.node.leases.Serves(name) {
+					n.sh.node.leases.HandOff(name, w.someNode().Name)
 				}
 			}
 		}
@@ -201,21 +225,21 @@
 	w := served(t, 7300)
 	first, second := w.nodes["d05"], w.nodes["d06"]
 	const name = "slice/spare"
-	first.sh.node.acquire(name)
-	must.True(t, w.until(2000, func() bool { return first.sh.node.holds(name) }))
-	said := first.sh.node.selfInfo()
+	first.sh.node.leases.Acquire(name)
+	must.True(t, w.until(2000, func() bool { return first.sh.node.leases.Holds(name) }))
+	said := first.sh.node.peers.Self()
 	said.Incarnation++
 	for _, other := range sorted(w.nodes) { // a daemon that is back tells of a life with a later clock
 		if other != "d05" {
-			w.nodes[other].sh.node.mergePeer(said)
+			w.nodes[other].sh.node.onGossip("d07", &wire.Gossip{Self: said})
 		}
 	}
-	first.event(evMsg{Head: wire.Header{From: "d07", Cluster: first.sh.node.core.Cluster}, Msg: &wire.Gossip{Self: w.nodes["d07"].sh.node.selfInfo(), Table: []wire.Peer{said}}})
+	first.event(evMsg{Head: wire.Header{From: "d07", Cluster: first.sh.node.core.Cluster}, Msg: &wire.Gossip{Self: w.nodes["d07"].sh.node.peers.Self(), Table: []wire.Peer{said}}})
 	must.Greater(t, said.Incarnation, first.sh.node.Incarnation)
 	w.cutHost("d05")
-	second.sh.node.acquire(name)
+	second.sh.node.leases.Acquire(name)
 	w.heldOnce(t, 3000, name)
-	must.True(t, w.until(1000, func() bool { return second.sh.node.holds(name) }))
+	must.True(t, w.until(1000, func() bool { return second.sh.node.leases.Holds(name) }))
 }
 
 // A grant that was asked for before a duty was let go says nothing of the duty
@@ -224,20 +248,22 @@
 	w := served(t, 7301)
 	n := w.nodes["d05"].sh.node
 	const name = "slice/spare"
-	n.acquire(name)
-	must.True(t, w.until(2000, func() bool { return n.holds(name) }))
-	n.poll.nextMs = 0
+	n.leases.Acquire(name)
+	must.True(t, w.until(2000, func() bool { return n.leases.Holds(name) }))
+	n.leases.PollSoon()
 	n.tickPoll()
-	asked := n.poll.sent[n.poll.seq]
-	i := slices.IndexFunc(asked.holds, func(h wire.LeaseRequest) bool { return h.Name == name })
-	n.loseRole(n.roles[name], "released")
-	n.acquire(name)
+	asked := lastPoll(t, n)
+	i := slices.IndexFunc(asked.Wanted, func(h wire.LeaseRequest) bool { return h.Name == name })
+	n.leases.Lose(name, "released")
+	n.leases.Acquire(name)
 	for _, m := range n.core.Names() {
-		a := &wire.PollResponse{Seq: n.poll.seq, SetVersion: n.core.Version, Granted: make([]bool, len(asked.holds)), Epochs: make([]uint64, len(asked.holds))}
+		a := &wire.PollResponse{Seq: n.leases.Polls(), SetVersion: n.core.Version, Granted: make([]bool, len(asked.Wanted)), Epochs: make([]uint64, len(asked.Wanted))}
 		a.Granted[i] = true
 		n.onPollResponse(m, a)
 	}
-	must.Eq(t, roleWanted, n.roles[name].phase)
+	must.SliceContains(t, n.leases.Roles(), name)
+	must.False(t, n.leases.Serves(name))
+	must.False(t, n.countsEpoch(name))
 }
 
 // A lease that has run out is not brought back by a late grant, even before the
@@ -246,23 +272,22 @@
 	w := served(t, 7302)
 	n := w.nodes["d05"].sh.node
 	const name = "slice/spare"
-	n.acquire(name)
-	must.True(t, w.until(2000, func() bool { return n.holds(name) }))
-	epoch := n.roles[name].epoch
+	n.leases.Acquire(name)
+	must.True(t, w.until(2000, func() bool { return n.leases.Holds(name) }))
 	n.now += 850
-	n.poll.nextMs = 0
+	n.leases.PollSoon()
 	n.tickPoll()
-	asked := n.poll.sent[n.poll.seq]
+	asked := lastPoll(t, n)
 	n.now += 150
 	for _, m := range n.core.Names() {
-		a := &wire.PollResponse{Seq: n.poll.seq, SetVersion: n.core.Version, Granted: make([]bool, len(asked.holds)), Epochs: make([]uint64, len(asked.holds))}
+		a := &wire.PollResponse{Seq: n.leases.Polls(), SetVersion: n.core.Version, Granted: make([]bool, len(asked.Wanted)), Epochs: make([]uint64, len(asked.Wanted))}
 		for i := range a.Granted {
 			a.Granted[i] = true
 		}
 		n.onPollResponse(m, a)
 	}
-	must.False(t, n.holds(name))
-	must.True(t, n.roles[name] == nil || n.roles[name].epoch != epoch)
+	must.False(t, n.leases.Holds(name))
+	must.False(t, n.leases.Serves(name))
 }
 
 // A member takes no release and renews no lease from a poll that a later one of
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -3,65 +3,50 @@
 // All constants of the daemon stand here, each with its unit in the name and
 // the reason for its size.
 const (
-	tickMs            = 100            // the reducer's heartbeat; every wait below is a multiple
-	pollMs            = 200            // lease renewals; five tries fit in one lease
-	pollColocatedMs   = 400            // daemons beside workers hold no lease; the setup they go by is confirmed this often
-	leaseMs           = 1000           // long enough for five renewals, short enough that urgent work hardly misses its aim
-	clockWaitMs       = 800            // a core member hears clocks this long before it tells the fleet's time
-	leaseSlackMs      = 100            // ms a holder gives up before its lease ends, for clock drift, see leaseHeldMs
-	flightMs          = 700            // an order that has not been answered by then is closed and unsettled
-	contactMs         = 1500           // an order needs the owner's word this fresh; a cancel must bite in 3 s
-	configFreshMs     = 1500           // a setup must be confirmed this freshly; an acked one must bite in 2 s
-	reportMs          = 1500           // a worker's word must be this fresh; leaving must bite in 2 s
-	gossipMs          = 500            // sibling tables are exchanged at this pace
-	peerAliveMs       = 4000           // a sibling whose beat stood still this long counts as gone
-	forgetMs          = 3600_000       // a worker not heard of for an hour leaves the views
-	peerKeepMs        = 48 * msPerHour // a site cut off for hours must still know where the others were
-	frozenMs          = 1000           // no event for that long, with ten ticks a second: the machine stood still
-	peersMax          = 1000           // names in the table; the longest silent one goes first
-	rankMs            = 3000           // the paper's and the design's round of ranks and targets
-	rankStaleMs       = 3 * rankMs     // three missed rounds: ranks and targets are ignored
-	syncMs            = 300            // agents tell owners and the central scheduler all they hold
-	allocationRetryMs = 1000           // owners repeat their asks for firm places
-	allocationStaleMs = 3000           // the central scheduler drops asks not repeated
-	grantMs           = 2500           // a grant not seen at the agent by then frees its room
-	configForwardMs   = 2400           // the same for a change of the setup, which a core member tries for changeMs
-	forwardMs         = 1200           // an ask handed over without an answer is given up on
-	quorumReadMs      = 500            // a state read from the core that takes longer is given up on
-	changeMs          = 2500           // a register change that has not ended by then is given up on
-	changeRetryMs     = 150            // base of the jittered wait between two tries of a change
-	writeRetry        = 600            // ms before unacknowledged record writes are sent again
-	acquireStepMs     = 700            // each lower-ranked candidate waits this much longer for a free duty
-	returnMs          = 8000           // a slice owner outside its site goes home when the site stood this long
-	replaceMs         = 10000          // a core member gone this long may be replaced by a spare disk
-	stopMs            = 2000           // a graceful stop ends in this time whatever happens, but for a core member's
-	slotHandoverMs    = 3000           // a core member that stops waits this long for a spare to take its seat
-	slotUndoMs        = 600            // before that it takes a spare out again that has not finished
-	wantAgentMs       = 3000           // a candidate keeps trying for a worker's agent this long after a report
-	agentIdleMs       = 600_000        // an agent whose worker is silent and owes nothing lets go
-	tombstoneMs       = 6000           // dropped attempts are remembered longer than any placement stays fresh
-	silentMs          = 5000           // a worker not heard of for this long is shown as silent
-	limitMargin       = 5000           // ms past a run limit before a queue that trusts it has a silent run settled
-	bypassMs          = 3000           // queued tasks may overtake a larger head for this long, no longer
-	backoffMs         = 500            // base wait of a failing task's next try, doubled each time
-	backoffMax        = 30_000         // ms; the longest such wait
-	finishedMs        = 600_000        // finished jobs answered from the owner's memory this long
-	dueMarginMs       = 50             // starts wait this much past the due time, for what sound clocks differ by
-	clockOldMs        = 10_000         // a clock reading older than this is replaced by a later one, or has no say
-	rebuildMs         = 500            // a new central scheduler listens this long before it grants: agents speak each 300 ms
-	reserveMs         = 4000           // the longest-waiting firm task holds a worker back after this
-	formStableMs      = 700            // so long the same empty disks must be seen before a core is formed of them
-	unresponsiveMs    = 1600           // a new empty disk takes the place of a member that missed four polls
-	formTurnMs        = 1500           // each later member waits this much longer before it brings a formation to its end
-	formAgainMs       = 300            // votes that did not come are asked for again
-	firstGossipMs     = 200            // a disk without a core gossips at this pace
-	holdMostMs        = 10_000         // defaults of what a platform bounds: see docs/settings.md
+	tickMs            = 100        // the reducer's heartbeat; every wait below is a multiple
+	flightMs          = 700        // an order that has not been answered by then is closed and unsettled
+	contactMs         = 1500       // an order needs the owner's word this fresh; a cancel must bite in 3 s
+	configFreshMs     = 1500       // a setup must be confirmed this freshly; an acked one must bite in 2 s
+	reportMs          = 1500       // a worker's word must be this fresh; leaving must bite in 2 s
+	forgetMs          = 3600_000   // a worker not heard of for an hour leaves the views
+	frozenMs          = 1000       // no event for that long, with ten ticks a second: the machine stood still
+	rankMs            = 3000       // the paper's and the design's round of ranks and targets
+	rankStaleMs       = 3 * rankMs // three missed rounds: ranks and targets are ignored
+	syncMs            = 300        // agents tell owners and the central scheduler all they hold
+	allocationRetryMs = 1000       // owners repeat their asks for firm places
+	allocationStaleMs = 3000       // the central scheduler drops asks not repeated
+	grantMs           = 2500       // a grant not seen at the agent by then frees its room
+	configForwardMs   = 2400       // the same for a change of the setup, which a core member tries for changeMs
+	forwardMs         = 1200       // an ask handed over without an answer is given up on
+	quorumReadMs      = 500        // a state read from the core that takes longer is given up on
+	changeMs          = 2500       // a register change that has not ended by then is given up on
+	changeRetryMs     = 150        // base of the jittered wait between two tries of a change
+	writeRetry        = 600        // ms before unacknowledged record writes are sent again
+	replaceMs         = 10000      // a core member gone this long may be replaced by a spare disk
+	stopMs            = 2000       // a graceful stop ends in this time whatever happens, but for a core member's
+	slotHandoverMs    = 3000       // a core member that stops waits this long for a spare to take its seat
+	slotUndoMs        = 600        // before that it takes a spare out again that has not finished
+	agentIdleMs       = 600_000    // an agent whose worker is silent and owes nothing lets go
+	tombstoneMs       = 6000       // dropped attempts are remembered longer than any placement stays fresh
+	silentMs          = 5000       // a worker not heard of for this long is shown as silent
+	limitMargin       = 5000       // ms past a run limit before a queue that trusts it has a silent run settled
+	bypassMs          = 3000       // queued tasks may overtake a larger head for this long, no longer
+	backoffMs         = 500        // base wait of a failing task's next try, doubled each time
+	backoffMax        = 30_000     // ms; the longest such wait
+	finishedMs        = 600_000    // finished jobs answered from the owner's memory this long
+	dueMarginMs       = 50         // starts wait this much past the due time, for what sound clocks differ by
+	rebuildMs         = 500        // a new central scheduler listens this long before it grants: agents speak each 300 ms
+	reserveMs         = 4000       // the longest-waiting firm task holds a worker back after this
+	formStableMs      = 700        // so long the same empty disks must be seen before a core is formed of them
+	unresponsiveMs    = 1600       // a new empty disk takes the place of a member that missed four polls
+	formTurnMs        = 1500       // each later member waits this much longer before it brings a formation to its end
+	formAgainMs       = 300        // votes that did not come are asked for again
+	holdMostMs        = 10_000     // defaults of what a platform bounds: see docs/settings.md
 	gangWaitMs        = 3000
 	saveMs            = 1000
 	restoreMs         = 250
 	spareStepMs       = 1500 // each later spare disk waits this much longer before it goes for the core
 
-	gossipFanout       = 4        // siblings a daemon exchanges with; log2 of today's fleets
 	coreSize           = 3        // disks that hold the state
 	kLowest            = 50       // the design's k: the most workers a queueable task is drawn among
 	kLeast             = 3        // and the fewest; between them a quarter of the allowed ones, see docs/rounds.md
@@ -101,17 +86,6 @@
 	msPerHour = 3600_000
 )
 
-// Of leases.
-const (
-	// leaseHeldMs is how long a holder keeps a lease, from when it asked; members
-	// keep it for leaseMs, from when they granted it, which is later. So a holder's
-	// steady clock may run slower than a member's by a tenth (900 of 1000) before
-	// two could hold one duty. Steady clocks of machines differ by less than a
-	// thousandth; both read whole ms, which takes 2 of the 100; and a freeze or a
-	// sleep counts on both, since they read the boot clock.
-	leaseHeldMs = leaseMs - leaseSlackMs
-)
-
 // Of batches.
 const (
 	batchPlanMs     = 2000   // batches are planned anew at this pace; far below batchMarginMs
--- a/internal/daemon/linear_test.go
+++ b/internal/daemon/linear_test.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"fmt"
+	"otterchute/internal/lease"
 	"otterchute/internal/wire"
 	"slices"
 	"testing"
@@ -18,12 +19,13 @@
 	w.putAnywhere(t, 2, 0)
 	w.run(1000)
 	n = w.nodes["d05"].sh.node
-	n.now, n.poll.nextMs, n.out = n.now+pollMs, 0, nil
+	n.now, n.out = n.now+lease.PollMs, nil
+	n.leases.PollSoon()
 	n.tickPoll()
 	confirm = func() {
-		r := n.poll.sent[n.poll.seq]
+		count := len(lastPoll(t, n).Wanted)
 		for _, m := range n.core.Names() {
-			n.onPollResponse(m, &wire.PollResponse{Seq: n.poll.seq, SetVersion: n.core.Version, Granted: make([]bool, len(r.holds)), Epochs: make([]uint64, len(r.holds)), Config: n.config.ballot})
+			n.onPollResponse(m, &wire.PollResponse{Seq: n.leases.Polls(), SetVersion: n.core.Version, Granted: make([]bool, count), Epochs: make([]uint64, count), Config: n.config.ballot})
 		}
 		n.tickConfig()
 	}
@@ -40,7 +42,7 @@
 	n.onRequest(evRequest{ID: 9, Op: "setup.get", Expect: -1})
 	confirm()
 	must.False(t, read(200))
-	n.poll.nextMs = 0
+	n.leases.PollSoon()
 	n.tickPoll()
 	confirm()
 	must.True(t, read(200))
@@ -51,7 +53,7 @@
 func TestReadIsCheckedAfterAFreeze(t *testing.T) {
 	n, confirm, read := readingNode(t, 7501)
 	n.onRequest(evRequest{ID: 9, Op: "setup.get", Expect: -1})
-	n.poll.nextMs = 0
+	n.leases.PollSoon()
 	n.tickPoll()
 	n.now, n.wokeMs = n.now+9000, n.now+9000
 	confirm()
--- a/internal/daemon/membership.go
+++ b/internal/daemon/membership.go
@@ -2,7 +2,9 @@
 
 import (
 	"cmp"
+	"otterchute/internal/cluster"
 	"otterchute/internal/codec"
+	"otterchute/internal/lease"
 	"otterchute/internal/quorum"
 	"otterchute/internal/rendezvous"
 	"otterchute/internal/statestore"
@@ -80,7 +82,7 @@
 
 // slotStateOf gives the state of a member's seat as it looks from here.
 func (n *node) slotStateOf(m quorum.Member) slotState {
-	s := n.peers[m.Name]
+	s := n.peers.Get(m.Name)
 	switch {
 	case m.Name == n.Name && m.DiskID != n.DiskID:
 		return slotWiped
@@ -90,11 +92,11 @@
 		return slotOccupied
 	case s == nil:
 		return slotSilent
-	case n.alive(m.Name) && s.DiskID != m.DiskID:
+	case n.peers.Alive(m.Name) && s.DiskID != m.DiskID:
 		return slotWiped
 	case s.Leaving && !n.longSilent(m.Name):
 		return slotLeaving
-	case !n.alive(m.Name) || n.unresponsive(m.Name) && n.now-s.heardMs > unresponsiveMs:
+	case !n.peers.Alive(m.Name) || n.leases.Unresponsive(m.Name, unresponsiveMs) && n.now-s.HeardMs > unresponsiveMs:
 		return slotSilent
 	case !s.Disk:
 		return slotDiskFailed
@@ -105,21 +107,15 @@
 // longSilent tells whether a daemon was silent for so long that what it last said
 // of itself counts for nothing.
 func (n *node) longSilent(name string) bool {
-	s := n.peers[name]
-	return s == nil || n.now-s.heardMs > replaceMs
-}
-
-// unresponsive tells whether a member answers none of this daemon's polls, though a
-// majority does.
-func (n *node) unresponsive(name string) bool {
-	return n.poll.firstMs != 0 && n.now-n.poll.contactMs < 2*pollColocatedMs && n.now-max(n.poll.heardMs[name], n.poll.firstMs) > unresponsiveMs
+	s := n.peers.Get(name)
+	return s == nil || n.now-s.HeardMs > replaceMs
 }
 
 // slotWaitMs is how long a seat stands in its state before a spare goes for it.
 func (n *node) slotWaitMs(state slotState) int64 {
 	switch {
 	case state == slotWiped:
-		return 2 * gossipMs
+		return 2 * cluster.RoundMs
 	case state == slotLeaving, state == slotSilent && n.newcomer:
 		return 0
 	}
@@ -195,7 +191,7 @@
 	if at < 0 || state != slotWiped && !n.copyComplete(j, n.core.Majority()) {
 		return
 	}
-	if state == slotLeaving && !n.unresponsive(n.core.Members[at].Name) {
+	if state == slotLeaving && !n.leases.Unresponsive(n.core.Members[at].Name, unresponsiveMs) {
 		n.proposeSet(j, n.core.With(quorum.Member{Name: n.Name, DiskID: n.DiskID}))
 		return
 	}
@@ -215,7 +211,7 @@
 	j := n.learner
 	if n.core.Members[newest].Name != n.Name {
 		late := n.leavingSince != 0 && n.now-n.leavingSince > slotHandoverMs-slotUndoMs
-		if late || n.unresponsive(n.core.Members[newest].Name) {
+		if late || n.leases.Unresponsive(n.core.Members[newest].Name, unresponsiveMs) {
 			n.proposeSet(j, n.core.Without(newest))
 		}
 		return
@@ -275,22 +271,20 @@
 
 // notifySpares lets the spares know at once that this member leaves.
 func (n *node) notifySpares() {
-	n.heartbeat++
+	var names []string
 	for _, s := range n.spares() {
-		n.send(s.Name, n.coreSetUpdate())
+		names = append(names, s.Name)
 	}
+	n.peers.AnnounceTo(names)
 }
 
 // spares gives the disks outside the core whose daemons were heard of lately: a
 // member that was just removed because it is gone is none.
 func (n *node) spares() (out []wire.Peer) {
-	for _, name := range n.aliveNames() {
-		s := n.selfInfo()
-		if name != n.Name {
-			if n.now-n.peers[name].heardMs > unresponsiveMs {
-				continue
-			}
-			s = n.peers[name].Peer
+	for _, name := range n.peers.AliveNames() {
+		s := n.peers.Describe(name)
+		if silentMs, known := n.peers.SilentMs(name); known && silentMs > unresponsiveMs {
+			continue
 		}
 		if s.Disk && !s.Leaving && !n.core.Has(s.Name, s.DiskID) {
 			out = append(out, s)
@@ -314,7 +308,7 @@
 	members := map[string]int{}
 	for _, m := range n.core.Members {
 		if m.Name != missing {
-			members[n.zoneOf(m.Name)]++
+			members[n.peers.Zone(m.Name)]++
 		}
 	}
 	spares := n.spares()
@@ -378,7 +372,7 @@
 // resetDisk makes this daemon's disk a new, empty one. Where its seat was taken,
 // the fleet has a machine more than before, which was brought for some member's.
 func (n *node) resetDisk() {
-	n.DiskID, n.store, n.granter, n.learner, n.forming, n.newcomer = n.rand().Uint64()|1, statestore.New(), newLeaseGranter(), nil, nil, true
+	n.DiskID, n.store, n.granter, n.learner, n.forming, n.newcomer = n.rand().Uint64()|1, statestore.New(), lease.NewGranter(), nil, nil, true
 	n.emit(effWipe{DiskID: n.DiskID})
 	n.log("disk_restarted", "disk", n.DiskID)
 }
@@ -402,5 +396,5 @@
 		n.log("disk_recovered", "reason", n.diskFailed)
 		n.diskFailed = ""
 	}
-	n.gossipAt = 0 // the others hear of it at once
+	n.peers.GossipSoon() // the others hear of it at once
 }
--- a/internal/daemon/membership_test.go
+++ b/internal/daemon/membership_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"otterchute/internal/lease"
 	"otterchute/internal/quorum"
 	"otterchute/internal/register"
 	"otterchute/internal/statestore"
@@ -411,7 +412,7 @@
 	n.core = quorum.Set{Cluster: 9, Version: 2, Members: []quorum.Member{{Name: "a", DiskID: 1}, {Name: "b", DiskID: 2}, {Name: "c", DiskID: 3}, {Name: "d", DiskID: 4}}}
 	nowMs := int64(1000)
 	for i, name := range []string{"a", "b", "c"} {
-		n.peers[name] = &peer{Peer: wire.Peer{Name: name, Addr: name + ":1", Disk: true, DiskID: uint64(i + 1), Leaving: name == "c"}, heardMs: nowMs}
+		n.peers.Record(wire.Peer{Name: name, Addr: name + ":1", Disk: true, DiskID: uint64(i + 1), Leaving: name == "c"}, nowMs)
 	}
 	var asked []*wire.CopyRequest
 	removes := false
@@ -498,7 +499,7 @@
 	n.now = 20_000
 	n.core = quorum.Set{Cluster: 9, Version: 2, Members: []quorum.Member{{Name: "a", DiskID: 1}, {Name: "b", DiskID: 2}, {Name: "c", DiskID: 3}}}
 	for i, name := range []string{"a", "b", "c"} {
-		n.peers[name] = &peer{Peer: wire.Peer{Name: name, Disk: true, DiskID: uint64(i + 1)}, heardMs: n.now}
+		n.peers.Record(wire.Peer{Name: name, Disk: true, DiskID: uint64(i + 1)}, n.now)
 	}
 	j := &learner{vacantSince: map[string]int64{"a": 1, "b": 1, "c": 1}}
 	says := func(want int, state slotState) {
@@ -511,13 +512,13 @@
 		must.Eq(t, state, got)
 	}
 	says(-1, slotOccupied)
-	n.peers["a"].Disk = false
+	n.peers.Get("a").Disk = false
 	says(0, slotDiskFailed)
-	n.peers["b"].heardMs = 0
+	n.peers.Get("b").HeardMs = 0
 	says(1, slotSilent)
-	n.peers["c"].Leaving = true
+	n.peers.Get("c").Leaving = true
 	says(2, slotLeaving)
-	n.peers["a"].DiskID = 7
+	n.peers.Get("a").DiskID = 7
 	says(0, slotWiped)
 }
 
@@ -542,15 +543,22 @@
 func TestNextSetIsLearned(t *testing.T) {
 	n := newNode(nodeConfig{Name: "d", Addr: "d:1", Disk: true, DiskID: 4}, statestore.New())
 	n.store.Apply(statestore.Entry{Kind: statestore.EntryForm, Value: quorum.Set{Cluster: 9}.Encode()})
+	n.now = 10_000 // long before, with other disks
+	n.adoptCoreSet(quorum.Set{Cluster: 9, Version: 1, Members: []quorum.Member{{Name: "a", DiskID: 11}, {Name: "b", DiskID: 12}, {Name: "c", DiskID: 13}}})
+	n.tickPoll()
 	n.now = 50_000
-	n.poll.firstMs, n.poll.contactMs = 1, n.now
+	n.tickPoll()
+	for _, member := range []string{"b", "c"} {
+		n.onPollResponse(member, &wire.PollResponse{Seq: n.leases.Polls(), SetVersion: 1})
+	}
+	must.True(t, n.leases.Unresponsive("a", unresponsiveMs))
 	larger := quorum.Set{Cluster: 9, Version: 2, Members: []quorum.Member{{Name: "a", DiskID: 1}, {Name: "b", DiskID: 2}, {Name: "c", DiskID: 3}, {Name: "d", DiskID: 4}}}
 	n.adoptCoreSet(larger)
-	must.False(t, n.unresponsive("a"))
+	must.False(t, n.leases.Unresponsive("a", unresponsiveMs))
 	o := n.startChange("setup", "setup", nil, 0)
 	former := o.Ballot
 	n.now += 400
-	n.granter.guardMs = 0
+	n.granter = lease.NewGranter()
 	n.adoptCoreSet(larger.Without(2))
 	must.True(t, former.Less(o.Ballot))
 	var versions []int64
@@ -562,9 +570,9 @@
 		}
 	}
 	must.Eq(t, []int64{3, 3, 3}, versions)
-	must.Eq(t, n.now+leaseMs, n.granter.guardMs)
-	n.granter.guardMs = 0
+	must.Eq(t, lease.DurationMs, n.granter.GuardLeftMs(n.now))
+	n.granter = lease.NewGranter()
 	n.adoptCoreSet(larger.Without(2).Without(0).With(quorum.Member{Name: "e", DiskID: 5}))
 	n.now += unresponsiveMs
-	must.False(t, n.unresponsive("e"))
+	must.False(t, n.leases.Unresponsive("e", unresponsiveMs))
 }
--- a/internal/daemon/reduce.go
+++ b/internal/daemon/reduce.go
@@ -4,7 +4,9 @@
 	"cmp"
 	"maps"
 	"math/rand/v2"
+	"otterchute/internal/cluster"
 	"otterchute/internal/configuration"
+	"otterchute/internal/lease"
 	"otterchute/internal/quorum"
 	"otterchute/internal/register"
 	"otterchute/internal/statestore"
@@ -125,12 +127,6 @@
 	effExit struct{}
 )
 
-type peer struct {
-	wire.Peer
-	heardMs int64 // when its beat last moved, by our clock
-	hash    uint64
-}
-
 // node is the whole state of a daemon. Only reduce changes it.
 type node struct {
 	nodeConfig
@@ -142,15 +138,12 @@
 	counts     map[string]int64
 	onTickPart func(role string) // told of each part of a tick; only in experiments
 
-	heartbeat    uint64
-	gossipAt     int64
-	peers        map[string]*peer
-	byHash       map[uint64]string // siblings by what is said of them, see gossip.go
+	peers        *cluster.Directory
 	core         quorum.Set
 	leavingSince int64
 
 	store     *statestore.Store
-	granter   *leaseGranter // of a core member
+	granter   *lease.Granter // of a core member
 	forming   *formation
 	formKey   string // the empty disks seen
 	formSince int64  // since when they are the same
@@ -163,9 +156,7 @@
 	opSeq    uint64
 	proposer register.Proposer
 
-	poll    pollState
-	roles   map[string]*roleLease
-	holders map[string]wire.RoleHolder
+	leases *lease.Manager
 
 	config configState
 	ready  *configuration.Configuration // came with this event
@@ -193,11 +184,14 @@
 }
 
 func newNode(p nodeConfig, st *statestore.Store) *node {
-	return &node{nodeConfig: p, store: st, granter: newLeaseGranter(), newcomer: st != nil && st.Set().Version == 0 && !p.FirstStart, counts: map[string]int64{}, peers: map[string]*peer{},
-		changes: map[uint64]*registerChange{}, proposer: register.Proposer{Name: p.Name, Life: p.Instance, Timing: changeTiming}, roles: map[string]*roleLease{}, holders: map[string]wire.RoleHolder{},
+	n := &node{nodeConfig: p, store: st, granter: lease.NewGranter(), newcomer: st != nil && st.Set().Version == 0 && !p.FirstStart, counts: map[string]int64{},
+		changes: map[uint64]*registerChange{}, proposer: register.Proposer{Name: p.Name, Life: p.Instance, Timing: changeTiming},
 		forwarded: map[uint64]*forwardedRequest{}, quorumReads: map[uint64]*quorumRead{}, owned: map[string]*shard{}, agents: map[string]*agent{},
-		workers: map[string]*workerView{}, estimates: map[string]*estimate{}, poll: pollState{sent: map[uint64]*pollRound{}, slowMs: map[string]int64{}},
+		workers: map[string]*workerView{}, estimates: map[string]*estimate{},
 		config: newConfigState()}
+	n.peers = cluster.New(host{n}, p.Name, p.Seeds)
+	n.leases = lease.NewManager(host{n}, n.peers)
+	return n
 }
 
 // reduce applies one event to the state and gives the effects. It reads no
@@ -330,15 +324,8 @@
 }
 
 func (n *node) sendEffect(to string, msg any) effect {
-	addr := ""
-	if s := n.peers[to]; s != nil {
-		addr = s.Addr
-	}
-	if to == n.Name {
-		addr = n.Addr
-	}
 	n.count("messages_out")
-	return effSend{To: to, Addr: addr, Dest: n.destination(to, msg), Msg: msg}
+	return effSend{To: to, Addr: n.peers.Addr(to), Dest: n.destination(to, msg), Msg: msg}
 }
 
 func (n *node) send(to string, msg any) { n.emit(n.sendEffect(to, msg)) }
--- a/internal/daemon/registers.go
+++ b/internal/daemon/registers.go
@@ -32,7 +32,7 @@
 		"read": {decide: func(*node, *registerChange, []byte) (register.Decision, []byte) { return register.Keep, nil },
 			done: func(*node, *registerChange, register.Outcome) {}},
 		"core":  {decide: changeCoreSet, done: (*node).coreChanged},
-		"duty":  {decide: advanceEpoch, done: (*node).epochAdvanced},
+		"duty":  {decide: decideEpoch, done: (*node).epochChanged},
 		"setup": {decide: changeConfig, done: (*node).configChanged},
 		"taken": {decide: findChangeDecision, done: (*node).changeFound},
 		"empty": {decide: changeEmptiedZones, done: (*node).zonesChanged},
@@ -46,7 +46,7 @@
 	n.opSeq++
 	o := &registerChange{kind: kind, arg: arg, expect: expect}
 	change := func(current []byte) (register.Decision, []byte) { return changeKinds[kind].decide(n, o, current) }
-	n.proposer.Observe(n.poll.setup.Round)
+	n.proposer.Observe(n.config.newest.Round)
 	var out []register.Envelope
 	o.Operation, out = n.proposer.Begin(n.opSeq, reg, change, n.core.RegisterSet(), n.now)
 	n.changes[o.ID] = o
@@ -88,10 +88,10 @@
 func (n *node) tickChanges() {
 	for _, id := range sorted(n.changes) {
 		o := n.changes[id]
-		if o.request != nil && n.cutOff() {
+		if o.request != nil && n.leases.CutOff() {
 			o.Abandon()
 		}
-		n.proposer.Observe(n.poll.setup.Round)
+		n.proposer.Observe(n.config.newest.Round)
 		n.sendAll(o.Tick(n.core.RegisterSet(), n.now))
 		n.endChange(o)
 	}
@@ -146,9 +146,9 @@
 	var set quorum.Set
 	if outcome == register.Done && codec.Unmarshal(o.Value(), &set) == nil {
 		n.adoptCoreSet(set)
-		for _, name := range n.aliveNames() {
+		for _, name := range n.peers.AliveNames() {
 			if name != n.Name {
-				n.send(name, n.coreSetUpdate())
+				n.send(name, n.peers.CoreSetUpdate())
 			}
 		}
 	}
--- /dev/null
+++ b/internal/daemon/roles.go
@@ -0,0 +1,106 @@
+package daemon
+
+import (
+	"otterchute/internal/lease"
+	"otterchute/internal/register"
+	"otterchute/internal/wire"
+)
+
+// What the roles of this daemon are for: see package lease for who holds them.
+
+// CountEpoch begins to count a role's epoch up.
+func (h host) CountEpoch(role string) { h.startChange(lease.Register(role), "duty", []byte(role), 0) }
+
+// WokeMs is when this daemon last woke from a freeze, or began.
+func (h host) WokeMs() int64 { return h.wokeMs }
+
+// RoleTaken begins to serve a role.
+func (h host) RoleTaken(role string, epoch uint64) {
+	switch kind, subject := lease.SplitRole(role); kind {
+	case lease.KindShard:
+		h.startShard(subject, epoch)
+	case lease.KindAgent:
+		h.startAgent(subject, epoch)
+	case lease.KindCentral:
+		h.startCentral(epoch)
+	}
+}
+
+// RoleLost stops serving a role.
+func (h host) RoleLost(role string) {
+	switch kind, subject := lease.SplitRole(role); kind {
+	case lease.KindShard:
+		h.endShard(subject)
+	case lease.KindAgent:
+		delete(h.agents, subject)
+	case lease.KindCentral:
+		h.central = nil
+	}
+}
+
+// HolderLost sends again what was forwarded to a daemon that has lost a role.
+func (h host) HolderLost(holder string) { h.retryForwarded(holder) }
+
+// RoundAnswered confirms the configuration.
+func (h host) RoundAnswered(r *lease.Round) { h.confirmConfig(r) }
+
+// decideEpoch counts a role's epoch up, as the change of its register.
+func decideEpoch(n *node, o *registerChange, current []byte) (register.Decision, []byte) {
+	return n.leases.DecideEpoch(string(o.arg), current)
+}
+
+func (n *node) epochChanged(o *registerChange, outcome register.Outcome) {
+	n.leases.EpochChanged(string(o.arg), outcome, o.Value())
+}
+
+func (n *node) onPollResponse(from string, m *wire.PollResponse) { n.leases.OnResponse(from, m) }
+
+func (n *node) tickPoll()  { n.leases.Tick() }
+func (n *node) tickRoles() { n.leases.TickRoles() }
+
+// fleetTime is the fleet's time at the least, in ms; 0 while it is unknown.
+func (n *node) fleetTime() int64 { return n.leases.Clock().Earliest(n.core, n.now) }
+
+// latestFleetTime is the fleet's time at the most.
+func (n *node) latestFleetTime() int64 { return n.leases.Clock().Latest(n.core, n.now) }
+
+func (n *node) onStop(evStop) {
+	if n.leavingSince != 0 {
+		return
+	}
+	n.leavingSince = n.now
+	n.log("stopping", "roles", len(n.leases.Roles()))
+	if n.inCore() {
+		n.notifySpares()
+	}
+	for _, role := range n.leases.Roles() {
+		successor := ""
+		if c := n.leases.Candidates(role, n.zoneOfRole(role)); len(c) > 0 {
+			successor = c[0]
+		}
+		if n.leases.Serves(role) {
+			n.leases.HandOff(role, successor)
+		}
+	}
+}
+
+// zoneOfRole is the zone whose daemons are to have a role first; "" for any.
+func (n *node) zoneOfRole(role string) string {
+	kind, subject := lease.SplitRole(role)
+	if ag := n.agents[subject]; kind == lease.KindAgent && ag != nil {
+		return ag.site
+	}
+	if kind == lease.KindShard {
+		return subject // shards are named after their zones
+	}
+	return ""
+}
+
+func (n *node) tickShutdown() {
+	if n.leavingSince == 0 || n.awaitsSuccessor() {
+		return
+	}
+	if len(n.leases.Roles()) == 0 && n.now-n.leavingSince > 300 || n.now-n.leavingSince > stopMs {
+		n.emit(effExit{})
+	}
+}
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -9,6 +9,7 @@
 
 	"otterchute/internal/configuration"
 	"otterchute/internal/historycheck"
+	"otterchute/internal/lease"
 
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
@@ -280,7 +281,7 @@
 			n.event(evStop{})
 			at := w.nowMs()
 			must.True(t, w.until(2000, func() bool { h := w.holderOf(duty); return h != nil && h != n }), must.Sprint("no successor for ", duty))
-			must.Less(t, leaseMs, w.nowMs()-at, must.Sprint(duty, " waited for the lease"))
+			must.Less(t, lease.DurationMs, w.nowMs()-at, must.Sprint(duty, " waited for the lease"))
 			must.True(t, w.until(stopMs+500, func() bool { return !n.up }), must.Sprint("the daemon did not end"))
 			n.start()
 			w.run(3000)
@@ -377,9 +378,9 @@
 	for i, name := range []string{"d00", "d01", "d02"} {
 		n := w.nodes[name].sh.node
 		n.Colocated = true
-		for _, duty := range sorted(n.roles) {
-			if d := n.roles[duty]; roleKind(duty) == "slice" && d.phase == roleHeld {
-				n.handOff(d, fmt.Sprintf("d%02d", 3+i))
+		for _, role := range n.leases.Roles() {
+			if kind, _ := lease.SplitRole(role); kind == lease.KindShard && n.leases.Serves(role) {
+				n.leases.HandOff(role, fmt.Sprintf("d%02d", 3+i))
 			}
 		}
 	}
@@ -413,7 +414,7 @@
 		})
 		w.run(1400)
 		cut()
-		w.run(leaseMs - 200) // it falls due here, while the owner's lease still holds
+		w.run(lease.DurationMs - 200) // it falls due here, while the owner's lease still holds
 		must.Zero(t, w.startsOf(j))
 		must.True(t, w.until(8000, func() bool { h := w.holderOf("slice/" + owner.sh.node.shardOf(j.id)); return h != nil && h != owner }))
 		w.run(2000)
--- a/internal/daemon/slices.go
+++ b/internal/daemon/slices.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"cmp"
 	"otterchute/internal/configuration"
+	"otterchute/internal/lease"
 	"otterchute/internal/resource"
 	"otterchute/internal/schema"
 	"otterchute/internal/statestore"
@@ -176,9 +177,8 @@
 		"job.cancel": (*node).handleCancel, "job.state": (*node).handleState, "worker.lost": (*node).handleWorkerLost}
 }
 
-func (n *node) startShard(d *roleLease) {
-	name := strings.TrimPrefix(d.name, "slice/")
-	n.owned[name] = &shard{name: name, epoch: d.epoch, startMs: n.now, seals: map[string]map[string]statestore.Record{}, missing: map[string]map[string]bool{},
+func (n *node) startShard(name string, epoch uint64) {
+	n.owned[name] = &shard{name: name, epoch: epoch, startMs: n.now, seals: map[string]map[string]statestore.Record{}, missing: map[string]map[string]bool{},
 		missingOps: map[uint64]string{}, merged: map[string]statestore.Record{}, jobs: map[string]*jobState{}, finished: map[string]*job{}, dirty: map[string]bool{}, loading: map[string]bool{},
 		writes: map[uint64]*writeBatch{}, lag: map[string]*replicaLag{}, fetches: map[uint64]*fetchOp{}, admitting: map[string]*fetchOp{}, absent: map[string]bool{}, lateMs: map[string]int64{}, liveByQueue: map[string]int{}, placed: map[string]map[placedAt]resource.Amount{}, load: map[string]resource.Amount{}}
 	n.sendSeals(n.owned[name])
@@ -224,9 +224,7 @@
 		return
 	}
 	if !m.OK {
-		if d := n.roles["slice/"+m.Shard]; d != nil {
-			n.loseRole(d, "sealed_higher")
-		}
+		n.leases.Lose(lease.ShardRole(m.Shard), "sealed_higher")
 		return
 	}
 	sl.served = max(sl.served, m.Served)
@@ -337,9 +335,7 @@
 	}
 	b := sl.writes[m.Seq]
 	if !m.OK {
-		if d := n.roles["slice/"+m.Shard]; d != nil {
-			n.loseRole(d, "epoch_passed")
-		}
+		n.leases.Lose(lease.ShardRole(m.Shard), "epoch_passed")
 		return
 	}
 	if b == nil {
@@ -501,7 +497,7 @@
 }
 
 func (n *node) onRecordFetched(sl *shard, f *fetchOp, old *job) {
-	if !n.holds("slice/" + sl.name) {
+	if !n.leases.Holds(lease.ShardRole(sl.name)) {
 		for _, a := range f.requests {
 			n.readFromCore(a, "the slice moved")
 		}
@@ -600,7 +596,7 @@
 		if !n.configConfirmedSince(a) && len(n.config.awaiting) < requestsMax {
 			// A version acknowledged just now may have it: ask the core first.
 			n.config.awaiting = append(n.config.awaiting, a)
-			n.poll.nextMs = 0
+			n.leases.PollSoon()
 			return
 		}
 		if a.queue != "" { // whoever resolved its address had another setup: soon it has this one
@@ -619,7 +615,7 @@
 func (n *node) admitJob(sl *shard, f *fetchOp) {
 	j, a := f.job, f.requests[0]
 	q := n.config.current.Queues[j.Queue]
-	wall := n.poll.fleetTime(n)
+	wall := n.fleetTime()
 	if q == nil || wall == 0 || !n.configFresh() {
 		n.rejectAdmission(f, func(a *request) { n.reject(a, "the setup or the core's time is not confirmed here") })
 		return
@@ -633,7 +629,7 @@
 	}
 	j.SubmitMs = wall
 	if j.DelayMs > 0 {
-		j.DueMs = n.poll.latestFleetTime(n) + j.DelayMs
+		j.DueMs = n.latestFleetTime() + j.DelayMs
 	}
 	js := &jobState{job: *j, runtime: make([]taskRuntime, len(j.Tasks)), bytes: size}
 	sl.jobs[j.ID] = js
@@ -766,7 +762,7 @@
 		return "queued at its worker"
 	case t.State != taskPending:
 		return ""
-	case js.dueOf(t.Round) > n.poll.fleetTime(n):
+	case js.dueOf(t.Round) > n.fleetTime():
 		return "not due yet"
 	case !js.readySteps(js.committed)[js.stepAt(t)]:
 		return "steps before it have not all ended well"
@@ -876,7 +872,7 @@
 // advanceJob does whatever a job's committed state now allows.
 func (n *node) advanceJob(sl *shard, js *jobState) {
 	n.answerWaiters(js)
-	if js.committed == 0 || !n.holds("slice/"+sl.name) {
+	if js.committed == 0 || !n.leases.Holds(lease.ShardRole(sl.name)) {
 		return
 	}
 	if js.DoneMs != 0 {
@@ -886,7 +882,7 @@
 		return
 	}
 	if state, ended := js.outcome(); ended {
-		wall := n.poll.fleetTime(n)
+		wall := n.fleetTime()
 		if wall == 0 {
 			return // how long the job is kept counts from its end: that waits for the fleet's time
 		}
@@ -897,7 +893,7 @@
 		return
 	}
 	n.turnRounds(sl, js)
-	wall := n.poll.fleetTime(n)
+	wall := n.fleetTime()
 	q := n.config.current.Queues[js.Queue]
 	outstanding, batch := 0, n.batchOf(&js.job) != nil
 	for i := range js.Tasks {
@@ -951,7 +947,7 @@
 
 // turnRounds opens the rounds that are due soon, and lets go of those that are over.
 func (n *node) turnRounds(sl *shard, js *jobState) {
-	wall := n.poll.fleetTime(n)
+	wall := n.fleetTime()
 	if js.Rounds == 0 || js.State != jobRunning || wall == 0 {
 		return
 	}
@@ -1160,7 +1156,7 @@
 	if len(m.Means) == 0 {
 		return
 	}
-	for _, name := range n.aliveNames() {
+	for _, name := range n.peers.AliveNames() {
 		if name != n.Name {
 			n.send(name, m)
 		}
@@ -1268,7 +1264,7 @@
 func (n *node) sendPlacement(sl *shard, js *jobState, i int) {
 	t := &js.Tasks[i]
 	w := n.workers[t.Worker]
-	if w == nil || w.epoch != t.AgentEpoch || !n.holds("slice/"+sl.name) {
+	if w == nil || w.epoch != t.AgentEpoch || !n.leases.Holds(lease.ShardRole(sl.name)) {
 		return
 	}
 	js.runtime[i].sentMs, js.runtime[i].echoMs = n.now, w.echoMs
@@ -1287,7 +1283,7 @@
 // requestAllocation asks for a firm place for a task; where tasks of its step are alike,
 // for all of them that wait now, and for a gang once nobody of it is placed.
 func (n *node) requestAllocation(sl *shard, js *jobState, i int) {
-	to, _ := n.holder("central")
+	to, _ := n.leases.Holder(lease.Central)
 	if to == "" {
 		return
 	}
@@ -1331,7 +1327,7 @@
 // onAllocation takes firm places from the central scheduler; a gang's all or none.
 func (n *node) onAllocation(_ string, m *wire.Allocation) {
 	sl := n.owned[m.Shard]
-	if sl == nil || !n.holds("slice/"+m.Shard) {
+	if sl == nil || !n.leases.Holds(lease.ShardRole(m.Shard)) {
 		return
 	}
 	js := sl.jobs[m.Job]
@@ -1503,7 +1499,7 @@
 		return
 	}
 	sl := n.owned[m.Shard]
-	if sl == nil || !sl.serving || !n.holds("slice/"+m.Shard) {
+	if sl == nil || !sl.serving || !n.leases.Holds(lease.ShardRole(m.Shard)) {
 		return
 	}
 	ack := &wire.OwnerReply{Worker: m.Worker, Epoch: m.Epoch, Shard: m.Shard, SliceEpoch: sl.epoch, SentMs: m.SentMs}
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -1,6 +1,10 @@
 package daemon
 
-import "otterchute/internal/wire"
+import (
+	"otterchute/internal/cluster"
+	"otterchute/internal/lease"
+	"otterchute/internal/wire"
+)
 
 // Status requests tell what this daemon knows of the fleet: whether it is ready,
 // the daemons and leases, the workers, and the common faults.
@@ -12,7 +16,7 @@
 		return "no cluster yet"
 	case n.leavingSince != 0:
 		return "this daemon is stopping"
-	case n.now-n.poll.contactMs > contactMs:
+	case n.now-n.leases.ContactMs() > contactMs:
 		return "the core can't be reached from here"
 	case n.config.current.Version == 0:
 		return "no setup yet"
@@ -20,7 +24,7 @@
 		return "the setup is not confirmed here"
 	}
 	for _, s := range n.core.Shards {
-		if h, _ := n.holder("slice/" + s); h == "" {
+		if h, _ := n.leases.Holder(lease.ShardRole(s)); h == "" {
 			return "slice " + s + " has no holder"
 		}
 	}
@@ -37,18 +41,15 @@
 
 func (n *node) getMembers(a *request) {
 	var list []map[string]any
-	for _, name := range append([]string{n.Name}, sorted(n.peers)...) {
-		s, ago := n.selfInfo(), int64(0)
-		if name != n.Name {
-			s, ago = n.peers[name].Peer, n.now-n.peers[name].heardMs
-		}
+	for _, name := range append([]string{n.Name}, n.peers.Names()...) {
+		s := n.peers.Describe(name)
+		ago, _ := n.peers.SilentMs(name) // 0 for ourselves
 		list = append(list, map[string]any{"name": s.Name, "site": s.Zone, "addr": s.Addr, "http": s.HTTP, "disk": s.Disk,
-			"live": n.alive(name), "heard_ms": ago, "core": n.core.Has(s.Name, s.DiskID)})
+			"live": n.peers.Alive(name), "heard_ms": ago, "core": n.core.Has(s.Name, s.DiskID)})
 	}
 	duties := []map[string]any{}
-	for _, name := range sorted(n.holders) {
-		v := n.holders[name]
-		duties = append(duties, map[string]any{"duty": name, "holder": v.Holder, "epoch": v.Epoch})
+	for _, v := range n.leases.Holders() {
+		duties = append(duties, map[string]any{"duty": v.Name, "holder": v.Holder, "epoch": v.Epoch})
 	}
 	n.respond(a, 200, 0, mustJSON(map[string]any{"cluster": n.core.Cluster, "core_version": n.core.Version, "core": n.core.Names(),
 		"slices": n.core.Shards, "members": list, "duties": duties}))
@@ -56,8 +57,8 @@
 
 // getWorkers is settled where all workers are known: at the central scheduler.
 func (n *node) getWorkers(a *request) {
-	if !n.holds("central") {
-		to, _ := n.holder("central")
+	if !n.leases.Holds(lease.Central) {
+		to, _ := n.leases.Holder(lease.Central)
 		n.forward(a, to)
 		return
 	}
@@ -82,7 +83,7 @@
 // getHealth is what doctor reads: this daemon's view of the common faults.
 func (n *node) getHealth(a *request) {
 	slow := map[string]int64{}
-	for m, ms := range n.poll.slowMs {
+	for m, ms := range n.leases.SyncMs() {
 		slow[m] = ms
 	}
 	unsound := []string{}
@@ -91,12 +92,12 @@
 	}
 	coreLive := 0
 	for _, m := range n.core.Members {
-		if n.alive(m.Name) {
+		if n.peers.Alive(m.Name) {
 			coreLive++
 		}
 	}
 	n.respond(a, 200, 0, mustJSON(map[string]any{"name": n.Name, "site": n.Zone, "cluster": n.core.Cluster, "siblings_lost": n.lostPeers(),
-		"core_size": len(n.core.Members), "core_live": coreLive, "core_contact_ms": n.now - n.poll.contactMs,
+		"core_size": len(n.core.Members), "core_live": coreLive, "core_contact_ms": n.now - n.leases.ContactMs(),
 		"clock_spread_ms": n.clockOffsets(), "sync_ms": slow, "disk_failed": n.diskFailed, "setup_version": n.config.record.Version,
 		"setup_confirmed": n.configFresh(), "unmatched_queues": n.unmatchedQueues(), "without_holder": n.leasesWithoutHolder(),
 		"unsound_workers": unsound, "empty_sites": sorted(n.config.current.EmptyZones), "slices": n.ownedShards(),
@@ -106,8 +107,8 @@
 // lostPeers names the daemons that were known and aren't heard any more.
 func (n *node) lostPeers() []string {
 	lost := []string{}
-	for _, name := range sorted(n.peers) {
-		if !n.alive(name) {
+	for _, name := range n.peers.Names() {
+		if !n.peers.Alive(name) {
 			lost = append(lost, name)
 		}
 	}
@@ -120,10 +121,8 @@
 	if !n.inCore() {
 		return offsets
 	}
-	if med := n.poll.fleetTime(n); med != 0 {
-		for name, c := range n.granter.clocks {
-			offsets[name] = c.offset + n.now - med
-		}
+	if med := n.fleetTime(); med != 0 {
+		return n.granter.ClockOffsets(med, n.now)
 	}
 	return offsets
 }
@@ -131,12 +130,12 @@
 func (n *node) leasesWithoutHolder() []string {
 	free := []string{}
 	for _, s := range n.core.Shards {
-		if h, _ := n.holder("slice/" + s); h == "" {
-			free = append(free, "slice/"+s)
+		if h, _ := n.leases.Holder(lease.ShardRole(s)); h == "" {
+			free = append(free, lease.ShardRole(s))
 		}
 	}
-	if h, _ := n.holder("central"); h == "" {
-		free = append(free, "central")
+	if h, _ := n.leases.Holder(lease.Central); h == "" {
+		free = append(free, lease.Central)
 	}
 	return free
 }
@@ -151,7 +150,7 @@
 	for _, q := range sorted(n.config.current.Queues) {
 		found := false
 		for _, w := range n.workers {
-			found = found || n.now-w.heardMs < peerAliveMs && n.config.current.Queues[q].Matches(w.labels, w.site)
+			found = found || n.now-w.heardMs < cluster.AliveMs && n.config.current.Queues[q].Matches(w.labels, w.site)
 		}
 		if !found {
 			unmatched = append(unmatched, q)
--- a/internal/daemon/world_test.go
+++ b/internal/daemon/world_test.go
@@ -981,7 +981,7 @@
 
 func (w *world) holderOf(duty string) *simNode {
 	for _, name := range sorted(w.nodes) {
-		if n := w.nodes[name]; n.up && w.nowUs >= n.frozenTo && n.sh.node.holds(duty) {
+		if n := w.nodes[name]; n.up && w.nowUs >= n.frozenTo && n.sh.node.leases.Holds(duty) {
 			return n
 		}
 	}
