--- a/cmd/otterchute-standin/downstream.go
+++ b/cmd/otterchute-standin/downstream.go
@@ -21,9 +21,9 @@
 	"github.com/tidwall/gjson"
 )
 
-// downstreamCommand sends a deployment's mix, sends again after silence, asks for
+// callersCommand sends a deployment's mix, sends again after silence, asks for
 // states, and then judges what was acknowledged against what workers recorded.
-type downstreamCommand struct {
+type callersCommand struct {
 	deployment, daemons, records, report string
 	seconds, settle                      int
 	rate                                 float64
@@ -32,14 +32,14 @@
 	wave, cancel, batches                int
 }
 
-func (*downstreamCommand) Name() string { return "downstream" }
-func (*downstreamCommand) Synopsis() string {
+func (*callersCommand) Name() string { return "downstream" }
+func (*callersCommand) Synopsis() string {
 	return "be all callers of a deployment, and judge the run"
 }
-func (*downstreamCommand) Usage() string {
+func (*callersCommand) Usage() string {
 	return "otterchute-standin downstream -deployment hakata|ikenna -daemons LIST -records DIR [flags]\n  exit 1 where a rule was broken or an accepted job did not end.\n"
 }
-func (c *downstreamCommand) SetFlags(fs *flag.FlagSet) {
+func (c *callersCommand) SetFlags(fs *flag.FlagSet) {
 	fs.StringVar(&c.deployment, "deployment", "hakata", "whose mix and rate")
 	fs.StringVar(&c.daemons, "daemons", "127.0.0.1:8000", "HTTP addresses")
 	fs.StringVar(&c.records, "records", "", "folder of the workers' record files")
@@ -54,8 +54,8 @@
 	fs.IntVar(&c.wave, "wave", 0, "jobs sent at once half way")
 }
 
-type downstreamRun struct {
-	*downstreamCommand
+type callersRun struct {
+	*callersCommand
 	dep     historycheck.Deployment
 	daemons []string
 	http    *http.Client
@@ -67,7 +67,7 @@
 	night   *night
 }
 
-func (c *downstreamCommand) Execute(_ context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+func (c *callersCommand) Execute(_ context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	dep, ok := historycheck.Deployments[c.deployment]
 	if !ok {
 		return fail(2, fmt.Errorf("no deployment %q", c.deployment))
@@ -75,7 +75,7 @@
 	if c.rate > 0 {
 		dep.JobsPerSec = c.rate
 	}
-	r := &downstreamRun{downstreamCommand: c, dep: dep, daemons: strings.Split(c.daemons, ","), http: newHTTP(), states: map[string]string{}, bounced: map[int]int{}}
+	r := &callersRun{callersCommand: c, dep: dep, daemons: strings.Split(c.daemons, ","), http: newHTTP(), states: map[string]string{}, bounced: map[int]int{}}
 	if c.batches > 0 {
 		if !c.setup {
 			return fail(2, fmt.Errorf("-batches needs -setup"))
@@ -130,23 +130,23 @@
 	return r.judge(n)
 }
 
-func (r *downstreamRun) note(e historycheck.Event) {
+func (r *callersRun) note(e historycheck.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e.AtMs = time.Now().UnixMilli()
 	r.history = append(r.history, e)
 }
 
-func (r *downstreamRun) any() string { return r.daemons[rand.IntN(len(r.daemons))] }
+func (r *callersRun) any() string { return r.daemons[rand.IntN(len(r.daemons))] }
 
-func (r *downstreamRun) declare() error {
+func (r *callersRun) declare() error {
 	setup := r.dep.SetupOf()
 	if r.night != nil {
 		setup = r.night.with(setup)
 	}
 	r.note(historycheck.Event{Kind: historycheck.SetupSent, Version: 1, Setup: &setup})
 	for range 60 {
-		status, _, b := ask(r.http, "PUT", "http://"+r.any()+"/v1/setups/1", mustJSON(setup))
+		status, _, b := request(r.http, "PUT", "http://"+r.any()+"/v1/setups/1", mustJSON(setup))
 		if status == 200 {
 			r.note(historycheck.Event{Kind: historycheck.SetupAcked, Version: 1, Setup: &setup})
 			return nil
@@ -160,12 +160,12 @@
 }
 
 // follow hands a job in, again after silence, and asks for its state until it ends.
-func (r *downstreamRun) follow(id string, job historycheck.Job, limit time.Time, cancel bool) {
+func (r *callersRun) follow(id string, job historycheck.Job, limit time.Time, cancel bool) {
 	r.note(historycheck.Event{Kind: historycheck.JobSent, Job: id, Spec: &job})
 	r.state(id, "unsent")
 	body, sent := mustJSON(job), time.Now()
 	for {
-		status, retry, _ := ask(r.http, "PUT", "http://"+r.any()+"/v1/jobs/"+id, body)
+		status, retry, _ := request(r.http, "PUT", "http://"+r.any()+"/v1/jobs/"+id, body)
 		if status == 200 || status == 201 {
 			r.note(historycheck.Event{Kind: historycheck.JobAcked, Job: id})
 			r.state(id, "accepted")
@@ -183,14 +183,14 @@
 	for time.Now().Before(limit) {
 		time.Sleep(300 * time.Millisecond)
 		if cancel {
-			status, _, _ := ask(r.http, "POST", "http://"+r.any()+"/v1/jobs/"+id+"/cancel", nil)
+			status, _, _ := request(r.http, "POST", "http://"+r.any()+"/v1/jobs/"+id+"/cancel", nil)
 			if status == 200 {
 				r.note(historycheck.Event{Kind: historycheck.CancelAcked, Job: id})
 			}
 			cancel = status != 200 && status != 409
 		}
 		asked := time.Now().UnixMilli()
-		status, _, b := ask(r.http, "GET", "http://"+r.any()+"/v1/jobs/"+id, nil)
+		status, _, b := request(r.http, "GET", "http://"+r.any()+"/v1/jobs/"+id, nil)
 		state := gjson.GetBytes(b, "state").Str
 		if status == 404 {
 			state = "unknown"
@@ -212,7 +212,7 @@
 	}
 }
 
-func (r *downstreamRun) state(id, s string) {
+func (r *callersRun) state(id, s string) {
 	r.mu.Lock()
 	r.states[id] = s
 	r.mu.Unlock()
@@ -226,7 +226,7 @@
 	return v[min(len(v)-1, int(q*float64(len(v))))]
 }
 
-func (r *downstreamRun) judge(sent int) subcommands.ExitStatus {
+func (r *callersRun) judge(sent int) subcommands.ExitStatus {
 	history := slices.Clone(r.history)
 	files, _ := filepath.Glob(filepath.Join(r.records, "*.jsonl"))
 	for _, f := range files {
--- a/cmd/otterchute-standin/main.go
+++ b/cmd/otterchute-standin/main.go
@@ -21,13 +21,13 @@
 	cmd := subcommands.NewCommander(flag.CommandLine, "otterchute-standin")
 	cmd.Register(cmd.HelpCommand(), "")
 	cmd.Register(&workerCommand{}, "")
-	cmd.Register(&downstreamCommand{}, "")
+	cmd.Register(&callersCommand{}, "")
 	flag.Parse()
 	os.Exit(int(cmd.Execute(context.Background())))
 }
 
-// ask sends one HTTP ask; status 0 means silence.
-func ask(c *http.Client, method, url string, body []byte) (status int, retry time.Duration, answer []byte) {
+// request sends one HTTP ask; status 0 means silence.
+func request(c *http.Client, method, url string, body []byte) (status int, retry time.Duration, answer []byte) {
 	req, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
 		return 0, 0, nil
--- a/cmd/otterchute-standin/worker.go
+++ b/cmd/otterchute-standin/worker.go
@@ -268,7 +268,7 @@
 	body := mustJSON(map[string]any{"incarnation": w.inc, "seq": w.seq, "address": w.listen, "site": w.site, "labels": w.labels,
 		"free": max(free, 0), "leaving": leaving, "token": w.token, "running": running, "ended": ended})
 	w.mu.Unlock()
-	status, _, b := ask(w.http, "POST", fmt.Sprintf("http://%s/v1/workers/%s/report", daemon, w.name), body)
+	status, _, b := request(w.http, "POST", fmt.Sprintf("http://%s/v1/workers/%s/report", daemon, w.name), body)
 	if status != 200 {
 		return false
 	}
--- a/guards.sh
+++ b/guards.sh
@@ -13,23 +13,23 @@
 # name | file, from the repository's root | text that stands there | what stands there instead
 guards() {
   cat << 'G'
-room|internal/daemon/agents.go|if h.spec.Resources.Fits(avail) {|if true {
-unsettled orders hold room|internal/daemon/agents.go|if ag.colocated \|\| !h.listed {|if ag.colocated {
-new agent waits for the worker's fresh word|internal/daemon/agents.go|if !ag.rebuilt && ag.tokenMs > ag.startMs+flightMs {|if !ag.rebuilt {
-lost only once rebuilt|internal/daemon/slices.go|case m.Epoch > t.AgentEpoch && m.Rebuilt:|case m.Epoch > t.AgentEpoch:
-unknown is not ended|internal/daemon/agents.go|"unknown": func(n *node, _ *agent, h *attempt) { n.count("orders_unsettled") },|"unknown": func(n *node, _ *agent, h *attempt) { h.state, h.result = wire.AttemptEnded, wire.ResultRejected },
-placement is durable first|internal/daemon/slices.go|if t.ChangedIn <= js.committed && rt.sentMs == 0|if rt.sentMs == 0
-end is durable before it is acknowledged|internal/daemon/slices.go|if t.ChangedIn > js.committed {\n\t\t\treturn 0\n\t\t}\n\t\tif !t.counted|if !t.counted
-steps in order|internal/daemon/slices.go|if !ready[js.stepAt(t)] \|\| |if 
-a median of all clocks|internal/daemon/core.go|return n.granter.FleetTime(n.now, len(n.peers.AliveNames()))|return n.wall
-due time|internal/daemon/slices.go|due != 0 && wall < due+dueMarginMs|false
-group at the agent|internal/daemon/agents.go|if q == nil \|\| lack \|\| !q.Matches(ag.labels, ag.site) \|\| |if q == nil \|\| false && lack \|\| 
-allowed failures|internal/daemon/slices.go|case t.Failures >= t.allowedRuns() && !st.Lasting:|case t.Failures > t.allowedRuns() && !st.Lasting:
-cancel reaches the agent|internal/daemon/slices.go|if js.State != jobRunning \|\| js.Steps[t.Step].Gang|if js.Steps[t.Step].Gang
-leaving and emptied|internal/daemon/agents.go|if ag.leaving \|\| n.config.current.EmptyZones[ag.site] {|if false {
-acknowledged only when durable|internal/daemon/slices.go|if w.version > js.committed {|if false {
+room|internal/daemon/agent_dispatch.go|if h.spec.Resources.Fits(avail) {|if true {
+unsettled orders hold room|internal/daemon/agent_dispatch.go|if ag.colocated \|\| !h.listed {|if ag.colocated {
+new agent waits for the worker's fresh word|internal/daemon/agent_report.go|if !ag.rebuilt && ag.tokenMs > ag.startMs+flightMs {|if !ag.rebuilt {
+lost only once rebuilt|internal/daemon/reconcile.go|case m.Epoch > t.AgentEpoch && m.Rebuilt:|case m.Epoch > t.AgentEpoch:
+unknown is not ended|internal/daemon/agent_dispatch.go|"unknown": func(n *node, _ *agent, h *attempt) { n.count("orders_unconfirmed") },|"unknown": func(n *node, _ *agent, h *attempt) { h.state, h.result = transport.AttemptEnded, transport.ResultRejected },
+placement is durable first|internal/daemon/job_schedule.go|if t.ChangedIn <= js.committed && rt.sentMs == 0|if rt.sentMs == 0
+end is durable before it is acknowledged|internal/daemon/reconcile.go|if t.ChangedIn > js.committed {\n\t\t\treturn 0\n\t\t}\n\t\tif !t.counted|if !t.counted
+steps in order|internal/daemon/job_schedule.go|if !ready[js.stepAt(t)] \|\| |if 
+a median of all clocks|internal/daemon/core_member.go|return n.granter.FleetTime(n.now, len(n.peers.AliveNames()))|return n.wall
+due time|internal/daemon/job_schedule.go|due != 0 && wall < due+dueMarginMs|false
+group at the agent|internal/daemon/agent_dispatch.go|if q == nil \|\| lack \|\| !q.Matches(ag.labels, ag.zone) \|\| |if q == nil \|\| false && lack \|\| 
+allowed failures|internal/daemon/attempt_result.go|case t.Failures >= t.allowedRuns() && !st.Lasting:|case t.Failures > t.allowedRuns() && !st.Lasting:
+cancel reaches the agent|internal/daemon/reconcile.go|if js.State != jobRunning \|\| js.Steps[t.Step].Gang|if js.Steps[t.Step].Gang
+leaving and emptied|internal/daemon/agent_dispatch.go|if ag.leaving \|\| n.config.current.EmptyZones[ag.zone] {|if false {
+acknowledged only when durable|internal/daemon/job_request.go|if w.version > js.committed {|if false {
 register needs a majority|internal/quorum/set.go|return len(s.Members)/2 + 1|return 1
-old epochs are fenced|internal/daemon/core.go|if m.Epoch != x.Sealed() {|if false {
+old epochs are fenced|internal/daemon/core_member.go|if m.Epoch != x.Sealed() {|if false {
 leases exclude|internal/lease/granter.go|if !g.free(r.Name, to, nowMs, ended) {|if false {
 a started member waits a lease|internal/lease/granter.go|if nowMs < g.guardMs && last.Holder != "" && !ended(lastHolder) {|if false && !ended(lastHolder) {
 a lease builds on what its granters know|internal/lease/poll.go|m.host.NowMs(), epochs[need-1]|m.host.NowMs(), epochs[0]
@@ -39,23 +39,23 @@
 passed epochs are not renewed|internal/lease/granter.go|if r.Epoch != 0 && r.Epoch < last.Epoch {|if false {
 leases end with their incarnation|internal/daemon/host.go|n.leases.Lose(role, "incarnation_raised")|_ = role
 a start takes no older set|internal/daemon/core_set.go|c.Version < n.store.Set().Version {|false {
-reads by a later poll|internal/daemon/config_state.go|return n.config.confirmedBy > a.pollsBefore|return n.config.confirmedMs >= a.atMs
+reads by a later poll|internal/daemon/config_state.go|return n.config.confirmedBy > a.pollsBefore|return n.config.confirmedMs >= a.receivedMs
 reads are checked after a freeze|internal/daemon/config_state.go|confirmedBy > a.pollsBefore && n.configFresh()|confirmedBy > a.pollsBefore
-copied before joining|internal/daemon/membership.go|if len(j.copied) >= need {|if true {
-a copy begins again after a restart|internal/daemon/membership.go|if at.Instance != n.Instance {|if at.Shard == "" {
-a job ends at a known time|internal/daemon/slices.go|return // how long the job is kept|wall = 1 // how long the job is kept
-finished jobs go by the time of a majority|internal/daemon/core.go|if n.leases.Clock().Readings() < n.core.Majority() {|if false {
-a told end is not taken back|internal/daemon/asks.go|if !n.answeredByFullSet(r) {|if false {
-copied from a majority|internal/daemon/membership.go|if len(j.copied) >= need {|if len(j.copied) >= 1 {
+copied before joining|internal/membership/learner.go|if len(l.copied) >= need {|if true {
+a copy begins again after a restart|internal/membership/learner.go|if at.Instance != instance {|if at.Shard == "" {
+a job ends at a known time|internal/daemon/job_schedule.go|return // how long the job is kept|wall = 1 // how long the job is kept
+finished jobs go by the time of a majority|internal/daemon/core_member.go|if n.leases.Clock().Readings() < n.core.Majority() {|if false {
+a told end is not taken back|internal/daemon/request.go|if !n.answeredByFullSet(r) {|if false {
+copied from a majority|internal/membership/learner.go|if len(l.copied) >= need {|if len(l.copied) >= 1 {
 an acknowledgement belongs to its set|internal/daemon/core_set.go|b.acked, b.sentMs = map[string]bool{}, 0|b.sentMs = 0
-unknown queues by a newer setup|internal/daemon/asks.go|case !ok && n.configConfirmedSince(a):|case !ok:
-one vote for a disk|internal/daemon/formation.go|case n.store.Cluster() != 0 \|\| n.core.Cluster != 0: // bound to another|case false:
-a response belongs to its life|internal/daemon/identity.go|if head.To == n.Instance {|if true {
+unknown queues by a newer setup|internal/daemon/request.go|case !ok && n.configConfirmedSince(a):|case !ok:
+one vote for a disk|internal/membership/formation.go|case store.Cluster() != 0 \|\| core != 0: // bound to another|case false:
+a response belongs to its instance|internal/daemon/identity.go|if head.To == n.Instance {|if true {
 a request belongs to its addressee|internal/daemon/identity.go|case head.To == addressOf(n.Name), |case true, 
-not taken only when surely so|internal/daemon/asks.go|a.queue == "" \|\| !a.maybeApplied|true
+not taken only when surely so|internal/daemon/request.go|a.queue == "" \|\| !a.maybeApplied|true
 an answer belongs to its try|internal/register/proposer.go|o.phase != preparing \|\| m.Ballot != o.Ballot|o.phase != preparing
 an acceptance belongs to its try|internal/register/proposer.go|o.phase != accepting \|\| m.Ballot != o.Ballot|o.phase != accepting
-a ballot belongs to its life|internal/register/proposer.go|Proposer: p.Name, Life: p.Life}|Proposer: p.Name}
+a ballot belongs to its instance|internal/register/proposer.go|Proposer: p.Name, Life: p.Life}|Proposer: p.Name}
 a ballot belongs to its operation|internal/register/proposer.go|\tp.round++\n|\tp.round = 1\n
 a promise binds|internal/register/acceptor.go|if m.Ballot.Less(a.Promised) {|if false {
 a promise is kept|internal/register/acceptor.go|if a.Promised.Less(w.Ballot) {|if false {
@@ -67,29 +67,29 @@
 an order that was forgotten is not refused|internal/daemon/config_change.go|if !cur.Accepted.Covers(o.change) {|if false {
 orders have the base in their identity|internal/configuration/history.go|id := ChangeID{Version: base + int64(rise), Base: base}|id := ChangeID{Version: base + int64(rise)}
 a refusal is written back|internal/register/proposer.go|\t\to.atEnd = Refused\n|\t\to.outcome = Refused\n\t\treturn nil\n
-a leaving member waits for its successor|internal/daemon/roles.go|if n.leavingSince == 0 \|\| n.awaitsSuccessor() {|if n.leavingSince == 0 {
-copied again before a member leaves|internal/daemon/membership.go|if at == newest \|\| n.copyComplete(j, n.core.Majority()-1) {|if true {
-a successor that stalls is taken out|internal/daemon/membership.go|if late \|\| n.leases.Unresponsive(n.core.Members[newest].Name, unresponsiveMs) {|if late && false {
-the surest loss goes first|internal/daemon/membership.go|if now > state && n.now-j.vacantSince|if at < 0 && n.now-j.vacantSince
-a failing disk keeps its seat for a while|internal/daemon/membership.go|case !s.Disk:\n\t\treturn slotDiskFailed|case !s.Disk:\n\t\treturn slotLeaving
-a member that restarts keeps its seat|internal/daemon/membership.go|n.leases.Unresponsive(m.Name, unresponsiveMs) && n.now-s.HeardMs > unresponsiveMs|n.now-s.HeardMs > cluster.RoundMs
-a former member starts over|internal/daemon/membership.go|if n.store.Set().Has(n.Name, n.DiskID) {|if false {
+a leaving member waits for its successor|internal/daemon/roles.go|if n.leavingSince == 0 \|\| n.members.AwaitsSuccessor() {|if n.leavingSince == 0 {
+copied again before a member leaves|internal/membership/learner.go|if at == newest \|\| m.copyComplete(l, set.Majority()-1) {|if true {
+a successor that stalls is taken out|internal/membership/learner.go|if late \|\| m.leases.Unresponsive(set.Members[newest].Name, UnresponsiveMs) {|if late && false {
+the surest loss goes first|internal/membership/slots.go|if current > state && now-l.vacantSince|if at < 0 && now-l.vacantSince
+a failing disk keeps its slot for a while|internal/membership/slots.go|case !peer.Disk:\n\t\treturn slotDiskFailed|case !peer.Disk:\n\t\treturn slotLeaving
+a member that restarts keeps its slot|internal/membership/slots.go|unresponsive && silentMs > UnresponsiveMs|(unresponsive \|\| true) && silentMs > cluster.RoundMs
+a former member starts over|internal/membership/learner.go|if m.host.Store().Set().Has(m.name, self.DiskID) {|if false {
 a failed disk stops voting|internal/daemon/core_set.go|n.store != nil && n.diskFailed == "" && n.store.Cluster()|n.store != nil && n.store.Cluster()
-a newcomer grants no lease before its set is full|internal/daemon/core_set.go|(!was \|\| settles)|(!was \|\| settles && false)
+a newcomer grants no lease before its set is full|internal/daemon/core_set.go|(!was \|\| fillsUp)|(!was \|\| fillsUp && false)
 a member's silence counts since it joined|internal/daemon/core_set.go|\tn.leases.OnCoreSet(before, c)|\t_ = before
 a change begins anew under another set|internal/daemon/core_set.go|	n.restartChanges()|
-void live records are not loaded|internal/daemon/slices.go|if r.Live && r.Epoch < sl.served {|if r.Live && false {
-void live records are not finished jobs|internal/daemon/slices.go|if f.best.Live {|if false {
+void live records are not loaded|internal/daemon/shard_takeover.go|if r.Live && r.Epoch < sl.served {|if r.Live && false {
+void live records are not finished jobs|internal/daemon/shard_read.go|if f.best.Live {|if false {
 setup is fresh|internal/daemon/config_state.go|n.now-n.config.confirmedMs <= configFreshMs|true
-complete needs all well|internal/daemon/jobs.go|all = all && j.Tasks[i].State == taskEnded|all = true
-clock read at writing|internal/daemon/world_test.go|if n.steadyMs() > e.NotAfterMs|if false
-takeover merges a majority|internal/daemon/slices.go|if len(sl.seals) < n.core.Majority() {|if len(sl.seals) < 1 {
-a resend finds the finished job|internal/daemon/slices.go|if old == nil && f.job != nil|if f.job != nil
+complete needs all well|internal/daemon/job.go|all = all && j.Tasks[i].State == taskEnded|all = true
+clock read at writing|internal/daemon/world_node_test.go|if n.steadyMs() > e.NotAfterMs|if false
+takeover merges a majority|internal/daemon/shard_takeover.go|if len(sl.seals) < n.core.Majority() {|if len(sl.seals) < 1 {
+a resend finds the finished job|internal/daemon/shard_read.go|if old == nil && f.job != nil|if f.job != nil
 batches wait for their hours|internal/daemon/batch.go|return wallMs >= p.StartMs && wallMs < p.CloseMs|return wallMs > 0
 batches keep to their share|internal/daemon/batch.go|return sum.Fits(ag.capacity.Share(r.SharePercent))|return true
 batches are below all others|internal/configuration/queue.go|q.Urgency -= batchUrgencyOffset|q.Urgency -= 0
-batches make room at once|internal/daemon/agents.go|n.now-wants.queuedMs <= urgentWaitMs && n.batchSpec(&h.spec) == nil|n.now-wants.queuedMs <= urgentWaitMs
-batches are never firm|internal/daemon/agents.go|h.spec.Class != wire.ClassQueueable \|\| n.batchSpec(&h.spec) != nil {\n\t\treturn|h.spec.Class != wire.ClassQueueable {\n\t\treturn
+batches make room at once|internal/daemon/agent_dispatch.go|n.now-wants.queuedMs <= urgentWaitMs && n.batchSpec(&h.spec) == nil|n.now-wants.queuedMs <= urgentWaitMs
+batches are never firm|internal/daemon/agent_sync.go|h.spec.Class != wire.ClassQueueable \|\| n.batchSpec(&h.spec) != nil {\n\t\treturn|h.spec.Class != wire.ClassQueueable {\n\t\treturn
 batches leave urgent work its room|internal/daemon/batch.go|if waiting, _ := ag.withoutBatches(n); waiting > 0 {|if false {
 G
 }
@@ -109,7 +109,7 @@
 P
   then echo "STALE     $name: its text is no longer in $file"; touch "$bad"; continue; fi
   out=$(cd "$copy" && a=0 && { go test -vet=off -timeout 240s $(go list ./internal/... | grep -v /daemon$) 2>&1 || a=1; } && go test -c -vet=off -o internal/daemon/t ./internal/daemon && cd internal/daemon &&
-    { timeout 240 ./t -test.timeout 200s -test.run 'Scenarios|Fenced|Excludes|Copy|Setup|Form|Belong|Unanswered|Acceptors|Ballot|Order|Forgotten|Members|Repairs|Seat|CopiedAgain|Stalled|Surest|Former|NextSet|Lease|FullDisk|FailedDisk|Batch[A-M]' 2>&1 || a=1; } &&
+    { timeout 240 ./t -test.timeout 200s -test.run 'Scenarios|Fenced|Excludes|Copy|Setup|Config|Form|Belong|Unanswered|Acceptors|Ballot|Order|Forgotten|Members|Repairs|Slot|CopiedAgain|Stalled|Surest|Former|NextSet|Lease|FullDisk|FailedDisk|Batch[A-M]' 2>&1 || a=1; } &&
     { timeout 240 ./t -test.timeout 200s -test.run Campaign -seeds "${SEEDS:-12}" 2>&1 || a=1; } && exit $a)
   if [ $? -eq 0 ]; then echo "UNNOTICED $name"; touch "$bad"; else
     rules=$(echo "$out" | grep -oE '(twice_at_once|again_after_well|over_room|before_its_steps|before_due|lacks_label|outside_group|past_failures|after_cancel|runs_on_after_cancel|leaving_worker|emptied_site|job_forgotten|failed_without_cause|complete_too_early|setup_lost|setup_acked_twice|run_not_sent) at|jobs (still )?open|[0-9] of [0-9]+ jobs|panic|build failed|core is not whole' | sed -E 's/ at//; s/^[0-9].*/jobs open/; s/jobs still open/jobs open/' | sort | uniq -c | sort -rn | head -4 | awk '{c=$1; $1=""; printf "%s x%s,", $0, c}')
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -60,8 +60,8 @@
 }
 
 // Table returns the whole table of live peers, and the core set.
-func (d *Directory) Table(wantsReply bool) *wire.Gossip {
-	m := &wire.Gossip{Self: d.Self(), Core: d.host.CoreSet(), WantsReply: wantsReply}
+func (d *Directory) Table(replyRequested bool) *wire.Gossip {
+	m := &wire.Gossip{Self: d.Self(), Core: d.host.CoreSet(), ReplyRequested: replyRequested}
 	for _, name := range d.Names() {
 		if d.Alive(name) {
 			m.Table = append(m.Table, d.peers[name].Peer)
@@ -103,7 +103,7 @@
 		d.merge(p)
 	}
 	d.host.AdoptCoreSet(m.Core)
-	if m.WantsReply && from != d.name {
+	if m.ReplyRequested && from != d.name {
 		// To where it says it is: a daemon that is new at its address, with a
 		// clock set back, is known at its old one until it has heard of that.
 		d.host.SendAt(from, m.Self.Addr, d.Table(false))
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -3,13 +3,14 @@
 import (
 	"crypto/sha256"
 	"fmt"
-	"otterchute/internal/codec"
-	"otterchute/internal/schema"
-	"otterchute/internal/wire"
 	"strings"
 	"testing"
 	"time"
 
+	"otterchute/internal/codec"
+	"otterchute/internal/schema"
+	"otterchute/internal/wire"
+
 	"github.com/shoenig/test/must"
 )
 
--- a/internal/configuration/contract.go
+++ b/internal/configuration/contract.go
@@ -160,12 +160,12 @@
 
 // checkOverlaps tells of each declaration, once, that it overlaps an earlier one.
 func (c *compiler) checkOverlaps(path string, declared []declaredSpan) {
-	told := map[int]bool{}
+	reported := map[int]bool{}
 	for i := 1; i < len(declared); i++ {
 		a, b := declared[i-1], declared[i]
 		later := max(a.index, b.index)
-		if b.From < a.To && !told[later] {
-			told[later] = true
+		if b.From < a.To && !reported[later] {
+			reported[later] = true
 			c.fault(fmt.Sprintf("%s.hours.%d", path, later), fmt.Sprintf("overlap hours.%d", min(a.index, b.index)))
 		}
 	}
--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"fmt"
+
 	"otterchute/internal/configuration"
 	"otterchute/internal/schema"
 )
--- /dev/null
+++ b/internal/daemon/agent.go
@@ -0,0 +1,149 @@
+package daemon
+
+import (
+	"slices"
+
+	"otterchute/internal/lease"
+	"otterchute/internal/resource"
+	"otterchute/internal/wire"
+)
+
+// agent is the only giver of one worker's orders and the guard of its room.
+type agent struct {
+	worker  string
+	epoch   uint64
+	startMs int64
+
+	workerIncarnation string
+	pastIncarnations  []string
+	addr              string
+	zone              string
+	labels            []wire.Label
+	leaving           bool
+	free              resource.Amount
+	capacity          resource.Amount
+	reportSeq         int64
+	tokenMs           int64 // our clock when the token was issued that the last report carried
+	heardMs           int64
+	rebuilt           bool
+
+	attempts   map[wire.AttemptKey]*attempt
+	tombstones map[wire.AttemptKey]int64
+	owners     map[string]uint64 // slice -> highest owner epoch heard
+	lastOK     int64
+	syncAt     int64
+	succeeded  int64
+	failed     int64
+	lagPct     int64
+	decayAt    int64
+
+	colocated        bool
+	rack             string
+	holdUntilMs      int64 // all that runs there has surely ended by then, if no beat comes
+	acknowledgedEnds int64 // ends up to this number were taken note of
+	ends             map[int64]wire.AttemptKey
+	ownerMs          map[string]int64 // slice -> our clock at the last sync that its owner answered
+	toStart          []*attempt       // what the answer to this beat starts
+	answering        bool             // a beat is being answered
+	goneMs           int64            // it said that it goes; 0 if not
+	leavesMs         int64            // what runs there then dies; 0 if it does not leave
+	replaced         bool             // another worker beats from its place
+	lapseUntilMs     int64            // the hold must lapse before this: late ends wait for that
+	suspectMs        int64            // until then it is suspect
+	suspects         int64            // how often it was, lately
+	adoptedMs        int64
+}
+
+type attempt struct {
+	spec        wire.TaskSpec
+	state       wire.AttemptState
+	result      wire.AttemptResult
+	ranMs       int64
+	confirmedMs int64
+	queuedMs    int64
+	orderedMs   int64
+	answeredMs  int64
+	startedMs   int64
+	unobserved  bool // nobody here saw when it began, or when it ended
+	listed      bool // the last report shows it running
+	stopMs      int64
+	stopSentMs  int64
+	stopReason  wire.AttemptResult
+	ordered     bool // an order may have left; the worker may know it
+	acked       bool
+
+	unknown   bool  // found running: its room is not known yet
+	orderSeq  int64 // the beat whose answer carried the order
+	percent   int64
+	movedMs   int64 // when its work last moved
+	lateEnd   bool  // ended by itself, and its owner may have given it up meanwhile
+	voided    bool  // ended, and the hold has lapsed since
+	adoptedMs int64
+}
+
+func (ag *agent) keys() []wire.AttemptKey {
+	out := make([]wire.AttemptKey, 0, len(ag.attempts))
+	for k := range ag.attempts {
+		out = append(out, k)
+	}
+	slices.SortFunc(out, wire.CompareAttemptKeys)
+	return out
+}
+
+func (n *node) startAgent(w string, epoch uint64) {
+	n.agents[w] = &agent{worker: w, epoch: epoch, startMs: n.now, attempts: map[wire.AttemptKey]*attempt{}, tombstones: map[wire.AttemptKey]int64{},
+		owners: map[string]uint64{}, lastOK: n.now, heardMs: n.now, tokenMs: -1 << 40}
+}
+
+func (ag *agent) forget(key wire.AttemptKey, now int64) {
+	delete(ag.attempts, key)
+	ag.tombstones[key] = now
+}
+
+// isActiveAgent tells whether this daemon is surely a worker's agent now.
+func (n *node) isActiveAgent(ag *agent) bool {
+	if ag.colocated {
+		return !ag.replaced
+	}
+	return n.leases.Holds(lease.AgentRole(ag.worker))
+}
+
+func (n *node) tickAgents() {
+	for _, name := range sorted(n.agents) {
+		ag := n.agents[name]
+		if ag.colocated {
+			n.tickColocatedAgent(ag)
+			continue
+		}
+		for _, key := range ag.keys() {
+			h := ag.attempts[key]
+			switch {
+			case h.state == wire.AttemptRunning && h.stopMs != 0:
+				n.stopAttempt(ag, h, h.stopReason)
+			case h.state == wire.AttemptRunning && h.spec.LimitMs > 0 && n.now-h.startedMs > h.spec.LimitMs,
+				h.state == wire.AttemptOrdered && h.spec.LimitMs > 0 && n.now-h.orderedMs > h.spec.LimitMs+flightMs:
+				n.stopAttempt(ag, h, wire.ResultOverrun)
+			case h.state == wire.AttemptOrdered && h.stopMs != 0:
+				n.stopAttempt(ag, h, h.stopReason)
+			case h.state == wire.AttemptQueued && n.now-ag.heardMs > silentMs:
+				h.state, h.result = wire.AttemptEnded, wire.ResultShed // its worker is silent; it never started
+			}
+		}
+		for k, at := range ag.tombstones {
+			if n.now-at > tombstoneMs && (ag.attempts[k] == nil) {
+				delete(ag.tombstones, k)
+			}
+		}
+		if n.now >= ag.decayAt {
+			ag.decayAt = n.now + 10_000
+			ag.succeeded, ag.failed = ag.succeeded*3/4, ag.failed*3/4
+		}
+		if n.now >= ag.syncAt {
+			n.reportAgent(ag)
+		}
+		n.startPending(ag)
+		if len(ag.attempts) == 0 && n.now-ag.heardMs > agentIdleMs {
+			n.leases.HandOff(lease.AgentRole(name), "")
+		}
+	}
+}
--- /dev/null
+++ b/internal/daemon/agent_dispatch.go
@@ -0,0 +1,215 @@
+package daemon
+
+import (
+	"cmp"
+	"slices"
+
+	"otterchute/internal/configuration"
+	"otterchute/internal/lease"
+	"otterchute/internal/resource"
+	"otterchute/internal/wire"
+)
+
+func (n *node) stopAttempt(ag *agent, h *attempt, why wire.AttemptResult) {
+	if h.stopMs == 0 {
+		h.stopMs, h.stopReason = n.now, why
+		n.log("run_stopped", "attempt", h.spec.Key.String(), "worker", ag.worker, "why", why.String(), "queue", h.spec.Queue, "class", h.spec.Class.String(),
+			"ran_ms", n.now-max(h.startedMs, h.orderedMs), "percent", h.percent, "cpu", h.spec.Resources.CPU, "gang", h.spec.Gang)
+	}
+	if n.now-h.stopSentMs < 1000 && h.stopSentMs != 0 || ag.addr == "" || ag.colocated {
+		return // a pinned agent says it in the answer to each beat
+	}
+	h.stopSentMs = n.now
+	n.count("stops_sent")
+	n.emit(effOrder{Worker: ag.worker, Addr: ag.addr, Key: h.spec.Key, Stop: true, NotAfterMs: n.now + flightMs,
+		Body: mustJSON(map[string]any{"id": h.spec.Key.String()})})
+}
+
+// startPending starts what may start now, by the queue's urgency, then firm tasks before
+// queueable ones, then by the age of the job. For firm tasks queueable runs of
+// queues no more urgent are stopped, and they start once those ends are listed; short
+// runs of more urgent queues are left to end. A pinned agent's
+// orders leave in the answer to a beat only.
+func (n *node) startPending(ag *agent) {
+	if !n.isActiveAgent(ag) || !ag.rebuilt || n.now-ag.tokenMs > reportMs || !n.configFresh() || ag.colocated && (!ag.answering || ag.lapseUntilMs != 0) {
+		return
+	}
+	queue := n.returnBatches(ag, ag.waiting(n))
+	if len(queue) == 0 {
+		return
+	}
+	if ag.leaving || n.config.current.EmptyZones[ag.zone] {
+		for _, h := range queue { // others can take them; they never started
+			h.state, h.result = wire.AttemptEnded, wire.ResultShed
+		}
+		n.reportAgent(ag)
+		return
+	}
+	avail := ag.free
+	for _, h := range ag.attempts {
+		if h.state != wire.AttemptOrdered && h.state != wire.AttemptRunning {
+			continue
+		}
+		if h.unknown {
+			return // it takes room, nobody has told yet how much
+		}
+		if ag.colocated || !h.listed {
+			avail = avail.Minus(h.spec.Resources)
+		}
+	}
+	for _, h := range queue {
+		q := n.config.current.Queues[h.spec.Queue]
+		_, lack := configuration.MissingLabel(ag.labels, h.spec.Needs)
+		if q == nil || lack || !q.Matches(ag.labels, ag.zone) || h.spec.PerWorker > 0 && ag.ofStep(h) >= int(h.spec.PerWorker) {
+			h.state, h.result = wire.AttemptEnded, wire.ResultRejected
+			n.reportAgent(ag)
+			continue
+		}
+		if n.now-h.confirmedMs > contactMs {
+			continue
+		}
+		if r := n.batchSpec(&h.spec); r != nil && (!h.spec.Resources.Fits(avail) || !n.mayStartBatch(ag, h, r)) {
+			continue
+		}
+		if h.spec.Resources.Fits(avail) {
+			avail = avail.Minus(h.spec.Resources)
+			n.dispatch(ag, h)
+			continue
+		}
+		if h.spec.Class == wire.ClassGuaranteed {
+			n.preempt(ag, h, h.spec.Resources.Minus(avail))
+			avail = avail.Minus(h.spec.Resources) // what is free and what gets free is kept for it
+			continue
+		}
+		n.preempt(ag, h, h.spec.Resources.Minus(avail)) // of lesser queues only, batches at once
+		if n.now-h.queuedMs > bypassMs {
+			return
+		}
+	}
+}
+
+// ofStep counts the started tasks here that share a task's job, round and step.
+func (ag *agent) ofStep(h *attempt) (count int) {
+	round, step, _, ok := placeOf(h.spec.Key.Task)
+	for k, o := range ag.attempts {
+		r, s, _, _ := placeOf(k.Task)
+		if ok && k.Job == h.spec.Key.Job && r == round && s == step && (o.state == wire.AttemptOrdered || o.state == wire.AttemptRunning) {
+			count++
+		}
+	}
+	return count
+}
+
+// waiting gives the unstarted tasks in the order they may start.
+func (ag *agent) waiting(n *node) []*attempt {
+	var out []*attempt
+	for _, key := range ag.keys() {
+		if ag.attempts[key].state == wire.AttemptQueued {
+			out = append(out, ag.attempts[key])
+		}
+	}
+	urgency := func(h *attempt) int64 { return n.config.current.Urgency(h.spec.Queue) }
+	slices.SortStableFunc(out, func(a, b *attempt) int {
+		return cmp.Or(cmp.Compare(urgency(b), urgency(a)), cmp.Compare(a.spec.Class, b.spec.Class), cmp.Compare(a.spec.SubmittedMs, b.spec.SubmittedMs))
+	})
+	return out
+}
+
+// preempt stops queueable runs until so much room is on its way: the least
+// urgent first, and of those the ones that lose the least work. For a queueable
+// task only runs of less urgent queues are stopped.
+func (n *node) preempt(ag *agent, wants *attempt, room resource.Amount) {
+	urgency := func(h *attempt) int64 { return n.config.current.Urgency(h.spec.Queue) }
+	var runs []*attempt
+	for _, key := range ag.keys() {
+		h := ag.attempts[key]
+		if h.spec.Class != wire.ClassQueueable || h.state != wire.AttemptRunning {
+			continue
+		}
+		if h.stopMs != 0 {
+			room = room.Minus(h.spec.Resources)
+			continue
+		}
+		if wants.spec.Class == wire.ClassQueueable && n.now-wants.queuedMs <= urgentWaitMs && n.batchSpec(&h.spec) == nil {
+			continue
+		}
+		if urgency(h) < urgency(wants) || wants.spec.Class == wire.ClassGuaranteed && urgency(h) == urgency(wants) {
+			runs = append(runs, h)
+		}
+	}
+	lost := func(h *attempt) int64 { return (n.now - h.startedMs) * max(h.spec.Resources.CPU, 1) }
+	slices.SortStableFunc(runs, func(a, b *attempt) int {
+		return cmp.Or(cmp.Compare(urgency(a), urgency(b)), cmp.Compare(lost(a), lost(b)))
+	})
+	if wants.spec.Class == wire.ClassQueueable {
+		all := resource.Amount{}
+		for _, h := range runs {
+			all = all.Plus(h.spec.Resources)
+		}
+		if !room.Fits(all) {
+			return // it would not be enough
+		}
+	}
+	for _, h := range runs {
+		if room.Fits(resource.Amount{}) {
+			return
+		}
+		if room.CPU <= 0 && h.spec.Resources.Memory == 0 && h.spec.Resources.GPU == 0 {
+			continue
+		}
+		room = room.Minus(h.spec.Resources)
+		n.count("preemptions")
+		n.stopAttempt(ag, h, wire.ResultPreempted)
+	}
+}
+
+func (n *node) dispatch(ag *agent, h *attempt) {
+	h.state, h.ordered, h.orderedMs, h.listed = wire.AttemptOrdered, true, n.now, false
+	s := &h.spec
+	n.count("orders_" + s.Class.String())
+	if ag.colocated {
+		h.orderSeq = ag.reportSeq
+		ag.toStart = append(ag.toStart, h)
+		return
+	}
+	payload := rawJSON(s.Payload)
+	if len(s.Payload) == 0 {
+		payload = "null"
+	}
+	tag := mustJSON(orderTag{s.Shard, s.Queue, s.Name, s.Class, s.Resources, s.LimitMs, s.EstimateMs, s.SubmittedMs})
+	n.emit(effOrder{Worker: ag.worker, Addr: ag.addr, Key: s.Key,
+		NotAfterMs: min(n.leases.HeldUntilMs(lease.AgentRole(ag.worker)), h.confirmedMs+contactMs, n.config.confirmedMs+configFreshMs, ag.tokenMs+reportMs),
+		Body: mustJSON(map[string]any{"id": s.Key.String(), "job": s.Key.Job, "name": s.Name, "queue": s.Queue, "class": s.Class.String(), "room": s.Resources, "limit_ms": s.LimitMs,
+			"payload": payload, "tag": string(tag)})})
+}
+
+var orderOutcomes = map[string]func(*node, *agent, *attempt){
+	"started": func(n *node, _ *agent, h *attempt) {
+		if h.state == wire.AttemptOrdered {
+			h.state, h.startedMs, h.answeredMs = wire.AttemptRunning, n.now, n.now
+		}
+	},
+	"turned_away": func(n *node, ag *agent, h *attempt) {
+		if h.state == wire.AttemptOrdered {
+			h.state, h.result, h.ordered = wire.AttemptEnded, wire.ResultRejected, false
+			n.reportAgent(ag)
+		}
+	},
+	"not_sent": func(n *node, _ *agent, h *attempt) {
+		if h.state == wire.AttemptOrdered {
+			h.state, h.ordered = wire.AttemptQueued, false
+		}
+	},
+	// It may have started: it holds its room until the worker's word settles it.
+	"unknown": func(n *node, _ *agent, h *attempt) { n.count("orders_unconfirmed") },
+}
+
+func (n *node) onOrder(e evOrder) {
+	ag := n.agents[e.Worker]
+	if ag == nil || e.Stop {
+		return
+	}
+	if h := ag.attempts[e.Key]; h != nil {
+		orderOutcomes[e.Outcome](n, ag, h)
+	}
+}
--- /dev/null
+++ b/internal/daemon/agent_sync.go
@@ -0,0 +1,206 @@
+package daemon
+
+import (
+	"slices"
+
+	"otterchute/internal/lease"
+	"otterchute/internal/resource"
+	"otterchute/internal/wire"
+)
+
+func (n *node) onPlacement(_ string, m *wire.Placement) {
+	ag := n.agents[m.Worker]
+	if ag == nil || ag.epoch != m.AgentEpoch || !n.isActiveAgent(ag) && !ag.replaced || m.ShardEpoch < ag.owners[m.Spec.Shard] || n.now-m.EchoMs > contactMs {
+		n.count("placements_stale")
+		return
+	}
+	ag.owners[m.Spec.Shard] = m.ShardEpoch
+	if h := ag.attempts[m.Spec.Key]; h != nil {
+		h.confirmedMs = max(h.confirmedMs, m.EchoMs)
+		return
+	}
+	if _, ok := ag.tombstones[m.Spec.Key]; ok {
+		return
+	}
+	h := &attempt{spec: m.Spec, confirmedMs: m.EchoMs, queuedMs: n.now}
+	ag.attempts[m.Spec.Key] = h
+	firm, queued := resource.Amount{}, 0
+	for _, o := range ag.attempts {
+		if o.state != wire.AttemptEnded && o.spec.Class == wire.ClassGuaranteed {
+			firm = firm.Plus(o.spec.Resources)
+		}
+		if o.state == wire.AttemptQueued {
+			queued++
+		}
+	}
+	if !ag.rebuilt || ag.replaced || !m.Spec.Resources.Fits(ag.capacity) || m.Spec.Class == wire.ClassGuaranteed && !firm.Fits(ag.capacity) || queued > agentQueueMax {
+		h.state, h.result = wire.AttemptEnded, wire.ResultRejected
+		n.count("placements_rejected")
+		n.reportAgent(ag)
+		return
+	}
+	n.startPending(ag)
+}
+
+func (n *node) onOwnerReply(_ string, m *wire.OwnerReply) {
+	ag := n.agents[m.Worker]
+	if ag == nil || ag.epoch != m.Epoch || m.ShardEpoch < ag.owners[m.Shard] {
+		return
+	}
+	ag.owners[m.Shard] = m.ShardEpoch
+	ag.heardOwner(m.Shard, m.SentMs, n.now)
+	recalled := false
+	for _, s := range m.Specs {
+		if h := ag.attempts[s.Key]; h != nil && h.unknown {
+			h.spec, h.unknown = s, false
+		}
+	}
+	for _, v := range m.Decisions {
+		h := ag.attempts[v.Key]
+		if h == nil {
+			continue
+		}
+		switch v.Decision {
+		case wire.DecisionKeep:
+			h.confirmedMs = max(h.confirmedMs, m.SentMs)
+		case wire.DecisionRecall:
+			if h.state == wire.AttemptQueued {
+				h.state, h.result, recalled = wire.AttemptEnded, wire.ResultShed, true
+				n.count("recalls")
+			} else {
+				h.confirmedMs = max(h.confirmedMs, m.SentMs)
+			}
+		case wire.DecisionDrop:
+			if h.state == wire.AttemptQueued {
+				h.state, h.result = wire.AttemptEnded, wire.ResultCancelled
+			} else if h.state != wire.AttemptEnded {
+				n.stopAttempt(ag, h, wire.ResultCancelled)
+			}
+		case wire.DecisionAcknowledged, wire.DecisionCounted:
+			if h.state == wire.AttemptEnded && !h.acked {
+				if h.lateEnd && v.Decision != wire.DecisionCounted {
+					continue // another run may have taken its place
+				}
+				h.acked = true
+				if !h.ordered || h.result == wire.ResultLost || h.result == wire.ResultRejected {
+					ag.forget(v.Key, n.now)
+				}
+			}
+		}
+	}
+	if recalled {
+		n.reportAgent(ag)
+	}
+	n.startPending(ag)
+}
+
+// rankOf is the paper's R = T_q + T_r + T_l, without batches: all others push them out.
+func (ag *agent) rankOf(n *node) (rank, queuedMs, queued int64) {
+	var tq, tr int64
+	now := n.now
+	for _, h := range ag.attempts {
+		if n.batchSpec(&h.spec) != nil {
+			continue
+		}
+		switch h.state {
+		case wire.AttemptQueued:
+			tq += h.spec.EstimateMs
+			queued++
+		case wire.AttemptOrdered, wire.AttemptRunning:
+			tr += max(0, h.spec.EstimateMs-(now-max(h.startedMs, h.orderedMs)))
+		}
+	}
+	return tq + tr + (now - ag.lastOK), tq, queued
+}
+
+// reportAgent tells each slice's owner and the central scheduler all it holds.
+func (n *node) reportAgent(ag *agent) {
+	ag.syncAt = n.now + syncMs
+	if !n.isActiveAgent(ag) && !ag.replaced {
+		return
+	}
+	rank, tq, queued := ag.rankOf(n)
+	waiting, spare := ag.withoutBatches(n)
+	base := wire.AgentReport{Waiting: waiting, Spare: spare, Worker: ag.worker, Agent: n.Name, Epoch: ag.epoch, SentMs: n.now, Rebuilt: ag.rebuilt, Fresh: n.now-ag.tokenMs <= reportMs,
+		SilentMs: n.now - ag.heardMs, Zone: ag.zone, Labels: ag.labels, Leaving: ag.leaving, Rack: ag.rack, Free: ag.free, Capacity: ag.capacity,
+		Suspect: n.now < ag.suspectMs, Colocated: ag.colocated,
+		RankMs: rank, QueuedMs: tq, Queued: queued, Succeeded: ag.succeeded, Failed: ag.failed, LagPercent: ag.lagPct}
+	keys := ag.keys()
+	for _, target := range append([]string{""}, n.core.Shards...) {
+		role := lease.Central
+		if target != "" {
+			role = lease.ShardRole(target)
+		}
+		to, _ := n.leases.Holder(role)
+		if to == "" {
+			continue
+		}
+		m := base
+		m.Shard = target
+		m.Batch = ag.batchHeld(n, target)
+		for _, key := range keys {
+			h := ag.attempts[key]
+			if h.spec.Shard == "" {
+				h.spec.Shard = n.shardOf(key.Job)
+			}
+			if h.state != wire.AttemptEnded && h.spec.Shard != target {
+				m.Others = m.Others.Plus(h.spec.Resources)
+			}
+			if target == "" && h.state == wire.AttemptEnded || target != "" && (h.spec.Shard != target || h.state == wire.AttemptEnded && h.acked) {
+				continue
+			}
+			ran := h.ranMs
+			if h.state == wire.AttemptRunning {
+				ran = n.now - h.startedMs
+			}
+			m.Attempts = append(m.Attempts, wire.AttemptStatus{Key: key, Class: h.spec.Class, State: h.state, Result: h.result, Resources: h.spec.Resources, RanMs: ran,
+				EstimateMs: h.spec.EstimateMs, Queue: h.spec.Queue, Name: h.spec.Name, Saved: h.spec.Saved, Unknown: h.unknown, Late: h.lateEnd})
+		}
+		n.send(to, &m)
+	}
+}
+
+// shed gives back unstarted queueable tasks, the last in line first, until the
+// rank meets the coordinator's target.
+func (n *node) shed(ag *agent, targetMs int64) {
+	rank, _, _ := ag.rankOf(n)
+	queue := ag.waiting(n)
+	slices.Reverse(queue)
+	some := false
+	for _, h := range queue {
+		if rank <= targetMs {
+			break
+		}
+		if h.spec.Class != wire.ClassQueueable || n.batchSpec(&h.spec) != nil {
+			continue
+		}
+		rank -= h.spec.EstimateMs
+		h.state, h.result, some = wire.AttemptEnded, wire.ResultShed, true
+		n.count("sheds")
+	}
+	if some {
+		n.reportAgent(ag)
+	}
+}
+
+// onPromotion makes a running queueable task firm, if its room is sure.
+func (n *node) onPromotion(_ string, m *wire.Promotion) {
+	ag := n.agents[m.Worker]
+	if ag == nil || ag.epoch != m.Epoch || !n.isActiveAgent(ag) {
+		return
+	}
+	h := ag.attempts[m.Key]
+	if h == nil || h.state != wire.AttemptRunning || h.stopMs != 0 || h.spec.Class != wire.ClassQueueable || n.batchSpec(&h.spec) != nil {
+		return
+	}
+	firm := h.spec.Resources
+	for _, o := range ag.attempts {
+		if o.state != wire.AttemptEnded && o.spec.Class == wire.ClassGuaranteed {
+			firm = firm.Plus(o.spec.Resources)
+		}
+	}
+	if firm.Fits(ag.capacity) {
+		h.spec.Class = wire.ClassGuaranteed
+		n.count("promotions")
+	}
+}
--- a/internal/daemon/archive_test.go
+++ b/internal/daemon/archive_test.go
@@ -3,13 +3,14 @@
 import (
 	"flag"
 	"fmt"
+	"runtime"
+	"testing"
+	"time"
+
 	"otterchute/internal/quorum"
 	"otterchute/internal/statestore"
 	"otterchute/internal/storage"
 	"otterchute/internal/wire"
-	"runtime"
-	"testing"
-	"time"
 
 	"github.com/shoenig/test/must"
 )
@@ -24,7 +25,7 @@
 
 func finishedEntry(slice string, i int, doneMs int64) statestore.Entry {
 	j := &job{ID: fmt.Sprintf("confirm-17999990-%07d", i), Queue: "confirm", Digest: make([]byte, 16), SubmitMs: doneMs - 500, State: jobComplete, DoneMs: doneMs, Version: 9}
-	return statestore.Entry{Kind: statestore.EntryRecord, Name: slice, Record: statestore.Record{ID: j.ID, Epoch: 3, Version: 9, DoneMs: doneMs, Confirmed: true, Value: j.kept()}}
+	return statestore.Entry{Kind: statestore.EntryRecord, Name: slice, Record: statestore.Record{ID: j.ID, Epoch: 3, Version: 9, DoneMs: doneMs, Confirmed: true, Value: j.encode()}}
 }
 
 // A replaced member copies many finished jobs in parts: no message grows with
@@ -109,9 +110,9 @@
 	n := newNode(nodeConfig{Name: "d00"}, st)
 	n.core = quorum.Set{Cluster: 1, Version: 1, Members: []quorum.Member{{Name: "d00", DiskID: 0}}}
 	st.Apply(statestore.Entry{Kind: statestore.EntryForm, Value: quorum.Set{Cluster: 1}.Encode()})
-	took("seal", func() { n.onSeal("d01", &wire.SealRequest{SetVersion: 1, Shard: "east", Epoch: 9}) })
+	took("seal", func() { n.onSealRequest("d01", &wire.SealRequest{SetVersion: 1, Shard: "east", Epoch: 9}) })
 	took("a part of a copy", func() {
-		n.onCopy("d01", &wire.CopyRequest{SetVersion: 1, At: statestore.Cursor{Shard: "mid", Chunk: 5, Instance: n.Instance}})
+		n.onCopyRequest("d01", &wire.CopyRequest{SetVersion: 1, At: statestore.Cursor{Shard: "mid", Chunk: 5, Instance: n.Instance}})
 	})
 	took("drop of an hour", func() {
 		for _, s := range slices {
--- /dev/null
+++ b/internal/daemon/attempt_result.go
@@ -0,0 +1,107 @@
+package daemon
+
+import (
+	"otterchute/internal/wire"
+)
+
+// resolveAttempt applies how an attempt ended to its task.
+func (n *node) resolveAttempt(sl *shard, js *jobState, i int, result wire.AttemptResult, ranMs int64) {
+	t, rt := &js.Tasks[i], &js.runtime[i]
+	st := &js.Steps[t.Step]
+	n.markDirty(sl, js)
+	t.ChangedIn, t.RanMs = js.Version, ranMs
+	n.meterBatch(js, t, ranMs)
+	n.count("ends_" + result.String())
+	if rt.saved != "" {
+		t.Saved = rt.saved
+	}
+	*rt = taskRuntime{}
+	defer sl.indexTask(js, i)
+	switch result {
+	case wire.ResultOK:
+		n.recordRunTime(js, t, ranMs)
+		if st.Lasting {
+			rt.retryMs = n.now + backoffMs/2
+			break
+		}
+		t.State, t.Cause = taskEnded, ""
+		if st.Gang {
+			n.endGang(sl, js, i)
+		}
+		return
+	case wire.ResultFailed, wire.ResultOverrun:
+		t.Last, t.Cause = t.Worker, result.String()
+		if !n.countFailure(js, i) {
+			break
+		}
+		wait := int64(backoffMs) << min(t.Failures-1, 10)
+		rt.retryMs = n.now + min(wait, backoffMax)
+		if st.Alike { // of many tasks alike some fail; the next try is elsewhere
+			rt.retryMs = n.now + min(wait/4, backoffMs)
+		}
+	case wire.ResultPreempted:
+		t.Preempts++
+		rt.retryMs = n.batchBack(js)
+	case wire.ResultStalled, wire.ResultLost:
+		t.Last = t.Worker
+	case wire.ResultShed, wire.ResultRejected:
+		rt.retryMs = n.now + 20 + n.rand().Int64N(100)
+	}
+	if st.Gang && js.Steps[t.Step].Saves {
+		n.shareSaved(js, i)
+	}
+	switch {
+	case t.Failures >= t.allowedRuns() && !st.Lasting:
+		t.State = taskFailed
+		if js.State == jobRunning {
+			js.State = jobFailed
+			n.log("job_failing", "job", js.ID, "task", t.Name, "cause", t.Cause, "failures", t.Failures)
+			n.cancelTasks(sl, js)
+		}
+	case js.State != jobRunning:
+		t.State = taskCancelled
+	default:
+		t.State = taskPending
+	}
+}
+
+// countFailure counts a failed run, a gang's once for all its members.
+func (n *node) countFailure(js *jobState, i int) bool {
+	t := &js.Tasks[i]
+	if !js.Steps[t.Step].Gang {
+		t.Failures++
+		t.FailedRun = t.Attempt
+		return true
+	}
+	if t.FailedRun == t.Attempt {
+		return false
+	}
+	from, to := js.gangRange(i)
+	for k := from; k < to; k++ {
+		js.Tasks[k].Failures++
+		js.Tasks[k].FailedRun = t.Attempt
+	}
+	return true
+}
+
+// endGang takes one member's good end for all of its run.
+func (n *node) endGang(sl *shard, js *jobState, i int) {
+	from, to := js.gangRange(i)
+	for k := from; k < to; k++ {
+		if o := &js.Tasks[k]; k != i && o.Attempt == js.Tasks[i].Attempt && o.State != taskEnded {
+			o.State, o.Cause, o.ChangedIn = taskEnded, "", js.Version
+			js.runtime[k] = taskRuntime{}
+			sl.indexTask(js, k)
+		}
+	}
+}
+
+// shareSaved gives all members of a gang the newest saved text of one of them:
+// they must go on from the same.
+func (n *node) shareSaved(js *jobState, i int) {
+	from, to := js.gangRange(i)
+	saved := js.Tasks[i].Saved
+	for k := from; k < to; k++ {
+		js.Tasks[k].Saved = saved
+	}
+}
--- a/internal/daemon/ballot_test.go
+++ b/internal/daemon/ballot_test.go
@@ -1,14 +1,15 @@
 package daemon
 
 import (
+	"reflect"
+	"testing"
+
 	"otterchute/internal/codec"
 	"otterchute/internal/configuration"
 	"otterchute/internal/quorum"
 	"otterchute/internal/register"
 	"otterchute/internal/statestore"
 	"otterchute/internal/wire"
-	"reflect"
-	"testing"
 
 	"github.com/shoenig/test/must"
 )
@@ -94,7 +95,7 @@
 // A life that ended after one accept and the next one must not propose two
 // values under one ballot: a promise to the first, told twice, would count for
 // the second, and a late accept of the first would replace what was chosen.
-func TestBallotsAreUniqueOverLives(t *testing.T) {
+func TestBallotsAreUniqueOverInstances(t *testing.T) {
 	q := newQuorumOfThree()
 	answer := func(member string, msg any) any {
 		sends := sentBy(q.members[member], "p", msg)
@@ -131,7 +132,7 @@
 }
 
 // All tries of one life have ballots of their own too, whatever the register.
-func TestBallotsAreUniqueWithinALife(t *testing.T) {
+func TestBallotsAreUniqueWithinAnInstance(t *testing.T) {
 	n := newQuorumOfThree().life(1)
 	seen := map[register.Ballot]bool{}
 	for range 3 {
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -3,12 +3,13 @@
 import (
 	"cmp"
 	"fmt"
+	"slices"
+	"time"
+
 	"otterchute/internal/configuration"
 	"otterchute/internal/rendezvous"
 	"otterchute/internal/resource"
 	"otterchute/internal/wire"
-	"slices"
-	"time"
 )
 
 // Batch queues: work that may wait for the cheapest hours of a contract, and
@@ -66,7 +67,7 @@
 // queue may have had before it took batches, run as they did.
 func (n *node) batchOf(j *job) *configuration.Batch {
 	q := n.config.current.Queues[j.Queue]
-	if q == nil || q.Batch == nil || slices.ContainsFunc(j.Steps, func(s step) bool { return s.Gang || s.Lasting }) {
+	if q == nil || q.Batch == nil || slices.ContainsFunc(j.Steps, func(s jobStep) bool { return s.Gang || s.Lasting }) {
 		return nil
 	}
 	return q.Batch
@@ -113,7 +114,7 @@
 	for _, id := range sorted(sl.jobs) {
 		js := sl.jobs[id]
 		if r := n.batchOf(&js.job); r == nil || js.DoneMs != 0 {
-			js.batch = nil
+			js.plan = nil
 		} else {
 			from := js.batchFrom()
 			list = append(list, due{js, r, from, from + r.FinishByMs})
@@ -134,11 +135,11 @@
 		ahead += work * float64(max(1, len(n.core.Shards))) // the other slices hold as much
 		need := (int64(ahead)+chain)*batchSlack/100 + batchMarginMs
 		p := planBatch(e.r, e.js.ID, e.from, wall, need)
-		if p.Must && (e.js.batch == nil || !e.js.batch.Must) {
+		if p.Must && (e.js.plan == nil || !e.js.plan.Must) {
 			n.count("batches_at_any_price")
 			n.log("batch_at_any_price", "job", e.js.ID, "queue", e.js.Queue, "need_ms", need, "price", p.Price)
 		}
-		e.js.batch = &p
+		e.js.plan = &p
 	}
 }
 
@@ -146,7 +147,7 @@
 func (n *node) batchRoom(queue string, r *configuration.Batch) (all resource.Amount) {
 	q := n.config.current.Queues[queue]
 	for _, w := range n.workers {
-		if n.now-w.heardMs < silentMs && !w.leaving && !n.config.current.EmptyZones[w.site] && q.Matches(w.labels, w.site) {
+		if n.now-w.heardMs < silentMs && !w.leaving && !n.config.current.EmptyZones[w.zone] && q.Matches(w.labels, w.zone) {
 			all = all.Plus(w.capacity.Share(r.SharePercent))
 		}
 	}
@@ -188,7 +189,7 @@
 
 // batchMayStart tells whether a pending task of a batch job may start by its hours.
 func (n *node) batchMayStart(js *jobState, t *task, wall int64) bool {
-	return js.batch != nil && js.batch.mayStart(wall, n.estimateMs(js, t))
+	return js.plan != nil && js.plan.mayStart(wall, n.estimateMs(js, t))
 }
 
 // shortOfRoom tells whether more urgent work waits: of this slice for a place, of
@@ -224,7 +225,7 @@
 		}
 	}()
 	for at, room := range sl.placed[worker] {
-		if js := sl.jobs[at.job]; js != nil && js.batch != nil && (js.Queue == queue || queue == "") {
+		if js := sl.jobs[at.job]; js != nil && js.plan != nil && (js.Queue == queue || queue == "") {
 			sum = sum.Plus(room)
 		}
 	}
@@ -248,7 +249,7 @@
 	}
 	sl.batchTries++
 	js.runtime[i].retryMs = n.now + batchAgainMs/2 + n.rand().Int64N(batchAgainMs)
-	if !js.batch.Must && n.shortOfRoom(sl) {
+	if !js.plan.Must && n.shortOfRoom(sl) {
 		return ""
 	}
 	t := &js.Tasks[i]
@@ -264,13 +265,13 @@
 			continue
 		}
 		kept := w.capacity.Share(batchHeadroom)
-		if js.batch.Must {
+		if js.plan.Must {
 			kept = resource.Amount{}
 		}
 		if !t.Resources.Plus(kept).Fits(n.freeAt(sl, name, w)) {
 			continue
 		}
-		if !js.batch.Must && !n.batchLoad(sl, "", name).Plus(t.Resources).Plus(kept).Fits(w.spare.least()) {
+		if !js.plan.Must && !n.batchLoad(sl, "", name).Plus(t.Resources).Plus(kept).Fits(w.spare.least()) {
 			continue
 		}
 		load := n.batchLoad(sl, js.Queue, name)
@@ -281,7 +282,7 @@
 		if w.capacity.Memory > 0 {
 			part = max(part, float64(load.Memory)/float64(w.capacity.Memory))
 		}
-		if js.batch.Must { // where most is free: there it is pushed out the least
+		if js.plan.Must { // where most is free: there it is pushed out the least
 			free := n.freeAt(sl, name, w)
 			part = 1 - float64(free.CPU)/float64(max(w.capacity.CPU, 1))
 		}
@@ -302,9 +303,9 @@
 	return best
 }
 
-// whyHeld tells why a task of a batch has not started, and until when.
-func (n *node) whyHeld(js *jobState, t *task) string {
-	r, p, wall := n.batchOf(&js.job), js.batch, n.fleetTime()
+// explainHeld tells why a task of a batch has not started, and until when.
+func (n *node) explainHeld(js *jobState, t *task) string {
+	r, p, wall := n.batchOf(&js.job), js.plan, n.fleetTime()
 	if r == nil {
 		return ""
 	}
@@ -392,13 +393,13 @@
 
 // batchEnded notes a batch job that is complete, and whether it is late.
 func (n *node) batchEnded(js *jobState) {
-	if n.batchOf(&js.job) == nil || js.State != jobComplete || js.batch == nil {
+	if n.batchOf(&js.job) == nil || js.State != jobComplete || js.plan == nil {
 		return
 	}
 	n.count("batches_complete")
-	if js.DoneMs > js.batch.DeadlineMs {
+	if js.DoneMs > js.plan.DeadlineMs {
 		n.count("batches_late")
-		n.log("batch_late", "job", js.ID, "queue", js.Queue, "late_ms", js.DoneMs-js.batch.DeadlineMs)
+		n.log("batch_late", "job", js.ID, "queue", js.Queue, "late_ms", js.DoneMs-js.plan.DeadlineMs)
 	}
 }
 
@@ -410,13 +411,13 @@
 	}
 	for _, sl := range n.owned {
 		for _, js := range sl.jobs {
-			if js.batch == nil || js.DoneMs != 0 {
+			if js.plan == nil || js.DoneMs != 0 {
 				continue
 			}
-			if js.brief() == "pending" {
+			if js.state() == "pending" {
 				out["batches_held"]++
 			}
-			if js.batch.Must {
+			if js.plan.Must {
 				out["batches_at_risk"]++
 			}
 		}
@@ -514,7 +515,7 @@
 		return true
 	})
 	if some {
-		n.syncAgent(ag)
+		n.reportAgent(ag)
 	}
 	return queue
 }
--- a/internal/daemon/batch_test.go
+++ b/internal/daemon/batch_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"fmt"
+	"strings"
+	"testing"
+
 	"otterchute/internal/configuration"
 	"otterchute/internal/quorum"
 	"otterchute/internal/resource"
 	"otterchute/internal/schema"
 	"otterchute/internal/wire"
-	"strings"
-	"testing"
 
 	"github.com/shoenig/test/must"
 )
@@ -181,7 +182,7 @@
 	urgent := queued("c1", "confirm", wire.ClassQueueable, 40) // 20 are free
 	pump()
 	must.Eq(t, wire.AttemptQueued, urgent.state)
-	must.Eq(t, wire.ResultPreempted, one.stopWhy) // the batch makes room at once
+	must.Eq(t, wire.ResultPreempted, one.stopReason) // the batch makes room at once
 	must.Zero(t, other.stopMs)
 	three := queued("b3", "refresh", wire.ClassQueueable, 1)
 	pump()
@@ -209,7 +210,7 @@
 	batch := queued("b4", "refresh", wire.ClassQueueable, 10)
 	batch.spec.EstimateMs = 50_000
 	running(batch)
-	n.onPromote("", &wire.Promotion{Worker: "w", Key: batch.spec.Key})
+	n.onPromotion("", &wire.Promotion{Worker: "w", Key: batch.spec.Key})
 	must.Eq(t, wire.ClassQueueable, batch.spec.Class)
 	rank, _, _ := ag.rankOf(n)
 	must.Less(t, 50_000, rank)
@@ -224,7 +225,7 @@
 		n.workers[name] = &workerView{heardMs: n.now, rebuilt: true, fresh: true, capacity: resource.Amount{CPU: 100}, spare: roomy, otherShards: map[string]resource.Amount{}, batch: map[string][]wire.QueueUse{}}
 	}
 	js := n.batchJob(t, sl, "b1", oneBatch(10, 1000), 0)
-	js.batch = &batchPlan{}
+	js.plan = &batchPlan{}
 	choose := func() string {
 		sl.batchStarts, sl.batchTries, sl.batchLoads = 0, 0, map[queueOnWorker]resource.Amount{}
 		return n.selectBatchWorker(sl, js, 0)
@@ -235,12 +236,12 @@
 	must.Greater(t, n.now, js.runtime[0].retryMs)
 	n.workers["w3"].waiting = 1 // something more urgent waits there
 	must.Eq(t, "", choose())    // and at one worker of three that is a sign for all
-	js.batch.Must = true        // but a job that must start takes the emptiest of the others
+	js.plan.Must = true         // but a job that must start takes the emptiest of the others
 	n.workers["w2"].otherShards["east"] = resource.Amount{CPU: 90}
 	must.Eq(t, "w1", choose())
 	n.workers["w1"].otherShards["east"] = resource.Amount{CPU: 91}
 	must.Eq(t, "w2", choose())
-	js.batch.Must, n.workers["w1"].otherShards, n.workers["w2"].otherShards = false, map[string]resource.Amount{}, map[string]resource.Amount{}
+	js.plan.Must, n.workers["w1"].otherShards, n.workers["w2"].otherShards = false, map[string]resource.Amount{}, map[string]resource.Amount{}
 	n.workers["w3"].waiting = 0
 	n.workers["w3"].spare = spareWindow{}.with(0, resource.Amount{CPU: 100}) // not seen long enough
 	must.Eq(t, "w2", choose())
@@ -282,18 +283,18 @@
 	n.planBatches(sl)
 	held, now := 0, 0
 	for _, js := range all {
-		if js.batch.Price == 0.04 {
+		if js.plan.Price == 0.04 {
 			held++
-			must.GreaterEq(t, at(0, 22), js.batch.StartMs)
+			must.GreaterEq(t, at(0, 22), js.plan.StartMs)
 		} else {
 			now++
-			must.True(t, js.batch.mayStart(at(0, 14), msPerHour))
+			must.True(t, js.plan.mayStart(at(0, 14), msPerHour))
 		}
 	}
 	must.Positive(t, held)
 	must.Positive(t, now) // twice 15 hours don't fit between 22:00 and 10:00
-	must.Eq(t, 0.04, all[0].batch.Price)
-	must.Eq(t, 0.12, all[59].batch.Price)
+	must.Eq(t, 0.04, all[0].plan.Price)
+	must.Eq(t, 0.12, all[59].plan.Price)
 	late := n.batchJob(t, sl, "late", oneBatch(1, 4000), 20*msPerHour-30_000)
 	n.now += batchPlanMs
 	n.config.confirmedMs = n.now
@@ -301,12 +302,12 @@
 		w.heardMs = n.now
 	}
 	n.planBatches(sl)
-	must.True(t, late.batch.Must)
+	must.True(t, late.plan.Must)
 	delete(sl.jobs, "late")
 	sl.batchAt = 0
 	n.planBatches(sl)
-	must.StrContains(t, n.whyHeld(all[0], &all[0].Tasks[0]), "held until Mon 2027-01-04 2")
-	must.StrContains(t, n.whyHeld(all[0], &all[0].Tasks[0]), "the cheapest contracted hours: night, 0.04 a core hour; it is to be complete by Tue 2027-01-05 09:59 +02:00")
+	must.StrContains(t, n.explainHeld(all[0], &all[0].Tasks[0]), "held until Mon 2027-01-04 2")
+	must.StrContains(t, n.explainHeld(all[0], &all[0].Tasks[0]), "the cheapest contracted hours: night, 0.04 a core hour; it is to be complete by Tue 2027-01-05 09:59 +02:00")
 	gauges := map[string]float64{}
 	n.batchGauges(gauges)
 	must.Eq(t, 60.0, gauges["batches_held"])
@@ -322,20 +323,20 @@
 	}
 	osl.startMs = other.now
 	other.planBatches(osl)
-	must.Nil(t, osl.jobs["b00"].batch)
-	must.Eq(t, "held: its hours are being planned", other.whyHeld(osl.jobs["b00"], &osl.jobs["b00"].Tasks[0]))
+	must.Nil(t, osl.jobs["b00"].plan)
+	must.Eq(t, "held: its hours are being planned", other.explainHeld(osl.jobs["b00"], &osl.jobs["b00"].Tasks[0]))
 	osl.startMs -= batchLearnMs
 	other.planBatches(osl)
 	for _, js := range all {
-		must.Eq(t, js.batch, osl.jobs[js.ID].batch)
+		must.Eq(t, js.plan, osl.jobs[js.ID].plan)
 	}
 
 	// a queue that takes no batches any more lets its jobs go at once
 	c, _ := configuration.Compile(2, []byte(`{"queues":[{"name":"refresh"}]}`))
 	n.config.current = c
 	n.planBatches(sl)
-	must.Nil(t, all[0].batch)
-	must.Eq(t, "", n.whyHeld(all[0], &all[0].Tasks[0]))
+	must.Nil(t, all[0].plan)
+	must.Eq(t, "", n.explainHeld(all[0], &all[0].Tasks[0]))
 }
 
 // Core seconds are counted at the price of the hours that they were run in, and a
@@ -347,7 +348,7 @@
 	js := n.batchJob(t, sl, "b1", oneBatch(2, 1000), 0)
 	n.meterBatch(js, &js.Tasks[0], 3*msPerHour) // from 04:00 to 07:00
 	must.Eq(t, map[meterKey]float64{{"night", 0.04}: 2 * 2 * 3600, {"night", 0.08}: 2 * 3600}, n.batchMeter)
-	js.batch, js.State = &batchPlan{DeadlineMs: 10}, jobComplete
+	js.plan, js.State = &batchPlan{DeadlineMs: 10}, jobComplete
 	js.DoneMs = 10
 	n.batchEnded(js)
 	must.Zero(t, n.counts["batches_late"])
--- a/internal/daemon/batchnight_test.go
+++ b/internal/daemon/batchnight_test.go
@@ -15,9 +15,9 @@
 // exactly once each, and be in time.
 
 // batchQueues are the batches of a site, and what they follow.
-func batchQueues(site beatSite) []beatQueue {
+func batchQueues(site platformDeployment) []platformQueue {
 	name := map[string][2]string{"hakata": {"night-refresh", "promoter-recheck"}, "ikenna": {"logbook-import", "ledger-recheck"}}[site.name]
-	return []beatQueue{{name[0], "night.example", "/a/", 20, 4, 4000, 3, site.service}, {name[1], "night.example", "/b/", 80, 4, 4000, 3, site.service}}
+	return []platformQueue{{name[0], "night.example", "/a/", 20, 4, 4000, 3, site.service}, {name[1], "night.example", "/b/", 80, 4, 4000, 3, site.service}}
 }
 
 // nightPlan is a night's contract and what is sent before and in it.
@@ -29,25 +29,25 @@
 	untilMs       int64
 	pace          float64 // of urgent traffic, against the site's usual
 	batches       bool
-	faults        func(b *beatWorld)
+	faults        func(b *platformWorld)
 	lost          int     // how many good ends of a task may get lost, with a worker or its hold
 	cheap         float64 // the least share of work that must be done in the cheapest hours
 }
 
 type nightRun struct {
-	*beatWorld
+	*platformWorld
 	plan    nightPlan
-	batch   []*beatJob
-	urgent  map[string][]*beatJob
-	queues  []beatQueue
+	batch   []*platformJob
+	urgent  map[string][]*platformJob
+	queues  []platformQueue
 	samples []string // what waiting jobs were said to wait for
 }
 
 // runNight runs one night. Traffic and faults are the same with batches or
 // without, whatever else happens.
 func runNight(t *testing.T, seed uint64, site string, p nightPlan) *nightRun {
-	b := formBeats(t, seed, site)
-	r := &nightRun{beatWorld: b, plan: p, urgent: map[string][]*beatJob{}, queues: batchQueues(b.site)}
+	b := formPlatform(t, seed, site)
+	r := &nightRun{platformWorld: b, plan: p, urgent: map[string][]*platformJob{}, queues: batchQueues(b.deployment)}
 	s := b.usualSetup()
 	s.queues = append(s.queues, r.queues...)
 	// Declared with an offset, so that the contract's own clock counts.
@@ -60,7 +60,7 @@
 		r.queues[1].name: {"contract": "night", "finish_by_hours": p.tightHours, "share_percent": 30}}
 	b.putSetup(s, 2, 1, nil)
 	must.True(t, b.until(5000, func() bool { return b.version == 2 }))
-	draw := func(rng *rand.Rand, k *beatKind) *beatJob { // the same jobs in each world of a seed
+	draw := func(rng *rand.Rand, k *platformKind) *platformJob { // the same jobs in each world of a seed
 		own := b.rng
 		b.rng = rng
 		defer func() { b.rng = own }()
@@ -68,8 +68,8 @@
 	}
 	usual := rand.New(rand.NewPCG(seed, 7))
 	sum := 0.0
-	for i := range b.site.kinds {
-		sum += b.site.kinds[i].weight
+	for i := range b.deployment.kinds {
+		sum += b.deployment.kinds[i].weight
 	}
 	var next func()
 	next = func() {
@@ -77,19 +77,19 @@
 			return
 		}
 		at, k := usual.Float64()*sum, 0
-		for k < len(b.site.kinds)-1 && at >= b.site.kinds[k].weight {
-			at -= b.site.kinds[k].weight
+		for k < len(b.deployment.kinds)-1 && at >= b.deployment.kinds[k].weight {
+			at -= b.deployment.kinds[k].weight
 			k++
 		}
-		j := b.submit(draw(usual, &b.site.kinds[k]))
+		j := b.submit(draw(usual, &b.deployment.kinds[k]))
 		r.urgent[j.queue.name] = append(r.urgent[j.queue.name], j)
-		b.after(int64(usual.ExpFloat64()*1e6/(b.site.perSec*p.pace)), next)
+		b.after(int64(usual.ExpFloat64()*1e6/(b.deployment.perSec*p.pace)), next)
 	}
 	next()
 	if p.batches {
 		nightly := rand.New(rand.NewPCG(seed, 8))
 		for i := range p.jobs + p.tight {
-			kind := b.site.kinds[1]
+			kind := b.deployment.kinds[1]
 			kind.queue, kind.cancel, kind.timed, kind.hopeless, kind.copies = r.queues[0], 0, 0, 0, 0
 			if i >= p.jobs {
 				kind.queue = r.queues[1]
@@ -115,7 +115,7 @@
 	}
 	deadline := int64(p.finishByHours*msPerHour) + 30_000
 	b.until(max(0, deadline-b.nowMs()), func() bool {
-		return !slices.ContainsFunc(r.batch, func(j *beatJob) bool { return !j.final() })
+		return !slices.ContainsFunc(r.batch, func(j *platformJob) bool { return !j.final() })
 	})
 	b.finish(60_000)
 	return r
@@ -124,8 +124,8 @@
 // judge tells whether every batch ran exactly once, whole, in time, and at what price.
 func (r *nightRun) judge(t *testing.T) {
 	t.Helper()
-	p, b := r.plan, r.beatWorld
-	verdictOfBeats(t, b)
+	p, b := r.plan, r.platformWorld
+	verdictOfPlatform(t, b)
 	must.Len(t, p.jobs+p.tight, r.batch)
 	within := func(fromMs, toMs int64) (ms int64) {
 		for _, w := range p.windows {
@@ -137,10 +137,10 @@
 	ends, cheap, dear, firsts := map[string]int{}, 0.0, 0.0, map[string]int64{}
 	// A good end counts once it is taken note of; one that isn't, and whose worker's
 	// hold then ran out, stands for nothing, by the users' rules.
-	noted, open := map[string]int{}, map[string][]beatEvent{}
+	noted, open := map[string]int{}, map[string][]platformEvent{}
 	starts := map[runName]int64{}
 	loads := map[string]amounts{}
-	batch := map[string]*beatJob{}
+	batch := map[string]*platformJob{}
 	for _, j := range r.batch {
 		batch[j.id] = j
 	}
@@ -151,7 +151,7 @@
 		case bLapsed:
 			open[e.worker] = nil
 		case bSeen:
-			open[e.worker] = slices.DeleteFunc(open[e.worker], func(o beatEvent) bool {
+			open[e.worker] = slices.DeleteFunc(open[e.worker], func(o platformEvent) bool {
 				if o.n <= e.n && o.text == "ok" {
 					noted[fmt.Sprint(o.job, o.task)]++
 				}
@@ -168,7 +168,7 @@
 		case bStarted:
 			starts[name] = e.atMs
 			loads[e.worker+j.queue.name] = loads[e.worker+j.queue.name].plus(step.room, 1)
-			capacity := r.site.capacity
+			capacity := r.deployment.capacity
 			must.LessEq(t, capacity[0]*30/100, loads[e.worker+j.queue.name][0], must.Sprint("batches above their share at ", e.worker))
 			must.LessEq(t, capacity[1]*30/100, loads[e.worker+j.queue.name][1])
 			if firsts[e.job] == 0 {
@@ -244,7 +244,7 @@
 // An unwatched night with urgent traffic: every batch runs exactly once, whole, in
 // time and in the cheapest hours, and nothing urgent is slower for it.
 func TestBatchNight(t *testing.T) {
-	for _, site := range sorted(beatSites) {
+	for _, site := range sorted(platformDeployments) {
 		for i := range max(1, *seedsFlag) {
 			seed := uint64(31 + i)
 			t.Run(fmt.Sprintf("%s-%d", site, seed), func(t *testing.T) {
@@ -254,7 +254,7 @@
 				with.judge(t)
 				p.batches = false
 				without := runNight(t, seed, site, p)
-				for _, k := range with.site.kinds {
+				for _, k := range with.deployment.kinds {
 					one, other := with.aims(k.queue.name), without.aims(k.queue.name)
 					t.Logf("%s: %s with batches, %s without", k.queue.name, one, other)
 					if k.queue.urgency < 90 {
@@ -270,7 +270,7 @@
 
 // The same night with troubles from its opening on.
 func TestBatchNightFaults(t *testing.T) {
-	faults := func(b *beatWorld) {
+	faults := func(b *platformWorld) {
 		at := func(ms int64, f func()) { b.after((ms-b.nowMs())*1000, f) }
 		at(55_000, func() { // one machine of the core has a wrong clock
 			undo := b.jumpOf(b.nodes["d01"])
@@ -307,7 +307,7 @@
 		at(218_000, func() { b.freeze(b.holder("central"), 3500) })
 		at(228_000, func() { b.after(4_000_000, b.kill(b.holder(b.someSlice()), true)) })
 	}
-	for _, site := range sorted(beatSites) {
+	for _, site := range sorted(platformDeployments) {
 		for i := range max(1, *seedsFlag) {
 			seed := uint64(51 + i)
 			t.Run(fmt.Sprintf("%s-%d", site, seed), func(t *testing.T) {
@@ -325,7 +325,7 @@
 	if !*measureFlag {
 		t.Skip("only with -measure")
 	}
-	for _, site := range sorted(beatSites) {
+	for _, site := range sorted(platformDeployments) {
 		for i := range max(1, *seedsFlag) {
 			t.Run(fmt.Sprintf("%s-%d", site, 71+i), func(t *testing.T) {
 				t.Parallel()
@@ -347,7 +347,7 @@
 					}
 				}
 				t.Logf("%d batches late; while traffic came %d of their runs began, %d were pushed out", late, began, out)
-				for _, k := range with.site.kinds {
+				for _, k := range with.deployment.kinds {
 					t.Logf("%s: %s with batches, %s without", k.queue.name, with.aims(k.queue.name), without.aims(k.queue.name))
 				}
 			})
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"fmt"
+	"testing"
+
 	"otterchute/internal/configuration"
 	"otterchute/internal/historycheck"
 	"otterchute/internal/resource"
 	"otterchute/internal/wire"
-	"testing"
 )
 
 func manyQueues(count int) []byte {
@@ -55,9 +56,9 @@
 	c, _ := configuration.Compile(1, manyQueues(5000))
 	n.config.current = c
 	for i := range 11 {
-		n.workers[fmt.Sprintf("w%02d", i)] = &workerView{rebuilt: true, fresh: true, capacity: resource.Amount{CPU: 16}, site: historycheck.Sites[i%3], labels: []wire.Label{{Key: "disk", Value: "ssd"}, {Key: "tier", Value: "fast"}}}
+		n.workers[fmt.Sprintf("w%02d", i)] = &workerView{rebuilt: true, fresh: true, capacity: resource.Amount{CPU: 16}, zone: historycheck.Zones[i%3], labels: []wire.Label{{Key: "disk", Value: "ssd"}, {Key: "tier", Value: "fast"}}}
 	}
-	js := &jobState{job: job{Queue: "guild-4000", Steps: []step{{Size: 1}}, Tasks: []task{{Resources: resource.Amount{CPU: 1}}}}}
+	js := &jobState{job: job{Queue: "guild-4000", Steps: []jobStep{{Size: 1}}, Tasks: []task{{Resources: resource.Amount{CPU: 1}}}}}
 	sl := &shard{name: "east"}
 	for b.Loop() {
 		n.selectWorker(sl, js, 0)
--- a/internal/daemon/brief_test.go
+++ b/internal/daemon/brief_test.go
@@ -5,10 +5,10 @@
 	"flag"
 	"fmt"
 	"strings"
-
 	"testing"
 
 	"otterchute/internal/historycheck"
+	"otterchute/internal/membership"
 
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
@@ -78,7 +78,7 @@
 
 	scenarios["delays over a takeover while disks are slow"] = scenario{"ikenna", func(t *testing.T, w *world) {
 		w.run(3000)
-		for i := range coreSize {
+		for i := range membership.DefaultSize {
 			w.syncUs[fmt.Sprintf("d%02d", i)] = 400_000
 		}
 		w.traffic(30_000)
@@ -90,7 +90,7 @@
 		}
 		w.run(1500)
 		w.syncUs = map[string]int64{}
-		for _, s := range historycheck.Sites {
+		for _, s := range historycheck.Zones {
 			w.killHolder("slice/" + s)
 		}
 		w.run(12_000)
@@ -120,7 +120,7 @@
 		must.Eq(t, "running", plain.state)
 		must.StrContains(t, plain.last, at)
 		must.StrContains(t, plain.last, "otterchute workers lost")
-		for _, site := range historycheck.Sites {
+		for _, site := range historycheck.Zones {
 			status, _, _, _ := w.asked("operator", w.nodes["d09"], "worker.lost", site+"/"+at, nil)
 			must.Eq(t, 200, status)
 		}
@@ -239,7 +239,7 @@
 			}
 			if how == "emptied" || how == "all" {
 				set := w.dep.SetupOf()
-				set.EmptySites = []string{s.site}
+				set.EmptySites = []string{s.zone}
 				w.putSetup(w.setupVersion()+1, set, nil)
 			}
 			if how == "agent moved" || how == "all" {
@@ -265,7 +265,7 @@
 			w.run(8000)
 			w.wave(i, []int{400, 150, 40}[i])
 			w.run(200)
-			w.killHolder("slice/" + w.some(historycheck.Sites))
+			w.killHolder("slice/" + w.some(historycheck.Zones))
 			w.killHolder("central")
 			w.workers["w06"].crash()
 			w.run(4000)
@@ -414,15 +414,15 @@
 		again()
 	}
 	w.killHolder("slice/mid") // for a while nobody settles a third of them
-	was := w.total("asks_handed_over")
+	was := w.total("requests_forwarded")
 	w.run(6000)
-	handed := w.total("asks_handed_over") - was
+	handed := w.total("requests_forwarded") - was
 	urgent := w.submit(w.oneTask("signoff", 100, 1, 10_000, 1))
 	w.run(5000)
 	stop = true
 	must.Eq(t, "complete", urgent.state)
 	must.Positive(t, entered)
-	again, reads := w.total("asks_again"), w.total("states_from_core")
+	again, reads := w.total("requests_retried"), w.total("states_from_core")
 	must.LessEq(t, int64(sent), handed-again, must.Sprintf("%d handed over of %d sent", handed, sent))
 	most := int64(sent/retryShare + len(w.nodes)*(retryBudgetMax+(11_000/tickMs)*retriesPerTick))
 	must.LessEq(t, most, again+reads, must.Sprintf("%d tries beyond the first", again+reads))
@@ -442,7 +442,7 @@
 		{"core below majority", func(w *world) { w.nodes["d00"].kill(true); w.nodes["d02"].kill(true) }, 6000},
 		{"core member missing", func(w *world) { w.nodes["d01"].kill(true) }, 6000},
 		{"core out of reach", func(w *world) {
-			for i := range coreSize {
+			for i := range membership.DefaultSize {
 				w.cuts[[2]string{"d07", fmt.Sprintf("d%02d", i)}] = true
 			}
 		}, 4000},
--- /dev/null
+++ b/internal/daemon/campaign_faults_test.go
@@ -0,0 +1,501 @@
+package daemon
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+
+	"otterchute/internal/historycheck"
+	"otterchute/internal/membership"
+	"otterchute/internal/quorum"
+)
+
+// fault is one thing that goes wrong for a while. It gives what ends it.
+type worldFault func(w *world) (undo func())
+
+func (w *world) someNode() *simNode { return w.nodes[sorted(w.nodes)[w.rng.IntN(len(w.nodes))]] }
+
+func (w *world) someWorker() *simWorker {
+	return w.workers[sorted(w.workers)[w.rng.IntN(len(w.workers))]]
+}
+
+func (w *world) some(list []string) string { return list[w.rng.IntN(len(list))] }
+
+// coreWhole tells whether all three of the core stand and agree, so that one
+// of them may lose its disk.
+func (w *world) coreWhole() []*simNode {
+	var out []*simNode
+	var set quorum.Set
+	for _, name := range sorted(w.nodes) {
+		n := w.nodes[name]
+		if n.up && n.sh.node.core.Version > set.Version {
+			set = n.sh.node.core
+		}
+	}
+	for _, m := range set.Members {
+		n := w.nodes[m.Name]
+		if n.up && w.nowUs >= n.frozenTo && n.sh.node.inCore() && n.sh.node.core.Version == set.Version && n.sh.node.now-n.sh.node.leases.ContactMs() < 1000 {
+			out = append(out, n)
+		}
+	}
+	if len(out) < membership.DefaultSize || len(w.cuts) > 0 {
+		return nil
+	}
+	return out
+}
+
+func killed(w *world, n *simNode, power bool) func() {
+	if n.up {
+		n.kill(power)
+	}
+	return n.start
+}
+
+// allOf undoes several things.
+func allOf(undo []func()) func() {
+	return func() {
+		for _, u := range undo {
+			u()
+		}
+	}
+}
+
+func (w *world) killAll(power bool) func() {
+	var undo []func()
+	for _, name := range sorted(w.nodes) {
+		undo = append(undo, killed(w, w.nodes[name], power))
+	}
+	w.note(historycheck.Event{Kind: historycheck.Unreachable})
+	undo = append(undo, func() { w.note(historycheck.Event{Kind: historycheck.Reachable}) })
+	return allOf(undo)
+}
+
+func (w *world) killHolder(duty string) func() {
+	if n := w.holderOf(duty); n != nil {
+		return killed(w, n, false)
+	}
+	return func() {}
+}
+
+// wipe takes a core member's disk and power, and brings it back empty.
+func wipeOne(w *world, newAddr bool) func() {
+	core := w.coreWhole()
+	if core == nil {
+		return func() {}
+	}
+	n := core[w.rng.IntN(len(core))]
+	n.kill(true)
+	n.wipe()
+	if newAddr { // whoever installs it names machines that stand now as its seeds
+		n.nodeConfig.Seeds = []string{w.someNode().Addr, w.someNode().Addr, w.nodes["d05"].Addr}
+		n.nodeConfig.Addr, n.nodeConfig.HTTP = strings.Replace(n.nodeConfig.Addr, "10.0.0", "10.0.1", 1), strings.Replace(n.nodeConfig.HTTP, "10.0.0", "10.0.1", 1)
+	}
+	return n.start
+}
+
+var worldFaults = map[string]worldFault{
+	"kill":         func(w *world) func() { return killed(w, w.someNode(), false) },
+	"kill_central": func(w *world) func() { return w.killHolder("central") },
+	"kill_owner":   func(w *world) func() { return w.killHolder("slice/" + w.some(historycheck.Zones)) },
+	"kill_agent":   func(w *world) func() { return w.killHolder("agent/" + w.some(sorted(w.workers))) },
+	"stop_nicely": func(w *world) func() {
+		n := w.someNode()
+		if n.up {
+			n.event(evStop{})
+		}
+		return func() {
+			if n.up && n.sh.node.leavingSince != 0 { // it froze on its way out
+				n.kill(false)
+			}
+			n.start()
+		}
+	},
+	"power_one": func(w *world) func() { return killed(w, w.someNode(), true) },
+	"power_all": func(w *world) func() { return w.killAll(true) },
+	"freeze":    func(w *world) func() { w.someNode().freeze(500 + w.rng.Int64N(9000)); return func() {} },
+	"freeze_owner": func(w *world) func() {
+		if n := w.holderOf("slice/" + w.some(historycheck.Zones)); n != nil {
+			n.freeze(2000 + w.rng.Int64N(6000))
+		}
+		return func() {}
+	},
+	"freeze_agent": func(w *world) func() {
+		if n := w.holderOf("agent/" + w.some(sorted(w.workers))); n != nil {
+			n.freeze(1000 + w.rng.Int64N(6000))
+		}
+		return func() {}
+	},
+	"wipe":      func(w *world) func() { return wipeOne(w, false) },
+	"wipe_move": func(w *world) func() { return wipeOne(w, true) },
+	"cut_site":  func(w *world) func() { w.cutZone(w.some(historycheck.Zones)); return w.heal },
+	"cut_host":  func(w *world) func() { w.cutHost(w.some(w.hosts())); return w.heal },
+	"cut_some": func(w *world) func() {
+		hosts := w.hosts()
+		for range 1 + w.rng.IntN(40) {
+			w.cuts[[2]string{w.some(hosts), w.some(hosts)}] = true
+		}
+		return w.heal
+	},
+	"split_core": func(w *world) func() {
+		for i := range membership.DefaultSize {
+			for j := range membership.DefaultSize {
+				if i != j {
+					w.cuts[[2]string{fmt.Sprintf("d%02d", i), fmt.Sprintf("d%02d", j)}] = true
+				}
+			}
+		}
+		return w.heal
+	},
+	"slow_disk": func(w *world) func() {
+		d := fmt.Sprintf("d%02d", w.rng.IntN(membership.DefaultSize))
+		w.syncUs[d] = 50_000 + w.rng.Int64N(900_000)
+		return func() { delete(w.syncUs, d) }
+	},
+	"slow_disks": func(w *world) func() {
+		for i := range membership.DefaultSize {
+			w.syncUs[fmt.Sprintf("d%02d", i)] = 20_000 + w.rng.Int64N(400_000)
+		}
+		return func() { w.syncUs = map[string]int64{} }
+	},
+	"disk_full": func(w *world) func() { return w.fillDisk(fmt.Sprintf("d%02d", w.rng.IntN(membership.DefaultSize))) },
+	"disk_stall": func(w *world) func() {
+		w.stallDisk(fmt.Sprintf("d%02d", w.rng.IntN(membership.DefaultSize)), 500+w.rng.Int64N(6000))
+		return func() {}
+	},
+	"answers_lost": func(w *world) func() {
+		return allOf([]func(){w.loseAnswers("operator", 0.7), w.loseAnswers("caller", 0.3)})
+	},
+	"resets": func(w *world) func() {
+		w.resetConnections(w.hosts()[:1+w.rng.IntN(len(w.nodes))], 0.7)
+		return func() {}
+	},
+	"cut_one_way": func(w *world) func() { // a machine that hears all and isn't heard
+		host := w.someNode().Name
+		for _, other := range w.hosts() {
+			w.cuts[[2]string{host, other}] = other != host
+		}
+		return w.heal
+	},
+	"seeds_turned": func(w *world) func() {
+		seeds := []string{w.someNode().Addr, w.someNode().Addr, w.someNode().Addr}
+		for _, name := range sorted(w.nodes) {
+			w.nodes[name].nodeConfig.Seeds = seeds
+			w.nodes[name].event(evSeeds{Seeds: seeds})
+		}
+		return func() {}
+	},
+	"clock": func(w *world) func() { return w.jump(1) },
+	"clocks": func(w *world) func() { // two of the core and some others, together
+		undo := []func(){w.jump(1 + w.rng.IntN(4))}
+		for i := range 2 {
+			undo = append(undo, w.jumpOf(w.nodes[fmt.Sprintf("d%02d", i)]))
+		}
+		return allOf(undo)
+	},
+	"clock_restart": func(w *world) func() { // wrong already when it starts
+		n := w.nodes[fmt.Sprintf("d%02d", w.rng.IntN(membership.DefaultSize))]
+		back := w.jumpOf(n)
+		n.kill(false)
+		n.start()
+		return back
+	},
+	"worker_crash": func(w *world) func() {
+		s := w.someWorker()
+		if s.up {
+			s.crash()
+		}
+		return s.start
+	},
+	"worker_slow": func(w *world) func() {
+		s := w.someWorker()
+		s.slow = 4 + w.rng.Int64N(8)
+		return func() { s.slow = 1 }
+	},
+	"worker_fails": func(w *world) func() {
+		s := w.someWorker()
+		s.failPct = 30 + w.rng.IntN(60)
+		return func() { s.failPct = 0 }
+	},
+	"worker_stalls": func(w *world) func() {
+		s := w.someWorker()
+		s.stallPct = 20
+		return func() { s.stallPct = 0 }
+	},
+	"worker_leaves": func(w *world) func() {
+		s := w.someWorker()
+		s.leaving = true
+		return func() {
+			if s.up && s.leaving {
+				s.crash()
+				s.start()
+			}
+		}
+	},
+	"worker_taken": func(w *world) func() { // at short notice, with its journal and without
+		s, over := w.someWorker(), false
+		s.leaving = true
+		taken := func() {
+			if !s.up || !s.leaving || over {
+				return
+			}
+			s.crash()
+			if len(s.ended) == 0 && w.rng.IntN(2) == 0 {
+				s.inc += 100 // nothing it alone knew is lost: a new machine of its name
+			}
+		}
+		w.after(w.rng.Int64N(1_000_000), taken)
+		return func() { taken(); over = true; s.start() }
+	},
+	"worker_cut": func(w *world) func() { // it carries on, while its tasks are cancelled, its site emptied, its agent moved
+		s := w.someWorker()
+		w.cutHost(s.name)
+		var undo []func()
+		for _, id := range sorted(s.running) {
+			if j := w.jobs[s.running[id].job]; j.acked && w.rng.IntN(2) == 0 {
+				w.cancelJob(j)
+			}
+		}
+		if w.rng.IntN(2) == 0 {
+			set := w.dep.SetupOf()
+			set.EmptySites = []string{s.zone}
+			w.putSetup(w.setupVersion()+1, set, nil)
+			undo = append(undo, w.restoreSetup)
+		}
+		if w.rng.IntN(2) == 0 {
+			undo = append(undo, w.killHolder("agent/"+s.name))
+		}
+		return allOf(append(undo, w.heal))
+	},
+	"isolated_duty": func(w *world) func() {
+		if n := w.holderOf(w.some([]string{"central", "slice/" + w.some(historycheck.Zones), "agent/" + w.some(sorted(w.workers))})); n != nil {
+			w.cutHost(n.Name)
+		}
+		return w.heal
+	},
+	"moved": func(w *world) func() { // a machine that isn't core is replaced, at a new address
+		n := w.someNode()
+		if n.Disk || !n.up {
+			return func() {}
+		}
+		n.kill(true)
+		n.nodeConfig.Addr, n.nodeConfig.HTTP = strings.Replace(n.nodeConfig.Addr, "10.0.0", "10.0.2", 1), strings.Replace(n.nodeConfig.HTTP, "10.0.0", "10.0.2", 1)
+		return n.start
+	},
+	"lost_after_ack": func(w *world) func() { // power, or a whole disk, right after a job, a cancel or an end was confirmed
+		kind, wipe := w.some([]string{historycheck.JobAcked, historycheck.CancelAcked, historycheck.End}), w.rng.IntN(2) == 0
+		undo, armed, over := func() {}, true, false
+		w.onNote = func(e historycheck.Event) {
+			if e.Kind != kind || !armed {
+				return
+			}
+			armed = false
+			w.after(w.rng.Int64N(4000), func() {
+				switch {
+				case over:
+				case wipe:
+					undo = wipeOne(w, false)
+				default:
+					undo = w.killAll(true)
+				}
+			})
+		}
+		return func() { over, w.onNote = true, nil; undo() }
+	},
+	"storm": func(w *world) func() { // quick bursts by two operators, with many queues
+		s := w.dep.SetupOf()
+		for i := range 300 {
+			s.Queues = append(s.Queues, historycheck.Queue{Name: fmt.Sprint("guild-", i), Selector: map[string][]string{"tier": {"fast"}}, Urgency: int64(i % 5)})
+		}
+		for i := range 20 {
+			s.Note = fmt.Sprint("storm ", i, w.rng.IntN(1000))
+			w.putSetup(w.setupVersion()+1+int64(i/2), s, nil)
+		}
+		return w.restoreSetup
+	},
+	"worker_vanishes": func(w *world) func() { // for good, until an operator says so; then a new one of its name comes
+		s := w.someWorker()
+		if !s.up || len(s.ended) > 0 {
+			return func() {} // what it alone knows to have ended well would be lost with it: see docs/proof.md
+		}
+		s.crash()
+		return func() {
+			var say func(site int)
+			say = func(site int) {
+				if site == len(historycheck.Zones) {
+					s.start()
+					return
+				}
+				w.ask("operator", w.someNode(), "worker.lost", historycheck.Zones[site]+"/"+s.name, nil, 2000, func(status int, _ int64, _ []byte) {
+					if status == 200 {
+						site++
+					}
+					w.after(300_000, func() { say(site) })
+				})
+			}
+			w.after(6_000_000, func() { say(0) })
+		}
+	},
+	"worker_freeze": func(w *world) func() {
+		s := w.someWorker()
+		s.frozenTo = w.nowUs + 1_000_000 + w.rng.Int64N(5_000_000)
+		return func() {}
+	},
+	"wave":        func(w *world) func() { return w.wave(-1, 40+w.rng.IntN(60)) },
+	"wave_urgent": func(w *world) func() { return w.wave(0, 100+w.rng.IntN(100)) },
+	"wave_large":  func(w *world) func() { return w.wave(2, 10+w.rng.IntN(10)) },
+	"hopeless": func(w *world) func() {
+		for range 5 {
+			j := w.dep.Kinds[0].Make(w.rng)
+			j.Steps[0].Tasks[0].Payload = historycheck.Work{Ms: 100, FailPct: 100}
+			w.submit(j)
+		}
+		return func() {}
+	},
+	"standing": func(w *world) func() {
+		j := w.dep.Kinds[0].Make(w.rng)
+		j.Steps[0].Tasks[0].Payload = historycheck.Work{Stall: true}
+		j.Steps[0].Tasks[0].LimitMs, j.Steps[0].Tasks[0].Allowed = 2000, 2
+		w.submit(j)
+		return func() {}
+	},
+	"cancels": func(w *world) func() {
+		for _, o := range w.open() {
+			if w.rng.IntN(3) == 0 {
+				id, _, _ := strings.Cut(o, ":")
+				if w.jobs[id].acked {
+					w.cancelJob(w.jobs[id])
+				}
+			}
+		}
+		return func() {}
+	},
+	"empty_site": func(w *world) func() {
+		s := w.dep.SetupOf()
+		s.EmptySites = []string{w.some(historycheck.Zones)}
+		w.putSetup(w.setupVersion()+1, s, nil)
+		return w.restoreSetup
+	},
+	"race": func(w *world) func() { // operators racing, in a quick burst
+		for i := range 4 {
+			s := w.dep.SetupOf()
+			s.Note = fmt.Sprint("operator ", i, w.rng.IntN(1000))
+			w.putSetup(w.setupVersion()+1+int64(i/3), s, nil)
+		}
+		return func() {}
+	},
+	"regroup": func(w *world) func() { // the first queue's group shrinks to some tier
+		s := w.dep.SetupOf()
+		s.Queues = slices.Clone(s.Queues)
+		s.Queues[0].Selector = map[string][]string{"tier": {w.some([]string{"fast", "bulk"})}}
+		w.putSetup(w.setupVersion()+1, s, nil)
+		return w.restoreSetup
+	},
+	"new_seeds": func(w *world) func() {
+		names := sorted(w.nodes)
+		var seeds []string
+		for range 3 {
+			seeds = append(seeds, w.nodes[w.some(names)].Addr)
+		}
+		for _, name := range names {
+			w.nodes[name].nodeConfig.Seeds = seeds
+		}
+		return killed(w, w.someNode(), false)
+	},
+}
+
+// wave submits many jobs at once, all of one kind or of the usual mix.
+func (w *world) wave(kind, count int) func() {
+	for range count {
+		if kind < 0 {
+			w.submit(w.dep.Draw(w.rng))
+		} else {
+			w.submit(w.dep.Kinds[kind].Make(w.rng))
+		}
+	}
+	return func() {}
+}
+
+// jump makes the clocks of so many machines wrong, never of half of the fleet.
+func (w *world) jump(count int) func() {
+	var undo []func()
+	for range count {
+		undo = append(undo, w.jumpOf(w.someNode()))
+	}
+	return allOf(undo)
+}
+
+func (w *world) jumpOf(n *simNode) func() {
+	wrong := 0
+	for _, o := range w.nodesInOrder() {
+		if o.skewMs != 0 {
+			wrong++
+		}
+	}
+	if 2*(wrong+1) >= len(w.nodes)-1 {
+		return func() {}
+	}
+	n.skewMs = w.rng.Int64N(7_200_000) - 3_600_000
+	return func() { n.skewMs = 0 }
+}
+
+// finalFaults are the hard losses that a day may end with. Each gives what
+// brings the machines back.
+var finalFaults = map[string]worldFault{
+	"power of all": func(w *world) func() { return w.killAll(true) },
+	"a whole site": func(w *world) func() {
+		site, undo := w.some(historycheck.Zones), []func(){}
+		for _, name := range sorted(w.nodes) {
+			if n := w.nodes[name]; n.Zone == site {
+				undo = append(undo, killed(w, n, true))
+			}
+		}
+		for _, name := range sorted(w.workers) {
+			if s := w.workers[name]; s.zone == site && s.up {
+				s.crash()
+				undo = append(undo, s.start)
+			}
+		}
+		return allOf(undo)
+	},
+	"two core machines": func(w *world) func() {
+		a, b := killed(w, w.nodes["d00"], true), killed(w, w.nodes["d02"], true)
+		return func() { a(); b() }
+	},
+	"owner, central and their successors": func(w *world) func() {
+		var undo []func()
+		for _, duty := range []string{"slice/" + w.some(historycheck.Zones), "central"} {
+			n := w.holderOf(duty)
+			if n == nil {
+				continue
+			}
+			site := ""
+			if duty != "central" {
+				site = strings.TrimPrefix(duty, "slice/")
+			}
+			for _, name := range n.sh.node.leases.Candidates(duty, site)[:3] {
+				undo = append(undo, killed(w, w.nodes[name], false))
+			}
+			undo = append(undo, killed(w, n, false))
+		}
+		return allOf(undo)
+	},
+	"all daemons in a wave": func(w *world) func() {
+		w.wave(-1, 150)
+		w.run(700)
+		return w.killAll(false)
+	},
+}
+
+// finalFault lets traffic be usual for a while, brings a hard loss about, and
+// goes on until work must be back.
+func (w *world) finalFault(name string) {
+	w.run(20_000)
+	w.note(historycheck.Event{Kind: historycheck.HardLoss})
+	undo := finalFaults[name](w)
+	w.run(1000 + w.rng.Int64N(9000))
+	undo()
+	w.note(historycheck.Event{Kind: historycheck.MachinesBack})
+	w.run(historycheck.Usual.Back + 14_000)
+	w.note(historycheck.Event{Kind: historycheck.TrafficEnds})
+	w.trafficEnds = true
+}
--- a/internal/daemon/catchup.go
+++ b/internal/daemon/catchup.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+
 	"otterchute/internal/statestore"
 	"otterchute/internal/wire"
 )
@@ -20,10 +21,10 @@
 // recordMissed remembers by name what a member did not acknowledge, so that one
 // that is gone for long costs little.
 func (sl *shard) recordMissed(member string, records []statestore.Record) {
-	lag := sl.lag[member]
+	lag := sl.replicaLags[member]
 	if lag == nil {
 		lag = &replicaLag{missed: map[string]int64{}}
-		sl.lag[member] = lag
+		sl.replicaLags[member] = lag
 	}
 	for _, r := range records {
 		if _, known := lag.missed[r.ID]; known || len(lag.missed) < finishedMax {
@@ -34,11 +35,11 @@
 
 // tickCatchUp sends a part to each member that lacks records, or sends it again.
 func (n *node) tickCatchUp(sl *shard) {
-	for _, member := range sorted(sl.lag) {
-		lag := sl.lag[member]
+	for _, member := range sorted(sl.replicaLags) {
+		lag := sl.replicaLags[member]
 		switch {
 		case len(lag.missed) == 0:
-			delete(sl.lag, member)
+			delete(sl.replicaLags, member)
 		case n.peers.Alive(member) && n.core.HasName(member) && (lag.part == nil || n.now-lag.sentMs >= writeRetry):
 			n.sendCatchUp(sl, member, lag)
 		}
@@ -78,21 +79,21 @@
 // recordOf gives a job's record as the owner has it.
 func (sl *shard) recordOf(id string) (statestore.Record, bool) {
 	if js := sl.jobs[id]; js != nil {
-		return statestore.Record{ID: id, Epoch: sl.epoch, Version: js.Version, Live: js.DoneMs == 0, DoneMs: js.DoneMs, Value: js.kept()}, true
+		return statestore.Record{ID: id, Epoch: sl.epoch, Version: js.Version, Live: js.DoneMs == 0, DoneMs: js.DoneMs, Value: js.encode()}, true
 	}
 	j := sl.finished[id]
 	if j == nil {
 		return statestore.Record{}, false
 	}
 	// A finished record never changes again.
-	return statestore.Record{ID: id, Epoch: sl.epoch, Version: finishedVersion, Live: j.DoneMs == 0, Confirmed: true, DoneMs: j.DoneMs, Value: j.kept()}, true
+	return statestore.Record{ID: id, Epoch: sl.epoch, Version: finishedVersion, Live: j.DoneMs == 0, Confirmed: true, DoneMs: j.DoneMs, Value: j.encode()}, true
 }
 
 const finishedVersion = 1 << 60 // above that of any live record
 
 // onCaughtUp takes a member's word that a part is synced there, and sends the next.
 func (n *node) onCaughtUp(sl *shard, member string, seq uint64) {
-	lag := sl.lag[member]
+	lag := sl.replicaLags[member]
 	if lag == nil || lag.part == nil || lag.seq != seq {
 		return
 	}
--- a/internal/daemon/catchup_test.go
+++ b/internal/daemon/catchup_test.go
@@ -3,9 +3,10 @@
 import (
 	"bytes"
 	"fmt"
-	"otterchute/internal/statestore"
 	"testing"
 
+	"otterchute/internal/statestore"
+
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
 )
@@ -22,22 +23,22 @@
 }
 
 // order has one more configuration taken.
-func (s *seatWorld) order(body []byte) {
+func (s *slotWorld) order(body []byte) {
 	s.t.Helper()
 	next := s.version + 1
 	must.True(s.t, s.until(15_000, func() bool {
-		return s.settle(s.asker(), evRequest{Op: "setup.put", Key: fmt.Sprint(next), Expect: -1, Body: body}, 3000).status == 200
+		return s.settle(s.asker(), evRequest{Op: "setup.put", Key: fmt.Sprint(next), Base: -1, Body: body}, 3000).status == 200
 	}), s.why())
 	s.version = next
 }
 
 // accept has so many more jobs taken.
-func (s *seatWorld) accept(count int) {
+func (s *slotWorld) accept(count int) {
 	s.t.Helper()
 	for range count {
 		id := fmt.Sprint("job", len(s.jobs))
 		must.True(s.t, s.until(15_000, func() bool {
-			status := s.settle(s.asker(), evRequest{Op: "job.put", Key: id, Expect: -1, Body: []byte(`{"queue":"q","steps":[{"name":"s","tasks":[{"name":"t","room":1}]}]}`)}, 3000).status
+			status := s.settle(s.asker(), evRequest{Op: "job.put", Key: id, Base: -1, Body: []byte(`{"queue":"q","steps":[{"name":"s","tasks":[{"name":"t","room":1}]}]}`)}, 3000).status
 			return status == 200 || status == 201
 		}), s.why())
 		s.jobs = append(s.jobs, id)
@@ -45,17 +46,17 @@
 }
 
 // cancel ends some jobs that were taken.
-func (s *seatWorld) cancel(ids []string) {
+func (s *slotWorld) cancel(ids []string) {
 	s.t.Helper()
 	for _, id := range ids {
 		must.True(s.t, s.until(15_000, func() bool {
-			return s.settle(s.asker(), evRequest{Op: "job.cancel", Key: id, Expect: -1}, 3000).status < 300
+			return s.settle(s.asker(), evRequest{Op: "job.cancel", Key: id, Base: -1}, 3000).status < 300
 		}), s.why())
 	}
 }
 
 // lacks tells what a member holds in an older state than another one.
-func (s *seatWorld) lacks(member, other *simNode) (out []string) {
+func (s *slotWorld) lacks(member, other *simNode) (out []string) {
 	mine, theirs := member.sh.node.store, other.sh.node.store
 	a, b := mine.Register("setup"), theirs.Register("setup")
 	if a.Accepted.Less(b.Accepted) {
@@ -84,7 +85,7 @@
 // nothing older is told.
 func TestMemberCatchesUp(t *testing.T) {
 	for seed := range uint64(3) {
-		s := newSeatWorld(t, 40+seed, 3)
+		s := newSlotWorld(t, 40+seed, 3)
 		core := s.newestSet().Members
 		first := int(seed) % 3
 		away, wiped, dark := s.nodes[core[first].Name], s.nodes[core[(first+1)%3].Name], s.nodes[core[(first+2)%3].Name]
@@ -118,13 +119,13 @@
 			if r := s.settle(s.asker(), evRequest{Op: "setup.get"}, 1000); r.status == 200 {
 				must.Eq(t, gjson.Get(last, "version").Int(), gjson.Get(r.body, "version").Int())
 			}
-			if r := s.settle(s.asker(), evRequest{Op: "job.get", Key: s.jobs[30], Expect: -1}, 1000); r.status == 200 {
+			if r := s.settle(s.asker(), evRequest{Op: "job.get", Key: s.jobs[30], Base: -1}, 1000); r.status == 200 {
 				must.Eq(t, "cancelled", gjson.Get(r.body, "state").Str, must.Sprint(r.body))
 			}
 		}
 		s.keepsAll()
 		for _, id := range s.jobs[5:60] {
-			r := s.settle(s.asker(), evRequest{Op: "job.get", Key: id, Expect: -1}, 2000)
+			r := s.settle(s.asker(), evRequest{Op: "job.get", Key: id, Base: -1}, 2000)
 			must.Eq(t, "cancelled", gjson.Get(r.body, "state").Str, must.Sprint(r.body))
 		}
 	}
@@ -132,7 +133,7 @@
 
 // What a member lacks is sent again until it is synced there, in bounded parts.
 func TestCatchUpSurvivesLostMessages(t *testing.T) {
-	s := newSeatWorld(t, 50, 3)
+	s := newSlotWorld(t, 50, 3)
 	core := s.newestSet().Members
 	away, other := s.nodes[core[2].Name], s.nodes[core[0].Name]
 	away.kill(true)
@@ -150,11 +151,11 @@
 // A state is told from the core only where a majority agrees on it: not from a
 // member that has been away, nor from one that alone has a later one.
 func TestCoreReadNeedsAgreement(t *testing.T) {
-	s := newSeatWorld(t, 60, 3)
+	s := newSlotWorld(t, 60, 3)
 	n := s.asker().sh.node
 	stored := func(version int64, state jobStatus) statestore.Record {
 		j := job{ID: "j", Queue: "q", State: state, SubmitMs: 1, DoneMs: map[jobStatus]int64{jobCancelled: 9}[state], Version: version}
-		return statestore.Record{ID: "j", Epoch: 4, Version: version, Live: true, Value: j.kept()}
+		return statestore.Record{ID: "j", Epoch: 4, Version: version, Live: true, Value: j.encode()}
 	}
 	members := n.core.Names()
 	read := func(answers ...statestore.Record) string {
--- a/internal/daemon/central_test.go
+++ b/internal/daemon/central_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"fmt"
+	"testing"
+
 	"otterchute/internal/configuration"
 	"otterchute/internal/lease"
 	"otterchute/internal/resource"
 	"otterchute/internal/wire"
-	"testing"
 
 	"github.com/shoenig/test/must"
 )
@@ -32,7 +33,7 @@
 // occupy gives a worker firm work.
 func occupy(n *node, worker string, cpu int64) {
 	w := n.central.workers[worker]
-	w.firm, w.busy = resource.Amount{CPU: cpu}, resource.Amount{CPU: cpu}
+	w.guaranteed, w.busy = resource.Amount{CPU: cpu}, resource.Amount{CPU: cpu}
 }
 
 // grantAfter lets time pass and grants; it gives the workers of a job's grants.
--- a/internal/daemon/downstream.go
+++ b/internal/daemon/client.go
@@ -9,13 +9,14 @@
 	"io"
 	"net/http"
 	"os"
-	"otterchute/internal/configuration"
-	"otterchute/internal/schema"
-	"otterchute/internal/wire"
 	"strconv"
 	"strings"
 	"time"
 
+	"otterchute/internal/configuration"
+	"otterchute/internal/schema"
+	"otterchute/internal/wire"
+
 	"github.com/failsafe-go/failsafe-go"
 	"github.com/failsafe-go/failsafe-go/retrypolicy"
 	"github.com/go-faster/errors"
@@ -61,7 +62,7 @@
 		return response{resp.StatusCode, b}, err
 	})
 	if err != nil {
-		return t, errors.Wrap(errDownstream, err.Error())
+		return t, errors.Wrap(errClient, err.Error())
 	}
 	return t, nil
 }
--- a/internal/daemon/cold_test.go
+++ b/internal/daemon/cold_test.go
@@ -19,7 +19,7 @@
 		for seed := range uint64(40) {
 			w := newWorld(500+seed, historycheck.Deployments[[]string{"hakata", "ikenna"}[seed%2]])
 			at := w.nowMs()
-			duties := append([]string{"central", "slice/east", "slice/mid", "slice/west"}, agentDuties(w)...)
+			duties := append([]string{"central", "slice/east", "slice/mid", "slice/west"}, agentRoles(w)...)
 			if what != "first start" {
 				w.until(20_000, func() bool { return w.holderOf("central") != nil })
 				w.putSetup(1, w.dep.SetupOf(), nil)
@@ -71,7 +71,7 @@
 	}
 }
 
-func agentDuties(w *world) []string {
+func agentRoles(w *world) []string {
 	var out []string
 	for _, name := range sorted(w.workers) {
 		out = append(out, "agent/"+name)
--- a/internal/daemon/compile_bench_test.go
+++ b/internal/daemon/compile_bench_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
-	"otterchute/internal/configuration"
 	"strings"
 	"testing"
+
+	"otterchute/internal/configuration"
 )
 
 func bigSetup(n int) []byte {
--- a/internal/daemon/config_change.go
+++ b/internal/daemon/config_change.go
@@ -2,11 +2,12 @@
 
 import (
 	"crypto/sha256"
+	"slices"
+
 	"otterchute/internal/codec"
 	"otterchute/internal/configuration"
 	"otterchute/internal/register"
 	"otterchute/internal/schema"
-	"slices"
 )
 
 // changeConfig takes an order that builds on what stands. One that was taken
@@ -24,20 +25,20 @@
 	return register.Replace, codec.Append(nil, cur.Next(o.change, o.arg, n.fleetTime()))
 }
 
-// changeEmptiedZones empties a site beside the document, or takes that back. It
-// builds on no version: whatever stands, the site's word is added to it.
+// changeEmptiedZones empties a zone beside the document, or takes that back. It
+// builds on no version: whatever stands, the zone's word is added to it.
 func changeEmptiedZones(_ *node, o *registerChange, current []byte) (register.Decision, []byte) {
 	var cur configuration.Record
 	if len(current) > 0 && codec.Unmarshal(current, &cur) != nil {
 		return register.Fail, nil
 	}
-	site := string(o.arg)
-	sites := slices.DeleteFunc(slices.Clone(cur.Emptied), func(s string) bool { return s == site })
+	zone := string(o.arg)
+	zones := slices.DeleteFunc(slices.Clone(cur.Emptied), func(s string) bool { return s == zone })
 	if o.kind == "empty" {
-		sites = append(sites, site)
-		slices.Sort(sites)
+		zones = append(zones, zone)
+		slices.Sort(zones)
 	}
-	cur.Emptied = sites
+	cur.Emptied = zones
 	return register.Replace, codec.Append(nil, cur)
 }
 
@@ -53,7 +54,7 @@
 	if codec.Unmarshal(o.Value(), &next) == nil && n.config.ballot.Less(o.ValueBallot()) {
 		n.adoptConfig(o.ValueBallot(), next)
 	}
-	n.log("sites_accepted", "emptied", next.Emptied)
+	n.log("zones_accepted", "emptied", next.Emptied)
 	n.respond(o.request, 200, 0, mustJSON(map[string]any{"emptied": append([]string{}, next.Emptied...)}))
 }
 
@@ -71,7 +72,7 @@
 			n.adoptConfig(o.ValueBallot(), cur)
 			n.ready = nil
 		}
-		n.log("setup_accepted", "version", o.change.Version, "current", cur.Version)
+		n.log("config_accepted", "version", o.change.Version, "current", cur.Version)
 		n.respondAccepted(o)
 	case register.Refused:
 		n.respondRefused(o, &cur)
@@ -86,8 +87,8 @@
 	if len(faults) > 0 {
 		return configuration.ChangeID{}, faults
 	}
-	id := configuration.ChangeID{Version: version, Base: a.expect}
-	if a.expect < 0 {
+	id := configuration.ChangeID{Version: version, Base: a.base}
+	if a.base < 0 {
 		id.Base = version - 1
 	}
 	switch {
@@ -105,10 +106,10 @@
 	return id, nil
 }
 
-// findChange tells whether an order was accepted, for one whose document is not
+// handleFindChange tells whether an order was accepted, for one whose document is not
 // at hand any more: a change by items that built on a version long passed. The
 // register itself is asked, and what it says stands at a majority then.
-func (n *node) findChange(a *request) {
+func (n *node) handleFindChange(a *request) {
 	if !n.leases.InContact() {
 		n.reject(a, "the core can't be reached from here")
 		return
@@ -138,7 +139,7 @@
 	return register.Refuse, nil
 }
 
-// changeFound answers findChange.
+// changeFound answers handleFindChange.
 func (n *node) changeFound(o *registerChange, outcome register.Outcome) {
 	var cur configuration.Record
 	switch {
@@ -162,7 +163,7 @@
 // was not accepted, else its outcome is unknown.
 func (n *node) respondRefused(o *registerChange, cur *configuration.Record) {
 	if !cur.Accepted.Covers(o.change) {
-		n.count("orders_forgotten")
+		n.count("changes_forgotten")
 		n.reject(o.request, "outcome unknown: too many versions were accepted since")
 		return
 	}
--- a/internal/daemon/config_state.go
+++ b/internal/daemon/config_state.go
@@ -1,13 +1,14 @@
 package daemon
 
 import (
+	"slices"
+
 	"otterchute/internal/codec"
 	"otterchute/internal/configuration"
 	"otterchute/internal/lease"
 	"otterchute/internal/register"
 	"otterchute/internal/schema"
 	"otterchute/internal/wire"
-	"slices"
 )
 
 type configState struct {
@@ -17,7 +18,7 @@
 	newest      register.Ballot // the highest that any member has accepted
 	confirmedMs int64
 	confirmedBy uint64 // the newest poll that confirmed it
-	askedMs     int64
+	requestedMs int64
 	repairMs    int64
 	readerCopy  configuration.ReaderCopy
 	awaiting    []*request // asks that name a queue not known here, until a newer confirmation
@@ -56,8 +57,8 @@
 		}
 		if b == n.config.ballot {
 			n.config.confirmedMs, n.config.confirmedBy = max(n.config.confirmedMs, r.SentMs), max(n.config.confirmedBy, r.Seq)
-		} else if n.config.ballot.Less(b) && n.now-n.config.askedMs > 300 {
-			n.config.askedMs = n.now
+		} else if n.config.ballot.Less(b) && n.now-n.config.requestedMs > 300 {
+			n.config.requestedMs = n.now
 			n.send(n.nearestWith(r, b), &wire.RegisterRead{SetVersion: n.core.Version, Register: "setup"})
 		}
 		return
@@ -106,14 +107,14 @@
 
 // adoptConfig compiles a value; it counts only once a poll confirms its ballot.
 func (n *node) adoptConfig(b register.Ballot, d configuration.Record) {
-	n.config.askedMs = 0                 // what was asked for has come: a newer one may be asked for at once
+	n.config.requestedMs = 0             // what was asked for has come: a newer one may be asked for at once
 	d.Accepted = configuration.History{} // only a change of the register needs it
 	if d.SameDocument(&n.config.record) {
 		n.config.ballot = b
 		if !slices.Equal(d.Emptied, n.config.record.Emptied) {
 			n.config.current, n.config.record = n.config.current.WithEmptied(d.Emptied), d
 			n.config.confirmedMs, n.config.confirmedBy = -1<<40, 0
-			n.log("sites_adopted", "emptied", d.Emptied)
+			n.log("zones_adopted", "emptied", d.Emptied)
 			n.leases.PollSoon()
 		}
 		return
@@ -122,13 +123,13 @@
 	if c == nil || c.Version != d.Version {
 		var faults []schema.Fault
 		if c, faults = d.Compile(); len(faults) > 0 {
-			n.log("setup_unreadable", "version", d.Version, "path", faults[0].Path, "reason", faults[0].Reason)
+			n.log("config_unreadable", "version", d.Version, "path", faults[0].Path, "reason", faults[0].Reason)
 			return
 		}
 	}
 	n.config.current, n.config.record, n.config.ballot = c.WithEmptied(d.Emptied), d, b
 	n.config.confirmedMs, n.config.confirmedBy = -1<<40, 0
-	n.log("setup_adopted", "version", d.Version, "queues", len(c.Queues))
+	n.log("config_adopted", "version", d.Version, "queues", len(c.Queues))
 	n.leases.PollSoon()
 }
 
@@ -138,7 +139,7 @@
 		switch {
 		case n.configConfirmedSince(a):
 			again = append(again, a)
-		case n.leases.CutOff() || n.now-a.atMs > forwardMs*2/3:
+		case n.leases.CutOff() || n.now-a.receivedMs > forwardMs*2/3:
 			n.reject(a, "the setup is not confirmed here")
 		default:
 			kept = append(kept, a)
--- a/internal/daemon/copypace_test.go
+++ b/internal/daemon/copypace_test.go
@@ -2,19 +2,20 @@
 
 import (
 	"fmt"
+	"testing"
+	"time"
+
 	"otterchute/internal/configuration"
 	"otterchute/internal/register"
 	"otterchute/internal/statestore"
 	"otterchute/internal/wire"
-	"testing"
-	"time"
 
 	"github.com/shoenig/test/must"
 )
 
 // A slice as full as it may be, with a large configuration beside it, is copied
 // in parts; with -measure it prints what each part takes of the control thread.
-func TestCopyOfFullSlice(t *testing.T) {
+func TestCopyOfFullShard(t *testing.T) {
 	st := statestore.New()
 	value := make([]byte, 6<<10)
 	for i := range value {
--- a/internal/daemon/core.go
+++ b/internal/daemon/core_member.go
@@ -43,7 +43,7 @@
 	n.persist(nil, n.sendEffect(from, &wire.RegisterValue{Register: m.Register, Ballot: r.Accepted, Value: value, Complete: whole}))
 }
 
-func (n *node) onSeal(from string, m *wire.SealRequest) {
+func (n *node) onSealRequest(from string, m *wire.SealRequest) {
 	if !n.servesSet(m.SetVersion) {
 		return
 	}
@@ -58,7 +58,7 @@
 	n.persist([]statestore.Entry{{Kind: statestore.EntrySeal, Name: m.Shard, Epoch: m.Epoch}}, n.sendEffect(from, a))
 }
 
-func (n *node) onWrite(from string, m *wire.WriteRequest) {
+func (n *node) onWriteRequest(from string, m *wire.WriteRequest) {
 	if !n.servesSet(m.SetVersion) {
 		return
 	}
@@ -67,7 +67,7 @@
 		if m.Epoch > x.Sealed() { // a member that missed the seal learns it with the write
 			n.persist([]statestore.Entry{{Kind: statestore.EntrySeal, Name: m.Shard, Epoch: m.Epoch}})
 		} else {
-			n.count("writes_bounced")
+			n.count("writes_rejected")
 			n.send(from, &wire.WriteResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch, Seq: m.Seq})
 			return
 		}
@@ -85,7 +85,7 @@
 	n.persist(entries, n.sendEffect(from, &wire.WriteResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch, Seq: m.Seq, OK: true}))
 }
 
-func (n *node) onFetch(from string, m *wire.FetchRequest) {
+func (n *node) onFetchRequest(from string, m *wire.FetchRequest) {
 	if !n.servesSet(m.SetVersion) {
 		return
 	}
@@ -98,8 +98,8 @@
 	n.persist(nil, n.sendEffect(from, a))
 }
 
-// onPoll grants leases and tells what every daemon must know.
-func (n *node) onPoll(from string, m *wire.PollRequest) {
+// onPollRequest grants leases and tells what every daemon must know.
+func (n *node) onPollRequest(from string, m *wire.PollRequest) {
 	if !n.servesSet(m.SetVersion) {
 		return
 	}
--- a/internal/daemon/core_set.go
+++ b/internal/daemon/core_set.go
@@ -14,12 +14,12 @@
 		return // at a start, before the set on disk was taken up
 	}
 	was, first := n.inCore(), n.core.Cluster == 0
-	settles := len(c.Members) == n.coreGoal() && len(n.core.Members) > n.coreGoal() && c.Members[len(c.Members)-1].Name == n.Name
+	fillsUp := n.members.FillsUp(n.core, c)
 	before := n.core
 	n.core = c
 	n.leases.OnCoreSet(before, c)
 	if first {
-		n.forming = nil
+		n.members.OnCoreSet()
 		defer n.peers.BroadcastCoreSet()
 	}
 	n.onCoreSetChanged()
@@ -30,7 +30,7 @@
 		// under it, the set would have been synced before.
 		formed := c.Version == 1 && n.store.Set().Version == 0
 		n.persistSet(c)
-		if (!was || settles) && n.inCore() && !formed {
+		if (!was || fillsUp) && n.inCore() && !formed {
 			n.granter.Guard(n.now)
 		}
 	}
--- a/internal/daemon/cutoff_test.go
+++ b/internal/daemon/cutoff_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
-	"otterchute/internal/lease"
 	"testing"
 
+	"otterchute/internal/lease"
+
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
 )
@@ -63,7 +64,7 @@
 
 // atQueue is a call at the address of the tests' queue.
 func atQueue(op, id string) evRequest {
-	e := evRequest{Op: op, Host: "one.example", Path: "/a/" + id, Expect: -1}
+	e := evRequest{Op: op, Host: "one.example", Path: "/a/" + id, Base: -1}
 	if op == "queue.submit" {
 		e.Body = []byte(`{"steps":[{"name":"s","tasks":[{"name":"t","room":1}]}]}`)
 	}
@@ -76,7 +77,7 @@
 func (w *world) putAnywhere(t *testing.T, version, base int64) {
 	t.Helper()
 	for _, name := range []string{"d06", "d07", "d08", "d01"} {
-		e := evRequest{Op: "setup.put", Key: fmt.Sprint(version), Expect: base, Body: queueSetup("a", fmt.Sprintf(`%s,"max_limit_ms":%d`, addressOfQueue, version))}
+		e := evRequest{Op: "setup.put", Key: fmt.Sprint(version), Base: base, Body: queueSetup("a", fmt.Sprintf(`%s,"max_limit_ms":%d`, addressOfQueue, version))}
 		if w.settle(w.nodes[name], e, 4000).status == 200 {
 			return
 		}
@@ -116,13 +117,13 @@
 	cutKinds[kind](w, at)
 	cutMs := w.nowMs()
 	probes := map[string]evRequest{
-		"read":           {Op: "setup.get", Expect: -1},
-		"outdated order": {Op: "setup.put", Key: "1", Expect: 0, Body: queueSetup("b", "")},
-		"empty a site":   {Op: "site.empty", Key: "west", Expect: -1},
-		"ready":          {Op: "ready", Expect: -1},
+		"read":           {Op: "setup.get", Base: -1},
+		"outdated order": {Op: "setup.put", Key: "1", Base: 0, Body: queueSetup("b", "")},
+		"empty a site":   {Op: "site.empty", Key: "west", Base: -1},
+		"ready":          {Op: "ready", Base: -1},
 		"known job":      atQueue("queue.state", "j1"),
 		"unknown job":    atQueue("queue.state", "never"),
-		"unknown queue":  {Op: "queue.state", Host: "two.example", Path: "/b/x", Expect: -1},
+		"unknown queue":  {Op: "queue.state", Host: "two.example", Path: "/b/x", Base: -1},
 		"cancel":         atQueue("queue.cancel", "never"),
 		"count":          atQueue("queue.state", ""),
 	}
@@ -147,7 +148,7 @@
 		for _, name := range sorted(probes) {
 			probe(name, probes[name])
 		}
-		probe("order", evRequest{Op: "setup.put", Key: fmt.Sprint(1000 + i), Expect: version, Body: queueSetup("lost", addressOfQueue)})
+		probe("order", evRequest{Op: "setup.put", Key: fmt.Sprint(1000 + i), Base: version, Body: queueSetup("lost", addressOfQueue)})
 		probe("submit", atQueue("queue.submit", fmt.Sprint("k", i)))
 		w.run(lastsMs / 40)
 		if i%10 == 5 {
@@ -182,18 +183,18 @@
 		})
 	}
 	for i := int64(0); i < 100 && len(served) < 5; i++ {
-		try("read", evRequest{Op: "setup.get", Expect: -1}, func(status int, body string) bool {
+		try("read", evRequest{Op: "setup.get", Base: -1}, func(status int, body string) bool {
 			if status == 200 && gjson.Get(body, "version").Int() < version {
 				t.Errorf("an old setup %d ms after the cut: %s", w.nowMs()-healedMs, body)
 			}
 			return status == 200
 		})
-		try("order", evRequest{Op: "site.empty", Key: "east", Expect: -1}, func(status int, _ string) bool { return status == 200 })
+		try("order", evRequest{Op: "site.empty", Key: "east", Base: -1}, func(status int, _ string) bool { return status == 200 })
 		try("submit", atQueue("queue.submit", fmt.Sprint("m", i)), func(status int, _ string) bool { return status == 200 || status == 201 })
 		try("known job", atQueue("queue.state", "j1"), func(status int, body string) bool {
 			return status == 200 && gjson.Get(body, "state").Str == "complete"
 		})
-		try("put", evRequest{Op: "setup.put", Key: fmt.Sprint(version + 50), Expect: version, Body: queueSetup("a", addressOfQueue)},
+		try("put", evRequest{Op: "setup.put", Key: fmt.Sprint(version + 50), Base: version, Body: queueSetup("a", addressOfQueue)},
 			func(status int, _ string) bool { return status == 200 })
 		w.run(20)
 	}
@@ -214,7 +215,7 @@
 			w.run(1000)
 			n := w.nodes[at]
 			var got []answered
-			w.call("caller", n, evRequest{Op: "setup.get", Expect: -1}, 20_000, func(status int, _ int64, b []byte) {
+			w.call("caller", n, evRequest{Op: "setup.get", Base: -1}, 20_000, func(status int, _ int64, b []byte) {
 				got = append(got, answered{status, string(b)})
 			})
 			must.True(t, w.stepUntil(1000, func() bool { return len(n.sh.node.config.awaiting) > 0 }))
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -7,17 +7,18 @@
 	"io"
 	"os"
 	"os/signal"
-	"otterchute/internal/configuration"
-	"otterchute/internal/statestore"
-	"otterchute/internal/storage"
-	"otterchute/internal/wire"
-	"otterchute/platform"
 	"runtime/debug"
 	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
 
+	"otterchute/internal/configuration"
+	"otterchute/internal/statestore"
+	"otterchute/internal/storage"
+	"otterchute/internal/wire"
+	"otterchute/platform"
+
 	"github.com/go-faster/errors"
 	"github.com/go-logfmt/logfmt"
 	"github.com/go-logr/logr"
@@ -162,14 +163,14 @@
 
 // processPorts carry effects out on the real machine.
 type processPorts struct {
-	loop    *controlLoop
-	wire    *wire.Transport
-	disk    *storage.Log
-	courier *orderSender
-	log     logr.Logger
-	waiting map[uint64]chan effReply // only the control thread touches it
-	exit    func()
-	self    string
+	loop      *controlLoop
+	transport *wire.Transport
+	disk      *storage.Log
+	orders    *orderSender
+	log       logr.Logger
+	waiting   map[uint64]chan effReply // only the control thread touches it
+	exit      func()
+	self      string
 }
 
 func (p *processPorts) Send(head wire.Header, to, addr string, msg any) {
@@ -181,7 +182,7 @@
 		}
 		return
 	}
-	p.wire.Send(addr, frame)
+	p.transport.Send(addr, frame)
 }
 
 func (p *processPorts) Append(entries []statestore.Entry, done func()) {
@@ -204,7 +205,7 @@
 
 func (p *processPorts) Order(e effOrder) {
 	go func() {
-		outcome := p.courier.deliver(e)
+		outcome := p.orders.deliver(e)
 		p.loop.post(func(s *executor) {
 			s.event(evOrder{Worker: e.Worker, Key: e.Key, Stop: e.Stop, Outcome: outcome})
 		})
@@ -303,7 +304,7 @@
 	if d.disk != nil {
 		p.DiskID = d.disk.ID()
 	}
-	ports := &processPorts{loop: l, wire: w, disk: d.disk, courier: c, log: log, waiting: map[uint64]chan effReply{}, self: s.Addr,
+	ports := &processPorts{loop: l, transport: w, disk: d.disk, orders: c, log: log, waiting: map[uint64]chan effReply{}, self: s.Addr,
 		exit: sync.OnceFunc(func() { go func() { _ = down.Shutdown() }() })}
 	l.executor = &executor{node: newNode(p, d.store), ports: ports}
 	return l.executor
@@ -342,11 +343,11 @@
 	}
 	a := s.adapter
 	lc.Append(fx.Hook{OnStart: func(context.Context) error {
-		a.OnChange(func(p platform.Place) {
+		a.OnChange(func(p platform.Identity) {
 			l.post(func(s *executor) { s.event(evSeeds{Seeds: p.Seeds}) })
 		})
 		go func() {
-			if err := a.Serve(d.product); err != nil {
+			if err := a.Serve(d.servePlatform); err != nil {
 				log.Error(err, "platform_failed")
 				_ = down.Shutdown(fx.ExitCode(int(exitFound)))
 			}
--- a/internal/daemon/disk_test.go
+++ b/internal/daemon/disk_test.go
@@ -1,10 +1,11 @@
 package daemon
 
 import (
-	"otterchute/internal/wire"
 	"reflect"
 	"testing"
 
+	"otterchute/internal/wire"
+
 	"github.com/shoenig/test/must"
 )
 
--- a/internal/daemon/doctor.go
+++ b/internal/daemon/doctor.go
@@ -8,6 +8,8 @@
 	"slices"
 	"time"
 
+	"otterchute/internal/membership"
+
 	"github.com/google/subcommands"
 	"github.com/tidwall/gjson"
 )
@@ -39,8 +41,8 @@
 	}},
 	{"core member missing", "restart it, or start an empty daemon with a data folder: it takes the place by itself", func(s gjson.Result) []string {
 		size, live := s.Get("core_size").Int(), s.Get("core_live").Int()
-		if size > 0 && (live < size || size < coreSize) && live > size/2 {
-			return []string{fmt.Sprintf("%d of %d core members are heard", live, coreSize)}
+		if size > 0 && (live < size || size < membership.DefaultSize) && live > size/2 {
+			return []string{fmt.Sprintf("%d of %d core members are heard", live, membership.DefaultSize)}
 		}
 		return nil
 	}},
@@ -142,8 +144,8 @@
 	return out
 }
 
-// visit asks every live daemon once.
-func visit(ctx context.Context, at string) (out []finding, asked int, t response, err error) {
+// visitAll asks every live daemon once.
+func visitAll(ctx context.Context, at string) (out []finding, asked int, t response, err error) {
 	t, err = newClient(at).request(ctx, "GET", "/v1/members", nil)
 	if err != nil || t.status != 200 {
 		return nil, 0, t, err
@@ -172,13 +174,13 @@
 			fs.BoolVar(asJSON, "json", false, "print findings as JSON")
 		},
 		do: func(ctx context.Context, _ *flag.FlagSet) subcommands.ExitStatus {
-			out, asked, t, err := visit(ctx, *at)
+			out, asked, t, err := visitAll(ctx, *at)
 			if err == nil && t.status == 200 && len(out) > 0 {
 				// What passes by itself, such as a setup declared just now,
 				// is no fault: only what a second look finds too.
 				time.Sleep(visitAgainMs * time.Millisecond)
 				var again []finding
-				if again, asked, t, err = visit(ctx, *at); err == nil && t.status == 200 {
+				if again, asked, t, err = visitAll(ctx, *at); err == nil && t.status == 200 {
 					out = slices.DeleteFunc(again, func(f finding) bool {
 						return !slices.ContainsFunc(out, func(o finding) bool { return o.Check == f.Check && o.Where == f.Where })
 					})
--- a/internal/daemon/draft.go
+++ b/internal/daemon/draft.go
@@ -5,13 +5,14 @@
 	"flag"
 	"fmt"
 	"os"
-	"otterchute/internal/configuration"
-	"otterchute/internal/schema"
 	"regexp"
 	"slices"
 	"strconv"
 	"strings"
 
+	"otterchute/internal/configuration"
+	"otterchute/internal/schema"
+
 	"github.com/go-faster/errors"
 	"github.com/google/subcommands"
 	"github.com/tufanbarisyildirim/gonginx/config"
--- a/internal/daemon/durability_test.go
+++ b/internal/daemon/durability_test.go
@@ -2,17 +2,18 @@
 
 import (
 	"fmt"
+	"testing"
+
 	"otterchute/internal/quorum"
 	"otterchute/internal/statestore"
 	"otterchute/internal/wire"
-	"testing"
 
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
 )
 
 // killCore ends all core members at once and gives what starts them again.
-func (b *beatWorld) killCore(power bool) (start func()) {
+func (b *platformWorld) killCore(power bool) (start func()) {
 	var undo []func()
 	for _, host := range b.disks() {
 		undo = append(undo, b.kill(host, power))
@@ -22,24 +23,24 @@
 
 // lookAtAll asks once more for the state of every accepted job, as callers may
 // for as long as finished jobs are kept.
-func (b *beatWorld) lookAtAll() {
+func (b *platformWorld) lookAtAll() {
 	for _, id := range sorted(b.jobs) {
 		if j := b.jobs[id]; j.acked {
 			b.look(j)
 			b.run(20)
 		}
 	}
-	b.run(b.site.callerMs)
+	b.run(b.deployment.callerMs)
 }
 
 // A job whose last run is told right after the whole core came back ends only
 // once the fleet's time is known: how long it is kept is counted from then.
 func TestJobEndsWhileTimeIsUnknown(t *testing.T) {
 	for seed := range uint64(4) {
-		b := formBeats(t, 7100+seed, chosenSites()[seed%2])
-		var jobs []*beatJob
+		b := formPlatform(t, 7100+seed, chosenDeployments()[seed%2])
+		var jobs []*platformJob
 		for range 12 {
-			jobs = append(jobs, b.submit(b.simple(2, 1, amounts{b.site.capacity[0] / 32, b.site.capacity[1] / 32}, 1200)))
+			jobs = append(jobs, b.submit(b.simple(2, 1, amounts{b.deployment.capacity[0] / 32, b.deployment.capacity[1] / 32}, 1200)))
 		}
 		b.run(900)
 		start := b.killCore(true)
@@ -66,7 +67,7 @@
 		for _, j := range jobs {
 			must.True(t, !j.acked || j.state == "complete", must.Sprintf("job %s is told as %s", j.id, j.state))
 		}
-		verdictOfBeats(t, b)
+		verdictOfPlatform(t, b)
 	}
 }
 
@@ -82,13 +83,13 @@
 	}
 	for i := range count {
 		seed := *fromFlag + uint64(i)
-		site := chosenSites()[seed%2]
+		site := chosenDeployments()[seed%2]
 		t.Run(fmt.Sprintf("%s-%d", site, seed), func(t *testing.T) {
 			t.Parallel()
-			b := formBeats(t, seed, site)
+			b := formPlatform(t, seed, site)
 			b.traffic()
 			accepted := 1 + b.rng.IntN(40)
-			b.onSee = func(e beatEvent) {
+			b.onSee = func(e platformEvent) {
 				if e.kind != bJobTried || e.n >= 300 {
 					return
 				}
@@ -103,7 +104,7 @@
 			b.run(6000)
 			b.onSee = nil
 			for range 2 {
-				beatFaults["slow disk"](b)
+				platformFaults["slow disk"](b)
 				b.run(5000)
 			}
 			b.after(300_000+b.rng.Int64N(1_000_000), b.killCore(b.share(0.5)))
@@ -114,7 +115,7 @@
 			b.run(8000)
 			b.finish(120_000)
 			b.lookAtAll()
-			verdictOfBeats(t, b)
+			verdictOfPlatform(t, b)
 		})
 	}
 }
@@ -144,8 +145,8 @@
 	joiner.wipe()
 	joiner.start()
 	asked := func() uint64 {
-		if j := joiner.sh.node.learner; j != nil && j.cursors["d00"].Shard == "mid" {
-			return j.cursors["d00"].Chunk
+		if at := joiner.sh.node.members.CopyCursor("d00"); at.Shard == "mid" {
+			return at.Chunk
 		}
 		return 0
 	}
@@ -203,7 +204,7 @@
 	n := w.nodes["d05"].sh.node
 	held := func(state jobStatus, version, doneMs int64) []statestore.Record {
 		j := &job{ID: "j", Queue: "q", State: state, Version: version, DoneMs: doneMs}
-		return []statestore.Record{{ID: "j", Epoch: 1, Version: version, Live: doneMs == 0, DoneMs: doneMs, Value: j.kept()}}
+		return []statestore.Record{{ID: "j", Epoch: 1, Version: version, Live: doneMs == 0, DoneMs: doneMs, Value: j.encode()}}
 	}
 	live, finished := held(jobRunning, 3, 0), held(jobComplete, 5, wallStart)
 	full := n.core
@@ -231,7 +232,7 @@
 			n.core = full.With(quorum.Member{Name: "d03", DiskID: 1})
 		}
 		n.coreReads.earn(retryBudgetMax)
-		n.readFromCore(&request{id: 7, op: "job.get", key: "j", atMs: n.now}, "no owner")
+		n.readFromCore(&request{id: 7, op: "job.get", key: "j", receivedMs: n.now}, "no owner")
 		op, state := n.opSeq, ""
 		for i, records := range c.answers {
 			must.Eq(t, "", state, must.Sprint("answered before ", i))
--- a/internal/daemon/entering_test.go
+++ b/internal/daemon/entering_test.go
@@ -1,9 +1,10 @@
 package daemon
 
 import (
-	"otterchute/internal/wire"
 	"testing"
 
+	"otterchute/internal/wire"
+
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
 )
@@ -48,7 +49,7 @@
 
 // Where the job is turned away in the end, so are only those who hand it in:
 // for the others there is no such job.
-func TestCallsThatWaitForATurnedAwayJob(t *testing.T) {
+func TestCallsThatWaitForARejectedJob(t *testing.T) {
 	w := formed(t, 1, "hakata")
 	w.run(3000)
 	_, owner := frontAndOwner(t, w)
--- a/internal/daemon/errors.go
+++ b/internal/daemon/errors.go
@@ -7,6 +7,6 @@
 	errSettings   = errors.New("settings")
 	errOrder      = errors.New("order")
 	errDraft      = errors.New("import")
-	errDownstream = errors.New("downstream")
+	errClient     = errors.New("downstream")
 	errExperiment = errors.New("experiment")
 )
--- a/internal/daemon/shell.go
+++ b/internal/daemon/executor.go
@@ -1,9 +1,10 @@
 package daemon
 
 import (
+	"reflect"
+
 	"otterchute/internal/statestore"
 	"otterchute/internal/wire"
-	"reflect"
 )
 
 // effectPorts are what the shell carries effects out with. The product and the
--- a/internal/daemon/target.go
+++ b/internal/daemon/experiment_target.go
@@ -6,11 +6,12 @@
 	"io"
 	"math"
 	"os"
-	"otterchute/internal/schema"
 	"path/filepath"
 	"strconv"
 	"strings"
 
+	"otterchute/internal/schema"
+
 	"github.com/go-faster/errors"
 	"github.com/tidwall/gjson"
 )
--- a/internal/daemon/experiment_test.go
+++ b/internal/daemon/experiment_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"io"
 	"os"
-	"otterchute/internal/wire"
 	"path/filepath"
 	"reflect"
 	"slices"
@@ -13,6 +12,8 @@
 	"testing"
 	"time"
 
+	"otterchute/internal/wire"
+
 	"github.com/shoenig/test/must"
 )
 
--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -2,16 +2,18 @@
 
 import (
 	"fmt"
-	"otterchute/internal/historycheck"
-	"otterchute/internal/statestore"
 	"slices"
 	"testing"
 
+	"otterchute/internal/historycheck"
+	"otterchute/internal/membership"
+	"otterchute/internal/statestore"
+
 	"github.com/shoenig/test/must"
 )
 
 // Faults of disks, machines, connections and answers, each with an end. Those of
-// world serve every simulation; those of beatWorld tell the judge of them too.
+// world serve every simulation; those of platformWorld tell the judge of them too.
 
 const errDiskFull = "no space left on device"
 
@@ -132,17 +134,17 @@
 )
 
 // lossesAllowed is how many disk machines may be lost at once.
-func (b *beatWorld) lossesAllowed() int { return (b.site.coreSize - 1) / 2 }
+func (b *platformWorld) lossesAllowed() int { return (b.deployment.coreSize - 1) / 2 }
 
-// lost tells whether a disk machine counts as lost now: in trouble, or not yet
+// serveWorkerLost tells whether a disk machine counts as lost now: in trouble, or not yet
 // back for so long that it must have caught up.
-func (b *beatWorld) lost(host string) bool {
+func (b *platformWorld) lost(host string) bool {
 	at, known := b.calmMs[host]
 	return b.troubled[host] > 0 || known && b.nowMs()-at < lossEndsMs
 }
 
 // mayLose tells whether some more machines may be lost now.
-func (b *beatWorld) mayLose(hosts ...string) bool {
+func (b *platformWorld) mayLose(hosts ...string) bool {
 	sum := 0
 	for _, host := range b.diskHosts {
 		if b.lost(host) || slices.Contains(hosts, host) {
@@ -153,7 +155,7 @@
 }
 
 // troubleFor tells the judge of a trouble that lasts so long, and ends it.
-func (b *beatWorld) troubleFor(text, host string, ms int64, undo func()) {
+func (b *platformWorld) troubleFor(text, host string, ms int64, undo func()) {
 	b.trouble(text, host)
 	b.after(ms*1000, func() {
 		undo()
@@ -161,26 +163,26 @@
 	})
 }
 
-func (b *beatWorld) diskFull(host string, ms int64) {
+func (b *platformWorld) diskFull(host string, ms int64) {
 	b.troubleFor("disk full", host, ms, b.fillDisk(host))
 }
 
-func (b *beatWorld) diskStall(host string, ms int64) {
+func (b *platformWorld) diskStall(host string, ms int64) {
 	b.stallDisk(host, ms)
 	b.troubleFor("disk stalled", host, ms, func() {})
 }
 
-func (b *beatWorld) diskSlow(host string, times, ms int64) {
+func (b *platformWorld) diskSlow(host string, times, ms int64) {
 	b.troubleFor("disk slow", host, ms, b.slowDisk(host, times))
 }
 
 // clockStep lets a machine's time of day jump, and back.
-func (b *beatWorld) clockStep(host string, byMs, ms int64) {
+func (b *platformWorld) clockStep(host string, byMs, ms int64) {
 	b.troubleFor("clock", host, ms, b.stepClock(host, byMs))
 }
 
 // resets resets connections of some machines now and then, for a while.
-func (b *beatWorld) resets(hosts []string, share float64, ms int64) {
+func (b *platformWorld) resets(hosts []string, share float64, ms int64) {
 	end := b.nowMs() + ms
 	for _, host := range hosts {
 		b.troubleFor("reset", host, ms, func() {})
@@ -196,24 +198,24 @@
 }
 
 // cutOne cuts a machine off one way.
-func (b *beatWorld) cutOne(host string, way cutWay) (heal func()) {
+func (b *platformWorld) cutOne(host string, way cutWay) (heal func()) {
 	b.cutOneWay[host] = way
 	return b.cut(host)
 }
 
 // cutZone cuts all machines of a zone off from the others, and not from each other.
-func (b *beatWorld) cutZone(zone string) (heal func()) {
+func (b *platformWorld) cutZone(zone string) (heal func()) {
 	b.cutTogether = true
 	return b.cut(b.zoneHosts(zone)...)
 }
 
 // zoneHosts gives the machines that stand in a zone.
-func (b *beatWorld) zoneHosts(zone string) []string {
+func (b *platformWorld) zoneHosts(zone string) []string {
 	return slices.DeleteFunc(sorted(b.nodes), func(host string) bool { return b.nodes[host].removed || b.nodes[host].Zone != zone })
 }
 
 // loseZone takes the power of a zone's machines and workers for a while.
-func (b *beatWorld) loseZone(zone string, downMs int64) {
+func (b *platformWorld) loseZone(zone string, downMs int64) {
 	for _, host := range b.zoneHosts(zone) {
 		b.after((downMs+b.rng.Int64N(1500))*1000, b.kill(host, true))
 		if s := b.byHost[host]; s != nil {
@@ -223,12 +225,12 @@
 }
 
 // standing gives the machines at the edge that run.
-func (b *beatWorld) standing() []string {
+func (b *platformWorld) standing() []string {
 	return slices.DeleteFunc(b.edges(), func(host string) bool { return !b.nodes[host].up })
 }
 
 // successor installs a machine in the place of another one and starts it.
-func (b *beatWorld) successor(of string) *simNode {
+func (b *platformWorld) successor(of string) *simNode {
 	b.newHosts++
 	var seeds []string
 	for _, host := range b.standing() {
@@ -247,13 +249,13 @@
 	b.checkReady(name)
 	n.start()
 	b.calmMs[name] = b.nowMs()
-	b.see(beatEvent{kind: bCore, host: name})
+	b.see(platformEvent{kind: bCore, host: name})
 	return n
 }
 
 // replacePlanned starts a new core machine with an empty disk at a new address;
 // the old one gets SIGTERM after a while, and ends.
-func (b *beatWorld) replacePlanned(old string, gapMs int64) {
+func (b *platformWorld) replacePlanned(old string, gapMs int64) {
 	b.successor(old)
 	b.after(gapMs*1000, func() {
 		if b.nodes[old].removed {
@@ -268,7 +270,7 @@
 }
 
 // replaceLost takes a core machine away for good; a new one comes after a while.
-func (b *beatWorld) replaceLost(old string, gapMs int64) {
+func (b *platformWorld) replaceLost(old string, gapMs int64) {
 	b.nodes[old].kill(true)
 	b.trouble("removed", old)
 	b.after(gapMs*1000, func() {
@@ -278,7 +280,7 @@
 }
 
 // powerOf takes the power of some machines, or only kills them, for a while.
-func (b *beatWorld) powerOf(hosts []string, power bool, downMs int64) {
+func (b *platformWorld) powerOf(hosts []string, power bool, downMs int64) {
 	for _, host := range hosts {
 		b.after(downMs*1000, b.kill(host, power))
 	}
@@ -295,7 +297,7 @@
 
 // strike does something to the machine that answers an order, at a moment around
 // that answer. The change of the setup it waits for is sent here.
-func (b *beatWorld) strike(when struck, do func(host string)) {
+func (b *platformWorld) strike(when struck, do func(host string)) {
 	switch when {
 	case struckSent:
 		b.change(nil)
@@ -309,7 +311,7 @@
 }
 
 // atAnswer does something within 4 ms of the next good answer to an order.
-func (b *beatWorld) atAnswer(op string, do func(host string)) {
+func (b *platformWorld) atAnswer(op string, do func(host string)) {
 	b.whenAnswered(func(a sentAnswer) bool {
 		if a.call.Op != op || !a.accepted() {
 			return false
@@ -324,14 +326,14 @@
 }
 
 // formedWorld gives a fleet with its first setup, shortly before traffic.
-func formedWorld(t *testing.T, seed uint64) *beatWorld {
-	b := formBeats(t, seed, "hakata")
+func formedWorld(t *testing.T, seed uint64) *platformWorld {
+	b := formPlatform(t, seed, "hakata")
 	b.run(2000)
 	return b
 }
 
 // putNow sends a change and gives whether it was acknowledged in time.
-func (b *beatWorld) putNow(ms int64) bool {
+func (b *platformWorld) putNow(ms int64) bool {
 	before := b.version
 	b.change(nil)
 	return b.until(ms, func() bool { return b.version > before })
@@ -352,7 +354,7 @@
 	must.LessEq(t, synced, n.disk.synced)
 	undo()
 	must.True(t, b.until(3000, func() bool { return n.sh.node.inCore() && n.disk.synced > synced }), must.Sprint("it is back without a restart"))
-	must.True(t, b.until(5000, func() bool { return len(b.coreWhole()) == coreSize }))
+	must.True(t, b.until(5000, func() bool { return len(b.coreWhole()) == membership.DefaultSize }))
 	must.True(t, b.putNow(5000))
 }
 
@@ -374,7 +376,7 @@
 		b.run(2000)
 		must.False(t, n.sh.node.inCore())
 		undo()
-		must.True(t, b.until(8000, func() bool { return len(b.coreWhole()) == coreSize }))
+		must.True(t, b.until(8000, func() bool { return len(b.coreWhole()) == membership.DefaultSize }))
 	}
 }
 
@@ -433,7 +435,7 @@
 	b.replacePlanned("d01", 1000)
 	must.True(t, b.until(10_000, func() bool { return b.nodes["d01"].removed }))
 	must.Eq(t, []string{"d00", "n01", "d02"}, b.disks())
-	must.True(t, b.until(15_000, func() bool { return len(b.coreWhole()) == coreSize }), must.Sprint("the new machine has the seat"))
+	must.True(t, b.until(15_000, func() bool { return len(b.coreWhole()) == membership.DefaultSize }), must.Sprint("the new machine has the seat"))
 	must.True(t, b.nodes["n01"].sh.node.inCore())
 	b.nodes["d01"].start()
 	must.False(t, b.nodes["d01"].up)
@@ -443,7 +445,7 @@
 	b := formedWorld(t, 7)
 	b.replaceLost("d00", 500)
 	must.False(t, b.mayLose("d02"))
-	must.True(t, b.until(15_000, func() bool { return len(b.coreWhole()) == coreSize }))
+	must.True(t, b.until(15_000, func() bool { return len(b.coreWhole()) == membership.DefaultSize }))
 	b.run(lossEndsMs)
 	must.True(t, b.mayLose("d02"))
 	must.True(t, b.putNow(3000))
--- a/internal/daemon/fence_test.go
+++ b/internal/daemon/fence_test.go
@@ -1,11 +1,12 @@
 package daemon
 
 import (
+	"testing"
+
 	"otterchute/internal/codec"
 	"otterchute/internal/lease"
 	"otterchute/internal/statestore"
 	"otterchute/internal/wire"
-	"testing"
 
 	"github.com/shoenig/test/must"
 )
@@ -72,7 +73,7 @@
 // A lease need not be waited out where a later life of its holder is heard from
 // at the holder's own address: only one process can listen there. Under another
 // address the former may still run.
-func TestLeaseOfALifeThatIsOver(t *testing.T) {
+func TestLeaseOfAnIncarnationThatEnded(t *testing.T) {
 	n, say := coreMemberOf(t)
 	poll := func(from string, inc uint64) *wire.PollResponse {
 		return say(from, &wire.PollRequest{Incarnation: inc, SetVersion: n.core.Version, Wanted: []wire.LeaseRequest{{Name: "slice/some"}}}).(*wire.PollResponse)
@@ -104,14 +105,14 @@
 // A finished record that only a minority may hold is told to a new owner until
 // a majority is known to hold it, and the new owner writes it back: else a later
 // owner could meet the job alive again.
-func TestUnsureFinishIsWrittenBack(t *testing.T) {
+func TestUnconfirmedFinishIsWrittenBack(t *testing.T) {
 	n, say := coreMemberOf(t)
 	v := n.core.Version
 	sealed := func(epoch uint64) []statestore.Record {
 		return say("d09", &wire.SealRequest{SetVersion: v, Shard: "s", Epoch: epoch}).(*wire.SealResponse).Records
 	}
 	sealed(1)
-	finished := statestore.Record{ID: "j", Epoch: 1, Version: 4, DoneMs: 5, Value: (&job{ID: "j", Queue: "q", State: jobComplete, DoneMs: 5, Version: 4}).kept()}
+	finished := statestore.Record{ID: "j", Epoch: 1, Version: 4, DoneMs: 5, Value: (&job{ID: "j", Queue: "q", State: jobComplete, DoneMs: 5, Version: 4}).encode()}
 	say("d09", &wire.WriteRequest{SetVersion: v, Shard: "s", Epoch: 1, Seq: 1, Records: []statestore.Record{finished}})
 	must.Len(t, 1, sealed(2))
 	say("d09", &wire.WriteRequest{SetVersion: v, Shard: "s", Epoch: 2, Seq: 1, Confirmed: []string{"j"}})
--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -8,15 +8,16 @@
 	"flag"
 	"fmt"
 	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
 	"otterchute/internal/codec"
 	"otterchute/internal/configuration"
 	"otterchute/internal/statestore"
 	"otterchute/internal/storage"
 	"otterchute/internal/wire"
-	"path/filepath"
-	"reflect"
-	"strings"
-	"testing"
 
 	"github.com/shoenig/test/must"
 )
@@ -280,7 +281,7 @@
 	var out bytes.Buffer
 	for _, call := range fixtureCalls {
 		if call.Op != "setup.put" {
-			call.Expect = -1
+			call.Base = -1
 		}
 		answered := false
 		w.call("caller", w.nodes["d04"], call, 5000, func(status int, retryMs int64, body []byte) {
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"otterchute/internal/historycheck"
+	"otterchute/internal/membership"
 
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
@@ -40,7 +41,7 @@
 // whole tells whether all three of the core stand, so that one may lose its disk.
 func (u *unrest) whole() bool {
 	_, b, err := u.call("GET", "/v1/soundness", "")
-	return err == nil && gjson.GetBytes(b, "core_size").Int() == coreSize && gjson.GetBytes(b, "core_live").Int() == coreSize &&
+	return err == nil && gjson.GetBytes(b, "core_size").Int() == membership.DefaultSize && gjson.GetBytes(b, "core_live").Int() == membership.DefaultSize &&
 		gjson.GetBytes(b, "core_contact_ms").Int() < 1000
 }
 
@@ -108,7 +109,7 @@
 		if !u.whole() {
 			return
 		}
-		i := u.rng.IntN(coreSize)
+		i := u.rng.IntN(membership.DefaultSize)
 		_ = u.end(u.name(i), syscall.SIGKILL)
 		must.NoError(u.t, os.RemoveAll(filepath.Join(u.dir, u.name(i))))
 		u.addr[i] = freePorts(u.t, 1)[0]
@@ -117,7 +118,7 @@
 		u.daemon(i)
 	},
 	"moved": func(u *unrest, _ historycheck.Deployment) {
-		i := coreSize + u.rng.IntN(len(u.addr)-coreSize)
+		i := membership.DefaultSize + u.rng.IntN(len(u.addr)-membership.DefaultSize)
 		_ = u.end(u.name(i), syscall.SIGKILL)
 		u.addr[i] = freePorts(u.t, 1)[0]
 		u.daemon(i)
@@ -143,7 +144,7 @@
 	},
 	"operators race": func(u *unrest, dep historycheck.Deployment) { u.declare(dep, nil) },
 	"site emptied": func(u *unrest, dep historycheck.Deployment) {
-		u.declare(dep, []string{historycheck.Sites[u.rng.IntN(3)]})
+		u.declare(dep, []string{historycheck.Zones[u.rng.IntN(3)]})
 		u.pause(6000, 8000)
 		u.declare(dep, nil)
 	},
--- a/internal/daemon/formation_test.go
+++ b/internal/daemon/formation_test.go
@@ -2,15 +2,16 @@
 
 import (
 	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
 	"otterchute/internal/configuration"
 	"otterchute/internal/historycheck"
 	"otterchute/internal/quorum"
 	"otterchute/internal/register"
 	"otterchute/internal/statestore"
 	"otterchute/internal/wire"
-	"slices"
-	"strings"
-	"testing"
 
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
@@ -192,7 +193,7 @@
 			version++
 			got := answered{}
 			must.True(t, w.until(15_000, func() bool {
-				got = w.settle(w.anyNode(int(version)+5), evRequest{Op: "setup.put", Key: fmt.Sprint(version), Expect: -1, Body: queueSetup(fmt.Sprint("q", version), "")}, 4000)
+				got = w.settle(w.anyNode(int(version)+5), evRequest{Op: "setup.put", Key: fmt.Sprint(version), Base: -1, Body: queueSetup(fmt.Sprint("q", version), "")}, 4000)
 				return got.status == 200
 			}), must.Sprint(got))
 		}
@@ -230,7 +231,7 @@
 }
 
 // A member that never comes back is replaced by one spare, of its site if there is one.
-func TestFormationSpareOfTheSite(t *testing.T) {
+func TestFormationSpareOfTheZone(t *testing.T) {
 	w := coreWorld(4500, 5, eightDisks, 4)
 	must.True(t, w.until(20_000, w.allServed))
 	set := w.cluster()
@@ -290,7 +291,7 @@
 
 // told gives the log without the siblings that were met.
 func (w *world) told() string {
-	return "\n" + strings.Join(slices.DeleteFunc(slices.Clone(w.logs), func(s string) bool { return strings.Contains(s, "sibling_new") }), "\n")
+	return "\n" + strings.Join(slices.DeleteFunc(slices.Clone(w.logs), func(s string) bool { return strings.Contains(s, "peer_new") }), "\n")
 }
 
 // What a member answered to an earlier try says nothing of a later one: between
@@ -354,7 +355,7 @@
 // told that it was not taken.
 func TestUnansweredSubmitIsNotDenied(t *testing.T) {
 	w := served(t, 4802)
-	must.Eq(t, 200, w.settle(w.nodes["d00"], evRequest{Op: "setup.put", Key: "1", Expect: 0, Body: queueSetup("a", `,"addresses":[{"host":"h","prefix":"/a/"}]`)}, 4000).status)
+	must.Eq(t, 200, w.settle(w.nodes["d00"], evRequest{Op: "setup.put", Key: "1", Base: 0, Body: queueSetup("a", `,"addresses":[{"host":"h","prefix":"/a/"}]`)}, 4000).status)
 	w.run(2000)
 	asked := 0
 	for i := range 40 {
@@ -365,7 +366,7 @@
 			continue
 		}
 		w.cuts[[2]string{owner.Name, to.Name}] = true // it gets there; the answer doesn't
-		r := w.settle(to, evRequest{Op: "queue.submit", Host: "h", Path: "/a/" + id, Expect: -1, Body: []byte(`{"queue":"a","steps":[{"tasks":[{"room":1}]}]}`)}, 5000)
+		r := w.settle(to, evRequest{Op: "queue.submit", Host: "h", Path: "/a/" + id, Base: -1, Body: []byte(`{"queue":"a","steps":[{"tasks":[{"room":1}]}]}`)}, 5000)
 		must.Eq(t, 504, r.status, must.Sprint(r.body))
 		delete(w.cuts, [2]string{owner.Name, to.Name})
 		w.run(5000)
--- a/internal/daemon/forms_test.go
+++ b/internal/daemon/forms_test.go
@@ -3,13 +3,14 @@
 import (
 	"flag"
 	"os"
-	"otterchute/internal/configuration"
 	"path/filepath"
 	"reflect"
 	"regexp"
 	"strings"
 	"testing"
 
+	"otterchute/internal/configuration"
+
 	"github.com/shoenig/test/must"
 )
 
--- a/internal/daemon/gossip_test.go
+++ b/internal/daemon/gossip_test.go
@@ -1,11 +1,12 @@
 package daemon
 
 import (
+	"reflect"
+	"testing"
+
 	"otterchute/internal/cluster"
 	"otterchute/internal/historycheck"
 	"otterchute/internal/wire"
-	"reflect"
-	"testing"
 
 	"github.com/shoenig/test/must"
 )
--- a/internal/daemon/beats.go
+++ b/internal/daemon/heartbeat.go
@@ -2,10 +2,11 @@
 
 import (
 	"encoding/json"
+	"slices"
+
 	"otterchute/internal/resource"
 	"otterchute/internal/schema"
 	"otterchute/internal/wire"
-	"slices"
 
 	"github.com/tidwall/gjson"
 )
@@ -72,7 +73,7 @@
 		return
 	}
 	if f := schema.Check(a.body, heartbeatFields); len(f) > 0 {
-		n.log("beat_unreadable", "worker", a.key, "path", f[0].Path, "reason", f[0].Reason)
+		n.log("heartbeat_unreadable", "worker", a.key, "path", f[0].Path, "reason", f[0].Reason)
 		n.rejectFaults(a, 400, 0, f)
 		return
 	}
@@ -88,7 +89,7 @@
 	}
 	changed, missed := !ag.rebuilt, n.now-ag.heardMs > frozenMs
 	ag.reportSeq, ag.heardMs, ag.tokenMs = seq, n.now, n.now
-	ag.site, ag.rack, ag.labels = r.Get("site").Str, r.Get("rack").Str, labelsOf(r.Get("labels"))
+	ag.zone, ag.rack, ag.labels = r.Get("site").Str, r.Get("rack").Str, labelsOf(r.Get("labels"))
 	ag.capacity = resource.Parse(r.Get("capacity"))
 	ag.free = ag.capacity
 	if leaving := r.Get("leaving").Bool(); leaving != ag.leaving {
@@ -101,7 +102,7 @@
 	changed = n.applyHeartbeatLists(ag, r, missed) || changed
 	if !ag.rebuilt { // what a former agent here ordered is listed, or never starts
 		ag.rebuilt, ag.adoptedMs = true, n.now
-		ag.holdUntil = n.now + holdSpanMs*(100+driftPercent)/100
+		ag.holdUntilMs = n.now + holdSpanMs*(100+driftPercent)/100
 		n.log("agent_rebuilt", "worker", ag.worker, "epoch", ag.epoch, "held", len(ag.attempts))
 	}
 	n.detectStalledWork(ag)
@@ -110,7 +111,7 @@
 	ag.answering = false
 	n.respond(a, 200, 0, mustJSON(n.heartbeatReply(ag)))
 	if changed {
-		n.syncAgent(ag)
+		n.reportAgent(ag)
 	}
 }
 
@@ -122,7 +123,7 @@
 			n.log("worker_replaced", "worker", name, "by", worker)
 			n.loseAttempts(old)
 			old.replaced, old.leaving = true, true
-			n.syncAgent(old)
+			n.reportAgent(old)
 		}
 	}
 	ag := &agent{worker: worker, epoch: n.Incarnation, startMs: n.now, attempts: map[wire.AttemptKey]*attempt{}, tombstones: map[wire.AttemptKey]int64{},
@@ -162,7 +163,7 @@
 		running[key] = true
 		h := ag.attempts[key]
 		if h == nil {
-			h = &attempt{state: wire.AttemptOrdered, unknown: true, ordered: true, vague: true, orderedMs: n.now, adoptedMs: n.now, spec: wire.TaskSpec{Key: key}, confirmedMs: -1 << 40}
+			h = &attempt{state: wire.AttemptOrdered, unknown: true, ordered: true, unobserved: true, orderedMs: n.now, adoptedMs: n.now, spec: wire.TaskSpec{Key: key}, confirmedMs: -1 << 40}
 			ag.attempts[key] = h
 			changed = true
 		}
@@ -172,7 +173,7 @@
 			}
 			changed = changed || h.spec.Gang
 			h.state, h.ordered, h.startedMs, h.movedMs = wire.AttemptRunning, true, n.now, n.now
-			h.vague = h.vague || missed
+			h.unobserved = h.unobserved || missed
 		}
 		if p := e.Get("percent").Int(); p != h.percent {
 			h.percent, h.movedMs = p, n.now
@@ -203,8 +204,8 @@
 		}
 		h := ag.attempts[key]
 		if h == nil { // of a former agent, that may have been cut off for long
-			h = &attempt{state: wire.AttemptOrdered, unknown: true, ordered: true, vague: true, startedMs: n.now, adoptedMs: n.now, spec: wire.TaskSpec{Key: key}, confirmedMs: -1 << 40}
-			h.late = finalOutcomes[outcome]
+			h = &attempt{state: wire.AttemptOrdered, unknown: true, ordered: true, unobserved: true, startedMs: n.now, adoptedMs: n.now, spec: wire.TaskSpec{Key: key}, confirmedMs: -1 << 40}
+			h.lateEnd = finalOutcomes[outcome]
 			ag.attempts[key] = h
 		}
 		if saved := e.Get("saved").Str; saved != "" {
@@ -212,16 +213,16 @@
 		}
 		if lost := h.state == wire.AttemptEnded && h.result == wire.ResultLost && !h.acked && finalOutcomes[outcome]; h.state != wire.AttemptEnded || lost {
 			// A run given up as lost that ended by itself after all: its owner says whether it still counts.
-			h.late = (h.late || lost) && !h.void
+			h.lateEnd = (h.lateEnd || lost) && !h.voided
 			changed = true
-			h.vague = h.vague || missed
+			h.unobserved = h.unobserved || missed
 			n.endAttempt(ag, h, outcome, max(n.now-max(h.startedMs, h.orderedMs), 1))
 		}
 		return true
 	})
 	for number, key := range ag.ends {
 		if h := ag.attempts[key]; number < lapsed && h != nil {
-			h.late, h.void = false, true
+			h.lateEnd, h.voided = false, true
 		}
 	}
 	if first > 0 && ag.acknowledgedEnds < first-1 {
@@ -260,7 +261,7 @@
 		ag.acknowledgedEnds++
 		delete(ag.ends, ag.acknowledgedEnds)
 	}
-	if h := ag.attempts[ag.ends[ag.acknowledgedEnds+1]]; len(ag.ends) > lateEndsMax && h != nil && h.late {
+	if h := ag.attempts[ag.ends[ag.acknowledgedEnds+1]]; len(ag.ends) > lateEndsMax && h != nil && h.lateEnd {
 		n.count("ends_waited")
 		ag.lapse() // too many wait behind it
 	}
@@ -270,12 +271,12 @@
 			delete(ag.ends, number)
 		}
 	}
-	for _, h := range ag.outbox {
+	for _, h := range ag.toStart {
 		v := viewOf(h.spec.Key)
 		v.Payload, v.Saved = h.spec.Payload, h.spec.Saved
 		out.Start = append(out.Start, v)
 	}
-	ag.outbox = nil
+	ag.toStart = nil
 	until := n.now + n.holdSpan()
 	if n.leavingSince != 0 {
 		until = n.now + max(n.holdSpan(), n.MaxHoldMs)
@@ -290,12 +291,12 @@
 		}
 		until = min(until, h.confirmedMs+ownerSpanMs)
 	}
-	if ag.lapseTill != 0 {
+	if ag.lapseUntilMs != 0 {
 		until = 0
 	}
 	if until > n.now {
 		out.HoldMs = until - n.now
-		ag.holdUntil = max(ag.holdUntil, n.now+out.HoldMs*(100+driftPercent)/100)
+		ag.holdUntilMs = max(ag.holdUntilMs, n.now+out.HoldMs*(100+driftPercent)/100)
 	}
 	return out
 }
@@ -320,8 +321,8 @@
 	}
 	if before, ok := ag.ownerMs[slice]; !ok || now-before > ownerSpanMs {
 		for _, h := range ag.attempts {
-			if h.spec.Shard == slice && h.state == wire.AttemptEnded && (h.result == wire.ResultOK || h.result == wire.ResultFailed) && !h.acked && !h.void {
-				h.late = true
+			if h.spec.Shard == slice && h.state == wire.AttemptEnded && (h.result == wire.ResultOK || h.result == wire.ResultFailed) && !h.acked && !h.voided {
+				h.lateEnd = true
 			}
 		}
 	}
@@ -331,8 +332,8 @@
 // lapse lets the worker's hold run out: an end that another run took the place
 // of may be taken note of only after that. It waits until many others wait behind it.
 func (ag *agent) lapse() {
-	if ag.lapseTill == 0 {
-		ag.lapseTill = ag.holdUntil + lapseMarginMs
+	if ag.lapseUntilMs == 0 {
+		ag.lapseUntilMs = ag.holdUntilMs + lapseMarginMs
 	}
 }
 
@@ -340,7 +341,7 @@
 // once it is taken note of.
 func (ag *agent) voidEnds() {
 	for _, h := range ag.attempts {
-		h.late, h.void = false, h.void || h.ordered
+		h.lateEnd, h.voided = false, h.voided || h.ordered
 	}
 }
 
@@ -370,18 +371,18 @@
 		ag.suspects = min(ag.suspects+1, 4)
 		ag.suspectMs = n.now + suspectMs<<(ag.suspects-1)
 		n.log("worker_suspect", "worker", ag.worker, "for_ms", ag.suspectMs-n.now)
-		n.syncAgent(ag)
+		n.reportAgent(ag)
 	}
 }
 
 func (n *node) tickColocatedAgent(ag *agent) {
 	changed := false
-	if n.now > ag.lapseTill && ag.lapseTill != 0 { // the hold has lapsed: late ends may go
-		ag.lapseTill = 0
+	if n.now > ag.lapseUntilMs && ag.lapseUntilMs != 0 { // the hold has lapsed: late ends may go
+		ag.lapseUntilMs = 0
 		changed = n.loseAttempts(ag)
 		ag.voidEnds()
 	}
-	if ag.rebuilt && !ag.replaced && (n.now > ag.holdUntil+lapseMarginMs && n.now-ag.heardMs > lapseMarginMs || ag.goneMs != 0 && n.now > ag.goneMs) {
+	if ag.rebuilt && !ag.replaced && (n.now > ag.holdUntilMs+lapseMarginMs && n.now-ag.heardMs > lapseMarginMs || ag.goneMs != 0 && n.now > ag.goneMs) {
 		if ag.goneMs == 0 {
 			ag.voidEnds()
 		}
@@ -407,7 +408,7 @@
 	}
 	if n.now >= ag.decayAt {
 		ag.decayAt = n.now + 10_000
-		ag.oks, ag.fails = ag.oks*3/4, ag.fails*3/4
+		ag.succeeded, ag.failed = ag.succeeded*3/4, ag.failed*3/4
 		if n.now > ag.suspectMs+10_000 {
 			ag.suspects = max(0, ag.suspects-1)
 		}
@@ -417,7 +418,7 @@
 		return h.state == wire.AttemptQueued && n.now-h.queuedMs > recallMs
 	})
 	if changed || n.now >= ag.syncAt || waits && n.now >= ag.syncAt-syncMs/2 {
-		n.syncAgent(ag)
+		n.reportAgent(ag)
 	}
 	if over := ag.replaced || ag.goneMs != 0; over && n.now-ag.heardMs > workerKeepMs || over && !slices.ContainsFunc(ag.keys(), func(k wire.AttemptKey) bool { return !ag.attempts[k].acked }) && n.now-ag.heardMs > contactMs {
 		delete(n.agents, ag.worker)
@@ -429,7 +430,7 @@
 	if ag := n.agents[a.key]; ag != nil && ag.colocated && ag.goneMs == 0 {
 		ag.leaving, ag.goneMs = true, n.now+goneMs
 		n.log("worker_gone", "worker", ag.worker)
-		n.syncAgent(ag)
+		n.reportAgent(ag)
 	}
 	n.respond(a, 200, 0, mustJSON(map[string]any{"worker": a.key}))
 }
--- a/internal/daemon/beats_test.go
+++ b/internal/daemon/heartbeat_test.go
@@ -3,9 +3,10 @@
 import (
 	"encoding/json"
 	"fmt"
+	"testing"
+
 	"otterchute/internal/quorum"
 	"otterchute/internal/wire"
-	"testing"
 
 	"github.com/shoenig/test/must"
 )
@@ -18,7 +19,7 @@
 	return n, func(afterMs int64, lists string) heartbeatReply {
 		seq++
 		body := fmt.Sprintf(`{"seq":%d,"site":"east","labels":{"service":"s"},"rack":"r1","capacity":{"cpu":8000,"memory":8000,"accelerators":0}%s}`, seq, lists)
-		for _, e := range reduce(n, event{NowMs: n.now + afterMs, WallMs: 1_800_000_000_000, Seed: 1, Body: evRequest{ID: uint64(seq), Op: "worker.beat", Key: "w1", Expect: -1, Body: []byte(body)}}) {
+		for _, e := range reduce(n, event{NowMs: n.now + afterMs, WallMs: 1_800_000_000_000, Seed: 1, Body: evRequest{ID: uint64(seq), Op: "worker.beat", Key: "w1", Base: -1, Body: []byte(body)}}) {
 			if r, ok := e.(effReply); ok {
 				must.Eq(t, 200, r.Status, must.Sprint(string(r.Body)))
 				var a heartbeatReply
@@ -87,7 +88,7 @@
 	must.Eq(t, int64(1), beat(50, ended).Seen)
 
 	beat(50, running("j1", 1, 1, 10))
-	reduce(n, event{NowMs: n.now + 50, WallMs: 1, Body: evRequest{ID: 99, Op: "worker.beat", Key: "w2", Expect: -1, Body: []byte(`{"seq":1,"site":"east","capacity":{"cpu":1,"memory":1,"accelerators":0}}`)}})
+	reduce(n, event{NowMs: n.now + 50, WallMs: 1, Body: evRequest{ID: 99, Op: "worker.beat", Key: "w2", Base: -1, Body: []byte(`{"seq":1,"site":"east","capacity":{"cpu":1,"memory":1,"accelerators":0}}`)}})
 	old := n.agents["w1"]
 	must.True(t, old.replaced)
 	must.Eq(t, wire.ResultLost, old.attempts[wire.AttemptKey{Job: "j1", Task: placeID(0, 0, 1), Attempt: 1}].result)
@@ -98,7 +99,7 @@
 // An order leaves in one answer only, whether that answer arrived or not: not in
 // the answer to the same beat sent again, nor to an earlier one that comes late,
 // nor to later ones.
-func TestBeatOrderIsGivenOnce(t *testing.T) {
+func TestHeartbeatOrderIsGivenOnce(t *testing.T) {
 	key := wire.AttemptKey{Job: "j1", Task: placeID(0, 0, 0), Attempt: 1}
 	for _, c := range []struct {
 		name  string
@@ -109,10 +110,10 @@
 		beat(100, "")
 		ag := n.agents["w1"]
 		h := &attempt{state: wire.AttemptOrdered, orderSeq: ag.reportSeq + 1, confirmedMs: n.now + 60_000, spec: wire.TaskSpec{Key: key, Payload: []byte(`"text"`)}}
-		ag.attempts[key], ag.outbox = h, []*attempt{h}
+		ag.attempts[key], ag.toStart = h, []*attempt{h}
 		must.Len(t, 1, beat(50, "").Start, must.Sprint(c.name))
 		for seq := range int64(2) { // the same beat again and those before it, over other connections
-			for _, e := range reduce(n, event{NowMs: n.now, WallMs: 1, Seed: 1, Body: evRequest{ID: 77, Op: "worker.beat", Key: "w1", Expect: -1,
+			for _, e := range reduce(n, event{NowMs: n.now, WallMs: 1, Seed: 1, Body: evRequest{ID: 77, Op: "worker.beat", Key: "w1", Base: -1,
 				Body: fmt.Appendf(nil, `{"seq":%d,"site":"east","capacity":{"cpu":8000}}`, seq+1)}}) {
 				if r, ok := e.(effReply); ok {
 					var a heartbeatReply
--- a/internal/daemon/history_test.go
+++ b/internal/daemon/history_test.go
@@ -3,11 +3,12 @@
 import (
 	"crypto/sha256"
 	"fmt"
+	"slices"
+	"testing"
+
 	"otterchute/internal/codec"
 	"otterchute/internal/configuration"
 	"otterchute/internal/register"
-	"slices"
-	"testing"
 
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
@@ -29,7 +30,7 @@
 }
 
 func (o operatorOrder) put() evRequest {
-	return evRequest{Op: "setup.put", Key: fmt.Sprint(o.version), Expect: o.base, Digest: o.digest(), Body: queueSetup(o.queue, "")}
+	return evRequest{Op: "setup.put", Key: fmt.Sprint(o.version), Base: o.base, Digest: o.digest(), Body: queueSetup(o.queue, "")}
 }
 
 // again is how it comes once its base has passed: of a change by items the
@@ -104,7 +105,7 @@
 // An order that was accepted is acknowledged again wherever it is sent, with
 // any number of changes since, after a restart of all daemons and after a
 // member lost its disk.
-func TestSetupOrdersComeAgain(t *testing.T) {
+func TestConfigChangesComeAgain(t *testing.T) {
 	w := served(t, 970)
 	first := operatorOrder{version: 3, base: 0, queue: "first"}
 	must.Eq(t, 200, w.acknowledged(t, w.nodes["d00"], first.put()).status)
@@ -145,7 +146,7 @@
 
 // Answers get lost and operators race: whatever was acknowledged, or seen in
 // force, is never refused, and what was refused was never in force.
-func TestSetupOrdersComeAgainInRaces(t *testing.T) {
+func TestConfigChangesComeAgainInRaces(t *testing.T) {
 	for seed := range uint64(6) {
 		w := served(t, 980+seed)
 		inForce := map[int64]string{} // version to queue, as any daemon had it
@@ -210,7 +211,7 @@
 }
 
 // A daemon that no majority answers refuses nothing: 503 at once.
-func TestSetupOrdersAreNotRefusedWhileCutOff(t *testing.T) {
+func TestConfigChangesAreNotRefusedWhileCutOff(t *testing.T) {
 	w := served(t, 995)
 	first := operatorOrder{version: 3, base: 0, queue: "first"}
 	second := operatorOrder{version: 4, base: 3, queue: "second"}
@@ -225,7 +226,7 @@
 		for _, afterMs := range []int64{0, 700, 2000, 20_000} {
 			w.run(afterMs)
 			for _, o := range []operatorOrder{first, {version: 3, base: 0, queue: "never"}} {
-				for _, e := range []evRequest{o.put(), {Op: "setup.taken", Key: "3", Expect: 0, Digest: make([]byte, 32)}, {Op: "site.empty", Key: "west"}} {
+				for _, e := range []evRequest{o.put(), {Op: "setup.taken", Key: "3", Base: 0, Digest: make([]byte, 32)}, {Op: "site.empty", Key: "west"}} {
 					at := w.nowMs()
 					got := w.settle(w.nodes[name], e, 4000)
 					must.Eq(t, 503, got.status, must.Sprint(name, " ", afterMs, " ", e.Op, " ", got.body))
@@ -243,7 +244,7 @@
 
 // What the history costs: 33 bytes for each change at the members, and nothing
 // at those that read the setup.
-func TestOrderHistoryCost(t *testing.T) {
+func TestConfigHistoryCost(t *testing.T) {
 	w := served(t, 996)
 	first := operatorOrder{version: 1, base: 0, queue: "first"}
 	must.Eq(t, 200, w.acknowledged(t, w.nodes["d00"], first.put()).status)
@@ -266,7 +267,7 @@
 }
 
 // An order so old that the history has let go of it has no clear answer.
-func TestForgottenOrdersAreNotRefused(t *testing.T) {
+func TestForgottenChangesAreNotRefused(t *testing.T) {
 	n := newQuorumOfThree().life(1)
 	value := configuration.Record{Version: 9000, Accepted: configuration.History{Base: 5000}}
 	value.Accepted = value.Accepted.With(configuration.ChangeID{Version: 9000, Base: 5000})
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -5,6 +5,7 @@
 
 	"otterchute/internal/cluster"
 	"otterchute/internal/lease"
+	"otterchute/internal/membership"
 	"otterchute/internal/quorum"
 	"otterchute/internal/wire"
 )
@@ -13,8 +14,9 @@
 type host struct{ *node }
 
 var (
-	_ cluster.Host = host{}
-	_ lease.Host   = host{}
+	_ cluster.Host    = host{}
+	_ lease.Host      = host{}
+	_ membership.Host = host{}
 )
 
 // NowMs is the steady clock of the event that is handled.
@@ -62,7 +64,7 @@
 func (h host) AdoptCoreSet(set quorum.Set) { h.adoptCoreSet(set) }
 
 // Forming tells whether this disk waits for the first cluster to be formed.
-func (h host) Forming() bool { return h.core.Cluster == 0 && h.store != nil && h.FirstStart }
+func (h host) Forming() bool { return h.core.Cluster == 0 && h.store != nil && h.node.FirstStart }
 
 // RaiseIncarnation goes on above another process of this name. To the core the old
 // incarnation has ended once it hears of the new one: so the leases taken under
@@ -96,6 +98,6 @@
 	n.peers.SetSeeds(e.Seeds)
 }
 
-func (n *node) onGossip(from string, m *wire.Gossip)         { n.peers.OnGossip(from, m) }
-func (n *node) onDigest(from string, m *wire.Digest)         { n.peers.OnDigest(from, m) }
-func (n *node) onDigestAck(from string, m *wire.DigestReply) { n.peers.OnDigestReply(from, m) }
+func (n *node) onGossip(from string, m *wire.Gossip)           { n.peers.OnGossip(from, m) }
+func (n *node) onDigest(from string, m *wire.Digest)           { n.peers.OnDigest(from, m) }
+func (n *node) onDigestReply(from string, m *wire.DigestReply) { n.peers.OnDigestReply(from, m) }
--- a/internal/daemon/door.go
+++ b/internal/daemon/http_server.go
@@ -6,13 +6,14 @@
 	"io"
 	"net"
 	"net/http"
+	"strconv"
+	"sync"
+	"time"
+
 	"otterchute/internal/configuration"
 	"otterchute/internal/schema"
 	"otterchute/internal/wire"
 	"otterchute/platform"
-	"strconv"
-	"sync"
-	"time"
 
 	"github.com/gin-gonic/gin"
 	"github.com/go-faster/errors"
@@ -53,7 +54,7 @@
 	} {
 		r.Handle(m.method, m.path, func(c *gin.Context) { d.serve(c, m.op, c.Param(m.param)) })
 	}
-	r.POST("/v1/workers/:id/lost", d.lost)
+	r.POST("/v1/workers/:id/lost", d.serveWorkerLost)
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(d)
 	r.GET("/metrics", gin.WrapH(promhttp.HandlerFor(reg, promhttp.HandlerOpts{})))
@@ -118,12 +119,12 @@
 	return effReply{Status: status, RetryMs: 1000, Body: []byte(`{"error":"this daemon gave no answer"}`)}
 }
 
-// product answers the platform's calls.
-func (d *httpServer) product(ctx context.Context, c platform.Call) platform.Answer {
+// servePlatform answers the platform's calls.
+func (d *httpServer) servePlatform(ctx context.Context, c platform.Call) platform.Answer {
 	if len(c.Body) > bodyMax && c.Op != "setup.put" && c.Op != "worker.beat" {
 		return platform.Answer{Status: 400, Body: faultsJSON([]schema.Fault{{Path: "", Reason: fmt.Sprintf("is larger than %d bytes", bodyMax)}})}
 	}
-	r := d.request(ctx, evRequest{Op: c.Op, Key: c.Key, Host: c.Host, Path: c.Path, Expect: c.Expect, Digest: c.Digest, Body: c.Body})
+	r := d.request(ctx, evRequest{Op: c.Op, Key: c.Key, Host: c.Host, Path: c.Path, Base: c.Expect, Digest: c.Digest, Body: c.Body})
 	return platform.Answer{Status: r.Status, RetryMs: r.RetryMs, Body: r.Body}
 }
 
@@ -141,9 +142,9 @@
 		c.JSON(400, gin.H{"error": "the body is too large", "faults": []schema.Fault{{Path: "", Reason: fmt.Sprintf("is larger than %d bytes", limit-1)}}})
 		return
 	}
-	e := evRequest{Op: op, Key: key, Expect: -1, Body: body}
+	e := evRequest{Op: op, Key: key, Base: -1, Body: body}
 	if on := c.Query("on"); on != "" && op == "setup.put" {
-		if e.Expect, err = strconv.ParseInt(on, 10, 64); err != nil || e.Expect < 0 {
+		if e.Base, err = strconv.ParseInt(on, 10, 64); err != nil || e.Base < 0 {
 			answer(c, effReply{Status: 400, Body: faultsJSON([]schema.Fault{{Path: "on", Reason: "must be the version it builds on, a whole number of 0 or more"}})})
 			return
 		}
@@ -158,13 +159,13 @@
 	c.Data(r.Status, "application/json", r.Body)
 }
 
-// lost tells every slice's owner that a worker is gone for good.
-func (d *httpServer) lost(c *gin.Context) {
+// serveWorkerLost tells every slice's owner that a worker is gone for good.
+func (d *httpServer) serveWorkerLost(c *gin.Context) {
 	ctx := c.Request.Context()
 	tasks := int64(0)
-	members := d.request(ctx, evRequest{Op: "members", Expect: -1})
+	members := d.request(ctx, evRequest{Op: "members", Base: -1})
 	for _, s := range gjson.GetBytes(members.Body, "slices").Array() {
-		r := d.request(ctx, evRequest{Op: "worker.lost", Key: s.Str + "/" + c.Param("id"), Expect: -1})
+		r := d.request(ctx, evRequest{Op: "worker.lost", Key: s.Str + "/" + c.Param("id"), Base: -1})
 		if r.Status != 200 {
 			answer(c, r)
 			return
@@ -213,7 +214,7 @@
 
 func (n *node) gauges(out map[string]float64) {
 	n.batchGauges(out)
-	for k, v := range map[string]int{"duties_held": len(n.leases.Roles()), "siblings": n.peers.Len(), "workers": len(n.workers), "asks_open": len(n.forwarded)} {
+	for k, v := range map[string]int{"roles_held": len(n.leases.Roles()), "peers": n.peers.Len(), "workers": len(n.workers), "requests_open": len(n.forwarded)} {
 		out[k] = float64(v)
 	}
 	out["setup_version"] = float64(n.config.record.Version)
--- a/internal/daemon/door_test.go
+++ b/internal/daemon/http_server_test.go
@@ -9,9 +9,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// doorTaken gives a door and the shell behind it, whose control thread the test
+// serverTaken gives a door and the shell behind it, whose control thread the test
 // plays: each posted job is run when the test says so.
-func doorTaken() (*httpServer, *processPorts, func()) {
+func serverTaken() (*httpServer, *processPorts, func()) {
 	l := newControlLoop(newSteadyClock())
 	ports := &processPorts{loop: l, waiting: map[uint64]chan effReply{}}
 	l.executor = &executor{node: newNode(nodeConfig{Name: "a"}, nil), ports: ports}
@@ -21,12 +21,12 @@
 
 // A caller gives up, and the reply to its call comes later: it reaches nobody,
 // and least of all the caller whose call came next.
-func TestDoorLateReply(t *testing.T) {
+func TestServerLateReply(t *testing.T) {
 	for _, c := range []struct {
 		op     string
 		status int
 	}{{"queue.submit", 504}, {"queue.cancel", 504}, {"queue.state", 503}} {
-		d, ports, run := doorTaken()
+		d, ports, run := serverTaken()
 		l := d.loop
 		l.executor.node.config.current.Version = 1 // calls wait for a newer confirmation of the setup
 		ctx, giveUp := context.WithCancel(context.Background())
@@ -50,8 +50,8 @@
 }
 
 // Calls at once, answered in any order and some of them given up on, each get their own reply.
-func TestDoorManyAtOnce(t *testing.T) {
-	d, ports, _ := doorTaken()
+func TestServerManyAtOnce(t *testing.T) {
+	d, ports, _ := serverTaken()
 	d.loop.executor.node.config.current.Version = 1
 	const calls = 200
 	var wg sync.WaitGroup
--- a/internal/daemon/identity.go
+++ b/internal/daemon/identity.go
@@ -2,9 +2,10 @@
 
 import (
 	"hash/fnv"
+	"reflect"
+
 	"otterchute/internal/register"
 	"otterchute/internal/wire"
-	"reflect"
 )
 
 // Each frame names the process that sent it and the one it is meant for, since
@@ -65,7 +66,7 @@
 		if head.To == n.Instance {
 			return true
 		}
-		n.count("late_answers")
+		n.count("late_responses")
 		return false
 	case head.To == addressOf(n.Name), head.To == toAnyone && greetings[kind]:
 		return true
--- a/internal/daemon/identity_test.go
+++ b/internal/daemon/identity_test.go
@@ -4,11 +4,12 @@
 	"encoding/binary"
 	"fmt"
 	"hash/crc32"
+	"reflect"
+	"testing"
+
 	"otterchute/internal/codec"
 	"otterchute/internal/register"
 	"otterchute/internal/wire"
-	"reflect"
-	"testing"
 
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
@@ -50,7 +51,7 @@
 // comes late, under the number that a new caller's request bears by now. It
 // must not become the new caller's answer: here "taken" for a job that the
 // owner has never heard of.
-func TestAnswerBelongsToItsLife(t *testing.T) {
+func TestAnswerBelongsToItsInstance(t *testing.T) {
 	w := formed(t, 1, "hakata")
 	w.run(3000)
 	front, owner := frontAndOwner(t, w)
@@ -96,7 +97,7 @@
 	must.True(t, handed)
 	must.Eq(t, 201, status)
 	must.Eq(t, second, gjson.GetBytes(body, "id").Str, must.Sprintf("the answer after %d ms is another caller's: %s", took, body))
-	must.Positive(t, front.sh.node.counts["late_answers"])
+	must.Positive(t, front.sh.node.counts["late_responses"])
 }
 
 // addressedTo tells whether a daemon takes a message with that addressee.
@@ -120,13 +121,13 @@
 	}
 	n.Incarnation = 99 // is raised within a life; the life is not
 	must.True(t, addressedTo(n, 1234, &wire.ForwardReply{}))
-	must.Positive(t, n.counts["late_answers"])
+	must.Positive(t, n.counts["late_responses"])
 	must.Positive(t, n.counts["messages_misaddressed"])
 }
 
 // A response bears the life of the request that it answers, whatever life the
 // asker has by then.
-func TestResponseBelongsToTheLifeThatAsked(t *testing.T) {
+func TestResponseBelongsToTheInstanceThatAsked(t *testing.T) {
 	w := formed(t, 2, "ikenna")
 	n := w.nodes["d01"].sh.node
 	var dest []uint64
--- a/internal/daemon/incident_test.go
+++ b/internal/daemon/incident_test.go
@@ -3,10 +3,11 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"otterchute/internal/wire"
 	"slices"
 	"testing"
 
+	"otterchute/internal/wire"
+
 	"github.com/shoenig/test/must"
 )
 
@@ -51,7 +52,7 @@
 	}
 
 	n, _ := pinned(t)
-	js := &jobState{job: job{Queue: "q", Steps: []step{{Alike: true}}}}
+	js := &jobState{job: job{Queue: "q", Steps: []jobStep{{Alike: true}}}}
 	n.recordRunTime(js, &task{HintMs: 1000}, 1200)
 	n.recordRunTime(js, &task{HintMs: 1000}, 0)
 	must.Eq(t, 120.0, n.estimates["q/%"].meanMs)
@@ -76,7 +77,7 @@
 // agents have spoken to its successor: in each incident gangs stood still for a
 // second more, and queueable work that had begun meanwhile was stopped for them.
 func TestIncidentSuccessorGrantsSoon(t *testing.T) {
-	b := formBeats(t, 5, "ikenna")
+	b := formPlatform(t, 5, "ikenna")
 	dead := b.holder("central")
 	undo := b.kill(dead, false)
 	must.True(t, b.until(5000, func() bool { n := b.holderOf("central"); return n != nil && n.Name != dead }))
@@ -85,48 +86,48 @@
 	gang.steps[0].gang = true
 	b.submit(gang)
 	started := func() bool {
-		return slices.ContainsFunc(b.events, func(e beatEvent) bool { return e.kind == bStarted && e.job == gang.id })
+		return slices.ContainsFunc(b.events, func(e platformEvent) bool { return e.kind == bStarted && e.job == gang.id })
 	}
 	must.True(t, b.until(3000, started))
 	must.Less(t, 2*syncMs+300, b.nowMs()-heldMs)
 	undo()
 	b.finish(30_000)
-	verdictOfBeats(t, b)
+	verdictOfPlatform(t, b)
 }
 
 // The users' grown deployments at a third of their size, with as much work for each worker.
-var thirdOfGrownSites = map[string]beatSite{
+var thirdOfGrownDeployments = map[string]platformDeployment{
 	"hakata grown": {name: "hakata grown", edges: 8, sides: 24, disks: 5, capacity: amounts{64000, 262144}, speeds: []float64{0.8, 1, 1.25}, holdMaxMs: 10_000, gangWaitMs: 4000, saveMs: 500,
-		restoreMs: 600, spread: 1.5, perSec: 17.4, rackSize: 9, service: "resale-engine", beatMs: 1500, tries: 5, callerMs: 1200, againMs: 150, stopMs: 200, kinds: []beatKind{
-			{queue: beatQueue{"promoter-verify", "nony24.example", "/lohu930/", 60, 4, 2000, 2.2, "resale-engine"}, weight: 0.959, steps: [2]float64{1.2, 3}, width: [2]float64{20, 40},
+		restoreMs: 600, spread: 1.5, perSec: 17.4, rackSize: 9, service: "resale-engine", beatMs: 1500, tries: 5, callerMs: 1200, againMs: 150, stopMs: 200, kinds: []platformKind{
+			{queue: platformQueue{"promoter-verify", "nony24.example", "/lohu930/", 60, 4, 2000, 2.2, "resale-engine"}, weight: 0.959, steps: [2]float64{1.2, 3}, width: [2]float64{20, 40},
 				cpu: [2]float64{11000, 34000}, mem: [2]float64{21000, 63000}, workMs: [2]float64{6200, 16000}, estOff: 0.5, gang: 1, sameRack: 0.7, saves: 0.5, labels: 0.2,
 				timed: 0.06, everyMs: 4500, times: 8, fails: 0.001, hopeless: 0.01},
-			{queue: beatQueue{"price-refresh", "ficu95.example", "/pufi791/", 30, 3, 4000, 3.2, "resale-engine"}, weight: 4.15, steps: [2]float64{1.5, 3.8}, width: [2]float64{25, 60},
+			{queue: platformQueue{"price-refresh", "ficu95.example", "/pufi791/", 30, 3, 4000, 3.2, "resale-engine"}, weight: 4.15, steps: [2]float64{1.5, 3.8}, width: [2]float64{25, 60},
 				cpu: [2]float64{3200, 9600}, mem: [2]float64{4600, 14000}, workMs: [2]float64{1800, 3600}, estOff: 0.5, cancel: 0.05, copies: 0.2,
 				timed: 0.06, everyMs: 3000, times: 6, fails: 0.02, hopeless: 0.01},
-			{queue: beatQueue{"seat-confirm", "nony24.example", "/pule252/", 90, 2, 1200, 1.5, "resale-engine"}, weight: 48.5, steps: [2]float64{1, 2.5}, width: [2]float64{3, 12},
+			{queue: platformQueue{"seat-confirm", "nony24.example", "/pule252/", 90, 2, 1200, 1.5, "resale-engine"}, weight: 48.5, steps: [2]float64{1, 2.5}, width: [2]float64{3, 12},
 				cpu: [2]float64{4600, 14000}, mem: [2]float64{6600, 20000}, workMs: [2]float64{640, 2000}, estOff: 0.2, gang: 0.3, timed: 0.01, everyMs: 2000, times: 4, fails: 0.02},
 		}},
 	"ikenna grown": {name: "ikenna grown", edges: 7, sides: 20, disks: 5, capacity: amounts{16000, 65536}, speeds: []float64{1, 1, 1.3}, holdMaxMs: 6000, gangWaitMs: 4000, saveMs: 2000,
-		restoreMs: 600, spread: 3, perSec: 9.6, rackSize: 9, service: "ledger-svc", beatMs: 800, tries: 5, callerMs: 1200, againMs: 150, stopMs: 200, kinds: []beatKind{
-			{queue: beatQueue{"cert-issue", "guild.example", "/certs/", 60, 4, 1500, 2.2, "ledger-svc"}, weight: 0.915, steps: [2]float64{1.2, 3}, width: [2]float64{20, 40},
+		restoreMs: 600, spread: 3, perSec: 9.6, rackSize: 9, service: "ledger-svc", beatMs: 800, tries: 5, callerMs: 1200, againMs: 150, stopMs: 200, kinds: []platformKind{
+			{queue: platformQueue{"cert-issue", "guild.example", "/certs/", 60, 4, 1500, 2.2, "ledger-svc"}, weight: 0.915, steps: [2]float64{1.2, 3}, width: [2]float64{20, 40},
 				cpu: [2]float64{2900, 8600}, mem: [2]float64{8200, 25000}, workMs: [2]float64{5000, 12000}, estOff: 0.2, gang: 1, sameRack: 0.7, saves: 0.5, labels: 0.2,
 				timed: 0.06, everyMs: 4500, times: 8, fails: 0.011},
-			{queue: beatQueue{"logbook-sync", "guild.example", "/logbook/", 30, 3, 4000, 3.2, "ledger-svc"}, weight: 3.17, steps: [2]float64{1.5, 3.8}, width: [2]float64{25, 60},
+			{queue: platformQueue{"logbook-sync", "guild.example", "/logbook/", 30, 3, 4000, 3.2, "ledger-svc"}, weight: 3.17, steps: [2]float64{1.5, 3.8}, width: [2]float64{25, 60},
 				cpu: [2]float64{800, 2400}, mem: [2]float64{2300, 6900}, workMs: [2]float64{1800, 4500}, estOff: 0.2, cancel: 0.05, copies: 0.2,
 				timed: 0.06, everyMs: 4500, times: 6, fails: 0.005, hopeless: 0.03},
-			{queue: beatQueue{"signoff-check", "masters.example", "/signoff/", 90, 4, 800, 1.5, "ledger-svc"}, weight: 23.6, steps: [2]float64{1, 2.5}, width: [2]float64{3, 12},
+			{queue: platformQueue{"signoff-check", "masters.example", "/signoff/", 90, 4, 800, 1.5, "ledger-svc"}, weight: 23.6, steps: [2]float64{1, 2.5}, width: [2]float64{3, 12},
 				cpu: [2]float64{1100, 3400}, mem: [2]float64{3300, 9800}, workMs: [2]float64{1000, 2500}, estOff: 0.2, gang: 0.3, timed: 0.01, everyMs: 4500, times: 4, fails: 0.005, hopeless: 0.01},
 		}},
 }
 
 // crowd sends more of one kind of job, x times as much as usual.
-func (b *beatWorld) crowd(kind int, x float64, ms int64) {
+func (b *platformWorld) crowd(kind int, x float64, ms int64) {
 	sum := 0.0
-	for i := range b.site.kinds {
-		sum += b.site.kinds[i].weight
+	for i := range b.deployment.kinds {
+		sum += b.deployment.kinds[i].weight
 	}
-	perSec, end := (x-1)*b.site.perSec*b.pace*b.site.kinds[kind].weight/sum, b.nowMs()+ms
+	perSec, end := (x-1)*b.deployment.perSec*b.pace*b.deployment.kinds[kind].weight/sum, b.nowMs()+ms
 	var next, one func()
 	next = func() { b.drawing(one) }
 	one = func() {
@@ -140,7 +141,7 @@
 }
 
 // setups sends valid changes, a pair on the same version and a faulty one.
-func (b *beatWorld) setups(n int, gapMs int64) {
+func (b *platformWorld) setups(n int, gapMs int64) {
 	for i := range n {
 		b.after(int64(i)*gapMs*1000, func() {
 			base := b.version
@@ -155,7 +156,7 @@
 
 // blackout takes the power of all machines and workers right after a setup was
 // acknowledged; they come back one after the other.
-func (b *beatWorld) blackout(downMs, spreadMs int64) {
+func (b *platformWorld) blackout(downMs, spreadMs int64) {
 	b.settled()
 	for _, host := range sorted(b.nodes) {
 		undo := b.kill(host, true)
@@ -172,11 +173,13 @@
 	}
 }
 
-func (b *beatWorld) killFor(host string, power bool, ms int64) { b.after(ms*1000, b.kill(host, power)) }
+func (b *platformWorld) killFor(host string, power bool, ms int64) {
+	b.after(ms*1000, b.kill(host, power))
+}
 
 // someWorkers draws a share of all workers, at least one.
-func (b *beatWorld) someWorkers(share float64) []*beatWorker {
-	var out []*beatWorker
+func (b *platformWorld) someWorkers(share float64) []*platformWorker {
+	var out []*platformWorker
 	b.drawing(func() {
 		for _, i := range b.rng.Perm(len(b.spots))[:max(1, int(share*float64(len(b.spots))+0.5))] {
 			out = append(out, b.worker(i))
@@ -189,10 +192,10 @@
 // least share of all jobs and rounds that must end within their aim.
 var incidents = map[string]struct {
 	site  string
-	play  func(b *beatWorld)
+	play  func(b *platformWorld)
 	share float64
 }{
-	"ticket resale": {"hakata", func(b *beatWorld) {
+	"ticket resale": {"hakata", func(b *platformWorld) {
 		b.day(1500)
 		b.setups(4, 1000)
 		b.run(7500)
@@ -204,12 +207,12 @@
 		b.run(1500)
 		b.crowd(2, 2.1, 4000)
 		b.run(2500)
-		b.leaves(b.someBeatWorker(), false)
+		b.leaves(b.somePlatformWorker(), false)
 		b.run(20_000)
 		b.blackout(1500, 400)
 		b.run(16_000)
 	}, 0.85},
-	"apprentice records": {"ikenna", func(b *beatWorld) {
+	"apprentice records": {"ikenna", func(b *platformWorld) {
 		b.day(5000)
 		b.setups(3, 1000)
 		b.run(3000)
@@ -222,7 +225,7 @@
 		b.run(3300)
 		b.killFor(b.holder(b.someSlice()), true, 2500)
 		b.run(700)
-		b.leaves(b.someBeatWorker(), false)
+		b.leaves(b.somePlatformWorker(), false)
 		b.run(7000)
 		heal := b.cut(b.spots[5], b.spots[8])
 		b.run(5500)
@@ -231,7 +234,7 @@
 		b.blackout(2300, 500)
 		b.run(16_000)
 	}, 0.7},
-	"grown ticket resale": {"hakata grown", func(b *beatWorld) {
+	"grown ticket resale": {"hakata grown", func(b *platformWorld) {
 		b.day(2500)
 		b.setups(1, 0)
 		b.run(3500)
@@ -253,14 +256,14 @@
 		b.coreBlackout(1450)
 		b.run(14_000)
 	}, 0.8},
-	"grown apprentice records": {"ikenna grown", func(b *beatWorld) {
+	"grown apprentice records": {"ikenna grown", func(b *platformWorld) {
 		b.day(2000)
 		b.setups(2, 1500)
 		b.run(4000)
 		slice := b.someSlice()
 		b.freeze(b.holder(slice), 5000)
 		b.run(200)
-		for _, host := range b.edges()[b.site.edges-3:] {
+		for _, host := range b.edges()[b.deployment.edges-3:] {
 			b.killFor(host, false, 2000)
 		}
 		b.run(800)
@@ -279,9 +282,9 @@
 
 // coreBlackout takes the power of all core machines right after a setup was
 // acknowledged; one of them comes back with an empty disk.
-func (b *beatWorld) coreBlackout(downMs int64) {
+func (b *platformWorld) coreBlackout(downMs int64) {
 	b.settled()
-	core := b.edges()[:b.site.disks]
+	core := b.edges()[:b.deployment.disks]
 	b.wipe(b.some(core[1:]), false, downMs)
 	for _, host := range core {
 		if b.nodes[host].up {
@@ -291,7 +294,7 @@
 }
 
 // settled sends a setup and waits until it was acknowledged.
-func (b *beatWorld) settled() {
+func (b *platformWorld) settled() {
 	base := b.version
 	b.putSetup(b.usualSetup(), base+1, base, nil)
 	for end := b.nowMs() + 4000; b.version == base && b.nowMs() < end; {
@@ -311,11 +314,11 @@
 			seed := from + uint64(i)
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				b := formBeats(t, seed, incidents[name].site)
+				b := formPlatform(t, seed, incidents[name].site)
 				b.jobRng = rand.New(rand.NewPCG(seed, 11)) // the day is the same whatever changes in the product
 				incidents[name].play(b)
 				b.finish(120_000)
-				verdictOfBeats(t, b)
+				verdictOfPlatform(t, b)
 				done, owed := 0, 0
 				for _, row := range b.inAim() {
 					owed, done = owed+row[0], done+row[1]
--- a/internal/daemon/jobs.go
+++ b/internal/daemon/job.go
@@ -5,13 +5,14 @@
 	"crypto/sha256"
 	"encoding/json"
 	"fmt"
+	"slices"
+
 	"otterchute/internal/codec"
 	"otterchute/internal/configuration"
 	"otterchute/internal/resource"
 	"otterchute/internal/schema"
 	"otterchute/internal/statestore"
 	"otterchute/internal/wire"
-	"slices"
 
 	"github.com/tidwall/gjson"
 )
@@ -44,7 +45,7 @@
 	Saved      string // the newest text it can go on from
 }
 
-type step struct {
+type jobStep struct {
 	Name  string
 	After []int32
 	Size  int32 // tasks of a round
@@ -82,7 +83,7 @@
 	PeriodMs  int64
 	Begun     int32 // the first round that Tasks still holds
 	Opened    int32 // rounds opened so far; Tasks holds those from Begun on
-	Steps     []step
+	Steps     []jobStep
 	Tasks     []task
 	Abandoned []abandonedRun // runs whose worker was silent for too long: an end of theirs that comes later doesn't count
 }
@@ -115,7 +116,7 @@
 }
 
 func (j *job) placed() bool {
-	return slices.ContainsFunc(j.Steps, func(s step) bool { return s.Alike })
+	return slices.ContainsFunc(j.Steps, func(s jobStep) bool { return s.Alike })
 }
 
 // taskID names the task at a position.
@@ -268,7 +269,7 @@
 		index[name] = int32(i)
 	}
 	for i, s := range steps {
-		st := step{Name: s.Get("name").Str}
+		st := jobStep{Name: s.Get("name").Str}
 		for k, a := range s.Get("after").Array() {
 			at, ok := index[a.Str]
 			if !ok {
@@ -330,7 +331,7 @@
 }
 
 // alike reads the specification that all tasks of a step share.
-func (st *step) alike(s gjson.Result) {
+func (st *jobStep) alike(s gjson.Result) {
 	st.Alike, st.Size, st.Resources, st.Needs = true, int32(s.Get("count").Int()), resource.Parse(s.Get("room")), labelsOf(s.Get("labels"))
 	st.LimitMs, st.HintMs, st.Allowed = s.Get("limit_ms").Int(), s.Get("estimate_ms").Int(), -1
 	if a := s.Get("allowed_failures"); a.Exists() {
@@ -341,7 +342,7 @@
 }
 
 // cycle gives a step that waits on itself through others.
-func cycle(steps []step) (int, bool) {
+func cycle(steps []jobStep) (int, bool) {
 	state := make([]int8, len(steps)) // 1 being visited, 2 done
 	var visit func(int) bool
 	visit = func(i int) bool {
@@ -432,10 +433,10 @@
 	return j.State, true
 }
 
-// kept is the form of a job in its record, whose id it does not repeat. Of a
+// encode is the form of a job in its record, whose id it does not repeat. Of a
 // complete one no task is needed any more: the core keeps some hundred
 // thousand of them a day.
-func (j *job) kept() []byte {
+func (j *job) encode() []byte {
 	c := *j
 	c.ID = ""
 	if j.DoneMs != 0 {
--- /dev/null
+++ b/internal/daemon/job_explain.go
@@ -0,0 +1,61 @@
+package daemon
+
+import (
+	"slices"
+
+	"otterchute/internal/configuration"
+	"otterchute/internal/wire"
+)
+
+// explainWait tells an operator why a task has not started.
+func (n *node) explainWait(js *jobState, t *task) string {
+	i := slices.IndexFunc(js.Tasks, func(x task) bool { return x.Round == t.Round && x.Step == t.Step && x.InStep == t.InStep })
+	rt := &js.runtime[i]
+	switch {
+	case t.State == taskPlaced && rt.silentSinceMs != 0:
+		return "its worker " + t.Worker + " is silent and the run unsettled; once it surely runs nothing: otterchute workers lost " + t.Worker
+	case t.State == taskPlaced && rt.state == wire.AttemptQueued:
+		return "queued at its worker"
+	case t.State != taskPending:
+		return ""
+	case js.dueOf(t.Round) > n.fleetTime():
+		return "not due yet"
+	case !js.readySteps(js.committed)[js.stepAt(t)]:
+		return "steps before it have not all ended well"
+	case n.now < rt.retryMs && (t.Failures > 0 || js.plan == nil):
+		return "backing off after a failure"
+	case n.config.current.Queues[js.Queue] == nil:
+		return "its queue is not in the setup"
+	}
+	if why := n.explainNoWorker(js, t); why != "" {
+		return why
+	}
+	if why := n.explainHeld(js, t); why != "" {
+		return why
+	}
+	return "waiting for room"
+}
+
+// explainNoWorker says why no worker may have a task, however free: the reason of
+// the worker that comes nearest.
+func (n *node) explainNoWorker(js *jobState, t *task) string {
+	reasons := []string{"", "all allowed workers are leaving or in emptied sites", "all allowed workers are silent",
+		"no allowed worker has so much room", "no worker of its queue's group has the labels it needs"}
+	q, best := n.config.current.Queues[js.Queue], len(reasons)-1
+	for _, name := range sorted(n.workers) {
+		w, at := n.workers[name], 0
+		_, lack := configuration.MissingLabel(w.labels, t.Needs)
+		switch {
+		case lack || !q.Matches(w.labels, w.zone):
+			at = 4
+		case !t.Resources.Fits(w.capacity):
+			at = 3
+		case n.now-w.heardMs > silentMs || w.silentMs > silentMs:
+			at = 2
+		case w.leaving || n.config.current.EmptyZones[w.zone]:
+			at = 1
+		}
+		best = min(best, at)
+	}
+	return reasons[best]
+}
--- /dev/null
+++ b/internal/daemon/job_schedule.go
@@ -0,0 +1,206 @@
+package daemon
+
+import (
+	"otterchute/internal/lease"
+	"otterchute/internal/wire"
+)
+
+// advanceJob does whatever a job's committed state now allows.
+func (n *node) advanceJob(sl *shard, js *jobState) {
+	n.respondWaiters(js)
+	if js.committed == 0 || !n.leases.Holds(lease.ShardRole(sl.name)) {
+		return
+	}
+	if js.DoneMs != 0 {
+		if js.committed >= js.Version && !sl.dirty[js.ID] && len(js.waiters) == 0 {
+			n.retireJob(sl, js)
+		}
+		return
+	}
+	if state, ended := js.outcome(); ended {
+		wall := n.fleetTime()
+		if wall == 0 {
+			return // how long the job is kept counts from its end: that waits for the fleet's time
+		}
+		n.markDirty(sl, js)
+		js.State, js.DoneMs = state, wall
+		n.count("jobs_" + state.String())
+		n.batchEnded(js)
+		return
+	}
+	n.turnRounds(sl, js)
+	wall := n.fleetTime()
+	q := n.config.current.Queues[js.Queue]
+	outstanding, batch := 0, n.batchOf(&js.job) != nil
+	for i := range js.Tasks {
+		if t := &js.Tasks[i]; t.State == taskPlaced && t.Class == wire.ClassQueueable {
+			outstanding++
+		}
+	}
+	var ready []bool
+	for i := range js.Tasks {
+		t, rt := &js.Tasks[i], &js.runtime[i]
+		switch {
+		case t.State == taskPlaced:
+			n.tickPlacedTask(sl, js, i, rt)
+		case t.State == taskPending && js.State == jobRunning && wall != 0 && q != nil && n.now >= rt.retryMs && n.configFresh():
+			if due := js.dueOf(t.Round); due != 0 && wall < due+dueMarginMs {
+				continue
+			}
+			if batch && !n.batchMayStart(js, t, wall) {
+				continue
+			}
+			if ready == nil {
+				ready = js.readySteps(js.committed)
+			}
+			if !ready[js.stepAt(t)] || t.ChangedIn > js.committed {
+				continue
+			}
+			if n.classify(js, t) == wire.ClassQueueable {
+				if int64(outstanding) >= q.Quota {
+					continue
+				}
+				w := ""
+				if batch {
+					w = n.selectBatchWorker(sl, js, i)
+				} else if w = n.selectWorker(sl, js, i); w == "" {
+					sl.starvedMs = n.now
+				}
+				if w != "" {
+					n.placeTask(sl, js, i, w, wire.ClassQueueable)
+					outstanding++
+				}
+			} else if n.now-rt.allocationMs >= allocationRetryMs && sl.allocationRequests < allocationsPerTick {
+				if rt.allocationMs != 0 { // not the first time
+					sl.starvedMs = n.now
+				}
+				sl.allocationRequests++
+				n.requestAllocation(sl, js, i)
+			}
+		}
+	}
+}
+
+// turnRounds opens the rounds that are due soon, and lets go of those that are over.
+func (n *node) turnRounds(sl *shard, js *jobState) {
+	wall := n.fleetTime()
+	if js.Rounds == 0 || js.State != jobRunning || wall == 0 {
+		return
+	}
+	if begun := js.Begun; js.closeRounds(js.committed) {
+		js.runtime = js.runtime[int(js.Begun-begun)*int(js.roundSize()):]
+		n.markDirty(sl, js)
+	}
+	for js.Opened < js.Rounds && wall >= js.dueOf(js.Opened)-openAheadMs && len(js.Tasks)+int(js.roundSize()) <= roundTasksMax {
+		js.openRound()
+		for range js.roundSize() {
+			js.runtime = append(js.runtime, taskRuntime{})
+		}
+		n.markDirty(sl, js)
+		for i := len(js.Tasks) - int(js.roundSize()); i < len(js.Tasks); i++ {
+			js.Tasks[i].ChangedIn = js.Version
+		}
+	}
+}
+
+// tickPlacedTask sends a committed placement, and settles one whose worker stayed
+// silent past a trusted contract.
+func (n *node) tickPlacedTask(sl *shard, js *jobState, i int, rt *taskRuntime) {
+	t := &js.Tasks[i]
+	w := n.workers[t.Worker]
+	if t.ChangedIn <= js.committed && rt.sentMs == 0 && js.State == jobRunning {
+		n.sendPlacement(sl, js, i)
+	}
+	if w == nil || w.colocated {
+		n.tickColocatedTask(sl, js, i, rt, w)
+	}
+	silent := w == nil && n.now-sl.startMs > silentMs || w != nil && (n.now-w.heardMs > silentMs || w.silentMs > silentMs)
+	if !silent {
+		rt.silentSinceMs = 0
+		return
+	}
+	if rt.silentSinceMs == 0 {
+		rt.silentSinceMs = n.now
+	}
+	if q := n.config.current.Queues[js.Queue]; q != nil && q.TrustLimit && n.configFresh() && n.now-rt.silentSinceMs > contactMs+flightMs+t.LimitMs+limitMargin {
+		n.count("run_limits_resolved")
+		n.resolveAttempt(sl, js, i, wire.ResultLost, 0)
+	}
+}
+
+// tickColocatedTask settles a task whose worker's agent has been silent for longer than
+// it may hold anything without an owner's word, and begins a gang anew that did
+// not come together.
+func (n *node) tickColocatedTask(sl *shard, js *jobState, i int, rt *taskRuntime, w *workerView) {
+	t := &js.Tasks[i]
+	heardMs := sl.startMs
+	if w != nil {
+		heardMs = max(heardMs, w.heardMs)
+	}
+	if (w != nil || n.allColocated()) && t.ChangedIn <= js.committed && n.now-heardMs > ownerSpanMs*(100+driftPercent)/100+lapseMarginMs && n.now-n.wokeMs > frozenMs {
+		n.count("lapses_resolved")
+		js.Abandoned = append(js.Abandoned, abandonedRun{js.taskID(i), t.Attempt})
+		n.resolveAttempt(sl, js, i, wire.ResultLost, 0)
+		return
+	}
+	if !js.Steps[t.Step].Gang || rt.abort || t.InStep != 0 {
+		return
+	}
+	from, to := js.gangRange(i)
+	first, whole := int64(0), true
+	for k := from; k < to; k++ {
+		if r := &js.runtime[k]; r.runMs != 0 && (first == 0 || r.runMs < first) {
+			first = r.runMs
+		}
+		whole = whole && js.runtime[k].runMs != 0
+	}
+	if !whole && first != 0 && n.now-first > gangSlackMs {
+		n.count("gangs_begun_anew")
+		for k := from; k < to; k++ {
+			js.runtime[k].abort = true
+		}
+	}
+}
+
+// allColocated tells whether every worker heard of has its agent beside it.
+func (n *node) allColocated() bool {
+	for _, w := range n.workers {
+		if !w.colocated {
+			return false
+		}
+	}
+	return len(n.workers) > 0
+}
+
+// gangComplete tells whether all of a task's gang is placed in one run.
+func (js *jobState) gangComplete(i int) bool {
+	from, to := js.gangRange(i)
+	for k := from; k < to; k++ {
+		if js.Tasks[k].State != taskPlaced || js.Tasks[k].Attempt != js.Tasks[i].Attempt || js.runtime[k].abort {
+			return false
+		}
+	}
+	return true
+}
+
+// classify is the paper's hybrid-GQ rule: a task known to be short may wait
+// or be stopped, all others get a firm place.
+func (n *node) classify(js *jobState, t *task) wire.TaskClass {
+	if n.ThresholdMs < 0 || n.batchOf(&js.job) != nil { // only-queueable, for comparisons
+		return wire.ClassQueueable
+	}
+	if js.Steps[t.Step].Gang || js.Steps[t.Step].Lasting || t.Preempts >= preemptMax {
+		return wire.ClassGuaranteed
+	}
+	if js.Steps[t.Step].Alike && t.HintMs > 0 { // a guess, corrected by how guesses of its queue turned out
+		if n.estimateMs(js, t) >= n.ThresholdMs {
+			return wire.ClassGuaranteed
+		}
+		return wire.ClassQueueable
+	}
+	e := n.estimates[js.Queue+"/"+t.Name]
+	if e == nil || int64(e.meanMs) >= n.ThresholdMs {
+		return wire.ClassGuaranteed
+	}
+	return wire.ClassQueueable
+}
--- a/internal/daemon/lease_test.go
+++ b/internal/daemon/lease_test.go
@@ -1,13 +1,14 @@
 package daemon
 
 import (
+	"slices"
+	"strings"
+	"testing"
+
 	"otterchute/internal/codec"
 	"otterchute/internal/lease"
 	"otterchute/internal/quorum"
 	"otterchute/internal/wire"
-	"slices"
-	"strings"
-	"testing"
 
 	"github.com/shoenig/test/must"
 )
@@ -193,7 +194,7 @@
 		must.True(t, w.until(20_000, w.allServed), must.Sprint(seed))
 		taken, raised := 0, 0
 		for _, line := range w.logs {
-			taken += strings.Count(line, " duty_taken ")
+			taken += strings.Count(line, " role_taken ")
 			raised += strings.Count(line, " incarnation_raised ")
 		}
 		t.Logf("seed %d: duties taken %d times, incarnations raised %d times", seed, taken, raised)
@@ -244,7 +245,7 @@
 
 // A grant that was asked for before a duty was let go says nothing of the duty
 // when it is wanted again.
-func TestLeaseAskedForBeforeItWasReleased(t *testing.T) {
+func TestLeaseRequestedBeforeItWasReleased(t *testing.T) {
 	w := served(t, 7301)
 	n := w.nodes["d05"].sh.node
 	const name = "slice/spare"
@@ -334,7 +335,7 @@
 // A daemon beside a worker that starts again with its wall clock set back numbers
 // its agent below the former one's: owners must hear of the worker all the same.
 func TestAgentOfAClockSetBack(t *testing.T) {
-	b := formBeats(t, 7800, "hakata")
+	b := formPlatform(t, 7800, "hakata")
 	b.traffic()
 	b.run(4000)
 	host := b.spots[3]
@@ -362,5 +363,5 @@
 	b.run(2000)
 	must.True(t, heard())
 	b.finish(30_000)
-	verdictOfBeats(t, b)
+	verdictOfPlatform(t, b)
 }
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -22,10 +22,7 @@
 	changeMs          = 2500       // a register change that has not ended by then is given up on
 	changeRetryMs     = 150        // base of the jittered wait between two tries of a change
 	writeRetry        = 600        // ms before unacknowledged record writes are sent again
-	replaceMs         = 10000      // a core member gone this long may be replaced by a spare disk
 	stopMs            = 2000       // a graceful stop ends in this time whatever happens, but for a core member's
-	slotHandoverMs    = 3000       // a core member that stops waits this long for a spare to take its seat
-	slotUndoMs        = 600        // before that it takes a spare out again that has not finished
 	agentIdleMs       = 600_000    // an agent whose worker is silent and owes nothing lets go
 	tombstoneMs       = 6000       // dropped attempts are remembered longer than any placement stays fresh
 	silentMs          = 5000       // a worker not heard of for this long is shown as silent
@@ -37,17 +34,11 @@
 	dueMarginMs       = 50         // starts wait this much past the due time, for what sound clocks differ by
 	rebuildMs         = 500        // a new central scheduler listens this long before it grants: agents speak each 300 ms
 	reserveMs         = 4000       // the longest-waiting firm task holds a worker back after this
-	formStableMs      = 700        // so long the same empty disks must be seen before a core is formed of them
-	unresponsiveMs    = 1600       // a new empty disk takes the place of a member that missed four polls
-	formTurnMs        = 1500       // each later member waits this much longer before it brings a formation to its end
-	formAgainMs       = 300        // votes that did not come are asked for again
 	holdMostMs        = 10_000     // defaults of what a platform bounds: see docs/settings.md
 	gangWaitMs        = 3000
 	saveMs            = 1000
 	restoreMs         = 250
-	spareStepMs       = 1500 // each later spare disk waits this much longer before it goes for the core
 
-	coreSize           = 3        // disks that hold the state
 	kLowest            = 50       // the design's k: the most workers a queueable task is drawn among
 	kLeast             = 3        // and the fewest; between them a quarter of the allowed ones, see docs/rounds.md
 	thresholdMs        = 2500     // learned run time below this is queueable; see docs/rounds.md
@@ -71,7 +62,6 @@
 	stepsMax           = 64       // steps of a job
 	roundTasksMax      = 2000     // tasks of the rounds of a job that are open at once
 	snapshotMin        = 8 << 20  // bytes of log before a snapshot is worth its writing
-	copyAgainMs        = 2000     // a part of a copy that does not come is asked for again
 	shardBytesMax      = 24 << 20 // live jobs of a slice as packed: a seal's answer must fit a frame
 	keepHoursDef       = 24       // hours a finished job is kept; callers check states within a day
 
--- a/internal/daemon/linear_test.go
+++ b/internal/daemon/linear_test.go
@@ -3,11 +3,12 @@
 import (
 	"cmp"
 	"fmt"
-	"otterchute/internal/lease"
-	"otterchute/internal/wire"
 	"slices"
 	"testing"
 
+	"otterchute/internal/lease"
+	"otterchute/internal/wire"
+
 	"github.com/shoenig/test/must"
 	"github.com/tidwall/gjson"
 )
@@ -39,7 +40,7 @@
 // says nothing of what was acknowledged in between.
 func TestReadWaitsForALaterPoll(t *testing.T) {
 	n, confirm, read := readingNode(t, 7500)
-	n.onRequest(evRequest{ID: 9, Op: "setup.get", Expect: -1})
+	n.onRequest(evRequest{ID: 9, Op: "setup.get", Base: -1})
 	confirm()
 	must.False(t, read(200))
 	n.leases.PollSoon()
@@ -52,7 +53,7 @@
 // a call that is answered after it woke.
 func TestReadIsCheckedAfterAFreeze(t *testing.T) {
 	n, confirm, read := readingNode(t, 7501)
-	n.onRequest(evRequest{ID: 9, Op: "setup.get", Expect: -1})
+	n.onRequest(evRequest{ID: 9, Op: "setup.get", Base: -1})
 	n.leases.PollSoon()
 	n.tickPoll()
 	n.now, n.wokeMs = n.now+9000, n.now+9000
@@ -80,9 +81,9 @@
 // call has an operator send one call to some daemon; done gets its answer, or
 // none after the time that operators wait.
 func (h *registerHistory) call(from string, op *registerOp, done func()) {
-	e := evRequest{Op: "setup.get", Expect: -1}
+	e := evRequest{Op: "setup.get", Base: -1}
 	if !op.read {
-		e = evRequest{Op: "setup.put", Key: fmt.Sprint(op.version), Expect: op.base, Body: fmt.Appendf(nil, `{"note":%q,"queues":[]}`, op.text)}
+		e = evRequest{Op: "setup.put", Key: fmt.Sprint(op.version), Base: op.base, Body: fmt.Appendf(nil, `{"note":%q,"queues":[]}`, op.text)}
 	}
 	op.sentUs = h.w.nowUs
 	h.ops = append(h.ops, op)
@@ -230,7 +231,7 @@
 // Operators read and write the setup through daemons that are cut off, frozen,
 // killed and have their clocks moved, with answers lost and delayed: the setup
 // stays one register to all of them.
-func TestSetupIsLinearizable(t *testing.T) {
+func TestConfigIsLinearizable(t *testing.T) {
 	for seed := range uint64(seedsOr(8)) {
 		w := coreWorld(7600+*fromFlag+seed, 3+2*int(seed%2), []string{"east", "west", "mid", "east", "west", "mid"}, 4)
 		must.True(t, w.until(20_000, w.allServed))
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -6,6 +6,7 @@
 	"flag"
 	"fmt"
 	"os"
+
 	"otterchute/internal/wire"
 
 	"github.com/google/subcommands"
--- a/internal/daemon/measure_test.go
+++ b/internal/daemon/measure_test.go
@@ -93,7 +93,7 @@
 		msgs += c
 	}
 	m.tail = fmt.Sprintf("per job: records %.1f, messages %.0f; preemptions %d, sheds %d, promotions %d, bounces %d", float64(w.total("record_writes"))/n,
-		float64(msgs)/n, w.total("preemptions"), w.total("sheds"), w.total("promotions"), w.total("asks_bounced"))
+		float64(msgs)/n, w.total("preemptions"), w.total("sheds"), w.total("promotions"), w.total("requests_rejected"))
 	return m
 }
 
