--- a/guards.sh
+++ b/guards.sh
@@ -55,7 +55,7 @@
 not taken only when surely so|internal/daemon/request.go|a.queue == "" \|\| !a.maybeApplied|true
 an answer belongs to its try|internal/register/proposer.go|o.phase != preparing \|\| m.Ballot != o.Ballot|o.phase != preparing
 an acceptance belongs to its try|internal/register/proposer.go|o.phase != accepting \|\| m.Ballot != o.Ballot|o.phase != accepting
-a ballot belongs to its instance|internal/register/proposer.go|Proposer: p.Name, Life: p.Life}|Proposer: p.Name}
+a ballot belongs to its instance|internal/register/proposer.go|Proposer: p.Name, Instance: p.Instance}|Proposer: p.Name}
 a ballot belongs to its operation|internal/register/proposer.go|\tp.round++\n|\tp.round = 1\n
 a promise binds|internal/register/acceptor.go|if m.Ballot.Less(a.Promised) {|if false {
 a promise is kept|internal/register/acceptor.go|if a.Promised.Less(w.Ballot) {|if false {
--- a/internal/cluster/directory.go
+++ b/internal/cluster/directory.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// AliveMs: a peer whose heartbeat stood still this long counts as dead.
+	// AliveMs is how long a peer's heartbeat may stand still before it counts as dead.
 	AliveMs = 4000
 	// RoundMs is the pace of gossip.
 	RoundMs = 500
--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -43,7 +43,7 @@
 // Fields is the table that a document is checked by.
 var Fields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"note":        {Kind: schema.Text, Max: 1000},
-	"queues":      {Kind: schema.List, Required: true, Max: 20_000, Elem: &schema.Field{Kind: schema.Object, Fields: queueFields}},
+	"queues":      {Kind: schema.List, Required: true, Max: 20_000, Elem: &queueField},
 	"contracts":   {Kind: schema.List, Max: 100, Elem: &contractFields},
 	"empty_sites": {Kind: schema.List, Max: 100, Elem: &schema.Field{Kind: schema.Name}},
 	"source":      {Kind: schema.Any},
--- a/internal/configuration/contract.go
+++ b/internal/configuration/contract.go
@@ -276,8 +276,8 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.Queues)) {
 		if b := c.Queues[name].Batch; b != nil {
-			out = append(out, fmt.Sprintf("queue %s: batches by contract %s, complete within %g hours, at most %d percent of each worker",
-				name, b.Contract.Name, float64(b.FinishByMs)/msPerHour, b.SharePercent))
+			out = append(out, fmt.Sprintf("queue %s: batches by contract %s, complete within %g hours, "+
+				"at most %d percent of each worker", name, b.Contract.Name, float64(b.FinishByMs)/msPerHour, b.SharePercent))
 		}
 	}
 	return out
--- a/internal/configuration/queue.go
+++ b/internal/configuration/queue.go
@@ -20,7 +20,7 @@
 // others, which have 0 to 1000.
 const batchUrgencyOffset = 2000
 
-var queueFields = map[string]schema.Field{
+var queueField = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"name":             {Kind: schema.Name, Required: true},
 	"selector":         {Kind: schema.Choices},
 	"urgency":          {Kind: schema.Count, Min: 0, Max: 1000},
@@ -39,7 +39,7 @@
 		"host":   {Kind: schema.Text, Required: true, Min: 1, Max: 256},
 		"prefix": {Kind: schema.Text, Required: true, Min: 1, Max: 1024},
 	}}},
-}
+}}
 
 // Queue is one queue of a Configuration.
 type Queue struct {
--- a/internal/configuration/record.go
+++ b/internal/configuration/record.go
@@ -56,7 +56,13 @@
 	if len(past) > MaxShown {
 		past = past[len(past)-MaxShown:]
 	}
-	return Record{Version: change.Version, Document: Deflate(doc), Emptied: r.Emptied, Accepted: r.Accepted.With(change), Past: past}
+	return Record{
+		Version:  change.Version,
+		Document: Deflate(doc),
+		Past:     past,
+		Emptied:  r.Emptied,
+		Accepted: r.Accepted.With(change),
+	}
 }
 
 // Compile compiles the record's document, without the zones emptied beside it.
--- a/internal/daemon/ballot_test.go
+++ b/internal/daemon/ballot_test.go
@@ -151,7 +151,7 @@
 // A member's promise, or that it accepted, leaves only once its disk has it.
 func TestAcceptorsAnswerAfterTheSync(t *testing.T) {
 	q := newQuorumOfThree()
-	b := register.Ballot{Round: 1, Proposer: "p", Life: 1}
+	b := register.Ballot{Round: 1, Proposer: "p", Instance: 1}
 	for _, ask := range []any{&register.Prepare{Op: 1, SetVersion: 1, Register: "setup", Ballot: b},
 		&register.Accept{Op: 1, SetVersion: 1, Register: "setup", Ballot: b, Value: []byte("v")}} {
 		n := q.members["a"]
--- a/internal/daemon/batch_test.go
+++ b/internal/daemon/batch_test.go
@@ -18,10 +18,6 @@
 const nightContract = `{"name":"night","utc_offset_minutes":120,"price":0.12,"hours":[
 	{"from":"22:00","to":"06:00","price":0.04},{"from":"06:00","to":"08:00","days":["mon","tue","wed","thu","fri"],"price":0.08}]}`
 
-func batchSetup(contracts, batch string) string {
-	return fmt.Sprintf(`{"contracts":[%s],"queues":[{"name":"confirm","urgency":90},{"name":"refresh","urgency":5,"batch":%s}]}`, contracts, batch)
-}
-
 func mustContract(t *testing.T, doc string) *configuration.Contract {
 	t.Helper()
 	c, faults := configuration.Compile(1, []byte(`{"contracts":[`+doc+`],"queues":[]}`))
--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -15,6 +15,7 @@
 
 	"otterchute/internal/codec"
 	"otterchute/internal/configuration"
+	"otterchute/internal/register"
 	"otterchute/internal/statestore"
 	"otterchute/internal/storage"
 	"otterchute/internal/wire"
@@ -128,7 +129,7 @@
 		CoreSet: hashOf(st.Set().Encode()), Registers: map[string]string{}, Slices: map[string]sliceSummary{}}
 	for _, name := range st.RegisterNames() {
 		r := st.Register(name)
-		out.Registers[name] = fmt.Sprintf("%+v %+v %s", r.Promised, r.Accepted, hashOf(r.Value))
+		out.Registers[name] = fmt.Sprintf("%s %s %s", ballotText(r.Promised), ballotText(r.Accepted), hashOf(r.Value))
 	}
 	for _, name := range st.ShardNames() {
 		x := st.Shard(name)
@@ -152,6 +153,11 @@
 	return out
 }
 
+// ballotText is a ballot as the fixtures have it.
+func ballotText(b register.Ballot) string {
+	return fmt.Sprintf("{Round:%d Proposer:%s Life:%d}", b.Round, b.Proposer, b.Instance)
+}
+
 func quiet(string, ...any) {}
 
 func hashOf(b []byte) string {
--- a/internal/daemon/identity_test.go
+++ b/internal/daemon/identity_test.go
@@ -138,8 +138,8 @@
 			}
 		}
 	}
-	for _, msg := range []any{&wire.PollRequest{SetVersion: n.core.Version}, &register.Prepare{SetVersion: n.core.Version, Register: "x", Ballot: register.Ballot{Round: 1, Proposer: "b", Life: 4321}},
-		&register.Accept{SetVersion: n.core.Version, Register: "x", Ballot: register.Ballot{Round: 1, Proposer: "b", Life: 4321}}, &wire.SealRequest{SetVersion: n.core.Version, Shard: "x", Epoch: 3},
+	for _, msg := range []any{&wire.PollRequest{SetVersion: n.core.Version}, &register.Prepare{SetVersion: n.core.Version, Register: "x", Ballot: register.Ballot{Round: 1, Proposer: "b", Instance: 4321}},
+		&register.Accept{SetVersion: n.core.Version, Register: "x", Ballot: register.Ballot{Round: 1, Proposer: "b", Instance: 4321}}, &wire.SealRequest{SetVersion: n.core.Version, Shard: "x", Epoch: 3},
 		&wire.WriteRequest{SetVersion: n.core.Version, Shard: "x", Epoch: 3}, &wire.FetchRequest{SetVersion: n.core.Version, Shard: "x"}, &wire.RegisterRead{SetVersion: n.core.Version, Register: "x"},
 		&wire.CopyRequest{SetVersion: n.core.Version}, &wire.Digest{Self: wire.Peer{Name: "b"}}, &wire.Forward{Op: "members"}} {
 		before := len(dest)
--- a/internal/daemon/reduce.go
+++ b/internal/daemon/reduce.go
@@ -180,7 +180,7 @@
 
 func newNode(p nodeConfig, st *statestore.Store) *node {
 	n := &node{nodeConfig: p, store: st, granter: lease.NewGranter(), counts: map[string]int64{},
-		changes: map[uint64]*registerChange{}, proposer: register.Proposer{Name: p.Name, Life: p.Instance, Timing: changeTiming},
+		changes: map[uint64]*registerChange{}, proposer: register.Proposer{Name: p.Name, Instance: p.Instance, Timing: changeTiming},
 		forwarded: map[uint64]*forwardedRequest{}, quorumReads: map[uint64]*quorumRead{}, owned: map[string]*shard{}, agents: map[string]*agent{},
 		workers: map[string]*workerView{}, estimates: map[string]*estimate{},
 		config: newConfigState()}
--- a/internal/lease/granter.go
+++ b/internal/lease/granter.go
@@ -118,7 +118,9 @@
 // Grant gives a process the lease of a role, or renews it, if no other may hold it.
 // last is who took the role last, as far as this member's disk knows; ended tells
 // of a process whether it surely has ended.
-func (g *Granter) Grant(r wire.LeaseRequest, to Process, last wire.RoleHolder, nowMs int64, ended func(Process) bool) bool {
+func (g *Granter) Grant(
+	r wire.LeaseRequest, to Process, last wire.RoleHolder, nowMs int64, ended func(Process) bool,
+) bool {
 	if !g.free(r.Name, to, nowMs, ended) {
 		return false
 	}
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -119,8 +119,11 @@
 //
 // Example: leases := lease.NewManager(host, peers)
 func NewManager(host Host, peers *cluster.Directory) *Manager {
-	return &Manager{host: host, peers: peers, sent: map[uint64]*Round{}, heardMs: map[string]int64{}, syncMs: map[string]int64{},
-		leases: map[string]*lease{}, holders: map[string]wire.RoleHolder{}, former: map[string]formerHolder{}}
+	return &Manager{
+		host: host, peers: peers,
+		sent: map[uint64]*Round{}, heardMs: map[string]int64{}, syncMs: map[string]int64{},
+		leases: map[string]*lease{}, holders: map[string]wire.RoleHolder{}, former: map[string]formerHolder{},
+	}
 }
 
 // inService tells whether a lease is surely held now.
@@ -241,8 +244,9 @@
 	if h.Epoch > l.knownEpoch && (h.Holder != self.Name || h.Incarnation != self.Incarnation) {
 		return register.Refuse, nil // taken by another since our lease was granted, by members that have started anew
 	}
-	next := wire.RoleHolder{Name: role, Holder: self.Name, Incarnation: self.Incarnation, Addr: self.Addr, Epoch: h.Epoch + 1}
-	return register.Replace, codec.Append(nil, next)
+	return register.Replace, codec.Append(nil, wire.RoleHolder{
+		Name: role, Holder: self.Name, Incarnation: self.Incarnation, Addr: self.Addr, Epoch: h.Epoch + 1,
+	})
 }
 
 // EpochChanged takes what came of counting a role's epoch up, and begins to serve it.
--- a/internal/lease/poll.go
+++ b/internal/lease/poll.go
@@ -71,8 +71,10 @@
 	if m.firstMs == 0 {
 		m.firstMs = now
 	}
-	request := &wire.PollRequest{Incarnation: self.Incarnation, Seq: m.seq, SetVersion: set.Version, WallMs: m.host.WallMs(),
-		Wanted: round.wanted, Releases: round.releases}
+	request := &wire.PollRequest{
+		Incarnation: self.Incarnation, Seq: m.seq, SetVersion: set.Version, WallMs: m.host.WallMs(),
+		Wanted: round.wanted, Releases: round.releases,
+	}
 	for _, member := range set.Members {
 		m.host.Send(member.Name, request)
 	}
@@ -101,7 +103,10 @@
 	set, now := m.host.CoreSet(), m.host.NowMs()
 	m.heardMs[from] = now
 	r := m.sent[a.Seq]
-	if r == nil || a.SetVersion != set.Version || r.Answers[from] != nil || len(a.Granted) != len(r.wanted) || len(a.Epochs) != len(r.wanted) {
+	if r == nil || a.SetVersion != set.Version || r.Answers[from] != nil {
+		return
+	}
+	if len(a.Granted) != len(r.wanted) || len(a.Epochs) != len(r.wanted) {
 		return
 	}
 	r.Answers[from] = a
--- a/internal/membership/learner.go
+++ b/internal/membership/learner.go
@@ -24,7 +24,10 @@
 func (m *Manager) currentLearner(vacantSince map[string]int64) *learner {
 	version := m.host.CoreSet().Version
 	if m.learner == nil || m.learner.setVersion != version {
-		m.learner = &learner{setVersion: version, vacantSince: vacantSince, cursors: map[string]statestore.Cursor{}, copied: map[string]bool{}}
+		m.learner = &learner{
+			setVersion: version, vacantSince: vacantSince,
+			cursors: map[string]statestore.Cursor{}, copied: map[string]bool{},
+		}
 	}
 	return m.learner
 }
--- a/internal/membership/manager.go
+++ b/internal/membership/manager.go
@@ -22,7 +22,7 @@
 	Register = "core"
 	// DefaultSize is how many disks hold the state where nothing else is set.
 	DefaultSize = 3
-	// UnresponsiveMs: a member that missed four polls counts as unresponsive.
+	// UnresponsiveMs is how long a member may answer no poll: some four of them.
 	UnresponsiveMs = 1600
 	// HandoverMs is how long a member that stops waits for a spare to take its slot.
 	HandoverMs = 3000
--- a/internal/membership/slots.go
+++ b/internal/membership/slots.go
@@ -66,7 +66,11 @@
 )
 
 var slotStateNames = map[slotState]string{
-	slotOccupied: "occupied", slotDiskFailed: "disk failed", slotSilent: "silent", slotLeaving: "leaving", slotWiped: "wiped",
+	slotOccupied:   "occupied",
+	slotDiskFailed: "disk failed",
+	slotSilent:     "silent",
+	slotLeaving:    "leaving",
+	slotWiped:      "wiped",
 }
 
 // String names the state for logs and test failures.
--- a/internal/register/explore_test.go
+++ b/internal/register/explore_test.go
@@ -131,10 +131,10 @@
 			event("learn "+m.name, func(c *explored) { c.members[i].applied.set = c.chosen })
 		}
 	}
-	switch {
-	case e.chosen == 1:
+	switch e.chosen {
+	case 1:
 		event("c leaves", func(c *explored) { c.remove("c") })
-	case e.chosen == 2:
+	case 2:
 		for _, from := range []string{"a", "b"} {
 			if e.mayCopy(from) {
 				event("copy "+from, func(c *explored) { c.copyTo("d", from) })
--- a/internal/register/model_test.go
+++ b/internal/register/model_test.go
@@ -146,7 +146,7 @@
 func (b *keyWriter) text(v string) { *b = append(append(*b, v...), 0) }
 
 func (b *keyWriter) ballot(x Ballot) {
-	b.number(int64(x.Round), int64(x.Life))
+	b.number(int64(x.Round), int64(x.Instance))
 	b.text(x.Proposer)
 }
 
@@ -208,7 +208,7 @@
 		s.members = append(s.members, modelMember{name: name, applied: modelDisk{set: 1}, durable: modelDisk{set: 1}})
 	}
 	for i := range proposers {
-		p := Proposer{Name: string(rune('p' + i)), Life: 1, Timing: modelTiming}
+		p := Proposer{Name: string(rune('p' + i)), Instance: 1, Timing: modelTiming}
 		s.processes = append(s.processes, modelProcess{proposer: p, set: 1})
 	}
 	return s
@@ -266,7 +266,7 @@
 	}
 	for i := range s.processes {
 		p := &s.processes[i]
-		b.number(int64(p.proposer.round), int64(p.proposer.Life), int64(p.nextID), p.set)
+		b.number(int64(p.proposer.round), int64(p.proposer.Instance), int64(p.nextID), p.set)
 		if o := p.op; o != nil {
 			b.number(int64(p.order.letter), int64(o.phase), int64(o.atEnd), o.set.Version)
 			b.ballot(o.Ballot)
@@ -339,11 +339,11 @@
 
 // restart ends a life; the next one knows nothing of it.
 func (s *model) restart(p *modelProcess) {
-	life := p.proposer.Life + 1
+	life := p.proposer.Instance + 1
 	if s.mutant.sharedLife {
 		life = 1
 	}
-	p.proposer = Proposer{Name: p.proposer.Name, Life: life, Timing: modelTiming}
+	p.proposer = Proposer{Name: p.proposer.Name, Instance: life, Timing: modelTiming}
 	p.op, p.nextID = nil, 0
 }
 
--- a/internal/register/proposer.go
+++ b/internal/register/proposer.go
@@ -38,12 +38,12 @@
 	RetryMs    int64 // base of the wait before the next try of one that was refused
 }
 
-// Proposer makes the ballots of one life of a process.
+// Proposer makes the ballots of one process.
 type Proposer struct {
-	Name   string
-	Life   uint64 // drawn at random by each process
-	Timing Timing
-	round  uint64
+	Name     string
+	Instance uint64 // drawn at random by each process
+	Timing   Timing
+	round    uint64
 }
 
 // Observe raises the next ballot above a round that was seen elsewhere, which
@@ -52,7 +52,7 @@
 
 func (p *Proposer) nextBallot() Ballot {
 	p.round++
-	return Ballot{Round: p.round, Proposer: p.Name, Life: p.Life}
+	return Ballot{Round: p.round, Proposer: p.Name, Instance: p.Instance}
 }
 
 // votes are the members of a set that answered, one bit for each: no member
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -20,17 +20,21 @@
 import "cmp"
 
 // Ballot names one try to change a register, and orders all of them. No two
-// tries share one: a proposer's rounds only rise within its life, and a life is
+// tries share one: a proposer's rounds only rise within one process, whose instance is
 // a number drawn at random, so neither a clock nor a disk is needed for it.
 type Ballot struct {
 	Round    uint64
 	Proposer string
-	Life     uint64
+	Instance uint64
 }
 
-// Less orders ballots by round; proposer and life only break ties.
+// Less orders ballots by round; proposer and instance only break ties.
 func (b Ballot) Less(other Ballot) bool {
-	return cmp.Or(cmp.Compare(b.Round, other.Round), cmp.Compare(b.Proposer, other.Proposer), cmp.Compare(b.Life, other.Life)) < 0
+	order := cmp.Or(
+		cmp.Compare(b.Round, other.Round),
+		cmp.Compare(b.Proposer, other.Proposer),
+		cmp.Compare(b.Instance, other.Instance))
+	return order < 0
 }
 
 // IsZero tells whether this is no ballot: nothing was promised or accepted.
--- a/internal/statestore/copy.go
+++ b/internal/statestore/copy.go
@@ -92,7 +92,9 @@
 // that comes under an earlier id meanwhile is acknowledged without the copy.
 func (s *Shard) livePart(c Cursor, bytes int) (out []Entry, next Cursor) {
 	if c.After == "" {
-		out = append(out, Entry{Kind: EntrySeal, Name: c.Shard, Epoch: s.sealed}, Entry{Kind: EntryServed, Name: c.Shard, Epoch: s.served})
+		out = append(out,
+			Entry{Kind: EntrySeal, Name: c.Shard, Epoch: s.sealed},
+			Entry{Kind: EntryServed, Name: c.Shard, Epoch: s.served})
 	}
 	size := 0
 	for _, r := range s.Live() {
--- a/internal/statestore/entry.go
+++ b/internal/statestore/entry.go
@@ -19,7 +19,7 @@
 	EntrySeal                             // a shard takes no writes of lower epochs: Name, Epoch
 	EntryRecord                           // a job's record: Name of the shard, Record
 	EntrySet                              // the core set: Value is a quorum.Set
-	EntryDrop                             // finished records done before a time are let go of: Name of the shard, Epoch in ms
+	EntryDrop                             // finished records done before a time go: Name of the shard, Epoch in ms
 	EntryConfirmed                        // a quorum holds a finished record: Name of the shard, Record.ID
 	EntryChunk                            // a chunk of finished records, in copies and snapshots: Name of the shard, Value
 	EntryUnconfirmed                      // a quorum may not hold one of those: Name of the shard, Record.ID
@@ -27,9 +27,11 @@
 	EntryRefused                          // a vote against a formation, for good: Epoch is its cluster
 )
 
-var entryKindNames = map[EntryKind]string{EntryForm: "form", EntryPromise: "promise", EntryAccept: "accept", EntrySeal: "seal",
+var entryKindNames = map[EntryKind]string{
+	EntryForm: "form", EntryPromise: "promise", EntryAccept: "accept", EntrySeal: "seal",
 	EntryRecord: "record", EntrySet: "set", EntryDrop: "drop", EntryConfirmed: "confirmed", EntryChunk: "chunk",
-	EntryUnconfirmed: "unconfirmed", EntryServed: "served", EntryRefused: "refused"}
+	EntryUnconfirmed: "unconfirmed", EntryServed: "served", EntryRefused: "refused",
+}
 
 // String names the kind for logs and test failures.
 func (k EntryKind) String() string {
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -75,7 +75,7 @@
 
 // What entries of each kind do, and that their order matters only where it must.
 func TestApply(t *testing.T) {
-	ballot := register.Ballot{Round: 2, Proposer: "a", Life: 1}
+	ballot := register.Ballot{Round: 2, Proposer: "a", Instance: 1}
 	set := quorum.Set{Cluster: 7, Version: 3}
 	for _, c := range []struct {
 		name    string
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -46,7 +46,10 @@
 }
 
 func newLog(f folder, events EventLog) *Log {
-	return &Log{folder: f, events: events, listener: ignore{}, wake: make(chan struct{}, 1), ended: make(chan struct{}), retry: RetryFirst}
+	return &Log{
+		folder: f, events: events, listener: ignore{}, retry: RetryFirst,
+		wake: make(chan struct{}, 1), ended: make(chan struct{}),
+	}
 }
 
 // ignore is the Listener before Run.
