--- a/guards.sh
+++ b/guards.sh
@@ -1,14 +1,18 @@
 #!/usr/bin/env bash
 # Takes each guard out of a copy of the source, one at a time, and tells which
 # tests notice. A guard that nothing misses is a gap: it is printed as UNNOTICED, and
-# a row whose text is no longer in its file as STALE. Either ends the script with exit 1.
-#   ./guards.sh [name ...]       a name's blanks written as _
+# a row whose text is no longer in its file as STALE, and one that doesn't compile as BROKEN. Any
+# of these ends the script with exit 1.
+#   ./guards.sh [name ...]             a name's blanks written as _
+#   ./guards.sh --compile [name ...]   only whether the rows fit the source and compile
 set -uo pipefail
 cd "$(dirname "$0")"
 copy=$(mktemp -d)
 trap 'rm -rf "$copy"' EXIT
 
 bad=$copy/bad
+compile_only=
+if [ "${1:-}" = --compile ]; then compile_only=1; shift; fi
 
 # name | file, from the repository's root | text that stands there | what stands there instead
 guards() {
@@ -17,12 +21,12 @@
 unsettled orders hold room|internal/daemon/agent_dispatch.go|if ag.colocated \|\| !h.listed {|if ag.colocated {
 new agent waits for the worker's fresh word|internal/daemon/agent_report.go|if !ag.rebuilt && ag.tokenMs > ag.startMs+flightMs {|if !ag.rebuilt {
 lost only once rebuilt|internal/daemon/reconcile.go|case m.Epoch > t.AgentEpoch && m.Rebuilt:|case m.Epoch > t.AgentEpoch:
-unknown is not ended|internal/daemon/agent_dispatch.go|"unknown": func(n *node, _ *agent, h *attempt) { n.count("orders_unconfirmed") },|"unknown": func(n *node, _ *agent, h *attempt) { h.state, h.result = transport.AttemptEnded, transport.ResultRejected },
+unknown is not ended|internal/daemon/agent_dispatch.go|"unknown": func(n *node, _ *agent, h *attempt) { n.count("orders_unconfirmed") },|"unknown": func(n *node, _ *agent, h *attempt) { h.state, h.result = wire.AttemptEnded, wire.ResultRejected },
 placement is durable first|internal/daemon/job_schedule.go|if t.ChangedIn <= js.committed && rt.sentMs == 0|if rt.sentMs == 0
 end is durable before it is acknowledged|internal/daemon/reconcile.go|if t.ChangedIn > js.committed {\n\t\t\treturn 0\n\t\t}\n\t\tif !t.counted|if !t.counted
 steps in order|internal/daemon/job_schedule.go|if !ready[js.stepAt(t)] \|\| |if 
 a median of all clocks|internal/daemon/core_member.go|return n.granter.FleetTime(n.now, len(n.peers.AliveNames()))|return n.wall
-due time|internal/daemon/job_schedule.go|due != 0 && wall < due+dueMarginMs|false
+due time|internal/daemon/job_schedule.go|due != 0 && wall < due+dueMarginMs|due != 0 && false
 group at the agent|internal/daemon/agent_dispatch.go|if q == nil \|\| lack \|\| !q.Matches(ag.labels, ag.zone) \|\| |if q == nil \|\| false && lack \|\| 
 allowed failures|internal/daemon/attempt_result.go|case t.Failures >= t.allowedRuns() && !st.Lasting:|case t.Failures > t.allowedRuns() && !st.Lasting:
 cancel reaches the agent|internal/daemon/reconcile.go|if js.State != jobRunning \|\| js.Steps[t.Step].Gang|if js.Steps[t.Step].Gang
@@ -108,7 +112,13 @@
 open(sys.argv[1], "w").write(s.replace(old, new))
 P
   then echo "STALE     $name: its text is no longer in $file"; touch "$bad"; continue; fi
-  out=$(cd "$copy" && a=0 && { go test -vet=off -timeout 240s $(go list ./internal/... | grep -v /daemon$) 2>&1 || a=1; } && go test -c -vet=off -o internal/daemon/t ./internal/daemon && cd internal/daemon &&
+  build=(go test -c -vet=off -o internal/daemon/t ./internal/daemon)
+  case $compile_only$file in 1*_test.go) ;; 1*) build=(go build ./internal/daemon) ;; esac
+  if ! (cd "$copy" && "${build[@]}") > "$copy/build.log" 2>&1; then
+    echo "BROKEN    $name: $(grep -m1 '\.go:' "$copy/build.log")"; touch "$bad"; continue
+  fi
+  if [ -n "$compile_only" ]; then echo "compiles  $name"; continue; fi
+  out=$(cd "$copy" && a=0 && { go test -vet=off -timeout 240s $(go list ./internal/... | grep -v /daemon$) 2>&1 || a=1; } && cd internal/daemon &&
     { timeout 240 ./t -test.timeout 200s -test.run 'Scenarios|Fenced|Excludes|Copy|Setup|Config|Form|Belong|Unanswered|Acceptors|Ballot|Order|Forgotten|Members|Repairs|Slot|CopiedAgain|Stalled|Surest|Former|NextSet|Lease|FullDisk|FailedDisk|Batch[A-M]' 2>&1 || a=1; } &&
     { timeout 240 ./t -test.timeout 200s -test.run Campaign -seeds "${SEEDS:-12}" 2>&1 || a=1; } && exit $a)
   if [ $? -eq 0 ]; then echo "UNNOTICED $name"; touch "$bad"; else
