--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -110,40 +110,65 @@
 
 func (n *node) tickAgents() {
 	for _, name := range sorted(n.agents) {
-		ag := n.agents[name]
-		if ag.colocated {
+		if ag := n.agents[name]; ag.colocated {
 			n.tickColocatedAgent(ag)
-			continue
+		} else {
+			n.tickLeasedAgent(ag)
 		}
-		for _, key := range ag.keys() {
-			h := ag.attempts[key]
-			switch {
-			case h.state == wire.AttemptRunning && h.stopMs != 0:
-				n.stopAttempt(ag, h, h.stopReason)
-			case h.state == wire.AttemptRunning && h.spec.LimitMs > 0 && n.now-h.startedMs > h.spec.LimitMs,
-				h.state == wire.AttemptOrdered && h.spec.LimitMs > 0 && n.now-h.orderedMs > h.spec.LimitMs+flightMs:
-				n.stopAttempt(ag, h, wire.ResultOverrun)
-			case h.state == wire.AttemptOrdered && h.stopMs != 0:
-				n.stopAttempt(ag, h, h.stopReason)
-			case h.state == wire.AttemptQueued && n.now-ag.heardMs > silentMs:
-				h.state, h.result = wire.AttemptEnded, wire.ResultShed // its worker is silent; it never started
-			}
-		}
-		for k, at := range ag.tombstones {
-			if n.now-at > tombstoneMs && (ag.attempts[k] == nil) {
-				delete(ag.tombstones, k)
-			}
-		}
-		if n.now >= ag.decayAt {
-			ag.decayAt = n.now + 10_000
-			ag.succeeded, ag.failed = ag.succeeded*3/4, ag.failed*3/4
-		}
-		if n.now >= ag.syncAt {
-			n.reportAgent(ag)
+	}
+}
+
+// tickLeasedAgent stops what ran too long, reports, starts what has room, and hands the
+// role off once its worker has long been silent.
+func (n *node) tickLeasedAgent(ag *agent) {
+	n.enforceLimits(ag)
+	n.dropOldTombstones(ag)
+	n.decayHealth(ag)
+	if n.now >= ag.syncAt {
+		n.reportAgent(ag)
+	}
+	n.startPending(ag)
+	if len(ag.attempts) == 0 && n.now-ag.heardMs > agentIdleMs {
+		n.leases.HandOff(lease.AgentRole(ag.worker), "")
+	}
+}
+
+// enforceLimits stops attempts that are past their run limit, repeats stops that are
+// not yet heard of, and gives up what waits at a silent worker.
+func (n *node) enforceLimits(ag *agent) {
+	for _, key := range ag.keys() {
+		h := ag.attempts[key]
+		switch {
+		case h.state == wire.AttemptRunning && h.stopMs != 0:
+			n.stopAttempt(ag, h, h.stopReason)
+		case h.state == wire.AttemptRunning && h.spec.LimitMs > 0 && n.now-h.startedMs > h.spec.LimitMs,
+			h.state == wire.AttemptOrdered && h.spec.LimitMs > 0 && n.now-h.orderedMs > h.spec.LimitMs+flightMs:
+			n.stopAttempt(ag, h, wire.ResultOverrun)
+		case h.state == wire.AttemptOrdered && h.stopMs != 0:
+			n.stopAttempt(ag, h, h.stopReason)
+		case h.state == wire.AttemptQueued && n.now-ag.heardMs > silentMs:
+			h.state, h.result = wire.AttemptEnded, wire.ResultShed // its worker is silent; it never started
 		}
-		n.startPending(ag)
-		if len(ag.attempts) == 0 && n.now-ag.heardMs > agentIdleMs {
-			n.leases.HandOff(lease.AgentRole(name), "")
+	}
+}
+
+// dropOldTombstones forgets ends that no late message can bring up any more.
+func (n *node) dropOldTombstones(ag *agent) {
+	for k, at := range ag.tombstones {
+		if n.now-at > tombstoneMs && ag.attempts[k] == nil {
+			delete(ag.tombstones, k)
 		}
 	}
 }
+
+// decayHealth lets a worker's past ends and suspicions count for less with time.
+func (n *node) decayHealth(ag *agent) {
+	if n.now < ag.decayAt {
+		return
+	}
+	ag.decayAt = n.now + healthDecayMs
+	ag.succeeded, ag.failed = ag.succeeded*3/4, ag.failed*3/4
+	if n.now > ag.suspectMs+healthDecayMs {
+		ag.suspects = max(0, ag.suspects-1)
+	}
+}
--- a/internal/daemon/agent_dispatch.go
+++ b/internal/daemon/agent_dispatch.go
@@ -28,10 +28,10 @@
 // startPending starts what may start now, by the queue's urgency, then firm tasks before
 // queueable ones, then by the age of the job. For firm tasks queueable runs of
 // queues no more urgent are stopped, and they start once those ends are listed; short
-// runs of more urgent queues are left to end. A pinned agent's
-// orders leave in the answer to a beat only.
+// runs of more urgent queues are left to end. The orders of an agent beside its worker
+// leave in the answer to a heartbeat only.
 func (n *node) startPending(ag *agent) {
-	if !n.isActiveAgent(ag) || !ag.rebuilt || n.now-ag.tokenMs > reportMs || !n.configFresh() || ag.colocated && (!ag.answering || ag.lapseUntilMs != 0) {
+	if !n.mayOrder(ag) {
 		return
 	}
 	queue := n.returnBatches(ag, ag.waiting(n))
@@ -45,47 +45,72 @@
 		n.reportAgent(ag)
 		return
 	}
-	avail := ag.free
+	avail, known := ag.available()
+	if !known {
+		return
+	}
+	for _, h := range queue {
+		if !n.startOrSkip(ag, h, &avail) {
+			return
+		}
+	}
+}
+
+// mayOrder tells whether this agent may give its worker orders now: nobody else may be
+// its agent, it knows all that runs there, and configuration and report are fresh.
+func (n *node) mayOrder(ag *agent) bool {
+	if !n.isActiveAgent(ag) || !ag.rebuilt || n.now-ag.tokenMs > reportMs || !n.configFresh() {
+		return false
+	}
+	return !ag.colocated || ag.answering && ag.lapseUntilMs == 0
+}
+
+// available gives the worker's room that nothing holds; it isn't known while something
+// runs there of which nobody has told yet how much it takes.
+func (ag *agent) available() (avail resource.Amount, known bool) {
+	avail = ag.free
 	for _, h := range ag.attempts {
 		if h.state != wire.AttemptOrdered && h.state != wire.AttemptRunning {
 			continue
 		}
 		if h.unknown {
-			return // it takes room, nobody has told yet how much
+			return avail, false
 		}
 		if ag.colocated || !h.listed {
 			avail = avail.Minus(h.spec.Resources)
 		}
 	}
-	for _, h := range queue {
-		q := n.config.current.Queues[h.spec.Queue]
-		_, lack := configuration.MissingLabel(ag.labels, h.spec.Needs)
-		if q == nil || lack || !q.Matches(ag.labels, ag.zone) || h.spec.PerWorker > 0 && ag.ofStep(h) >= int(h.spec.PerWorker) {
-			h.state, h.result = wire.AttemptEnded, wire.ResultRejected
-			n.reportAgent(ag)
-			continue
-		}
-		if n.now-h.confirmedMs > contactMs {
-			continue
-		}
-		if r := n.batchSpec(&h.spec); r != nil && (!h.spec.Resources.Fits(avail) || !n.mayStartBatch(ag, h, r)) {
-			continue
-		}
-		if h.spec.Resources.Fits(avail) {
-			avail = avail.Minus(h.spec.Resources)
-			n.dispatch(ag, h)
-			continue
-		}
-		if h.spec.Class == wire.ClassGuaranteed {
-			n.preempt(ag, h, h.spec.Resources.Minus(avail))
-			avail = avail.Minus(h.spec.Resources) // what is free and what gets free is kept for it
-			continue
-		}
-		n.preempt(ag, h, h.spec.Resources.Minus(avail)) // of lesser queues only, batches at once
-		if n.now-h.queuedMs > bypassMs {
-			return
-		}
+	return avail, true
+}
+
+// startOrSkip starts a waiting attempt if it may and fits into what is available, or makes
+// room for it. It gives false where nothing behind it may start before it.
+func (n *node) startOrSkip(ag *agent, h *attempt, avail *resource.Amount) bool {
+	q := n.config.current.Queues[h.spec.Queue]
+	_, lack := configuration.MissingLabel(ag.labels, h.spec.Needs)
+	if q == nil || lack || !q.Matches(ag.labels, ag.zone) || h.spec.PerWorker > 0 && ag.ofStep(h) >= int(h.spec.PerWorker) {
+		h.state, h.result = wire.AttemptEnded, wire.ResultRejected
+		n.reportAgent(ag)
+		return true
+	}
+	if n.now-h.confirmedMs > contactMs {
+		return true
+	}
+	if r := n.batchSpec(&h.spec); r != nil && (!h.spec.Resources.Fits(*avail) || !n.mayStartBatch(ag, h, r)) {
+		return true
+	}
+	if h.spec.Resources.Fits(*avail) {
+		*avail = avail.Minus(h.spec.Resources)
+		n.dispatch(ag, h)
+		return true
+	}
+	if h.spec.Class == wire.ClassGuaranteed {
+		n.preempt(ag, h, h.spec.Resources.Minus(*avail))
+		*avail = avail.Minus(h.spec.Resources) // what is free and what gets free is kept for it
+		return true
 	}
+	n.preempt(ag, h, h.spec.Resources.Minus(*avail)) // of lesser queues only, batches at once
+	return n.now-h.queuedMs <= bypassMs
 }
 
 // ofStep counts the started tasks here that share a task's job, round and step.
--- a/internal/daemon/agent_report.go
+++ b/internal/daemon/agent_report.go
@@ -77,20 +77,46 @@
 	n.respond(a, 503, 200, mustJSON(map[string]any{"error": "the worker has no agent yet"}))
 }
 
+// pastIncarnationsMax former incarnations of a worker are remembered: a report of one of
+// them is late.
+const pastIncarnationsMax = 8
+
+// applyReport brings what is held in line with a worker's report, and answers it.
 func (n *node) applyReport(ag *agent, a *request) {
 	if f := schema.Check(a.body, reportFields); len(f) > 0 {
 		n.rejectFaults(a, 400, 0, f)
 		return
 	}
 	r := gjson.ParseBytes(a.body)
-	inc, seq := r.Get("incarnation").Str, r.Get("seq").Int()
-	if inc == ag.workerIncarnation && seq <= ag.reportSeq || slices.Contains(ag.pastIncarnations, inc) {
+	if !n.recordReport(ag, r) {
 		n.respondReport(ag, a, nil)
 		return
 	}
+	running := n.applyReportedRuns(ag, r)
+	ended, changed := n.applyReportedEnds(ag, r)
+	changed = n.endUnreported(ag, running, ended) || changed
+	if !ag.rebuilt && ag.tokenMs > ag.startMs+flightMs {
+		ag.rebuilt = true
+		n.log("agent_rebuilt", "worker", ag.worker, "epoch", ag.epoch, "held", len(ag.attempts))
+		changed = true
+	}
+	n.respondReport(ag, a, ended)
+	if changed {
+		n.reportAgent(ag)
+	}
+	n.startPending(ag)
+}
+
+// recordReport keeps what a report says of the worker itself. It gives false for a
+// report that comes again or late, of which nothing is kept.
+func (n *node) recordReport(ag *agent, r gjson.Result) bool {
+	inc, seq := r.Get("incarnation").Str, r.Get("seq").Int()
+	if inc == ag.workerIncarnation && seq <= ag.reportSeq || slices.Contains(ag.pastIncarnations, inc) {
+		return false
+	}
 	if ag.workerIncarnation != "" && inc != ag.workerIncarnation {
 		ag.pastIncarnations = append(ag.pastIncarnations, ag.workerIncarnation)
-		ag.pastIncarnations = ag.pastIncarnations[max(0, len(ag.pastIncarnations)-8):]
+		ag.pastIncarnations = ag.pastIncarnations[max(0, len(ag.pastIncarnations)-pastIncarnationsMax):]
 		n.log("worker_new_incarnation", "worker", ag.worker, "epoch", ag.epoch)
 	}
 	ag.workerIncarnation, ag.reportSeq, ag.heardMs = inc, seq, n.now
@@ -102,7 +128,12 @@
 			ag.tokenMs = v
 		}
 	}
-	running, ended := map[wire.AttemptKey]bool{}, map[wire.AttemptKey]bool{}
+	return true
+}
+
+// applyReportedRuns applies what a report lists as running, and reckons the worker's capacity.
+func (n *node) applyReportedRuns(ag *agent, r gjson.Result) map[wire.AttemptKey]bool {
+	running := map[wire.AttemptKey]bool{}
 	ag.capacity = ag.free
 	for _, e := range r.Get("running").Array() {
 		key, ok := wire.ParseAttemptKey(e.Get("id").Str)
@@ -124,7 +155,12 @@
 		}
 		ag.capacity = ag.capacity.Plus(h.spec.Resources)
 	}
-	changed := false
+	return running
+}
+
+// applyReportedEnds applies what a report lists as ended.
+func (n *node) applyReportedEnds(ag *agent, r gjson.Result) (ended map[wire.AttemptKey]bool, changed bool) {
+	ended = map[wire.AttemptKey]bool{}
 	for _, e := range r.Get("ended").Array() {
 		key, ok := wire.ParseAttemptKey(e.Get("id").Str)
 		if !ok {
@@ -144,6 +180,12 @@
 			n.endAttempt(ag, h, e.Get("outcome").Str, max(e.Get("ran_ms").Int(), 1))
 		}
 	}
+	return ended, changed
+}
+
+// endUnreported ends what a report doesn't list, where it must list it, and forgets
+// what is acknowledged.
+func (n *node) endUnreported(ag *agent, running, ended map[wire.AttemptKey]bool) (changed bool) {
 	for _, key := range ag.keys() {
 		h := ag.attempts[key]
 		wasListed := h.listed
@@ -158,16 +200,7 @@
 			ag.forget(key, n.now)
 		}
 	}
-	if !ag.rebuilt && ag.tokenMs > ag.startMs+flightMs {
-		ag.rebuilt = true
-		n.log("agent_rebuilt", "worker", ag.worker, "epoch", ag.epoch, "held", len(ag.attempts))
-		changed = true
-	}
-	n.respondReport(ag, a, ended)
-	if changed {
-		n.reportAgent(ag)
-	}
-	n.startPending(ag)
+	return changed
 }
 
 // adopt takes a run that only the worker knew of.
--- a/internal/daemon/agent_sync.go
+++ b/internal/daemon/agent_sync.go
@@ -42,6 +42,7 @@
 	n.startPending(ag)
 }
 
+// onOwnerReply applies an owner's decisions on what this agent holds of its jobs.
 func (n *node) onOwnerReply(_ string, m *wire.OwnerReply) {
 	ag := n.agents[m.Worker]
 	if ag == nil || ag.epoch != m.Epoch || m.ShardEpoch < ag.owners[m.Shard] {
@@ -49,43 +50,15 @@
 	}
 	ag.owners[m.Shard] = m.ShardEpoch
 	ag.heardOwner(m.Shard, m.SentMs, n.now)
-	recalled := false
 	for _, s := range m.Specs {
 		if h := ag.attempts[s.Key]; h != nil && h.unknown {
 			h.spec, h.unknown = s, false
 		}
 	}
+	recalled := false
 	for _, v := range m.Decisions {
-		h := ag.attempts[v.Key]
-		if h == nil {
-			continue
-		}
-		switch v.Decision {
-		case wire.DecisionKeep:
-			h.confirmedMs = max(h.confirmedMs, m.SentMs)
-		case wire.DecisionRecall:
-			if h.state == wire.AttemptQueued {
-				h.state, h.result, recalled = wire.AttemptEnded, wire.ResultShed, true
-				n.count("recalls")
-			} else {
-				h.confirmedMs = max(h.confirmedMs, m.SentMs)
-			}
-		case wire.DecisionDrop:
-			if h.state == wire.AttemptQueued {
-				h.state, h.result = wire.AttemptEnded, wire.ResultCancelled
-			} else if h.state != wire.AttemptEnded {
-				n.stopAttempt(ag, h, wire.ResultCancelled)
-			}
-		case wire.DecisionAcknowledged, wire.DecisionCounted:
-			if h.state == wire.AttemptEnded && !h.acked {
-				if h.lateEnd && v.Decision != wire.DecisionCounted {
-					continue // another run may have taken its place
-				}
-				h.acked = true
-				if !h.ordered || h.result == wire.ResultLost || h.result == wire.ResultRejected {
-					ag.forget(v.Key, n.now)
-				}
-			}
+		if h := ag.attempts[v.Key]; h != nil {
+			recalled = n.applyDecision(ag, h, v, m.SentMs) || recalled
 		}
 	}
 	if recalled {
@@ -94,6 +67,45 @@
 	n.startPending(ag)
 }
 
+// applyDecision applies an owner's decision on one attempt; sentMs is when the agent
+// sent the report that it answers. It tells whether the attempt was recalled.
+func (n *node) applyDecision(ag *agent, h *attempt, v wire.AttemptDecision, sentMs int64) (recalled bool) {
+	switch v.Decision {
+	case wire.DecisionKeep:
+		h.confirmedMs = max(h.confirmedMs, sentMs)
+	case wire.DecisionRecall:
+		if h.state == wire.AttemptQueued {
+			h.state, h.result = wire.AttemptEnded, wire.ResultShed
+			n.count("recalls")
+			return true
+		}
+		h.confirmedMs = max(h.confirmedMs, sentMs)
+	case wire.DecisionDrop:
+		if h.state == wire.AttemptQueued {
+			h.state, h.result = wire.AttemptEnded, wire.ResultCancelled
+		} else if h.state != wire.AttemptEnded {
+			n.stopAttempt(ag, h, wire.ResultCancelled)
+		}
+	case wire.DecisionAcknowledged, wire.DecisionCounted:
+		n.acknowledgeEnd(ag, h, v.Decision)
+	}
+	return false
+}
+
+// acknowledgeEnd notes that an end is in its owner's record, or not wanted.
+func (n *node) acknowledgeEnd(ag *agent, h *attempt, decision wire.Decision) {
+	if h.state != wire.AttemptEnded || h.acked {
+		return
+	}
+	if h.lateEnd && decision != wire.DecisionCounted {
+		return // another run may have taken its place
+	}
+	h.acked = true
+	if !h.ordered || h.result == wire.ResultLost || h.result == wire.ResultRejected {
+		ag.forget(h.spec.Key, n.now)
+	}
+}
+
 // rankOf is the paper's R = T_q + T_r + T_l, without batches: all others push them out.
 func (ag *agent) rankOf(n *node) (rank, queuedMs, queued int64) {
 	var tq, tr int64
--- a/internal/daemon/allocate.go
+++ b/internal/daemon/allocate.go
@@ -23,28 +23,11 @@
 	if !n.leases.Holds(lease.Central) || n.now-c.startMs < rebuildMs || !n.configFresh() {
 		return
 	}
-	var keys []allocationKey
-	for k, ws := range c.pending {
-		if len(ws.open()) > 0 {
-			keys = append(keys, k)
-		}
-	}
+	keys := n.pendingInOrder(c)
 	if len(keys) == 0 {
 		return
 	}
-	urgency := func(k allocationKey) int64 { return n.config.current.Urgency(c.pending[k].Queue) }
-	slices.SortFunc(keys, func(a, b allocationKey) int {
-		return cmp.Or(cmp.Compare(urgency(b), urgency(a)), cmp.Compare(c.pending[a].SubmittedMs, c.pending[b].SubmittedMs),
-			cmp.Compare(a.Job, b.Job), cmp.Compare(a.Step, b.Step))
-	})
-	var rooms []*candidateWorker
-	for _, name := range sorted(c.workers) {
-		w := c.workers[name]
-		if n.now-w.heardMs < contactMs && w.Rebuilt && w.Fresh && !w.Leaving && !n.config.current.EmptyZones[w.Zone] {
-			p := c.granted(name)
-			rooms = append(rooms, &candidateWorker{name: name, guaranteed: w.Capacity.Minus(w.guaranteed).Minus(p), free: w.Capacity.Minus(w.busy).Minus(p), w: w})
-		}
-	}
+	rooms := n.candidateWorkers(c)
 	reserved, idle := map[string]bool{}, mostlyIdle(rooms)
 	for _, k := range keys {
 		ws := c.pending[k]
@@ -52,44 +35,98 @@
 		if q == nil {
 			continue
 		}
-		var fit, sound []*candidateWorker
-		for _, r := range rooms {
-			if _, lack := configuration.MissingLabel(r.w.Labels, ws.Needs); !lack && q.Matches(r.w.Labels, r.w.Zone) && ws.Resources.Fits(r.w.Capacity) {
-				fit = append(fit, r)
-				if r.w.unhealthyUntilMs <= n.now && !r.w.Suspect {
-					sound = append(sound, r)
-				}
+		fit, healthy := n.fittingWorkers(ws, q, rooms)
+		search := n.newAssignmentSearch(ws, q, reserved)
+		places := search.find(healthy)
+		if len(places) == 0 && idle && n.now-ws.firstMs > backfillMs { // no room is kept back from what waited this long while most of it is free
+			search.reserved, search.urgent, search.anyRack = nil, true, true
+			if places = search.find(healthy); len(places) == 0 {
+				places = search.find(fit)
 			}
 		}
-		if len(sound) == 0 { // unsound workers only where nothing else may ever do
-			sound = fit
-		}
-		f := &assignmentSearch{n: n, ws: ws, used: map[string]int32{}, reserved: reserved, urgent: q.Urgency >= n.config.current.Highest}
-		for _, u := range ws.Used {
-			f.used[u.Worker] += u.Count
+		if len(places) == 0 {
+			n.reserve(ws, healthy, reserved, len(rooms))
+			continue
 		}
-		for _, g := range ws.granted {
-			f.used[g.worker]++
+		n.sendAllocation(c, ws, places)
+	}
+}
+
+// pendingInOrder gives the requests with open tasks: by the queue's urgency, then the job's age.
+func (n *node) pendingInOrder(c *central) (keys []allocationKey) {
+	for k, ws := range c.pending {
+		if len(ws.open()) > 0 {
+			keys = append(keys, k)
 		}
-		places := f.find(sound)
-		if len(places) == 0 && idle && n.now-ws.firstMs > backfillMs { // no room is kept back from what waited this long while most of it is free
-			f.reserved, f.urgent, f.anyRack = nil, true, true
-			if places = f.find(sound); len(places) == 0 {
-				places = f.find(fit)
-			}
+	}
+	urgency := func(k allocationKey) int64 { return n.config.current.Urgency(c.pending[k].Queue) }
+	slices.SortFunc(keys, func(a, b allocationKey) int {
+		return cmp.Or(cmp.Compare(urgency(b), urgency(a)), cmp.Compare(c.pending[a].SubmittedMs, c.pending[b].SubmittedMs),
+			cmp.Compare(a.Job, b.Job), cmp.Compare(a.Step, b.Step))
+	})
+	return keys
+}
+
+// candidateWorkers gives the workers that may get work now, with the room they have.
+func (n *node) candidateWorkers(c *central) (rooms []*candidateWorker) {
+	for _, name := range sorted(c.workers) {
+		w := c.workers[name]
+		if n.now-w.heardMs >= contactMs || !w.Rebuilt || !w.Fresh || w.Leaving || n.config.current.EmptyZones[w.Zone] {
+			continue
 		}
-		if len(places) == 0 {
-			n.reserve(ws, sound, reserved, len(rooms))
+		granted := c.granted(name)
+		rooms = append(rooms, &candidateWorker{
+			name:       name,
+			guaranteed: w.Capacity.Minus(w.guaranteed).Minus(granted),
+			free:       w.Capacity.Minus(w.busy).Minus(granted),
+			w:          w,
+		})
+	}
+	return rooms
+}
+
+// fittingWorkers gives the workers that a request's queue, labels and size allow, and those of
+// them that are healthy: unhealthy ones count only where nothing else may ever do.
+func (n *node) fittingWorkers(ws *pendingAllocation, q *configuration.Queue, rooms []*candidateWorker) (fit, healthy []*candidateWorker) {
+	for _, r := range rooms {
+		_, lack := configuration.MissingLabel(r.w.Labels, ws.Needs)
+		if lack || !q.Matches(r.w.Labels, r.w.Zone) || !ws.Resources.Fits(r.w.Capacity) {
 			continue
 		}
-		m := &wire.Allocation{Shard: ws.Shard, Job: ws.Job, Epoch: c.epoch}
-		for _, p := range places {
-			m.Places = append(m.Places, wire.AllocatedTask{Task: p.task.Task, Attempt: p.task.Attempt, Worker: p.at.name})
-			ws.granted[p.task.Task] = grantedTask{p.task.Attempt, p.at.name, n.now}
-			n.count("grants")
+		fit = append(fit, r)
+		if r.w.unhealthyUntilMs <= n.now && !r.w.Suspect {
+			healthy = append(healthy, r)
 		}
-		n.send(ws.from, m)
 	}
+	if len(healthy) == 0 {
+		healthy = fit
+	}
+	return fit, healthy
+}
+
+func (n *node) newAssignmentSearch(ws *pendingAllocation, q *configuration.Queue, reserved map[string]bool) *assignmentSearch {
+	search := &assignmentSearch{
+		n: n, ws: ws, used: map[string]int32{}, reserved: reserved,
+		urgent: q.Urgency >= n.config.current.Highest,
+	}
+	for _, u := range ws.Used {
+		search.used[u.Worker] += u.Count
+	}
+	for _, g := range ws.granted {
+		search.used[g.worker]++
+	}
+	return search
+}
+
+// sendAllocation notes what is granted, and tells the request's owner.
+func (n *node) sendAllocation(c *central, ws *pendingAllocation, places []assignment) {
+	m := &wire.Allocation{Shard: ws.Shard, Job: ws.Job, Epoch: c.epoch}
+	for _, p := range places {
+		m.Places = append(m.Places, wire.AllocatedTask{Task: p.task.Task, Attempt: p.task.Attempt, Worker: p.at.name})
+		ws.granted[p.task.Task] = grantedTask{p.task.Attempt, p.at.name, n.now}
+		n.count("grants")
+	}
+	n.send(ws.from, m)
 }
 
 // mostlyIdle tells whether little more than half of the room is in use, in some
--- a/internal/daemon/heartbeat.go
+++ b/internal/daemon/heartbeat.go
@@ -151,88 +151,123 @@
 	return some
 }
 
+// endedList is what a heartbeat lists as ended.
+type endedList struct {
+	keys    map[wire.AttemptKey]bool
+	count   int   // also of what isn't one of ours
+	first   int64 // lowest number
+	lapsed  int64 // highest number of a lapse: what ended before it ended before that lapse
+	changed bool
+}
+
 // applyHeartbeatLists brings what is held in line with what the worker lists; missed says
-// that no beat was heard for so long that nobody knows when it came about.
+// that no heartbeat was heard for so long that nobody knows when it came about.
 func (n *node) applyHeartbeatLists(ag *agent, r gjson.Result, missed bool) (changed bool) {
-	running, ended := map[wire.AttemptKey]bool{}, map[wire.AttemptKey]bool{}
+	running := map[wire.AttemptKey]bool{}
 	r.Get("running").ForEach(func(_, e gjson.Result) bool {
-		key, ok := runOf(e)
-		if !ok {
-			return true
-		}
-		running[key] = true
-		h := ag.attempts[key]
-		if h == nil {
-			h = &attempt{state: wire.AttemptOrdered, unknown: true, ordered: true, unobserved: true, orderedMs: n.now, adoptedMs: n.now, spec: wire.TaskSpec{Key: key}, confirmedMs: -1 << 40}
-			ag.attempts[key] = h
-			changed = true
-		}
-		if h.state != wire.AttemptRunning {
-			if h.state == wire.AttemptEnded {
-				n.log("attempt_runs_after_end", "attempt", key.String(), "worker", ag.worker)
-			}
-			changed = changed || h.spec.Gang
-			h.state, h.ordered, h.startedMs, h.movedMs = wire.AttemptRunning, true, n.now, n.now
-			h.unobserved = h.unobserved || missed
-		}
-		if p := e.Get("percent").Int(); p != h.percent {
-			h.percent, h.movedMs = p, n.now
-		}
-		if saved := e.Get("saved").Str; saved != "" {
-			h.spec.Saved = saved
+		if key, ok := runOf(e); ok {
+			running[key] = true
+			changed = n.applyRunning(ag, key, e, missed) || changed
 		}
 		return true
 	})
-	first, lapsed, count := int64(0), int64(0), 0
+	ended := &endedList{keys: map[wire.AttemptKey]bool{}}
 	r.Get("ended").ForEach(func(_, e gjson.Result) bool {
-		number, outcome := e.Get("n").Int(), e.Get("outcome").Str
-		count++
-		if first == 0 || number < first {
-			first = number
-		}
-		if outcome == "lapsed" { // what ended before it ended before that lapse
-			lapsed = max(lapsed, number)
-		}
-		key, ok := runOf(e)
-		if !ok || !heartbeatOutcomes[outcome] {
-			ag.ends[number] = wire.AttemptKey{}
-			return true
-		}
-		ended[key], ag.ends[number] = true, key
-		if _, buried := ag.tombstones[key]; buried && ag.attempts[key] == nil {
-			return true
-		}
-		h := ag.attempts[key]
-		if h == nil { // of a former agent, that may have been cut off for long
-			h = &attempt{state: wire.AttemptOrdered, unknown: true, ordered: true, unobserved: true, startedMs: n.now, adoptedMs: n.now, spec: wire.TaskSpec{Key: key}, confirmedMs: -1 << 40}
-			h.lateEnd = finalOutcomes[outcome]
-			ag.attempts[key] = h
-		}
-		if saved := e.Get("saved").Str; saved != "" {
-			h.spec.Saved = saved
-		}
-		if lost := h.state == wire.AttemptEnded && h.result == wire.ResultLost && !h.acked && finalOutcomes[outcome]; h.state != wire.AttemptEnded || lost {
-			// A run given up as lost that ended by itself after all: its owner says whether it still counts.
-			h.lateEnd = (h.lateEnd || lost) && !h.voided
-			changed = true
-			h.unobserved = h.unobserved || missed
-			n.endAttempt(ag, h, outcome, max(n.now-max(h.startedMs, h.orderedMs), 1))
-		}
+		n.applyEnded(ag, ended, e, missed)
 		return true
 	})
 	for number, key := range ag.ends {
-		if h := ag.attempts[key]; number < lapsed && h != nil {
+		if h := ag.attempts[key]; number < ended.lapsed && h != nil {
 			h.lateEnd, h.voided = false, true
 		}
 	}
-	if first > 0 && ag.acknowledgedEnds < first-1 {
-		ag.acknowledgedEnds = first - 1
+	if ended.first > 0 && ag.acknowledgedEnds < ended.first-1 {
+		ag.acknowledgedEnds = ended.first - 1
+	}
+	return n.endUnlisted(ag, running, ended) || ended.changed || changed
+}
+
+// adoptUnknown takes a run that only the worker knew of, as a former agent had ordered it.
+func (ag *agent) adoptUnknown(key wire.AttemptKey, now int64) *attempt {
+	h := &attempt{
+		state: wire.AttemptOrdered, unknown: true, ordered: true, unobserved: true,
+		adoptedMs: now, spec: wire.TaskSpec{Key: key}, confirmedMs: -1 << 40,
+	}
+	ag.attempts[key] = h
+	return h
+}
+
+// applyRunning applies one run that a heartbeat lists as running.
+func (n *node) applyRunning(ag *agent, key wire.AttemptKey, e gjson.Result, missed bool) (changed bool) {
+	h := ag.attempts[key]
+	if h == nil {
+		h = ag.adoptUnknown(key, n.now)
+		h.orderedMs = n.now
+		changed = true
+	}
+	if h.state != wire.AttemptRunning {
+		if h.state == wire.AttemptEnded {
+			n.log("attempt_runs_after_end", "attempt", key.String(), "worker", ag.worker)
+		}
+		changed = changed || h.spec.Gang
+		h.state, h.ordered, h.startedMs, h.movedMs = wire.AttemptRunning, true, n.now, n.now
+		h.unobserved = h.unobserved || missed
+	}
+	if p := e.Get("percent").Int(); p != h.percent {
+		h.percent, h.movedMs = p, n.now
+	}
+	if saved := e.Get("saved").Str; saved != "" {
+		h.spec.Saved = saved
+	}
+	return changed
+}
+
+// applyEnded applies one run that a heartbeat lists as ended.
+func (n *node) applyEnded(ag *agent, list *endedList, e gjson.Result, missed bool) {
+	number, outcome := e.Get("n").Int(), e.Get("outcome").Str
+	list.count++
+	if list.first == 0 || number < list.first {
+		list.first = number
+	}
+	if outcome == "lapsed" {
+		list.lapsed = max(list.lapsed, number)
+	}
+	key, ok := runOf(e)
+	if !ok || !heartbeatOutcomes[outcome] {
+		ag.ends[number] = wire.AttemptKey{}
+		return
+	}
+	list.keys[key], ag.ends[number] = true, key
+	h := ag.attempts[key]
+	if _, buried := ag.tombstones[key]; buried && h == nil {
+		return
+	}
+	if h == nil { // of a former agent, that may have been cut off for long
+		h = ag.adoptUnknown(key, n.now)
+		h.startedMs = n.now
+		h.lateEnd = finalOutcomes[outcome]
 	}
+	if saved := e.Get("saved").Str; saved != "" {
+		h.spec.Saved = saved
+	}
+	// A run given up as lost that ended by itself after all: its owner says whether it still counts.
+	lost := h.state == wire.AttemptEnded && h.result == wire.ResultLost && !h.acked && finalOutcomes[outcome]
+	if h.state != wire.AttemptEnded || lost {
+		h.lateEnd = (h.lateEnd || lost) && !h.voided
+		list.changed = true
+		h.unobserved = h.unobserved || missed
+		n.endAttempt(ag, h, outcome, max(n.now-max(h.startedMs, h.orderedMs), 1))
+	}
+}
+
+// endUnlisted ends what the worker no longer lists, and forgets what is acknowledged.
+func (n *node) endUnlisted(ag *agent, running map[wire.AttemptKey]bool, ended *endedList) (changed bool) {
 	for _, key := range ag.keys() {
 		h := ag.attempts[key]
 		h.listed = running[key]
+		mayBeCutShort := ended.count >= endsPage // there may be more than it could list
 		switch {
-		case running[key] || ended[key] || count >= endsPage && h.state == wire.AttemptRunning: // there may be more than it could list
+		case running[key] || ended.keys[key] || mayBeCutShort && h.state == wire.AttemptRunning:
 		case h.state == wire.AttemptOrdered && h.orderSeq < ag.reportSeq:
 			h.state, h.result, changed = wire.AttemptEnded, wire.ResultRejected, true
 			n.count("starts_not_taken")
@@ -375,44 +410,22 @@
 	}
 }
 
+// tickColocatedAgent ends what silence of the worker or of owners ends, and reports.
 func (n *node) tickColocatedAgent(ag *agent) {
-	changed := false
-	if n.now > ag.lapseUntilMs && ag.lapseUntilMs != 0 { // the hold has lapsed: late ends may go
-		ag.lapseUntilMs = 0
-		changed = n.loseAttempts(ag)
-		ag.voidEnds()
-	}
-	if ag.rebuilt && !ag.replaced && (n.now > ag.holdUntilMs+lapseMarginMs && n.now-ag.heardMs > lapseMarginMs || ag.goneMs != 0 && n.now > ag.goneMs) {
-		if ag.goneMs == 0 {
-			ag.voidEnds()
-		}
-		if n.loseAttempts(ag) {
-			changed = true
-			n.log("worker_silent", "worker", ag.worker, "silent_ms", n.now-ag.heardMs)
-		}
-	}
+	changed := n.endAfterSilence(ag)
 	for _, key := range ag.keys() {
 		h := ag.attempts[key]
+		active := h.state == wire.AttemptRunning || h.state == wire.AttemptOrdered
 		switch {
 		case h.state == wire.AttemptQueued && (n.now-ag.heardMs > contactMs || ag.goneMs != 0):
 			h.state, h.result, changed = wire.AttemptEnded, wire.ResultShed, true
-		case (h.state == wire.AttemptRunning || h.state == wire.AttemptOrdered) && h.stopMs == 0 && n.now > max(h.confirmedMs+ownerSpanMs, h.adoptedMs+ownerSpanMs)-staleStopMs:
+		case active && h.stopMs == 0 && n.now > max(h.confirmedMs+ownerSpanMs, h.adoptedMs+ownerSpanMs)-staleStopMs:
 			n.count("stale_stops")
 			n.stopAttempt(ag, h, wire.ResultLost)
 		}
 	}
-	for k, at := range ag.tombstones {
-		if n.now-at > tombstoneMs && ag.attempts[k] == nil {
-			delete(ag.tombstones, k)
-		}
-	}
-	if n.now >= ag.decayAt {
-		ag.decayAt = n.now + 10_000
-		ag.succeeded, ag.failed = ag.succeeded*3/4, ag.failed*3/4
-		if n.now > ag.suspectMs+10_000 {
-			ag.suspects = max(0, ag.suspects-1)
-		}
-	}
+	n.dropOldTombstones(ag)
+	n.decayHealth(ag)
 	waits := slices.ContainsFunc(ag.keys(), func(k wire.AttemptKey) bool {
 		h := ag.attempts[k]
 		return h.state == wire.AttemptQueued && n.now-h.queuedMs > recallMs
@@ -420,11 +433,45 @@
 	if changed || n.now >= ag.syncAt || waits && n.now >= ag.syncAt-syncMs/2 {
 		n.reportAgent(ag)
 	}
-	if over := ag.replaced || ag.goneMs != 0; over && n.now-ag.heardMs > workerKeepMs || over && !slices.ContainsFunc(ag.keys(), func(k wire.AttemptKey) bool { return !ag.attempts[k].acked }) && n.now-ag.heardMs > contactMs {
+	if n.isFinished(ag) {
 		delete(n.agents, ag.worker)
 	}
 }
 
+// endAfterSilence gives up what the worker held once its hold has surely lapsed, or it is gone.
+func (n *node) endAfterSilence(ag *agent) (changed bool) {
+	if n.now > ag.lapseUntilMs && ag.lapseUntilMs != 0 { // the hold has lapsed: late ends may go
+		ag.lapseUntilMs = 0
+		changed = n.loseAttempts(ag)
+		ag.voidEnds()
+	}
+	silent := n.now > ag.holdUntilMs+lapseMarginMs && n.now-ag.heardMs > lapseMarginMs
+	gone := ag.goneMs != 0 && n.now > ag.goneMs
+	if !ag.rebuilt || ag.replaced || !silent && !gone {
+		return changed
+	}
+	if ag.goneMs == 0 {
+		ag.voidEnds()
+	}
+	if n.loseAttempts(ag) {
+		changed = true
+		n.log("worker_silent", "worker", ag.worker, "silent_ms", n.now-ag.heardMs)
+	}
+	return changed
+}
+
+// isFinished tells whether an agent whose worker is gone or replaced has nothing left to tell.
+func (n *node) isFinished(ag *agent) bool {
+	if !ag.replaced && ag.goneMs == 0 {
+		return false
+	}
+	if n.now-ag.heardMs > workerKeepMs {
+		return true
+	}
+	unacknowledged := func(k wire.AttemptKey) bool { return !ag.attempts[k].acked }
+	return !slices.ContainsFunc(ag.keys(), unacknowledged) && n.now-ag.heardMs > contactMs
+}
+
 // handleWorkerGone takes a worker's word that it ends now.
 func (n *node) handleWorkerGone(a *request) {
 	if ag := n.agents[a.key]; ag != nil && ag.colocated && ag.goneMs == 0 {
--- a/internal/daemon/job.go
+++ b/internal/daemon/job.go
@@ -245,89 +245,131 @@
 	if f := schema.Check(body, jobFields); len(f) > 0 {
 		return nil, f
 	}
-	var faults []schema.Fault
-	bad := func(path, reason string) { faults = append(faults, schema.Fault{Path: path, Reason: reason}) }
 	root := gjson.ParseBytes(body)
-	var flat bytes.Buffer
-	_ = json.Compact(&flat, body)
-	sum := sha256.Sum256(flat.Bytes()) // half of it tells bodies apart well enough
-	j := &job{ID: id, Queue: orText(queue, root.Get("queue").Str), Digest: sum[:16], DueMs: root.Get("due_ms").Int(), DelayMs: root.Get("delay_ms").Int(),
-		Payload: []byte(root.Get("payload").Raw), Rounds: int32(root.Get("rounds").Int()), FirstMs: root.Get("first_ms").Int(), PeriodMs: root.Get("period_ms").Int()}
-	if j.Queue == "" {
-		bad("queue", "is missing")
+	p := &jobParser{index: map[string]int32{}, job: &job{
+		ID: id, Queue: orText(queue, root.Get("queue").Str), Digest: bodyDigest(body),
+		DueMs: root.Get("due_ms").Int(), DelayMs: root.Get("delay_ms").Int(),
+		Payload: []byte(root.Get("payload").Raw), Rounds: int32(root.Get("rounds").Int()),
+		FirstMs: root.Get("first_ms").Int(), PeriodMs: root.Get("period_ms").Int(),
+	}}
+	if p.job.Queue == "" {
+		p.fault("queue", "is missing")
 	}
 	if root.Get("due_ms").Exists() && root.Get("delay_ms").Exists() {
-		bad("delay_ms", "can't stand beside due_ms")
+		p.fault("delay_ms", "can't stand beside due_ms")
 	}
-	index := map[string]int32{}
-	steps := root.Get("steps").Array()
+	p.parseSteps(root.Get("steps").Array())
+	p.openFirstRound()
+	p.checkSteps()
+	if len(p.faults) > 0 {
+		return nil, p.faults
+	}
+	return p.job, nil
+}
+
+// bodyDigest tells bodies apart that differ in more than blanks: half of a SHA-256 does it well enough.
+func bodyDigest(body []byte) []byte {
+	var flat bytes.Buffer
+	_ = json.Compact(&flat, body)
+	sum := sha256.Sum256(flat.Bytes())
+	return sum[:16]
+}
+
+// jobParser fills a job from its body and collects what is wrong with it.
+type jobParser struct {
+	job    *job
+	index  map[string]int32 // of the steps, by name
+	faults []schema.Fault
+}
+
+func (p *jobParser) fault(path, reason string) {
+	p.faults = append(p.faults, schema.Fault{Path: path, Reason: reason})
+}
+
+func (p *jobParser) parseSteps(steps []gjson.Result) {
 	for i, s := range steps {
 		name := s.Get("name").Str
-		if _, ok := index[name]; ok {
-			bad(fmt.Sprintf("steps.%d.name", i), "stands twice")
+		if _, ok := p.index[name]; ok {
+			p.fault(fmt.Sprintf("steps.%d.name", i), "stands twice")
 		}
-		index[name] = int32(i)
+		p.index[name] = int32(i)
 	}
 	for i, s := range steps {
-		st := jobStep{Name: s.Get("name").Str}
-		for k, a := range s.Get("after").Array() {
-			at, ok := index[a.Str]
-			if !ok {
-				bad(fmt.Sprintf("steps.%d.after.%d", i, k), "names no step")
-				continue
-			}
-			st.After = append(st.After, at)
-		}
-		list, count := s.Get("tasks"), s.Get("count")
-		if list.Exists() == count.Exists() {
-			bad(fmt.Sprintf("steps.%d", i), "has either tasks or a count")
+		p.parseStep(i, s)
+	}
+}
+
+func (p *jobParser) parseStep(i int, s gjson.Result) {
+	st := jobStep{Name: s.Get("name").Str}
+	for k, a := range s.Get("after").Array() {
+		at, ok := p.index[a.Str]
+		if !ok {
+			p.fault(fmt.Sprintf("steps.%d.after.%d", i, k), "names no step")
 			continue
 		}
-		st.Size = int32(len(list.Array()))
-		if count.Exists() {
-			st.alike(s)
-		}
-		j.Steps = append(j.Steps, st)
-		names := map[string]bool{}
-		for k, t := range s.Get("tasks").Array() {
-			path := fmt.Sprintf("steps.%d.tasks.%d", i, k)
-			if names[t.Get("name").Str] {
-				bad(path+".name", "stands twice in its step")
-			}
-			names[t.Get("name").Str] = true
-			allowed := int32(-1)
-			if a := t.Get("allowed_failures"); a.Exists() {
-				allowed = int32(a.Int())
-			}
-			j.Tasks = append(j.Tasks, task{Step: int32(i), InStep: int32(k), Name: t.Get("name").Str, Resources: resource.Parse(t.Get("room")),
-				Needs: labelsOf(t.Get("labels")), LimitMs: t.Get("limit_ms").Int(), HintMs: t.Get("estimate_ms").Int(),
-				Allowed: allowed, Payload: []byte(t.Get("payload").Raw)})
-		}
+		st.After = append(st.After, at)
+	}
+	list, count := s.Get("tasks"), s.Get("count")
+	if list.Exists() == count.Exists() {
+		p.fault(fmt.Sprintf("steps.%d", i), "has either tasks or a count")
+		return
+	}
+	st.Size = int32(len(list.Array()))
+	if count.Exists() {
+		st.alike(s)
 	}
-	if j.placed() {
-		if len(j.Tasks) > 0 {
-			bad("steps", "have tasks in some and counts in others")
+	p.job.Steps = append(p.job.Steps, st)
+	p.parseTasks(i, list.Array())
+}
+
+// parseTasks reads the tasks of a step that lists them.
+func (p *jobParser) parseTasks(step int, tasks []gjson.Result) {
+	names := map[string]bool{}
+	for k, t := range tasks {
+		name := t.Get("name").Str
+		if names[name] {
+			p.fault(fmt.Sprintf("steps.%d.tasks.%d.name", step, k), "stands twice in its step")
 		}
-		j.Tasks = nil
-		if j.Rounds == 0 && len(faults) == 0 && j.roundSize() <= configuration.MaxTasks {
-			j.openRound()
+		names[name] = true
+		allowed := int32(-1)
+		if a := t.Get("allowed_failures"); a.Exists() {
+			allowed = int32(a.Int())
 		}
-	} else {
+		p.job.Tasks = append(p.job.Tasks, task{
+			Step: int32(step), InStep: int32(k), Name: name, Resources: resource.Parse(t.Get("room")),
+			Needs: labelsOf(t.Get("labels")), LimitMs: t.Get("limit_ms").Int(), HintMs: t.Get("estimate_ms").Int(),
+			Allowed: allowed, Payload: []byte(t.Get("payload").Raw),
+		})
+	}
+}
+
+// openFirstRound opens the only round of a job that has no rounds, and checks that a job
+// either lists its tasks or counts them.
+func (p *jobParser) openFirstRound() {
+	j := p.job
+	if !j.placed() {
 		j.Opened = 1
 		if j.Rounds > 0 {
-			bad("rounds", "needs steps with a count")
+			p.fault("rounds", "needs steps with a count")
 		}
+		return
+	}
+	if len(j.Tasks) > 0 {
+		p.fault("steps", "have tasks in some and counts in others")
 	}
-	if len(j.Tasks) > configuration.MaxTasks || j.roundSize() > configuration.MaxTasks {
-		bad("steps", fmt.Sprintf("have more than %d tasks together", configuration.MaxTasks))
+	j.Tasks = nil
+	if j.Rounds == 0 && len(p.faults) == 0 && j.roundSize() <= configuration.MaxTasks {
+		j.openRound()
 	}
-	if at, ok := cycle(j.Steps); ok {
-		bad(fmt.Sprintf("steps.%d.after", at), "waits in a circle")
+}
+
+func (p *jobParser) checkSteps() {
+	if len(p.job.Tasks) > configuration.MaxTasks || p.job.roundSize() > configuration.MaxTasks {
+		p.fault("steps", fmt.Sprintf("have more than %d tasks together", configuration.MaxTasks))
 	}
-	if len(faults) > 0 {
-		return nil, faults
+	if at, ok := cycle(p.job.Steps); ok {
+		p.fault(fmt.Sprintf("steps.%d.after", at), "waits in a circle")
 	}
-	return j, nil
 }
 
 // alike reads the specification that all tasks of a step share.
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -120,6 +120,7 @@
 	openAheadMs   = 400    // a round is written down this long before it is due
 	goneMs        = 500    // a worker that said it goes has ended this long after
 	leaveStopMs   = 800    // so long before its worker leaves, work that saves is stopped, to go on elsewhere
+	healthDecayMs = 10_000 // the ends of a worker's runs, and suspicions of it, count for less after each such time
 	workerKeepMs  = 60_000 // a worker's agent whose worker is gone keeps the ends nobody took note of for this long
 )
 
