--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -12,8 +12,8 @@
 type admission struct {
 	job   *job
 	queue *configuration.Queue
-	live  int // live jobs of this queue in the slice
-	all   int // live jobs of the slice
+	live  int // live jobs of this queue in the shard
+	all   int // live jobs of the shard
 	bytes int // of their records, with this one
 	base  bool
 	batch bool
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// admit runs an ask for a job through its queue's rules.
+// admit runs a request for a job through its queue's rules.
 func admit(c *admission) *rejection {
 	for _, r := range c.queue.Admission {
 		if b := ruleOps[r.Op](c, r.N); b != nil {
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -8,6 +8,17 @@
 	"otterchute/internal/wire"
 )
 
+const (
+	agentIdleMs   = 600_000 // an agent whose worker is silent and owes nothing lets go
+	tombstoneMs   = 6000    // dropped attempts are remembered longer than any placement stays fresh
+	agentQueueMax = 400     // unstarted tasks an agent holds before it rejects
+	bypassMs      = 3000    // queued tasks may overtake a larger head for this long, no longer
+	healthDecayMs = 10_000  // the ends of a worker's runs, and suspicions of it, count for less after each such time
+	syncMs        = 300     // agents tell owners and the central scheduler all they hold
+	reportMs      = 1500    // a worker's word must be this fresh; leaving must bite in 2 s
+	flightMs      = 700     // an order that has not been answered by then is closed and unconfirmed
+)
+
 // agent is the only giver of one worker's orders and the guard of its room.
 type agent struct {
 	worker  string
@@ -29,7 +40,7 @@
 
 	attempts   map[wire.AttemptKey]*attempt
 	tombstones map[wire.AttemptKey]int64
-	owners     map[string]uint64 // slice -> highest owner epoch heard
+	owners     map[string]uint64 // shard -> highest owner epoch heard
 	lastOK     int64
 	syncAt     int64
 	succeeded  int64
@@ -42,7 +53,7 @@
 	holdUntilMs      int64 // all that runs there has surely ended by then, if no beat comes
 	acknowledgedEnds int64 // ends up to this number were taken note of
 	ends             map[int64]wire.AttemptKey
-	ownerMs          map[string]int64 // slice -> our clock at the last sync that its owner answered
+	ownerMs          map[string]int64 // shard -> our clock at the last sync that its owner answered
 	toStart          []*attempt       // what the answer to this beat starts
 	answering        bool             // a beat is being answered
 	goneMs           int64            // it said that it goes; 0 if not
--- a/internal/daemon/agent_dispatch.go
+++ b/internal/daemon/agent_dispatch.go
@@ -10,6 +10,12 @@
 	"otterchute/internal/wire"
 )
 
+const (
+	// a queueable task of a more urgent queue waits this long, and may be called back meanwhile,
+	// before it pushes others out
+	urgentWaitMs = 350
+)
+
 func (n *node) stopAttempt(ag *agent, h *attempt, why wire.AttemptResult) {
 	if h.stopMs == 0 {
 		h.stopMs, h.stopReason = n.now, why
--- a/internal/daemon/agent_report.go
+++ b/internal/daemon/agent_report.go
@@ -50,7 +50,7 @@
 }}
 
 // routeReport brings a worker's report to its agent, and where it has none lets
-// the candidate of the worker's site become it.
+// the candidate of the worker's zone become it.
 func (n *node) routeReport(a *request) {
 	name := lease.AgentRole(a.key)
 	if ag := n.agents[a.key]; ag != nil && n.leases.Holds(name) {
--- a/internal/daemon/agent_sync.go
+++ b/internal/daemon/agent_sync.go
@@ -125,7 +125,7 @@
 	return tq + tr + (now - ag.lastOK), tq, queued
 }
 
-// reportAgent tells each slice's owner and the central scheduler all it holds.
+// reportAgent tells each shard's owner and the central scheduler all it holds.
 func (n *node) reportAgent(ag *agent) {
 	ag.syncAt = n.now + syncMs
 	if !n.isActiveAgent(ag) && !ag.replaced {
--- a/internal/daemon/allocate.go
+++ b/internal/daemon/allocate.go
@@ -10,6 +10,17 @@
 	"otterchute/internal/wire"
 )
 
+const (
+	reserveMs     = 4000   // the longest-waiting firm task holds a worker back after this
+	regrantMs     = 400    // a place still wanted this long after its grant was not taken
+	spreadAfterMs = 1500   // a gang that wants one rack takes several after this, at the earliest
+	rackWaitShare = 50     // percent of what its run takes longer over several that it waits for one
+	rackWaitMost  = 15_000 // ms, and no longer than this
+	urgentRoom    = 12     // percent of a worker that firm work of lesser queues leaves to the most urgent ones
+	busyPercent   = 55     // of all room in use: below it no reservation holds, for a job must not wait beside idle workers
+	backfillMs    = 2000   // against anything that waited this long
+)
+
 // candidateWorker is a worker as the central scheduler sees it while it grants.
 type candidateWorker struct {
 	name             string
--- a/internal/daemon/attempt_result.go
+++ b/internal/daemon/attempt_result.go
@@ -4,6 +4,11 @@
 	"otterchute/internal/wire"
 )
 
+const (
+	backoffMs  = 500    // base wait of a failing task's next attempt, doubled each time
+	backoffMax = 30_000 // ms; the longest such wait
+)
+
 // resolveAttempt applies how an attempt ended to its task.
 func (n *node) resolveAttempt(sl *shard, js *jobState, i int, result wire.AttemptResult, ranMs int64) {
 	t, rt := &js.Tasks[i], &js.runtime[i]
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -12,9 +12,28 @@
 	"otterchute/internal/wire"
 )
 
+const (
+	batchPlanMs  = 2000 // batches are planned anew at this pace; far below batchMarginMs
+	batchLearnMs = 2500 // a new owner hears all agents first, or the room would look small and all jobs late
+	// percent of the time a batch needs that is kept for it: it is pushed out, runs off its guess,
+	// finds half the room
+	batchSlack      = 200
+	batchMarginMs   = 60_000 // and beside that: a lost worker, a takeover and another attempt
+	batchHeadroom   = 25     // percent of a worker that stays free when a batch task starts there
+	batchLowMs      = 3000   // batches count on room that was left for so long at the least
+	batchStartsTick = 4      // batch tasks a shard places in one tick
+	batchTriesTick  = 64     // and those it looks for a place for
+	batchAgainMs    = 400    // a task that found no place is looked at again after this, about
+	batchCalmMs     = 1500   // so long after a more urgent task found no place none is placed
+	batchCalmShare  = 4      // nor while something waits at one in so many workers
+	batchWaitMs     = 300    // a batch task that can't start at its worker by then goes back
+	batchBackMs     = 1500   // and one that was pushed out waits this long, up to twice
+	batchRecords    = 50     // percent of a shard's records that may be full when a batch is taken
+)
+
 // Batch queues: work that may wait for the cheapest hours of a contract, and
 // that never takes room from anything more urgent. All that is decided here is
-// a function of the job's record, the setup in force, the fleet's time and what
+// a function of the job's record, the configuration in force, the fleet's time and what
 // agents last told; a new owner comes to the same.
 
 // batchPlan is when a job's tasks may start, by the fleet's time.
@@ -96,7 +115,7 @@
 	n.planBatches(sl)
 }
 
-// planBatches plans all batch jobs of a slice anew, those that must finish first
+// planBatches plans all batch jobs of a shard anew, those that must finish first
 // first: each needs the time of its longest chain, and that of all the work that
 // must be done before it in the room that batches may have.
 func (n *node) planBatches(sl *shard) {
@@ -132,7 +151,7 @@
 			room[e.js.Queue] = all
 		}
 		chain, work := n.batchNeed(e.js, all)
-		ahead += work * float64(max(1, len(n.core.Shards))) // the other slices hold as much
+		ahead += work * float64(max(1, len(n.core.Shards))) // the other shards hold as much
 		need := (int64(ahead)+chain)*batchSlack/100 + batchMarginMs
 		p := planBatch(e.r, e.js.ID, e.from, wall, need)
 		if p.Must && (e.js.plan == nil || !e.js.plan.Must) {
@@ -192,8 +211,8 @@
 	return js.plan != nil && js.plan.mayStart(wall, n.estimateMs(js, t))
 }
 
-// shortOfRoom tells whether more urgent work waits: of this slice for a place, of
-// any slice for a firm one, or at many of the workers.
+// shortOfRoom tells whether more urgent work waits: of this shard for a place, of
+// any shard for a firm one, or at many of the workers.
 func (n *node) shortOfRoom(sl *shard) bool {
 	if sl.starvedMs != 0 && n.now-sl.starvedMs < batchCalmMs || n.ranks.short && n.now-n.ranks.heardMs < rankStaleMs {
 		return true
@@ -239,6 +258,39 @@
 	return sum
 }
 
+// batchPart tells whether a batch task fits at a worker within the batches' share and beside
+// what is kept for more urgent work, and what part of the worker its queue's batches hold: the
+// worker with the least of that is chosen.
+func (n *node) batchPart(sl *shard, js *jobState, t *task, worker string, sharePercent int64) (part float64, fits bool) {
+	w := n.workers[worker]
+	kept := w.capacity.Share(batchHeadroom)
+	if js.plan.Must {
+		kept = resource.Amount{}
+	}
+	if !t.Resources.Plus(kept).Fits(n.freeAt(sl, worker, w)) {
+		return 0, false
+	}
+	if !js.plan.Must && !n.batchLoad(sl, "", worker).Plus(t.Resources).Plus(kept).Fits(w.spare.least()) {
+		return 0, false
+	}
+	load := n.batchLoad(sl, js.Queue, worker)
+	if !load.Plus(t.Resources).Fits(w.capacity.Share(sharePercent)) {
+		return 0, false
+	}
+	part = float64(load.CPU) / float64(max(w.capacity.CPU, 1))
+	if w.capacity.Memory > 0 {
+		part = max(part, float64(load.Memory)/float64(w.capacity.Memory))
+	}
+	if js.plan.Must { // where most is free: there it is pushed out the least
+		free := n.freeAt(sl, worker, w)
+		part = 1 - float64(free.CPU)/float64(max(w.capacity.CPU, 1))
+	}
+	if worker == t.Last {
+		part++ // it failed there: anywhere else first
+	}
+	return part, true
+}
+
 // selectBatchWorker is the local scheduler of batches: the allowed worker with the
 // least of them, by its size, where nothing more urgent waits and enough room for
 // that stays free, counting on what was left over lately. A job that must start now
@@ -264,31 +316,10 @@
 		if !n.allowed(w, q, t.Needs, t.Resources) || w.suspect || w.waiting > 0 || n.ranks.unhealthy[name] != 0 || st.PerWorker > 0 && used[name] >= st.PerWorker {
 			continue
 		}
-		kept := w.capacity.Share(batchHeadroom)
-		if js.plan.Must {
-			kept = resource.Amount{}
-		}
-		if !t.Resources.Plus(kept).Fits(n.freeAt(sl, name, w)) {
+		part, fits := n.batchPart(sl, js, t, name, q.Batch.SharePercent)
+		if !fits {
 			continue
 		}
-		if !js.plan.Must && !n.batchLoad(sl, "", name).Plus(t.Resources).Plus(kept).Fits(w.spare.least()) {
-			continue
-		}
-		load := n.batchLoad(sl, js.Queue, name)
-		if !load.Plus(t.Resources).Fits(w.capacity.Share(q.Batch.SharePercent)) {
-			continue
-		}
-		part := float64(load.CPU) / float64(max(w.capacity.CPU, 1))
-		if w.capacity.Memory > 0 {
-			part = max(part, float64(load.Memory)/float64(w.capacity.Memory))
-		}
-		if js.plan.Must { // where most is free: there it is pushed out the least
-			free := n.freeAt(sl, name, w)
-			part = 1 - float64(free.CPU)/float64(max(w.capacity.CPU, 1))
-		}
-		if name == t.Last {
-			part++ // it failed there: anywhere else first
-		}
 		if own := rendezvous.Weight(js.ID, name); best == "" || part < least || part == least && own > bestWeight {
 			best, least, bestWeight = name, part, own
 		}
@@ -332,7 +363,7 @@
 	return "waiting for its share of the workers' room" + by
 }
 
-// shortOfRoomAnywhere is shortOfRoom for any slice owned here.
+// shortOfRoomAnywhere is shortOfRoom for any shard owned here.
 func (n *node) shortOfRoomAnywhere() bool {
 	for _, sl := range n.owned {
 		if n.shortOfRoom(sl) {
--- a/internal/daemon/catchup.go
+++ b/internal/daemon/catchup.go
@@ -7,7 +7,7 @@
 	"otterchute/internal/wire"
 )
 
-// replicaLag is what one core member lacks of a slice's records that a majority
+// replicaLag is what one core member lacks of a shard's records that a majority
 // holds: it was away, or a message to it was lost. The owner sends these again in
 // bounded parts, each once the one before is synced there, so that the member
 // holds all again soon after its return and counts for the next loss.
--- a/internal/daemon/central.go
+++ b/internal/daemon/central.go
@@ -9,6 +9,16 @@
 	"otterchute/internal/wire"
 )
 
+const (
+	rankMs            = 3000       // the paper's and the design's round of ranks and targets
+	rankStaleMs       = 3 * rankMs // three missed rounds: ranks and targets are ignored
+	allocationStaleMs = 3000       // the central scheduler drops requests not repeated
+	grantMs           = 2500       // a grant not seen at the agent by then frees its room
+	rebuildMs         = 500        // a new central scheduler listens this long before it grants: agents speak each 300 ms
+	healthMinEnds     = 8          // ends an agent needs before it judges its worker
+	allocateNowMax    = 64         // waiting requests up to which each event tries to grant; beyond, only ticks do
+)
+
 // central is the central scheduler with the coordinator inside it. It holds
 // no durable truth: a successor learns all from the agents' syncs and the
 // owners' repeated asks.
@@ -259,7 +269,7 @@
 	}
 }
 
-// updateHealth finds workers that fail or lag far more than their siblings.
+// updateHealth finds workers that fail or lag far more than their peers.
 // Where most look bad the jobs are, and nobody is judged. A worker judged
 // unsound is tried again with real work after a while.
 func (n *node) updateHealth(c *central) {
--- a/internal/daemon/client.go
+++ b/internal/daemon/client.go
@@ -198,7 +198,7 @@
 	return show(c.request(ctx, "PUT", "/v1/setups/"+strconv.FormatInt(n, 10), doc))
 }
 
-// checkConfigFile makes the checks of a setup without asking anybody.
+// checkConfigFile makes the checks of a configuration without asking anybody.
 func checkConfigFile(_ context.Context, _ *client, w []string) subcommands.ExitStatus {
 	if len(w) != 1 {
 		return usage("setup check FILE")
@@ -234,7 +234,7 @@
 	return exitOK
 }
 
-// emptyZone reads the setup, changes its list of sites to empty and declares
+// emptyZone reads the configuration, changes its list of zones to empty and declares
 // that as the next version; where another operator was first it begins again.
 func emptyZone(ctx context.Context, c *client, w []string, empty bool) subcommands.ExitStatus {
 	if len(w) != 1 || !schema.ValidName(w[0]) {
--- a/internal/daemon/config_change.go
+++ b/internal/daemon/config_change.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// changeIDOf gives the identity of the order in an ask, and what is wrong with it.
+// changeIDOf gives the identity of the order in a request, and what is wrong with it.
 func changeIDOf(a *request) (configuration.ChangeID, []schema.Fault) {
 	version, faults := configuration.ParseVersion(a.key)
 	if len(faults) > 0 {
@@ -126,7 +126,7 @@
 	o.change, o.request = id, a
 }
 
-// findChangeDecision leaves the setup as it stands. What isn't taken, and can't be any
+// findChangeDecision leaves the configuration as it stands. What isn't taken, and can't be any
 // more, is refused: only then is no try of it left that may yet take effect.
 func findChangeDecision(_ *node, o *registerChange, current []byte) (register.Decision, []byte) {
 	var cur configuration.Record
--- a/internal/daemon/config_state.go
+++ b/internal/daemon/config_state.go
@@ -28,10 +28,10 @@
 	return configState{current: configuration.Empty(), confirmedMs: -1 << 40}
 }
 
-// configFresh tells whether the setup was confirmed at a majority lately.
+// configFresh tells whether the configuration was confirmed at a majority lately.
 func (n *node) configFresh() bool { return n.now-n.config.confirmedMs <= configFreshMs }
 
-// configConfirmedSince tells whether the setup was confirmed by a poll that was sent
+// configConfirmedSince tells whether the configuration was confirmed by a poll that was sent
 // after a call came: then no version acknowledged before the call is newer. Polls
 // are counted for this, since times within one millisecond are in no order. After
 // a freeze what was confirmed before it is old, though the call is older still.
@@ -75,7 +75,7 @@
 }
 
 // nearestWith picks whom to read a value from: of the members that hold it one in
-// the own site, or else any, so that not all daemons ask the same.
+// the own zone, or else any, so that not all daemons ask the same.
 func (n *node) nearestWith(r *lease.Round, b register.Ballot) string {
 	var near, all []string
 	for _, from := range sorted(r.Answers) {
--- a/internal/daemon/core_member.go
+++ b/internal/daemon/core_member.go
@@ -10,6 +10,10 @@
 	"otterchute/internal/wire"
 )
 
+const (
+	snapshotMin = 8 << 20 // bytes of log before a snapshot is worth its writing
+)
+
 // persistSet keeps a newer set on this disk, but not one that lacks it: a former
 // member must know after a restart, too, that it was one.
 func (n *node) persistSet(c quorum.Set) {
@@ -26,7 +30,7 @@
 	n.emit(effAppend{Entries: entries, Then: then})
 }
 
-// servesSet tells whether this member may answer an ask made under a core set.
+// servesSet tells whether this member may answer a request made under a core set.
 func (n *node) servesSet(coreVer int64) bool {
 	return n.inCore() && coreVer == n.core.Version
 }
@@ -122,7 +126,7 @@
 	n.persist(nil, n.sendEffect(from, a))
 }
 
-// lastHolder is who took a duty last, as far as this disk knows. Of any majority
+// lastHolder is who took a role last, as far as this disk knows. Of any majority
 // one member at least knows the newest.
 func (n *node) lastHolder(name string) (v wire.RoleHolder) {
 	if value := n.store.RegisterValue(lease.Register(name)); value != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -27,6 +27,10 @@
 	"golang.org/x/sys/unix"
 )
 
+const (
+	loopJobs = 8192 // events waiting for the control thread before posters wait
+)
+
 // steadyClock is the clock of leases and limits. Jumps of the wall time do not
 // move it, and it counts while the machine sleeps.
 type steadyClock struct{ base int64 }
@@ -332,7 +336,7 @@
 }
 
 // runPlatform serves the platform's addresses, if there is a platform. It
-// begins at once: what can't be done yet is answered so. At a stop the duties
+// begins at once: what can't be done yet is answered so. At a stop the roles
 // are handed over first; then every call that was read gets its answer.
 func runPlatform(lc fx.Lifecycle, s settings, d *httpServer, l *controlLoop, log logr.Logger, down fx.Shutdowner) {
 	if s.adapter == nil {
--- a/internal/daemon/doctor.go
+++ b/internal/daemon/doctor.go
@@ -14,6 +14,12 @@
 	"github.com/tidwall/gjson"
 )
 
+const (
+	visitAgainMs = 2000 // doctor's second look; every bound on a passing state is shorter
+	spreadMs     = 1000 // a clock this far off is wrong, whatever the network
+	slowSyncMs   = 200  // a sync this slow sets the pace of every change
+)
+
 // finding is one fault that doctor sees, with what to do about it.
 type finding struct {
 	Check string `json:"check"`
@@ -22,7 +28,7 @@
 	Do    string `json:"do"`
 }
 
-// check looks at one daemon's soundness and tells what is wrong.
+// check looks at one daemon's health and tells what is wrong.
 type check struct {
 	name, do string
 	look     func(gjson.Result) []string
@@ -154,7 +160,7 @@
 	for _, m := range gjson.GetBytes(t.body, "members").Array() {
 		name := m.Get("name").Str
 		if !m.Get("live").Bool() {
-			continue // its siblings say so
+			continue // its peers say so
 		}
 		c := newClient(m.Get("http").Str)
 		if a, err := c.request(ctx, "GET", "/v1/soundness", nil); err == nil && a.status == 200 {
@@ -176,7 +182,7 @@
 		do: func(ctx context.Context, _ *flag.FlagSet) subcommands.ExitStatus {
 			out, asked, t, err := visitAll(ctx, *at)
 			if err == nil && t.status == 200 && len(out) > 0 {
-				// What passes by itself, such as a setup declared just now,
+				// What passes by itself, such as a configuration declared just now,
 				// is no fault: only what a second look finds too.
 				time.Sleep(visitAgainMs * time.Millisecond)
 				var again []finding
--- a/internal/daemon/draft.go
+++ b/internal/daemon/draft.go
@@ -19,7 +19,7 @@
 	"github.com/tufanbarisyildirim/gonginx/parser"
 )
 
-// draft turns a proxy's configuration (nginx's) into a first setup: an upstream
+// draft turns a proxy's configuration (nginx's) into a first configuration: an upstream
 // becomes a queue for the workers labelled with its name. What has no meaning
 // here is listed, never guessed.
 type draft struct {
--- a/internal/daemon/estimate.go
+++ b/internal/daemon/estimate.go
@@ -4,6 +4,11 @@
 	"otterchute/internal/wire"
 )
 
+const (
+	learnedMax  = 4096 // run-time estimates a daemon keeps
+	learnedTell = 500  // of them told to all others in one round
+)
+
 type estimate struct {
 	meanMs float64
 	usedMs int64 // when a run last ended here; 0 where others told it
@@ -68,7 +73,7 @@
 }
 
 // tickEstimates tells all daemons what this one learned since the last round, so
-// that estimates outlive their owner: whoever takes a slice has them.
+// that estimates outlive their owner: whoever takes a shard has them.
 func (n *node) tickEstimates() {
 	if n.now < n.learnedAt || len(n.owned) == 0 {
 		return
--- a/internal/daemon/executor.go
+++ b/internal/daemon/executor.go
@@ -7,8 +7,8 @@
 	"otterchute/internal/wire"
 )
 
-// effectPorts are what the shell carries effects out with. The product and the
-// simulator each bring their own; the reducer and the shell are the same.
+// effectPorts are what the executor carries effects out with. The product and the
+// simulator each bring their own; the reducer and the executor are the same.
 type effectPorts interface {
 	Send(head wire.Header, to, addr string, msg any)
 	// Append calls done once all entries so far are synced, at once if none wait.
--- a/internal/daemon/experiment.go
+++ b/internal/daemon/experiment.go
@@ -25,6 +25,12 @@
 	"github.com/tidwall/gjson"
 )
 
+const (
+	settleMaxS   = 240 // s until a hollow fleet stands with its load; a few hundred daemons take half a minute
+	startGroup   = 10  // hollow daemons started at once
+	startPauseMs = 200 // and then a pause, so that the fleet's first words don't come all at one time
+)
+
 // experiment is a hollow fleet and its load as declared in a file. Every number
 // in it can be swept.
 type experiment struct {
@@ -39,7 +45,7 @@
 	Gang    int64 // 1: they work only together
 	TaskMs  int64
 	Queues  int64
-	Changes int64 // of the setup, a minute
+	Changes int64 // of the configuration, a minute
 	WarmS   int64 // after all stands and before counting
 	Seconds int64 // counted
 	Seed    int64
@@ -56,11 +62,11 @@
 }
 
 // plannedFault is something done while counting: to a daemon by its number, to
-// the first that has a role then, or to all of a site.
+// the first that has a role then, or to all of a zone.
 type plannedFault struct {
 	AtS, ForS  int64
 	Do         string
-	Daemon     int64 // -1 where a role or a site is named
+	Daemon     int64 // -1 where a role or a zone is named
 	Role, Site string
 }
 
--- a/internal/daemon/experiment_load.go
+++ b/internal/daemon/experiment_load.go
@@ -27,7 +27,7 @@
 	sent    map[string]time.Time
 	starts  int64
 	waits   *hdrhistogram.Histogram // ms from a job's sending to its first start
-	forces  *hdrhistogram.Histogram // ms from a setup's sending until it is in force everywhere
+	forces  *hdrhistogram.Histogram // ms from a configuration's sending until it is in force everywhere
 	failed  int64
 	counted bool
 	version int64
@@ -92,7 +92,7 @@
 	return response{}
 }
 
-// declare makes the next version of the setup and waits until it is in force everywhere.
+// declare makes the next version of the configuration and waits until it is in force everywhere.
 func (c *callers) declare(ctx context.Context) error {
 	c.version++
 	queues := make([]map[string]any, c.e.Queues)
@@ -150,7 +150,7 @@
 	return ctx.Err()
 }
 
-// load hands jobs and setups in at the declared rates until the context ends.
+// load hands jobs and configurations in at the declared rates until the context ends.
 func (c *callers) load(ctx context.Context, wait *sync.WaitGroup) {
 	if c.e.Starts > 0 {
 		wait.Go(func() {
--- a/internal/daemon/heartbeat.go
+++ b/internal/daemon/heartbeat.go
@@ -11,6 +11,23 @@
 	"github.com/tidwall/gjson"
 )
 
+const (
+	holdSpanMs    = 4000   // a heartbeat's answer holds its worker this long; a daemon that is killed is back before
+	ownerSpanMs   = 7000   // an agent keeps a run without its owner's word this long: longer than a takeover or a short cut
+	staleStopMs   = 900    // before that it stops the run, in time for the stop to be listed
+	lapseMarginMs = 300    // past the longest a hold may last, for what clocks and messages differ by
+	driftPercent  = 2      // a worker's clock may run this much slow
+	heartbeatMs   = 50     // a worker sends its heartbeat again after this; an order waits half of it in the mean
+	standMs       = 1500   // work that does not move for this long, and a tenth of its estimate, stands still
+	lastPercent   = 99     // a worker tells no more of work that has not ended
+	suspectMs     = 3000   // a worker where work stood still gets no more for this long, doubled each time
+	lateEndsMax   = 100    // ends that wait behind a late one before the hold is let run out
+	endsPage      = 500    // ends that one heartbeat tells of at most
+	goneMs        = 500    // a worker that said it goes has ended this long after
+	leaveStopMs   = 800    // so long before its worker leaves, work that saves is stopped, to go on elsewhere
+	workerKeepMs  = 60_000 // a worker's agent whose worker is gone keeps the ends nobody took note of for this long
+)
+
 // An agent pinned to its worker's machine: the worker's beats reach no other
 // daemon, and its orders leave in the answers to them. Beats come one after the
 // other, so that a beat tells what became of all that earlier answers ordered.
@@ -280,10 +297,38 @@
 	return changed
 }
 
-// heartbeatReply says what starts and stops, which ends were taken note of, and how
+// heartbeatReply says what starts and stops, which ends are acknowledged, and how
 // long the worker goes on without another answer.
 func (n *node) heartbeatReply(ag *agent) heartbeatReply {
 	out := heartbeatReply{AgainMs: heartbeatMs, Start: []orderView{}, Stop: []orderView{}}
+	n.acknowledgeEnds(ag)
+	out.Seen = ag.acknowledgedEnds
+	for _, h := range ag.toStart {
+		v := viewOf(h.spec.Key)
+		v.Payload, v.Saved = h.spec.Payload, h.spec.Saved
+		out.Start = append(out.Start, v)
+	}
+	ag.toStart = nil
+	for _, key := range ag.keys() {
+		if h := ag.attempts[key]; h.atWorker() && h.stopMs != 0 {
+			out.Stop = append(out.Stop, viewOf(key))
+		}
+	}
+	if until := n.holdUntil(ag); until > n.now {
+		out.HoldMs = until - n.now
+		ag.holdUntilMs = max(ag.holdUntilMs, n.now+out.HoldMs*(100+driftPercent)/100)
+	}
+	return out
+}
+
+// atWorker tells whether the worker has an attempt, or may have it.
+func (h *attempt) atWorker() bool {
+	return h.state == wire.AttemptOrdered || h.state == wire.AttemptRunning
+}
+
+// acknowledgeEnds counts on over the ends, by their numbers, that are in their owners'
+// records. Where too many wait behind a late one it lets the hold run out.
+func (n *node) acknowledgeEnds(ag *agent) {
 	for {
 		key, ok := ag.ends[ag.acknowledgedEnds+1]
 		if !ok {
@@ -298,42 +343,31 @@
 	}
 	if h := ag.attempts[ag.ends[ag.acknowledgedEnds+1]]; len(ag.ends) > lateEndsMax && h != nil && h.lateEnd {
 		n.count("ends_waited")
-		ag.lapse() // too many wait behind it
+		ag.lapse()
 	}
-	out.Seen = ag.acknowledgedEnds
 	for number := range ag.ends {
 		if number <= ag.acknowledgedEnds {
 			delete(ag.ends, number)
 		}
 	}
-	for _, h := range ag.toStart {
-		v := viewOf(h.spec.Key)
-		v.Payload, v.Saved = h.spec.Payload, h.spec.Saved
-		out.Start = append(out.Start, v)
+}
+
+// holdUntil is when the worker's hold ends: never later than the oldest owner's word on what
+// it runs allows, and at once while the hold is to run out.
+func (n *node) holdUntil(ag *agent) int64 {
+	if ag.lapseUntilMs != 0 {
+		return 0
 	}
-	ag.toStart = nil
 	until := n.now + n.holdSpan()
 	if n.leavingSince != 0 {
 		until = n.now + max(n.holdSpan(), n.MaxHoldMs)
 	}
-	for _, key := range ag.keys() {
-		h := ag.attempts[key]
-		if h.state != wire.AttemptOrdered && h.state != wire.AttemptRunning {
-			continue
-		}
-		if h.stopMs != 0 {
-			out.Stop = append(out.Stop, viewOf(key))
+	for _, h := range ag.attempts {
+		if h.atWorker() {
+			until = min(until, h.confirmedMs+ownerSpanMs)
 		}
-		until = min(until, h.confirmedMs+ownerSpanMs)
-	}
-	if ag.lapseUntilMs != 0 {
-		until = 0
 	}
-	if until > n.now {
-		out.HoldMs = until - n.now
-		ag.holdUntilMs = max(ag.holdUntilMs, n.now+out.HoldMs*(100+driftPercent)/100)
-	}
-	return out
+	return until
 }
 
 // holdSpan is how long an answer holds its worker.
--- a/internal/daemon/hollow_meter.go
+++ b/internal/daemon/hollow_meter.go
@@ -119,7 +119,7 @@
 type meter struct {
 	mu    sync.Mutex
 	flows map[flow]tally
-	spent map[string]work // by role: reducer and shell
+	spent map[string]work // by role: reducer and executor
 	mark  instant
 	role  string // whose the event being reduced is
 }
--- a/internal/daemon/http_server.go
+++ b/internal/daemon/http_server.go
@@ -23,6 +23,10 @@
 	"go.uber.org/fx"
 )
 
+const (
+	replyMs = 4000 // the control thread answers long before; this guards against a fault in it
+)
+
 // httpServer is the HTTP side: it turns requests into asks for the control thread
 // and its replies into answers.
 type httpServer struct {
@@ -159,7 +163,7 @@
 	c.Data(r.Status, "application/json", r.Body)
 }
 
-// serveWorkerLost tells every slice's owner that a worker is gone for good.
+// serveWorkerLost tells every shard's owner that a worker is gone for good.
 func (d *httpServer) serveWorkerLost(c *gin.Context) {
 	ctx := c.Request.Context()
 	tasks := int64(0)
--- a/internal/daemon/job.go
+++ b/internal/daemon/job.go
@@ -17,7 +17,13 @@
 	"github.com/tidwall/gjson"
 )
 
-// task and job are kept as they stand in the slice's record.
+const (
+	bodyMax       = 1 << 20 // bytes of a job's body
+	stepsMax      = 64      // steps of a job
+	roundTasksMax = 2000    // tasks of the rounds of a job that are open at once
+)
+
+// task and job are kept as they stand in the shard's record.
 type task struct {
 	Round        int32
 	Step, InStep int32
--- a/internal/daemon/job_request.go
+++ b/internal/daemon/job_request.go
@@ -75,7 +75,7 @@
 			n.leases.PollSoon()
 			return
 		}
-		if a.queue != "" { // whoever resolved its address had another setup: soon it has this one
+		if a.queue != "" { // whoever resolved its address had another configuration: soon it has this one
 			n.reject(a, "the queue is not in the newest setup")
 			return
 		}
--- a/internal/daemon/job_schedule.go
+++ b/internal/daemon/job_schedule.go
@@ -6,6 +6,13 @@
 	"otterchute/internal/wire"
 )
 
+const (
+	dueMarginMs = 50   // starts wait this much past the due time, for what right clocks differ by
+	silentMs    = 5000 // a worker not heard of for this long is shown as silent
+	limitMargin = 5000 // ms past a run limit before a queue that trusts it has a silent run resolved
+	openAheadMs = 400  // a round is written down this long before it is due
+)
+
 // advanceJob does whatever a job's committed state now allows.
 func (n *node) advanceJob(sl *shard, js *jobState) {
 	n.respondWaiters(js)
--- a/internal/daemon/order_sender.go
+++ b/internal/daemon/order_sender.go
@@ -12,6 +12,10 @@
 	"github.com/go-faster/errors"
 )
 
+const (
+	ordersMax = 256 // orders on their way at once from one daemon
+)
+
 // orderSender brings orders to workers. Each order has a connection of its own,
 // whose first byte is written only while the order is still good, and which
 // is torn down without a trace when the order's flight ends. So no order meets
--- a/internal/daemon/placement.go
+++ b/internal/daemon/placement.go
@@ -10,6 +10,15 @@
 	"otterchute/internal/wire"
 )
 
+const (
+	kLowest            = 50   // the design's k: the most workers a queueable task is drawn among
+	kLeast             = 3    // and the fewest; between them a quarter of the allowed ones, see docs/rounds.md
+	thresholdMs        = 2500 // learned run time below this is queueable; see docs/rounds.md
+	preemptMax         = 2    // after two preemptions a task is guaranteed
+	allocationRetryMs  = 1000 // owners repeat their requests for firm places
+	allocationsPerTick = 64   // requests for firm places a shard sends in one tick, most urgent first
+)
+
 // allowed tells whether a task may go to a worker now, as far as is known here.
 func (n *node) allowed(w *workerView, q *configuration.Queue, needs []wire.Label, room resource.Amount) bool {
 	_, lack := configuration.MissingLabel(w.labels, needs)
@@ -18,7 +27,7 @@
 }
 
 // freeAt is the room of a worker that nothing known here takes: what its agent
-// holds for other slices, and all that this slice has placed there.
+// holds for other shards, and all that this shard has placed there.
 func (n *node) freeAt(sl *shard, name string, w *workerView) resource.Amount {
 	return w.capacity.Minus(w.otherShards[sl.name]).Minus(sl.load[name])
 }
--- a/internal/daemon/reconcile.go
+++ b/internal/daemon/reconcile.go
@@ -8,6 +8,11 @@
 	"otterchute/internal/wire"
 )
 
+const (
+	recallMs    = 150  // a task that waits this long at its worker is called back where another has room now
+	gangSlackMs = 2000 // a gang not whole by then is begun anew, before any member waits too long alone
+)
+
 // onAgentReport takes an agent's report of all it holds, resolves what it says ended,
 // and answers what it may go on with.
 func (n *node) onAgentReport(from string, m *wire.AgentReport) {
--- a/internal/daemon/reduce.go
+++ b/internal/daemon/reduce.go
@@ -33,7 +33,7 @@
 	ThresholdMs   int64
 	KLowest       int
 	TargetSigma   float64
-	Colocated     bool // it stands beside a worker: no duty of the fleet's
+	Colocated     bool // it stands beside a worker: no role of the fleet's
 	CoreSize      int  // disks that hold the state; 0 for membership.DefaultSize
 	FirstStart    bool // the whole fleet starts for the first time: empty disks may form a core
 	MaxHoldMs     int64
@@ -57,7 +57,7 @@
 	evMsg  struct {
 		Head  wire.Header
 		Msg   any
-		Ready *configuration.Configuration // of the setup in it, where a traffic thread compiled that already
+		Ready *configuration.Configuration // of the configuration in it, where a traffic thread compiled that already
 	}
 	// evRequest is a caller's, worker's or operator's ask at this daemon.
 	evRequest struct {
@@ -65,10 +65,10 @@
 		Op         string
 		Key        string
 		Host, Path string // where the call came in with the address of a queue
-		Base       int64  // the version a setup builds on; -1 for one less than its own
+		Base       int64  // the version a configuration builds on; -1 for one less than its own
 		Digest     []byte // SHA-256 of an operator's order, where it isn't that of the body
 		Body       []byte
-		// Ready is the setup in Body, where a traffic thread compiled it already.
+		// Ready is the configuration in Body, where a traffic thread compiled it already.
 		Ready *configuration.Configuration
 	}
 	// evOrder tells how an order to a worker went.
@@ -90,12 +90,12 @@
 	evSeeds struct{ Seeds []string }
 )
 
-// effect is a thing the shell is to do, as data.
+// effect is a thing the executor is to do, as data.
 type effect any
 
 type (
 	effSend struct {
-		To   string // sibling name, or "" for a bare address
+		To   string // peer name, or "" for a bare address
 		Addr string
 		Dest uint64 // see frameHeader.To
 		Msg  any
@@ -160,7 +160,7 @@
 
 	forwarded   map[uint64]*forwardedRequest
 	quorumReads map[uint64]*quorumRead
-	retries     retryBudget // for handing an ask over a second time
+	retries     retryBudget // for handing a request over a second time
 	coreReads   retryBudget // for reading states from the core
 	forwardSeq  uint64
 
--- a/internal/daemon/registers.go
+++ b/internal/daemon/registers.go
@@ -10,6 +10,11 @@
 	"otterchute/internal/statestore"
 )
 
+const (
+	changeMs      = 2500 // a register change that has not ended by then is given up on
+	changeRetryMs = 150  // base of the jittered wait between two attempts of a change
+)
+
 // registerChange is one change of a register by this daemon.
 type registerChange struct {
 	*register.Operation
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -15,6 +15,18 @@
 	"otterchute/internal/wire"
 )
 
+const (
+	configForwardMs = 2400 // the same for a change of the configuration, which a core member tries for changeMs
+	forwardMs       = 1200 // a request forwarded without an answer is given up on
+	quorumReadMs    = 500  // a state read from the core that takes longer is given up on
+	forwardsMax     = 2    // a request is forwarded at most this often
+	requestsMax     = 4000 // requests in flight through one daemon before it rejects
+	retryShare      = 5    // every so many requests allow one to be forwarded again: a crowd costs a fifth more at most
+	retriesPerTick  = 1    // and so many a tick, that few requests need not wait
+	readsPerTick    = 10   // states read from the core a tick: 100 a second for each daemon
+	retryBudgetMax  = 100  // what either budget saves up for a burst
+)
+
 // request is one thing a caller, worker or operator wants, at the daemon that got
 // it or handed over to the one that can settle it.
 type request struct {
@@ -26,12 +38,12 @@
 	key            string
 	body           []byte
 	receivedMs     int64
-	pollsBefore    uint64                       // sent here before it came: only a later one confirms a setup for it
+	pollsBefore    uint64                       // sent here before it came: only a later one confirms a configuration for it
 	config         *configuration.Configuration // of the body, where it is known to be sound
 	host           string                       // with path, the address a caller used
 	path           string
-	base           int64  // the version a setup builds on; -1 for one less than its own
-	digest         []byte // SHA-256 of an operator's order as it was sent, where that isn't the setup itself
+	base           int64  // the version a configuration builds on; -1 for one less than its own
+	digest         []byte // SHA-256 of an operator's order as it was sent, where that isn't the configuration itself
 	queue          string // the queue that the address belongs to
 	maybeApplied   bool   // it may have been done: handed over and not answered, or under way here
 	byAddress      bool   // it came with an address: an unknown job is told apart from an unknown queue
@@ -152,7 +164,7 @@
 	return mustJSON(map[string]any{"error": faults[0].Path + " " + faults[0].Reason, "faults": faults})
 }
 
-// forward passes an ask on, once per daemon and at most forwardsMax times; an
+// forward passes a request on, once per daemon and at most forwardsMax times; an
 // answer that does not come is given up on long before the caller's limit.
 func (n *node) forward(a *request, to string) {
 	if a.hops >= forwardsMax || to == n.Name || to == "" || !n.peers.Alive(to) {
@@ -186,7 +198,7 @@
 	n.respond(p.request, int(m.Status), m.RetryMs, m.Body)
 }
 
-// retryForwarded settles anew what waits for a daemon that has lost its duty.
+// retryForwarded settles anew what waits for a daemon that has lost its role.
 func (n *node) retryForwarded(to string) {
 	for _, id := range sorted(n.forwarded) {
 		if p := n.forwarded[id]; p.to == to && to != "" && n.retries.spend() {
@@ -217,7 +229,7 @@
 }
 
 // readFromCore is for asks that no owner settles now: a job's state can still be
-// had from the core, anything else is bounced.
+// had from the core, anything else is rejected.
 func (n *node) readFromCore(a *request, reason string) {
 	if a.op != "job.get" && a.op != "job.state" || len(n.core.Members) == 0 || n.leases.CutOff() || !n.coreReads.spend() {
 		n.reject(a, reason)
@@ -298,7 +310,7 @@
 	return len(r.got) == len(n.core.Members) && len(r.got) == n.members.Size()
 }
 
-// shardOf decides which slice owns a job: callers never name one.
+// shardOf decides which shard owns a job: callers never name one.
 func (n *node) shardOf(id string) string {
 	if len(n.core.Shards) == 0 {
 		return ""
@@ -342,7 +354,7 @@
 	n.routeToShard(a, slice)
 }
 
-// handlePutConfig has a whole setup accepted. Only the register can say whether it was
+// handlePutConfig has a whole configuration accepted. Only the register can say whether it was
 // accepted before, or lost: what this daemon itself knows may be old.
 func (n *node) handlePutConfig(a *request) {
 	if !n.leases.InContact() {
@@ -368,8 +380,8 @@
 	o.change, o.request = id, a
 }
 
-// forwardToCore passes a change of the setup on to a core member that answers
-// polls, the own site's first: a machine without a disk may have a thin line,
+// forwardToCore passes a change of the configuration on to a core member that answers
+// polls, the own zone's first: a machine without a disk may have a thin line,
 // and a change takes the whole document to and from each member.
 func (n *node) forwardToCore(a *request) bool {
 	best := n.nearestMember()
@@ -380,7 +392,7 @@
 	return true
 }
 
-// nearestMember gives a core member that answers polls, the own site's first; none
+// nearestMember gives a core member that answers polls, the own zone's first; none
 // where this daemon is one itself.
 func (n *node) nearestMember() (best string) {
 	if n.inCore() {
@@ -394,13 +406,13 @@
 	return best
 }
 
-// handleLocateConfig names the machine that a setup is best read from, where it is another.
+// handleLocateConfig names the machine that a configuration is best read from, where it is another.
 func (n *node) handleLocateConfig(a *request) {
 	host, _, _ := net.SplitHostPort(n.peers.Addr(n.nearestMember()))
 	n.respond(a, 200, 0, mustJSON(map[string]any{"host": host}))
 }
 
-// handleSetZone empties a site or opens it again, beside the document.
+// handleSetZone empties a zone or opens it again, beside the document.
 func (n *node) handleSetZone(a *request) {
 	if !schema.ValidName(a.key) {
 		n.rejectFaults(a, 400, 0, []schema.Fault{{Path: "site", Reason: "must be a name"}})
@@ -418,9 +430,9 @@
 // addressOps are what calls at a queue's address ask of a job's owner.
 var addressOps = map[string]string{"queue.submit": "job.put", "queue.state": "job.state", "queue.cancel": "job.cancel"}
 
-// resolveAddress finds the queue that an address belongs to, by the setup that a
+// resolveAddress finds the queue that an address belongs to, by the configuration that a
 // majority confirmed lately. That an address belongs to none is only said by
-// a setup confirmed after the call came.
+// a configuration confirmed after the call came.
 func (n *node) resolveAddress(a *request) {
 	c := n.config.current
 	if c.Version == 0 {
@@ -448,7 +460,7 @@
 	}
 }
 
-// awaitConfirmation keeps an ask until a newer confirmation of the setup, for a while,
+// awaitConfirmation keeps a request until a newer confirmation of the configuration, for a while,
 // where one may still come.
 func (n *node) awaitConfirmation(a *request, reason string) {
 	if n.leases.CutOff() || len(n.config.awaiting) >= requestsMax {
@@ -459,7 +471,7 @@
 	n.leases.PollNextTick(tickMs) // at the next tick, if none is on its way
 }
 
-// handleGetConfig tells a setup that was confirmed after it was asked for, so that
+// handleGetConfig tells a configuration that was confirmed after it was asked for, so that
 // nobody reads an older one than was acknowledged before.
 func (n *node) handleGetConfig(a *request) {
 	if !n.configConfirmedSince(a) {
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -17,6 +17,14 @@
 	"github.com/tidwall/gjson"
 )
 
+const (
+	keepHoursDef = 24     // hours a finished job is kept; callers check states within a day
+	holdMostMs   = 10_000 // defaults of what a platform bounds: see docs/settings.md
+	gangWaitMs   = 3000
+	saveMs       = 1000
+	restoreMs    = 250
+)
+
 // settings are a daemon's place and its few choices, from a JSON file, from
 // flags, or both; a flag wins.
 type settings struct {
@@ -195,52 +203,79 @@
 	return a
 }
 
+// check finds the first setting that is missing or out of its bounds; the error names its key.
 func (s *settings) check() error {
-	bad := func(key, reason string) error { return errors.Wrapf(errSettings, "%s: %s", key, reason) }
+	for _, part := range []func() error{s.checkNames, s.checkAddresses, s.checkNumbers, s.checkData} {
+		if err := part(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// badSetting says what is wrong with the setting of a key.
+func badSetting(key, reason string) error { return errors.Wrapf(errSettings, "%s: %s", key, reason) }
+
+func (s *settings) checkNames() error {
+	const notAName = "must be a name of letters, digits, '-', '_', '.' or ':'"
 	if !schema.ValidName(s.Name) {
-		return bad("name", "must be a name of letters, digits, '-', '_', '.' or ':'")
+		return badSetting("name", notAName)
 	}
 	if !schema.ValidName(s.Zone) {
-		return bad("site", "must be a name of letters, digits, '-', '_', '.' or ':'")
+		return badSetting("site", notAName)
 	}
+	return nil
+}
+
+func (s *settings) checkAddresses() error {
 	for _, a := range []struct{ key, value string }{{"addr", s.Addr}, {"http", s.HTTP}} {
 		if s.adapter != nil && a.key == "http" && a.value == "" { // the platform's addresses may be all there is
 			continue
 		}
 		if reason := badAddr(a.value); reason != "" {
-			return bad(a.key, reason)
+			return badSetting(a.key, reason)
 		}
 	}
 	if s.Addr == s.HTTP {
-		return bad("http", "is the same as addr")
+		return badSetting("http", "is the same as addr")
 	}
 	if len(s.Seeds) == 0 && s.adapter == nil {
-		return bad("seeds", "none is given; name three other daemons")
+		return badSetting("seeds", "none is given; name three other daemons")
 	}
 	for _, a := range s.Seeds {
 		if reason := badAddr(a); reason != "" {
-			return bad("seeds", a+" "+reason)
+			return badSetting("seeds", a+" "+reason)
 		}
 	}
+	return nil
+}
+
+func (s *settings) checkNumbers() error {
 	if s.LogLevel != "info" && s.LogLevel != "debug" {
-		return bad("log_level", "must be info or debug")
+		return badSetting("log_level", "must be info or debug")
 	}
 	if s.KeepHours < 1 || s.KLowest < 0 || s.TargetSigma < 0 || s.ThresholdMs < -1 {
-		return bad("keep_hours, k_lowest, target_sigma, threshold_ms", "must be at least 1, 0, 0 and -1")
+		return badSetting("keep_hours, k_lowest, target_sigma, threshold_ms", "must be at least 1, 0, 0 and -1")
 	}
 	if s.CoreSize < 1 || s.MaxHoldMs < 1 || s.GangWaitMs < 1 || s.SaveMs < 1 || s.RestoreMs < 0 || s.SpreadFactor < 1 {
-		return bad("core_size, hold_most_ms, gang_wait_ms, save_ms, restore_ms, spread_factor", "must be at least 1, 1, 1, 1, 0 and 1")
+		return badSetting("core_size, hold_most_ms, gang_wait_ms, save_ms, restore_ms, spread_factor", "must be at least 1, 1, 1, 1, 0 and 1")
 	}
-	if s.Data != "" {
-		if err := os.MkdirAll(s.Data, 0o755); err != nil {
-			return bad("data", err.Error())
-		}
-		probe := filepath.Join(s.Data, ".writable")
-		if err := os.WriteFile(probe, []byte("x"), 0o600); err != nil {
-			return bad("data", "can't be written: "+err.Error())
-		}
-		_ = os.Remove(probe)
+	return nil
+}
+
+// checkData makes the data folder and tries to write there.
+func (s *settings) checkData() error {
+	if s.Data == "" {
+		return nil
+	}
+	if err := os.MkdirAll(s.Data, 0o755); err != nil {
+		return badSetting("data", err.Error())
+	}
+	probe := filepath.Join(s.Data, ".writable")
+	if err := os.WriteFile(probe, []byte("x"), 0o600); err != nil {
+		return badSetting("data", "can't be written: "+err.Error())
 	}
+	_ = os.Remove(probe)
 	return nil
 }
 
--- a/internal/daemon/shard.go
+++ b/internal/daemon/shard.go
@@ -9,6 +9,14 @@
 	"otterchute/internal/wire"
 )
 
+const (
+	finishedMs    = 600_000  // finished jobs answered from the owner's memory this long
+	finishedMax   = 5000     // finished jobs an owner keeps in memory
+	shardJobsMax  = 4000     // live jobs a shard may have; see urgentShare
+	urgentShare   = 25       // percent of a shard's jobs kept for queues above the lowest urgency
+	shardBytesMax = 24 << 20 // live jobs of a shard as packed: a seal's answer must fit a frame
+)
+
 // shard is a part of the jobs, owned by one daemon at a time. The owner alone
 // says what is true of each of its jobs and tasks.
 type shard struct {
@@ -45,14 +53,14 @@
 	allocationRequests int // asks for firm places sent in this tick
 
 	batchAt      int64 // when batches are planned anew
-	batchVersion int64 // the setup that they were planned by
+	batchVersion int64 // the configuration that they were planned by
 	batchStarts  int   // in this tick
 	batchTries   int   // and tasks looked at
 	batchLoads   map[queueOnWorker]resource.Amount
 	starvedMs    int64 // when a task that is no batch's last found no place
 }
 
-// placedAt names a task of a slice.
+// placedAt names a task of a shard.
 type placedAt struct {
 	job  string
 	task int64
@@ -131,8 +139,8 @@
 	fresh       bool
 	free        resource.Amount
 	capacity    resource.Amount
-	otherShards map[string]resource.Amount // slice -> room there of what isn't this slice's
-	batch       map[string][]wire.QueueUse // slice -> of that, the batches'
+	otherShards map[string]resource.Amount // shard -> room there of what isn't this shard's
+	batch       map[string][]wire.QueueUse // shard -> of that, the batches'
 	waiting     int64                      // unstarted tasks that are no batch's
 	spare       spareWindow                // the least room lately that batches didn't have to leave
 	rack        string
@@ -157,7 +165,7 @@
 	n.sendSeals(n.owned[name])
 }
 
-// endShard lets go of a slice. Who waits here for a commit is told at once that the
+// endShard lets go of a shard. Who waits here for a commit is told at once that the
 // outcome is unknown, and who waits for a look at the core that nothing was kept.
 func (n *node) endShard(name string) {
 	sl := n.owned[name]
@@ -221,7 +229,7 @@
 	}
 }
 
-// jobsByUrgency gives a slice's live jobs, those of urgent queues first, then the oldest.
+// jobsByUrgency gives a shard's live jobs, those of urgent queues first, then the oldest.
 func (n *node) jobsByUrgency(sl *shard) []*jobState {
 	type turn struct {
 		urgency int64
--- a/internal/daemon/shard_takeover.go
+++ b/internal/daemon/shard_takeover.go
@@ -18,7 +18,7 @@
 // mergeSeal merges what a majority holds of records that are live, or finished
 // without a majority known to hold that: those are finished again here. A record live at one member
 // and absent among another's live ones may have finished there: it is asked
-// for by name before the slice is served.
+// for by name before the shard is served.
 func (n *node) mergeSeal(from string, m *wire.SealResponse) {
 	sl := n.owned[m.Shard]
 	if sl == nil || m.Epoch != sl.epoch || sl.serving || sl.seals[from] != nil || len(sl.missing) > 0 {
@@ -64,7 +64,7 @@
 	}
 }
 
-// loadShard writes what was merged back under the own epoch; the slice is
+// loadShard writes what was merged back under the own epoch; the shard is
 // served once a majority holds that.
 func (n *node) loadShard(sl *shard) {
 	for _, id := range sorted(sl.merged) {
--- a/internal/daemon/shard_write.go
+++ b/internal/daemon/shard_write.go
@@ -6,6 +6,10 @@
 	"otterchute/internal/wire"
 )
 
+const (
+	writeRetry = 600 // ms before unacknowledged record writes are sent again
+)
+
 type writeBatch struct {
 	records []statestore.Record
 	settled []string
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -159,7 +159,7 @@
 	return unmatched
 }
 
-// ownedShards tells of each slice held here what waits in it.
+// ownedShards tells of each shard held here what waits in it.
 func (n *node) ownedShards() map[string]any {
 	owned := map[string]any{}
 	for _, name := range sorted(n.owned) {
@@ -170,7 +170,7 @@
 	return owned
 }
 
-// openTasks counts a slice's tasks at silent workers, by worker, and those without a place.
+// openTasks counts a shard's tasks at silent workers, by worker, and those without a place.
 func (n *node) openTasks(sl *shard) (unsettled map[string]int, waiting int) {
 	unsettled = map[string]int{}
 	for _, js := range sl.jobs {
--- a/internal/historycheck/historycheck.go
+++ b/internal/historycheck/historycheck.go
@@ -20,7 +20,7 @@
 	JobState     = "job_state"     // a state shown to a caller; Text is the state, "unknown" for a 404
 	Start        = "start"         // a worker began a run
 	End          = "end"           // a worker ended a run; Text is ok, failed, stopped or crash
-	WorkerRoom   = "worker_room"   // a worker's word: Room, Labels, Site
+	WorkerRoom   = "worker_room"   // a worker's word: Room, Labels, Zone
 	WorkerLeaves = "worker_leaves" // acknowledged word that it is leaving
 	SetupSent    = "setup_sent"
 	SetupAcked   = "setup_acked"
@@ -79,7 +79,7 @@
 	Payload any               `json:"payload,omitempty"`
 }
 
-// Config is the part of an operator's setup that bears on the rules.
+// Config is the part of an operator's configuration that bears on the rules.
 type Setup struct {
 	Queues     []Queue    `json:"queues"`
 	Contracts  []Contract `json:"contracts,omitempty"`
@@ -398,7 +398,7 @@
 	j.startUnderSetup(e, seen.spec.Queue, w, what)
 }
 
-// startUnderSetup checks a start against every setup that may be in effect:
+// startUnderSetup checks a start against every configuration that may be in effect:
 // the last one acknowledged long enough ago, and all younger or unanswered.
 func (j *judge) startUnderSetup(e *Event, queue string, w *workerSeen, what string) {
 	floor := int64(0)
--- a/internal/historycheck/mix.go
+++ b/internal/historycheck/mix.go
@@ -121,7 +121,7 @@
 // Zones are the three zones of both users.
 var Zones = []string{"east", "mid", "west"}
 
-// SetupOf is a deployment's first setup.
+// SetupOf is a deployment's first configuration.
 //
 // Example: setup := historycheck.Deployments["ikenna"].SetupOf()
 func (d Deployment) SetupOf() Setup { return Setup{Queues: d.Queues} }
--- a/internal/wire/cluster.go
+++ b/internal/wire/cluster.go
@@ -23,7 +23,7 @@
 	DiskID      uint64
 	Empty       bool // has a disk with no cluster on it
 	Leaving     bool
-	Colocated   bool // stands beside a worker, and takes no duty of the fleet's
+	Colocated   bool // stands beside a worker, and takes no role of the fleet's
 }
 
 // Gossip tells the whole table of peers: to a daemon that hears nobody yet, at a
--- a/internal/wire/scheduling.go
+++ b/internal/wire/scheduling.go
@@ -22,7 +22,7 @@
 	Key    string
 	Body   []byte
 	Queue  string // the queue whose address the caller used; "" when it used none
-	Expect int64  // the version that a setup builds on
+	Expect int64  // the version that a configuration builds on
 	Digest []byte // of an operator's order, where it isn't that of the body
 }
 
@@ -114,7 +114,7 @@
 	Rack       string
 	Free       resource.Amount
 	Capacity   resource.Amount
-	Others     resource.Amount // room of all it holds, queued ones too, that are not this slice's
+	Others     resource.Amount // room of all it holds, queued ones too, that are not this shard's
 	Suspect    bool            // tasks stand still there, or crawl
 	Colocated  bool            // the agent stands beside its worker, and holds end by themselves
 	RankMs     int64
@@ -124,7 +124,7 @@
 	Failed     int64
 	Spare      resource.Amount // capacity without what is held and no batch's
 	Waiting    int64           // unstarted tasks that are no batch's
-	Batch      []QueueUse      // room of the batches it holds that are not this slice's
+	Batch      []QueueUse      // room of the batches it holds that are not this shard's
 	LagPercent int64           // run time against the estimate, in percent, smoothed
 	Attempts   []AttemptStatus
 }
@@ -244,7 +244,7 @@
 	return AttemptKey{parts[0], task, int32(attempt)}, ok
 }
 
-// CompareAttemptKeys orders keys by job, task and attempt, as slices.SortFunc needs it.
+// CompareAttemptKeys orders keys by job, task and attempt, as shards.SortFunc needs it.
 //
 // Example: slices.SortFunc(keys, wire.CompareAttemptKeys)
 func CompareAttemptKeys(a, b AttemptKey) int {
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -73,5 +73,5 @@
 	Register string
 	Ballot   register.Ballot
 	Value    []byte
-	Complete bool // as it was accepted; readers get a setup without the history of its orders
+	Complete bool // as it was accepted; readers get a configuration without the history of its orders
 }
