--- a/cmd/otterchute-standin/main.go
+++ b/cmd/otterchute-standin/main.go
@@ -26,7 +26,7 @@
 	os.Exit(int(cmd.Execute(context.Background())))
 }
 
-// request sends one HTTP ask; status 0 means silence.
+// request sends one HTTP request; status 0 means silence.
 func request(c *http.Client, method, url string, body []byte) (status int, retry time.Duration, answer []byte) {
 	req, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -50,15 +50,15 @@
 
 	colocated        bool
 	rack             string
-	holdUntilMs      int64 // all that runs there has surely ended by then, if no beat comes
+	holdUntilMs      int64 // all that runs there has surely ended by then, if no heartbeat comes
 	acknowledgedEnds int64 // ends up to this number were taken note of
 	ends             map[int64]wire.AttemptKey
 	ownerMs          map[string]int64 // shard -> our clock at the last sync that its owner answered
-	toStart          []*attempt       // what the answer to this beat starts
-	answering        bool             // a beat is being answered
+	toStart          []*attempt       // what the answer to this heartbeat starts
+	answering        bool             // a heartbeat is being answered
 	goneMs           int64            // it said that it goes; 0 if not
 	leavesMs         int64            // what runs there then dies; 0 if it does not leave
-	replaced         bool             // another worker beats from its place
+	replaced         bool             // another worker sends heartbeats from its place
 	lapseUntilMs     int64            // the hold must lapse before this: late ends wait for that
 	suspectMs        int64            // until then it is suspect
 	suspects         int64            // how often it was, lately
@@ -84,7 +84,7 @@
 	acked       bool
 
 	unknown   bool  // found running: its room is not known yet
-	orderSeq  int64 // the beat whose answer carried the order
+	orderSeq  int64 // the heartbeat whose answer carried the order
 	percent   int64
 	movedMs   int64 // when its work last moved
 	lateEnd   bool  // ended by itself, and its owner may have given it up meanwhile
--- a/internal/daemon/agent_dispatch.go
+++ b/internal/daemon/agent_dispatch.go
@@ -24,7 +24,7 @@
 			"percent", h.percent, "cpu", h.spec.Resources.CPU, "gang", h.spec.Gang)
 	}
 	if n.now-h.stopSentMs < 1000 && h.stopSentMs != 0 || ag.addr == "" || ag.colocated {
-		return // a pinned agent says it in the answer to each beat
+		return // an agent beside its worker says it in the answer to each heartbeat
 	}
 	h.stopSentMs = n.now
 	n.count("stops_sent")
@@ -259,7 +259,7 @@
 			h.state, h.ordered = wire.AttemptQueued, false
 		}
 	},
-	// It may have started: it holds its room until the worker's word settles it.
+	// It may have started: it holds its room until the worker's report resolves it.
 	"unknown": func(n *node, _ *agent, h *attempt) { n.count("orders_unconfirmed") },
 }
 
--- a/internal/daemon/central.go
+++ b/internal/daemon/central.go
@@ -21,7 +21,7 @@
 
 // central is the central scheduler with the coordinator inside it. It holds
 // no durable truth: a successor learns all from the agents' syncs and the
-// owners' repeated asks.
+// owners' repeated requests.
 type central struct {
 	epoch   uint64
 	startMs int64
--- a/internal/daemon/client.go
+++ b/internal/daemon/client.go
@@ -39,9 +39,9 @@
 	return &client{at: strings.Split(at, ","), http: http.Client{Timeout: 6 * time.Second}}
 }
 
-// request sends one ask until it is finally answered, at most a few times.
+// request sends one request until it is finally answered, at most a few times.
 //
-// Example: t, err := newClient("127.0.0.1:8000").ask(ctx, "GET", "/v1/members", nil)
+// Example: t, err := newClient("127.0.0.1:8000").request(ctx, "GET", "/v1/members", nil)
 func (c *client) request(ctx context.Context, method, path string, body []byte) (response, error) {
 	try := 0
 	isTemporary := func(t response, err error) bool { return err != nil || t.status == 503 || t.status == 429 }
--- a/internal/daemon/config_state.go
+++ b/internal/daemon/config_state.go
@@ -21,7 +21,7 @@
 	requestedMs int64
 	repairMs    int64
 	readerCopy  configuration.ReaderCopy
-	awaiting    []*request // asks that name a queue not known here, until a newer confirmation
+	awaiting    []*request // requests that name a queue not known here, until a newer confirmation
 }
 
 func newConfigState() configState {
--- a/internal/daemon/heartbeat.go
+++ b/internal/daemon/heartbeat.go
@@ -30,9 +30,9 @@
 	workerKeepMs  = 60_000 // a worker's agent whose worker is gone keeps the ends nobody took note of for this long
 )
 
-// An agent pinned to its worker's machine: the worker's beats reach no other
-// daemon, and its orders leave in the answers to them. Beats come one after the
-// other, so that a beat tells what became of all that earlier answers ordered.
+// An agent beside its worker: the worker's heartbeats reach no other
+// daemon, and its orders leave in the answers to them. Heartbeats come one after the
+// other, so that a heartbeat tells what became of all that earlier answers ordered.
 
 var heartbeatOutcomes = map[string]bool{
 	"ok":          true,
@@ -85,7 +85,7 @@
 	"ended":     {Kind: schema.List, Max: 100_000, Elem: &schema.Field{Kind: schema.Object, Fields: placeFields}},
 }}
 
-// orderView is one task in the answer to a beat.
+// orderView is one task in the answer to a heartbeat.
 type orderView struct {
 	Job     string          `json:"job"`
 	Round   int32           `json:"round"`
@@ -109,7 +109,7 @@
 	return orderView{Job: k.Job, Round: round, Step: step, Index: index, Run: k.Attempt}
 }
 
-// runOf reads which run an entry of a beat speaks of; false for one that no
+// runOf reads which run an entry of a heartbeat speaks of; false for one that no
 // otterchute ever ordered.
 func runOf(e gjson.Result) (wire.AttemptKey, bool) {
 	round, run := e.Get("round").Int(), e.Get("run").Int()
@@ -170,8 +170,8 @@
 	}
 }
 
-// addColocatedAgent makes the agent of a worker that beats here. One worker stands at a
-// place: another that beat here before has crashed, and runs nothing any more.
+// addColocatedAgent makes the agent of a worker that sends heartbeats here. One worker stands at a
+// place: another that did so before has crashed, and runs nothing any more.
 func (n *node) addColocatedAgent(worker string) *agent {
 	for _, name := range sorted(n.agents) {
 		if old := n.agents[name]; old.colocated && !old.replaced {
@@ -200,7 +200,7 @@
 	return ag
 }
 
-// loseAttempts settles all that a worker surely doesn't run any more.
+// loseAttempts resolves all that a worker surely doesn't run any more.
 func (n *node) loseAttempts(ag *agent) (some bool) {
 	for _, key := range ag.keys() {
 		h := ag.attempts[key]
--- a/internal/daemon/hollow_worker.go
+++ b/internal/daemon/hollow_worker.go
@@ -19,7 +19,7 @@
 	started func(job string, at time.Time)
 }
 
-// hollowWorker beats to the daemon beside it, as the platform's worker does.
+// hollowWorker sends heartbeats to the daemon beside it, as the platform's worker does.
 type hollowWorker struct {
 	all     *hollowWorkers
 	name    string
@@ -34,7 +34,7 @@
 	ended   []*hollowRun
 }
 
-// hollowRun is one run as a beat tells it.
+// hollowRun is one run as a heartbeat tells it.
 type hollowRun struct {
 	Job     string `json:"job"`
 	Round   int32  `json:"round"`
--- a/internal/daemon/http_server.go
+++ b/internal/daemon/http_server.go
@@ -27,7 +27,7 @@
 	replyMs = 4000 // the control thread answers long before; this guards against a fault in it
 )
 
-// httpServer is the HTTP side: it turns requests into asks for the control thread
+// httpServer is the HTTP side: it turns calls into requests for the control thread
 // and its replies into answers.
 type httpServer struct {
 	loop   *controlLoop
@@ -86,7 +86,7 @@
 		}})
 }
 
-// request posts one ask and waits for its reply.
+// request posts one request and waits for its reply.
 func (d *httpServer) request(ctx context.Context, e evRequest) effReply {
 	switch e.Op {
 	case "setup.put": // checked here, since thousands of queues would hold the control thread up
--- a/internal/daemon/job_schedule.go
+++ b/internal/daemon/job_schedule.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// tickPlacedTask sends a committed placement, and settles one whose worker stayed
+// tickPlacedTask sends a committed placement, and resolves one whose worker stayed
 // silent past a trusted contract.
 func (n *node) tickPlacedTask(sl *shard, js *jobState, i int, rt *taskRuntime) {
 	t := &js.Tasks[i]
@@ -175,7 +175,7 @@
 	}
 }
 
-// tickColocatedTask settles a task whose worker's agent has been silent for longer than
+// tickColocatedTask resolves a task whose worker's agent has been silent for longer than
 // it may hold anything without an owner's word, and begins a gang anew that did
 // not come together.
 func (n *node) tickColocatedTask(sl *shard, js *jobState, i int, rt *taskRuntime, w *workerView) {
--- a/internal/daemon/reconcile.go
+++ b/internal/daemon/reconcile.go
@@ -291,8 +291,8 @@
 	return false
 }
 
-// resolveReplaced settles what stood at workers whose place another worker has taken
-// since: its beats come from the same machine, to a later life of the same agent.
+// resolveReplaced resolves what stood at workers whose place another worker has taken
+// since: its heartbeats come from the same machine, to a later incarnation of the same agent.
 func (n *node) resolveReplaced(sl *shard, m *wire.AgentReport) {
 	if !m.Colocated || !m.Rebuilt {
 		return
--- a/internal/daemon/reduce.go
+++ b/internal/daemon/reduce.go
@@ -61,7 +61,7 @@
 		Msg   any
 		Ready *configuration.Configuration // of the configuration in it, where a traffic thread compiled that already
 	}
-	// evRequest is a caller's, worker's or operator's ask at this daemon.
+	// evRequest is a caller's, worker's or operator's request at this daemon.
 	evRequest struct {
 		ID         uint64
 		Op         string
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -28,7 +28,7 @@
 )
 
 // request is one thing a caller, worker or operator wants, at the daemon that got
-// it or handed over to the one that can settle it.
+// it or forwarded to the one that can answer it.
 type request struct {
 	id             uint64
 	origin         string // "" when it came by HTTP here
@@ -87,7 +87,7 @@
 // operatorRequests are the calls of operators, who turn to another daemon after a second.
 var operatorRequests = map[string]bool{"setup.put": true, "setup.taken": true, "site.empty": true, "site.open": true}
 
-// retryBudget bounds what this daemon does beyond the first try, for all asks
+// retryBudget bounds what this daemon does beyond the first attempt, for all requests
 // together: under a crowd that sends again and again the fleet's own work must
 // not grow with what it gives up on.
 type retryBudget struct{ left int64 }
@@ -263,7 +263,7 @@
 	n.respond(p.request, int(m.Status), m.RetryMs, m.Body)
 }
 
-// retryForwarded settles anew what waits for a daemon that has lost its role.
+// retryForwarded routes anew what waits for a daemon that has lost its role.
 func (n *node) retryForwarded(to string) {
 	for _, id := range sorted(n.forwarded) {
 		if p := n.forwarded[id]; p.to == to && to != "" && n.retries.spend() {
@@ -293,7 +293,7 @@
 	}
 }
 
-// readFromCore is for asks that no owner settles now: a job's state can still be
+// readFromCore is for requests that no owner answers now: a job's state can still be
 // had from the core, anything else is rejected.
 func (n *node) readFromCore(a *request, reason string) {
 	if a.op != "job.get" && a.op != "job.state" || len(n.core.Members) == 0 || n.leases.CutOff() || !n.coreReads.spend() {
--- a/internal/daemon/shard.go
+++ b/internal/daemon/shard.go
@@ -50,7 +50,7 @@
 	load               map[string]resource.Amount              // worker -> room of those
 	confirmed          []string                                // finished at a majority, not yet told to the members
 	confirmedSentMs    int64
-	allocationRequests int // asks for firm places sent in this tick
+	allocationRequests int // requests for firm places sent in this tick
 
 	batchAt      int64 // when batches are planned anew
 	batchVersion int64 // the configuration that they were planned by
