--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -168,7 +168,7 @@
 	must.NoError(t, err)
 	u := &unrest{fleet: f, rng: rand.New(rand.NewPCG(*fleetSeedFlag, 1)), out: bufio.NewWriter(file), told: map[string]int{}}
 	u.declare(dep, nil)
-	caller := exec.Command(filepath.Join(f.bin, "guise"), "downstream", "-deployment", dep.Name, "-daemons", strings.Join(f.http, ","), "-records", records,
+	caller := exec.Command(filepath.Join(f.bin, "otterchute-standin"), "downstream", "-deployment", dep.Name, "-daemons", strings.Join(f.http, ","), "-records", records,
 		"-seconds", fmt.Sprint(*fleetSecsFlag), "-settle", "90", "-seed", fmt.Sprint(*fleetSeedFlag), "-wave", "60", "-cancel", "30")
 	var said strings.Builder
 	caller.Stdout, caller.Stderr = &said, &said
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -75,7 +75,7 @@
 func (f *fleet) worker(i int) {
 	name, tier, disk := fmt.Sprintf("w%02d", i), historycheck.WorkerLabels(i)["tier"], historycheck.WorkerLabels(i)["disk"]
 	at := i % len(f.http)
-	f.start(name, "guise", "worker", "-name", name, "-site", historycheck.Zones[i%3], "-labels", "tier="+tier+",disk="+disk, "-listen", f.lists[i],
+	f.start(name, "otterchute-standin", "worker", "-name", name, "-site", historycheck.Zones[i%3], "-labels", "tier="+tier+",disk="+disk, "-listen", f.lists[i],
 		"-daemons", strings.Join(append(append([]string{}, f.http[at:]...), f.http[:at]...), ","), "-room", fmt.Sprint(f.cores),
 		"-record", filepath.Join(f.dir, "records", name+".jsonl"), "-journal", filepath.Join(f.dir, name+".journal"))
 }
