--- a/internal/wire/cluster.go
+++ b/internal/wire/cluster.go
@@ -11,90 +11,92 @@
 
 // Messages about daemons, leases and the core set.
 
-// Peer is what a daemon says of itself and others repeat.
+// Peer describes one daemon. Each daemon publishes its own entry; the others pass it on.
 type Peer struct {
 	Name        string
 	Incarnation uint64
 	Heartbeat   uint64
-	Addr        string // for daemons
-	HTTP        string // for callers, workers, operators
+	Addr        string // for messages between daemons
+	HTTP        string // address for callers, workers and operators
 	Zone        string
 	Disk        bool
 	DiskID      uint64
-	Empty       bool // has a disk with no cluster on it
+	Empty       bool // the disk belongs to no cluster yet
 	Leaving     bool
-	Colocated   bool // stands beside a worker, and takes no role of the fleet's
-	// What the machine has: thousandths of a core, and Mbit/s; 0 where nobody said.
+	Colocated   bool // runs on a worker's machine and takes no cluster-wide role
+	// Resources of the machine: thousandths of a core, and Mbit/s; 0 if unknown.
 	MilliCores int64
 	LinkMbps   int64
-	Strained   bool // its control thread runs late
+	Strained   bool // the control thread runs late
 }
 
-// Gossip tells the whole table of peers: to a daemon that hears nobody yet, at a
-// seed's address, and of entries that a Digest showed to be unknown.
+// Gossip carries full peer entries and the core set: all live peers, for a daemon that is
+// new or a core set that has changed, or those that a DigestReply listed as unknown.
 type Gossip struct {
 	Self           Peer
 	Table          []Peer
 	Core           quorum.Set
-	ReplyRequested bool // an answer is wanted
+	ReplyRequested bool
 }
 
-// Heartbeat is one daemon in a digest: a hash of all that is said of it but for its
-// heartbeat (Peer.DetailHash), and the low bits of the heartbeat.
+// Heartbeat is the entry of one daemon in a digest: Peer.DetailHash and the low bits
+// of the heartbeat counter.
 type Heartbeat struct {
 	Hash      uint64
 	Heartbeat int32
 }
 
-// Digest is one round of gossip: a short entry for each live daemon.
+// Digest is one round of gossip, with a short entry for each live daemon.
 type Digest struct {
 	Self Peer
-	// Partial leaves out daemons beside workers: they are many, and few must know them.
+	// Partial is set if daemons colocated with workers are omitted: there are many of
+	// them, and few daemons need their state.
 	Partial    bool
 	SetVersion int64
 	Heartbeats []Heartbeat
 }
 
-// DigestReply answers a Digest with what differs here.
+// DigestReply answers a Digest with the differences to the replying daemon's state.
 type DigestReply struct {
 	SetVersion int64
-	Heartbeats []Heartbeat // that are higher here
-	Table      []Peer      // daemons as they are known here and not there
-	Unknown    []uint64    // hashes that nobody here has
+	Heartbeats []Heartbeat // higher at the replying daemon
+	Table      []Peer      // entries that the sender of the digest lacks
+	Unknown    []uint64    // hashes of the digest that the replying daemon lacks
 }
 
-// LeaseRequest asks for, or renews, the lease of one role.
+// LeaseRequest acquires or renews the lease of one role.
 type LeaseRequest struct {
 	Name  string
-	Epoch uint64 // 0 while being taken
+	Epoch uint64 // 0 while the lease is being acquired
 }
 
-// LeaseRelease gives a lease back before its end.
+// LeaseRelease releases a lease before it expires.
 type LeaseRelease struct {
 	Name, Successor string
 }
 
-// PollRequest goes to every core member at a fixed pace. It renews and asks for
-// leases, tells the sender's clock, and reads what every daemon must know.
+// PollRequest is sent to every core member at a fixed interval. It renews and acquires
+// leases, reports the sender's clock, and reads the cluster-wide state.
 type PollRequest struct {
 	Incarnation uint64
 	Seq         uint64
 	SetVersion  int64
 	WallMs      int64 // the sender's wall clock
-	// HoldersHash is that of the holders the member told last, see HashHolders; 0 for none.
+	// HoldersHash is the HashHolders value of the last holders received from this member;
+	// 0 if there are none.
 	HoldersHash uint64
 	Wanted      []LeaseRequest
 	Releases    []LeaseRelease
 }
 
-// RoleHolder is who holds a role. It is also the value of the role's register, whose
-// Epoch counts the holders.
+// RoleHolder records which daemon holds a role. It is also the value of the role's
+// register; Epoch rises with each new holder.
 type RoleHolder struct {
 	Name, Holder string
 	Incarnation  uint64
 	Addr         string // of the holder: only one process at a time can listen there
 	Epoch        uint64
-	Successor    string // set when released
+	Successor    string // set when the lease was released
 }
 
 // PollResponse answers a PollRequest.
@@ -102,58 +104,60 @@
 	Seq        uint64
 	SetVersion int64
 	Granted    []bool
-	Epochs     []uint64 // of what was granted: the last epoch that this member knows
+	Epochs     []uint64 // the last known epoch of each granted lease
 	Holders    []RoleHolder
-	// HoldersSame says that the holders are those of the request's hash, and left out.
+	// HoldersSame is set if the holders match the request's hash; Holders is empty then.
 	HoldersSame bool
 	Config      register.Ballot
-	GuardMs     int64 // so long this member grants nothing yet
-	FleetMs     int64 // the fleet's time; 0 while too few clocks are heard
-	SyncMs      int64 // ms of the last sync
+	GuardMs     int64 // remaining time during which this member grants no leases
+	FleetMs     int64 // the cluster's time; 0 while too few clocks were reported
+	SyncMs      int64 // duration of the last disk sync
 }
 
-// FormRequest asks a disk for its vote on a formation, or tells that it failed.
+// FormRequest requests a disk's vote on a formation, or reports that the formation failed.
 type FormRequest struct {
 	Set    quorum.Set
-	Failed bool // a member voted no: whoever voted yes is free again
+	Failed bool // a member voted against it: the votes for it are released
 }
 
-// FormResponse is a vote; OK is one for the formation.
+// FormResponse is a vote on a formation.
 type FormResponse struct {
 	Cluster uint64
-	OK      bool
+	OK      bool // a vote for the formation
 }
 
-// CopyRequest asks a core member for the part of its store at a cursor.
+// CopyRequest requests the part of a core member's store that begins at a cursor.
 type CopyRequest struct {
 	SetVersion int64
 	Op         uint64
 	At         statestore.Cursor
 }
 
-// CopyResponse brings one part of a store.
+// CopyResponse carries one part of a store.
 type CopyResponse struct {
 	Op       uint64
 	At, Next statestore.Cursor
-	Finished string // to oneself: the member whose copy is synced to its end
+	// Finished is set in a message that a daemon sends to itself: it names the member
+	// whose copy is complete and synced.
+	Finished string
 	Entries  []statestore.Entry
 }
 
-// HashHolders is a hash of who holds what; never 0.
+// HashHolders returns a hash of the role holders; never 0.
 //
 // Example: same := wire.HashHolders(holders) == request.HoldersHash
 func HashHolders(holders []RoleHolder) uint64 {
 	h := fnv.New64a()
 	for _, holder := range holders {
-		_, _ = h.Write(codec.Append(nil, holder)) // a hash takes any bytes
+		_, _ = h.Write(codec.Append(nil, holder)) // never fails
 	}
 	return max(h.Sum64(), 1)
 }
 
-// DetailHash is a hash of all that a daemon says of itself but for its heartbeat.
+// DetailHash returns a hash of all fields but the heartbeat.
 func (p Peer) DetailHash() uint64 {
 	p.Heartbeat = 0
 	h := fnv.New64a()
-	_, _ = h.Write(codec.Append(nil, p)) // a hash takes any bytes
+	_, _ = h.Write(codec.Append(nil, p)) // never fails
 	return h.Sum64()
 }
--- a/internal/wire/enums.go
+++ b/internal/wire/enums.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// enumName names an enumerated value, for logs, counters and answers.
+// enumName returns the name of an enumerated value in logs, metrics and responses.
 func enumName[E ~int8](names map[E]string, value E) string {
 	if name, ok := names[value]; ok {
 		return name
@@ -10,40 +10,40 @@
 	return "unknown " + strconv.Itoa(int(value))
 }
 
-// TaskClass is one of the paper's two classes of tasks (section 3.2). Its numbers
-// stand in records, too.
+// TaskClass is one of the paper's two classes of tasks (section 3.2). The numbers are
+// also stored in job records.
 type TaskClass int8
 
 // The classes; 0 is a task that was never placed.
 const (
-	ClassGuaranteed TaskClass = iota + 1 // placed centrally, only where its resources are sure, and never preempted
-	ClassQueueable                       // placed at once by a local scheduler; may wait at its worker and be stopped
+	ClassGuaranteed TaskClass = iota + 1 // placed centrally on reserved resources, never preempted
+	ClassQueueable                       // placed at once by a local scheduler; may be queued or preempted
 )
 
 var taskClassNames = map[TaskClass]string{0: "", ClassGuaranteed: "guaranteed", ClassQueueable: "queueable"}
 
-// String names the class, as answers to callers do.
+// String returns the name of the class in responses to callers.
 func (c TaskClass) String() string { return enumName(taskClassNames, c) }
 
-// AttemptState is how far an attempt is at its worker's agent.
+// AttemptState is the progress of an attempt at its worker's agent.
 type AttemptState int8
 
 // States of an attempt.
 const (
-	AttemptQueued  AttemptState = iota // it was never ordered
-	AttemptOrdered                     // it may have started
-	AttemptRunning                     // the worker listed it, or answered that it started
-	AttemptEnded                       // AttemptStatus.Result says how
+	AttemptQueued  AttemptState = iota // no start was sent to the worker
+	AttemptOrdered                     // a start was sent: the attempt may be running
+	AttemptRunning                     // the worker listed it, or confirmed the start
+	AttemptEnded                       // see AttemptStatus.Result
 )
 
 var attemptStateNames = map[AttemptState]string{
 	AttemptQueued: "queued", AttemptOrdered: "ordered", AttemptRunning: "running", AttemptEnded: "ended",
 }
 
-// String names the state for logs.
+// String returns the name of the state in logs.
 func (s AttemptState) String() string { return enumName(attemptStateNames, s) }
 
-// AttemptResult is how an attempt ended.
+// AttemptResult is the outcome of an attempt.
 type AttemptResult int8
 
 // Results of an attempt.
@@ -51,14 +51,14 @@
 	ResultOK AttemptResult = iota + 1
 	ResultFailed
 	ResultOverrun    // stopped at its run limit
-	ResultPreempted  // stopped for more urgent work
-	ResultShed       // given back before it started
-	ResultRejected   // refused by the agent or the worker: it never started
-	ResultLost       // its worker surely doesn't run it any more
-	ResultCancelled  // stopped since its job needs it no more
-	ResultMoved      // stopped since its worker leaves
-	ResultStalled    // stopped since it made no progress
-	ResultGangBroken // another member of its gang ended, or did not come
+	ResultPreempted  // stopped in favour of more urgent work
+	ResultShed       // returned to its owner before it started
+	ResultRejected   // rejected by the agent or the worker; never started
+	ResultLost       // certain not to run at its worker any more
+	ResultCancelled  // stopped because its job no longer needs it
+	ResultMoved      // stopped because its worker is leaving
+	ResultStalled    // stopped because it made no progress
+	ResultGangBroken // another member of its gang ended or did not arrive
 )
 
 var attemptResultNames = map[AttemptResult]string{
@@ -67,19 +67,19 @@
 	ResultMoved: "moved", ResultStalled: "stalled", ResultGangBroken: "gang_broken",
 }
 
-// String names the result, as counters, logs and a task's cause do.
+// String returns the name of the result in metrics, logs and a task's cause.
 func (r AttemptResult) String() string { return enumName(attemptResultNames, r) }
 
-// Decision is a shard owner's answer to one attempt that an agent reports.
+// Decision is a shard owner's reply to one attempt that an agent reports.
 type Decision int8
 
 // Decisions; 0 is none yet.
 const (
-	DecisionKeep         Decision = iota + 1 // go on with it
-	DecisionDrop                             // stop it, or forget it
-	DecisionAcknowledged                     // nothing more is wanted of it
-	DecisionCounted                          // the same, and no other run took its place since its worker was silent
-	DecisionRecall                           // to be given back if it has not started: another worker has resources now
+	DecisionKeep         Decision = iota + 1 // continue the attempt
+	DecisionDrop                             // stop the attempt, or forget it
+	DecisionAcknowledged                     // the end is recorded; the agent may forget the attempt
+	DecisionCounted                          // acknowledged, and no other run replaced it while its worker was silent
+	DecisionRecall                           // return it if it has not started: another worker has free resources
 )
 
 var decisionNames = map[Decision]string{
@@ -87,5 +87,5 @@
 	DecisionCounted: "counted", DecisionRecall: "recall",
 }
 
-// String names the decision for logs.
+// String returns the name of the decision in logs.
 func (d Decision) String() string { return enumName(decisionNames, d) }
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -1,11 +1,11 @@
-// Package wire is what daemons say to each other: the messages, the frames they
-// travel in, and the connections that carry frames.
+// Package wire defines the protocol between daemons: the messages, the frames that
+// contain them, and the transport that carries the frames.
 //
-// A frame is one message with a Header, checksummed: EncodeFrame and DecodeFrame.
-// A Transport sends frames over TCP and hands on those that come; it may drop any
-// of them, since all that matters is sent again by whoever needs it. Message types
-// are plain records (see cluster.go, state.go, scheduling.go and package register);
-// what they mean is decided by who handles them.
+// A frame is one message with a Header and a checksum, see EncodeFrame and DecodeFrame.
+// A Transport sends and receives frames over TCP. It may drop any frame: the sender
+// repeats what is still needed. Message types are plain structs (see cluster.go,
+// state.go, scheduling.go, tenancy.go and package register); their handlers are in other
+// packages.
 package wire
 
 import (
@@ -21,16 +21,16 @@
 	"github.com/go-faster/errors"
 )
 
-// Causes of a frame that is refused.
+// Reasons why a frame is rejected.
 var (
-	// ErrMalformed tells that a frame is damaged.
+	// ErrMalformed means that a frame is damaged.
 	ErrMalformed = errors.New("frame damaged")
-	// ErrForeign tells that a frame is of another form: of another release, or
-	// not otterchute's.
+	// ErrForeign means that a frame is in another format: from another release, or
+	// not from otterchute.
 	ErrForeign = errors.New("frame of another cluster or version")
 )
 
-// messageTypes numbers the kinds of messages. The numbers are part of the form.
+// messageTypes numbers the kinds of messages. The numbers are part of the wire format.
 var messageTypes = map[uint8]reflect.Type{
 	1:  reflect.TypeFor[Gossip](),
 	2:  reflect.TypeFor[PollRequest](),
@@ -76,13 +76,12 @@
 	return kinds
 }()
 
-// Kinds returns the numbers of all kinds of messages, in order.
+// Kinds returns the numbers of all kinds of messages in ascending order.
 //
 // Example: for _, kind := range wire.Kinds() { t, _ := wire.MessageType(kind) }
 func Kinds() []uint8 { return slices.Sorted(maps.Keys(messageTypes)) }
 
-// MessageType returns the type of the messages of a kind; false for a number that
-// is no kind.
+// MessageType returns the message type of a kind, or false if the kind is unknown.
 //
 // Example: t, ok := wire.MessageType(2)
 func MessageType(kind uint8) (reflect.Type, bool) {
@@ -90,66 +89,65 @@
 	return t, ok
 }
 
-// KindOf returns the kind of a message, given as a pointer; 0 for what is none.
+// KindOf returns the kind of a message that msg points to, or 0 for any other type.
 //
 // Example: kind := wire.KindOf(&wire.PollRequest{})
 func KindOf(msg any) uint8 { return messageKinds[reflect.TypeOf(msg).Elem()] }
 
 const (
-	// FormVersion rises with each change of how frames or messages are encoded.
-	// Daemons of two forms don't hear each other.
+	// FormVersion rises with each change to the encoding of frames or messages.
+	// Daemons with different versions reject each other's frames.
 	FormVersion = 10
-	// magic tells frames of this form from all others: "otw" and the form. Up to
-	// the third form a frame began with eight bytes "otterchu" and a version.
+	// magic identifies frames of this format: "otw" and the format version. Up to
+	// version 3 a frame began with the eight bytes "otterchu" and a version.
 	magic int32 = 0x6f747700 | FormVersion
 
-	checksumBytes = 4
-	magicBytes    = 4
-	kindAt        = checksumBytes + magicBytes
-	usualBytes    = 256 // of a frame: what is taken for one at first
+	checksumBytes     = 4
+	magicBytes        = 4
+	kindOffset        = checksumBytes + magicBytes
+	initialFrameBytes = 256 // initial capacity of an encoded frame
 )
 
-// Header stands before every message. It names the sender's process and the
-// addressee, see Header.To.
+// Header precedes every message. It identifies the sending process and the addressee.
 type Header struct {
 	Magic    int32 // set by EncodeFrame
 	Kind     uint8 // set by EncodeFrame
 	Cluster  uint64
 	From     string
 	Instance uint64 // of the sender's process
-	// To is the addressee: a hash of its name in a request or announcement, the
-	// instance that asked in a response, or 0 for whoever listens there.
+	// To is the addressee: the hash of its name in a request or announcement, the
+	// requester's instance in a response, or 0 for any process at the address.
 	To uint64
 }
 
-// EncodeFrame puts a message, given as a pointer, and its header into one frame,
-// without the length that a stream puts before it:
+// EncodeFrame encodes a header and the message that msg points to as one frame, without
+// the length prefix used in a stream:
 //
 //	checksum u32 | header | message
 //
 // Example: frame := wire.EncodeFrame(header, &wire.PollRequest{Seq: 4})
 func EncodeFrame(h Header, msg any) []byte {
 	h.Magic, h.Kind = magic, KindOf(msg)
-	b := codec.Append(make([]byte, checksumBytes, usualBytes), h)
+	b := codec.Append(make([]byte, checksumBytes, initialFrameBytes), h)
 	b = codec.Append(b, msg)
 	binary.BigEndian.PutUint32(b, crc32.ChecksumIEEE(b[checksumBytes:]))
 	return b
 }
 
-// FrameKind is the kind of message in a frame that EncodeFrame made.
+// FrameKind returns the kind of the message in a frame that EncodeFrame returned.
 //
 // Example: kind := wire.FrameKind(frame)
-func FrameKind(frame []byte) uint8 { return frame[kindAt] }
+func FrameKind(frame []byte) uint8 { return frame[kindOffset] }
 
-// DecodeFrame is the opposite of EncodeFrame; msg is a pointer. A frame of another
-// form gives ErrForeign, a damaged one ErrMalformed.
+// DecodeFrame decodes a frame made by EncodeFrame; msg is a pointer. It returns
+// ErrForeign for a frame in another format and ErrMalformed for a damaged one.
 //
 // Example: header, msg, err := wire.DecodeFrame(frame)
 func DecodeFrame(b []byte) (h Header, msg any, err error) {
 	if len(b) < checksumBytes || binary.BigEndian.Uint32(b) != crc32.ChecksumIEEE(b[checksumBytes:]) {
 		return h, nil, ErrMalformed
 	}
-	if len(b) < kindAt || int32(binary.BigEndian.Uint32(b[checksumBytes:])) != magic {
+	if len(b) < kindOffset || int32(binary.BigEndian.Uint32(b[checksumBytes:])) != magic {
 		return h, nil, ErrForeign
 	}
 	rest, err := codec.UnmarshalPrefix(b[checksumBytes:], &h)
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -12,8 +12,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A frame of another version, or damaged, is rejected.
-func TestFrameRejected(t *testing.T) {
+// A damaged frame and a frame in another format are rejected.
+func TestDamagedOrForeignFrameIsRejected(t *testing.T) {
 	good := EncodeFrame(Header{From: "d01", Cluster: 9}, &CopyRequest{Op: 3})
 	h, m, err := DecodeFrame(good)
 	must.NoError(t, err)
@@ -33,7 +33,7 @@
 	must.ErrorIs(t, err, ErrForeign)
 }
 
-// The header stays small: each daemon has 3 KB/s for what it says to others.
+// The header stays small: each daemon may send 3 KB/s.
 func TestHeaderIsSmall(t *testing.T) {
 	frame := EncodeFrame(Header{From: "edge-fukuoka-a-1", Cluster: 1, Instance: 2, To: 3}, &FormRequest{})
 	must.Eq(t, 37+len("edge-fukuoka-a-1"), len(frame)-len(codec.Append(nil, FormRequest{})))
@@ -65,7 +65,7 @@
 }
 
 // Every value of an enumeration has a name.
-func TestNames(t *testing.T) {
+func TestEnumNamesAreComplete(t *testing.T) {
 	for s := AttemptQueued; s <= AttemptEnded; s++ {
 		must.MapContainsKey(t, attemptStateNames, s)
 	}
@@ -85,7 +85,7 @@
 		f.Add(EncodeFrame(Header{From: "d01"}, m))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if len(b) >= 4 { // past the checksum, into the forms behind it
+		if len(b) >= 4 { // a valid checksum lets the fuzzer reach the decoder
 			b = slices.Clone(b)
 			binary.BigEndian.PutUint32(b, crc32.ChecksumIEEE(b[4:]))
 		}
--- a/internal/wire/outbound.go
+++ b/internal/wire/outbound.go
@@ -12,29 +12,29 @@
 	addr      string
 	frames    chan queuedFrame
 
-	conn     net.Conn // nil while there is none
-	failedAt time.Time
+	conn         net.Conn // nil while there is none
+	dialFailedAt time.Time
 }
 
-// queuedFrame is a frame and when it began to wait.
+// queuedFrame is a frame and the time at which it was queued.
 type queuedFrame struct {
-	bytes []byte
-	at    time.Time
+	bytes    []byte
+	queuedAt time.Time
 }
 
-// run sends what is queued until the queue is closed or was idle for long.
+// run sends queued frames until the queue is closed or was idle for idleTimeout.
 func (o *outbound) run() {
-	defer o.hangUp()
-	idle := time.NewTimer(lingerMax)
+	defer o.closeConn()
+	idle := time.NewTimer(initialIdleTimer)
 	defer idle.Stop()
 	for {
-		began := time.Now()
-		frames, open := o.next(idle)
+		waitingSince := time.Now()
+		frames, open := o.nextBatch(idle)
 		if !open {
 			return
 		}
 		if len(frames) == 0 {
-			if o.forgotten(began) {
+			if o.removeIfIdle(waitingSince) {
 				return
 			}
 			continue
@@ -46,15 +46,16 @@
 	}
 }
 
-// next waits for a frame and takes all others that wait too, up to so many
-// bytes: they go out in one system call. Frames that waited for long, while a
-// dead connection was found out, are left: who needs them has sent them again.
-// It returns nothing when the queue was idle, and open false when it is closed.
-func (o *outbound) next(idle *time.Timer) (frames [][]byte, open bool) {
+// nextBatch waits for a frame and returns it with the other queued frames, up to about
+// maxBatchBytes, so that they are written with one system call. Frames that waited longer
+// than maxFrameAge, as behind a dead connection, are dropped: their senders have
+// repeated them. It returns no frames after idleTimeout, and open is false once the
+// queue is closed.
+func (o *outbound) nextBatch(idle *time.Timer) (frames [][]byte, open bool) {
 	idle.Reset(idleTimeout)
 	size := 0
-	take := func(f queuedFrame) {
-		if time.Since(f.at) < staleAfter {
+	add := func(f queuedFrame) {
+		if time.Since(f.queuedAt) < maxFrameAge {
 			frames, size = append(frames, f.bytes), size+len(f.bytes)
 		}
 	}
@@ -63,17 +64,17 @@
 		if !ok {
 			return nil, false
 		}
-		take(f)
+		add(f)
 	case <-idle.C:
 		return nil, true
 	}
-	for size < batchBytes {
+	for size < maxBatchBytes {
 		select {
 		case f, ok := <-o.frames:
 			if !ok {
 				return frames, false
 			}
-			take(f)
+			add(f)
 		default:
 			return frames, true
 		}
@@ -81,58 +82,60 @@
 	return frames, true
 }
 
-// forgotten takes the connection out of the transport if it was idle since it
-// began to wait, and nothing was queued meanwhile.
-func (o *outbound) forgotten(began time.Time) bool {
+// removeIfIdle removes the connection from the transport if it was idle for idleTimeout
+// and nothing is queued, and reports whether it did.
+func (o *outbound) removeIfIdle(waitingSince time.Time) bool {
 	o.transport.mu.Lock()
 	defer o.transport.mu.Unlock()
-	if len(o.frames) > 0 || time.Since(began) < idleTimeout {
+	if len(o.frames) > 0 || time.Since(waitingSince) < idleTimeout {
 		return false
 	}
 	delete(o.transport.outbound, o.addr)
 	return true
 }
 
-// dial connects, unless an attempt failed just now.
+// dial connects, unless the last attempt failed less than redialDelay ago. It reports
+// whether there is a connection.
 func (o *outbound) dial() bool {
-	if time.Since(o.failedAt) < redialAfter {
+	if time.Since(o.dialFailedAt) < redialDelay {
 		return false
 	}
 	dialer := net.Dialer{Timeout: dialTimeout, Control: setUserTimeout, KeepAliveConfig: keepAlive}
 	conn, err := dialer.Dial("tcp", o.addr)
 	if err != nil {
-		o.failedAt = time.Now()
+		o.dialFailedAt = time.Now()
 		return false
 	}
 	o.conn = conn
 	return true
 }
 
-// write sends frames, each with its length before it, in one system call.
+// write sends frames, each with its length prefix, in one system call.
 func (o *outbound) write(frames [][]byte) {
-	lengths := make([]byte, 0, lengthBytes*len(frames))
+	lengths := make([]byte, 0, lengthPrefixBytes*len(frames))
 	buffers := make(net.Buffers, 0, 2*len(frames))
 	for _, f := range frames {
 		lengths = binary.BigEndian.AppendUint32(lengths, uint32(len(f)))
-		buffers = append(buffers, lengths[len(lengths)-lengthBytes:], f)
+		buffers = append(buffers, lengths[len(lengths)-lengthPrefixBytes:], f)
 	}
 	err := o.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if err == nil {
 		_, err = buffers.WriteTo(o.conn)
 	}
 	if err != nil {
-		o.hangUp()
+		o.closeConn()
 	}
 }
 
-// hangUp ends the connection. What was not taken must not arrive hours later.
-func (o *outbound) hangUp() {
+// closeConn closes the connection and discards unsent data, which must not arrive hours
+// later.
+func (o *outbound) closeConn() {
 	if o.conn == nil {
 		return
 	}
 	if tcp, ok := o.conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // the connection ends all the same
+		_ = tcp.SetLinger(0) // the connection is closed in any case
 	}
-	_ = o.conn.Close() // it is given up
+	_ = o.conn.Close() // the connection is discarded
 	o.conn = nil
 }
--- a/internal/wire/scheduling.go
+++ b/internal/wire/scheduling.go
@@ -11,7 +11,7 @@
 
 // Messages between shard owners, agents and the central scheduler.
 
-// Forward hands a request of a caller, worker or operator to the daemon that can
+// Forward passes a request of a caller, worker or operator to the daemon that can
 // answer it.
 type Forward struct {
 	ID     uint64
@@ -21,13 +21,13 @@
 	Op     string
 	Key    string
 	Body   []byte
-	Queue  string // the queue whose address the caller used; "" when it used none
-	Expect int64  // the version that a configuration builds on
-	Digest []byte // of an operator's order, where it isn't that of the body
-	Tenant string // whose key the caller showed; "" for a call that needs none
+	Queue  string // the queue whose address the caller used; "" for any other address
+	Expect int64  // the version that a configuration change is based on
+	Digest []byte // of an operator's command, if it differs from the body's digest
+	Tenant string // the tenant of the caller's key; "" for a call that needs no key
 }
 
-// ForwardReply is the answer to a Forward: an HTTP status and body.
+// ForwardReply answers a Forward with an HTTP status and body.
 type ForwardReply struct {
 	ID      uint64
 	Status  int32
@@ -35,18 +35,17 @@
 	Body    []byte
 }
 
-// AttemptKey names one attempt to run a task. Task is the task's number in its job,
-// or its round, step and index in one number.
+// AttemptKey identifies one attempt to run a task.
 type AttemptKey struct {
 	Job     string
-	Task    int64 // see taskID
+	Task    int64 // the task's number in its job, or its round, step and index in one number
 	Attempt int32
 }
 
 // Label is one key and value of a worker.
 type Label struct{ Key, Value string }
 
-// TaskSpec is what an agent must know of a task to queue, guard and run it.
+// TaskSpec is what an agent needs to queue, start and supervise a task.
 type TaskSpec struct {
 	Key         AttemptKey
 	Shard       string
@@ -63,25 +62,25 @@
 	Gang        bool
 	Lasting     bool
 	Saves       bool
-	// PerWorker bounds the tasks of its step and round on one worker; 0 for none.
+	// PerWorker bounds the tasks of its step and round on one worker; 0 means no bound.
 	PerWorker int32
-	// Tenant is whose task it is, and LimitVersion the configuration by whose limit it was placed:
-	// where a later one has lowered that, an unstarted task goes back to its owner.
-	Tenant       string
+	Tenant    string
+	// LimitVersion is the configuration version by whose tenant limit the task was placed.
+	// If a later configuration lowered the limit, an unstarted task returns to its owner.
 	LimitVersion int64
-	Excess       bool // its tenant sends more than its weight: it goes after all others
+	Excess       bool // its tenant submits more than its weight: scheduled after all others
 }
 
-// Placement sends a task to its worker's agent.
+// Placement assigns a task to a worker and is sent to the worker's agent.
 type Placement struct {
 	Worker     string
 	AgentEpoch uint64
 	ShardEpoch uint64
-	EchoMs     int64 // the agent's clock, from its last sync
+	EchoMs     int64 // the agent's clock, from its last report
 	Spec       TaskSpec
 }
 
-// AttemptStatus is what an agent tells of one attempt.
+// AttemptStatus is an agent's report on one attempt.
 type AttemptStatus struct {
 	Key        AttemptKey
 	Class      TaskClass
@@ -93,67 +92,65 @@
 	Queue      string
 	Name       string
 	Saved      string
-	Unknown    bool // found running by an agent that was not told what it is
-	Late       bool // its owner may have given it up: whether it counted must be said
-	// QueueMs is how long it waited at the agent, and StartMs from the order until the
-	// worker listed it.
-	QueueMs int64
-	StartMs int64
+	Unknown    bool  // found running by an agent that has no TaskSpec of it
+	Late       bool  // its owner may have replaced it: the reply must say whether this end counts
+	QueueMs    int64 // the wait at the agent
+	StartMs    int64 // from the start order until the worker listed it
 }
 
-// QueueUse is what tasks of one queue take.
+// QueueUse is the resource usage of one queue's tasks.
 type QueueUse struct {
 	Queue     string
 	Resources resource.Amount
 }
 
-// AgentReport is an agent's regular word to a shard owner, on its attempts, or to the
-// central scheduler, on its worker's resources.
+// AgentReport is an agent's periodic report: to a shard owner on its attempts, or to the
+// central scheduler on its worker's resources.
 type AgentReport struct {
 	Worker     string
 	Agent      string
 	Epoch      uint64
 	SentMs     int64
-	Shard      string // "" when meant for the central scheduler
-	Rebuilt    bool
-	Fresh      bool // the worker's word is fresh
-	SilentMs   int64
+	Shard      string // "" in a report to the central scheduler
+	Rebuilt    bool   // the agent has its worker's full state again after a start
+	Fresh      bool   // the worker has reported recently
+	SilentMs   int64  // time since the worker's last report
 	Zone       string
 	Labels     []Label
 	Leaving    bool
 	Rack       string
 	Free       resource.Amount
 	Capacity   resource.Amount
-	Others     resource.Amount // room of all it holds, queued ones too, that are not this shard's
-	Suspect    bool            // tasks stand still there, or fail far more often than elsewhere
-	Doubtful   bool            // some failures speak against the worker
-	Probation  bool            // it was suspect lately, and gets work again
-	Colocated  bool            // the agent stands beside its worker, and holds end by themselves
+	Others     resource.Amount // taken by attempts of other shards, queued ones included
+	Suspect    bool            // tasks stall there, or fail far more often than elsewhere
+	Doubtful   bool            // some recent failures point to the worker
+	Probation  bool            // it was suspect recently and receives work again
+	Colocated  bool            // the agent runs on its worker's machine; holds expire by themselves
 	RankMs     int64
 	QueuedMs   int64
 	Queued     int64
 	Succeeded  int64
 	Failed     int64
-	Spare      resource.Amount // capacity without what is held and no batch's
-	Waiting    int64           // unstarted tasks that are no batch's
-	Batch      []QueueUse      // room of the batches it holds that are not this shard's
-	LagPercent int64           // run time against the estimate, in percent, smoothed
-	Urgent     resource.Amount // room of all it holds of the most urgent queues, queued too
-	Ends       []QueueEnds     // how runs ended lately, by queue: for the central scheduler
-	// Partial tells that Attempts are only those that wait or have ended: what isn't
-	// listed goes on as before. The central scheduler is only ever told of guaranteed
-	// attempts, and of queueable ones that it may promote.
+	Spare      resource.Amount // capacity not taken by attempts other than those of batches
+	Waiting    int64           // unstarted tasks, without those of batches
+	Batch      []QueueUse      // taken by batch attempts of other shards
+	LagPercent int64           // run time relative to the estimate, in percent, smoothed
+	Urgent     resource.Amount // taken by attempts of the most urgent queues, queued ones included
+	Ends       []QueueEnds     // recent outcomes by queue, for the central scheduler
+	// Partial is set if Attempts lists only those that are queued or have ended; the others
+	// are unchanged. Reports to the central scheduler only list guaranteed attempts and
+	// queueable ones that it may promote.
 	Partial  bool
 	Attempts []AttemptStatus
 }
 
-// QueueEnds counts how runs of a queue's tasks ended at a worker lately, in hundredths.
+// QueueEnds counts the recent outcomes of one queue's runs at a worker, in hundredths.
 type QueueEnds struct {
 	Queue             string
 	Succeeded, Failed int64
 }
 
-// QueueFailRate is how many of a queue's runs fail everywhere, per mille.
+// QueueFailRate is the share of a queue's runs that fail, over all workers.
 type QueueFailRate struct {
 	Queue    string
 	PerMille int32
@@ -173,12 +170,11 @@
 	ShardEpoch uint64
 	SentMs     int64
 	Decisions  []AttemptDecision
-	Specs      []TaskSpec // of runs that the agent found and was not told of
+	Specs      []TaskSpec // of runs that the agent found and has no TaskSpec of
 }
 
-// AllocationRequest asks the central scheduler for guaranteed places for tasks of one
-// step that are alike: all of them or none where they are a gang, else as many as
-// there are resources for.
+// AllocationRequest requests guaranteed places from the central scheduler for similar
+// tasks of one step: for a gang all or none, else as many as there are resources for.
 type AllocationRequest struct {
 	Shard       string
 	Job         string
@@ -188,31 +184,31 @@
 	Needs       []Label
 	SubmittedMs int64
 	Avoid       []string // workers where these tasks just failed
-	Doubted     []string // workers that they should go to only if they don't start elsewhere
+	Doubted     []string // workers to use only if no other can run the tasks
 	Gang        bool
 	SameRack    bool
 	Near        string
 	PerWorker   int32
-	Used        []WorkerUse // where others of the step are
-	EstimateMs  int64       // how long a run is expected to take
-	Excess      bool        // its tenant sends more than its weight: it goes after all others
+	Used        []WorkerUse // placed tasks of the same step
+	EstimateMs  int64       // expected run time
+	Excess      bool        // its tenant submits more than its weight: scheduled after all others
 	Tenant      string
-	TenantUsed  resource.Amount // what the tenant's tasks take in this shard, queued ones too
+	TenantUsed  resource.Amount // taken by the tenant's tasks in this shard, queued ones included
 }
 
 // RequestedTask is one task of an AllocationRequest.
 type RequestedTask struct {
 	Task    int64
-	Attempt int32 // of the placement to come
+	Attempt int32 // the number of the next attempt
 }
 
-// WorkerUse counts tasks of a step that are placed on a worker.
+// WorkerUse counts the tasks of a step that are placed on a worker.
 type WorkerUse struct {
 	Worker string
 	Count  int32
 }
 
-// Allocation grants places.
+// Allocation assigns workers to tasks of an AllocationRequest.
 type Allocation struct {
 	Shard  string
 	Job    string
@@ -220,19 +216,18 @@
 	Epoch  uint64 // of the central scheduler
 }
 
-// AllocatedTask is one place of an Allocation.
+// AllocatedTask assigns one task to a worker.
 type AllocatedTask struct {
 	Task    int64
 	Attempt int32
 	Worker  string
 }
 
-// WorkerRank is a worker's rank in the coordinator's order; Unhealthy is 1 where it is
-// ejected, and 2 where it is on probation.
+// WorkerRank is a worker's rank in the coordinator's order.
 type WorkerRank struct {
 	Worker    string
 	RankMs    int64
-	Unhealthy int8
+	Unhealthy int8 // 1 if the worker is ejected, 2 if it is on probation
 }
 
 // Ranks is one round of the coordinator: ranks and the target delay (paper, section 4.2).
@@ -240,24 +235,24 @@
 	Epoch        uint64
 	Round        int64
 	TargetMs     int64
-	WaitsForRoom bool // firm work waits for room
-	Idle         bool // most of all room is free, in every dimension
-	// UrgentPercent is the share of each worker, by dimension, that queues below the most
-	// urgent ones leave to those.
+	WaitsForRoom bool // guaranteed tasks wait for resources
+	Idle         bool // most of the total capacity is free in every dimension
+	// UrgentPercent is the part of each worker, by dimension, that is reserved for the most
+	// urgent queues.
 	UrgentPercent resource.Amount
 	FailRates     []QueueFailRate
 	Ranks         []WorkerRank
 }
 
-// Promotion makes a running queueable task guaranteed, if its resources are sure.
+// Promotion makes a running queueable task guaranteed if its resources are reserved.
 type Promotion struct {
 	Worker string
 	Epoch  uint64 // of the agent
 	Key    AttemptKey
 }
 
-// QueueCounts tells how many jobs of a shard wait for their first start, by queue; queues
-// with none are left out.
+// QueueCounts counts the jobs of a shard that wait for their first start, by queue. Queues
+// without such jobs are omitted.
 type QueueCounts struct {
 	Shard  string
 	Epoch  uint64 // of the shard's owner
@@ -270,20 +265,21 @@
 	Pending int64
 }
 
-// Estimates spreads mean run times by queue and task name.
+// Estimates distributes mean run times by queue and task name.
 type Estimates struct{ Means []Estimate }
 
-// Estimate is the mean run time, in ms, of one key; keys ending in "/%" hold how far
-// guesses are off, in percent.
+// Estimate is the mean run time of one key. For keys ending in "/%", MeanMs is the mean
+// error of the estimates, in percent.
 type Estimate struct {
 	Key    string
 	MeanMs float64
 }
 
-// String is the key in the form that workers repeat: job, task and attempt.
+// String returns the key as "job#task#attempt", which workers repeat in their reports.
 func (k AttemptKey) String() string { return fmt.Sprintf("%s#%d#%d", k.Job, k.Task, k.Attempt) }
 
-// ParseAttemptKey reads what AttemptKey.String wrote; false for anything else.
+// ParseAttemptKey parses the form that AttemptKey.String returns. It returns false for any
+// other text.
 //
 // Example: key, ok := wire.ParseAttemptKey("job-1#0#2")
 func ParseAttemptKey(s string) (AttemptKey, bool) {
@@ -297,7 +293,7 @@
 	return AttemptKey{parts[0], task, int32(attempt)}, ok
 }
 
-// CompareAttemptKeys orders keys by job, task and attempt, as shards.SortFunc needs it.
+// CompareAttemptKeys orders keys by job, task and attempt, for slices.SortFunc.
 //
 // Example: slices.SortFunc(keys, wire.CompareAttemptKeys)
 func CompareAttemptKeys(a, b AttemptKey) int {
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -5,52 +5,51 @@
 	"otterchute/internal/statestore"
 )
 
-// Messages about the state that the core members keep. The messages of registers
-// themselves are those of package register.
+// Messages about the state that core members store. The messages of registers are in package
+// register.
 
-// SealRequest fences a shard off against owners of lower epochs and asks for its records.
+// SealRequest fences off a shard's owners with lower epochs and requests its records.
 type SealRequest struct {
 	SetVersion int64
 	Shard      string
 	Epoch      uint64
 }
 
-// SealResponse brings a shard's live and unconfirmed records; OK is false where a
-// higher epoch was sealed.
+// SealResponse carries a shard's live and unconfirmed records.
 type SealResponse struct {
 	Shard      string
 	Epoch      uint64
-	OK         bool
-	Served     uint64 // the last epoch under which all live jobs were committed, as far as known
+	OK         bool   // false if a higher epoch was sealed
+	Served     uint64 // the last known epoch under which all live jobs were committed
 	Records    []statestore.Record
-	SetVersion int64 // under which the member said so
+	SetVersion int64 // the member's core set version at the time of the response
 }
 
-// WriteRequest has a core member keep records of a shard.
+// WriteRequest stores records of a shard at a core member.
 type WriteRequest struct {
 	SetVersion int64
 	Shard      string
 	Epoch      uint64
 	Seq        uint64
 	Records    []statestore.Record
-	Patches    []statestore.Patch // of records that the member is expected to have in the version before
+	Patches    []statestore.Patch // of records that the member should hold in the previous version
 	Confirmed  []string           // finished records that a majority holds
 	Complete   bool               // all live jobs are committed under this epoch
 }
 
-// WriteResponse tells that a WriteRequest is durable; OK is false where the owner's
-// epoch was fenced off. Where Lacking is true nothing was kept: the member lacks a version
-// that a patch builds on, and needs the records whole.
+// WriteResponse acknowledges that a WriteRequest is durable.
 type WriteResponse struct {
-	Shard      string
-	Epoch      uint64
-	Seq        uint64
-	OK         bool
+	Shard string
+	Epoch uint64
+	Seq   uint64
+	OK    bool // false if the owner's epoch was fenced off
+	// Lacking is set if nothing was stored because the member lacks the base version of a
+	// patch. The owner then sends the whole records.
 	Lacking    bool
-	SetVersion int64 // under which the member said so
+	SetVersion int64 // the member's core set version at the time of the response
 }
 
-// FetchRequest asks for records by their ids, live or finished.
+// FetchRequest requests live or finished records by their ids.
 type FetchRequest struct {
 	SetVersion int64
 	Op         uint64
@@ -58,13 +57,13 @@
 	IDs        []string
 }
 
-// FetchResponse brings those that the member has.
+// FetchResponse carries the requested records that the member has.
 type FetchResponse struct {
 	Op      uint64
 	Records []statestore.Record
 }
 
-// RegisterRead asks one core member for its accepted value of a register.
+// RegisterRead requests one core member's accepted value of a register.
 type RegisterRead struct {
 	SetVersion int64
 	Register   string
@@ -76,5 +75,5 @@
 	Register string
 	Ballot   register.Ballot
 	Value    []byte
-	Complete bool // as it was accepted; readers get a configuration without the history of its orders
+	Complete bool // false for a configuration without the history of its changes, as readers get it
 }
--- a/internal/wire/tenancy.go
+++ b/internal/wire/tenancy.go
@@ -4,15 +4,14 @@
 
 // Messages between shard owners and the node that counts a tenant's resources, see package quota.
 
-// ShareReport tells a tenant counter what one shard's owner holds of the limits of all tenants
-// that are counted there. A tenant that isn't listed has nothing in that shard. Seq rises with
-// each report of one owner; only a grant for the newest report is taken.
+// ShareReport reports to a tenant counter how much one shard's owner holds of the limits of all
+// tenants that are counted there. A tenant that is not listed has nothing in that shard.
 type ShareReport struct {
-	Counter       string // the shard whose owner counts
-	CounterEpoch  uint64 // of that owner: another one must not take the report
-	Shard         string // the shard that reports
+	Counter       string // the shard whose owner is the counter
+	CounterEpoch  uint64 // of the counter; a counter with another epoch ignores the report
+	Shard         string // the reporting shard
 	ShardEpoch    uint64
-	Seq           uint64
+	Seq           uint64 // rises with each report of an owner; only a grant for the newest is accepted
 	ConfigVersion int64
 	Accounts      []ShareAccount
 }
@@ -20,14 +19,14 @@
 // ShareAccount is one tenant's part of a ShareReport.
 type ShareAccount struct {
 	Tenant string
-	Keep   resource.Amount // the owner starts nothing beyond this until a grant comes
-	Used   resource.Amount // of that: what tasks take that run or may run
-	Ahead  resource.Amount // what it would like to hold beyond that, so that starts need not wait
-	Claims []ShareClaim    // what waits only for a share, the most urgent first
+	Keep   resource.Amount // the owner starts nothing beyond this until the next grant
+	Used   resource.Amount // the part of Keep taken by tasks that run or may run
+	Ahead  resource.Amount // requested beyond Keep, so that later starts need not wait
+	Claims []ShareClaim    // tasks that wait only for a share, the most urgent first
 }
 
-// ShareClaim is what tasks of one step lack: Count units, of which each is granted whole or not
-// at all. A unit is one task, or all members of a gang.
+// ShareClaim requests a share for tasks of one step: Count units, each of which is granted as a
+// whole or not at all. A unit is one task, or all members of a gang.
 type ShareClaim struct {
 	Job         string
 	Urgency     int64
@@ -38,7 +37,7 @@
 	WaitedMs    int64
 }
 
-// ShareGrant answers the ShareReport with the same Seq. It may come several times for one
+// ShareGrant answers the ShareReport with the same Seq. It may be sent several times for one
 // report, with amounts that only rise.
 type ShareGrant struct {
 	Counter       string
@@ -46,16 +45,16 @@
 	Shard         string
 	ShardEpoch    uint64
 	Seq           uint64
-	ConfigVersion int64 // by whose limits it was granted
+	ConfigVersion int64 // of the configuration whose limits were applied
 	Shares        []TenantShare
 }
 
-// TenantShare is what a shard's owner may have running of one tenant.
+// TenantShare is the amount that one tenant's tasks may take in a shard.
 type TenantShare struct {
 	Tenant string
 	Amount resource.Amount
-	Tight  bool // the tenant is near its limit: what isn't used is to be given back at once
-	// GiveBack: what ends is to be given back, too, and not replaced. More may be lent than the
-	// limit admits, or a larger unit waits for it.
+	Tight  bool // the tenant is near its limit: return unused amounts at once
+	// GiveBack is set if the amounts of tasks that end must be returned as well, without
+	// replacing the tasks: more may be granted than the limit allows, or a larger unit waits.
 	GiveBack bool
 }
--- a/internal/wire/transport.go
+++ b/internal/wire/transport.go
@@ -15,55 +15,55 @@
 )
 
 const (
-	// dialTimeout bounds a connection attempt: a peer in reach answers in
-	// milliseconds, and one that was cut off must be found soon after its return.
+	// dialTimeout bounds a connection attempt. A reachable peer answers within
+	// milliseconds, and after a partition peers must reconnect soon.
 	dialTimeout = 350 * time.Millisecond
-	// redialAfter is how long nothing is sent after a failed attempt.
-	redialAfter = dialTimeout / 4
-	// UnackedMs bounds how long, in ms, sent bytes may stay unacknowledged before the
-	// system ends the connection.
+	// redialDelay is the wait after a failed connection attempt.
+	redialDelay = dialTimeout / 4
+	// UnackedMs bounds how long sent bytes may stay unacknowledged before the operating
+	// system closes the connection (TCP_USER_TIMEOUT).
 	UnackedMs = 1500
-	// probeInterval is the pace at which a quiet connection is probed; after two
-	// lost probes it is given up. The system takes whole seconds.
+	// probeInterval is the interval of TCP keepalive probes, in whole seconds. The
+	// connection is closed after two lost probes.
 	probeInterval = time.Second
-	// staleAfter is how long a frame may wait: what matters was sent again since.
-	staleAfter = time.Second
-	// writeTimeout bounds one write: a frame not taken by then ends its connection.
+	// maxFrameAge bounds how long a frame may be queued; its sender has repeated it since.
+	maxFrameAge = time.Second
+	// writeTimeout bounds one write; the connection is closed when it expires.
 	writeTimeout = 2 * time.Second
 	// idleTimeout is how long a connection without frames is kept.
 	idleTimeout = 5 * time.Minute
-	// lingerMax is a bound for the timer before its first reset.
-	lingerMax = time.Hour
+	// initialIdleTimer is the idle timer's duration before its first reset.
+	initialIdleTimer = time.Hour
 
-	// MaxFrame bounds one frame, in bytes. A larger length ends the connection.
+	// MaxFrame bounds the size of a frame, in bytes. A larger length ends the connection.
 	MaxFrame = 64 << 20
-	// batchBytes is about how much of the frames that wait goes out together.
-	batchBytes = 256 << 10
-	// readBuffer is each inbound connection's buffer, in bytes.
-	readBuffer = 16 << 10
-	// lengthBytes is the length that stands before each frame in a stream.
-	lengthBytes = 4
-
-	// queuedFrames wait for one peer; beyond that the newest are dropped.
-	queuedFrames = 512
-	// maxInbound bounds the connections taken from peers.
+	// maxBatchBytes is the approximate size of the frames that are written together.
+	maxBatchBytes = 256 << 10
+	// readBufferBytes is the size of each inbound connection's buffer, in bytes.
+	readBufferBytes = 16 << 10
+	// lengthPrefixBytes is the size of the length prefix of each frame in a stream.
+	lengthPrefixBytes = 4
+
+	// maxQueuedFrames bounds the queue of one peer. While it is full, new frames are dropped.
+	maxQueuedFrames = 512
+	// maxInbound bounds the number of inbound connections.
 	maxInbound = 2000
 )
 
-// Options are what a Transport is made with.
+// Options configures a Transport.
 type Options struct {
-	// Addr is the IP address and port to listen on; port 0 for any free one.
+	// Addr is the IP address and port to listen on; port 0 selects any free port.
 	Addr string
-	// Receive takes each message that comes. It is called on the goroutine of
-	// the message's connection, and may block that.
+	// Receive handles each received message. It is called on the goroutine of the
+	// message's connection and may block.
 	Receive func(h Header, msg any)
-	// Events takes what operators should see.
+	// Events logs an event for operators.
 	Events func(event string, keysAndValues ...any)
 }
 
 // Transport carries frames between daemons over TCP: one connection per peer and
-// direction, and a bounded queue before each. Frames are dropped when a queue is
-// full, when they waited for too long, and with their connection.
+// direction, each with a bounded queue. Frames are dropped when a queue is full, when
+// they were queued for too long, and when their connection fails.
 type Transport struct {
 	options  Options
 	listener net.Listener
@@ -74,24 +74,25 @@
 	closed   bool
 }
 
-// keepAlive lets both ends give a quiet connection up soon: a machine without
-// power or behind a partition says nothing.
+// keepAlive makes both ends detect a dead connection soon: a machine that lost power or
+// is partitioned sends nothing.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: 2}
 
-// setUserTimeout sets UnackedMs on a socket. Accepted connections take it from
+// setUserTimeout sets TCP_USER_TIMEOUT on a socket. Accepted connections inherit it from
 // their listener.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
-	var failed error
+	var optionErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, UnackedMs)
+		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, UnackedMs)
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optionErr
 }
 
-// NewTransport listens. Serve takes connections; Send works at once.
+// NewTransport creates a transport that listens on Options.Addr. Serve accepts
+// connections; Send may be called before that.
 //
 // Example: t, err := wire.NewTransport(wire.Options{Addr: "10.0.0.1:7000", Receive: handle, Events: log}); go t.Serve()
 func NewTransport(o Options) (*Transport, error) {
@@ -103,10 +104,10 @@
 	return &Transport{options: o, listener: ln, outbound: map[string]*outbound{}, inbound: map[net.Conn]bool{}}, nil
 }
 
-// Addr is the address that the transport listens on.
+// Addr returns the address that the transport listens on.
 func (t *Transport) Addr() string { return t.listener.Addr().String() }
 
-// Send queues a frame for an address. It never blocks, and never tells whether the
+// Send queues a frame for an address. It never blocks and does not report whether the
 // frame arrives.
 func (t *Transport) Send(addr string, frame []byte) {
 	t.mu.Lock()
@@ -116,13 +117,13 @@
 	}
 	out := t.outbound[addr]
 	if out == nil {
-		out = &outbound{transport: t, addr: addr, frames: make(chan queuedFrame, queuedFrames)}
+		out = &outbound{transport: t, addr: addr, frames: make(chan queuedFrame, maxQueuedFrames)}
 		t.outbound[addr] = out
-		go out.run() // until Close, or until it was idle for long
+		go out.run() // until Close or idleTimeout
 	}
 	select {
 	case out.frames <- queuedFrame{frame, time.Now()}:
-	default: // all that matters is sent again by who needs it
+	default: // the queue is full; the sender repeats what is needed
 	}
 }
 
@@ -134,14 +135,14 @@
 			return // closed
 		}
 		if !t.admit(conn) {
-			_ = conn.Close() // nothing was written to it
+			_ = conn.Close() // nothing was written
 			continue
 		}
 		go t.receive(conn)
 	}
 }
 
-// admit takes an inbound connection, unless there are too many.
+// admit registers an inbound connection and reports whether there was room for it.
 func (t *Transport) admit(conn net.Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -152,15 +153,15 @@
 	return true
 }
 
-// receive hands on what comes over one connection, until it ends or is damaged.
+// receive handles the messages of one connection until it ends or a frame is rejected.
 func (t *Transport) receive(conn net.Conn) {
 	defer func() {
 		t.mu.Lock()
 		delete(t.inbound, conn)
 		t.mu.Unlock()
-		_ = conn.Close() // nothing was written to it
+		_ = conn.Close() // nothing was written
 	}()
-	in := bufio.NewReaderSize(conn, readBuffer)
+	in := bufio.NewReaderSize(conn, readBufferBytes)
 	for {
 		if conn.SetReadDeadline(time.Now().Add(2*idleTimeout)) != nil {
 			return
@@ -183,9 +184,9 @@
 
 var errTooLarge = errors.New("too large")
 
-// readFrame reads one frame with the length before it.
+// readFrame reads one frame with its length prefix.
 func readFrame(in io.Reader) ([]byte, error) {
-	length := make([]byte, lengthBytes)
+	length := make([]byte, lengthPrefixBytes)
 	if _, err := io.ReadFull(in, length); err != nil {
 		return nil, err
 	}
@@ -193,12 +194,12 @@
 	if size > MaxFrame {
 		return nil, errTooLarge
 	}
-	if size <= batchBytes {
+	if size <= maxBatchBytes {
 		frame := make([]byte, size)
 		_, err := io.ReadFull(in, frame)
 		return frame, err
 	}
-	// A large one's memory grows with what arrives: a length alone costs nothing.
+	// The buffer of a large frame grows as data arrives: a length alone allocates nothing.
 	frame, err := io.ReadAll(io.LimitReader(in, size))
 	if err == nil && int64(len(frame)) < size {
 		err = io.ErrUnexpectedEOF
@@ -206,14 +207,14 @@
 	return frame, err
 }
 
-// Close ends all connections. One that is just being made, or written to, ends
+// Close closes all connections. One that is being dialed or written to is closed
 // within writeTimeout.
 func (t *Transport) Close() {
-	_ = t.listener.Close() // nothing is lost with it
+	_ = t.listener.Close() // a listener has no data to lose
 	t.mu.Lock()
 	t.closed = true
 	for conn := range t.inbound {
-		_ = conn.Close() // its reader ends
+		_ = conn.Close() // ends its reader
 	}
 	for _, out := range t.outbound {
 		close(out.frames)
--- a/internal/wire/transport_test.go
+++ b/internal/wire/transport_test.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// socketOptions reads what the system will do with a connection that goes quiet.
-func socketOptions(t *testing.T, c net.Conn) (unacked, idle, every, probes int) {
+// socketOptions reads a connection's user timeout and keepalive settings.
+func socketOptions(t *testing.T, c net.Conn) (userTimeout, idle, interval, probes int) {
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	must.NoError(t, err)
@@ -21,13 +21,13 @@
 			must.NoError(t, err)
 			return v
 		}
-		unacked, idle, every, probes = get(unix.TCP_USER_TIMEOUT), get(unix.TCP_KEEPIDLE), get(unix.TCP_KEEPINTVL), get(unix.TCP_KEEPCNT)
+		userTimeout, idle, interval, probes = get(unix.TCP_USER_TIMEOUT), get(unix.TCP_KEEPIDLE), get(unix.TCP_KEEPINTVL), get(unix.TCP_KEEPCNT)
 	}))
-	return unacked, idle, every, probes
+	return userTimeout, idle, interval, probes
 }
 
-// listening gives a transport that counts what it receives.
-func listening(t *testing.T, addr string) (*Transport, *atomic.Int64) {
+// newCountingTransport returns a transport that counts the messages it receives.
+func newCountingTransport(t *testing.T, addr string) (*Transport, *atomic.Int64) {
 	t.Helper()
 	count := &atomic.Int64{}
 	transport, err := NewTransport(Options{Addr: addr, Receive: func(Header, any) { count.Add(1) }, Events: func(string, ...any) {}})
@@ -42,13 +42,12 @@
 	}
 }
 
-// Both ends of a connection have the system give it up when the other end is gone
-// without a word, frames that wait go out together and in order, and after the
-// other end was there again the connection works.
-func TestConnectionToADeadPeer(t *testing.T) {
-	b, received := listening(t, "127.0.0.1:0")
+// All queued frames arrive, the accepted connection has the socket options that detect a
+// dead peer, and frames arrive again after the peer was restarted at the same address.
+func TestReconnectAfterPeerRestart(t *testing.T) {
+	b, received := newCountingTransport(t, "127.0.0.1:0")
 	go b.Serve()
-	a, _ := listening(t, "127.0.0.1:0")
+	a, _ := newCountingTransport(t, "127.0.0.1:0")
 	defer a.Close()
 	frame := EncodeFrame(Header{From: "a"}, &Gossip{})
 	for range 300 {
@@ -62,8 +61,8 @@
 	}
 	must.MapLen(t, 1, b.inbound)
 	b.mu.Unlock()
-	b.Close() // its port answers with a reset from now on
-	again, received := listening(t, b.Addr())
+	b.Close() // from now on its port answers with a reset
+	again, received := newCountingTransport(t, b.Addr())
 	defer again.Close()
 	go again.Serve()
 	eventually(t, func() bool {
@@ -72,35 +71,35 @@
 	})
 }
 
-// The end that dials asks for the same.
-func TestDialedConnection(t *testing.T) {
+// A dialed connection has the same socket options as an accepted one.
+func TestDialedConnectionSocketOptions(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer func() { _ = ln.Close() }()
 	o := &outbound{addr: ln.Addr().String()}
 	must.True(t, o.dial())
-	defer o.hangUp()
+	defer o.closeConn()
 	unacked, idle, every, probes := socketOptions(t, o.conn)
 	must.Eq(t, []int{UnackedMs, 1, 1, 2}, []int{unacked, idle, every, probes})
 }
 
-// Waiting frames are taken together; those that waited for long are left.
-func TestOldFramesAreLeft(t *testing.T) {
+// Queued frames are taken together, and those older than maxFrameAge are dropped.
+func TestStaleFramesAreDropped(t *testing.T) {
 	o := &outbound{frames: make(chan queuedFrame, 8)}
-	o.frames <- queuedFrame{[]byte("old"), time.Now().Add(-2 * staleAfter)}
+	o.frames <- queuedFrame{[]byte("old"), time.Now().Add(-2 * maxFrameAge)}
 	o.frames <- queuedFrame{[]byte("a"), time.Now()}
 	o.frames <- queuedFrame{[]byte("b"), time.Now()}
 	idle := time.NewTimer(time.Hour)
-	frames, open := o.next(idle)
+	frames, open := o.nextBatch(idle)
 	must.True(t, open)
 	must.Eq(t, [][]byte{[]byte("a"), []byte("b")}, frames)
 	close(o.frames)
-	_, open = o.next(idle)
+	_, open = o.nextBatch(idle)
 	must.False(t, open)
 }
 
-// What is no frame, or too large, ends the connection.
-func TestDamagedStream(t *testing.T) {
+// A damaged frame, and a length above MaxFrame, are logged and end the connection.
+func TestDamagedStreamClosesConnection(t *testing.T) {
 	for name, stream := range map[string][]byte{
 		"too large": {0xff, 0xff, 0xff, 0xff},
 		"damaged":   {0, 0, 0, 5, 1, 2, 3, 4, 5},
