--- a/internal/statestore/archive.go
+++ b/internal/statestore/archive.go
@@ -6,56 +6,55 @@
 )
 
 const (
-	// ChunkBytes is how large a chunk of finished records grows. Copies go in parts
-	// of about this size, so that none holds the control thread or the network up.
+	// ChunkBytes is the size at which a chunk of finished records is closed. Copies are
+	// sent in parts of about this size, to block neither the control thread nor the network.
 	ChunkBytes = 256 << 10
-	// chunkSpanMs bounds the done times within one chunk: chunks are dropped as a
-	// whole, so records are kept for at most this much longer than they must be.
+	// chunkSpanMs bounds the range of done times within one chunk. Chunks are dropped as a
+	// whole, so records are kept for at most this much longer than required.
 	chunkSpanMs = 600_000
 )
 
-// archive keeps finished records: some hundred thousand a day, read now and
-// then, never changed. They are packed in a few large chunks with one index of
-// plain numbers, so that the garbage collector has nothing to walk, a snapshot takes the
-// chunks as they are, and the oldest go a chunk at a time.
+// archive stores finished records: several hundred thousand a day, rarely read and never
+// changed. They are packed into large chunks with an index that contains no pointers, so
+// that the garbage collector doesn't scan them, a snapshot copies whole chunks, and
+// expiry drops the oldest chunks.
 type archive struct {
-	seed   maphash.Seed
-	index  map[uint64]position // by the hash of an id
-	chunks []*chunk            // numbered one after the other
-	first  uint64              // number of chunks[0]
-	bytes  int64
+	seed        maphash.Seed
+	index       map[uint64]position // by the hash of the record's id
+	chunks      []*chunk            // in order of their numbers, which are consecutive
+	firstNumber uint64              // the number of chunks[0]
+	bytes       int64
 }
 
-// position is where a record's frame begins: the number of its chunk and the
-// offset within that.
+// position locates a record's frame by chunk number and offset in the chunk.
 type position struct {
 	chunk  uint64
 	offset uint32
 }
 
-// chunk is a run of frames, only ever appended to:
+// chunk is an append-only sequence of frames:
 //
 //	length u32 | epoch u64 | version u64 | done ms u64 | id length u16 | id | value
 type chunk struct {
 	frames          []byte
-	firstMs, lastMs int64 // done times within
+	firstMs, lastMs int64 // the range of done times
 }
 
 // Offsets within a frame.
 const (
-	epochAt    = 4
-	versionAt  = epochAt + 8
-	doneAt     = versionAt + 8
-	idLengthAt = doneAt + 8
-	frameHead  = idLengthAt + 2
+	epochOffset      = 4
+	versionOffset    = epochOffset + 8
+	doneOffset       = versionOffset + 8
+	idLengthOffset   = doneOffset + 8
+	frameHeaderBytes = idLengthOffset + 2
 )
 
 func newArchive() *archive {
-	return &archive{seed: maphash.MakeSeed(), index: map[uint64]position{}, first: 1}
+	return &archive{seed: maphash.MakeSeed(), index: map[uint64]position{}, firstNumber: 1}
 }
 
 func appendFrame(dst []byte, r Record) []byte {
-	dst = binary.BigEndian.AppendUint32(dst, uint32(frameHead-epochAt+len(r.ID)+len(r.Value)))
+	dst = binary.BigEndian.AppendUint32(dst, uint32(frameHeaderBytes-epochOffset+len(r.ID)+len(r.Value)))
 	dst = binary.BigEndian.AppendUint64(dst, r.Epoch)
 	dst = binary.BigEndian.AppendUint64(dst, uint64(r.Version))
 	dst = binary.BigEndian.AppendUint64(dst, uint64(r.DoneMs))
@@ -64,27 +63,27 @@
 	return append(dst, r.Value...)
 }
 
-// readFrame returns the record at the head of b, whose value still shares b's
-// memory, and the frame's length; 0 where there is no complete frame.
+// readFrame returns the record at the start of b, whose value shares b's memory, and
+// the length of its frame; 0 if b does not start with a complete frame.
 func readFrame(b []byte) (Record, int) {
-	if len(b) < frameHead {
+	if len(b) < frameHeaderBytes {
 		return Record{}, 0
 	}
-	size := epochAt + int(binary.BigEndian.Uint32(b))
-	idEnd := frameHead + int(binary.BigEndian.Uint16(b[idLengthAt:]))
+	size := epochOffset + int(binary.BigEndian.Uint32(b))
+	idEnd := frameHeaderBytes + int(binary.BigEndian.Uint16(b[idLengthOffset:]))
 	if size < idEnd || len(b) < size {
 		return Record{}, 0
 	}
 	return Record{
-		ID:      string(b[frameHead:idEnd]),
-		Epoch:   binary.BigEndian.Uint64(b[epochAt:]),
-		Version: int64(binary.BigEndian.Uint64(b[versionAt:])),
-		DoneMs:  int64(binary.BigEndian.Uint64(b[doneAt:])),
+		ID:      string(b[frameHeaderBytes:idEnd]),
+		Epoch:   binary.BigEndian.Uint64(b[epochOffset:]),
+		Version: int64(binary.BigEndian.Uint64(b[versionOffset:])),
+		DoneMs:  int64(binary.BigEndian.Uint64(b[doneOffset:])),
 		Value:   b[idEnd:size],
 	}, size
 }
 
-// eachFrame calls do for every frame and its offset, up to the first one that is cut short.
+// eachFrame calls do for every frame and its offset, up to the first truncated one.
 func eachFrame(frames []byte, do func(offset uint32, r Record)) {
 	for at := 0; at < len(frames); {
 		r, size := readFrame(frames[at:])
@@ -98,28 +97,29 @@
 
 func (a *archive) hash(id string) uint64 { return maphash.String(a.seed, id) }
 
-// get finds a record by its id. Two ids of one hash hide each other: the newer
-// one is found, the other counts as unknown.
+// get returns a record by its id. If the hashes of two ids collide, only the record that
+// was added last is found.
 func (a *archive) get(id string) (Record, bool) {
-	at, ok := a.index[a.hash(id)]
+	pos, ok := a.index[a.hash(id)]
 	if !ok {
 		return Record{}, false
 	}
-	r, _ := readFrame(a.chunks[at.chunk-a.first].frames[at.offset:])
+	r, _ := readFrame(a.chunks[pos.chunk-a.firstNumber].frames[pos.offset:])
 	return r, r.ID == id
 }
 
-// put appends a record; one of the same id before it is not found any more.
+// put appends a record. It replaces an earlier record with the same id in the index.
 func (a *archive) put(r Record) {
 	c := a.openChunk(r.DoneMs)
 	before := len(c.frames)
-	a.index[a.hash(r.ID)] = position{a.first + uint64(len(a.chunks)) - 1, uint32(before)}
+	a.index[a.hash(r.ID)] = position{a.firstNumber + uint64(len(a.chunks)) - 1, uint32(before)}
 	c.frames = appendFrame(c.frames, r)
 	c.lastMs = max(c.lastMs, r.DoneMs)
 	a.bytes += int64(len(c.frames) - before)
 }
 
-// openChunk returns the chunk that a record of this done time goes to.
+// openChunk returns the chunk for a record with this done time, a new one if the last
+// chunk is full.
 func (a *archive) openChunk(doneMs int64) *chunk {
 	if last := len(a.chunks) - 1; last >= 0 {
 		c := a.chunks[last]
@@ -132,31 +132,31 @@
 	return c
 }
 
-// expired tells whether the oldest chunk holds nothing finished since a time.
+// expired reports whether all records of the oldest chunk finished before a time.
 func (a *archive) expired(cutMs int64) bool {
 	return len(a.chunks) > 0 && a.chunks[0].lastMs < cutMs
 }
 
-// drop lets go of the oldest chunks that hold nothing finished since a time.
+// drop removes the oldest chunks whose records all finished before a time.
 func (a *archive) drop(cutMs int64) {
 	for a.expired(cutMs) {
 		eachFrame(a.chunks[0].frames, func(offset uint32, r Record) {
-			if h := a.hash(r.ID); a.index[h] == (position{a.first, offset}) {
+			if h := a.hash(r.ID); a.index[h] == (position{a.firstNumber, offset}) {
 				delete(a.index, h)
 			}
 		})
 		a.bytes -= int64(len(a.chunks[0].frames))
-		a.chunks, a.first = a.chunks[1:], a.first+1
+		a.chunks, a.firstNumber = a.chunks[1:], a.firstNumber+1
 	}
 }
 
-// chunksFrom returns the chunks from a number on, of about so many bytes
-// together, and the number to go on from; 0 at the end.
+// chunksFrom returns chunks of about so many bytes in total, beginning at a number, and
+// the number to continue at; 0 at the end.
 func (a *archive) chunksFrom(number uint64, bytes int) (out []*chunk, next uint64) {
 	size := 0
-	for i := max(number, a.first) - a.first; i < uint64(len(a.chunks)); i++ {
+	for i := max(number, a.firstNumber) - a.firstNumber; i < uint64(len(a.chunks)); i++ {
 		if size >= bytes {
-			return out, a.first + i
+			return out, a.firstNumber + i
 		}
 		out = append(out, a.chunks[i])
 		size += len(a.chunks[i].frames)
--- a/internal/statestore/copy.go
+++ b/internal/statestore/copy.go
@@ -6,59 +6,59 @@
 	"slices"
 )
 
-// Cursor is a position in a store's entries: the zero Cursor at the beginning, else
-// a shard's live records after one of them (Chunk 0), or its finished ones from a
-// chunk on. Chunks are numbered anew in each life of a process, so a cursor says
-// nothing in another than its own.
+// Cursor is a position in the entries of a store: the zero value at the beginning, else
+// in a shard's live records (Chunk 0) behind the id After, or in its finished records at
+// a chunk. Each process numbers chunks anew, so a cursor is only valid in the process
+// that returned it.
 type Cursor struct {
 	Shard    string
 	Chunk    uint64
 	After    string
-	Instance uint64 // of the process that gave it, set by whoever sends it
+	Instance uint64 // of the process that returned it; set by the sender of the cursor
 }
 
-// AtEnd tells whether a cursor that CopyPart returned stands at the end.
+// AtEnd reports whether a cursor that CopyPart returned is at the end.
 func (c Cursor) AtEnd() bool { return c.Shard == "" }
 
-// Dump returns the entries that build the store again, for a snapshot. Finished
-// records go as the chunks they lie in, which costs no more than naming them.
+// Dump returns the entries that rebuild the store, for a snapshot. Finished records are
+// returned as whole chunks, without copying them.
 func (s *Store) Dump() []Entry {
 	var out []Entry
-	for c := (Cursor{}); ; {
-		part, next := s.CopyPart(c, math.MaxInt)
+	for cursor := (Cursor{}); ; {
+		part, next := s.CopyPart(cursor, math.MaxInt)
 		out = append(out, part...)
 		if next.AtEnd() {
 			return out
 		}
-		c = next
+		cursor = next
 	}
 }
 
-// CopyPart returns the entries from a cursor on, of about so many bytes, and where
-// to go on. Live records go before finished ones: what finishes between two
-// parts is met again.
-func (s *Store) CopyPart(c Cursor, bytes int) (out []Entry, next Cursor) {
-	if c.Shard == "" {
+// CopyPart returns the entries at a cursor, of about so many bytes in total, and the
+// cursor to continue at. A shard's live records precede its finished ones, so that a
+// record that finishes between two parts is not missed.
+func (s *Store) CopyPart(cursor Cursor, bytes int) (out []Entry, next Cursor) {
+	if cursor.Shard == "" {
 		return s.commonPart(), s.shardAfter("")
 	}
-	x := s.Shard(c.Shard)
-	if c.Chunk == 0 {
-		return x.livePart(c, bytes)
+	shard := s.Shard(cursor.Shard)
+	if cursor.Chunk == 0 {
+		return shard.livePart(cursor, bytes)
 	}
-	chunks, from := x.archive.chunksFrom(c.Chunk, bytes)
+	chunks, from := shard.archive.chunksFrom(cursor.Chunk, bytes)
 	for _, ch := range chunks {
-		out = append(out, Entry{Kind: EntryChunk, Name: c.Shard, Value: ch.frames})
+		out = append(out, Entry{Kind: EntryChunk, Name: cursor.Shard, Value: ch.frames})
 	}
 	if from != 0 {
-		return out, Cursor{Shard: c.Shard, Chunk: from}
+		return out, Cursor{Shard: cursor.Shard, Chunk: from}
 	}
-	for _, id := range slices.Sorted(maps.Keys(x.unconfirmed)) {
-		out = append(out, Entry{Kind: EntryUnconfirmed, Name: c.Shard, Record: Record{ID: id}})
+	for _, id := range slices.Sorted(maps.Keys(shard.unconfirmed)) {
+		out = append(out, Entry{Kind: EntryUnconfirmed, Name: cursor.Shard, Record: Record{ID: id}})
 	}
-	return out, s.shardAfter(c.Shard)
+	return out, s.shardAfter(cursor.Shard)
 }
 
-// shardAfter returns the beginning of the shard after a name, or the end.
+// shardAfter returns a cursor at the first shard after a name, or at the end.
 func (s *Store) shardAfter(name string) Cursor {
 	for _, next := range s.ShardNames() {
 		if next > name {
@@ -68,15 +68,15 @@
 	return Cursor{}
 }
 
-// commonPart returns what belongs to no shard.
+// commonPart returns the entries that belong to no shard.
 func (s *Store) commonPart() (out []Entry) {
 	if s.cluster != 0 {
-		formed := s.formed
-		formed.Cluster = s.cluster
-		out = append(out, Entry{Kind: EntryForm, Value: formed.Encode()})
+		formation := s.formation
+		formation.Cluster = s.cluster
+		out = append(out, Entry{Kind: EntryForm, Value: formation.Encode()})
 	}
-	if s.set.Version != 0 {
-		out = append(out, Entry{Kind: EntrySet, Value: s.set.Encode()})
+	if s.coreSet.Version != 0 {
+		out = append(out, Entry{Kind: EntrySet, Value: s.coreSet.Encode()})
 	}
 	for _, name := range s.RegisterNames() {
 		r := s.registers[name]
@@ -88,24 +88,25 @@
 	return out
 }
 
-// livePart returns some of a shard's live records, in the order of their ids. One
-// that comes under an earlier id meanwhile is acknowledged without the copy.
-func (s *Shard) livePart(c Cursor, bytes int) (out []Entry, next Cursor) {
-	if c.After == "" {
+// livePart returns a part of a shard's live records in the order of their ids. A record
+// that is added behind the cursor during a copy is not copied: its acknowledgement does
+// not depend on the copy.
+func (s *Shard) livePart(cursor Cursor, bytes int) (out []Entry, next Cursor) {
+	if cursor.After == "" {
 		out = append(out,
-			Entry{Kind: EntrySeal, Name: c.Shard, Epoch: s.sealed},
-			Entry{Kind: EntryServed, Name: c.Shard, Epoch: s.served})
+			Entry{Kind: EntrySeal, Name: cursor.Shard, Epoch: s.sealedEpoch},
+			Entry{Kind: EntryServed, Name: cursor.Shard, Epoch: s.servedEpoch})
 	}
 	size := 0
 	for _, r := range s.Live() {
-		if r.ID <= c.After {
+		if r.ID <= cursor.After {
 			continue
 		}
 		if size >= bytes {
-			return out, Cursor{Shard: c.Shard, After: out[len(out)-1].Record.ID}
+			return out, Cursor{Shard: cursor.Shard, After: out[len(out)-1].Record.ID}
 		}
-		out = append(out, Entry{Kind: EntryRecord, Name: c.Shard, Record: r})
+		out = append(out, Entry{Kind: EntryRecord, Name: cursor.Shard, Record: r})
 		size += r.Size()
 	}
-	return out, Cursor{Shard: c.Shard, Chunk: s.archive.first}
+	return out, Cursor{Shard: cursor.Shard, Chunk: s.archive.firstNumber}
 }
--- a/internal/statestore/entry.go
+++ b/internal/statestore/entry.go
@@ -7,25 +7,26 @@
 	"otterchute/internal/register"
 )
 
-// EntryKind tells what an entry changes. The numbers stand on disk and in copies
-// between members: they are never given to another kind.
+// EntryKind is the kind of change that an entry makes. The numbers are stored on disk and
+// sent in copies between members, so they are never reused.
 type EntryKind int8
 
-// Kinds of entries, and which fields each of them uses beside Kind.
+// Kinds of entries, and the fields that each uses besides Kind. Name is a register or a
+// shard.
 const (
 	EntryForm        EntryKind = iota + 1 // a vote for a formation: Value is its quorum.Set
 	EntryPromise                          // a register's promise: Name, Ballot
 	EntryAccept                           // a register's accepted value: Name, Ballot, Value
-	EntrySeal                             // a shard takes no writes of lower epochs: Name, Epoch
-	EntryRecord                           // a job's record: Name of the shard, Record
+	EntrySeal                             // a shard rejects writes of lower epochs: Name, Epoch
+	EntryRecord                           // a job's record: Name, Record
 	EntrySet                              // the core set: Value is a quorum.Set
-	EntryDrop                             // finished records done before a time go: Name of the shard, Epoch in ms
-	EntryConfirmed                        // a quorum holds a finished record: Name of the shard, Record.ID
-	EntryChunk                            // a chunk of finished records, in copies and snapshots: Name of the shard, Value
-	EntryUnconfirmed                      // a quorum may not hold one of those: Name of the shard, Record.ID
-	EntryServed                           // all live records are committed under an epoch: Name of the shard, Epoch
-	EntryRefused                          // a vote against a formation, for good: Epoch is its cluster
-	EntryPatch                            // the next version of a live record: Name of the shard, Value is its Patch
+	EntryDrop                             // removes records finished before a time: Name, Epoch is the time in ms
+	EntryConfirmed                        // a quorum holds a finished record: Name, Record.ID
+	EntryChunk                            // a chunk of finished records, in copies and snapshots: Name, Value
+	EntryUnconfirmed                      // a quorum may not hold a record of such a chunk: Name, Record.ID
+	EntryServed                           // all live records are committed under an epoch: Name, Epoch
+	EntryRefused                          // a final vote against a formation: Epoch is its cluster
+	EntryPatch                            // the next version of a live record: Name, Value is a Patch
 )
 
 var entryKindNames = map[EntryKind]string{
@@ -34,7 +35,7 @@
 	EntryUnconfirmed: "unconfirmed", EntryServed: "served", EntryRefused: "refused", EntryPatch: "patch",
 }
 
-// String names the kind for logs and test failures.
+// String returns the name of the kind in logs and test failures.
 func (k EntryKind) String() string {
 	if name, ok := entryKindNames[k]; ok {
 		return name
@@ -42,7 +43,7 @@
 	return "entry kind " + strconv.Itoa(int(k))
 }
 
-// Entry is one change of a core member's state, as it is logged, snapshotted and
+// Entry is one change of a core member's state, as it is logged, stored in snapshots and
 // copied to other members.
 type Entry struct {
 	Kind   EntryKind
@@ -57,20 +58,20 @@
 type Record struct {
 	ID        string
 	Epoch     uint64 // of the shard's owner that wrote it
-	Version   int64  // counted by that owner; higher epochs stand above all versions of lower ones
+	Version   int64  // counted by that owner; any version of a higher epoch is newer
 	Live      bool   // the job has not finished
 	Confirmed bool   // finished, and a quorum is known to hold it
-	DoneMs    int64  // wall time, in ms, of a finished job's end
+	DoneMs    int64  // wall time of a finished job's end
 	Value     []byte
 }
 
-// recordOverhead is what a record or entry takes on disk beside its value, in bytes, about.
-const recordOverhead = 80
+// recordOverheadBytes is the approximate size of a record or entry besides its value, in bytes.
+const recordOverheadBytes = 80
 
-// Size is about how many bytes the record takes on disk and in a message.
-func (r Record) Size() int { return recordOverhead + len(r.Value) }
+// Size returns about how many bytes the record takes on disk and in a message.
+func (r Record) Size() int { return recordOverheadBytes + len(r.Value) }
 
-// OlderThan tells whether another version of the same record stands above this one.
+// OlderThan reports whether another version of the same record is newer than this one.
 func (r Record) OlderThan(other Record) bool {
 	return cmp.Or(cmp.Compare(r.Epoch, other.Epoch), cmp.Compare(r.Version, other.Version)) < 0
 }
--- a/internal/statestore/patch.go
+++ b/internal/statestore/patch.go
@@ -7,13 +7,13 @@
 	"otterchute/internal/codec"
 )
 
-// A job's record is written at each of its tasks' ends, and most of it is as before. A
-// Patch makes a version of a live record out of the one before it, so that neither the
-// network nor the log has to carry the rest again. What a value means is not known here:
-// its writer cuts it into segments that change apart from each other.
+// A job's record is written whenever one of its tasks ends, and most of it is unchanged. A
+// Patch builds a version of a live record from the version before it, so that neither the
+// network nor the log carries the unchanged part again. This package does not interpret
+// values: the writer divides a value into segments that change independently.
 
-// Segmented is a record's value with the ends of its segments, in order; the last one
-// ends with the value.
+// Segmented is a record's value with the end offsets of its segments, in order. The last
+// segment ends with the value.
 type Segmented struct {
 	Value []byte
 	Ends  []int
@@ -28,37 +28,37 @@
 	return s.Value[from:s.Ends[i]]
 }
 
-// Splice replaces Remove bytes from an offset of the old value on.
+// Splice replaces Remove bytes of the old value, beginning at an offset.
 type Splice struct {
 	At     int32
 	Remove int32
 	Insert []byte
 }
 
-// Patch makes a live record's version out of the version Base, of the same epoch.
+// Patch builds a version of a live record from the version Base of the same epoch.
 type Patch struct {
 	ID      string
 	Epoch   uint64
 	Base    int64
 	Version int64
-	Splices []Splice // by their offsets in the old value, apart from each other
+	Splices []Splice // ordered by their offsets in the old value; they do not overlap
 	Sum     uint64   // CRC-32 of the new value
 }
 
-// spliceOverhead is about what a splice takes beside its bytes.
-const spliceOverhead = 12
+// spliceOverheadBytes is the approximate size of a splice besides the inserted bytes.
+const spliceOverheadBytes = 12
 
-// Size is about how many bytes the patch takes on disk and in a message.
+// Size returns about how many bytes the patch takes on disk and in a message.
 func (p Patch) Size() int {
-	size := recordOverhead
+	size := recordOverheadBytes
 	for _, s := range p.Splices {
-		size += spliceOverhead + len(s.Insert)
+		size += spliceOverheadBytes + len(s.Insert)
 	}
 	return size
 }
 
-// Diff returns what makes a value out of an older one. It gives false where the two have
-// different segments, or where a patch would be no smaller than the value.
+// Diff returns the splices that turn an older value into a newer one. It returns false if
+// the numbers of segments differ, or if a patch would be no smaller than the value.
 //
 // Example: splices, ok := statestore.Diff(sent, now)
 func Diff(older, newer Segmented) (splices []Splice, ok bool) {
@@ -69,8 +69,8 @@
 	for i := range older.Ends {
 		before, after := older.segment(i), newer.segment(i)
 		if !bytes.Equal(before, after) {
-			s := spliceOf(before, after, at)
-			size += spliceOverhead + len(s.Insert)
+			s := makeSplice(before, after, at)
+			size += spliceOverheadBytes + len(s.Insert)
 			splices = append(splices, s)
 		}
 		at = older.Ends[i]
@@ -78,29 +78,30 @@
 	return splices, size < len(newer.Value)
 }
 
-// spliceOf replaces what two segments don't share at their beginnings and ends; at is
-// where the old one begins.
-func spliceOf(before, after []byte, at int) Splice {
-	head := 0
-	for head < len(before) && head < len(after) && before[head] == after[head] {
-		head++
+// makeSplice returns the splice that turns one segment into another, without their common
+// prefix and suffix. The old segment begins at offset at.
+func makeSplice(before, after []byte, at int) Splice {
+	prefix := 0
+	for prefix < len(before) && prefix < len(after) && before[prefix] == after[prefix] {
+		prefix++
 	}
-	tail := 0
-	for tail < len(before)-head && tail < len(after)-head && before[len(before)-1-tail] == after[len(after)-1-tail] {
-		tail++
+	suffix := 0
+	for suffix < len(before)-prefix && suffix < len(after)-prefix &&
+		before[len(before)-1-suffix] == after[len(after)-1-suffix] {
+		suffix++
 	}
 	return Splice{
-		At: int32(at + head), Remove: int32(len(before) - head - tail),
-		Insert: bytes.Clone(after[head : len(after)-tail]),
+		At: int32(at + prefix), Remove: int32(len(before) - prefix - suffix),
+		Insert: bytes.Clone(after[prefix : len(after)-suffix]),
 	}
 }
 
-// Sum is the checksum of a value, as a Patch carries it.
+// Sum returns the checksum of a value, as used in a Patch.
 //
 // Example: patch.Sum = statestore.Sum(value)
 func Sum(value []byte) uint64 { return uint64(crc32.ChecksumIEEE(value)) }
 
-// apply returns the value that the patch makes; false where it doesn't fit the old one.
+// apply returns the patched value, or false if the patch does not fit the old value.
 func (p Patch) apply(old []byte) (value []byte, ok bool) {
 	value = make([]byte, 0, len(old)+p.Size())
 	from := 0
@@ -117,8 +118,8 @@
 	return value, Sum(value) == p.Sum
 }
 
-// Patched returns the record that a patch makes here; false where the version that it
-// builds on is not here as its writer has it.
+// Patched returns the record that results from a patch. It returns false if the shard does
+// not hold the patch's base version, or holds it with another value.
 func (s *Shard) Patched(p Patch) (Record, bool) {
 	old, known := s.live[p.ID]
 	if !known || old.Epoch != p.Epoch || old.Version != p.Base || p.Version <= p.Base {
@@ -128,22 +129,22 @@
 	return Record{ID: p.ID, Epoch: p.Epoch, Version: p.Version, Live: true, Value: value}, ok
 }
 
-// PatchEntry is the entry that logs a patch of a shard's record.
+// PatchEntry returns the entry that logs a patch of a shard's record.
 //
 // Example: store.Apply(statestore.PatchEntry("east", patch))
 func PatchEntry(shard string, p Patch) Entry {
 	return Entry{Kind: EntryPatch, Name: shard, Value: codec.Append(nil, p)}
 }
 
-// applyPatch applies a logged patch. The member checked that it fits before it was
-// logged; where entries are applied a second time the version is here already.
+// applyPatch applies a logged patch. A patch is checked before it is logged; if it does
+// not fit here, its entry is applied a second time and the version is present already.
 func (s *Store) applyPatch(e Entry) {
 	var p Patch
 	if codec.Unmarshal(e.Value, &p) != nil {
 		return
 	}
-	x := s.Shard(e.Name)
-	if r, ok := x.Patched(p); ok {
-		x.put(r)
+	shard := s.Shard(e.Name)
+	if r, ok := shard.Patched(p); ok {
+		shard.put(r)
 	}
 }
--- a/internal/statestore/patch_test.go
+++ b/internal/statestore/patch_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// randomValue draws a value of some segments; other changes some of one's segments.
+// randomValue returns a random value with a number of segments.
 func randomValue(r *rand.Rand, segments int) (v Segmented) {
 	for range segments {
 		v.Value = append(v.Value, randomBytes(r, r.IntN(40))...)
@@ -20,12 +20,13 @@
 func randomBytes(r *rand.Rand, length int) []byte {
 	out := make([]byte, length)
 	for i := range out {
-		out[i] = byte(r.IntN(3)) // few values, so that parts are alike by chance
+		out[i] = byte(r.IntN(3)) // few distinct bytes, so that values have parts in common
 	}
 	return out
 }
 
-func changed(r *rand.Rand, v Segmented) (out Segmented) {
+// changeSegments returns a value with some of its segments replaced.
+func changeSegments(r *rand.Rand, v Segmented) (out Segmented) {
 	for i := range v.Ends {
 		segment := v.segment(i)
 		if r.IntN(3) == 0 {
@@ -37,12 +38,13 @@
 	return out
 }
 
-// Whatever changed in a value, its patch makes the new one, byte by byte, and fits no other.
-func TestPatchMakesTheNewValue(t *testing.T) {
+// A patch turns the old value into exactly the new one. Applied to any other value it is
+// rejected, or the result is the new value as well.
+func TestPatchYieldsNewValue(t *testing.T) {
 	for seed := range uint64(3000) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		older := randomValue(r, r.IntN(12))
-		newer := changed(r, older)
+		newer := changeSegments(r, older)
 		splices, _ := Diff(older, newer)
 		if len(older.Ends) == 0 {
 			continue
@@ -51,14 +53,15 @@
 		got, ok := p.apply(older.Value)
 		must.True(t, ok, must.Sprint(seed))
 		must.True(t, bytes.Equal(newer.Value, got), must.Sprint(seed))
-		other := changed(r, older)
+		other := changeSegments(r, older)
 		if got, ok = p.apply(other.Value); ok {
 			must.True(t, bytes.Equal(newer.Value, got), must.Sprint(seed))
 		}
 	}
 }
 
-func TestDiffOfOtherSegments(t *testing.T) {
+// Diff rejects values with different numbers of segments and patches that save nothing.
+func TestDiffRejectsUselessPatches(t *testing.T) {
 	_, ok := Diff(Segmented{Value: []byte("ab"), Ends: []int{1, 2}}, Segmented{Value: []byte("abc"), Ends: []int{1, 2, 3}})
 	must.False(t, ok)
 	_, ok = Diff(Segmented{}, Segmented{Value: []byte("a"), Ends: []int{1}})
@@ -67,9 +70,9 @@
 	must.False(t, ok) // as large as the value
 }
 
-// A patch is taken on its own base only: another version, epoch or value, a record that
-// isn't here or has finished, and offsets beyond the value are refused.
-func TestPatchedNeedsItsBase(t *testing.T) {
+// A patch is rejected for another base version, epoch or value, for a record that is missing
+// or finished, and for offsets outside the value.
+func TestPatchedRejectsWrongBase(t *testing.T) {
 	base := Record{ID: "j", Epoch: 3, Version: 5, Live: true, Value: []byte("one two")}
 	good := Patch{
 		ID: "j", Epoch: 3, Base: 5, Version: 6, Splices: []Splice{{At: 4, Remove: 3, Insert: []byte("three")}},
@@ -107,9 +110,9 @@
 	}
 }
 
-// Entries of patches build the same store as whole records, also when some are applied
-// twice, as after a start from a snapshot that already has them.
-func TestPatchEntriesBuildTheStore(t *testing.T) {
+// Patch entries build the same store as whole records, even if some are applied twice, as
+// after a start from a snapshot that includes them.
+func TestPatchEntriesRebuildStore(t *testing.T) {
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 2))
 		value := randomValue(r, 1+r.IntN(8))
@@ -119,7 +122,7 @@
 		patched.Apply(first)
 		var entries []Entry
 		for version := int64(2); version < 12; version++ {
-			newer := changed(r, value)
+			newer := changeSegments(r, value)
 			splices, _ := Diff(value, newer)
 			whole.Apply(Entry{Kind: EntryRecord, Name: "east", Record: Record{ID: "j", Epoch: 1, Version: version, Live: true, Value: newer.Value}})
 			entries = append(entries, PatchEntry("east", Patch{
--- a/internal/statestore/shard.go
+++ b/internal/statestore/shard.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// Shard is what one core member keeps of one shard of the jobs.
+// Shard holds one core member's records of one shard of the jobs.
 type Shard struct {
-	sealed      uint64
-	served      uint64
+	sealedEpoch uint64
+	servedEpoch uint64
 	live        map[string]Record
-	unconfirmed map[string]bool // finished here, but a quorum may not hold that
+	unconfirmed map[string]bool // finished records that a quorum may not hold
 	archive     *archive        // all finished records
 }
 
@@ -18,12 +18,12 @@
 	return &Shard{live: map[string]Record{}, unconfirmed: map[string]bool{}, archive: newArchive()}
 }
 
-// Sealed is the newest epoch that an owner sealed here: writes of lower ones are fenced off.
-func (s *Shard) Sealed() uint64 { return s.sealed }
+// Sealed returns the highest epoch that an owner sealed; writes of lower epochs are fenced off.
+func (s *Shard) Sealed() uint64 { return s.sealedEpoch }
 
-// Served is the epoch of the last owner known to have all live records committed
-// under it: live records of older epochs are void.
-func (s *Shard) Served() uint64 { return s.served }
+// Served returns the last epoch under which all live records are known to be committed.
+// Live records of older epochs are void.
+func (s *Shard) Served() uint64 { return s.servedEpoch }
 
 // Get returns a record by its job's id, live or finished.
 func (s *Shard) Get(id string) (Record, bool) {
@@ -33,13 +33,13 @@
 	return s.archive.get(id)
 }
 
-// HasVersion tells whether a record's version is here, or one above it.
+// HasVersion reports whether the shard holds this version of a record or a newer one.
 func (s *Shard) HasVersion(id string, epoch uint64, version int64) bool {
 	r, known := s.Get(id)
 	return known && !r.OlderThan(Record{Epoch: epoch, Version: version})
 }
 
-// Live returns the records of jobs that have not finished, by id.
+// Live returns the records of unfinished jobs, ordered by id.
 func (s *Shard) Live() []Record {
 	out := make([]Record, 0, len(s.live))
 	for _, id := range slices.Sorted(maps.Keys(s.live)) {
@@ -48,7 +48,7 @@
 	return out
 }
 
-// Unconfirmed returns, by id, the finished records that a quorum may not hold: a
+// Unconfirmed returns the finished records that a quorum may not hold, ordered by id. A
 // new owner has to write them again.
 func (s *Shard) Unconfirmed() []Record {
 	var out []Record
@@ -60,30 +60,32 @@
 	return out
 }
 
-// Finished is how many finished records can be found by their ids.
+// Finished returns the number of finished records that can be found by id.
 func (s *Shard) Finished() int { return len(s.archive.index) }
 
-// EachFinished calls do with every finished record that is kept, the oldest
-// first, superseded ones too.
+// EachFinished calls do with every stored finished record, the oldest first, including
+// superseded ones.
 func (s *Shard) EachFinished(do func(Record)) {
 	for _, c := range s.archive.chunks {
 		eachFrame(c.frames, func(_ uint32, r Record) { do(r) })
 	}
 }
 
-// FirstChunk is the number of the oldest chunk of finished records. It rises as
-// they expire, and begins anew with each life of the process.
-func (s *Shard) FirstChunk() uint64 { return s.archive.first }
+// FirstChunk returns the number of the oldest chunk of finished records. It rises as
+// records expire, and starts anew in each process.
+func (s *Shard) FirstChunk() uint64 { return s.archive.firstNumber }
 
-// Expired tells whether an EntryDrop with this wall time, in ms, would let go of anything.
+// Expired reports whether an entry of kind EntryExpire with this wall time would remove
+// any records.
 func (s *Shard) Expired(cutMs int64) bool { return s.archive.expired(cutMs) }
 
-// put takes a record unless a newer version is here, or it is live and void.
+// put stores a record, unless the shard holds the same or a newer version, or the record
+// is live and void.
 func (s *Shard) put(r Record) {
-	if old, had := s.Get(r.ID); had && !old.OlderThan(r) {
+	if old, exists := s.Get(r.ID); exists && !old.OlderThan(r) {
 		return
 	}
-	if r.Live && r.Epoch < s.served {
+	if r.Live && r.Epoch < s.servedEpoch {
 		return
 	}
 	delete(s.unconfirmed, r.ID)
@@ -98,7 +100,7 @@
 	}
 }
 
-// drop lets go of finished records done before a time.
+// drop removes chunks of records that finished before a time.
 func (s *Shard) drop(cutMs int64) {
 	s.archive.drop(cutMs)
 	maps.DeleteFunc(s.unconfirmed, func(id string, _ bool) bool {
@@ -107,21 +109,21 @@
 	})
 }
 
-// serve voids the live records of epochs before this one.
-func (s *Shard) serve(epoch uint64) {
-	s.served = max(s.served, epoch)
-	maps.DeleteFunc(s.live, func(_ string, r Record) bool { return r.Epoch < s.served })
+// setServedEpoch sets the served epoch and removes the live records of older epochs.
+func (s *Shard) setServedEpoch(epoch uint64) {
+	s.servedEpoch = max(s.servedEpoch, epoch)
+	maps.DeleteFunc(s.live, func(_ string, r Record) bool { return r.Epoch < s.servedEpoch })
 }
 
-// putChunk takes a chunk of another member's or life's finished records.
+// putChunk stores the finished records of a chunk from a snapshot or another member.
 func (s *Shard) putChunk(frames []byte) {
 	eachFrame(frames, func(_ uint32, r Record) {
-		r.Confirmed = true // what isn't follows as EntryUnconfirmed
+		r.Confirmed = true // EntryUnconfirmed follows for those that are not
 		s.put(r)
 	})
 }
 
-// markUnconfirmed takes back that a quorum holds a finished record.
+// markUnconfirmed marks a finished record that a quorum may not hold.
 func (s *Shard) markUnconfirmed(id string) {
 	_, live := s.live[id]
 	if _, finished := s.archive.get(id); finished && !live {
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -1,13 +1,13 @@
-// Package statestore is what one core member keeps: the acceptors of registers,
-// the core set and its formation, and of each shard of the jobs the sealed epoch
-// and the records.
+// Package statestore holds the state of one core member: the acceptors of registers, the
+// core set and its formation, and for each shard of the jobs the sealed epoch and the
+// records.
 //
-// A Store is a pure state machine: Apply takes one Entry, and applying the same
-// entries again gives the same Store. It does no I/O and decides nothing. Package
-// storage makes the entries durable; whoever answers for the member applies an
-// entry at once and lets the answer go only when it is durable. A member that
-// joins is filled from others by CopyPart: entries of several members may be
-// applied in any order, the highest ballots, epochs and versions stand.
+// A Store is a deterministic state machine: Apply applies one Entry, and applying the same
+// entries again results in the same Store. It does no I/O and makes no decisions. Package
+// storage makes entries durable; a member applies an entry at once, but responds only
+// after the entry is durable. A new member copies the state of others with CopyPart.
+// Entries of several members may be applied in any order: the highest ballots, epochs and
+// versions win.
 package statestore
 
 import (
@@ -19,38 +19,41 @@
 	"otterchute/internal/register"
 )
 
-// Store is one core member's state. The zero Store is not usable: see New.
+// Store is one core member's state. Use New: the zero value is not usable.
 type Store struct {
-	cluster     uint64
-	registers   map[string]*register.Acceptor
-	shards      map[string]*Shard
-	set         quorum.Set
-	formed      quorum.Set
-	refused     map[uint64]bool
-	loggedBytes int64
+	cluster           uint64
+	registers         map[string]*register.Acceptor
+	shards            map[string]*Shard
+	coreSet           quorum.Set
+	formation         quorum.Set
+	refusedFormations map[uint64]bool
+	loggedBytes       int64
 }
 
-// New returns the state of an empty disk.
+// New returns an empty store.
 //
 // Example: store := statestore.New(); store.Apply(entry)
 func New() *Store {
-	return &Store{refused: map[uint64]bool{}, registers: map[string]*register.Acceptor{}, shards: map[string]*Shard{}}
+	return &Store{
+		refusedFormations: map[uint64]bool{}, registers: map[string]*register.Acceptor{}, shards: map[string]*Shard{},
+	}
 }
 
-// Cluster is the cluster that this disk belongs to or has voted for; 0 for none.
+// Cluster returns the cluster that this disk belongs to or has voted for; 0 for none.
 func (s *Store) Cluster() uint64 { return s.cluster }
 
-// Set is the newest chosen core set that this disk knows; version 0 for none.
-func (s *Store) Set() quorum.Set { return s.set }
+// Set returns the newest chosen core set that is stored; version 0 for none.
+func (s *Store) Set() quorum.Set { return s.coreSet }
 
-// Formed is the formation that this disk voted for; without members if none.
-func (s *Store) Formed() quorum.Set { return s.formed }
+// Formed returns the formation that this disk voted for; without members for none.
+func (s *Store) Formed() quorum.Set { return s.formation }
 
-// Refused tells whether this disk voted against a formation, or knows that it failed.
-func (s *Store) Refused(cluster uint64) bool { return s.refused[cluster] }
+// Refused reports whether this disk voted against a formation, or was informed that it
+// failed.
+func (s *Store) Refused(cluster uint64) bool { return s.refusedFormations[cluster] }
 
-// Register returns the acceptor of a register, a new one where none was heard of.
-// Change it by entries only.
+// Register returns the acceptor of a register, creating it if needed. It may be changed
+// only by applying entries.
 func (s *Store) Register(name string) *register.Acceptor {
 	r := s.registers[name]
 	if r == nil {
@@ -60,7 +63,7 @@
 	return r
 }
 
-// RegisterValue returns the accepted value of a register, nil where there is none.
+// RegisterValue returns the accepted value of a register, or nil if there is none.
 func (s *Store) RegisterValue(name string) []byte {
 	if r := s.registers[name]; r != nil {
 		return r.Value
@@ -68,54 +71,54 @@
 	return nil
 }
 
-// RegisterNames returns the names of all registers that were heard of, in order.
+// RegisterNames returns the sorted names of all registers.
 func (s *Store) RegisterNames() []string { return slices.Sorted(maps.Keys(s.registers)) }
 
-// Shard returns what is kept of a shard, a new one where none was heard of.
+// Shard returns a shard by its name, creating it if needed.
 func (s *Store) Shard(name string) *Shard {
-	x := s.shards[name]
-	if x == nil {
-		x = newShard()
-		s.shards[name] = x
+	shard := s.shards[name]
+	if shard == nil {
+		shard = newShard()
+		s.shards[name] = shard
 	}
-	return x
+	return shard
 }
 
-// ShardNames returns the names of all shards that were heard of, in order.
+// ShardNames returns the sorted names of all shards.
 func (s *Store) ShardNames() []string { return slices.Sorted(maps.Keys(s.shards)) }
 
-// LoggedBytes is about how many bytes of entries were applied since the last snapshot.
+// LoggedBytes returns about how many bytes of entries were applied since the last snapshot.
 func (s *Store) LoggedBytes() int64 { return s.loggedBytes }
 
-// SnapshotTaken begins LoggedBytes at 0 again.
+// SnapshotTaken resets LoggedBytes to 0.
 func (s *Store) SnapshotTaken() { s.loggedBytes = 0 }
 
-// Size is about how many bytes the whole store takes on disk.
+// Size returns about how many bytes the whole store takes on disk.
 func (s *Store) Size() int64 {
-	sum := int64(0)
-	for _, x := range s.shards {
-		sum += x.archive.bytes
-		for _, r := range x.live {
-			sum += int64(r.Size())
+	size := int64(0)
+	for _, shard := range s.shards {
+		size += shard.archive.bytes
+		for _, r := range shard.live {
+			size += int64(r.Size())
 		}
 	}
-	return sum
+	return size
 }
 
-// Apply makes the change of one entry. Kinds it doesn't know change nothing.
+// Apply applies one entry. Entries of unknown kinds are ignored.
 func (s *Store) Apply(e Entry) {
 	apply, known := appliers[e.Kind]
 	if !known {
 		return
 	}
 	apply(s, e)
-	s.loggedBytes += int64(recordOverhead + len(e.Value) + len(e.Record.Value))
+	s.loggedBytes += int64(recordOverheadBytes + len(e.Value) + len(e.Record.Value))
 }
 
 var appliers = map[EntryKind]func(*Store, Entry){
-	EntryForm:        (*Store).applyForm,
-	EntryRefused:     (*Store).applyRefused,
-	EntrySet:         (*Store).applySet,
+	EntryForm:        (*Store).applyFormationVote,
+	EntryRefused:     (*Store).applyFormationRefused,
+	EntrySet:         (*Store).applyCoreSet,
 	EntryPromise:     (*Store).applyPromise,
 	EntryAccept:      (*Store).applyAccept,
 	EntrySeal:        (*Store).applySeal,
@@ -124,28 +127,28 @@
 	EntryConfirmed:   func(s *Store, e Entry) { delete(s.Shard(e.Name).unconfirmed, e.Record.ID) },
 	EntryChunk:       func(s *Store, e Entry) { s.Shard(e.Name).putChunk(e.Value) },
 	EntryUnconfirmed: func(s *Store, e Entry) { s.Shard(e.Name).markUnconfirmed(e.Record.ID) },
-	EntryServed:      func(s *Store, e Entry) { s.Shard(e.Name).serve(e.Epoch) },
+	EntryServed:      func(s *Store, e Entry) { s.Shard(e.Name).setServedEpoch(e.Epoch) },
 	EntryPatch:       (*Store).applyPatch,
 }
 
-func (s *Store) applyForm(e Entry) {
+func (s *Store) applyFormationVote(e Entry) {
 	var set quorum.Set
 	if codec.Unmarshal(e.Value, &set) == nil {
-		s.cluster, s.formed = set.Cluster, set
+		s.cluster, s.formation = set.Cluster, set
 	}
 }
 
-func (s *Store) applyRefused(e Entry) {
-	s.refused[e.Epoch] = true
-	if s.set.Version == 0 && s.formed.Cluster == e.Epoch {
-		s.cluster, s.formed = 0, quorum.Set{}
+func (s *Store) applyFormationRefused(e Entry) {
+	s.refusedFormations[e.Epoch] = true
+	if s.coreSet.Version == 0 && s.formation.Cluster == e.Epoch {
+		s.cluster, s.formation = 0, quorum.Set{}
 	}
 }
 
-func (s *Store) applySet(e Entry) {
-	var set quorum.Set
-	if codec.Unmarshal(e.Value, &set) == nil && set.Version >= s.set.Version {
-		s.set, s.cluster = set, set.Cluster
+func (s *Store) applyCoreSet(e Entry) {
+	var coreSet quorum.Set
+	if codec.Unmarshal(e.Value, &coreSet) == nil && coreSet.Version >= s.coreSet.Version {
+		s.coreSet, s.cluster = coreSet, coreSet.Cluster
 	}
 }
 
@@ -158,6 +161,6 @@
 }
 
 func (s *Store) applySeal(e Entry) {
-	x := s.Shard(e.Name)
-	x.sealed = max(x.sealed, e.Epoch)
+	shard := s.Shard(e.Name)
+	shard.sealedEpoch = max(shard.sealedEpoch, e.Epoch)
 }
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -16,9 +16,9 @@
 		Confirmed: true, Value: []byte("the value of a finished job, which is some hundred bytes long in a fleet that does real work")}}
 }
 
-// The archive says what a plain map would, over puts, newer puts and drops, and
-// so does a store that was built again from its dump or from a copy in parts.
-func TestArchiveIsAMap(t *testing.T) {
+// The archive agrees with a plain map over puts, newer puts and drops, and so does a store
+// that was rebuilt from its dump or from a copy in parts.
+func TestArchiveAgreesWithMap(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	st, plain := New(), map[string]Record{}
 	doneMs := int64(1000)
@@ -73,7 +73,7 @@
 	return Entry{Kind: EntryRecord, Name: "east", Record: Record{ID: id, Epoch: epoch, Version: version, Live: true}}
 }
 
-// What entries of each kind do, and that their order matters only where it must.
+// Entries of each kind have their effect, and older ones change nothing.
 func TestApply(t *testing.T) {
 	ballot := register.Ballot{Round: 2, Proposer: "a", Instance: 1}
 	set := quorum.Set{Cluster: 7, Version: 3}
@@ -107,7 +107,7 @@
 	}
 }
 
-// A finished record is told to new owners until a quorum is known to hold it.
+// A finished record is returned to new owners until a quorum is known to hold it.
 func TestUnconfirmed(t *testing.T) {
 	s := New()
 	e := finishedEntry("east", 1, 1000)
