--- a/internal/daemon/rules_test.go
+++ b/internal/daemon/rules_test.go
@@ -35,7 +35,6 @@
 var withdrawnLeft = map[string]int{
 	"internal/daemon tests":   59,
 	"internal/register tests": 1,
-	"internal/storage tests":  1,
 	"platform tests":          2,
 }
 
--- a/internal/storage/errors_test.go
+++ b/internal/storage/errors_test.go
@@ -8,15 +8,16 @@
 	"github.com/shoenig/test/must"
 )
 
-// Errors tell what was tried on what, and keep their cause.
+// Error texts name the operation and the file, and errors wrap their cause.
 func TestErrors(t *testing.T) {
 	for _, c := range []struct {
 		err  error
 		text string
 		is   error
 	}{
-		{failed("sync", "", fs.ErrInvalid), "disk failed: sync data folder: invalid argument", fs.ErrInvalid},
-		{failed("read", "log-1", ErrFormat), "disk failed: read log-1: written by another version of the program", ErrFormat},
+		{wrapError("sync", "", fs.ErrInvalid), "disk failed: sync data folder: invalid argument", fs.ErrInvalid},
+		{wrapError("read", "log-1", ErrFormat),
+			"disk failed: read log-1: written by another version of the program", ErrFormat},
 	} {
 		t.Run(c.text, func(t *testing.T) {
 			must.EqError(t, c.err, c.text)
@@ -25,5 +26,5 @@
 			must.True(t, errors.As(c.err, &typed))
 		})
 	}
-	must.NoError(t, failed("sync", "", nil))
+	must.NoError(t, wrapError("sync", "", nil))
 }
--- a/internal/storage/format.go
+++ b/internal/storage/format.go
@@ -12,37 +12,37 @@
 	"otterchute/internal/statestore"
 )
 
-// A segment or snapshot is a run of log records:
+// A segment or snapshot is a sequence of log records:
 //
-//	length u32 | checksum u32 | batch u64 | mark u8 | entry
+//	length u32 | checksum u32 | batch u64 | flags u8 | entry
 //
-// The mark holds the format of the entry and whether it is the last of its batch.
-// A batch is written and synced before the next one begins; so a bad record that
-// a later batch stands behind was damaged after it had been synced, and one that
-// nothing of a later batch follows is the torn end of the last write.
+// The flags hold the format of the entry and whether it is the last one of its batch. A
+// batch is written and synced before the next one begins. So a bad record with a later
+// batch behind it was damaged after it had been synced; without a later batch it is the
+// torn end of the last write.
 const (
-	checksumAt  = 4
-	batchAt     = checksumAt + 4
-	markAt      = batchAt + 8
-	headerBytes = markAt + 1
-
-	// currentFormat rises with each change of how entries and the values in them
-	// are encoded: 1 since ballots hold the proposer's instance, 2 since a
-	// configuration holds the history of its changes.
-	currentFormat byte = 2
-	lastOfBatch   byte = 1
-	formatShift        = 1
-
-	maxEntryBytes = 64 << 20 // as a frame between daemons: a longer length is damage
-	maxBatches    = 1 << 32  // of one segment, far above what it may hold
+	checksumOffset = 4
+	batchOffset    = checksumOffset + 4
+	flagsOffset    = batchOffset + 8
+	headerBytes    = flagsOffset + 1
+
+	// currentFormat rises with each change to the encoding of entries or of the values
+	// in them: 1 added the proposer's instance to ballots, 2 added the history of
+	// changes to a configuration.
+	currentFormat   byte = 2
+	lastOfBatchFlag byte = 1
+	formatShift          = 1
+
+	maxEntryBytes     = 64 << 20 // the bound of frames between daemons; a larger length is damage
+	maxSegmentBatches = 1 << 32  // batches in one segment, far more than it can hold
 )
 
-// logRecord is one entry as it stands in a file.
+// logRecord is an entry as stored in a file.
 type logRecord struct {
 	entry statestore.Entry
 	batch uint64
-	last  bool // of its batch
-	size  int  // bytes in the file; 0 where there is no sound record
+	last  bool // the last record of its batch
+	size  int  // bytes in the file; 0 if there is no valid record
 }
 
 func appendRecord(dst []byte, e statestore.Entry, batch uint64, last bool) []byte {
@@ -51,17 +51,17 @@
 	dst = codec.Append(dst, e)
 	record := dst[start:]
 	binary.BigEndian.PutUint32(record, uint32(len(record)-headerBytes))
-	binary.BigEndian.PutUint64(record[batchAt:], batch)
-	record[markAt] = currentFormat << formatShift
+	binary.BigEndian.PutUint64(record[batchOffset:], batch)
+	record[flagsOffset] = currentFormat << formatShift
 	if last {
-		record[markAt] |= lastOfBatch
+		record[flagsOffset] |= lastOfBatchFlag
 	}
-	binary.BigEndian.PutUint32(record[checksumAt:], crc32.ChecksumIEEE(record[batchAt:]))
+	binary.BigEndian.PutUint32(record[checksumOffset:], crc32.ChecksumIEEE(record[batchOffset:]))
 	return dst
 }
 
-// recordSize returns the size of the record that stands here undamaged, in
-// whatever format; 0 if there is none.
+// recordSize returns the size of the undamaged record at the start of b, in any format;
+// 0 if there is none.
 func recordSize(b []byte) int {
 	if len(b) < headerBytes {
 		return 0
@@ -71,101 +71,100 @@
 		return 0
 	}
 	size := headerBytes + n
-	if crc32.ChecksumIEEE(b[batchAt:size]) != binary.BigEndian.Uint32(b[checksumAt:]) {
+	if crc32.ChecksumIEEE(b[batchOffset:size]) != binary.BigEndian.Uint32(b[checksumOffset:]) {
 		return 0
 	}
 	return size
 }
 
-// inOtherFormat tells whether a file begins with a record of another format. To
-// take it for a torn one would cut it off.
-func inOtherFormat(b []byte) bool {
-	return recordSize(b) > 0 && b[markAt]>>formatShift != currentFormat
+// hasOtherFormat reports whether a file begins with a record in another format. Such a
+// record must not be treated as torn, since it would be truncated.
+func hasOtherFormat(b []byte) bool {
+	return recordSize(b) > 0 && b[flagsOffset]>>formatShift != currentFormat
 }
 
-// readRecord decodes the record at the head of b.
+// readRecord decodes the record at the start of b.
 func readRecord(b []byte) (r logRecord) {
 	size := recordSize(b)
-	if size == 0 || inOtherFormat(b) || codec.Unmarshal(b[headerBytes:size], &r.entry) != nil {
+	if size == 0 || hasOtherFormat(b) || codec.Unmarshal(b[headerBytes:size], &r.entry) != nil {
 		return logRecord{}
 	}
-	r.batch = binary.BigEndian.Uint64(b[batchAt:])
-	r.last = b[markAt]&lastOfBatch != 0
+	r.batch = binary.BigEndian.Uint64(b[batchOffset:])
+	r.last = b[flagsOffset]&lastOfBatchFlag != 0
 	r.size = size
 	return r
 }
 
-// readSegment applies a segment's entries and returns where its sound part ends,
-// which is after a complete batch: one that was torn counts for nothing, since it
-// was never synced. Damage with a later batch behind it gives ErrDamaged; an end
-// that is merely torn does not.
-func readSegment(b []byte, batch uint64, apply func(statestore.Entry)) (sound int, lastBatch uint64, err error) {
-	var open []statestore.Entry // of a batch whose last record is still to come
-	for at := 0; at < len(b); {
-		r := readRecord(b[at:])
-		if r.size == 0 || len(open) > 0 && r.batch != batch+1 {
-			if holdsLaterBatch(b[at:], batch+1) {
+// readSegment applies the entries of a segment's complete batches and returns where they
+// end. An incomplete batch at the end is ignored, since it was never synced. Damage
+// with a later batch behind it gives ErrDamaged; a torn end does not.
+func readSegment(b []byte, batch uint64, apply func(statestore.Entry)) (validBytes int, lastBatch uint64, err error) {
+	var openBatch []statestore.Entry // of a batch whose last record was not read yet
+	for offset := 0; offset < len(b); {
+		r := readRecord(b[offset:])
+		if r.size == 0 || len(openBatch) > 0 && r.batch != batch+1 {
+			if hasLaterBatch(b[offset:], batch+1) {
 				err = ErrDamaged
 			}
-			return sound, batch, err
+			return validBytes, batch, err
 		}
-		if len(open) == 0 {
+		if len(openBatch) == 0 {
 			batch = r.batch - 1
 		}
-		open = append(open, r.entry)
-		at += r.size
+		openBatch = append(openBatch, r.entry)
+		offset += r.size
 		if r.last {
-			for _, e := range open {
+			for _, e := range openBatch {
 				apply(e)
 			}
-			open, batch, sound = nil, r.batch, at
+			openBatch, batch, validBytes = nil, r.batch, offset
 		}
 	}
-	return sound, batch, nil
+	return validBytes, batch, nil
 }
 
-// holdsLaterBatch tells whether a record of a later batch than the torn one
-// stands anywhere in b.
-func holdsLaterBatch(b []byte, torn uint64) bool {
-	for at := 0; at+headerBytes <= len(b); at++ {
-		// Cheap looks first: checksums at each byte would take minutes.
-		batch := binary.BigEndian.Uint64(b[at+batchAt:])
-		if batch <= torn || batch-torn > maxBatches || b[at+markAt]>>formatShift != currentFormat {
+// hasLaterBatch reports whether b contains, at any offset, a record of a later batch
+// than the torn one.
+func hasLaterBatch(b []byte, torn uint64) bool {
+	for offset := 0; offset+headerBytes <= len(b); offset++ {
+		// Cheap checks come first: computing a checksum at each offset would take minutes.
+		batch := binary.BigEndian.Uint64(b[offset+batchOffset:])
+		if batch <= torn || batch-torn > maxSegmentBatches || b[offset+flagsOffset]>>formatShift != currentFormat {
 			continue
 		}
-		if readRecord(b[at:]).size > 0 {
+		if readRecord(b[offset:]).size > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// readSnapshot applies a snapshot's entries and returns the batch before which it
-// was taken; false where it isn't complete.
+// readSnapshot applies a snapshot's entries and returns the last batch that it includes,
+// or false if the snapshot is incomplete.
 func readSnapshot(b []byte, apply func(statestore.Entry)) (batch uint64, complete bool) {
-	for at := 0; at < len(b); {
-		r := readRecord(b[at:])
+	for offset := 0; offset < len(b); {
+		r := readRecord(b[offset:])
 		if r.size == 0 || batch != 0 && r.batch != batch {
 			return 0, false
 		}
 		apply(r.entry)
 		batch = r.batch
-		at += r.size
+		offset += r.size
 		if r.last {
-			return batch, at == len(b)
+			return batch, offset == len(b)
 		}
 	}
 	return 0, false
 }
 
-// Names of files. A snapshot takes the place of all segments with lower numbers.
+// Names of files. A snapshot replaces all segments with lower numbers.
 const (
 	segmentPrefix    = "log-"
 	snapshotPrefix   = "snap-"
 	quarantinePrefix = "damaged-"
 	identityName     = "disk-id"
 	lockName         = "lock"
-	unfinishedSuffix = ".new" // of a file that is not complete yet
+	temporarySuffix  = ".new" // of a file that is still being written
 )
 
 func segmentName(n uint64) string  { return fmt.Sprintf("%s%016d", segmentPrefix, n) }
@@ -182,7 +181,7 @@
 	return 0, false
 }
 
-// fileNumbers returns the numbers of the files with a prefix, from one on, in order.
+// fileNumbers returns the sorted numbers, not below from, of the files with a prefix.
 func fileNumbers(names []string, prefix string, from uint64) (out []uint64) {
 	for _, name := range names {
 		if number, ok := fileNumber(name); ok && strings.HasPrefix(name, prefix) && number >= from {
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -10,8 +10,8 @@
 	"otterchute/internal/statestore"
 )
 
-// Log is the disk of one process. Append, Snapshot and Wipe may be called from any
-// goroutine and don't wait; all else happens on the goroutine of Run.
+// Log is the durable log of one process. Append, Snapshot and Wipe may be called from any
+// goroutine and don't block; everything else happens on Run's goroutine.
 type Log struct {
 	identity
 	folder   folder
@@ -21,103 +21,105 @@
 
 	mu      sync.Mutex
 	wake    chan struct{}
-	pending []job
+	pending []operation
 	closed  bool
-	ended   chan struct{}
+	stopped chan struct{}
 
-	snapshots  sync.WaitGroup // being written
-	file       file           // of the segment
-	base       uint64         // what was read began at this number
-	segment    uint64
-	size       int64 // bytes of the segment that are synced
-	batch      uint64
-	unfinished []job         // not done since the disk failed
-	startErr   error         // why the first segment could not be begun
-	untrimmed  bool          // the segment still has a tail to be cut, or to be synced
-	retry      time.Duration // the first wait after a failure
+	snapshots       sync.WaitGroup // snapshots that are being written
+	file            file           // the current segment
+	baseSegment     uint64         // the number at which the loaded snapshot or segments begin
+	segment         uint64
+	syncedBytes     int64 // synced bytes of the segment
+	batch           uint64
+	uncommitted     []operation   // pending since the disk failed
+	startErr        error         // why the first segment could not be created
+	needsTrim       bool          // the segment's tail is still to be truncated and the rest synced
+	firstRetryDelay time.Duration // the first wait after a failure
 }
 
-// job is one thing for Run to do.
-type job struct {
-	entries  []statestore.Entry
-	done     func()
-	snapshot bool   // entries are a whole store
-	wipe     uint64 // the id of the empty disk to begin; 0 for none
+// operation is an operation for Run.
+type operation struct {
+	entries   []statestore.Entry
+	done      func()
+	snapshot  bool   // entries are a whole store
+	newDiskID uint64 // the new disk id of a wipe, else 0
 }
 
 func newLog(f folder, events EventLog) *Log {
 	return &Log{
-		folder: f, events: events, listener: ignore{}, retry: RetryFirst,
-		wake: make(chan struct{}, 1), ended: make(chan struct{}),
+		folder: f, events: events, listener: nopListener{}, firstRetryDelay: RetryFirst,
+		wake: make(chan struct{}, 1), stopped: make(chan struct{}),
 	}
 }
 
-// ignore is the Listener before Run.
-type ignore struct{}
+// nopListener is the Listener until Run is called. It does nothing.
+type nopListener struct{}
 
-func (ignore) Committed(int, time.Duration, []func()) {}
-func (ignore) Failed(error)                           {}
-func (ignore) Lost()                                  {}
-func (ignore) Recovered()                             {}
+func (nopListener) Committed(int, time.Duration, []func()) {}
+func (nopListener) Failed(error)                           {}
+func (nopListener) Lost()                                  {}
+func (nopListener) Recovered()                             {}
 
-// ID is the id of the disk as it was opened. Whoever wipes it knows the next one.
+// ID returns the disk's id. Call it before Run: a wipe changes the id.
 func (l *Log) ID() uint64 { return l.id }
 
-// Append enqueues entries. Once they and all before them are synced, done is given
-// to the Listener. Without entries it is so once nothing before it is unsynced.
+// Append enqueues entries. Once they and all earlier ones are synced, done is passed to
+// the Listener. Without entries, that is once all earlier entries are synced.
 func (l *Log) Append(entries []statestore.Entry, done func()) {
-	l.enqueue(job{entries: entries, done: done})
+	l.enqueue(operation{entries: entries, done: done})
 }
 
-// Snapshot enqueues a snapshot: the entries that build the whole store, with all
-// that was appended before. Older segments go once it is complete; until then, and
-// if it can't be written, they still hold everything.
-func (l *Log) Snapshot(entries []statestore.Entry) { l.enqueue(job{entries: entries, snapshot: true}) }
+// Snapshot enqueues a snapshot: the entries that rebuild the whole store, including all
+// that was appended before. Older segments are removed once it is complete; until then,
+// and if writing it fails, they hold everything.
+func (l *Log) Snapshot(entries []statestore.Entry) {
+	l.enqueue(operation{entries: entries, snapshot: true})
+}
 
-// Wipe enqueues that the disk becomes an empty one under a new id.
-func (l *Log) Wipe(id uint64) { l.enqueue(job{wipe: id}) }
+// Wipe enqueues that the disk is emptied and gets a new id.
+func (l *Log) Wipe(id uint64) { l.enqueue(operation{newDiskID: id}) }
 
-func (l *Log) enqueue(j job) {
+func (l *Log) enqueue(op operation) {
 	l.mu.Lock()
-	l.pending = append(l.pending, j)
+	l.pending = append(l.pending, op)
 	l.mu.Unlock()
-	l.signal()
+	l.wakeRun()
 }
 
-// signal wakes Run.
-func (l *Log) signal() {
+// wakeRun wakes Run.
+func (l *Log) wakeRun() {
 	select {
 	case l.wake <- struct{}{}:
-	default: // it is awake
+	default: // a signal is pending
 	}
 }
 
-// Close has Run do what is enqueued, unless the disk fails, and waits for it.
+// Close makes Run complete the enqueued operations, unless the disk fails, and waits until
+// Run has returned.
 func (l *Log) Close() {
 	l.mu.Lock()
 	l.closed = true
 	l.mu.Unlock()
-	l.signal()
-	<-l.ended
+	l.wakeRun()
+	<-l.stopped
 	l.snapshots.Wait()
 	if l.file != nil {
-		_ = l.file.Close() // all that was acknowledged is synced
+		_ = l.file.Close() // all acknowledged entries are synced
 	}
-	_ = l.lock.Close() // nothing was written to it
+	_ = l.lock.Close() // nothing was written
 }
 
-// Run commits what has gathered since the last sync as one batch, again and
-// again, until Close. After a failure nothing is acknowledged until all that was
-// held up is written.
+// Run commits the entries enqueued since the last sync as one batch, repeatedly until
+// Close. After a failure nothing is acknowledged until all pending entries are written.
 func (l *Log) Run(listener Listener) {
-	defer close(l.ended)
+	defer close(l.stopped)
 	l.listener = listener
-	if l.startErr != nil && !l.recover(l.startErr) {
+	if l.startErr != nil && !l.retryUntilRecovered(l.startErr) {
 		return
 	}
 	for range l.wake {
-		jobs, closed := l.takePending()
-		if err := l.commit(jobs); err != nil && !l.recover(err) {
+		operations, closed := l.takePending()
+		if err := l.commit(operations); err != nil && !l.retryUntilRecovered(err) {
 			return
 		}
 		if closed {
@@ -126,53 +128,54 @@
 	}
 }
 
-// takePending takes the jobs that wait.
-func (l *Log) takePending() (jobs []job, closed bool) {
+// takePending removes and returns the pending operations.
+func (l *Log) takePending() (operations []operation, closed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	jobs, closed = l.pending, l.closed
+	operations, closed = l.pending, l.closed
 	l.pending = nil
-	return jobs, closed
+	return operations, closed
 }
 
-// commit does jobs in their order. Those that are not done when it fails are kept
-// in unfinished.
-func (l *Log) commit(jobs []job) error {
-	for len(jobs) > 0 {
-		count, err := l.commitNext(jobs)
+// commit executes operations in order. If one fails, it and the following ones are kept
+// in uncommitted.
+func (l *Log) commit(operations []operation) error {
+	for len(operations) > 0 {
+		count, err := l.commitNext(operations)
 		if err != nil {
-			l.unfinished = jobs
+			l.uncommitted = operations
 			return err
 		}
-		jobs = jobs[count:]
+		operations = operations[count:]
 	}
-	l.unfinished = nil
+	l.uncommitted = nil
 	return nil
 }
 
-// commitNext does as many of the first jobs as go together, and tells how many.
-func (l *Log) commitNext(jobs []job) (count int, err error) {
-	appends := slices.IndexFunc(jobs, func(j job) bool { return j.snapshot || j.wipe != 0 })
+// commitNext executes the first operations that can be committed together, and returns
+// their number.
+func (l *Log) commitNext(operations []operation) (count int, err error) {
+	appends := slices.IndexFunc(operations, func(op operation) bool { return op.snapshot || op.newDiskID != 0 })
 	if appends < 0 {
-		appends = len(jobs)
+		appends = len(operations)
 	}
 	switch {
 	case appends > 0:
-		return appends, l.writeBatch(jobs[:appends])
-	case jobs[0].wipe != 0:
-		return 1, l.wipeDisk(jobs[0].wipe)
+		return appends, l.writeBatch(operations[:appends])
+	case operations[0].newDiskID != 0:
+		return 1, l.wipeDisk(operations[0].newDiskID)
 	default:
-		return 1, l.takeSnapshot(jobs[0].entries)
+		return 1, l.takeSnapshot(operations[0].entries)
 	}
 }
 
-// writeBatch writes and syncs the entries of appends, and tells the Listener.
-func (l *Log) writeBatch(jobs []job) error {
+// writeBatch writes and syncs the entries of appends, and notifies the Listener.
+func (l *Log) writeBatch(appends []operation) error {
 	var entries []statestore.Entry
-	done := make([]func(), 0, len(jobs))
-	for _, j := range jobs {
-		entries = append(entries, j.entries...)
-		done = append(done, j.done)
+	done := make([]func(), 0, len(appends))
+	for _, op := range appends {
+		entries = append(entries, op.entries...)
+		done = append(done, op.done)
 	}
 	took := time.Duration(0)
 	if len(entries) > 0 {
@@ -185,10 +188,10 @@
 	return nil
 }
 
-// writeEntries writes entries as the next batch and syncs it, and tells how long
-// the disk took.
+// writeEntries writes entries as the next batch and syncs it. It returns how long the disk
+// took.
 func (l *Log) writeEntries(entries []statestore.Entry) (took time.Duration, err error) {
-	if l.size > segmentBytes {
+	if l.syncedBytes > segmentBytes {
 		if err := l.roll(); err != nil {
 			return 0, err
 		}
@@ -200,41 +203,41 @@
 	}
 	began := time.Now()
 	if _, err := l.file.Write(b); err != nil {
-		return 0, failed("write", segmentName(l.segment), err)
+		return 0, wrapError("write", segmentName(l.segment), err)
 	}
 	if err := l.file.Sync(); err != nil {
-		return 0, failed("sync", segmentName(l.segment), err)
+		return 0, wrapError("sync", segmentName(l.segment), err)
 	}
-	l.size += int64(len(b))
+	l.syncedBytes += int64(len(b))
 	return time.Since(began), nil
 }
 
-// roll begins the next segment.
+// roll closes the current segment and creates the next one.
 func (l *Log) roll() error {
 	if l.file != nil {
 		if err := l.file.Close(); err != nil {
-			return failed("close", segmentName(l.segment), err)
+			return wrapError("close", segmentName(l.segment), err)
 		}
 	}
 	l.file = nil
 	name := segmentName(l.segment + 1)
 	f, err := l.folder.Create(name)
 	if err != nil {
-		return failed("create", name, err)
+		return wrapError("create", name, err)
 	}
 	if err := l.folder.Sync(); err != nil {
-		_ = f.Close() // it is empty
-		return failed("sync", "", err)
+		_ = f.Close() // nothing was written
+		return wrapError("sync", "", err)
 	}
-	l.file, l.size = f, 0
+	l.file, l.syncedBytes = f, 0
 	l.segment++
 	return nil
 }
 
-// takeSnapshot begins a new segment and writes the store's entries beside it, while
-// appends go on; older segments go once it is synced under its name.
+// takeSnapshot begins a new segment and writes the snapshot in the background, while
+// appends continue. Older segments are removed once the snapshot is durable.
 func (l *Log) takeSnapshot(entries []statestore.Entry) error {
-	l.snapshots.Wait() // one at a time
+	l.snapshots.Wait() // only one at a time
 	if err := l.roll(); err != nil {
 		return err
 	}
@@ -242,21 +245,21 @@
 	l.snapshots.Add(1)
 	go func() {
 		defer l.snapshots.Done()
-		if err := l.writeSnapshot(number, batch, entries); err != nil { // the segments still hold all
+		if err := l.writeSnapshot(number, batch, entries); err != nil { // the segments still hold everything
 			l.events("snapshot_failed", "err", err.Error())
 		}
 	}()
 	return nil
 }
 
-// writeSnapshot writes a snapshot that takes the place of all segments before a
-// number. Its records carry the last batch of those.
+// writeSnapshot writes a snapshot that replaces all segments with lower numbers. Its
+// records carry the number of the last batch in them.
 func (l *Log) writeSnapshot(number, batch uint64, entries []statestore.Entry) error {
-	err := l.writeSynced(snapshotName(number), func(w *bufio.Writer) {
+	err := l.writeAtomically(snapshotName(number), func(w *bufio.Writer) {
 		var b []byte
 		for i, e := range entries {
 			b = appendRecord(b[:0], e, batch, i == len(entries)-1)
-			_, _ = w.Write(b) // Flush tells the first error
+			_, _ = w.Write(b) // Flush returns the first error
 		}
 	})
 	if err == nil {
@@ -268,36 +271,36 @@
 	return err
 }
 
-// writeSynced writes a file that gets its name only once it is complete and synced.
-func (l *Log) writeSynced(name string, write func(w *bufio.Writer)) error {
-	unfinished := name + unfinishedSuffix
-	if err := l.writeFile(unfinished, write); err != nil {
-		_ = l.folder.Remove(unfinished) // it would take room that others need
+// writeAtomically writes a file under a temporary name and renames it once it is synced.
+func (l *Log) writeAtomically(name string, write func(w *bufio.Writer)) error {
+	temporary := name + temporarySuffix
+	if err := l.writeFile(temporary, write); err != nil {
+		_ = l.folder.Remove(temporary) // frees the space, best effort
 		return err
 	}
-	if err := l.folder.Rename(unfinished, name); err != nil {
-		return failed("rename", name, err)
+	if err := l.folder.Rename(temporary, name); err != nil {
+		return wrapError("rename", name, err)
 	}
-	return failed("sync", "", l.folder.Sync())
+	return wrapError("sync", "", l.folder.Sync())
 }
 
-// writeFile writes and syncs a new file in the place of any of that name.
+// writeFile writes and syncs a new file, replacing any file of that name.
 func (l *Log) writeFile(name string, write func(w *bufio.Writer)) error {
-	if err := l.folder.Remove(name); err != nil { // of an earlier try
-		return failed("remove", name, err)
+	if err := l.folder.Remove(name); err != nil { // left by an earlier attempt
+		return wrapError("remove", name, err)
 	}
 	f, err := l.folder.Create(name)
 	if err != nil {
-		return failed("create", name, err)
+		return wrapError("create", name, err)
 	}
 	w := bufio.NewWriterSize(f, statestore.ChunkBytes)
 	write(w)
-	err = failed("write", name, w.Flush()) // and with it the first error of any write
+	err = wrapError("write", name, w.Flush()) // returns the first error of any write
 	if err == nil {
-		err = failed("sync", name, f.Sync())
+		err = wrapError("sync", name, f.Sync())
 	}
-	if closing := f.Close(); err == nil {
-		err = failed("close", name, closing)
+	if closeErr := f.Close(); err == nil {
+		err = wrapError("close", name, closeErr)
 	}
 	return err
 }
--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -11,116 +11,116 @@
 	"golang.org/x/sys/unix"
 )
 
-// Open locks and reads the data folder at a path and returns its log and the state
-// it holds. A folder without a log, and one that is damaged before its log's end,
-// becomes an empty disk under newID.
+// Open locks and reads the data folder at a path and returns its log and state. A folder
+// without a log, or with a log that is damaged before its end, becomes an empty disk
+// with the id newID.
 //
-// A disk that can be read but takes no writes now is opened all the same, since
-// it may take them later: until then nothing is acknowledged. The error wraps
-// ErrInUse, ErrFormat, or what the file system said.
+// A disk that can be read but not written is opened as well, since it may be writable
+// later: until then nothing is acknowledged. The error wraps ErrInUse, ErrFormat, or an
+// error of the file system.
 //
 // Example: log, store, err := storage.Open("/data", id, events); go log.Run(listener)
 func Open(path string, newID uint64, events EventLog) (*Log, *statestore.Store, error) {
 	lock, err := os.OpenFile(filepath.Join(path, lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return nil, nil, failed("open", lockName, err)
+		return nil, nil, wrapError("open", lockName, err)
 	}
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		return nil, nil, failed("lock", lockName, ErrInUse)
+		return nil, nil, wrapError("lock", lockName, ErrInUse)
 	}
-	l, st, err := openFolder(osFolder(path), newID, events)
+	l, store, err := openFolder(osFolder(path), newID, events)
 	if err != nil {
-		_ = lock.Close() // nothing was written to it
+		_ = lock.Close() // nothing was written
 		return nil, nil, err
 	}
 	l.lock = lock
-	return l, st, nil
+	return l, store, nil
 }
 
 // openFolder is Open for a folder that no other process uses.
 func openFolder(f folder, newID uint64, events EventLog) (*Log, *statestore.Store, error) {
 	l := newLog(f, events)
-	st, err := l.load(newID)
+	store, err := l.load(newID)
 	if err != nil {
 		return nil, nil, err
 	}
-	if l.startErr = l.start(); l.startErr != nil {
-		return l, st, nil
+	if l.startErr = l.beginSegment(); l.startErr != nil {
+		return l, store, nil
 	}
-	if err := l.removeBefore(l.base); err != nil { // what earlier lives left
+	if err := l.removeBefore(l.baseSegment); err != nil { // left by earlier processes
 		l.events("removal_failed", "err", err.Error()) // the next snapshot tries again
 	}
-	return l, st, nil
+	return l, store, nil
 }
 
-// start makes what was read durable, and begins the next segment.
-func (l *Log) start() error {
-	if l.untrimmed {
+// beginSegment makes the loaded segments durable and begins the next one.
+func (l *Log) beginSegment() error {
+	if l.needsTrim {
 		if err := l.trimSegment(); err != nil {
 			return err
 		}
-		l.untrimmed = false
+		l.needsTrim = false
 	}
 	return l.roll()
 }
 
-// load reads the disk under its identity, or begins a new one where it has none
-// or where the log under it is damaged.
+// load reads the log of the disk's identity. If there is none, or the log is damaged, it
+// begins a new identity.
 func (l *Log) load(newID uint64) (*statestore.Store, error) {
-	top, err := l.highestNumber()
+	highest, err := l.highestNumber()
 	if err != nil {
 		return nil, err
 	}
 	if found, known := readIdentity(l.folder); known {
 		l.identity = found
-		st, err := l.read()
-		if err == nil && found.first == 0 { // written by an earlier release
-			err = l.begin(identity{id: found.id, first: l.base})
+		store, err := l.readState()
+		if err == nil && found.firstSegment == 0 { // written by an earlier release
+			err = l.writeIdentity(identity{id: found.id, firstSegment: l.baseSegment})
 		}
 		if !errors.Is(err, ErrDamaged) {
-			return st, err
+			return store, err
 		}
 	}
-	if err := l.begin(identity{id: newID, first: top + 1}); err != nil {
+	if err := l.writeIdentity(identity{id: newID, firstSegment: highest + 1}); err != nil {
 		return nil, err
 	}
-	l.segment, l.batch, l.base = top, 0, top+1
-	if top == 0 {
+	l.segment, l.batch, l.baseSegment = highest, 0, highest+1
+	if highest == 0 {
 		return statestore.New(), nil
 	}
-	if err := l.removeQuarantined(); err != nil { // of an earlier time: only the newest is kept
+	if err := l.removeQuarantined(); err != nil { // only the newest quarantine is kept
 		return nil, err
 	}
 	return statestore.New(), l.quarantine()
 }
 
-// highestNumber returns the highest number of all files of all identities.
-func (l *Log) highestNumber() (top uint64, err error) {
+// highestNumber returns the highest file number over all identities.
+func (l *Log) highestNumber() (highest uint64, err error) {
 	names, err := l.folder.List()
 	if err != nil {
-		return 0, failed("list", "", err)
+		return 0, wrapError("list", "", err)
 	}
 	for _, name := range names {
 		if number, ok := fileNumber(name); ok {
-			top = max(top, number)
+			highest = max(highest, number)
 		}
 	}
-	return top, nil
+	return highest, nil
 }
 
-// read builds the store from the newest snapshot that is complete and the segments
-// from it on. Older snapshots and segments stand only until a newer snapshot is
-// sure to last, so that one of the two always is complete.
-func (l *Log) read() (*statestore.Store, error) {
+// readState builds the store from the newest complete snapshot and the segments from its
+// number on. Older snapshots and segments are kept until a newer snapshot is durable, so
+// that the store can always be built.
+func (l *Log) readState() (*statestore.Store, error) {
 	names, err := l.folder.List()
 	if err != nil {
-		return nil, failed("list", "", err)
+		return nil, wrapError("list", "", err)
 	}
-	snapshots := fileNumbers(names, snapshotPrefix, l.first)
-	segments := fileNumbers(names, segmentPrefix, l.first)
+	snapshots := fileNumbers(names, snapshotPrefix, l.firstSegment)
+	segments := fileNumbers(names, segmentPrefix, l.firstSegment)
 	if len(snapshots) == 0 && len(segments) == 0 {
-		l.base = max(l.first, 1)
-		l.segment = l.base - 1
+		l.baseSegment = max(l.firstSegment, 1)
+		l.segment = l.baseSegment - 1
 		return statestore.New(), nil
 	}
 	l.segment = 0
@@ -128,119 +128,119 @@
 		l.segment = segments[len(segments)-1]
 	}
 	if len(snapshots) > 0 && snapshots[len(snapshots)-1] > l.segment {
-		return nil, ErrDamaged // its segment was there before it
+		return nil, ErrDamaged // a snapshot's segment is created before the snapshot
 	}
-	for _, at := range slices.Backward(snapshots) {
-		st, err := l.readFrom(at, true)
+	for _, number := range slices.Backward(snapshots) {
+		store, err := l.readFrom(number, true)
 		if !errors.Is(err, ErrDamaged) {
-			return st, err
+			return store, err
 		}
-		l.events("snapshot_unusable", "snapshot", at)
+		l.events("snapshot_unusable", "snapshot", number)
 	}
-	first := l.first
-	if first == 0 { // an earlier release told the first one nowhere
+	firstSegment := l.firstSegment
+	if firstSegment == 0 { // an earlier release did not store the first number
 		if len(snapshots) > 0 {
 			return nil, ErrDamaged
 		}
-		first = segments[0]
+		firstSegment = segments[0]
 	}
-	return l.readFrom(first, false)
+	return l.readFrom(firstSegment, false)
 }
 
-// readFrom builds the store from one snapshot, or from nothing, and all segments
-// from its number on.
-func (l *Log) readFrom(from uint64, snapshot bool) (*statestore.Store, error) {
-	st := statestore.New()
-	l.batch, l.base = 0, from
-	if snapshot {
-		if err := l.applySnapshot(from, st); err != nil {
+// readFrom builds the store from the segments with this number and above, and if there is
+// one, the snapshot with this number.
+func (l *Log) readFrom(from uint64, hasSnapshot bool) (*statestore.Store, error) {
+	store := statestore.New()
+	l.batch, l.baseSegment = 0, from
+	if hasSnapshot {
+		if err := l.applySnapshot(from, store); err != nil {
 			return nil, err
 		}
 	}
 	names, err := l.folder.List()
 	if err != nil {
-		return nil, failed("list", "", err)
+		return nil, wrapError("list", "", err)
 	}
 	segments := fileNumbers(names, segmentPrefix, from)
 	for i, number := range segments {
 		if number != from+uint64(i) {
 			return nil, ErrDamaged
 		}
-		if err := l.applySegment(number, st); err != nil {
+		if err := l.applySegment(number, store); err != nil {
 			return nil, err
 		}
 	}
 	if len(segments) == 0 {
 		return nil, ErrDamaged
 	}
-	return st, nil
+	return store, nil
 }
 
-// readFile reads a segment or snapshot of this format.
+// readFile reads a segment or snapshot. It returns ErrFormat for another format.
 func (l *Log) readFile(name string) ([]byte, error) {
 	b, err := l.folder.Read(name)
 	if err != nil {
-		return nil, failed("read", name, err)
+		return nil, wrapError("read", name, err)
 	}
-	if inOtherFormat(b) {
-		return nil, failed("read", name, ErrFormat)
+	if hasOtherFormat(b) {
+		return nil, wrapError("read", name, ErrFormat)
 	}
 	return b, nil
 }
 
-func (l *Log) applySnapshot(number uint64, st *statestore.Store) error {
+func (l *Log) applySnapshot(number uint64, store *statestore.Store) error {
 	b, err := l.readFile(snapshotName(number))
 	if err != nil {
 		return err
 	}
-	batch, complete := readSnapshot(b, st.Apply)
+	batch, complete := readSnapshot(b, store.Apply)
 	if !complete {
 		return ErrDamaged
 	}
 	l.batch = batch
-	st.SnapshotTaken()
+	store.SnapshotTaken()
 	return nil
 }
 
-// applySegment applies a segment's entries. Only the last segment may end torn.
-// Its end is to be cut and the rest synced before anything follows from it: a
-// process that was killed may have left what the next loss of power takes away.
-func (l *Log) applySegment(number uint64, st *statestore.Store) error {
+// applySegment applies a segment's entries. Only the last segment may have a torn end. It
+// has to be truncated, and the rest synced, before any entry is acknowledged: a killed
+// process may have left unsynced data, which a power loss could still destroy.
+func (l *Log) applySegment(number uint64, store *statestore.Store) error {
 	b, err := l.readFile(segmentName(number))
 	if err != nil {
 		return err
 	}
-	sound, batch, err := readSegment(b, l.batch, st.Apply)
+	validBytes, batch, err := readSegment(b, l.batch, store.Apply)
 	if err != nil {
 		return err
 	}
 	l.batch = batch
 	if number < l.segment {
-		if sound < len(b) {
+		if validBytes < len(b) {
 			return ErrDamaged
 		}
 		return nil
 	}
-	if sound < len(b) {
-		l.events("disk_tail_cut", "segment", number, "bytes", len(b)-sound)
+	if validBytes < len(b) {
+		l.events("disk_tail_cut", "segment", number, "bytes", len(b)-validBytes)
 	}
-	l.size, l.untrimmed = int64(sound), true
+	l.syncedBytes, l.needsTrim = int64(validBytes), true
 	return nil
 }
 
-// trimSegment gives the segment the length of its sound part, and syncs it.
+// trimSegment truncates the segment to its valid part and syncs it.
 func (l *Log) trimSegment() error {
 	name := segmentName(l.segment)
 	f, err := l.folder.Open(name)
 	if err != nil {
-		return failed("open", name, err)
+		return wrapError("open", name, err)
 	}
-	err = failed("truncate", name, f.Truncate(l.size))
+	err = wrapError("truncate", name, f.Truncate(l.syncedBytes))
 	if err == nil {
-		err = failed("sync", name, f.Sync())
+		err = wrapError("sync", name, f.Sync())
 	}
-	if closing := f.Close(); err == nil {
-		err = failed("close", name, closing)
+	if closeErr := f.Close(); err == nil {
+		err = wrapError("close", name, closeErr)
 	}
 	return err
 }
--- a/internal/storage/patch_test.go
+++ b/internal/storage/patch_test.go
@@ -11,10 +11,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// cutStep is how many bytes apart a log is cut: no entry is that short.
+// cutStep is the distance between two truncated lengths of a log, in bytes. Every entry is
+// longer.
 const cutStep = 7
 
-// versionValue is a record's value in some version: three segments, of which one changes.
+// versionValue returns a record's value in some version: three segments, one of which changes.
 func versionValue(version int) statestore.Segmented {
 	head, middle, tail := "head of the job;", fmt.Sprintf("version %d;", version*version), "and its tail"
 	return statestore.Segmented{
@@ -31,26 +32,26 @@
 	})
 }
 
-// A log of a record and its patches, cut at any byte and with a snapshot between them, is
-// read as a version that was written, whole, and the longer it is the newer.
-func TestPatchesOutliveACutLog(t *testing.T) {
+// A truncated log of a record and its patches, with or without a snapshot among them, yields
+// one of the written versions, and a longer log no older one.
+func TestPatchesInTruncatedLog(t *testing.T) {
 	for _, snapshotAt := range []int{0, 4} {
 		dir := t.TempDir()
-		d, st := opened(t, dir)
+		log, store := openLog(t, dir)
 		for version := 1; version <= 8; version++ {
 			entry := patchEntry(version)
 			if version == 1 {
 				record := statestore.Record{ID: "j", Epoch: 1, Version: 1, Live: true, Value: versionValue(1).Value}
 				entry = statestore.Entry{Kind: statestore.EntryRecord, Name: "east", Record: record}
 			}
-			st.Apply(entry)
-			must.NoError(t, d.commit([]job{{entries: []statestore.Entry{entry}, done: func() {}}}))
+			store.Apply(entry)
+			must.NoError(t, log.commit([]operation{{entries: []statestore.Entry{entry}, done: func() {}}}))
 			if version == snapshotAt {
-				must.NoError(t, d.commit([]job{{snapshot: true, entries: st.Dump()}}))
-				d.snapshots.Wait()
+				must.NoError(t, log.commit([]operation{{snapshot: true, entries: store.Dump()}}))
+				log.snapshots.Wait()
 			}
 		}
-		closed(d)
+		closeLog(log)
 		name := lastLog(t, dir)
 		whole, err := os.ReadFile(name)
 		must.NoError(t, err)
@@ -59,16 +60,16 @@
 			torn := t.TempDir()
 			must.NoError(t, os.CopyFS(torn, os.DirFS(dir)))
 			must.NoError(t, os.WriteFile(filepath.Join(torn, filepath.Base(name)), whole[:cut], 0o600))
-			d, st, err := Open(torn, 77, quiet)
+			log, store, err := Open(torn, 77, discardEvents)
 			if err != nil {
-				continue // the head of the only segment is cut: the disk starts over
+				continue // the start of the only segment is truncated: the disk begins again
 			}
-			for _, r := range st.Shard("east").Live() {
+			for _, r := range store.Shard("east").Live() {
 				must.Eq(t, string(versionValue(int(r.Version)).Value), string(r.Value))
 				must.GreaterEq(t, newest, r.Version)
 				newest = r.Version
 			}
-			closed(d)
+			closeLog(log)
 		}
 		must.Eq(t, 8, newest)
 	}
--- a/internal/storage/powerfolder_test.go
+++ b/internal/storage/powerfolder_test.go
@@ -7,54 +7,58 @@
 	"slices"
 )
 
-// powerFolder is a data folder whose content survives a loss of power only as
-// far as it was synced: of each write since a file's last sync, and of each file
-// that was made, renamed or removed since the folder's, anything may remain.
-type powerFolder struct {
-	now     map[string]*powerFile // as a process sees it
-	lasting map[string]*powerFile // what is sure to be there after a loss
-	changes []entryChange         // since the folder's last sync
-	after   func()                // called after each operation that changes anything
+// simulatedFolder simulates a data folder and power losses. Synced changes survive a power
+// loss; any part of each write since a file's last sync, and of each file creation, rename
+// and removal since the folder's last sync, may survive.
+type simulatedFolder struct {
+	current  map[string]*simulatedFile // as processes see it
+	durable  map[string]*simulatedFile // certain to survive a power loss
+	changes  []entryChange             // since the folder's last sync
+	onChange func()                    // called after each change
 }
 
-type powerFile struct {
-	now     []byte
-	lasting []byte
+type simulatedFile struct {
+	current []byte
+	durable []byte
 	changes []contentChange // since the file's last sync
 }
 
 type entryChange struct {
 	kind     string // made, renamed or removed
 	name, to string
-	file     *powerFile
+	file     *simulatedFile
 }
 
-// contentChange is a write at the file's end, or a cut where data is nil.
+// contentChange is a write at the file's end, or a truncation if data is nil.
 type contentChange struct {
 	at   int
 	data []byte
 }
 
-func newPowerFolder() *powerFolder {
-	return &powerFolder{now: map[string]*powerFile{}, lasting: map[string]*powerFile{}, after: func() {}}
+func newSimulatedFolder() *simulatedFolder {
+	return &simulatedFolder{
+		current: map[string]*simulatedFile{}, durable: map[string]*simulatedFile{}, onChange: func() {},
+	}
 }
 
-// clone copies the folder as it stands, with all that isn't synced: what the next
-// process finds where the last one was killed.
-func (f *powerFolder) clone() *powerFolder {
-	copies := map[*powerFile]*powerFile{}
-	copyOf := func(file *powerFile) *powerFile {
+// clone copies the folder including unsynced changes, as the next process finds it after
+// the current one was killed.
+func (f *simulatedFolder) clone() *simulatedFolder {
+	copies := map[*simulatedFile]*simulatedFile{}
+	copyOf := func(file *simulatedFile) *simulatedFile {
 		if copies[file] == nil {
-			copies[file] = &powerFile{now: slices.Clone(file.now), lasting: slices.Clone(file.lasting), changes: slices.Clone(file.changes)}
+			copies[file] = &simulatedFile{
+				current: slices.Clone(file.current), durable: slices.Clone(file.durable), changes: slices.Clone(file.changes),
+			}
 		}
 		return copies[file]
 	}
-	out := newPowerFolder()
-	for name, file := range f.now {
-		out.now[name] = copyOf(file)
+	out := newSimulatedFolder()
+	for name, file := range f.current {
+		out.current[name] = copyOf(file)
 	}
-	for name, file := range f.lasting {
-		out.lasting[name] = copyOf(file)
+	for name, file := range f.durable {
+		out.durable[name] = copyOf(file)
 	}
 	for _, change := range f.changes {
 		change.file = copyOf(change.file)
@@ -63,120 +67,120 @@
 	return out
 }
 
-func (f *powerFolder) List() ([]string, error) { return slices.Sorted(maps.Keys(f.now)), nil }
+func (f *simulatedFolder) List() ([]string, error) { return slices.Sorted(maps.Keys(f.current)), nil }
 
-func (f *powerFolder) Size(name string) (int64, error) {
+func (f *simulatedFolder) Size(name string) (int64, error) {
 	b, err := f.Read(name)
 	return int64(len(b)), err
 }
 
-func (f *powerFolder) Read(name string) ([]byte, error) {
-	if file := f.now[name]; file != nil {
-		return slices.Clone(file.now), nil
+func (f *simulatedFolder) Read(name string) ([]byte, error) {
+	if file := f.current[name]; file != nil {
+		return slices.Clone(file.current), nil
 	}
 	return nil, fs.ErrNotExist
 }
 
-func (f *powerFolder) Create(name string) (file, error) {
-	if f.now[name] != nil {
+func (f *simulatedFolder) Create(name string) (file, error) {
+	if f.current[name] != nil {
 		return nil, fs.ErrExist
 	}
-	file := &powerFile{}
-	f.now[name] = file
+	file := &simulatedFile{}
+	f.current[name] = file
 	f.changes = append(f.changes, entryChange{kind: "made", name: name, file: file})
-	f.after()
-	return &powerHandle{folder: f, file: file}, nil
+	f.onChange()
+	return &simulatedHandle{folder: f, file: file}, nil
 }
 
-func (f *powerFolder) Open(name string) (file, error) {
-	if f.now[name] == nil {
+func (f *simulatedFolder) Open(name string) (file, error) {
+	if f.current[name] == nil {
 		return nil, fs.ErrNotExist
 	}
-	return &powerHandle{folder: f, file: f.now[name]}, nil
+	return &simulatedHandle{folder: f, file: f.current[name]}, nil
 }
 
-func (f *powerFolder) Rename(from, to string) error {
-	file := f.now[from]
+func (f *simulatedFolder) Rename(from, to string) error {
+	file := f.current[from]
 	if file == nil {
 		return fs.ErrNotExist
 	}
-	delete(f.now, from)
-	f.now[to] = file
+	delete(f.current, from)
+	f.current[to] = file
 	f.changes = append(f.changes, entryChange{kind: "renamed", name: from, to: to, file: file})
-	f.after()
+	f.onChange()
 	return nil
 }
 
-func (f *powerFolder) Remove(name string) error {
-	if file := f.now[name]; file != nil {
-		delete(f.now, name)
+func (f *simulatedFolder) Remove(name string) error {
+	if file := f.current[name]; file != nil {
+		delete(f.current, name)
 		f.changes = append(f.changes, entryChange{kind: "removed", name: name, file: file})
-		f.after()
+		f.onChange()
 	}
 	return nil
 }
 
-func (f *powerFolder) Sync() error {
-	f.lasting, f.changes = maps.Clone(f.now), nil
-	f.after()
+func (f *simulatedFolder) Sync() error {
+	f.durable, f.changes = maps.Clone(f.current), nil
+	f.onChange()
 	return nil
 }
 
-// powerHandle is an open file.
-type powerHandle struct {
-	folder *powerFolder
-	file   *powerFile
+// simulatedHandle is an open file.
+type simulatedHandle struct {
+	folder *simulatedFolder
+	file   *simulatedFile
 	closed bool
 }
 
 var errClosed = errors.New("the file is closed")
 
-func (h *powerHandle) Write(b []byte) (int, error) {
+func (h *simulatedHandle) Write(b []byte) (int, error) {
 	if h.closed {
 		return 0, errClosed
 	}
-	h.file.changes = append(h.file.changes, contentChange{len(h.file.now), slices.Clone(b)})
-	h.file.now = append(h.file.now, b...)
-	h.folder.after()
+	h.file.changes = append(h.file.changes, contentChange{len(h.file.current), slices.Clone(b)})
+	h.file.current = append(h.file.current, b...)
+	h.folder.onChange()
 	return len(b), nil
 }
 
-func (h *powerHandle) Truncate(size int64) error {
-	if int(size) < len(h.file.now) {
+func (h *simulatedHandle) Truncate(size int64) error {
+	if int(size) < len(h.file.current) {
 		h.file.changes = append(h.file.changes, contentChange{at: int(size)})
-		h.file.now = h.file.now[:size]
-		h.folder.after()
+		h.file.current = h.file.current[:size]
+		h.folder.onChange()
 	}
 	return nil
 }
 
-// Sync makes the content last, and with it the name of a new file.
-func (h *powerHandle) Sync() error {
-	h.file.lasting, h.file.changes = slices.Clone(h.file.now), nil
+// Sync makes the content durable, and the name of a new file.
+func (h *simulatedHandle) Sync() error {
+	h.file.durable, h.file.changes = slices.Clone(h.file.current), nil
 	f := h.folder
 	f.changes = slices.DeleteFunc(f.changes, func(c entryChange) bool {
 		made := c.kind == "made" && c.file == h.file
 		if made {
-			f.lasting[c.name] = c.file
+			f.durable[c.name] = c.file
 		}
 		return made
 	})
-	f.after()
+	f.onChange()
 	return nil
 }
 
-func (h *powerHandle) Close() error {
+func (h *simulatedHandle) Close() error {
 	h.closed = true
 	return nil
 }
 
-// lossChoices walks through all that a loss of power may leave: each pick is one
-// thing that turns out one of several ways.
+// lossChoices enumerates the outcomes of a power loss as paths through a tree of choices:
+// each call of pick is one choice.
 type lossChoices struct {
 	path, widths []int
 	at           int
-	everyByte    bool // the last write may tear at any byte, not only in its middle
-	gone         bool // a file that was being renamed is there under neither name
+	everyByte    bool // writes may tear at any byte, not only in the middle
+	gone         bool // a renamed file exists under neither name
 }
 
 func (c *lossChoices) pick(ways int) int {
@@ -187,7 +191,7 @@
 	return c.path[c.at-1]
 }
 
-// next moves on to the next combination; false after the last.
+// next advances to the next combination of choices. It returns false after the last.
 func (c *lossChoices) next() bool {
 	c.at, c.gone = 0, false
 	for i := len(c.path) - 1; i >= 0; i-- {
@@ -199,11 +203,11 @@
 	return false
 }
 
-// eachLoss calls visit with every folder that a loss of power now may leave.
-// With gone, a file that was renamed may have been lost altogether.
-func (f *powerFolder) eachLoss(everyByte bool, visit func(left *powerFolder, gone bool)) {
+// eachLoss calls visit with every folder that a power loss at this point may leave. gone
+// is set if a renamed file was lost altogether.
+func (f *simulatedFolder) eachLoss(everyByte bool, visit func(left *simulatedFolder, gone bool)) {
 	for c := (&lossChoices{everyByte: everyByte}); ; {
-		left := f.lose(c)
+		left := f.afterLoss(c)
 		visit(left, c.gone)
 		if !c.next() {
 			return
@@ -211,18 +215,19 @@
 	}
 }
 
-func (f *powerFolder) lose(c *lossChoices) *powerFolder {
-	lasting := maps.Clone(f.lasting)
-	forget := func(name string, file *powerFile) {
-		if lasting[name] == file {
-			delete(lasting, name)
+// afterLoss returns the folder after a power loss with these choices.
+func (f *simulatedFolder) afterLoss(c *lossChoices) *simulatedFolder {
+	durable := maps.Clone(f.durable)
+	forget := func(name string, file *simulatedFile) {
+		if durable[name] == file {
+			delete(durable, name)
 		}
 	}
 	for _, change := range f.changes {
 		switch change.kind {
 		case "made":
 			if c.pick(2) == 1 {
-				lasting[change.name] = change.file
+				durable[change.name] = change.file
 			}
 		case "removed":
 			if c.pick(2) == 1 {
@@ -232,26 +237,26 @@
 			switch c.pick(3) {
 			case 1:
 				forget(change.name, change.file)
-				lasting[change.to] = change.file
+				durable[change.to] = change.file
 			case 2:
 				forget(change.name, change.file)
-				delete(lasting, change.to)
+				delete(durable, change.to)
 				c.gone = true
 			}
 		}
 	}
-	left := newPowerFolder()
-	for _, name := range slices.Sorted(maps.Keys(lasting)) {
-		content := lasting[name].lose(c)
-		file := &powerFile{now: content, lasting: slices.Clone(content)}
-		left.now[name], left.lasting[name] = file, file
+	left := newSimulatedFolder()
+	for _, name := range slices.Sorted(maps.Keys(durable)) {
+		content := durable[name].afterLoss(c)
+		file := &simulatedFile{current: content, durable: slices.Clone(content)}
+		left.current[name], left.durable[name] = file, file
 	}
 	return left
 }
 
-// lose gives what is left of a file's content.
-func (file *powerFile) lose(c *lossChoices) []byte {
-	content := slices.Clone(file.lasting)
+// afterLoss returns the file's content after a power loss with these choices.
+func (file *simulatedFile) afterLoss(c *lossChoices) []byte {
+	content := slices.Clone(file.durable)
 	for _, change := range file.changes {
 		if change.data == nil {
 			if c.pick(2) == 1 {
@@ -274,7 +279,7 @@
 		if at := (way - 2) / 2; way >= 2 && way%2 == 0 {
 			data = data[:torn[at]] // its end is missing
 		} else if way >= 2 {
-			from = torn[at] // its beginning reads as zeros
+			from = torn[at] // its beginning is zeros
 		}
 		for len(content) < change.at+len(data) {
 			content = append(content, 0)
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -9,39 +9,38 @@
 	"github.com/go-faster/errors"
 )
 
-// A write or a sync that fails is a state that can end: a full disk gets room,
-// a stalled one goes on. Until then the Listener knows that the disk failed, and
-// no entry that was held up is acknowledged.
+// A failed write or sync may be temporary: space is freed on a full disk, a stalled disk
+// continues. Until then the Listener is informed that the disk failed, and no pending
+// entry is acknowledged.
 //
-// What the page cache shows after a failed sync says nothing of the disk: the
-// kernel may have dropped the pages and calls them clean. So the log goes on
-// behind what earlier syncs covered: the segment is read again up to there and
-// checked, cut off, and synced; then all entries that were held up, the failed
-// batch among them, are written anew into the next segment. Once that is
-// synced the disk holds all that the store in memory holds, and the member is
-// what it was. If the segment is shorter than what was synced, or unsound, the
-// disk lost something it had acknowledged: it begins again as a new, empty one.
+// After a failed sync, reads do not show what is on the disk: the kernel may have dropped
+// the pages and marked them clean. So the log continues behind the data that earlier syncs
+// covered: the segment is read again up to there, verified, truncated and synced. Then all
+// pending entries, including the failed batch, are written again to the next segment. Once
+// that is synced, the disk holds all that the store in memory holds. If the segment is
+// shorter than its synced size or damaged, the disk lost acknowledged data and begins again
+// as a new, empty one.
 
-// recover tries to bring the disk back until it works; false if it was closed
+// retryUntilRecovered retries until the disk works again. It returns false if the log was closed
 // before.
-func (l *Log) recover(cause error) bool {
+func (l *Log) retryUntilRecovered(cause error) bool {
 	l.listener.Failed(cause)
 	lost := false
-	for wait := l.retry; ; wait = min(2*wait, RetryMax) {
-		if l.closedWithin(wait) {
+	for wait := l.firstRetryDelay; ; wait = min(2*wait, RetryMax) {
+		if l.waitOrClosed(wait) {
 			return false
 		}
-		jobs, _ := l.takePending()
-		l.unfinished = append(l.unfinished, jobs...)
+		operations, _ := l.takePending()
+		l.uncommitted = append(l.uncommitted, operations...)
 		if lost {
-			l.unfinished = jobsFromWipe(l.unfinished)
+			l.uncommitted = operationsFromWipe(l.uncommitted)
 		}
-		wiping := len(l.unfinished) > 0 && l.unfinished[0].wipe != 0
-		if lost && !wiping { // only the order to wipe it makes it a disk again
+		wiping := len(l.uncommitted) > 0 && l.uncommitted[0].newDiskID != 0
+		if lost && !wiping { // a disk that lost data needs a wipe
 			continue
 		}
-		if !wiping { // else nothing of the log is kept
-			if err := l.resume(); errors.Is(err, ErrDamaged) {
+		if !wiping { // a wipe keeps nothing of the log
+			if err := l.prepareAfterFailure(); errors.Is(err, ErrDamaged) {
 				lost = true
 				l.listener.Lost()
 				continue
@@ -49,26 +48,26 @@
 				continue
 			}
 		}
-		if l.commit(l.unfinished) == nil {
+		if l.commit(l.uncommitted) == nil {
 			l.listener.Recovered()
 			return true
 		}
-		lost = lost && l.unfinished[0].wipe != 0
+		lost = lost && l.uncommitted[0].newDiskID != 0
 	}
 }
 
-// jobsFromWipe drops the jobs before a wipe: what they were to add to is gone.
-func jobsFromWipe(jobs []job) []job {
-	for i, j := range jobs {
-		if j.wipe != 0 {
-			return jobs[i:]
+// operationsFromWipe drops the operations before the first wipe: the data that they add to is lost.
+func operationsFromWipe(operations []operation) []operation {
+	for i, op := range operations {
+		if op.newDiskID != 0 {
+			return operations[i:]
 		}
 	}
 	return nil
 }
 
-// closedWithin waits, and tells whether the log was closed meanwhile.
-func (l *Log) closedWithin(wait time.Duration) bool {
+// waitOrClosed waits and reports whether the log was closed meanwhile.
+func (l *Log) waitOrClosed(wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -86,17 +85,17 @@
 	}
 }
 
-// resume makes the log ready for the next batch after a failure.
-func (l *Log) resume() error {
+// prepareAfterFailure prepares the log for the next batch after a failure.
+func (l *Log) prepareAfterFailure() error {
 	if l.file != nil {
-		_ = l.file.Close() // its content is read again from the disk
+		_ = l.file.Close() // its synced content is read again
 		l.file = nil
 	}
-	if err := l.removeUnused(); err != nil {
+	if err := l.removeNextSegment(); err != nil {
 		return err
 	}
 	if l.startErr != nil {
-		if err := l.start(); err != nil {
+		if err := l.beginSegment(); err != nil {
 			return err
 		}
 		l.startErr = nil
@@ -106,24 +105,23 @@
 	if err != nil {
 		return err
 	}
-	if l.file = f; l.size == 0 {
-		return nil // nothing was synced here: the segment is as good as the next one
+	if l.file = f; l.syncedBytes == 0 {
+		return nil // the segment is empty and can be used as the next one
 	}
 	return l.roll()
 }
 
-// removeUnused removes the segment that a failed roll may have left: nothing was
-// ever written there.
-func (l *Log) removeUnused() error {
+// removeNextSegment removes the empty segment that a failed roll may have left.
+func (l *Log) removeNextSegment() error {
 	name := segmentName(l.segment + 1)
-	return failed("remove", name, l.folder.Remove(name))
+	return wrapError("remove", name, l.folder.Remove(name))
 }
 
-// trimToSynced checks what was synced of the segment, cuts off and syncs the rest,
-// and returns the file.
+// trimToSynced verifies the synced part of the segment, truncates the file to it, syncs
+// it, and returns it.
 func (l *Log) trimToSynced() (file, error) {
 	name := segmentName(l.segment)
-	if err := l.checkSynced(name); err != nil {
+	if err := l.verifySynced(name); err != nil {
 		return nil, err
 	}
 	f, err := l.folder.Open(name)
@@ -131,53 +129,53 @@
 		f, err = l.folder.Create(name)
 	}
 	if err != nil {
-		return nil, failed("open", name, err)
+		return nil, wrapError("open", name, err)
 	}
-	if err = f.Truncate(l.size); err == nil {
+	if err = f.Truncate(l.syncedBytes); err == nil {
 		err = f.Sync()
 	}
 	if err != nil {
-		_ = f.Close() // it failed already
-		return nil, failed("truncate", name, err)
+		_ = f.Close() // the file failed already
+		return nil, wrapError("truncate", name, err)
 	}
 	return f, nil
 }
 
-// checkSynced tells, as ErrDamaged, that the segment lacks what was synced of it.
-func (l *Log) checkSynced(name string) error {
-	if l.size == 0 {
+// verifySynced returns ErrDamaged if the synced part of the segment is missing or damaged.
+func (l *Log) verifySynced(name string) error {
+	if l.syncedBytes == 0 {
 		return nil
 	}
 	b, err := l.folder.Read(name)
-	if errors.Is(err, fs.ErrNotExist) || err == nil && int64(len(b)) < l.size {
+	if errors.Is(err, fs.ErrNotExist) || err == nil && int64(len(b)) < l.syncedBytes {
 		return ErrDamaged
 	}
 	if err != nil {
-		return failed("read", name, err)
+		return wrapError("read", name, err)
 	}
-	sound, _, err := readSegment(b[:l.size], 0, func(statestore.Entry) {})
-	if err != nil || int64(sound) != l.size {
+	validBytes, _, err := readSegment(b[:l.syncedBytes], 0, func(statestore.Entry) {})
+	if err != nil || int64(validBytes) != l.syncedBytes {
 		return ErrDamaged
 	}
 	return nil
 }
 
-// wipeDisk makes the disk an empty one under a new id. The new identity is what
-// ends the old one: its files go after that, in any order.
+// wipeDisk makes the disk an empty one with a new id. Writing the new identity ends the
+// old one, whose files are removed afterwards in any order.
 func (l *Log) wipeDisk(id uint64) error {
 	l.snapshots.Wait()
-	if err := l.removeUnused(); err != nil {
+	if err := l.removeNextSegment(); err != nil {
 		return err
 	}
-	if err := l.begin(identity{id: id, first: l.segment + 1}); err != nil {
+	if err := l.writeIdentity(identity{id: id, firstSegment: l.segment + 1}); err != nil {
 		return err
 	}
 	if err := l.roll(); err != nil {
 		return err
 	}
-	// A reader of the new identity counts batches from 0.
-	l.batch, l.startErr, l.untrimmed = 0, nil, false
-	if err := l.removeBefore(l.first); err != nil {
+	// The batches of a new identity are numbered from 1.
+	l.batch, l.startErr, l.needsTrim = 0, nil, false
+	if err := l.removeBefore(l.firstSegment); err != nil {
 		l.events("removal_failed", "err", err.Error()) // the next snapshot tries again
 	}
 	l.events("disk_wiped", "disk", id)
