--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,12 +1,10 @@
-// Package codec is the binary form of messages between daemons and of entries on
-// disk: integers big-endian and of fixed width, floats as their IEEE 754 bits,
-// strings and slices with a 32-bit count before them, the fields of a struct one
-// after the other. Names don't stand in it, so fields and types may be renamed;
-// their order and kinds are the form.
+// Package codec implements the binary encoding of messages between daemons and of entries
+// on disk: fixed-width big-endian integers, floats as their IEEE 754 bits, strings and
+// slices prefixed with a 32-bit count, and the fields of a struct in order. Names are not
+// encoded, so fields and types may be renamed; their order and kinds define the format.
 //
-// Encode a value with Append and decode it with Unmarshal. The package knows
-// neither which values there are nor where one ends in a stream: whoever stores
-// or sends them puts a length and a checksum around (packages wire and storage).
+// Encode a value with Append and decode it with Unmarshal. The encoding contains neither
+// its length nor a checksum: packages wire and storage add them.
 package codec
 
 import (
@@ -17,19 +15,21 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrMalformed tells that bytes are not the binary form of the value they were
-// decoded into: they are cut short, hold too much, or a boolean is neither 0 nor 1.
+// ErrMalformed means that data is not an encoding of the requested type: it is truncated
+// or too long, or a boolean is neither 0 nor 1.
 var ErrMalformed = errors.New("malformed binary value")
 
 const (
-	countBytes = 4       // before a string or slice
-	wordBytes  = 8       // of int, int64, uint64 and float64
-	firstGrow  = 1 << 10 // elements for which memory is taken before they are seen: a count alone costs nothing
+	countBytes = 4 // the count of a string or slice
+	wordBytes  = 8 // an int, int64, uint64 or float64
+	// maxInitialElements bounds the elements that are allocated in advance, so that a malformed
+	// count alone allocates little memory.
+	maxInitialElements = 1 << 10
 )
 
-// Append appends the binary form of a struct, or of the one a pointer points to,
-// to dst and returns the result. It panics on a kind without a form (maps,
-// functions, interfaces), which is a mistake in the program.
+// Append appends the encoding of a struct, or of the value that a pointer points to, to
+// dst and returns the result. It panics on a kind that has no encoding (maps, functions,
+// interfaces), which is a programming error.
 //
 // Example: b := codec.Append(nil, Ballot{Round: 3})
 func Append(dst []byte, v any) []byte { return appendValue(dst, reflect.ValueOf(v)) }
@@ -86,9 +86,9 @@
 	return dst
 }
 
-// Unmarshal decodes what Append made into the value that out points to. Bytes
-// that aren't its form give ErrMalformed, never a panic; bytes left over are
-// malformed too. What out held before is not cleared where the form has nothing.
+// Unmarshal decodes data that Append encoded into the value that out points to. Invalid
+// data and left-over bytes give ErrMalformed, never a panic. An empty slice in the data
+// leaves the slice in out unchanged.
 //
 // Example: var b Ballot; err := codec.Unmarshal(data, &b)
 func Unmarshal(data []byte, out any) error {
@@ -99,8 +99,7 @@
 	return err
 }
 
-// UnmarshalPrefix is Unmarshal for a value with more bytes behind it, which it
-// returns.
+// UnmarshalPrefix decodes a value at the start of data and returns the remaining bytes.
 //
 // Example: rest, err := codec.UnmarshalPrefix(frame, &header)
 func UnmarshalPrefix(data []byte, out any) (rest []byte, err error) {
@@ -111,11 +110,11 @@
 	return r.rest, nil
 }
 
-// reader decodes one value after the other from the head of rest. Its methods
-// return false once the bytes are malformed.
+// reader decodes consecutive values from the start of rest. Its methods return false if
+// the data is malformed.
 type reader struct{ rest []byte }
 
-// next takes so many bytes.
+// next consumes and returns the next n bytes.
 func (r *reader) next(n int) (head []byte, ok bool) {
 	if len(r.rest) < n {
 		return nil, false
@@ -124,8 +123,8 @@
 	return head, true
 }
 
-// count takes the number of elements of a string or slice. Every element takes a
-// byte or more, so one above what is left is malformed.
+// count consumes the number of elements of a string or slice. Every element takes at
+// least one byte, so a count above the number of remaining bytes is malformed.
 func (r *reader) count() (n int, ok bool) {
 	head, ok := r.next(countBytes)
 	if !ok {
@@ -226,7 +225,7 @@
 		v.SetBytes(append([]byte(nil), head...))
 		return true
 	}
-	elements := reflect.MakeSlice(v.Type(), 0, min(n, firstGrow))
+	elements := reflect.MakeSlice(v.Type(), 0, min(n, maxInitialElements))
 	for range n {
 		element := reflect.New(v.Type().Elem()).Elem()
 		if !r.value(element) {
--- a/internal/codec/codec_test.go
+++ b/internal/codec/codec_test.go
@@ -42,12 +42,13 @@
 			var got sample
 			must.NoError(t, Unmarshal(data, &got))
 			must.Eq(t, want, got)
-			must.Eq(t, data, Append(nil, &got)) // a pointer stands for what it points to
+			must.Eq(t, data, Append(nil, &got)) // a pointer is encoded like its target
 		})
 	}
 }
 
-func TestFormIsFixed(t *testing.T) {
+// The encoding is part of the wire and disk formats and must not change.
+func TestEncodingIsFixed(t *testing.T) {
 	data := Append([]byte{9}, struct {
 		Number int32
 		Text   string
@@ -56,7 +57,7 @@
 	must.Eq(t, []byte{9, 255, 255, 255, 254, 0, 0, 0, 2, 'a', 'b', 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 1}, data)
 }
 
-// Every proper prefix is malformed, and so is a byte too much.
+// Every proper prefix of an encoding is malformed, and so is an encoding with an extra byte.
 func TestMalformed(t *testing.T) {
 	for name, value := range samples() {
 		t.Run(name, func(t *testing.T) {
--- a/internal/jobtrace/jobtrace_test.go
+++ b/internal/jobtrace/jobtrace_test.go
@@ -20,12 +20,12 @@
 	must.Eq(t, 4, buckets[0.002])
 	must.Eq(t, 6, buckets[1])
 	must.Eq(t, 7, buckets[2])
-	must.Eq(t, 7, buckets[120]) // what is longer counts in the sum alone
+	must.Eq(t, 7, buckets[120]) // a longer duration is in no bucket
 	must.Eq(t, 2, h.QuantileMs(0.5))
 	must.Eq(t, -1, h.QuantileMs(1))
 }
 
-// However many queues come and go, the memory stays bounded, and nothing is lost.
+// The number of series is bounded for any number of queues, and every duration is counted.
 func TestRecorderIsBounded(t *testing.T) {
 	r := &Recorder{}
 	for i := range 2 * MaxSeries {
@@ -35,7 +35,7 @@
 	must.LessEq(t, MaxSeries+1, len(all))
 	other := all[Key{Queue: OtherQueue, Class: "queueable", Stage: Run}]
 	must.Eq(t, MaxSeries, other.Count())
-	r.Observe(Key{Queue: "queue-1", Class: "queueable", Stage: Run}, 7) // one that is known goes on
+	r.Observe(Key{Queue: "queue-1", Class: "queueable", Stage: Run}, 7) // an existing series is still counted
 	known := r.Snapshot()[Key{Queue: "queue-1", Class: "queueable", Stage: Run}]
 	must.Eq(t, 2, known.Count())
 }
@@ -43,7 +43,7 @@
 func TestTaskStages(t *testing.T) {
 	task := &Task{}
 	task.Ready(100)
-	task.Ready(150) // it was ready before
+	task.Ready(150) // ignored: it was ready before
 	must.Eq(t, 60, task.Placed(160, 12))
 	must.Eq(t, 12, task.Candidates)
 	took, first := task.Sent(170)
@@ -55,7 +55,7 @@
 	must.True(t, known)
 	must.Eq(t, 80, transit)
 
-	must.Eq(t, 500, task.RunMs) // told until the task is ready again
+	must.Eq(t, 500, task.RunMs) // kept until the task is ready again
 	task.Ready(1050)
 	must.Eq(t, 50, task.Placed(1100, 0))
 	must.Eq(t, 1, task.Ends)
@@ -67,7 +67,7 @@
 func TestJobIsBounded(t *testing.T) {
 	j := NewJob(10*MaxTasks, 3)
 	must.Eq(t, MaxTasks, len(j.Tasks))
-	j.Task(MaxTasks + 5).Ready(1) // goes nowhere
+	j.Task(MaxTasks + 5).Ready(1) // discarded
 	j.Task(2).Ready(7)
 	j.Shift(2, 4)
 	must.Eq(t, 7, j.Task(0).ReadyMs)
--- a/internal/jobtrace/trace.go
+++ b/internal/jobtrace/trace.go
@@ -1,38 +1,40 @@
 package jobtrace
 
 const (
-	// MaxTasks is how many tasks of one job are traced; of those beyond only the histograms tell.
+	// MaxTasks bounds the traced tasks of a job. Further tasks are counted in the histograms
+	// only.
 	MaxTasks = 256
-	// MaxFinished is how many finished jobs' traces a Finished keeps: some 5 MB at the most.
+	// MaxFinished bounds the traces of finished jobs, which take at most about 5 MB.
 	MaxFinished = 200
 )
 
-// Task is what is known of the way of one task's attempt in force, or of its last one.
-// All times are ms of the owner's steady clock; 0 for what has not come about, or came
-// about at a former owner.
+// Task is the trace of a task's current attempt, or of its last one. Times are those of the
+// owner's monotonic clock; 0 for an event that has not happened, or happened at a former
+// owner.
 type Task struct {
-	ReadyMs  int64 // since when it may start
+	ReadyMs  int64 // when it became ready to start
 	PlacedMs int64
 	SentMs   int64
-	EndedMs  int64 // when the owner heard of the end
-	// What the worker's agent told of the attempt, in ms.
+	EndedMs  int64 // when the owner received the end
+	// Durations of the attempt's stages, as reported by the worker's agent.
 	QueueMs int64
 	StartMs int64
 	RunMs   int64
-	// Candidates is among how many workers its own was chosen; 0 where the central scheduler chose.
+	// Candidates is the number of workers among which one was chosen; 0 if the central
+	// scheduler chose it.
 	Candidates int32
-	// Ends is how many of its attempts ended, the last one too.
+	// Ends is the number of ended attempts, including the last one.
 	Ends int32
 }
 
-// Ready notes that a task may start now, unless that was noted since its last end.
+// Ready records that a task may start, unless that was recorded since its last end.
 func (t *Task) Ready(nowMs int64) {
 	if t.ReadyMs == 0 || t.PlacedMs != 0 {
 		*t = Task{ReadyMs: nowMs, Ends: t.Ends}
 	}
 }
 
-// Placed notes that a worker was chosen, and gives how long that took.
+// Placed records that a worker was chosen, and returns how long that took.
 func (t *Task) Placed(nowMs int64, candidates int) (tookMs int64) {
 	if t.ReadyMs == 0 {
 		t.ReadyMs = nowMs
@@ -41,8 +43,8 @@
 	return nowMs - t.ReadyMs
 }
 
-// Sent notes that a placement left for its agent, and gives how long that took; false
-// for a repeated one.
+// Sent records that a placement was sent to its agent, and returns how long that took. It
+// returns false if the placement was sent before.
 func (t *Task) Sent(nowMs int64) (tookMs int64, first bool) {
 	if t.SentMs != 0 || t.PlacedMs == 0 {
 		return 0, false
@@ -51,8 +53,8 @@
 	return nowMs - t.PlacedMs, true
 }
 
-// Ended notes the end of an attempt as its agent told it, and gives what the ways there
-// and back took; false where this owner didn't send it.
+// Ended records the end of an attempt with the durations that its agent reported, and
+// returns the transit time. It returns false if this owner did not send the placement.
 func (t *Task) Ended(nowMs, queueMs, startMs, runMs int64) (transitMs int64, known bool) {
 	sentMs := t.SentMs
 	t.EndedMs, t.QueueMs, t.StartMs, t.RunMs = nowMs, queueMs, startMs, runMs
@@ -60,27 +62,27 @@
 	return max(nowMs-sentMs-queueMs-startMs-runMs, 0), sentMs != 0
 }
 
-// Job is the trace of one job at its present owner.
+// Job is the trace of one job at its current owner.
 type Job struct {
-	AcceptedMs  int64 // when it arrived here; 0 where another owner took it
+	AcceptedMs  int64 // when it arrived; 0 if another owner accepted it
 	AdmittedMs  int64
 	CommittedMs int64
-	LoadedMs    int64 // when this owner took it over; 0 where it came here first
+	LoadedMs    int64 // when this owner took the job over; 0 if this owner accepted it
 	LastEndMs   int64
 	ConcludedMs int64
 	Epoch       uint64 // of the owner
 	Tasks       []Task
 }
 
-// NewJob gives the trace of a job with so many tasks.
+// NewJob returns an empty trace of a job with a number of tasks.
 //
 // Example: trace := jobtrace.NewJob(len(j.Tasks), epoch)
 func NewJob(tasks int, epoch uint64) *Job {
 	return &Job{Epoch: epoch, Tasks: make([]Task, min(tasks, MaxTasks))}
 }
 
-// Task gives the trace of the task at a position; one that nobody keeps for positions
-// beyond MaxTasks.
+// Task returns the trace of the task at a position. For an untraced position it returns a
+// new trace that is discarded.
 func (j *Job) Task(position int) *Task {
 	if j == nil || position < 0 || position >= len(j.Tasks) {
 		return &Task{}
@@ -88,8 +90,8 @@
 	return &j.Tasks[position]
 }
 
-// Shift drops the tasks of rounds that are over, and makes room for as many tasks as are
-// held now.
+// Shift removes the traces of the first tasks, whose rounds are over, and adds traces up
+// to the number of tasks that the job holds now.
 func (j *Job) Shift(dropped, held int) {
 	j.Tasks = append([]Task{}, j.Tasks[min(dropped, len(j.Tasks)):]...)
 	for len(j.Tasks) < min(held, MaxTasks) {
@@ -97,14 +99,14 @@
 	}
 }
 
-// Finished keeps the traces of the last jobs that finished, MaxFinished of them.
-// Its zero value is ready.
+// FinishedJobs holds the traces of the last MaxFinished finished jobs. Its zero value is
+// ready to use.
 type Finished struct {
 	byID  map[string]*Job
 	order []string
 }
 
-// Add keeps a trace, and drops the oldest where there are too many.
+// Add stores a trace, and removes the oldest one above MaxFinished.
 func (f *Finished) Add(id string, j *Job) {
 	if f.byID == nil {
 		f.byID = map[string]*Job{}
@@ -119,5 +121,5 @@
 	}
 }
 
-// Get gives a finished job's trace; nil where it isn't kept.
+// Get returns a finished job's trace, or nil if it is not stored.
 func (f *Finished) Get(id string) *Job { return f.byID[id] }
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous is rendezvous hashing: every daemon orders the same names in
-// the same way for a key, without asking anyone, and a name that comes or goes
-// moves only what it is first for.
+// Package rendezvous implements rendezvous hashing: every daemon orders the same names in
+// the same way for a key, without communication, and a name that is added or removed
+// only moves the keys for which it is first.
 package rendezvous
 
 import (
@@ -9,19 +9,19 @@
 	"slices"
 )
 
-// Weight is the weight of a name for a key.
+// Weight returns the weight of a name for a key.
 //
 // Example: w := rendezvous.Weight("shard/east", "edge-1")
 func Weight(key, name string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(key)) // a hash takes any bytes
+	_, _ = h.Write([]byte(key)) // never fails
 	_, _ = h.Write([]byte{0})
 	_, _ = h.Write([]byte(name))
 	return mix(h.Sum64())
 }
 
-// mix spreads close values over all bits (the finalizer of MurmurHash3), since
-// FNV alone spreads close names badly.
+// mix is the finalizer of MurmurHash3. It distributes similar values over all bits, which
+// FNV alone does badly for similar names.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -30,7 +30,7 @@
 	return x ^ x>>33
 }
 
-// Order returns the names by their weight for a key, the heaviest first.
+// Order returns the names by descending weight for a key.
 //
 // Example: owner := rendezvous.Order(jobID, shards)[0]
 func Order(key string, names []string) []string {
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A name that leaves moves only the keys that it was first for, and keys spread
-// evenly over names that are nearly alike.
+// Removing a name only moves the keys for which it was first, and keys are distributed
+// evenly over similar names.
 func TestOrder(t *testing.T) {
 	names := []string{"d01", "d02", "d03", "d04"}
 	first := map[string]int{}
@@ -25,10 +25,11 @@
 	for _, name := range names {
 		must.Between(t, 900, first[name], 1100)
 	}
-	must.Eq(t, []string{"d01", "d02", "d03", "d04"}, names) // as it was
+	must.Eq(t, []string{"d01", "d02", "d03", "d04"}, names) // the argument is unchanged
 }
 
-// Weights are part of how a fleet agrees: they never change between releases.
+// All daemons of a cluster must compute the same weights, so they never change between
+// releases.
 func TestWeightIsFixed(t *testing.T) {
 	must.Eq(t, 0xab78f5eca36d0e2b, Weight("a", "b"))
 	must.Eq(t, 0xe804200b399e2b0f, Weight("slice/east", "d03"))
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,7 +1,7 @@
-// Package schema checks JSON documents against tables: configurations, jobs,
-// workers' reports and the settings file. A Field says what a value may be; Check
-// returns every Fault of a document with the path of the value it is about. It
-// checks one document at a time and knows nothing that lies between its fields.
+// Package schema validates JSON documents against tables of fields: configurations, jobs,
+// workers' reports and the settings file. A Field describes the valid values; Check
+// returns the faults of a document with the path of each invalid value. Rules that involve
+// several fields are not checked here.
 package schema
 
 import (
@@ -11,48 +11,48 @@
 	"github.com/tidwall/gjson"
 )
 
-// Kind is what a value may be.
+// Kind is the type of a value.
 type Kind int
 
-// The kinds, and which of a Field's bounds they go by.
+// The kinds. Where Max is a bound, 0 means unbounded.
 const (
 	Any       Kind = iota
-	Text           // a string of Min to Max bytes; Max 0 for no bound
+	Text           // a string of Min to Max bytes
 	Name           // 1 to 128 letters, digits, '-', '_', '.' or ':'
-	Count          // a whole number of Min to Max; Max 0 for no bound
+	Count          // an integer from Min to Max
 	Number         // a number of 0 or more
 	Flag           // true or false
-	Resources      // a Count of 1 or more, or an object of cpu, memory and accelerators
-	Labels         // an object of names to strings
-	Choices        // an object of label names to lists of one or more strings
-	List           // Min to Max entries, each an Elem; Max 0 for no bound
-	Object         // of Fields, and no others
+	Resources      // a positive integer, or an object of cpu, memory and accelerators
+	Labels         // an object with names as keys and strings as values
+	Choices        // an object with label names as keys and nonempty lists of strings as values
+	List           // Min to Max elements that match Elem
+	Object         // an object with the keys in Fields only
 )
 
-// Field is what a value of a document may be.
+// Field describes the valid values at one position of a document.
 type Field struct {
 	Kind     Kind
-	Required bool // within an Object
+	Required bool // for a field of an Object
 	Min, Max int64
-	Fields   map[string]Field // of an Object
-	Elem     *Field           // of a List
+	Fields   map[string]Field // for an Object
+	Elem     *Field           // for a List
 }
 
-// Fault is one thing wrong in a document, with the path of its value, such as
-// "queues.0.name"; the path is "" for the document as a whole.
+// Fault describes one invalid value of a document. The path is such as "queues.0.name", or
+// "" for the whole document.
 type Fault struct {
 	Path   string `json:"path"`
 	Reason string `json:"reason"`
 }
 
 const (
-	maxFaults     = 100     // of one object: more help nobody
-	maxNameBytes  = 128     // of a Name
-	maxLabelBytes = 256     // of a label's value
-	maxAmount     = 1 << 40 // of a resource
+	maxFaults     = 100     // an object with more faults is not checked to its end
+	maxNameBytes  = 128     // the length of a Name
+	maxLabelBytes = 256     // the length of a label's value
+	maxAmount     = 1 << 40 // the amount of a resource
 )
 
-// Check returns all faults of a JSON document; none if it is sound.
+// Check returns the faults of a JSON document; none if it is valid.
 //
 // Example: faults := schema.Check(body, schema.Field{Kind: schema.Object, Fields: fields})
 func Check(doc []byte, f Field) []Fault {
@@ -64,7 +64,7 @@
 	return c.faults
 }
 
-// ValidName tells whether a string is a Name.
+// ValidName reports whether a string is a valid Name.
 //
 // Example: schema.ValidName("edge-1")
 func ValidName(s string) bool {
@@ -81,16 +81,16 @@
 	return true
 }
 
-// checker gathers the faults of one document.
+// checker collects the faults of one document.
 type checker struct{ faults []Fault }
 
 func (c *checker) add(path, reason string) { c.faults = append(c.faults, Fault{path, reason}) }
 
-// kinds holds the check of each kind.
-var kinds map[Kind]func(c *checker, v gjson.Result, path string, f Field)
+// checks holds the check function of each kind.
+var checks map[Kind]func(c *checker, v gjson.Result, path string, f Field)
 
-func init() { // they call each other
-	kinds = map[Kind]func(c *checker, v gjson.Result, path string, f Field){
+func init() { // a variable initializer would be cyclic: list and object call check
+	checks = map[Kind]func(c *checker, v gjson.Result, path string, f Field){
 		Any:       func(*checker, gjson.Result, string, Field) {},
 		Text:      (*checker).text,
 		Name:      (*checker).name,
@@ -105,7 +105,7 @@
 	}
 }
 
-func (c *checker) check(v gjson.Result, path string, f Field) { kinds[f.Kind](c, v, path, f) }
+func (c *checker) check(v gjson.Result, path string, f Field) { checks[f.Kind](c, v, path, f) }
 
 func (c *checker) text(v gjson.Result, path string, f Field) {
 	if v.Type != gjson.String {
@@ -151,7 +151,7 @@
 		c.check(v, path, Field{Kind: Count, Min: 1, Max: maxAmount})
 		return
 	}
-	some := false
+	hasAmount := false
 	v.ForEach(func(k, e gjson.Result) bool {
 		i, err := strconv.ParseInt(e.Raw, 10, 64)
 		switch {
@@ -160,10 +160,10 @@
 		case err != nil || i < 0 || i > maxAmount:
 			c.add(path+"."+k.Str, "must be a whole number of 0 or more")
 		}
-		some = some || i > 0
+		hasAmount = hasAmount || i > 0
 		return true
 	})
-	if !some {
+	if !hasAmount {
 		c.add(path, "asks for nothing")
 	}
 }
@@ -221,13 +221,13 @@
 	seen := map[string]bool{}
 	v.ForEach(func(k, e gjson.Result) bool {
 		field, known := f.Fields[k.Str]
-		switch at := join(path, k.Str); {
+		switch fieldPath := join(path, k.Str); {
 		case !known:
-			c.add(at, "is not a known field")
+			c.add(fieldPath, "is not a known field")
 		case seen[k.Str]:
-			c.add(at, "stands twice")
+			c.add(fieldPath, "stands twice")
 		default:
-			c.check(e, at, field)
+			c.check(e, fieldPath, field)
 		}
 		seen[k.Str] = true
 		return len(c.faults) < maxFaults
@@ -237,8 +237,8 @@
 	}
 }
 
-// missing returns the required fields that were not seen. They are sorted only
-// where there are some: a configuration has thousands of objects.
+// missing returns the sorted names of required fields that are not present. It allocates
+// nothing if there are none, since a configuration has thousands of objects.
 func (f Field) missing(seen map[string]bool) (names []string) {
 	for name, field := range f.Fields {
 		if field.Required && !seen[name] {
@@ -256,10 +256,10 @@
 	return path + "." + name
 }
 
-// within tells whether a number keeps to the bounds.
+// within reports whether a number is within the bounds.
 func (f Field) within(n int64) bool { return n >= f.Min && (f.Max <= 0 || n <= f.Max) }
 
-// bounds tells the bounds in words.
+// bounds describes the bounds in words.
 func (f Field) bounds() string {
 	if f.Max == 0 {
 		return "at least " + strconv.FormatInt(f.Min, 10)
--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -1,33 +1,34 @@
-// Package step is what the parts of a daemon may use while it handles one event:
-// the time, random numbers and effects. A part is a struct with its own unexported
-// state that gets a Context when it is made; only the one control goroutine calls
-// it. Parts do no I/O and read no clock, so that the same events give the same
-// effects, in the simulator as on a machine.
+// Package step defines the interface through which the components of a daemon use the
+// time, random numbers and effects while the daemon handles one event. A component is a
+// struct with unexported state that receives a Context when it is created; only the control
+// goroutine calls it. Components do no I/O and read no clock, so that the same events
+// cause the same effects, in the simulator as on a machine.
 package step
 
 import "math/rand/v2"
 
-// Context belongs to one daemon. Times are those of the event that is handled.
+// Context provides time, randomness and effects to the components of one daemon. Times are
+// those of the current event.
 type Context interface {
-	// NowMs is the daemon's steady clock: jumps of wall time don't move it, and it
-	// counts through a freeze.
+	// NowMs returns the daemon's monotonic clock. It is unaffected by changes of the wall
+	// clock and continues while the process is frozen.
 	NowMs() int64
-	// WallMs is the machine's wall clock. It may be wrong.
+	// WallMs returns the machine's wall clock, which may be wrong.
 	WallMs() int64
-	// Rand is seeded by the event.
+	// Rand returns a random number generator seeded by the event.
 	Rand() *rand.Rand
-	// Send sends a message to a daemon by its name, at the address it is known at.
+	// Send sends a message to a daemon at its last known address.
 	Send(to string, msg any)
-	// SendAt sends a message to a daemon at an address; to is "" where nobody's
-	// name is known there.
+	// SendAt sends a message to a daemon at an address; to is "" if the daemon's name is
+	// unknown.
 	SendAt(to, addr string, msg any)
-	// Log tells operators of an event, with keys and values.
+	// Log logs an event with keys and values for operators.
 	Log(event string, keysAndValues ...any)
-	// Count adds one to a counter of the metrics.
+	// Count increments a counter of the metrics.
 	Count(counter string)
 }
 
-// Message is a message on its way to a daemon.
+// Message is a message and the name of the daemon to send it to.
 type Message struct {
 	To  string
 	Msg any
