--- a/internal/statestore/patch_test.go
+++ b/internal/statestore/patch_test.go
@@ -88,7 +88,7 @@
 		"finished":      {Record{ID: "j", Epoch: 3, Version: 5, DoneMs: 1, Value: base.Value}, func(*Patch) {}, false},
 		"other version": {base, func(p *Patch) { p.Base = 4 }, false},
 		"other epoch":   {base, func(p *Patch) { p.Epoch = 4 }, false},
-		"no step":       {base, func(p *Patch) { p.Version = 5 }, false},
+		"same version":  {base, func(p *Patch) { p.Version = 5 }, false},
 		"other value":   {Record{ID: "j", Epoch: 3, Version: 5, Live: true, Value: []byte("ane two")}, func(*Patch) {}, false},
 		"beyond":        {base, func(p *Patch) { p.Splices = []Splice{{At: 6, Remove: 3}} }, false},
 		"before":        {base, func(p *Patch) { p.Splices = []Splice{{At: -1, Remove: 1}} }, false},
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -37,7 +37,7 @@
 	firstRetryDelay time.Duration // the first wait after a failure
 }
 
-// operation is an operation for Run.
+// operation is one append, snapshot or wipe that Run has to execute.
 type operation struct {
 	entries   []statestore.Entry
 	done      func()
@@ -86,7 +86,6 @@
 	l.wakeRun()
 }
 
-// wakeRun wakes Run.
 func (l *Log) wakeRun() {
 	select {
 	case l.wake <- struct{}{}:
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -21,8 +21,8 @@
 // shorter than its synced size or damaged, the disk lost acknowledged data and begins again
 // as a new, empty one.
 
-// retryUntilRecovered retries until the disk works again. It returns false if the log was closed
-// before.
+// retryUntilRecovered retries until the disk works again. It returns false if the log was
+// closed before that.
 func (l *Log) retryUntilRecovered(cause error) bool {
 	l.listener.Failed(cause)
 	lost := false
@@ -56,7 +56,8 @@
 	}
 }
 
-// operationsFromWipe drops the operations before the first wipe: the data that they add to is lost.
+// operationsFromWipe drops the operations before the first wipe: the data that they add to
+// is lost.
 func operationsFromWipe(operations []operation) []operation {
 	for i, op := range operations {
 		if op.newDiskID != 0 {
