--- a/internal/daemon/worker_choice.go
+++ b/internal/daemon/worker_choice.go
@@ -43,7 +43,7 @@
 		k = -1
 	}
 	workers := choice.workers
-	if t.Last != "" && n.Policies.On(scheduler.AvoidLast) {
+	if t.LastFailedWorker != "" && n.Policies.On(scheduler.AvoidLast) {
 		workers = choice.withoutFormer(t)
 	}
 	at, among := scheduler.Choose(workers, k, n.rand().IntN)
@@ -57,7 +57,7 @@
 // its last attempt not where anything speaks against the worker.
 func (c *workerChoice) withoutFormer(t *task) []scheduler.Choosable {
 	workers := slices.Clone(c.workers)
-	if at, found := c.find(t.Last); found {
+	if at, found := c.find(t.LastFailedWorker); found {
 		workers[at].Shun |= scheduler.ShunLast
 	}
 	if t.onLastAttempt() {
@@ -76,15 +76,15 @@
 	st := &js.Steps[t.Step]
 	c := &workerChoice{
 		shard: sl, queue: q, job: js, step: t.Step, round: t.Round, resources: t.Resources, needs: t.Needs,
-		near: st.Near, perWorker: st.PerWorker, loadChanges: sl.loadChanges,
+		near: st.PreferredRack, perWorker: st.PerWorker, loadChanges: sl.loadChanges,
 	}
 	if st.PerWorker > 0 {
-		c.used = js.usedBy(i)
+		c.used = js.stepTasksByWorker(i)
 	}
 	suspects := 0
-	for _, name := range sorted(n.workers) {
+	for _, name := range sortedKeys(n.workers) {
 		w := n.workers[name]
-		if n.allowed(w, q, t.Needs, t.Resources) && (st.PerWorker == 0 || c.used[name] < st.PerWorker) {
+		if n.workerAllowed(w, q, t.Needs, t.Resources) && (st.PerWorker == 0 || c.used[name] < st.PerWorker) {
 			c.views = append(c.views, w)
 			c.workers = append(c.workers, scheduler.Choosable{Name: name})
 			c.pinned = c.pinned || w.colocated
@@ -114,12 +114,12 @@
 	if on(scheduler.EjectUnhealthy) && !c.mostSuspect && (n.ranks.ejected(name) || w.suspect) {
 		shun |= n.shunOfEjected()
 	}
-	if on(scheduler.ShunQuiet) && w.colocated && isQuiet(n.now-w.heardMs, w.silentMs) {
+	if on(scheduler.ShunQuiet) && w.colocated && isQuiet(n.now-w.lastReportMs, w.silentMs) {
 		shun |= scheduler.ShunSilent
 	}
 	if c.pinned && !c.resources.Fits(n.roomFor(c.shard, c.queue, c.job.excess, name, w)) {
 		shun |= scheduler.ShunKept
-		if !c.resources.Fits(n.freeAt(c.shard, name, w).Plus(n.batchLoad(c.shard, "", name))) {
+		if !c.resources.Fits(n.freeResources(c.shard, name, w).Plus(n.batchLoad(c.shard, "", name))) {
 			shun |= scheduler.ShunFull
 		}
 	}
@@ -157,7 +157,7 @@
 	return slices.BinarySearchFunc(c.workers, worker, byName)
 }
 
-// placed takes note of a task that went to a worker, the only thing that has changed since.
+// hasUniformStep takes note of a task that went to a worker, the only thing that has changed since.
 func (n *node) placed(c *workerChoice, worker string) {
 	at, found := c.find(worker)
 	if !found {
--- a/internal/daemon/world_callers_test.go
+++ b/internal/daemon/world_callers_test.go
@@ -43,7 +43,7 @@
 }
 
 func (w *world) anyNode(r int) *simNode {
-	names := sorted(w.nodes)
+	names := sortedKeys(w.nodes)
 	return w.nodes[names[r%len(names)]]
 }
 
@@ -184,7 +184,7 @@
 // open gives the accepted jobs that have not ended as far as callers know.
 func (w *world) open() []string {
 	var out []string
-	for _, id := range sorted(w.jobs) {
+	for _, id := range sortedKeys(w.jobs) {
 		if j := w.jobs[id]; !j.gaveUp && j.state != "complete" && j.state != "failed" && j.state != "cancelled" {
 			out = append(out, id+":"+j.state)
 		}
--- a/internal/daemon/world_node_test.go
+++ b/internal/daemon/world_node_test.go
@@ -130,7 +130,7 @@
 	target := n.w.nodes[to]
 	if target == nil || target.Addr != addr {
 		target = nil
-		for _, name := range sorted(n.w.nodes) {
+		for _, name := range sortedKeys(n.w.nodes) {
 			if n.w.nodes[name].Addr == addr {
 				target = n.w.nodes[name]
 			}
--- a/internal/daemon/world_test.go
+++ b/internal/daemon/world_test.go
@@ -77,7 +77,7 @@
 // nodesInOrder gives the daemons by name: a run must not depend on a map's order.
 func (w *world) nodesInOrder() []*simNode {
 	out := make([]*simNode, 0, len(w.nodes))
-	for _, name := range sorted(w.nodes) {
+	for _, name := range sortedKeys(w.nodes) {
 		out = append(out, w.nodes[name])
 	}
 	return out
@@ -105,7 +105,7 @@
 		}
 		w.nodes[name] = n
 	}
-	for _, name := range sorted(w.nodes) {
+	for _, name := range sortedKeys(w.nodes) {
 		n := w.nodes[name]
 		w.after(w.rng.Int64N(300_000), n.start)
 	}
@@ -218,7 +218,7 @@
 	w.heldUp = kept
 }
 
-func (w *world) hosts() []string { return append(sorted(w.nodes), sorted(w.workers)...) }
+func (w *world) hosts() []string { return append(sortedKeys(w.nodes), sortedKeys(w.workers)...) }
 
 func (w *world) zoneOf(host string) string {
 	if n := w.nodes[host]; n != nil {
@@ -251,13 +251,13 @@
 
 func (w *world) heal() {
 	w.cuts = map[[2]string]bool{}
-	for _, name := range sorted(w.workers) {
+	for _, name := range sortedKeys(w.workers) {
 		w.note(historycheck.Event{Kind: historycheck.Reachable, Worker: name})
 	}
 }
 
 func (w *world) holderOf(duty string) *simNode {
-	for _, name := range sorted(w.nodes) {
+	for _, name := range sortedKeys(w.nodes) {
 		if n := w.nodes[name]; n.up && w.nowUs >= n.frozenTo && n.sh.node.leases.Holds(duty) {
 			return n
 		}
--- a/internal/daemon/world_worker_test.go
+++ b/internal/daemon/world_worker_test.go
@@ -67,7 +67,7 @@
 func (s *simWorker) crash() {
 	s.up = false
 	s.gen++
-	for _, id := range sorted(s.running) {
+	for _, id := range sortedKeys(s.running) {
 		r := s.running[id]
 		s.w.note(historycheck.Event{Kind: historycheck.End, Job: r.job, Task: r.task, Worker: s.name, Run: id, Text: "crash"})
 	}
@@ -126,7 +126,7 @@
 	s.seq++
 	list := func(m map[string]*simRun) []map[string]any {
 		out := []map[string]any{}
-		for _, id := range sorted(m) {
+		for _, id := range sortedKeys(m) {
 			r := m[id]
 			ran := r.ranMs
 			if r.outcome == "" {
