--- a/internal/daemon/allocate.go
+++ b/internal/daemon/allocate.go
@@ -117,7 +117,7 @@
 	granted := c.grantedRoom()
 	for _, name := range sortedKeys(c.workers) {
 		w := c.workers[name]
-		if n.now-w.lastReportMs >= contactMs || !w.Rebuilt || !w.Fresh || w.Leaving || n.config.current.EmptyZones[w.Zone] {
+		if n.now-w.receivedMs >= contactMs || !w.Rebuilt || !w.Fresh || w.Leaving || n.config.current.EmptyZones[w.Zone] {
 			continue
 		}
 		candidates = append(candidates, &scheduler.Candidate{
@@ -149,7 +149,7 @@
 		if w.Suspect {
 			suspects++
 		}
-		if n.Policies.On(scheduler.ShunQuiet) && w.Colocated && isQuiet(n.now-w.lastReportMs, w.SilentMs) {
+		if n.Policies.On(scheduler.ShunQuiet) && w.Colocated && isQuiet(n.now-w.receivedMs, w.SilentMs) {
 			continue
 		}
 		if w.unhealthyUntilMs <= n.now && !w.Suspect || !n.Policies.On(scheduler.EjectUnhealthy) {
--- a/internal/daemon/allocation_request.go
+++ b/internal/daemon/allocation_request.go
@@ -33,7 +33,7 @@
 		SubmittedMs: js.SubmitMs,
 		Gang:        st.Gang,
 		SameRack:    st.SameRack,
-		Near:        st.PreferredRack,
+		Near:        st.Near,
 		PerWorker:   st.PerWorker,
 		EstimateMs:  n.estimateMs(js, t),
 		Excess:      js.excess,
--- a/internal/daemon/attempt_result.go
+++ b/internal/daemon/attempt_result.go
@@ -47,7 +47,7 @@
 		}
 		rt.retryAtMs = n.now + n.backoffOf(st, t)
 	case wire.ResultPreempted:
-		t.Preemptions++
+		t.Preempts++
 		rt.retryAtMs = n.batchBack(js)
 	case wire.ResultStalled, wire.ResultLost:
 		t.LastFailedWorker = t.Worker
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -169,7 +169,7 @@
 func (n *node) batchRoom(queue string, r *configuration.Batch) (all resource.Amount) {
 	q := n.config.current.Queues[queue]
 	for _, w := range n.workers {
-		if n.now-w.lastReportMs < silentMs && !w.leaving && !n.config.current.EmptyZones[w.zone] && q.Matches(w.labels, w.zone) {
+		if n.now-w.receivedMs < silentMs && !w.leaving && !n.config.current.EmptyZones[w.zone] && q.Matches(w.labels, w.zone) {
 			all = all.Plus(w.capacity.Share(r.SharePercent))
 		}
 	}
@@ -223,7 +223,7 @@
 	}
 	waits, all := 0, 0
 	for _, w := range n.workers {
-		if n.now-w.lastReportMs < contactMs {
+		if n.now-w.receivedMs < contactMs {
 			all++
 			if w.unstarted > 0 {
 				waits++
--- a/internal/daemon/batch_test.go
+++ b/internal/daemon/batch_test.go
@@ -218,7 +218,7 @@
 	sl := n.batchSlice()
 	roomy := spareWindow{}.with(0, resource.Amount{CPU: 100}).with(batchLowMs, resource.Amount{CPU: 100})
 	for _, name := range []string{"w1", "w2", "w3"} {
-		n.workers[name] = &workerView{lastReportMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 100}, spare: roomy, usedByOthers: map[string]resource.Amount{}, batchUse: map[string][]wire.QueueUse{}}
+		n.workers[name] = &workerView{receivedMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 100}, spare: roomy, usedByOthers: map[string]resource.Amount{}, batchUse: map[string][]wire.QueueUse{}}
 	}
 	js := n.batchJob(t, sl, "b1", oneBatch(10, 1000), 0)
 	js.plan = &batchPlan{}
@@ -269,7 +269,7 @@
 	n := batchNode(t, at(0, 14))
 	sl := n.batchSlice()
 	for i := range 4 {
-		n.workers[fmt.Sprint("w", i)] = &workerView{lastReportMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 100}}
+		n.workers[fmt.Sprint("w", i)] = &workerView{receivedMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 100}}
 	}
 	// 120 units at once are batches'; 60 jobs of 30 units and an hour need 15 hours of that
 	var all []*liveJob
@@ -295,7 +295,7 @@
 	n.now += batchPlanMs
 	n.config.confirmedMs = n.now
 	for _, w := range n.workers {
-		w.lastReportMs = n.now
+		w.receivedMs = n.now
 	}
 	n.planBatches(sl)
 	must.True(t, late.plan.Must)
--- a/internal/daemon/campaign_test.go
+++ b/internal/daemon/campaign_test.go
@@ -147,7 +147,7 @@
 					t.Log(w.jobs[*dumpFlag].last)
 					if n := w.holderOf("central"); n != nil {
 						for name, f := range n.sh.node.central.workers {
-							t.Log("central", name, f.Capacity, f.guaranteed, f.busy, f.unhealthyUntilMs-n.sh.node.now, f.Fresh, f.Rebuilt, f.Leaving, n.sh.node.now-f.lastReportMs, len(f.Attempts))
+							t.Log("central", name, f.Capacity, f.guaranteed, f.busy, f.unhealthyUntilMs-n.sh.node.now, f.Fresh, f.Rebuilt, f.Leaving, n.sh.node.now-f.receivedMs, len(f.Attempts))
 						}
 						for k, ws := range n.sh.node.central.pending {
 							t.Log("want", k, ws.granted, ws.Resources, ws.Tasks, n.sh.node.now-ws.lastMs, n.sh.node.now-ws.firstMs)
--- a/internal/daemon/central.go
+++ b/internal/daemon/central.go
@@ -89,7 +89,7 @@
 
 type workerCapacity struct {
 	wire.AgentReport
-	lastReportMs     int64
+	receivedMs       int64
 	guaranteed       resource.Amount // room of the firm tasks it holds
 	busy             resource.Amount // room of all it holds that is not ended
 	unhealthyUntilMs int64           // unsound until
@@ -150,7 +150,7 @@
 	if m.Epoch < w.Epoch {
 		return
 	}
-	w.AgentReport, w.lastReportMs = *m, n.now
+	w.AgentReport, w.receivedMs = *m, n.now
 	w.guaranteed, w.busy = resource.Amount{}, m.Others // to the central scheduler all are others' attempts
 	for _, h := range m.Attempts {
 		if h.Class != wire.ClassGuaranteed {
@@ -253,7 +253,7 @@
 		}
 	}
 	for _, name := range sortedKeys(c.workers) {
-		if n.now-c.workers[name].lastReportMs > forgetMs {
+		if n.now-c.workers[name].receivedMs > forgetMs {
 			delete(c.workers, name)
 		}
 	}
@@ -292,7 +292,7 @@
 	var sum, sum2, count float64
 	for _, name := range sortedKeys(c.workers) {
 		w := c.workers[name]
-		if n.now-w.lastReportMs > rankMs {
+		if n.now-w.receivedMs > rankMs {
 			continue
 		}
 		v := wire.WorkerRank{Worker: name, RankMs: w.RankMs}
@@ -317,7 +317,7 @@
 	}
 	var used, all resource.Amount
 	for _, w := range c.workers { // a sum: the order does not matter
-		if n.now-w.lastReportMs < contactMs {
+		if n.now-w.receivedMs < contactMs {
 			used, all = used.Plus(w.Urgent), all.Plus(w.Capacity)
 		}
 	}
@@ -330,7 +330,7 @@
 	var names []string
 	var paces []scheduler.Pace
 	for _, name := range sortedKeys(c.workers) {
-		if w := c.workers[name]; n.now-w.lastReportMs < contactMs {
+		if w := c.workers[name]; n.now-w.receivedMs < contactMs {
 			names = append(names, name)
 			paces = append(paces, scheduler.Pace{Succeeded: w.Succeeded, LagPercent: w.LagPercent})
 		}
--- a/internal/daemon/central_test.go
+++ b/internal/daemon/central_test.go
@@ -41,7 +41,7 @@
 	n.now += ms
 	n.config.confirmedMs = n.now
 	for _, w := range n.central.workers {
-		w.lastReportMs = n.now
+		w.receivedMs = n.now
 	}
 	n.allocateAll(n.central)
 	placed := map[string]int{}
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -88,7 +88,7 @@
 		return
 	}
 	for _, name := range sortedKeys(n.workers) {
-		if n.now-n.workers[name].lastReportMs > forgetMs {
+		if n.now-n.workers[name].receivedMs > forgetMs {
 			delete(n.workers, name)
 		}
 	}
--- a/internal/daemon/job.go
+++ b/internal/daemon/job.go
@@ -34,7 +34,7 @@
 	Agent            string // the daemon that tends the worker
 	AgentEpoch       uint64
 	Failures         int32
-	Preemptions      int32
+	Preempts         int32
 	RanMs            int64
 	ChangedVersion   int64  // record version of the last change of state
 	LastFailedWorker string // the worker of the last failure, avoided next time
@@ -56,7 +56,7 @@
 	AllowedFailures  int32
 	Gang             bool // its tasks work only together
 	SameRack         bool
-	PreferredRack    string // the rack that holds its data
+	Near             string // the rack that holds its data
 	PerWorker        int32  // at most so many of its tasks on one worker; 0 for any
 	AllowsDuplicates bool   // two runs of a task may stand side by side
 	Lasting          bool   // its tasks run until the job is cancelled
@@ -304,7 +304,7 @@
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
 		m := map[string]any{"name": t.Name, "state": t.State.String(), "attempt": t.Attempt, "class": t.Class.String(),
-			"worker": t.Worker, "failures": t.Failures, "preemptions": t.Preemptions, "ran_ms": t.RanMs}
+			"worker": t.Worker, "failures": t.Failures, "preemptions": t.Preempts, "ran_ms": t.RanMs}
 		if t.Cause != "" {
 			m["cause"] = t.Cause
 		}
--- a/internal/daemon/job_explain.go
+++ b/internal/daemon/job_explain.go
@@ -57,7 +57,7 @@
 			at = 4
 		case !t.Resources.Fits(w.capacity):
 			at = 3
-		case n.now-w.lastReportMs > silentMs || w.silentMs > silentMs:
+		case n.now-w.receivedMs > silentMs || w.silentMs > silentMs:
 			at = 2
 		case w.leaving || n.config.current.EmptyZones[w.zone]:
 			at = 1
--- a/internal/daemon/job_parse.go
+++ b/internal/daemon/job_parse.go
@@ -231,7 +231,7 @@
 	if a := s.Get("allowed_failures"); a.Exists() {
 		st.AllowedFailures = int32(a.Int())
 	}
-	st.Gang, st.SameRack, st.PreferredRack, st.PerWorker = s.Get("gang").Bool() &&
+	st.Gang, st.SameRack, st.Near, st.PerWorker = s.Get("gang").Bool() &&
 		st.Size > 1, s.Get(
 		"same_rack",
 	).Bool(), s.Get(
--- a/internal/daemon/job_request.go
+++ b/internal/daemon/job_request.go
@@ -296,7 +296,7 @@
 // handleWorkerLost is an operator's word that a worker is gone for good.
 func (n *node) handleWorkerLost(sl *ownedShard, a *request) {
 	_, worker, _ := strings.Cut(a.key, "/")
-	if w := n.workers[worker]; w != nil && n.now-w.lastReportMs < silentMs && w.reportFresh {
+	if w := n.workers[worker]; w != nil && n.now-w.receivedMs < silentMs && w.reportFresh {
 		n.respond(a, 409, 0, mustJSON(map[string]any{"error": "the worker is heard from; it can't be declared lost"}))
 		return
 	}
--- a/internal/daemon/job_schedule.go
+++ b/internal/daemon/job_schedule.go
@@ -193,7 +193,7 @@
 	if w == nil || w.colocated {
 		n.tickColocatedTask(sl, js, i, rt, w)
 	}
-	silent := w == nil && n.now-sl.startMs > silentMs || w != nil && (n.now-w.lastReportMs > silentMs || w.silentMs > silentMs)
+	silent := w == nil && n.now-sl.startMs > silentMs || w != nil && (n.now-w.receivedMs > silentMs || w.silentMs > silentMs)
 	if !silent {
 		rt.silentSinceMs = 0
 		return
@@ -213,12 +213,12 @@
 // not come together.
 func (n *node) tickColocatedTask(sl *ownedShard, js *liveJob, i int, rt *taskRuntime, w *workerView) {
 	t := &js.Tasks[i]
-	heardMs := sl.startMs
+	receivedMs := sl.startMs
 	if w != nil {
-		heardMs = max(heardMs, w.lastReportMs)
+		receivedMs = max(receivedMs, w.receivedMs)
 	}
 	if (w != nil || n.allColocated()) && t.ChangedVersion <= js.committed &&
-		n.now-heardMs > ownerSpanMs*(100+driftPercent)/100+lapseMarginMs &&
+		n.now-receivedMs > ownerSpanMs*(100+driftPercent)/100+lapseMarginMs &&
 		n.now-n.wokeMs > frozenMs {
 		n.count("lapses_resolved")
 		js.Abandoned = append(js.Abandoned, abandonedRun{js.taskID(i), t.Attempt})
@@ -276,7 +276,7 @@
 	st := &js.Steps[t.Step]
 	guaranteed, reason := scheduler.IsGuaranteed(scheduler.TaskFacts{
 		Batch: n.batchOf(&js.jobRecord) != nil, Gang: st.Gang, Lasting: st.Lasting,
-		Preempts: int64(t.Preemptions), EstimateMs: n.knownRunMs(js, t),
+		Preempts: int64(t.Preempts), EstimateMs: n.knownRunMs(js, t),
 	}, n.ThresholdMs)
 	if guaranteed {
 		return wire.ClassGuaranteed, reason
--- a/internal/daemon/platformunit_test.go
+++ b/internal/daemon/platformunit_test.go
@@ -74,7 +74,7 @@
 		m := &wire.Allocation{Shard: "s", Job: "j"}
 		for i := range 3 {
 			name := fmt.Sprint("w", i)
-			n.workers[name] = &workerView{lastReportMs: n.now, rebuilt: true, reportFresh: true, leaving: i == gone, capacity: resource.Amount{CPU: 4}, agent: "d1", epoch: 1}
+			n.workers[name] = &workerView{receivedMs: n.now, rebuilt: true, reportFresh: true, leaving: i == gone, capacity: resource.Amount{CPU: 4}, agent: "d1", epoch: 1}
 			m.Places = append(m.Places, wire.AllocatedTask{Task: js.taskID(i), Attempt: 1, Worker: name})
 		}
 		n.onAllocation("d1", m)
--- a/internal/daemon/platformworld_test.go
+++ b/internal/daemon/platformworld_test.go
@@ -183,7 +183,7 @@
 	c, now := n.sh.node.central, n.sh.node.now
 	for _, name := range sortedKeys(c.workers) {
 		w := c.workers[name]
-		tell("sees %s heard %d ms ago, rebuilt %v fresh %v leaving %v suspect %v bad for %d, capacity %v firm %v busy %v promised %v held %d", name, now-w.lastReportMs, w.Rebuilt, w.Fresh, w.Leaving,
+		tell("sees %s heard %d ms ago, rebuilt %v fresh %v leaving %v suspect %v bad for %d, capacity %v firm %v busy %v promised %v held %d", name, now-w.receivedMs, w.Rebuilt, w.Fresh, w.Leaving,
 			w.Suspect, w.unhealthyUntilMs-now, w.Capacity, w.guaranteed, w.busy, c.grantedRoom()[name], len(w.Attempts))
 	}
 	for k, ws := range c.pending {
--- a/internal/daemon/reconcile.go
+++ b/internal/daemon/reconcile.go
@@ -58,14 +58,14 @@
 		return false
 	}
 	if m.Epoch > w.epoch || m.SentMs > w.echoMs {
-		others, batch := w.usedByOthers, w.batchUse
+		others, batchUse := w.usedByOthers, w.batchUse
 		if others == nil || m.Epoch > w.epoch {
-			others, batch = map[string]resource.Amount{}, map[string][]wire.QueueUse{}
+			others, batchUse = map[string]resource.Amount{}, map[string][]wire.QueueUse{}
 		}
 		*w = workerView{
-			agent: from, epoch: m.Epoch, echoMs: m.SentMs, lastReportMs: n.now, zone: m.Zone, labels: m.Labels, leaving: m.Leaving,
+			agent: from, epoch: m.Epoch, echoMs: m.SentMs, receivedMs: n.now, zone: m.Zone, labels: m.Labels, leaving: m.Leaving,
 			rebuilt: m.Rebuilt, reportFresh: m.Fresh, free: m.Free, capacity: m.Capacity, queued: m.Queued, rankMs: m.RankMs,
-			silentMs: m.SilentMs, usedByOthers: others, batchUse: batch, unstarted: m.Waiting, spare: w.spare.with(n.now, m.Spare),
+			silentMs: m.SilentMs, usedByOthers: others, batchUse: batchUse, unstarted: m.Waiting, spare: w.spare.with(n.now, m.Spare),
 			rack: m.Rack, suspect: m.Suspect, doubtful: m.Doubtful, colocated: m.Colocated, urgentUse: m.Urgent,
 		}
 	}
--- a/internal/daemon/shard.go
+++ b/internal/daemon/shard.go
@@ -57,7 +57,7 @@
 	placedByWorker     map[string]map[taskRef]resource.Amount // worker -> tasks placed there, and their room
 	loadByWorker       map[string]resource.Amount             // worker -> room of those
 	loadChanges        uint64                                 // counts the changes of load
-	confirmedIDs       []string                               // finished at a majority, not yet told to the members
+	unsentConfirmedIDs []string                               // finished at a majority, not yet told to the members
 	confirmedSentMs    int64
 	allocationRequests int // requests for firm places sent in this tick
 
@@ -180,7 +180,7 @@
 	agent        string
 	epoch        uint64
 	echoMs       int64
-	lastReportMs int64
+	receivedMs   int64
 	zone         string
 	labels       []wire.Label
 	leaving      bool
--- a/internal/daemon/shard_write.go
+++ b/internal/daemon/shard_write.go
@@ -57,14 +57,14 @@
 		}
 		sl.flushDeferred(n.now)
 		whole := sl.serving && len(sl.loading) == 0 && sl.completeSeq == 0
-		if len(sl.dirty) == 0 && !whole && (len(sl.confirmedIDs) == 0 || n.now-sl.confirmedSentMs < writeRetry) {
+		if len(sl.dirty) == 0 && !whole && (len(sl.unsentConfirmedIDs) == 0 || n.now-sl.confirmedSentMs < writeRetry) {
 			continue
 		}
 		b := &writeBatch{
 			acked: map[string]bool{}, patches: map[string]statestore.Patch{},
-			sentMs: n.now, firstMs: n.now, confirmedIDs: sl.confirmedIDs,
+			sentMs: n.now, firstMs: n.now, confirmedIDs: sl.unsentConfirmedIDs,
 		}
-		sl.confirmedIDs, sl.confirmedSentMs = nil, n.now
+		sl.unsentConfirmedIDs, sl.confirmedSentMs = nil, n.now
 		for _, id := range sortedKeys(sl.dirty) {
 			js := sl.jobs[id]
 			b.add(sl.epoch, js)
@@ -153,7 +153,7 @@
 		for _, r := range b.records {
 			delete(sl.loading, r.ID)
 			if !r.Live {
-				sl.confirmedIDs = append(sl.confirmedIDs, r.ID)
+				sl.unsentConfirmedIDs = append(sl.unsentConfirmedIDs, r.ID)
 			}
 			if js := sl.jobs[r.ID]; js != nil {
 				ends := n.traceCommitted(js, r.Version)
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -73,7 +73,7 @@
 		list = append(
 			list,
 			map[string]any{"name": name, "site": w.zone, "labels": labelMap(w.labels), "free": w.free, "capacity": w.capacity,
-				"leaving": w.leaving, "agent": w.agent, "epoch": w.epoch, "heard_ms": n.now - w.lastReportMs, "silent_ms": w.silentMs,
+				"leaving": w.leaving, "agent": w.agent, "epoch": w.epoch, "heard_ms": n.now - w.receivedMs, "silent_ms": w.silentMs,
 				"queued": w.queued, "rank_ms": w.rankMs, "unsound": n.ranks.unhealthy[name], "rebuilt": w.rebuilt},
 		)
 	}
@@ -179,7 +179,7 @@
 	for _, q := range sortedKeys(n.config.current.Queues) {
 		found := false
 		for _, w := range n.workers {
-			found = found || n.now-w.lastReportMs < cluster.AliveMs && n.config.current.Queues[q].Matches(w.labels, w.zone)
+			found = found || n.now-w.receivedMs < cluster.AliveMs && n.config.current.Queues[q].Matches(w.labels, w.zone)
 		}
 		if !found {
 			unmatched = append(unmatched, q)
@@ -214,7 +214,7 @@
 			t := &js.Tasks[i]
 			w := n.workers[t.Worker]
 			switch {
-			case t.State == taskPlaced && (w == nil || n.now-w.lastReportMs > silentMs || w.silentMs > silentMs):
+			case t.State == taskPlaced && (w == nil || n.now-w.receivedMs > silentMs || w.silentMs > silentMs):
 				unsettled[t.Worker]++
 			case t.State == taskPending:
 				waiting++
--- a/internal/daemon/tenant_status.go
+++ b/internal/daemon/tenant_status.go
@@ -166,9 +166,9 @@
 	if !n.limits.Any() {
 		return silent
 	}
-	for _, name := range n.core.Shards {
-		if n.now-max(n.shareReports[sl.name][name], sl.startMs) > reportSilentMs {
-			silent = append(silent, name)
+	for _, otherShard := range n.core.Shards {
+		if n.now-max(n.shareReports[sl.name][otherShard], sl.startMs) > reportSilentMs {
+			silent = append(silent, otherShard)
 		}
 	}
 	return silent
--- a/internal/daemon/urgent_room_test.go
+++ b/internal/daemon/urgent_room_test.go
@@ -78,7 +78,7 @@
 	sl := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{}}
 	for _, name := range []string{"w1", "w2", "w3"} {
 		n.workers[name] = &workerView{
-			lastReportMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 1000}, colocated: true,
+			receivedMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 1000}, colocated: true,
 		}
 	}
 	js := &liveJob{jobRecord: jobRecord{Queue: "slow", Steps: []jobStep{{Size: 2, PerWorker: 1}}, Tasks: []task{
@@ -98,7 +98,7 @@
 	n := twoUrgencies(t)
 	sl := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{"full": {CPU: 900}}}
 	for _, name := range []string{"full", "ejected", "small"} {
-		n.workers[name] = &workerView{lastReportMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 1000}, colocated: true}
+		n.workers[name] = &workerView{receivedMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 1000}, colocated: true}
 	}
 	n.workers["ejected"].suspect, n.workers["small"].leaving = true, true
 	js := &liveJob{jobRecord: jobRecord{Queue: "fast", Steps: []jobStep{{Size: 1}}, Tasks: []task{{State: taskPlaced, Worker: "full", Resources: resource.Amount{CPU: 600}}}}}
@@ -121,7 +121,7 @@
 	c := &centralScheduler{workers: map[string]*workerCapacity{}}
 	n.central = c
 	for _, name := range []string{"w1", "w2"} {
-		c.workers[name] = &workerCapacity{lastReportMs: n.now, AgentReport: wire.AgentReport{
+		c.workers[name] = &workerCapacity{receivedMs: n.now, AgentReport: wire.AgentReport{
 			Capacity: resource.Amount{CPU: 1000}, Urgent: resource.Amount{CPU: 200},
 		}}
 	}
--- a/internal/daemon/worker_choice.go
+++ b/internal/daemon/worker_choice.go
@@ -76,7 +76,7 @@
 	st := &js.Steps[t.Step]
 	c := &workerChoice{
 		shard: sl, queue: q, job: js, step: t.Step, round: t.Round, resources: t.Resources, needs: t.Needs,
-		near: st.PreferredRack, perWorker: st.PerWorker, loadChanges: sl.loadChanges,
+		near: st.Near, perWorker: st.PerWorker, loadChanges: sl.loadChanges,
 	}
 	if st.PerWorker > 0 {
 		c.used = js.stepTasksByWorker(i)
@@ -114,7 +114,7 @@
 	if on(scheduler.EjectUnhealthy) && !c.mostSuspect && (n.ranks.ejected(name) || w.suspect) {
 		shun |= n.shunOfEjected()
 	}
-	if on(scheduler.ShunQuiet) && w.colocated && isQuiet(n.now-w.lastReportMs, w.silentMs) {
+	if on(scheduler.ShunQuiet) && w.colocated && isQuiet(n.now-w.receivedMs, w.silentMs) {
 		shun |= scheduler.ShunSilent
 	}
 	if c.pinned && !c.resources.Fits(n.roomFor(c.shard, c.queue, c.job.excess, name, w)) {
