--- a/guards.sh
+++ b/guards.sh
@@ -17,24 +17,24 @@
 # name | file, from the repository's root | text that stands there | what stands there instead
 guards() {
   cat << 'G'
-room|internal/daemon/agent_dispatch.go|if h.spec.Resources.Fits(n.startRoom(ag, h, q, *avail)) {|if true {
-a patch needs the version it builds on|internal/daemon/core_member.go|if !fits(x, m.Patches) {|if false {
-unsettled orders hold room|internal/daemon/agent_dispatch.go|if ag.colocated \|\| !h.listed {|if ag.colocated {
-new agent waits for the worker's fresh word|internal/daemon/agent_report.go|if !ag.rebuilt && ag.tokenMs > ag.startMs+flightMs {|if !ag.rebuilt {
+room|internal/daemon/agent_dispatch.go|if attempt.spec.Resources.Fits(n.startRoom(agent, attempt, q, *avail)) {|if true {
+a patch needs the version it builds on|internal/daemon/core_member.go|if !fits(replica, m.Patches) {|if false {
+unsettled orders hold room|internal/daemon/agent_dispatch.go|if a.colocated \|\| !attempt.listed {|if a.colocated {
+new agent waits for the worker's fresh word|internal/daemon/agent_report.go|if !agent.rebuilt && agent.tokenMs > agent.startMs+flightMs {|if !agent.rebuilt {
 lost only once rebuilt|internal/daemon/reconcile.go|case m.Epoch > t.AgentEpoch && m.Rebuilt:|case m.Epoch > t.AgentEpoch:
-unknown is not ended|internal/daemon/agent_dispatch.go|"unknown": func(n *node, _ *workerAgent, h *agentAttempt) { n.count("orders_unconfirmed") },|"unknown": func(n *node, _ *workerAgent, h *agentAttempt) { h.state, h.result = wire.AttemptEnded, wire.ResultRejected },
-placement is durable first|internal/daemon/job_schedule.go|if t.ChangedVersion <= js.committed && rt.sentMs == 0|if rt.sentMs == 0
-end is durable before it is acknowledged|internal/daemon/reconcile.go|if t.ChangedVersion > js.committed {\n\t\treturn 0\n\t}\n\tif !t.counted|if !t.counted
-steps in order|internal/daemon/job_schedule.go|return pass.ready[js.stepIndex(t)] && |return 
+unknown is not ended|internal/daemon/agent_dispatch.go|"unknown": func(n *node, _ *workerAgent, attempt *agentAttempt) { n.count("orders_unconfirmed") },|"unknown": func(n *node, _ *workerAgent, attempt *agentAttempt) { attempt.state, attempt.result = wire.AttemptEnded, wire.ResultRejected },
+placement is durable first|internal/daemon/job_schedule.go|if t.ChangedVersion <= job.committed && rt.sentMs == 0|if rt.sentMs == 0
+end is durable before it is acknowledged|internal/daemon/reconcile.go|if t.ChangedVersion > j.committed {\n\t\treturn 0\n\t}\n\tif !t.counted|if !t.counted
+steps in order|internal/daemon/job_schedule.go|return pass.ready[job.stepIndex(t)] && |return 
 a median of all clocks|internal/daemon/core_member.go|return n.granter.FleetTime(n.now, n.peers.AliveCount())|return n.wall
 due time|internal/daemon/job_schedule.go|due != 0 && pass.wall < due+dueMarginMs|due != 0 && false
-group at the agent|internal/daemon/agent_dispatch.go|if q == nil \|\| lack \|\| !q.Matches(ag.labels, ag.zone) \|\||if q == nil \|\| false && lack \|\|
-allowed failures|internal/daemon/attempt_result.go|case t.Failures >= t.maxFailures() && !st.Lasting:|case t.Failures > t.maxFailures() && !st.Lasting:
-cancel reaches the agent|internal/daemon/reconcile.go|if js.State != jobRunning \|\| js.Steps[t.Step].Gang|if js.Steps[t.Step].Gang
-leaving and emptied|internal/daemon/agent_dispatch.go|if ag.leaving \|\| n.config.current.EmptyZones[ag.zone] {|if false {
-acknowledged only when durable|internal/daemon/job_request.go|if w.version > js.committed {|if false {
+group at the agent|internal/daemon/agent_dispatch.go|if q == nil \|\| lack \|\| !q.Matches(agent.labels, agent.zone) \|\||if q == nil \|\| false && lack \|\|
+allowed failures|internal/daemon/attempt_result.go|case t.Failures >= t.maxFailures() && !step.Lasting:|case t.Failures > t.maxFailures() && !step.Lasting:
+cancel reaches the agent|internal/daemon/reconcile.go|if job.State != jobRunning \|\| job.Steps[t.Step].Gang|if job.Steps[t.Step].Gang
+leaving and emptied|internal/daemon/agent_dispatch.go|if agent.leaving \|\| n.config.current.EmptyZones[agent.zone] {|if false {
+acknowledged only when durable|internal/daemon/job_request.go|if w.version > job.committed {|if false {
 register needs a majority|internal/quorum/set.go|return len(s.Members)/2 + 1|return 1
-old epochs are fenced|internal/daemon/core_member.go|if m.Epoch != x.Sealed() {|if false {
+old epochs are fenced|internal/daemon/core_member.go|if m.Epoch != replica.Sealed() {|if false {
 leases exclude|internal/lease/granter.go|if !g.free(r.Name, to, nowMs, ended) {|if false {
 a started member waits a lease|internal/lease/granter.go|if nowMs < g.guardMs && last.Holder != "" && !ended(lastHolder) {|if false && !ended(lastHolder) {
 a lease builds on what its granters know|internal/lease/poll.go|m.host.NowMs(), epochs[need-1]|m.host.NowMs(), epochs[0]
@@ -44,8 +44,8 @@
 passed epochs are not renewed|internal/lease/granter.go|if r.Epoch != 0 && r.Epoch < last.Epoch {|if false {
 leases end with their incarnation|internal/daemon/host.go|n.leases.Lose(role, "incarnation_raised")|_ = role
 a start takes no older set|internal/daemon/core_set.go|c.Version < n.store.Set().Version {|false {
-reads by a later poll|internal/daemon/config_state.go|return n.config.confirmedBy > a.pollsBefore|return n.config.confirmedMs >= a.receivedMs
-reads are checked after a freeze|internal/daemon/config_state.go|confirmedBy > a.pollsBefore && n.configFresh()|confirmedBy > a.pollsBefore
+reads by a later poll|internal/daemon/config_state.go|return n.config.confirmedBy > req.pollsBefore|return n.config.confirmedMs >= req.receivedMs
+reads are checked after a freeze|internal/daemon/config_state.go|confirmedBy > req.pollsBefore && n.configFresh()|confirmedBy > req.pollsBefore
 copied before joining|internal/membership/learner.go|if len(l.copied) >= need {|if true {
 a copy begins again after a restart|internal/membership/learner.go|if at.Instance != instance {|if at.Shard == "" {
 a job ends at a known time|internal/daemon/job_schedule.go|return // how long the job is kept|wall = 1 // how long the job is kept
@@ -53,11 +53,11 @@
 a told end is not taken back|internal/daemon/request.go|if !n.answeredByFullSet(r) {|if false {
 copied from a majority|internal/membership/learner.go|if len(l.copied) >= need {|if len(l.copied) >= 1 {
 an acknowledgement belongs to its set|internal/daemon/core_set.go|b.acked, b.sentMs = map[string]bool{}, 0|b.sentMs = 0
-unknown queues by a newer setup|internal/daemon/request_address.go|case !ok && n.configConfirmedSince(a):|case !ok:
+unknown queues by a newer setup|internal/daemon/request_address.go|case !ok && n.configConfirmedSince(req):|case !ok:
 one vote for a disk|internal/membership/formation.go|case store.Cluster() != 0 \|\| core != 0: // bound to another|case false:
 a response belongs to its instance|internal/daemon/identity.go|if head.To == n.Instance {|if true {
 a request belongs to its addressee|internal/daemon/identity.go|case head.To == addressOf(n.Name), |case true, 
-not taken only when surely so|internal/daemon/request.go|a.queue == "" \|\| !a.maybeApplied|true
+not taken only when surely so|internal/daemon/request.go|r.queue == "" \|\| !r.maybeApplied|true
 an answer belongs to its try|internal/register/proposer.go|o.phase != preparing \|\| m.Ballot != o.Ballot|o.phase != preparing
 an acceptance belongs to its try|internal/register/proposer.go|o.phase != accepting \|\| m.Ballot != o.Ballot|o.phase != accepting
 a ballot belongs to its instance|internal/register/proposer.go|Proposer: p.Name, Instance: p.Instance}|Proposer: p.Name}
@@ -83,19 +83,19 @@
 a newcomer grants no lease before its set is full|internal/daemon/core_set.go|(!was \|\| fillsUp)|(!was \|\| fillsUp && false)
 a member's silence counts since it joined|internal/daemon/core_set.go|\tn.leases.OnCoreSet(before, c)|\t_ = before
 a change begins anew under another set|internal/daemon/core_set.go|	n.restartChanges()|
-void live records are not loaded|internal/daemon/shard_takeover.go|if r.Live && r.Epoch < sl.lastCompleteEpoch {|if r.Live && false {
+void live records are not loaded|internal/daemon/shard_takeover.go|if r.Live && r.Epoch < shard.lastCompleteEpoch {|if r.Live && false {
 void live records are not finished jobs|internal/daemon/shard_read.go|if f.newest.Live {|if false {
 setup is fresh|internal/daemon/config_state.go|n.now-n.config.confirmedMs <= configFreshMs|true
 complete needs all well|internal/daemon/job.go|all = all && j.Tasks[i].State == taskEnded|all = true
 clock read at writing|internal/daemon/world_node_test.go|if n.steadyMs() > e.NotAfterMs|if false
-takeover merges a majority|internal/daemon/shard_takeover.go|if len(sl.seals) < n.core.Majority() {|if len(sl.seals) < 1 {
+takeover merges a majority|internal/daemon/shard_takeover.go|if len(shard.seals) < n.core.Majority() {|if len(shard.seals) < 1 {
 a resend finds the finished job|internal/daemon/shard_read.go|if old == nil && f.job != nil|if f.job != nil
 batches wait for their hours|internal/daemon/batch.go|return wallMs >= p.StartMs && wallMs < p.CloseMs|return wallMs > 0
-batches keep to their share|internal/daemon/batch.go|return sum.Fits(ag.capacity.Share(r.SharePercent))|return true
+batches keep to their share|internal/daemon/batch.go|return sum.Fits(agent.capacity.Share(r.SharePercent))|return true
 batches are below all others|internal/configuration/queue.go|q.Urgency -= batchUrgencyOffset|q.Urgency -= 0
 batches make room at once|internal/daemon/agent_dispatch.go|n.now-pending.queuedMs <= urgentWaitMs && n.batchSpec(&run.spec) == nil|n.now-pending.queuedMs <= urgentWaitMs
-batches are never firm|internal/daemon/agent_sync.go|h.spec.Class != wire.ClassQueueable \|\|\n\t\tn.batchSpec(&h.spec) != nil {\n\t\treturn|h.spec.Class != wire.ClassQueueable {\n\t\treturn
-batches leave urgent work its room|internal/daemon/batch.go|if waiting, _ := ag.withoutBatches(n); waiting > 0 {|if false {
+batches are never firm|internal/daemon/agent_sync.go|attempt.spec.Class != wire.ClassQueueable \|\|\n\t\tn.batchSpec(&attempt.spec) != nil {\n\t\treturn|attempt.spec.Class != wire.ClassQueueable {\n\t\treturn
+batches leave urgent work its room|internal/daemon/batch.go|if waiting, _ := agent.withoutBatches(n); waiting > 0 {|if false {
 a counter knows all shards before it lends|internal/quota/counter.go|if c.shards[shard] == nil {|if c.shards[shard] == nil && false {
 a counter takes no overtaken report|internal/quota/counter.go|if m.ShardEpoch < l.epoch \|\| m.ShardEpoch == l.epoch && m.Seq <= l.seq {|if false {
 a report belongs to its counter|internal/quota/counter.go|if m.Counter != c.shard \|\| m.CounterEpoch != c.epoch {|if m.Counter != c.shard {
@@ -114,20 +114,20 @@
 what a former owner placed is used|internal/quota/borrower.go|a.held = larger(a.held, a.used)\n\ta.started|a.held, a.used = larger(a.held, a.used), larger(resource.Amount{}, a.used.Minus(amount))\n\ta.started
 a version that was not seen may have lent more|internal/quota/limits.go|skipped && !limit.Unlimited()|skipped && false
 tasks placed by a higher limit go back|internal/quota/limits.go|version < l.LoweredIn(tenant)|false
-tasks placed by a higher limit are not started|internal/daemon/agent_dispatch.go|if n.limits.Outdated(h.spec.Tenant, h.spec.LimitVersion) {|if false {
-an owner counts what is placed|internal/daemon/shard.go|\t\tsl.shares.use(js.Tenant, t.Resources)\n|
-a tenant that is not known yet waits|internal/daemon/job_schedule.go|!n.knowsLimit(js)|false
+tasks placed by a higher limit are not started|internal/daemon/agent_dispatch.go|if n.limits.Outdated(attempt.spec.Tenant, attempt.spec.LimitVersion) {|if false {
+an owner counts what is placed|internal/daemon/shard.go|\t\ts.shares.use(job.Tenant, t.Resources)\n|
+a tenant that is not known yet waits|internal/daemon/job_schedule.go|!n.knowsLimit(job)|false
 unknown keys are refused|internal/daemon/request_address.go|return "", c.Queues[queue].Open|return "", true
 a call without a key is nobody's|internal/daemon/request_address.go|if credential != "" {|if true {
-no key is refused by an old configuration|internal/daemon/request_address.go|case n.configConfirmedSince(a):\n\t\tn.count("calls_unauthenticated")|case true:\n\t\tn.count("calls_unauthenticated")
-tenants see their own jobs|internal/daemon/request_address.go|case j.Tenant == "" \|\| j.Tenant == a.tenant:|case true:
-nobody cancels a tenant's job without its key|internal/daemon/request_address.go|case a.tenant == "" && a.op != "job.cancel":|case a.tenant == "":
+no key is refused by an old configuration|internal/daemon/request_address.go|case n.configConfirmedSince(req):\n\t\tn.count("calls_unauthenticated")|case true:\n\t\tn.count("calls_unauthenticated")
+tenants see their own jobs|internal/daemon/request_address.go|case j.Tenant == "" \|\| j.Tenant == req.tenant:|case true:
+nobody cancels a tenant's job without its key|internal/daemon/request_address.go|case req.tenant == "" && req.op != "job.cancel":|case req.tenant == "":
 a tenant is gone by a confirmed configuration only|internal/daemon/request_address.go|return n.configFresh() && n.config.current.Tenants[tenant] == nil|return n.config.current.Tenants[tenant] == nil
 the tenant travels with a forwarded call|internal/daemon/request.go|tenant:         m.Tenant,|tenant:         "",
 the tenant stays in the record|internal/daemon/job_encode.go|if c.Tenant == "" {|if true {
-an owner knows the tenant first|internal/daemon/job_request.go|c.Queues[j.Queue] == nil \|\| a.tenant != "" && c.Tenants[a.tenant] == nil {|c.Queues[j.Queue] == nil {
+an owner knows the tenant first|internal/daemon/job_request.go|c.Queues[j.Queue] == nil \|\| req.tenant != "" && c.Tenants[req.tenant] == nil {|c.Queues[j.Queue] == nil {
 the key reaches the node|internal/daemon/http_server.go|Credential: c.Credential,|Credential: "",
-tenants' jobs of one ID are judged apart|internal/daemon/job_request.go|case a.tenant == f.job.Tenant:|case true:
+tenants' jobs of one ID are judged apart|internal/daemon/job_request.go|case req.tenant == f.job.Tenant:|case true:
 G
 }
 
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -108,9 +108,9 @@
 	atMs int64
 }
 
-func (ag *workerAgent) keys() []wire.AttemptKey {
-	out := make([]wire.AttemptKey, 0, len(ag.attempts))
-	for k := range ag.attempts {
+func (a *workerAgent) keys() []wire.AttemptKey {
+	out := make([]wire.AttemptKey, 0, len(a.attempts))
+	for k := range a.attempts {
 		out = append(out, k)
 	}
 	slices.SortFunc(out, wire.CompareAttemptKeys)
@@ -131,92 +131,92 @@
 	}
 }
 
-func (ag *workerAgent) forget(key wire.AttemptKey, now int64) {
-	delete(ag.attempts, key)
-	ag.tombstones[key] = now
+func (a *workerAgent) forget(key wire.AttemptKey, now int64) {
+	delete(a.attempts, key)
+	a.tombstones[key] = now
 }
 
 // isActiveAgent tells whether this daemon is surely a worker's agent now.
-func (n *node) isActiveAgent(ag *workerAgent) bool {
-	if ag.colocated {
-		return !ag.replaced
+func (n *node) isActiveAgent(agent *workerAgent) bool {
+	if agent.colocated {
+		return !agent.replaced
 	}
-	return n.leases.Holds(lease.AgentRole(ag.worker))
+	return n.leases.Holds(lease.AgentRole(agent.worker))
 }
 
 func (n *node) tickAgents() {
 	for _, name := range sortedKeys(n.agents) {
-		if ag := n.agents[name]; ag.colocated {
-			n.tickColocatedAgent(ag)
+		if agent := n.agents[name]; agent.colocated {
+			n.tickColocatedAgent(agent)
 		} else {
-			n.tickLeasedAgent(ag)
+			n.tickLeasedAgent(agent)
 		}
 	}
 }
 
 // tickLeasedAgent stops what ran too long, reports, starts what has room, and hands the
 // role off once its worker has long been silent.
-func (n *node) tickLeasedAgent(ag *workerAgent) {
-	n.enforceLimits(ag)
-	n.dropOldTombstones(ag)
-	n.decayHealth(ag)
-	if n.now >= ag.syncAt {
-		n.reportAgent(ag)
+func (n *node) tickLeasedAgent(agent *workerAgent) {
+	n.enforceLimits(agent)
+	n.dropOldTombstones(agent)
+	n.decayHealth(agent)
+	if n.now >= agent.syncAt {
+		n.reportAgent(agent)
 	}
-	n.startPending(ag)
-	if len(ag.attempts) == 0 && n.now-ag.heardMs > agentIdleMs {
-		n.leases.HandOff(lease.AgentRole(ag.worker), "")
+	n.startPending(agent)
+	if len(agent.attempts) == 0 && n.now-agent.heardMs > agentIdleMs {
+		n.leases.HandOff(lease.AgentRole(agent.worker), "")
 	}
 }
 
 // enforceLimits stops attempts that are past their run limit, repeats stops that are
 // not yet heard of, and gives up what waits at a silent worker.
-func (n *node) enforceLimits(ag *workerAgent) {
-	for _, key := range ag.keys() {
-		h := ag.attempts[key]
+func (n *node) enforceLimits(agent *workerAgent) {
+	for _, key := range agent.keys() {
+		attempt := agent.attempts[key]
 		switch {
-		case h.state == wire.AttemptRunning && h.stopMs != 0:
-			n.stopAttempt(ag, h, h.stopReason)
-		case h.state == wire.AttemptRunning && h.spec.LimitMs > 0 && n.now-h.startedMs > h.spec.LimitMs,
-			h.state == wire.AttemptOrdered && h.spec.LimitMs > 0 && n.now-h.orderedMs > h.spec.LimitMs+flightMs:
-			n.stopAttempt(ag, h, wire.ResultOverrun)
-		case h.state == wire.AttemptOrdered && h.stopMs != 0:
-			n.stopAttempt(ag, h, h.stopReason)
-		case h.state == wire.AttemptQueued && n.now-ag.heardMs > silentMs:
-			h.state, h.result = wire.AttemptEnded, wire.ResultShed // its worker is silent; it never started
+		case attempt.state == wire.AttemptRunning && attempt.stopMs != 0:
+			n.stopAttempt(agent, attempt, attempt.stopReason)
+		case attempt.state == wire.AttemptRunning && attempt.spec.LimitMs > 0 && n.now-attempt.startedMs > attempt.spec.LimitMs,
+			attempt.state == wire.AttemptOrdered && attempt.spec.LimitMs > 0 && n.now-attempt.orderedMs > attempt.spec.LimitMs+flightMs:
+			n.stopAttempt(agent, attempt, wire.ResultOverrun)
+		case attempt.state == wire.AttemptOrdered && attempt.stopMs != 0:
+			n.stopAttempt(agent, attempt, attempt.stopReason)
+		case attempt.state == wire.AttemptQueued && n.now-agent.heardMs > silentMs:
+			attempt.state, attempt.result = wire.AttemptEnded, wire.ResultShed // its worker is silent; it never started
 		}
 	}
 }
 
 // dropOldTombstones forgets ends that no late message can bring up any more.
-func (n *node) dropOldTombstones(ag *workerAgent) {
-	for k, at := range ag.tombstones {
-		if n.now-at > tombstoneMs && ag.attempts[k] == nil {
-			delete(ag.tombstones, k)
+func (n *node) dropOldTombstones(agent *workerAgent) {
+	for k, at := range agent.tombstones {
+		if n.now-at > tombstoneMs && agent.attempts[k] == nil {
+			delete(agent.tombstones, k)
 		}
 	}
 }
 
 // decayHealth lets a worker's past ends and suspicions count for less with time.
-func (n *node) decayHealth(ag *workerAgent) {
-	if n.now < ag.decayAt {
+func (n *node) decayHealth(agent *workerAgent) {
+	if n.now < agent.decayAt {
 		return
 	}
-	ag.decayAt = n.now + healthDecayMs
-	ag.succeeded, ag.failed = ag.succeeded*3/4, ag.failed*3/4
-	for queue, counts := range ag.ended {
+	agent.decayAt = n.now + healthDecayMs
+	agent.succeeded, agent.failed = agent.succeeded*3/4, agent.failed*3/4
+	for queue, counts := range agent.ended {
 		if counts.Decay(); counts == (scheduler.EndCounts{}) {
-			delete(ag.ended, queue)
+			delete(agent.ended, queue)
 		} else {
-			ag.ended[queue] = counts
+			agent.ended[queue] = counts
 		}
 	}
-	for job, atMs := range ag.failedJobs {
+	for job, atMs := range agent.failedJobs {
 		if n.now-atMs > healthDecayMs {
-			delete(ag.failedJobs, job)
+			delete(agent.failedJobs, job)
 		}
 	}
-	if n.now > ag.suspectMs+healthDecayMs {
-		ag.suspects = max(0, ag.suspects-1)
+	if n.now > agent.suspectMs+healthDecayMs {
+		agent.suspects = max(0, agent.suspects-1)
 	}
 }
--- a/internal/daemon/agent_changes.go
+++ b/internal/daemon/agent_changes.go
@@ -38,23 +38,23 @@
 
 // isNews tells whether a partial report lists an attempt: it waits, or it ended and its
 // owner wasn't told yet, or was long ago.
-func (n *node) isNews(h *agentAttempt) bool {
-	switch h.state {
+func (n *node) isNews(attempt *agentAttempt) bool {
+	switch attempt.state {
 	case wire.AttemptQueued:
 		return true
 	case wire.AttemptEnded:
-		return !h.acked && (h.reportedMs == 0 || n.now-h.reportedMs > endRepeatMs)
+		return !attempt.acked && (attempt.reportedMs == 0 || n.now-attempt.reportedMs > endRepeatMs)
 	}
 	return false
 }
 
 // concernsCentral tells whether the central scheduler is told of an attempt: one that holds
 // room for good, or that it may promote. Of all others it hears the sum.
-func (n *node) concernsCentral(h *agentAttempt) bool {
-	if h.state == wire.AttemptEnded {
+func (n *node) concernsCentral(attempt *agentAttempt) bool {
+	if attempt.state == wire.AttemptEnded {
 		return false
 	}
-	return h.spec.Class == wire.ClassGuaranteed || n.mayBePromoted(h.state, n.now-h.startedMs, h.spec.EstimateMs)
+	return attempt.spec.Class == wire.ClassGuaranteed || n.mayBePromoted(attempt.state, n.now-attempt.startedMs, attempt.spec.EstimateMs)
 }
 
 // mayBePromoted tells whether a queueable run has gone on for so much longer than
@@ -65,68 +65,68 @@
 
 // reportChanges tells owners what has ended or waits, and how much room is left. What
 // comes within changesMs leaves together.
-func (n *node) reportChanges(ag *workerAgent) {
-	ag.changesWait = true
-	if n.now < ag.changesAtMs || !n.isActiveAgent(ag) {
+func (n *node) reportChanges(agent *workerAgent) {
+	agent.changesWait = true
+	if n.now < agent.changesAtMs || !n.isActiveAgent(agent) {
 		return
 	}
-	ag.changesWait = false
-	base, keys := n.reportOf(ag), ag.keys()
+	agent.changesWait = false
+	base, keys := n.reportOf(agent), agent.keys()
 	base.Partial = true
 	news := map[string]bool{}
 	for _, key := range keys {
-		if h := ag.attempts[key]; n.isNews(h) {
-			news[n.shardOfAttempt(h)] = true
+		if attempt := agent.attempts[key]; n.isNews(attempt) {
+			news[n.shardOfAttempt(attempt)] = true
 		}
 	}
 	if len(news) > 0 {
-		ag.changesAtMs = n.now + changesMs
+		agent.changesAtMs = n.now + changesMs
 	}
 	for _, shard := range n.core.Shards {
-		if news[shard] || n.now-ag.reported[shard].atMs >= roomNewsMs {
-			n.sendReport(ag, base, shard, keys)
+		if news[shard] || n.now-agent.reported[shard].atMs >= roomNewsMs {
+			n.sendReport(agent, base, shard, keys)
 		}
 	}
-	if ag.guaranteedEnded {
-		n.reportCentral(ag)
+	if agent.guaranteedEnded {
+		n.reportCentral(agent)
 	}
 }
 
 // reportCentral tells the central scheduler alone.
-func (n *node) reportCentral(ag *workerAgent) {
-	if n.isActiveAgent(ag) {
-		n.sendReport(ag, n.reportOf(ag), "", ag.keys())
+func (n *node) reportCentral(agent *workerAgent) {
+	if n.isActiveAgent(agent) {
+		n.sendReport(agent, n.reportOf(agent), "", agent.keys())
 	}
 }
 
 // shardOfAttempt is the shard that an attempt's job belongs to.
-func (n *node) shardOfAttempt(h *agentAttempt) string {
-	if h.spec.Shard == "" { // found running: its owner has not said yet what it is
-		h.spec.Shard = n.shardOf(h.spec.Key.Job)
+func (n *node) shardOfAttempt(attempt *agentAttempt) string {
+	if attempt.spec.Shard == "" { // found running: its owner has not said yet what it is
+		attempt.spec.Shard = n.shardOf(attempt.spec.Key.Job)
 	}
-	return h.spec.Shard
+	return attempt.spec.Shard
 }
 
 // tickReports sends the reports that are due.
-func (n *node) tickReports(ag *workerAgent) {
-	quiet := n.now-ag.heardMs > quietMs
-	if n.now >= ag.syncAt || quiet != ag.quiet || n.hasNewOwner(ag) {
-		ag.quiet = quiet
-		n.reportAgent(ag)
+func (n *node) tickReports(agent *workerAgent) {
+	quiet := n.now-agent.heardMs > quietMs
+	if n.now >= agent.syncAt || quiet != agent.quiet || n.hasNewOwner(agent) {
+		agent.quiet = quiet
+		n.reportAgent(agent)
 		return
 	}
-	if n.now-ag.reported[""].atMs >= centralReportMs {
-		n.reportCentral(ag)
+	if n.now-agent.reported[""].atMs >= centralReportMs {
+		n.reportCentral(agent)
 	}
-	if ag.changesWait || n.hasOverdue(ag) || n.isDueToAny(ag) {
-		n.reportChanges(ag)
+	if agent.changesWait || n.hasOverdue(agent) || n.isDueToAny(agent) {
+		n.reportChanges(agent)
 	}
 }
 
 // isDueToAny tells whether some owner has not heard of the worker lately.
-func (n *node) isDueToAny(ag *workerAgent) bool {
+func (n *node) isDueToAny(agent *workerAgent) bool {
 	return slices.ContainsFunc(n.core.Shards, func(shard string) bool {
-		return n.now-ag.reported[shard].atMs >= aliveReportMs
+		return n.now-agent.reported[shard].atMs >= aliveReportMs
 	})
 }
 
@@ -134,9 +134,9 @@
 func isQuiet(sinceMs, silentMs int64) bool { return sinceMs+silentMs > quietMs }
 
 // hasNewOwner tells whether a role that is told of this worker has gone to another daemon.
-func (n *node) hasNewOwner(ag *workerAgent) bool {
+func (n *node) hasNewOwner(agent *workerAgent) bool {
 	for _, target := range append([]string{""}, n.core.Shards...) {
-		if to := n.reportTarget(target); to != "" && to != ag.reported[target].to {
+		if to := n.reportTarget(target); to != "" && to != agent.reported[target].to {
 			return true
 		}
 	}
@@ -145,11 +145,11 @@
 
 // hasOverdue tells whether an attempt has waited here for so long that its owner may want
 // it back, or an end is to be told again.
-func (n *node) hasOverdue(ag *workerAgent) bool {
-	for _, h := range ag.attempts {
+func (n *node) hasOverdue(agent *workerAgent) bool {
+	for _, attempt := range agent.attempts {
 		switch {
-		case h.state == wire.AttemptQueued && n.now-h.queuedMs > recallMs,
-			h.state == wire.AttemptEnded && n.isNews(h):
+		case attempt.state == wire.AttemptQueued && n.now-attempt.queuedMs > recallMs,
+			attempt.state == wire.AttemptEnded && n.isNews(attempt):
 			return true
 		}
 	}
--- a/internal/daemon/agent_dispatch.go
+++ b/internal/daemon/agent_dispatch.go
@@ -17,20 +17,20 @@
 	urgentWaitMs = 350
 )
 
-func (n *node) stopAttempt(ag *workerAgent, h *agentAttempt, why wire.AttemptResult) {
-	if h.stopMs == 0 {
-		h.stopMs, h.stopReason = n.now, why
-		n.log("run_stopped", "attempt", h.spec.Key.String(), "worker", ag.worker, "why", why.String(),
-			"queue", h.spec.Queue, "class", h.spec.Class.String(), "ran_ms", n.now-max(h.startedMs, h.orderedMs),
-			"percent", h.percent, "cpu", h.spec.Resources.CPU, "gang", h.spec.Gang)
+func (n *node) stopAttempt(agent *workerAgent, attempt *agentAttempt, why wire.AttemptResult) {
+	if attempt.stopMs == 0 {
+		attempt.stopMs, attempt.stopReason = n.now, why
+		n.log("run_stopped", "attempt", attempt.spec.Key.String(), "worker", agent.worker, "why", why.String(),
+			"queue", attempt.spec.Queue, "class", attempt.spec.Class.String(), "ran_ms", n.now-max(attempt.startedMs, attempt.orderedMs),
+			"percent", attempt.percent, "cpu", attempt.spec.Resources.CPU, "gang", attempt.spec.Gang)
 	}
-	if n.now-h.stopSentMs < 1000 && h.stopSentMs != 0 || ag.addr == "" || ag.colocated {
+	if n.now-attempt.stopSentMs < 1000 && attempt.stopSentMs != 0 || agent.addr == "" || agent.colocated {
 		return // an agent beside its worker says it in the answer to each heartbeat
 	}
-	h.stopSentMs = n.now
+	attempt.stopSentMs = n.now
 	n.count("stops_sent")
-	n.emit(effOrder{Worker: ag.worker, Addr: ag.addr, Key: h.spec.Key, Stop: true, NotAfterMs: n.now + flightMs,
-		Body: mustJSON(map[string]any{"id": h.spec.Key.String()})})
+	n.emit(effOrder{Worker: agent.worker, Addr: agent.addr, Key: attempt.spec.Key, Stop: true, NotAfterMs: n.now + flightMs,
+		Body: mustJSON(map[string]any{"id": attempt.spec.Key.String()})})
 }
 
 // startPending starts what may start now, by precedence (the queue's urgency, excess jobs last),
@@ -38,27 +38,27 @@
 // queues no more urgent are stopped, and they start once those ends are listed; short
 // runs of more urgent queues are left to end. The orders of an agent beside its worker
 // leave in the answer to a heartbeat only.
-func (n *node) startPending(ag *workerAgent) {
-	if !n.mayOrder(ag) {
+func (n *node) startPending(agent *workerAgent) {
+	if !n.mayOrder(agent) {
 		return
 	}
-	queue := n.returnBatches(ag, ag.waiting(n))
+	queue := n.returnBatches(agent, agent.waiting(n))
 	if len(queue) == 0 {
 		return
 	}
-	if ag.leaving || n.config.current.EmptyZones[ag.zone] {
-		for _, h := range queue { // others can take them; they never started
-			h.state, h.result = wire.AttemptEnded, wire.ResultShed
+	if agent.leaving || n.config.current.EmptyZones[agent.zone] {
+		for _, attempt := range queue { // others can take them; they never started
+			attempt.state, attempt.result = wire.AttemptEnded, wire.ResultShed
 		}
-		n.reportAgent(ag)
+		n.reportAgent(agent)
 		return
 	}
-	avail, known := ag.available()
+	avail, known := agent.available()
 	if !known {
 		return
 	}
-	for _, h := range queue {
-		if !n.startOrSkip(ag, h, &avail) {
+	for _, attempt := range queue {
+		if !n.startOrSkip(agent, attempt, &avail) {
 			return
 		}
 	}
@@ -66,26 +66,26 @@
 
 // mayOrder tells whether this agent may give its worker orders now: nobody else may be
 // its agent, it knows all that runs there, and configuration and report are fresh.
-func (n *node) mayOrder(ag *workerAgent) bool {
-	if !n.isActiveAgent(ag) || !ag.rebuilt || n.now-ag.tokenMs > reportMs || !n.configFresh() {
+func (n *node) mayOrder(agent *workerAgent) bool {
+	if !n.isActiveAgent(agent) || !agent.rebuilt || n.now-agent.tokenMs > reportMs || !n.configFresh() {
 		return false
 	}
-	return !ag.colocated || ag.answering && ag.lapseUntilMs == 0
+	return !agent.colocated || agent.answering && agent.lapseUntilMs == 0
 }
 
 // available gives the worker's room that nothing holds; it isn't known while something
 // runs there of which nobody has told yet how much it takes.
-func (ag *workerAgent) available() (avail resource.Amount, known bool) {
-	avail = ag.free
-	for _, h := range ag.attempts {
-		if h.state != wire.AttemptOrdered && h.state != wire.AttemptRunning {
+func (a *workerAgent) available() (avail resource.Amount, known bool) {
+	avail = a.free
+	for _, attempt := range a.attempts {
+		if attempt.state != wire.AttemptOrdered && attempt.state != wire.AttemptRunning {
 			continue
 		}
-		if h.unknown {
+		if attempt.unknown {
 			return avail, false
 		}
-		if ag.colocated || !h.listed {
-			avail = avail.Minus(h.spec.Resources)
+		if a.colocated || !attempt.listed {
+			avail = avail.Minus(attempt.spec.Resources)
 		}
 	}
 	return avail, true
@@ -93,57 +93,57 @@
 
 // startOrSkip starts a waiting attempt if it may and fits into what is available, or makes
 // room for it. It gives false where nothing behind it may start before it.
-func (n *node) startOrSkip(ag *workerAgent, h *agentAttempt, avail *resource.Amount) bool {
-	q := n.config.current.Queues[h.spec.Queue]
-	_, lack := configuration.MissingLabel(ag.labels, h.spec.Needs)
-	if q == nil || lack || !q.Matches(ag.labels, ag.zone) ||
-		h.spec.PerWorker > 0 && ag.ofStep(h) >= int(h.spec.PerWorker) {
-		h.state, h.result = wire.AttemptEnded, wire.ResultRejected
-		n.reportAgent(ag)
+func (n *node) startOrSkip(agent *workerAgent, attempt *agentAttempt, avail *resource.Amount) bool {
+	q := n.config.current.Queues[attempt.spec.Queue]
+	_, lack := configuration.MissingLabel(agent.labels, attempt.spec.Needs)
+	if q == nil || lack || !q.Matches(agent.labels, agent.zone) ||
+		attempt.spec.PerWorker > 0 && agent.ofStep(attempt) >= int(attempt.spec.PerWorker) {
+		attempt.state, attempt.result = wire.AttemptEnded, wire.ResultRejected
+		n.reportAgent(agent)
 		return true
 	}
-	if n.limits.Outdated(h.spec.Tenant, h.spec.LimitVersion) {
-		h.state, h.result = wire.AttemptEnded, wire.ResultShed // its owner must have it counted anew
-		n.reportAgent(ag)
+	if n.limits.Outdated(attempt.spec.Tenant, attempt.spec.LimitVersion) {
+		attempt.state, attempt.result = wire.AttemptEnded, wire.ResultShed // its owner must have it counted anew
+		n.reportAgent(agent)
 		return true
 	}
-	if n.now-h.confirmedMs > contactMs {
+	if n.now-attempt.confirmedMs > contactMs {
 		return true
 	}
-	if r := n.batchSpec(&h.spec); r != nil && (!h.spec.Resources.Fits(*avail) || !n.mayStartBatch(ag, h, r)) {
+	if r := n.batchSpec(&attempt.spec); r != nil && (!attempt.spec.Resources.Fits(*avail) || !n.mayStartBatch(agent, attempt, r)) {
 		return true
 	}
-	if h.spec.Resources.Fits(n.startRoom(ag, h, q, *avail)) {
-		*avail = avail.Minus(h.spec.Resources)
-		n.dispatch(ag, h)
+	if attempt.spec.Resources.Fits(n.startRoom(agent, attempt, q, *avail)) {
+		*avail = avail.Minus(attempt.spec.Resources)
+		n.dispatch(agent, attempt)
 		return true
 	}
-	if h.spec.Class == wire.ClassGuaranteed {
-		n.preempt(ag, h, h.spec.Resources.Minus(*avail))
-		*avail = avail.Minus(h.spec.Resources) // what is free and what gets free is kept for it
+	if attempt.spec.Class == wire.ClassGuaranteed {
+		n.preempt(agent, attempt, attempt.spec.Resources.Minus(*avail))
+		*avail = avail.Minus(attempt.spec.Resources) // what is free and what gets free is kept for it
 		return true
 	}
-	n.preempt(ag, h, h.spec.Resources.Minus(*avail)) // of lesser queues only, batches at once
-	return n.now-h.queuedMs <= bypassMs
+	n.preempt(agent, attempt, attempt.spec.Resources.Minus(*avail)) // of lesser queues only, batches at once
+	return n.now-attempt.queuedMs <= bypassMs
 }
 
 // startRoom is the part of a worker's available room that a waiting attempt may take.
-func (n *node) startRoom(ag *workerAgent, h *agentAttempt, q *configuration.Queue, avail resource.Amount) resource.Amount {
-	if h.spec.Class == wire.ClassGuaranteed || n.usesKeptRoom(q, h.spec.Excess) || !ag.colocated {
+func (n *node) startRoom(agent *workerAgent, attempt *agentAttempt, q *configuration.Queue, avail resource.Amount) resource.Amount {
+	if attempt.spec.Class == wire.ClassGuaranteed || n.usesKeptRoom(q, attempt.spec.Excess) || !agent.colocated {
 		return avail
 	}
-	if n.fleetIdle() && n.now-h.queuedMs > backfillMs && n.Policies.On(scheduler.Backfill) {
+	if n.fleetIdle() && n.now-attempt.queuedMs > backfillMs && n.Policies.On(scheduler.Backfill) {
 		return avail // no room is kept back from what waited this long while most of it is free
 	}
-	return avail.Minus(n.keptRoom(ag.capacity, ag.urgentHeld(n, wire.AttemptOrdered, wire.AttemptRunning)))
+	return avail.Minus(n.keptRoom(agent.capacity, agent.urgentHeld(n, wire.AttemptOrdered, wire.AttemptRunning)))
 }
 
 // ofStep counts the started tasks here that share a task's job, round and step.
-func (ag *workerAgent) ofStep(h *agentAttempt) (count int) {
-	round, step, _, ok := parseUniformTaskID(h.spec.Key.Task)
-	for k, o := range ag.attempts {
+func (a *workerAgent) ofStep(attempt *agentAttempt) (count int) {
+	round, step, _, ok := parseUniformTaskID(attempt.spec.Key.Task)
+	for k, o := range a.attempts {
 		r, s, _, _ := parseUniformTaskID(k.Task)
-		if ok && k.Job == h.spec.Key.Job && r == round && s == step &&
+		if ok && k.Job == attempt.spec.Key.Job && r == round && s == step &&
 			(o.state == wire.AttemptOrdered || o.state == wire.AttemptRunning) {
 			count++
 		}
@@ -152,14 +152,14 @@
 }
 
 // unstarted gives the unstarted tasks in the order they may start.
-func (ag *workerAgent) waiting(n *node) []*agentAttempt {
+func (a *workerAgent) waiting(n *node) []*agentAttempt {
 	var out []*agentAttempt
-	for _, key := range ag.keys() {
-		if ag.attempts[key].state == wire.AttemptQueued {
-			out = append(out, ag.attempts[key])
+	for _, key := range a.keys() {
+		if a.attempts[key].state == wire.AttemptQueued {
+			out = append(out, a.attempts[key])
 		}
 	}
-	precedence := func(h *agentAttempt) int64 { return n.precedence(h.spec.Queue, h.spec.Excess) }
+	precedence := func(attempt *agentAttempt) int64 { return n.precedence(attempt.spec.Queue, attempt.spec.Excess) }
 	slices.SortStableFunc(out, func(a, b *agentAttempt) int {
 		return cmp.Or(
 			cmp.Compare(precedence(b), precedence(a)),
@@ -172,28 +172,28 @@
 
 // preempt stops queueable runs until so much room is on its way, see scheduler.Victims. For a
 // queueable task only runs of less urgent queues are stopped, and only if that is enough.
-func (n *node) preempt(ag *workerAgent, pending *agentAttempt, lacking resource.Amount) {
+func (n *node) preempt(agent *workerAgent, pending *agentAttempt, lacking resource.Amount) {
 	var attempts []*agentAttempt
 	var runs []scheduler.Run
-	for _, key := range ag.keys() {
-		h := ag.attempts[key]
-		if h.spec.Class != wire.ClassQueueable || h.state != wire.AttemptRunning {
+	for _, key := range agent.keys() {
+		attempt := agent.attempts[key]
+		if attempt.spec.Class != wire.ClassQueueable || attempt.state != wire.AttemptRunning {
 			continue
 		}
-		if h.stopMs != 0 {
-			lacking = lacking.Minus(h.spec.Resources)
+		if attempt.stopMs != 0 {
+			lacking = lacking.Minus(attempt.spec.Resources)
 			continue
 		}
-		if n.mayPreempt(pending, h) {
-			attempts = append(attempts, h)
+		if n.mayPreempt(pending, attempt) {
+			attempts = append(attempts, attempt)
 			runs = append(runs, scheduler.Run{
-				Resources: h.spec.Resources, Urgency: n.precedence(h.spec.Queue, h.spec.Excess), RanMs: n.now - h.startedMs,
+				Resources: attempt.spec.Resources, Urgency: n.precedence(attempt.spec.Queue, attempt.spec.Excess), RanMs: n.now - attempt.startedMs,
 			})
 		}
 	}
 	for _, at := range scheduler.Victims(runs, lacking, pending.spec.Class == wire.ClassGuaranteed) {
 		n.count("preemptions")
-		n.stopAttempt(ag, attempts[at], wire.ResultPreempted)
+		n.stopAttempt(agent, attempts[at], wire.ResultPreempted)
 	}
 }
 
@@ -207,13 +207,13 @@
 	return others < mine || guaranteed && others == mine
 }
 
-func (n *node) dispatch(ag *workerAgent, h *agentAttempt) {
-	h.state, h.ordered, h.orderedMs, h.listed = wire.AttemptOrdered, true, n.now, false
-	s := &h.spec
+func (n *node) dispatch(agent *workerAgent, attempt *agentAttempt) {
+	attempt.state, attempt.ordered, attempt.orderedMs, attempt.listed = wire.AttemptOrdered, true, n.now, false
+	s := &attempt.spec
 	n.count("orders_" + s.Class.String())
-	if ag.colocated {
-		h.orderSeq = ag.reportSeq
-		ag.toStart = append(ag.toStart, h)
+	if agent.colocated {
+		attempt.orderSeq = agent.reportSeq
+		agent.toStart = append(agent.toStart, attempt)
 		return
 	}
 	payload := rawJSON(s.Payload)
@@ -222,14 +222,14 @@
 	}
 	tag := mustJSON(orderTag{s.Shard, s.Queue, s.Name, s.Class, s.Resources, s.LimitMs, s.EstimateMs, s.SubmittedMs})
 	n.emit(effOrder{
-		Worker: ag.worker,
-		Addr:   ag.addr,
+		Worker: agent.worker,
+		Addr:   agent.addr,
 		Key:    s.Key,
 		NotAfterMs: min(
-			n.leases.HeldUntilMs(lease.AgentRole(ag.worker)),
-			h.confirmedMs+contactMs,
+			n.leases.HeldUntilMs(lease.AgentRole(agent.worker)),
+			attempt.confirmedMs+contactMs,
 			n.config.confirmedMs+configFreshMs,
-			ag.tokenMs+reportMs,
+			agent.tokenMs+reportMs,
 		),
 		Body: mustJSON(
 			map[string]any{
@@ -248,32 +248,32 @@
 }
 
 var orderOutcomes = map[string]func(*node, *workerAgent, *agentAttempt){
-	"started": func(n *node, _ *workerAgent, h *agentAttempt) {
-		if h.state == wire.AttemptOrdered {
-			h.state, h.startedMs, h.answeredMs = wire.AttemptRunning, n.now, n.now
+	"started": func(n *node, _ *workerAgent, attempt *agentAttempt) {
+		if attempt.state == wire.AttemptOrdered {
+			attempt.state, attempt.startedMs, attempt.answeredMs = wire.AttemptRunning, n.now, n.now
 		}
 	},
-	"turned_away": func(n *node, ag *workerAgent, h *agentAttempt) {
-		if h.state == wire.AttemptOrdered {
-			h.state, h.result, h.ordered = wire.AttemptEnded, wire.ResultRejected, false
-			n.reportAgent(ag)
+	"turned_away": func(n *node, agent *workerAgent, attempt *agentAttempt) {
+		if attempt.state == wire.AttemptOrdered {
+			attempt.state, attempt.result, attempt.ordered = wire.AttemptEnded, wire.ResultRejected, false
+			n.reportAgent(agent)
 		}
 	},
-	"not_sent": func(n *node, _ *workerAgent, h *agentAttempt) {
-		if h.state == wire.AttemptOrdered {
-			h.state, h.ordered = wire.AttemptQueued, false
+	"not_sent": func(n *node, _ *workerAgent, attempt *agentAttempt) {
+		if attempt.state == wire.AttemptOrdered {
+			attempt.state, attempt.ordered = wire.AttemptQueued, false
 		}
 	},
 	// It may have started: it holds its room until the worker's report resolves it.
-	"unknown": func(n *node, _ *workerAgent, h *agentAttempt) { n.count("orders_unconfirmed") },
+	"unknown": func(n *node, _ *workerAgent, attempt *agentAttempt) { n.count("orders_unconfirmed") },
 }
 
 func (n *node) onOrder(e evOrder) {
-	ag := n.agents[e.Worker]
-	if ag == nil || e.Stop {
+	agent := n.agents[e.Worker]
+	if agent == nil || e.Stop {
 		return
 	}
-	if h := ag.attempts[e.Key]; h != nil {
-		orderOutcomes[e.Outcome](n, ag, h)
+	if attempt := agent.attempts[e.Key]; attempt != nil {
+		orderOutcomes[e.Outcome](n, agent, attempt)
 	}
 }
--- a/internal/daemon/agent_health.go
+++ b/internal/daemon/agent_health.go
@@ -18,56 +18,56 @@
 
 // observeEnd counts how a run ended. A job that can't be done fails everywhere, so that of each
 // job one failure in a while speaks against the worker, and none while it gets no work.
-func (n *node) observeEnd(ag *workerAgent, h *agentAttempt, failed bool) {
-	if h.unobserved || h.spec.Queue == "" {
+func (n *node) observeEnd(agent *workerAgent, attempt *agentAttempt, failed bool) {
+	if attempt.unobserved || attempt.spec.Queue == "" {
 		return
 	}
-	if ag.ended == nil {
-		ag.ended, ag.failedJobs = map[string]scheduler.EndCounts{}, map[string]int64{}
+	if agent.ended == nil {
+		agent.ended, agent.failedJobs = map[string]scheduler.EndCounts{}, map[string]int64{}
 	}
-	counts := ag.ended[h.spec.Queue]
+	counts := agent.ended[attempt.spec.Queue]
 	counts.Observe(failed)
-	ag.ended[h.spec.Queue] = counts
+	agent.ended[attempt.spec.Queue] = counts
 	if failed {
-		lastMs, before := ag.failedJobs[h.spec.Key.Job]
-		ag.failedJobs[h.spec.Key.Job] = n.now
+		lastMs, before := agent.failedJobs[attempt.spec.Key.Job]
+		agent.failedJobs[attempt.spec.Key.Job] = n.now
 		if before && n.now-lastMs <= healthDecayMs {
 			return
 		}
 	}
-	if n.now >= ag.suspectMs {
-		ag.evidence.Observe(failed, n.ranks.failRate(h.spec.Queue))
+	if n.now >= agent.suspectMs {
+		agent.evidence.Observe(failed, n.ranks.failRate(attempt.spec.Queue))
 	}
 }
 
 // judgeWorker has a worker that fails far more than others get no more work for a while. What
 // waits there, and never started, goes back.
-func (n *node) judgeWorker(ag *workerAgent) {
-	if !ag.evidence.Conclusive() || !n.Policies.On(scheduler.EjectUnhealthy) {
+func (n *node) judgeWorker(agent *workerAgent) {
+	if !agent.evidence.Conclusive() || !n.Policies.On(scheduler.EjectUnhealthy) {
 		return
 	}
-	ag.evidence.StartProbation()
-	n.suspectWorker(ag, "fails", failsMs)
+	agent.evidence.StartProbation()
+	n.suspectWorker(agent, "fails", failsMs)
 	n.count("workers_ejected")
-	for _, key := range ag.keys() {
-		if h := ag.attempts[key]; h.state == wire.AttemptQueued {
-			h.state, h.result = wire.AttemptEnded, wire.ResultShed
+	for _, key := range agent.keys() {
+		if attempt := agent.attempts[key]; attempt.state == wire.AttemptQueued {
+			attempt.state, attempt.result = wire.AttemptEnded, wire.ResultShed
 		}
 	}
-	n.reportAgent(ag)
+	n.reportAgent(agent)
 }
 
 // suspectWorker has a worker get no more work for a while, each time for longer.
-func (n *node) suspectWorker(ag *workerAgent, why string, forMs int64) {
-	ag.suspects = min(ag.suspects+1, suspectMax)
-	ag.suspectMs = n.now + forMs<<(ag.suspects-1)
-	n.log("worker_suspect", "worker", ag.worker, "why", why, "for_ms", ag.suspectMs-n.now)
+func (n *node) suspectWorker(agent *workerAgent, why string, forMs int64) {
+	agent.suspects = min(agent.suspects+1, suspectMax)
+	agent.suspectMs = n.now + forMs<<(agent.suspects-1)
+	n.log("worker_suspect", "worker", agent.worker, "why", why, "for_ms", agent.suspectMs-n.now)
 }
 
 // endsByQueue is how runs ended here lately, for the coordinator.
-func (ag *workerAgent) endsByQueue() (ends []wire.QueueEnds) {
-	for _, queue := range sortedKeys(ag.ended) {
-		counts := ag.ended[queue]
+func (a *workerAgent) endsByQueue() (ends []wire.QueueEnds) {
+	for _, queue := range sortedKeys(a.ended) {
+		counts := a.ended[queue]
 		ends = append(ends, wire.QueueEnds{Queue: queue, Succeeded: counts.Succeeded, Failed: counts.Failed})
 	}
 	return ends
--- a/internal/daemon/agent_report.go
+++ b/internal/daemon/agent_report.go
@@ -51,30 +51,30 @@
 
 // routeReport brings a worker's report to its agent, and where it has none lets
 // the candidate of the worker's zone become it.
-func (n *node) routeReport(a *request) {
-	name := lease.AgentRole(a.key)
-	if ag := n.agents[a.key]; ag != nil && n.leases.Holds(name) {
-		n.applyReport(ag, a)
+func (n *node) routeReport(req *request) {
+	name := lease.AgentRole(req.key)
+	if agent := n.agents[req.key]; agent != nil && n.leases.Holds(name) {
+		n.applyReport(agent, req)
 		return
 	}
-	if !schema.ValidName(a.key) {
-		n.rejectFaults(a, 400, 0, []schema.Fault{{Path: "name", Reason: "must be a name"}})
+	if !schema.ValidName(req.key) {
+		n.rejectFaults(req, 400, 0, []schema.Fault{{Path: "name", Reason: "must be a name"}})
 		return
 	}
 	if to, _ := n.leases.Holder(name); to != "" {
-		n.forward(a, to)
+		n.forward(req, to)
 		return
 	}
 	next := n.leases.Successor(name) // named by the last holder, or else the first candidate
-	if c := n.leases.Candidates(name, gjson.GetBytes(a.body, "site").Str); !n.peers.Alive(next) && len(c) > 0 {
+	if c := n.leases.Candidates(name, gjson.GetBytes(req.body, "site").Str); !n.peers.Alive(next) && len(c) > 0 {
 		next = c[0]
 	}
-	if next != n.Name && a.hops < forwardsMax {
-		n.forward(a, next)
+	if next != n.Name && req.hops < forwardsMax {
+		n.forward(req, next)
 		return
 	}
 	n.leases.Acquire(name)
-	n.respond(a, 503, 200, mustJSON(map[string]any{"error": "the worker has no agent yet"}))
+	n.respond(req, 503, 200, mustJSON(map[string]any{"error": "the worker has no agent yet"}))
 }
 
 // pastIncarnationsMax former incarnations of a worker are remembered: a report of one of
@@ -82,85 +82,85 @@
 const pastIncarnationsMax = 8
 
 // applyReport brings what is held in line with a worker's report, and answers it.
-func (n *node) applyReport(ag *workerAgent, a *request) {
-	if f := schema.Check(a.body, reportFields); len(f) > 0 {
-		n.rejectFaults(a, 400, 0, f)
+func (n *node) applyReport(agent *workerAgent, req *request) {
+	if f := schema.Check(req.body, reportFields); len(f) > 0 {
+		n.rejectFaults(req, 400, 0, f)
 		return
 	}
-	r := gjson.ParseBytes(a.body)
-	if !n.recordReport(ag, r) {
-		n.respondReport(ag, a, nil)
+	r := gjson.ParseBytes(req.body)
+	if !n.recordReport(agent, r) {
+		n.respondReport(agent, req, nil)
 		return
 	}
-	running := n.applyReportedRuns(ag, r)
-	ended, changed := n.applyReportedEnds(ag, r)
-	changed = n.endUnreported(ag, running, ended) || changed
-	if !ag.rebuilt && ag.tokenMs > ag.startMs+flightMs {
-		ag.rebuilt = true
-		n.log("agent_rebuilt", "worker", ag.worker, "epoch", ag.epoch, "held", len(ag.attempts))
+	running := n.applyReportedRuns(agent, r)
+	ended, changed := n.applyReportedEnds(agent, r)
+	changed = n.endUnreported(agent, running, ended) || changed
+	if !agent.rebuilt && agent.tokenMs > agent.startMs+flightMs {
+		agent.rebuilt = true
+		n.log("agent_rebuilt", "worker", agent.worker, "epoch", agent.epoch, "held", len(agent.attempts))
 		changed = true
 	}
-	n.respondReport(ag, a, ended)
-	n.judgeWorker(ag)
+	n.respondReport(agent, req, ended)
+	n.judgeWorker(agent)
 	if changed {
-		n.reportAgent(ag)
+		n.reportAgent(agent)
 	}
-	n.startPending(ag)
+	n.startPending(agent)
 }
 
 // recordReport keeps what a report says of the worker itself. It gives false for a
 // report that comes again or late, of which nothing is kept.
-func (n *node) recordReport(ag *workerAgent, r gjson.Result) bool {
+func (n *node) recordReport(agent *workerAgent, r gjson.Result) bool {
 	inc, seq := r.Get("incarnation").Str, r.Get("seq").Int()
-	if inc == ag.workerIncarnation && seq <= ag.reportSeq || slices.Contains(ag.pastIncarnations, inc) {
+	if inc == agent.workerIncarnation && seq <= agent.reportSeq || slices.Contains(agent.pastIncarnations, inc) {
 		return false
 	}
-	if ag.workerIncarnation != "" && inc != ag.workerIncarnation {
-		ag.pastIncarnations = append(ag.pastIncarnations, ag.workerIncarnation)
-		ag.pastIncarnations = ag.pastIncarnations[max(0, len(ag.pastIncarnations)-pastIncarnationsMax):]
-		n.log("worker_new_incarnation", "worker", ag.worker, "epoch", ag.epoch)
+	if agent.workerIncarnation != "" && inc != agent.workerIncarnation {
+		agent.pastIncarnations = append(agent.pastIncarnations, agent.workerIncarnation)
+		agent.pastIncarnations = agent.pastIncarnations[max(0, len(agent.pastIncarnations)-pastIncarnationsMax):]
+		n.log("worker_new_incarnation", "worker", agent.worker, "epoch", agent.epoch)
 	}
-	ag.workerIncarnation, ag.reportSeq, ag.heardMs = inc, seq, n.now
-	ag.addr, ag.zone, ag.leaving = r.Get("address").Str, r.Get("site").Str, r.Get("leaving").Bool()
-	ag.labels, ag.free = labelsOf(r.Get("labels")), resource.Parse(r.Get("free"))
-	ag.tokenMs = -1 << 40
-	if epoch, ms, ok := strings.Cut(r.Get("token").Str, "."); ok && epoch == strconv.FormatUint(ag.epoch, 10) {
+	agent.workerIncarnation, agent.reportSeq, agent.heardMs = inc, seq, n.now
+	agent.addr, agent.zone, agent.leaving = r.Get("address").Str, r.Get("site").Str, r.Get("leaving").Bool()
+	agent.labels, agent.free = labelsOf(r.Get("labels")), resource.Parse(r.Get("free"))
+	agent.tokenMs = -1 << 40
+	if epoch, ms, ok := strings.Cut(r.Get("token").Str, "."); ok && epoch == strconv.FormatUint(agent.epoch, 10) {
 		if v, err := strconv.ParseInt(ms, 10, 64); err == nil && v <= n.now {
-			ag.tokenMs = v
+			agent.tokenMs = v
 		}
 	}
 	return true
 }
 
 // applyReportedRuns applies what a report lists as running, and reckons the worker's capacity.
-func (n *node) applyReportedRuns(ag *workerAgent, r gjson.Result) map[wire.AttemptKey]bool {
+func (n *node) applyReportedRuns(agent *workerAgent, r gjson.Result) map[wire.AttemptKey]bool {
 	running := map[wire.AttemptKey]bool{}
-	ag.capacity = ag.free
+	agent.capacity = agent.free
 	for _, e := range r.Get("running").Array() {
 		key, ok := wire.ParseAttemptKey(e.Get("id").Str)
 		if !ok {
-			ag.capacity = ag.capacity.Plus(resource.Parse(e.Get("room")))
+			agent.capacity = agent.capacity.Plus(resource.Parse(e.Get("room")))
 			continue // not one of ours, but it takes room
 		}
 		running[key] = true
-		h := ag.attempts[key]
-		if h == nil {
-			h = ag.adopt(key, e, n.now)
+		attempt := agent.attempts[key]
+		if attempt == nil {
+			attempt = agent.adopt(key, e, n.now)
 		}
-		if h.state != wire.AttemptRunning {
-			if h.state == wire.AttemptEnded {
-				n.log("attempt_runs_after_end", "attempt", key.String(), "worker", ag.worker)
+		if attempt.state != wire.AttemptRunning {
+			if attempt.state == wire.AttemptEnded {
+				n.log("attempt_runs_after_end", "attempt", key.String(), "worker", agent.worker)
 			}
-			h.state, h.ordered = wire.AttemptRunning, true
-			h.startedMs = n.now - e.Get("ran_ms").Int()
+			attempt.state, attempt.ordered = wire.AttemptRunning, true
+			attempt.startedMs = n.now - e.Get("ran_ms").Int()
 		}
-		ag.capacity = ag.capacity.Plus(h.spec.Resources)
+		agent.capacity = agent.capacity.Plus(attempt.spec.Resources)
 	}
 	return running
 }
 
 // applyReportedEnds applies what a report lists as ended.
-func (n *node) applyReportedEnds(ag *workerAgent, r gjson.Result) (ended map[wire.AttemptKey]bool, changed bool) {
+func (n *node) applyReportedEnds(agent *workerAgent, r gjson.Result) (ended map[wire.AttemptKey]bool, changed bool) {
 	ended = map[wire.AttemptKey]bool{}
 	for _, e := range r.Get("ended").Array() {
 		key, ok := wire.ParseAttemptKey(e.Get("id").Str)
@@ -168,17 +168,17 @@
 			continue
 		}
 		ended[key] = true
-		h := ag.attempts[key]
-		if h == nil {
-			if _, ok := ag.tombstones[key]; ok {
+		attempt := agent.attempts[key]
+		if attempt == nil {
+			if _, ok := agent.tombstones[key]; ok {
 				continue
 			}
-			h = ag.adopt(key, e, n.now)
+			attempt = agent.adopt(key, e, n.now)
 		}
-		h.ordered = true
-		if h.state != wire.AttemptEnded {
+		attempt.ordered = true
+		if attempt.state != wire.AttemptEnded {
 			changed = true
-			n.endAttempt(ag, h, e.Get("outcome").Str, max(e.Get("ran_ms").Int(), 1))
+			n.endAttempt(agent, attempt, e.Get("outcome").Str, max(e.Get("ran_ms").Int(), 1))
 		}
 	}
 	return ended, changed
@@ -186,29 +186,29 @@
 
 // endUnreported ends what a report doesn't list, where it must list it, and forgets
 // what is acknowledged.
-func (n *node) endUnreported(ag *workerAgent, running, ended map[wire.AttemptKey]bool) (changed bool) {
-	for _, key := range ag.keys() {
-		h := ag.attempts[key]
-		wasListed := h.listed
-		h.listed = running[key]
+func (n *node) endUnreported(agent *workerAgent, running, ended map[wire.AttemptKey]bool) (changed bool) {
+	for _, key := range agent.keys() {
+		attempt := agent.attempts[key]
+		wasListed := attempt.listed
+		attempt.listed = running[key]
 		switch {
 		case running[key] || ended[key]:
-		case h.state == wire.AttemptRunning && (wasListed || h.answeredMs > 0 && ag.tokenMs > h.answeredMs):
-			h.state, h.result, changed = wire.AttemptEnded, wire.ResultLost, true
-		case h.state == wire.AttemptOrdered && ag.tokenMs > h.orderedMs+flightMs:
-			h.state, h.result, changed = wire.AttemptEnded, wire.ResultRejected, true
-		case h.state == wire.AttemptEnded && h.acked:
-			ag.forget(key, n.now)
+		case attempt.state == wire.AttemptRunning && (wasListed || attempt.answeredMs > 0 && agent.tokenMs > attempt.answeredMs):
+			attempt.state, attempt.result, changed = wire.AttemptEnded, wire.ResultLost, true
+		case attempt.state == wire.AttemptOrdered && agent.tokenMs > attempt.orderedMs+flightMs:
+			attempt.state, attempt.result, changed = wire.AttemptEnded, wire.ResultRejected, true
+		case attempt.state == wire.AttemptEnded && attempt.acked:
+			agent.forget(key, n.now)
 		}
 	}
 	return changed
 }
 
 // adopt takes a run that only the worker knew of.
-func (ag *workerAgent) adopt(key wire.AttemptKey, e gjson.Result, now int64) *agentAttempt {
+func (a *workerAgent) adopt(key wire.AttemptKey, e gjson.Result, now int64) *agentAttempt {
 	var t orderTag
 	_ = json.Unmarshal([]byte(e.Get("tag").Str), &t)
-	h := &agentAttempt{
+	attempt := &agentAttempt{
 		state:     wire.AttemptOrdered,
 		ordered:   true,
 		orderedMs: now,
@@ -225,14 +225,14 @@
 			SubmittedMs: t.SubmitMs,
 		},
 	}
-	if h.spec.Resources == (resource.Amount{}) {
-		h.spec.Resources = resource.Parse(e.Get("room"))
+	if attempt.spec.Resources == (resource.Amount{}) {
+		attempt.spec.Resources = resource.Parse(e.Get("room"))
 	}
-	ag.attempts[key] = h
-	return h
+	a.attempts[key] = attempt
+	return attempt
 }
 
-func (n *node) respondReport(ag *workerAgent, a *request, ended map[wire.AttemptKey]bool) {
+func (n *node) respondReport(agent *workerAgent, req *request, ended map[wire.AttemptKey]bool) {
 	acked := []string{}
 	keys := make([]wire.AttemptKey, 0, len(ended))
 	for k := range ended {
@@ -240,64 +240,64 @@
 	}
 	slices.SortFunc(keys, wire.CompareAttemptKeys)
 	for _, k := range keys {
-		_, buried := ag.tombstones[k]
-		if h := ag.attempts[k]; buried || h != nil && h.acked {
+		_, buried := agent.tombstones[k]
+		if attempt := agent.attempts[k]; buried || attempt != nil && attempt.acked {
 			acked = append(acked, k.String())
 		}
 	}
 	n.respond(
-		a,
+		req,
 		200,
 		0,
 		mustJSON(
-			map[string]any{"agent": n.Name, "epoch": ag.epoch, "token": fmt.Sprintf("%d.%d", ag.epoch, n.now), "acked": acked},
+			map[string]any{"agent": n.Name, "epoch": agent.epoch, "token": fmt.Sprintf("%d.%d", agent.epoch, n.now), "acked": acked},
 		),
 	)
 }
 
 // endAttempt takes a worker's word on how a run ended.
-func (n *node) endAttempt(ag *workerAgent, h *agentAttempt, outcome string, ranMs int64) {
-	h.state, h.ranMs = wire.AttemptEnded, ranMs
-	ag.guaranteedEnded = ag.guaranteedEnded || h.spec.Class == wire.ClassGuaranteed
-	if h.unobserved {
-		h.ranMs = 0 // nothing is learned from it
+func (n *node) endAttempt(agent *workerAgent, attempt *agentAttempt, outcome string, ranMs int64) {
+	attempt.state, attempt.ranMs = wire.AttemptEnded, ranMs
+	agent.guaranteedEnded = agent.guaranteedEnded || attempt.spec.Class == wire.ClassGuaranteed
+	if attempt.unobserved {
+		attempt.ranMs = 0 // nothing is learned from it
 	}
 	switch outcome {
 	case "ok":
-		h.result = wire.ResultOK
-		ag.succeeded++
-		n.observeEnd(ag, h, false)
-		if h.spec.Class == wire.ClassQueueable {
-			ag.lastOK = n.now
+		attempt.result = wire.ResultOK
+		agent.succeeded++
+		n.observeEnd(agent, attempt, false)
+		if attempt.spec.Class == wire.ClassQueueable {
+			agent.lastOK = n.now
 		}
-		if h.spec.EstimateMs > 0 && !h.unobserved {
-			ag.lagPct += (min(100*ranMs/h.spec.EstimateMs, 2000) - ag.lagPct) / 8
+		if attempt.spec.EstimateMs > 0 && !attempt.unobserved {
+			agent.lagPct += (min(100*ranMs/attempt.spec.EstimateMs, 2000) - agent.lagPct) / 8
 		}
 	case "failed":
-		h.result = wire.ResultFailed
-		ag.failed++
-		n.observeEnd(ag, h, true)
+		attempt.result = wire.ResultFailed
+		agent.failed++
+		n.observeEnd(agent, attempt, true)
 	case "overrun":
-		h.result = wire.ResultOverrun
-		ag.failed++
+		attempt.result = wire.ResultOverrun
+		agent.failed++
 	case "lapsed":
-		h.result = wire.ResultLost
+		attempt.result = wire.ResultLost
 	case "broken", "alone":
-		h.result = wire.ResultGangBroken
+		attempt.result = wire.ResultGangBroken
 		n.count("gang_" + outcome)
 	case "turned_away":
-		h.result = wire.ResultRejected
+		attempt.result = wire.ResultRejected
 		n.count("starts_rejected")
 	default:
-		h.result = h.stopReason
-		if h.result == 0 {
-			h.result = wire.ResultPreempted // stopped on a former agent's order: never the task's own failure
+		attempt.result = attempt.stopReason
+		if attempt.result == 0 {
+			attempt.result = wire.ResultPreempted // stopped on a former agent's order: never the task's own failure
 		}
-		if h.spec.LimitMs > 0 && ranMs >= h.spec.LimitMs {
-			h.result = wire.ResultOverrun // whoever had it stopped first, it ran past its limit
+		if attempt.spec.LimitMs > 0 && ranMs >= attempt.spec.LimitMs {
+			attempt.result = wire.ResultOverrun // whoever had it stopped first, it ran past its limit
 		}
-		if h.result == wire.ResultOverrun {
-			ag.failed++
+		if attempt.result == wire.ResultOverrun {
+			agent.failed++
 		}
 	}
 }
--- a/internal/daemon/allocate.go
+++ b/internal/daemon/allocate.go
@@ -59,47 +59,47 @@
 		idle:       n.Policies.On(scheduler.Backfill) && scheduler.MostlyIdle(candidates, busyPercent),
 	}
 	for _, k := range keys {
-		ws := c.pending[k]
-		if q := n.config.current.Queues[ws.Queue]; q != nil {
-			n.allocate(c, pass, ws, q)
+		request := c.pending[k]
+		if q := n.config.current.Queues[request.Queue]; q != nil {
+			n.allocate(c, pass, request, q)
 		}
 	}
 }
 
 // allocate gives one request the places that it can have now.
-func (n *node) allocate(c *centralScheduler, pass *allocationPass, ws *pendingAllocation, q *configuration.Queue) {
-	fit, healthy := n.fittingWorkers(ws, q, pass.candidates)
-	open := ws.open()
-	search := n.newAssignment(ws, q, pass.reserved)
+func (n *node) allocate(c *centralScheduler, pass *allocationPass, request *pendingAllocation, q *configuration.Queue) {
+	fit, healthy := n.fittingWorkers(request, q, pass.candidates)
+	open := request.open()
+	search := n.newAssignment(request, q, pass.reserved)
 	workers := search.Find(len(open), healthy)
-	if len(workers) == 0 && pass.idle && n.now-ws.firstMs > backfillMs {
+	if len(workers) == 0 && pass.idle && n.now-request.firstMs > backfillMs {
 		// No room is kept back from what waited this long while most of it is free.
-		search.Reserved, search.Urgent, search.WaitsForRack = nil, true, n.waitsForRack(ws, spreadAfterMs)
+		search.Reserved, search.Urgent, search.WaitsForRack = nil, true, n.waitsForRack(request, spreadAfterMs)
 		if workers = search.Find(len(open), healthy); len(workers) == 0 {
 			workers = search.Find(len(open), fit)
 		}
 	}
 	if len(workers) == 0 {
-		n.reserve(ws, healthy, pass.reserved, len(pass.candidates))
+		n.reserve(request, healthy, pass.reserved, len(pass.candidates))
 		return
 	}
-	n.sendAllocation(c, ws, open, workers)
+	n.sendAllocation(c, request, open, workers)
 }
 
 // pendingInOrder gives the requests with open tasks: by the queue's urgency, those of excess jobs
 // last, and among equals by what their tenants have already and by the job's age.
 func (n *node) pendingInOrder(c *centralScheduler) []allocationKey {
 	var keys []allocationKey
-	for k, ws := range c.pending {
-		if ws.hasOpen() {
+	for k, request := range c.pending {
+		if request.hasOpen() {
 			keys = append(keys, k)
 		}
 	}
 	requests := make([]scheduler.FairRequest, len(keys))
 	for i, k := range keys {
-		ws := c.pending[k]
+		request := c.pending[k]
 		requests[i] = scheduler.FairRequest{
-			Precedence: n.precedence(ws.Queue, ws.Excess), SubmittedMs: ws.SubmittedMs, Job: k.Job, Step: k.Step,
+			Precedence: n.precedence(request.Queue, request.Excess), SubmittedMs: request.SubmittedMs, Job: k.Job, Step: k.Step,
 		}
 	}
 	if n.limits.Any() && n.Policies.On(scheduler.WeightedFairness) {
@@ -134,15 +134,15 @@
 // fittingWorkers gives the workers that a request's queue, labels and size allow, and those of
 // them that are healthy: unhealthy ones count only where nothing else may ever do.
 func (n *node) fittingWorkers(
-	ws *pendingAllocation,
+	request *pendingAllocation,
 	q *configuration.Queue,
 	candidates []*scheduler.Candidate,
 ) (fit, healthy []*scheduler.Candidate) {
 	suspects := 0
 	for _, r := range candidates {
 		w := n.central.workers[r.Name]
-		_, lack := configuration.MissingLabel(w.Labels, ws.Needs)
-		if lack || !q.Matches(w.Labels, w.Zone) || !ws.Resources.Fits(r.Capacity) {
+		_, lack := configuration.MissingLabel(w.Labels, request.Needs)
+		if lack || !q.Matches(w.Labels, w.Zone) || !request.Resources.Fits(r.Capacity) {
 			continue
 		}
 		fit = append(fit, r)
@@ -163,34 +163,34 @@
 }
 
 func (n *node) newAssignment(
-	ws *pendingAllocation,
+	request *pendingAllocation,
 	q *configuration.Queue,
 	reserved map[string]bool,
 ) *scheduler.Assignment {
 	search := &scheduler.Assignment{
-		Group: n.groupOf(ws), Used: map[string]int32{}, Reserved: reserved,
-		Urgent: n.usesKeptRoom(q, ws.Excess), Kept: n.central.urgent.Percent(),
-		WaitsForRack: n.waitsForRack(ws, n.rackWaitMs(ws)),
+		Group: n.groupOf(request), Used: map[string]int32{}, Reserved: reserved,
+		Urgent: n.usesKeptRoom(q, request.Excess), Kept: n.central.urgent.Percent(),
+		WaitsForRack: n.waitsForRack(request, n.rackWaitMs(request)),
 	}
-	for _, u := range ws.Used {
+	for _, u := range request.Used {
 		search.Used[u.Worker] += u.Count
 	}
-	for _, g := range ws.granted {
+	for _, g := range request.granted {
 		search.Used[g.worker]++
 	}
 	return search
 }
 
 // groupOf is what the tasks of a request ask of workers.
-func (n *node) groupOf(ws *pendingAllocation) scheduler.Group {
+func (n *node) groupOf(request *pendingAllocation) scheduler.Group {
 	g := scheduler.Group{
-		Resources: ws.Resources, Size: len(ws.Tasks), PerWorker: ws.PerWorker, Gang: ws.Gang, SameRack: ws.SameRack,
+		Resources: request.Resources, Size: len(request.Tasks), PerWorker: request.PerWorker, Gang: request.Gang, SameRack: request.SameRack,
 	}
 	if n.Policies.On(scheduler.NearData) {
-		g.Near = ws.Near
+		g.Near = request.Near
 	}
 	if n.Policies.On(scheduler.AvoidLast) {
-		g.Avoid, g.Doubted = setOf(ws.Avoid), setOf(ws.Doubted)
+		g.Avoid, g.Doubted = setOf(request.Avoid), setOf(request.Doubted)
 	}
 	return g
 }
@@ -205,56 +205,56 @@
 
 // sendAllocation notes what is granted, and tells the request's owner.
 func (n *node) sendAllocation(
-	c *centralScheduler, ws *pendingAllocation, open []wire.RequestedTask, workers []*scheduler.Candidate,
+	c *centralScheduler, request *pendingAllocation, open []wire.RequestedTask, workers []*scheduler.Candidate,
 ) {
-	m := &wire.Allocation{Shard: ws.Shard, Job: ws.Job, Epoch: c.epoch}
+	m := &wire.Allocation{Shard: request.Shard, Job: request.Job, Epoch: c.epoch}
 	for i, w := range workers {
 		task := open[i]
 		m.Places = append(m.Places, wire.AllocatedTask{Task: task.Task, Attempt: task.Attempt, Worker: w.Name})
-		ws.granted[task.Task] = grantedTask{task.Attempt, w.Name, n.now}
+		request.granted[task.Task] = grantedTask{task.Attempt, w.Name, n.now}
 		n.count("grants")
 	}
-	n.send(ws.from, m)
+	n.send(request.from, m)
 }
 
 // reserve lets a request that waited long keep the likeliest workers from those
 // behind it: one worker for a task, as many as hold it whole for a gang. A gang
 // that waits for one rack keeps workers of one rack, from the beginning: else
 // others take what gets free there.
-func (n *node) reserve(ws *pendingAllocation, fit []*scheduler.Candidate, reserved map[string]bool, all int) {
+func (n *node) reserve(request *pendingAllocation, fit []*scheduler.Candidate, reserved map[string]bool, all int) {
 	if !n.Policies.On(scheduler.Reservation) {
 		return
 	}
 	var likely []*scheduler.Candidate
-	group := n.groupOf(ws)
-	switch waitedMs := n.now - ws.firstMs; {
-	case ws.Gang && ws.SameRack && waitedMs < n.rackWaitMs(ws):
+	group := n.groupOf(request)
+	switch waitedMs := n.now - request.firstMs; {
+	case request.Gang && request.SameRack && waitedMs < n.rackWaitMs(request):
 		likely = group.LikeliestRack(fit, reserved)
 	case waitedMs > reserveMs:
 		likely = slices.Clone(fit)
 	}
 	slices.SortStableFunc(likely, func(a, b *scheduler.Candidate) int { return cmp.Compare(b.Sure.CPU, a.Sure.CPU) })
 	need := int64(1)
-	if ws.Gang {
-		need = int64(len(ws.Tasks))
+	if request.Gang {
+		need = int64(len(request.Tasks))
 	}
 	for _, r := range likely {
-		if need <= 0 || 2*len(reserved) >= all && !ws.Gang {
+		if need <= 0 || 2*len(reserved) >= all && !request.Gang {
 			return
 		}
 		reserved[r.Name] = true
-		need -= scheduler.TimesIn(ws.Resources, r.Capacity)
+		need -= scheduler.TimesIn(request.Resources, r.Capacity)
 	}
 }
 
 // rackWaitMs is how long a gang that asks for one rack waits for one: a part of
 // what its run would take longer over several.
-func (n *node) rackWaitMs(ws *pendingAllocation) int64 {
-	longerMs := int64((n.SpreadFactor - 1) * float64(ws.EstimateMs))
+func (n *node) rackWaitMs(request *pendingAllocation) int64 {
+	longerMs := int64((n.SpreadFactor - 1) * float64(request.EstimateMs))
 	return min(max(longerMs*rackWaitShare/100, spreadAfterMs), rackWaitMost)
 }
 
 // waitsForRack tells whether a gang still waits for room in one rack, where it does so for long.
-func (n *node) waitsForRack(ws *pendingAllocation, forMs int64) bool {
-	return n.Policies.On(scheduler.RackWait) && n.now-ws.firstMs < forMs
+func (n *node) waitsForRack(request *pendingAllocation, forMs int64) bool {
+	return n.Policies.On(scheduler.RackWait) && n.now-request.firstMs < forMs
 }
--- a/internal/daemon/allocation_request.go
+++ b/internal/daemon/allocation_request.go
@@ -9,40 +9,40 @@
 
 // requestAllocation requests a guaranteed place for a task; where tasks of its step are alike,
 // for all of them that wait now, and for a gang once nobody of it is placed.
-func (n *node) requestAllocation(sl *ownedShard, js *liveJob, i int) {
+func (n *node) requestAllocation(shard *ownedShard, job *liveJob, i int) {
 	to, _ := n.leases.Holder(lease.Central)
-	if to == "" || !n.gangMayBegin(js, i) {
+	if to == "" || !n.gangMayBegin(job, i) {
 		return
 	}
-	m := n.newAllocationRequest(sl, js, i)
-	m.Tasks = n.requestedTasks(sl, js, i)
-	m.Avoid, m.Doubted = n.avoidedBy(js, m.Tasks)
+	m := n.newAllocationRequest(shard, job, i)
+	m.Tasks = n.requestedTasks(shard, job, i)
+	m.Avoid, m.Doubted = n.avoidedBy(job, m.Tasks)
 	n.send(to, m)
 }
 
 // newAllocationRequest gives a request for a task's step, without the tasks.
-func (n *node) newAllocationRequest(sl *ownedShard, js *liveJob, i int) *wire.AllocationRequest {
-	t := &js.Tasks[i]
-	st := &js.Steps[t.Step]
+func (n *node) newAllocationRequest(shard *ownedShard, job *liveJob, i int) *wire.AllocationRequest {
+	t := &job.Tasks[i]
+	step := &job.Steps[t.Step]
 	m := &wire.AllocationRequest{
-		Shard:       sl.name,
-		Job:         js.ID,
-		Queue:       js.Queue,
+		Shard:       shard.name,
+		Job:         job.ID,
+		Queue:       job.Queue,
 		Resources:   t.Resources,
 		Needs:       t.Needs,
-		SubmittedMs: js.SubmitMs,
-		Gang:        st.Gang,
-		SameRack:    st.SameRack,
-		Near:        st.Near,
-		PerWorker:   st.PerWorker,
-		EstimateMs:  n.estimateMs(js, t),
-		Excess:      js.excess,
+		SubmittedMs: job.SubmitMs,
+		Gang:        step.Gang,
+		SameRack:    step.SameRack,
+		Near:        step.Near,
+		PerWorker:   step.PerWorker,
+		EstimateMs:  n.estimateMs(job, t),
+		Excess:      job.excess,
 	}
 	if n.limits.Any() {
-		m.Tenant, m.TenantUsed = js.Tenant, sl.tenantUsed[js.Tenant]
+		m.Tenant, m.TenantUsed = job.Tenant, shard.tenantUsed[job.Tenant]
 	}
-	if st.PerWorker > 0 {
-		used := js.stepTasksByWorker(i)
+	if step.PerWorker > 0 {
+		used := job.stepTasksByWorker(i)
 		for _, w := range sortedKeys(used) {
 			m.Used = append(m.Used, wire.WorkerUse{Worker: w, Count: used[w]})
 		}
@@ -51,27 +51,27 @@
 }
 
 // requestedTogether gives the positions of the tasks that are requested with one.
-func (js *liveJob) requestedTogether(i int) (from, to int) {
-	if js.Steps[js.Tasks[i].Step].Uniform {
-		return js.gangRange(i)
+func (j *liveJob) requestedTogether(i int) (from, to int) {
+	if j.Steps[j.Tasks[i].Step].Uniform {
+		return j.gangRange(i)
 	}
 	return i, i + 1
 }
 
 // waitsForPlace tells whether a task may be placed, by its own state and the committed record.
-func (n *node) waitsForPlace(js *liveJob, k int) bool {
-	t := &js.Tasks[k]
-	return t.State == taskPending && t.ChangedVersion <= js.committed && n.now >= js.runtime[k].retryAtMs
+func (n *node) waitsForPlace(job *liveJob, k int) bool {
+	t := &job.Tasks[k]
+	return t.State == taskPending && t.ChangedVersion <= job.committed && n.now >= job.runtime[k].retryAtMs
 }
 
 // gangMayBegin tells whether all members of a task's gang wait for a place; true for a single task.
-func (n *node) gangMayBegin(js *liveJob, i int) bool {
-	if !js.Steps[js.Tasks[i].Step].Gang {
+func (n *node) gangMayBegin(job *liveJob, i int) bool {
+	if !job.Steps[job.Tasks[i].Step].Gang {
 		return true
 	}
-	from, to := js.requestedTogether(i)
+	from, to := job.requestedTogether(i)
 	for k := from; k < to; k++ {
-		if !n.waitsForPlace(js, k) {
+		if !n.waitsForPlace(job, k) {
 			return false
 		}
 	}
@@ -80,31 +80,31 @@
 
 // requestedTasks gives the tasks to request places for with a task, as far as the tenant's share
 // goes, and reserves the share for them.
-func (n *node) requestedTasks(sl *ownedShard, js *liveJob, i int) (requested []wire.RequestedTask) {
-	gang := js.Steps[js.Tasks[i].Step].Gang
-	from, to := js.requestedTogether(i)
+func (n *node) requestedTasks(shard *ownedShard, job *liveJob, i int) (requested []wire.RequestedTask) {
+	gang := job.Steps[job.Tasks[i].Step].Gang
+	from, to := job.requestedTogether(i)
 	attempt := int32(0)
 	for k := from; k < to; k++ {
-		attempt = max(attempt, js.Tasks[k].Attempt+1)
+		attempt = max(attempt, job.Tasks[k].Attempt+1)
 	}
 	var reserved resource.Amount
 	for k := from; k < to; k++ {
-		t := &js.Tasks[k]
-		if !n.waitsForPlace(js, k) || k != i && n.classify(js, t) != wire.ClassGuaranteed {
+		t := &job.Tasks[k]
+		if !n.waitsForPlace(job, k) || k != i && n.classify(job, t) != wire.ClassGuaranteed {
 			continue
 		}
-		if !gang && !n.hasReservedShare(sl, js, i, reserved.Plus(t.Resources)) {
+		if !gang && !n.hasReservedShare(shard, job, i, reserved.Plus(t.Resources)) {
 			continue
 		}
 		reserved = reserved.Plus(t.Resources)
-		js.runtime[k].allocationRequestMs = n.now
+		job.runtime[k].allocationRequestMs = n.now
 		next := t.Attempt + 1
 		if gang {
 			next = attempt
 		}
-		requested = append(requested, wire.RequestedTask{Task: js.taskID(k), Attempt: next})
+		requested = append(requested, wire.RequestedTask{Task: job.taskID(k), Attempt: next})
 	}
-	sl.shares.reserve(js, i, reserved, n.now, n.now+reservedMs)
+	shard.shares.reserve(job, i, reserved, n.now, n.now+reservedMs)
 	return requested
 }
 
@@ -114,17 +114,17 @@
 // avoidedBy gives the workers that requested tasks rather not go to: where they failed; and,
 // doubted, where others of the job did lately, and, if one may fail no more, where anything
 // speaks against the worker.
-func (n *node) avoidedBy(js *liveJob, requested []wire.RequestedTask) (avoided, doubted []string) {
+func (n *node) avoidedBy(job *liveJob, requested []wire.RequestedTask) (avoided, doubted []string) {
 	failed, doubts, last := map[string]bool{}, map[string]bool{}, false
 	for _, r := range requested {
-		i, _, _ := js.position(r.Task)
-		if t := &js.Tasks[i]; t.LastFailedWorker != "" {
+		i, _, _ := job.position(r.Task)
+		if t := &job.Tasks[i]; t.LastFailedWorker != "" {
 			failed[t.LastFailedWorker] = true
 			last = last || t.onLastAttempt()
 		}
 	}
-	for worker := range js.failedAt {
-		if js.failedLatelyAt(worker, n.now) {
+	for worker := range job.failedAt {
+		if job.failedLatelyAt(worker, n.now) {
 			doubts[worker] = true
 		}
 	}
@@ -141,69 +141,69 @@
 
 // onAllocation takes guaranteed places from the central scheduler; a gang's all or none.
 func (n *node) onAllocation(_ string, m *wire.Allocation) {
-	sl := n.owned[m.Shard]
-	if sl == nil || !n.leases.Holds(lease.ShardRole(m.Shard)) {
+	shard := n.owned[m.Shard]
+	if shard == nil || !n.leases.Holds(lease.ShardRole(m.Shard)) {
 		return
 	}
-	js := sl.jobs[m.Job]
-	if js == nil || js.State != jobRunning {
+	job := shard.jobs[m.Job]
+	if job == nil || job.State != jobRunning {
 		return
 	}
-	q := n.config.current.Queues[js.Queue]
-	if !n.takesGang(sl, js, q, m.Places) {
+	q := n.config.current.Queues[job.Queue]
+	if !n.takesGang(shard, job, q, m.Places) {
 		n.count("grants_not_taken")
 		return
 	}
 	for _, p := range m.Places {
-		if i, ok := n.mayTake(js, q, p); !ok || !n.takePlace(sl, js, i, p) {
+		if i, ok := n.mayTake(job, q, p); !ok || !n.takePlace(shard, job, i, p) {
 			n.count("grants_not_taken")
 		}
 	}
 }
 
 // mayTake gives the position of a task that was granted a place, and whether it may go there.
-func (n *node) mayTake(js *liveJob, q *configuration.Queue, p wire.AllocatedTask) (i int, ok bool) {
-	i, _, known := js.position(p.Task)
+func (n *node) mayTake(job *liveJob, q *configuration.Queue, p wire.AllocatedTask) (i int, ok bool) {
+	i, _, known := job.position(p.Task)
 	w := n.workers[p.Worker]
 	if !known || w == nil || q == nil {
 		return 0, false
 	}
-	t := &js.Tasks[i]
-	return i, t.State == taskPending && p.Attempt > t.Attempt && t.ChangedVersion <= js.committed &&
+	t := &job.Tasks[i]
+	return i, t.State == taskPending && p.Attempt > t.Attempt && t.ChangedVersion <= job.committed &&
 		n.workerAllowed(w, q, t.Needs, t.Resources)
 }
 
 // takesGang tells whether places for a gang are for all its members and within its tenant's share;
 // true for single tasks.
-func (n *node) takesGang(sl *ownedShard, js *liveJob, q *configuration.Queue, places []wire.AllocatedTask) bool {
+func (n *node) takesGang(shard *ownedShard, job *liveJob, q *configuration.Queue, places []wire.AllocatedTask) bool {
 	if len(places) == 0 {
 		return true
 	}
-	first, _, known := js.position(places[0].Task)
-	if !known || !js.Steps[js.Tasks[first].Step].Gang {
+	first, _, known := job.position(places[0].Task)
+	if !known || !job.Steps[job.Tasks[first].Step].Gang {
 		return true
 	}
 	whole := 0
 	for _, p := range places {
-		if _, ok := n.mayTake(js, q, p); ok {
+		if _, ok := n.mayTake(job, q, p); ok {
 			whole++
 		}
 	}
-	return whole >= int(js.Steps[js.Tasks[first].Step].Size) && n.hasReservedShare(sl, js, first, js.allocationUnit(first))
+	return whole >= int(job.Steps[job.Tasks[first].Step].Size) && n.hasReservedShare(shard, job, first, job.allocationUnit(first))
 }
 
 // takePlace places a task where it was granted a place, if its step and its tenant's share still
 // allow that.
-func (n *node) takePlace(sl *ownedShard, js *liveJob, i int, p wire.AllocatedTask) bool {
-	st := &js.Steps[js.Tasks[i].Step]
-	if st.PerWorker > 0 && js.stepTasksByWorker(i)[p.Worker] >= st.PerWorker {
+func (n *node) takePlace(shard *ownedShard, job *liveJob, i int, p wire.AllocatedTask) bool {
+	step := &job.Steps[job.Tasks[i].Step]
+	if step.PerWorker > 0 && job.stepTasksByWorker(i)[p.Worker] >= step.PerWorker {
 		return false
 	}
-	if !st.Gang && !n.hasReservedShare(sl, js, i, js.Tasks[i].Resources) {
+	if !step.Gang && !n.hasReservedShare(shard, job, i, job.Tasks[i].Resources) {
 		return false
 	}
-	n.placeTask(sl, js, i, p.Worker, wire.ClassGuaranteed)
-	n.tracePlaced(js, i, 0)
-	js.Tasks[i].Attempt = p.Attempt
+	n.placeTask(shard, job, i, p.Worker, wire.ClassGuaranteed)
+	n.tracePlaced(job, i, 0)
+	job.Tasks[i].Attempt = p.Attempt
 	return true
 }
--- a/internal/daemon/archive_test.go
+++ b/internal/daemon/archive_test.go
@@ -19,8 +19,8 @@
 
 // recordsIn counts what can be found of a shard.
 func recordsIn(st *statestore.Store, shard string) int {
-	x := st.Shard(shard)
-	return len(x.Live()) + x.Finished()
+	replica := st.Shard(shard)
+	return len(replica.Live()) + replica.Finished()
 }
 
 func finishedEntry(slice string, i int, doneMs int64) statestore.Entry {
--- a/internal/daemon/attempt_result.go
+++ b/internal/daemon/attempt_result.go
@@ -11,61 +11,61 @@
 )
 
 // resolveAttempt applies how an attempt ended to its task.
-func (n *node) resolveAttempt(sl *ownedShard, js *liveJob, i int, result wire.AttemptResult, ranMs int64) {
-	t, rt := &js.Tasks[i], &js.runtime[i]
-	st := &js.Steps[t.Step]
-	if js.awaitsOthers(i, result) {
-		n.markDeferred(sl, js)
+func (n *node) resolveAttempt(shard *ownedShard, job *liveJob, i int, result wire.AttemptResult, ranMs int64) {
+	t, rt := &job.Tasks[i], &job.runtime[i]
+	step := &job.Steps[t.Step]
+	if job.awaitsOthers(i, result) {
+		n.markDeferred(shard, job)
 	} else {
-		n.markDirty(sl, js)
+		n.markDirty(shard, job)
 	}
-	t.ChangedVersion, t.RanMs = js.Version, ranMs
-	n.meterBatch(js, t, ranMs)
+	t.ChangedVersion, t.RanMs = job.Version, ranMs
+	n.meterBatch(job, t, ranMs)
 	n.count("ends_" + result.String())
 	if rt.saved != "" {
 		t.Saved = rt.saved
 	}
 	*rt = taskRuntime{}
-	defer sl.updatePlacedIndex(js, i)
+	defer shard.updatePlacedIndex(job, i)
 	switch result {
 	case wire.ResultOK:
-		n.recordRunTime(js, t, ranMs)
-		if st.Lasting {
+		n.recordRunTime(job, t, ranMs)
+		if step.Lasting {
 			rt.retryAtMs = n.now + backoffMs/2
 			break
 		}
 		t.State, t.Cause = taskEnded, ""
-		if st.Gang {
-			n.endGang(sl, js, i)
+		if step.Gang {
+			n.endGang(shard, job, i)
 		}
 		return
 	case wire.ResultFailed, wire.ResultOverrun:
 		t.LastFailedWorker, t.Cause = t.Worker, result.String()
-		js.noteFailureAt(t.Worker, n.now)
-		if !n.countFailure(js, i) {
+		job.noteFailureAt(t.Worker, n.now)
+		if !n.countFailure(job, i) {
 			break
 		}
-		rt.retryAtMs = n.now + n.backoffOf(st, t)
+		rt.retryAtMs = n.now + n.backoffOf(step, t)
 	case wire.ResultPreempted:
 		t.Preempts++
-		rt.retryAtMs = n.batchBack(js)
+		rt.retryAtMs = n.batchBack(job)
 	case wire.ResultStalled, wire.ResultLost:
 		t.LastFailedWorker = t.Worker
 	case wire.ResultShed, wire.ResultRejected:
 		rt.retryAtMs = n.now + 20 + n.rand().Int64N(100)
 	}
-	if st.Gang && js.Steps[t.Step].Saves {
-		n.shareSaved(js, i)
+	if step.Gang && job.Steps[t.Step].Saves {
+		n.shareSaved(job, i)
 	}
 	switch {
-	case t.Failures >= t.maxFailures() && !st.Lasting:
+	case t.Failures >= t.maxFailures() && !step.Lasting:
 		t.State = taskFailed
-		if js.State == jobRunning {
-			js.State = jobFailed
-			n.log("job_failing", "job", js.ID, "task", t.Name, "cause", t.Cause, "failures", t.Failures)
-			n.cancelTasks(sl, js)
+		if job.State == jobRunning {
+			job.State = jobFailed
+			n.log("job_failing", "job", job.ID, "task", t.Name, "cause", t.Cause, "failures", t.Failures)
+			n.cancelTasks(shard, job)
 		}
-	case js.State != jobRunning:
+	case job.State != jobRunning:
 		t.State = taskCancelled
 	default:
 		t.State = taskPending
@@ -76,16 +76,16 @@
 const jobAvoidMs = 10_000
 
 // noteFailureAt notes where a task of the job failed.
-func (js *liveJob) noteFailureAt(worker string, nowMs int64) {
-	if js.failedAt == nil {
-		js.failedAt = map[string]int64{}
+func (j *liveJob) noteFailureAt(worker string, nowMs int64) {
+	if j.failedAt == nil {
+		j.failedAt = map[string]int64{}
 	}
-	js.failedAt[worker] = nowMs
+	j.failedAt[worker] = nowMs
 }
 
 // failedLatelyAt tells whether a task of the job failed at a worker lately.
-func (js *liveJob) failedLatelyAt(worker string, nowMs int64) bool {
-	atMs, failed := js.failedAt[worker]
+func (j *liveJob) failedLatelyAt(worker string, nowMs int64) bool {
+	atMs, failed := j.failedAt[worker]
 	return failed && nowMs-atMs <= jobAvoidMs
 }
 
@@ -94,12 +94,12 @@
 
 // backoffOf is how long a task waits after a failure. Of many tasks alike some fail, and the
 // next try is elsewhere: the first one comes at once.
-func (n *node) backoffOf(st *jobStep, t *task) int64 {
+func (n *node) backoffOf(step *jobStep, t *task) int64 {
 	wait := int64(backoffMs) << min(t.Failures-1, 10)
 	switch {
-	case st.Uniform && t.Failures == 1 && n.Policies.On(scheduler.RetryAtOnce):
+	case step.Uniform && t.Failures == 1 && n.Policies.On(scheduler.RetryAtOnce):
 		return 0
-	case st.Uniform:
+	case step.Uniform:
 		return min(wait/4, backoffMs)
 	}
 	return min(wait, backoffMax)
@@ -107,15 +107,15 @@
 
 // awaitsOthers tells whether nothing follows from the end of an attempt yet: it ended well,
 // and other tasks of its step still run.
-func (js *liveJob) awaitsOthers(i int, result wire.AttemptResult) bool {
-	t := &js.Tasks[i]
-	st := &js.Steps[t.Step]
-	if result != wire.ResultOK || st.Gang || st.Lasting || js.State != jobRunning {
+func (j *liveJob) awaitsOthers(i int, result wire.AttemptResult) bool {
+	t := &j.Tasks[i]
+	step := &j.Steps[t.Step]
+	if result != wire.ResultOK || step.Gang || step.Lasting || j.State != jobRunning {
 		return false
 	}
-	from, to := js.gangRange(i)
+	from, to := j.gangRange(i)
 	for k := from; k < to; k++ {
-		if k != i && !js.Tasks[k].isTerminal() {
+		if k != i && !j.Tasks[k].isTerminal() {
 			return true
 		}
 	}
@@ -123,9 +123,9 @@
 }
 
 // countFailure counts a failed run, a gang's once for all its members.
-func (n *node) countFailure(js *liveJob, i int) bool {
-	t := &js.Tasks[i]
-	if !js.Steps[t.Step].Gang {
+func (n *node) countFailure(job *liveJob, i int) bool {
+	t := &job.Tasks[i]
+	if !job.Steps[t.Step].Gang {
 		t.Failures++
 		t.FailedAttempt = t.Attempt
 		return true
@@ -133,33 +133,33 @@
 	if t.FailedAttempt == t.Attempt {
 		return false
 	}
-	from, to := js.gangRange(i)
+	from, to := job.gangRange(i)
 	for k := from; k < to; k++ {
-		js.Tasks[k].Failures++
-		js.Tasks[k].FailedAttempt = t.Attempt
+		job.Tasks[k].Failures++
+		job.Tasks[k].FailedAttempt = t.Attempt
 	}
 	return true
 }
 
 // endGang takes one member's good end for all of its run.
-func (n *node) endGang(sl *ownedShard, js *liveJob, i int) {
-	from, to := js.gangRange(i)
+func (n *node) endGang(shard *ownedShard, job *liveJob, i int) {
+	from, to := job.gangRange(i)
 	for k := from; k < to; k++ {
-		if o := &js.Tasks[k]; k != i && o.Attempt == js.Tasks[i].Attempt && o.State != taskEnded {
-			o.State, o.Cause, o.ChangedVersion = taskEnded, "", js.Version
-			js.runtime[k] = taskRuntime{}
-			sl.updatePlacedIndex(js, k)
-			sl.holdUntilListed(js, k, n.now)
+		if o := &job.Tasks[k]; k != i && o.Attempt == job.Tasks[i].Attempt && o.State != taskEnded {
+			o.State, o.Cause, o.ChangedVersion = taskEnded, "", job.Version
+			job.runtime[k] = taskRuntime{}
+			shard.updatePlacedIndex(job, k)
+			shard.holdUntilListed(job, k, n.now)
 		}
 	}
 }
 
 // shareSaved gives all members of a gang the newest saved text of one of them:
 // they must go on from the same.
-func (n *node) shareSaved(js *liveJob, i int) {
-	from, to := js.gangRange(i)
-	saved := js.Tasks[i].Saved
+func (n *node) shareSaved(job *liveJob, i int) {
+	from, to := job.gangRange(i)
+	saved := job.Tasks[i].Saved
 	for k := from; k < to; k++ {
-		js.Tasks[k].Saved = saved
+		job.Tasks[k].Saved = saved
 	}
 }
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -112,34 +112,34 @@
 	return max(j.SubmitMs, j.DueMs)
 }
 
-func (n *node) tickBatches(sl *ownedShard) {
-	sl.batchStartsInTick, sl.batchTriesInTick, sl.batchUseByWorker = 0, 0, map[queueOnWorker]resource.Amount{}
-	n.planBatches(sl)
+func (n *node) tickBatches(shard *ownedShard) {
+	shard.batchStartsInTick, shard.batchTriesInTick, shard.batchUseByWorker = 0, 0, map[queueOnWorker]resource.Amount{}
+	n.planBatches(shard)
 }
 
 // planBatches plans all batch jobs of a shard anew, those that must finish first
 // first: each needs the time of its longest chain, and that of all the work that
 // must be done before it in the room that batches may have.
-func (n *node) planBatches(sl *ownedShard) {
+func (n *node) planBatches(shard *ownedShard) {
 	wall := n.fleetTime()
-	if wall == 0 || !n.configFresh() || n.now-sl.startMs < batchLearnMs ||
-		n.now < sl.nextBatchPlanMs && sl.batchPlanVersion == n.config.current.Version {
+	if wall == 0 || !n.configFresh() || n.now-shard.startMs < batchLearnMs ||
+		n.now < shard.nextBatchPlanMs && shard.batchPlanVersion == n.config.current.Version {
 		return
 	}
-	sl.nextBatchPlanMs, sl.batchPlanVersion = n.now+batchPlanMs, n.config.current.Version
+	shard.nextBatchPlanMs, shard.batchPlanVersion = n.now+batchPlanMs, n.config.current.Version
 	type due struct {
-		js      *liveJob
+		job     *liveJob
 		r       *configuration.Batch
 		from, d int64
 	}
 	var list []due
-	for _, id := range sortedKeys(sl.jobs) {
-		js := sl.jobs[id]
-		if r := n.batchOf(&js.jobRecord); r == nil || js.DoneMs != 0 {
-			js.plan = nil
+	for _, id := range sortedKeys(shard.jobs) {
+		job := shard.jobs[id]
+		if r := n.batchOf(&job.jobRecord); r == nil || job.DoneMs != 0 {
+			job.plan = nil
 		} else {
-			from := js.batchFrom()
-			list = append(list, due{js, r, from, from + r.FinishByMs})
+			from := job.batchFrom()
+			list = append(list, due{job, r, from, from + r.FinishByMs})
 		}
 	}
 	if len(list) == 0 {
@@ -148,20 +148,20 @@
 	slices.SortStableFunc(list, func(a, b due) int { return cmp.Compare(a.d, b.d) })
 	room, ahead := map[string]resource.Amount{}, 0.0
 	for _, e := range list {
-		all, known := room[e.js.Queue]
+		all, known := room[e.job.Queue]
 		if !known {
-			all = n.batchRoom(e.js.Queue, e.r)
-			room[e.js.Queue] = all
+			all = n.batchRoom(e.job.Queue, e.r)
+			room[e.job.Queue] = all
 		}
-		chain, work := n.batchNeed(e.js, all)
+		chain, work := n.batchNeed(e.job, all)
 		ahead += work * float64(max(1, len(n.core.Shards))) // the other shards hold as much
 		need := (int64(ahead)+chain)*batchSlack/100 + batchMarginMs
-		p := planBatch(e.r, e.js.ID, e.from, wall, need)
-		if p.Must && (e.js.plan == nil || !e.js.plan.Must) {
+		p := planBatch(e.r, e.job.ID, e.from, wall, need)
+		if p.Must && (e.job.plan == nil || !e.job.plan.Must) {
 			n.count("batches_at_any_price")
-			n.log("batch_at_any_price", "job", e.js.ID, "queue", e.js.Queue, "need_ms", need, "price", p.Price)
+			n.log("batch_at_any_price", "job", e.job.ID, "queue", e.job.Queue, "need_ms", need, "price", p.Price)
 		}
-		e.js.plan = &p
+		e.job.plan = &p
 	}
 }
 
@@ -178,14 +178,14 @@
 
 // batchNeed is what a job still needs, in ms: along its longest chain of steps, and
 // of all the room that batches may have.
-func (n *node) batchNeed(js *liveJob, room resource.Amount) (chainMs int64, workMs float64) {
-	longest := make([]int64, len(js.Steps))
-	for i := range js.Tasks {
-		t := &js.Tasks[i]
+func (n *node) batchNeed(job *liveJob, room resource.Amount) (chainMs int64, workMs float64) {
+	longest := make([]int64, len(job.Steps))
+	for i := range job.Tasks {
+		t := &job.Tasks[i]
 		if t.isTerminal() {
 			continue
 		}
-		est := n.estimateMs(js, t)
+		est := n.estimateMs(job, t)
 		longest[t.Step] = max(longest[t.Step], est)
 		part := 0.0
 		need := t.Resources
@@ -196,9 +196,9 @@
 		}
 		workMs += part * float64(est)
 	}
-	done := make([]int64, len(js.Steps)) // steps may stand in any order: as many passes as there are settle all
-	for range js.Steps {
-		for i, s := range js.Steps {
+	done := make([]int64, len(job.Steps)) // steps may stand in any order: as many passes as there are settle all
+	for range job.Steps {
+		for i, s := range job.Steps {
 			from := int64(0)
 			for _, a := range s.After {
 				from = max(from, done[a])
@@ -211,14 +211,14 @@
 }
 
 // batchMayStart tells whether a pending task of a batch job may start by its hours.
-func (n *node) batchMayStart(js *liveJob, t *task, wall int64) bool {
-	return js.plan != nil && js.plan.mayStart(wall, n.estimateMs(js, t))
+func (n *node) batchMayStart(job *liveJob, t *task, wall int64) bool {
+	return job.plan != nil && job.plan.mayStart(wall, n.estimateMs(job, t))
 }
 
 // shortOfRoom tells whether more urgent work waits: of this shard for a place, of
 // any shard for a firm one, or at many of the workers.
-func (n *node) shortOfRoom(sl *ownedShard) bool {
-	if sl.starvedMs != 0 && n.now-sl.starvedMs < batchCalmMs || n.ranks.short && n.now-n.ranks.receivedMs < rankStaleMs {
+func (n *node) shortOfRoom(shard *ownedShard) bool {
+	if shard.starvedMs != 0 && n.now-shard.starvedMs < batchCalmMs || n.ranks.short && n.now-n.ranks.receivedMs < rankStaleMs {
 		return true
 	}
 	waits, all := 0, 0
@@ -238,22 +238,22 @@
 
 // batchLoad is the room that a queue's batches, or all queues', take at a worker,
 // as far as known; it is summed up once in a tick.
-func (n *node) batchLoad(sl *ownedShard, queue, worker string) (sum resource.Amount) {
-	if sum, ok := sl.batchUseByWorker[queueOnWorker{queue, worker}]; ok {
+func (n *node) batchLoad(shard *ownedShard, queue, worker string) (sum resource.Amount) {
+	if sum, ok := shard.batchUseByWorker[queueOnWorker{queue, worker}]; ok {
 		return sum
 	}
 	defer func() {
-		if sl.batchUseByWorker != nil {
-			sl.batchUseByWorker[queueOnWorker{queue, worker}] = sum
+		if shard.batchUseByWorker != nil {
+			shard.batchUseByWorker[queueOnWorker{queue, worker}] = sum
 		}
 	}()
-	for at, room := range sl.placedByWorker[worker] {
-		if js := sl.jobs[at.job]; js != nil && js.plan != nil && (js.Queue == queue || queue == "") {
+	for ref, room := range shard.placedByWorker[worker] {
+		if job := shard.jobs[ref.jobID]; job != nil && job.plan != nil && (job.Queue == queue || queue == "") {
 			sum = sum.Plus(room)
 		}
 	}
 	if w := n.workers[worker]; w != nil {
-		for _, b := range w.batchUse[sl.name] {
+		for _, b := range w.batchUse[shard.name] {
 			if b.Queue == queue || queue == "" {
 				sum = sum.Plus(b.Resources)
 			}
@@ -266,24 +266,24 @@
 // what is kept for more urgent work, and what part of the worker its queue's batches hold: the
 // worker with the least of that is chosen.
 func (n *node) batchPart(
-	sl *ownedShard,
-	js *liveJob,
+	shard *ownedShard,
+	job *liveJob,
 	t *task,
 	worker string,
 	sharePercent int64,
 ) (part float64, fits bool) {
 	w := n.workers[worker]
 	kept := w.capacity.Share(batchHeadroom)
-	if js.plan.Must {
+	if job.plan.Must {
 		kept = resource.Amount{}
 	}
-	if !t.Resources.Plus(kept).Fits(n.freeResources(sl, worker, w)) {
+	if !t.Resources.Plus(kept).Fits(n.freeResources(shard, worker, w)) {
 		return 0, false
 	}
-	if !js.plan.Must && !n.batchLoad(sl, "", worker).Plus(t.Resources).Plus(kept).Fits(w.spare.least()) {
+	if !job.plan.Must && !n.batchLoad(shard, "", worker).Plus(t.Resources).Plus(kept).Fits(w.spare.least()) {
 		return 0, false
 	}
-	load := n.batchLoad(sl, js.Queue, worker)
+	load := n.batchLoad(shard, job.Queue, worker)
 	if !load.Plus(t.Resources).Fits(w.capacity.Share(sharePercent)) {
 		return 0, false
 	}
@@ -291,8 +291,8 @@
 	if w.capacity.Memory > 0 {
 		part = max(part, float64(load.Memory)/float64(w.capacity.Memory))
 	}
-	if js.plan.Must { // where most is free: there it is pushed out the least
-		free := n.freeResources(sl, worker, w)
+	if job.plan.Must { // where most is free: there it is pushed out the least
+		free := n.freeResources(shard, worker, w)
 		part = 1 - float64(free.CPU)/float64(max(w.capacity.CPU, 1))
 	}
 	if worker == t.LastFailedWorker {
@@ -305,49 +305,49 @@
 // least of them, by its size, where nothing more urgent waits and enough room for
 // that stays free, counting on what was left over lately. A job that must start now
 // takes the worker with the most room, and may take the last of it.
-func (n *node) selectBatchWorker(sl *ownedShard, js *liveJob, i int) string {
-	if sl.batchStartsInTick >= batchStartsTick || sl.batchTriesInTick >= batchTriesTick {
+func (n *node) selectBatchWorker(shard *ownedShard, job *liveJob, i int) string {
+	if shard.batchStartsInTick >= batchStartsTick || shard.batchTriesInTick >= batchTriesTick {
 		return ""
 	}
-	sl.batchTriesInTick++
-	js.runtime[i].retryAtMs = n.now + batchAgainMs/2 + n.rand().Int64N(batchAgainMs)
-	if !js.plan.Must && n.shortOfRoom(sl) {
+	shard.batchTriesInTick++
+	job.runtime[i].retryAtMs = n.now + batchAgainMs/2 + n.rand().Int64N(batchAgainMs)
+	if !job.plan.Must && n.shortOfRoom(shard) {
 		return ""
 	}
-	t := &js.Tasks[i]
-	st, q := &js.Steps[t.Step], n.config.current.Queues[js.Queue]
+	t := &job.Tasks[i]
+	step, q := &job.Steps[t.Step], n.config.current.Queues[job.Queue]
 	var used map[string]int32
-	if st.PerWorker > 0 {
-		used = js.stepTasksByWorker(i)
+	if step.PerWorker > 0 {
+		used = job.stepTasksByWorker(i)
 	}
 	best, least, bestWeight := "", 0.0, uint64(0)
 	for _, name := range sortedKeys(n.workers) {
 		w := n.workers[name]
 		if !n.workerAllowed(w, q, t.Needs, t.Resources) || w.suspect || w.unstarted > 0 || n.ranks.ejected(name) ||
-			st.PerWorker > 0 && used[name] >= st.PerWorker {
+			step.PerWorker > 0 && used[name] >= step.PerWorker {
 			continue
 		}
-		part, fits := n.batchPart(sl, js, t, name, q.Batch.SharePercent)
+		part, fits := n.batchPart(shard, job, t, name, q.Batch.SharePercent)
 		if !fits {
 			continue
 		}
-		if own := rendezvous.Weight(js.ID, name); best == "" || part < least || part == least && own > bestWeight {
+		if own := rendezvous.Weight(job.ID, name); best == "" || part < least || part == least && own > bestWeight {
 			best, least, bestWeight = name, part, own
 		}
 	}
 	if best != "" {
-		sl.batchStartsInTick++
-		for _, queue := range []string{js.Queue, ""} {
-			load := n.batchLoad(sl, queue, best).Plus(t.Resources)
-			sl.batchUseByWorker[queueOnWorker{queue, best}] = load
+		shard.batchStartsInTick++
+		for _, queue := range []string{job.Queue, ""} {
+			load := n.batchLoad(shard, queue, best).Plus(t.Resources)
+			shard.batchUseByWorker[queueOnWorker{queue, best}] = load
 		}
 	}
 	return best
 }
 
 // explainHeld tells why a task of a batch has not started, and until when.
-func (n *node) explainHeld(js *liveJob, t *task) string {
-	r, p, wall := n.batchOf(&js.jobRecord), js.plan, n.fleetTime()
+func (n *node) explainHeld(job *liveJob, t *task) string {
+	r, p, wall := n.batchOf(&job.jobRecord), job.plan, n.fleetTime()
 	if r == nil {
 		return ""
 	}
@@ -355,7 +355,7 @@
 		return "held: its hours are being planned"
 	}
 	by := "; it is to be complete by " + clockText(r.Contract, p.DeadlineMs)
-	if !p.mayStart(wall, n.estimateMs(js, t)) {
+	if !p.mayStart(wall, n.estimateMs(job, t)) {
 		if p.StartMs <= wall {
 			return "held until the next window: this one ends at " + clockText(r.Contract, p.CloseMs) + by
 		}
@@ -375,7 +375,7 @@
 	if !p.Must && n.shortOfRoomAnywhere() {
 		return "held while more urgent work waits for room" + by
 	}
-	if !t.Resources.Fits(n.batchMost(js.Queue, r)) {
+	if !t.Resources.Fits(n.batchMost(job.Queue, r)) {
 		return fmt.Sprintf("no worker can hold it within the %d percent that batches of this queue may take", r.SharePercent)
 	}
 	return "waiting for its share of the workers' room" + by
@@ -383,8 +383,8 @@
 
 // shortOfRoomAnywhere is shortOfRoom for any shard owned here.
 func (n *node) shortOfRoomAnywhere() bool {
-	for _, sl := range n.owned {
-		if n.shortOfRoom(sl) {
+	for _, shard := range n.owned {
+		if n.shortOfRoom(shard) {
 			return true
 		}
 	}
@@ -410,8 +410,8 @@
 func priceText(p float64) string { return fmt.Sprintf("%g", p) }
 
 // batchBack lets a batch task that was pushed out wait before its next try.
-func (n *node) batchBack(js *liveJob) int64 {
-	if n.batchOf(&js.jobRecord) == nil {
+func (n *node) batchBack(job *liveJob) int64 {
+	if n.batchOf(&job.jobRecord) == nil {
 		return 0
 	}
 	return n.now + batchBackMs + n.rand().Int64N(batchBackMs)
@@ -425,8 +425,8 @@
 
 // meterBatch counts the core seconds of a run that just ended, at what each
 // part of it cost.
-func (n *node) meterBatch(js *liveJob, t *task, ranMs int64) {
-	r, wall := n.batchOf(&js.jobRecord), n.fleetTime()
+func (n *node) meterBatch(job *liveJob, t *task, ranMs int64) {
+	r, wall := n.batchOf(&job.jobRecord), n.fleetTime()
 	if r == nil || wall == 0 || ranMs <= 0 {
 		return
 	}
@@ -441,14 +441,14 @@
 }
 
 // batchEnded notes a batch job that is complete, and whether it is late.
-func (n *node) batchEnded(js *liveJob) {
-	if n.batchOf(&js.jobRecord) == nil || js.State != jobComplete || js.plan == nil {
+func (n *node) batchEnded(job *liveJob) {
+	if n.batchOf(&job.jobRecord) == nil || job.State != jobComplete || job.plan == nil {
 		return
 	}
 	n.count("batches_complete")
-	if js.DoneMs > js.plan.DeadlineMs {
+	if job.DoneMs > job.plan.DeadlineMs {
 		n.count("batches_late")
-		n.log("batch_late", "job", js.ID, "queue", js.Queue, "late_ms", js.DoneMs-js.plan.DeadlineMs)
+		n.log("batch_late", "job", job.ID, "queue", job.Queue, "late_ms", job.DoneMs-job.plan.DeadlineMs)
 	}
 }
 
@@ -458,15 +458,15 @@
 	for _, name := range []string{"batches_held", "batches_at_risk"} {
 		out[name] = 0
 	}
-	for _, sl := range n.owned {
-		for _, js := range sl.jobs {
-			if js.plan == nil || js.DoneMs != 0 {
+	for _, shard := range n.owned {
+		for _, job := range shard.jobs {
+			if job.plan == nil || job.DoneMs != 0 {
 				continue
 			}
-			if js.state() == "pending" {
+			if job.state() == "pending" {
 				out["batches_held"]++
 			}
-			if js.plan.Must {
+			if job.plan.Must {
 				out["batches_at_risk"]++
 			}
 		}
@@ -474,11 +474,11 @@
 }
 
 // batchHeld is the room that each queue's batches take at a worker.
-func (ag *workerAgent) batchHeld(n *node, but string) (out []wire.QueueUse) {
+func (a *workerAgent) batchHeld(n *node, but string) (out []wire.QueueUse) {
 	sum := map[string]resource.Amount{}
-	for _, h := range ag.attempts {
-		if h.state != wire.AttemptEnded && (but == "" || h.spec.Shard != but) && n.batchSpec(&h.spec) != nil {
-			sum[h.spec.Queue] = sum[h.spec.Queue].Plus(h.spec.Resources)
+	for _, attempt := range a.attempts {
+		if attempt.state != wire.AttemptEnded && (but == "" || attempt.spec.Shard != but) && n.batchSpec(&attempt.spec) != nil {
+			sum[attempt.spec.Queue] = sum[attempt.spec.Queue].Plus(attempt.spec.Resources)
 		}
 	}
 	for _, q := range sortedKeys(sum) {
@@ -489,14 +489,14 @@
 
 // withoutBatches gives the unstarted tasks at a worker that are no batch's, and the
 // room that those and the running ones leave.
-func (ag *workerAgent) withoutBatches(n *node) (waiting int64, spare resource.Amount) {
-	spare = ag.capacity
-	for _, h := range ag.attempts {
-		if h.state == wire.AttemptEnded || n.batchSpec(&h.spec) != nil {
+func (a *workerAgent) withoutBatches(n *node) (waiting int64, spare resource.Amount) {
+	spare = a.capacity
+	for _, attempt := range a.attempts {
+		if attempt.state == wire.AttemptEnded || n.batchSpec(&attempt.spec) != nil {
 			continue
 		}
-		spare = spare.Minus(h.spec.Resources)
-		if h.state == wire.AttemptQueued {
+		spare = spare.Minus(attempt.spec.Resources)
+		if attempt.state == wire.AttemptQueued {
 			waiting++
 		}
 	}
@@ -536,8 +536,8 @@
 
 // allocationsWait tells whether firm work has waited for room some time.
 func (n *node) allocationsWait(c *centralScheduler) bool {
-	for _, ws := range c.pending {
-		if n.now-ws.firstMs > batchCalmMs && ws.hasOpen() {
+	for _, request := range c.pending {
+		if n.now-request.firstMs > batchCalmMs && request.hasOpen() {
 			return true
 		}
 	}
@@ -546,34 +546,34 @@
 
 // mayStartBatch guards a worker's room once more when a batch task would start:
 // nothing more urgent waits there, and its queue stays within its share.
-func (n *node) mayStartBatch(ag *workerAgent, h *agentAttempt, r *configuration.Batch) bool {
-	if waiting, _ := ag.withoutBatches(n); waiting > 0 {
+func (n *node) mayStartBatch(agent *workerAgent, attempt *agentAttempt, r *configuration.Batch) bool {
+	if waiting, _ := agent.withoutBatches(n); waiting > 0 {
 		return false
 	}
-	sum := h.spec.Resources
-	for _, o := range ag.attempts {
-		if o != h && o.spec.Queue == h.spec.Queue && (o.state == wire.AttemptOrdered || o.state == wire.AttemptRunning) &&
+	sum := attempt.spec.Resources
+	for _, o := range agent.attempts {
+		if o != attempt && o.spec.Queue == attempt.spec.Queue && (o.state == wire.AttemptOrdered || o.state == wire.AttemptRunning) &&
 			n.batchSpec(&o.spec) != nil {
 			sum = sum.Plus(o.spec.Resources)
 		}
 	}
-	return sum.Fits(ag.capacity.Share(r.SharePercent))
+	return sum.Fits(agent.capacity.Share(r.SharePercent))
 }
 
 // returnBatches gives back batch tasks that could not start here at once, and
 // leaves the others in the queue: batches never wait at a worker.
-func (n *node) returnBatches(ag *workerAgent, queue []*agentAttempt) []*agentAttempt {
+func (n *node) returnBatches(agent *workerAgent, queue []*agentAttempt) []*agentAttempt {
 	some := false
-	queue = slices.DeleteFunc(queue, func(h *agentAttempt) bool {
-		if n.batchSpec(&h.spec) == nil || n.now-h.queuedMs <= batchWaitMs {
+	queue = slices.DeleteFunc(queue, func(attempt *agentAttempt) bool {
+		if n.batchSpec(&attempt.spec) == nil || n.now-attempt.queuedMs <= batchWaitMs {
 			return false
 		}
-		h.state, h.result, some = wire.AttemptEnded, wire.ResultShed, true
+		attempt.state, attempt.result, some = wire.AttemptEnded, wire.ResultShed, true
 		n.count("batches_returned")
 		return true
 	})
 	if some {
-		n.reportAgent(ag)
+		n.reportAgent(agent)
 	}
 	return queue
 }
--- a/internal/daemon/batch_test.go
+++ b/internal/daemon/batch_test.go
@@ -118,13 +118,13 @@
 }
 
 func (n *node) batchSlice() *ownedShard {
-	sl := &ownedShard{name: "east", serving: true, jobs: map[string]*liveJob{}, placedByWorker: map[string]map[taskRef]resource.Amount{}, loadByWorker: map[string]resource.Amount{}, batchUseByWorker: map[queueOnWorker]resource.Amount{}}
-	n.owned["east"] = sl
-	return sl
+	shard := &ownedShard{name: "east", serving: true, jobs: map[string]*liveJob{}, placedByWorker: map[string]map[taskRef]resource.Amount{}, loadByWorker: map[string]resource.Amount{}, batchUseByWorker: map[queueOnWorker]resource.Amount{}}
+	n.owned["east"] = shard
+	return shard
 }
 
 // batchJob puts a job into a slice that came some time before now.
-func (n *node) batchJob(t *testing.T, sl *ownedShard, id, steps string, agoMs int64) *liveJob {
+func (n *node) batchJob(t *testing.T, shard *ownedShard, id, steps string, agoMs int64) *liveJob {
 	t.Helper()
 	j, faults := parseJob(id, "", []byte(`{"queue":"refresh","steps":`+steps+`}`))
 	must.SliceEmpty(t, faults)
@@ -132,9 +132,9 @@
 		j.Tasks[i].LimitMs = 600_000
 	}
 	j.SubmitMs = n.fleetTime() - agoMs
-	js := &liveJob{jobRecord: *j, runtime: make([]taskRuntime, len(j.Tasks)), committed: 1}
-	sl.jobs[id] = js
-	return js
+	job := &liveJob{jobRecord: *j, runtime: make([]taskRuntime, len(j.Tasks)), committed: 1}
+	shard.jobs[id] = job
+	return job
 }
 
 func oneBatch(room, estimateMs int64) string {
@@ -145,28 +145,28 @@
 // that urgent work pushes batches out at once, and nothing else sooner.
 func TestBatchAtTheAgent(t *testing.T) {
 	n := batchNode(t, aMonday)
-	ag := &workerAgent{worker: "w", colocated: true, rebuilt: true, tokenMs: n.now, heardMs: n.now, lastOK: n.now, capacity: resource.Amount{CPU: 100}, free: resource.Amount{CPU: 100}, attempts: map[wire.AttemptKey]*agentAttempt{},
+	agent := &workerAgent{worker: "w", colocated: true, rebuilt: true, tokenMs: n.now, heardMs: n.now, lastOK: n.now, capacity: resource.Amount{CPU: 100}, free: resource.Amount{CPU: 100}, attempts: map[wire.AttemptKey]*agentAttempt{},
 		tombstones: map[wire.AttemptKey]int64{}, owners: map[string]uint64{}, ownerMs: map[string]int64{}, ends: map[int64]wire.AttemptKey{}}
-	n.agents["w"] = ag
+	n.agents["w"] = agent
 	queued := func(id, queue string, class wire.TaskClass, room int64) *agentAttempt {
-		h := &agentAttempt{spec: wire.TaskSpec{Key: wire.AttemptKey{Job: id, Attempt: 1}, Shard: "east", Queue: queue, Class: class, Resources: resource.Amount{CPU: room}}, confirmedMs: n.now, queuedMs: n.now}
-		ag.attempts[h.spec.Key] = h
-		return h
+		attempt := &agentAttempt{spec: wire.TaskSpec{Key: wire.AttemptKey{Job: id, Attempt: 1}, Shard: "east", Queue: queue, Class: class, Resources: resource.Amount{CPU: room}}, confirmedMs: n.now, queuedMs: n.now}
+		agent.attempts[attempt.spec.Key] = attempt
+		return attempt
 	}
 	pump := func() {
-		ag.answering = true
-		n.startPending(ag)
-		ag.answering = false
+		agent.answering = true
+		n.startPending(agent)
+		agent.answering = false
 	}
-	running := func(h *agentAttempt) { h.state, h.startedMs = wire.AttemptRunning, n.now }
+	running := func(attempt *agentAttempt) { attempt.state, attempt.startedMs = wire.AttemptRunning, n.now }
 
 	one, two := queued("b1", "refresh", wire.ClassQueueable, 20), queued("b2", "refresh", wire.ClassQueueable, 20)
 	pump()
 	must.Eq(t, []wire.AttemptState{wire.AttemptOrdered, wire.AttemptQueued}, []wire.AttemptState{one.state, two.state}) // a second would be above 30 percent
-	must.Eq(t, []wire.QueueUse{{Queue: "refresh", Resources: resource.Amount{CPU: 40}}}, ag.batchHeld(n, ""))
-	must.SliceEmpty(t, ag.batchHeld(n, "east"))
+	must.Eq(t, []wire.QueueUse{{Queue: "refresh", Resources: resource.Amount{CPU: 40}}}, agent.batchHeld(n, ""))
+	must.SliceEmpty(t, agent.batchHeld(n, "east"))
 	n.now += batchWaitMs + 1
-	ag.tokenMs, n.config.confirmedMs = n.now, n.now
+	agent.tokenMs, n.config.confirmedMs = n.now, n.now
 	pump()
 	must.Eq(t, wire.ResultShed, two.result) // it goes back, and never waits here
 
@@ -189,7 +189,7 @@
 	running(urgent)
 
 	// what is no batch's is still left its time before it is pushed out
-	ag.attempts = map[wire.AttemptKey]*agentAttempt{}
+	agent.attempts = map[wire.AttemptKey]*agentAttempt{}
 	low := queued("i2", "import", wire.ClassQueueable, 90)
 	pump()
 	running(low)
@@ -197,47 +197,47 @@
 	pump()
 	must.Zero(t, low.stopMs)
 	n.now += urgentWaitMs + 1
-	urgent.confirmedMs, ag.tokenMs, n.config.confirmedMs = n.now, n.now, n.now
+	urgent.confirmedMs, agent.tokenMs, n.config.confirmedMs = n.now, n.now, n.now
 	pump()
 	must.Positive(t, low.stopMs)
 
 	// a batch's run never becomes firm, and weighs nothing in the worker's rank
-	ag.attempts = map[wire.AttemptKey]*agentAttempt{}
+	agent.attempts = map[wire.AttemptKey]*agentAttempt{}
 	batch := queued("b4", "refresh", wire.ClassQueueable, 10)
 	batch.spec.EstimateMs = 50_000
 	running(batch)
 	n.onPromotion("", &wire.Promotion{Worker: "w", Key: batch.spec.Key})
 	must.Eq(t, wire.ClassQueueable, batch.spec.Class)
-	rank, _, _ := ag.rankOf(n)
+	rank, _, _ := agent.rankOf(n)
 	must.Less(t, 50_000, rank)
 }
 
 // The owner's choice: the least batches, with room that was left over lately.
 func TestBatchChoosesAWorker(t *testing.T) {
 	n := batchNode(t, aMonday)
-	sl := n.batchSlice()
+	shard := n.batchSlice()
 	roomy := spareWindow{}.with(0, resource.Amount{CPU: 100}).with(batchLowMs, resource.Amount{CPU: 100})
 	for _, name := range []string{"w1", "w2", "w3"} {
 		n.workers[name] = &workerView{receivedMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 100}, spare: roomy, usedByOthers: map[string]resource.Amount{}, batchUse: map[string][]wire.QueueUse{}}
 	}
-	js := n.batchJob(t, sl, "b1", oneBatch(10, 1000), 0)
-	js.plan = &batchPlan{}
+	job := n.batchJob(t, shard, "b1", oneBatch(10, 1000), 0)
+	job.plan = &batchPlan{}
 	choose := func() string {
-		sl.batchStartsInTick, sl.batchTriesInTick, sl.batchUseByWorker = 0, 0, map[queueOnWorker]resource.Amount{}
-		return n.selectBatchWorker(sl, js, 0)
+		shard.batchStartsInTick, shard.batchTriesInTick, shard.batchUseByWorker = 0, 0, map[queueOnWorker]resource.Amount{}
+		return n.selectBatchWorker(shard, job, 0)
 	}
 	n.workers["w1"].batchUse["east"] = []wire.QueueUse{{Queue: "refresh", Resources: resource.Amount{CPU: 10}}}
 	n.workers["w2"].batchUse["east"] = []wire.QueueUse{{Queue: "refresh", Resources: resource.Amount{CPU: 5}}}
 	must.Eq(t, "w3", choose())
-	must.Greater(t, n.now, js.runtime[0].retryAtMs)
+	must.Greater(t, n.now, job.runtime[0].retryAtMs)
 	n.workers["w3"].unstarted = 1 // something more urgent waits there
 	must.Eq(t, "", choose())      // and at one worker of three that is a sign for all
-	js.plan.Must = true           // but a job that must start takes the emptiest of the others
+	job.plan.Must = true          // but a job that must start takes the emptiest of the others
 	n.workers["w2"].usedByOthers["east"] = resource.Amount{CPU: 90}
 	must.Eq(t, "w1", choose())
 	n.workers["w1"].usedByOthers["east"] = resource.Amount{CPU: 91}
 	must.Eq(t, "w2", choose())
-	js.plan.Must, n.workers["w1"].usedByOthers, n.workers["w2"].usedByOthers = false, map[string]resource.Amount{}, map[string]resource.Amount{}
+	job.plan.Must, n.workers["w1"].usedByOthers, n.workers["w2"].usedByOthers = false, map[string]resource.Amount{}, map[string]resource.Amount{}
 	n.workers["w3"].unstarted = 0
 	n.workers["w3"].spare = spareWindow{}.with(0, resource.Amount{CPU: 100}) // not seen long enough
 	must.Eq(t, "w2", choose())
@@ -246,16 +246,16 @@
 	n.workers["w1"].batchUse["east"] = []wire.QueueUse{{Queue: "refresh", Resources: resource.Amount{CPU: 21}}} // above its share
 	must.Eq(t, "", choose())
 	n.workers["w2"].usedByOthers["east"] = resource.Amount{}
-	sl.starvedMs = n.now - batchCalmMs + 1
+	shard.starvedMs = n.now - batchCalmMs + 1
 	must.Eq(t, "", choose())
-	sl.starvedMs = 0
+	shard.starvedMs = 0
 	must.Eq(t, "w2", choose())
 	n.ranks.short, n.ranks.receivedMs = true, n.now
 	must.Eq(t, "", choose())
 	n.ranks.receivedMs = n.now - rankStaleMs
 	must.Eq(t, "w2", choose())
-	sl.batchStartsInTick = batchStartsTick
-	must.Eq(t, "", n.selectBatchWorker(sl, js, 0))
+	shard.batchStartsInTick = batchStartsTick
+	must.Eq(t, "", n.selectBatchWorker(shard, job, 0))
 
 	low := spareWindow{}.with(0, resource.Amount{CPU: 9}).with(100, resource.Amount{CPU: 4}).with(batchLowMs, resource.Amount{CPU: 7})
 	must.Eq(t, int64(4), low.least().CPU)
@@ -267,41 +267,41 @@
 func TestBatchDemand(t *testing.T) {
 	at := func(day, hour int64) int64 { return aMonday + (day*24+hour-2)*msPerHour }
 	n := batchNode(t, at(0, 14))
-	sl := n.batchSlice()
+	shard := n.batchSlice()
 	for i := range 4 {
 		n.workers[fmt.Sprint("w", i)] = &workerView{receivedMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 100}}
 	}
 	// 120 units at once are batches'; 60 jobs of 30 units and an hour need 15 hours of that
 	var all []*liveJob
 	for i := range 60 {
-		all = append(all, n.batchJob(t, sl, fmt.Sprintf("b%02d", i), oneBatch(30, msPerHour), int64(60-i)*1000))
+		all = append(all, n.batchJob(t, shard, fmt.Sprintf("b%02d", i), oneBatch(30, msPerHour), int64(60-i)*1000))
 	}
-	n.planBatches(sl)
+	n.planBatches(shard)
 	held, now := 0, 0
-	for _, js := range all {
-		if js.plan.Price == 0.04 {
+	for _, job := range all {
+		if job.plan.Price == 0.04 {
 			held++
-			must.GreaterEq(t, at(0, 22), js.plan.StartMs)
+			must.GreaterEq(t, at(0, 22), job.plan.StartMs)
 		} else {
 			now++
-			must.True(t, js.plan.mayStart(at(0, 14), msPerHour))
+			must.True(t, job.plan.mayStart(at(0, 14), msPerHour))
 		}
 	}
 	must.Positive(t, held)
 	must.Positive(t, now) // twice 15 hours don't fit between 22:00 and 10:00
 	must.Eq(t, 0.04, all[0].plan.Price)
 	must.Eq(t, 0.12, all[59].plan.Price)
-	late := n.batchJob(t, sl, "late", oneBatch(1, 4000), 20*msPerHour-30_000)
+	late := n.batchJob(t, shard, "late", oneBatch(1, 4000), 20*msPerHour-30_000)
 	n.now += batchPlanMs
 	n.config.confirmedMs = n.now
 	for _, w := range n.workers {
 		w.receivedMs = n.now
 	}
-	n.planBatches(sl)
+	n.planBatches(shard)
 	must.True(t, late.plan.Must)
-	delete(sl.jobs, "late")
-	sl.nextBatchPlanMs = 0
-	n.planBatches(sl)
+	delete(shard.jobs, "late")
+	shard.nextBatchPlanMs = 0
+	n.planBatches(shard)
 	must.StrContains(t, n.explainHeld(all[0], &all[0].Tasks[0]), "held until Mon 2027-01-04 2")
 	must.StrContains(t, n.explainHeld(all[0], &all[0].Tasks[0]), "the cheapest contracted hours: night, 0.04 a core hour; it is to be complete by Tue 2027-01-05 09:59 +02:00")
 	gauges := map[string]float64{}
@@ -314,8 +314,8 @@
 	other.now, other.config.confirmedMs = n.now, n.now
 	other.workers = n.workers
 	osl := other.batchSlice()
-	for _, js := range all {
-		osl.jobs[js.ID] = &liveJob{jobRecord: js.jobRecord, runtime: make([]taskRuntime, 1), committed: 1}
+	for _, job := range all {
+		osl.jobs[job.ID] = &liveJob{jobRecord: job.jobRecord, runtime: make([]taskRuntime, 1), committed: 1}
 	}
 	osl.startMs = other.now
 	other.planBatches(osl)
@@ -323,14 +323,14 @@
 	must.Eq(t, "held: its hours are being planned", other.explainHeld(osl.jobs["b00"], &osl.jobs["b00"].Tasks[0]))
 	osl.startMs -= batchLearnMs
 	other.planBatches(osl)
-	for _, js := range all {
-		must.Eq(t, js.plan, osl.jobs[js.ID].plan)
+	for _, job := range all {
+		must.Eq(t, job.plan, osl.jobs[job.ID].plan)
 	}
 
 	// a queue that takes no batches any more lets its jobs go at once
 	c, _ := configuration.Compile(2, []byte(`{"queues":[{"name":"refresh"}]}`))
 	n.config.current = c
-	n.planBatches(sl)
+	n.planBatches(shard)
 	must.Nil(t, all[0].plan)
 	must.Eq(t, "", n.explainHeld(all[0], &all[0].Tasks[0]))
 }
@@ -340,16 +340,16 @@
 func TestBatchMeter(t *testing.T) {
 	at := func(day, hour int64) int64 { return aMonday + (day*24+hour-2)*msPerHour }
 	n := batchNode(t, at(1, 7))
-	sl := n.batchSlice()
-	js := n.batchJob(t, sl, "b1", oneBatch(2, 1000), 0)
-	n.meterBatch(js, &js.Tasks[0], 3*msPerHour) // from 04:00 to 07:00
+	shard := n.batchSlice()
+	job := n.batchJob(t, shard, "b1", oneBatch(2, 1000), 0)
+	n.meterBatch(job, &job.Tasks[0], 3*msPerHour) // from 04:00 to 07:00
 	must.Eq(t, map[meterKey]float64{{"night", 0.04}: 2 * 2 * 3600, {"night", 0.08}: 2 * 3600}, n.batchMeter)
-	js.plan, js.State = &batchPlan{DeadlineMs: 10}, jobComplete
-	js.DoneMs = 10
-	n.batchEnded(js)
+	job.plan, job.State = &batchPlan{DeadlineMs: 10}, jobComplete
+	job.DoneMs = 10
+	n.batchEnded(job)
 	must.Zero(t, n.counts["batches_late"])
-	js.DoneMs = 11
-	n.batchEnded(js)
+	job.DoneMs = 11
+	n.batchEnded(job)
 	must.Eq(t, int64(1), n.counts["batches_late"])
 	must.Eq(t, int64(2), n.counts["batches_complete"])
 }
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -58,9 +58,9 @@
 	for i := range 11 {
 		n.workers[fmt.Sprintf("w%02d", i)] = &workerView{rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 16}, zone: historycheck.Zones[i%3], labels: []wire.Label{{Key: "disk", Value: "ssd"}, {Key: "tier", Value: "fast"}}}
 	}
-	js := &liveJob{jobRecord: jobRecord{Queue: "guild-4000", Steps: []jobStep{{Size: 1}}, Tasks: []task{{Resources: resource.Amount{CPU: 1}}}}}
-	sl := &ownedShard{name: "east"}
+	job := &liveJob{jobRecord: jobRecord{Queue: "guild-4000", Steps: []jobStep{{Size: 1}}, Tasks: []task{{Resources: resource.Amount{CPU: 1}}}}}
+	shard := &ownedShard{name: "east"}
 	for b.Loop() {
-		n.selectWorker(sl, js, 0, &schedulePass{queue: c.Queues[js.Queue]})
+		n.selectWorker(shard, job, 0, &schedulePass{queue: c.Queues[job.Queue]})
 	}
 }
--- a/internal/daemon/campaign_test.go
+++ b/internal/daemon/campaign_test.go
@@ -149,8 +149,8 @@
 						for name, f := range n.sh.node.central.workers {
 							t.Log("central", name, f.Capacity, f.guaranteed, f.busy, f.unhealthyUntilMs-n.sh.node.now, f.Fresh, f.Rebuilt, f.Leaving, n.sh.node.now-f.receivedMs, len(f.Attempts))
 						}
-						for k, ws := range n.sh.node.central.pending {
-							t.Log("want", k, ws.granted, ws.Resources, ws.Tasks, n.sh.node.now-ws.lastMs, n.sh.node.now-ws.firstMs)
+						for k, request := range n.sh.node.central.pending {
+							t.Log("want", k, request.granted, request.Resources, request.Tasks, n.sh.node.now-request.lastMs, n.sh.node.now-request.firstMs)
 						}
 					}
 					for _, e := range w.history {
--- a/internal/daemon/catchup.go
+++ b/internal/daemon/catchup.go
@@ -20,11 +20,11 @@
 
 // recordMissed remembers by name what a member did not acknowledge, so that one
 // that is gone for long costs little.
-func (sl *ownedShard) recordMissed(member string, records []statestore.Record) {
-	lag := sl.replicaLags[member]
+func (s *ownedShard) recordMissed(member string, records []statestore.Record) {
+	lag := s.replicaLags[member]
 	if lag == nil {
 		lag = &replicaLag{missed: map[string]int64{}}
-		sl.replicaLags[member] = lag
+		s.replicaLags[member] = lag
 	}
 	for _, r := range records {
 		if _, known := lag.missed[r.ID]; known || len(lag.missed) < finishedMax {
@@ -34,32 +34,32 @@
 }
 
 // tickCatchUp sends a part to each member that lacks records, or sends it again.
-func (n *node) tickCatchUp(sl *ownedShard) {
-	for _, member := range sortedKeys(sl.replicaLags) {
-		lag := sl.replicaLags[member]
+func (n *node) tickCatchUp(shard *ownedShard) {
+	for _, member := range sortedKeys(shard.replicaLags) {
+		lag := shard.replicaLags[member]
 		switch {
 		case len(lag.missed) == 0:
-			delete(sl.replicaLags, member)
+			delete(shard.replicaLags, member)
 		case n.peers.Alive(member) && n.core.HasName(member) && (lag.part == nil || n.now-lag.sentMs >= writeRetry):
-			n.sendCatchUp(sl, member, lag)
+			n.sendCatchUp(shard, member, lag)
 		}
 	}
 }
 
 // sendCatchUp sends the next part of what a member lacks.
-func (n *node) sendCatchUp(sl *ownedShard, member string, lag *replicaLag) {
-	sl.writeSeq++
-	lag.seq, lag.sentMs, lag.part = sl.writeSeq, n.now, map[string]int64{}
-	w := &wire.WriteRequest{SetVersion: n.core.Version, Shard: sl.name, Epoch: sl.epoch, Seq: lag.seq}
+func (n *node) sendCatchUp(shard *ownedShard, member string, lag *replicaLag) {
+	shard.writeSeq++
+	lag.seq, lag.sentMs, lag.part = shard.writeSeq, n.now, map[string]int64{}
+	w := &wire.WriteRequest{SetVersion: n.core.Version, Shard: shard.name, Epoch: shard.epoch, Seq: lag.seq}
 	size := 0
 	for _, id := range sortedKeys(lag.missed) {
 		if size > statestore.ChunkBytes {
 			break
 		}
-		if sl.isDirty(id) {
+		if shard.isDirty(id) {
 			continue // its next version is on its way
 		}
-		r, known := sl.recordOf(id)
+		r, known := shard.recordOf(id)
 		if !known { // it is finished for so long that only the core knows it
 			delete(lag.missed, id)
 			continue
@@ -77,25 +77,25 @@
 }
 
 // recordOf gives a job's record as the owner has it.
-func (sl *ownedShard) recordOf(id string) (statestore.Record, bool) {
-	if js := sl.jobs[id]; js != nil {
+func (s *ownedShard) recordOf(id string) (statestore.Record, bool) {
+	if job := s.jobs[id]; job != nil {
 		return statestore.Record{
 			ID:      id,
-			Epoch:   sl.epoch,
-			Version: js.Version,
-			Live:    js.DoneMs == 0,
-			DoneMs:  js.DoneMs,
-			Value:   js.encode(),
+			Epoch:   s.epoch,
+			Version: job.Version,
+			Live:    job.DoneMs == 0,
+			DoneMs:  job.DoneMs,
+			Value:   job.encode(),
 		}, true
 	}
-	j := sl.finished[id]
+	j := s.finished[id]
 	if j == nil {
 		return statestore.Record{}, false
 	}
 	// A finished record never changes again.
 	return statestore.Record{
 		ID:        id,
-		Epoch:     sl.epoch,
+		Epoch:     s.epoch,
 		Version:   finishedVersion,
 		Live:      j.DoneMs == 0,
 		Confirmed: true,
@@ -107,8 +107,8 @@
 const finishedVersion = 1 << 60 // above that of any live record
 
 // onCaughtUp takes a member's word that a part is synced there, and sends the next.
-func (n *node) onCaughtUp(sl *ownedShard, member string, seq uint64) {
-	lag := sl.replicaLags[member]
+func (n *node) onCaughtUp(shard *ownedShard, member string, seq uint64) {
+	lag := shard.replicaLags[member]
 	if lag == nil || lag.part == nil || lag.seq != seq {
 		return
 	}
@@ -118,7 +118,7 @@
 		return ok && version <= sent
 	})
 	if lag.part = nil; len(lag.missed) > 0 {
-		n.sendCatchUp(sl, member, lag)
+		n.sendCatchUp(shard, member, lag)
 	}
 }
 
--- a/internal/daemon/central.go
+++ b/internal/daemon/central.go
@@ -68,19 +68,21 @@
 }
 
 // isOpen tells whether a task has no grant.
-func (ws *pendingAllocation) isOpen(t wire.RequestedTask) bool {
-	g, granted := ws.granted[t.Task]
+func (p *pendingAllocation) isOpen(t wire.RequestedTask) bool {
+	g, granted := p.granted[t.Task]
 	return !granted || g.attempt != t.Attempt
 }
 
 // hasOpen tells whether some task has no grant.
-func (ws *pendingAllocation) hasOpen() bool { return slices.ContainsFunc(ws.Tasks, ws.isOpen) }
+func (p *pendingAllocation) hasOpen() bool {
+	return slices.ContainsFunc(p.Tasks, p.isOpen)
+}
 
 // open gives the tasks without a grant.
-func (ws *pendingAllocation) open() []wire.RequestedTask {
-	out := make([]wire.RequestedTask, 0, len(ws.Tasks))
-	for _, t := range ws.Tasks {
-		if ws.isOpen(t) {
+func (p *pendingAllocation) open() []wire.RequestedTask {
+	out := make([]wire.RequestedTask, 0, len(p.Tasks))
+	for _, t := range p.Tasks {
+		if p.isOpen(t) {
 			out = append(out, t)
 		}
 	}
@@ -152,23 +154,23 @@
 	}
 	w.AgentReport, w.receivedMs = *m, n.now
 	w.guaranteed, w.busy = resource.Amount{}, m.Others // to the central scheduler all are others' attempts
-	for _, h := range m.Attempts {
-		if h.Class != wire.ClassGuaranteed {
+	for _, status := range m.Attempts {
+		if status.Class != wire.ClassGuaranteed {
 			continue
 		}
-		w.guaranteed = w.guaranteed.Plus(h.Resources)
-		key := allocationKey{h.Key.Job, h.Key.Task}
-		if round, step, _, ok := parseUniformTaskID(h.Key.Task); ok {
+		w.guaranteed = w.guaranteed.Plus(status.Resources)
+		key := allocationKey{status.Key.Job, status.Key.Task}
+		if round, step, _, ok := parseUniformTaskID(status.Key.Task); ok {
 			key.Step = uniformTaskID(round, step, 0)
 		}
-		if ws := c.pending[key]; ws != nil {
-			if g, ok := ws.granted[h.Key.Task]; ok && g.attempt <= h.Key.Attempt {
-				delete(ws.granted, h.Key.Task)
-				ws.Tasks = slices.DeleteFunc(
-					ws.Tasks,
-					func(t wire.RequestedTask) bool { return t.Task == h.Key.Task && t.Attempt <= h.Key.Attempt },
+		if request := c.pending[key]; request != nil {
+			if g, ok := request.granted[status.Key.Task]; ok && g.attempt <= status.Key.Attempt {
+				delete(request.granted, status.Key.Task)
+				request.Tasks = slices.DeleteFunc(
+					request.Tasks,
+					func(t wire.RequestedTask) bool { return t.Task == status.Key.Task && t.Attempt <= status.Key.Attempt },
 				)
-				if len(ws.Tasks) == 0 {
+				if len(request.Tasks) == 0 {
 					delete(c.pending, key)
 				}
 			}
@@ -186,15 +188,15 @@
 		return
 	}
 	key := keyOf(m)
-	ws := c.pending[key]
-	if ws == nil {
-		ws = &pendingAllocation{firstMs: n.now, granted: map[int64]grantedTask{}}
-		c.pending[key] = ws
+	request := c.pending[key]
+	if request == nil {
+		request = &pendingAllocation{firstMs: n.now, granted: map[int64]grantedTask{}}
+		c.pending[key] = request
 	}
-	ws.AllocationRequest, ws.from, ws.lastMs = *m, from, n.now
+	request.AllocationRequest, request.from, request.lastMs = *m, from, n.now
 	for _, t := range m.Tasks { // still wanted some time after it was granted: the grant was lost or could not be taken
-		if g, ok := ws.granted[t.Task]; ok && (g.attempt != t.Attempt || n.now-g.atMs > regrantMs) {
-			delete(ws.granted, t.Task)
+		if g, ok := request.granted[t.Task]; ok && (g.attempt != t.Attempt || n.now-g.atMs > regrantMs) {
+			delete(request.granted, t.Task)
 		}
 	}
 	if len(c.pending) <= allocateNowMax {
@@ -205,9 +207,9 @@
 // grantedRoom is the guaranteed room, by worker, that agents do not show yet.
 func (c *centralScheduler) grantedRoom() map[string]resource.Amount {
 	room := map[string]resource.Amount{}
-	for _, ws := range c.pending { // sums: the order does not matter
-		for _, g := range ws.granted {
-			room[g.worker] = room[g.worker].Plus(ws.Resources)
+	for _, request := range c.pending { // sums: the order does not matter
+		for _, g := range request.granted {
+			room[g.worker] = room[g.worker].Plus(request.Resources)
 		}
 	}
 	return room
@@ -219,20 +221,20 @@
 	if !n.leases.Holds(lease.Central) || n.now-c.startMs < rebuildMs || !n.Policies.On(scheduler.Promotion) {
 		return
 	}
-	long := func(h wire.AttemptStatus) bool {
-		return h.Class == wire.ClassQueueable && n.mayBePromoted(h.State, h.RanMs, h.EstimateMs)
+	long := func(status wire.AttemptStatus) bool {
+		return status.Class == wire.ClassQueueable && n.mayBePromoted(status.State, status.RanMs, status.EstimateMs)
 	}
 	if !slices.ContainsFunc(w.Attempts, long) {
 		return
 	}
 	sure := w.Capacity.Minus(w.guaranteed).Minus(c.grantedRoom()[w.Worker])
-	for _, h := range w.Attempts {
-		if q := n.config.current.Queues[h.Queue]; q != nil && q.Batch != nil {
+	for _, status := range w.Attempts {
+		if q := n.config.current.Queues[status.Queue]; q != nil && q.Batch != nil {
 			continue // batches are never firm
 		}
-		if long(h) && h.Resources.Fits(sure) {
-			sure = sure.Minus(h.Resources)
-			n.send(w.Agent, &wire.Promotion{Worker: w.Worker, Epoch: w.Epoch, Key: h.Key})
+		if long(status) && status.Resources.Fits(sure) {
+			sure = sure.Minus(status.Resources)
+			n.send(w.Agent, &wire.Promotion{Worker: w.Worker, Epoch: w.Epoch, Key: status.Key})
 		}
 	}
 }
@@ -242,13 +244,13 @@
 	if c == nil {
 		return
 	}
-	for k, ws := range c.pending { // each is judged alone, so the order does not matter
-		for t, g := range ws.granted {
+	for k, request := range c.pending { // each is judged alone, so the order does not matter
+		for t, g := range request.granted {
 			if n.now-g.atMs > grantMs {
-				delete(ws.granted, t)
+				delete(request.granted, t)
 			}
 		}
-		if n.now-ws.lastMs > allocationStaleMs {
+		if n.now-request.lastMs > allocationStaleMs {
 			delete(c.pending, k)
 		}
 	}
--- a/internal/daemon/central_test.go
+++ b/internal/daemon/central_test.go
@@ -45,11 +45,11 @@
 	}
 	n.allocateAll(n.central)
 	placed := map[string]int{}
-	for k, ws := range n.central.pending {
+	for k, request := range n.central.pending {
 		if k.Job != job {
 			continue
 		}
-		for _, g := range ws.granted {
+		for _, g := range request.granted {
 			placed[g.worker]++
 		}
 	}
@@ -57,16 +57,16 @@
 }
 
 func wantOf(job, queue string, tasks int, cpu, estMs int64) *pendingAllocation {
-	ws := &pendingAllocation{granted: map[int64]grantedTask{}, AllocationRequest: wire.AllocationRequest{Shard: "s", Job: job, Queue: queue, Resources: resource.Amount{CPU: cpu}, EstimateMs: estMs}}
+	request := &pendingAllocation{granted: map[int64]grantedTask{}, AllocationRequest: wire.AllocationRequest{Shard: "s", Job: job, Queue: queue, Resources: resource.Amount{CPU: cpu}, EstimateMs: estMs}}
 	for i := range tasks {
-		ws.Tasks = append(ws.Tasks, wire.RequestedTask{Task: uniformTaskID(0, 0, int32(i)), Attempt: 1})
+		request.Tasks = append(request.Tasks, wire.RequestedTask{Task: uniformTaskID(0, 0, int32(i)), Attempt: 1})
 	}
-	return ws
+	return request
 }
 
-func (c *centralScheduler) add(now int64, ws *pendingAllocation) {
-	ws.firstMs, ws.lastMs = now, now
-	c.pending[keyOf(&ws.AllocationRequest)] = ws
+func (c *centralScheduler) add(now int64, request *pendingAllocation) {
+	request.firstMs, request.lastMs = now, now
+	c.pending[keyOf(&request.AllocationRequest)] = request
 }
 
 // A gang that asks for one rack waits for one as long as that is worth more than
--- a/internal/daemon/config_change.go
+++ b/internal/daemon/config_change.go
@@ -87,26 +87,26 @@
 }
 
 // changeIDOf gives the identity of the order in a request, and what is wrong with it.
-func changeIDOf(a *request) (configuration.ChangeID, []schema.Fault) {
-	version, faults := configuration.ParseVersion(a.key)
+func changeIDOf(req *request) (configuration.ChangeID, []schema.Fault) {
+	version, faults := configuration.ParseVersion(req.key)
 	if len(faults) > 0 {
 		return configuration.ChangeID{}, faults
 	}
-	id := configuration.ChangeID{Version: version, Base: a.base}
-	if a.base < 0 {
+	id := configuration.ChangeID{Version: version, Base: req.base}
+	if req.base < 0 {
 		id.Base = version - 1
 	}
 	switch {
 	case id.Version <= id.Base:
 		return id, []schema.Fault{{Path: "version", Reason: "must be higher than the one it builds on"}}
-	case len(a.digest) == sha256.Size:
-		id.Digest = [sha256.Size]byte(a.digest)
-	case len(a.digest) > 0:
+	case len(req.digest) == sha256.Size:
+		id.Digest = [sha256.Size]byte(req.digest)
+	case len(req.digest) > 0:
 		return id, []schema.Fault{{Path: "digest", Reason: "must be a SHA-256"}}
-	case a.config != nil && a.config.Digest() != [sha256.Size]byte{}:
-		id.Digest = a.config.Digest()
+	case req.config != nil && req.config.Digest() != [sha256.Size]byte{}:
+		id.Digest = req.config.Digest()
 	default:
-		id.Digest = sha256.Sum256(a.body)
+		id.Digest = sha256.Sum256(req.body)
 	}
 	return id, nil
 }
@@ -114,21 +114,21 @@
 // handleFindChange tells whether an order was accepted, for one whose document is not
 // at hand any more: a change by items that built on a version long passed. The
 // register itself is asked, and what it says stands at a majority then.
-func (n *node) handleFindChange(a *request) {
+func (n *node) handleFindChange(req *request) {
 	if !n.leases.InContact() {
-		n.reject(a, "the core can't be reached from here")
+		n.reject(req, "the core can't be reached from here")
 		return
 	}
-	id, faults := changeIDOf(a)
+	id, faults := changeIDOf(req)
 	if len(faults) > 0 {
-		n.rejectFaults(a, 400, 0, faults)
+		n.rejectFaults(req, 400, 0, faults)
 		return
 	}
-	if n.forwardToCore(a) {
+	if n.forwardToCore(req) {
 		return
 	}
 	o := n.startChange("setup", "taken", nil, 0)
-	o.change, o.request = id, a
+	o.change, o.request = id, req
 }
 
 // findChangeDecision leaves the configuration as it stands. What isn't taken, and can't be any
--- a/internal/daemon/config_request.go
+++ b/internal/daemon/config_request.go
@@ -11,39 +11,39 @@
 
 // handlePutConfig has a whole configuration accepted. Only the register can say whether it was
 // accepted before, or lost: what this daemon itself knows may be old.
-func (n *node) handlePutConfig(a *request) {
+func (n *node) handlePutConfig(req *request) {
 	if !n.leases.InContact() {
-		n.reject(a, "the core can't be reached from here")
+		n.reject(req, "the core can't be reached from here")
 		return
 	}
-	if a.config == nil {
+	if req.config == nil {
 		var faults []schema.Fault
-		if a.config, faults = configuration.Parse(a.key, a.body); len(faults) > 0 {
-			n.rejectFaults(a, 400, 0, faults)
+		if req.config, faults = configuration.Parse(req.key, req.body); len(faults) > 0 {
+			n.rejectFaults(req, 400, 0, faults)
 			return
 		}
 	}
-	id, faults := changeIDOf(a)
+	id, faults := changeIDOf(req)
 	if len(faults) > 0 {
-		n.rejectFaults(a, 400, 0, faults)
+		n.rejectFaults(req, 400, 0, faults)
 		return
 	}
-	if n.forwardToCore(a) {
+	if n.forwardToCore(req) {
 		return
 	}
-	o := n.startChange("setup", "setup", a.body, 0)
-	o.change, o.request = id, a
+	o := n.startChange("setup", "setup", req.body, 0)
+	o.change, o.request = id, req
 }
 
 // forwardToCore passes a change of the configuration on to a core member that answers
 // polls, the own zone's first: a machine without a disk may have a thin line,
 // and a change takes the whole document to and from each member.
-func (n *node) forwardToCore(a *request) bool {
+func (n *node) forwardToCore(req *request) bool {
 	best := n.nearestMember()
-	if best == "" || a.hops > 0 {
+	if best == "" || req.hops > 0 {
 		return false
 	}
-	n.forward(a, best)
+	n.forward(req, best)
 	return true
 }
 
@@ -63,31 +63,31 @@
 }
 
 // handleLocateConfig names the machine that a configuration is best read from, where it is another.
-func (n *node) handleLocateConfig(a *request) {
+func (n *node) handleLocateConfig(req *request) {
 	host, _, _ := net.SplitHostPort(n.peers.Addr(n.nearestMember()))
-	n.respond(a, 200, 0, mustJSON(map[string]any{"host": host}))
+	n.respond(req, 200, 0, mustJSON(map[string]any{"host": host}))
 }
 
 // handleSetZone empties a zone or opens it again, beside the document.
-func (n *node) handleSetZone(a *request) {
-	if !schema.ValidName(a.key) {
-		n.rejectFaults(a, 400, 0, []schema.Fault{{Path: "site", Reason: "must be a name"}})
+func (n *node) handleSetZone(req *request) {
+	if !schema.ValidName(req.key) {
+		n.rejectFaults(req, 400, 0, []schema.Fault{{Path: "site", Reason: "must be a name"}})
 		return
 	}
 	if !n.leases.InContact() {
-		n.reject(a, "the core can't be reached from here")
+		n.reject(req, "the core can't be reached from here")
 		return
 	}
-	if !n.forwardToCore(a) {
-		n.startChange("setup", strings.TrimPrefix(a.op, "site."), []byte(a.key), 0).request = a
+	if !n.forwardToCore(req) {
+		n.startChange("setup", strings.TrimPrefix(req.op, "site."), []byte(req.key), 0).request = req
 	}
 }
 
 // handleGetConfig tells a configuration that was confirmed after it was asked for, so that
 // nobody reads an older one than was acknowledged before.
-func (n *node) handleGetConfig(a *request) {
-	if !n.configConfirmedSince(a) {
-		n.awaitConfirmation(a, "the setup is not confirmed here")
+func (n *node) handleGetConfig(req *request) {
+	if !n.configConfirmedSince(req) {
+		n.awaitConfirmation(req, "the setup is not confirmed here")
 		return
 	}
 	past := make([]map[string]any, 0, len(n.config.record.Past))
@@ -107,7 +107,7 @@
 		doc = "null"
 	}
 	n.respond(
-		a,
+		req,
 		200,
 		0,
 		mustJSON(
--- a/internal/daemon/config_state.go
+++ b/internal/daemon/config_state.go
@@ -35,8 +35,8 @@
 // after a call came: then no version acknowledged before the call is newer. Polls
 // are counted for this, since times within one millisecond are in no order. After
 // a freeze what was confirmed before it is old, though the call is older still.
-func (n *node) configConfirmedSince(a *request) bool {
-	return n.config.confirmedBy > a.pollsBefore && n.configFresh()
+func (n *node) configConfirmedSince(req *request) bool {
+	return n.config.confirmedBy > req.pollsBefore && n.configFresh()
 }
 
 // confirmConfig takes a round of answers: where a majority holds the same
@@ -137,18 +137,18 @@
 
 func (n *node) tickConfig() {
 	kept, again := n.config.awaiting[:0:0], []*request{}
-	for _, a := range n.config.awaiting {
+	for _, req := range n.config.awaiting {
 		switch {
-		case n.configConfirmedSince(a):
-			again = append(again, a)
-		case n.leases.CutOff() || n.now-a.receivedMs > forwardMs*2/3:
-			n.reject(a, "the setup is not confirmed here")
+		case n.configConfirmedSince(req):
+			again = append(again, req)
+		case n.leases.CutOff() || n.now-req.receivedMs > forwardMs*2/3:
+			n.reject(req, "the setup is not confirmed here")
 		default:
-			kept = append(kept, a)
+			kept = append(kept, req)
 		}
 	}
 	n.config.awaiting = kept
-	for _, a := range again {
-		n.handleRequest(a)
+	for _, req := range again {
+		n.handleRequest(req)
 	}
 }
--- a/internal/daemon/core_member.go
+++ b/internal/daemon/core_member.go
@@ -54,14 +54,14 @@
 	if !n.servesSet(m.SetVersion) {
 		return
 	}
-	x := n.store.Shard(m.Shard)
-	if m.Epoch < x.Sealed() {
+	replica := n.store.Shard(m.Shard)
+	if m.Epoch < replica.Sealed() {
 		n.send(from, &wire.SealResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch})
 		return
 	}
-	a := &wire.SealResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch, OK: true, Served: x.Served()}
-	a.Records = append(a.Records, x.Live()...)
-	a.Records = append(a.Records, x.Unconfirmed()...)
+	a := &wire.SealResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch, OK: true, Served: replica.Served()}
+	a.Records = append(a.Records, replica.Live()...)
+	a.Records = append(a.Records, replica.Unconfirmed()...)
 	n.persist([]statestore.Entry{{Kind: statestore.EntrySeal, Name: m.Shard, Epoch: m.Epoch}}, n.sendEffect(from, a))
 }
 
@@ -69,9 +69,9 @@
 	if !n.servesSet(m.SetVersion) {
 		return
 	}
-	x := n.store.Shard(m.Shard)
-	if m.Epoch != x.Sealed() {
-		if m.Epoch > x.Sealed() { // a member that missed the seal learns it with the write
+	replica := n.store.Shard(m.Shard)
+	if m.Epoch != replica.Sealed() {
+		if m.Epoch > replica.Sealed() { // a member that missed the seal learns it with the write
 			n.persist([]statestore.Entry{{Kind: statestore.EntrySeal, Name: m.Shard, Epoch: m.Epoch}})
 		} else {
 			n.count("writes_rejected")
@@ -79,7 +79,7 @@
 			return
 		}
 	}
-	if !fits(x, m.Patches) {
+	if !fits(replica, m.Patches) {
 		n.count("writes_lacking")
 		n.send(from, &wire.WriteResponse{
 			SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch, Seq: m.Seq, OK: true, Lacking: true,
@@ -87,7 +87,7 @@
 		return
 	}
 	entries := make([]statestore.Entry, 0, len(m.Records)+len(m.Patches)+len(m.Confirmed)+1)
-	if m.Complete && x.Served() < m.Epoch {
+	if m.Complete && replica.Served() < m.Epoch {
 		entries = append(entries, statestore.Entry{Kind: statestore.EntryServed, Name: m.Shard, Epoch: m.Epoch})
 	}
 	for _, id := range m.Confirmed {
@@ -113,9 +113,9 @@
 
 // fits tells whether all patches build on what a shard has. One of a version that is here
 // already, or an older one, came before: it fits, and changes nothing.
-func fits(x *statestore.Shard, patches []statestore.Patch) bool {
+func fits(replica *statestore.Shard, patches []statestore.Patch) bool {
 	for _, p := range patches {
-		if _, ok := x.Patched(p); !ok && !x.HasVersion(p.ID, p.Epoch, p.Version) {
+		if _, ok := replica.Patched(p); !ok && !replica.HasVersion(p.ID, p.Epoch, p.Version) {
 			return false
 		}
 	}
--- a/internal/daemon/core_set.go
+++ b/internal/daemon/core_set.go
@@ -40,12 +40,12 @@
 // under its old name with an empty disk.
 func (n *node) onCoreSetChanged() {
 	n.restartChanges()
-	for _, sl := range n.owned {
-		if !sl.serving {
-			sl.restartTakeover()
-			sl.sealSentMs = 0
+	for _, shard := range n.owned {
+		if !shard.serving {
+			shard.restartTakeover()
+			shard.sealSentMs = 0
 		}
-		for _, b := range sl.writes {
+		for _, b := range shard.writes {
 			if !b.done {
 				b.acked, b.sentMs = map[string]bool{}, 0
 			}
--- a/internal/daemon/cutoff_test.go
+++ b/internal/daemon/cutoff_test.go
@@ -246,8 +246,8 @@
 		w.call("caller", owner, atQueue("queue.state", "j9"), 20_000, func(status int, _ int64, b []byte) {
 			got = append(got, answered{status, string(b)})
 		})
-		sl := owner.sh.node.owned[w.nodes["d00"].sh.node.shardOf("j9")]
-		must.True(t, w.stepUntil(1000, func() bool { return len(sl.fetches) > 0 }))
+		shard := owner.sh.node.owned[w.nodes["d00"].sh.node.shardOf("j9")]
+		must.True(t, w.stepUntil(1000, func() bool { return len(shard.fetches) > 0 }))
 		owner.freeze(9000)
 		w.run(4000)
 		must.True(t, w.until(4000, func() bool {
--- a/internal/daemon/estimate.go
+++ b/internal/daemon/estimate.go
@@ -13,19 +13,19 @@
 func hintScaleKey(queue string) string { return queue + "/%" }
 
 // hasEstimateHint tells whether a task's caller has guessed how long it runs.
-func (js *liveJob) hasEstimateHint(t *task) bool {
-	return js.Steps[t.Step].Uniform && t.EstimateHintMs > 0
+func (j *liveJob) hasEstimateHint(t *task) bool {
+	return j.Steps[t.Step].Uniform && t.EstimateHintMs > 0
 }
 
-func (n *node) estimateMs(js *liveJob, t *task) int64 {
-	if js.hasEstimateHint(t) {
+func (n *node) estimateMs(job *liveJob, t *task) int64 {
+	if job.hasEstimateHint(t) {
 		percent := 100.0
-		if mean, known := n.estimates.Mean(hintScaleKey(js.Queue)); known && n.Policies.On(scheduler.LearnedEstimates) {
+		if mean, known := n.estimates.Mean(hintScaleKey(job.Queue)); known && n.Policies.On(scheduler.LearnedEstimates) {
 			percent = mean
 		}
 		return max(int64(float64(t.EstimateHintMs)*percent/100), 1)
 	}
-	if mean, known := n.estimates.Mean(js.Queue + "/" + t.Name); known {
+	if mean, known := n.estimates.Mean(job.Queue + "/" + t.Name); known {
 		return int64(mean)
 	}
 	if t.EstimateHintMs > 0 {
@@ -36,15 +36,15 @@
 
 // recordRunTime takes one run's time: into its name's mean, or into how far the guesses
 // of its queue are off, in percent.
-func (n *node) recordRunTime(js *liveJob, t *task, ranMs int64) {
+func (n *node) recordRunTime(job *liveJob, t *task, ranMs int64) {
 	if ranMs <= 0 {
 		return // nobody saw how long it took
 	}
-	if js.hasEstimateHint(t) {
-		n.estimates.Learn(hintScaleKey(js.Queue), float64(min(100*ranMs/t.EstimateHintMs, 1000)), n.now)
+	if job.hasEstimateHint(t) {
+		n.estimates.Learn(hintScaleKey(job.Queue), float64(min(100*ranMs/t.EstimateHintMs, 1000)), n.now)
 		return
 	}
-	n.estimates.Learn(js.Queue+"/"+t.Name, float64(ranMs), n.now)
+	n.estimates.Learn(job.Queue+"/"+t.Name, float64(ranMs), n.now)
 }
 
 // tickEstimates tells all daemons that may own a shard what this one learned since the last round, so
--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -132,15 +132,15 @@
 		out.Registers[name] = fmt.Sprintf("%s %s %s", ballotText(r.Promised), ballotText(r.Accepted), hashOf(r.Value))
 	}
 	for _, name := range st.ShardNames() {
-		x := st.Shard(name)
-		s := sliceSummary{Sealed: x.Sealed(), Served: x.Served(), Live: map[string]string{}, Finished: []string{}}
+		replica := st.Shard(name)
+		s := sliceSummary{Sealed: replica.Sealed(), Served: replica.Served(), Live: map[string]string{}, Finished: []string{}}
 		finished := map[string]bool{}
-		x.EachFinished(func(r statestore.Record) { finished[r.ID] = true })
+		replica.EachFinished(func(r statestore.Record) { finished[r.ID] = true })
 		s.Finished = append(s.Finished, sortedKeys(finished)...)
-		for _, r := range x.Unconfirmed() {
+		for _, r := range replica.Unconfirmed() {
 			s.Unsettled = append(s.Unsettled, r.ID)
 		}
-		for _, r := range x.Live() {
+		for _, r := range replica.Live() {
 			s.Live[r.ID] = fmt.Sprintf("epoch %d version %d value %s", r.Epoch, r.Version, hashOf(r.Value))
 		}
 		out.Slices[name] = s
--- a/internal/daemon/formation_test.go
+++ b/internal/daemon/formation_test.go
@@ -336,19 +336,19 @@
 func TestAcksBelongToTheirSet(t *testing.T) {
 	w := served(t, 4801)
 	n := w.holderOf("slice/east").sh.node
-	sl := n.owned["east"]
-	sl.writes[99] = &writeBatch{acked: map[string]bool{"d00": true}}
+	shard := n.owned["east"]
+	shard.writes[99] = &writeBatch{acked: map[string]bool{"d00": true}}
 	old := n.core.Version
 	next := n.core
 	next.Version++
 	n.adoptCoreSet(next)
-	must.MapEmpty(t, sl.writes[99].acked)
-	n.onWriteResponse("d01", &wire.WriteResponse{SetVersion: old, Shard: "east", Epoch: sl.epoch, Seq: 99, OK: true})
-	n.onWriteResponse("d02", &wire.WriteResponse{SetVersion: old, Shard: "east", Epoch: sl.epoch, Seq: 99, OK: true})
-	must.False(t, sl.writes[99].done)
-	n.onWriteResponse("d01", &wire.WriteResponse{SetVersion: next.Version, Shard: "east", Epoch: sl.epoch, Seq: 99, OK: true})
-	n.onWriteResponse("d02", &wire.WriteResponse{SetVersion: next.Version, Shard: "east", Epoch: sl.epoch, Seq: 99, OK: true})
-	must.True(t, sl.writes[99].done)
+	must.MapEmpty(t, shard.writes[99].acked)
+	n.onWriteResponse("d01", &wire.WriteResponse{SetVersion: old, Shard: "east", Epoch: shard.epoch, Seq: 99, OK: true})
+	n.onWriteResponse("d02", &wire.WriteResponse{SetVersion: old, Shard: "east", Epoch: shard.epoch, Seq: 99, OK: true})
+	must.False(t, shard.writes[99].done)
+	n.onWriteResponse("d01", &wire.WriteResponse{SetVersion: next.Version, Shard: "east", Epoch: shard.epoch, Seq: 99, OK: true})
+	n.onWriteResponse("d02", &wire.WriteResponse{SetVersion: next.Version, Shard: "east", Epoch: shard.epoch, Seq: 99, OK: true})
+	must.True(t, shard.writes[99].done)
 }
 
 // A job that was handed over and not answered may be kept: its caller is not
--- a/internal/daemon/heartbeat.go
+++ b/internal/daemon/heartbeat.go
@@ -122,56 +122,56 @@
 }
 
 // handleHeartbeat takes a worker's word and answers with what is to start and stop.
-func (n *node) handleHeartbeat(a *request) {
-	if !schema.ValidName(a.key) {
-		n.rejectFaults(a, 400, 0, []schema.Fault{{Path: "worker", Reason: "must be a name"}})
+func (n *node) handleHeartbeat(req *request) {
+	if !schema.ValidName(req.key) {
+		n.rejectFaults(req, 400, 0, []schema.Fault{{Path: "worker", Reason: "must be a name"}})
 		return
 	}
-	if f := schema.Check(a.body, heartbeatFields); len(f) > 0 {
-		n.log("heartbeat_unreadable", "worker", a.key, "path", f[0].Path, "reason", f[0].Reason)
-		n.rejectFaults(a, 400, 0, f)
+	if f := schema.Check(req.body, heartbeatFields); len(f) > 0 {
+		n.log("heartbeat_unreadable", "worker", req.key, "path", f[0].Path, "reason", f[0].Reason)
+		n.rejectFaults(req, 400, 0, f)
 		return
 	}
-	r := gjson.ParseBytes(a.body)
-	ag := n.agents[a.key]
-	if ag == nil {
-		ag = n.addColocatedAgent(a.key)
+	r := gjson.ParseBytes(req.body)
+	agent := n.agents[req.key]
+	if agent == nil {
+		agent = n.addColocatedAgent(req.key)
 	}
 	seq := r.Get("seq").Int()
-	if ag.replaced || !ag.colocated || seq <= ag.reportSeq {
-		n.respond(a, 200, 0, mustJSON(heartbeatReply{AgainMs: heartbeatMs, Start: []taskOrder{}, Stop: []taskOrder{}}))
+	if agent.replaced || !agent.colocated || seq <= agent.reportSeq {
+		n.respond(req, 200, 0, mustJSON(heartbeatReply{AgainMs: heartbeatMs, Start: []taskOrder{}, Stop: []taskOrder{}}))
 		return
 	}
-	changed, missed := !ag.rebuilt, n.now-ag.heardMs > frozenMs
-	ag.reportSeq, ag.heardMs, ag.tokenMs = seq, n.now, n.now
-	ag.zone, ag.rack, ag.labels = r.Get("site").Str, r.Get("rack").Str, labelsOf(r.Get("labels"))
-	ag.capacity = resource.Parse(r.Get("capacity"))
-	ag.free = ag.capacity
-	if leaving := r.Get("leaving").Bool(); leaving != ag.leaving {
-		ag.leaving, changed = leaving, true
-		n.log("worker_leaving", "worker", ag.worker, "leaving", leaving, "leaves_ms", r.Get("leaves_ms").Int())
+	changed, missed := !agent.rebuilt, n.now-agent.heardMs > frozenMs
+	agent.reportSeq, agent.heardMs, agent.tokenMs = seq, n.now, n.now
+	agent.zone, agent.rack, agent.labels = r.Get("site").Str, r.Get("rack").Str, labelsOf(r.Get("labels"))
+	agent.capacity = resource.Parse(r.Get("capacity"))
+	agent.free = agent.capacity
+	if leaving := r.Get("leaving").Bool(); leaving != agent.leaving {
+		agent.leaving, changed = leaving, true
+		n.log("worker_leaving", "worker", agent.worker, "leaving", leaving, "leaves_ms", r.Get("leaves_ms").Int())
 	}
-	if left := r.Get("leaves_ms"); left.Exists() && ag.leaving {
-		ag.leavesMs = n.now + left.Int()
+	if left := r.Get("leaves_ms"); left.Exists() && agent.leaving {
+		agent.leavesMs = n.now + left.Int()
 	}
-	ended, differs := n.applyHeartbeatLists(ag, r, missed)
+	ended, differs := n.applyHeartbeatLists(agent, r, missed)
 	changed = changed || differs
-	if !ag.rebuilt { // what a former agent here ordered is listed, or never starts
-		ag.rebuilt, ag.adoptedMs = true, n.now
-		ag.holdUntilMs = n.now + holdSpanMs*(100+driftPercent)/100
-		n.log("agent_rebuilt", "worker", ag.worker, "epoch", ag.epoch, "held", len(ag.attempts))
-	}
-	n.detectStalledWork(ag)
-	n.judgeWorker(ag)
-	ag.answering = true
-	n.startPending(ag)
-	ag.answering = false
-	n.respond(a, 200, 0, mustJSON(n.heartbeatReply(ag)))
+	if !agent.rebuilt { // what a former agent here ordered is listed, or never starts
+		agent.rebuilt, agent.adoptedMs = true, n.now
+		agent.holdUntilMs = n.now + holdSpanMs*(100+driftPercent)/100
+		n.log("agent_rebuilt", "worker", agent.worker, "epoch", agent.epoch, "held", len(agent.attempts))
+	}
+	n.detectStalledWork(agent)
+	n.judgeWorker(agent)
+	agent.answering = true
+	n.startPending(agent)
+	agent.answering = false
+	n.respond(req, 200, 0, mustJSON(n.heartbeatReply(agent)))
 	switch {
 	case changed:
-		n.reportAgent(ag)
-	case ended || ag.changesWait:
-		n.reportChanges(ag)
+		n.reportAgent(agent)
+	case ended || agent.changesWait:
+		n.reportChanges(agent)
 	}
 }
 
@@ -186,7 +186,7 @@
 			n.reportAgent(old)
 		}
 	}
-	ag := &workerAgent{
+	agent := &workerAgent{
 		worker:     worker,
 		epoch:      n.Incarnation,
 		startMs:    n.now,
@@ -200,25 +200,25 @@
 		ends:       map[int64]wire.AttemptKey{},
 		ownerMs:    map[string]int64{},
 	}
-	n.agents[worker] = ag
-	n.log("worker_new", "worker", worker, "epoch", ag.epoch)
-	return ag
+	n.agents[worker] = agent
+	n.log("worker_new", "worker", worker, "epoch", agent.epoch)
+	return agent
 }
 
 // loseAttempts resolves all that a worker surely doesn't run any more.
-func (n *node) loseAttempts(ag *workerAgent) (some bool) {
-	for _, key := range ag.keys() {
-		h := ag.attempts[key]
-		if h.state == wire.AttemptEnded {
+func (n *node) loseAttempts(agent *workerAgent) (some bool) {
+	for _, key := range agent.keys() {
+		attempt := agent.attempts[key]
+		if attempt.state == wire.AttemptEnded {
 			continue
 		}
-		if h.state == wire.AttemptQueued {
-			h.result = wire.ResultShed
+		if attempt.state == wire.AttemptQueued {
+			attempt.result = wire.ResultShed
 		} else {
-			h.result = wire.ResultLost
+			attempt.result = wire.ResultLost
 			n.count("runs_lost")
 		}
-		h.state, some = wire.AttemptEnded, true
+		attempt.state, some = wire.AttemptEnded, true
 	}
 	return some
 }
@@ -235,68 +235,68 @@
 // applyHeartbeatLists brings what is held in line with what the worker lists; missed says
 // that no heartbeat was heard for so long that nobody knows when it came about. It tells
 // whether attempts ended, and whether owners must hear all of what is held.
-func (n *node) applyHeartbeatLists(ag *workerAgent, r gjson.Result, missed bool) (ended, changed bool) {
+func (n *node) applyHeartbeatLists(agent *workerAgent, r gjson.Result, missed bool) (ended, changed bool) {
 	running := map[wire.AttemptKey]bool{}
 	r.Get("running").ForEach(func(_, e gjson.Result) bool {
 		if key, ok := runOf(e); ok {
 			running[key] = true
-			changed = n.applyRunning(ag, key, e, missed) || changed
+			changed = n.applyRunning(agent, key, e, missed) || changed
 		}
 		return true
 	})
 	list := &endedList{keys: map[wire.AttemptKey]bool{}}
 	r.Get("ended").ForEach(func(_, e gjson.Result) bool {
-		n.applyEnded(ag, list, e, missed)
+		n.applyEnded(agent, list, e, missed)
 		return true
 	})
-	for number, key := range ag.ends {
-		if h := ag.attempts[key]; number < list.lapsed && h != nil {
-			h.lateEnd, h.voided = false, true
+	for number, key := range agent.ends {
+		if attempt := agent.attempts[key]; number < list.lapsed && attempt != nil {
+			attempt.lateEnd, attempt.voided = false, true
 		}
 	}
-	if list.first > 0 && ag.acknowledgedEnds < list.first-1 {
-		ag.acknowledgedEnds = list.first - 1
+	if list.first > 0 && agent.acknowledgedEnds < list.first-1 {
+		agent.acknowledgedEnds = list.first - 1
 	}
-	return n.endUnlisted(ag, running, list) || list.changed, changed
+	return n.endUnlisted(agent, running, list) || list.changed, changed
 }
 
 // adoptUnknown takes a run that only the worker knew of, as a former agent had ordered it.
-func (ag *workerAgent) adoptUnknown(key wire.AttemptKey, now int64) *agentAttempt {
-	h := &agentAttempt{
+func (a *workerAgent) adoptUnknown(key wire.AttemptKey, now int64) *agentAttempt {
+	attempt := &agentAttempt{
 		state: wire.AttemptOrdered, unknown: true, ordered: true, unobserved: true,
 		adoptedMs: now, spec: wire.TaskSpec{Key: key}, confirmedMs: -1 << 40,
 	}
-	ag.attempts[key] = h
-	return h
+	a.attempts[key] = attempt
+	return attempt
 }
 
 // applyRunning applies one run that a heartbeat lists as running.
-func (n *node) applyRunning(ag *workerAgent, key wire.AttemptKey, e gjson.Result, missed bool) (changed bool) {
-	h := ag.attempts[key]
-	if h == nil {
-		h = ag.adoptUnknown(key, n.now)
-		h.orderedMs = n.now
+func (n *node) applyRunning(agent *workerAgent, key wire.AttemptKey, e gjson.Result, missed bool) (changed bool) {
+	attempt := agent.attempts[key]
+	if attempt == nil {
+		attempt = agent.adoptUnknown(key, n.now)
+		attempt.orderedMs = n.now
 		changed = true
 	}
-	if h.state != wire.AttemptRunning {
-		if h.state == wire.AttemptEnded {
-			n.log("attempt_runs_after_end", "attempt", key.String(), "worker", ag.worker)
+	if attempt.state != wire.AttemptRunning {
+		if attempt.state == wire.AttemptEnded {
+			n.log("attempt_runs_after_end", "attempt", key.String(), "worker", agent.worker)
 		}
-		changed = changed || h.spec.Gang
-		h.state, h.ordered, h.startedMs, h.movedMs = wire.AttemptRunning, true, n.now, n.now
-		h.unobserved = h.unobserved || missed
+		changed = changed || attempt.spec.Gang
+		attempt.state, attempt.ordered, attempt.startedMs, attempt.movedMs = wire.AttemptRunning, true, n.now, n.now
+		attempt.unobserved = attempt.unobserved || missed
 	}
-	if p := e.Get("percent").Int(); p != h.percent {
-		h.percent, h.movedMs = p, n.now
+	if p := e.Get("percent").Int(); p != attempt.percent {
+		attempt.percent, attempt.movedMs = p, n.now
 	}
 	if saved := e.Get("saved").Str; saved != "" {
-		h.spec.Saved = saved
+		attempt.spec.Saved = saved
 	}
 	return changed
 }
 
 // applyEnded applies one run that a heartbeat lists as ended.
-func (n *node) applyEnded(ag *workerAgent, list *endedList, e gjson.Result, missed bool) {
+func (n *node) applyEnded(agent *workerAgent, list *endedList, e gjson.Result, missed bool) {
 	number, outcome := e.Get("n").Int(), e.Get("outcome").Str
 	list.count++
 	if list.first == 0 || number < list.first {
@@ -307,47 +307,47 @@
 	}
 	key, ok := runOf(e)
 	if !ok || !heartbeatOutcomes[outcome] {
-		ag.ends[number] = wire.AttemptKey{}
+		agent.ends[number] = wire.AttemptKey{}
 		return
 	}
-	list.keys[key], ag.ends[number] = true, key
-	h := ag.attempts[key]
-	if _, buried := ag.tombstones[key]; buried && h == nil {
+	list.keys[key], agent.ends[number] = true, key
+	attempt := agent.attempts[key]
+	if _, buried := agent.tombstones[key]; buried && attempt == nil {
 		return
 	}
-	if h == nil { // of a former agent, that may have been cut off for long
-		h = ag.adoptUnknown(key, n.now)
-		h.startedMs = n.now
-		h.lateEnd = finalOutcomes[outcome]
+	if attempt == nil { // of a former agent, that may have been cut off for long
+		attempt = agent.adoptUnknown(key, n.now)
+		attempt.startedMs = n.now
+		attempt.lateEnd = finalOutcomes[outcome]
 	}
 	if saved := e.Get("saved").Str; saved != "" {
-		h.spec.Saved = saved
+		attempt.spec.Saved = saved
 	}
 	// A run given up as lost that ended by itself after all: its owner says whether it still counts.
-	lost := h.state == wire.AttemptEnded && h.result == wire.ResultLost && !h.acked && finalOutcomes[outcome]
-	if h.state != wire.AttemptEnded || lost {
-		h.lateEnd = (h.lateEnd || lost) && !h.voided
+	lost := attempt.state == wire.AttemptEnded && attempt.result == wire.ResultLost && !attempt.acked && finalOutcomes[outcome]
+	if attempt.state != wire.AttemptEnded || lost {
+		attempt.lateEnd = (attempt.lateEnd || lost) && !attempt.voided
 		list.changed = true
-		h.unobserved = h.unobserved || missed
-		n.endAttempt(ag, h, outcome, max(n.now-max(h.startedMs, h.orderedMs), 1))
+		attempt.unobserved = attempt.unobserved || missed
+		n.endAttempt(agent, attempt, outcome, max(n.now-max(attempt.startedMs, attempt.orderedMs), 1))
 	}
 }
 
 // endUnlisted ends what the worker no longer lists, and forgets what is acknowledged.
-func (n *node) endUnlisted(ag *workerAgent, running map[wire.AttemptKey]bool, ended *endedList) (changed bool) {
-	for _, key := range ag.keys() {
-		h := ag.attempts[key]
-		h.listed = running[key]
+func (n *node) endUnlisted(agent *workerAgent, running map[wire.AttemptKey]bool, ended *endedList) (changed bool) {
+	for _, key := range agent.keys() {
+		attempt := agent.attempts[key]
+		attempt.listed = running[key]
 		mayBeCutShort := ended.count >= endsPage // there may be more than it could list
 		switch {
-		case running[key] || ended.keys[key] || mayBeCutShort && h.state == wire.AttemptRunning:
-		case h.state == wire.AttemptOrdered && h.orderSeq < ag.reportSeq:
-			h.state, h.result, changed = wire.AttemptEnded, wire.ResultRejected, true
+		case running[key] || ended.keys[key] || mayBeCutShort && attempt.state == wire.AttemptRunning:
+		case attempt.state == wire.AttemptOrdered && attempt.orderSeq < agent.reportSeq:
+			attempt.state, attempt.result, changed = wire.AttemptEnded, wire.ResultRejected, true
 			n.count("starts_not_taken")
-		case h.state == wire.AttemptRunning:
-			h.state, h.result, changed = wire.AttemptEnded, wire.ResultLost, true
-		case h.state == wire.AttemptEnded && h.acked:
-			ag.forget(key, n.now)
+		case attempt.state == wire.AttemptRunning:
+			attempt.state, attempt.result, changed = wire.AttemptEnded, wire.ResultLost, true
+		case attempt.state == wire.AttemptEnded && attempt.acked:
+			agent.forget(key, n.now)
 		}
 	}
 	return changed
@@ -355,84 +355,84 @@
 
 // heartbeatReply says what starts and stops, which ends are acknowledged, and how
 // long the worker goes on without another answer.
-func (n *node) heartbeatReply(ag *workerAgent) heartbeatReply {
+func (n *node) heartbeatReply(agent *workerAgent) heartbeatReply {
 	out := heartbeatReply{AgainMs: heartbeatMs, Start: []taskOrder{}, Stop: []taskOrder{}}
-	n.acknowledgeEnds(ag)
-	out.Seen = ag.acknowledgedEnds
-	for _, h := range ag.toStart {
-		v := viewOf(h.spec.Key)
-		v.Payload, v.Saved = h.spec.Payload, h.spec.Saved
+	n.acknowledgeEnds(agent)
+	out.Seen = agent.acknowledgedEnds
+	for _, attempt := range agent.toStart {
+		v := viewOf(attempt.spec.Key)
+		v.Payload, v.Saved = attempt.spec.Payload, attempt.spec.Saved
 		out.Start = append(out.Start, v)
 	}
-	ag.toStart = nil
-	for _, key := range ag.keys() {
-		if h := ag.attempts[key]; h.atWorker() && h.stopMs != 0 {
+	agent.toStart = nil
+	for _, key := range agent.keys() {
+		if attempt := agent.attempts[key]; attempt.atWorker() && attempt.stopMs != 0 {
 			out.Stop = append(out.Stop, viewOf(key))
 		}
 	}
-	if until := n.holdUntil(ag); until > n.now {
+	if until := n.holdUntil(agent); until > n.now {
 		out.HoldMs = until - n.now
-		ag.holdUntilMs = max(ag.holdUntilMs, n.now+out.HoldMs*(100+driftPercent)/100)
+		agent.holdUntilMs = max(agent.holdUntilMs, n.now+out.HoldMs*(100+driftPercent)/100)
 	}
 	return out
 }
 
 // atWorker tells whether the worker has an attempt, or may have it.
-func (h *agentAttempt) atWorker() bool {
-	return h.state == wire.AttemptOrdered || h.state == wire.AttemptRunning
+func (a *agentAttempt) atWorker() bool {
+	return a.state == wire.AttemptOrdered || a.state == wire.AttemptRunning
 }
 
 // acknowledgeEnds counts on over the ends, by their numbers, that are in their owners'
 // records. Where too many wait behind a late one it lets the hold run out.
-func (n *node) acknowledgeEnds(ag *workerAgent) {
+func (n *node) acknowledgeEnds(agent *workerAgent) {
 	for {
-		key, ok := ag.ends[ag.acknowledgedEnds+1]
+		key, ok := agent.ends[agent.acknowledgedEnds+1]
 		if !ok {
 			break
 		}
-		if !ag.isAcknowledged(key) {
+		if !agent.isAcknowledged(key) {
 			break
 		}
-		ag.acknowledgedEnds++
-		delete(ag.ends, ag.acknowledgedEnds)
+		agent.acknowledgedEnds++
+		delete(agent.ends, agent.acknowledgedEnds)
 	}
-	if h := ag.attempts[ag.ends[ag.acknowledgedEnds+1]]; len(ag.ends) > lateEndsMax && h != nil && h.lateEnd {
+	if attempt := agent.attempts[agent.ends[agent.acknowledgedEnds+1]]; len(agent.ends) > lateEndsMax && attempt != nil && attempt.lateEnd {
 		n.count("ends_waited")
-		ag.lapse()
+		agent.lapse()
 	}
-	for number := range ag.ends {
-		if number <= ag.acknowledgedEnds {
-			delete(ag.ends, number)
+	for number := range agent.ends {
+		if number <= agent.acknowledgedEnds {
+			delete(agent.ends, number)
 		}
 	}
 }
 
 // isAcknowledged tells whether an end needs no more of its owner's word; the zero key stands
 // for an end that is none of ours.
-func (ag *workerAgent) isAcknowledged(key wire.AttemptKey) bool {
+func (a *workerAgent) isAcknowledged(key wire.AttemptKey) bool {
 	if key == (wire.AttemptKey{}) {
 		return true
 	}
-	if h := ag.attempts[key]; h != nil {
-		return h.acked
+	if attempt := a.attempts[key]; attempt != nil {
+		return attempt.acked
 	}
-	_, buried := ag.tombstones[key]
+	_, buried := a.tombstones[key]
 	return buried
 }
 
 // holdUntil is when the worker's hold ends: never later than the oldest owner's word on what
 // it runs allows, and at once while the hold is to run out.
-func (n *node) holdUntil(ag *workerAgent) int64 {
-	if ag.lapseUntilMs != 0 {
+func (n *node) holdUntil(agent *workerAgent) int64 {
+	if agent.lapseUntilMs != 0 {
 		return 0
 	}
 	until := n.now + n.holdSpan()
 	if n.leavingSince != 0 {
 		until = n.now + max(n.holdSpan(), n.MaxHoldMs)
 	}
-	for _, h := range ag.attempts {
-		if h.atWorker() {
-			until = min(until, h.confirmedMs+ownerSpanMs)
+	for _, attempt := range agent.attempts {
+		if attempt.atWorker() {
+			until = min(until, attempt.confirmedMs+ownerSpanMs)
 		}
 	}
 	return until
@@ -452,89 +452,89 @@
 //
 // What counts is when the answer came: a sync that a cut held up was sent in
 // time and heard too late.
-func (ag *workerAgent) heardOwner(slice string, sentMs, now int64) {
-	if !ag.colocated {
+func (a *workerAgent) heardOwner(slice string, sentMs, now int64) {
+	if !a.colocated {
 		return
 	}
-	if before, ok := ag.ownerMs[slice]; !ok || now-before > ownerSpanMs {
-		for _, h := range ag.attempts {
-			if h.spec.Shard == slice && h.state == wire.AttemptEnded &&
-				(h.result == wire.ResultOK || h.result == wire.ResultFailed) &&
-				!h.acked &&
-				!h.voided {
-				h.lateEnd = true
+	if before, ok := a.ownerMs[slice]; !ok || now-before > ownerSpanMs {
+		for _, attempt := range a.attempts {
+			if attempt.spec.Shard == slice && attempt.state == wire.AttemptEnded &&
+				(attempt.result == wire.ResultOK || attempt.result == wire.ResultFailed) &&
+				!attempt.acked &&
+				!attempt.voided {
+				attempt.lateEnd = true
 			}
 		}
 	}
-	ag.ownerMs[slice] = max(ag.ownerMs[slice], sentMs)
+	a.ownerMs[slice] = max(a.ownerMs[slice], sentMs)
 }
 
 // lapse lets the worker's hold run out: an end that another run took the place
 // of may be taken note of only after that. It waits until many others wait behind it.
-func (ag *workerAgent) lapse() {
-	if ag.lapseUntilMs == 0 {
-		ag.lapseUntilMs = ag.holdUntilMs + lapseMarginMs
+func (a *workerAgent) lapse() {
+	if a.lapseUntilMs == 0 {
+		a.lapseUntilMs = a.holdUntilMs + lapseMarginMs
 	}
 }
 
 // voidEnds notes that the hold lapsed: what ended before that stands for nothing
 // once it is taken note of.
-func (ag *workerAgent) voidEnds() {
-	for _, h := range ag.attempts {
-		h.lateEnd, h.voided = false, h.voided || h.ordered
+func (a *workerAgent) voidEnds() {
+	for _, attempt := range a.attempts {
+		attempt.lateEnd, attempt.voided = false, attempt.voided || attempt.ordered
 	}
 }
 
 // detectStalledWork stops work that stands still, or that its worker's leaving would cut off.
-func (n *node) detectStalledWork(ag *workerAgent) {
+func (n *node) detectStalledWork(agent *workerAgent) {
 	standing := false
-	for _, key := range ag.keys() {
-		h := ag.attempts[key]
-		if h.state != wire.AttemptRunning || h.stopMs != 0 || h.unknown {
+	for _, key := range agent.keys() {
+		attempt := agent.attempts[key]
+		if attempt.state != wire.AttemptRunning || attempt.stopMs != 0 || attempt.unknown {
 			continue
 		}
 		// A member of a gang waits for the others at its beginning, and at its end,
 		// which comes for all at once.
-		waits := h.spec.Gang && (h.percent == 0 || h.percent >= lastPercent)
+		waits := attempt.spec.Gang && (attempt.percent == 0 || attempt.percent >= lastPercent)
 		switch {
-		case !h.spec.Lasting && !waits && h.percent < 100 && n.now-h.movedMs > standMs+h.spec.EstimateMs/10:
+		case !attempt.spec.Lasting && !waits && attempt.percent < 100 && n.now-attempt.movedMs > standMs+attempt.spec.EstimateMs/10:
 			standing = true
 			n.count("standing")
-			n.stopAttempt(ag, h, wire.ResultStalled)
-		case ag.leavesMs != 0 && h.spec.Saves && ag.leavesMs-n.now < leaveStopMs:
-			n.stopAttempt(ag, h, wire.ResultMoved)
-		case h.spec.LimitMs > 0 && n.now-h.startedMs > h.spec.LimitMs:
-			n.stopAttempt(ag, h, wire.ResultOverrun)
+			n.stopAttempt(agent, attempt, wire.ResultStalled)
+		case agent.leavesMs != 0 && attempt.spec.Saves && agent.leavesMs-n.now < leaveStopMs:
+			n.stopAttempt(agent, attempt, wire.ResultMoved)
+		case attempt.spec.LimitMs > 0 && n.now-attempt.startedMs > attempt.spec.LimitMs:
+			n.stopAttempt(agent, attempt, wire.ResultOverrun)
 		}
 	}
-	if standing && n.now >= ag.suspectMs {
-		n.suspectWorker(ag, "stands", standsMs)
-		n.reportAgent(ag)
+	if standing && n.now >= agent.suspectMs {
+		n.suspectWorker(agent, "stands", standsMs)
+		n.reportAgent(agent)
 	}
 }
 
 // tickColocatedAgent ends what silence of the worker or of owners ends, and reports.
-func (n *node) tickColocatedAgent(ag *workerAgent) {
-	changed := n.endAfterSilence(ag)
-	for _, key := range ag.keys() {
-		h := ag.attempts[key]
-		active := h.state == wire.AttemptRunning || h.state == wire.AttemptOrdered
+func (n *node) tickColocatedAgent(agent *workerAgent) {
+	changed := n.endAfterSilence(agent)
+	for _, key := range agent.keys() {
+		attempt := agent.attempts[key]
+		active := attempt.state == wire.AttemptRunning || attempt.state == wire.AttemptOrdered
 		switch {
-		case h.state == wire.AttemptQueued && (n.now-ag.heardMs > n.queuedSilenceMs() || ag.goneMs != 0):
-			h.state, h.result, changed = wire.AttemptEnded, wire.ResultShed, true
-		case active && h.stopMs == 0 && n.now > max(h.confirmedMs+ownerSpanMs, h.adoptedMs+ownerSpanMs)-staleStopMs:
+		case attempt.state == wire.AttemptQueued && (n.now-agent.heardMs > n.queuedSilenceMs() || agent.goneMs != 0):
+			attempt.state, attempt.result, changed = wire.AttemptEnded, wire.ResultShed, true
+		case active && attempt.stopMs == 0 && n.now > max(attempt.confirmedMs+ownerSpanMs, attempt.adoptedMs+ownerSpanMs)-staleStopMs:
 			n.count("stale_stops")
-			n.stopAttempt(ag, h, wire.ResultLost)
+			n.stopAttempt(agent, attempt, wire.ResultLost)
 		}
 	}
-	n.dropOldTombstones(ag)
-	n.decayHealth(ag)
+	n.dropOldTombstones(agent)
+	n.decayHealth(agent)
 	if changed {
-		n.reportAgent(ag)
+		n.reportAgent(agent)
 	}
-	n.tickReports(ag)
-	if n.isFinished(ag) {
-		delete(n.agents, ag.worker)
+	n.tickReports(agent)
+	if n.isFinished(agent) {
+		delete(n.agents, agent.worker)
 	}
 }
 
@@ -548,45 +548,45 @@
 }
 
 // endAfterSilence gives up what the worker held once its hold has surely lapsed, or it is gone.
-func (n *node) endAfterSilence(ag *workerAgent) (changed bool) {
-	if n.now > ag.lapseUntilMs && ag.lapseUntilMs != 0 { // the hold has lapsed: late ends may go
-		ag.lapseUntilMs = 0
-		changed = n.loseAttempts(ag)
-		ag.voidEnds()
-	}
-	silent := n.now > ag.holdUntilMs+lapseMarginMs && n.now-ag.heardMs > lapseMarginMs
-	gone := ag.goneMs != 0 && n.now > ag.goneMs
-	if !ag.rebuilt || ag.replaced || !silent && !gone {
+func (n *node) endAfterSilence(agent *workerAgent) (changed bool) {
+	if n.now > agent.lapseUntilMs && agent.lapseUntilMs != 0 { // the hold has lapsed: late ends may go
+		agent.lapseUntilMs = 0
+		changed = n.loseAttempts(agent)
+		agent.voidEnds()
+	}
+	silent := n.now > agent.holdUntilMs+lapseMarginMs && n.now-agent.heardMs > lapseMarginMs
+	gone := agent.goneMs != 0 && n.now > agent.goneMs
+	if !agent.rebuilt || agent.replaced || !silent && !gone {
 		return changed
 	}
-	if ag.goneMs == 0 {
-		ag.voidEnds()
+	if agent.goneMs == 0 {
+		agent.voidEnds()
 	}
-	if n.loseAttempts(ag) {
+	if n.loseAttempts(agent) {
 		changed = true
-		n.log("worker_silent", "worker", ag.worker, "silent_ms", n.now-ag.heardMs)
+		n.log("worker_silent", "worker", agent.worker, "silent_ms", n.now-agent.heardMs)
 	}
 	return changed
 }
 
 // isFinished tells whether an agent whose worker is gone or replaced has nothing left to tell.
-func (n *node) isFinished(ag *workerAgent) bool {
-	if !ag.replaced && ag.goneMs == 0 {
+func (n *node) isFinished(agent *workerAgent) bool {
+	if !agent.replaced && agent.goneMs == 0 {
 		return false
 	}
-	if n.now-ag.heardMs > workerKeepMs {
+	if n.now-agent.heardMs > workerKeepMs {
 		return true
 	}
-	unacknowledged := func(k wire.AttemptKey) bool { return !ag.attempts[k].acked }
-	return !slices.ContainsFunc(ag.keys(), unacknowledged) && n.now-ag.heardMs > contactMs
+	unacknowledged := func(k wire.AttemptKey) bool { return !agent.attempts[k].acked }
+	return !slices.ContainsFunc(agent.keys(), unacknowledged) && n.now-agent.heardMs > contactMs
 }
 
 // handleWorkerGone takes a worker's word that it ends now.
-func (n *node) handleWorkerGone(a *request) {
-	if ag := n.agents[a.key]; ag != nil && ag.colocated && ag.goneMs == 0 {
-		ag.leaving, ag.goneMs = true, n.now+goneMs
-		n.log("worker_gone", "worker", ag.worker)
-		n.reportAgent(ag)
+func (n *node) handleWorkerGone(req *request) {
+	if agent := n.agents[req.key]; agent != nil && agent.colocated && agent.goneMs == 0 {
+		agent.leaving, agent.goneMs = true, n.now+goneMs
+		n.log("worker_gone", "worker", agent.worker)
+		n.reportAgent(agent)
 	}
-	n.respond(a, 200, 0, mustJSON(map[string]any{"worker": a.key}))
+	n.respond(req, 200, 0, mustJSON(map[string]any{"worker": req.key}))
 }
--- a/internal/daemon/heartbeat_test.go
+++ b/internal/daemon/heartbeat_test.go
@@ -47,8 +47,8 @@
 	}{{true, 99, 0}, {true, 50, 1}, {true, 0, 0}, {false, 50, 1}, {false, 99, 1}} {
 		n, beat := pinned(t)
 		beat(100, running("j1", 0, 1, c.percent))
-		h := n.agents["w1"].attempts[wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}]
-		h.unknown, h.confirmedMs, h.spec.Gang, h.spec.EstimateMs = false, n.now+60_000, c.gang, 1000
+		attempt := n.agents["w1"].attempts[wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}]
+		attempt.unknown, attempt.confirmedMs, attempt.spec.Gang, attempt.spec.EstimateMs = false, n.now+60_000, c.gang, 1000
 		beat(100, running("j1", 0, 1, c.percent))
 		must.Len(t, c.stops, beat(standMs+200, running("j1", 0, 1, c.percent)).Stop, must.Sprint(c))
 	}
@@ -61,18 +61,18 @@
 	must.Eq(t, int64(holdSpanMs), beat(100, "").HoldMs)
 	a := beat(50, running("j1", 0, 1, 10))
 	must.Eq(t, int64(0), a.HoldMs) // found running, and no owner has spoken: what an earlier answer held must do
-	ag := n.agents["w1"]
-	h := ag.attempts[wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}]
-	h.unknown, h.confirmedMs = false, n.now
+	agent := n.agents["w1"]
+	attempt := agent.attempts[wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}]
+	attempt.unknown, attempt.confirmedMs = false, n.now
 	must.Eq(t, int64(holdSpanMs), beat(50, running("j1", 0, 1, 20)).HoldMs)
 	a = beat(ownerSpanMs-1500, running("j1", 0, 1, 30))
 	must.Eq(t, int64(1450), a.HoldMs)
 	must.Len(t, 0, a.Stop)
 	must.Eq(t, int64(0), beat(1600, running("j1", 0, 1, 40)).HoldMs)
 
-	ag.attempts[wire.AttemptKey{Job: "j2", Task: uniformTaskID(0, 0, 1), Attempt: 3}] = &agentAttempt{state: wire.AttemptOrdered, orderSeq: ag.reportSeq, confirmedMs: n.now, spec: wire.TaskSpec{Key: wire.AttemptKey{Job: "j2", Task: uniformTaskID(0, 0, 1), Attempt: 3}}}
+	agent.attempts[wire.AttemptKey{Job: "j2", Task: uniformTaskID(0, 0, 1), Attempt: 3}] = &agentAttempt{state: wire.AttemptOrdered, orderSeq: agent.reportSeq, confirmedMs: n.now, spec: wire.TaskSpec{Key: wire.AttemptKey{Job: "j2", Task: uniformTaskID(0, 0, 1), Attempt: 3}}}
 	beat(50, "")
-	must.Eq(t, wire.ResultRejected, ag.attempts[wire.AttemptKey{Job: "j2", Task: uniformTaskID(0, 0, 1), Attempt: 3}].result)
+	must.Eq(t, wire.ResultRejected, agent.attempts[wire.AttemptKey{Job: "j2", Task: uniformTaskID(0, 0, 1), Attempt: 3}].result)
 }
 
 // Another worker at the same place means that the former has crashed; an end is
@@ -108,9 +108,9 @@
 	}{{"the answer arrived", running("j1", 0, 1, 0), wire.AttemptRunning}, {"the answer was lost", "", wire.AttemptEnded}} {
 		n, beat := pinned(t)
 		beat(100, "")
-		ag := n.agents["w1"]
-		h := &agentAttempt{state: wire.AttemptOrdered, orderSeq: ag.reportSeq + 1, confirmedMs: n.now + 60_000, spec: wire.TaskSpec{Key: key, Payload: []byte(`"text"`)}}
-		ag.attempts[key], ag.toStart = h, []*agentAttempt{h}
+		agent := n.agents["w1"]
+		attempt := &agentAttempt{state: wire.AttemptOrdered, orderSeq: agent.reportSeq + 1, confirmedMs: n.now + 60_000, spec: wire.TaskSpec{Key: key, Payload: []byte(`"text"`)}}
+		agent.attempts[key], agent.toStart = attempt, []*agentAttempt{attempt}
 		must.Len(t, 1, beat(50, "").Start, must.Sprint(c.name))
 		for seq := range int64(2) { // the same beat again and those before it, over other connections
 			for _, e := range reduce(n, event{NowMs: n.now, WallMs: 1, Seed: 1, Body: evRequest{ID: 77, Op: "worker.beat", Key: "w1", Base: -1,
@@ -123,9 +123,9 @@
 				}
 			}
 		}
-		must.Eq(t, wire.AttemptOrdered, h.state)
+		must.Eq(t, wire.AttemptOrdered, attempt.state)
 		must.Len(t, 0, beat(50, c.lists).Start, must.Sprint(c.name))
-		must.Eq(t, c.state, h.state, must.Sprint(c.name))
+		must.Eq(t, c.state, attempt.state, must.Sprint(c.name))
 		must.Len(t, 0, beat(50, c.lists).Start, must.Sprint(c.name))
 	}
 }
--- a/internal/daemon/http_server.go
+++ b/internal/daemon/http_server.go
@@ -298,19 +298,19 @@
 	out["requests_open"] = float64(len(n.forwarded))
 	out["setup_version"] = float64(n.config.record.Version)
 	out["sync_ms"] = float64(n.syncMs)
-	for _, sl := range n.owned {
-		out["jobs_live"] += float64(len(sl.jobs))
-		out["writes_open"] += float64(len(sl.writes))
+	for _, shard := range n.owned {
+		out["jobs_live"] += float64(len(shard.jobs))
+		out["writes_open"] += float64(len(shard.writes))
 	}
-	for _, ag := range n.agents {
-		for _, h := range ag.attempts {
+	for _, agent := range n.agents {
+		for _, attempt := range agent.attempts {
 			switch {
-			case h.state == wire.AttemptQueued:
-				out["queued_"+h.spec.Class.String()]++
-			case h.state == wire.AttemptOrdered && h.answeredMs == 0:
+			case attempt.state == wire.AttemptQueued:
+				out["queued_"+attempt.spec.Class.String()]++
+			case attempt.state == wire.AttemptOrdered && attempt.answeredMs == 0:
 				out["unsettled"]++
-			case h.state == wire.AttemptRunning:
-				out["running_"+h.spec.Class.String()]++
+			case attempt.state == wire.AttemptRunning:
+				out["running_"+attempt.spec.Class.String()]++
 			}
 		}
 	}
--- a/internal/daemon/http_server_test.go
+++ b/internal/daemon/http_server_test.go
@@ -77,9 +77,9 @@
 			return
 		case job := <-d.loop.jobs:
 			job(d.loop.executor)
-			for _, a := range *held {
-				if a.id%3 != 0 || len(d.loop.jobs) == 0 { // some wait for others that came later
-					ports.Reply(effReply{ID: a.id, Status: 200, Body: []byte(a.path)})
+			for _, req := range *held {
+				if req.id%3 != 0 || len(d.loop.jobs) == 0 { // some wait for others that came later
+					ports.Reply(effReply{ID: req.id, Status: 200, Body: []byte(req.path)})
 				}
 			}
 		}
--- a/internal/daemon/incident_test.go
+++ b/internal/daemon/incident_test.go
@@ -38,23 +38,23 @@
 		n, beat := pinned(t)
 		beat(100_000, "")
 		beat(50, "")
-		ag := n.agents["w1"]
+		agent := n.agents["w1"]
 		if c.ordered {
-			ag.attempts[key] = &agentAttempt{state: wire.AttemptOrdered, ordered: true, orderedMs: n.now, orderSeq: ag.reportSeq, confirmedMs: n.now + 60_000, spec: wire.TaskSpec{Key: key, EstimateMs: 100}}
+			agent.attempts[key] = &agentAttempt{state: wire.AttemptOrdered, ordered: true, orderedMs: n.now, orderSeq: agent.reportSeq, confirmedMs: n.now + 60_000, spec: wire.TaskSpec{Key: key, EstimateMs: 100}}
 		}
 		for _, l := range c.beats {
 			beat(l.afterMs, l.text)
 		}
-		h := ag.attempts[key]
-		must.Eq(t, wire.AttemptEnded, h.state, must.Sprint(name))
-		must.Eq(t, wire.ResultOK, h.result, must.Sprint(name))
-		must.Eq(t, c.ranMs, h.ranMs, must.Sprint(name))
+		attempt := agent.attempts[key]
+		must.Eq(t, wire.AttemptEnded, attempt.state, must.Sprint(name))
+		must.Eq(t, wire.ResultOK, attempt.result, must.Sprint(name))
+		must.Eq(t, c.ranMs, attempt.ranMs, must.Sprint(name))
 	}
 
 	n, _ := pinned(t)
-	js := &liveJob{jobRecord: jobRecord{Queue: "q", Steps: []jobStep{{Uniform: true}}}}
-	n.recordRunTime(js, &task{EstimateHintMs: 1000}, 1200)
-	n.recordRunTime(js, &task{EstimateHintMs: 1000}, 0)
+	job := &liveJob{jobRecord: jobRecord{Queue: "q", Steps: []jobStep{{Uniform: true}}}}
+	n.recordRunTime(job, &task{EstimateHintMs: 1000}, 1200)
+	n.recordRunTime(job, &task{EstimateHintMs: 1000}, 0)
 	mean, _ := n.estimates.Mean(hintScaleKey("q"))
 	must.Eq(t, 120.0, mean)
 }
--- a/internal/daemon/job.go
+++ b/internal/daemon/job.go
@@ -15,7 +15,7 @@
 	roundTasksMax = 2000    // tasks of the rounds of a job that are open at once
 )
 
-// task and job are kept as they stand in the shard's record.
+// taskID and job are kept as they stand in the shard's record.
 type task struct {
 	Round             int32
 	Step, IndexInStep int32
--- a/internal/daemon/job_parse.go
+++ b/internal/daemon/job_parse.go
@@ -219,27 +219,27 @@
 }
 
 // alike reads the specification that all tasks of a step share.
-func (st *jobStep) alike(s gjson.Result) {
-	st.Uniform, st.Size, st.Resources, st.Needs = true, int32(
+func (step *jobStep) alike(s gjson.Result) {
+	step.Uniform, step.Size, step.Resources, step.Needs = true, int32(
 		s.Get("count").Int(),
 	), resource.Parse(
 		s.Get("room"),
 	), labelsOf(
 		s.Get("labels"),
 	)
-	st.LimitMs, st.EstimateHintMs, st.AllowedFailures = s.Get("limit_ms").Int(), s.Get("estimate_ms").Int(), -1
+	step.LimitMs, step.EstimateHintMs, step.AllowedFailures = s.Get("limit_ms").Int(), s.Get("estimate_ms").Int(), -1
 	if a := s.Get("allowed_failures"); a.Exists() {
-		st.AllowedFailures = int32(a.Int())
+		step.AllowedFailures = int32(a.Int())
 	}
-	st.Gang, st.SameRack, st.Near, st.PerWorker = s.Get("gang").Bool() &&
-		st.Size > 1, s.Get(
+	step.Gang, step.SameRack, step.Near, step.PerWorker = s.Get("gang").Bool() &&
+		step.Size > 1, s.Get(
 		"same_rack",
 	).Bool(), s.Get(
 		"near",
 	).Str, int32(
 		s.Get("per_worker").Int(),
 	)
-	st.AllowsDuplicates, st.Lasting, st.Saves = s.Get("copies").Bool(), s.Get("lasting").Bool(), s.Get("saves").Bool()
+	step.AllowsDuplicates, step.Lasting, step.Saves = s.Get("copies").Bool(), s.Get("lasting").Bool(), s.Get("saves").Bool()
 }
 
 // cycle gives a step that waits on itself through others.
--- a/internal/daemon/job_schedule.go
+++ b/internal/daemon/job_schedule.go
@@ -15,50 +15,50 @@
 )
 
 // advanceJob does whatever a job's committed state now allows.
-func (n *node) advanceJob(sl *ownedShard, js *liveJob) {
-	n.respondWaiters(js)
-	if js.committed == 0 || !n.leases.Holds(lease.ShardRole(sl.name)) {
+func (n *node) advanceJob(shard *ownedShard, job *liveJob) {
+	n.respondWaiters(job)
+	if job.committed == 0 || !n.leases.Holds(lease.ShardRole(shard.name)) {
 		return
 	}
-	if js.DoneMs != 0 {
-		if js.committed >= js.Version && !sl.isDirty(js.ID) && len(js.waiters) == 0 {
-			n.retireJob(sl, js)
+	if job.DoneMs != 0 {
+		if job.committed >= job.Version && !shard.isDirty(job.ID) && len(job.waiters) == 0 {
+			n.retireJob(shard, job)
 		}
 		return
 	}
-	if state, ended := js.outcome(); ended {
-		n.finishJob(sl, js, state)
+	if state, ended := job.outcome(); ended {
+		n.finishJob(shard, job, state)
 		return
 	}
-	n.advanceRounds(sl, js)
-	pass := n.newSchedulePass(js)
-	for i := range js.Tasks {
-		switch js.Tasks[i].State {
+	n.advanceRounds(shard, job)
+	pass := n.newSchedulePass(job)
+	for i := range job.Tasks {
+		switch job.Tasks[i].State {
 		case taskPlaced:
-			n.tickPlacedTask(sl, js, i, &js.runtime[i])
+			n.tickPlacedTask(shard, job, i, &job.runtime[i])
 		case taskPending:
-			if n.mayStart(js, i, pass) {
-				js.trace.Task(i).Ready(n.now)
-				n.scheduleTask(sl, js, i, pass)
+			if n.mayStart(job, i, pass) {
+				job.trace.Task(i).Ready(n.now)
+				n.scheduleTask(shard, job, i, pass)
 			}
 		}
 	}
-	n.claimShares(sl, js, pass)
+	n.claimShares(shard, job, pass)
 }
 
 // finishJob makes a job's outcome part of its record.
-func (n *node) finishJob(sl *ownedShard, js *liveJob, state jobStatus) {
+func (n *node) finishJob(shard *ownedShard, job *liveJob, state jobStatus) {
 	wall := n.fleetTime()
 	if wall == 0 {
 		return // how long the job is kept counts from its end: that waits for the fleet's time
 	}
-	n.markDirty(sl, js)
-	js.State, js.DoneMs = state, wall
-	if js.trace != nil {
-		js.trace.LastEndMs = n.now
+	n.markDirty(shard, job)
+	job.State, job.DoneMs = state, wall
+	if job.trace != nil {
+		job.trace.LastEndMs = n.now
 	}
 	n.count("jobs_" + state.String())
-	n.batchEnded(js)
+	n.batchEnded(job)
 }
 
 // schedulePass is what one pass over a job's tasks goes by.
@@ -72,10 +72,10 @@
 	shareWaits  map[int]shareWait // by readySteps' index: what waits only for a share
 }
 
-func (n *node) newSchedulePass(js *liveJob) *schedulePass {
-	pass := &schedulePass{wall: n.fleetTime(), queue: n.config.current.Queues[js.Queue], batch: n.batchOf(&js.jobRecord) != nil}
-	for i := range js.Tasks {
-		if t := &js.Tasks[i]; t.State == taskPlaced && t.Class == wire.ClassQueueable {
+func (n *node) newSchedulePass(job *liveJob) *schedulePass {
+	pass := &schedulePass{wall: n.fleetTime(), queue: n.config.current.Queues[job.Queue], batch: n.batchOf(&job.jobRecord) != nil}
+	for i := range job.Tasks {
+		if t := &job.Tasks[i]; t.State == taskPlaced && t.Class == wire.ClassQueueable {
 			pass.outstanding++
 		}
 	}
@@ -84,71 +84,71 @@
 
 // mayStart tells whether a pending task may be placed now: its job runs, its time has
 // come, and the steps before it have ended in the committed record.
-func (n *node) mayStart(js *liveJob, i int, pass *schedulePass) bool {
-	t := &js.Tasks[i]
-	if js.State != jobRunning || pass.wall == 0 || pass.queue == nil || n.now < js.runtime[i].retryAtMs {
+func (n *node) mayStart(job *liveJob, i int, pass *schedulePass) bool {
+	t := &job.Tasks[i]
+	if job.State != jobRunning || pass.wall == 0 || pass.queue == nil || n.now < job.runtime[i].retryAtMs {
 		return false
 	}
-	if !n.configFresh() || !n.knowsLimit(js) {
+	if !n.configFresh() || !n.knowsLimit(job) {
 		return false
 	}
-	if due := js.roundDueMs(t.Round); due != 0 && pass.wall < due+dueMarginMs {
+	if due := job.roundDueMs(t.Round); due != 0 && pass.wall < due+dueMarginMs {
 		return false
 	}
-	if pass.batch && !n.batchMayStart(js, t, pass.wall) {
+	if pass.batch && !n.batchMayStart(job, t, pass.wall) {
 		return false
 	}
 	if pass.ready == nil {
-		pass.ready = js.readySteps(js.committed)
+		pass.ready = job.readySteps(job.committed)
 	}
-	return pass.ready[js.stepIndex(t)] && t.ChangedVersion <= js.committed
+	return pass.ready[job.stepIndex(t)] && t.ChangedVersion <= job.committed
 }
 
 // scheduleTask places a queueable task here, or asks the central scheduler for room.
-func (n *node) scheduleTask(sl *ownedShard, js *liveJob, i int, pass *schedulePass) {
-	rt := &js.runtime[i]
-	if !n.mayTakeShare(js, i, pass.queue) {
+func (n *node) scheduleTask(shard *ownedShard, job *liveJob, i int, pass *schedulePass) {
+	rt := &job.runtime[i]
+	if !n.mayTakeShare(job, i, pass.queue) {
 		return
 	}
-	if n.classify(js, &js.Tasks[i]) == wire.ClassQueueable {
+	if n.classify(job, &job.Tasks[i]) == wire.ClassQueueable {
 		if int64(pass.outstanding) >= pass.queue.Quota {
 			return
 		}
-		if !n.hasShare(sl, js, js.Tasks[i].Resources) {
-			pass.addShareWait(js, i)
+		if !n.hasShare(shard, job, job.Tasks[i].Resources) {
+			pass.addShareWait(job, i)
 			return
 		}
-		n.placeQueueable(sl, js, i, pass)
+		n.placeQueueable(shard, job, i, pass)
 		return
 	}
-	if n.now-rt.allocationRequestMs < allocationRetryMs || sl.shares.yields(js, i, n.now) {
+	if n.now-rt.allocationRequestMs < allocationRetryMs || shard.shares.yields(job, i, n.now) {
 		return
 	}
-	if n.gangMayBegin(js, i) && !n.mayRequest(sl, js, i) {
-		pass.addShareWait(js, i)
+	if n.gangMayBegin(job, i) && !n.mayRequest(shard, job, i) {
+		pass.addShareWait(job, i)
 		return
 	}
-	if sl.allocationRequests >= allocationsPerTick {
+	if shard.allocationRequests >= allocationsPerTick {
 		return
 	}
 	if rt.allocationRequestMs != 0 { // not the first time
-		sl.starvedMs = n.now
+		shard.starvedMs = n.now
 	}
-	sl.allocationRequests++
-	n.requestAllocation(sl, js, i)
+	shard.allocationRequests++
+	n.requestAllocation(shard, job, i)
 }
 
 // placeQueueable places a task at a worker of the local scheduler's choice, if one is fit.
-func (n *node) placeQueueable(sl *ownedShard, js *liveJob, i int, pass *schedulePass) {
+func (n *node) placeQueueable(shard *ownedShard, job *liveJob, i int, pass *schedulePass) {
 	worker, candidates := "", 0
 	if pass.batch {
-		worker = n.selectBatchWorker(sl, js, i)
-	} else if worker, candidates = n.selectWorker(sl, js, i, pass); worker == "" {
-		sl.starvedMs = n.now
+		worker = n.selectBatchWorker(shard, job, i)
+	} else if worker, candidates = n.selectWorker(shard, job, i, pass); worker == "" {
+		shard.starvedMs = n.now
 	}
 	if worker != "" {
-		n.placeTask(sl, js, i, worker, wire.ClassQueueable)
-		n.tracePlaced(js, i, candidates)
+		n.placeTask(shard, job, i, worker, wire.ClassQueueable)
+		n.tracePlaced(job, i, candidates)
 		pass.outstanding++
 		if pass.choice != nil {
 			n.placed(pass.choice, worker)
@@ -157,43 +157,43 @@
 }
 
 // advanceRounds opens the rounds that are due soon, and lets go of those that are over.
-func (n *node) advanceRounds(sl *ownedShard, js *liveJob) {
+func (n *node) advanceRounds(shard *ownedShard, job *liveJob) {
 	wall := n.fleetTime()
-	if js.Rounds == 0 || js.State != jobRunning || wall == 0 {
+	if job.Rounds == 0 || job.State != jobRunning || wall == 0 {
 		return
 	}
-	if begun := js.FirstOpenRound; js.dropCompleteRounds(js.committed) {
-		dropped := int(js.FirstOpenRound-begun) * int(js.roundSize())
-		js.runtime = js.runtime[dropped:]
-		js.shiftTrace(dropped)
-		n.markDirty(sl, js)
-	}
-	hasRoom := func() bool { return len(js.Tasks)+int(js.roundSize()) <= roundTasksMax }
-	for js.RoundsOpened < js.Rounds && wall >= js.roundDueMs(js.RoundsOpened)-openAheadMs && hasRoom() {
-		js.openRound()
-		for range js.roundSize() {
-			js.runtime = append(js.runtime, taskRuntime{})
+	if begun := job.FirstOpenRound; job.dropCompleteRounds(job.committed) {
+		dropped := int(job.FirstOpenRound-begun) * int(job.roundSize())
+		job.runtime = job.runtime[dropped:]
+		job.shiftTrace(dropped)
+		n.markDirty(shard, job)
+	}
+	hasRoom := func() bool { return len(job.Tasks)+int(job.roundSize()) <= roundTasksMax }
+	for job.RoundsOpened < job.Rounds && wall >= job.roundDueMs(job.RoundsOpened)-openAheadMs && hasRoom() {
+		job.openRound()
+		for range job.roundSize() {
+			job.runtime = append(job.runtime, taskRuntime{})
 		}
-		js.shiftTrace(0)
-		n.markDirty(sl, js)
-		for i := len(js.Tasks) - int(js.roundSize()); i < len(js.Tasks); i++ {
-			js.Tasks[i].ChangedVersion = js.Version
+		job.shiftTrace(0)
+		n.markDirty(shard, job)
+		for i := len(job.Tasks) - int(job.roundSize()); i < len(job.Tasks); i++ {
+			job.Tasks[i].ChangedVersion = job.Version
 		}
 	}
 }
 
 // tickPlacedTask sends a committed placement, and resolves one whose worker stayed
 // silent past a trusted contract.
-func (n *node) tickPlacedTask(sl *ownedShard, js *liveJob, i int, rt *taskRuntime) {
-	t := &js.Tasks[i]
+func (n *node) tickPlacedTask(shard *ownedShard, job *liveJob, i int, rt *taskRuntime) {
+	t := &job.Tasks[i]
 	w := n.workers[t.Worker]
-	if t.ChangedVersion <= js.committed && rt.sentMs == 0 && js.State == jobRunning {
-		n.sendPlacement(sl, js, i)
+	if t.ChangedVersion <= job.committed && rt.sentMs == 0 && job.State == jobRunning {
+		n.sendPlacement(shard, job, i)
 	}
 	if w == nil || w.colocated {
-		n.tickColocatedTask(sl, js, i, rt, w)
+		n.tickColocatedTask(shard, job, i, rt, w)
 	}
-	silent := w == nil && n.now-sl.startMs > silentMs || w != nil && (n.now-w.receivedMs > silentMs || w.silentMs > silentMs)
+	silent := w == nil && n.now-shard.startMs > silentMs || w != nil && (n.now-w.receivedMs > silentMs || w.silentMs > silentMs)
 	if !silent {
 		rt.silentSinceMs = 0
 		return
@@ -201,45 +201,45 @@
 	if rt.silentSinceMs == 0 {
 		rt.silentSinceMs = n.now
 	}
-	if q := n.config.current.Queues[js.Queue]; q != nil && q.TrustLimit && n.configFresh() &&
+	if q := n.config.current.Queues[job.Queue]; q != nil && q.TrustLimit && n.configFresh() &&
 		n.now-rt.silentSinceMs > contactMs+flightMs+t.LimitMs+limitMargin {
 		n.count("run_limits_resolved")
-		n.resolveAttempt(sl, js, i, wire.ResultLost, 0)
+		n.resolveAttempt(shard, job, i, wire.ResultLost, 0)
 	}
 }
 
 // tickColocatedTask resolves a task whose worker's agent has been silent for longer than
 // it may hold anything without an owner's word, and begins a gang anew that did
 // not come together.
-func (n *node) tickColocatedTask(sl *ownedShard, js *liveJob, i int, rt *taskRuntime, w *workerView) {
-	t := &js.Tasks[i]
-	receivedMs := sl.startMs
+func (n *node) tickColocatedTask(shard *ownedShard, job *liveJob, i int, rt *taskRuntime, w *workerView) {
+	t := &job.Tasks[i]
+	receivedMs := shard.startMs
 	if w != nil {
 		receivedMs = max(receivedMs, w.receivedMs)
 	}
-	if (w != nil || n.allColocated()) && t.ChangedVersion <= js.committed &&
+	if (w != nil || n.allColocated()) && t.ChangedVersion <= job.committed &&
 		n.now-receivedMs > ownerSpanMs*(100+driftPercent)/100+lapseMarginMs &&
 		n.now-n.wokeMs > frozenMs {
 		n.count("lapses_resolved")
-		js.Abandoned = append(js.Abandoned, abandonedRun{js.taskID(i), t.Attempt})
-		n.resolveAttempt(sl, js, i, wire.ResultLost, 0)
+		job.Abandoned = append(job.Abandoned, abandonedRun{job.taskID(i), t.Attempt})
+		n.resolveAttempt(shard, job, i, wire.ResultLost, 0)
 		return
 	}
-	if !js.Steps[t.Step].Gang || rt.abort || t.IndexInStep != 0 {
+	if !job.Steps[t.Step].Gang || rt.abort || t.IndexInStep != 0 {
 		return
 	}
-	from, to := js.gangRange(i)
+	from, to := job.gangRange(i)
 	first, whole := int64(0), true
 	for k := from; k < to; k++ {
-		if r := &js.runtime[k]; r.runningSinceMs != 0 && (first == 0 || r.runningSinceMs < first) {
+		if r := &job.runtime[k]; r.runningSinceMs != 0 && (first == 0 || r.runningSinceMs < first) {
 			first = r.runningSinceMs
 		}
-		whole = whole && js.runtime[k].runningSinceMs != 0
+		whole = whole && job.runtime[k].runningSinceMs != 0
 	}
 	if !whole && first != 0 && n.now-first > gangSlackMs {
 		n.count("gangs_begun_anew")
 		for k := from; k < to; k++ {
-			js.runtime[k].abort = true
+			job.runtime[k].abort = true
 		}
 	}
 }
@@ -255,10 +255,10 @@
 }
 
 // gangComplete tells whether all of a task's gang is placed in one run.
-func (js *liveJob) gangComplete(i int) bool {
-	from, to := js.gangRange(i)
+func (j *liveJob) gangComplete(i int) bool {
+	from, to := j.gangRange(i)
 	for k := from; k < to; k++ {
-		if js.Tasks[k].State != taskPlaced || js.Tasks[k].Attempt != js.Tasks[i].Attempt || js.runtime[k].abort {
+		if j.Tasks[k].State != taskPlaced || j.Tasks[k].Attempt != j.Tasks[i].Attempt || j.runtime[k].abort {
 			return false
 		}
 	}
@@ -266,17 +266,17 @@
 }
 
 // classify gives a task's class: see scheduler.IsGuaranteed.
-func (n *node) classify(js *liveJob, t *task) wire.TaskClass {
-	class, _ := n.explainClass(js, t)
+func (n *node) classify(job *liveJob, t *task) wire.TaskClass {
+	class, _ := n.explainClass(job, t)
 	return class
 }
 
 // explainClass gives a task's class, and why it has that.
-func (n *node) explainClass(js *liveJob, t *task) (class wire.TaskClass, reason string) {
-	st := &js.Steps[t.Step]
+func (n *node) explainClass(job *liveJob, t *task) (class wire.TaskClass, reason string) {
+	step := &job.Steps[t.Step]
 	guaranteed, reason := scheduler.IsGuaranteed(scheduler.TaskFacts{
-		Batch: n.batchOf(&js.jobRecord) != nil, Gang: st.Gang, Lasting: st.Lasting,
-		Preempts: int64(t.Preempts), EstimateMs: n.knownRunMs(js, t),
+		Batch: n.batchOf(&job.jobRecord) != nil, Gang: step.Gang, Lasting: step.Lasting,
+		Preempts: int64(t.Preempts), EstimateMs: n.knownRunMs(job, t),
 	}, n.ThresholdMs)
 	if guaranteed {
 		return wire.ClassGuaranteed, reason
@@ -286,11 +286,11 @@
 
 // knownRunMs is how long a task is expected to run, if its caller guessed or runs of its name
 // were seen; 0 where nothing is known.
-func (n *node) knownRunMs(js *liveJob, t *task) int64 {
-	if js.hasEstimateHint(t) {
-		return n.estimateMs(js, t)
+func (n *node) knownRunMs(job *liveJob, t *task) int64 {
+	if job.hasEstimateHint(t) {
+		return n.estimateMs(job, t)
 	}
-	if mean, known := n.estimates.Mean(js.Queue + "/" + t.Name); known {
+	if mean, known := n.estimates.Mean(job.Queue + "/" + t.Name); known {
 		return max(int64(mean), 1)
 	}
 	return 0
--- a/internal/daemon/job_timeline.go
+++ b/internal/daemon/job_timeline.go
@@ -43,26 +43,26 @@
 
 // handleExplain tells where a job's time went. A job whose record alone is left has no
 // stages any more, and the answer says so.
-func (n *node) handleExplain(sl *ownedShard, a *request) {
-	js := sl.jobs[a.key]
-	if js == nil {
-		if j := sl.finished[a.key]; j != nil {
-			js = &liveJob{jobRecord: *j, runtime: make([]taskRuntime, len(j.Tasks)), trace: sl.finishedTraces.Get(a.key)}
+func (n *node) handleExplain(shard *ownedShard, req *request) {
+	job := shard.jobs[req.key]
+	if job == nil {
+		if j := shard.finished[req.key]; j != nil {
+			job = &liveJob{jobRecord: *j, runtime: make([]taskRuntime, len(j.Tasks)), trace: shard.finishedTraces.Get(req.key)}
 		}
 	}
-	if js == nil {
-		n.handleGet(sl, a) // unknown, or known from its record alone
+	if job == nil {
+		n.handleGet(shard, req) // unknown, or known from its record alone
 		return
 	}
-	n.respond(a, 200, 0, mustJSON(n.timelineOf(sl, js)))
+	n.respond(req, 200, 0, mustJSON(n.timelineOf(shard, job)))
 }
 
-func (n *node) timelineOf(sl *ownedShard, js *liveJob) jobTimeline {
+func (n *node) timelineOf(shard *ownedShard, job *liveJob) jobTimeline {
 	out := jobTimeline{
-		ID: js.ID, Queue: js.Queue, State: js.state(), Shard: sl.name, Owner: n.Name, Epoch: sl.epoch,
+		ID: job.ID, Queue: job.Queue, State: job.state(), Shard: shard.name, Owner: n.Name, Epoch: shard.epoch,
 		Since: seenNothing, StageMs: map[string]int64{}, Tasks: []taskTimeline{},
 	}
-	if trace := js.trace; trace != nil {
+	if trace := job.trace; trace != nil {
 		out.Epoch, out.Since = trace.Epoch, seenWhole
 		if trace.LoadedMs != 0 {
 			out.Since = seenTakeover
@@ -72,25 +72,25 @@
 		putStage(out.StageMs, jobtrace.Conclude, trace.LastEndMs, trace.ConcludedMs)
 		putStage(out.StageMs, jobtrace.Total, trace.AcceptedMs, trace.ConcludedMs)
 	}
-	for i := range js.Tasks {
-		out.Tasks = append(out.Tasks, n.taskTimelineOf(js, i))
+	for i := range job.Tasks {
+		out.Tasks = append(out.Tasks, n.taskTimelineOf(job, i))
 	}
 	return out
 }
 
-func (n *node) taskTimelineOf(js *liveJob, i int) taskTimeline {
-	t, trace := &js.Tasks[i], js.trace.Task(i)
+func (n *node) taskTimelineOf(job *liveJob, i int) taskTimeline {
+	t, trace := &job.Tasks[i], job.trace.Task(i)
 	out := taskTimeline{
-		Step: js.Steps[t.Step].Name, Index: t.IndexInStep, Round: t.Round, State: t.State.String(), Attempt: t.Attempt,
+		Step: job.Steps[t.Step].Name, Index: t.IndexInStep, Round: t.Round, State: t.State.String(), Attempt: t.Attempt,
 		Class: t.Class.String(), Worker: t.Worker, Candidates: trace.Candidates, StageMs: map[string]int64{},
 	}
-	if js.DoneMs == 0 {
+	if job.DoneMs == 0 {
 		var class wire.TaskClass
-		class, out.ClassWhy = n.explainClass(js, t)
+		class, out.ClassWhy = n.explainClass(job, t)
 		if t.State == taskPending {
 			out.Class = class.String()
 		}
-		out.Waits = n.explainWait(js, t)
+		out.Waits = n.explainWait(job, t)
 	}
 	placedMs := trace.PlacedMs
 	if t.State == taskPending && trace.ReadyMs != 0 { // it waits to be placed, for the first time or again
--- a/internal/daemon/lease_test.go
+++ b/internal/daemon/lease_test.go
@@ -348,10 +348,10 @@
 	must.True(t, b.until(4000, func() bool { return n.sh.node.agents[worker] != nil }))
 	b.cuts = map[[2]string]bool{}
 	heard := func() bool {
-		ag := n.sh.node.agents[worker]
+		agent := n.sh.node.agents[worker]
 		for _, s := range b.nodes["d00"].sh.node.core.Shards {
 			owner := b.holderOf("slice/" + s)
-			if ag == nil || owner == nil || owner.sh.node.workers[worker] == nil || owner.sh.node.workers[worker].epoch != ag.epoch {
+			if agent == nil || owner == nil || owner.sh.node.workers[worker] == nil || owner.sh.node.workers[worker].epoch != agent.epoch {
 				return false
 			}
 		}
--- a/internal/daemon/outcome_test.go
+++ b/internal/daemon/outcome_test.go
@@ -156,8 +156,8 @@
 				must.True(t, w.until(20_000, func() bool { return w.startsNamed(id) > 0 }), must.Sprint("it was taken and never runs"))
 				holders := 0
 				for _, n := range w.nodesInOrder() {
-					for _, sl := range n.sh.node.owned {
-						if sl.jobs[id] != nil || sl.finished[id] != nil {
+					for _, shard := range n.sh.node.owned {
+						if shard.jobs[id] != nil || shard.finished[id] != nil {
 							holders++
 						}
 					}
