--- a/internal/daemon/placement.go
+++ b/internal/daemon/placement.go
@@ -23,85 +23,85 @@
 
 // freeResources is the room of a worker that nothing known here takes: what its agent
 // holds for other shards, and all that this shard has placed there.
-func (n *node) freeResources(sl *ownedShard, name string, w *workerView) resource.Amount {
-	return w.capacity.Minus(w.usedByOthers[sl.name]).Minus(sl.loadByWorker[name])
+func (n *node) freeResources(shard *ownedShard, name string, w *workerView) resource.Amount {
+	return w.capacity.Minus(w.usedByOthers[shard.name]).Minus(shard.loadByWorker[name])
 }
 
 // stepTasksByWorker counts the tasks of a task's step and round by worker.
-func (js *liveJob) stepTasksByWorker(i int) map[string]int32 {
+func (j *liveJob) stepTasksByWorker(i int) map[string]int32 {
 	used := map[string]int32{}
-	from, to := js.gangRange(i)
+	from, to := j.gangRange(i)
 	for k := from; k < to; k++ {
-		if js.Tasks[k].State == taskPlaced {
-			used[js.Tasks[k].Worker]++
+		if j.Tasks[k].State == taskPlaced {
+			used[j.Tasks[k].Worker]++
 		}
 	}
 	return used
 }
 
-func (n *node) placeTask(sl *ownedShard, js *liveJob, i int, worker string, class wire.TaskClass) {
-	t := &js.Tasks[i]
-	n.markDirty(sl, js)
+func (n *node) placeTask(shard *ownedShard, job *liveJob, i int, worker string, class wire.TaskClass) {
+	t := &job.Tasks[i]
+	n.markDirty(shard, job)
 	w := n.workers[worker]
-	t.State, t.Class, t.ChangedVersion = taskPlaced, class, js.Version
+	t.State, t.Class, t.ChangedVersion = taskPlaced, class, job.Version
 	t.Worker, t.Agent, t.AgentEpoch = worker, w.agent, w.epoch
 	t.Attempt++
-	sl.updatePlacedIndex(js, i)
+	shard.updatePlacedIndex(job, i)
 	n.workers[worker].queued++ // until its agent's next word
 	if class == wire.ClassQueueable {
-		n.ranks.add(worker, n.estimateMs(js, t))
+		n.ranks.add(worker, n.estimateMs(job, t))
 	}
-	js.runtime[i] = taskRuntime{limitVersion: n.limits.Version()}
-	sl.shares.unreserve(js, i, t.Resources)
+	job.runtime[i] = taskRuntime{limitVersion: n.limits.Version()}
+	shard.shares.unreserve(job, i, t.Resources)
 	n.count("placements_" + class.String())
 }
 
-func (n *node) sendPlacement(sl *ownedShard, js *liveJob, i int) {
-	t := &js.Tasks[i]
+func (n *node) sendPlacement(shard *ownedShard, job *liveJob, i int) {
+	t := &job.Tasks[i]
 	w := n.workers[t.Worker]
-	if w == nil || w.epoch != t.AgentEpoch || !n.leases.Holds(lease.ShardRole(sl.name)) {
+	if w == nil || w.epoch != t.AgentEpoch || !n.leases.Holds(lease.ShardRole(shard.name)) {
 		return
 	}
-	js.runtime[i].sentMs, js.runtime[i].echoMs = n.now, w.echoMs
-	n.traceSent(js, i)
+	job.runtime[i].sentMs, job.runtime[i].echoMs = n.now, w.echoMs
+	n.traceSent(job, i)
 	n.send(
 		w.agent,
 		&wire.Placement{
 			Worker:     t.Worker,
 			AgentEpoch: t.AgentEpoch,
-			ShardEpoch: sl.epoch,
+			ShardEpoch: shard.epoch,
 			EchoMs:     w.echoMs,
-			Spec:       n.taskSpec(sl, js, i),
+			Spec:       n.taskSpec(shard, job, i),
 		},
 	)
 }
 
 // taskSpec is what an agent must know of a placed task.
-func (n *node) taskSpec(sl *ownedShard, js *liveJob, i int) wire.TaskSpec {
-	t := &js.Tasks[i]
+func (n *node) taskSpec(shard *ownedShard, job *liveJob, i int) wire.TaskSpec {
+	t := &job.Tasks[i]
 	return wire.TaskSpec{
 		Key: wire.AttemptKey{
-			Job:     js.ID,
-			Task:    js.taskID(i),
+			Job:     job.ID,
+			Task:    job.taskID(i),
 			Attempt: t.Attempt,
 		},
-		Shard:        sl.name,
-		Queue:        js.Queue,
+		Shard:        shard.name,
+		Queue:        job.Queue,
 		Name:         t.Name,
 		Class:        t.Class,
 		Resources:    t.Resources,
 		Needs:        t.Needs,
-		SubmittedMs:  js.SubmitMs,
-		EstimateMs:   n.estimateMs(js, t),
+		SubmittedMs:  job.SubmitMs,
+		EstimateMs:   n.estimateMs(job, t),
 		LimitMs:      t.LimitMs,
 		Payload:      t.Payload,
 		Saved:        t.Saved,
-		Gang:         js.Steps[t.Step].Gang,
-		Lasting:      js.Steps[t.Step].Lasting,
-		Saves:        js.Steps[t.Step].Saves,
-		PerWorker:    js.Steps[t.Step].PerWorker,
-		Tenant:       js.Tenant,
-		LimitVersion: js.runtime[i].limitVersion,
-		Excess:       js.excess,
+		Gang:         job.Steps[t.Step].Gang,
+		Lasting:      job.Steps[t.Step].Lasting,
+		Saves:        job.Steps[t.Step].Saves,
+		PerWorker:    job.Steps[t.Step].PerWorker,
+		Tenant:       job.Tenant,
+		LimitVersion: job.runtime[i].limitVersion,
+		Excess:       job.excess,
 	}
 }
--- a/internal/daemon/platformunit_test.go
+++ b/internal/daemon/platformunit_test.go
@@ -66,25 +66,25 @@
 		n.config.current, n.config.confirmedMs = cur, n.now
 		n.leases.Assume("slice/s", 1, n.now+60_000)
 		n.startShard("s", 1)
-		sl := n.owned["s"]
+		shard := n.owned["s"]
 		j, faults := parseJob("j", "q", []byte(`{"payload":"x","steps":[{"name":"a","count":3,"room":1,"gang":true}]}`))
 		must.SliceEmpty(t, faults)
-		js := &liveJob{jobRecord: *j, committed: 1, runtime: make([]taskRuntime, 3)}
-		sl.jobs["j"] = js
+		job := &liveJob{jobRecord: *j, committed: 1, runtime: make([]taskRuntime, 3)}
+		shard.jobs["j"] = job
 		m := &wire.Allocation{Shard: "s", Job: "j"}
 		for i := range 3 {
 			name := fmt.Sprint("w", i)
 			n.workers[name] = &workerView{receivedMs: n.now, rebuilt: true, reportFresh: true, leaving: i == gone, capacity: resource.Amount{CPU: 4}, agent: "d1", epoch: 1}
-			m.Places = append(m.Places, wire.AllocatedTask{Task: js.taskID(i), Attempt: 1, Worker: name})
+			m.Places = append(m.Places, wire.AllocatedTask{Task: job.taskID(i), Attempt: 1, Worker: name})
 		}
 		n.onAllocation("d1", m)
-		for i := range js.Tasks {
-			must.Eq(t, taskPending, js.Tasks[i].State, must.Sprintf("task %d was placed though w%d leaves", i, gone))
+		for i := range job.Tasks {
+			must.Eq(t, taskPending, job.Tasks[i].State, must.Sprintf("task %d was placed though w%d leaves", i, gone))
 		}
 		n.workers[fmt.Sprint("w", gone)].leaving = false
 		n.onAllocation("d1", m)
-		for i := range js.Tasks {
-			must.Eq(t, taskPlaced, js.Tasks[i].State)
+		for i := range job.Tasks {
+			must.Eq(t, taskPlaced, job.Tasks[i].State)
 		}
 	}
 }
@@ -102,8 +102,8 @@
 	must.True(t, n.agents["w1"].replaced)
 	key := wire.AttemptKey{Job: "j", Task: uniformTaskID(0, 0, 1), Attempt: 1}
 	n.onPlacement("d1", &wire.Placement{Worker: "w1", AgentEpoch: 7, ShardEpoch: 1, EchoMs: n.now, Spec: wire.TaskSpec{Key: key, Shard: "s", Resources: resource.Amount{CPU: 1}}})
-	h := n.agents["w1"].attempts[key]
-	must.NotNil(t, h)
-	must.Eq(t, wire.AttemptEnded, h.state)
-	must.Eq(t, wire.ResultRejected, h.result)
+	attempt := n.agents["w1"].attempts[key]
+	must.NotNil(t, attempt)
+	must.Eq(t, wire.AttemptEnded, attempt.state)
+	must.Eq(t, wire.ResultRejected, attempt.result)
 }
--- a/internal/daemon/platformworld_test.go
+++ b/internal/daemon/platformworld_test.go
@@ -186,8 +186,8 @@
 		tell("sees %s heard %d ms ago, rebuilt %v fresh %v leaving %v suspect %v bad for %d, capacity %v firm %v busy %v promised %v held %d", name, now-w.receivedMs, w.Rebuilt, w.Fresh, w.Leaving,
 			w.Suspect, w.unhealthyUntilMs-now, w.Capacity, w.guaranteed, w.busy, c.grantedRoom()[name], len(w.Attempts))
 	}
-	for k, ws := range c.pending {
-		tell("wants %s queue %s since %d ms, last %d ms ago, %d tasks of %v, open %d, gang %v needs %v", k.Job, ws.Queue, now-ws.firstMs, now-ws.lastMs, len(ws.Tasks), ws.Resources, len(ws.open()), ws.Gang, ws.Needs)
+	for k, request := range c.pending {
+		tell("wants %s queue %s since %d ms, last %d ms ago, %d tasks of %v, open %d, gang %v needs %v", k.Job, request.Queue, now-request.firstMs, now-request.lastMs, len(request.Tasks), request.Resources, len(request.open()), request.Gang, request.Needs)
 	}
 	for _, name := range sortedKeys(b.nodes) {
 		if b.nodes[name].up {
@@ -198,13 +198,13 @@
 		if !b.nodes[name].up {
 			continue
 		}
-		for _, sl := range b.nodes[name].sh.node.owned {
-			if js := sl.jobs[id]; js != nil {
+		for _, shard := range b.nodes[name].sh.node.owned {
+			if job := shard.jobs[id]; job != nil {
 				o := b.nodes[name].sh.node
-				for i := range js.Tasks {
-					t, r := &js.Tasks[i], &js.runtime[i]
+				for i := range job.Tasks {
+					t, r := &job.Tasks[i], &job.runtime[i]
 					tell("owner %s task %d.%d.%d state %s attempt %d class %s failures %d at %s, retry in %d, wanted %d ms ago, committed %v", name, t.Round, t.Step, t.IndexInStep, t.State.String(), t.Attempt,
-						t.Class.String(), t.Failures, t.Worker, r.retryAtMs-o.now, o.now-r.allocationRequestMs, t.ChangedVersion <= js.committed)
+						t.Class.String(), t.Failures, t.Worker, r.retryAtMs-o.now, o.now-r.allocationRequestMs, t.ChangedVersion <= job.committed)
 				}
 			}
 		}
@@ -525,12 +525,12 @@
 // tellAgents tells what a daemon's agents hold of a job.
 func (b *platformWorld) tellAgents(n *node, id string, tell func(format string, args ...any)) {
 	for _, worker := range sortedKeys(n.agents) {
-		ag := n.agents[worker]
-		kept := n.keptRoom(ag.capacity, ag.urgentHeld(n, wire.AttemptOrdered, wire.AttemptRunning))
-		for _, key := range ag.keys() {
-			if h := ag.attempts[key]; key.Job == id {
+		agent := n.agents[worker]
+		kept := n.keptRoom(agent.capacity, agent.urgentHeld(n, wire.AttemptOrdered, wire.AttemptRunning))
+		for _, key := range agent.keys() {
+			if attempt := agent.attempts[key]; key.Job == id {
 				tell("agent %s of %s holds task %d attempt %d, %s since %d ms, confirmed %d ms ago, stop %d, kept room %v",
-					n.Name, worker, key.Task, key.Attempt, h.state.String(), n.now-h.queuedMs, n.now-h.confirmedMs, h.stopMs, kept)
+					n.Name, worker, key.Task, key.Attempt, attempt.state.String(), n.now-attempt.queuedMs, n.now-attempt.confirmedMs, attempt.stopMs, kept)
 			}
 		}
 	}
--- a/internal/daemon/product_test.go
+++ b/internal/daemon/product_test.go
@@ -74,13 +74,13 @@
 		for _, m := range n.core.Names() { // nothing is committed
 			w.cuts[[2]string{owner.Name, m}] = m != owner.Name
 		}
-		sl := n.owned[name]
-		js := &liveJob{jobRecord: jobRecord{ID: id, Queue: "a"}}
+		shard := n.owned[name]
+		job := &liveJob{jobRecord: jobRecord{ID: id, Queue: "a"}}
 		put, get := &request{id: 900001, op: "job.put", key: id, queue: "a"}, &request{id: 900002, op: "job.state", key: id, queue: "a"}
-		js.waiters = []waiter{{version: 1, request: put, status: 201}, {version: 1, request: get, status: 200}}
-		sl.jobs[id] = js
+		job.waiters = []waiter{{version: 1, request: put, status: 201}, {version: 1, request: get, status: 200}}
+		shard.jobs[id] = job
 		look := &request{id: 900003, op: "job.put", key: "other", queue: "a"}
-		sl.fetches[77] = &fetchOp{id: "other", job: &jobRecord{ID: "other"}, requests: []*request{look}}
+		shard.fetches[77] = &fetchOp{id: "other", job: &jobRecord{ID: "other"}, requests: []*request{look}}
 		n.out = nil
 		n.endShard(name)
 		got := map[uint64]int{}
--- a/internal/daemon/queue_counts.go
+++ b/internal/daemon/queue_counts.go
@@ -21,11 +21,11 @@
 }
 
 // pendingByQueue counts a shard's jobs that wait for their first start, by queue.
-func pendingByQueue(sl *ownedShard) map[string]int64 {
+func pendingByQueue(shard *ownedShard) map[string]int64 {
 	pending := map[string]int64{}
-	for _, js := range sl.jobs {
-		if js.committed > 0 && js.state() == "pending" {
-			pending[js.Queue]++
+	for _, job := range shard.jobs {
+		if job.committed > 0 && job.state() == "pending" {
+			pending[job.Queue]++
 		}
 	}
 	return pending
@@ -38,12 +38,12 @@
 	}
 	n.queueCountsAt = n.now + queueCountsMs
 	for _, name := range sortedKeys(n.owned) {
-		sl := n.owned[name]
-		if !sl.serving || len(sl.loading) > 0 || !n.leases.Holds(lease.ShardRole(name)) {
+		shard := n.owned[name]
+		if !shard.serving || len(shard.loading) > 0 || !n.leases.Holds(lease.ShardRole(name)) {
 			continue
 		}
-		pending := pendingByQueue(sl)
-		m := &wire.QueueCounts{Shard: name, Epoch: sl.epoch}
+		pending := pendingByQueue(shard)
+		m := &wire.QueueCounts{Shard: name, Epoch: shard.epoch}
 		for _, queue := range sortedKeys(pending) {
 			m.Counts = append(m.Counts, wire.QueueCount{Queue: queue, Pending: pending[queue]})
 		}
@@ -73,8 +73,8 @@
 // where a shard's owner has not told for too long.
 func (n *node) pendingIn(queue string) (count int64, known bool) {
 	for _, name := range n.core.Shards {
-		if sl := n.owned[name]; sl != nil && sl.serving && n.leases.Holds(lease.ShardRole(name)) {
-			count += pendingByQueue(sl)[queue]
+		if shard := n.owned[name]; shard != nil && shard.serving && n.leases.Holds(lease.ShardRole(name)) {
+			count += pendingByQueue(shard)[queue]
 			continue
 		}
 		counts := n.queueCounts[name]
@@ -87,11 +87,11 @@
 }
 
 // respondPending answers how many jobs of a queue wait for their first start.
-func (n *node) respondPending(a *request, queue string) {
+func (n *node) respondPending(req *request, queue string) {
 	count, known := n.pendingIn(queue)
 	if !known {
-		n.reject(a, "not all shards have told what waits")
+		n.reject(req, "not all shards have told what waits")
 		return
 	}
-	n.respond(a, 200, 0, mustJSON(map[string]any{"waiting": count}))
+	n.respond(req, 200, 0, mustJSON(map[string]any{"waiting": count}))
 }
--- a/internal/daemon/quiet_test.go
+++ b/internal/daemon/quiet_test.go
@@ -14,8 +14,8 @@
 			continue
 		}
 		for _, name := range sortedKeys(n.sh.node.owned) {
-			for _, at := range n.sh.node.owned[name].tasksPlacedOn(worker) {
-				placed[at] = true
+			for _, ref := range n.sh.node.owned[name].tasksPlacedOn(worker) {
+				placed[ref] = true
 			}
 		}
 	}
@@ -39,8 +39,8 @@
 		b.run(quietMs + 2*tickMs + 50)
 		before := b.placedAtWorker(worker)
 		b.run(1500)
-		for at := range b.placedAtWorker(worker) {
-			must.MapContainsKey(t, before, at, must.Sprintf("seed %d: %v was placed at a quiet worker", seed, at))
+		for ref := range b.placedAtWorker(worker) {
+			must.MapContainsKey(t, before, ref, must.Sprintf("seed %d: %v was placed at a quiet worker", seed, ref))
 		}
 		b.finish(120_000)
 		verdictOfPlatform(t, b)
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -166,41 +166,41 @@
 	)
 }
 
-func (n *node) handleRequest(a *request) {
-	op, ok := requestHandlers[a.op]
+func (n *node) handleRequest(req *request) {
+	op, ok := requestHandlers[req.op]
 	if !ok {
-		n.respond(a, 404, 0, mustJSON(map[string]any{"error": "no such ask"}))
+		n.respond(req, 404, 0, mustJSON(map[string]any{"error": "no such ask"}))
 		return
 	}
-	op(n, a)
+	op(n, req)
 }
 
-func (n *node) respond(a *request, status int, retryMs int64, body []byte) {
+func (n *node) respond(req *request, status int, retryMs int64, body []byte) {
 	if status >= 400 {
 		n.count("requests_rejected")
 	}
-	if a.outcomeUnknown(status) {
+	if req.outcomeUnknown(status) {
 		status, body = 504, mustJSON(map[string]any{"error": "outcome unknown: send the same call again"})
 	}
-	if a.byAddress && a.origin == "" && status == 404 && a.queue != "" {
+	if req.byAddress && req.origin == "" && status == 404 && req.queue != "" {
 		status, body = 410, mustJSON(map[string]any{"missing": "job", "error": "no such job"})
 	}
-	m := wire.ForwardReply{ID: a.id, Status: int32(status), RetryMs: retryMs, Body: body}
-	if a.origin == "" {
-		n.reply(a.id, m)
+	m := wire.ForwardReply{ID: req.id, Status: int32(status), RetryMs: retryMs, Body: body}
+	if req.origin == "" {
+		n.reply(req.id, m)
 		return
 	}
-	n.respondTo(peerInstance{a.origin, a.originInstance}, &m)
+	n.respondTo(peerInstance{req.origin, req.originInstance}, &m)
 }
 
 // outcomeUnknown tells that a refusal can't be passed on as it is: an earlier try
 // of this call may have been done all the same. "Not taken" is only said when
 // it is surely so. That another job has the id stands, whoever says so.
-func (a *request) outcomeUnknown(status int) bool {
-	if a.queue == "" || !a.maybeApplied {
+func (r *request) outcomeUnknown(status int) bool {
+	if r.queue == "" || !r.maybeApplied {
 		return false
 	}
-	switch a.op {
+	switch r.op {
 	case "job.put":
 		return status == 503 || status == 429 || status == 404 || status == 400
 	case "job.cancel":
@@ -209,12 +209,12 @@
 	return false
 }
 
-func (n *node) reject(a *request, reason string) {
-	n.respond(a, 503, 1000, mustJSON(map[string]any{"error": reason}))
+func (n *node) reject(req *request, reason string) {
+	n.respond(req, 503, 1000, mustJSON(map[string]any{"error": reason}))
 }
 
-func (n *node) rejectFaults(a *request, status int, retryMs int64, faults []schema.Fault) {
-	n.respond(a, status, retryMs, faultsJSON(faults))
+func (n *node) rejectFaults(req *request, status int, retryMs int64, faults []schema.Fault) {
+	n.respond(req, status, retryMs, faultsJSON(faults))
 }
 
 func faultsJSON(faults []schema.Fault) []byte {
@@ -223,39 +223,39 @@
 
 // forward passes a request on, once per daemon and at most forwardsMax times; an
 // answer that does not come is given up on long before the caller's limit.
-func (n *node) forward(a *request, to string) {
-	if a.hops >= forwardsMax || to == n.Name || to == "" || !n.peers.Alive(to) {
-		n.readFromCore(a, "nobody surely settles this now")
+func (n *node) forward(req *request, to string) {
+	if req.hops >= forwardsMax || to == n.Name || to == "" || !n.peers.Alive(to) {
+		n.readFromCore(req, "nobody surely settles this now")
 		return
 	}
-	if a.hops > 0 && a.op != "worker.report" { // a second time; reports are few and feed everything
+	if req.hops > 0 && req.op != "worker.report" { // a second time; reports are few and feed everything
 		if !n.Policies.On(scheduler.ForwardRetry) || !n.retries.spend() {
-			n.reject(a, "nobody surely settles this now")
+			n.reject(req, "nobody surely settles this now")
 			return
 		}
 		n.count("requests_retried")
 	}
 	n.forwardSeq++
-	limitMs, body := n.now+forwardMs, a.body
-	if operatorRequests[a.op] {
-		limitMs, body = n.now+configForwardMs, configuration.Deflate(a.body)
+	limitMs, body := n.now+forwardMs, req.body
+	if operatorRequests[req.op] {
+		limitMs, body = n.now+configForwardMs, configuration.Deflate(req.body)
 	}
-	n.forwarded[n.forwardSeq] = &forwardedRequest{request: a, to: to, limitMs: limitMs}
+	n.forwarded[n.forwardSeq] = &forwardedRequest{request: req, to: to, limitMs: limitMs}
 	n.count("requests_forwarded")
 	n.send(
 		to,
 		&wire.Forward{
 			ID:     n.forwardSeq,
 			Origin: n.Name,
-			Hops:   a.hops + 1,
+			Hops:   req.hops + 1,
 			WaitMs: forwardMs,
-			Op:     a.op,
-			Key:    a.key,
+			Op:     req.op,
+			Key:    req.key,
 			Body:   body,
-			Queue:  a.queue,
-			Expect: a.base,
-			Digest: a.digest,
-			Tenant: a.tenant,
+			Queue:  req.queue,
+			Expect: req.base,
+			Digest: req.digest,
+			Tenant: req.tenant,
 		},
 	)
 }
@@ -302,17 +302,17 @@
 
 // readFromCore is for requests that no owner answers now: a job's state can still be
 // had from the core, anything else is rejected.
-func (n *node) readFromCore(a *request, reason string) {
-	if a.op != "job.get" && a.op != "job.state" || len(n.core.Members) == 0 || n.leases.CutOff() || !n.coreReads.spend() {
-		n.reject(a, reason)
+func (n *node) readFromCore(req *request, reason string) {
+	if req.op != "job.get" && req.op != "job.state" || len(n.core.Members) == 0 || n.leases.CutOff() || !n.coreReads.spend() {
+		n.reject(req, reason)
 		return
 	}
 	n.opSeq++
-	n.quorumReads[n.opSeq] = &quorumRead{request: a, answers: map[string]statestore.Record{}, limitMs: n.now + quorumReadMs}
+	n.quorumReads[n.opSeq] = &quorumRead{request: req, answers: map[string]statestore.Record{}, limitMs: n.now + quorumReadMs}
 	for _, m := range n.core.Members {
 		n.send(
 			m.Name,
-			&wire.FetchRequest{SetVersion: n.core.Version, Op: n.opSeq, Shard: n.shardOf(a.key), IDs: []string{a.key}},
+			&wire.FetchRequest{SetVersion: n.core.Version, Op: n.opSeq, Shard: n.shardOf(req.key), IDs: []string{req.key}},
 		)
 	}
 }
@@ -397,40 +397,40 @@
 	return rendezvous.Order(id, n.core.Shards)[0]
 }
 
-func (n *node) routeJob(a *request) {
-	name := n.shardOf(a.key)
+func (n *node) routeJob(req *request) {
+	name := n.shardOf(req.key)
 	if name == "" {
-		n.reject(a, "no cluster yet")
+		n.reject(req, "no cluster yet")
 		return
 	}
-	n.routeToShard(a, name)
+	n.routeToShard(req, name)
 }
 
-func (n *node) routeToShard(a *request, name string) {
-	if sl := n.owned[name]; sl != nil && n.leases.Holds(lease.ShardRole(name)) {
-		if !sl.serving {
-			n.readFromCore(a, "the slice is being taken over")
+func (n *node) routeToShard(req *request, name string) {
+	if shard := n.owned[name]; shard != nil && n.leases.Holds(lease.ShardRole(name)) {
+		if !shard.serving {
+			n.readFromCore(req, "the slice is being taken over")
 			return
 		}
-		op := jobOps[a.op]
+		op := jobOps[req.op]
 		if op == nil {
-			n.respond(a, 404, 0, mustJSON(map[string]any{"error": "no such ask"}))
+			n.respond(req, 404, 0, mustJSON(map[string]any{"error": "no such ask"}))
 			return
 		}
-		op(n, sl, a)
+		op(n, shard, req)
 		return
 	}
 	to, _ := n.leases.Holder(lease.ShardRole(name))
-	n.forward(a, to)
+	n.forward(req, to)
 }
 
-func (n *node) routeWorkerLost(a *request) {
-	slice, _, ok := strings.Cut(a.key, "/")
+func (n *node) routeWorkerLost(req *request) {
+	slice, _, ok := strings.Cut(req.key, "/")
 	if !ok {
-		n.respond(a, 404, 0, mustJSON(map[string]any{"error": "no such slice"}))
+		n.respond(req, 404, 0, mustJSON(map[string]any{"error": "no such slice"}))
 		return
 	}
-	n.routeToShard(a, slice)
+	n.routeToShard(req, slice)
 }
 
 type rawJSON string
--- a/internal/daemon/request_address.go
+++ b/internal/daemon/request_address.go
@@ -11,41 +11,41 @@
 // resolveAddress finds the queue that an address belongs to, by the configuration that a
 // majority confirmed lately. That an address belongs to none is only said by
 // a configuration confirmed after the call came.
-func (n *node) resolveAddress(a *request) {
+func (n *node) resolveAddress(req *request) {
 	c := n.config.current
 	if c.Version == 0 {
-		n.reject(a, "no setup yet")
+		n.reject(req, "no setup yet")
 		return
 	}
-	queue, id, ok := c.Resolve(a.host, a.path)
+	queue, id, ok := c.Resolve(req.host, req.path)
 	switch {
-	case !ok && n.configConfirmedSince(a):
-		n.respond(a, 404, 0, mustJSON(map[string]any{"missing": "queue", "error": "no queue has this address"}))
+	case !ok && n.configConfirmedSince(req):
+		n.respond(req, 404, 0, mustJSON(map[string]any{"missing": "queue", "error": "no queue has this address"}))
 		return
 	case !ok || !n.configFresh():
-		n.awaitConfirmation(a, "the setup is not confirmed here")
+		n.awaitConfirmation(req, "the setup is not confirmed here")
 		return
 	}
-	switch tenant, known := authenticate(c, queue, a.credential); {
+	switch tenant, known := authenticate(c, queue, req.credential); {
 	case known:
-		a.tenant, a.credential = tenant, ""
-	case n.configConfirmedSince(a):
+		req.tenant, req.credential = tenant, ""
+	case n.configConfirmedSince(req):
 		n.count("calls_unauthenticated")
-		n.respond(a, 401, 0, mustJSON(map[string]any{"error": "no tenant has this key"}))
+		n.respond(req, 401, 0, mustJSON(map[string]any{"error": "no tenant has this key"}))
 		return
 	default: // a version acknowledged just now may have it
-		n.awaitConfirmation(a, "the setup is not confirmed here")
+		n.awaitConfirmation(req, "the setup is not confirmed here")
 		return
 	}
-	a.queue, a.byAddress, a.key = queue, true, id
+	req.queue, req.byAddress, req.key = queue, true, id
 	switch {
-	case id == "" && a.op == "queue.state":
-		n.respondPending(a, queue)
+	case id == "" && req.op == "queue.state":
+		n.respondPending(req, queue)
 	case !schema.ValidName(id):
-		n.respond(a, 404, 0, nil)
+		n.respond(req, 404, 0, nil)
 	default:
-		a.op = addressOps[a.op]
-		n.handleRequest(a)
+		req.op = addressOps[req.op]
+		n.handleRequest(req)
 	}
 }
 
@@ -68,15 +68,15 @@
 // and with a key those of the key's tenant. Jobs without a tenant, and those of a tenant that is
 // no longer declared, are there for all who may call. Without a key, at an open queue, any job may
 // be looked at, since its tenant's key may be one that was taken away; but not cancelled.
-func (n *node) sees(a *request, j *jobRecord) bool {
+func (n *node) sees(req *request, j *jobRecord) bool {
 	switch {
-	case a.queue == "":
+	case req.queue == "":
 		return true
-	case j.Queue != a.queue && (a.op != "job.put" || n.config.current.Queues[j.Queue] != nil):
+	case j.Queue != req.queue && (req.op != "job.put" || n.config.current.Queues[j.Queue] != nil):
 		return false // one that is handed in again stays known after its queue was renamed
-	case j.Tenant == "" || j.Tenant == a.tenant:
+	case j.Tenant == "" || j.Tenant == req.tenant:
 		return true
-	case a.tenant == "" && a.op != "job.cancel":
+	case req.tenant == "" && req.op != "job.cancel":
 		return true
 	}
 	return n.surelyUndeclared(j.Tenant)
@@ -91,32 +91,32 @@
 // hides answers a call that a job isn't there for, and tells whether it isn't. That a job is
 // another tenant's is only said by a configuration confirmed after the call came: an older one
 // may know the callers' tenant by its former name.
-func (n *node) hides(a *request, j *jobRecord) bool {
+func (n *node) hides(req *request, j *jobRecord) bool {
 	switch {
-	case n.sees(a, j):
+	case n.sees(req, j):
 		return false
-	case (j.Queue == a.queue || a.op == "job.put") && !n.configConfirmedSince(a):
-		a.maybeApplied = true // it may be the very job that is handed in again
-		n.awaitConfirmation(a, "the setup is not confirmed here")
-	case a.tenant != "" && n.config.current.Tenants[a.tenant] == nil,
-		a.op == "job.put" && n.config.current.Queues[a.queue] == nil:
-		a.maybeApplied = true // who found them goes by a version before a renaming
-		n.reject(a, "the queue or the tenant is not in the newest setup")
-	case a.op == "job.put":
-		n.respond(a, 409, 0, mustJSON(map[string]any{"error": "another job has this id"}))
+	case (j.Queue == req.queue || req.op == "job.put") && !n.configConfirmedSince(req):
+		req.maybeApplied = true // it may be the very job that is handed in again
+		n.awaitConfirmation(req, "the setup is not confirmed here")
+	case req.tenant != "" && n.config.current.Tenants[req.tenant] == nil,
+		req.op == "job.put" && n.config.current.Queues[req.queue] == nil:
+		req.maybeApplied = true // who found them goes by a version before a renaming
+		n.reject(req, "the queue or the tenant is not in the newest setup")
+	case req.op == "job.put":
+		n.respond(req, 409, 0, mustJSON(map[string]any{"error": "another job has this id"}))
 	default:
-		n.respondMissing(a)
+		n.respondMissing(req)
 	}
 	return true
 }
 
 // awaitConfirmation keeps a request until a newer confirmation of the configuration, for a while,
 // where one may still come.
-func (n *node) awaitConfirmation(a *request, reason string) {
+func (n *node) awaitConfirmation(req *request, reason string) {
 	if n.leases.CutOff() || len(n.config.awaiting) >= requestsMax {
-		n.reject(a, reason)
+		n.reject(req, reason)
 		return
 	}
-	n.config.awaiting = append(n.config.awaiting, a)
+	n.config.awaiting = append(n.config.awaiting, req)
 	n.leases.PollNextTick(tickMs) // at the next tick, if none is on its way
 }
--- a/internal/daemon/roles.go
+++ b/internal/daemon/roles.go
@@ -87,8 +87,8 @@
 // zoneOfRole is the zone whose daemons are to have a role first; "" for any.
 func (n *node) zoneOfRole(role string) string {
 	kind, subject := lease.SplitRole(role)
-	if ag := n.agents[subject]; kind == lease.KindAgent && ag != nil {
-		return ag.zone
+	if agent := n.agents[subject]; kind == lease.KindAgent && agent != nil {
+		return agent.zone
 	}
 	if kind == lease.KindShard {
 		return subject // shards are named after their zones
--- a/internal/daemon/shard.go
+++ b/internal/daemon/shard.go
@@ -80,57 +80,57 @@
 
 // taskRef names a task of a shard.
 type taskRef struct {
-	job  string
-	task int64
+	jobID  string
+	taskID int64
 }
 
 // updatePlacedIndex keeps the index of tasks by worker in line with a task's state. Rounds
 // that are over shift positions, so tasks go by their names.
-func (sl *ownedShard) updatePlacedIndex(js *liveJob, i int) {
-	t := &js.Tasks[i]
-	at := taskRef{js.ID, js.taskID(i)}
-	sl.loadChanges++
-	if room, was := sl.placedByWorker[t.Worker][at]; was {
-		sl.shares.release(js.Tenant, room)
-		sl.addTenantUsed(js.Tenant, resource.Amount{}.Minus(room))
-		delete(sl.placedByWorker[t.Worker], at)
-		sl.loadByWorker[t.Worker] = sl.loadByWorker[t.Worker].Minus(room)
+func (s *ownedShard) updatePlacedIndex(job *liveJob, i int) {
+	t := &job.Tasks[i]
+	ref := taskRef{job.ID, job.taskID(i)}
+	s.loadChanges++
+	if room, was := s.placedByWorker[t.Worker][ref]; was {
+		s.shares.release(job.Tenant, room)
+		s.addTenantUsed(job.Tenant, resource.Amount{}.Minus(room))
+		delete(s.placedByWorker[t.Worker], ref)
+		s.loadByWorker[t.Worker] = s.loadByWorker[t.Worker].Minus(room)
 	}
 	if t.State == taskPlaced {
-		if sl.placedByWorker[t.Worker] == nil {
-			sl.placedByWorker[t.Worker] = map[taskRef]resource.Amount{}
+		if s.placedByWorker[t.Worker] == nil {
+			s.placedByWorker[t.Worker] = map[taskRef]resource.Amount{}
 		}
-		sl.placedByWorker[t.Worker][at] = t.Resources
-		sl.shares.use(js.Tenant, t.Resources)
-		sl.addTenantUsed(js.Tenant, t.Resources)
-		sl.loadByWorker[t.Worker] = sl.loadByWorker[t.Worker].Plus(t.Resources)
+		s.placedByWorker[t.Worker][ref] = t.Resources
+		s.shares.use(job.Tenant, t.Resources)
+		s.addTenantUsed(job.Tenant, t.Resources)
+		s.loadByWorker[t.Worker] = s.loadByWorker[t.Worker].Plus(t.Resources)
 	}
-	if len(sl.placedByWorker[t.Worker]) == 0 {
-		delete(sl.placedByWorker, t.Worker)
-		delete(sl.loadByWorker, t.Worker)
+	if len(s.placedByWorker[t.Worker]) == 0 {
+		delete(s.placedByWorker, t.Worker)
+		delete(s.loadByWorker, t.Worker)
 	}
 }
 
 // addTenantUsed counts what a tenant's placed tasks take; it forgets a tenant that has none.
-func (sl *ownedShard) addTenantUsed(tenant string, amount resource.Amount) {
-	used := sl.tenantUsed[tenant].Plus(amount)
+func (s *ownedShard) addTenantUsed(tenant string, amount resource.Amount) {
+	used := s.tenantUsed[tenant].Plus(amount)
 	switch {
 	case used == resource.Amount{}:
-		delete(sl.tenantUsed, tenant)
-	case sl.tenantUsed == nil:
-		sl.tenantUsed = map[string]resource.Amount{tenant: used}
+		delete(s.tenantUsed, tenant)
+	case s.tenantUsed == nil:
+		s.tenantUsed = map[string]resource.Amount{tenant: used}
 	default:
-		sl.tenantUsed[tenant] = used
+		s.tenantUsed[tenant] = used
 	}
 }
 
 // tasksPlacedOn gives the tasks placed at a worker, in order.
-func (sl *ownedShard) tasksPlacedOn(worker string) []taskRef {
-	out := make([]taskRef, 0, len(sl.placedByWorker[worker]))
-	for p := range sl.placedByWorker[worker] {
+func (s *ownedShard) tasksPlacedOn(worker string) []taskRef {
+	out := make([]taskRef, 0, len(s.placedByWorker[worker]))
+	for p := range s.placedByWorker[worker] {
 		out = append(out, p)
 	}
-	slices.SortFunc(out, func(a, b taskRef) int { return cmp.Or(cmp.Compare(a.job, b.job), cmp.Compare(a.task, b.task)) })
+	slices.SortFunc(out, func(a, b taskRef) int { return cmp.Or(cmp.Compare(a.jobID, b.jobID), cmp.Compare(a.taskID, b.taskID)) })
 	return out
 }
 
@@ -250,131 +250,131 @@
 // endShard lets go of a shard. Who waits here for a commit is told at once that the
 // outcome is unknown, and who waits for a look at the core that nothing was kept.
 func (n *node) endShard(name string) {
-	sl := n.owned[name]
-	if sl == nil {
+	shard := n.owned[name]
+	if shard == nil {
 		return
 	}
 	delete(n.owned, name)
 	delete(n.counters, name)
-	for _, id := range sortedKeys(sl.jobs) {
-		for _, w := range sl.jobs[id].waiters {
+	for _, id := range sortedKeys(shard.jobs) {
+		for _, w := range shard.jobs[id].waiters {
 			w.request.maybeApplied = true
 			n.reject(w.request, "the slice moved while this was written down")
 		}
 	}
-	for _, op := range sortedKeys(sl.fetches) {
-		for _, a := range sl.fetches[op].requests {
-			n.readFromCore(a, "the slice moved")
+	for _, op := range sortedKeys(shard.fetches) {
+		for _, req := range shard.fetches[op].requests {
+			n.readFromCore(req, "the slice moved")
 		}
 	}
 }
 
 // markDirty has a job's record written with the next batch.
-func (n *node) markDirty(sl *ownedShard, js *liveJob) {
-	if !sl.isDirty(js.ID) {
-		js.Version++
+func (n *node) markDirty(shard *ownedShard, job *liveJob) {
+	if !shard.isDirty(job.ID) {
+		job.Version++
 	}
-	sl.dirty[js.ID] = true
-	delete(sl.deferred, js.ID)
+	shard.dirty[job.ID] = true
+	delete(shard.deferred, job.ID)
 }
 
 // markDeferred has a job's record written within deferredMs, with what changes until then:
 // for changes that nothing waits for. Where the owner isn't busy it is written at once.
-func (n *node) markDeferred(sl *ownedShard, js *liveJob) {
-	if !n.Policies.On(scheduler.GatherWrites) || max(sl.writesThisTick, sl.writesLastTick) < busyBatches {
-		n.markDirty(sl, js)
+func (n *node) markDeferred(shard *ownedShard, job *liveJob) {
+	if !n.Policies.On(scheduler.GatherWrites) || max(shard.writesThisTick, shard.writesLastTick) < busyBatches {
+		n.markDirty(shard, job)
 		return
 	}
-	if sl.isDirty(js.ID) {
+	if shard.isDirty(job.ID) {
 		return
 	}
-	js.Version++
-	sl.deferred[js.ID] = n.now + deferredMs
+	job.Version++
+	shard.deferred[job.ID] = n.now + deferredMs
 }
 
 // isDirty tells whether a job's record has changed since it was last sent to the core.
-func (sl *ownedShard) isDirty(id string) bool {
-	_, deferred := sl.deferred[id]
-	return deferred || sl.dirty[id]
+func (s *ownedShard) isDirty(id string) bool {
+	_, deferred := s.deferred[id]
+	return deferred || s.dirty[id]
 }
 
 func (n *node) tickShards() {
 	for _, name := range sortedKeys(n.owned) {
-		sl := n.owned[name]
-		if !sl.serving {
-			if n.now-sl.sealSentMs > writeRetry {
-				if len(sl.missing) > 0 { // a member went away between seal and fetch: begin again
-					sl.restartTakeover()
+		shard := n.owned[name]
+		if !shard.serving {
+			if n.now-shard.sealSentMs > writeRetry {
+				if len(shard.missing) > 0 { // a member went away between seal and fetch: begin again
+					shard.restartTakeover()
 				}
-				n.sendSeals(sl)
+				n.sendSeals(shard)
 			}
 			continue
 		}
-		sl.writesThisTick, sl.writesLastTick = 0, sl.writesThisTick
-		n.tickWrites(sl)
-		for _, op := range sortedKeys(sl.fetches) {
-			if f := sl.fetches[op]; n.now-f.startMs > forwardMs*2/3 {
-				delete(sl.fetches, op)
-				delete(sl.admitting, f.id)
-				for _, a := range f.requests {
-					n.readFromCore(a, "the core did not answer")
+		shard.writesThisTick, shard.writesLastTick = 0, shard.writesThisTick
+		n.tickWrites(shard)
+		for _, op := range sortedKeys(shard.fetches) {
+			if f := shard.fetches[op]; n.now-f.startMs > forwardMs*2/3 {
+				delete(shard.fetches, op)
+				delete(shard.admitting, f.id)
+				for _, req := range f.requests {
+					n.readFromCore(req, "the core did not answer")
 				}
 			}
 		}
-		sl.allocationRequests = 0
-		n.tickBatches(sl)
-		sl.releaseLapsed(n.now)
-		sl.shares.beginClaims()
-		for _, js := range n.jobsByUrgency(sl) {
-			n.advanceJob(sl, js)
+		shard.allocationRequests = 0
+		n.tickBatches(shard)
+		shard.releaseLapsed(n.now)
+		shard.shares.beginClaims()
+		for _, job := range n.jobsByUrgency(shard) {
+			n.advanceJob(shard, job)
 		}
-		sl.shares.endClaims()
-		n.logShareDelays(sl)
+		shard.shares.endClaims()
+		n.logShareDelays(shard)
 		cut := 0
-		isOld := func(id string) bool { return n.now-sl.finished[id].Version > finishedMs }
-		for cut < len(sl.finishedOrder) && (len(sl.finishedOrder)-cut > finishedMax || isOld(sl.finishedOrder[cut])) {
-			delete(sl.finished, sl.finishedOrder[cut])
+		isOld := func(id string) bool { return n.now-shard.finished[id].Version > finishedMs }
+		for cut < len(shard.finishedOrder) && (len(shard.finishedOrder)-cut > finishedMax || isOld(shard.finishedOrder[cut])) {
+			delete(shard.finished, shard.finishedOrder[cut])
 			cut++
 		}
-		sl.finishedOrder = sl.finishedOrder[cut:]
+		shard.finishedOrder = shard.finishedOrder[cut:]
 	}
 }
 
 // jobsByUrgency gives a shard's live jobs, those of urgent queues first, then the oldest, and
 // excess jobs last.
-func (n *node) jobsByUrgency(sl *ownedShard) []*liveJob {
+func (n *node) jobsByUrgency(shard *ownedShard) []*liveJob {
 	type turn struct {
 		precedence int64
-		js         *liveJob
+		job        *liveJob
 	}
-	list := make([]turn, 0, len(sl.jobs))
-	for _, js := range sl.jobs {
-		list = append(list, turn{n.precedence(js.Queue, js.excess), js})
+	list := make([]turn, 0, len(shard.jobs))
+	for _, job := range shard.jobs {
+		list = append(list, turn{n.precedence(job.Queue, job.excess), job})
 	}
 	slices.SortFunc(list, func(a, b turn) int {
 		return cmp.Or(
 			cmp.Compare(b.precedence, a.precedence),
-			cmp.Compare(a.js.SubmitMs, b.js.SubmitMs),
-			cmp.Compare(a.js.ID, b.js.ID),
+			cmp.Compare(a.job.SubmitMs, b.job.SubmitMs),
+			cmp.Compare(a.job.ID, b.job.ID),
 		)
 	})
 	out := make([]*liveJob, len(list))
 	for i, t := range list {
-		out[i] = t.js
+		out[i] = t.job
 	}
 	return out
 }
 
-func (n *node) retireJob(sl *ownedShard, js *liveJob) {
-	delete(sl.jobs, js.ID)
-	sl.recordBytes -= js.recordBytes
-	sl.liveByQueue[js.Queue]--
-	if sl.liveByQueue[js.Queue] <= 0 {
-		delete(sl.liveByQueue, js.Queue)
+func (n *node) retireJob(shard *ownedShard, job *liveJob) {
+	delete(shard.jobs, job.ID)
+	shard.recordBytes -= job.recordBytes
+	shard.liveByQueue[job.Queue]--
+	if shard.liveByQueue[job.Queue] <= 0 {
+		delete(shard.liveByQueue, job.Queue)
 	}
-	n.traceOutcome(sl, js)
-	j := js.jobRecord
+	n.traceOutcome(shard, job)
+	j := job.jobRecord
 	j.Version = n.now // reused as the time it was put here
-	sl.finished[j.ID] = &j
-	sl.finishedOrder = append(sl.finishedOrder, j.ID)
+	shard.finished[j.ID] = &j
+	shard.finishedOrder = append(shard.finishedOrder, j.ID)
 }
--- a/internal/daemon/shard_read.go
+++ b/internal/daemon/shard_read.go
@@ -16,12 +16,12 @@
 }
 
 // fetchRecord reads one record at a majority: whoever calls goes on once it is known.
-func (n *node) fetchRecord(sl *ownedShard, f *fetchOp) {
+func (n *node) fetchRecord(shard *ownedShard, f *fetchOp) {
 	f.startMs, f.answered = n.now, map[string]bool{}
 	n.opSeq++
-	sl.fetches[n.opSeq] = f
+	shard.fetches[n.opSeq] = f
 	for _, m := range n.core.Members {
-		n.send(m.Name, &wire.FetchRequest{SetVersion: n.core.Version, Op: n.opSeq, Shard: sl.name, IDs: []string{f.id}})
+		n.send(m.Name, &wire.FetchRequest{SetVersion: n.core.Version, Op: n.opSeq, Shard: shard.name, IDs: []string{f.id}})
 	}
 }
 
@@ -31,21 +31,21 @@
 		return
 	}
 	for _, name := range sortedKeys(n.owned) {
-		sl := n.owned[name]
-		if member, ok := sl.missingOps[m.Op]; ok && member == from {
+		shard := n.owned[name]
+		if member, ok := shard.missingOps[m.Op]; ok && member == from {
 			for _, r := range m.Records {
-				if old := sl.merged[r.ID]; old.OlderThan(r) {
-					sl.merged[r.ID] = r
+				if old := shard.merged[r.ID]; old.OlderThan(r) {
+					shard.merged[r.ID] = r
 				}
 			}
-			delete(sl.missingOps, m.Op)
-			delete(sl.missing, from)
-			if len(sl.missing) == 0 && !sl.serving {
-				n.loadShard(sl)
+			delete(shard.missingOps, m.Op)
+			delete(shard.missing, from)
+			if len(shard.missing) == 0 && !shard.serving {
+				n.loadShard(shard)
 			}
 			return
 		}
-		f := sl.fetches[m.Op]
+		f := shard.fetches[m.Op]
 		if f == nil || f.answered[from] {
 			continue
 		}
@@ -58,49 +58,49 @@
 		if len(f.answered) < n.core.Majority() {
 			return
 		}
-		delete(sl.fetches, m.Op)
-		delete(sl.admitting, f.id)
+		delete(shard.fetches, m.Op)
+		delete(shard.admitting, f.id)
 		old, _ := decodeJob(f.newest)
 		if f.newest.Live { // all live jobs that count are here: a member that was away has it, or a write that was given up
-			old = sl.finished[f.id]
+			old = shard.finished[f.id]
 		}
-		n.onRecordFetched(sl, f, old)
+		n.onRecordFetched(shard, f, old)
 		return
 	}
 }
 
-func (n *node) onRecordFetched(sl *ownedShard, f *fetchOp, old *jobRecord) {
-	if !n.leases.Holds(lease.ShardRole(sl.name)) {
-		for _, a := range f.requests {
-			n.readFromCore(a, "the slice moved")
+func (n *node) onRecordFetched(shard *ownedShard, f *fetchOp, old *jobRecord) {
+	if !n.leases.Holds(lease.ShardRole(shard.name)) {
+		for _, req := range f.requests {
+			n.readFromCore(req, "the slice moved")
 		}
 		return
 	}
-	if js := sl.jobs[f.id]; js != nil { // it came in meanwhile
+	if job := shard.jobs[f.id]; job != nil { // it came in meanwhile
 		old = nil
 	}
-	if old == nil && f.job != nil && sl.jobs[f.id] == nil {
-		n.admitJob(sl, f)
+	if old == nil && f.job != nil && shard.jobs[f.id] == nil {
+		n.admitJob(shard, f)
 		return
 	}
-	if len(f.requests) == 0 && sl.jobs[f.id] == nil { // read for the sake of a late end
+	if len(f.requests) == 0 && shard.jobs[f.id] == nil { // read for the sake of a late end
 		if old == nil {
-			sl.knownAbsent[f.id] = true
-		} else if sl.finished[f.id] == nil {
+			shard.knownAbsent[f.id] = true
+		} else if shard.finished[f.id] == nil {
 			old.Version = n.now
-			sl.finished[f.id] = old
-			sl.finishedOrder = append(sl.finishedOrder, f.id)
+			shard.finished[f.id] = old
+			shard.finishedOrder = append(shard.finishedOrder, f.id)
 		}
 		return
 	}
-	for _, a := range f.requests {
+	for _, req := range f.requests {
 		switch {
-		case sl.jobs[f.id] != nil:
-			jobOps[a.op](n, sl, a)
+		case shard.jobs[f.id] != nil:
+			jobOps[req.op](n, shard, req)
 		case old == nil:
-			n.respondMissing(a)
+			n.respondMissing(req)
 		default:
-			n.respondFinished(a, old)
+			n.respondFinished(req, old)
 		}
 	}
 }
--- a/internal/daemon/shard_write.go
+++ b/internal/daemon/shard_write.go
@@ -33,17 +33,17 @@
 }
 
 // holdsNextWrite tells whether the next batch waits for the one before it.
-func (sl *ownedShard) holdsNextWrite(nowMs int64) bool {
-	b := sl.newestWrite
+func (s *ownedShard) holdsNextWrite(nowMs int64) bool {
+	b := s.newestWrite
 	return b != nil && !b.done && nowMs-b.firstMs < commitHoldMs
 }
 
 // flushDeferred moves deferred changes whose time has come to the next batch.
-func (sl *ownedShard) flushDeferred(nowMs int64) {
-	for id, dueMs := range sl.deferred {
+func (s *ownedShard) flushDeferred(nowMs int64) {
+	for id, dueMs := range s.deferred {
 		if nowMs >= dueMs {
-			sl.dirty[id] = true
-			delete(sl.deferred, id)
+			s.dirty[id] = true
+			delete(s.deferred, id)
 		}
 	}
 }
@@ -51,68 +51,68 @@
 // flushWrites sends what changed as one batch to all of the core.
 func (n *node) flushWrites() {
 	for _, name := range sortedKeys(n.owned) {
-		sl := n.owned[name]
-		if n.Policies.On(scheduler.GatherWrites) && sl.holdsNextWrite(n.now) {
+		shard := n.owned[name]
+		if n.Policies.On(scheduler.GatherWrites) && shard.holdsNextWrite(n.now) {
 			continue
 		}
-		sl.flushDeferred(n.now)
-		whole := sl.serving && len(sl.loading) == 0 && sl.completeSeq == 0
-		if len(sl.dirty) == 0 && !whole && (len(sl.unsentConfirmedIDs) == 0 || n.now-sl.confirmedSentMs < writeRetry) {
+		shard.flushDeferred(n.now)
+		whole := shard.serving && len(shard.loading) == 0 && shard.completeSeq == 0
+		if len(shard.dirty) == 0 && !whole && (len(shard.unsentConfirmedIDs) == 0 || n.now-shard.confirmedSentMs < writeRetry) {
 			continue
 		}
 		b := &writeBatch{
 			acked: map[string]bool{}, patches: map[string]statestore.Patch{},
-			sentMs: n.now, firstMs: n.now, confirmedIDs: sl.unsentConfirmedIDs,
+			sentMs: n.now, firstMs: n.now, confirmedIDs: shard.unsentConfirmedIDs,
 		}
-		sl.unsentConfirmedIDs, sl.confirmedSentMs = nil, n.now
-		for _, id := range sortedKeys(sl.dirty) {
-			js := sl.jobs[id]
-			b.add(sl.epoch, js)
+		shard.unsentConfirmedIDs, shard.confirmedSentMs = nil, n.now
+		for _, id := range sortedKeys(shard.dirty) {
+			job := shard.jobs[id]
+			b.add(shard.epoch, job)
 		}
-		sl.dirty = map[string]bool{}
-		sl.writeSeq++
-		sl.writes[sl.writeSeq], sl.newestWrite = b, b
-		sl.writesThisTick++
+		shard.dirty = map[string]bool{}
+		shard.writeSeq++
+		shard.writes[shard.writeSeq], shard.newestWrite = b, b
+		shard.writesThisTick++
 		if whole {
-			sl.completeSeq = sl.writeSeq
+			shard.completeSeq = shard.writeSeq
 		}
-		n.sendBatch(sl, sl.writeSeq, b, false)
+		n.sendBatch(shard, shard.writeSeq, b, false)
 	}
 }
 
 // add puts a job's record into the batch as it stands, and a patch where the members are
 // expected to have the version before.
-func (b *writeBatch) add(epoch uint64, js *liveJob) {
-	record := statestore.Record{ID: js.ID, Epoch: epoch, Version: js.Version, Live: js.DoneMs == 0, DoneMs: js.DoneMs}
-	value := js.encodeSegmented()
+func (b *writeBatch) add(epoch uint64, job *liveJob) {
+	record := statestore.Record{ID: job.ID, Epoch: epoch, Version: job.Version, Live: job.DoneMs == 0, DoneMs: job.DoneMs}
+	value := job.encodeSegmented()
 	record.Value = value.Value
 	b.records = append(b.records, record)
-	if splices, ok := statestore.Diff(js.sent, value); ok && record.Live && js.sentVersion != 0 {
-		b.patches[js.ID] = statestore.Patch{
-			ID: js.ID, Epoch: epoch, Base: js.sentVersion, Version: js.Version,
+	if splices, ok := statestore.Diff(job.sent, value); ok && record.Live && job.sentVersion != 0 {
+		b.patches[job.ID] = statestore.Patch{
+			ID: job.ID, Epoch: epoch, Base: job.sentVersion, Version: job.Version,
 			Splices: splices, Sum: statestore.Sum(value.Value),
 		}
 	}
-	js.sent, js.sentVersion = value, js.Version
+	job.sent, job.sentVersion = value, job.Version
 	if !record.Live { // nothing builds on it any more
-		js.sent = statestore.Segmented{}
+		job.sent = statestore.Segmented{}
 	}
 }
 
 // sendBatch sends a batch to all members that have not acknowledged it, with whole records
 // where it was sent before.
-func (n *node) sendBatch(sl *ownedShard, seq uint64, b *writeBatch, whole bool) {
+func (n *node) sendBatch(shard *ownedShard, seq uint64, b *writeBatch, whole bool) {
 	for _, m := range n.core.Members {
 		if !b.acked[m.Name] {
-			n.sendBatchTo(m.Name, sl, seq, b, whole)
+			n.sendBatchTo(m.Name, shard, seq, b, whole)
 		}
 	}
 }
 
-func (n *node) sendBatchTo(member string, sl *ownedShard, seq uint64, b *writeBatch, whole bool) {
+func (n *node) sendBatchTo(member string, shard *ownedShard, seq uint64, b *writeBatch, whole bool) {
 	m := &wire.WriteRequest{
-		SetVersion: n.core.Version, Shard: sl.name, Epoch: sl.epoch, Seq: seq,
-		Confirmed: b.confirmedIDs, Complete: sl.completeSeq != 0,
+		SetVersion: n.core.Version, Shard: shard.name, Epoch: shard.epoch, Seq: seq,
+		Confirmed: b.confirmedIDs, Complete: shard.completeSeq != 0,
 	}
 	for _, r := range b.records {
 		if patch, ok := b.patches[r.ID]; ok && !whole {
@@ -126,23 +126,23 @@
 }
 
 func (n *node) applyWriteResponse(from string, m *wire.WriteResponse) {
-	sl := n.owned[m.Shard]
-	if sl == nil || m.Epoch != sl.epoch {
+	shard := n.owned[m.Shard]
+	if shard == nil || m.Epoch != shard.epoch {
 		return
 	}
-	b := sl.writes[m.Seq]
+	b := shard.writes[m.Seq]
 	if !m.OK {
 		n.leases.Lose(lease.ShardRole(m.Shard), "epoch_passed")
 		return
 	}
 	if b == nil {
 		if !m.Lacking {
-			n.onCaughtUp(sl, from, m.Seq)
+			n.onCaughtUp(shard, from, m.Seq)
 		}
 		return
 	}
 	if m.Lacking {
-		n.sendBatchTo(from, sl, m.Seq, b, true)
+		n.sendBatchTo(from, shard, m.Seq, b, true)
 		return
 	}
 	b.acked[from] = true
@@ -151,46 +151,46 @@
 		n.count("commits")
 		acknowledged := endReplies{}
 		for _, r := range b.records {
-			delete(sl.loading, r.ID)
+			delete(shard.loading, r.ID)
 			if !r.Live {
-				sl.unsentConfirmedIDs = append(sl.unsentConfirmedIDs, r.ID)
+				shard.unsentConfirmedIDs = append(shard.unsentConfirmedIDs, r.ID)
 			}
-			if js := sl.jobs[r.ID]; js != nil {
-				ends := n.traceCommitted(js, r.Version)
-				js.committed = max(js.committed, r.Version)
-				acknowledged.add(sl, js, ends)
-				n.advanceJob(sl, js)
+			if job := shard.jobs[r.ID]; job != nil {
+				ends := n.traceCommitted(job, r.Version)
+				job.committed = max(job.committed, r.Version)
+				acknowledged.add(shard, job, ends)
+				n.advanceJob(shard, job)
 			}
 		}
 		n.sendEndReplies(acknowledged)
 	}
 	if len(b.acked) >= len(n.core.Members) {
-		delete(sl.writes, m.Seq)
+		delete(shard.writes, m.Seq)
 	}
 }
 
 // tickWrites repeats unacknowledged writes. What a majority holds and one
 // member lacks is remembered by name, so that a long-gone member costs little.
-func (n *node) tickWrites(sl *ownedShard) {
-	for _, seq := range sortedKeys(sl.writes) {
-		b := sl.writes[seq]
+func (n *node) tickWrites(shard *ownedShard) {
+	for _, seq := range sortedKeys(shard.writes) {
+		b := shard.writes[seq]
 		if n.now-b.sentMs < writeRetry {
 			continue
 		}
 		b.sentMs = n.now
 		if !b.done {
-			n.sendBatch(sl, seq, b, true)
+			n.sendBatch(shard, seq, b, true)
 			continue
 		}
-		delete(sl.writes, seq)
+		delete(shard.writes, seq)
 		for _, m := range n.core.Members {
 			if b.acked[m.Name] {
 				continue
 			}
-			sl.recordMissed(m.Name, b.records)
+			shard.recordMissed(m.Name, b.records)
 		}
 	}
-	n.tickCatchUp(sl)
+	n.tickCatchUp(shard)
 }
 
 // endReplies are acknowledgements of ends that are at a quorum now, by worker. An agent hears
@@ -203,20 +203,20 @@
 }
 
 // add puts in what a job's record says now of ends that it has.
-func (r endReplies) add(sl *ownedShard, js *liveJob, ends []endedAttempt) {
+func (r endReplies) add(shard *ownedShard, job *liveJob, ends []endedAttempt) {
 	for _, e := range ends {
-		i, _, ok := js.position(e.status.Key.Task)
+		i, _, ok := job.position(e.status.Key.Task)
 		if !ok {
 			continue // the agent tells it again, and hears that its round is over
 		}
-		decision := js.decideSuperseded(&js.Tasks[i], e.status)
+		decision := job.decideSuperseded(&job.Tasks[i], e.status)
 		if decision == 0 {
 			continue
 		}
 		to, known := r[e.worker]
 		if !known || to.reply.Epoch != e.agentEpoch {
 			to = endReply{e.agent, &wire.OwnerReply{
-				Worker: e.worker, Epoch: e.agentEpoch, Shard: sl.name, ShardEpoch: sl.epoch, SentMs: e.sentMs,
+				Worker: e.worker, Epoch: e.agentEpoch, Shard: shard.name, ShardEpoch: shard.epoch, SentMs: e.sentMs,
 			}}
 			r[e.worker] = to
 		}
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -31,15 +31,15 @@
 	return ""
 }
 
-func (n *node) handleGetReady(a *request) {
+func (n *node) handleGetReady(req *request) {
 	if reason := n.notReady(); reason != "" {
-		n.reject(a, reason)
+		n.reject(req, reason)
 		return
 	}
-	n.respond(a, 200, 0, mustJSON(map[string]any{"ready": true}))
+	n.respond(req, 200, 0, mustJSON(map[string]any{"ready": true}))
 }
 
-func (n *node) handleGetMembers(a *request) {
+func (n *node) handleGetMembers(req *request) {
 	var list []map[string]any
 	for _, name := range append([]string{n.Name}, n.peers.Names()...) {
 		s := n.peers.Describe(name)
@@ -52,7 +52,7 @@
 		roles = append(roles, map[string]any{"duty": v.Name, "holder": v.Holder, "epoch": v.Epoch})
 	}
 	n.respond(
-		a,
+		req,
 		200,
 		0,
 		mustJSON(map[string]any{"cluster": n.core.Cluster, "core_version": n.core.Version, "core": n.core.Names(),
@@ -61,10 +61,10 @@
 }
 
 // handleGetWorkers is settled where all workers are known: at the central scheduler.
-func (n *node) handleGetWorkers(a *request) {
+func (n *node) handleGetWorkers(req *request) {
 	if !n.leases.Holds(lease.Central) {
 		to, _ := n.leases.Holder(lease.Central)
-		n.forward(a, to)
+		n.forward(req, to)
 		return
 	}
 	list := []map[string]any{}
@@ -77,7 +77,7 @@
 				"queued": w.queued, "rank_ms": w.rankMs, "unsound": n.ranks.unhealthy[name], "rebuilt": w.rebuilt},
 		)
 	}
-	n.respond(a, 200, 0, mustJSON(map[string]any{"workers": list}))
+	n.respond(req, 200, 0, mustJSON(map[string]any{"workers": list}))
 }
 
 func labelMap(ls []wire.Label) map[string]string {
@@ -89,7 +89,7 @@
 }
 
 // handleGetHealth is what doctor reads: this daemon's view of the common faults.
-func (n *node) handleGetHealth(a *request) {
+func (n *node) handleGetHealth(req *request) {
 	slow := map[string]int64{}
 	for m, ms := range n.leases.SyncMs() {
 		slow[m] = ms
@@ -105,7 +105,7 @@
 		}
 	}
 	n.respond(
-		a,
+		req,
 		200,
 		0,
 		mustJSON(map[string]any{
@@ -192,26 +192,26 @@
 func (n *node) ownedShards() map[string]any {
 	owned := map[string]any{}
 	for _, name := range sortedKeys(n.owned) {
-		sl := n.owned[name]
-		unsettled, waiting := n.openTasks(sl)
+		shard := n.owned[name]
+		unsettled, waiting := n.openTasks(shard)
 		owned[name] = map[string]any{
-			"serving":     sl.serving,
-			"epoch":       sl.epoch,
-			"jobs":        len(sl.jobs),
+			"serving":     shard.serving,
+			"epoch":       shard.epoch,
+			"jobs":        len(shard.jobs),
 			"unsettled":   unsettled,
 			"waiting":     waiting,
-			"writes_open": len(sl.writes),
+			"writes_open": len(shard.writes),
 		}
 	}
 	return owned
 }
 
 // openTasks counts a shard's tasks at silent workers, by worker, and those without a place.
-func (n *node) openTasks(sl *ownedShard) (unsettled map[string]int, waiting int) {
+func (n *node) openTasks(shard *ownedShard) (unsettled map[string]int, waiting int) {
 	unsettled = map[string]int{}
-	for _, js := range sl.jobs {
-		for i := range js.Tasks {
-			t := &js.Tasks[i]
+	for _, job := range shard.jobs {
+		for i := range job.Tasks {
+			t := &job.Tasks[i]
 			w := n.workers[t.Worker]
 			switch {
 			case t.State == taskPlaced && (w == nil || n.now-w.receivedMs > silentMs || w.silentMs > silentMs):
--- a/internal/daemon/tenant_keys_test.go
+++ b/internal/daemon/tenant_keys_test.go
@@ -406,12 +406,12 @@
 	must.Eq(t, 200, w.cancel("d03", "/seats/j", "key-a1"))
 
 	n, theirs := w.nodes["d03"].sh.node, &jobRecord{Queue: "seats", Tenant: "not known here"}
-	a := &request{op: "job.state", queue: "seats", tenant: tenantB.name}
-	must.True(t, n.sees(a, theirs))
+	req := &request{op: "job.state", queue: "seats", tenant: tenantB.name}
+	must.True(t, n.sees(req, theirs))
 	n.config.confirmedMs -= configFreshMs + 1
-	must.False(t, n.sees(a, theirs))
+	must.False(t, n.sees(req, theirs))
 	n.config.current = configuration.Empty()
-	must.False(t, n.sees(a, theirs))
+	must.False(t, n.sees(req, theirs))
 }
 
 // Guards against keys that reach what operators and logs show.
--- a/internal/daemon/tenant_overview.go
+++ b/internal/daemon/tenant_overview.go
@@ -53,7 +53,7 @@
 }
 
 // mergeTenants puts together what shards' owners told.
-func mergeTenants(words []shardTenants) tenantOverview {
+func mergeTenants(reports []shardTenants) tenantOverview {
 	out, byName := tenantOverview{Tenants: []tenantSummary{}, Incomplete: []string{}}, map[string]*tenantSummary{}
 	of := func(name string) *tenantSummary {
 		if byName[name] == nil {
@@ -61,7 +61,7 @@
 		}
 		return byName[name]
 	}
-	for _, w := range words {
+	for _, w := range reports {
 		out.Omitted += w.Omitted
 		if !w.Complete && len(w.Counted) > 0 {
 			out.Incomplete = append(out.Incomplete, w.Shard)
@@ -103,18 +103,18 @@
 	if members.Status != 200 {
 		return members
 	}
-	var words []shardTenants
+	var reports []shardTenants
 	for _, shard := range gjson.GetBytes(members.Body, "slices").Array() {
 		r := send(ctx, evRequest{Op: "tenants", Key: shard.Str, Base: -1})
 		if r.Status != 200 {
 			return r
 		}
-		var word shardTenants
-		if json.Unmarshal(r.Body, &word) != nil {
+		var report shardTenants
+		if json.Unmarshal(r.Body, &report) != nil {
 			reason := "slice " + shard.Str + " gave no readable answer"
 			return effReply{Status: 503, RetryMs: 1000, Body: mustJSON(map[string]any{"error": reason})}
 		}
-		words = append(words, word)
+		reports = append(reports, report)
 	}
-	return effReply{Status: 200, Body: mustJSON(mergeTenants(words))}
+	return effReply{Status: 200, Body: mustJSON(mergeTenants(reports))}
 }
--- a/internal/daemon/tenant_rename_test.go
+++ b/internal/daemon/tenant_rename_test.go
@@ -40,11 +40,11 @@
 // key isn't told as another's then.
 func TestJobHandedInAgainByAFormerName(t *testing.T) {
 	for _, op := range []string{"job.put", "job.state", "job.cancel"} {
-		n, sl := shareOwner(t)
+		n, shard := shareOwner(t)
 		n.config.confirmedBy = 1
-		js := jobOfTenant(t, sl, "a", "full", `{"name":"s","count":1,"room":1}`, 1)
+		job := jobOfTenant(t, shard, "a", "full", `{"name":"s","count":1,"room":1}`, 1)
 		call := &request{id: 7, op: op, key: "a", queue: "q", byAddress: true, tenant: "former"}
-		must.True(t, n.hides(call, &js.jobRecord))
+		must.True(t, n.hides(call, &job.jobRecord))
 		for _, e := range n.out {
 			if reply, ok := e.(effReply); ok {
 				must.SliceNotContains(t, []int{404, 409, 410}, reply.Status, must.Sprint(op, " ", string(reply.Body)))
@@ -64,11 +64,11 @@
 		"by its former name":               {"q", "former", 1},
 		"while the owner isn't up to date": {"q", "next", 0},
 	} {
-		n, sl := shareOwner(t)
+		n, shard := shareOwner(t)
 		n.config.confirmedBy = c.confirmed
-		js := jobOfTenant(t, sl, "a", "", `{"name":"s","count":1,"room":1}`, 1)
-		js.Queue = c.jobOf
-		n.hides(&request{id: 7, op: "job.put", key: "a", queue: c.callOf, byAddress: true}, &js.jobRecord)
+		job := jobOfTenant(t, shard, "a", "", `{"name":"s","count":1,"room":1}`, 1)
+		job.Queue = c.jobOf
+		n.hides(&request{id: 7, op: "job.put", key: "a", queue: c.callOf, byAddress: true}, &job.jobRecord)
 		for _, e := range n.out {
 			if reply, ok := e.(effReply); ok {
 				must.NotEq(t, 409, reply.Status, must.Sprint(name, " ", string(reply.Body)))
--- a/internal/daemon/tenant_shares.go
+++ b/internal/daemon/tenant_shares.go
@@ -75,50 +75,50 @@
 }
 
 // shareKey names a task's step and round among all jobs.
-func shareKey(js *liveJob, i int) string {
-	return js.ID + "/" + js.roundAndStep(i)
+func shareKey(job *liveJob, i int) string {
+	return job.ID + "/" + job.roundAndStep(i)
 }
 
-func (s *tenantShares) reserve(js *liveJob, i int, amount resource.Amount, nowMs, untilMs int64) {
-	if b := s.borrowerFor(js.Tenant); b != nil {
-		b.Reserve(js.Tenant, shareKey(js, i), amount, nowMs, untilMs)
+func (s *tenantShares) reserve(job *liveJob, i int, amount resource.Amount, nowMs, untilMs int64) {
+	if b := s.borrowerFor(job.Tenant); b != nil {
+		b.Reserve(job.Tenant, shareKey(job, i), amount, nowMs, untilMs)
 	}
 }
 
 // yields tells whether a task's step is to leave what was reserved for it to other tasks.
-func (s *tenantShares) yields(js *liveJob, i int, nowMs int64) bool {
-	b := s.borrowerFor(js.Tenant)
-	return b != nil && b.Yields(js.Tenant, shareKey(js, i), nowMs)
+func (s *tenantShares) yields(job *liveJob, i int, nowMs int64) bool {
+	b := s.borrowerFor(job.Tenant)
+	return b != nil && b.Yields(job.Tenant, shareKey(job, i), nowMs)
 }
 
-func (s *tenantShares) unreserve(js *liveJob, i int, amount resource.Amount) {
-	if b := s.borrowerFor(js.Tenant); b != nil {
-		b.Unreserve(js.Tenant, shareKey(js, i), amount)
+func (s *tenantShares) unreserve(job *liveJob, i int, amount resource.Amount) {
+	if b := s.borrowerFor(job.Tenant); b != nil {
+		b.Unreserve(job.Tenant, shareKey(job, i), amount)
 	}
 }
 
 // reservedFor is what is reserved for a task's step.
-func (s *tenantShares) reservedFor(js *liveJob, i int, nowMs int64) resource.Amount {
-	if b := s.borrowerFor(js.Tenant); b != nil {
-		return b.Reserved(js.Tenant, shareKey(js, i), nowMs)
+func (s *tenantShares) reservedFor(job *liveJob, i int, nowMs int64) resource.Amount {
+	if b := s.borrowerFor(job.Tenant); b != nil {
+		return b.Reserved(job.Tenant, shareKey(job, i), nowMs)
 	}
 	return resource.Amount{}
 }
 
 // roundAndStep names a task's round and step in its job.
-func (js *liveJob) roundAndStep(i int) string {
-	t := &js.Tasks[i]
+func (j *liveJob) roundAndStep(i int) string {
+	t := &j.Tasks[i]
 	return strconv.Itoa(int(t.Round)) + "." + strconv.Itoa(int(t.Step))
 }
 
 // allocationUnit is what starts together with a task: all its gang, or it alone.
-func (js *liveJob) allocationUnit(i int) (sum resource.Amount) {
-	if !js.Steps[js.Tasks[i].Step].Gang {
-		return js.Tasks[i].Resources
+func (j *liveJob) allocationUnit(i int) (sum resource.Amount) {
+	if !j.Steps[j.Tasks[i].Step].Gang {
+		return j.Tasks[i].Resources
 	}
-	from, to := js.gangRange(i)
+	from, to := j.gangRange(i)
 	for k := from; k < to; k++ {
-		sum = sum.Plus(js.Tasks[k].Resources)
+		sum = sum.Plus(j.Tasks[k].Resources)
 	}
 	return sum
 }
@@ -145,17 +145,17 @@
 // knowsLimit tells whether a job's tenant is counted by its limit here. A tenant that this daemon
 // doesn't know yet was declared by a version that is on its way; one that it doesn't know by a
 // configuration that was confirmed since the job came here is declared no more.
-func (n *node) knowsLimit(js *liveJob) bool {
-	return js.Tenant == "" || n.limits.Declared(js.Tenant) || n.config.confirmedMs > js.enteredMs
+func (n *node) knowsLimit(job *liveJob) bool {
+	return job.Tenant == "" || n.limits.Declared(job.Tenant) || n.config.confirmedMs > job.enteredMs
 }
 
 // mayTakeShare tells whether a task may claim and reserve a share of its tenant's limit: one that
 // fits no worker of its queue's group would keep the share from tasks that can run.
-func (n *node) mayTakeShare(js *liveJob, i int, q *configuration.Queue) bool {
-	if n.limits.Of(js.Tenant).Unlimited() {
+func (n *node) mayTakeShare(job *liveJob, i int, q *configuration.Queue) bool {
+	if n.limits.Of(job.Tenant).Unlimited() {
 		return true
 	}
-	t := &js.Tasks[i]
+	t := &job.Tasks[i]
 	for _, w := range n.workers { // some worker: the order does not matter
 		_, lacks := configuration.MissingLabel(w.labels, t.Needs)
 		if t.Resources.Fits(w.capacity) && !lacks && q.Matches(w.labels, w.zone) {
@@ -166,26 +166,26 @@
 }
 
 // hasShare tells whether a task, or more, may be placed beside all that is placed and arranged.
-func (n *node) hasShare(sl *ownedShard, js *liveJob, amount resource.Amount) bool {
-	b := sl.shares.borrowerFor(js.Tenant)
-	return b == nil || b.Fits(js.Tenant, amount, n.limits.Of(js.Tenant), n.now)
+func (n *node) hasShare(shard *ownedShard, job *liveJob, amount resource.Amount) bool {
+	b := shard.shares.borrowerFor(job.Tenant)
+	return b == nil || b.Fits(job.Tenant, amount, n.limits.Of(job.Tenant), n.now)
 }
 
 // hasReservedShare tells the same for tasks that a share may be reserved for.
-func (n *node) hasReservedShare(sl *ownedShard, js *liveJob, i int, amount resource.Amount) bool {
-	b := sl.shares.borrowerFor(js.Tenant)
-	limit, task := n.limits.Of(js.Tenant), js.Tasks[i].Resources
-	return b == nil || b.FitsReserved(js.Tenant, shareKey(js, i), amount, task, limit, n.now)
+func (n *node) hasReservedShare(shard *ownedShard, job *liveJob, i int, amount resource.Amount) bool {
+	b := shard.shares.borrowerFor(job.Tenant)
+	limit, task := n.limits.Of(job.Tenant), job.Tasks[i].Resources
+	return b == nil || b.FitsReserved(job.Tenant, shareKey(job, i), amount, task, limit, n.now)
 }
 
 // mayRequest tells whether guaranteed places may be requested for a task, beside those that its
 // step has requested already.
-func (n *node) mayRequest(sl *ownedShard, js *liveJob, i int) bool {
-	amount := js.allocationUnit(i)
-	if !js.Steps[js.Tasks[i].Step].Gang {
-		amount = amount.Plus(sl.shares.reservedFor(js, i, n.now))
+func (n *node) mayRequest(shard *ownedShard, job *liveJob, i int) bool {
+	amount := job.allocationUnit(i)
+	if !job.Steps[job.Tasks[i].Step].Gang {
+		amount = amount.Plus(shard.shares.reservedFor(job, i, n.now))
 	}
-	return n.hasReservedShare(sl, js, i, amount)
+	return n.hasReservedShare(shard, job, i, amount)
 }
 
 // shareWait counts the units of a step that wait only for a share.
@@ -195,33 +195,33 @@
 }
 
 // addShareWait notes that a task waits only for a share of its tenant's limit.
-func (p *schedulePass) addShareWait(js *liveJob, i int) {
+func (p *schedulePass) addShareWait(job *liveJob, i int) {
 	if p.shareWaits == nil {
 		p.shareWaits = map[int]shareWait{}
 	}
-	at := js.stepIndex(&js.Tasks[i])
+	at := job.stepIndex(&job.Tasks[i])
 	count := p.shareWaits[at].count + 1
-	if js.Steps[js.Tasks[i].Step].Gang {
+	if job.Steps[job.Tasks[i].Step].Gang {
 		count = 1
 	}
 	p.shareWaits[at] = shareWait{i, count}
 }
 
 // claimShares asks for what a job lacks.
-func (n *node) claimShares(sl *ownedShard, js *liveJob, pass *schedulePass) {
-	js.waitsForShare = len(pass.shareWaits) > 0
-	b := sl.shares.borrowerFor(js.Tenant)
+func (n *node) claimShares(shard *ownedShard, job *liveJob, pass *schedulePass) {
+	job.waitsForShare = len(pass.shareWaits) > 0
+	b := shard.shares.borrowerFor(job.Tenant)
 	if b == nil {
 		return
 	}
 	for _, at := range sortedKeys(pass.shareWaits) {
 		lack := pass.shareWaits[at]
-		if !n.limits.Of(js.Tenant).EverAdmits(js.allocationUnit(lack.task), js.Tasks[lack.task].Resources) {
+		if !n.limits.Of(job.Tenant).EverAdmits(job.allocationUnit(lack.task), job.Tasks[lack.task].Resources) {
 			continue // it waits for a higher limit, and leaves the few claims to others
 		}
-		b.Claim(js.Tenant, shareKey(js, lack.task), wire.ShareClaim{
-			Job: js.ID, Urgency: n.precedence(js.Queue, js.excess), SubmittedMs: js.SubmitMs,
-			Unit: js.allocationUnit(lack.task), Task: js.Tasks[lack.task].Resources, Count: lack.count,
+		b.Claim(job.Tenant, shareKey(job, lack.task), wire.ShareClaim{
+			Job: job.ID, Urgency: n.precedence(job.Queue, job.excess), SubmittedMs: job.SubmitMs,
+			Unit: job.allocationUnit(lack.task), Task: job.Tasks[lack.task].Resources, Count: lack.count,
 		}, n.now)
 	}
 }
@@ -232,12 +232,12 @@
 		return
 	}
 	for _, name := range sortedKeys(n.owned) {
-		sl := n.owned[name]
-		if !sl.serving || !n.leases.Holds(lease.ShardRole(name)) {
+		shard := n.owned[name]
+		if !shard.serving || !n.leases.Holds(lease.ShardRole(name)) {
 			continue
 		}
-		for _, counter := range sl.shares.shards {
-			to, m := sl.shares.borrowers[counter].Report(n.now, n.config.current.Version)
+		for _, counter := range shard.shares.shards {
+			to, m := shard.shares.borrowers[counter].Report(n.now, n.config.current.Version)
 			switch {
 			case m == nil:
 			case to == n.Name:
@@ -250,14 +250,14 @@
 }
 
 // logShareDelays tells operators now and then which tenants wait for a share, and where.
-func (n *node) logShareDelays(sl *ownedShard) {
-	if n.now < sl.shares.loggedMs+shareLogMs {
+func (n *node) logShareDelays(shard *ownedShard) {
+	if n.now < shard.shares.loggedMs+shareLogMs {
 		return
 	}
-	sl.shares.loggedMs = n.now
-	for _, counter := range sl.shares.shards {
-		for _, d := range sl.shares.borrowers[counter].Delays(n.now, shareLogMs) {
-			n.log("share_delayed", "slice", sl.name, "tenant", d.Tenant, "waited_ms", d.WaitedMs, "job", d.Job,
+	shard.shares.loggedMs = n.now
+	for _, counter := range shard.shares.shards {
+		for _, d := range shard.shares.borrowers[counter].Delays(n.now, shareLogMs) {
+			n.log("share_delayed", "slice", shard.name, "tenant", d.Tenant, "waited_ms", d.WaitedMs, "job", d.Job,
 				"unit", d.Unit, "held", d.Held, "used", d.Used, "reserved", d.Reserved, "claims", d.Claims,
 				"limit", resource.Amount(n.limits.Of(d.Tenant)), "counter", counter, "at", d.Counter,
 				"unanswered_ms", d.UnansweredMs)
@@ -304,11 +304,11 @@
 
 // onShareGrant places at once what waited for the share.
 func (n *node) onShareGrant(_ string, m *wire.ShareGrant) {
-	sl := n.owned[m.Shard]
-	if sl == nil || !sl.serving || !n.leases.Holds(lease.ShardRole(m.Shard)) {
+	shard := n.owned[m.Shard]
+	if shard == nil || !shard.serving || !n.leases.Holds(lease.ShardRole(m.Shard)) {
 		return
 	}
-	b := sl.shares.borrowers[m.Counter]
+	b := shard.shares.borrowers[m.Counter]
 	if b == nil {
 		return
 	}
@@ -320,9 +320,9 @@
 		b.Settle(tenant)
 	}
 	var waiting []*liveJob
-	for _, js := range sl.jobs {
-		if js.waitsForShare && slices.Contains(grown, js.Tenant) {
-			waiting = append(waiting, js)
+	for _, job := range shard.jobs {
+		if job.waitsForShare && slices.Contains(grown, job.Tenant) {
+			waiting = append(waiting, job)
 		}
 	}
 	slices.SortFunc(waiting, func(a, b *liveJob) int {
@@ -332,8 +332,8 @@
 			cmp.Compare(a.ID, b.ID),
 		)
 	})
-	for _, js := range waiting {
-		n.advanceJob(sl, js)
+	for _, job := range waiting {
+		n.advanceJob(shard, job)
 	}
 }
 
@@ -348,51 +348,51 @@
 }
 
 // holdUntilListed keeps the share of a task that ended with another member of its gang.
-func (sl *ownedShard) holdUntilListed(js *liveJob, i int, nowMs int64) {
-	if sl.shares.borrowerFor(js.Tenant) == nil {
+func (s *ownedShard) holdUntilListed(job *liveJob, i int, nowMs int64) {
+	if s.shares.borrowerFor(job.Tenant) == nil {
 		return
 	}
-	t := &js.Tasks[i]
-	if sl.unlisted[t.Worker] == nil {
-		sl.unlisted[t.Worker] = map[wire.AttemptKey]unlistedRun{}
+	t := &job.Tasks[i]
+	if s.unlisted[t.Worker] == nil {
+		s.unlisted[t.Worker] = map[wire.AttemptKey]unlistedRun{}
 	}
-	key := wire.AttemptKey{Job: js.ID, Task: js.taskID(i), Attempt: t.Attempt}
-	sl.unlisted[t.Worker][key] = unlistedRun{js.Tenant, t.Resources, nowMs + unlistedMs}
-	sl.shares.use(js.Tenant, t.Resources)
+	key := wire.AttemptKey{Job: job.ID, Task: job.taskID(i), Attempt: t.Attempt}
+	s.unlisted[t.Worker][key] = unlistedRun{job.Tenant, t.Resources, nowMs + unlistedMs}
+	s.shares.use(job.Tenant, t.Resources)
 }
 
 // releaseListed releases the shares of runs that a report tells the end of, or no longer lists.
-func (sl *ownedShard) releaseListed(m *wire.AgentReport) {
-	runs := sl.unlisted[m.Worker]
+func (s *ownedShard) releaseListed(m *wire.AgentReport) {
+	runs := s.unlisted[m.Worker]
 	if len(runs) == 0 {
 		return
 	}
 	atWork, ended := map[wire.AttemptKey]bool{}, map[wire.AttemptKey]bool{}
-	for _, h := range m.Attempts {
-		atWork[h.Key], ended[h.Key] = h.State != wire.AttemptEnded, h.State == wire.AttemptEnded
+	for _, status := range m.Attempts {
+		atWork[status.Key], ended[status.Key] = status.State != wire.AttemptEnded, status.State == wire.AttemptEnded
 	}
-	sl.releaseRuns(m.Worker, func(key wire.AttemptKey, _ unlistedRun) bool {
+	s.releaseRuns(m.Worker, func(key wire.AttemptKey, _ unlistedRun) bool {
 		return ended[key] || !m.Partial && m.Rebuilt && !atWork[key]
 	})
 }
 
 // releaseLapsed releases the shares of runs whose workers said nothing for longer than they may
 // run without a word.
-func (sl *ownedShard) releaseLapsed(nowMs int64) {
-	for _, worker := range sortedKeys(sl.unlisted) {
-		sl.releaseRuns(worker, func(_ wire.AttemptKey, run unlistedRun) bool { return nowMs > run.untilMs })
+func (s *ownedShard) releaseLapsed(nowMs int64) {
+	for _, worker := range sortedKeys(s.unlisted) {
+		s.releaseRuns(worker, func(_ wire.AttemptKey, run unlistedRun) bool { return nowMs > run.untilMs })
 	}
 }
 
 // releaseRuns releases the shares of those unlisted runs at a worker that are over.
-func (sl *ownedShard) releaseRuns(worker string, over func(wire.AttemptKey, unlistedRun) bool) {
-	for key, run := range sl.unlisted[worker] { // sums: the order does not matter
+func (s *ownedShard) releaseRuns(worker string, over func(wire.AttemptKey, unlistedRun) bool) {
+	for key, run := range s.unlisted[worker] { // sums: the order does not matter
 		if over(key, run) {
-			sl.shares.release(run.tenant, run.amount)
-			delete(sl.unlisted[worker], key)
+			s.shares.release(run.tenant, run.amount)
+			delete(s.unlisted[worker], key)
 		}
 	}
-	if len(sl.unlisted[worker]) == 0 {
-		delete(sl.unlisted, worker)
+	if len(s.unlisted[worker]) == 0 {
+		delete(s.unlisted, worker)
 	}
 }
--- a/internal/daemon/tenant_status.go
+++ b/internal/daemon/tenant_status.go
@@ -54,41 +54,41 @@
 type admissionCounts struct{ excess, refused int64 }
 
 // countAdmission notes how a new job of a tenant fared.
-func (sl *ownedShard) countAdmission(tenant string, excess, refused bool) {
+func (s *ownedShard) countAdmission(tenant string, excess, refused bool) {
 	if tenant == "" || !excess && !refused {
 		return
 	}
-	if sl.admissions == nil {
-		sl.admissions = map[string]admissionCounts{}
+	if s.admissions == nil {
+		s.admissions = map[string]admissionCounts{}
 	}
-	counts := sl.admissions[tenant]
+	counts := s.admissions[tenant]
 	if excess {
 		counts.excess++
 	}
 	if refused {
 		counts.refused++
 	}
-	sl.admissions[tenant] = counts
+	s.admissions[tenant] = counts
 }
 
 // routeTenants hands a question about tenants to the owner of the shard that is its key.
-func (n *node) routeTenants(a *request) {
-	if !slices.Contains(n.core.Shards, a.key) {
-		n.respond(a, 404, 0, mustJSON(map[string]any{"error": "no such slice"}))
+func (n *node) routeTenants(req *request) {
+	if !slices.Contains(n.core.Shards, req.key) {
+		n.respond(req, 404, 0, mustJSON(map[string]any{"error": "no such slice"}))
 		return
 	}
-	n.routeToShard(a, a.key)
+	n.routeToShard(req, req.key)
 }
 
-func (n *node) handleTenants(sl *ownedShard, a *request) {
-	n.respond(a, 200, 0, mustJSON(n.tenantsOf(sl)))
+func (n *node) handleTenants(shard *ownedShard, req *request) {
+	n.respond(req, 200, 0, mustJSON(n.tenantsOf(shard)))
 }
 
-func (n *node) tenantsOf(sl *ownedShard) shardTenants {
+func (n *node) tenantsOf(shard *ownedShard) shardTenants {
 	out := shardTenants{
-		Shard: sl.name, Owner: n.Name, Silent: n.silentShards(sl), Counted: n.countedTenants(sl), Held: n.heldTenants(sl),
+		Shard: shard.name, Owner: n.Name, Silent: n.silentShards(shard), Counted: n.countedTenants(shard), Held: n.heldTenants(shard),
 	}
-	if c := n.counters[sl.name]; c != nil {
+	if c := n.counters[shard.name]; c != nil {
 		out.Complete = c.Complete(n.core.Shards)
 	}
 	if over := len(out.Counted) - tenantsListedMax; over > 0 {
@@ -102,14 +102,14 @@
 
 // countedTenants gives the declared tenants that a shard's owner counts, and those that are
 // declared no more and still have something; in the order of their names.
-func (n *node) countedTenants(sl *ownedShard) []countedTenant {
+func (n *node) countedTenants(shard *ownedShard) []countedTenant {
 	byName := map[string]countedTenant{}
 	for name, t := range n.config.current.Tenants {
-		if countingShard(name, n.core.Shards) == sl.name {
+		if countingShard(name, n.core.Shards) == shard.name {
 			byName[name] = countedTenant{Name: name, Weight: t.Weight, Limit: t.Limit}
 		}
 	}
-	if c := n.counters[sl.name]; c != nil {
+	if c := n.counters[shard.name]; c != nil {
 		for _, usage := range c.Usages() {
 			t := byName[usage.Tenant]
 			t.Name, t.Limit = usage.Tenant, resource.Amount(n.limits.Of(usage.Tenant))
@@ -125,23 +125,23 @@
 }
 
 // heldTenants gives the tenants that have something at a shard, in the order of their names.
-func (n *node) heldTenants(sl *ownedShard) []heldTenant {
+func (n *node) heldTenants(shard *ownedShard) []heldTenant {
 	byName := map[string]*heldTenant{}
 	of := func(name string) *heldTenant {
 		if byName[name] == nil {
 			byName[name] = &heldTenant{Name: name}
-			if b := sl.shares.borrowerFor(name); b != nil {
+			if b := shard.shares.borrowerFor(name); b != nil {
 				byName[name].Held, byName[name].Used = b.Held(name)
 			}
 		}
 		return byName[name]
 	}
-	for _, js := range sl.jobs {
-		if js.Tenant != "" {
-			of(js.Tenant).Jobs++
+	for _, job := range shard.jobs {
+		if job.Tenant != "" {
+			of(job.Tenant).Jobs++
 		}
 	}
-	for name, counts := range sl.admissions {
+	for name, counts := range shard.admissions {
 		t := of(name)
 		t.Excess, t.Refused = counts.excess, counts.refused
 	}
@@ -161,13 +161,13 @@
 }
 
 // silentShards gives the shards that have not reported for a while to the counter of a shard.
-func (n *node) silentShards(sl *ownedShard) []string {
+func (n *node) silentShards(shard *ownedShard) []string {
 	silent := []string{}
 	if !n.limits.Any() {
 		return silent
 	}
 	for _, otherShard := range n.core.Shards {
-		if n.now-max(n.shareReports[sl.name][otherShard], sl.startMs) > reportSilentMs {
+		if n.now-max(n.shareReports[shard.name][otherShard], shard.startMs) > reportSilentMs {
 			silent = append(silent, otherShard)
 		}
 	}
@@ -179,7 +179,7 @@
 func (n *node) counterHealth() map[string]any {
 	health := map[string]any{}
 	for _, name := range sortedKeys(n.owned) {
-		sl, waiting := n.owned[name], map[string]int{}
+		shard, waiting := n.owned[name], map[string]int{}
 		if c := n.counters[name]; c != nil {
 			for _, usage := range c.Usages() {
 				if usage.WaitedMs > shareStuckMs && len(waiting) < tenantLabelsMax {
@@ -187,7 +187,7 @@
 				}
 			}
 		}
-		if silent := n.silentShards(sl); len(silent)+len(waiting) > 0 {
+		if silent := n.silentShards(shard); len(silent)+len(waiting) > 0 {
 			health[name] = map[string]any{"silent": silent, "waiting": waiting}
 		}
 	}
@@ -239,21 +239,21 @@
 }
 
 // explainShare says that a task waits for its tenant's limit; "" where it doesn't.
-func (n *node) explainShare(js *liveJob, i int) string {
-	sl := n.owned[n.shardOf(js.ID)]
-	if sl == nil || !js.waitsForShare || n.hasReservedShare(sl, js, i, js.allocationUnit(i)) {
+func (n *node) explainShare(job *liveJob, i int) string {
+	shard := n.owned[n.shardOf(job.ID)]
+	if shard == nil || !job.waitsForShare || n.hasReservedShare(shard, job, i, job.allocationUnit(i)) {
 		return ""
 	}
-	limit := resource.Amount(n.limits.Of(js.Tenant))
-	held, used := sl.shares.borrowerFor(js.Tenant).Held(js.Tenant)
-	why := "waiting for the limit of tenant " + js.Tenant + ", " + amountText(limit) + ": here it uses " +
+	limit := resource.Amount(n.limits.Of(job.Tenant))
+	held, used := shard.shares.borrowerFor(job.Tenant).Held(job.Tenant)
+	why := "waiting for the limit of tenant " + job.Tenant + ", " + amountText(limit) + ": here it uses " +
 		amountText(used) + " of " + amountText(held) + " that this slice may use"
-	counter := n.counters[countingShard(js.Tenant, n.core.Shards)]
+	counter := n.counters[countingShard(job.Tenant, n.core.Shards)]
 	if counter == nil {
 		return why
 	}
 	for _, usage := range counter.Usages() {
-		if usage.Tenant == js.Tenant {
+		if usage.Tenant == job.Tenant {
 			why += "; over all slices it uses " + amountText(usage.Used) + " of " + amountText(usage.Lent)
 		}
 	}
--- a/internal/daemon/tenant_weight.go
+++ b/internal/daemon/tenant_weight.go
@@ -29,8 +29,8 @@
 }
 
 // isExcess counts a new job, and tells whether it is beyond its tenant's weight.
-func (n *node) isExcess(sl *ownedShard, tenant string) bool {
-	return n.Policies.On(scheduler.TenantWeight) && sl.jobRates.IsExcess(tenant, n.shardWeight(tenant), n.now)
+func (n *node) isExcess(shard *ownedShard, tenant string) bool {
+	return n.Policies.On(scheduler.TenantWeight) && shard.jobRates.IsExcess(tenant, n.shardWeight(tenant), n.now)
 }
 
 // precedence ranks the tasks of a queue, see scheduler.Precedence.
@@ -45,15 +45,15 @@
 
 // rejectExcess refuses an excess job while many of its tenant wait for room, or for a share of
 // its limit. It may come back when about as many could have been started.
-func (n *node) rejectExcess(sl *ownedShard, tenant string) *rejection {
+func (n *node) rejectExcess(shard *ownedShard, tenant string) *rejection {
 	waiting, lacking := 0, false
-	for _, js := range sl.jobs {
-		if js.excess && js.Tenant == tenant && js.state() == "pending" && js.roundDueMs(0) <= n.fleetTime() {
+	for _, job := range shard.jobs {
+		if job.excess && job.Tenant == tenant && job.state() == "pending" && job.roundDueMs(0) <= n.fleetTime() {
 			waiting++
-			lacking = lacking || js.waitsForShare
+			lacking = lacking || job.waitsForShare
 		}
 	}
-	if waiting < excessWaitingMax || !lacking && !n.shortOfRoom(sl) {
+	if waiting < excessWaitingMax || !lacking && !n.shortOfRoom(shard) {
 		return nil
 	}
 	n.count("jobs_rejected_excess")
@@ -73,16 +73,16 @@
 	}
 	used := c.usedByTenants(len(n.core.Shards))
 	for i, k := range keys {
-		ws, weight := c.pending[k], float64(0)
-		if t := n.config.current.Tenants[ws.Tenant]; t != nil {
+		request, weight := c.pending[k], float64(0)
+		if t := n.config.current.Tenants[request.Tenant]; t != nil {
 			weight = t.Weight
 		}
 		adds := resource.Amount{}
-		for range ws.open() {
-			adds = adds.Plus(ws.Resources)
+		for range request.open() {
+			adds = adds.Plus(request.Resources)
 		}
-		requests[i].Tenant = ws.Tenant
-		requests[i].Share = scheduler.WeightedShare(used[ws.Tenant], all, weight)
+		requests[i].Tenant = request.Tenant
+		requests[i].Share = scheduler.WeightedShare(used[request.Tenant], all, weight)
 		requests[i].Adds = scheduler.WeightedShare(adds, all, weight)
 	}
 }
@@ -91,22 +91,22 @@
 // told, and for shards that requested nothing the mean of the others, since jobs are spread evenly.
 func (c *centralScheduler) usedByTenants(shards int) map[string]resource.Amount {
 	newest := map[string]map[string]*pendingAllocation{} // by tenant and shard
-	for _, ws := range c.pending {
-		byShard := newest[ws.Tenant]
+	for _, request := range c.pending {
+		byShard := newest[request.Tenant]
 		if byShard == nil {
 			byShard = map[string]*pendingAllocation{}
-			newest[ws.Tenant] = byShard
+			newest[request.Tenant] = byShard
 		}
-		if last := byShard[ws.Shard]; last == nil || ws.lastMs > last.lastMs ||
-			ws.lastMs == last.lastMs && ws.Job > last.Job {
-			byShard[ws.Shard] = ws
+		if last := byShard[request.Shard]; last == nil || request.lastMs > last.lastMs ||
+			request.lastMs == last.lastMs && request.Job > last.Job {
+			byShard[request.Shard] = request
 		}
 	}
 	used := map[string]resource.Amount{}
 	for tenant, byShard := range newest {
 		var sum resource.Amount
-		for _, ws := range byShard { // a sum: the order does not matter
-			sum = sum.Plus(ws.TenantUsed)
+		for _, request := range byShard { // a sum: the order does not matter
+			sum = sum.Plus(request.TenantUsed)
 		}
 		known, all := int64(len(byShard)), int64(max(shards, len(byShard)))
 		inAll := func(v int64) int64 { return v * all / known }
--- a/internal/daemon/tenant_weight_test.go
+++ b/internal/daemon/tenant_weight_test.go
@@ -183,9 +183,9 @@
 func TestExcessComesLastAtCentralScheduler(t *testing.T) {
 	n := rackNode(t, 1)
 	add := func(job, queue string, submittedMs int64, excess bool) {
-		ws := wantOf(job, queue, 1, 1000, 1000)
-		ws.SubmittedMs, ws.Excess = submittedMs, excess
-		n.central.add(n.now, ws)
+		request := wantOf(job, queue, 1, 1000, 1000)
+		request.SubmittedMs, request.Excess = submittedMs, excess
+		n.central.add(n.now, request)
 	}
 	add("excess-high", "high", 1, true)
 	add("excess-low", "low", 1, true)
@@ -206,9 +206,9 @@
 	n := rackNode(t, 1)
 	n.core.Shards = []string{"east", "west"}
 	add := func(job, shard, tenant string, submittedMs, usedCPU int64) {
-		ws := wantOf(job, "mid", 2, 1000, 1000)
-		ws.SubmittedMs, ws.Shard, ws.Tenant, ws.TenantUsed = submittedMs, shard, tenant, resource.Amount{CPU: usedCPU}
-		n.central.add(n.now, ws)
+		request := wantOf(job, "mid", 2, 1000, 1000)
+		request.SubmittedMs, request.Shard, request.Tenant, request.TenantUsed = submittedMs, shard, tenant, resource.Amount{CPU: usedCPU}
+		n.central.add(n.now, request)
 	}
 	add("large-1", "east", "large", 1, 4000) // 8000 of 24000, by 4: it has 1/12
 	add("large-2", "east", "large", 2, 4000)
@@ -234,20 +234,20 @@
 
 // What a tenant's placed tasks take in a shard is told with its requests.
 func TestTenantUsedOfShard(t *testing.T) {
-	sl := &ownedShard{placedByWorker: map[string]map[taskRef]resource.Amount{}, loadByWorker: map[string]resource.Amount{}}
-	js := &liveJob{jobRecord: jobRecord{ID: "j", Tenant: "a", Steps: []jobStep{{Size: 2}}, Tasks: []task{
+	shard := &ownedShard{placedByWorker: map[string]map[taskRef]resource.Amount{}, loadByWorker: map[string]resource.Amount{}}
+	job := &liveJob{jobRecord: jobRecord{ID: "j", Tenant: "a", Steps: []jobStep{{Size: 2}}, Tasks: []task{
 		{State: taskPlaced, Worker: "w", Resources: resource.Amount{CPU: 3}},
 		{State: taskPlaced, Worker: "w", Resources: resource.Amount{CPU: 4}, IndexInStep: 1},
 	}}}
-	sl.updatePlacedIndex(js, 0)
-	sl.updatePlacedIndex(js, 1)
-	must.Eq(t, map[string]resource.Amount{"a": {CPU: 7}}, sl.tenantUsed)
-	js.Tasks[0].State = taskEnded
-	sl.updatePlacedIndex(js, 0)
-	must.Eq(t, map[string]resource.Amount{"a": {CPU: 4}}, sl.tenantUsed)
-	js.Tasks[1].State = taskEnded
-	sl.updatePlacedIndex(js, 1)
-	must.MapEmpty(t, sl.tenantUsed)
+	shard.updatePlacedIndex(job, 0)
+	shard.updatePlacedIndex(job, 1)
+	must.Eq(t, map[string]resource.Amount{"a": {CPU: 7}}, shard.tenantUsed)
+	job.Tasks[0].State = taskEnded
+	shard.updatePlacedIndex(job, 0)
+	must.Eq(t, map[string]resource.Amount{"a": {CPU: 4}}, shard.tenantUsed)
+	job.Tasks[1].State = taskEnded
+	shard.updatePlacedIndex(job, 1)
+	must.MapEmpty(t, shard.tenantUsed)
 }
 
 // At an agent the tasks of excess jobs wait behind all others, may stop only runs of other excess
@@ -255,9 +255,9 @@
 func TestExcessAtAgent(t *testing.T) {
 	n := twoUrgencies(t)
 	task := func(queue string, class wire.TaskClass, excess bool) *agentAttempt {
-		h := attemptOf(queue, 100, wire.AttemptQueued)
-		h.spec.Class, h.spec.Excess = class, excess
-		return h
+		attempt := attemptOf(queue, 100, wire.AttemptQueued)
+		attempt.spec.Class, attempt.spec.Excess = class, excess
+		return attempt
 	}
 	firm, queueable := wire.ClassGuaranteed, wire.ClassQueueable
 	for name, c := range map[string]struct {
@@ -277,12 +277,12 @@
 	} {
 		t.Run(name, func(t *testing.T) { must.Eq(t, c.may, n.mayPreempt(c.pending, c.run)) })
 	}
-	ag := &workerAgent{worker: "w", attempts: map[wire.AttemptKey]*agentAttempt{
+	agent := &workerAgent{worker: "w", attempts: map[wire.AttemptKey]*agentAttempt{
 		{Job: "a"}: task("fast", firm, true), {Job: "b"}: task("slow", queueable, false), {Job: "c"}: task("fast", queueable, false),
 	}}
 	var order []string
-	for _, h := range ag.waiting(n) {
-		order = append(order, fmt.Sprint(h.spec.Queue, " ", h.spec.Excess))
+	for _, attempt := range agent.waiting(n) {
+		order = append(order, fmt.Sprint(attempt.spec.Queue, " ", attempt.spec.Excess))
 	}
 	must.Eq(t, []string{"fast false", "slow false", "fast true"}, order)
 }
@@ -290,13 +290,13 @@
 // Excess of the most urgent queue doesn't take the room kept for it, and doesn't add to what is kept.
 func TestExcessLeavesUrgentRoom(t *testing.T) {
 	n := twoUrgencies(t)
-	sl := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{"w": {CPU: 700}}}
+	shard := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{"w": {CPU: 700}}}
 	w := &workerView{capacity: resource.Amount{CPU: 1000, Memory: 100}, urgentUse: resource.Amount{CPU: 100}}
-	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, n.roomFor(sl, n.config.current.Queues["fast"], true, "w", w))
+	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, n.roomFor(shard, n.config.current.Queues["fast"], true, "w", w))
 	running := attemptOf("fast", 500, wire.AttemptRunning)
 	running.spec.Excess = true
-	ag := &workerAgent{attempts: map[wire.AttemptKey]*agentAttempt{{Job: "a"}: running, {Job: "b"}: attemptOf("fast", 50, wire.AttemptRunning)}}
-	must.Eq(t, resource.Amount{CPU: 50}, ag.urgentHeld(n, wire.AttemptRunning))
+	agent := &workerAgent{attempts: map[wire.AttemptKey]*agentAttempt{{Job: "a"}: running, {Job: "b"}: attemptOf("fast", 50, wire.AttemptRunning)}}
+	must.Eq(t, resource.Amount{CPU: 50}, agent.urgentHeld(n, wire.AttemptRunning))
 }
 
 // An excess job is refused by what waits, only while there is no room, and takes at most a part of
@@ -307,23 +307,23 @@
 	must.SliceEmpty(t, faults)
 	n.config.current, n.core.Shards = set, []string{"east", "west"}
 	n.leases.Clock().Observe("d", wallStart, n.now, n.now)
-	sl := &ownedShard{name: "east", jobs: map[string]*liveJob{}}
+	shard := &ownedShard{name: "east", jobs: map[string]*liveJob{}}
 	fill := func(tenant string, count int, excess bool) {
 		for i := range count {
 			id := fmt.Sprint(tenant, i)
-			sl.jobs[id] = &liveJob{excess: excess, jobRecord: jobRecord{ID: id, Queue: "fast", Tenant: tenant}}
+			shard.jobs[id] = &liveJob{excess: excess, jobRecord: jobRecord{ID: id, Queue: "fast", Tenant: tenant}}
 		}
 	}
 	fill("hot", excessWaitingMax-1, true)
 	fill("other", excessWaitingMax, true)
-	sl.starvedMs = n.now
-	must.Nil(t, n.rejectExcess(sl, "hot"))
+	shard.starvedMs = n.now
+	must.Nil(t, n.rejectExcess(shard, "hot"))
 	fill("hot", excessWaitingMax, true)
-	must.Eq(t, &rejection{status: 429, retryMs: excessRetryMostMs, faults: n.rejectExcess(sl, "hot").faults}, n.rejectExcess(sl, "hot"))
-	sl.starvedMs = 0
-	must.Nil(t, n.rejectExcess(sl, "hot"))
-	sl.jobs["hot0"].waitsForShare = true // its tenant is at its limit
-	must.Eq(t, 429, n.rejectExcess(sl, "hot").status)
+	must.Eq(t, &rejection{status: 429, retryMs: excessRetryMostMs, faults: n.rejectExcess(shard, "hot").faults}, n.rejectExcess(shard, "hot"))
+	shard.starvedMs = 0
+	must.Nil(t, n.rejectExcess(shard, "hot"))
+	shard.jobs["hot0"].waitsForShare = true // its tenant is at its limit
+	must.Eq(t, 429, n.rejectExcess(shard, "hot").status)
 
 	j, faults := parseJob("j", "", []byte(`{"queue":"fast","steps":[{"name":"s","tasks":[{"name":"t","room":1}]}]}`))
 	must.SliceEmpty(t, faults)
@@ -339,10 +339,10 @@
 	set, faults := configuration.Compile(1, weightedSetup(map[string]float64{"hot": 0.1}))
 	must.SliceEmpty(t, faults)
 	n.config.current, n.core.Shards = set, []string{"east"}
-	sl := &ownedShard{}
+	shard := &ownedShard{}
 	excess := func() (count int) {
 		for range 50 {
-			if n.isExcess(sl, "hot") {
+			if n.isExcess(shard, "hot") {
 				count++
 			}
 		}
--- a/internal/daemon/tenantshares_test.go
+++ b/internal/daemon/tenantshares_test.go
@@ -34,29 +34,29 @@
 }
 
 // jobOfTenant enters a job of one step, whose tasks are long, into a shard.
-func jobOfTenant(t *testing.T, sl *ownedShard, id, tenant, step string, count int) *liveJob {
+func jobOfTenant(t *testing.T, shard *ownedShard, id, tenant, step string, count int) *liveJob {
 	t.Helper()
 	j, faults := parseJob(id, "q", []byte(`{"payload":"x","steps":[`+step+`]}`))
 	must.SliceEmpty(t, faults)
 	j.Tenant = tenant
-	js := &liveJob{jobRecord: *j, committed: 1, runtime: make([]taskRuntime, count)}
-	sl.jobs[id] = js
-	return js
+	job := &liveJob{jobRecord: *j, committed: 1, runtime: make([]taskRuntime, count)}
+	shard.jobs[id] = job
+	return job
 }
 
 // Tasks that wait only for a share don't use up what a shard may request in one tick: jobs of
 // other tenants behind them get their places.
 func TestTasksWithoutShareLeaveRequestsToOthers(t *testing.T) {
-	n, sl := shareOwner(t)
+	n, shard := shareOwner(t)
 	const long = `"estimate_ms":9000`
-	waiting := jobOfTenant(t, sl, "a", "full", `{"name":"s","count":100,"room":1,`+long+`}`, 100)
-	behind := jobOfTenant(t, sl, "b", "free", `{"name":"s","count":1,"room":1,`+long+`}`, 1)
-	for _, js := range []*liveJob{waiting, behind} {
-		pass := n.newSchedulePass(js)
-		for i := range js.Tasks {
-			n.scheduleTask(sl, js, i, pass)
+	waiting := jobOfTenant(t, shard, "a", "full", `{"name":"s","count":100,"room":1,`+long+`}`, 100)
+	behind := jobOfTenant(t, shard, "b", "free", `{"name":"s","count":1,"room":1,`+long+`}`, 1)
+	for _, job := range []*liveJob{waiting, behind} {
+		pass := n.newSchedulePass(job)
+		for i := range job.Tasks {
+			n.scheduleTask(shard, job, i, pass)
 		}
-		n.claimShares(sl, js, pass)
+		n.claimShares(shard, job, pass)
 	}
 	must.True(t, waiting.waitsForShare)
 	must.Eq(t, 0, waiting.runtime[0].allocationRequestMs)
@@ -66,57 +66,57 @@
 // Tasks that no worker can hold kept a share of their tenant's limit for ever, and all its other
 // jobs stood still beside them.
 func TestTasksThatNoWorkerHoldsTakeNoShare(t *testing.T) {
-	n, sl := shareOwner(t)
+	n, shard := shareOwner(t)
 	for _, step := range []string{
 		`{"name":"s","count":2,"room":101,"gang":true}`,
 		`{"name":"s","count":2,"room":101,"estimate_ms":9000}`,
 		`{"name":"s","count":2,"room":101,"estimate_ms":10}`,
 	} {
-		js := jobOfTenant(t, sl, "a", "full", step, 2)
-		pass := n.newSchedulePass(js)
-		for i := range js.Tasks {
-			n.scheduleTask(sl, js, i, pass)
+		job := jobOfTenant(t, shard, "a", "full", step, 2)
+		pass := n.newSchedulePass(job)
+		for i := range job.Tasks {
+			n.scheduleTask(shard, job, i, pass)
 		}
-		n.claimShares(sl, js, pass)
-		must.False(t, js.waitsForShare, must.Sprint(step))
-		must.Eq(t, resource.Amount{}, sl.shares.reservedFor(js, 0, n.now), must.Sprint(step))
+		n.claimShares(shard, job, pass)
+		must.False(t, job.waitsForShare, must.Sprint(step))
+		must.Eq(t, resource.Amount{}, shard.shares.reservedFor(job, 0, n.now), must.Sprint(step))
 	}
-	small := jobOfTenant(t, sl, "b", "full", `{"name":"s","count":1,"room":1,"gang":true}`, 1)
+	small := jobOfTenant(t, shard, "b", "full", `{"name":"s","count":1,"room":1,"gang":true}`, 1)
 	pass := n.newSchedulePass(small)
-	n.scheduleTask(sl, small, 0, pass)
-	n.claimShares(sl, small, pass)
+	n.scheduleTask(shard, small, 0, pass)
+	n.claimShares(shard, small, pass)
 	must.True(t, small.waitsForShare)
 }
 
 // The members of a gang that ended by another one's end take their tenant's share until their
 // workers have listed their ends, or may run no more.
 func TestGangKeepsItsShareUntilEndsAreListed(t *testing.T) {
-	n, sl := shareOwner(t)
-	js := jobOfTenant(t, sl, "a", "full", `{"name":"s","count":3,"room":1,"gang":true}`, 3)
+	n, shard := shareOwner(t)
+	job := jobOfTenant(t, shard, "a", "full", `{"name":"s","count":3,"room":1,"gang":true}`, 3)
 	for i, worker := range []string{"w0", "w1", "w2"} {
-		task := &js.Tasks[i]
+		task := &job.Tasks[i]
 		task.State, task.Worker, task.Attempt = taskPlaced, worker, 1
-		sl.updatePlacedIndex(js, i)
+		shard.updatePlacedIndex(job, i)
 	}
 	used := func() int64 {
-		_, used := sl.shares.borrowerFor("full").Held("full")
+		_, used := shard.shares.borrowerFor("full").Held("full")
 		return used.CPU
 	}
 	must.Eq(t, int64(3), used())
-	n.resolveAttempt(sl, js, 0, wire.ResultOK, 100)
+	n.resolveAttempt(shard, job, 0, wire.ResultOK, 100)
 	must.Eq(t, int64(2), used(), must.Sprint("only the end at w0 is listed"))
-	status := wire.AttemptStatus{Key: wire.AttemptKey{Job: "a", Task: js.taskID(1), Attempt: 1}, State: wire.AttemptRunning}
-	sl.releaseListed(&wire.AgentReport{Worker: "w1", Rebuilt: true, Attempts: []wire.AttemptStatus{status}})
+	status := wire.AttemptStatus{Key: wire.AttemptKey{Job: "a", Task: job.taskID(1), Attempt: 1}, State: wire.AttemptRunning}
+	shard.releaseListed(&wire.AgentReport{Worker: "w1", Rebuilt: true, Attempts: []wire.AttemptStatus{status}})
 	must.Eq(t, int64(2), used(), must.Sprint("w1 still runs it"))
 	status.State = wire.AttemptEnded
-	sl.releaseListed(&wire.AgentReport{Worker: "w1", Partial: true, Attempts: []wire.AttemptStatus{status}})
+	shard.releaseListed(&wire.AgentReport{Worker: "w1", Partial: true, Attempts: []wire.AttemptStatus{status}})
 	must.Eq(t, int64(1), used())
-	sl.releaseLapsed(n.now + unlistedMs)
+	shard.releaseLapsed(n.now + unlistedMs)
 	must.Eq(t, int64(1), used())
-	sl.releaseLapsed(n.now + unlistedMs + 1)
+	shard.releaseLapsed(n.now + unlistedMs + 1)
 	must.Eq(t, int64(0), used())
-	must.MapEmpty(t, sl.unlisted)
-	held, _ := sl.shares.borrowerFor("full").Held("full")
+	must.MapEmpty(t, shard.unlisted)
+	held, _ := shard.shares.borrowerFor("full").Held("full")
 	must.Eq(t, resource.Amount{}, held, must.Sprint("no counter has told that what ends may be replaced"))
 }
 
@@ -141,26 +141,26 @@
 	n.withLimit(t, 2, 40)
 	n.withLimit(t, 3, 20)
 	n.withLimit(t, 4, 40)
-	ag := &workerAgent{
+	agent := &workerAgent{
 		worker: "w", colocated: true, rebuilt: true, tokenMs: n.now, heardMs: n.now, lastOK: n.now,
 		capacity: resource.Amount{CPU: 100}, free: resource.Amount{CPU: 100}, attempts: map[wire.AttemptKey]*agentAttempt{},
 		tombstones: map[wire.AttemptKey]int64{}, owners: map[string]uint64{}, ownerMs: map[string]int64{},
 		ends: map[int64]wire.AttemptKey{},
 	}
-	n.agents["w"] = ag
+	n.agents["w"] = agent
 	queued := func(id, tenant string, version int64) *agentAttempt {
-		h := &agentAttempt{spec: wire.TaskSpec{
+		attempt := &agentAttempt{spec: wire.TaskSpec{
 			Key: wire.AttemptKey{Job: id, Attempt: 1}, Shard: "s", Queue: "q", Class: wire.ClassGuaranteed,
 			Resources: resource.Amount{CPU: 1}, Tenant: tenant, LimitVersion: version,
 		}, confirmedMs: n.now, queuedMs: n.now}
-		ag.attempts[h.spec.Key] = h
-		return h
+		agent.attempts[attempt.spec.Key] = attempt
+		return attempt
 	}
 	before, since := queued("a", "full", 2), queued("b", "full", 3)
 	former, unlimited, nobody := queued("c", "full", 0), queued("d", "free", 0), queued("e", "", 0)
-	avail := ag.free
-	for _, h := range []*agentAttempt{before, since, former, unlimited, nobody} {
-		must.True(t, n.startOrSkip(ag, h, &avail))
+	avail := agent.free
+	for _, attempt := range []*agentAttempt{before, since, former, unlimited, nobody} {
+		must.True(t, n.startOrSkip(agent, attempt, &avail))
 	}
 	must.Eq(t, wire.ResultShed, before.result)
 	must.Eq(t, wire.AttemptOrdered, since.state)
@@ -171,17 +171,17 @@
 
 // Placements carry the version by whose limit they were placed.
 func TestTenantLimitOfPlacements(t *testing.T) {
-	n, sl := shareOwner(t)
+	n, shard := shareOwner(t)
 	n.withLimit(t, 2, 40)
 	n.workers["w"] = &workerView{agent: "d1", epoch: 1}
-	js := jobOfTenant(t, sl, "a", "full", `{"name":"s","count":2,"room":1}`, 2)
-	n.placeTask(sl, js, 0, "w", wire.ClassQueueable)
+	job := jobOfTenant(t, shard, "a", "full", `{"name":"s","count":2,"room":1}`, 2)
+	n.placeTask(shard, job, 0, "w", wire.ClassQueueable)
 	n.withLimit(t, 3, 20)
-	n.placeTask(sl, js, 1, "w", wire.ClassQueueable)
-	must.Eq(t, int64(2), n.taskSpec(sl, js, 0).LimitVersion)
-	must.Eq(t, int64(3), n.taskSpec(sl, js, 1).LimitVersion)
-	must.Eq(t, "full", n.taskSpec(sl, js, 0).Tenant)
-	_, used := sl.shares.borrowerFor("full").Held("full")
+	n.placeTask(shard, job, 1, "w", wire.ClassQueueable)
+	must.Eq(t, int64(2), n.taskSpec(shard, job, 0).LimitVersion)
+	must.Eq(t, int64(3), n.taskSpec(shard, job, 1).LimitVersion)
+	must.Eq(t, "full", n.taskSpec(shard, job, 0).Tenant)
+	_, used := shard.shares.borrowerFor("full").Held("full")
 	must.Eq(t, resource.Amount{CPU: 2}, used)
 }
 
@@ -199,8 +199,8 @@
 		{"raised over a version that was not seen", 3, 20, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			n, sl := shareOwner(t)
-			b := sl.shares.borrowerFor("full")
+			n, shard := shareOwner(t)
+			b := shard.shares.borrowerFor("full")
 			b.CounterIs("d0", 1)
 			b.Use("full", resource.Amount{CPU: 1})
 			_, report := b.Report(n.now, 1)
@@ -218,64 +218,64 @@
 // Tasks of a tenant that no version here has declared wait until the configuration was confirmed
 // after their job came: the version that declares it may be on its way.
 func TestTasksOfAnUnknownTenantWait(t *testing.T) {
-	n, sl := shareOwner(t)
-	js := jobOfTenant(t, sl, "a", "new", `{"name":"s","count":1,"room":1}`, 1)
-	js.enteredMs = n.now
+	n, shard := shareOwner(t)
+	job := jobOfTenant(t, shard, "a", "new", `{"name":"s","count":1,"room":1}`, 1)
+	job.enteredMs = n.now
 	mayStart := func() bool {
-		pass := n.newSchedulePass(js)
+		pass := n.newSchedulePass(job)
 		pass.wall = 1
-		return n.mayStart(js, 0, pass)
+		return n.mayStart(job, 0, pass)
 	}
 	must.False(t, mayStart())
 	n.now++
 	n.config.confirmedMs = n.now
 	must.True(t, mayStart()) // it is declared no more
-	js.enteredMs = n.now
+	job.enteredMs = n.now
 	must.False(t, mayStart())
-	js.Tenant = "full"
+	job.Tenant = "full"
 	must.True(t, mayStart())
-	js.Tenant = ""
+	job.Tenant = ""
 	must.True(t, mayStart())
 }
 
 // Without tenants nobody reports or counts.
 func TestNoSharesWithoutTenants(t *testing.T) {
-	n, sl := shareOwner(t)
+	n, shard := shareOwner(t)
 	current, faults := configuration.Compile(2, []byte(`{"queues":[{"name":"q"}]}`))
 	must.SliceEmpty(t, faults)
 	n.config.current = current
 	n.adoptLimits()
-	sl.serving, n.out = true, nil
+	shard.serving, n.out = true, nil
 	n.tickCounters()
 	n.flushShares()
 	must.SliceEmpty(t, n.out)
 	must.SliceEmpty(t, n.counters["s"].Usages())
 	n.withLimit(t, 3, 4)
 	n.tickCounters()
-	sl.shares.borrowerFor("full").Use("full", resource.Amount{CPU: 1})
+	shard.shares.borrowerFor("full").Use("full", resource.Amount{CPU: 1})
 	n.flushShares()
 	must.Len(t, 1, n.counters["s"].Usages())
 }
 
 // Gangs that the whole limit is too low for don't keep the tenant's other tasks from claiming.
 func TestGangsBeyondTheLimitLeaveClaimsToOthers(t *testing.T) {
-	n, sl := shareOwner(t)
-	sl.shares.borrowerFor("full").CounterIs("d1", 1)
+	n, shard := shareOwner(t)
+	shard.shares.borrowerFor("full").CounterIs("d1", 1)
 	jobs := []*liveJob{}
 	for i := range 20 { // the limit is 4
-		jobs = append(jobs, jobOfTenant(t, sl, fmt.Sprintf("a%02d", i), "full", `{"name":"s","count":6,"room":1,"gang":true,"estimate_ms":9000}`, 6))
+		jobs = append(jobs, jobOfTenant(t, shard, fmt.Sprintf("a%02d", i), "full", `{"name":"s","count":6,"room":1,"gang":true,"estimate_ms":9000}`, 6))
 	}
-	behind := jobOfTenant(t, sl, "b", "full", `{"name":"s","count":1,"room":1,"estimate_ms":9000}`, 1)
-	sl.shares.beginClaims()
-	for _, js := range append(jobs, behind) {
-		pass := n.newSchedulePass(js)
-		for i := range js.Tasks {
-			n.scheduleTask(sl, js, i, pass)
+	behind := jobOfTenant(t, shard, "b", "full", `{"name":"s","count":1,"room":1,"estimate_ms":9000}`, 1)
+	shard.shares.beginClaims()
+	for _, job := range append(jobs, behind) {
+		pass := n.newSchedulePass(job)
+		for i := range job.Tasks {
+			n.scheduleTask(shard, job, i, pass)
 		}
-		n.claimShares(sl, js, pass)
+		n.claimShares(shard, job, pass)
 	}
-	sl.shares.endClaims()
-	_, m := sl.shares.borrowerFor("full").Report(n.now, 1)
+	shard.shares.endClaims()
+	_, m := shard.shares.borrowerFor("full").Report(n.now, 1)
 	must.NotNil(t, m)
 	claimed := map[string]bool{}
 	for _, c := range m.Accounts[0].Claims {
--- a/internal/daemon/urgent_room.go
+++ b/internal/daemon/urgent_room.go
@@ -29,8 +29,8 @@
 
 // roomFor is the room of a worker that a queueable task of a queue may take, as far as a
 // shard's owner knows.
-func (n *node) roomFor(sl *ownedShard, q *configuration.Queue, excess bool, name string, w *workerView) resource.Amount {
-	free := n.freeResources(sl, name, w)
+func (n *node) roomFor(shard *ownedShard, q *configuration.Queue, excess bool, name string, w *workerView) resource.Amount {
+	free := n.freeResources(shard, name, w)
 	if n.usesKeptRoom(q, excess) {
 		return free
 	}
@@ -39,15 +39,15 @@
 
 // urgentHeld is the room of the attempts of the most urgent queues at a worker that have
 // one of some states.
-func (ag *workerAgent) urgentHeld(n *node, states ...wire.AttemptState) (held resource.Amount) {
-	for _, h := range ag.attempts { // a sum: the order does not matter
-		q := n.config.current.Queues[h.spec.Queue]
-		if q == nil || !n.usesKeptRoom(q, h.spec.Excess) {
+func (a *workerAgent) urgentHeld(n *node, states ...wire.AttemptState) (held resource.Amount) {
+	for _, attempt := range a.attempts { // a sum: the order does not matter
+		q := n.config.current.Queues[attempt.spec.Queue]
+		if q == nil || !n.usesKeptRoom(q, attempt.spec.Excess) {
 			continue
 		}
 		for _, state := range states {
-			if h.state == state {
-				held = held.Plus(h.spec.Resources)
+			if attempt.state == state {
+				held = held.Plus(attempt.spec.Resources)
 			}
 		}
 	}
--- a/internal/daemon/urgent_room_test.go
+++ b/internal/daemon/urgent_room_test.go
@@ -31,14 +31,14 @@
 // work that runs there uses up; the urgent queue and firm tasks have all of it.
 func TestAgentKeepsUrgentRoom(t *testing.T) {
 	n := twoUrgencies(t)
-	ag := &workerAgent{worker: "w", colocated: true, capacity: resource.Amount{CPU: 1000, Memory: 100}, attempts: map[wire.AttemptKey]*agentAttempt{
+	agent := &workerAgent{worker: "w", colocated: true, capacity: resource.Amount{CPU: 1000, Memory: 100}, attempts: map[wire.AttemptKey]*agentAttempt{
 		{Job: "a"}: attemptOf("slow", 600, wire.AttemptRunning),
 		{Job: "b"}: attemptOf("fast", 50, wire.AttemptRunning),
 		{Job: "c"}: attemptOf("fast", 999, wire.AttemptEnded),
 	}}
 	avail := resource.Amount{CPU: 350, Memory: 100}
-	room := func(h *agentAttempt) resource.Amount {
-		return n.startRoom(ag, h, n.config.current.Queues[h.spec.Queue], avail)
+	room := func(attempt *agentAttempt) resource.Amount {
+		return n.startRoom(agent, attempt, n.config.current.Queues[attempt.spec.Queue], avail)
 	}
 	slow, fast := attemptOf("slow", 200, wire.AttemptQueued), attemptOf("fast", 350, wire.AttemptQueued)
 	slow.spec.Class, fast.spec.Class = wire.ClassQueueable, wire.ClassQueueable
@@ -65,53 +65,53 @@
 // back only to such a worker: else it would go to and fro.
 func TestOwnerKeepsUrgentRoom(t *testing.T) {
 	n := twoUrgencies(t)
-	sl := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{"w": {CPU: 700}}}
+	shard := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{"w": {CPU: 700}}}
 	w := &workerView{capacity: resource.Amount{CPU: 1000, Memory: 100}, urgentUse: resource.Amount{CPU: 100}}
-	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, n.roomFor(sl, n.config.current.Queues["slow"], false, "w", w))
-	must.Eq(t, resource.Amount{CPU: 300, Memory: 100}, n.roomFor(sl, n.config.current.Queues["fast"], false, "w", w))
+	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, n.roomFor(shard, n.config.current.Queues["slow"], false, "w", w))
+	must.Eq(t, resource.Amount{CPU: 300, Memory: 100}, n.roomFor(shard, n.config.current.Queues["fast"], false, "w", w))
 }
 
 // A task of a step that spreads over workers is called back too, to a worker that holds
 // fewer of them: it must not wait for good beside a free one.
 func TestSpreadTasksAreCalledBack(t *testing.T) {
 	n := twoUrgencies(t)
-	sl := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{}}
+	shard := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{}}
 	for _, name := range []string{"w1", "w2", "w3"} {
 		n.workers[name] = &workerView{
 			receivedMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 1000}, colocated: true,
 		}
 	}
-	js := &liveJob{jobRecord: jobRecord{Queue: "slow", Steps: []jobStep{{Size: 2, PerWorker: 1}}, Tasks: []task{
+	job := &liveJob{jobRecord: jobRecord{Queue: "slow", Steps: []jobStep{{Size: 2, PerWorker: 1}}, Tasks: []task{
 		{State: taskPlaced, Worker: "w1", Resources: resource.Amount{CPU: 600}},
 		{State: taskPlaced, Worker: "w2", Resources: resource.Amount{CPU: 600}, IndexInStep: 1},
 	}}}
-	must.True(t, n.fitsElsewhere(sl, js, 0))
+	must.True(t, n.fitsElsewhere(shard, job, 0))
 	n.workers["w3"].leaving = true // w2 holds one already
-	must.False(t, n.fitsElsewhere(sl, js, 0))
-	js.Steps[0].PerWorker = 2
-	must.True(t, n.fitsElsewhere(sl, js, 0))
+	must.False(t, n.fitsElsewhere(shard, job, 0))
+	job.Steps[0].PerWorker = 2
+	must.True(t, n.fitsElsewhere(shard, job, 0))
 }
 
 // A task waits for a healthy worker rather than going to an ejected one, but not while most of
 // the fleet is free: it must not stand still beside room.
 func TestEjectedWorkerBeforeStandingStill(t *testing.T) {
 	n := twoUrgencies(t)
-	sl := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{"full": {CPU: 900}}}
+	shard := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{"full": {CPU: 900}}}
 	for _, name := range []string{"full", "ejected", "small"} {
 		n.workers[name] = &workerView{receivedMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 1000}, colocated: true}
 	}
 	n.workers["ejected"].suspect, n.workers["small"].leaving = true, true
-	js := &liveJob{jobRecord: jobRecord{Queue: "fast", Steps: []jobStep{{Size: 1}}, Tasks: []task{{State: taskPlaced, Worker: "full", Resources: resource.Amount{CPU: 600}}}}}
+	job := &liveJob{jobRecord: jobRecord{Queue: "fast", Steps: []jobStep{{Size: 1}}, Tasks: []task{{State: taskPlaced, Worker: "full", Resources: resource.Amount{CPU: 600}}}}}
 	chosen := func() string {
-		worker, _ := n.selectWorker(sl, js, 0, &schedulePass{queue: n.config.current.Queues["fast"]})
+		worker, _ := n.selectWorker(shard, job, 0, &schedulePass{queue: n.config.current.Queues["fast"]})
 		return worker
 	}
 	must.Eq(t, "full", chosen())
-	must.False(t, n.fitsElsewhere(sl, js, 0))
+	must.False(t, n.fitsElsewhere(shard, job, 0))
 	n.ranks.idle = true
 	must.Eq(t, "ejected", chosen())
-	must.True(t, n.fitsElsewhere(sl, js, 0))
-	sl.loadByWorker["full"] = resource.Amount{CPU: 100} // a healthy one with room goes first
+	must.True(t, n.fitsElsewhere(shard, job, 0))
+	shard.loadByWorker["full"] = resource.Amount{CPU: 100} // a healthy one with room goes first
 	must.Eq(t, "full", chosen())
 }
 
@@ -129,8 +129,8 @@
 	must.Eq(t, 29, c.urgent.Percent().CPU) // a fifth is used; a quarter of that and a slack are added
 	r := &scheduler.Candidate{Name: "w1", Capacity: resource.Amount{CPU: 1000}, Sure: resource.Amount{CPU: 450}}
 	may := func(queue string, cpu int64) bool {
-		ws := &pendingAllocation{AllocationRequest: wire.AllocationRequest{Queue: queue, Resources: resource.Amount{CPU: cpu}}}
-		return n.newAssignment(ws, n.config.current.Queues[queue], nil).May(r)
+		request := &pendingAllocation{AllocationRequest: wire.AllocationRequest{Queue: queue, Resources: resource.Amount{CPU: cpu}}}
+		return n.newAssignment(request, n.config.current.Queues[queue], nil).May(r)
 	}
 	must.True(t, may("slow", 160))
 	must.False(t, may("slow", 161))
--- a/internal/daemon/worker_choice.go
+++ b/internal/daemon/worker_choice.go
@@ -32,10 +32,10 @@
 
 // selectWorker is the local scheduler: at random among the k allowed workers of lowest rank.
 // It tells among how many it drew, too.
-func (n *node) selectWorker(sl *ownedShard, js *liveJob, i int, pass *schedulePass) (worker string, candidates int) {
-	t := &js.Tasks[i]
-	if !pass.choice.serves(sl, js, t) {
-		pass.choice = n.newWorkerChoice(sl, js, i, pass.queue)
+func (n *node) selectWorker(shard *ownedShard, job *liveJob, i int, pass *schedulePass) (worker string, candidates int) {
+	t := &job.Tasks[i]
+	if !pass.choice.serves(shard, job, t) {
+		pass.choice = n.newWorkerChoice(shard, job, i, pass.queue)
 	}
 	choice := pass.choice
 	k := n.KLowest
@@ -71,20 +71,20 @@
 }
 
 // newWorkerChoice gathers the workers that a task may go to.
-func (n *node) newWorkerChoice(sl *ownedShard, js *liveJob, i int, q *configuration.Queue) *workerChoice {
-	t := &js.Tasks[i]
-	st := &js.Steps[t.Step]
+func (n *node) newWorkerChoice(shard *ownedShard, job *liveJob, i int, q *configuration.Queue) *workerChoice {
+	t := &job.Tasks[i]
+	step := &job.Steps[t.Step]
 	c := &workerChoice{
-		shard: sl, queue: q, job: js, step: t.Step, round: t.Round, resources: t.Resources, needs: t.Needs,
-		near: st.Near, perWorker: st.PerWorker, loadChanges: sl.loadChanges,
+		shard: shard, queue: q, job: job, step: t.Step, round: t.Round, resources: t.Resources, needs: t.Needs,
+		near: step.Near, perWorker: step.PerWorker, loadChanges: shard.loadChanges,
 	}
-	if st.PerWorker > 0 {
-		c.used = js.stepTasksByWorker(i)
+	if step.PerWorker > 0 {
+		c.used = job.stepTasksByWorker(i)
 	}
 	suspects := 0
 	for _, name := range sortedKeys(n.workers) {
 		w := n.workers[name]
-		if n.workerAllowed(w, q, t.Needs, t.Resources) && (st.PerWorker == 0 || c.used[name] < st.PerWorker) {
+		if n.workerAllowed(w, q, t.Needs, t.Resources) && (step.PerWorker == 0 || c.used[name] < step.PerWorker) {
 			c.views = append(c.views, w)
 			c.workers = append(c.workers, scheduler.Choosable{Name: name})
 			c.pinned = c.pinned || w.colocated
@@ -143,9 +143,9 @@
 }
 
 // serves tells whether what was gathered holds for a task.
-func (c *workerChoice) serves(sl *ownedShard, js *liveJob, t *task) bool {
-	return c != nil && c.shard == sl && c.job == js && c.step == t.Step && c.round == t.Round &&
-		c.resources == t.Resources && slices.Equal(c.needs, t.Needs) && c.loadChanges == sl.loadChanges
+func (c *workerChoice) serves(shard *ownedShard, job *liveJob, t *task) bool {
+	return c != nil && c.shard == shard && c.job == job && c.step == t.Step && c.round == t.Round &&
+		c.resources == t.Resources && slices.Equal(c.needs, t.Needs) && c.loadChanges == shard.loadChanges
 }
 
 // find gives a worker's position.
