--- a/guards.sh
+++ b/guards.sh
@@ -20,7 +20,7 @@
 room|internal/daemon/agent_dispatch.go|if attempt.spec.Resources.Fits(n.startRoom(agent, attempt, q, *avail)) {|if true {
 a patch needs the version it builds on|internal/daemon/core_member.go|if !fits(replica, m.Patches) {|if false {
 unsettled orders hold room|internal/daemon/agent_dispatch.go|if a.colocated \|\| !attempt.listed {|if a.colocated {
-new agent waits for the worker's fresh word|internal/daemon/agent_report.go|if !agent.rebuilt && agent.tokenMs > agent.startMs+flightMs {|if !agent.rebuilt {
+new agent waits for the worker's fresh word|internal/daemon/agent_report.go|if !agent.rebuilt && agent.tokenMs > agent.startMs+orderTimeoutMs {|if !agent.rebuilt {
 lost only once rebuilt|internal/daemon/reconcile.go|case m.Epoch > t.AgentEpoch && m.Rebuilt:|case m.Epoch > t.AgentEpoch:
 unknown is not ended|internal/daemon/agent_dispatch.go|"unknown": func(n *node, _ *workerAgent, attempt *agentAttempt) { n.count("orders_unconfirmed") },|"unknown": func(n *node, _ *workerAgent, attempt *agentAttempt) { attempt.state, attempt.result = wire.AttemptEnded, wire.ResultRejected },
 placement is durable first|internal/daemon/job_schedule.go|if t.ChangedVersion <= job.committed && rt.sentMs == 0|if rt.sentMs == 0
--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -90,14 +90,14 @@
 	configuration.RuleAdmit: func(c *admission, v int64) *rejection {
 		all := shardJobsMax
 		if c.base { // queues of the lowest urgency leave the others their share
-			all = shardJobsMax * (100 - urgentShare) / 100
+			all = shardJobsMax * (100 - urgentSharePercent) / 100
 		}
 		bytes := shardBytesMax
 		if c.batch { // held jobs leave the others room in the records
-			all, bytes = shardJobsMax*batchRecords/100, shardBytesMax*batchRecords/100
+			all, bytes = shardJobsMax*batchRecordsPercent/100, shardBytesMax*batchRecordsPercent/100
 		}
 		if c.excess {
-			v, all, bytes = max(v*excessRecords/100, 1), all*excessRecords/100, bytes*excessRecords/100
+			v, all, bytes = max(v*excessRecordsPercent/100, 1), all*excessRecordsPercent/100, bytes*excessRecordsPercent/100
 		}
 		if int64(c.live) >= v || c.all >= all || c.bytes > bytes {
 			return &rejection{
--- a/internal/daemon/agent_changes.go
+++ b/internal/daemon/agent_changes.go
@@ -13,17 +13,17 @@
 
 const (
 	// fullReportMs is the pace of full reports of an agent beside its worker. An
-	// attempt may start while its owner's word on it is younger than contactMs, and owners
+	// attempt may start while its owner's word on it is younger than ownerContactMs, and owners
 	// place tasks at workers that they heard of since then: two reports fit in that.
 	fullReportMs = 600
 	// changesMs is how far partial reports are apart at the least: no more than one with each
 	// heartbeat of a busy worker.
 	changesMs = heartbeatMs * 9 / 10
-	// roomNewsMs: owners whose attempts have not changed hear at this pace of the room
+	// usageReportMs: owners whose attempts have not changed hear at this pace of the room
 	// that others took or freed meanwhile.
-	roomNewsMs = 200
+	usageReportMs = 200
 	// centralReportMs is the pace of reports to the central scheduler, which needs no
-	// less while it rebuilds: see rebuildMs.
+	// less while it rebuilds: see centralRebuildMs.
 	centralReportMs = 300
 	// aliveReportMs is the pace at which owners hear of a worker at the least, if only that
 	// it is there: see quietMs.
@@ -83,7 +83,7 @@
 		agent.changesAtMs = n.now + changesMs
 	}
 	for _, shard := range n.core.Shards {
-		if news[shard] || n.now-agent.reported[shard].atMs >= roomNewsMs {
+		if news[shard] || n.now-agent.reported[shard].atMs >= usageReportMs {
 			n.sendReport(agent, base, shard, keys)
 		}
 	}
@@ -148,7 +148,7 @@
 func (n *node) hasOverdue(agent *workerAgent) bool {
 	for _, attempt := range agent.attempts {
 		switch {
-		case attempt.state == wire.AttemptQueued && n.now-attempt.queuedMs > recallMs,
+		case attempt.state == wire.AttemptQueued && n.now-attempt.queuedMs > recallAfterMs,
 			attempt.state == wire.AttemptEnded && n.isNews(attempt):
 			return true
 		}
--- a/internal/daemon/agent_dispatch.go
+++ b/internal/daemon/agent_dispatch.go
@@ -29,7 +29,7 @@
 	}
 	attempt.stopSentMs = n.now
 	n.count("stops_sent")
-	n.emit(effOrder{Worker: agent.worker, Addr: agent.addr, Key: attempt.spec.Key, Stop: true, NotAfterMs: n.now + flightMs,
+	n.emit(effOrder{Worker: agent.worker, Addr: agent.addr, Key: attempt.spec.Key, Stop: true, NotAfterMs: n.now + orderTimeoutMs,
 		Body: mustJSON(map[string]any{"id": attempt.spec.Key.String()})})
 }
 
@@ -67,7 +67,7 @@
 // mayOrder tells whether this agent may give its worker orders now: nobody else may be
 // its agent, it knows all that runs there, and configuration and report are fresh.
 func (n *node) mayOrder(agent *workerAgent) bool {
-	if !n.isActiveAgent(agent) || !agent.rebuilt || n.now-agent.tokenMs > reportMs || !n.configFresh() {
+	if !n.isActiveAgent(agent) || !agent.rebuilt || n.now-agent.tokenMs > workerReportMaxAgeMs || !n.configFresh() {
 		return false
 	}
 	return !agent.colocated || agent.answering && agent.lapseUntilMs == 0
@@ -107,7 +107,7 @@
 		n.reportAgent(agent)
 		return true
 	}
-	if n.now-attempt.confirmedMs > contactMs {
+	if n.now-attempt.confirmedMs > ownerContactMs {
 		return true
 	}
 	if r := n.batchSpec(&attempt.spec); r != nil && (!attempt.spec.Resources.Fits(*avail) || !n.mayStartBatch(agent, attempt, r)) {
@@ -132,7 +132,7 @@
 	if attempt.spec.Class == wire.ClassGuaranteed || n.usesKeptRoom(q, attempt.spec.Excess) || !agent.colocated {
 		return avail
 	}
-	if n.fleetIdle() && n.now-attempt.queuedMs > backfillMs && n.Policies.On(scheduler.Backfill) {
+	if n.fleetIdle() && n.now-attempt.queuedMs > backfillAfterMs && n.Policies.On(scheduler.Backfill) {
 		return avail // no room is kept back from what waited this long while most of it is free
 	}
 	return avail.Minus(n.keptRoom(agent.capacity, agent.urgentHeld(n, wire.AttemptOrdered, wire.AttemptRunning)))
@@ -227,9 +227,9 @@
 		Key:    s.Key,
 		NotAfterMs: min(
 			n.leases.HeldUntilMs(lease.AgentRole(agent.worker)),
-			attempt.confirmedMs+contactMs,
+			attempt.confirmedMs+ownerContactMs,
 			n.config.confirmedMs+configFreshMs,
-			agent.tokenMs+reportMs,
+			agent.tokenMs+workerReportMaxAgeMs,
 		),
 		Body: mustJSON(
 			map[string]any{
--- a/internal/daemon/agent_health.go
+++ b/internal/daemon/agent_health.go
@@ -11,9 +11,9 @@
 // worker no more work, as long as there are others; after a while it is tried again.
 
 const (
-	standsMs   = 3000   // a worker where work stood still gets no more for this long, doubled each time
-	failsMs    = 10_000 // and one that fails its tasks: it is tried again with real work, which costs attempts
-	suspectMax = 4      // times that a worker is suspect before that takes no longer
+	stallSuspectMs   = 3000   // a worker where work stood still gets no more for this long, doubled each time
+	failureSuspectMs = 10_000 // and one that fails its tasks: it is tried again with real work, which costs attempts
+	suspectMax       = 4      // times that a worker is suspect before that takes no longer
 )
 
 // observeEnd counts how a run ended. A job that can't be done fails everywhere, so that of each
@@ -47,7 +47,7 @@
 		return
 	}
 	agent.evidence.StartProbation()
-	n.suspectWorker(agent, "fails", failsMs)
+	n.suspectWorker(agent, "fails", failureSuspectMs)
 	n.count("workers_ejected")
 	for _, key := range agent.keys() {
 		if attempt := agent.attempts[key]; attempt.state == wire.AttemptQueued {
--- a/internal/daemon/agent_report.go
+++ b/internal/daemon/agent_report.go
@@ -95,7 +95,7 @@
 	running := n.applyReportedRuns(agent, r)
 	ended, changed := n.applyReportedEnds(agent, r)
 	changed = n.endUnreported(agent, running, ended) || changed
-	if !agent.rebuilt && agent.tokenMs > agent.startMs+flightMs {
+	if !agent.rebuilt && agent.tokenMs > agent.startMs+orderTimeoutMs {
 		agent.rebuilt = true
 		n.log("agent_rebuilt", "worker", agent.worker, "epoch", agent.epoch, "held", len(agent.attempts))
 		changed = true
@@ -195,7 +195,7 @@
 		case running[key] || ended[key]:
 		case attempt.state == wire.AttemptRunning && (wasListed || attempt.answeredMs > 0 && agent.tokenMs > attempt.answeredMs):
 			attempt.state, attempt.result, changed = wire.AttemptEnded, wire.ResultLost, true
-		case attempt.state == wire.AttemptOrdered && agent.tokenMs > attempt.orderedMs+flightMs:
+		case attempt.state == wire.AttemptOrdered && agent.tokenMs > attempt.orderedMs+orderTimeoutMs:
 			attempt.state, attempt.result, changed = wire.AttemptEnded, wire.ResultRejected, true
 		case attempt.state == wire.AttemptEnded && attempt.acked:
 			agent.forget(key, n.now)
--- a/internal/daemon/agent_sync.go
+++ b/internal/daemon/agent_sync.go
@@ -12,7 +12,7 @@
 	agent := n.agents[m.Worker]
 	if agent == nil || agent.epoch != m.AgentEpoch || !n.isActiveAgent(agent) && !agent.replaced ||
 		m.ShardEpoch < agent.owners[m.Spec.Shard] ||
-		n.now-m.EchoMs > contactMs {
+		n.now-m.EchoMs > ownerContactMs {
 		n.count("placements_stale")
 		return
 	}
@@ -131,7 +131,7 @@
 
 // reportAgent tells each shard's owner and the central scheduler all it holds.
 func (n *node) reportAgent(agent *workerAgent) {
-	agent.syncAt = n.now + syncMs
+	agent.syncAt = n.now + agentSyncMs
 	if agent.colocated {
 		agent.syncAt = n.now + fullReportMs
 	}
@@ -187,7 +187,7 @@
 	waiting, spare := agent.withoutBatches(n)
 	return wire.AgentReport{
 		Worker: agent.worker, Agent: n.Name, Epoch: agent.epoch, SentMs: n.now,
-		Rebuilt: agent.rebuilt, Fresh: n.now-agent.tokenMs <= reportMs, SilentMs: n.now - agent.heardMs,
+		Rebuilt: agent.rebuilt, Fresh: n.now-agent.tokenMs <= workerReportMaxAgeMs, SilentMs: n.now - agent.heardMs,
 		Zone: agent.zone, Labels: agent.labels, Rack: agent.rack, Leaving: agent.leaving,
 		Free: agent.free, Capacity: agent.capacity, Spare: spare, Waiting: waiting,
 		Suspect: n.now < agent.suspectMs, Doubtful: agent.evidence.Doubtful(),
--- a/internal/daemon/allocate.go
+++ b/internal/daemon/allocate.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	reserveMs     = 4000   // the longest-waiting firm task holds a worker back after this
-	regrantMs     = 400    // a place still wanted this long after its grant was not taken
-	spreadAfterMs = 1500   // a gang that wants one rack takes several after this, at the earliest
-	rackWaitShare = 50     // percent of what its run takes longer over several that it waits for one
-	rackWaitMost  = 15_000 // ms, and no longer than this
+	reserveAfterMs  = 4000   // the longest-waiting firm task holds a worker back after this
+	regrantAfterMs  = 400    // a place still wanted this long after its grant was not taken
+	spreadAfterMs   = 1500   // a gang that wants one rack takes several after this, at the earliest
+	rackWaitPercent = 50     // percent of what its run takes longer over several that it waits for one
+	rackWaitMaxMs   = 15_000 // ms, and no longer than this
 	// busyPercent is of all room in use: below it no reservation holds, for a job must not wait
 	// beside idle workers.
-	busyPercent = 55
-	backfillMs  = 2000 // against anything that waited this long
+	busyPercent     = 55
+	backfillAfterMs = 2000 // against anything that waited this long
 	// allocationsPerMs is how many pairs of a request and a worker a pass may look at for each
 	// ms until the next pass: a pair takes some 100 ns, so that passes take a fifth of the
 	// control thread of half a core. Among a dozen workers the next pass comes at once, nearly.
@@ -44,7 +44,7 @@
 // allocateAll gives guaranteed places in order of urgency and age, only where the room
 // is sure: what queueable tasks hold counts as room, since it can be freed.
 func (n *node) allocateAll(c *centralScheduler) {
-	if !n.leases.Holds(lease.Central) || n.now-c.startMs < rebuildMs || !n.configFresh() {
+	if !n.leases.Holds(lease.Central) || n.now-c.startMs < centralRebuildMs || !n.configFresh() {
 		return
 	}
 	keys := n.pendingInOrder(c)
@@ -72,7 +72,7 @@
 	open := request.open()
 	search := n.newAssignment(request, q, pass.reserved)
 	workers := search.Find(len(open), healthy)
-	if len(workers) == 0 && pass.idle && n.now-request.firstMs > backfillMs {
+	if len(workers) == 0 && pass.idle && n.now-request.firstMs > backfillAfterMs {
 		// No room is kept back from what waited this long while most of it is free.
 		search.Reserved, search.Urgent, search.WaitsForRack = nil, true, n.waitsForRack(request, spreadAfterMs)
 		if workers = search.Find(len(open), healthy); len(workers) == 0 {
@@ -117,7 +117,7 @@
 	granted := c.grantedRoom()
 	for _, name := range sortedKeys(c.workers) {
 		w := c.workers[name]
-		if n.now-w.receivedMs >= contactMs || !w.Rebuilt || !w.Fresh || w.Leaving || n.config.current.EmptyZones[w.Zone] {
+		if n.now-w.receivedMs >= ownerContactMs || !w.Rebuilt || !w.Fresh || w.Leaving || n.config.current.EmptyZones[w.Zone] {
 			continue
 		}
 		candidates = append(candidates, &scheduler.Candidate{
@@ -230,7 +230,7 @@
 	switch waitedMs := n.now - request.firstMs; {
 	case request.Gang && request.SameRack && waitedMs < n.rackWaitMs(request):
 		likely = group.LikeliestRack(fit, reserved)
-	case waitedMs > reserveMs:
+	case waitedMs > reserveAfterMs:
 		likely = slices.Clone(fit)
 	}
 	slices.SortStableFunc(likely, func(a, b *scheduler.Candidate) int { return cmp.Compare(b.Sure.CPU, a.Sure.CPU) })
@@ -251,7 +251,7 @@
 // what its run would take longer over several.
 func (n *node) rackWaitMs(request *pendingAllocation) int64 {
 	longerMs := int64((n.SpreadFactor - 1) * float64(request.EstimateMs))
-	return min(max(longerMs*rackWaitShare/100, spreadAfterMs), rackWaitMost)
+	return min(max(longerMs*rackWaitPercent/100, spreadAfterMs), rackWaitMaxMs)
 }
 
 // waitsForRack tells whether a gang still waits for room in one rack, where it does so for long.
--- a/internal/daemon/allocation_request.go
+++ b/internal/daemon/allocation_request.go
@@ -104,7 +104,7 @@
 		}
 		requested = append(requested, wire.RequestedTask{Task: job.taskID(k), Attempt: next})
 	}
-	shard.shares.reserve(job, i, reserved, n.now, n.now+reservedMs)
+	shard.shares.reserve(job, i, reserved, n.now, n.now+shareReservationMs)
 	return requested
 }
 
--- a/internal/daemon/attempt_result.go
+++ b/internal/daemon/attempt_result.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	backoffMs  = 500    // base wait of a failing task's next attempt, doubled each time
-	backoffMax = 30_000 // ms; the longest such wait
+	backoffBaseMs = 500    // base wait of a failing task's next attempt, doubled each time
+	backoffMaxMs  = 30_000 // ms; the longest such wait
 )
 
 // resolveAttempt applies how an attempt ended to its task.
@@ -31,7 +31,7 @@
 	case wire.ResultOK:
 		n.recordRunTime(job, t, ranMs)
 		if step.Lasting {
-			rt.retryAtMs = n.now + backoffMs/2
+			rt.retryAtMs = n.now + backoffBaseMs/2
 			break
 		}
 		t.State, t.Cause = taskEnded, ""
@@ -95,14 +95,14 @@
 // backoffOf is how long a task waits after a failure. Of many tasks alike some fail, and the
 // next try is elsewhere: the first one comes at once.
 func (n *node) backoffOf(step *jobStep, t *task) int64 {
-	wait := int64(backoffMs) << min(t.Failures-1, 10)
+	wait := int64(backoffBaseMs) << min(t.Failures-1, 10)
 	switch {
 	case step.Uniform && t.Failures == 1 && n.Policies.On(scheduler.RetryAtOnce):
 		return 0
 	case step.Uniform:
-		return min(wait/4, backoffMs)
+		return min(wait/4, backoffBaseMs)
 	}
-	return min(wait, backoffMax)
+	return min(wait, backoffMaxMs)
 }
 
 // awaitsOthers tells whether nothing follows from the end of an attempt yet: it ended well,
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -17,18 +17,18 @@
 	batchLearnMs = 2500 // a new owner hears all agents first, or the room would look small and all jobs late
 	// percent of the time a batch needs that is kept for it: it is pushed out, runs off its guess,
 	// finds half the room
-	batchSlack      = 200
-	batchMarginMs   = 60_000 // and beside that: a lost worker, a takeover and another attempt
-	batchHeadroom   = 25     // percent of a worker that stays free when a batch task starts there
-	batchLowMs      = 3000   // batches count on room that was left for so long at the least
-	batchStartsTick = 4      // batch tasks a shard places in one tick
-	batchTriesTick  = 64     // and those it looks for a place for
-	batchAgainMs    = 400    // a task that found no place is looked at again after this, about
-	batchCalmMs     = 1500   // so long after a more urgent task found no place none is placed
-	batchCalmShare  = 4      // nor while something waits at one in so many workers
-	batchWaitMs     = 300    // a batch task that can't start at its worker by then goes back
-	batchBackMs     = 1500   // and one that was pushed out waits this long, up to twice
-	batchRecords    = 50     // percent of a shard's records that may be full when a batch is taken
+	batchSlackPercent    = 200
+	batchMarginMs        = 60_000 // and beside that: a lost worker, a takeover and another attempt
+	batchHeadroomPercent = 25     // percent of a worker that stays free when a batch task starts there
+	spareWindowMs        = 3000   // batches count on room that was left for so long at the least
+	batchStartsTick      = 4      // batch tasks a shard places in one tick
+	batchTriesTick       = 64     // and those it looks for a place for
+	batchRecheckMs       = 400    // a task that found no place is looked at again after this, about
+	batchPauseMs         = 1500   // so long after a more urgent task found no place none is placed
+	batchPauseShare      = 4      // nor while something waits at one in so many workers
+	batchReturnMs        = 300    // a batch task that can't start at its worker by then goes back
+	batchRetryMs         = 1500   // and one that was pushed out waits this long, up to twice
+	batchRecordsPercent  = 50     // percent of a shard's records that may be full when a batch is taken
 )
 
 // Batch queues: work that may wait for the cheapest hours of a contract, and
@@ -155,7 +155,7 @@
 		}
 		chain, work := n.batchNeed(e.job, all)
 		ahead += work * float64(max(1, len(n.core.Shards))) // the other shards hold as much
-		need := (int64(ahead)+chain)*batchSlack/100 + batchMarginMs
+		need := (int64(ahead)+chain)*batchSlackPercent/100 + batchMarginMs
 		p := planBatch(e.r, e.job.ID, e.from, wall, need)
 		if p.Must && (e.job.plan == nil || !e.job.plan.Must) {
 			n.count("batches_at_any_price")
@@ -169,7 +169,7 @@
 func (n *node) batchRoom(queue string, r *configuration.Batch) (all resource.Amount) {
 	q := n.config.current.Queues[queue]
 	for _, w := range n.workers {
-		if n.now-w.receivedMs < silentMs && !w.leaving && !n.config.current.EmptyZones[w.zone] && q.Matches(w.labels, w.zone) {
+		if n.now-w.receivedMs < workerSilentMs && !w.leaving && !n.config.current.EmptyZones[w.zone] && q.Matches(w.labels, w.zone) {
 			all = all.Plus(w.capacity.Share(r.SharePercent))
 		}
 	}
@@ -218,19 +218,19 @@
 // shortOfRoom tells whether more urgent work waits: of this shard for a place, of
 // any shard for a firm one, or at many of the workers.
 func (n *node) shortOfRoom(shard *ownedShard) bool {
-	if shard.starvedMs != 0 && n.now-shard.starvedMs < batchCalmMs || n.ranks.short && n.now-n.ranks.receivedMs < rankStaleMs {
+	if shard.starvedMs != 0 && n.now-shard.starvedMs < batchPauseMs || n.ranks.short && n.now-n.ranks.receivedMs < rankStaleMs {
 		return true
 	}
 	waits, all := 0, 0
 	for _, w := range n.workers {
-		if n.now-w.receivedMs < contactMs {
+		if n.now-w.receivedMs < ownerContactMs {
 			all++
 			if w.unstarted > 0 {
 				waits++
 			}
 		}
 	}
-	return waits > 0 && waits*batchCalmShare >= all
+	return waits > 0 && waits*batchPauseShare >= all
 }
 
 // queueOnWorker names a queue's part of a worker.
@@ -273,7 +273,7 @@
 	sharePercent int64,
 ) (part float64, fits bool) {
 	w := n.workers[worker]
-	kept := w.capacity.Share(batchHeadroom)
+	kept := w.capacity.Share(batchHeadroomPercent)
 	if job.plan.Must {
 		kept = resource.Amount{}
 	}
@@ -310,7 +310,7 @@
 		return ""
 	}
 	shard.batchTriesInTick++
-	job.runtime[i].retryAtMs = n.now + batchAgainMs/2 + n.rand().Int64N(batchAgainMs)
+	job.runtime[i].retryAtMs = n.now + batchRecheckMs/2 + n.rand().Int64N(batchRecheckMs)
 	if !job.plan.Must && n.shortOfRoom(shard) {
 		return ""
 	}
@@ -414,7 +414,7 @@
 	if n.batchOf(&job.jobRecord) == nil {
 		return 0
 	}
-	return n.now + batchBackMs + n.rand().Int64N(batchBackMs)
+	return n.now + batchRetryMs + n.rand().Int64N(batchRetryMs)
 }
 
 // meterKey names what core seconds are counted by.
@@ -503,7 +503,7 @@
 	return waiting, spare
 }
 
-// spareWindow keeps the least of some room over the last one to two spans of batchLowMs.
+// spareWindow keeps the least of some room over the last one to two spans of spareWindowMs.
 type spareWindow struct {
 	now, past resource.Amount
 	known     int // spans seen
@@ -511,7 +511,7 @@
 }
 
 func (l spareWindow) with(nowMs int64, room resource.Amount) spareWindow {
-	if l.known == 0 || nowMs-l.atMs >= batchLowMs {
+	if l.known == 0 || nowMs-l.atMs >= spareWindowMs {
 		l = spareWindow{now: room, past: l.now, known: l.known + 1, atMs: nowMs}
 	}
 	l.now = resource.Amount{
@@ -537,7 +537,7 @@
 // allocationsWait tells whether firm work has waited for room some time.
 func (n *node) allocationsWait(c *centralScheduler) bool {
 	for _, request := range c.pending {
-		if n.now-request.firstMs > batchCalmMs && request.hasOpen() {
+		if n.now-request.firstMs > batchPauseMs && request.hasOpen() {
 			return true
 		}
 	}
@@ -565,7 +565,7 @@
 func (n *node) returnBatches(agent *workerAgent, queue []*agentAttempt) []*agentAttempt {
 	some := false
 	queue = slices.DeleteFunc(queue, func(attempt *agentAttempt) bool {
-		if n.batchSpec(&attempt.spec) == nil || n.now-attempt.queuedMs <= batchWaitMs {
+		if n.batchSpec(&attempt.spec) == nil || n.now-attempt.queuedMs <= batchReturnMs {
 			return false
 		}
 		attempt.state, attempt.result, some = wire.AttemptEnded, wire.ResultShed, true
--- a/internal/daemon/batch_test.go
+++ b/internal/daemon/batch_test.go
@@ -165,7 +165,7 @@
 	must.Eq(t, []wire.AttemptState{wire.AttemptOrdered, wire.AttemptQueued}, []wire.AttemptState{one.state, two.state}) // a second would be above 30 percent
 	must.Eq(t, []wire.QueueUse{{Queue: "refresh", Resources: resource.Amount{CPU: 40}}}, agent.batchHeld(n, ""))
 	must.SliceEmpty(t, agent.batchHeld(n, "east"))
-	n.now += batchWaitMs + 1
+	n.now += batchReturnMs + 1
 	agent.tokenMs, n.config.confirmedMs = n.now, n.now
 	pump()
 	must.Eq(t, wire.ResultShed, two.result) // it goes back, and never waits here
@@ -216,7 +216,7 @@
 func TestBatchChoosesAWorker(t *testing.T) {
 	n := batchNode(t, aMonday)
 	shard := n.batchSlice()
-	roomy := spareWindow{}.with(0, resource.Amount{CPU: 100}).with(batchLowMs, resource.Amount{CPU: 100})
+	roomy := spareWindow{}.with(0, resource.Amount{CPU: 100}).with(spareWindowMs, resource.Amount{CPU: 100})
 	for _, name := range []string{"w1", "w2", "w3"} {
 		n.workers[name] = &workerView{receivedMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 100}, spare: roomy, usedByOthers: map[string]resource.Amount{}, batchUse: map[string][]wire.QueueUse{}}
 	}
@@ -246,7 +246,7 @@
 	n.workers["w1"].batchUse["east"] = []wire.QueueUse{{Queue: "refresh", Resources: resource.Amount{CPU: 21}}} // above its share
 	must.Eq(t, "", choose())
 	n.workers["w2"].usedByOthers["east"] = resource.Amount{}
-	shard.starvedMs = n.now - batchCalmMs + 1
+	shard.starvedMs = n.now - batchPauseMs + 1
 	must.Eq(t, "", choose())
 	shard.starvedMs = 0
 	must.Eq(t, "w2", choose())
@@ -257,9 +257,9 @@
 	shard.batchStartsInTick = batchStartsTick
 	must.Eq(t, "", n.selectBatchWorker(shard, job, 0))
 
-	low := spareWindow{}.with(0, resource.Amount{CPU: 9}).with(100, resource.Amount{CPU: 4}).with(batchLowMs, resource.Amount{CPU: 7})
+	low := spareWindow{}.with(0, resource.Amount{CPU: 9}).with(100, resource.Amount{CPU: 4}).with(spareWindowMs, resource.Amount{CPU: 7})
 	must.Eq(t, int64(4), low.least().CPU)
-	must.Eq(t, int64(7), low.with(2*batchLowMs, resource.Amount{CPU: 8}).least().CPU)
+	must.Eq(t, int64(7), low.with(2*spareWindowMs, resource.Amount{CPU: 8}).least().CPU)
 }
 
 // Work that many jobs need together before a deadline makes each start earlier
@@ -365,7 +365,7 @@
 	must.Eq(t, []schema.Fault{{Path: "steps.0.gang", Reason: "can't be in a batch queue: it needs a firm place"}, {Path: "steps.1.lasting", Reason: "can't be in a batch queue: it never finishes"}}, b.faults)
 	must.Eq(t, 400, b.status)
 	j, _ = parseJob("j", "refresh", []byte(`{"steps":[{"name":"a","count":2,"room":1}]}`))
-	must.Nil(t, admit(&admission{job: j, queue: q, base: true, batch: true, all: shardJobsMax*batchRecords/100 - 1}))
-	must.Eq(t, 429, admit(&admission{job: j, queue: q, base: true, batch: true, all: shardJobsMax * batchRecords / 100}).status)
-	must.Eq(t, 429, admit(&admission{job: j, queue: q, base: true, batch: true, bytes: shardBytesMax*batchRecords/100 + 1}).status)
+	must.Nil(t, admit(&admission{job: j, queue: q, base: true, batch: true, all: shardJobsMax*batchRecordsPercent/100 - 1}))
+	must.Eq(t, 429, admit(&admission{job: j, queue: q, base: true, batch: true, all: shardJobsMax * batchRecordsPercent / 100}).status)
+	must.Eq(t, 429, admit(&admission{job: j, queue: q, base: true, batch: true, bytes: shardBytesMax*batchRecordsPercent/100 + 1}).status)
 }
--- a/internal/daemon/brief_test.go
+++ b/internal/daemon/brief_test.go
@@ -424,7 +424,7 @@
 	must.Positive(t, entered)
 	again, reads := w.total("requests_retried"), w.total("states_from_core")
 	must.LessEq(t, int64(sent), handed-again, must.Sprintf("%d handed over of %d sent", handed, sent))
-	most := int64(sent/retryShare + len(w.nodes)*(retryBudgetMax+(11_000/tickMs)*retriesPerTick))
+	most := int64(sent/requestsPerRetry + len(w.nodes)*(retryBudgetMax+(11_000/tickMs)*retriesPerTick))
 	must.LessEq(t, most, again+reads, must.Sprintf("%d tries beyond the first", again+reads))
 	t.Log("sent", sent, "handed over", handed, "entered", entered, strings.TrimSpace(w.counts()))
 }
--- a/internal/daemon/catchup.go
+++ b/internal/daemon/catchup.go
@@ -40,7 +40,7 @@
 		switch {
 		case len(lag.missed) == 0:
 			delete(shard.replicaLags, member)
-		case n.peers.Alive(member) && n.core.HasName(member) && (lag.part == nil || n.now-lag.sentMs >= writeRetry):
+		case n.peers.Alive(member) && n.core.HasName(member) && (lag.part == nil || n.now-lag.sentMs >= writeRetryMs):
 			n.sendCatchUp(shard, member, lag)
 		}
 	}
--- a/internal/daemon/central.go
+++ b/internal/daemon/central.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	rankMs            = 3000       // the paper's and the design's round of ranks and targets
-	rankStaleMs       = 3 * rankMs // three missed rounds: ranks and targets are ignored
-	allocationStaleMs = 3000       // the central scheduler drops requests not repeated
-	grantMs           = 2500       // a grant not seen at the agent by then frees its room
-	rebuildMs         = 500        // a new central scheduler listens this long before it grants: agents speak each 300 ms
-	unhealthyMs       = 10_000     // a slow worker gets no work for twice this long, doubled each time
+	rankIntervalMs    = 3000               // the paper's and the design's round of ranks and targets
+	rankStaleMs       = 3 * rankIntervalMs // three missed rounds: ranks and targets are ignored
+	allocationStaleMs = 3000               // the central scheduler drops requests not repeated
+	grantTimeoutMs    = 2500               // a grant not seen at the agent by then frees its room
+	centralRebuildMs  = 500                // a new central scheduler listens this long before it grants: agents speak each 300 ms
+	unhealthyMs       = 10_000             // a slow worker gets no work for twice this long, doubled each time
 	unhealthyTimesMax = 5
 	allocateNowMax    = 64 // waiting requests up to which each event tries to grant; beyond, only ticks do
 )
@@ -135,7 +135,7 @@
 		startMs: n.now,
 		workers: map[string]*workerCapacity{},
 		pending: map[allocationKey]*pendingAllocation{},
-		roundAt: n.now + rebuildMs,
+		roundAt: n.now + centralRebuildMs,
 	}
 }
 
@@ -195,7 +195,7 @@
 	}
 	request.AllocationRequest, request.from, request.lastMs = *m, from, n.now
 	for _, t := range m.Tasks { // still wanted some time after it was granted: the grant was lost or could not be taken
-		if g, ok := request.granted[t.Task]; ok && (g.attempt != t.Attempt || n.now-g.atMs > regrantMs) {
+		if g, ok := request.granted[t.Task]; ok && (g.attempt != t.Attempt || n.now-g.atMs > regrantAfterMs) {
 			delete(request.granted, t.Task)
 		}
 	}
@@ -218,7 +218,7 @@
 // promote makes long-running queueable tasks firm where the room is sure, so
 // that their work is not thrown away.
 func (n *node) promote(c *centralScheduler, w *workerCapacity) {
-	if !n.leases.Holds(lease.Central) || n.now-c.startMs < rebuildMs || !n.Policies.On(scheduler.Promotion) {
+	if !n.leases.Holds(lease.Central) || n.now-c.startMs < centralRebuildMs || !n.Policies.On(scheduler.Promotion) {
 		return
 	}
 	long := func(status wire.AttemptStatus) bool {
@@ -246,7 +246,7 @@
 	}
 	for k, request := range c.pending { // each is judged alone, so the order does not matter
 		for t, g := range request.granted {
-			if n.now-g.atMs > grantMs {
+			if n.now-g.atMs > grantTimeoutMs {
 				delete(request.granted, t)
 			}
 		}
@@ -255,7 +255,7 @@
 		}
 	}
 	for _, name := range sortedKeys(c.workers) {
-		if n.now-c.workers[name].receivedMs > forgetMs {
+		if n.now-c.workers[name].receivedMs > workerForgetMs {
 			delete(c.workers, name)
 		}
 	}
@@ -264,7 +264,7 @@
 	if n.now < c.roundAt || !n.leases.Holds(lease.Central) {
 		return
 	}
-	c.roundAt += rankMs
+	c.roundAt += rankIntervalMs
 	c.round++
 	n.updateHealth(c)
 	m := &wire.Ranks{
@@ -294,7 +294,7 @@
 	var sum, sum2, count float64
 	for _, name := range sortedKeys(c.workers) {
 		w := c.workers[name]
-		if n.now-w.receivedMs > rankMs {
+		if n.now-w.receivedMs > rankIntervalMs {
 			continue
 		}
 		v := wire.WorkerRank{Worker: name, RankMs: w.RankMs}
@@ -319,7 +319,7 @@
 	}
 	var used, all resource.Amount
 	for _, w := range c.workers { // a sum: the order does not matter
-		if n.now-w.receivedMs < contactMs {
+		if n.now-w.receivedMs < ownerContactMs {
 			used, all = used.Plus(w.Urgent), all.Plus(w.Capacity)
 		}
 	}
@@ -332,7 +332,7 @@
 	var names []string
 	var paces []scheduler.Pace
 	for _, name := range sortedKeys(c.workers) {
-		if w := c.workers[name]; n.now-w.receivedMs < contactMs {
+		if w := c.workers[name]; n.now-w.receivedMs < ownerContactMs {
 			names = append(names, name)
 			paces = append(paces, scheduler.Pace{Succeeded: w.Succeeded, LagPercent: w.LagPercent})
 		}
--- a/internal/daemon/central_test.go
+++ b/internal/daemon/central_test.go
@@ -22,7 +22,7 @@
 	n.config.current = setup
 	n.leases.Assume(lease.Central, 1, 1<<40)
 	n.startCentral(1)
-	n.now += rebuildMs
+	n.now += centralRebuildMs
 	for i := range 6 {
 		w := &workerCapacity{AgentReport: wire.AgentReport{Worker: fmt.Sprint("w", i), Rack: fmt.Sprint("r", i/3), Rebuilt: true, Fresh: true, Capacity: resource.Amount{CPU: 4000}}}
 		n.central.workers[w.Worker] = w
@@ -78,7 +78,7 @@
 	}{
 		"several racks cost little": {1.5, 2000, spreadAfterMs},
 		"several racks cost much":   {3, 5000, 5000},
-		"very long work":            {3, 60_000, rackWaitMost},
+		"very long work":            {3, 60_000, rackWaitMaxMs},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := rackNode(t, c.spreadFactor)
@@ -130,7 +130,7 @@
 	gang := wantOf("gang", "mid", 3, 3000, 20_000)
 	gang.Gang, gang.SameRack = true, true
 	n.central.add(n.now, gang)
-	must.MapEmpty(t, grantAfter(n, backfillMs, "gang"))
+	must.MapEmpty(t, grantAfter(n, backfillAfterMs, "gang"))
 	must.MapLen(t, 3, grantAfter(n, 100, "gang"))
 }
 
--- a/internal/daemon/core_member.go
+++ b/internal/daemon/core_member.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	snapshotMin = 8 << 20 // bytes of log before a snapshot is worth its writing
+	snapshotMinBytes = 8 << 20 // bytes of log before a snapshot is worth its writing
 )
 
 // persistSet keeps a newer set on this disk, but not one that lacks it: a former
@@ -150,7 +150,7 @@
 		SetVersion: n.core.Version,
 		GuardMs:    n.granter.GuardLeftMs(n.now),
 		FleetMs:    n.fleetTimeHeard(),
-		SyncMs:     n.syncMs,
+		SyncMs:     n.diskSyncMs,
 	}
 	process := lease.Process{Name: from, Incarnation: m.Incarnation, Addr: n.peers.Addr(from)}
 	n.granter.Release(process, m.Releases, n.now)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -28,7 +28,7 @@
 )
 
 const (
-	loopJobs = 8192 // events waiting for the control thread before posters wait
+	loopQueueMax = 8192 // events waiting for the control thread before posters wait
 )
 
 // steadyClock is the clock of leases and limits. Jumps of the wall time do not
@@ -129,7 +129,7 @@
 // notReady says why this daemon should get no callers; "" if it should.
 func (l *controlLoop) notReady() string {
 	r := l.ready.Load()
-	if r == nil || l.clock.nowMs()-r.atMs > frozenMs {
+	if r == nil || l.clock.nowMs()-r.atMs > freezeThresholdMs {
 		return "the control thread is behind"
 	}
 	return r.reason
@@ -138,7 +138,7 @@
 func newControlLoop(clock *steadyClock) *controlLoop {
 	return &controlLoop{
 		clock: clock,
-		jobs:  make(chan func(*executor), loopJobs),
+		jobs:  make(chan func(*executor), loopQueueMax),
 		quit:  make(chan struct{}),
 		ended: make(chan struct{}),
 	}
@@ -264,7 +264,7 @@
 func (d diskListener) Committed(entries int, took time.Duration, done []func()) {
 	d.post(func(s *executor) {
 		if entries > 0 {
-			s.node.syncMs = took.Milliseconds()
+			s.node.diskSyncMs = took.Milliseconds()
 			s.node.count("syncs")
 		}
 		for _, do := range done {
@@ -342,7 +342,7 @@
 		Seeds:         s.Seeds,
 		Disk:          d.disk != nil,
 		KeepMs:        s.KeepHours * msPerHour,
-		SnapshotBytes: snapshotMin,
+		SnapshotBytes: snapshotMinBytes,
 		ThresholdMs:   s.ThresholdMs,
 		KLowest:       int(s.KLowest),
 		TargetSigma:   s.TargetSigma,
@@ -421,7 +421,7 @@
 		}()
 		return nil
 	}, OnStop: func(ctx context.Context) error {
-		ctx, cancel := context.WithTimeout(ctx, stopMs*time.Millisecond)
+		ctx, cancel := context.WithTimeout(ctx, shutdownTimeoutMs*time.Millisecond)
 		defer cancel()
 		a.Close(ctx)
 		return nil
--- a/internal/daemon/doctor.go
+++ b/internal/daemon/doctor.go
@@ -61,7 +61,7 @@
 		},
 	},
 	{"core out of reach", "look at the network between this daemon and the core members", func(s gjson.Result) []string {
-		if ms := s.Get("core_contact_ms").Int(); s.Get("core_size").Int() > 0 && ms > contactMs {
+		if ms := s.Get("core_contact_ms").Int(); s.Get("core_size").Int() > 0 && ms > ownerContactMs {
 			return []string{fmt.Sprintf("no majority answered for %d ms", ms)}
 		}
 		return nil
--- a/internal/daemon/estimate.go
+++ b/internal/daemon/estimate.go
@@ -5,8 +5,8 @@
 	"otterchute/internal/wire"
 )
 
-// unknownRunMs is what a task is expected to take of which nothing is known, if its limit allows.
-const unknownRunMs = 5000
+// defaultEstimateMs is what a task is expected to take of which nothing is known, if its limit allows.
+const defaultEstimateMs = 5000
 
 // hintScaleKey is the name under which a queue's mean of how far guesses are off is learned,
 // in percent.
@@ -31,7 +31,7 @@
 	if t.EstimateHintMs > 0 {
 		return t.EstimateHintMs
 	}
-	return min(unknownRunMs, t.LimitMs)
+	return min(defaultEstimateMs, t.LimitMs)
 }
 
 // recordRunTime takes one run's time: into its name's mean, or into how far the guesses
@@ -53,7 +53,7 @@
 	if n.now < n.learnedAt || len(n.owned) == 0 {
 		return
 	}
-	n.learnedAt = n.now + rankMs
+	n.learnedAt = n.now + rankIntervalMs
 	m := &wire.Estimates{}
 	for _, name := range n.estimates.Unshared() {
 		mean, _ := n.estimates.Mean(name)
--- a/internal/daemon/heartbeat.go
+++ b/internal/daemon/heartbeat.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	holdSpanMs = 4000 // a heartbeat's answer holds its worker this long; a daemon that is killed is back before
-	// ownerSpanMs is how long an agent keeps a run without its owner's word: longer than a
+	holdMaxMs = 4000 // a heartbeat's answer holds its worker this long; a daemon that is killed is back before
+	// ownerTimeoutMs is how long an agent keeps a run without its owner's word: longer than a
 	// takeover or a short cut.
-	ownerSpanMs   = 7000
-	staleStopMs   = 900    // before that it stops the run, in time for the stop to be listed
-	lapseMarginMs = 300    // past the longest a hold may last, for what clocks and messages differ by
-	driftPercent  = 2      // a worker's clock may run this much slow
-	heartbeatMs   = 50     // a worker sends its heartbeat again after this; an order waits half of it in the mean
-	standMs       = 1500   // work that does not move for this long, and a tenth of its estimate, stands still
-	lastPercent   = 99     // a worker tells no more of work that has not ended
-	lateEndsMax   = 100    // ends that wait behind a late one before the hold is let run out
-	endsPage      = 500    // ends that one heartbeat tells of at most
-	goneMs        = 500    // a worker that said it goes has ended this long after
-	leaveStopMs   = 800    // so long before its worker leaves, work that saves is stopped, to go on elsewhere
-	workerKeepMs  = 60_000 // a worker's agent whose worker is gone keeps the ends nobody took note of for this long
+	ownerTimeoutMs   = 7000
+	staleStopMs      = 900    // before that it stops the run, in time for the stop to be listed
+	lapseMarginMs    = 300    // past the longest a hold may last, for what clocks and messages differ by
+	driftPercent     = 2      // a worker's clock may run this much slow
+	heartbeatMs      = 50     // a worker sends its heartbeat again after this; an order waits half of it in the mean
+	stallMs          = 1500   // work that does not move for this long, and a tenth of its estimate, stands still
+	lastPercent      = 99     // a worker tells no more of work that has not ended
+	lateEndsMax      = 100    // ends that wait behind a late one before the hold is let run out
+	heartbeatEndsMax = 500    // ends that one heartbeat tells of at most
+	goneDelayMs      = 500    // a worker that said it goes has ended this long after
+	leaveStopMs      = 800    // so long before its worker leaves, work that saves is stopped, to go on elsewhere
+	workerKeepMs     = 60_000 // a worker's agent whose worker is gone keeps the ends nobody took note of for this long
 )
 
 // An agent beside its worker: the worker's heartbeats reach no other
@@ -142,7 +142,7 @@
 		n.respond(req, 200, 0, mustJSON(heartbeatReply{AgainMs: heartbeatMs, Start: []taskOrder{}, Stop: []taskOrder{}}))
 		return
 	}
-	changed, missed := !agent.rebuilt, n.now-agent.heardMs > frozenMs
+	changed, missed := !agent.rebuilt, n.now-agent.heardMs > freezeThresholdMs
 	agent.reportSeq, agent.heardMs, agent.tokenMs = seq, n.now, n.now
 	agent.zone, agent.rack, agent.labels = r.Get("site").Str, r.Get("rack").Str, labelsOf(r.Get("labels"))
 	agent.capacity = resource.Parse(r.Get("capacity"))
@@ -158,7 +158,7 @@
 	changed = changed || differs
 	if !agent.rebuilt { // what a former agent here ordered is listed, or never starts
 		agent.rebuilt, agent.adoptedMs = true, n.now
-		agent.holdUntilMs = n.now + holdSpanMs*(100+driftPercent)/100
+		agent.holdUntilMs = n.now + holdMaxMs*(100+driftPercent)/100
 		n.log("agent_rebuilt", "worker", agent.worker, "epoch", agent.epoch, "held", len(agent.attempts))
 	}
 	n.detectStalledWork(agent)
@@ -338,7 +338,7 @@
 	for _, key := range agent.keys() {
 		attempt := agent.attempts[key]
 		attempt.listed = running[key]
-		mayBeCutShort := ended.count >= endsPage // there may be more than it could list
+		mayBeCutShort := ended.count >= heartbeatEndsMax // there may be more than it could list
 		switch {
 		case running[key] || ended.keys[key] || mayBeCutShort && attempt.state == wire.AttemptRunning:
 		case attempt.state == wire.AttemptOrdered && attempt.orderSeq < agent.reportSeq:
@@ -432,7 +432,7 @@
 	}
 	for _, attempt := range agent.attempts {
 		if attempt.atWorker() {
-			until = min(until, attempt.confirmedMs+ownerSpanMs)
+			until = min(until, attempt.confirmedMs+ownerTimeoutMs)
 		}
 	}
 	return until
@@ -441,9 +441,9 @@
 // holdSpan is how long an answer holds its worker.
 func (n *node) holdSpan() int64 {
 	if n.MaxHoldMs > 0 {
-		return min(holdSpanMs, n.MaxHoldMs)
+		return min(holdMaxMs, n.MaxHoldMs)
 	}
-	return holdSpanMs
+	return holdMaxMs
 }
 
 // heardOwner notes that an owner answered a sync. Where it was silent for longer
@@ -456,7 +456,7 @@
 	if !a.colocated {
 		return
 	}
-	if before, ok := a.ownerMs[slice]; !ok || now-before > ownerSpanMs {
+	if before, ok := a.ownerMs[slice]; !ok || now-before > ownerTimeoutMs {
 		for _, attempt := range a.attempts {
 			if attempt.spec.Shard == slice && attempt.state == wire.AttemptEnded &&
 				(attempt.result == wire.ResultOK || attempt.result == wire.ResultFailed) &&
@@ -497,7 +497,7 @@
 		// which comes for all at once.
 		waits := attempt.spec.Gang && (attempt.percent == 0 || attempt.percent >= lastPercent)
 		switch {
-		case !attempt.spec.Lasting && !waits && attempt.percent < 100 && n.now-attempt.movedMs > standMs+attempt.spec.EstimateMs/10:
+		case !attempt.spec.Lasting && !waits && attempt.percent < 100 && n.now-attempt.movedMs > stallMs+attempt.spec.EstimateMs/10:
 			standing = true
 			n.count("standing")
 			n.stopAttempt(agent, attempt, wire.ResultStalled)
@@ -508,7 +508,7 @@
 		}
 	}
 	if standing && n.now >= agent.suspectMs {
-		n.suspectWorker(agent, "stands", standsMs)
+		n.suspectWorker(agent, "stands", stallSuspectMs)
 		n.reportAgent(agent)
 	}
 }
@@ -522,7 +522,7 @@
 		switch {
 		case attempt.state == wire.AttemptQueued && (n.now-agent.heardMs > n.queuedSilenceMs() || agent.goneMs != 0):
 			attempt.state, attempt.result, changed = wire.AttemptEnded, wire.ResultShed, true
-		case active && attempt.stopMs == 0 && n.now > max(attempt.confirmedMs+ownerSpanMs, attempt.adoptedMs+ownerSpanMs)-staleStopMs:
+		case active && attempt.stopMs == 0 && n.now > max(attempt.confirmedMs+ownerTimeoutMs, attempt.adoptedMs+ownerTimeoutMs)-staleStopMs:
 			n.count("stale_stops")
 			n.stopAttempt(agent, attempt, wire.ResultLost)
 		}
@@ -544,7 +544,7 @@
 	if n.Policies.On(scheduler.ShunQuiet) {
 		return quietMs
 	}
-	return contactMs
+	return ownerContactMs
 }
 
 // endAfterSilence gives up what the worker held once its hold has surely lapsed, or it is gone.
@@ -578,13 +578,13 @@
 		return true
 	}
 	unacknowledged := func(k wire.AttemptKey) bool { return !agent.attempts[k].acked }
-	return !slices.ContainsFunc(agent.keys(), unacknowledged) && n.now-agent.heardMs > contactMs
+	return !slices.ContainsFunc(agent.keys(), unacknowledged) && n.now-agent.heardMs > ownerContactMs
 }
 
 // handleWorkerGone takes a worker's word that it ends now.
 func (n *node) handleWorkerGone(req *request) {
 	if agent := n.agents[req.key]; agent != nil && agent.colocated && agent.goneMs == 0 {
-		agent.leaving, agent.goneMs = true, n.now+goneMs
+		agent.leaving, agent.goneMs = true, n.now+goneDelayMs
 		n.log("worker_gone", "worker", agent.worker)
 		n.reportAgent(agent)
 	}
--- a/internal/daemon/heartbeat_test.go
+++ b/internal/daemon/heartbeat_test.go
@@ -50,7 +50,7 @@
 		attempt := n.agents["w1"].attempts[wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}]
 		attempt.unknown, attempt.confirmedMs, attempt.spec.Gang, attempt.spec.EstimateMs = false, n.now+60_000, c.gang, 1000
 		beat(100, running("j1", 0, 1, c.percent))
-		must.Len(t, c.stops, beat(standMs+200, running("j1", 0, 1, c.percent)).Stop, must.Sprint(c))
+		must.Len(t, c.stops, beat(stallMs+200, running("j1", 0, 1, c.percent)).Stop, must.Sprint(c))
 	}
 }
 
@@ -58,14 +58,14 @@
 // that nobody confirms is held no longer than its owner's word is good.
 func TestHoldEndsWithTheOwnersWord(t *testing.T) {
 	n, beat := pinned(t)
-	must.Eq(t, int64(holdSpanMs), beat(100, "").HoldMs)
+	must.Eq(t, int64(holdMaxMs), beat(100, "").HoldMs)
 	a := beat(50, running("j1", 0, 1, 10))
 	must.Eq(t, int64(0), a.HoldMs) // found running, and no owner has spoken: what an earlier answer held must do
 	agent := n.agents["w1"]
 	attempt := agent.attempts[wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}]
 	attempt.unknown, attempt.confirmedMs = false, n.now
-	must.Eq(t, int64(holdSpanMs), beat(50, running("j1", 0, 1, 20)).HoldMs)
-	a = beat(ownerSpanMs-1500, running("j1", 0, 1, 30))
+	must.Eq(t, int64(holdMaxMs), beat(50, running("j1", 0, 1, 20)).HoldMs)
+	a = beat(ownerTimeoutMs-1500, running("j1", 0, 1, 30))
 	must.Eq(t, int64(1450), a.HoldMs)
 	must.Len(t, 0, a.Stop)
 	must.Eq(t, int64(0), beat(1600, running("j1", 0, 1, 40)).HoldMs)
--- a/internal/daemon/history_test.go
+++ b/internal/daemon/history_test.go
@@ -230,7 +230,7 @@
 					at := w.nowMs()
 					got := w.settle(w.nodes[name], e, 4000)
 					must.Eq(t, 503, got.status, must.Sprint(name, " ", afterMs, " ", e.Op, " ", got.body))
-					if afterMs > contactMs {
+					if afterMs > ownerContactMs {
 						must.Less(t, 120, w.nowMs()-at)
 					}
 				}
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -88,7 +88,7 @@
 		return
 	}
 	for _, name := range sortedKeys(n.workers) {
-		if n.now-n.workers[name].receivedMs > forgetMs {
+		if n.now-n.workers[name].receivedMs > workerForgetMs {
 			delete(n.workers, name)
 		}
 	}
--- a/internal/daemon/http_server.go
+++ b/internal/daemon/http_server.go
@@ -136,10 +136,10 @@
 
 // servePlatform answers the platform's calls.
 func (d *httpServer) servePlatform(ctx context.Context, c platform.Call) platform.Answer {
-	if len(c.Body) > bodyMax && c.Op != "setup.put" && c.Op != "worker.beat" {
+	if len(c.Body) > bodyMaxBytes && c.Op != "setup.put" && c.Op != "worker.beat" {
 		return platform.Answer{
 			Status: 400,
-			Body:   faultsJSON([]schema.Fault{{Path: "", Reason: fmt.Sprintf("is larger than %d bytes", bodyMax)}}),
+			Body:   faultsJSON([]schema.Fault{{Path: "", Reason: fmt.Sprintf("is larger than %d bytes", bodyMaxBytes)}}),
 		}
 	}
 	r := d.request(
@@ -153,7 +153,7 @@
 }
 
 func (d *httpServer) serve(c *gin.Context, op, key string) {
-	limit := int64(bodyMax + 1)
+	limit := int64(bodyMaxBytes + 1)
 	if op == "setup.put" || op == "worker.report" {
 		limit = configuration.MaxBytes + 1
 	}
@@ -297,7 +297,7 @@
 	out["workers"] = float64(len(n.workers))
 	out["requests_open"] = float64(len(n.forwarded))
 	out["setup_version"] = float64(n.config.record.Version)
-	out["sync_ms"] = float64(n.syncMs)
+	out["sync_ms"] = float64(n.diskSyncMs)
 	for _, shard := range n.owned {
 		out["jobs_live"] += float64(len(shard.jobs))
 		out["writes_open"] += float64(len(shard.writes))
--- a/internal/daemon/job.go
+++ b/internal/daemon/job.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	bodyMax       = 1 << 20 // bytes of a job's body
+	bodyMaxBytes  = 1 << 20 // bytes of a job's body
 	stepsMax      = 64      // steps of a job
 	roundTasksMax = 2000    // tasks of the rounds of a job that are open at once
 )
--- a/internal/daemon/job_explain.go
+++ b/internal/daemon/job_explain.go
@@ -57,7 +57,7 @@
 			at = 4
 		case !t.Resources.Fits(w.capacity):
 			at = 3
-		case n.now-w.receivedMs > silentMs || w.silentMs > silentMs:
+		case n.now-w.receivedMs > workerSilentMs || w.silentMs > workerSilentMs:
 			at = 2
 		case w.leaving || n.config.current.EmptyZones[w.zone]:
 			at = 1
--- a/internal/daemon/job_parse.go
+++ b/internal/daemon/job_parse.go
@@ -85,7 +85,7 @@
 	if !schema.ValidName(id) {
 		return nil, []schema.Fault{{Path: "id", Reason: "must be a name: 1 to 128 letters, digits, '-', '_', '.' or ':'"}}
 	}
-	if len(body) > bodyMax {
+	if len(body) > bodyMaxBytes {
 		return nil, []schema.Fault{{Path: "", Reason: "is larger than 1 MiB"}}
 	}
 	if f := schema.Check(body, jobFields); len(f) > 0 {
--- a/internal/daemon/job_request.go
+++ b/internal/daemon/job_request.go
@@ -296,7 +296,7 @@
 // handleWorkerLost is an operator's word that a worker is gone for good.
 func (n *node) handleWorkerLost(shard *ownedShard, req *request) {
 	_, worker, _ := strings.Cut(req.key, "/")
-	if w := n.workers[worker]; w != nil && n.now-w.receivedMs < silentMs && w.reportFresh {
+	if w := n.workers[worker]; w != nil && n.now-w.receivedMs < workerSilentMs && w.reportFresh {
 		n.respond(req, 409, 0, mustJSON(map[string]any{"error": "the worker is heard from; it can't be declared lost"}))
 		return
 	}
--- a/internal/daemon/job_schedule.go
+++ b/internal/daemon/job_schedule.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	dueMarginMs = 50   // starts wait this much past the due time, for what right clocks differ by
-	silentMs    = 5000 // a worker not heard of for this long is shown as silent
-	limitMargin = 5000 // ms past a run limit before a queue that trusts it has a silent run resolved
-	openAheadMs = 400  // a round is written down this long before it is due
+	dueMarginMs    = 50   // starts wait this much past the due time, for what right clocks differ by
+	workerSilentMs = 5000 // a worker not heard of for this long is shown as silent
+	limitMarginMs  = 5000 // ms past a run limit before a queue that trusts it has a silent run resolved
+	openAheadMs    = 400  // a round is written down this long before it is due
 )
 
 // advanceJob does whatever a job's committed state now allows.
@@ -193,7 +193,7 @@
 	if w == nil || w.colocated {
 		n.tickColocatedTask(shard, job, i, rt, w)
 	}
-	silent := w == nil && n.now-shard.startMs > silentMs || w != nil && (n.now-w.receivedMs > silentMs || w.silentMs > silentMs)
+	silent := w == nil && n.now-shard.startMs > workerSilentMs || w != nil && (n.now-w.receivedMs > workerSilentMs || w.silentMs > workerSilentMs)
 	if !silent {
 		rt.silentSinceMs = 0
 		return
@@ -202,7 +202,7 @@
 		rt.silentSinceMs = n.now
 	}
 	if q := n.config.current.Queues[job.Queue]; q != nil && q.TrustLimit && n.configFresh() &&
-		n.now-rt.silentSinceMs > contactMs+flightMs+t.LimitMs+limitMargin {
+		n.now-rt.silentSinceMs > ownerContactMs+orderTimeoutMs+t.LimitMs+limitMarginMs {
 		n.count("run_limits_resolved")
 		n.resolveAttempt(shard, job, i, wire.ResultLost, 0)
 	}
@@ -218,8 +218,8 @@
 		receivedMs = max(receivedMs, w.receivedMs)
 	}
 	if (w != nil || n.allColocated()) && t.ChangedVersion <= job.committed &&
-		n.now-receivedMs > ownerSpanMs*(100+driftPercent)/100+lapseMarginMs &&
-		n.now-n.wokeMs > frozenMs {
+		n.now-receivedMs > ownerTimeoutMs*(100+driftPercent)/100+lapseMarginMs &&
+		n.now-n.wokeMs > freezeThresholdMs {
 		n.count("lapses_resolved")
 		job.Abandoned = append(job.Abandoned, abandonedRun{job.taskID(i), t.Attempt})
 		n.resolveAttempt(shard, job, i, wire.ResultLost, 0)
@@ -236,7 +236,7 @@
 		}
 		whole = whole && job.runtime[k].runningSinceMs != 0
 	}
-	if !whole && first != 0 && n.now-first > gangSlackMs {
+	if !whole && first != 0 && n.now-first > gangStartTimeoutMs {
 		n.count("gangs_begun_anew")
 		for k := from; k < to; k++ {
 			job.runtime[k].abort = true
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -92,7 +92,7 @@
 				return exitFound
 			}
 			<-app.Wait()
-			stop, cancel := context.WithTimeout(context.Background(), 5*stopMs*1e6)
+			stop, cancel := context.WithTimeout(context.Background(), 5*shutdownTimeoutMs*1e6)
 			defer cancel()
 			if err := app.Stop(stop); err != nil {
 				fmt.Fprintln(os.Stderr, "otterchute:", err)
--- a/internal/daemon/membership_test.go
+++ b/internal/daemon/membership_test.go
@@ -348,7 +348,7 @@
 					s.step()
 				}
 				worstLeft = max(worstLeft, s.nowMs()-at)
-				must.True(t, s.until(stopMs, func() bool { return !lost.up }), s.why())
+				must.True(t, s.until(shutdownTimeoutMs, func() bool { return !lost.up }), s.why())
 			} else {
 				s.gone(lost)
 				must.True(t, s.until(8000, s.full), s.why())
--- a/internal/daemon/order_sender.go
+++ b/internal/daemon/order_sender.go
@@ -65,7 +65,7 @@
 	default:
 		return "not_sent"
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), flightMs*time.Millisecond)
+	ctx, cancel := context.WithTimeout(context.Background(), orderTimeoutMs*time.Millisecond)
 	defer cancel()
 	var conn atomic.Pointer[guardedConn] // the library may still dial once the flight has ended
 	carrier := http.Client{
--- a/internal/daemon/placement.go
+++ b/internal/daemon/placement.go
@@ -10,14 +10,14 @@
 const (
 	thresholdMs        = 2500 // learned run time below this is queueable; see docs/rounds.md
 	allocationRetryMs  = 1000 // owners repeat their requests for firm places
-	reservedMs         = 1500 // a share is kept so long for requested places: until they are surely requested again
+	shareReservationMs = 1500 // a share is kept so long for requested places: until they are surely requested again
 	allocationsPerTick = 64   // requests for firm places a shard sends in one tick, most urgent first
 )
 
 // workerAllowed tells whether a task may go to a worker now, as far as is known here.
 func (n *node) workerAllowed(w *workerView, q *configuration.Queue, needs []wire.Label, room resource.Amount) bool {
 	_, lack := configuration.MissingLabel(w.labels, needs)
-	return n.now-w.receivedMs < contactMs && w.rebuilt && w.reportFresh && !w.leaving && !n.config.current.EmptyZones[w.zone] &&
+	return n.now-w.receivedMs < ownerContactMs && w.rebuilt && w.reportFresh && !w.leaving && !n.config.current.EmptyZones[w.zone] &&
 		room.Fits(w.capacity) && !lack && q.Matches(w.labels, w.zone)
 }
 
--- a/internal/daemon/product_test.go
+++ b/internal/daemon/product_test.go
@@ -36,7 +36,7 @@
 	}
 	status, _ = call(platform.Call{Op: "setup.put", Key: "4", Body: []byte(`{"queues":`)})
 	must.Eq(t, 400, status)
-	status, _ = call(platform.Call{Op: "queue.submit", Body: make([]byte, bodyMax+1)})
+	status, _ = call(platform.Call{Op: "queue.submit", Body: make([]byte, bodyMaxBytes+1)})
 	must.Eq(t, 400, status)
 	// The calls above are answered before the control thread's first tick, which
 	// is what readiness is told by.
--- a/internal/daemon/reconcile.go
+++ b/internal/daemon/reconcile.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	recallMs    = 150  // a task that waits this long at its worker is called back where another has room now
-	gangSlackMs = 2000 // a gang not whole by then is begun anew, before any member waits too long alone
+	recallAfterMs      = 150  // a task that waits this long at its worker is called back where another has room now
+	gangStartTimeoutMs = 2000 // a gang not whole by then is begun anew, before any member waits too long alone
 )
 
 // onAgentReport takes an agent's report of all it holds, resolves what it says ended,
@@ -119,10 +119,10 @@
 	case m.Epoch == t.AgentEpoch && job.State != jobRunning:
 		// Given up: once no placement of it, ours or a former
 		// owner's, is fresh enough to be taken, it never starts.
-		if n.now-shard.startMs > 2*contactMs && m.SentMs-job.runtime[i].echoMs > 2*contactMs {
+		if n.now-shard.startMs > 2*ownerContactMs && m.SentMs-job.runtime[i].echoMs > 2*ownerContactMs {
 			n.resolveAttempt(shard, job, i, wire.ResultRejected, 0)
 		}
-	case m.Epoch == t.AgentEpoch && n.now-job.runtime[i].sentMs > 2*syncMs:
+	case m.Epoch == t.AgentEpoch && n.now-job.runtime[i].sentMs > 2*agentSyncMs:
 		n.sendPlacement(shard, job, i)
 	}
 }
@@ -251,7 +251,7 @@
 		return 0
 	}
 	mayRecall := m.Colocated && status.State == wire.AttemptQueued && status.Class == wire.ClassQueueable
-	if mayRecall && n.now-job.runtime[i].sentMs > recallMs && n.fitsElsewhere(shard, job, i) {
+	if mayRecall && n.now-job.runtime[i].sentMs > recallAfterMs && n.fitsElsewhere(shard, job, i) {
 		return wire.DecisionRecall
 	}
 	return wire.DecisionKeep
--- a/internal/daemon/reduce.go
+++ b/internal/daemon/reduce.go
@@ -191,7 +191,7 @@
 	stages     jobtrace.Recorder    // where the time of the jobs owned here went
 
 	diskFailed string
-	syncMs     int64
+	diskSyncMs int64
 	strain     strainMeter
 }
 
@@ -225,12 +225,12 @@
 // Example: effects := reduce(n, event{NowMs: 100, WallMs: wall, Body: evTick{}})
 func reduce(n *node, ev event) []effect {
 	stoodMs, began := ev.NowMs-n.now, n.now == 0
-	if stoodMs > frozenMs {
+	if stoodMs > freezeThresholdMs {
 		n.wokeMs = ev.NowMs
 	}
 	n.now = max(n.now, ev.NowMs)
 	n.wall, n.seed, n.rng, n.out = ev.WallMs, ev.Seed, nil, nil
-	if stoodMs > frozenMs && !began {
+	if stoodMs > freezeThresholdMs && !began {
 		n.log("stood_still", "ms", stoodMs)
 	}
 	if h, ok := eventHandlers[reflect.TypeOf(ev.Body)]; ok {
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	configForwardMs = 2400 // the same for a change of the configuration, which a core member tries for changeMs
-	forwardMs       = 1200 // a request forwarded without an answer is given up on
-	quorumReadMs    = 500  // a state read from the core that takes longer is given up on
-	forwardsMax     = 2    // a request is forwarded at most this often
-	requestsMax     = 4000 // requests in flight through one daemon before it rejects
-	retryShare      = 5    // every so many requests allow one to be forwarded again: a crowd costs a fifth more at most
-	retriesPerTick  = 1    // and so many a tick, that few requests need not wait
-	readsPerTick    = 10   // states read from the core a tick: 100 a second for each daemon
-	retryBudgetMax  = 100  // what either budget saves up for a burst
+	configForwardMs  = 2400 // the same for a change of the configuration, which a core member tries for changeMs
+	forwardMs        = 1200 // a request forwarded without an answer is given up on
+	quorumReadMs     = 500  // a state read from the core that takes longer is given up on
+	forwardsMax      = 2    // a request is forwarded at most this often
+	requestsMax      = 4000 // requests in flight through one daemon before it rejects
+	requestsPerRetry = 5    // every so many requests allow one to be forwarded again: a crowd costs a fifth more at most
+	retriesPerTick   = 1    // and so many a tick, that few requests need not wait
+	readsPerTick     = 10   // states read from the core a tick: 100 a second for each daemon
+	retryBudgetMax   = 100  // what either budget saves up for a burst
 )
 
 // request is one thing a caller, worker or operator wants, at the daemon that got
@@ -96,14 +96,14 @@
 // not grow with what it gives up on.
 type retryBudget struct{ left int64 }
 
-func (b *retryBudget) earn(v int64) { b.left = min(b.left+v, retryBudgetMax*retryShare) }
+func (b *retryBudget) earn(v int64) { b.left = min(b.left+v, retryBudgetMax*requestsPerRetry) }
 
 // spend takes one try, if one is left.
 func (b *retryBudget) spend() bool {
-	if b.left < retryShare {
+	if b.left < requestsPerRetry {
 		return false
 	}
-	b.left -= retryShare
+	b.left -= requestsPerRetry
 	return true
 }
 
@@ -283,8 +283,8 @@
 }
 
 func (n *node) tickRequests() {
-	n.retries.earn(retriesPerTick * retryShare)
-	n.coreReads.earn(readsPerTick * retryShare)
+	n.retries.earn(retriesPerTick * requestsPerRetry)
+	n.coreReads.earn(readsPerTick * requestsPerRetry)
 	for _, id := range sortedKeys(n.forwarded) {
 		if p := n.forwarded[id]; n.forwardTimedOut(p) {
 			delete(n.forwarded, id)
--- a/internal/daemon/roles.go
+++ b/internal/daemon/roles.go
@@ -100,7 +100,7 @@
 	if n.leavingSince == 0 || n.members.AwaitsSuccessor() {
 		return
 	}
-	if len(n.leases.Roles()) == 0 && n.now-n.leavingSince > 300 || n.now-n.leavingSince > stopMs {
+	if len(n.leases.Roles()) == 0 && n.now-n.leavingSince > 300 || n.now-n.leavingSince > shutdownTimeoutMs {
 		n.emit(effExit{})
 	}
 }
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -201,7 +201,7 @@
 			at := w.nowMs()
 			must.True(t, w.until(2000, func() bool { h := w.holderOf(duty); return h != nil && h != n }), must.Sprint("no successor for ", duty))
 			must.Less(t, lease.DurationMs, w.nowMs()-at, must.Sprint(duty, " waited for the lease"))
-			must.True(t, w.until(stopMs+500, func() bool { return !n.up }), must.Sprint("the daemon did not end"))
+			must.True(t, w.until(shutdownTimeoutMs+500, func() bool { return !n.up }), must.Sprint("the daemon did not end"))
 			n.start()
 			w.run(3000)
 		}
--- a/internal/daemon/shard.go
+++ b/internal/daemon/shard.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	finishedMs    = 600_000  // finished jobs answered from the owner's memory this long
-	finishedMax   = 5000     // finished jobs an owner keeps in memory
-	shardJobsMax  = 4000     // live jobs a shard may have; see urgentShare
-	urgentShare   = 25       // percent of a shard's jobs kept for queues above the lowest urgency
-	shardBytesMax = 24 << 20 // live jobs of a shard as packed: a seal's answer must fit a frame
+	finishedKeepMs     = 600_000  // finished jobs answered from the owner's memory this long
+	finishedMax        = 5000     // finished jobs an owner keeps in memory
+	shardJobsMax       = 4000     // live jobs a shard may have; see urgentSharePercent
+	urgentSharePercent = 25       // percent of a shard's jobs kept for queues above the lowest urgency
+	shardBytesMax      = 24 << 20 // live jobs of a shard as packed: a seal's answer must fit a frame
 )
 
 // ownedShard is a part of the jobs, owned by one daemon at a time. The owner alone
@@ -281,7 +281,7 @@
 // markDeferred has a job's record written within deferredMs, with what changes until then:
 // for changes that nothing waits for. Where the owner isn't busy it is written at once.
 func (n *node) markDeferred(shard *ownedShard, job *liveJob) {
-	if !n.Policies.On(scheduler.GatherWrites) || max(shard.writesThisTick, shard.writesLastTick) < busyBatches {
+	if !n.Policies.On(scheduler.GatherWrites) || max(shard.writesThisTick, shard.writesLastTick) < busyWrites {
 		n.markDirty(shard, job)
 		return
 	}
@@ -302,7 +302,7 @@
 	for _, name := range sortedKeys(n.owned) {
 		shard := n.owned[name]
 		if !shard.serving {
-			if n.now-shard.sealSentMs > writeRetry {
+			if n.now-shard.sealSentMs > writeRetryMs {
 				if len(shard.missing) > 0 { // a member went away between seal and fetch: begin again
 					shard.restartTakeover()
 				}
@@ -331,7 +331,7 @@
 		shard.shares.endClaims()
 		n.logShareDelays(shard)
 		cut := 0
-		isOld := func(id string) bool { return n.now-shard.finished[id].Version > finishedMs }
+		isOld := func(id string) bool { return n.now-shard.finished[id].Version > finishedKeepMs }
 		for cut < len(shard.finishedOrder) && (len(shard.finishedOrder)-cut > finishedMax || isOld(shard.finishedOrder[cut])) {
 			delete(shard.finished, shard.finishedOrder[cut])
 			cut++
--- a/internal/daemon/shard_write.go
+++ b/internal/daemon/shard_write.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	writeRetry = 600 // ms before unacknowledged record writes are sent again
+	writeRetryMs = 600 // ms before unacknowledged record writes are sent again
 	// commitHoldMs: while a batch is on its way to a quorum the next one gathers what
 	// changes, so that a busy owner sends few large ones; no longer than this, since the
 	// batch may be lost.
@@ -17,8 +17,8 @@
 	// job, at a busy owner. The worker keeps such an end listed meanwhile: it must stay
 	// well below the 100 ms within which ends should be noted.
 	deferredMs = 40
-	// busyBatches is how many batches in one tick make an owner busy.
-	busyBatches = 4
+	// busyWrites is how many batches in one tick make an owner busy.
+	busyWrites = 4
 )
 
 // writeBatch is what one event changed of a shard's records, on its way to the core.
@@ -57,7 +57,7 @@
 		}
 		shard.flushDeferred(n.now)
 		whole := shard.serving && len(shard.loading) == 0 && shard.completeSeq == 0
-		if len(shard.dirty) == 0 && !whole && (len(shard.unsentConfirmedIDs) == 0 || n.now-shard.confirmedSentMs < writeRetry) {
+		if len(shard.dirty) == 0 && !whole && (len(shard.unsentConfirmedIDs) == 0 || n.now-shard.confirmedSentMs < writeRetryMs) {
 			continue
 		}
 		b := &writeBatch{
@@ -174,7 +174,7 @@
 func (n *node) tickWrites(shard *ownedShard) {
 	for _, seq := range sortedKeys(shard.writes) {
 		b := shard.writes[seq]
-		if n.now-b.sentMs < writeRetry {
+		if n.now-b.sentMs < writeRetryMs {
 			continue
 		}
 		b.sentMs = n.now
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -16,7 +16,7 @@
 		return "no cluster yet"
 	case n.leavingSince != 0:
 		return "this daemon is stopping"
-	case n.now-n.leases.ContactMs() > contactMs:
+	case n.now-n.leases.ContactMs() > ownerContactMs:
 		return "the core can't be reached from here"
 	case n.config.current.Version == 0:
 		return "no setup yet"
@@ -214,7 +214,7 @@
 			t := &job.Tasks[i]
 			w := n.workers[t.Worker]
 			switch {
-			case t.State == taskPlaced && (w == nil || n.now-w.receivedMs > silentMs || w.silentMs > silentMs):
+			case t.State == taskPlaced && (w == nil || n.now-w.receivedMs > workerSilentMs || w.silentMs > workerSilentMs):
 				unsettled[t.Worker]++
 			case t.State == taskPending:
 				waiting++
--- a/internal/daemon/strain.go
+++ b/internal/daemon/strain.go
@@ -4,8 +4,8 @@
 	// strainLateMs: ticks come this much too late, in the mean, at a daemon whose control
 	// thread can't keep up: polls and leases still fit, but not much more.
 	strainLateMs = 100
-	// strainEaseMs: below this mean it has caught up.
-	strainEaseMs = 30
+	// strainEndMs: below this mean it has caught up.
+	strainEndMs = 30
 	// strainHoldMs is how long a daemon stays strained at the least, so that roles don't
 	// come back as soon as they have left.
 	strainHoldMs = 10_000
@@ -27,14 +27,14 @@
 	late := nowMs - s.lastMs - tickMs
 	first := s.lastMs == 0
 	s.lastMs = nowMs
-	if first || late > frozenMs {
+	if first || late > freezeThresholdMs {
 		return
 	}
 	s.lateMs += strainWeight * (float64(max(late, 0)) - s.lateMs)
 	switch {
 	case s.lateMs > strainLateMs:
 		s.strained, s.sinceMs = true, nowMs
-	case s.strained && s.lateMs < strainEaseMs && nowMs-s.sinceMs > strainHoldMs:
+	case s.strained && s.lateMs < strainEndMs && nowMs-s.sinceMs > strainHoldMs:
 		s.strained = false
 	}
 }
--- a/internal/daemon/tenant_shares.go
+++ b/internal/daemon/tenant_shares.go
@@ -338,7 +338,7 @@
 }
 
 // unlistedMs is how long a run's end may stay unlisted: by then its worker's hold is over.
-const unlistedMs = ownerSpanMs*(100+driftPercent)/100 + lapseMarginMs
+const unlistedMs = ownerTimeoutMs*(100+driftPercent)/100 + lapseMarginMs
 
 // unlistedRun is a run that has ended though its worker hasn't said so yet.
 type unlistedRun struct {
--- a/internal/daemon/tenant_weight.go
+++ b/internal/daemon/tenant_weight.go
@@ -13,10 +13,10 @@
 // shard's next owner treats it like any other.
 
 const (
-	excessRecords      = 50     // percent of a queue's or shard's live jobs that may be there when one is let in
-	excessWaitingMax   = 32     // excess jobs of a tenant in a shard that wait while room is short
-	excessRetryLeastMs = 1000   // when a refused job may come back, at the earliest
-	excessRetryMostMs  = 10_000 // and at the latest
+	excessRecordsPercent = 50     // percent of a queue's or shard's live jobs that may be there when one is let in
+	excessWaitingMax     = 32     // excess jobs of a tenant in a shard that wait while room is short
+	excessRetryMinMs     = 1000   // when a refused job may come back, at the earliest
+	excessRetryMaxMs     = 10_000 // and at the latest
 )
 
 // shardWeight is how many jobs a second a tenant may send to each shard: jobs are spread evenly.
@@ -60,7 +60,7 @@
 	retryMs := int64(float64(waiting) * 1000 / n.shardWeight(tenant))
 	return &rejection{
 		status:  429,
-		retryMs: min(max(retryMs, excessRetryLeastMs), excessRetryMostMs),
+		retryMs: min(max(retryMs, excessRetryMinMs), excessRetryMaxMs),
 		faults:  []schema.Fault{{Path: "queue", Reason: "has no room for more than the tenant's weight"}},
 	}
 }
--- a/internal/daemon/tenant_weight_test.go
+++ b/internal/daemon/tenant_weight_test.go
@@ -120,7 +120,7 @@
 		refused := 0
 		for _, j := range l.sent {
 			if j.status == 429 && j.tenant == "hot" {
-				must.Between(t, excessRetryLeastMs, j.retryMs, excessRetryMostMs)
+				must.Between(t, excessRetryMinMs, j.retryMs, excessRetryMaxMs)
 				must.Zero(t, j.endMs)
 				refused++
 				continue
@@ -319,7 +319,7 @@
 	shard.starvedMs = n.now
 	must.Nil(t, n.rejectExcess(shard, "hot"))
 	fill("hot", excessWaitingMax, true)
-	must.Eq(t, &rejection{status: 429, retryMs: excessRetryMostMs, faults: n.rejectExcess(shard, "hot").faults}, n.rejectExcess(shard, "hot"))
+	must.Eq(t, &rejection{status: 429, retryMs: excessRetryMaxMs, faults: n.rejectExcess(shard, "hot").faults}, n.rejectExcess(shard, "hot"))
 	shard.starvedMs = 0
 	must.Nil(t, n.rejectExcess(shard, "hot"))
 	shard.jobs["hot0"].waitsForShare = true // its tenant is at its limit
@@ -328,9 +328,9 @@
 	j, faults := parseJob("j", "", []byte(`{"queue":"fast","steps":[{"name":"s","tasks":[{"name":"t","room":1}]}]}`))
 	must.SliceEmpty(t, faults)
 	q := set.Queues["fast"]
-	must.Nil(t, admit(&admission{job: j, queue: q, excess: true, all: shardJobsMax*excessRecords/100 - 1}))
-	must.Eq(t, 429, admit(&admission{job: j, queue: q, excess: true, all: shardJobsMax * excessRecords / 100}).status)
-	must.Nil(t, admit(&admission{job: j, queue: q, all: shardJobsMax * excessRecords / 100}))
+	must.Nil(t, admit(&admission{job: j, queue: q, excess: true, all: shardJobsMax*excessRecordsPercent/100 - 1}))
+	must.Eq(t, 429, admit(&admission{job: j, queue: q, excess: true, all: shardJobsMax * excessRecordsPercent / 100}).status)
+	must.Nil(t, admit(&admission{job: j, queue: q, all: shardJobsMax * excessRecordsPercent / 100}))
 }
 
 // The policy can be switched off for a trial: then nothing is beyond a weight.
--- a/internal/daemon/urgent_room_test.go
+++ b/internal/daemon/urgent_room_test.go
@@ -47,7 +47,7 @@
 	slow.spec.Class = wire.ClassGuaranteed
 	must.Eq(t, avail, room(slow))
 	slow.spec.Class = wire.ClassQueueable
-	n.now += backfillMs + 1 // it waited long
+	n.now += backfillAfterMs + 1 // it waited long
 	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, room(slow))
 	n.ranks.idle = true
 	must.Eq(t, avail, room(slow))
--- a/internal/daemon/world_node_test.go
+++ b/internal/daemon/world_node_test.go
@@ -211,7 +211,7 @@
 		sw := n.w.workers[e.Worker]
 		answered, leftUs := false, n.w.nowUs
 		n.w.carryTo(n.Name, sw.name, func() {
-			if n.w.nowUs-leftUs > flightMs*1000 {
+			if n.w.nowUs-leftUs > orderTimeoutMs*1000 {
 				return // its connection was torn down by then, with all unread bytes
 			}
 			outcome := sw.take(e)
@@ -222,7 +222,7 @@
 				}
 			})
 		})
-		n.later(flightMs*1000, func() {
+		n.later(orderTimeoutMs*1000, func() {
 			if !answered {
 				answered = true
 				result("unknown")
