--- a/guards.sh
+++ b/guards.sh
@@ -18,7 +18,7 @@
 guards() {
   cat << 'G'
 room|internal/daemon/agent_dispatch.go|if attempt.spec.Resources.Fits(n.startRoom(agent, attempt, q, *avail)) {|if true {
-a patch needs the version it builds on|internal/daemon/core_member.go|if !fits(replica, m.Patches) {|if false {
+a patch needs the version it builds on|internal/daemon/core_member.go|if !patchesApply(replica, m.Patches) {|if false {
 unsettled orders hold room|internal/daemon/agent_dispatch.go|if a.colocated \|\| !attempt.listed {|if a.colocated {
 new agent waits for the worker's fresh word|internal/daemon/agent_report.go|if !agent.rebuilt && agent.tokenMs > agent.startMs+orderTimeoutMs {|if !agent.rebuilt {
 lost only once rebuilt|internal/daemon/reconcile.go|case m.Epoch > t.AgentEpoch && m.Rebuilt:|case m.Epoch > t.AgentEpoch:
@@ -44,8 +44,8 @@
 passed epochs are not renewed|internal/lease/granter.go|if r.Epoch != 0 && r.Epoch < last.Epoch {|if false {
 leases end with their incarnation|internal/daemon/host.go|n.leases.Lose(role, "incarnation_raised")|_ = role
 a start takes no older set|internal/daemon/core_set.go|c.Version < n.store.Set().Version {|false {
-reads by a later poll|internal/daemon/config_state.go|return n.config.confirmedBy > req.pollsBefore|return n.config.confirmedMs >= req.receivedMs
-reads are checked after a freeze|internal/daemon/config_state.go|confirmedBy > req.pollsBefore && n.configFresh()|confirmedBy > req.pollsBefore
+reads by a later poll|internal/daemon/config_state.go|return n.config.confirmedPoll > req.pollsBefore|return n.config.confirmedMs >= req.receivedMs
+reads are checked after a freeze|internal/daemon/config_state.go|confirmedPoll > req.pollsBefore && n.configFresh()|confirmedPoll > req.pollsBefore
 copied before joining|internal/membership/learner.go|if len(l.copied) >= need {|if true {
 a copy begins again after a restart|internal/membership/learner.go|if at.Instance != instance {|if at.Shard == "" {
 a job ends at a known time|internal/daemon/job_schedule.go|return // how long the job is kept|wall = 1 // how long the job is kept
@@ -69,10 +69,10 @@
 what is kept stands at a majority|internal/register/proposer.go|if !o.split {|if true {
 an answer leaves after its write is synced|internal/daemon/registers.go|n.persist([]statestore.Entry{entry}, n.sendEffect(to, answer))|n.persist([]statestore.Entry{entry})\n\tn.send(to, answer)
 an order is known again|internal/configuration/history.go|found = o == id|found = false
-an order that was forgotten is not refused|internal/daemon/config_change.go|if !cur.Accepted.Covers(o.change) {|if false {
+an order that was forgotten is not refused|internal/daemon/config_change.go|if !cur.Accepted.Covers(o.changeID) {|if false {
 orders have the base in their identity|internal/configuration/history.go|id := ChangeID{Version: base + int64(rise), Base: base}|id := ChangeID{Version: base + int64(rise)}
 a refusal is written back|internal/register/proposer.go|\t\to.atEnd = Refused\n|\t\to.outcome = Refused\n\t\treturn nil\n
-a leaving member waits for its successor|internal/daemon/roles.go|if n.leavingSince == 0 \|\| n.members.AwaitsSuccessor() {|if n.leavingSince == 0 {
+a leaving member waits for its successor|internal/daemon/roles.go|if n.leavingSinceMs == 0 \|\| n.members.AwaitsSuccessor() {|if n.leavingSinceMs == 0 {
 copied again before a member leaves|internal/membership/learner.go|if at == newest \|\| m.copyComplete(l, set.Majority()-1) {|if true {
 a successor that stalls is taken out|internal/membership/learner.go|if late \|\| m.leases.Unresponsive(set.Members[newest].Name, UnresponsiveMs) {|if late && false {
 the surest loss goes first|internal/membership/slots.go|if current > state && now-l.vacantSince|if at < 0 && now-l.vacantSince
@@ -93,9 +93,9 @@
 batches wait for their hours|internal/daemon/batch.go|return wallMs >= p.StartMs && wallMs < p.CloseMs|return wallMs > 0
 batches keep to their share|internal/daemon/batch.go|return sum.Fits(agent.capacity.Share(r.SharePercent))|return true
 batches are below all others|internal/configuration/queue.go|q.Urgency -= batchUrgencyOffset|q.Urgency -= 0
-batches make room at once|internal/daemon/agent_dispatch.go|n.now-pending.queuedMs <= urgentWaitMs && n.batchSpec(&run.spec) == nil|n.now-pending.queuedMs <= urgentWaitMs
-batches are never firm|internal/daemon/agent_sync.go|attempt.spec.Class != wire.ClassQueueable \|\|\n\t\tn.batchSpec(&attempt.spec) != nil {\n\t\treturn|attempt.spec.Class != wire.ClassQueueable {\n\t\treturn
-batches leave urgent work its room|internal/daemon/batch.go|if waiting, _ := agent.withoutBatches(n); waiting > 0 {|if false {
+batches make room at once|internal/daemon/agent_dispatch.go|n.now-pending.queuedMs <= urgentWaitMs && n.batchRulesOfSpec(&run.spec) == nil|n.now-pending.queuedMs <= urgentWaitMs
+batches are never firm|internal/daemon/agent_sync.go|attempt.spec.Class != wire.ClassQueueable \|\|\n\t\tn.batchRulesOfSpec(&attempt.spec) != nil {\n\t\treturn|attempt.spec.Class != wire.ClassQueueable {\n\t\treturn
+batches leave urgent work its room|internal/daemon/batch.go|if waiting, _ := agent.loadWithoutBatches(n); waiting > 0 {|if false {
 a counter knows all shards before it lends|internal/quota/counter.go|if c.shards[shard] == nil {|if c.shards[shard] == nil && false {
 a counter takes no overtaken report|internal/quota/counter.go|if m.ShardEpoch < l.epoch \|\| m.ShardEpoch == l.epoch && m.Seq <= l.seq {|if false {
 a report belongs to its counter|internal/quota/counter.go|if m.Counter != c.shard \|\| m.CounterEpoch != c.epoch {|if m.Counter != c.shard {
--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -10,13 +10,13 @@
 
 // admission is a new job on its way through the rules of its queue.
 type admission struct {
-	job   *jobRecord
-	queue *configuration.Queue
-	live  int // live jobs of this queue in the shard
-	all   int // live jobs of the shard
-	bytes int // of their records, with this one
-	base  bool
-	batch bool
+	job           *jobRecord
+	queue         *configuration.Queue
+	queueLive     int // live jobs of this queue in the shard
+	shardLive     int // live jobs of the shard
+	bytes         int // of their records, with this one
+	lowestUrgency bool
+	batch         bool
 	// excess is beyond its tenant's weight: such jobs leave others a part of the records.
 	excess bool
 }
@@ -61,10 +61,10 @@
 		return nil
 	},
 	configuration.RuleMaxResources: func(c *admission, v int64) *rejection {
-		return c.eachTask(func(t *task) bool { return v > 0 && t.Resources.CPU > v }, "room", "is above the queue's bound")
+		return c.rejectTasks(func(t *task) bool { return v > 0 && t.Resources.CPU > v }, "room", "is above the queue's bound")
 	},
 	configuration.RuleMaxLimit: func(c *admission, v int64) *rejection {
-		return c.eachTask(func(t *task) bool { return v > 0 && t.LimitMs > v }, "limit_ms", "is above the queue's bound")
+		return c.rejectTasks(func(t *task) bool { return v > 0 && t.LimitMs > v }, "limit_ms", "is above the queue's bound")
 	},
 	configuration.RuleNoGangs: func(c *admission, _ int64) *rejection {
 		var out []schema.Fault
@@ -89,7 +89,7 @@
 	},
 	configuration.RuleAdmit: func(c *admission, v int64) *rejection {
 		all := shardJobsMax
-		if c.base { // queues of the lowest urgency leave the others their share
+		if c.lowestUrgency { // queues of the lowest urgency leave the others their share
 			all = shardJobsMax * (100 - urgentSharePercent) / 100
 		}
 		bytes := shardBytesMax
@@ -99,7 +99,7 @@
 		if c.excess {
 			v, all, bytes = max(v*excessRecordsPercent/100, 1), all*excessRecordsPercent/100, bytes*excessRecordsPercent/100
 		}
-		if int64(c.live) >= v || c.all >= all || c.bytes > bytes {
+		if int64(c.queueLive) >= v || c.shardLive >= all || c.bytes > bytes {
 			return &rejection{
 				status:  429,
 				retryMs: 2000,
@@ -110,7 +110,7 @@
 	},
 }
 
-func (c *admission) eachTask(bad func(*task) bool, field, reason string) *rejection {
+func (c *admission) rejectTasks(bad func(*task) bool, field, reason string) *rejection {
 	var out []schema.Fault
 	for i := range c.job.Tasks {
 		t := &c.job.Tasks[i]
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -36,40 +36,40 @@
 	capacity          resource.Amount
 	reportSeq         int64
 	tokenMs           int64 // our clock when the token was issued that the last report carried
-	heardMs           int64
+	lastContactMs     int64
 	rebuilt           bool
 
-	attempts   map[wire.AttemptKey]*agentAttempt
-	tombstones map[wire.AttemptKey]int64
-	owners     map[string]uint64 // shard -> highest owner epoch heard
-	lastOK     int64
-	syncAt     int64
-	succeeded  int64
-	failed     int64
-	lagPct     int64
-	evidence   scheduler.Evidence             // whether it fails more than others
-	ended      map[string]scheduler.EndCounts // lately, by queue
-	failedJobs map[string]int64               // when a job's task last failed here
-	decayAt    int64
+	attempts      map[wire.AttemptKey]*agentAttempt
+	tombstones    map[wire.AttemptKey]int64
+	ownerEpochs   map[string]uint64 // shard -> highest owner epoch heard
+	lastSuccessMs int64
+	nextSyncMs    int64
+	succeeded     int64
+	failed        int64
+	lagPercent    int64
+	evidence      scheduler.Evidence             // whether it fails more than others
+	endCounts     map[string]scheduler.EndCounts // lately, by queue
+	failedJobs    map[string]int64               // when a job's task last failed here
+	nextDecayMs   int64
 
 	colocated        bool
 	rack             string
 	holdUntilMs      int64 // all that runs there has surely ended by then, if no heartbeat comes
 	acknowledgedEnds int64 // ends up to this number were taken note of
-	ends             map[int64]wire.AttemptKey
-	ownerMs          map[string]int64 // shard -> our clock at the last sync that its owner answered
+	endsByNumber     map[int64]wire.AttemptKey
+	ownerReplyMs     map[string]int64 // shard -> our clock at the last sync that its owner answered
 	toStart          []*agentAttempt  // what the answer to this heartbeat starts
 	answering        bool             // a heartbeat is being answered
-	goneMs           int64            // it said that it goes; 0 if not
-	leavesMs         int64            // what runs there then dies; 0 if it does not leave
+	goneAtMs         int64            // it said that it goes; 0 if not
+	leavesAtMs       int64            // what runs there then dies; 0 if it does not leave
 	replaced         bool             // another worker sends heartbeats from its place
 	lapseUntilMs     int64            // the hold must lapse before this: late ends wait for that
-	suspectMs        int64            // until then it is suspect
-	suspects         int64            // how often it was, lately
+	suspectUntilMs   int64            // until then it is suspect
+	suspectCount     int64            // how often it was, lately
 	adoptedMs        int64
-	reported         map[string]sentReport // shard, "" for the central scheduler -> its last report
-	changesAtMs      int64                 // before that no partial report leaves
-	changesWait      bool                  // something has ended since the last one
+	lastReports      map[string]sentReport // shard, "" for the central scheduler -> its last report
+	nextChangesMs    int64                 // before that no partial report leaves
+	changesPending   bool                  // something has ended since the last one
 	quiet            bool                  // as owners were last told
 	guaranteedEnded  bool                  // since the central scheduler was last told
 }
@@ -92,14 +92,14 @@
 	ordered     bool // an order may have left; the worker may know it
 	acked       bool
 
-	unknown    bool  // found running: its room is not known yet
-	orderSeq   int64 // the heartbeat whose answer carried the order
-	percent    int64
-	movedMs    int64 // when its work last moved
-	lateEnd    bool  // ended by itself, and its owner may have given it up meanwhile
-	voided     bool  // ended, and the hold has lapsed since
-	adoptedMs  int64
-	reportedMs int64 // when its owner was last told of its end
+	specUnknown    bool  // found running: its room is not known yet
+	orderSeq       int64 // the heartbeat whose answer carried the order
+	percent        int64
+	lastProgressMs int64 // when its work last moved
+	lateEnd        bool  // ended by itself, and its owner may have given it up meanwhile
+	voided         bool  // ended, and the hold has lapsed since
+	adoptedMs      int64
+	reportedMs     int64 // when its owner was last told of its end
 }
 
 // sentReport is whom a report last went to, and when.
@@ -119,15 +119,15 @@
 
 func (n *node) startAgent(w string, epoch uint64) {
 	n.agents[w] = &workerAgent{
-		worker:     w,
-		epoch:      epoch,
-		startMs:    n.now,
-		attempts:   map[wire.AttemptKey]*agentAttempt{},
-		tombstones: map[wire.AttemptKey]int64{},
-		owners:     map[string]uint64{},
-		lastOK:     n.now,
-		heardMs:    n.now,
-		tokenMs:    -1 << 40,
+		worker:        w,
+		epoch:         epoch,
+		startMs:       n.now,
+		attempts:      map[wire.AttemptKey]*agentAttempt{},
+		tombstones:    map[wire.AttemptKey]int64{},
+		ownerEpochs:   map[string]uint64{},
+		lastSuccessMs: n.now,
+		lastContactMs: n.now,
+		tokenMs:       -1 << 40,
 	}
 }
 
@@ -160,11 +160,11 @@
 	n.enforceLimits(agent)
 	n.dropOldTombstones(agent)
 	n.decayHealth(agent)
-	if n.now >= agent.syncAt {
+	if n.now >= agent.nextSyncMs {
 		n.reportAgent(agent)
 	}
 	n.startPending(agent)
-	if len(agent.attempts) == 0 && n.now-agent.heardMs > agentIdleMs {
+	if len(agent.attempts) == 0 && n.now-agent.lastContactMs > agentIdleMs {
 		n.leases.HandOff(lease.AgentRole(agent.worker), "")
 	}
 }
@@ -182,7 +182,7 @@
 			n.stopAttempt(agent, attempt, wire.ResultOverrun)
 		case attempt.state == wire.AttemptOrdered && attempt.stopMs != 0:
 			n.stopAttempt(agent, attempt, attempt.stopReason)
-		case attempt.state == wire.AttemptQueued && n.now-agent.heardMs > workerSilentMs:
+		case attempt.state == wire.AttemptQueued && n.now-agent.lastContactMs > workerSilentMs:
 			attempt.state, attempt.result = wire.AttemptEnded, wire.ResultShed // its worker is silent; it never started
 		}
 	}
@@ -199,16 +199,16 @@
 
 // decayHealth lets a worker's past ends and suspicions count for less with time.
 func (n *node) decayHealth(agent *workerAgent) {
-	if n.now < agent.decayAt {
+	if n.now < agent.nextDecayMs {
 		return
 	}
-	agent.decayAt = n.now + healthDecayMs
+	agent.nextDecayMs = n.now + healthDecayMs
 	agent.succeeded, agent.failed = agent.succeeded*3/4, agent.failed*3/4
-	for queue, counts := range agent.ended {
+	for queue, counts := range agent.endCounts {
 		if counts.Decay(); counts == (scheduler.EndCounts{}) {
-			delete(agent.ended, queue)
+			delete(agent.endCounts, queue)
 		} else {
-			agent.ended[queue] = counts
+			agent.endCounts[queue] = counts
 		}
 	}
 	for job, atMs := range agent.failedJobs {
@@ -216,7 +216,7 @@
 			delete(agent.failedJobs, job)
 		}
 	}
-	if n.now > agent.suspectMs+healthDecayMs {
-		agent.suspects = max(0, agent.suspects-1)
+	if n.now > agent.suspectUntilMs+healthDecayMs {
+		agent.suspectCount = max(0, agent.suspectCount-1)
 	}
 }
--- a/internal/daemon/agent_changes.go
+++ b/internal/daemon/agent_changes.go
@@ -36,9 +36,9 @@
 	endRepeatMs = 250
 )
 
-// isNews tells whether a partial report lists an attempt: it waits, or it ended and its
+// isReportable tells whether a partial report lists an attempt: it waits, or it ended and its
 // owner wasn't told yet, or was long ago.
-func (n *node) isNews(attempt *agentAttempt) bool {
+func (n *node) isReportable(attempt *agentAttempt) bool {
 	switch attempt.state {
 	case wire.AttemptQueued:
 		return true
@@ -66,24 +66,24 @@
 // reportChanges tells owners what has ended or waits, and how much room is left. What
 // comes within changesMs leaves together.
 func (n *node) reportChanges(agent *workerAgent) {
-	agent.changesWait = true
-	if n.now < agent.changesAtMs || !n.isActiveAgent(agent) {
+	agent.changesPending = true
+	if n.now < agent.nextChangesMs || !n.isActiveAgent(agent) {
 		return
 	}
-	agent.changesWait = false
-	base, keys := n.reportOf(agent), agent.keys()
+	agent.changesPending = false
+	base, keys := n.baseReport(agent), agent.keys()
 	base.Partial = true
 	news := map[string]bool{}
 	for _, key := range keys {
-		if attempt := agent.attempts[key]; n.isNews(attempt) {
+		if attempt := agent.attempts[key]; n.isReportable(attempt) {
 			news[n.shardOfAttempt(attempt)] = true
 		}
 	}
 	if len(news) > 0 {
-		agent.changesAtMs = n.now + changesMs
+		agent.nextChangesMs = n.now + changesMs
 	}
 	for _, shard := range n.core.Shards {
-		if news[shard] || n.now-agent.reported[shard].atMs >= usageReportMs {
+		if news[shard] || n.now-agent.lastReports[shard].atMs >= usageReportMs {
 			n.sendReport(agent, base, shard, keys)
 		}
 	}
@@ -95,7 +95,7 @@
 // reportCentral tells the central scheduler alone.
 func (n *node) reportCentral(agent *workerAgent) {
 	if n.isActiveAgent(agent) {
-		n.sendReport(agent, n.reportOf(agent), "", agent.keys())
+		n.sendReport(agent, n.baseReport(agent), "", agent.keys())
 	}
 }
 
@@ -109,24 +109,24 @@
 
 // tickReports sends the reports that are due.
 func (n *node) tickReports(agent *workerAgent) {
-	quiet := n.now-agent.heardMs > quietMs
-	if n.now >= agent.syncAt || quiet != agent.quiet || n.hasNewOwner(agent) {
+	quiet := n.now-agent.lastContactMs > quietMs
+	if n.now >= agent.nextSyncMs || quiet != agent.quiet || n.hasNewOwner(agent) {
 		agent.quiet = quiet
 		n.reportAgent(agent)
 		return
 	}
-	if n.now-agent.reported[""].atMs >= centralReportMs {
+	if n.now-agent.lastReports[""].atMs >= centralReportMs {
 		n.reportCentral(agent)
 	}
-	if agent.changesWait || n.hasOverdue(agent) || n.isDueToAny(agent) {
+	if agent.changesPending || n.hasOverdue(agent) || n.owesReport(agent) {
 		n.reportChanges(agent)
 	}
 }
 
-// isDueToAny tells whether some owner has not heard of the worker lately.
-func (n *node) isDueToAny(agent *workerAgent) bool {
+// owesReport tells whether some owner has not heard of the worker lately.
+func (n *node) owesReport(agent *workerAgent) bool {
 	return slices.ContainsFunc(n.core.Shards, func(shard string) bool {
-		return n.now-agent.reported[shard].atMs >= aliveReportMs
+		return n.now-agent.lastReports[shard].atMs >= aliveReportMs
 	})
 }
 
@@ -136,7 +136,7 @@
 // hasNewOwner tells whether a role that is told of this worker has gone to another daemon.
 func (n *node) hasNewOwner(agent *workerAgent) bool {
 	for _, target := range append([]string{""}, n.core.Shards...) {
-		if to := n.reportTarget(target); to != "" && to != agent.reported[target].to {
+		if to := n.reportTarget(target); to != "" && to != agent.lastReports[target].to {
 			return true
 		}
 	}
@@ -149,7 +149,7 @@
 	for _, attempt := range agent.attempts {
 		switch {
 		case attempt.state == wire.AttemptQueued && n.now-attempt.queuedMs > recallAfterMs,
-			attempt.state == wire.AttemptEnded && n.isNews(attempt):
+			attempt.state == wire.AttemptEnded && n.isReportable(attempt):
 			return true
 		}
 	}
--- a/internal/daemon/agent_dispatch.go
+++ b/internal/daemon/agent_dispatch.go
@@ -42,7 +42,7 @@
 	if !n.mayOrder(agent) {
 		return
 	}
-	queue := n.returnBatches(agent, agent.waiting(n))
+	queue := n.returnBatches(agent, agent.queuedAttempts(n))
 	if len(queue) == 0 {
 		return
 	}
@@ -81,7 +81,7 @@
 		if attempt.state != wire.AttemptOrdered && attempt.state != wire.AttemptRunning {
 			continue
 		}
-		if attempt.unknown {
+		if attempt.specUnknown {
 			return avail, false
 		}
 		if a.colocated || !attempt.listed {
@@ -97,7 +97,7 @@
 	q := n.config.current.Queues[attempt.spec.Queue]
 	_, lack := configuration.MissingLabel(agent.labels, attempt.spec.Needs)
 	if q == nil || lack || !q.Matches(agent.labels, agent.zone) ||
-		attempt.spec.PerWorker > 0 && agent.ofStep(attempt) >= int(attempt.spec.PerWorker) {
+		attempt.spec.PerWorker > 0 && agent.startedOfStep(attempt) >= int(attempt.spec.PerWorker) {
 		attempt.state, attempt.result = wire.AttemptEnded, wire.ResultRejected
 		n.reportAgent(agent)
 		return true
@@ -110,7 +110,7 @@
 	if n.now-attempt.confirmedMs > ownerContactMs {
 		return true
 	}
-	if r := n.batchSpec(&attempt.spec); r != nil && (!attempt.spec.Resources.Fits(*avail) || !n.mayStartBatch(agent, attempt, r)) {
+	if r := n.batchRulesOfSpec(&attempt.spec); r != nil && (!attempt.spec.Resources.Fits(*avail) || !n.mayStartBatch(agent, attempt, r)) {
 		return true
 	}
 	if attempt.spec.Resources.Fits(n.startRoom(agent, attempt, q, *avail)) {
@@ -129,17 +129,17 @@
 
 // startRoom is the part of a worker's available room that a waiting attempt may take.
 func (n *node) startRoom(agent *workerAgent, attempt *agentAttempt, q *configuration.Queue, avail resource.Amount) resource.Amount {
-	if attempt.spec.Class == wire.ClassGuaranteed || n.usesKeptRoom(q, attempt.spec.Excess) || !agent.colocated {
+	if attempt.spec.Class == wire.ClassGuaranteed || n.mayUseUrgentRoom(q, attempt.spec.Excess) || !agent.colocated {
 		return avail
 	}
 	if n.fleetIdle() && n.now-attempt.queuedMs > backfillAfterMs && n.Policies.On(scheduler.Backfill) {
 		return avail // no room is kept back from what waited this long while most of it is free
 	}
-	return avail.Minus(n.keptRoom(agent.capacity, agent.urgentHeld(n, wire.AttemptOrdered, wire.AttemptRunning)))
+	return avail.Minus(n.urgentRoom(agent.capacity, agent.urgentUse(n, wire.AttemptOrdered, wire.AttemptRunning)))
 }
 
-// ofStep counts the started tasks here that share a task's job, round and step.
-func (a *workerAgent) ofStep(attempt *agentAttempt) (count int) {
+// startedOfStep counts the started tasks here that share a task's job, round and step.
+func (a *workerAgent) startedOfStep(attempt *agentAttempt) (count int) {
 	round, step, _, ok := parseUniformTaskID(attempt.spec.Key.Task)
 	for k, o := range a.attempts {
 		r, s, _, _ := parseUniformTaskID(k.Task)
@@ -151,8 +151,8 @@
 	return count
 }
 
-// unstarted gives the unstarted tasks in the order they may start.
-func (a *workerAgent) waiting(n *node) []*agentAttempt {
+// queuedAttempts gives the unstarted tasks in the order they may start.
+func (a *workerAgent) queuedAttempts(n *node) []*agentAttempt {
 	var out []*agentAttempt
 	for _, key := range a.keys() {
 		if a.attempts[key].state == wire.AttemptQueued {
@@ -160,11 +160,11 @@
 		}
 	}
 	precedence := func(attempt *agentAttempt) int64 { return n.precedence(attempt.spec.Queue, attempt.spec.Excess) }
-	slices.SortStableFunc(out, func(a, b *agentAttempt) int {
+	slices.SortStableFunc(out, func(x, y *agentAttempt) int {
 		return cmp.Or(
-			cmp.Compare(precedence(b), precedence(a)),
-			cmp.Compare(a.spec.Class, b.spec.Class),
-			cmp.Compare(a.spec.SubmittedMs, b.spec.SubmittedMs),
+			cmp.Compare(precedence(y), precedence(x)),
+			cmp.Compare(x.spec.Class, y.spec.Class),
+			cmp.Compare(x.spec.SubmittedMs, y.spec.SubmittedMs),
 		)
 	})
 	return out
@@ -200,7 +200,7 @@
 // mayPreempt tells whether a queueable run may be stopped for a waiting task.
 func (n *node) mayPreempt(pending, run *agentAttempt) bool {
 	guaranteed := pending.spec.Class == wire.ClassGuaranteed
-	if !guaranteed && n.now-pending.queuedMs <= urgentWaitMs && n.batchSpec(&run.spec) == nil {
+	if !guaranteed && n.now-pending.queuedMs <= urgentWaitMs && n.batchRulesOfSpec(&run.spec) == nil {
 		return false // it may be called back meanwhile
 	}
 	mine, others := n.precedence(pending.spec.Queue, pending.spec.Excess), n.precedence(run.spec.Queue, run.spec.Excess)
--- a/internal/daemon/agent_health.go
+++ b/internal/daemon/agent_health.go
@@ -22,12 +22,12 @@
 	if attempt.unobserved || attempt.spec.Queue == "" {
 		return
 	}
-	if agent.ended == nil {
-		agent.ended, agent.failedJobs = map[string]scheduler.EndCounts{}, map[string]int64{}
+	if agent.endCounts == nil {
+		agent.endCounts, agent.failedJobs = map[string]scheduler.EndCounts{}, map[string]int64{}
 	}
-	counts := agent.ended[attempt.spec.Queue]
+	counts := agent.endCounts[attempt.spec.Queue]
 	counts.Observe(failed)
-	agent.ended[attempt.spec.Queue] = counts
+	agent.endCounts[attempt.spec.Queue] = counts
 	if failed {
 		lastMs, before := agent.failedJobs[attempt.spec.Key.Job]
 		agent.failedJobs[attempt.spec.Key.Job] = n.now
@@ -35,7 +35,7 @@
 			return
 		}
 	}
-	if n.now >= agent.suspectMs {
+	if n.now >= agent.suspectUntilMs {
 		agent.evidence.Observe(failed, n.ranks.failRate(attempt.spec.Queue))
 	}
 }
@@ -59,15 +59,15 @@
 
 // suspectWorker has a worker get no more work for a while, each time for longer.
 func (n *node) suspectWorker(agent *workerAgent, why string, forMs int64) {
-	agent.suspects = min(agent.suspects+1, suspectMax)
-	agent.suspectMs = n.now + forMs<<(agent.suspects-1)
-	n.log("worker_suspect", "worker", agent.worker, "why", why, "for_ms", agent.suspectMs-n.now)
+	agent.suspectCount = min(agent.suspectCount+1, suspectMax)
+	agent.suspectUntilMs = n.now + forMs<<(agent.suspectCount-1)
+	n.log("worker_suspect", "worker", agent.worker, "why", why, "for_ms", agent.suspectUntilMs-n.now)
 }
 
 // endsByQueue is how runs ended here lately, for the coordinator.
 func (a *workerAgent) endsByQueue() (ends []wire.QueueEnds) {
-	for _, queue := range sortedKeys(a.ended) {
-		counts := a.ended[queue]
+	for _, queue := range sortedKeys(a.endCounts) {
+		counts := a.endCounts[queue]
 		ends = append(ends, wire.QueueEnds{Queue: queue, Succeeded: counts.Succeeded, Failed: counts.Failed})
 	}
 	return ends
--- a/internal/daemon/agent_report.go
+++ b/internal/daemon/agent_report.go
@@ -120,7 +120,7 @@
 		agent.pastIncarnations = agent.pastIncarnations[max(0, len(agent.pastIncarnations)-pastIncarnationsMax):]
 		n.log("worker_new_incarnation", "worker", agent.worker, "epoch", agent.epoch)
 	}
-	agent.workerIncarnation, agent.reportSeq, agent.heardMs = inc, seq, n.now
+	agent.workerIncarnation, agent.reportSeq, agent.lastContactMs = inc, seq, n.now
 	agent.addr, agent.zone, agent.leaving = r.Get("address").Str, r.Get("site").Str, r.Get("leaving").Bool()
 	agent.labels, agent.free = labelsOf(r.Get("labels")), resource.Parse(r.Get("free"))
 	agent.tokenMs = -1 << 40
@@ -268,10 +268,10 @@
 		agent.succeeded++
 		n.observeEnd(agent, attempt, false)
 		if attempt.spec.Class == wire.ClassQueueable {
-			agent.lastOK = n.now
+			agent.lastSuccessMs = n.now
 		}
 		if attempt.spec.EstimateMs > 0 && !attempt.unobserved {
-			agent.lagPct += (min(100*ranMs/attempt.spec.EstimateMs, 2000) - agent.lagPct) / 8
+			agent.lagPercent += (min(100*ranMs/attempt.spec.EstimateMs, 2000) - agent.lagPercent) / 8
 		}
 	case "failed":
 		attempt.result = wire.ResultFailed
--- a/internal/daemon/agent_sync.go
+++ b/internal/daemon/agent_sync.go
@@ -11,12 +11,12 @@
 func (n *node) onPlacement(_ string, m *wire.Placement) {
 	agent := n.agents[m.Worker]
 	if agent == nil || agent.epoch != m.AgentEpoch || !n.isActiveAgent(agent) && !agent.replaced ||
-		m.ShardEpoch < agent.owners[m.Spec.Shard] ||
+		m.ShardEpoch < agent.ownerEpochs[m.Spec.Shard] ||
 		n.now-m.EchoMs > ownerContactMs {
 		n.count("placements_stale")
 		return
 	}
-	agent.owners[m.Spec.Shard] = m.ShardEpoch
+	agent.ownerEpochs[m.Spec.Shard] = m.ShardEpoch
 	if attempt := agent.attempts[m.Spec.Key]; attempt != nil {
 		attempt.confirmedMs = max(attempt.confirmedMs, m.EchoMs)
 		return
@@ -49,14 +49,14 @@
 // onOwnerReply applies an owner's decisions on what this agent holds of its jobs.
 func (n *node) onOwnerReply(_ string, m *wire.OwnerReply) {
 	agent := n.agents[m.Worker]
-	if agent == nil || agent.epoch != m.Epoch || m.ShardEpoch < agent.owners[m.Shard] {
+	if agent == nil || agent.epoch != m.Epoch || m.ShardEpoch < agent.ownerEpochs[m.Shard] {
 		return
 	}
-	agent.owners[m.Shard] = m.ShardEpoch
-	agent.heardOwner(m.Shard, m.SentMs, n.now)
+	agent.ownerEpochs[m.Shard] = m.ShardEpoch
+	agent.recordOwnerReply(m.Shard, m.SentMs, n.now)
 	for _, s := range m.Specs {
-		if attempt := agent.attempts[s.Key]; attempt != nil && attempt.unknown {
-			attempt.spec, attempt.unknown = s, false
+		if attempt := agent.attempts[s.Key]; attempt != nil && attempt.specUnknown {
+			attempt.spec, attempt.specUnknown = s, false
 		}
 	}
 	recalled := false
@@ -115,7 +115,7 @@
 	var tq, tr int64
 	now := n.now
 	for _, attempt := range a.attempts {
-		if n.batchSpec(&attempt.spec) != nil {
+		if n.batchRulesOfSpec(&attempt.spec) != nil {
 			continue
 		}
 		switch attempt.state {
@@ -126,23 +126,23 @@
 			tr += max(0, attempt.spec.EstimateMs-(now-max(attempt.startedMs, attempt.orderedMs)))
 		}
 	}
-	return tq + tr + (now - a.lastOK), tq, queued
+	return tq + tr + (now - a.lastSuccessMs), tq, queued
 }
 
 // reportAgent tells each shard's owner and the central scheduler all it holds.
 func (n *node) reportAgent(agent *workerAgent) {
-	agent.syncAt = n.now + agentSyncMs
+	agent.nextSyncMs = n.now + agentSyncMs
 	if agent.colocated {
-		agent.syncAt = n.now + fullReportMs
+		agent.nextSyncMs = n.now + fullReportMs
 	}
 	if !n.isActiveAgent(agent) && !agent.replaced {
 		return
 	}
-	base, keys := n.reportOf(agent), agent.keys()
+	base, keys := n.baseReport(agent), agent.keys()
 	for _, target := range append([]string{""}, n.core.Shards...) {
 		n.sendReport(agent, base, target, keys)
 	}
-	agent.changesWait = false
+	agent.changesPending = false
 }
 
 // sendReport sends a report to the owner of a shard, or without one to the central
@@ -152,20 +152,20 @@
 	if to == "" {
 		return
 	}
-	if to != agent.reported[target].to {
+	if to != agent.lastReports[target].to {
 		n.peers.AnnounceTo([]string{to}) // gossip may not have told it where this agent is
 	}
 	m.Shard = target
-	m.Batch = agent.batchHeld(n, target)
+	m.Batch = agent.batchUse(n, target)
 	if target == "" {
 		m.Ends = agent.endsByQueue()
 	}
 	n.addAttempts(&m, agent, keys)
 	n.send(to, &m)
-	if agent.reported == nil {
-		agent.reported = map[string]sentReport{}
+	if agent.lastReports == nil {
+		agent.lastReports = map[string]sentReport{}
 	}
-	agent.reported[target] = sentReport{to: to, atMs: n.now}
+	agent.lastReports[target] = sentReport{to: to, atMs: n.now}
 	if target == "" {
 		agent.guaranteedEnded = false
 	}
@@ -181,20 +181,20 @@
 	return to
 }
 
-// reportOf is what a report says of the worker and its agent, to whomever it goes.
-func (n *node) reportOf(agent *workerAgent) wire.AgentReport {
+// baseReport is what a report says of the worker and its agent, to whomever it goes.
+func (n *node) baseReport(agent *workerAgent) wire.AgentReport {
 	rank, queuedMs, queued := agent.rankOf(n)
-	waiting, spare := agent.withoutBatches(n)
+	waiting, spare := agent.loadWithoutBatches(n)
 	return wire.AgentReport{
 		Worker: agent.worker, Agent: n.Name, Epoch: agent.epoch, SentMs: n.now,
-		Rebuilt: agent.rebuilt, Fresh: n.now-agent.tokenMs <= workerReportMaxAgeMs, SilentMs: n.now - agent.heardMs,
+		Rebuilt: agent.rebuilt, Fresh: n.now-agent.tokenMs <= workerReportMaxAgeMs, SilentMs: n.now - agent.lastContactMs,
 		Zone: agent.zone, Labels: agent.labels, Rack: agent.rack, Leaving: agent.leaving,
 		Free: agent.free, Capacity: agent.capacity, Spare: spare, Waiting: waiting,
-		Suspect: n.now < agent.suspectMs, Doubtful: agent.evidence.Doubtful(),
-		Probation: agent.suspects > 0 && n.now >= agent.suspectMs, Colocated: agent.colocated,
+		Suspect: n.now < agent.suspectUntilMs, Doubtful: agent.evidence.Doubtful(),
+		Probation: agent.suspectCount > 0 && n.now >= agent.suspectUntilMs, Colocated: agent.colocated,
 		RankMs: rank, QueuedMs: queuedMs, Queued: queued,
-		Succeeded: agent.succeeded, Failed: agent.failed, LagPercent: agent.lagPct,
-		Urgent: agent.urgentHeld(n, wire.AttemptQueued, wire.AttemptOrdered, wire.AttemptRunning),
+		Succeeded: agent.succeeded, Failed: agent.failed, LagPercent: agent.lagPercent,
+		Urgent: agent.urgentUse(n, wire.AttemptQueued, wire.AttemptOrdered, wire.AttemptRunning),
 	}
 }
 
@@ -209,9 +209,9 @@
 		switch {
 		case m.Shard == "" && !n.concernsCentral(attempt):
 		case m.Shard != "" && (attempt.spec.Shard != m.Shard || attempt.state == wire.AttemptEnded && attempt.acked):
-		case m.Partial && !n.isNews(attempt):
+		case m.Partial && !n.isReportable(attempt):
 		default:
-			m.Attempts = append(m.Attempts, n.statusOf(attempt))
+			m.Attempts = append(m.Attempts, n.attemptStatus(attempt))
 			if attempt.state == wire.AttemptEnded {
 				attempt.reportedMs = n.now
 			}
@@ -219,7 +219,7 @@
 	}
 }
 
-func (n *node) statusOf(attempt *agentAttempt) wire.AttemptStatus {
+func (n *node) attemptStatus(attempt *agentAttempt) wire.AttemptStatus {
 	ran := attempt.ranMs
 	if attempt.state == wire.AttemptRunning {
 		ran = n.now - attempt.startedMs
@@ -227,7 +227,7 @@
 	return wire.AttemptStatus{
 		Key: attempt.spec.Key, Class: attempt.spec.Class, State: attempt.state, Result: attempt.result, Resources: attempt.spec.Resources,
 		RanMs: ran, EstimateMs: attempt.spec.EstimateMs, Queue: attempt.spec.Queue, Name: attempt.spec.Name, Saved: attempt.spec.Saved,
-		Unknown: attempt.unknown, Late: attempt.lateEnd, QueueMs: attempt.queueMs(), StartMs: attempt.startMs(),
+		Unknown: attempt.specUnknown, Late: attempt.lateEnd, QueueMs: attempt.queueMs(), StartMs: attempt.startMs(),
 	}
 }
 
@@ -252,14 +252,14 @@
 // rank meets the coordinator's target.
 func (n *node) shed(agent *workerAgent, targetMs int64) {
 	rank, _, _ := agent.rankOf(n)
-	queue := agent.waiting(n)
+	queue := agent.queuedAttempts(n)
 	slices.Reverse(queue)
 	some := false
 	for _, attempt := range queue {
 		if rank <= targetMs {
 			break
 		}
-		if attempt.spec.Class != wire.ClassQueueable || n.batchSpec(&attempt.spec) != nil {
+		if attempt.spec.Class != wire.ClassQueueable || n.batchRulesOfSpec(&attempt.spec) != nil {
 			continue
 		}
 		rank -= attempt.spec.EstimateMs
@@ -279,7 +279,7 @@
 	}
 	attempt := agent.attempts[m.Key]
 	if attempt == nil || attempt.state != wire.AttemptRunning || attempt.stopMs != 0 || attempt.spec.Class != wire.ClassQueueable ||
-		n.batchSpec(&attempt.spec) != nil {
+		n.batchRulesOfSpec(&attempt.spec) != nil {
 		return
 	}
 	firm := attempt.spec.Resources
--- a/internal/daemon/allocate.go
+++ b/internal/daemon/allocate.go
@@ -36,7 +36,7 @@
 // allocateSoon gives guaranteed places now, or with a later event where the last pass was just
 // now: what a pass costs grows with requests and workers, and may not fill the control thread.
 func (n *node) allocateSoon(c *centralScheduler) {
-	if n.now >= c.allocateAtMs {
+	if n.now >= c.nextAllocationMs {
 		n.allocateAll(c)
 	}
 }
@@ -51,7 +51,7 @@
 	if len(keys) == 0 {
 		return
 	}
-	c.allocateAtMs = n.now + int64(len(keys)*len(c.workers)/allocationsPerMs)
+	c.nextAllocationMs = n.now + int64(len(keys)*len(c.workers)/allocationsPerMs)
 	candidates := n.candidateWorkers(c)
 	pass := &allocationPass{
 		candidates: candidates,
@@ -169,7 +169,7 @@
 ) *scheduler.Assignment {
 	search := &scheduler.Assignment{
 		Group: n.groupOf(request), Used: map[string]int32{}, Reserved: reserved,
-		Urgent: n.usesKeptRoom(q, request.Excess), Kept: n.central.urgent.Percent(),
+		Urgent: n.mayUseUrgentRoom(q, request.Excess), Kept: n.central.urgentShare.Percent(),
 		WaitsForRack: n.waitsForRack(request, n.rackWaitMs(request)),
 	}
 	for _, u := range request.Used {
--- a/internal/daemon/allocation_request.go
+++ b/internal/daemon/allocation_request.go
@@ -11,7 +11,7 @@
 // for all of them that wait now, and for a gang once nobody of it is placed.
 func (n *node) requestAllocation(shard *ownedShard, job *liveJob, i int) {
 	to, _ := n.leases.Holder(lease.Central)
-	if to == "" || !n.gangMayBegin(job, i) {
+	if to == "" || !n.gangReady(job, i) {
 		return
 	}
 	m := n.newAllocationRequest(shard, job, i)
@@ -64,8 +64,8 @@
 	return t.State == taskPending && t.ChangedVersion <= job.committed && n.now >= job.runtime[k].retryAtMs
 }
 
-// gangMayBegin tells whether all members of a task's gang wait for a place; true for a single task.
-func (n *node) gangMayBegin(job *liveJob, i int) bool {
+// gangReady tells whether all members of a task's gang wait for a place; true for a single task.
+func (n *node) gangReady(job *liveJob, i int) bool {
 	if !job.Steps[job.Tasks[i].Step].Gang {
 		return true
 	}
@@ -141,7 +141,7 @@
 
 // onAllocation takes guaranteed places from the central scheduler; a gang's all or none.
 func (n *node) onAllocation(_ string, m *wire.Allocation) {
-	shard := n.owned[m.Shard]
+	shard := n.shards[m.Shard]
 	if shard == nil || !n.leases.Holds(lease.ShardRole(m.Shard)) {
 		return
 	}
@@ -150,19 +150,19 @@
 		return
 	}
 	q := n.config.current.Queues[job.Queue]
-	if !n.takesGang(shard, job, q, m.Places) {
+	if !n.acceptsGang(shard, job, q, m.Places) {
 		n.count("grants_not_taken")
 		return
 	}
 	for _, p := range m.Places {
-		if i, ok := n.mayTake(job, q, p); !ok || !n.takePlace(shard, job, i, p) {
+		if i, ok := n.acceptsPlace(job, q, p); !ok || !n.applyPlace(shard, job, i, p) {
 			n.count("grants_not_taken")
 		}
 	}
 }
 
-// mayTake gives the position of a task that was granted a place, and whether it may go there.
-func (n *node) mayTake(job *liveJob, q *configuration.Queue, p wire.AllocatedTask) (i int, ok bool) {
+// acceptsPlace gives the position of a task that was granted a place, and whether it may go there.
+func (n *node) acceptsPlace(job *liveJob, q *configuration.Queue, p wire.AllocatedTask) (i int, ok bool) {
 	i, _, known := job.position(p.Task)
 	w := n.workers[p.Worker]
 	if !known || w == nil || q == nil {
@@ -173,9 +173,9 @@
 		n.workerAllowed(w, q, t.Needs, t.Resources)
 }
 
-// takesGang tells whether places for a gang are for all its members and within its tenant's share;
+// acceptsGang tells whether places for a gang are for all its members and within its tenant's share;
 // true for single tasks.
-func (n *node) takesGang(shard *ownedShard, job *liveJob, q *configuration.Queue, places []wire.AllocatedTask) bool {
+func (n *node) acceptsGang(shard *ownedShard, job *liveJob, q *configuration.Queue, places []wire.AllocatedTask) bool {
 	if len(places) == 0 {
 		return true
 	}
@@ -185,16 +185,16 @@
 	}
 	whole := 0
 	for _, p := range places {
-		if _, ok := n.mayTake(job, q, p); ok {
+		if _, ok := n.acceptsPlace(job, q, p); ok {
 			whole++
 		}
 	}
 	return whole >= int(job.Steps[job.Tasks[first].Step].Size) && n.hasReservedShare(shard, job, first, job.allocationUnit(first))
 }
 
-// takePlace places a task where it was granted a place, if its step and its tenant's share still
+// applyPlace places a task where it was granted a place, if its step and its tenant's share still
 // allow that.
-func (n *node) takePlace(shard *ownedShard, job *liveJob, i int, p wire.AllocatedTask) bool {
+func (n *node) applyPlace(shard *ownedShard, job *liveJob, i int, p wire.AllocatedTask) bool {
 	step := &job.Steps[job.Tasks[i].Step]
 	if step.PerWorker > 0 && job.stepTasksByWorker(i)[p.Worker] >= step.PerWorker {
 		return false
--- a/internal/daemon/archive_test.go
+++ b/internal/daemon/archive_test.go
@@ -71,7 +71,7 @@
 	n.kill(false)
 	must.True(t, w.until(8000, func() bool {
 		h := w.holderOf("slice/east")
-		return h != nil && h.sh.node.owned["east"].serving
+		return h != nil && h.sh.node.shards["east"].serving
 	}))
 	must.Less(t, wire.MaxFrame, w.largest)
 }
--- a/internal/daemon/attempt_result.go
+++ b/internal/daemon/attempt_result.go
@@ -45,10 +45,10 @@
 		if !n.countFailure(job, i) {
 			break
 		}
-		rt.retryAtMs = n.now + n.backoffOf(step, t)
+		rt.retryAtMs = n.now + n.backoffMs(step, t)
 	case wire.ResultPreempted:
 		t.Preempts++
-		rt.retryAtMs = n.batchBack(job)
+		rt.retryAtMs = n.batchRetryAtMs(job)
 	case wire.ResultStalled, wire.ResultLost:
 		t.LastFailedWorker = t.Worker
 	case wire.ResultShed, wire.ResultRejected:
@@ -92,9 +92,9 @@
 // onLastAttempt tells whether a task may fail no more.
 func (t *task) onLastAttempt() bool { return t.Failures > 0 && t.Failures+1 >= t.maxFailures() }
 
-// backoffOf is how long a task waits after a failure. Of many tasks alike some fail, and the
+// backoffMs is how long a task waits after a failure. Of many tasks alike some fail, and the
 // next try is elsewhere: the first one comes at once.
-func (n *node) backoffOf(step *jobStep, t *task) int64 {
+func (n *node) backoffMs(step *jobStep, t *task) int64 {
 	wait := int64(backoffBaseMs) << min(t.Failures-1, 10)
 	switch {
 	case step.Uniform && t.Failures == 1 && n.Policies.On(scheduler.RetryAtOnce):
--- a/internal/daemon/ballot_test.go
+++ b/internal/daemon/ballot_test.go
@@ -68,10 +68,10 @@
 // propose begins a change of the setup to version 1 with this queue, and gives
 // what is sent for it.
 func propose(n *node, queue string) (*registerChange, map[string]any) {
-	n.out = nil
+	n.effects = nil
 	o := n.startChange("setup", "setup", queueSetup(queue, ""), 0)
-	o.change = configuration.ChangeID{Version: 1}
-	return o, byMember(n.out)
+	o.changeID = configuration.ChangeID{Version: 1}
+	return o, byMember(n.effects)
 }
 
 func byMember(effects []effect) map[string]any {
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -43,7 +43,7 @@
 	OpenMs     int64 // and its beginning
 	Price      float64
 	DeadlineMs int64
-	Must       bool // it starts at any price now, to be complete in time
+	AtAnyPrice bool // it starts at any price now, to be complete in time
 }
 
 // planBatch decides when a job may start that came, or was due, at some time and
@@ -54,7 +54,7 @@
 	p := batchPlan{DeadlineMs: fromMs + r.FinishByMs}
 	latest := p.DeadlineMs - needMs
 	if nowMs >= latest {
-		p.StartMs, p.OpenMs, p.CloseMs, p.Must = max(fromMs, latest), nowMs, p.DeadlineMs, true
+		p.StartMs, p.OpenMs, p.CloseMs, p.AtAnyPrice = max(fromMs, latest), nowMs, p.DeadlineMs, true
 		p.Price = r.Contract.Windows(nowMs, nowMs)[0].Price
 		return p
 	}
@@ -78,15 +78,15 @@
 // mayStart tells whether a task that takes about so long may start now: within
 // the window, and not so late that most of it would lie behind its end.
 func (p *batchPlan) mayStart(wallMs, estMs int64) bool {
-	if p.Must {
+	if p.AtAnyPrice {
 		return wallMs >= p.StartMs
 	}
 	return wallMs >= p.StartMs && wallMs < p.CloseMs && (wallMs+estMs <= p.CloseMs || estMs > p.CloseMs-p.OpenMs)
 }
 
-// batchOf gives the rules that a job is held by. Gangs and lasting tasks, which a
+// batchRules gives the rules that a job is held by. Gangs and lasting tasks, which a
 // queue may have had before it took batches, run as they did.
-func (n *node) batchOf(j *jobRecord) *configuration.Batch {
+func (n *node) batchRules(j *jobRecord) *configuration.Batch {
 	q := n.config.current.Queues[j.Queue]
 	if q == nil || q.Batch == nil || slices.ContainsFunc(j.Steps, func(s jobStep) bool { return s.Gang || s.Lasting }) {
 		return nil
@@ -94,16 +94,16 @@
 	return q.Batch
 }
 
-// batchSpec gives the rules for a task at a worker, if it is a batch's.
-func (n *node) batchSpec(s *wire.TaskSpec) *configuration.Batch {
+// batchRulesOfSpec gives the rules for a task at a worker, if it is a batch's.
+func (n *node) batchRulesOfSpec(s *wire.TaskSpec) *configuration.Batch {
 	if q := n.config.current.Queues[s.Queue]; q != nil && s.Class == wire.ClassQueueable {
 		return q.Batch
 	}
 	return nil
 }
 
-// batchFrom is when the time that a job has to finish began.
-func (j *jobRecord) batchFrom() int64 {
+// batchFromMs is when the time that a job has to finish began.
+func (j *jobRecord) batchFromMs() int64 {
 	for i := range j.Tasks {
 		if t := &j.Tasks[i]; !t.isTerminal() {
 			return max(j.SubmitMs, j.roundDueMs(t.Round))
@@ -135,10 +135,10 @@
 	var list []due
 	for _, id := range sortedKeys(shard.jobs) {
 		job := shard.jobs[id]
-		if r := n.batchOf(&job.jobRecord); r == nil || job.DoneMs != 0 {
+		if r := n.batchRules(&job.jobRecord); r == nil || job.DoneMs != 0 {
 			job.plan = nil
 		} else {
-			from := job.batchFrom()
+			from := job.batchFromMs()
 			list = append(list, due{job, r, from, from + r.FinishByMs})
 		}
 	}
@@ -150,14 +150,14 @@
 	for _, e := range list {
 		all, known := room[e.job.Queue]
 		if !known {
-			all = n.batchRoom(e.job.Queue, e.r)
+			all = n.batchCapacity(e.job.Queue, e.r)
 			room[e.job.Queue] = all
 		}
-		chain, work := n.batchNeed(e.job, all)
+		chain, work := n.batchRemaining(e.job, all)
 		ahead += work * float64(max(1, len(n.core.Shards))) // the other shards hold as much
 		need := (int64(ahead)+chain)*batchSlackPercent/100 + batchMarginMs
 		p := planBatch(e.r, e.job.ID, e.from, wall, need)
-		if p.Must && (e.job.plan == nil || !e.job.plan.Must) {
+		if p.AtAnyPrice && (e.job.plan == nil || !e.job.plan.AtAnyPrice) {
 			n.count("batches_at_any_price")
 			n.log("batch_at_any_price", "job", e.job.ID, "queue", e.job.Queue, "need_ms", need, "price", p.Price)
 		}
@@ -165,8 +165,8 @@
 	}
 }
 
-// batchRoom is all the room that a queue's batches may have at once.
-func (n *node) batchRoom(queue string, r *configuration.Batch) (all resource.Amount) {
+// batchCapacity is all the room that a queue's batches may have at once.
+func (n *node) batchCapacity(queue string, r *configuration.Batch) (all resource.Amount) {
 	q := n.config.current.Queues[queue]
 	for _, w := range n.workers {
 		if n.now-w.receivedMs < workerSilentMs && !w.leaving && !n.config.current.EmptyZones[w.zone] && q.Matches(w.labels, w.zone) {
@@ -176,9 +176,9 @@
 	return all
 }
 
-// batchNeed is what a job still needs, in ms: along its longest chain of steps, and
+// batchRemaining is what a job still needs, in ms: along its longest chain of steps, and
 // of all the room that batches may have.
-func (n *node) batchNeed(job *liveJob, room resource.Amount) (chainMs int64, workMs float64) {
+func (n *node) batchRemaining(job *liveJob, room resource.Amount) (chainMs int64, workMs float64) {
 	longest := make([]int64, len(job.Steps))
 	for i := range job.Tasks {
 		t := &job.Tasks[i]
@@ -218,7 +218,7 @@
 // shortOfRoom tells whether more urgent work waits: of this shard for a place, of
 // any shard for a firm one, or at many of the workers.
 func (n *node) shortOfRoom(shard *ownedShard) bool {
-	if shard.starvedMs != 0 && n.now-shard.starvedMs < batchPauseMs || n.ranks.short && n.now-n.ranks.receivedMs < rankStaleMs {
+	if shard.starvedMs != 0 && n.now-shard.starvedMs < batchPauseMs || n.ranks.roomShort && n.now-n.ranks.receivedMs < rankStaleMs {
 		return true
 	}
 	waits, all := 0, 0
@@ -262,10 +262,10 @@
 	return sum
 }
 
-// batchPart tells whether a batch task fits at a worker within the batches' share and beside
+// batchFraction tells whether a batch task fits at a worker within the batches' share and beside
 // what is kept for more urgent work, and what part of the worker its queue's batches hold: the
 // worker with the least of that is chosen.
-func (n *node) batchPart(
+func (n *node) batchFraction(
 	shard *ownedShard,
 	job *liveJob,
 	t *task,
@@ -274,13 +274,13 @@
 ) (part float64, fits bool) {
 	w := n.workers[worker]
 	kept := w.capacity.Share(batchHeadroomPercent)
-	if job.plan.Must {
+	if job.plan.AtAnyPrice {
 		kept = resource.Amount{}
 	}
 	if !t.Resources.Plus(kept).Fits(n.freeResources(shard, worker, w)) {
 		return 0, false
 	}
-	if !job.plan.Must && !n.batchLoad(shard, "", worker).Plus(t.Resources).Plus(kept).Fits(w.spare.least()) {
+	if !job.plan.AtAnyPrice && !n.batchLoad(shard, "", worker).Plus(t.Resources).Plus(kept).Fits(w.spare.least()) {
 		return 0, false
 	}
 	load := n.batchLoad(shard, job.Queue, worker)
@@ -291,7 +291,7 @@
 	if w.capacity.Memory > 0 {
 		part = max(part, float64(load.Memory)/float64(w.capacity.Memory))
 	}
-	if job.plan.Must { // where most is free: there it is pushed out the least
+	if job.plan.AtAnyPrice { // where most is free: there it is pushed out the least
 		free := n.freeResources(shard, worker, w)
 		part = 1 - float64(free.CPU)/float64(max(w.capacity.CPU, 1))
 	}
@@ -311,7 +311,7 @@
 	}
 	shard.batchTriesInTick++
 	job.runtime[i].retryAtMs = n.now + batchRecheckMs/2 + n.rand().Int64N(batchRecheckMs)
-	if !job.plan.Must && n.shortOfRoom(shard) {
+	if !job.plan.AtAnyPrice && n.shortOfRoom(shard) {
 		return ""
 	}
 	t := &job.Tasks[i]
@@ -327,7 +327,7 @@
 			step.PerWorker > 0 && used[name] >= step.PerWorker {
 			continue
 		}
-		part, fits := n.batchPart(shard, job, t, name, q.Batch.SharePercent)
+		part, fits := n.batchFraction(shard, job, t, name, q.Batch.SharePercent)
 		if !fits {
 			continue
 		}
@@ -347,7 +347,7 @@
 
 // explainHeld tells why a task of a batch has not started, and until when.
 func (n *node) explainHeld(job *liveJob, t *task) string {
-	r, p, wall := n.batchOf(&job.jobRecord), job.plan, n.fleetTime()
+	r, p, wall := n.batchRules(&job.jobRecord), job.plan, n.fleetTime()
 	if r == nil {
 		return ""
 	}
@@ -372,10 +372,10 @@
 			by,
 		)
 	}
-	if !p.Must && n.shortOfRoomAnywhere() {
+	if !p.AtAnyPrice && n.shortOfRoomAnywhere() {
 		return "held while more urgent work waits for room" + by
 	}
-	if !t.Resources.Fits(n.batchMost(job.Queue, r)) {
+	if !t.Resources.Fits(n.largestBatchShare(job.Queue, r)) {
 		return fmt.Sprintf("no worker can hold it within the %d percent that batches of this queue may take", r.SharePercent)
 	}
 	return "waiting for its share of the workers' room" + by
@@ -383,7 +383,7 @@
 
 // shortOfRoomAnywhere is shortOfRoom for any shard owned here.
 func (n *node) shortOfRoomAnywhere() bool {
-	for _, shard := range n.owned {
+	for _, shard := range n.shards {
 		if n.shortOfRoom(shard) {
 			return true
 		}
@@ -391,8 +391,8 @@
 	return false
 }
 
-// batchMost is the largest share that one worker has for a queue's batches.
-func (n *node) batchMost(queue string, r *configuration.Batch) (most resource.Amount) {
+// largestBatchShare is the largest share that one worker has for a queue's batches.
+func (n *node) largestBatchShare(queue string, r *configuration.Batch) (most resource.Amount) {
 	q := n.config.current.Queues[queue]
 	for _, w := range n.workers {
 		if s := w.capacity.Share(r.SharePercent); n.workerAllowed(w, q, nil, resource.Amount{}) {
@@ -409,9 +409,9 @@
 
 func priceText(p float64) string { return fmt.Sprintf("%g", p) }
 
-// batchBack lets a batch task that was pushed out wait before its next try.
-func (n *node) batchBack(job *liveJob) int64 {
-	if n.batchOf(&job.jobRecord) == nil {
+// batchRetryAtMs lets a batch task that was pushed out wait before its next try.
+func (n *node) batchRetryAtMs(job *liveJob) int64 {
+	if n.batchRules(&job.jobRecord) == nil {
 		return 0
 	}
 	return n.now + batchRetryMs + n.rand().Int64N(batchRetryMs)
@@ -426,7 +426,7 @@
 // meterBatch counts the core seconds of a run that just ended, at what each
 // part of it cost.
 func (n *node) meterBatch(job *liveJob, t *task, ranMs int64) {
-	r, wall := n.batchOf(&job.jobRecord), n.fleetTime()
+	r, wall := n.batchRules(&job.jobRecord), n.fleetTime()
 	if r == nil || wall == 0 || ranMs <= 0 {
 		return
 	}
@@ -440,9 +440,9 @@
 	}
 }
 
-// batchEnded notes a batch job that is complete, and whether it is late.
-func (n *node) batchEnded(job *liveJob) {
-	if n.batchOf(&job.jobRecord) == nil || job.State != jobComplete || job.plan == nil {
+// recordBatchEnd notes a batch job that is complete, and whether it is late.
+func (n *node) recordBatchEnd(job *liveJob) {
+	if n.batchRules(&job.jobRecord) == nil || job.State != jobComplete || job.plan == nil {
 		return
 	}
 	n.count("batches_complete")
@@ -458,7 +458,7 @@
 	for _, name := range []string{"batches_held", "batches_at_risk"} {
 		out[name] = 0
 	}
-	for _, shard := range n.owned {
+	for _, shard := range n.shards {
 		for _, job := range shard.jobs {
 			if job.plan == nil || job.DoneMs != 0 {
 				continue
@@ -466,18 +466,18 @@
 			if job.state() == "pending" {
 				out["batches_held"]++
 			}
-			if job.plan.Must {
+			if job.plan.AtAnyPrice {
 				out["batches_at_risk"]++
 			}
 		}
 	}
 }
 
-// batchHeld is the room that each queue's batches take at a worker.
-func (a *workerAgent) batchHeld(n *node, but string) (out []wire.QueueUse) {
+// batchUse is the room that each queue's batches take at a worker.
+func (a *workerAgent) batchUse(n *node, but string) (out []wire.QueueUse) {
 	sum := map[string]resource.Amount{}
 	for _, attempt := range a.attempts {
-		if attempt.state != wire.AttemptEnded && (but == "" || attempt.spec.Shard != but) && n.batchSpec(&attempt.spec) != nil {
+		if attempt.state != wire.AttemptEnded && (but == "" || attempt.spec.Shard != but) && n.batchRulesOfSpec(&attempt.spec) != nil {
 			sum[attempt.spec.Queue] = sum[attempt.spec.Queue].Plus(attempt.spec.Resources)
 		}
 	}
@@ -487,12 +487,12 @@
 	return out
 }
 
-// withoutBatches gives the unstarted tasks at a worker that are no batch's, and the
+// loadWithoutBatches gives the unstarted tasks at a worker that are no batch's, and the
 // room that those and the running ones leave.
-func (a *workerAgent) withoutBatches(n *node) (waiting int64, spare resource.Amount) {
+func (a *workerAgent) loadWithoutBatches(n *node) (waiting int64, spare resource.Amount) {
 	spare = a.capacity
 	for _, attempt := range a.attempts {
-		if attempt.state == wire.AttemptEnded || n.batchSpec(&attempt.spec) != nil {
+		if attempt.state == wire.AttemptEnded || n.batchRulesOfSpec(&attempt.spec) != nil {
 			continue
 		}
 		spare = spare.Minus(attempt.spec.Resources)
@@ -505,32 +505,32 @@
 
 // spareWindow keeps the least of some room over the last one to two spans of spareWindowMs.
 type spareWindow struct {
-	now, past resource.Amount
-	known     int // spans seen
-	atMs      int64
+	current, previous resource.Amount
+	windows           int // spans seen
+	atMs              int64
 }
 
-func (l spareWindow) with(nowMs int64, room resource.Amount) spareWindow {
-	if l.known == 0 || nowMs-l.atMs >= spareWindowMs {
-		l = spareWindow{now: room, past: l.now, known: l.known + 1, atMs: nowMs}
+func (l spareWindow) observe(nowMs int64, room resource.Amount) spareWindow {
+	if l.windows == 0 || nowMs-l.atMs >= spareWindowMs {
+		l = spareWindow{current: room, previous: l.current, windows: l.windows + 1, atMs: nowMs}
 	}
-	l.now = resource.Amount{
-		CPU:    min(l.now.CPU, room.CPU),
-		Memory: min(l.now.Memory, room.Memory),
-		GPU:    min(l.now.GPU, room.GPU),
+	l.current = resource.Amount{
+		CPU:    min(l.current.CPU, room.CPU),
+		Memory: min(l.current.Memory, room.Memory),
+		GPU:    min(l.current.GPU, room.GPU),
 	}
 	return l
 }
 
 // least gives nothing until a whole span was seen.
 func (l spareWindow) least() resource.Amount {
-	if l.known < 2 {
+	if l.windows < 2 {
 		return resource.Amount{}
 	}
 	return resource.Amount{
-		CPU:    min(l.now.CPU, l.past.CPU),
-		Memory: min(l.now.Memory, l.past.Memory),
-		GPU:    min(l.now.GPU, l.past.GPU),
+		CPU:    min(l.current.CPU, l.previous.CPU),
+		Memory: min(l.current.Memory, l.previous.Memory),
+		GPU:    min(l.current.GPU, l.previous.GPU),
 	}
 }
 
@@ -547,13 +547,13 @@
 // mayStartBatch guards a worker's room once more when a batch task would start:
 // nothing more urgent waits there, and its queue stays within its share.
 func (n *node) mayStartBatch(agent *workerAgent, attempt *agentAttempt, r *configuration.Batch) bool {
-	if waiting, _ := agent.withoutBatches(n); waiting > 0 {
+	if waiting, _ := agent.loadWithoutBatches(n); waiting > 0 {
 		return false
 	}
 	sum := attempt.spec.Resources
 	for _, o := range agent.attempts {
 		if o != attempt && o.spec.Queue == attempt.spec.Queue && (o.state == wire.AttemptOrdered || o.state == wire.AttemptRunning) &&
-			n.batchSpec(&o.spec) != nil {
+			n.batchRulesOfSpec(&o.spec) != nil {
 			sum = sum.Plus(o.spec.Resources)
 		}
 	}
@@ -565,7 +565,7 @@
 func (n *node) returnBatches(agent *workerAgent, queue []*agentAttempt) []*agentAttempt {
 	some := false
 	queue = slices.DeleteFunc(queue, func(attempt *agentAttempt) bool {
-		if n.batchSpec(&attempt.spec) == nil || n.now-attempt.queuedMs <= batchReturnMs {
+		if n.batchRulesOfSpec(&attempt.spec) == nil || n.now-attempt.queuedMs <= batchReturnMs {
 			return false
 		}
 		attempt.state, attempt.result, some = wire.AttemptEnded, wire.ResultShed, true
--- a/internal/daemon/batch_test.go
+++ b/internal/daemon/batch_test.go
@@ -40,7 +40,7 @@
 	night := &configuration.Batch{Contract: mustContract(t, nightContract), FinishByMs: 20 * msPerHour, SharePercent: 30}
 	came := at(0, 14)
 	p := planBatch(night, "j1", came, came, msPerHour)
-	must.False(t, p.Must)
+	must.False(t, p.AtAnyPrice)
 	must.Eq(t, 0.04, p.Price)
 	must.Eq(t, at(0, 22), p.OpenMs)
 	must.Eq(t, at(1, 6), p.CloseMs)
@@ -71,7 +71,7 @@
 	morning := &configuration.Batch{Contract: night.Contract, FinishByMs: 4 * msPerHour, SharePercent: 30}
 	p = planBatch(morning, "j2", at(1, 5), at(1, 7), msPerHour)
 	must.Eq(t, 0.08, p.Price)
-	must.False(t, p.Must)
+	must.False(t, p.AtAnyPrice)
 	p = planBatch(morning, "j2", at(1, 9), at(1, 9), msPerHour)
 	must.Eq(t, 0.12, p.Price)
 	must.Eq(t, at(1, 9), p.StartMs)
@@ -82,7 +82,7 @@
 	p = planBatch(night, "j3", at(0, 7), at(0, 7), 6*msPerHour)
 	must.Eq(t, at(0, 7), p.StartMs) // 0.08 is the least before 21:00
 	p = planBatch(night, "j3", at(0, 7), at(0, 21), 6*msPerHour)
-	must.True(t, p.Must)
+	must.True(t, p.AtAnyPrice)
 	must.True(t, p.mayStart(at(0, 21), 1000))
 	must.Eq(t, 0.12, p.Price)
 
@@ -94,7 +94,7 @@
 	// a clock that goes back holds it again, one that jumps on makes it start
 	p = planBatch(night, "j1", came, at(0, 21), msPerHour)
 	must.False(t, p.mayStart(at(0, 21), 1000))
-	must.True(t, planBatch(night, "j1", came, at(2, 0), msPerHour).Must)
+	must.True(t, planBatch(night, "j1", came, at(2, 0), msPerHour).AtAnyPrice)
 
 	// an offset of its own: 22:00 there is another time
 	west := mustContract(t, strings.Replace(nightContract, "120", "-480", 1))
@@ -119,7 +119,7 @@
 
 func (n *node) batchSlice() *ownedShard {
 	shard := &ownedShard{name: "east", serving: true, jobs: map[string]*liveJob{}, placedByWorker: map[string]map[taskRef]resource.Amount{}, loadByWorker: map[string]resource.Amount{}, batchUseByWorker: map[queueOnWorker]resource.Amount{}}
-	n.owned["east"] = shard
+	n.shards["east"] = shard
 	return shard
 }
 
@@ -145,8 +145,8 @@
 // that urgent work pushes batches out at once, and nothing else sooner.
 func TestBatchAtTheAgent(t *testing.T) {
 	n := batchNode(t, aMonday)
-	agent := &workerAgent{worker: "w", colocated: true, rebuilt: true, tokenMs: n.now, heardMs: n.now, lastOK: n.now, capacity: resource.Amount{CPU: 100}, free: resource.Amount{CPU: 100}, attempts: map[wire.AttemptKey]*agentAttempt{},
-		tombstones: map[wire.AttemptKey]int64{}, owners: map[string]uint64{}, ownerMs: map[string]int64{}, ends: map[int64]wire.AttemptKey{}}
+	agent := &workerAgent{worker: "w", colocated: true, rebuilt: true, tokenMs: n.now, lastContactMs: n.now, lastSuccessMs: n.now, capacity: resource.Amount{CPU: 100}, free: resource.Amount{CPU: 100}, attempts: map[wire.AttemptKey]*agentAttempt{},
+		tombstones: map[wire.AttemptKey]int64{}, ownerEpochs: map[string]uint64{}, ownerReplyMs: map[string]int64{}, endsByNumber: map[int64]wire.AttemptKey{}}
 	n.agents["w"] = agent
 	queued := func(id, queue string, class wire.TaskClass, room int64) *agentAttempt {
 		attempt := &agentAttempt{spec: wire.TaskSpec{Key: wire.AttemptKey{Job: id, Attempt: 1}, Shard: "east", Queue: queue, Class: class, Resources: resource.Amount{CPU: room}}, confirmedMs: n.now, queuedMs: n.now}
@@ -163,8 +163,8 @@
 	one, two := queued("b1", "refresh", wire.ClassQueueable, 20), queued("b2", "refresh", wire.ClassQueueable, 20)
 	pump()
 	must.Eq(t, []wire.AttemptState{wire.AttemptOrdered, wire.AttemptQueued}, []wire.AttemptState{one.state, two.state}) // a second would be above 30 percent
-	must.Eq(t, []wire.QueueUse{{Queue: "refresh", Resources: resource.Amount{CPU: 40}}}, agent.batchHeld(n, ""))
-	must.SliceEmpty(t, agent.batchHeld(n, "east"))
+	must.Eq(t, []wire.QueueUse{{Queue: "refresh", Resources: resource.Amount{CPU: 40}}}, agent.batchUse(n, ""))
+	must.SliceEmpty(t, agent.batchUse(n, "east"))
 	n.now += batchReturnMs + 1
 	agent.tokenMs, n.config.confirmedMs = n.now, n.now
 	pump()
@@ -216,7 +216,7 @@
 func TestBatchChoosesAWorker(t *testing.T) {
 	n := batchNode(t, aMonday)
 	shard := n.batchSlice()
-	roomy := spareWindow{}.with(0, resource.Amount{CPU: 100}).with(spareWindowMs, resource.Amount{CPU: 100})
+	roomy := spareWindow{}.observe(0, resource.Amount{CPU: 100}).observe(spareWindowMs, resource.Amount{CPU: 100})
 	for _, name := range []string{"w1", "w2", "w3"} {
 		n.workers[name] = &workerView{receivedMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 100}, spare: roomy, usedByOthers: map[string]resource.Amount{}, batchUse: map[string][]wire.QueueUse{}}
 	}
@@ -232,14 +232,14 @@
 	must.Greater(t, n.now, job.runtime[0].retryAtMs)
 	n.workers["w3"].unstarted = 1 // something more urgent waits there
 	must.Eq(t, "", choose())      // and at one worker of three that is a sign for all
-	job.plan.Must = true          // but a job that must start takes the emptiest of the others
+	job.plan.AtAnyPrice = true    // but a job that must start takes the emptiest of the others
 	n.workers["w2"].usedByOthers["east"] = resource.Amount{CPU: 90}
 	must.Eq(t, "w1", choose())
 	n.workers["w1"].usedByOthers["east"] = resource.Amount{CPU: 91}
 	must.Eq(t, "w2", choose())
-	job.plan.Must, n.workers["w1"].usedByOthers, n.workers["w2"].usedByOthers = false, map[string]resource.Amount{}, map[string]resource.Amount{}
+	job.plan.AtAnyPrice, n.workers["w1"].usedByOthers, n.workers["w2"].usedByOthers = false, map[string]resource.Amount{}, map[string]resource.Amount{}
 	n.workers["w3"].unstarted = 0
-	n.workers["w3"].spare = spareWindow{}.with(0, resource.Amount{CPU: 100}) // not seen long enough
+	n.workers["w3"].spare = spareWindow{}.observe(0, resource.Amount{CPU: 100}) // not seen long enough
 	must.Eq(t, "w2", choose())
 	n.workers["w2"].usedByOthers["east"] = resource.Amount{CPU: 70} // less than headroom would be left
 	must.Eq(t, "w1", choose())
@@ -250,16 +250,16 @@
 	must.Eq(t, "", choose())
 	shard.starvedMs = 0
 	must.Eq(t, "w2", choose())
-	n.ranks.short, n.ranks.receivedMs = true, n.now
+	n.ranks.roomShort, n.ranks.receivedMs = true, n.now
 	must.Eq(t, "", choose())
 	n.ranks.receivedMs = n.now - rankStaleMs
 	must.Eq(t, "w2", choose())
 	shard.batchStartsInTick = batchStartsTick
 	must.Eq(t, "", n.selectBatchWorker(shard, job, 0))
 
-	low := spareWindow{}.with(0, resource.Amount{CPU: 9}).with(100, resource.Amount{CPU: 4}).with(spareWindowMs, resource.Amount{CPU: 7})
+	low := spareWindow{}.observe(0, resource.Amount{CPU: 9}).observe(100, resource.Amount{CPU: 4}).observe(spareWindowMs, resource.Amount{CPU: 7})
 	must.Eq(t, int64(4), low.least().CPU)
-	must.Eq(t, int64(7), low.with(2*spareWindowMs, resource.Amount{CPU: 8}).least().CPU)
+	must.Eq(t, int64(7), low.observe(2*spareWindowMs, resource.Amount{CPU: 8}).least().CPU)
 }
 
 // Work that many jobs need together before a deadline makes each start earlier
@@ -298,7 +298,7 @@
 		w.receivedMs = n.now
 	}
 	n.planBatches(shard)
-	must.True(t, late.plan.Must)
+	must.True(t, late.plan.AtAnyPrice)
 	delete(shard.jobs, "late")
 	shard.nextBatchPlanMs = 0
 	n.planBatches(shard)
@@ -346,10 +346,10 @@
 	must.Eq(t, map[meterKey]float64{{"night", 0.04}: 2 * 2 * 3600, {"night", 0.08}: 2 * 3600}, n.batchMeter)
 	job.plan, job.State = &batchPlan{DeadlineMs: 10}, jobComplete
 	job.DoneMs = 10
-	n.batchEnded(job)
+	n.recordBatchEnd(job)
 	must.Zero(t, n.counts["batches_late"])
 	job.DoneMs = 11
-	n.batchEnded(job)
+	n.recordBatchEnd(job)
 	must.Eq(t, int64(1), n.counts["batches_late"])
 	must.Eq(t, int64(2), n.counts["batches_complete"])
 }
@@ -365,7 +365,7 @@
 	must.Eq(t, []schema.Fault{{Path: "steps.0.gang", Reason: "can't be in a batch queue: it needs a firm place"}, {Path: "steps.1.lasting", Reason: "can't be in a batch queue: it never finishes"}}, b.faults)
 	must.Eq(t, 400, b.status)
 	j, _ = parseJob("j", "refresh", []byte(`{"steps":[{"name":"a","count":2,"room":1}]}`))
-	must.Nil(t, admit(&admission{job: j, queue: q, base: true, batch: true, all: shardJobsMax*batchRecordsPercent/100 - 1}))
-	must.Eq(t, 429, admit(&admission{job: j, queue: q, base: true, batch: true, all: shardJobsMax * batchRecordsPercent / 100}).status)
-	must.Eq(t, 429, admit(&admission{job: j, queue: q, base: true, batch: true, bytes: shardBytesMax*batchRecordsPercent/100 + 1}).status)
+	must.Nil(t, admit(&admission{job: j, queue: q, lowestUrgency: true, batch: true, shardLive: shardJobsMax*batchRecordsPercent/100 - 1}))
+	must.Eq(t, 429, admit(&admission{job: j, queue: q, lowestUrgency: true, batch: true, shardLive: shardJobsMax * batchRecordsPercent / 100}).status)
+	must.Eq(t, 429, admit(&admission{job: j, queue: q, lowestUrgency: true, batch: true, bytes: shardBytesMax*batchRecordsPercent/100 + 1}).status)
 }
--- a/internal/daemon/campaign_faults_test.go
+++ b/internal/daemon/campaign_faults_test.go
@@ -104,7 +104,7 @@
 			n.event(evStop{})
 		}
 		return func() {
-			if n.up && n.sh.node.leavingSince != 0 { // it froze on its way out
+			if n.up && n.sh.node.leavingSinceMs != 0 { // it froze on its way out
 				n.kill(false)
 			}
 			n.start()
--- a/internal/daemon/catchup.go
+++ b/internal/daemon/catchup.go
@@ -12,10 +12,10 @@
 // bounded parts, each once the one before is synced there, so that the member
 // holds all again soon after its return and counts for the next loss.
 type replicaLag struct {
-	missed map[string]int64 // record -> the newest version that the member lacks
-	part   map[string]int64 // of those, what is on its way
-	seq    uint64           // of the write that brings the part
-	sentMs int64
+	missed   map[string]int64 // record -> the newest version that the member lacks
+	inFlight map[string]int64 // of those, what is on its way
+	seq      uint64           // of the write that brings the part
+	sentMs   int64
 }
 
 // recordMissed remembers by name what a member did not acknowledge, so that one
@@ -40,7 +40,7 @@
 		switch {
 		case len(lag.missed) == 0:
 			delete(shard.replicaLags, member)
-		case n.peers.Alive(member) && n.core.HasName(member) && (lag.part == nil || n.now-lag.sentMs >= writeRetryMs):
+		case n.peers.Alive(member) && n.core.HasName(member) && (lag.inFlight == nil || n.now-lag.sentMs >= writeRetryMs):
 			n.sendCatchUp(shard, member, lag)
 		}
 	}
@@ -49,7 +49,7 @@
 // sendCatchUp sends the next part of what a member lacks.
 func (n *node) sendCatchUp(shard *ownedShard, member string, lag *replicaLag) {
 	shard.writeSeq++
-	lag.seq, lag.sentMs, lag.part = shard.writeSeq, n.now, map[string]int64{}
+	lag.seq, lag.sentMs, lag.inFlight = shard.writeSeq, n.now, map[string]int64{}
 	w := &wire.WriteRequest{SetVersion: n.core.Version, Shard: shard.name, Epoch: shard.epoch, Seq: lag.seq}
 	size := 0
 	for _, id := range sortedKeys(lag.missed) {
@@ -64,12 +64,12 @@
 			delete(lag.missed, id)
 			continue
 		}
-		lag.part[id] = lag.missed[id]
+		lag.inFlight[id] = lag.missed[id]
 		w.Records = append(w.Records, r)
 		size += r.Size()
 	}
 	if len(w.Records) == 0 {
-		lag.part = nil
+		lag.inFlight = nil
 		return
 	}
 	n.count("catch_up_parts")
@@ -109,15 +109,15 @@
 // onCaughtUp takes a member's word that a part is synced there, and sends the next.
 func (n *node) onCaughtUp(shard *ownedShard, member string, seq uint64) {
 	lag := shard.replicaLags[member]
-	if lag == nil || lag.part == nil || lag.seq != seq {
+	if lag == nil || lag.inFlight == nil || lag.seq != seq {
 		return
 	}
-	part := lag.part
+	inFlight := lag.inFlight
 	maps.DeleteFunc(lag.missed, func(id string, version int64) bool {
-		sent, ok := part[id]
+		sent, ok := inFlight[id]
 		return ok && version <= sent
 	})
-	if lag.part = nil; len(lag.missed) > 0 {
+	if lag.inFlight = nil; len(lag.missed) > 0 {
 		n.sendCatchUp(shard, member, lag)
 	}
 }
--- a/internal/daemon/catchup_test.go
+++ b/internal/daemon/catchup_test.go
@@ -22,7 +22,7 @@
 	return b.Bytes()
 }
 
-// finishedOrder has one more configuration taken.
+// order has one more configuration taken.
 func (s *slotWorld) order(body []byte) {
 	s.t.Helper()
 	next := s.version + 1
@@ -55,7 +55,7 @@
 	}
 }
 
-// shareWaits tells what a member holds in an older state than another one.
+// lacks tells what a member holds in an older state than another one.
 func (s *slotWorld) lacks(member, other *simNode) (out []string) {
 	mine, theirs := member.sh.node.store, other.sh.node.store
 	a, b := mine.Register("setup"), theirs.Register("setup")
@@ -159,13 +159,13 @@
 	}
 	members := n.core.Names()
 	read := func(answers ...statestore.Record) string {
-		n.forwarded, n.out = map[uint64]*forwardedRequest{}, nil
+		n.forwarded, n.effects = map[uint64]*forwardedRequest{}, nil
 		r := &quorumRead{request: &request{id: 1, op: "job.get", key: "j"}, answers: map[string]statestore.Record{}, limitMs: n.now + quorumReadMs}
 		n.quorumReads[7] = r
 		for i, a := range answers {
 			n.onQuorumRead(r, 7, members[i], []statestore.Record{a})
 		}
-		for _, e := range n.out {
+		for _, e := range n.effects {
 			if reply, ok := e.(effReply); ok && reply.Status == 200 {
 				return gjson.GetBytes(reply.Body, "state").Str
 			}
--- a/internal/daemon/central.go
+++ b/internal/daemon/central.go
@@ -25,15 +25,15 @@
 // no durable truth: a successor learns all from the agents' syncs and the
 // owners' repeated requests.
 type centralScheduler struct {
-	epoch   uint64
-	startMs int64
-	workers map[string]*workerCapacity
-	pending map[allocationKey]*pendingAllocation
-	roundAt int64
-	round   int64
-	urgent  scheduler.UrgentShare
+	epoch       uint64
+	startMs     int64
+	workers     map[string]*workerCapacity
+	pending     map[allocationKey]*pendingAllocation
+	nextRoundMs int64
+	round       int64
+	urgentShare scheduler.UrgentShare
 
-	allocateAtMs int64 // before this requests wait for the next pass
+	nextAllocationMs int64 // before this requests wait for the next pass
 }
 
 // allocationKey names a want by its first task's step: (job, round and step), or the
@@ -43,7 +43,7 @@
 	Step int64
 }
 
-func keyOf(m *wire.AllocationRequest) allocationKey {
+func allocationKeyOf(m *wire.AllocationRequest) allocationKey {
 	if len(m.Tasks) == 0 {
 		return allocationKey{m.Job, -1}
 	}
@@ -100,22 +100,22 @@
 
 // rankState is what this daemon last heard from the coordinator.
 type rankState struct {
-	epoch      uint64
-	round      int64
-	receivedMs int64
-	targetMs   int64
-	short      bool
-	idle       bool            // most of all room was free
-	urgent     resource.Amount // percent by dimension that is kept for the most urgent queues
-	ranks      map[string]int64
-	unhealthy  map[string]int8
-	failRates  map[string]float64 // by queue
-	added      map[string]int64   // estimates of what was placed from here since the round
+	epoch         uint64
+	round         int64
+	receivedMs    int64
+	targetMs      int64
+	roomShort     bool
+	idle          bool            // most of all room was free
+	urgentPercent resource.Amount // percent by dimension that is kept for the most urgent queues
+	ranks         map[string]int64
+	unhealthy     map[string]int8
+	failRates     map[string]float64 // by queue
+	added         map[string]int64   // estimates of what was placed from here since the round
 }
 
-// borrowerFor gives a worker's rank: the coordinator's, and what this daemon itself has
+// rank gives a worker's rank: the coordinator's, and what this daemon itself has
 // sent there since. When the coordinator's word is stale only the latter counts.
-func (r *rankState) of(n *node, worker string) int64 {
+func (r *rankState) rank(n *node, worker string) int64 {
 	if r.ranks == nil || n.now-r.receivedMs > rankStaleMs {
 		return r.added[worker]
 	}
@@ -131,11 +131,11 @@
 
 func (n *node) startCentral(epoch uint64) {
 	n.central = &centralScheduler{
-		epoch:   epoch,
-		startMs: n.now,
-		workers: map[string]*workerCapacity{},
-		pending: map[allocationKey]*pendingAllocation{},
-		roundAt: n.now + centralRebuildMs,
+		epoch:       epoch,
+		startMs:     n.now,
+		workers:     map[string]*workerCapacity{},
+		pending:     map[allocationKey]*pendingAllocation{},
+		nextRoundMs: n.now + centralRebuildMs,
 	}
 }
 
@@ -187,7 +187,7 @@
 	if c == nil || !n.leases.Holds(lease.Central) || len(m.Tasks) == 0 {
 		return
 	}
-	key := keyOf(m)
+	key := allocationKeyOf(m)
 	request := c.pending[key]
 	if request == nil {
 		request = &pendingAllocation{firstMs: n.now, granted: map[int64]grantedTask{}}
@@ -261,14 +261,14 @@
 	}
 	n.observeUrgent(c)
 	n.allocateAll(c)
-	if n.now < c.roundAt || !n.leases.Holds(lease.Central) {
+	if n.now < c.nextRoundMs || !n.leases.Holds(lease.Central) {
 		return
 	}
-	c.roundAt += rankIntervalMs
+	c.nextRoundMs += rankIntervalMs
 	c.round++
 	n.updateHealth(c)
 	m := &wire.Ranks{
-		Epoch: c.epoch, Round: c.round, WaitsForRoom: n.allocationsWait(c), UrgentPercent: c.urgent.Percent(),
+		Epoch: c.epoch, Round: c.round, WaitsForRoom: n.allocationsWait(c), UrgentPercent: c.urgentShare.Percent(),
 		Idle: scheduler.IdleThroughout(n.candidateWorkers(c), busyPercent), FailRates: c.failRates(),
 	}
 	n.rankWorkers(c, m)
@@ -323,7 +323,7 @@
 			used, all = used.Plus(w.Urgent), all.Plus(w.Capacity)
 		}
 	}
-	c.urgent.Observe(used, all)
+	c.urgentShare.Observe(used, all)
 }
 
 // updateHealth finds workers that lag far more than their peers. A worker judged unhealthy is
@@ -354,16 +354,16 @@
 		return
 	}
 	*r = rankState{
-		epoch:      m.Epoch,
-		round:      m.Round,
-		receivedMs: n.now,
-		targetMs:   m.TargetMs,
-		short:      m.WaitsForRoom,
-		idle:       m.Idle,
-		urgent:     m.UrgentPercent,
-		ranks:      map[string]int64{},
-		unhealthy:  map[string]int8{},
-		failRates:  map[string]float64{},
+		epoch:         m.Epoch,
+		round:         m.Round,
+		receivedMs:    n.now,
+		targetMs:      m.TargetMs,
+		roomShort:     m.WaitsForRoom,
+		idle:          m.Idle,
+		urgentPercent: m.UrgentPercent,
+		ranks:         map[string]int64{},
+		unhealthy:     map[string]int8{},
+		failRates:     map[string]float64{},
 	}
 	for _, rate := range m.FailRates {
 		r.failRates[rate.Queue] = float64(rate.PerMille) / perMille
--- a/internal/daemon/central_test.go
+++ b/internal/daemon/central_test.go
@@ -66,7 +66,7 @@
 
 func (c *centralScheduler) add(now int64, request *pendingAllocation) {
 	request.firstMs, request.lastMs = now, now
-	c.pending[keyOf(&request.AllocationRequest)] = request
+	c.pending[allocationKeyOf(&request.AllocationRequest)] = request
 }
 
 // A gang that asks for one rack waits for one as long as that is worth more than
--- a/internal/daemon/config_change.go
+++ b/internal/daemon/config_change.go
@@ -17,12 +17,12 @@
 	switch {
 	case len(current) > 0 && codec.Unmarshal(current, &cur) != nil:
 		return register.Fail, nil
-	case cur.Accepted.Contains(o.change):
+	case cur.Accepted.Contains(o.changeID):
 		return register.Keep, nil
-	case cur.Version != o.change.Base:
+	case cur.Version != o.changeID.Base:
 		return register.Refuse, nil
 	}
-	return register.Replace, codec.Append(nil, cur.Next(o.change, o.arg, n.fleetTime()))
+	return register.Replace, codec.Append(nil, cur.Next(o.changeID, o.arg, n.fleetTime()))
 }
 
 // changeEmptiedZones empties a zone beside the document, or takes that back. It
@@ -67,12 +67,12 @@
 	case register.Done:
 		// A newer document, where the order was taken before, comes by the polls,
 		// compiled on another thread.
-		if cur.Version == o.change.Version && n.config.ballot.Less(o.ValueBallot()) {
-			n.ready = o.request.config
+		if cur.Version == o.changeID.Version && n.config.ballot.Less(o.ValueBallot()) {
+			n.precompiled = o.request.config
 			n.adoptConfig(o.ValueBallot(), cur)
-			n.ready = nil
+			n.precompiled = nil
 		}
-		n.log("config_accepted", "version", o.change.Version, "current", cur.Version)
+		n.log("config_accepted", "version", o.changeID.Version, "current", cur.Version)
 		n.respondAccepted(o)
 	case register.Refused:
 		n.respondRefused(o, &cur)
@@ -128,7 +128,7 @@
 		return
 	}
 	o := n.startChange("setup", "taken", nil, 0)
-	o.change, o.request = id, req
+	o.changeID, o.request = id, req
 }
 
 // findChangeDecision leaves the configuration as it stands. What isn't taken, and can't be any
@@ -138,7 +138,7 @@
 	switch {
 	case len(current) > 0 && codec.Unmarshal(current, &cur) != nil:
 		return register.Fail, nil
-	case cur.Accepted.Contains(o.change) || cur.Version == o.change.Base:
+	case cur.Accepted.Contains(o.changeID) || cur.Version == o.changeID.Base:
 		return register.Keep, nil
 	}
 	return register.Refuse, nil
@@ -152,7 +152,7 @@
 		n.reject(o.request, "outcome unknown: send it again")
 	case outcome == register.Refused:
 		n.respondRefused(o, &cur)
-	case cur.Accepted.Contains(o.change):
+	case cur.Accepted.Contains(o.changeID):
 		n.respondAccepted(o)
 	default:
 		n.reject(o.request, "not accepted yet, and its base is current: send it again")
@@ -161,13 +161,13 @@
 
 // respondAccepted acknowledges an order, whatever was accepted since.
 func (n *node) respondAccepted(o *registerChange) {
-	n.respond(o.request, 200, 0, mustJSON(map[string]any{"version": o.change.Version}))
+	n.respond(o.request, 200, 0, mustJSON(map[string]any{"version": o.changeID.Version}))
 }
 
 // respondRefused says that another version stands: only of an order that surely
 // was not accepted, else its outcome is unknown.
 func (n *node) respondRefused(o *registerChange, cur *configuration.Record) {
-	if !cur.Accepted.Covers(o.change) {
+	if !cur.Accepted.Covers(o.changeID) {
 		n.count("changes_forgotten")
 		n.reject(o.request, "outcome unknown: too many versions were accepted since")
 		return
--- a/internal/daemon/config_request.go
+++ b/internal/daemon/config_request.go
@@ -32,7 +32,7 @@
 		return
 	}
 	o := n.startChange("setup", "setup", req.body, 0)
-	o.change, o.request = id, req
+	o.changeID, o.request = id, req
 }
 
 // forwardToCore passes a change of the configuration on to a core member that answers
--- a/internal/daemon/config_state.go
+++ b/internal/daemon/config_state.go
@@ -12,16 +12,16 @@
 )
 
 type configState struct {
-	current     *configuration.Configuration
-	record      configuration.Record
-	ballot      register.Ballot
-	newest      register.Ballot // the highest that any member has accepted
-	confirmedMs int64
-	confirmedBy uint64 // the newest poll that confirmed it
-	requestedMs int64
-	repairMs    int64
-	readerCopy  configuration.ReaderCopy
-	awaiting    []*request // requests that name a queue not known here, until a newer confirmation
+	current       *configuration.Configuration
+	record        configuration.Record
+	ballot        register.Ballot
+	newestBallot  register.Ballot // the highest that any member has accepted
+	confirmedMs   int64
+	confirmedPoll uint64 // the newest poll that confirmed it
+	requestedMs   int64
+	nextRepairMs  int64
+	readerCopy    configuration.ReaderCopy
+	awaiting      []*request // requests that name a queue not known here, until a newer confirmation
 }
 
 func newConfigState() configState {
@@ -36,7 +36,7 @@
 // are counted for this, since times within one millisecond are in no order. After
 // a freeze what was confirmed before it is old, though the call is older still.
 func (n *node) configConfirmedSince(req *request) bool {
-	return n.config.confirmedBy > req.pollsBefore && n.configFresh()
+	return n.config.confirmedPoll > req.pollsBefore && n.configFresh()
 }
 
 // confirmConfig takes a round of answers: where a majority holds the same
@@ -49,14 +49,14 @@
 	}
 	for _, from := range sortedKeys(r.Answers) {
 		b := r.Answers[from].Config
-		if n.config.newest.Less(b) {
-			n.config.newest = b
+		if n.config.newestBallot.Less(b) {
+			n.config.newestBallot = b
 		}
 		if votes[b] < n.core.Majority() {
 			continue
 		}
 		if b == n.config.ballot {
-			n.config.confirmedMs, n.config.confirmedBy = max(n.config.confirmedMs, r.SentMs), max(n.config.confirmedBy, r.Seq)
+			n.config.confirmedMs, n.config.confirmedPoll = max(n.config.confirmedMs, r.SentMs), max(n.config.confirmedPoll, r.Seq)
 		} else if n.config.ballot.Less(b) && n.now-n.config.requestedMs > 300 {
 			n.config.requestedMs = n.now
 			n.send(n.nearestWith(r, b), &wire.RegisterRead{SetVersion: n.core.Version, Register: "setup"})
@@ -68,8 +68,8 @@
 		// The members differ: somebody's change stopped half way. Any daemon
 		// may finish it; core members do, at random, so that few compete. One
 		// that was away hears all first: it may be the only one that differs.
-		if n.inCore() && n.now >= n.config.repairMs {
-			n.config.repairMs = n.now + 200 + n.rand().Int64N(600)
+		if n.inCore() && n.now >= n.config.nextRepairMs {
+			n.config.nextRepairMs = n.now + 200 + n.rand().Int64N(600)
 			n.startChange("setup", "read", nil, 0)
 		}
 	}
@@ -114,13 +114,13 @@
 		n.config.ballot = b
 		if !slices.Equal(d.Emptied, n.config.record.Emptied) {
 			n.config.current, n.config.record = n.config.current.WithEmptied(d.Emptied), d
-			n.config.confirmedMs, n.config.confirmedBy = -1<<40, 0
+			n.config.confirmedMs, n.config.confirmedPoll = -1<<40, 0
 			n.log("zones_adopted", "emptied", d.Emptied)
 			n.leases.PollSoon()
 		}
 		return
 	}
-	c := n.ready
+	c := n.precompiled
 	if c == nil || c.Version != d.Version {
 		var faults []schema.Fault
 		if c, faults = d.Compile(); len(faults) > 0 {
@@ -130,7 +130,7 @@
 	}
 	n.config.current, n.config.record, n.config.ballot = c.WithEmptied(d.Emptied), d, b
 	n.adoptLimits()
-	n.config.confirmedMs, n.config.confirmedBy = -1<<40, 0
+	n.config.confirmedMs, n.config.confirmedPoll = -1<<40, 0
 	n.log("config_adopted", "version", d.Version, "queues", len(c.Queues))
 	n.leases.PollSoon()
 }
--- a/internal/daemon/core_member.go
+++ b/internal/daemon/core_member.go
@@ -79,7 +79,7 @@
 			return
 		}
 	}
-	if !fits(replica, m.Patches) {
+	if !patchesApply(replica, m.Patches) {
 		n.count("writes_lacking")
 		n.send(from, &wire.WriteResponse{
 			SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch, Seq: m.Seq, OK: true, Lacking: true,
@@ -111,9 +111,9 @@
 	)
 }
 
-// fits tells whether all patches build on what a shard has. One of a version that is here
+// patchesApply tells whether all patches build on what a shard has. One of a version that is here
 // already, or an older one, came before: it fits, and changes nothing.
-func fits(replica *statestore.Shard, patches []statestore.Patch) bool {
+func patchesApply(replica *statestore.Shard, patches []statestore.Patch) bool {
 	for _, p := range patches {
 		if _, ok := replica.Patched(p); !ok && !replica.HasVersion(p.ID, p.Epoch, p.Version) {
 			return false
@@ -192,7 +192,7 @@
 	if n.leases.Clock().Readings() < n.core.Majority() {
 		return
 	}
-	cutMs := n.fleetTime() - n.KeepMs
+	cutMs := n.fleetTime() - n.FinishedKeepMs
 	for _, name := range n.store.ShardNames() {
 		if n.store.Shard(name).Expired(cutMs) {
 			n.persist([]statestore.Entry{{Kind: statestore.EntryDrop, Name: name, Epoch: uint64(cutMs)}})
--- a/internal/daemon/core_set.go
+++ b/internal/daemon/core_set.go
@@ -40,7 +40,7 @@
 // under its old name with an empty disk.
 func (n *node) onCoreSetChanged() {
 	n.restartChanges()
-	for _, shard := range n.owned {
+	for _, shard := range n.shards {
 		if !shard.serving {
 			shard.restartTakeover()
 			shard.sealSentMs = 0
--- a/internal/daemon/credential_test.go
+++ b/internal/daemon/credential_test.go
@@ -188,7 +188,7 @@
 		})
 		w.until(3000, func() bool {
 			if !done {
-				confirmedBy = n.sh.node.config.confirmedBy
+				confirmedBy = n.sh.node.config.confirmedPoll
 			}
 			return done
 		})
--- a/internal/daemon/cutoff_test.go
+++ b/internal/daemon/cutoff_test.go
@@ -246,7 +246,7 @@
 		w.call("caller", owner, atQueue("queue.state", "j9"), 20_000, func(status int, _ int64, b []byte) {
 			got = append(got, answered{status, string(b)})
 		})
-		shard := owner.sh.node.owned[w.nodes["d00"].sh.node.shardOf("j9")]
+		shard := owner.sh.node.shards[w.nodes["d00"].sh.node.shardOf("j9")]
 		must.True(t, w.stepUntil(1000, func() bool { return len(shard.fetches) > 0 }))
 		owner.freeze(9000)
 		w.run(4000)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -110,13 +110,13 @@
 
 // controlLoop is the one thread of control state. Everything else posts to it.
 type controlLoop struct {
-	clock    *steadyClock
-	jobs     chan func(*executor)
-	quit     chan struct{}
-	ended    chan struct{}
-	executor *executor
-	own      []func(*executor) // messages to ourselves, in order, after the event that sent them
-	ready    atomic.Pointer[readiness]
+	clock        *steadyClock
+	queue        chan func(*executor)
+	quit         chan struct{}
+	ended        chan struct{}
+	executor     *executor
+	selfMessages []func(*executor) // messages to ourselves, in order, after the event that sent them
+	ready        atomic.Pointer[readiness]
 }
 
 // readiness is what the control thread last said of itself. It is read without
@@ -138,7 +138,7 @@
 func newControlLoop(clock *steadyClock) *controlLoop {
 	return &controlLoop{
 		clock: clock,
-		jobs:  make(chan func(*executor), loopQueueMax),
+		queue: make(chan func(*executor), loopQueueMax),
 		quit:  make(chan struct{}),
 		ended: make(chan struct{}),
 	}
@@ -146,7 +146,7 @@
 
 func (l *controlLoop) post(do func(*executor)) {
 	select {
-	case l.jobs <- do:
+	case l.queue <- do:
 	case <-l.quit:
 	}
 }
@@ -156,13 +156,13 @@
 	tick := time.NewTicker(tickMs * time.Millisecond)
 	defer tick.Stop()
 	for {
-		for len(l.own) > 0 {
-			do := l.own[0]
-			l.own = l.own[1:]
+		for len(l.selfMessages) > 0 {
+			do := l.selfMessages[0]
+			l.selfMessages = l.selfMessages[1:]
 			do(l.executor)
 		}
 		select {
-		case do := <-l.jobs:
+		case do := <-l.queue:
 			do(l.executor)
 		case <-tick.C:
 			l.executor.event(evTick{})
@@ -196,7 +196,7 @@
 	if addr == p.self { // our own words go through the same form, not the network
 		h, m, err := wire.DecodeFrame(frame)
 		if err == nil {
-			p.loop.own = append(p.loop.own, func(s *executor) { s.event(evMsg{Head: h, Msg: m}) })
+			p.loop.selfMessages = append(p.loop.selfMessages, func(s *executor) { s.event(evMsg{Head: h, Msg: m}) })
 		}
 		return
 	}
@@ -306,7 +306,7 @@
 	compiler := &configuration.Precompiler{}
 	receive := func(h wire.Header, msg any) {
 		ready := compiler.Compile(msg)
-		l.post(func(s *executor) { s.event(evMsg{Head: h, Msg: msg, Ready: ready}) })
+		l.post(func(s *executor) { s.event(evMsg{Head: h, Msg: msg, Precompiled: ready}) })
 	}
 	w, err := wire.NewTransport(
 		wire.Options{
@@ -333,19 +333,19 @@
 	down fx.Shutdowner,
 ) *executor {
 	p := nodeConfig{
-		Name:          s.Name,
-		Incarnation:   uint64(time.Now().UnixNano()),
-		Instance:      newInstanceID(),
-		Addr:          s.Addr,
-		HTTP:          s.HTTP,
-		Zone:          s.Zone,
-		Seeds:         s.Seeds,
-		Disk:          d.disk != nil,
-		KeepMs:        s.KeepHours * msPerHour,
-		SnapshotBytes: snapshotMinBytes,
-		ThresholdMs:   s.ThresholdMs,
-		KLowest:       int(s.KLowest),
-		TargetSigma:   s.TargetSigma,
+		Name:           s.Name,
+		Incarnation:    uint64(time.Now().UnixNano()),
+		Instance:       newInstanceID(),
+		Addr:           s.Addr,
+		HTTP:           s.HTTP,
+		Zone:           s.Zone,
+		Seeds:          s.Seeds,
+		Disk:           d.disk != nil,
+		FinishedKeepMs: s.KeepHours * msPerHour,
+		SnapshotBytes:  snapshotMinBytes,
+		ThresholdMs:    s.ThresholdMs,
+		KLowest:        int(s.KLowest),
+		TargetSigma:    s.TargetSigma,
 		CoreSize: int(
 			s.CoreSize,
 		),
--- a/internal/daemon/durability_test.go
+++ b/internal/daemon/durability_test.go
@@ -225,13 +225,13 @@
 		{4, [][]statestore.Record{live, finished, finished, live}, ""}, // and here before the set grew
 		{4, [][]statestore.Record{finished, live, finished, finished}, "complete"},
 	} {
-		n.out, n.core = nil, full
+		n.effects, n.core = nil, full
 		if c.members < len(full.Members) {
 			n.core.Members = full.Members[:c.members]
 		} else if c.members > len(full.Members) {
 			n.core = full.With(quorum.Member{Name: "d03", DiskID: 1})
 		}
-		n.coreReads.earn(retryBudgetMax)
+		n.coreReads.add(retryBudgetMax)
 		n.readFromCore(&request{id: 7, op: "job.get", key: "j", receivedMs: n.now}, "no owner")
 		op, state := n.opSeq, ""
 		for i, records := range c.answers {
--- a/internal/daemon/estimate.go
+++ b/internal/daemon/estimate.go
@@ -50,10 +50,10 @@
 // tickEstimates tells all daemons that may own a shard what this one learned since the last round, so
 // that estimates outlive their owner: whoever takes a shard has them.
 func (n *node) tickEstimates() {
-	if n.now < n.learnedAt || len(n.owned) == 0 {
+	if n.now < n.nextEstimatesMs || len(n.shards) == 0 {
 		return
 	}
-	n.learnedAt = n.now + rankIntervalMs
+	n.nextEstimatesMs = n.now + rankIntervalMs
 	m := &wire.Estimates{}
 	for _, name := range n.estimates.Unshared() {
 		mean, _ := n.estimates.Mean(name)
--- a/internal/daemon/formation_test.go
+++ b/internal/daemon/formation_test.go
@@ -73,7 +73,7 @@
 	}
 	for _, s := range c.Shards {
 		h := w.holderOf("slice/" + s)
-		if h == nil || !h.sh.node.owned[s].serving {
+		if h == nil || !h.sh.node.shards[s].serving {
 			return false
 		}
 	}
@@ -299,15 +299,15 @@
 func TestAnswersBelongToTheirTry(t *testing.T) {
 	w := served(t, 4800)
 	n := w.nodes["d00"].sh.node
-	n.out = nil
+	n.effects = nil
 	o := n.startChange("setup", "setup", queueSetup("a", ""), 0)
-	o.change = configuration.ChangeID{Version: 1}
+	o.changeID = configuration.ChangeID{Version: 1}
 	first := o.Ballot
 	n.now += changeTiming.AnswersMs + 1
 	n.tickChanges()
 	must.True(t, first.Less(o.Ballot))
 	accepts := func() int {
-		return len(slices.DeleteFunc(slices.Clone(n.out), func(e effect) bool {
+		return len(slices.DeleteFunc(slices.Clone(n.effects), func(e effect) bool {
 			s, ok := e.(effSend)
 			if !ok {
 				return true
@@ -336,7 +336,7 @@
 func TestAcksBelongToTheirSet(t *testing.T) {
 	w := served(t, 4801)
 	n := w.holderOf("slice/east").sh.node
-	shard := n.owned["east"]
+	shard := n.shards["east"]
 	shard.writes[99] = &writeBatch{acked: map[string]bool{"d00": true}}
 	old := n.core.Version
 	next := n.core
--- a/internal/daemon/heartbeat.go
+++ b/internal/daemon/heartbeat.go
@@ -48,7 +48,7 @@
 // taken note of where another run took their place.
 var finalOutcomes = map[string]bool{"ok": true, "failed": true}
 
-var placeFields = map[string]schema.Field{
+var heartbeatRunFields = map[string]schema.Field{
 	"job": {
 		Kind:     schema.Text,
 		Required: true,
@@ -81,8 +81,8 @@
 	"leaving":   {Kind: schema.Flag},
 	"leaves_ms": {Kind: schema.Count},
 	"cold_ms":   {Kind: schema.Count},
-	"running":   {Kind: schema.List, Max: 100_000, Elem: &schema.Field{Kind: schema.Object, Fields: placeFields}},
-	"ended":     {Kind: schema.List, Max: 100_000, Elem: &schema.Field{Kind: schema.Object, Fields: placeFields}},
+	"running":   {Kind: schema.List, Max: 100_000, Elem: &schema.Field{Kind: schema.Object, Fields: heartbeatRunFields}},
+	"ended":     {Kind: schema.List, Max: 100_000, Elem: &schema.Field{Kind: schema.Object, Fields: heartbeatRunFields}},
 }}
 
 // taskOrder is one task in the answer to a heartbeat.
@@ -97,21 +97,21 @@
 }
 
 type heartbeatReply struct {
-	HoldMs  int64       `json:"hold_ms"`
-	Seen    int64       `json:"seen"`
-	AgainMs int64       `json:"again_ms"`
-	Start   []taskOrder `json:"start"`
-	Stop    []taskOrder `json:"stop"`
+	HoldMs           int64       `json:"hold_ms"`
+	AcknowledgedEnds int64       `json:"seen"`
+	IntervalMs       int64       `json:"again_ms"`
+	Start            []taskOrder `json:"start"`
+	Stop             []taskOrder `json:"stop"`
 }
 
-func viewOf(k wire.AttemptKey) taskOrder {
+func newTaskOrder(k wire.AttemptKey) taskOrder {
 	round, step, index, _ := parseUniformTaskID(k.Task)
 	return taskOrder{Job: k.Job, Round: round, Step: step, Index: index, Run: k.Attempt}
 }
 
-// runOf reads which run an entry of a heartbeat speaks of; false for one that no
+// parseHeartbeatRun reads which run an entry of a heartbeat speaks of; false for one that no
 // otterchute ever ordered.
-func runOf(e gjson.Result) (wire.AttemptKey, bool) {
+func parseHeartbeatRun(e gjson.Result) (wire.AttemptKey, bool) {
 	round, run := e.Get("round").Int(), e.Get("run").Int()
 	k := wire.AttemptKey{
 		Job:     e.Get("job").Str,
@@ -139,11 +139,11 @@
 	}
 	seq := r.Get("seq").Int()
 	if agent.replaced || !agent.colocated || seq <= agent.reportSeq {
-		n.respond(req, 200, 0, mustJSON(heartbeatReply{AgainMs: heartbeatMs, Start: []taskOrder{}, Stop: []taskOrder{}}))
+		n.respond(req, 200, 0, mustJSON(heartbeatReply{IntervalMs: heartbeatMs, Start: []taskOrder{}, Stop: []taskOrder{}}))
 		return
 	}
-	changed, missed := !agent.rebuilt, n.now-agent.heardMs > freezeThresholdMs
-	agent.reportSeq, agent.heardMs, agent.tokenMs = seq, n.now, n.now
+	changed, missed := !agent.rebuilt, n.now-agent.lastContactMs > freezeThresholdMs
+	agent.reportSeq, agent.lastContactMs, agent.tokenMs = seq, n.now, n.now
 	agent.zone, agent.rack, agent.labels = r.Get("site").Str, r.Get("rack").Str, labelsOf(r.Get("labels"))
 	agent.capacity = resource.Parse(r.Get("capacity"))
 	agent.free = agent.capacity
@@ -152,7 +152,7 @@
 		n.log("worker_leaving", "worker", agent.worker, "leaving", leaving, "leaves_ms", r.Get("leaves_ms").Int())
 	}
 	if left := r.Get("leaves_ms"); left.Exists() && agent.leaving {
-		agent.leavesMs = n.now + left.Int()
+		agent.leavesAtMs = n.now + left.Int()
 	}
 	ended, differs := n.applyHeartbeatLists(agent, r, missed)
 	changed = changed || differs
@@ -170,7 +170,7 @@
 	switch {
 	case changed:
 		n.reportAgent(agent)
-	case ended || agent.changesWait:
+	case ended || agent.changesPending:
 		n.reportChanges(agent)
 	}
 }
@@ -187,18 +187,18 @@
 		}
 	}
 	agent := &workerAgent{
-		worker:     worker,
-		epoch:      n.Incarnation,
-		startMs:    n.now,
-		attempts:   map[wire.AttemptKey]*agentAttempt{},
-		tombstones: map[wire.AttemptKey]int64{},
-		owners:     map[string]uint64{},
-		lastOK:     n.now,
-		heardMs:    n.now,
-		tokenMs:    -1 << 40,
-		colocated:  true,
-		ends:       map[int64]wire.AttemptKey{},
-		ownerMs:    map[string]int64{},
+		worker:        worker,
+		epoch:         n.Incarnation,
+		startMs:       n.now,
+		attempts:      map[wire.AttemptKey]*agentAttempt{},
+		tombstones:    map[wire.AttemptKey]int64{},
+		ownerEpochs:   map[string]uint64{},
+		lastSuccessMs: n.now,
+		lastContactMs: n.now,
+		tokenMs:       -1 << 40,
+		colocated:     true,
+		endsByNumber:  map[int64]wire.AttemptKey{},
+		ownerReplyMs:  map[string]int64{},
 	}
 	n.agents[worker] = agent
 	n.log("worker_new", "worker", worker, "epoch", agent.epoch)
@@ -238,7 +238,7 @@
 func (n *node) applyHeartbeatLists(agent *workerAgent, r gjson.Result, missed bool) (ended, changed bool) {
 	running := map[wire.AttemptKey]bool{}
 	r.Get("running").ForEach(func(_, e gjson.Result) bool {
-		if key, ok := runOf(e); ok {
+		if key, ok := parseHeartbeatRun(e); ok {
 			running[key] = true
 			changed = n.applyRunning(agent, key, e, missed) || changed
 		}
@@ -249,7 +249,7 @@
 		n.applyEnded(agent, list, e, missed)
 		return true
 	})
-	for number, key := range agent.ends {
+	for number, key := range agent.endsByNumber {
 		if attempt := agent.attempts[key]; number < list.lapsed && attempt != nil {
 			attempt.lateEnd, attempt.voided = false, true
 		}
@@ -263,7 +263,7 @@
 // adoptUnknown takes a run that only the worker knew of, as a former agent had ordered it.
 func (a *workerAgent) adoptUnknown(key wire.AttemptKey, now int64) *agentAttempt {
 	attempt := &agentAttempt{
-		state: wire.AttemptOrdered, unknown: true, ordered: true, unobserved: true,
+		state: wire.AttemptOrdered, specUnknown: true, ordered: true, unobserved: true,
 		adoptedMs: now, spec: wire.TaskSpec{Key: key}, confirmedMs: -1 << 40,
 	}
 	a.attempts[key] = attempt
@@ -283,11 +283,11 @@
 			n.log("attempt_runs_after_end", "attempt", key.String(), "worker", agent.worker)
 		}
 		changed = changed || attempt.spec.Gang
-		attempt.state, attempt.ordered, attempt.startedMs, attempt.movedMs = wire.AttemptRunning, true, n.now, n.now
+		attempt.state, attempt.ordered, attempt.startedMs, attempt.lastProgressMs = wire.AttemptRunning, true, n.now, n.now
 		attempt.unobserved = attempt.unobserved || missed
 	}
 	if p := e.Get("percent").Int(); p != attempt.percent {
-		attempt.percent, attempt.movedMs = p, n.now
+		attempt.percent, attempt.lastProgressMs = p, n.now
 	}
 	if saved := e.Get("saved").Str; saved != "" {
 		attempt.spec.Saved = saved
@@ -305,12 +305,12 @@
 	if outcome == "lapsed" {
 		list.lapsed = max(list.lapsed, number)
 	}
-	key, ok := runOf(e)
+	key, ok := parseHeartbeatRun(e)
 	if !ok || !heartbeatOutcomes[outcome] {
-		agent.ends[number] = wire.AttemptKey{}
+		agent.endsByNumber[number] = wire.AttemptKey{}
 		return
 	}
-	list.keys[key], agent.ends[number] = true, key
+	list.keys[key], agent.endsByNumber[number] = true, key
 	attempt := agent.attempts[key]
 	if _, buried := agent.tombstones[key]; buried && attempt == nil {
 		return
@@ -356,18 +356,18 @@
 // heartbeatReply says what starts and stops, which ends are acknowledged, and how
 // long the worker goes on without another answer.
 func (n *node) heartbeatReply(agent *workerAgent) heartbeatReply {
-	out := heartbeatReply{AgainMs: heartbeatMs, Start: []taskOrder{}, Stop: []taskOrder{}}
+	out := heartbeatReply{IntervalMs: heartbeatMs, Start: []taskOrder{}, Stop: []taskOrder{}}
 	n.acknowledgeEnds(agent)
-	out.Seen = agent.acknowledgedEnds
+	out.AcknowledgedEnds = agent.acknowledgedEnds
 	for _, attempt := range agent.toStart {
-		v := viewOf(attempt.spec.Key)
+		v := newTaskOrder(attempt.spec.Key)
 		v.Payload, v.Saved = attempt.spec.Payload, attempt.spec.Saved
 		out.Start = append(out.Start, v)
 	}
 	agent.toStart = nil
 	for _, key := range agent.keys() {
 		if attempt := agent.attempts[key]; attempt.atWorker() && attempt.stopMs != 0 {
-			out.Stop = append(out.Stop, viewOf(key))
+			out.Stop = append(out.Stop, newTaskOrder(key))
 		}
 	}
 	if until := n.holdUntil(agent); until > n.now {
@@ -386,7 +386,7 @@
 // records. Where too many wait behind a late one it lets the hold run out.
 func (n *node) acknowledgeEnds(agent *workerAgent) {
 	for {
-		key, ok := agent.ends[agent.acknowledgedEnds+1]
+		key, ok := agent.endsByNumber[agent.acknowledgedEnds+1]
 		if !ok {
 			break
 		}
@@ -394,15 +394,15 @@
 			break
 		}
 		agent.acknowledgedEnds++
-		delete(agent.ends, agent.acknowledgedEnds)
+		delete(agent.endsByNumber, agent.acknowledgedEnds)
 	}
-	if attempt := agent.attempts[agent.ends[agent.acknowledgedEnds+1]]; len(agent.ends) > lateEndsMax && attempt != nil && attempt.lateEnd {
+	if attempt := agent.attempts[agent.endsByNumber[agent.acknowledgedEnds+1]]; len(agent.endsByNumber) > lateEndsMax && attempt != nil && attempt.lateEnd {
 		n.count("ends_waited")
-		agent.lapse()
+		agent.letHoldLapse()
 	}
-	for number := range agent.ends {
+	for number := range agent.endsByNumber {
 		if number <= agent.acknowledgedEnds {
-			delete(agent.ends, number)
+			delete(agent.endsByNumber, number)
 		}
 	}
 }
@@ -427,7 +427,7 @@
 		return 0
 	}
 	until := n.now + n.holdSpan()
-	if n.leavingSince != 0 {
+	if n.leavingSinceMs != 0 {
 		until = n.now + max(n.holdSpan(), n.MaxHoldMs)
 	}
 	for _, attempt := range agent.attempts {
@@ -446,17 +446,17 @@
 	return holdMaxMs
 }
 
-// heardOwner notes that an owner answered a sync. Where it was silent for longer
+// recordOwnerReply notes that an owner answered a sync. Where it was silent for longer
 // than its word is good, or never answered this agent, it may have given up what
 // runs here, and what ended by itself meanwhile counts only if it says so.
 //
 // What counts is when the answer came: a sync that a cut held up was sent in
 // time and heard too late.
-func (a *workerAgent) heardOwner(slice string, sentMs, now int64) {
+func (a *workerAgent) recordOwnerReply(slice string, sentMs, now int64) {
 	if !a.colocated {
 		return
 	}
-	if before, ok := a.ownerMs[slice]; !ok || now-before > ownerTimeoutMs {
+	if before, ok := a.ownerReplyMs[slice]; !ok || now-before > ownerTimeoutMs {
 		for _, attempt := range a.attempts {
 			if attempt.spec.Shard == slice && attempt.state == wire.AttemptEnded &&
 				(attempt.result == wire.ResultOK || attempt.result == wire.ResultFailed) &&
@@ -466,12 +466,12 @@
 			}
 		}
 	}
-	a.ownerMs[slice] = max(a.ownerMs[slice], sentMs)
+	a.ownerReplyMs[slice] = max(a.ownerReplyMs[slice], sentMs)
 }
 
-// lapse lets the worker's hold run out: an end that another run took the place
+// letHoldLapse lets the worker's hold run out: an end that another run took the place
 // of may be taken note of only after that. It waits until many others wait behind it.
-func (a *workerAgent) lapse() {
+func (a *workerAgent) letHoldLapse() {
 	if a.lapseUntilMs == 0 {
 		a.lapseUntilMs = a.holdUntilMs + lapseMarginMs
 	}
@@ -490,24 +490,24 @@
 	standing := false
 	for _, key := range agent.keys() {
 		attempt := agent.attempts[key]
-		if attempt.state != wire.AttemptRunning || attempt.stopMs != 0 || attempt.unknown {
+		if attempt.state != wire.AttemptRunning || attempt.stopMs != 0 || attempt.specUnknown {
 			continue
 		}
 		// A member of a gang waits for the others at its beginning, and at its end,
 		// which comes for all at once.
 		waits := attempt.spec.Gang && (attempt.percent == 0 || attempt.percent >= lastPercent)
 		switch {
-		case !attempt.spec.Lasting && !waits && attempt.percent < 100 && n.now-attempt.movedMs > stallMs+attempt.spec.EstimateMs/10:
+		case !attempt.spec.Lasting && !waits && attempt.percent < 100 && n.now-attempt.lastProgressMs > stallMs+attempt.spec.EstimateMs/10:
 			standing = true
 			n.count("standing")
 			n.stopAttempt(agent, attempt, wire.ResultStalled)
-		case agent.leavesMs != 0 && attempt.spec.Saves && agent.leavesMs-n.now < leaveStopMs:
+		case agent.leavesAtMs != 0 && attempt.spec.Saves && agent.leavesAtMs-n.now < leaveStopMs:
 			n.stopAttempt(agent, attempt, wire.ResultMoved)
 		case attempt.spec.LimitMs > 0 && n.now-attempt.startedMs > attempt.spec.LimitMs:
 			n.stopAttempt(agent, attempt, wire.ResultOverrun)
 		}
 	}
-	if standing && n.now >= agent.suspectMs {
+	if standing && n.now >= agent.suspectUntilMs {
 		n.suspectWorker(agent, "stands", stallSuspectMs)
 		n.reportAgent(agent)
 	}
@@ -520,7 +520,7 @@
 		attempt := agent.attempts[key]
 		active := attempt.state == wire.AttemptRunning || attempt.state == wire.AttemptOrdered
 		switch {
-		case attempt.state == wire.AttemptQueued && (n.now-agent.heardMs > n.queuedSilenceMs() || agent.goneMs != 0):
+		case attempt.state == wire.AttemptQueued && (n.now-agent.lastContactMs > n.queuedSilenceMs() || agent.goneAtMs != 0):
 			attempt.state, attempt.result, changed = wire.AttemptEnded, wire.ResultShed, true
 		case active && attempt.stopMs == 0 && n.now > max(attempt.confirmedMs+ownerTimeoutMs, attempt.adoptedMs+ownerTimeoutMs)-staleStopMs:
 			n.count("stale_stops")
@@ -554,37 +554,37 @@
 		changed = n.loseAttempts(agent)
 		agent.voidEnds()
 	}
-	silent := n.now > agent.holdUntilMs+lapseMarginMs && n.now-agent.heardMs > lapseMarginMs
-	gone := agent.goneMs != 0 && n.now > agent.goneMs
+	silent := n.now > agent.holdUntilMs+lapseMarginMs && n.now-agent.lastContactMs > lapseMarginMs
+	gone := agent.goneAtMs != 0 && n.now > agent.goneAtMs
 	if !agent.rebuilt || agent.replaced || !silent && !gone {
 		return changed
 	}
-	if agent.goneMs == 0 {
+	if agent.goneAtMs == 0 {
 		agent.voidEnds()
 	}
 	if n.loseAttempts(agent) {
 		changed = true
-		n.log("worker_silent", "worker", agent.worker, "silent_ms", n.now-agent.heardMs)
+		n.log("worker_silent", "worker", agent.worker, "silent_ms", n.now-agent.lastContactMs)
 	}
 	return changed
 }
 
 // isFinished tells whether an agent whose worker is gone or replaced has nothing left to tell.
 func (n *node) isFinished(agent *workerAgent) bool {
-	if !agent.replaced && agent.goneMs == 0 {
+	if !agent.replaced && agent.goneAtMs == 0 {
 		return false
 	}
-	if n.now-agent.heardMs > workerKeepMs {
+	if n.now-agent.lastContactMs > workerKeepMs {
 		return true
 	}
 	unacknowledged := func(k wire.AttemptKey) bool { return !agent.attempts[k].acked }
-	return !slices.ContainsFunc(agent.keys(), unacknowledged) && n.now-agent.heardMs > ownerContactMs
+	return !slices.ContainsFunc(agent.keys(), unacknowledged) && n.now-agent.lastContactMs > ownerContactMs
 }
 
 // handleWorkerGone takes a worker's word that it ends now.
 func (n *node) handleWorkerGone(req *request) {
-	if agent := n.agents[req.key]; agent != nil && agent.colocated && agent.goneMs == 0 {
-		agent.leaving, agent.goneMs = true, n.now+goneDelayMs
+	if agent := n.agents[req.key]; agent != nil && agent.colocated && agent.goneAtMs == 0 {
+		agent.leaving, agent.goneAtMs = true, n.now+goneDelayMs
 		n.log("worker_gone", "worker", agent.worker)
 		n.reportAgent(agent)
 	}
--- a/internal/daemon/heartbeat_test.go
+++ b/internal/daemon/heartbeat_test.go
@@ -48,7 +48,7 @@
 		n, beat := pinned(t)
 		beat(100, running("j1", 0, 1, c.percent))
 		attempt := n.agents["w1"].attempts[wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}]
-		attempt.unknown, attempt.confirmedMs, attempt.spec.Gang, attempt.spec.EstimateMs = false, n.now+60_000, c.gang, 1000
+		attempt.specUnknown, attempt.confirmedMs, attempt.spec.Gang, attempt.spec.EstimateMs = false, n.now+60_000, c.gang, 1000
 		beat(100, running("j1", 0, 1, c.percent))
 		must.Len(t, c.stops, beat(stallMs+200, running("j1", 0, 1, c.percent)).Stop, must.Sprint(c))
 	}
@@ -63,7 +63,7 @@
 	must.Eq(t, int64(0), a.HoldMs) // found running, and no owner has spoken: what an earlier answer held must do
 	agent := n.agents["w1"]
 	attempt := agent.attempts[wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}]
-	attempt.unknown, attempt.confirmedMs = false, n.now
+	attempt.specUnknown, attempt.confirmedMs = false, n.now
 	must.Eq(t, int64(holdMaxMs), beat(50, running("j1", 0, 1, 20)).HoldMs)
 	a = beat(ownerTimeoutMs-1500, running("j1", 0, 1, 30))
 	must.Eq(t, int64(1450), a.HoldMs)
@@ -82,10 +82,10 @@
 	beat(100, running("j1", 0, 1, 10))
 	key := wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}
 	ended := `,"ended":[{"n":1,"job":"j1","round":0,"step":0,"index":0,"run":1,"saved":"","outcome":"ok"}]`
-	must.Eq(t, int64(0), beat(50, ended).Seen)
-	must.Eq(t, int64(0), beat(50, ended).Seen)
+	must.Eq(t, int64(0), beat(50, ended).AcknowledgedEnds)
+	must.Eq(t, int64(0), beat(50, ended).AcknowledgedEnds)
 	n.agents["w1"].attempts[key].acked = true
-	must.Eq(t, int64(1), beat(50, ended).Seen)
+	must.Eq(t, int64(1), beat(50, ended).AcknowledgedEnds)
 
 	beat(50, running("j1", 1, 1, 10))
 	reduce(n, event{NowMs: n.now + 50, WallMs: 1, Body: evRequest{ID: 99, Op: "worker.beat", Key: "w2", Base: -1, Body: []byte(`{"seq":1,"site":"east","capacity":{"cpu":1,"memory":1,"accelerators":0}}`)}})
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -50,7 +50,7 @@
 func (h host) Self() wire.Peer {
 	n := h.node
 	self := wire.Peer{Name: n.Name, Incarnation: n.Incarnation, Addr: n.Addr, HTTP: n.HTTP, Zone: n.Zone,
-		Disk: n.Disk && n.diskFailed == "", Leaving: n.leavingSince != 0, Colocated: n.Colocated,
+		Disk: n.Disk && n.diskFailed == "", Leaving: n.leavingSinceMs != 0, Colocated: n.Colocated,
 		MilliCores: n.MilliCores, LinkMbps: n.LinkMbps, Strained: n.strain.strained}
 	if n.store != nil {
 		self.DiskID, self.Empty = n.DiskID, n.store.Cluster() == 0 && n.FirstStart
--- a/internal/daemon/http_server.go
+++ b/internal/daemon/http_server.go
@@ -95,7 +95,7 @@
 	switch e.Op {
 	case "setup.put": // checked here, since thousands of queues would hold the control thread up
 		var faults []schema.Fault
-		if e.Ready, faults = configuration.Parse(e.Key, e.Body); len(faults) > 0 {
+		if e.Precompiled, faults = configuration.Parse(e.Key, e.Body); len(faults) > 0 {
 			return effReply{Status: 400, Body: faultsJSON(faults)}
 		}
 	case "ready":
@@ -110,7 +110,7 @@
 	e.ID = d.seq
 	d.mu.Unlock()
 	select {
-	case d.loop.jobs <- func(s *executor) {
+	case d.loop.queue <- func(s *executor) {
 		s.ports.(*processPorts).waiting[e.ID] = ch
 		s.event(e)
 	}:
@@ -175,7 +175,7 @@
 	e := evRequest{Op: op, Key: key, Base: -1, Body: body}
 	if on := c.Query("on"); on != "" && op == "setup.put" {
 		if e.Base, err = strconv.ParseInt(on, 10, 64); err != nil || e.Base < 0 {
-			answer(
+			writeReply(
 				c,
 				effReply{
 					Status: 400,
@@ -187,10 +187,10 @@
 			return
 		}
 	}
-	answer(c, d.request(c.Request.Context(), e))
+	writeReply(c, d.request(c.Request.Context(), e))
 }
 
-func answer(c *gin.Context, r effReply) {
+func writeReply(c *gin.Context, r effReply) {
 	if r.RetryMs > 0 {
 		c.Header("Retry-After", strconv.FormatInt((r.RetryMs+999)/1000, 10))
 	}
@@ -205,7 +205,7 @@
 	for _, s := range gjson.GetBytes(members.Body, "slices").Array() {
 		r := d.request(ctx, evRequest{Op: "worker.lost", Key: s.Str + "/" + c.Param("id"), Base: -1})
 		if r.Status != 200 {
-			answer(c, r)
+			writeReply(c, r)
 			return
 		}
 		tasks += gjson.GetBytes(r.Body, "tasks").Int()
@@ -298,7 +298,7 @@
 	out["requests_open"] = float64(len(n.forwarded))
 	out["setup_version"] = float64(n.config.record.Version)
 	out["sync_ms"] = float64(n.diskSyncMs)
-	for _, shard := range n.owned {
+	for _, shard := range n.shards {
 		out["jobs_live"] += float64(len(shard.jobs))
 		out["writes_open"] += float64(len(shard.writes))
 	}
--- a/internal/daemon/http_server_test.go
+++ b/internal/daemon/http_server_test.go
@@ -16,7 +16,7 @@
 	ports := &processPorts{loop: l, waiting: map[uint64]chan effReply{}}
 	l.executor = &executor{node: newNode(nodeConfig{Name: "a"}, nil), ports: ports}
 	l.executor.node.wokeMs = 1 << 40 // its first polls are under way: calls are held, not turned away
-	return &httpServer{loop: l}, ports, func() { (<-l.jobs)(l.executor) }
+	return &httpServer{loop: l}, ports, func() { (<-l.queue)(l.executor) }
 }
 
 // A caller gives up, and the reply to its call comes later: it reaches nobody,
@@ -75,10 +75,10 @@
 		select {
 		case <-ended:
 			return
-		case job := <-d.loop.jobs:
+		case job := <-d.loop.queue:
 			job(d.loop.executor)
 			for _, req := range *held {
-				if req.id%3 != 0 || len(d.loop.jobs) == 0 { // some wait for others that came later
+				if req.id%3 != 0 || len(d.loop.queue) == 0 { // some wait for others that came later
 					ports.Reply(effReply{ID: req.id, Status: 200, Body: []byte(req.path)})
 				}
 			}
--- a/internal/daemon/identity_test.go
+++ b/internal/daemon/identity_test.go
@@ -36,7 +36,7 @@
 	for _, name := range sortedKeys(w.nodes) {
 		n := w.nodes[name]
 		switch {
-		case len(n.sh.node.owned) > 0:
+		case len(n.sh.node.shards) > 0:
 			owner = n
 		case !n.Disk:
 			front = n
--- a/internal/daemon/incident_test.go
+++ b/internal/daemon/incident_test.go
@@ -294,7 +294,7 @@
 	}
 }
 
-// unsentConfirmedIDs sends a setup and waits until it was acknowledged.
+// settled sends a setup and waits until it was acknowledged.
 func (b *platformWorld) settled() {
 	base := b.version
 	b.putSetup(b.usualSetup(), base+1, base, nil)
--- a/internal/daemon/job.go
+++ b/internal/daemon/job.go
@@ -15,7 +15,7 @@
 	roundTasksMax = 2000    // tasks of the rounds of a job that are open at once
 )
 
-// taskID and job are kept as they stand in the shard's record.
+// task and jobRecord are kept as they stand in the shard's record.
 type task struct {
 	Round             int32
 	Step, IndexInStep int32
--- a/internal/daemon/job_request.go
+++ b/internal/daemon/job_request.go
@@ -16,10 +16,10 @@
 			n.rejectFaults(req, 400, 0, faults)
 		} else if !bytes.Equal(p.Digest, j.Digest) {
 			n.respond(req, 409, 0, mustJSON(map[string]any{"error": "another job has this id"}))
-		} else if !n.hides(req, j) {
+		} else if !n.respondIfHidden(req, j) {
 			n.respond(req, 200, 0, mustJSON(map[string]any{"id": j.ID, "state": j.State.String()}))
 		}
-	case n.hides(req, j):
+	case n.respondIfHidden(req, j):
 	case req.op == "job.state":
 		n.respond(req, 200, 0, mustJSON(map[string]any{"state": j.State.String()}))
 	case req.op == "job.cancel" && j.State != jobCancelled:
@@ -40,7 +40,7 @@
 			n.rejectFaults(req, 400, 0, faults)
 		} else if !bytes.Equal(p.Digest, job.Digest) {
 			n.respond(req, 409, 0, mustJSON(map[string]any{"error": "another job has this id"}))
-		} else if !n.hides(req, &job.jobRecord) {
+		} else if !n.respondIfHidden(req, &job.jobRecord) {
 			n.whenCommitted(job, waiter{version: 1, request: req, status: 200})
 		}
 		return
@@ -98,13 +98,13 @@
 	}
 	size := len(j.encode())
 	c := &admission{
-		job:   j,
-		queue: q,
-		live:  shard.liveByQueue[j.Queue],
-		all:   len(shard.jobs),
-		bytes: shard.recordBytes + size,
-		base:  q.Urgency <= n.config.current.Lowest && len(n.config.current.Queues) > 1,
-		batch: q.Batch != nil,
+		job:           j,
+		queue:         q,
+		queueLive:     shard.liveByQueue[j.Queue],
+		shardLive:     len(shard.jobs),
+		bytes:         shard.recordBytes + size,
+		lowestUrgency: q.Urgency <= n.config.current.Lowest && len(n.config.current.Queues) > 1,
+		batch:         q.Batch != nil,
 
 		excess: n.isExcess(shard, req.tenant),
 	}
@@ -187,7 +187,7 @@
 
 func (n *node) handleGet(shard *ownedShard, req *request) {
 	if job := shard.jobs[req.key]; job != nil {
-		if n.hides(req, &job.jobRecord) {
+		if n.respondIfHidden(req, &job.jobRecord) {
 			return
 		}
 		if job.committed == 0 {
@@ -216,7 +216,7 @@
 		n.handleGet(shard, req)
 		return
 	}
-	if n.hides(req, &job.jobRecord) {
+	if n.respondIfHidden(req, &job.jobRecord) {
 		return
 	}
 	version := int64(1)
@@ -244,7 +244,7 @@
 
 func (n *node) handleCancel(shard *ownedShard, req *request) {
 	job := shard.jobs[req.key]
-	if job != nil && n.hides(req, &job.jobRecord) {
+	if job != nil && n.respondIfHidden(req, &job.jobRecord) {
 		return
 	}
 	if job == nil {
--- a/internal/daemon/job_schedule.go
+++ b/internal/daemon/job_schedule.go
@@ -58,7 +58,7 @@
 		job.trace.LastEndMs = n.now
 	}
 	n.count("jobs_" + state.String())
-	n.batchEnded(job)
+	n.recordBatchEnd(job)
 }
 
 // schedulePass is what one pass over a job's tasks goes by.
@@ -73,7 +73,7 @@
 }
 
 func (n *node) newSchedulePass(job *liveJob) *schedulePass {
-	pass := &schedulePass{wall: n.fleetTime(), queue: n.config.current.Queues[job.Queue], batch: n.batchOf(&job.jobRecord) != nil}
+	pass := &schedulePass{wall: n.fleetTime(), queue: n.config.current.Queues[job.Queue], batch: n.batchRules(&job.jobRecord) != nil}
 	for i := range job.Tasks {
 		if t := &job.Tasks[i]; t.State == taskPlaced && t.Class == wire.ClassQueueable {
 			pass.outstanding++
@@ -124,7 +124,7 @@
 	if n.now-rt.allocationRequestMs < allocationRetryMs || shard.shares.yields(job, i, n.now) {
 		return
 	}
-	if n.gangMayBegin(job, i) && !n.mayRequest(shard, job, i) {
+	if n.gangReady(job, i) && !n.mayRequest(shard, job, i) {
 		pass.addShareWait(job, i)
 		return
 	}
@@ -151,7 +151,7 @@
 		n.tracePlaced(job, i, candidates)
 		pass.outstanding++
 		if pass.choice != nil {
-			n.placed(pass.choice, worker)
+			n.recordPlacement(pass.choice, worker)
 		}
 	}
 }
@@ -275,7 +275,7 @@
 func (n *node) explainClass(job *liveJob, t *task) (class wire.TaskClass, reason string) {
 	step := &job.Steps[t.Step]
 	guaranteed, reason := scheduler.IsGuaranteed(scheduler.TaskFacts{
-		Batch: n.batchOf(&job.jobRecord) != nil, Gang: step.Gang, Lasting: step.Lasting,
+		Batch: n.batchRules(&job.jobRecord) != nil, Gang: step.Gang, Lasting: step.Lasting,
 		Preempts: int64(t.Preempts), EstimateMs: n.knownRunMs(job, t),
 	}, n.ThresholdMs)
 	if guaranteed {
--- a/internal/daemon/job_timeline_test.go
+++ b/internal/daemon/job_timeline_test.go
@@ -82,7 +82,7 @@
 	b.kill(owner.Name, false)
 	must.True(t, b.until(15_000, func() bool {
 		after := b.holderOf("slice/" + before.Shard)
-		return after != nil && after.Name != before.Owner && after.sh.node.owned[before.Shard].serving
+		return after != nil && after.Name != before.Owner && after.sh.node.shards[before.Shard].serving
 	}))
 	after, status := b.explain(t, lasting.id)
 	must.Eq(t, 200, status)
--- a/internal/daemon/lease_test.go
+++ b/internal/daemon/lease_test.go
@@ -42,7 +42,7 @@
 // lastPoll gives the newest round of polls among a daemon's effects.
 func lastPoll(t *testing.T, n *node) *wire.PollRequest {
 	t.Helper()
-	for _, e := range slices.Backward(n.out) {
+	for _, e := range slices.Backward(n.effects) {
 		if s, ok := e.(effSend); ok {
 			if m, ok := s.Msg.(*wire.PollRequest); ok {
 				return m
--- a/internal/daemon/linear_test.go
+++ b/internal/daemon/linear_test.go
@@ -20,7 +20,7 @@
 	w.putAnywhere(t, 2, 0)
 	w.run(1000)
 	n = w.nodes["d05"].sh.node
-	n.now, n.out = n.now+lease.PollMs, nil
+	n.now, n.effects = n.now+lease.PollMs, nil
 	n.leases.PollSoon()
 	n.tickPoll()
 	confirm = func() {
@@ -31,7 +31,7 @@
 		n.tickConfig()
 	}
 	read = func(status int) bool {
-		return slices.ContainsFunc(n.out, func(e effect) bool { r, ok := e.(effReply); return ok && r.Status == status })
+		return slices.ContainsFunc(n.effects, func(e effect) bool { r, ok := e.(effReply); return ok && r.Status == status })
 	}
 	return n, confirm, read
 }
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -26,7 +26,7 @@
 func (h host) FirstStart() bool { return h.nodeConfig.FirstStart }
 
 // LeavingSinceMs is when this daemon was asked to stop; 0 if it wasn't.
-func (h host) LeavingSinceMs() int64 { return h.leavingSince }
+func (h host) LeavingSinceMs() int64 { return h.leavingSinceMs }
 
 // NextOp numbers a request.
 func (h host) NextOp() uint64 {
--- a/internal/daemon/membership_test.go
+++ b/internal/daemon/membership_test.go
@@ -111,7 +111,7 @@
 func (s *slotWorld) wipeSome(count int, but ...*simNode) {
 	var from []*simNode
 	for _, m := range s.newestSet().Members {
-		if n := s.nodes[m.Name]; n.up && n.sh.node.leavingSince == 0 && !slices.Contains(but, n) {
+		if n := s.nodes[m.Name]; n.up && n.sh.node.leavingSinceMs == 0 && !slices.Contains(but, n) {
 			from = append(from, n)
 		}
 	}
@@ -535,7 +535,7 @@
 	n.adoptCoreSet(larger.Without(2))
 	must.True(t, former.Less(o.Ballot))
 	var versions []int64
-	for _, e := range n.out {
+	for _, e := range n.effects {
 		if s, ok := e.(effSend); ok {
 			if m, ok := s.Msg.(*register.Prepare); ok && m.Ballot == o.Ballot {
 				versions = append(versions, m.SetVersion)
--- a/internal/daemon/order_sender.go
+++ b/internal/daemon/order_sender.go
@@ -35,7 +35,7 @@
 	clock      *steadyClock
 	notAfterMs int64
 	wrote      atomic.Bool
-	whole      atomic.Bool // answered in full; the transport may close it from another goroutine
+	answered   atomic.Bool // answered in full; the transport may close it from another goroutine
 }
 
 func (c *guardedConn) Write(b []byte) (int, error) {
@@ -47,13 +47,13 @@
 }
 
 func (c *guardedConn) Close() error {
-	if !c.whole.Load() {
+	if !c.answered.Load() {
 		_ = c.SetLinger(0)
 	}
 	return c.TCPConn.Close()
 }
 
-func takeAsItIs(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // deliver sends one order and tells how it went, as a key of orderOutcomes.
 //
@@ -69,7 +69,7 @@
 	defer cancel()
 	var conn atomic.Pointer[guardedConn] // the library may still dial once the flight has ended
 	carrier := http.Client{
-		CheckRedirect: takeAsItIs,
+		CheckRedirect: noRedirect,
 		Transport: &http.Transport{
 			DisableKeepAlives: true,
 			DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -102,7 +102,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }() // what was read is kept, an error would change nothing
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, 1<<16))
-	conn.Load().whole.Store(true)
+	conn.Load().answered.Store(true)
 	switch {
 	case resp.StatusCode < 300:
 		return "started"
--- a/internal/daemon/outcome_test.go
+++ b/internal/daemon/outcome_test.go
@@ -28,7 +28,7 @@
 	} {
 		n := newNode(nodeConfig{Name: "a"}, nil)
 		n.respond(&request{id: 1, op: c.op, queue: c.queue, maybeApplied: c.unsure}, c.status, 0, nil)
-		must.Eq(t, c.want, n.out[0].(effReply).Status, must.Sprintf("%+v", c))
+		must.Eq(t, c.want, n.effects[0].(effReply).Status, must.Sprintf("%+v", c))
 	}
 }
 
@@ -156,7 +156,7 @@
 				must.True(t, w.until(20_000, func() bool { return w.startsNamed(id) > 0 }), must.Sprint("it was taken and never runs"))
 				holders := 0
 				for _, n := range w.nodesInOrder() {
-					for _, shard := range n.sh.node.owned {
+					for _, shard := range n.sh.node.shards {
 						if shard.jobs[id] != nil || shard.finished[id] != nil {
 							holders++
 						}
--- a/internal/daemon/platformunit_test.go
+++ b/internal/daemon/platformunit_test.go
@@ -66,7 +66,7 @@
 		n.config.current, n.config.confirmedMs = cur, n.now
 		n.leases.Assume("slice/s", 1, n.now+60_000)
 		n.startShard("s", 1)
-		shard := n.owned["s"]
+		shard := n.shards["s"]
 		j, faults := parseJob("j", "q", []byte(`{"payload":"x","steps":[{"name":"a","count":3,"room":1,"gang":true}]}`))
 		must.SliceEmpty(t, faults)
 		job := &liveJob{jobRecord: *j, committed: 1, runtime: make([]taskRuntime, 3)}
--- a/internal/daemon/platformworld_callers_test.go
+++ b/internal/daemon/platformworld_callers_test.go
@@ -238,7 +238,7 @@
 	b.putSetup(s, b.version+1+b.rng.Int64N(3), b.version, nil)
 }
 
-// finishedOrder sends site.empty or site.open until it is acknowledged.
+// order sends site.empty or site.open until it is acknowledged.
 func (b *platformWorld) order(op, site string, then func()) {
 	if op == "site.open" {
 		b.see(platformEvent{kind: bOpened, text: site})
--- a/internal/daemon/platformworld_faults_test.go
+++ b/internal/daemon/platformworld_faults_test.go
@@ -106,7 +106,7 @@
 	n.event(evStop{})
 	b.trouble("stopped", host)
 	b.after((6000+downMs)*1000, func() {
-		if n.up && n.sh.node.leavingSince != 0 {
+		if n.up && n.sh.node.leavingSinceMs != 0 {
 			n.kill(false)
 		}
 		n.start()
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -154,7 +154,7 @@
 	return resp.StatusCode, b, err
 }
 
-// unsentConfirmedIDs calls until an answer is final and as wanted, for at most 30 s of this
+// settled calls until an answer is final and as wanted, for at most 30 s of this
 // process's running time. ok is also told whether an earlier try was left without a
 // final answer: it may have been taken.
 func (f *fleet) settled(method, path, body string, ok func(status int, answer []byte, again bool) bool) {
--- a/internal/daemon/product_test.go
+++ b/internal/daemon/product_test.go
@@ -74,23 +74,23 @@
 		for _, m := range n.core.Names() { // nothing is committed
 			w.cuts[[2]string{owner.Name, m}] = m != owner.Name
 		}
-		shard := n.owned[name]
+		shard := n.shards[name]
 		job := &liveJob{jobRecord: jobRecord{ID: id, Queue: "a"}}
 		put, get := &request{id: 900001, op: "job.put", key: id, queue: "a"}, &request{id: 900002, op: "job.state", key: id, queue: "a"}
 		job.waiters = []waiter{{version: 1, request: put, status: 201}, {version: 1, request: get, status: 200}}
 		shard.jobs[id] = job
 		look := &request{id: 900003, op: "job.put", key: "other", queue: "a"}
 		shard.fetches[77] = &fetchOp{id: "other", job: &jobRecord{ID: "other"}, requests: []*request{look}}
-		n.out = nil
+		n.effects = nil
 		n.endShard(name)
 		got := map[uint64]int{}
-		for _, e := range n.out {
+		for _, e := range n.effects {
 			if r, ok := e.(effReply); ok {
 				got[r.ID] = r.Status
 			}
 		}
 		must.Eq(t, map[uint64]int{900001: 504, 900002: 503, 900003: 503}, got)
-		must.MapNotContainsKey(t, n.owned, name)
+		must.MapNotContainsKey(t, n.shards, name)
 		return
 	}
 	t.Fatal("no owner was met")
--- a/internal/daemon/queue_counts.go
+++ b/internal/daemon/queue_counts.go
@@ -33,12 +33,12 @@
 
 // tickQueueCounts tells the daemons that take callers what waits in the shards owned here.
 func (n *node) tickQueueCounts() {
-	if n.now < n.queueCountsAt || len(n.owned) == 0 {
+	if n.now < n.nextQueueCountsMs || len(n.shards) == 0 {
 		return
 	}
-	n.queueCountsAt = n.now + queueCountsMs
-	for _, name := range sortedKeys(n.owned) {
-		shard := n.owned[name]
+	n.nextQueueCountsMs = n.now + queueCountsMs
+	for _, name := range sortedKeys(n.shards) {
+		shard := n.shards[name]
 		if !shard.serving || len(shard.loading) > 0 || !n.leases.Holds(lease.ShardRole(name)) {
 			continue
 		}
@@ -73,7 +73,7 @@
 // where a shard's owner has not told for too long.
 func (n *node) pendingIn(queue string) (count int64, known bool) {
 	for _, name := range n.core.Shards {
-		if shard := n.owned[name]; shard != nil && shard.serving && n.leases.Holds(lease.ShardRole(name)) {
+		if shard := n.shards[name]; shard != nil && shard.serving && n.leases.Holds(lease.ShardRole(name)) {
 			count += pendingByQueue(shard)[queue]
 			continue
 		}
--- a/internal/daemon/quiet_test.go
+++ b/internal/daemon/quiet_test.go
@@ -13,8 +13,8 @@
 		if !n.up {
 			continue
 		}
-		for _, name := range sortedKeys(n.sh.node.owned) {
-			for _, ref := range n.sh.node.owned[name].tasksPlacedOn(worker) {
+		for _, name := range sortedKeys(n.sh.node.shards) {
+			for _, ref := range n.sh.node.shards[name].tasksPlacedOn(worker) {
 				placed[ref] = true
 			}
 		}
--- a/internal/daemon/reconcile.go
+++ b/internal/daemon/reconcile.go
@@ -24,7 +24,7 @@
 		n.updateCentral(from, m)
 		return
 	}
-	shard := n.owned[m.Shard]
+	shard := n.shards[m.Shard]
 	if shard == nil || !shard.serving || !n.leases.Holds(lease.ShardRole(m.Shard)) {
 		return
 	}
@@ -65,7 +65,7 @@
 		*w = workerView{
 			agent: from, epoch: m.Epoch, echoMs: m.SentMs, receivedMs: n.now, zone: m.Zone, labels: m.Labels, leaving: m.Leaving,
 			rebuilt: m.Rebuilt, reportFresh: m.Fresh, free: m.Free, capacity: m.Capacity, queued: m.Queued, rankMs: m.RankMs,
-			silentMs: m.SilentMs, usedByOthers: others, batchUse: batchUse, unstarted: m.Waiting, spare: w.spare.with(n.now, m.Spare),
+			silentMs: m.SilentMs, usedByOthers: others, batchUse: batchUse, unstarted: m.Waiting, spare: w.spare.observe(n.now, m.Spare),
 			rack: m.Rack, suspect: m.Suspect, doubtful: m.Doubtful, colocated: m.Colocated, urgentUse: m.Urgent,
 		}
 	}
@@ -306,7 +306,7 @@
 		}
 		healthy := !w.suspect && !n.ranks.ejected(name) || n.fleetIdle()
 		if name != t.Worker && healthy && n.workerAllowed(w, q, t.Needs, t.Resources) &&
-			t.Resources.Fits(n.roomFor(shard, q, job.excess, name, w)) {
+			t.Resources.Fits(n.availableRoom(shard, q, job.excess, name, w)) {
 			return true
 		}
 	}
--- a/internal/daemon/reduce.go
+++ b/internal/daemon/reduce.go
@@ -26,29 +26,29 @@
 	Incarnation uint64
 	// Instance names this process among all that ever ran, see identity.go: unlike
 	// Incarnation it comes from no clock and never changes.
-	Instance      uint64
-	Addr          string
-	HTTP          string
-	Zone          string
-	Seeds         []string
-	Disk          bool
-	DiskID        uint64
-	KeepMs        int64
-	SnapshotBytes int64 // of log, before a snapshot
-	ThresholdMs   int64
-	KLowest       int
-	TargetSigma   float64
-	Colocated     bool // it stands beside a worker: no role of the fleet's
-	MilliCores    int64
-	LinkMbps      int64
-	CoreSize      int  // disks that hold the state; 0 for membership.DefaultSize
-	FirstStart    bool // the whole fleet starts for the first time: empty disks may form a core
-	MaxHoldMs     int64
-	GangWaitMs    int64
-	SaveMs        int64
-	RestoreMs     int64
-	SpreadFactor  float64
-	Policies      scheduler.Set // those switched off, for trials
+	Instance       uint64
+	Addr           string
+	HTTP           string
+	Zone           string
+	Seeds          []string
+	Disk           bool
+	DiskID         uint64
+	FinishedKeepMs int64
+	SnapshotBytes  int64 // of log, before a snapshot
+	ThresholdMs    int64
+	KLowest        int
+	TargetSigma    float64
+	Colocated      bool // it stands beside a worker: no role of the fleet's
+	MilliCores     int64
+	LinkMbps       int64
+	CoreSize       int  // disks that hold the state; 0 for membership.DefaultSize
+	FirstStart     bool // the whole fleet starts for the first time: empty disks may form a core
+	MaxHoldMs      int64
+	GangWaitMs     int64
+	SaveMs         int64
+	RestoreMs      int64
+	SpreadFactor   float64
+	Policies       scheduler.Set // those switched off, for trials
 }
 
 // event is all that a daemon ever learns: what happened, when by its own
@@ -63,9 +63,9 @@
 type (
 	evTick struct{}
 	evMsg  struct {
-		Head  wire.Header
-		Msg   any
-		Ready *configuration.Configuration // of the configuration in it, where a traffic thread compiled that already
+		Head        wire.Header
+		Msg         any
+		Precompiled *configuration.Configuration // of the configuration in it, where a traffic thread compiled that already
 	}
 	// evRequest is a caller's, worker's or operator's request at this daemon.
 	evRequest struct {
@@ -77,8 +77,8 @@
 		Digest     []byte // SHA-256 of an operator's order, where it isn't that of the body
 		Credential string // the key that the caller showed
 		Body       []byte
-		// Ready is the configuration in Body, where a traffic thread compiled it already.
-		Ready *configuration.Configuration
+		// Precompiled is the configuration in Body, where a traffic thread compiled it already.
+		Precompiled *configuration.Configuration
 	}
 	// evOrder tells how an order to a worker went.
 	evOrder struct {
@@ -145,12 +145,12 @@
 	wokeMs    int64 // when this daemon last woke from a freeze, or began
 	seed      uint64
 	rng       *rand.Rand
-	out       []effect
+	effects   []effect
 	counts    map[string]int64
 
-	peers        *cluster.Directory
-	core         quorum.Set
-	leavingSince int64
+	peers          *cluster.Directory
+	core           quorum.Set
+	leavingSinceMs int64
 
 	store    *statestore.Store
 	granter  *lease.Granter // of a core member
@@ -161,8 +161,8 @@
 
 	leases *lease.Manager
 
-	config configState
-	ready  *configuration.Configuration // came with this event
+	config      configState
+	precompiled *configuration.Configuration // came with this event
 
 	sender peerInstance // of the message that is being handled
 
@@ -172,20 +172,20 @@
 	coreReads   retryBudget // for reading states from the core
 	forwardSeq  uint64
 
-	owned    map[string]*ownedShard
+	shards   map[string]*ownedShard
 	counters map[string]*quota.Counter // of tenants, by the shard whose owner counts them
 	// When a counter here last heard from each shard's owner.
-	shareReports map[string]map[string]int64
-	limits       quota.Limits
-	agents       map[string]*workerAgent
-	central      *centralScheduler
-	ranks        rankState
-	workers      map[string]*workerView
-	estimates    scheduler.Estimates
-	learnedAt    int64
+	shareReports    map[string]map[string]int64
+	limits          quota.Limits
+	agents          map[string]*workerAgent
+	central         *centralScheduler
+	ranks           rankState
+	workers         map[string]*workerView
+	estimates       scheduler.Estimates
+	nextEstimatesMs int64
 	// What owners told of each shard's queues, and when this daemon tells next.
-	queueCounts   map[string]*queueCounts
-	queueCountsAt int64
+	queueCounts       map[string]*queueCounts
+	nextQueueCountsMs int64
 
 	batchMeter map[meterKey]float64 // core seconds of batches
 	stages     jobtrace.Recorder    // where the time of the jobs owned here went
@@ -205,7 +205,7 @@
 		proposer:     register.Proposer{Name: p.Name, Instance: p.Instance, Timing: changeTiming},
 		forwarded:    map[uint64]*forwardedRequest{},
 		quorumReads:  map[uint64]*quorumRead{},
-		owned:        map[string]*ownedShard{},
+		shards:       map[string]*ownedShard{},
 		counters:     map[string]*quota.Counter{},
 		shareReports: map[string]map[string]int64{},
 		agents:       map[string]*workerAgent{},
@@ -229,7 +229,7 @@
 		n.wokeMs = ev.NowMs
 	}
 	n.now = max(n.now, ev.NowMs)
-	n.wall, n.seed, n.rng, n.out = ev.WallMs, ev.Seed, nil, nil
+	n.wall, n.seed, n.rng, n.effects = ev.WallMs, ev.Seed, nil, nil
 	if stoodMs > freezeThresholdMs && !began {
 		n.log("stood_still", "ms", stoodMs)
 	}
@@ -238,7 +238,7 @@
 	}
 	n.flushShares()
 	n.flushWrites()
-	return n.out
+	return n.effects
 }
 
 var eventHandlers map[reflect.Type]func(*node, any)
@@ -342,14 +342,14 @@
 		return
 	}
 	n.count("messages_in")
-	n.ready, n.sender = e.Ready, peerInstance{e.Head.From, e.Head.Instance}
-	defer func() { n.ready, n.sender = nil, peerInstance{} }()
+	n.precompiled, n.sender = e.Precompiled, peerInstance{e.Head.From, e.Head.Instance}
+	defer func() { n.precompiled, n.sender = nil, peerInstance{} }()
 	if h, ok := messageHandlers[reflect.TypeOf(e.Msg)]; ok {
 		h(n, e.Head.From, e.Msg)
 	}
 }
 
-func (n *node) emit(e effect)               { n.out = append(n.out, e) }
+func (n *node) emit(e effect)               { n.effects = append(n.effects, e) }
 func (n *node) count(name string)           { n.counts[name]++ }
 func (n *node) log(event string, kv ...any) { n.emit(effLog{Event: event, Pairs: kv}) }
 func (n *node) headOf() wire.Header {
--- a/internal/daemon/registers.go
+++ b/internal/daemon/registers.go
@@ -18,11 +18,11 @@
 // registerChange is one change of a register by this daemon.
 type registerChange struct {
 	*register.Operation
-	kind    string // names what is computed and what follows, see changeKinds
-	arg     []byte // the wanted value or its part
-	expect  int64  // the version the value must have, where the kind asks
-	change  configuration.ChangeID
-	request *request
+	kind     string // names what is computed and what follows, see changeKinds
+	arg      []byte // the wanted value or its part
+	expect   int64  // the version the value must have, where the kind asks
+	changeID configuration.ChangeID
+	request  *request
 }
 
 // changeKind computes the next value from the current one, and says what follows.
@@ -52,7 +52,7 @@
 	n.opSeq++
 	o := &registerChange{kind: kind, arg: arg, expect: expect}
 	change := func(current []byte) (register.Decision, []byte) { return changeKinds[kind].decide(n, o, current) }
-	n.proposer.Observe(n.config.newest.Round)
+	n.proposer.Observe(n.config.newestBallot.Round)
 	var out []register.Envelope
 	o.Operation, out = n.proposer.Begin(n.opSeq, reg, change, n.core.RegisterSet(), n.now)
 	n.changes[o.ID] = o
@@ -97,7 +97,7 @@
 		if o.request != nil && n.leases.CutOff() {
 			o.Abandon()
 		}
-		n.proposer.Observe(n.config.newest.Round)
+		n.proposer.Observe(n.config.newestBallot.Round)
 		n.sendAll(o.Tick(n.core.RegisterSet(), n.now))
 		n.endChange(o)
 	}
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -94,16 +94,16 @@
 // retryBudget bounds what this daemon does beyond the first attempt, for all requests
 // together: under a crowd that sends again and again the fleet's own work must
 // not grow with what it gives up on.
-type retryBudget struct{ left int64 }
+type retryBudget struct{ tokens int64 }
 
-func (b *retryBudget) earn(v int64) { b.left = min(b.left+v, retryBudgetMax*requestsPerRetry) }
+func (b *retryBudget) add(v int64) { b.tokens = min(b.tokens+v, retryBudgetMax*requestsPerRetry) }
 
-// spend takes one try, if one is left.
-func (b *retryBudget) spend() bool {
-	if b.left < requestsPerRetry {
+// take takes one try, if one is left.
+func (b *retryBudget) take() bool {
+	if b.tokens < requestsPerRetry {
 		return false
 	}
-	b.left -= requestsPerRetry
+	b.tokens -= requestsPerRetry
 	return true
 }
 
@@ -121,7 +121,7 @@
 		return
 	}
 	n.count("requests_in")
-	n.retries.earn(1)
+	n.retries.add(1)
 	n.handleRequest(
 		&request{
 			receivedMs:  n.now,
@@ -130,7 +130,7 @@
 			op:          e.Op,
 			key:         e.Key,
 			body:        e.Body,
-			config:      e.Ready,
+			config:      e.Precompiled,
 			host:        e.Host,
 			path:        e.Path,
 			base:        e.Base,
@@ -229,7 +229,7 @@
 		return
 	}
 	if req.hops > 0 && req.op != "worker.report" { // a second time; reports are few and feed everything
-		if !n.Policies.On(scheduler.ForwardRetry) || !n.retries.spend() {
+		if !n.Policies.On(scheduler.ForwardRetry) || !n.retries.take() {
 			n.reject(req, "nobody surely settles this now")
 			return
 		}
@@ -273,7 +273,7 @@
 // retryForwarded routes anew what waits for a daemon that has lost its role.
 func (n *node) retryForwarded(to string) {
 	for _, id := range sortedKeys(n.forwarded) {
-		if p := n.forwarded[id]; p.to == to && to != "" && n.Policies.On(scheduler.ForwardRetry) && n.retries.spend() {
+		if p := n.forwarded[id]; p.to == to && to != "" && n.Policies.On(scheduler.ForwardRetry) && n.retries.take() {
 			delete(n.forwarded, id)
 			p.request.maybeApplied = true
 			n.count("requests_retried")
@@ -283,8 +283,8 @@
 }
 
 func (n *node) tickRequests() {
-	n.retries.earn(retriesPerTick * requestsPerRetry)
-	n.coreReads.earn(readsPerTick * requestsPerRetry)
+	n.retries.add(retriesPerTick * requestsPerRetry)
+	n.coreReads.add(readsPerTick * requestsPerRetry)
 	for _, id := range sortedKeys(n.forwarded) {
 		if p := n.forwarded[id]; n.forwardTimedOut(p) {
 			delete(n.forwarded, id)
@@ -303,7 +303,7 @@
 // readFromCore is for requests that no owner answers now: a job's state can still be
 // had from the core, anything else is rejected.
 func (n *node) readFromCore(req *request, reason string) {
-	if req.op != "job.get" && req.op != "job.state" || len(n.core.Members) == 0 || n.leases.CutOff() || !n.coreReads.spend() {
+	if req.op != "job.get" && req.op != "job.state" || len(n.core.Members) == 0 || n.leases.CutOff() || !n.coreReads.take() {
 		n.reject(req, reason)
 		return
 	}
@@ -359,7 +359,7 @@
 	if j, ok := decodeJob(all[at]); ok {
 		delete(n.quorumReads, op)
 		n.count("states_from_core")
-		if n.hides(r.request, j) {
+		if n.respondIfHidden(r.request, j) {
 			return
 		}
 		if r.request.op == "job.state" {
@@ -407,7 +407,7 @@
 }
 
 func (n *node) routeToShard(req *request, name string) {
-	if shard := n.owned[name]; shard != nil && n.leases.Holds(lease.ShardRole(name)) {
+	if shard := n.shards[name]; shard != nil && n.leases.Holds(lease.ShardRole(name)) {
 		if !shard.serving {
 			n.readFromCore(req, "the slice is being taken over")
 			return
--- a/internal/daemon/request_address.go
+++ b/internal/daemon/request_address.go
@@ -64,11 +64,11 @@
 	return "", c.Queues[queue].Open
 }
 
-// sees tells whether a job is there for a call: one at an address sees the jobs of its queue,
+// jobVisible tells whether a job is there for a call: one at an address sees the jobs of its queue,
 // and with a key those of the key's tenant. Jobs without a tenant, and those of a tenant that is
 // no longer declared, are there for all who may call. Without a key, at an open queue, any job may
 // be looked at, since its tenant's key may be one that was taken away; but not cancelled.
-func (n *node) sees(req *request, j *jobRecord) bool {
+func (n *node) jobVisible(req *request, j *jobRecord) bool {
 	switch {
 	case req.queue == "":
 		return true
@@ -88,12 +88,12 @@
 	return n.configFresh() && n.config.current.Tenants[tenant] == nil
 }
 
-// hides answers a call that a job isn't there for, and tells whether it isn't. That a job is
+// respondIfHidden answers a call that a job isn't there for, and tells whether it isn't. That a job is
 // another tenant's is only said by a configuration confirmed after the call came: an older one
 // may know the callers' tenant by its former name.
-func (n *node) hides(req *request, j *jobRecord) bool {
+func (n *node) respondIfHidden(req *request, j *jobRecord) bool {
 	switch {
-	case n.sees(req, j):
+	case n.jobVisible(req, j):
 		return false
 	case (j.Queue == req.queue || req.op == "job.put") && !n.configConfirmedSince(req):
 		req.maybeApplied = true // it may be the very job that is handed in again
--- a/internal/daemon/roles.go
+++ b/internal/daemon/roles.go
@@ -65,10 +65,10 @@
 func (n *node) latestFleetTime() int64 { return n.leases.Clock().Latest(n.core, n.now) }
 
 func (n *node) onStop(evStop) {
-	if n.leavingSince != 0 {
+	if n.leavingSinceMs != 0 {
 		return
 	}
-	n.leavingSince = n.now
+	n.leavingSinceMs = n.now
 	n.log("stopping", "roles", len(n.leases.Roles()))
 	if n.inCore() {
 		n.members.NotifySpares()
@@ -97,10 +97,10 @@
 }
 
 func (n *node) tickShutdown() {
-	if n.leavingSince == 0 || n.members.AwaitsSuccessor() {
+	if n.leavingSinceMs == 0 || n.members.AwaitsSuccessor() {
 		return
 	}
-	if len(n.leases.Roles()) == 0 && n.now-n.leavingSince > 300 || n.now-n.leavingSince > shutdownTimeoutMs {
+	if len(n.leases.Roles()) == 0 && n.now-n.leavingSinceMs > 300 || n.now-n.leavingSinceMs > shutdownTimeoutMs {
 		n.emit(effExit{})
 	}
 }
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -494,7 +494,7 @@
 func init() {
 	scenarios["a member that missed an end, after the end's keeping is over"] = scenario{"hakata", func(t *testing.T, w *world) {
 		for _, n := range w.nodesInOrder() {
-			n.KeepMs, n.sh.node.KeepMs = 20_000, 20_000
+			n.FinishedKeepMs, n.sh.node.FinishedKeepMs = 20_000, 20_000
 		}
 		j, owner, _ := w.ownerCut(t, func() historycheck.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
 		name := "slice/" + owner.sh.node.shardOf(j.id)
@@ -532,7 +532,7 @@
 			}
 			w.note(historycheck.Event{Kind: historycheck.JobSent, Job: id, Spec: &spec})
 			w.ask("early", owner, "job.put", id, body, 2000, func(int, int64, []byte) {})
-			for owner.sh.node.owned[name[6:]].jobs[id] == nil {
+			for owner.sh.node.shards[name[6:]].jobs[id] == nil {
 				w.step()
 			}
 			for c := range membership.DefaultSize { // its write is on its way, and reaches one member only
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -192,7 +192,7 @@
 	fs.StringVar(&f.off, "disable-policy", "", "for trials: scheduling policies to switch off, parted by commas")
 }
 
-// loadByWorker reads the file, lays the given flags over it and checks all.
+// load reads the file, lays the given flags over it and checks all.
 func (f *settingsFlags) load(fs *flag.FlagSet) (settings, error) {
 	s := defaultSettings()
 	switch a, err := loadPlatform(f.file); {
--- a/internal/daemon/setup_test.go
+++ b/internal/daemon/setup_test.go
@@ -25,7 +25,7 @@
 	return got
 }
 
-// lastCompleteEpoch gives a world whose core, slices and polls stand.
+// served gives a world whose core, slices and polls stand.
 func served(t *testing.T, seed uint64) *world {
 	t.Helper()
 	w := newWorld(seed, historycheck.Deployments["hakata"])
--- a/internal/daemon/shard.go
+++ b/internal/daemon/shard.go
@@ -217,7 +217,7 @@
 }
 
 func (n *node) startShard(name string, epoch uint64) {
-	n.owned[name] = &ownedShard{
+	n.shards[name] = &ownedShard{
 		name:           name,
 		epoch:          epoch,
 		startMs:        n.now,
@@ -244,17 +244,17 @@
 	}
 	n.counters[name] = quota.NewCounter(name, epoch)
 	delete(n.shareReports, name)
-	n.sendSeals(n.owned[name])
+	n.sendSeals(n.shards[name])
 }
 
 // endShard lets go of a shard. Who waits here for a commit is told at once that the
 // outcome is unknown, and who waits for a look at the core that nothing was kept.
 func (n *node) endShard(name string) {
-	shard := n.owned[name]
+	shard := n.shards[name]
 	if shard == nil {
 		return
 	}
-	delete(n.owned, name)
+	delete(n.shards, name)
 	delete(n.counters, name)
 	for _, id := range sortedKeys(shard.jobs) {
 		for _, w := range shard.jobs[id].waiters {
@@ -299,8 +299,8 @@
 }
 
 func (n *node) tickShards() {
-	for _, name := range sortedKeys(n.owned) {
-		shard := n.owned[name]
+	for _, name := range sortedKeys(n.shards) {
+		shard := n.shards[name]
 		if !shard.serving {
 			if n.now-shard.sealSentMs > writeRetryMs {
 				if len(shard.missing) > 0 { // a member went away between seal and fetch: begin again
--- a/internal/daemon/shard_read.go
+++ b/internal/daemon/shard_read.go
@@ -30,8 +30,8 @@
 		n.onQuorumRead(r, m.Op, from, m.Records)
 		return
 	}
-	for _, name := range sortedKeys(n.owned) {
-		shard := n.owned[name]
+	for _, name := range sortedKeys(n.shards) {
+		shard := n.shards[name]
 		if member, ok := shard.missingOps[m.Op]; ok && member == from {
 			for _, r := range m.Records {
 				if old := shard.merged[r.ID]; old.OlderThan(r) {
--- a/internal/daemon/shard_takeover.go
+++ b/internal/daemon/shard_takeover.go
@@ -27,7 +27,7 @@
 // and absent among another's live ones may have finished there: it is asked
 // for by name before the shard is served.
 func (n *node) mergeSeal(from string, m *wire.SealResponse) {
-	shard := n.owned[m.Shard]
+	shard := n.shards[m.Shard]
 	if shard == nil || m.Epoch != shard.epoch || shard.serving || shard.seals[from] != nil || len(shard.missing) > 0 {
 		return
 	}
--- a/internal/daemon/shard_write.go
+++ b/internal/daemon/shard_write.go
@@ -50,8 +50,8 @@
 
 // flushWrites sends what changed as one batch to all of the core.
 func (n *node) flushWrites() {
-	for _, name := range sortedKeys(n.owned) {
-		shard := n.owned[name]
+	for _, name := range sortedKeys(n.shards) {
+		shard := n.shards[name]
 		if n.Policies.On(scheduler.GatherWrites) && shard.holdsNextWrite(n.now) {
 			continue
 		}
@@ -126,7 +126,7 @@
 }
 
 func (n *node) applyWriteResponse(from string, m *wire.WriteResponse) {
-	shard := n.owned[m.Shard]
+	shard := n.shards[m.Shard]
 	if shard == nil || m.Epoch != shard.epoch {
 		return
 	}
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -79,7 +79,7 @@
 		switch {
 		case n.Colocated:
 			roles[name] = countedSide
-		case n.up && (len(n.sh.node.owned) > 0 || n.sh.node.central != nil || n.sh.node.inCore()):
+		case n.up && (len(n.sh.node.shards) > 0 || n.sh.node.central != nil || n.sh.node.inCore()):
 			roles[name] = countedOwner
 		default:
 			roles[name] = countedEdge
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -14,7 +14,7 @@
 	switch {
 	case n.core.Cluster == 0:
 		return "no cluster yet"
-	case n.leavingSince != 0:
+	case n.leavingSinceMs != 0:
 		return "this daemon is stopping"
 	case n.now-n.leases.ContactMs() > ownerContactMs:
 		return "the core can't be reached from here"
@@ -191,8 +191,8 @@
 // ownedShards tells of each shard held here what waits in it.
 func (n *node) ownedShards() map[string]any {
 	owned := map[string]any{}
-	for _, name := range sortedKeys(n.owned) {
-		shard := n.owned[name]
+	for _, name := range sortedKeys(n.shards) {
+		shard := n.shards[name]
 		unsettled, waiting := n.openTasks(shard)
 		owned[name] = map[string]any{
 			"serving":     shard.serving,
--- a/internal/daemon/tenant_keys_test.go
+++ b/internal/daemon/tenant_keys_test.go
@@ -180,7 +180,7 @@
 	must.SliceEmpty(t, faults)
 	l := newControlLoop(newSteadyClock())
 	n := newNode(nodeConfig{Name: "d1", Addr: "127.0.0.1:7000", Zone: "east"}, nil)
-	n.config.current, n.config.confirmedMs, n.config.confirmedBy = c, 1<<40, 1<<60
+	n.config.current, n.config.confirmedMs, n.config.confirmedPoll = c, 1<<40, 1<<60
 	l.executor = &executor{node: n, ports: &processPorts{loop: l, log: logr.Discard(), waiting: map[uint64]chan effReply{}, exit: func() {}}}
 	go l.run()
 	d := &httpServer{loop: l}
@@ -407,11 +407,11 @@
 
 	n, theirs := w.nodes["d03"].sh.node, &jobRecord{Queue: "seats", Tenant: "not known here"}
 	req := &request{op: "job.state", queue: "seats", tenant: tenantB.name}
-	must.True(t, n.sees(req, theirs))
+	must.True(t, n.jobVisible(req, theirs))
 	n.config.confirmedMs -= configFreshMs + 1
-	must.False(t, n.sees(req, theirs))
+	must.False(t, n.jobVisible(req, theirs))
 	n.config.current = configuration.Empty()
-	must.False(t, n.sees(req, theirs))
+	must.False(t, n.jobVisible(req, theirs))
 }
 
 // Guards against keys that reach what operators and logs show.
--- a/internal/daemon/tenant_overview.go
+++ b/internal/daemon/tenant_overview.go
@@ -93,7 +93,7 @@
 
 // serveTenants puts together what each shard's owner tells of tenants.
 func (d *httpServer) serveTenants(c *gin.Context) {
-	answer(c, gatherTenants(c.Request.Context(), d.request))
+	writeReply(c, gatherTenants(c.Request.Context(), d.request))
 }
 
 // gatherTenants requests each shard's word on tenants. Without that of one the sums would be
--- a/internal/daemon/tenant_rename_test.go
+++ b/internal/daemon/tenant_rename_test.go
@@ -41,11 +41,11 @@
 func TestJobHandedInAgainByAFormerName(t *testing.T) {
 	for _, op := range []string{"job.put", "job.state", "job.cancel"} {
 		n, shard := shareOwner(t)
-		n.config.confirmedBy = 1
+		n.config.confirmedPoll = 1
 		job := jobOfTenant(t, shard, "a", "full", `{"name":"s","count":1,"room":1}`, 1)
 		call := &request{id: 7, op: op, key: "a", queue: "q", byAddress: true, tenant: "former"}
-		must.True(t, n.hides(call, &job.jobRecord))
-		for _, e := range n.out {
+		must.True(t, n.respondIfHidden(call, &job.jobRecord))
+		for _, e := range n.effects {
 			if reply, ok := e.(effReply); ok {
 				must.SliceNotContains(t, []int{404, 409, 410}, reply.Status, must.Sprint(op, " ", string(reply.Body)))
 			}
@@ -65,11 +65,11 @@
 		"while the owner isn't up to date": {"q", "next", 0},
 	} {
 		n, shard := shareOwner(t)
-		n.config.confirmedBy = c.confirmed
+		n.config.confirmedPoll = c.confirmed
 		job := jobOfTenant(t, shard, "a", "", `{"name":"s","count":1,"room":1}`, 1)
 		job.Queue = c.jobOf
-		n.hides(&request{id: 7, op: "job.put", key: "a", queue: c.callOf, byAddress: true}, &job.jobRecord)
-		for _, e := range n.out {
+		n.respondIfHidden(&request{id: 7, op: "job.put", key: "a", queue: c.callOf, byAddress: true}, &job.jobRecord)
+		for _, e := range n.effects {
 			if reply, ok := e.(effReply); ok {
 				must.NotEq(t, 409, reply.Status, must.Sprint(name, " ", string(reply.Body)))
 			}
--- a/internal/daemon/tenant_shares.go
+++ b/internal/daemon/tenant_shares.go
@@ -15,17 +15,17 @@
 
 // tenantShares is what the owner of a shard may have running of each tenant, see package quota.
 type tenantShares struct {
-	shards    []string
-	borrowers map[string]*quota.Borrower // by counting shard
-	byTenant  map[string]*quota.Borrower // of those, the one whose counter counts a tenant
-	loggedMs  int64                      // when delays were last logged
+	shardNames []string
+	borrowers  map[string]*quota.Borrower // by counting shard
+	byTenant   map[string]*quota.Borrower // of those, the one whose counter counts a tenant
+	loggedMs   int64                      // when delays were last logged
 }
 
 // shareLogMs is how long a task waits for a share before that is logged, and how often it is.
 const shareLogMs = 2000
 
 func newTenantShares(shard string, epoch uint64, shards []string) tenantShares {
-	s := tenantShares{shards: shards, borrowers: map[string]*quota.Borrower{}, byTenant: map[string]*quota.Borrower{}}
+	s := tenantShares{shardNames: shards, borrowers: map[string]*quota.Borrower{}, byTenant: map[string]*quota.Borrower{}}
 	for _, counter := range shards {
 		s.borrowers[counter] = quota.NewBorrower(shard, epoch, counter)
 	}
@@ -39,12 +39,12 @@
 
 // borrowerFor is the account of a tenant; nil where nothing is counted.
 func (s *tenantShares) borrowerFor(tenant string) *quota.Borrower {
-	if tenant == "" || len(s.shards) == 0 {
+	if tenant == "" || len(s.shardNames) == 0 {
 		return nil
 	}
 	b := s.byTenant[tenant]
 	if b == nil {
-		b = s.borrowers[countingShard(tenant, s.shards)]
+		b = s.borrowers[countingShard(tenant, s.shardNames)]
 		s.byTenant[tenant] = b
 	}
 	return b
@@ -134,8 +134,8 @@
 		}
 	}
 	for _, tenant := range n.limits.Adopt(n.config.current.Version, n.config.record.Previous(), limits) {
-		for _, name := range sortedKeys(n.owned) {
-			if b := n.owned[name].shares.borrowerFor(tenant); b != nil {
+		for _, name := range sortedKeys(n.shards) {
+			if b := n.shards[name].shares.borrowerFor(tenant); b != nil {
 				b.LimitLowered(tenant)
 			}
 		}
@@ -231,12 +231,12 @@
 	if !n.limits.Any() {
 		return
 	}
-	for _, name := range sortedKeys(n.owned) {
-		shard := n.owned[name]
+	for _, name := range sortedKeys(n.shards) {
+		shard := n.shards[name]
 		if !shard.serving || !n.leases.Holds(lease.ShardRole(name)) {
 			continue
 		}
-		for _, counter := range shard.shares.shards {
+		for _, counter := range shard.shares.shardNames {
 			to, m := shard.shares.borrowers[counter].Report(n.now, n.config.current.Version)
 			switch {
 			case m == nil:
@@ -255,7 +255,7 @@
 		return
 	}
 	shard.shares.loggedMs = n.now
-	for _, counter := range shard.shares.shards {
+	for _, counter := range shard.shares.shardNames {
 		for _, d := range shard.shares.borrowers[counter].Delays(n.now, shareLogMs) {
 			n.log("share_delayed", "slice", shard.name, "tenant", d.Tenant, "waited_ms", d.WaitedMs, "job", d.Job,
 				"unit", d.Unit, "held", d.Held, "used", d.Used, "reserved", d.Reserved, "claims", d.Claims,
@@ -270,9 +270,9 @@
 	if !n.limits.Any() {
 		return
 	}
-	for _, name := range sortedKeys(n.owned) {
-		for _, counter := range n.owned[name].shares.shards {
-			n.owned[name].shares.borrowers[counter].CounterIs(n.leases.Holder(lease.ShardRole(counter)))
+	for _, name := range sortedKeys(n.shards) {
+		for _, counter := range n.shards[name].shares.shardNames {
+			n.shards[name].shares.borrowers[counter].CounterIs(n.leases.Holder(lease.ShardRole(counter)))
 		}
 	}
 	for _, name := range sortedKeys(n.counters) {
@@ -304,7 +304,7 @@
 
 // onShareGrant places at once what waited for the share.
 func (n *node) onShareGrant(_ string, m *wire.ShareGrant) {
-	shard := n.owned[m.Shard]
+	shard := n.shards[m.Shard]
 	if shard == nil || !shard.serving || !n.leases.Holds(lease.ShardRole(m.Shard)) {
 		return
 	}
--- a/internal/daemon/tenant_status.go
+++ b/internal/daemon/tenant_status.go
@@ -178,8 +178,8 @@
 // and which tenants have stood at their limit for a while with tasks waiting.
 func (n *node) counterHealth() map[string]any {
 	health := map[string]any{}
-	for _, name := range sortedKeys(n.owned) {
-		shard, waiting := n.owned[name], map[string]int{}
+	for _, name := range sortedKeys(n.shards) {
+		shard, waiting := n.shards[name], map[string]int{}
 		if c := n.counters[name]; c != nil {
 			for _, usage := range c.Usages() {
 				if usage.WaitedMs > shareStuckMs && len(waiting) < tenantLabelsMax {
@@ -240,7 +240,7 @@
 
 // explainShare says that a task waits for its tenant's limit; "" where it doesn't.
 func (n *node) explainShare(job *liveJob, i int) string {
-	shard := n.owned[n.shardOf(job.ID)]
+	shard := n.shards[n.shardOf(job.ID)]
 	if shard == nil || !job.waitsForShare || n.hasReservedShare(shard, job, i, job.allocationUnit(i)) {
 		return ""
 	}
--- a/internal/daemon/tenant_weight.go
+++ b/internal/daemon/tenant_weight.go
@@ -38,8 +38,8 @@
 	return scheduler.Precedence(n.config.current.Urgency(queue), excess)
 }
 
-// usesKeptRoom tells whether tasks of a queue may take the room kept for the most urgent ones.
-func (n *node) usesKeptRoom(q *configuration.Queue, excess bool) bool {
+// mayUseUrgentRoom tells whether tasks of a queue may take the room kept for the most urgent ones.
+func (n *node) mayUseUrgentRoom(q *configuration.Queue, excess bool) bool {
 	return !excess && n.isUrgent(q)
 }
 
--- a/internal/daemon/tenant_weight_test.go
+++ b/internal/daemon/tenant_weight_test.go
@@ -281,7 +281,7 @@
 		{Job: "a"}: task("fast", firm, true), {Job: "b"}: task("slow", queueable, false), {Job: "c"}: task("fast", queueable, false),
 	}}
 	var order []string
-	for _, attempt := range agent.waiting(n) {
+	for _, attempt := range agent.queuedAttempts(n) {
 		order = append(order, fmt.Sprint(attempt.spec.Queue, " ", attempt.spec.Excess))
 	}
 	must.Eq(t, []string{"fast false", "slow false", "fast true"}, order)
@@ -292,11 +292,11 @@
 	n := twoUrgencies(t)
 	shard := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{"w": {CPU: 700}}}
 	w := &workerView{capacity: resource.Amount{CPU: 1000, Memory: 100}, urgentUse: resource.Amount{CPU: 100}}
-	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, n.roomFor(shard, n.config.current.Queues["fast"], true, "w", w))
+	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, n.availableRoom(shard, n.config.current.Queues["fast"], true, "w", w))
 	running := attemptOf("fast", 500, wire.AttemptRunning)
 	running.spec.Excess = true
 	agent := &workerAgent{attempts: map[wire.AttemptKey]*agentAttempt{{Job: "a"}: running, {Job: "b"}: attemptOf("fast", 50, wire.AttemptRunning)}}
-	must.Eq(t, resource.Amount{CPU: 50}, agent.urgentHeld(n, wire.AttemptRunning))
+	must.Eq(t, resource.Amount{CPU: 50}, agent.urgentUse(n, wire.AttemptRunning))
 }
 
 // An excess job is refused by what waits, only while there is no room, and takes at most a part of
@@ -328,9 +328,9 @@
 	j, faults := parseJob("j", "", []byte(`{"queue":"fast","steps":[{"name":"s","tasks":[{"name":"t","room":1}]}]}`))
 	must.SliceEmpty(t, faults)
 	q := set.Queues["fast"]
-	must.Nil(t, admit(&admission{job: j, queue: q, excess: true, all: shardJobsMax*excessRecordsPercent/100 - 1}))
-	must.Eq(t, 429, admit(&admission{job: j, queue: q, excess: true, all: shardJobsMax * excessRecordsPercent / 100}).status)
-	must.Nil(t, admit(&admission{job: j, queue: q, all: shardJobsMax * excessRecordsPercent / 100}))
+	must.Nil(t, admit(&admission{job: j, queue: q, excess: true, shardLive: shardJobsMax*excessRecordsPercent/100 - 1}))
+	must.Eq(t, 429, admit(&admission{job: j, queue: q, excess: true, shardLive: shardJobsMax * excessRecordsPercent / 100}).status)
+	must.Nil(t, admit(&admission{job: j, queue: q, shardLive: shardJobsMax * excessRecordsPercent / 100}))
 }
 
 // The policy can be switched off for a trial: then nothing is beyond a weight.
--- a/internal/daemon/tenantshares_test.go
+++ b/internal/daemon/tenantshares_test.go
@@ -30,7 +30,7 @@
 		n.leases.Assume(role, 1, n.now+60_000)
 	}
 	n.startShard("s", 1)
-	return n, n.owned["s"]
+	return n, n.shards["s"]
 }
 
 // jobOfTenant enters a job of one step, whose tasks are long, into a shard.
@@ -142,10 +142,10 @@
 	n.withLimit(t, 3, 20)
 	n.withLimit(t, 4, 40)
 	agent := &workerAgent{
-		worker: "w", colocated: true, rebuilt: true, tokenMs: n.now, heardMs: n.now, lastOK: n.now,
+		worker: "w", colocated: true, rebuilt: true, tokenMs: n.now, lastContactMs: n.now, lastSuccessMs: n.now,
 		capacity: resource.Amount{CPU: 100}, free: resource.Amount{CPU: 100}, attempts: map[wire.AttemptKey]*agentAttempt{},
-		tombstones: map[wire.AttemptKey]int64{}, owners: map[string]uint64{}, ownerMs: map[string]int64{},
-		ends: map[int64]wire.AttemptKey{},
+		tombstones: map[wire.AttemptKey]int64{}, ownerEpochs: map[string]uint64{}, ownerReplyMs: map[string]int64{},
+		endsByNumber: map[int64]wire.AttemptKey{},
 	}
 	n.agents["w"] = agent
 	queued := func(id, tenant string, version int64) *agentAttempt {
@@ -245,10 +245,10 @@
 	must.SliceEmpty(t, faults)
 	n.config.current = current
 	n.adoptLimits()
-	shard.serving, n.out = true, nil
+	shard.serving, n.effects = true, nil
 	n.tickCounters()
 	n.flushShares()
-	must.SliceEmpty(t, n.out)
+	must.SliceEmpty(t, n.effects)
 	must.SliceEmpty(t, n.counters["s"].Usages())
 	n.withLimit(t, 3, 4)
 	n.tickCounters()
--- a/internal/daemon/urgent_room.go
+++ b/internal/daemon/urgent_room.go
@@ -17,32 +17,32 @@
 // fleetIdle tells whether most of all room was free when the coordinator last told.
 func (n *node) fleetIdle() bool { return n.ranks.idle && n.now-n.ranks.receivedMs <= rankStaleMs }
 
-// keptRoom is the room of a worker that queueable tasks of other queues leave free. While the
+// urgentRoom is the room of a worker that queueable tasks of other queues leave free. While the
 // coordinator's word is stale nothing is kept.
-func (n *node) keptRoom(capacity, urgentUsed resource.Amount) resource.Amount {
+func (n *node) urgentRoom(capacity, urgentUsed resource.Amount) resource.Amount {
 	stale := n.now-n.ranks.receivedMs > rankStaleMs
-	if stale || n.ranks.urgent == (resource.Amount{}) || !n.Policies.On(scheduler.UrgentRoom) {
+	if stale || n.ranks.urgentPercent == (resource.Amount{}) || !n.Policies.On(scheduler.UrgentRoom) {
 		return resource.Amount{}
 	}
-	return scheduler.KeptRoom(capacity, urgentUsed, n.ranks.urgent)
+	return scheduler.KeptRoom(capacity, urgentUsed, n.ranks.urgentPercent)
 }
 
-// roomFor is the room of a worker that a queueable task of a queue may take, as far as a
+// availableRoom is the room of a worker that a queueable task of a queue may take, as far as a
 // shard's owner knows.
-func (n *node) roomFor(shard *ownedShard, q *configuration.Queue, excess bool, name string, w *workerView) resource.Amount {
+func (n *node) availableRoom(shard *ownedShard, q *configuration.Queue, excess bool, name string, w *workerView) resource.Amount {
 	free := n.freeResources(shard, name, w)
-	if n.usesKeptRoom(q, excess) {
+	if n.mayUseUrgentRoom(q, excess) {
 		return free
 	}
-	return free.Minus(n.keptRoom(w.capacity, w.urgentUse))
+	return free.Minus(n.urgentRoom(w.capacity, w.urgentUse))
 }
 
-// urgentHeld is the room of the attempts of the most urgent queues at a worker that have
+// urgentUse is the room of the attempts of the most urgent queues at a worker that have
 // one of some states.
-func (a *workerAgent) urgentHeld(n *node, states ...wire.AttemptState) (held resource.Amount) {
+func (a *workerAgent) urgentUse(n *node, states ...wire.AttemptState) (held resource.Amount) {
 	for _, attempt := range a.attempts { // a sum: the order does not matter
 		q := n.config.current.Queues[attempt.spec.Queue]
-		if q == nil || !n.usesKeptRoom(q, attempt.spec.Excess) {
+		if q == nil || !n.mayUseUrgentRoom(q, attempt.spec.Excess) {
 			continue
 		}
 		for _, state := range states {
--- a/internal/daemon/urgent_room_test.go
+++ b/internal/daemon/urgent_room_test.go
@@ -19,7 +19,7 @@
 	set, faults := configuration.Compile(1, []byte(`{"queues":[{"name":"fast","urgency":100},{"name":"slow","urgency":10}]}`))
 	must.SliceEmpty(t, faults)
 	n.config.current, n.now = set, 50_000
-	n.ranks.receivedMs, n.ranks.urgent = n.now, resource.Amount{CPU: 25}
+	n.ranks.receivedMs, n.ranks.urgentPercent = n.now, resource.Amount{CPU: 25}
 	return n
 }
 
@@ -67,8 +67,8 @@
 	n := twoUrgencies(t)
 	shard := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{"w": {CPU: 700}}}
 	w := &workerView{capacity: resource.Amount{CPU: 1000, Memory: 100}, urgentUse: resource.Amount{CPU: 100}}
-	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, n.roomFor(shard, n.config.current.Queues["slow"], false, "w", w))
-	must.Eq(t, resource.Amount{CPU: 300, Memory: 100}, n.roomFor(shard, n.config.current.Queues["fast"], false, "w", w))
+	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, n.availableRoom(shard, n.config.current.Queues["slow"], false, "w", w))
+	must.Eq(t, resource.Amount{CPU: 300, Memory: 100}, n.availableRoom(shard, n.config.current.Queues["fast"], false, "w", w))
 }
 
 // A task of a step that spreads over workers is called back too, to a worker that holds
@@ -126,7 +126,7 @@
 		}}
 	}
 	n.observeUrgent(c)
-	must.Eq(t, 29, c.urgent.Percent().CPU) // a fifth is used; a quarter of that and a slack are added
+	must.Eq(t, 29, c.urgentShare.Percent().CPU) // a fifth is used; a quarter of that and a slack are added
 	r := &scheduler.Candidate{Name: "w1", Capacity: resource.Amount{CPU: 1000}, Sure: resource.Amount{CPU: 450}}
 	may := func(queue string, cpu int64) bool {
 		request := &pendingAllocation{AllocationRequest: wire.AllocationRequest{Queue: queue, Resources: resource.Amount{CPU: cpu}}}
--- a/internal/daemon/worker_choice.go
+++ b/internal/daemon/worker_choice.go
@@ -34,7 +34,7 @@
 // It tells among how many it drew, too.
 func (n *node) selectWorker(shard *ownedShard, job *liveJob, i int, pass *schedulePass) (worker string, candidates int) {
 	t := &job.Tasks[i]
-	if !pass.choice.serves(shard, job, t) {
+	if !pass.choice.isValidFor(shard, job, t) {
 		pass.choice = n.newWorkerChoice(shard, job, i, pass.queue)
 	}
 	choice := pass.choice
@@ -44,7 +44,7 @@
 	}
 	workers := choice.workers
 	if t.LastFailedWorker != "" && n.Policies.On(scheduler.AvoidLast) {
-		workers = choice.withoutFormer(t)
+		workers = choice.avoidingFailures(t)
 	}
 	at, among := scheduler.Choose(workers, k, n.rand().IntN)
 	if at < 0 {
@@ -53,9 +53,9 @@
 	return choice.workers[at].Name, among
 }
 
-// withoutFormer gives the workers for a task that failed before: not where it last did, and for
+// avoidingFailures gives the workers for a task that failed before: not where it last did, and for
 // its last attempt not where anything speaks against the worker.
-func (c *workerChoice) withoutFormer(t *task) []scheduler.Choosable {
+func (c *workerChoice) avoidingFailures(t *task) []scheduler.Choosable {
 	workers := slices.Clone(c.workers)
 	if at, found := c.find(t.LastFailedWorker); found {
 		workers[at].Shun |= scheduler.ShunLast
@@ -103,7 +103,7 @@
 // observeChoosable takes what is known now of one worker.
 func (n *node) observeChoosable(c *workerChoice, at int) {
 	worker, w := &c.workers[at], c.views[at]
-	worker.RankMs = n.ranks.of(n, worker.Name)
+	worker.RankMs = n.ranks.rank(n, worker.Name)
 	worker.QueueFull = w.queued >= agentQueueMax/2
 	worker.Shun = n.shunOf(c, worker.Name, w)
 }
@@ -117,7 +117,7 @@
 	if on(scheduler.ShunQuiet) && w.colocated && isQuiet(n.now-w.receivedMs, w.silentMs) {
 		shun |= scheduler.ShunSilent
 	}
-	if c.pinned && !c.resources.Fits(n.roomFor(c.shard, c.queue, c.job.excess, name, w)) {
+	if c.pinned && !c.resources.Fits(n.availableRoom(c.shard, c.queue, c.job.excess, name, w)) {
 		shun |= scheduler.ShunKept
 		if !c.resources.Fits(n.freeResources(c.shard, name, w).Plus(n.batchLoad(c.shard, "", name))) {
 			shun |= scheduler.ShunFull
@@ -142,8 +142,8 @@
 	return scheduler.ShunUnhealthy
 }
 
-// serves tells whether what was gathered holds for a task.
-func (c *workerChoice) serves(shard *ownedShard, job *liveJob, t *task) bool {
+// isValidFor tells whether what was gathered holds for a task.
+func (c *workerChoice) isValidFor(shard *ownedShard, job *liveJob, t *task) bool {
 	return c != nil && c.shard == shard && c.job == job && c.step == t.Step && c.round == t.Round &&
 		c.resources == t.Resources && slices.Equal(c.needs, t.Needs) && c.loadChanges == shard.loadChanges
 }
@@ -157,8 +157,8 @@
 	return slices.BinarySearchFunc(c.workers, worker, byName)
 }
 
-// hasUniformStep takes note of a task that went to a worker, the only thing that has changed since.
-func (n *node) placed(c *workerChoice, worker string) {
+// recordPlacement takes note of a task that went to a worker, the only thing that has changed since.
+func (n *node) recordPlacement(c *workerChoice, worker string) {
 	at, found := c.find(worker)
 	if !found {
 		return
