--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -115,7 +115,8 @@
 	for i := range c.job.Tasks {
 		t := &c.job.Tasks[i]
 		if bad(t) {
-			out = append(out, schema.Fault{Path: fmt.Sprintf("steps.%d.tasks.%d.%s", t.Step, t.IndexInStep, field), Reason: reason})
+			out = append(out, schema.Fault{Path: fmt.Sprintf("steps.%d.tasks.%d.%s", t.Step, t.IndexInStep, field),
+				Reason: reason})
 		}
 	}
 	if len(out) > 0 {
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	agentIdleMs          = 600_000 // an agent whose worker is silent and owes nothing lets go
-	tombstoneMs          = 6000    // dropped attempts are remembered longer than any placement stays fresh
-	agentQueueMax        = 400     // unstarted tasks an agent holds before it rejects
-	bypassMs             = 3000    // queued tasks may overtake a larger head for this long, no longer
-	healthDecayMs        = 10_000  // the ends of a worker's runs, and suspicions of it, count for less after each such time
-	agentSyncMs          = 300     // agents tell owners and the central scheduler all they hold
-	workerReportMaxAgeMs = 1500    // a worker's word must be this fresh; leaving must bite in 2 s
-	orderTimeoutMs       = 700     // an order that has not been answered by then is closed and unconfirmed
+	agentIdleMs   = 600_000 // an agent whose worker is silent and owes nothing lets go
+	tombstoneMs   = 6000    // dropped attempts are remembered longer than any placement stays fresh
+	agentQueueMax = 400     // unstarted tasks an agent holds before it rejects
+	bypassMs      = 3000    // queued tasks may overtake a larger head for this long, no longer
+	// the ends of a worker's runs, and suspicions of it, count for less after each such time
+	healthDecayMs        = 10_000
+	agentSyncMs          = 300  // agents tell owners and the central scheduler all they hold
+	workerReportMaxAgeMs = 1500 // a worker's word must be this fresh; leaving must bite in 2 s
+	orderTimeoutMs       = 700  // an order that has not been answered by then is closed and unconfirmed
 )
 
 // workerAgent is the only giver of one worker's orders and the guard of its room.
@@ -177,8 +178,10 @@
 		switch {
 		case attempt.state == wire.AttemptRunning && attempt.stopMs != 0:
 			n.stopAttempt(agent, attempt, attempt.stopReason)
-		case attempt.state == wire.AttemptRunning && attempt.spec.LimitMs > 0 && n.now-attempt.startedMs > attempt.spec.LimitMs,
-			attempt.state == wire.AttemptOrdered && attempt.spec.LimitMs > 0 && n.now-attempt.orderedMs > attempt.spec.LimitMs+orderTimeoutMs:
+		case attempt.state == wire.AttemptRunning && attempt.spec.LimitMs > 0 &&
+			n.now-attempt.startedMs > attempt.spec.LimitMs,
+			attempt.state == wire.AttemptOrdered && attempt.spec.LimitMs > 0 &&
+				n.now-attempt.orderedMs > attempt.spec.LimitMs+orderTimeoutMs:
 			n.stopAttempt(agent, attempt, wire.ResultOverrun)
 		case attempt.state == wire.AttemptOrdered && attempt.stopMs != 0:
 			n.stopAttempt(agent, attempt, attempt.stopReason)
--- a/internal/daemon/agent_changes.go
+++ b/internal/daemon/agent_changes.go
@@ -54,7 +54,8 @@
 	if attempt.state == wire.AttemptEnded {
 		return false
 	}
-	return attempt.spec.Class == wire.ClassGuaranteed || n.mayBePromoted(attempt.state, n.now-attempt.startedMs, attempt.spec.EstimateMs)
+	return attempt.spec.Class == wire.ClassGuaranteed ||
+		n.mayBePromoted(attempt.state, n.now-attempt.startedMs, attempt.spec.EstimateMs)
 }
 
 // mayBePromoted tells whether a queueable run has gone on for so much longer than
--- a/internal/daemon/agent_dispatch.go
+++ b/internal/daemon/agent_dispatch.go
@@ -21,7 +21,8 @@
 	if attempt.stopMs == 0 {
 		attempt.stopMs, attempt.stopReason = n.now, why
 		n.log("run_stopped", "attempt", attempt.spec.Key.String(), "worker", agent.worker, "why", why.String(),
-			"queue", attempt.spec.Queue, "class", attempt.spec.Class.String(), "ran_ms", n.now-max(attempt.startedMs, attempt.orderedMs),
+			"queue", attempt.spec.Queue, "class", attempt.spec.Class.String(), "ran_ms",
+			n.now-max(attempt.startedMs, attempt.orderedMs),
 			"percent", attempt.percent, "cpu", attempt.spec.Resources.CPU, "gang", attempt.spec.Gang)
 	}
 	if n.now-attempt.stopSentMs < 1000 && attempt.stopSentMs != 0 || agent.addr == "" || agent.colocated {
@@ -29,8 +30,8 @@
 	}
 	attempt.stopSentMs = n.now
 	n.count("stops_sent")
-	n.emit(effOrder{Worker: agent.worker, Addr: agent.addr, Key: attempt.spec.Key, Stop: true, NotAfterMs: n.now + orderTimeoutMs,
-		Body: mustJSON(map[string]any{"id": attempt.spec.Key.String()})})
+	n.emit(effOrder{Worker: agent.worker, Addr: agent.addr, Key: attempt.spec.Key, Stop: true,
+		NotAfterMs: n.now + orderTimeoutMs, Body: mustJSON(map[string]any{"id": attempt.spec.Key.String()})})
 }
 
 // startPending starts what may start now, by precedence (the queue's urgency, excess jobs last),
@@ -110,7 +111,8 @@
 	if n.now-attempt.confirmedMs > ownerContactMs {
 		return true
 	}
-	if r := n.batchRulesOfSpec(&attempt.spec); r != nil && (!attempt.spec.Resources.Fits(*avail) || !n.mayStartBatch(agent, attempt, r)) {
+	if r := n.batchRulesOfSpec(&attempt.spec); r != nil &&
+		(!attempt.spec.Resources.Fits(*avail) || !n.mayStartBatch(agent, attempt, r)) {
 		return true
 	}
 	if attempt.spec.Resources.Fits(n.startRoom(agent, attempt, q, *avail)) {
@@ -128,7 +130,9 @@
 }
 
 // startRoom is the part of a worker's available room that a waiting attempt may take.
-func (n *node) startRoom(agent *workerAgent, attempt *agentAttempt, q *configuration.Queue, avail resource.Amount) resource.Amount {
+func (n *node) startRoom(
+	agent *workerAgent, attempt *agentAttempt, q *configuration.Queue, avail resource.Amount,
+) resource.Amount {
 	if attempt.spec.Class == wire.ClassGuaranteed || n.mayUseUrgentRoom(q, attempt.spec.Excess) || !agent.colocated {
 		return avail
 	}
@@ -187,7 +191,8 @@
 		if n.mayPreempt(pending, attempt) {
 			attempts = append(attempts, attempt)
 			runs = append(runs, scheduler.Run{
-				Resources: attempt.spec.Resources, Urgency: n.precedence(attempt.spec.Queue, attempt.spec.Excess), RanMs: n.now - attempt.startedMs,
+				Resources: attempt.spec.Resources, Urgency: n.precedence(attempt.spec.Queue, attempt.spec.Excess),
+				RanMs: n.now - attempt.startedMs,
 			})
 		}
 	}
--- a/internal/daemon/agent_report.go
+++ b/internal/daemon/agent_report.go
@@ -193,7 +193,8 @@
 		attempt.listed = running[key]
 		switch {
 		case running[key] || ended[key]:
-		case attempt.state == wire.AttemptRunning && (wasListed || attempt.answeredMs > 0 && agent.tokenMs > attempt.answeredMs):
+		case attempt.state == wire.AttemptRunning &&
+			(wasListed || attempt.answeredMs > 0 && agent.tokenMs > attempt.answeredMs):
 			attempt.state, attempt.result, changed = wire.AttemptEnded, wire.ResultLost, true
 		case attempt.state == wire.AttemptOrdered && agent.tokenMs > attempt.orderedMs+orderTimeoutMs:
 			attempt.state, attempt.result, changed = wire.AttemptEnded, wire.ResultRejected, true
@@ -250,7 +251,8 @@
 		200,
 		0,
 		mustJSON(
-			map[string]any{"agent": n.Name, "epoch": agent.epoch, "token": fmt.Sprintf("%d.%d", agent.epoch, n.now), "acked": acked},
+			map[string]any{"agent": n.Name, "epoch": agent.epoch, "token": fmt.Sprintf("%d.%d", agent.epoch, n.now),
+				"acked": acked},
 		),
 	)
 }
--- a/internal/daemon/agent_sync.go
+++ b/internal/daemon/agent_sync.go
@@ -73,7 +73,9 @@
 
 // applyDecision applies an owner's decision on one attempt; sentMs is when the agent
 // sent the report that it answers. It tells whether the attempt was recalled.
-func (n *node) applyDecision(agent *workerAgent, attempt *agentAttempt, v wire.AttemptDecision, sentMs int64) (recalled bool) {
+func (n *node) applyDecision(
+	agent *workerAgent, attempt *agentAttempt, v wire.AttemptDecision, sentMs int64,
+) (recalled bool) {
 	switch v.Decision {
 	case wire.DecisionKeep:
 		attempt.confirmedMs = max(attempt.confirmedMs, sentMs)
@@ -225,8 +227,9 @@
 		ran = n.now - attempt.startedMs
 	}
 	return wire.AttemptStatus{
-		Key: attempt.spec.Key, Class: attempt.spec.Class, State: attempt.state, Result: attempt.result, Resources: attempt.spec.Resources,
-		RanMs: ran, EstimateMs: attempt.spec.EstimateMs, Queue: attempt.spec.Queue, Name: attempt.spec.Name, Saved: attempt.spec.Saved,
+		Key: attempt.spec.Key, Class: attempt.spec.Class, State: attempt.state, Result: attempt.result,
+		Resources: attempt.spec.Resources, RanMs: ran, EstimateMs: attempt.spec.EstimateMs, Queue: attempt.spec.Queue, Name: attempt.spec.Name,
+		Saved:   attempt.spec.Saved,
 		Unknown: attempt.specUnknown, Late: attempt.lateEnd, QueueMs: attempt.queueMs(), StartMs: attempt.startMs(),
 	}
 }
@@ -278,7 +281,8 @@
 		return
 	}
 	attempt := agent.attempts[m.Key]
-	if attempt == nil || attempt.state != wire.AttemptRunning || attempt.stopMs != 0 || attempt.spec.Class != wire.ClassQueueable ||
+	if attempt == nil || attempt.state != wire.AttemptRunning || attempt.stopMs != 0 ||
+		attempt.spec.Class != wire.ClassQueueable ||
 		n.batchRulesOfSpec(&attempt.spec) != nil {
 		return
 	}
--- a/internal/daemon/allocate.go
+++ b/internal/daemon/allocate.go
@@ -117,7 +117,8 @@
 	granted := c.grantedRoom()
 	for _, name := range sortedKeys(c.workers) {
 		w := c.workers[name]
-		if n.now-w.receivedMs >= ownerContactMs || !w.Rebuilt || !w.Fresh || w.Leaving || n.config.current.EmptyZones[w.Zone] {
+		if n.now-w.receivedMs >= ownerContactMs || !w.Rebuilt || !w.Fresh || w.Leaving ||
+			n.config.current.EmptyZones[w.Zone] {
 			continue
 		}
 		candidates = append(candidates, &scheduler.Candidate{
@@ -184,7 +185,8 @@
 // groupOf is what the tasks of a request ask of workers.
 func (n *node) groupOf(request *pendingAllocation) scheduler.Group {
 	g := scheduler.Group{
-		Resources: request.Resources, Size: len(request.Tasks), PerWorker: request.PerWorker, Gang: request.Gang, SameRack: request.SameRack,
+		Resources: request.Resources, Size: len(request.Tasks), PerWorker: request.PerWorker, Gang: request.Gang,
+		SameRack: request.SameRack,
 	}
 	if n.Policies.On(scheduler.NearData) {
 		g.Near = request.Near
--- a/internal/daemon/allocation_request.go
+++ b/internal/daemon/allocation_request.go
@@ -189,7 +189,8 @@
 			whole++
 		}
 	}
-	return whole >= int(job.Steps[job.Tasks[first].Step].Size) && n.hasReservedShare(shard, job, first, job.allocationUnit(first))
+	return whole >= int(job.Steps[job.Tasks[first].Step].Size) &&
+		n.hasReservedShare(shard, job, first, job.allocationUnit(first))
 }
 
 // applyPlace places a task where it was granted a place, if its step and its tenant's share still
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -169,7 +169,8 @@
 func (n *node) batchCapacity(queue string, r *configuration.Batch) (all resource.Amount) {
 	q := n.config.current.Queues[queue]
 	for _, w := range n.workers {
-		if n.now-w.receivedMs < workerSilentMs && !w.leaving && !n.config.current.EmptyZones[w.zone] && q.Matches(w.labels, w.zone) {
+		if n.now-w.receivedMs < workerSilentMs && !w.leaving && !n.config.current.EmptyZones[w.zone] &&
+			q.Matches(w.labels, w.zone) {
 			all = all.Plus(w.capacity.Share(r.SharePercent))
 		}
 	}
@@ -218,7 +219,8 @@
 // shortOfRoom tells whether more urgent work waits: of this shard for a place, of
 // any shard for a firm one, or at many of the workers.
 func (n *node) shortOfRoom(shard *ownedShard) bool {
-	if shard.starvedMs != 0 && n.now-shard.starvedMs < batchPauseMs || n.ranks.roomShort && n.now-n.ranks.receivedMs < rankStaleMs {
+	if shard.starvedMs != 0 && n.now-shard.starvedMs < batchPauseMs ||
+		n.ranks.roomShort && n.now-n.ranks.receivedMs < rankStaleMs {
 		return true
 	}
 	waits, all := 0, 0
@@ -477,7 +479,8 @@
 func (a *workerAgent) batchUse(n *node, but string) (out []wire.QueueUse) {
 	sum := map[string]resource.Amount{}
 	for _, attempt := range a.attempts {
-		if attempt.state != wire.AttemptEnded && (but == "" || attempt.spec.Shard != but) && n.batchRulesOfSpec(&attempt.spec) != nil {
+		if attempt.state != wire.AttemptEnded && (but == "" || attempt.spec.Shard != but) &&
+			n.batchRulesOfSpec(&attempt.spec) != nil {
 			sum[attempt.spec.Queue] = sum[attempt.spec.Queue].Plus(attempt.spec.Resources)
 		}
 	}
@@ -552,7 +555,8 @@
 	}
 	sum := attempt.spec.Resources
 	for _, o := range agent.attempts {
-		if o != attempt && o.spec.Queue == attempt.spec.Queue && (o.state == wire.AttemptOrdered || o.state == wire.AttemptRunning) &&
+		if o != attempt && o.spec.Queue == attempt.spec.Queue &&
+			(o.state == wire.AttemptOrdered || o.state == wire.AttemptRunning) &&
 			n.batchRulesOfSpec(&o.spec) != nil {
 			sum = sum.Plus(o.spec.Resources)
 		}
--- a/internal/daemon/central.go
+++ b/internal/daemon/central.go
@@ -15,8 +15,9 @@
 	rankStaleMs       = 3 * rankIntervalMs // three missed rounds: ranks and targets are ignored
 	allocationStaleMs = 3000               // the central scheduler drops requests not repeated
 	grantTimeoutMs    = 2500               // a grant not seen at the agent by then frees its room
-	centralRebuildMs  = 500                // a new central scheduler listens this long before it grants: agents speak each 300 ms
-	unhealthyMs       = 10_000             // a slow worker gets no work for twice this long, doubled each time
+	// a new central scheduler listens this long before it grants: agents speak each 300 ms
+	centralRebuildMs  = 500
+	unhealthyMs       = 10_000 // a slow worker gets no work for twice this long, doubled each time
 	unhealthyTimesMax = 5
 	allocateNowMax    = 64 // waiting requests up to which each event tries to grant; beyond, only ticks do
 )
--- a/internal/daemon/config_state.go
+++ b/internal/daemon/config_state.go
@@ -56,7 +56,8 @@
 			continue
 		}
 		if b == n.config.ballot {
-			n.config.confirmedMs, n.config.confirmedPoll = max(n.config.confirmedMs, r.SentMs), max(n.config.confirmedPoll, r.Seq)
+			n.config.confirmedMs, n.config.confirmedPoll = max(n.config.confirmedMs, r.SentMs),
+				max(n.config.confirmedPoll, r.Seq)
 		} else if n.config.ballot.Less(b) && n.now-n.config.requestedMs > 300 {
 			n.config.requestedMs = n.now
 			n.send(n.nearestWith(r, b), &wire.RegisterRead{SetVersion: n.core.Version, Register: "setup"})
--- a/internal/daemon/heartbeat.go
+++ b/internal/daemon/heartbeat.go
@@ -324,7 +324,8 @@
 		attempt.spec.Saved = saved
 	}
 	// A run given up as lost that ended by itself after all: its owner says whether it still counts.
-	lost := attempt.state == wire.AttemptEnded && attempt.result == wire.ResultLost && !attempt.acked && finalOutcomes[outcome]
+	lost := attempt.state == wire.AttemptEnded && attempt.result == wire.ResultLost && !attempt.acked &&
+		finalOutcomes[outcome]
 	if attempt.state != wire.AttemptEnded || lost {
 		attempt.lateEnd = (attempt.lateEnd || lost) && !attempt.voided
 		list.changed = true
@@ -396,7 +397,8 @@
 		agent.acknowledgedEnds++
 		delete(agent.endsByNumber, agent.acknowledgedEnds)
 	}
-	if attempt := agent.attempts[agent.endsByNumber[agent.acknowledgedEnds+1]]; len(agent.endsByNumber) > lateEndsMax && attempt != nil && attempt.lateEnd {
+	if attempt := agent.attempts[agent.endsByNumber[agent.acknowledgedEnds+1]]; len(agent.endsByNumber) > lateEndsMax &&
+		attempt != nil && attempt.lateEnd {
 		n.count("ends_waited")
 		agent.letHoldLapse()
 	}
@@ -497,7 +499,8 @@
 		// which comes for all at once.
 		waits := attempt.spec.Gang && (attempt.percent == 0 || attempt.percent >= lastPercent)
 		switch {
-		case !attempt.spec.Lasting && !waits && attempt.percent < 100 && n.now-attempt.lastProgressMs > stallMs+attempt.spec.EstimateMs/10:
+		case !attempt.spec.Lasting && !waits && attempt.percent < 100 &&
+			n.now-attempt.lastProgressMs > stallMs+attempt.spec.EstimateMs/10:
 			standing = true
 			n.count("standing")
 			n.stopAttempt(agent, attempt, wire.ResultStalled)
@@ -522,7 +525,8 @@
 		switch {
 		case attempt.state == wire.AttemptQueued && (n.now-agent.lastContactMs > n.queuedSilenceMs() || agent.goneAtMs != 0):
 			attempt.state, attempt.result, changed = wire.AttemptEnded, wire.ResultShed, true
-		case active && attempt.stopMs == 0 && n.now > max(attempt.confirmedMs+ownerTimeoutMs, attempt.adoptedMs+ownerTimeoutMs)-staleStopMs:
+		case active && attempt.stopMs == 0 &&
+			n.now > max(attempt.confirmedMs+ownerTimeoutMs, attempt.adoptedMs+ownerTimeoutMs)-staleStopMs:
 			n.count("stale_stops")
 			n.stopAttempt(agent, attempt, wire.ResultLost)
 		}
--- a/internal/daemon/job.go
+++ b/internal/daemon/job.go
@@ -83,7 +83,8 @@
 	RoundsOpened   int32 // rounds opened so far; Tasks holds those from Begun on
 	Steps          []jobStep
 	Tasks          []task
-	Abandoned      []abandonedRun // runs whose worker was silent for too long: an end of theirs that comes later doesn't count
+	// runs whose worker was silent for too long: an end of theirs that comes later doesn't count
+	Abandoned []abandonedRun
 	// Tenant is whose key the job came with. It stands last, and a record leaves it out where it
 	// is empty: records from before there were tenants have the same form.
 	Tenant string
--- a/internal/daemon/job_encode.go
+++ b/internal/daemon/job_encode.go
@@ -64,7 +64,8 @@
 		c.Tasks = slices.Clone(j.Tasks)
 		for i := range c.Tasks {
 			t := &c.Tasks[i]
-			t.Name, t.Resources, t.Needs, t.LimitMs, t.EstimateHintMs, t.AllowedFailures, t.Payload = "", resource.Amount{}, nil, 0, 0, 0, nil
+			t.Name, t.Resources, t.Needs, t.LimitMs, t.EstimateHintMs, t.AllowedFailures, t.Payload = "", resource.Amount{},
+				nil, 0, 0, 0, nil
 		}
 	}
 	return &c
--- a/internal/daemon/job_parse.go
+++ b/internal/daemon/job_parse.go
@@ -239,7 +239,8 @@
 	).Str, int32(
 		s.Get("per_worker").Int(),
 	)
-	step.AllowsDuplicates, step.Lasting, step.Saves = s.Get("copies").Bool(), s.Get("lasting").Bool(), s.Get("saves").Bool()
+	step.AllowsDuplicates, step.Lasting, step.Saves = s.Get("copies").Bool(), s.Get("lasting").Bool(),
+		s.Get("saves").Bool()
 }
 
 // cycle gives a step that waits on itself through others.
--- a/internal/daemon/job_request.go
+++ b/internal/daemon/job_request.go
@@ -93,7 +93,9 @@
 	q := n.config.current.Queues[j.Queue]
 	wall := n.fleetTime()
 	if q == nil || wall == 0 || !n.configFresh() {
-		n.rejectAdmission(shard, f, func(req *request) { n.reject(req, "the setup or the core's time is not confirmed here") })
+		n.rejectAdmission(shard, f, func(req *request) {
+			n.reject(req, "the setup or the core's time is not confirmed here")
+		})
 		return
 	}
 	size := len(j.encode())
--- a/internal/daemon/job_schedule.go
+++ b/internal/daemon/job_schedule.go
@@ -73,7 +73,8 @@
 }
 
 func (n *node) newSchedulePass(job *liveJob) *schedulePass {
-	pass := &schedulePass{wall: n.fleetTime(), queue: n.config.current.Queues[job.Queue], batch: n.batchRules(&job.jobRecord) != nil}
+	pass := &schedulePass{wall: n.fleetTime(), queue: n.config.current.Queues[job.Queue],
+		batch: n.batchRules(&job.jobRecord) != nil}
 	for i := range job.Tasks {
 		if t := &job.Tasks[i]; t.State == taskPlaced && t.Class == wire.ClassQueueable {
 			pass.outstanding++
@@ -193,7 +194,8 @@
 	if w == nil || w.colocated {
 		n.tickColocatedTask(shard, job, i, rt, w)
 	}
-	silent := w == nil && n.now-shard.startMs > workerSilentMs || w != nil && (n.now-w.receivedMs > workerSilentMs || w.silentMs > workerSilentMs)
+	silent := w == nil && n.now-shard.startMs > workerSilentMs ||
+		w != nil && (n.now-w.receivedMs > workerSilentMs || w.silentMs > workerSilentMs)
 	if !silent {
 		rt.silentSinceMs = 0
 		return
--- a/internal/daemon/placement.go
+++ b/internal/daemon/placement.go
@@ -17,7 +17,8 @@
 // workerAllowed tells whether a task may go to a worker now, as far as is known here.
 func (n *node) workerAllowed(w *workerView, q *configuration.Queue, needs []wire.Label, room resource.Amount) bool {
 	_, lack := configuration.MissingLabel(w.labels, needs)
-	return n.now-w.receivedMs < ownerContactMs && w.rebuilt && w.reportFresh && !w.leaving && !n.config.current.EmptyZones[w.zone] &&
+	return n.now-w.receivedMs < ownerContactMs && w.rebuilt && w.reportFresh && !w.leaving &&
+		!n.config.current.EmptyZones[w.zone] &&
 		room.Fits(w.capacity) && !lack && q.Matches(w.labels, w.zone)
 }
 
--- a/internal/daemon/reconcile.go
+++ b/internal/daemon/reconcile.go
@@ -65,8 +65,9 @@
 		*w = workerView{
 			agent: from, epoch: m.Epoch, echoMs: m.SentMs, receivedMs: n.now, zone: m.Zone, labels: m.Labels, leaving: m.Leaving,
 			rebuilt: m.Rebuilt, reportFresh: m.Fresh, free: m.Free, capacity: m.Capacity, queued: m.Queued, rankMs: m.RankMs,
-			silentMs: m.SilentMs, usedByOthers: others, batchUse: batchUse, unstarted: m.Waiting, spare: w.spare.observe(n.now, m.Spare),
-			rack: m.Rack, suspect: m.Suspect, doubtful: m.Doubtful, colocated: m.Colocated, urgentUse: m.Urgent,
+			silentMs: m.SilentMs, usedByOthers: others, batchUse: batchUse, unstarted: m.Waiting,
+			spare: w.spare.observe(n.now, m.Spare),
+			rack:  m.Rack, suspect: m.Suspect, doubtful: m.Doubtful, colocated: m.Colocated, urgentUse: m.Urgent,
 		}
 	}
 	if m.Epoch == w.epoch && m.Shard != "" {
@@ -204,7 +205,8 @@
 // place nothing was started.
 func (j *liveJob) isLateEnd(i int, status wire.AttemptStatus) bool {
 	t := &j.Tasks[i]
-	if status.State != wire.AttemptEnded || status.Key.Attempt != t.Attempt || t.State != taskPending || j.State != jobRunning {
+	if status.State != wire.AttemptEnded || status.Key.Attempt != t.Attempt || t.State != taskPending ||
+		j.State != jobRunning {
 		return false
 	}
 	if status.Result != wire.ResultOK && (status.Result != wire.ResultFailed || t.FailedAttempt == t.Attempt) {
@@ -239,7 +241,9 @@
 }
 
 // decideCurrent decides on the attempt in force, which is queued, ordered or running.
-func (n *node) decideCurrent(shard *ownedShard, m *wire.AgentReport, job *liveJob, i int, status wire.AttemptStatus) wire.Decision {
+func (n *node) decideCurrent(
+	shard *ownedShard, m *wire.AgentReport, job *liveJob, i int, status wire.AttemptStatus,
+) wire.Decision {
 	t := &job.Tasks[i]
 	if job.State != jobRunning || job.Steps[t.Step].Gang && !job.gangComplete(i) {
 		return wire.DecisionDrop
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -303,12 +303,14 @@
 // readFromCore is for requests that no owner answers now: a job's state can still be
 // had from the core, anything else is rejected.
 func (n *node) readFromCore(req *request, reason string) {
-	if req.op != "job.get" && req.op != "job.state" || len(n.core.Members) == 0 || n.leases.CutOff() || !n.coreReads.take() {
+	if req.op != "job.get" && req.op != "job.state" || len(n.core.Members) == 0 || n.leases.CutOff() ||
+		!n.coreReads.take() {
 		n.reject(req, reason)
 		return
 	}
 	n.opSeq++
-	n.quorumReads[n.opSeq] = &quorumRead{request: req, answers: map[string]statestore.Record{}, limitMs: n.now + quorumReadMs}
+	n.quorumReads[n.opSeq] = &quorumRead{request: req, answers: map[string]statestore.Record{},
+		limitMs: n.now + quorumReadMs}
 	for _, m := range n.core.Members {
 		n.send(
 			m.Name,
--- a/internal/daemon/shard.go
+++ b/internal/daemon/shard.go
@@ -130,7 +130,9 @@
 	for p := range s.placedByWorker[worker] {
 		out = append(out, p)
 	}
-	slices.SortFunc(out, func(a, b taskRef) int { return cmp.Or(cmp.Compare(a.jobID, b.jobID), cmp.Compare(a.taskID, b.taskID)) })
+	slices.SortFunc(out, func(a, b taskRef) int {
+		return cmp.Or(cmp.Compare(a.jobID, b.jobID), cmp.Compare(a.taskID, b.taskID))
+	})
 	return out
 }
 
@@ -332,7 +334,8 @@
 		n.logShareDelays(shard)
 		cut := 0
 		isOld := func(id string) bool { return n.now-shard.finished[id].Version > finishedKeepMs }
-		for cut < len(shard.finishedOrder) && (len(shard.finishedOrder)-cut > finishedMax || isOld(shard.finishedOrder[cut])) {
+		for cut < len(shard.finishedOrder) &&
+			(len(shard.finishedOrder)-cut > finishedMax || isOld(shard.finishedOrder[cut])) {
 			delete(shard.finished, shard.finishedOrder[cut])
 			cut++
 		}
--- a/internal/daemon/shard_write.go
+++ b/internal/daemon/shard_write.go
@@ -57,7 +57,8 @@
 		}
 		shard.flushDeferred(n.now)
 		whole := shard.serving && len(shard.loading) == 0 && shard.completeSeq == 0
-		if len(shard.dirty) == 0 && !whole && (len(shard.unsentConfirmedIDs) == 0 || n.now-shard.confirmedSentMs < writeRetryMs) {
+		if len(shard.dirty) == 0 && !whole &&
+			(len(shard.unsentConfirmedIDs) == 0 || n.now-shard.confirmedSentMs < writeRetryMs) {
 			continue
 		}
 		b := &writeBatch{
--- a/internal/daemon/tenant_status.go
+++ b/internal/daemon/tenant_status.go
@@ -86,7 +86,8 @@
 
 func (n *node) tenantsOf(shard *ownedShard) shardTenants {
 	out := shardTenants{
-		Shard: shard.name, Owner: n.Name, Silent: n.silentShards(shard), Counted: n.countedTenants(shard), Held: n.heldTenants(shard),
+		Shard: shard.name, Owner: n.Name, Silent: n.silentShards(shard), Counted: n.countedTenants(shard),
+		Held: n.heldTenants(shard),
 	}
 	if c := n.counters[shard.name]; c != nil {
 		out.Complete = c.Complete(n.core.Shards)
--- a/internal/daemon/urgent_room.go
+++ b/internal/daemon/urgent_room.go
@@ -29,7 +29,9 @@
 
 // availableRoom is the room of a worker that a queueable task of a queue may take, as far as a
 // shard's owner knows.
-func (n *node) availableRoom(shard *ownedShard, q *configuration.Queue, excess bool, name string, w *workerView) resource.Amount {
+func (n *node) availableRoom(
+	shard *ownedShard, q *configuration.Queue, excess bool, name string, w *workerView,
+) resource.Amount {
 	free := n.freeResources(shard, name, w)
 	if n.mayUseUrgentRoom(q, excess) {
 		return free
--- a/internal/daemon/worker_choice.go
+++ b/internal/daemon/worker_choice.go
@@ -32,7 +32,9 @@
 
 // selectWorker is the local scheduler: at random among the k allowed workers of lowest rank.
 // It tells among how many it drew, too.
-func (n *node) selectWorker(shard *ownedShard, job *liveJob, i int, pass *schedulePass) (worker string, candidates int) {
+func (n *node) selectWorker(
+	shard *ownedShard, job *liveJob, i int, pass *schedulePass,
+) (worker string, candidates int) {
 	t := &job.Tasks[i]
 	if !pass.choice.isValidFor(shard, job, t) {
 		pass.choice = n.newWorkerChoice(shard, job, i, pass.queue)
