--- a/internal/daemon/agent_sync.go
+++ b/internal/daemon/agent_sync.go
@@ -228,7 +228,8 @@
 	}
 	return wire.AttemptStatus{
 		Key: attempt.spec.Key, Class: attempt.spec.Class, State: attempt.state, Result: attempt.result,
-		Resources: attempt.spec.Resources, RanMs: ran, EstimateMs: attempt.spec.EstimateMs, Queue: attempt.spec.Queue, Name: attempt.spec.Name,
+		Resources: attempt.spec.Resources, RanMs: ran, EstimateMs: attempt.spec.EstimateMs,
+		Queue: attempt.spec.Queue, Name: attempt.spec.Name,
 		Saved:   attempt.spec.Saved,
 		Unknown: attempt.specUnknown, Late: attempt.lateEnd, QueueMs: attempt.queueMs(), StartMs: attempt.startMs(),
 	}
