--- a/internal/daemon/catchup_test.go
+++ b/internal/daemon/catchup_test.go
@@ -154,18 +154,18 @@
 	s := newSlotWorld(t, 60, 3)
 	n := s.asker().sh.node
 	stored := func(version int64, state jobStatus) statestore.Record {
-		j := job{ID: "j", Queue: "q", State: state, SubmitMs: 1, DoneMs: map[jobStatus]int64{jobCancelled: 9}[state], Version: version}
+		j := jobRecord{ID: "j", Queue: "q", State: state, SubmitMs: 1, DoneMs: map[jobStatus]int64{jobCancelled: 9}[state], Version: version}
 		return statestore.Record{ID: "j", Epoch: 4, Version: version, Live: true, Value: j.encode()}
 	}
 	members := n.core.Names()
 	read := func(answers ...statestore.Record) string {
-		n.forwarded, n.out = map[uint64]*forwardedRequest{}, nil
-		r := &quorumRead{request: &request{id: 1, op: "job.get", key: "j"}, got: map[string]statestore.Record{}, limitMs: n.now + quorumReadMs}
+		n.forwarded, n.effects = map[uint64]*forwardedRequest{}, nil
+		r := &quorumRead{request: &request{id: 1, op: "job.get", key: "j"}, answers: map[string]statestore.Record{}, limitMs: n.now + quorumReadMs}
 		n.quorumReads[7] = r
 		for i, a := range answers {
 			n.onQuorumRead(r, 7, members[i], []statestore.Record{a})
 		}
-		for _, e := range n.out {
+		for _, e := range n.effects {
 			if reply, ok := e.(effReply); ok && reply.Status == 200 {
 				return gjson.GetBytes(reply.Body, "state").Str
 			}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -28,7 +28,7 @@
 )
 
 const (
-	loopJobs = 8192 // events waiting for the control thread before posters wait
+	loopQueueMax = 8192 // events waiting for the control thread before posters wait
 )
 
 // steadyClock is the clock of leases and limits. Jumps of the wall time do not
@@ -53,25 +53,25 @@
 	return binary.BigEndian.Uint64(b[:])
 }
 
-// lineSink writes one key=value line per event.
-type lineSink struct {
+// logfmtSink writes one key=value line per event.
+type logfmtSink struct {
 	mu    *sync.Mutex
 	out   io.Writer
 	level int
 	pairs []any
 }
 
-func (l *lineSink) Init(logr.RuntimeInfo)  {}
-func (l *lineSink) Enabled(level int) bool { return level <= l.level }
-func (l *lineSink) Info(_ int, msg string, kv ...any) {
+func (l *logfmtSink) Init(logr.RuntimeInfo)  {}
+func (l *logfmtSink) Enabled(level int) bool { return level <= l.level }
+func (l *logfmtSink) Info(_ int, msg string, kv ...any) {
 	l.write("info", msg, kv)
 }
 
-func (l *lineSink) Error(err error, msg string, kv ...any) {
+func (l *logfmtSink) Error(err error, msg string, kv ...any) {
 	l.write("error", msg, append(kv, "err", err))
 }
 
-func (l *lineSink) write(level, msg string, kv []any) {
+func (l *logfmtSink) write(level, msg string, kv []any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := logfmt.NewEncoder(l.out)
@@ -86,12 +86,12 @@
 	_ = e.EndRecord()
 }
 
-func (l *lineSink) WithValues(kv ...any) logr.LogSink {
+func (l *logfmtSink) WithValues(kv ...any) logr.LogSink {
 	c := *l
 	c.pairs = append(append([]any{}, l.pairs...), kv...)
 	return &c
 }
-func (l *lineSink) WithName(string) logr.LogSink { return l }
+func (l *logfmtSink) WithName(string) logr.LogSink { return l }
 
 func newLog(s settings) logr.Logger {
 	level := 0
@@ -99,7 +99,7 @@
 		level = 1
 	}
 	return logr.New(
-		&lineSink{mu: &sync.Mutex{}, out: os.Stderr, level: level},
+		&logfmtSink{mu: &sync.Mutex{}, out: os.Stderr, level: level},
 	).WithValues(
 		"daemon",
 		s.Name,
@@ -110,13 +110,13 @@
 
 // controlLoop is the one thread of control state. Everything else posts to it.
 type controlLoop struct {
-	clock    *steadyClock
-	jobs     chan func(*executor)
-	quit     chan struct{}
-	ended    chan struct{}
-	executor *executor
-	own      []func(*executor) // messages to ourselves, in order, after the event that sent them
-	ready    atomic.Pointer[readiness]
+	clock        *steadyClock
+	queue        chan func(*executor)
+	quit         chan struct{}
+	ended        chan struct{}
+	executor     *executor
+	selfMessages []func(*executor) // messages to ourselves, in order, after the event that sent them
+	ready        atomic.Pointer[readiness]
 }
 
 // readiness is what the control thread last said of itself. It is read without
@@ -129,7 +129,7 @@
 // notReady says why this daemon should get no callers; "" if it should.
 func (l *controlLoop) notReady() string {
 	r := l.ready.Load()
-	if r == nil || l.clock.nowMs()-r.atMs > frozenMs {
+	if r == nil || l.clock.nowMs()-r.atMs > freezeThresholdMs {
 		return "the control thread is behind"
 	}
 	return r.reason
@@ -138,7 +138,7 @@
 func newControlLoop(clock *steadyClock) *controlLoop {
 	return &controlLoop{
 		clock: clock,
-		jobs:  make(chan func(*executor), loopJobs),
+		queue: make(chan func(*executor), loopQueueMax),
 		quit:  make(chan struct{}),
 		ended: make(chan struct{}),
 	}
@@ -146,7 +146,7 @@
 
 func (l *controlLoop) post(do func(*executor)) {
 	select {
-	case l.jobs <- do:
+	case l.queue <- do:
 	case <-l.quit:
 	}
 }
@@ -156,13 +156,13 @@
 	tick := time.NewTicker(tickMs * time.Millisecond)
 	defer tick.Stop()
 	for {
-		for len(l.own) > 0 {
-			do := l.own[0]
-			l.own = l.own[1:]
+		for len(l.selfMessages) > 0 {
+			do := l.selfMessages[0]
+			l.selfMessages = l.selfMessages[1:]
 			do(l.executor)
 		}
 		select {
-		case do := <-l.jobs:
+		case do := <-l.queue:
 			do(l.executor)
 		case <-tick.C:
 			l.executor.event(evTick{})
@@ -196,7 +196,7 @@
 	if addr == p.self { // our own words go through the same form, not the network
 		h, m, err := wire.DecodeFrame(frame)
 		if err == nil {
-			p.loop.own = append(p.loop.own, func(s *executor) { s.event(evMsg{Head: h, Msg: m}) })
+			p.loop.selfMessages = append(p.loop.selfMessages, func(s *executor) { s.event(evMsg{Head: h, Msg: m}) })
 		}
 		return
 	}
@@ -252,7 +252,7 @@
 	)
 }
 
-type diskParts struct {
+type diskHandles struct {
 	disk  *storage.Log
 	store *statestore.Store
 }
@@ -264,7 +264,7 @@
 func (d diskListener) Committed(entries int, took time.Duration, done []func()) {
 	d.post(func(s *executor) {
 		if entries > 0 {
-			s.node.syncMs = took.Milliseconds()
+			s.node.diskSyncMs = took.Milliseconds()
 			s.node.count("syncs")
 		}
 		for _, do := range done {
@@ -284,17 +284,17 @@
 // Recovered has the daemon count itself again.
 func (d diskListener) Recovered() { d.post(func(s *executor) { s.event(evDisk{Recovered: true}) }) }
 
-func provideDisk(lc fx.Lifecycle, s settings, l *controlLoop, log logr.Logger) (diskParts, error) {
+func provideDisk(lc fx.Lifecycle, s settings, l *controlLoop, log logr.Logger) (diskHandles, error) {
 	if s.Data == "" {
-		return diskParts{}, nil
+		return diskHandles{}, nil
 	}
 	d, st, err := storage.Open(s.Data, newSeed()|1, func(e string, kv ...any) { log.Info(e, kv...) })
 	if err != nil {
-		return diskParts{}, err
+		return diskHandles{}, err
 	}
 	lc.Append(fx.Hook{OnStart: func(context.Context) error { go d.Run(diskListener{l.post}); return nil },
 		OnStop: func(context.Context) error { d.Close(); return nil }})
-	return diskParts{d, st}, nil
+	return diskHandles{d, st}, nil
 }
 
 func provideWire(
@@ -306,7 +306,7 @@
 	compiler := &configuration.Precompiler{}
 	receive := func(h wire.Header, msg any) {
 		ready := compiler.Compile(msg)
-		l.post(func(s *executor) { s.event(evMsg{Head: h, Msg: msg, Ready: ready}) })
+		l.post(func(s *executor) { s.event(evMsg{Head: h, Msg: msg, Precompiled: ready}) })
 	}
 	w, err := wire.NewTransport(
 		wire.Options{
@@ -327,25 +327,25 @@
 	s settings,
 	l *controlLoop,
 	w *wire.Transport,
-	d diskParts,
+	d diskHandles,
 	c *orderSender,
 	log logr.Logger,
 	down fx.Shutdowner,
 ) *executor {
 	p := nodeConfig{
-		Name:          s.Name,
-		Incarnation:   uint64(time.Now().UnixNano()),
-		Instance:      newInstanceID(),
-		Addr:          s.Addr,
-		HTTP:          s.HTTP,
-		Zone:          s.Zone,
-		Seeds:         s.Seeds,
-		Disk:          d.disk != nil,
-		KeepMs:        s.KeepHours * msPerHour,
-		SnapshotBytes: snapshotMin,
-		ThresholdMs:   s.ThresholdMs,
-		KLowest:       int(s.KLowest),
-		TargetSigma:   s.TargetSigma,
+		Name:           s.Name,
+		Incarnation:    uint64(time.Now().UnixNano()),
+		Instance:       newInstanceID(),
+		Addr:           s.Addr,
+		HTTP:           s.HTTP,
+		Zone:           s.Zone,
+		Seeds:          s.Seeds,
+		Disk:           d.disk != nil,
+		FinishedKeepMs: s.KeepHours * msPerHour,
+		SnapshotBytes:  snapshotMinBytes,
+		ThresholdMs:    s.ThresholdMs,
+		KLowest:        int(s.KLowest),
+		TargetSigma:    s.TargetSigma,
 		CoreSize: int(
 			s.CoreSize,
 		),
@@ -421,7 +421,7 @@
 		}()
 		return nil
 	}, OnStop: func(ctx context.Context) error {
-		ctx, cancel := context.WithTimeout(ctx, stopMs*time.Millisecond)
+		ctx, cancel := context.WithTimeout(ctx, shutdownTimeoutMs*time.Millisecond)
 		defer cancel()
 		a.Close(ctx)
 		return nil
--- a/internal/daemon/doctor.go
+++ b/internal/daemon/doctor.go
@@ -61,7 +61,7 @@
 		},
 	},
 	{"core out of reach", "look at the network between this daemon and the core members", func(s gjson.Result) []string {
-		if ms := s.Get("core_contact_ms").Int(); s.Get("core_size").Int() > 0 && ms > contactMs {
+		if ms := s.Get("core_contact_ms").Int(); s.Get("core_size").Int() > 0 && ms > ownerContactMs {
 			return []string{fmt.Sprintf("no majority answered for %d ms", ms)}
 		}
 		return nil
@@ -200,7 +200,7 @@
 // examine runs all checks over daemons' words.
 func examine(words map[string][]byte) []finding {
 	out := []finding{}
-	for _, name := range sorted(words) {
+	for _, name := range sortedKeys(words) {
 		s := gjson.ParseBytes(words[name])
 		for _, c := range checks {
 			for _, what := range c.look(s) {
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -50,7 +50,7 @@
 func (h host) Self() wire.Peer {
 	n := h.node
 	self := wire.Peer{Name: n.Name, Incarnation: n.Incarnation, Addr: n.Addr, HTTP: n.HTTP, Zone: n.Zone,
-		Disk: n.Disk && n.diskFailed == "", Leaving: n.leavingSince != 0, Colocated: n.Colocated,
+		Disk: n.Disk && n.diskFailed == "", Leaving: n.leavingSinceMs != 0, Colocated: n.Colocated,
 		MilliCores: n.MilliCores, LinkMbps: n.LinkMbps, Strained: n.strain.strained}
 	if n.store != nil {
 		self.DiskID, self.Empty = n.DiskID, n.store.Cluster() == 0 && n.FirstStart
@@ -77,7 +77,7 @@
 	for _, role := range n.leases.Roles() {
 		n.leases.Lose(role, "incarnation_raised")
 	}
-	for _, name := range sorted(n.agents) { // those beside their workers: owners hear no lower epoch than before
+	for _, name := range sortedKeys(n.agents) { // those beside their workers: owners hear no lower epoch than before
 		n.agents[name].epoch = n.Incarnation
 	}
 }
@@ -87,8 +87,8 @@
 	if !n.peers.Tick() {
 		return
 	}
-	for _, name := range sorted(n.workers) {
-		if n.now-n.workers[name].heardMs > forgetMs {
+	for _, name := range sortedKeys(n.workers) {
+		if n.now-n.workers[name].receivedMs > workerForgetMs {
 			delete(n.workers, name)
 		}
 	}
--- a/internal/daemon/http_server.go
+++ b/internal/daemon/http_server.go
@@ -95,7 +95,7 @@
 	switch e.Op {
 	case "setup.put": // checked here, since thousands of queues would hold the control thread up
 		var faults []schema.Fault
-		if e.Ready, faults = configuration.Parse(e.Key, e.Body); len(faults) > 0 {
+		if e.Precompiled, faults = configuration.Parse(e.Key, e.Body); len(faults) > 0 {
 			return effReply{Status: 400, Body: faultsJSON(faults)}
 		}
 	case "ready":
@@ -110,7 +110,7 @@
 	e.ID = d.seq
 	d.mu.Unlock()
 	select {
-	case d.loop.jobs <- func(s *executor) {
+	case d.loop.queue <- func(s *executor) {
 		s.ports.(*processPorts).waiting[e.ID] = ch
 		s.event(e)
 	}:
@@ -136,10 +136,10 @@
 
 // servePlatform answers the platform's calls.
 func (d *httpServer) servePlatform(ctx context.Context, c platform.Call) platform.Answer {
-	if len(c.Body) > bodyMax && c.Op != "setup.put" && c.Op != "worker.beat" {
+	if len(c.Body) > bodyMaxBytes && c.Op != "setup.put" && c.Op != "worker.beat" {
 		return platform.Answer{
 			Status: 400,
-			Body:   faultsJSON([]schema.Fault{{Path: "", Reason: fmt.Sprintf("is larger than %d bytes", bodyMax)}}),
+			Body:   faultsJSON([]schema.Fault{{Path: "", Reason: fmt.Sprintf("is larger than %d bytes", bodyMaxBytes)}}),
 		}
 	}
 	r := d.request(
@@ -153,7 +153,7 @@
 }
 
 func (d *httpServer) serve(c *gin.Context, op, key string) {
-	limit := int64(bodyMax + 1)
+	limit := int64(bodyMaxBytes + 1)
 	if op == "setup.put" || op == "worker.report" {
 		limit = configuration.MaxBytes + 1
 	}
@@ -175,7 +175,7 @@
 	e := evRequest{Op: op, Key: key, Base: -1, Body: body}
 	if on := c.Query("on"); on != "" && op == "setup.put" {
 		if e.Base, err = strconv.ParseInt(on, 10, 64); err != nil || e.Base < 0 {
-			answer(
+			writeReply(
 				c,
 				effReply{
 					Status: 400,
@@ -187,10 +187,10 @@
 			return
 		}
 	}
-	answer(c, d.request(c.Request.Context(), e))
+	writeReply(c, d.request(c.Request.Context(), e))
 }
 
-func answer(c *gin.Context, r effReply) {
+func writeReply(c *gin.Context, r effReply) {
 	if r.RetryMs > 0 {
 		c.Header("Retry-After", strconv.FormatInt((r.RetryMs+999)/1000, 10))
 	}
@@ -205,7 +205,7 @@
 	for _, s := range gjson.GetBytes(members.Body, "slices").Array() {
 		r := d.request(ctx, evRequest{Op: "worker.lost", Key: s.Str + "/" + c.Param("id"), Base: -1})
 		if r.Status != 200 {
-			answer(c, r)
+			writeReply(c, r)
 			return
 		}
 		tasks += gjson.GetBytes(r.Body, "tasks").Int()
@@ -241,11 +241,11 @@
 	case <-d.loop.quit:
 		return
 	}
-	for _, k := range sorted(counts) {
+	for _, k := range sortedKeys(counts) {
 		desc := prometheus.NewDesc("otterchute_"+k+"_total", "Count of "+k+" since the start.", nil, nil)
 		ch <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(counts[k]))
 	}
-	for _, k := range sorted(gauges) {
+	for _, k := range sortedKeys(gauges) {
 		desc := prometheus.NewDesc("otterchute_"+k, "Now: "+k+".", nil, nil)
 		ch <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, gauges[k])
 	}
@@ -297,20 +297,20 @@
 	out["workers"] = float64(len(n.workers))
 	out["requests_open"] = float64(len(n.forwarded))
 	out["setup_version"] = float64(n.config.record.Version)
-	out["sync_ms"] = float64(n.syncMs)
-	for _, sl := range n.owned {
-		out["jobs_live"] += float64(len(sl.jobs))
-		out["writes_open"] += float64(len(sl.writes))
+	out["sync_ms"] = float64(n.diskSyncMs)
+	for _, shard := range n.shards {
+		out["jobs_live"] += float64(len(shard.jobs))
+		out["writes_open"] += float64(len(shard.writes))
 	}
-	for _, ag := range n.agents {
-		for _, h := range ag.attempts {
+	for _, agent := range n.agents {
+		for _, attempt := range agent.attempts {
 			switch {
-			case h.state == wire.AttemptQueued:
-				out["queued_"+h.spec.Class.String()]++
-			case h.state == wire.AttemptOrdered && h.answeredMs == 0:
+			case attempt.state == wire.AttemptQueued:
+				out["queued_"+attempt.spec.Class.String()]++
+			case attempt.state == wire.AttemptOrdered && attempt.answeredMs == 0:
 				out["unsettled"]++
-			case h.state == wire.AttemptRunning:
-				out["running_"+h.spec.Class.String()]++
+			case attempt.state == wire.AttemptRunning:
+				out["running_"+attempt.spec.Class.String()]++
 			}
 		}
 	}
--- a/internal/daemon/membership_test.go
+++ b/internal/daemon/membership_test.go
@@ -111,7 +111,7 @@
 func (s *slotWorld) wipeSome(count int, but ...*simNode) {
 	var from []*simNode
 	for _, m := range s.newestSet().Members {
-		if n := s.nodes[m.Name]; n.up && n.sh.node.leavingSince == 0 && !slices.Contains(but, n) {
+		if n := s.nodes[m.Name]; n.up && n.sh.node.leavingSinceMs == 0 && !slices.Contains(but, n) {
 			from = append(from, n)
 		}
 	}
@@ -126,7 +126,7 @@
 
 // newestSet gives the newest core set that any daemon knows.
 func (s *slotWorld) newestSet() (set quorum.Set) {
-	for _, name := range sorted(s.nodes) {
+	for _, name := range sortedKeys(s.nodes) {
 		if n := s.nodes[name]; n.up && n.sh.node.core.Version > set.Version {
 			set = n.sh.node.core
 		}
@@ -289,7 +289,7 @@
 	if *seedsFlag > 0 {
 		count, from = *seedsFlag, *fromFlag
 	}
-	for _, name := range sorted(slotScenarios) {
+	for _, name := range sortedKeys(slotScenarios) {
 		for _, size := range []int{3, 5} {
 			t.Run(fmt.Sprintf("%s/%d", name, size), func(t *testing.T) {
 				t.Parallel()
@@ -348,7 +348,7 @@
 					s.step()
 				}
 				worstLeft = max(worstLeft, s.nowMs()-at)
-				must.True(t, s.until(stopMs, func() bool { return !lost.up }), s.why())
+				must.True(t, s.until(shutdownTimeoutMs, func() bool { return !lost.up }), s.why())
 			} else {
 				s.gone(lost)
 				must.True(t, s.until(8000, s.full), s.why())
@@ -535,7 +535,7 @@
 	n.adoptCoreSet(larger.Without(2))
 	must.True(t, former.Less(o.Ballot))
 	var versions []int64
-	for _, e := range n.out {
+	for _, e := range n.effects {
 		if s, ok := e.(effSend); ok {
 			if m, ok := s.Msg.(*register.Prepare); ok && m.Ballot == o.Ballot {
 				versions = append(versions, m.SetVersion)
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -14,9 +14,9 @@
 	switch {
 	case n.core.Cluster == 0:
 		return "no cluster yet"
-	case n.leavingSince != 0:
+	case n.leavingSinceMs != 0:
 		return "this daemon is stopping"
-	case n.now-n.leases.ContactMs() > contactMs:
+	case n.now-n.leases.ContactMs() > ownerContactMs:
 		return "the core can't be reached from here"
 	case n.config.current.Version == 0:
 		return "no setup yet"
@@ -31,15 +31,15 @@
 	return ""
 }
 
-func (n *node) handleGetReady(a *request) {
+func (n *node) handleGetReady(req *request) {
 	if reason := n.notReady(); reason != "" {
-		n.reject(a, reason)
+		n.reject(req, reason)
 		return
 	}
-	n.respond(a, 200, 0, mustJSON(map[string]any{"ready": true}))
+	n.respond(req, 200, 0, mustJSON(map[string]any{"ready": true}))
 }
 
-func (n *node) handleGetMembers(a *request) {
+func (n *node) handleGetMembers(req *request) {
 	var list []map[string]any
 	for _, name := range append([]string{n.Name}, n.peers.Names()...) {
 		s := n.peers.Describe(name)
@@ -52,7 +52,7 @@
 		roles = append(roles, map[string]any{"duty": v.Name, "holder": v.Holder, "epoch": v.Epoch})
 	}
 	n.respond(
-		a,
+		req,
 		200,
 		0,
 		mustJSON(map[string]any{"cluster": n.core.Cluster, "core_version": n.core.Version, "core": n.core.Names(),
@@ -61,23 +61,23 @@
 }
 
 // handleGetWorkers is settled where all workers are known: at the central scheduler.
-func (n *node) handleGetWorkers(a *request) {
+func (n *node) handleGetWorkers(req *request) {
 	if !n.leases.Holds(lease.Central) {
 		to, _ := n.leases.Holder(lease.Central)
-		n.forward(a, to)
+		n.forward(req, to)
 		return
 	}
 	list := []map[string]any{}
-	for _, name := range sorted(n.workers) {
+	for _, name := range sortedKeys(n.workers) {
 		w := n.workers[name]
 		list = append(
 			list,
 			map[string]any{"name": name, "site": w.zone, "labels": labelMap(w.labels), "free": w.free, "capacity": w.capacity,
-				"leaving": w.leaving, "agent": w.agent, "epoch": w.epoch, "heard_ms": n.now - w.heardMs, "silent_ms": w.silentMs,
+				"leaving": w.leaving, "agent": w.agent, "epoch": w.epoch, "heard_ms": n.now - w.receivedMs, "silent_ms": w.silentMs,
 				"queued": w.queued, "rank_ms": w.rankMs, "unsound": n.ranks.unhealthy[name], "rebuilt": w.rebuilt},
 		)
 	}
-	n.respond(a, 200, 0, mustJSON(map[string]any{"workers": list}))
+	n.respond(req, 200, 0, mustJSON(map[string]any{"workers": list}))
 }
 
 func labelMap(ls []wire.Label) map[string]string {
@@ -89,14 +89,14 @@
 }
 
 // handleGetHealth is what doctor reads: this daemon's view of the common faults.
-func (n *node) handleGetHealth(a *request) {
+func (n *node) handleGetHealth(req *request) {
 	slow := map[string]int64{}
 	for m, ms := range n.leases.SyncMs() {
 		slow[m] = ms
 	}
 	unsound := []string{}
 	if n.central != nil {
-		unsound = append(unsound, sorted(n.ranks.unhealthy)...)
+		unsound = append(unsound, sortedKeys(n.ranks.unhealthy)...)
 	}
 	coreLive := 0
 	for _, m := range n.core.Members {
@@ -105,7 +105,7 @@
 		}
 	}
 	n.respond(
-		a,
+		req,
 		200,
 		0,
 		mustJSON(map[string]any{
@@ -125,7 +125,7 @@
 			"without_holder":   n.leasesWithoutHolder(),
 			"unsound_workers":  unsound,
 			"counters":         n.counterHealth(),
-			"empty_sites":      sorted(n.config.current.EmptyZones),
+			"empty_sites":      sortedKeys(n.config.current.EmptyZones),
 			"slices":           n.ownedShards(),
 			"workers":          len(n.workers),
 			"asks_open":        len(n.forwarded),
@@ -176,10 +176,10 @@
 	if len(n.workers) == 0 || n.central == nil {
 		return unmatched
 	}
-	for _, q := range sorted(n.config.current.Queues) {
+	for _, q := range sortedKeys(n.config.current.Queues) {
 		found := false
 		for _, w := range n.workers {
-			found = found || n.now-w.heardMs < cluster.AliveMs && n.config.current.Queues[q].Matches(w.labels, w.zone)
+			found = found || n.now-w.receivedMs < cluster.AliveMs && n.config.current.Queues[q].Matches(w.labels, w.zone)
 		}
 		if !found {
 			unmatched = append(unmatched, q)
@@ -191,30 +191,30 @@
 // ownedShards tells of each shard held here what waits in it.
 func (n *node) ownedShards() map[string]any {
 	owned := map[string]any{}
-	for _, name := range sorted(n.owned) {
-		sl := n.owned[name]
-		unsettled, waiting := n.openTasks(sl)
+	for _, name := range sortedKeys(n.shards) {
+		shard := n.shards[name]
+		unsettled, waiting := n.openTasks(shard)
 		owned[name] = map[string]any{
-			"serving":     sl.serving,
-			"epoch":       sl.epoch,
-			"jobs":        len(sl.jobs),
+			"serving":     shard.serving,
+			"epoch":       shard.epoch,
+			"jobs":        len(shard.jobs),
 			"unsettled":   unsettled,
 			"waiting":     waiting,
-			"writes_open": len(sl.writes),
+			"writes_open": len(shard.writes),
 		}
 	}
 	return owned
 }
 
 // openTasks counts a shard's tasks at silent workers, by worker, and those without a place.
-func (n *node) openTasks(sl *shard) (unsettled map[string]int, waiting int) {
+func (n *node) openTasks(shard *ownedShard) (unsettled map[string]int, waiting int) {
 	unsettled = map[string]int{}
-	for _, js := range sl.jobs {
-		for i := range js.Tasks {
-			t := &js.Tasks[i]
+	for _, job := range shard.jobs {
+		for i := range job.Tasks {
+			t := &job.Tasks[i]
 			w := n.workers[t.Worker]
 			switch {
-			case t.State == taskPlaced && (w == nil || n.now-w.heardMs > silentMs || w.silentMs > silentMs):
+			case t.State == taskPlaced && (w == nil || n.now-w.receivedMs > workerSilentMs || w.silentMs > workerSilentMs):
 				unsettled[t.Worker]++
 			case t.State == taskPending:
 				waiting++
--- a/internal/daemon/world_node_test.go
+++ b/internal/daemon/world_node_test.go
@@ -130,7 +130,7 @@
 	target := n.w.nodes[to]
 	if target == nil || target.Addr != addr {
 		target = nil
-		for _, name := range sorted(n.w.nodes) {
+		for _, name := range sortedKeys(n.w.nodes) {
 			if n.w.nodes[name].Addr == addr {
 				target = n.w.nodes[name]
 			}
@@ -211,7 +211,7 @@
 		sw := n.w.workers[e.Worker]
 		answered, leftUs := false, n.w.nowUs
 		n.w.carryTo(n.Name, sw.name, func() {
-			if n.w.nowUs-leftUs > flightMs*1000 {
+			if n.w.nowUs-leftUs > orderTimeoutMs*1000 {
 				return // its connection was torn down by then, with all unread bytes
 			}
 			outcome := sw.take(e)
@@ -222,7 +222,7 @@
 				}
 			})
 		})
-		n.later(flightMs*1000, func() {
+		n.later(orderTimeoutMs*1000, func() {
 			if !answered {
 				answered = true
 				result("unknown")
