--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -10,13 +10,13 @@
 
 // admission is a new job on its way through the rules of its queue.
 type admission struct {
-	job   *job
-	queue *configuration.Queue
-	live  int // live jobs of this queue in the shard
-	all   int // live jobs of the shard
-	bytes int // of their records, with this one
-	base  bool
-	batch bool
+	job           *jobRecord
+	queue         *configuration.Queue
+	queueLive     int // live jobs of this queue in the shard
+	shardLive     int // live jobs of the shard
+	bytes         int // of their records, with this one
+	lowestUrgency bool
+	batch         bool
 	// excess is beyond its tenant's weight: such jobs leave others a part of the records.
 	excess bool
 }
@@ -40,13 +40,13 @@
 	},
 	configuration.RuleDefaultFailures: func(c *admission, v int64) *rejection {
 		for i := range c.job.Steps {
-			if c.job.Steps[i].Allowed < 0 {
-				c.job.Steps[i].Allowed = int32(v)
+			if c.job.Steps[i].AllowedFailures < 0 {
+				c.job.Steps[i].AllowedFailures = int32(v)
 			}
 		}
 		for i := range c.job.Tasks {
-			if c.job.Tasks[i].Allowed < 0 {
-				c.job.Tasks[i].Allowed = int32(v)
+			if c.job.Tasks[i].AllowedFailures < 0 {
+				c.job.Tasks[i].AllowedFailures = int32(v)
 			}
 		}
 		return nil
@@ -61,10 +61,10 @@
 		return nil
 	},
 	configuration.RuleMaxResources: func(c *admission, v int64) *rejection {
-		return c.eachTask(func(t *task) bool { return v > 0 && t.Resources.CPU > v }, "room", "is above the queue's bound")
+		return c.rejectTasks(func(t *task) bool { return v > 0 && t.Resources.CPU > v }, "room", "is above the queue's bound")
 	},
 	configuration.RuleMaxLimit: func(c *admission, v int64) *rejection {
-		return c.eachTask(func(t *task) bool { return v > 0 && t.LimitMs > v }, "limit_ms", "is above the queue's bound")
+		return c.rejectTasks(func(t *task) bool { return v > 0 && t.LimitMs > v }, "limit_ms", "is above the queue's bound")
 	},
 	configuration.RuleNoGangs: func(c *admission, _ int64) *rejection {
 		var out []schema.Fault
@@ -89,17 +89,17 @@
 	},
 	configuration.RuleAdmit: func(c *admission, v int64) *rejection {
 		all := shardJobsMax
-		if c.base { // queues of the lowest urgency leave the others their share
-			all = shardJobsMax * (100 - urgentShare) / 100
+		if c.lowestUrgency { // queues of the lowest urgency leave the others their share
+			all = shardJobsMax * (100 - urgentSharePercent) / 100
 		}
 		bytes := shardBytesMax
 		if c.batch { // held jobs leave the others room in the records
-			all, bytes = shardJobsMax*batchRecords/100, shardBytesMax*batchRecords/100
+			all, bytes = shardJobsMax*batchRecordsPercent/100, shardBytesMax*batchRecordsPercent/100
 		}
 		if c.excess {
-			v, all, bytes = max(v*excessRecords/100, 1), all*excessRecords/100, bytes*excessRecords/100
+			v, all, bytes = max(v*excessRecordsPercent/100, 1), all*excessRecordsPercent/100, bytes*excessRecordsPercent/100
 		}
-		if int64(c.live) >= v || c.all >= all || c.bytes > bytes {
+		if int64(c.queueLive) >= v || c.shardLive >= all || c.bytes > bytes {
 			return &rejection{
 				status:  429,
 				retryMs: 2000,
@@ -110,12 +110,13 @@
 	},
 }
 
-func (c *admission) eachTask(bad func(*task) bool, field, reason string) *rejection {
+func (c *admission) rejectTasks(bad func(*task) bool, field, reason string) *rejection {
 	var out []schema.Fault
 	for i := range c.job.Tasks {
 		t := &c.job.Tasks[i]
 		if bad(t) {
-			out = append(out, schema.Fault{Path: fmt.Sprintf("steps.%d.tasks.%d.%s", t.Step, t.InStep, field), Reason: reason})
+			out = append(out, schema.Fault{Path: fmt.Sprintf("steps.%d.tasks.%d.%s", t.Step, t.IndexInStep, field),
+				Reason: reason})
 		}
 	}
 	if len(out) > 0 {
--- a/internal/daemon/central_test.go
+++ b/internal/daemon/central_test.go
@@ -22,7 +22,7 @@
 	n.config.current = setup
 	n.leases.Assume(lease.Central, 1, 1<<40)
 	n.startCentral(1)
-	n.now += rebuildMs
+	n.now += centralRebuildMs
 	for i := range 6 {
 		w := &workerCapacity{AgentReport: wire.AgentReport{Worker: fmt.Sprint("w", i), Rack: fmt.Sprint("r", i/3), Rebuilt: true, Fresh: true, Capacity: resource.Amount{CPU: 4000}}}
 		n.central.workers[w.Worker] = w
@@ -41,15 +41,15 @@
 	n.now += ms
 	n.config.confirmedMs = n.now
 	for _, w := range n.central.workers {
-		w.heardMs = n.now
+		w.receivedMs = n.now
 	}
 	n.allocateAll(n.central)
 	placed := map[string]int{}
-	for k, ws := range n.central.pending {
+	for k, request := range n.central.pending {
 		if k.Job != job {
 			continue
 		}
-		for _, g := range ws.granted {
+		for _, g := range request.granted {
 			placed[g.worker]++
 		}
 	}
@@ -57,16 +57,16 @@
 }
 
 func wantOf(job, queue string, tasks int, cpu, estMs int64) *pendingAllocation {
-	ws := &pendingAllocation{granted: map[int64]grantedTask{}, AllocationRequest: wire.AllocationRequest{Shard: "s", Job: job, Queue: queue, Resources: resource.Amount{CPU: cpu}, EstimateMs: estMs}}
+	request := &pendingAllocation{granted: map[int64]grantedTask{}, AllocationRequest: wire.AllocationRequest{Shard: "s", Job: job, Queue: queue, Resources: resource.Amount{CPU: cpu}, EstimateMs: estMs}}
 	for i := range tasks {
-		ws.Tasks = append(ws.Tasks, wire.RequestedTask{Task: placeID(0, 0, int32(i)), Attempt: 1})
+		request.Tasks = append(request.Tasks, wire.RequestedTask{Task: uniformTaskID(0, 0, int32(i)), Attempt: 1})
 	}
-	return ws
+	return request
 }
 
-func (c *central) add(now int64, ws *pendingAllocation) {
-	ws.firstMs, ws.lastMs = now, now
-	c.pending[keyOf(&ws.AllocationRequest)] = ws
+func (c *centralScheduler) add(now int64, request *pendingAllocation) {
+	request.firstMs, request.lastMs = now, now
+	c.pending[allocationKeyOf(&request.AllocationRequest)] = request
 }
 
 // A gang that asks for one rack waits for one as long as that is worth more than
@@ -78,7 +78,7 @@
 	}{
 		"several racks cost little": {1.5, 2000, spreadAfterMs},
 		"several racks cost much":   {3, 5000, 5000},
-		"very long work":            {3, 60_000, rackWaitMost},
+		"very long work":            {3, 60_000, rackWaitMaxMs},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := rackNode(t, c.spreadFactor)
@@ -130,7 +130,7 @@
 	gang := wantOf("gang", "mid", 3, 3000, 20_000)
 	gang.Gang, gang.SameRack = true, true
 	n.central.add(n.now, gang)
-	must.MapEmpty(t, grantAfter(n, backfillMs, "gang"))
+	must.MapEmpty(t, grantAfter(n, backfillAfterMs, "gang"))
 	must.MapLen(t, 3, grantAfter(n, 100, "gang"))
 }
 
--- a/internal/daemon/durability_test.go
+++ b/internal/daemon/durability_test.go
@@ -24,7 +24,7 @@
 // lookAtAll asks once more for the state of every accepted job, as callers may
 // for as long as finished jobs are kept.
 func (b *platformWorld) lookAtAll() {
-	for _, id := range sorted(b.jobs) {
+	for _, id := range sortedKeys(b.jobs) {
 		if j := b.jobs[id]; j.acked {
 			b.look(j)
 			b.run(20)
@@ -188,7 +188,7 @@
 	for _, name := range []string{"d00", "d01"} {
 		must.Eq(t, 100, w.nodes[name].sh.node.store.Shard("mid").Finished(), must.Sprint(name))
 	}
-	for _, name := range sorted(w.nodes) { // once a week has passed they go
+	for _, name := range sortedKeys(w.nodes) { // once a week has passed they go
 		w.nodes[name].skewMs = week
 	}
 	w.run(30_000)
@@ -203,7 +203,7 @@
 	w := formed(t, 4, "ikenna")
 	n := w.nodes["d05"].sh.node
 	held := func(state jobStatus, version, doneMs int64) []statestore.Record {
-		j := &job{ID: "j", Queue: "q", State: state, Version: version, DoneMs: doneMs}
+		j := &jobRecord{ID: "j", Queue: "q", State: state, Version: version, DoneMs: doneMs}
 		return []statestore.Record{{ID: "j", Epoch: 1, Version: version, Live: doneMs == 0, DoneMs: doneMs, Value: j.encode()}}
 	}
 	live, finished := held(jobRunning, 3, 0), held(jobComplete, 5, wallStart)
@@ -225,13 +225,13 @@
 		{4, [][]statestore.Record{live, finished, finished, live}, ""}, // and here before the set grew
 		{4, [][]statestore.Record{finished, live, finished, finished}, "complete"},
 	} {
-		n.out, n.core = nil, full
+		n.effects, n.core = nil, full
 		if c.members < len(full.Members) {
 			n.core.Members = full.Members[:c.members]
 		} else if c.members > len(full.Members) {
 			n.core = full.With(quorum.Member{Name: "d03", DiskID: 1})
 		}
-		n.coreReads.earn(retryBudgetMax)
+		n.coreReads.add(retryBudgetMax)
 		n.readFromCore(&request{id: 7, op: "job.get", key: "j", receivedMs: n.now}, "no owner")
 		op, state := n.opSeq, ""
 		for i, records := range c.answers {
--- a/internal/daemon/tenant_rename_test.go
+++ b/internal/daemon/tenant_rename_test.go
@@ -18,7 +18,7 @@
 			name := fmt.Sprint("renamed-", round)
 			w.declare(keyedSetup(nil, testTenant{name, tenantA.keys}, tenantB))
 			for range 60 {
-				for i, daemon := range sorted(w.nodes) {
+				for i, daemon := range sortedKeys(w.nodes) {
 					op := []string{"queue.state", "queue.submit"}[i%2]
 					w.call("caller", w.nodes[daemon], evRequest{Op: op, Host: "h", Path: paths[i%len(paths)], Credential: "key-a1", Body: tenantJob("x", 1), Base: -1}, tenantCallMs,
 						func(status int, _ int64, _ []byte) { answers[fmt.Sprint(op, " ", status)]++ })
@@ -40,12 +40,12 @@
 // key isn't told as another's then.
 func TestJobHandedInAgainByAFormerName(t *testing.T) {
 	for _, op := range []string{"job.put", "job.state", "job.cancel"} {
-		n, sl := shareOwner(t)
-		n.config.confirmedBy = 1
-		js := jobOfTenant(t, sl, "a", "full", `{"name":"s","count":1,"room":1}`, 1)
+		n, shard := shareOwner(t)
+		n.config.confirmedPoll = 1
+		job := jobOfTenant(t, shard, "a", "full", `{"name":"s","count":1,"room":1}`, 1)
 		call := &request{id: 7, op: op, key: "a", queue: "q", byAddress: true, tenant: "former"}
-		must.True(t, n.hides(call, &js.job))
-		for _, e := range n.out {
+		must.True(t, n.respondIfHidden(call, &job.jobRecord))
+		for _, e := range n.effects {
 			if reply, ok := e.(effReply); ok {
 				must.SliceNotContains(t, []int{404, 409, 410}, reply.Status, must.Sprint(op, " ", string(reply.Body)))
 			}
@@ -64,12 +64,12 @@
 		"by its former name":               {"q", "former", 1},
 		"while the owner isn't up to date": {"q", "next", 0},
 	} {
-		n, sl := shareOwner(t)
-		n.config.confirmedBy = c.confirmed
-		js := jobOfTenant(t, sl, "a", "", `{"name":"s","count":1,"room":1}`, 1)
-		js.Queue = c.jobOf
-		n.hides(&request{id: 7, op: "job.put", key: "a", queue: c.callOf, byAddress: true}, &js.job)
-		for _, e := range n.out {
+		n, shard := shareOwner(t)
+		n.config.confirmedPoll = c.confirmed
+		job := jobOfTenant(t, shard, "a", "", `{"name":"s","count":1,"room":1}`, 1)
+		job.Queue = c.jobOf
+		n.respondIfHidden(&request{id: 7, op: "job.put", key: "a", queue: c.callOf, byAddress: true}, &job.jobRecord)
+		for _, e := range n.effects {
 			if reply, ok := e.(effReply); ok {
 				must.NotEq(t, 409, reply.Status, must.Sprint(name, " ", string(reply.Body)))
 			}
