--- a/internal/jobtrace/trace.go
+++ b/internal/jobtrace/trace.go
@@ -101,13 +101,13 @@
 
 // FinishedJobs holds the traces of the last MaxFinished finished jobs. Its zero value is
 // ready to use.
-type Finished struct {
+type FinishedJobs struct {
 	byID  map[string]*Job
 	order []string
 }
 
 // Add stores a trace, and removes the oldest one above MaxFinished.
-func (f *Finished) Add(id string, j *Job) {
+func (f *FinishedJobs) Add(id string, j *Job) {
 	if f.byID == nil {
 		f.byID = map[string]*Job{}
 	}
@@ -122,4 +122,4 @@
 }
 
 // Get returns a finished job's trace, or nil if it is not stored.
-func (f *Finished) Get(id string) *Job { return f.byID[id] }
+func (f *FinishedJobs) Get(id string) *Job { return f.byID[id] }
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -17,11 +17,11 @@
 // The kinds. Where Max is a bound, 0 means unbounded.
 const (
 	Any       Kind = iota
-	Text           // a string of Min to Max bytes
+	String         // a string of Min to Max bytes
 	Name           // 1 to 128 letters, digits, '-', '_', '.' or ':'
-	Count          // an integer from Min to Max
+	Integer        // an integer from Min to Max
 	Number         // a number of 0 or more
-	Flag           // true or false
+	Bool           // true or false
 	Resources      // a positive integer, or an object of cpu, memory and accelerators
 	Labels         // an object with names as keys and strings as values
 	Choices        // an object with label names as keys and nonempty lists of strings as values
@@ -92,11 +92,11 @@
 func init() { // a variable initializer would be cyclic: list and object call check
 	checks = map[Kind]func(c *checker, v gjson.Result, path string, f Field){
 		Any:       func(*checker, gjson.Result, string, Field) {},
-		Text:      (*checker).text,
+		String:    (*checker).text,
 		Name:      (*checker).name,
-		Count:     (*checker).count,
+		Integer:   (*checker).count,
 		Number:    (*checker).number,
-		Flag:      (*checker).flag,
+		Bool:      (*checker).flag,
 		Resources: (*checker).resources,
 		Labels:    (*checker).labels,
 		Choices:   (*checker).choices,
@@ -148,7 +148,7 @@
 
 func (c *checker) resources(v gjson.Result, path string, _ Field) {
 	if !v.IsObject() {
-		c.check(v, path, Field{Kind: Count, Min: 1, Max: maxAmount})
+		c.check(v, path, Field{Kind: Integer, Min: 1, Max: maxAmount})
 		return
 	}
 	hasAmount := false
--- a/internal/statestore/copy.go
+++ b/internal/statestore/copy.go
@@ -73,10 +73,10 @@
 	if s.cluster != 0 {
 		formation := s.formation
 		formation.Cluster = s.cluster
-		out = append(out, Entry{Kind: EntryForm, Value: formation.Encode()})
+		out = append(out, Entry{Kind: EntryFormationVote, Value: formation.Encode()})
 	}
 	if s.coreSet.Version != 0 {
-		out = append(out, Entry{Kind: EntrySet, Value: s.coreSet.Encode()})
+		out = append(out, Entry{Kind: EntryCoreSet, Value: s.coreSet.Encode()})
 	}
 	for _, name := range s.RegisterNames() {
 		r := s.registers[name]
--- a/internal/statestore/entry.go
+++ b/internal/statestore/entry.go
@@ -14,25 +14,25 @@
 // Kinds of entries, and the fields that each uses besides Kind. Name is a register or a
 // shard.
 const (
-	EntryForm        EntryKind = iota + 1 // a vote for a formation: Value is its quorum.Set
-	EntryPromise                          // a register's promise: Name, Ballot
-	EntryAccept                           // a register's accepted value: Name, Ballot, Value
-	EntrySeal                             // a shard rejects writes of lower epochs: Name, Epoch
-	EntryRecord                           // a job's record: Name, Record
-	EntrySet                              // the core set: Value is a quorum.Set
-	EntryDrop                             // removes records finished before a time: Name, Epoch is the time in ms
-	EntryConfirmed                        // a quorum holds a finished record: Name, Record.ID
-	EntryChunk                            // a chunk of finished records, in copies and snapshots: Name, Value
-	EntryUnconfirmed                      // a quorum may not hold a record of such a chunk: Name, Record.ID
-	EntryServed                           // all live records are committed under an epoch: Name, Epoch
-	EntryRefused                          // a final vote against a formation: Epoch is its cluster
-	EntryPatch                            // the next version of a live record: Name, Value is a Patch
+	EntryFormationVote    EntryKind = iota + 1 // a vote for a formation: Value is its quorum.Set
+	EntryPromise                               // a register's promise: Name, Ballot
+	EntryAccept                                // a register's accepted value: Name, Ballot, Value
+	EntrySeal                                  // a shard rejects writes of lower epochs: Name, Epoch
+	EntryRecord                                // a job's record: Name, Record
+	EntryCoreSet                               // the core set: Value is a quorum.Set
+	EntryExpire                                // removes records finished before a time: Name, Epoch is the time in ms
+	EntryConfirmed                             // a quorum holds a finished record: Name, Record.ID
+	EntryChunk                                 // a chunk of finished records, in copies and snapshots: Name, Value
+	EntryUnconfirmed                           // a quorum may not hold a record of such a chunk: Name, Record.ID
+	EntryServed                                // all live records are committed under an epoch: Name, Epoch
+	EntryFormationRefused                      // a final vote against a formation: Epoch is its cluster
+	EntryPatch                                 // the next version of a live record: Name, Value is a Patch
 )
 
 var entryKindNames = map[EntryKind]string{
-	EntryForm: "form", EntryPromise: "promise", EntryAccept: "accept", EntrySeal: "seal",
-	EntryRecord: "record", EntrySet: "set", EntryDrop: "drop", EntryConfirmed: "confirmed", EntryChunk: "chunk",
-	EntryUnconfirmed: "unconfirmed", EntryServed: "served", EntryRefused: "refused", EntryPatch: "patch",
+	EntryFormationVote: "form", EntryPromise: "promise", EntryAccept: "accept", EntrySeal: "seal",
+	EntryRecord: "record", EntryCoreSet: "set", EntryExpire: "drop", EntryConfirmed: "confirmed", EntryChunk: "chunk",
+	EntryUnconfirmed: "unconfirmed", EntryServed: "served", EntryFormationRefused: "refused", EntryPatch: "patch",
 }
 
 // String returns the name of the kind in logs and test failures.
--- a/internal/statestore/patch.go
+++ b/internal/statestore/patch.go
@@ -30,19 +30,19 @@
 
 // Splice replaces Remove bytes of the old value, beginning at an offset.
 type Splice struct {
-	At     int32
+	Offset int32
 	Remove int32
 	Insert []byte
 }
 
 // Patch builds a version of a live record from the version Base of the same epoch.
 type Patch struct {
-	ID      string
-	Epoch   uint64
-	Base    int64
-	Version int64
-	Splices []Splice // ordered by their offsets in the old value; they do not overlap
-	Sum     uint64   // CRC-32 of the new value
+	ID       string
+	Epoch    uint64
+	Base     int64
+	Version  int64
+	Splices  []Splice // ordered by their offsets in the old value; they do not overlap
+	Checksum uint64   // CRC-32 of the new value
 }
 
 // spliceOverheadBytes is the approximate size of a splice besides the inserted bytes.
@@ -91,22 +91,22 @@
 		suffix++
 	}
 	return Splice{
-		At: int32(at + prefix), Remove: int32(len(before) - prefix - suffix),
+		Offset: int32(at + prefix), Remove: int32(len(before) - prefix - suffix),
 		Insert: bytes.Clone(after[prefix : len(after)-suffix]),
 	}
 }
 
-// Sum returns the checksum of a value, as used in a Patch.
+// Checksum returns the checksum of a value, as used in a Patch.
 //
 // Example: patch.Sum = statestore.Sum(value)
-func Sum(value []byte) uint64 { return uint64(crc32.ChecksumIEEE(value)) }
+func Checksum(value []byte) uint64 { return uint64(crc32.ChecksumIEEE(value)) }
 
 // apply returns the patched value, or false if the patch does not fit the old value.
 func (p Patch) apply(old []byte) (value []byte, ok bool) {
 	value = make([]byte, 0, len(old)+p.Size())
 	from := 0
 	for _, s := range p.Splices {
-		at, remove := int(s.At), int(s.Remove)
+		at, remove := int(s.Offset), int(s.Remove)
 		if at < from || remove < 0 || remove > len(old)-at {
 			return nil, false
 		}
@@ -115,7 +115,7 @@
 		from = at + remove
 	}
 	value = append(value, old[from:]...)
-	return value, Sum(value) == p.Sum
+	return value, Checksum(value) == p.Checksum
 }
 
 // Patched returns the record that results from a patch. It returns false if the shard does
--- a/internal/statestore/shard.go
+++ b/internal/statestore/shard.go
@@ -18,12 +18,12 @@
 	return &Shard{live: map[string]Record{}, unconfirmed: map[string]bool{}, archive: newArchive()}
 }
 
-// Sealed returns the highest epoch that an owner sealed; writes of lower epochs are fenced off.
-func (s *Shard) Sealed() uint64 { return s.sealedEpoch }
+// SealedEpoch returns the highest epoch that an owner sealed; writes of lower epochs are fenced off.
+func (s *Shard) SealedEpoch() uint64 { return s.sealedEpoch }
 
-// Served returns the last epoch under which all live records are known to be committed.
+// ServedEpoch returns the last epoch under which all live records are known to be committed.
 // Live records of older epochs are void.
-func (s *Shard) Served() uint64 { return s.servedEpoch }
+func (s *Shard) ServedEpoch() uint64 { return s.servedEpoch }
 
 // Get returns a record by its job's id, live or finished.
 func (s *Shard) Get(id string) (Record, bool) {
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -42,11 +42,11 @@
 // Cluster returns the cluster that this disk belongs to or has voted for; 0 for none.
 func (s *Store) Cluster() uint64 { return s.cluster }
 
-// Set returns the newest chosen core set that is stored; version 0 for none.
-func (s *Store) Set() quorum.Set { return s.coreSet }
+// CoreSet returns the newest chosen core set that is stored; version 0 for none.
+func (s *Store) CoreSet() quorum.Set { return s.coreSet }
 
-// Formed returns the formation that this disk voted for; without members for none.
-func (s *Store) Formed() quorum.Set { return s.formation }
+// Formation returns the formation that this disk voted for; without members for none.
+func (s *Store) Formation() quorum.Set { return s.formation }
 
 // Refused reports whether this disk voted against a formation, or was informed that it
 // failed.
@@ -116,19 +116,19 @@
 }
 
 var appliers = map[EntryKind]func(*Store, Entry){
-	EntryForm:        (*Store).applyFormationVote,
-	EntryRefused:     (*Store).applyFormationRefused,
-	EntrySet:         (*Store).applyCoreSet,
-	EntryPromise:     (*Store).applyPromise,
-	EntryAccept:      (*Store).applyAccept,
-	EntrySeal:        (*Store).applySeal,
-	EntryRecord:      func(s *Store, e Entry) { s.Shard(e.Name).put(e.Record) },
-	EntryDrop:        func(s *Store, e Entry) { s.Shard(e.Name).drop(int64(e.Epoch)) },
-	EntryConfirmed:   func(s *Store, e Entry) { delete(s.Shard(e.Name).unconfirmed, e.Record.ID) },
-	EntryChunk:       func(s *Store, e Entry) { s.Shard(e.Name).putChunk(e.Value) },
-	EntryUnconfirmed: func(s *Store, e Entry) { s.Shard(e.Name).markUnconfirmed(e.Record.ID) },
-	EntryServed:      func(s *Store, e Entry) { s.Shard(e.Name).setServedEpoch(e.Epoch) },
-	EntryPatch:       (*Store).applyPatch,
+	EntryFormationVote:    (*Store).applyFormationVote,
+	EntryFormationRefused: (*Store).applyFormationRefused,
+	EntryCoreSet:          (*Store).applyCoreSet,
+	EntryPromise:          (*Store).applyPromise,
+	EntryAccept:           (*Store).applyAccept,
+	EntrySeal:             (*Store).applySeal,
+	EntryRecord:           func(s *Store, e Entry) { s.Shard(e.Name).put(e.Record) },
+	EntryExpire:           func(s *Store, e Entry) { s.Shard(e.Name).drop(int64(e.Epoch)) },
+	EntryConfirmed:        func(s *Store, e Entry) { delete(s.Shard(e.Name).unconfirmed, e.Record.ID) },
+	EntryChunk:            func(s *Store, e Entry) { s.Shard(e.Name).putChunk(e.Value) },
+	EntryUnconfirmed:      func(s *Store, e Entry) { s.Shard(e.Name).markUnconfirmed(e.Record.ID) },
+	EntryServed:           func(s *Store, e Entry) { s.Shard(e.Name).setServedEpoch(e.Epoch) },
+	EntryPatch:            (*Store).applyPatch,
 }
 
 func (s *Store) applyFormationVote(e Entry) {
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -47,7 +47,7 @@
 
 func newLog(f folder, events EventLog) *Log {
 	return &Log{
-		folder: f, events: events, listener: nopListener{}, firstRetryDelay: RetryFirst,
+		folder: f, events: events, listener: nopListener{}, firstRetryDelay: MinRetryDelay,
 		wake: make(chan struct{}, 1), stopped: make(chan struct{}),
 	}
 }
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -26,7 +26,7 @@
 func (l *Log) retryUntilRecovered(cause error) bool {
 	l.listener.Failed(cause)
 	lost := false
-	for wait := l.firstRetryDelay; ; wait = min(2*wait, RetryMax) {
+	for wait := l.firstRetryDelay; ; wait = min(2*wait, MaxRetryDelay) {
 		if l.waitOrClosed(wait) {
 			return false
 		}
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -87,8 +87,8 @@
 	// quarantineBytes bounds the quarantined files of a damaged disk, which are kept
 	// until the next snapshot. A disk may hold 128 MB in total.
 	quarantineBytes = 8 << 20
-	// RetryFirst is the wait before the first retry after a failure; it doubles each time.
-	RetryFirst = 100 * time.Millisecond
-	// RetryMax bounds that wait, since the member is unavailable meanwhile.
-	RetryMax = time.Second
+	// MinRetryDelay is the wait before the first retry after a failure; it doubles each time.
+	MinRetryDelay = 100 * time.Millisecond
+	// MaxRetryDelay bounds that wait, since the member is unavailable meanwhile.
+	MaxRetryDelay = time.Second
 )
--- a/internal/wire/cluster.go
+++ b/internal/wire/cluster.go
@@ -17,24 +17,24 @@
 	Incarnation uint64
 	Heartbeat   uint64
 	Addr        string // for messages between daemons
-	HTTP        string // address for callers, workers and operators
+	HTTPAddr    string // address for callers, workers and operators
 	Zone        string
 	Disk        bool
 	DiskID      uint64
-	Empty       bool // the disk belongs to no cluster yet
+	EmptyDisk   bool // the disk belongs to no cluster yet
 	Leaving     bool
 	Colocated   bool // runs on a worker's machine and takes no cluster-wide role
 	// Resources of the machine: thousandths of a core, and Mbit/s; 0 if unknown.
 	MilliCores int64
 	LinkMbps   int64
-	Strained   bool // the control thread runs late
+	Overloaded bool // the control thread runs late
 }
 
 // Gossip carries full peer entries and the core set: all live peers, for a daemon that is
 // new or a core set that has changed, or those that a DigestReply listed as unknown.
 type Gossip struct {
 	Self           Peer
-	Table          []Peer
+	Peers          []Peer
 	Core           quorum.Set
 	ReplyRequested bool
 }
@@ -58,10 +58,10 @@
 
 // DigestReply answers a Digest with the differences to the replying daemon's state.
 type DigestReply struct {
-	SetVersion int64
-	Heartbeats []Heartbeat // higher at the replying daemon
-	Table      []Peer      // entries that the sender of the digest lacks
-	Unknown    []uint64    // hashes of the digest that the replying daemon lacks
+	SetVersion    int64
+	Heartbeats    []Heartbeat // higher at the replying daemon
+	Peers         []Peer      // entries that the sender of the digest lacks
+	UnknownHashes []uint64    // hashes of the digest that the replying daemon lacks
 }
 
 // LeaseRequest acquires or renews the lease of one role.
@@ -85,7 +85,7 @@
 	// HoldersHash is the HashHolders value of the last holders received from this member;
 	// 0 if there are none.
 	HoldersHash uint64
-	Wanted      []LeaseRequest
+	Leases      []LeaseRequest
 	Releases    []LeaseRelease
 }
 
@@ -106,12 +106,12 @@
 	Granted    []bool
 	Epochs     []uint64 // the last known epoch of each granted lease
 	Holders    []RoleHolder
-	// HoldersSame is set if the holders match the request's hash; Holders is empty then.
-	HoldersSame bool
-	Config      register.Ballot
-	GuardMs     int64 // remaining time during which this member grants no leases
-	FleetMs     int64 // the cluster's time; 0 while too few clocks were reported
-	SyncMs      int64 // duration of the last disk sync
+	// HoldersUnchanged is set if the holders match the request's hash; Holders is empty then.
+	HoldersUnchanged bool
+	Config           register.Ballot
+	GracePeriodMs    int64 // remaining time during which this member grants no leases
+	ClusterTimeMs    int64 // the cluster's time; 0 while too few clocks were reported
+	DiskSyncMs       int64 // duration of the last disk sync
 }
 
 // FormRequest requests a disk's vote on a formation, or reports that the formation failed.
@@ -130,17 +130,17 @@
 type CopyRequest struct {
 	SetVersion int64
 	Op         uint64
-	At         statestore.Cursor
+	Cursor     statestore.Cursor
 }
 
 // CopyResponse carries one part of a store.
 type CopyResponse struct {
-	Op       uint64
-	At, Next statestore.Cursor
-	// Finished is set in a message that a daemon sends to itself: it names the member
+	Op           uint64
+	Cursor, Next statestore.Cursor
+	// FinishedMember is set in a message that a daemon sends to itself: it names the member
 	// whose copy is complete and synced.
-	Finished string
-	Entries  []statestore.Entry
+	FinishedMember string
+	Entries        []statestore.Entry
 }
 
 // HashHolders returns a hash of the role holders; never 0.
--- a/internal/wire/scheduling.go
+++ b/internal/wire/scheduling.go
@@ -14,25 +14,25 @@
 // Forward passes a request of a caller, worker or operator to the daemon that can
 // answer it.
 type Forward struct {
-	ID     uint64
-	Origin string
-	Hops   int32
-	WaitMs int64
-	Op     string
-	Key    string
-	Body   []byte
-	Queue  string // the queue whose address the caller used; "" for any other address
-	Expect int64  // the version that a configuration change is based on
-	Digest []byte // of an operator's command, if it differs from the body's digest
-	Tenant string // the tenant of the caller's key; "" for a call that needs no key
+	ID              uint64
+	Origin          string
+	Hops            int32
+	WaitMs          int64
+	Op              string
+	Key             string
+	Body            []byte
+	Queue           string // the queue whose address the caller used; "" for any other address
+	ExpectedVersion int64  // the version that a configuration change is based on
+	Digest          []byte // of an operator's command, if it differs from the body's digest
+	Tenant          string // the tenant of the caller's key; "" for a call that needs no key
 }
 
-// ForwardReply answers a Forward with an HTTP status and body.
+// ForwardReply answers a Forward with an HTTPAddr status and body.
 type ForwardReply struct {
-	ID      uint64
-	Status  int32
-	RetryMs int64
-	Body    []byte
+	ID           uint64
+	Status       int32
+	RetryAfterMs int64
+	Body         []byte
 }
 
 // AttemptKey identifies one attempt to run a task.
@@ -47,24 +47,24 @@
 
 // TaskSpec is what an agent needs to queue, start and supervise a task.
 type TaskSpec struct {
-	Key         AttemptKey
-	Shard       string
-	Queue       string
-	Name        string
-	Class       TaskClass
-	Resources   resource.Amount
-	Needs       []Label
-	SubmittedMs int64
-	EstimateMs  int64
-	LimitMs     int64
-	Payload     []byte
-	Saved       string
-	Gang        bool
-	Lasting     bool
-	Saves       bool
-	// PerWorker bounds the tasks of its step and round on one worker; 0 means no bound.
-	PerWorker int32
-	Tenant    string
+	Key            AttemptKey
+	Shard          string
+	Queue          string
+	Name           string
+	Class          TaskClass
+	Resources      resource.Amount
+	RequiredLabels []Label
+	SubmittedMs    int64
+	EstimateMs     int64
+	LimitMs        int64
+	Payload        []byte
+	Checkpoint     string
+	Gang           bool
+	LongRunning    bool
+	Checkpointing  bool
+	// MaxPerWorker bounds the tasks of its step and round on one worker; 0 means no bound.
+	MaxPerWorker int32
+	Tenant       string
 	// LimitVersion is the configuration version by whose tenant limit the task was placed.
 	// If a later configuration lowered the limit, an unstarted task returns to its owner.
 	LimitVersion int64
@@ -73,33 +73,33 @@
 
 // Placement assigns a task to a worker and is sent to the worker's agent.
 type Placement struct {
-	Worker     string
-	AgentEpoch uint64
-	ShardEpoch uint64
-	EchoMs     int64 // the agent's clock, from its last report
-	Spec       TaskSpec
+	Worker       string
+	AgentEpoch   uint64
+	ShardEpoch   uint64
+	AgentClockMs int64 // the agent's clock, from its last report
+	Spec         TaskSpec
 }
 
 // AttemptStatus is an agent's report on one attempt.
 type AttemptStatus struct {
-	Key        AttemptKey
-	Class      TaskClass
-	State      AttemptState
-	Result     AttemptResult
-	Resources  resource.Amount
-	RanMs      int64
-	EstimateMs int64
-	Queue      string
-	Name       string
-	Saved      string
-	Unknown    bool  // found running by an agent that has no TaskSpec of it
-	Late       bool  // its owner may have replaced it: the reply must say whether this end counts
-	QueueMs    int64 // the wait at the agent
-	StartMs    int64 // from the start order until the worker listed it
+	Key         AttemptKey
+	Class       TaskClass
+	State       AttemptState
+	Result      AttemptResult
+	Resources   resource.Amount
+	RanMs       int64
+	EstimateMs  int64
+	Queue       string
+	Name        string
+	Checkpoint  string
+	SpecMissing bool  // found running by an agent that has no TaskSpec of it
+	EndedLate   bool  // its owner may have replaced it: the reply must say whether this end counts
+	QueueMs     int64 // the wait at the agent
+	StartMs     int64 // from the start order until the worker listed it
 }
 
-// QueueUse is the resource usage of one queue's tasks.
-type QueueUse struct {
+// QueueUsage is the resource usage of one queue's tasks.
+type QueueUsage struct {
 	Queue     string
 	Resources resource.Amount
 }
@@ -107,36 +107,36 @@
 // AgentReport is an agent's periodic report: to a shard owner on its attempts, or to the
 // central scheduler on its worker's resources.
 type AgentReport struct {
-	Worker     string
-	Agent      string
-	Epoch      uint64
-	SentMs     int64
-	Shard      string // "" in a report to the central scheduler
-	Rebuilt    bool   // the agent has its worker's full state again after a start
-	Fresh      bool   // the worker has reported recently
-	SilentMs   int64  // time since the worker's last report
-	Zone       string
-	Labels     []Label
-	Leaving    bool
-	Rack       string
-	Free       resource.Amount
-	Capacity   resource.Amount
-	Others     resource.Amount // taken by attempts of other shards, queued ones included
-	Suspect    bool            // tasks stall there, or fail far more often than elsewhere
-	Doubtful   bool            // some recent failures point to the worker
-	Probation  bool            // it was suspect recently and receives work again
-	Colocated  bool            // the agent runs on its worker's machine; holds expire by themselves
-	RankMs     int64
-	QueuedMs   int64
-	Queued     int64
-	Succeeded  int64
-	Failed     int64
-	Spare      resource.Amount // capacity not taken by attempts other than those of batches
-	Waiting    int64           // unstarted tasks, without those of batches
-	Batch      []QueueUse      // taken by batch attempts of other shards
-	LagPercent int64           // run time relative to the estimate, in percent, smoothed
-	Urgent     resource.Amount // taken by attempts of the most urgent queues, queued ones included
-	Ends       []QueueEnds     // recent outcomes by queue, for the central scheduler
+	Worker            string
+	Agent             string
+	Epoch             uint64
+	SentMs            int64
+	Shard             string // "" in a report to the central scheduler
+	Rebuilt           bool   // the agent has its worker's full state again after a start
+	WorkerReportFresh bool   // the worker has reported recently
+	SilentMs          int64  // time since the worker's last report
+	Zone              string
+	Labels            []Label
+	Leaving           bool
+	Rack              string
+	Free              resource.Amount
+	Capacity          resource.Amount
+	OtherShards       resource.Amount // taken by attempts of other shards, queued ones included
+	Suspect           bool            // tasks stall there, or fail far more often than elsewhere
+	RecentFailures    bool            // some recent failures point to the worker
+	Probation         bool            // it was suspect recently and receives work again
+	Colocated         bool            // the agent runs on its worker's machine; holds expire by themselves
+	RankMs            int64
+	QueuedMs          int64
+	Queued            int64
+	Succeeded         int64
+	Failed            int64
+	SpareCapacity     resource.Amount // capacity not taken by attempts other than those of batches
+	WaitingTasks      int64           // unstarted tasks, without those of batches
+	BatchUsage        []QueueUsage    // taken by batch attempts of other shards
+	LagPercent        int64           // run time relative to the estimate, in percent, smoothed
+	Urgent            resource.Amount // taken by attempts of the most urgent queues, queued ones included
+	Outcomes          []QueueOutcomes // recent outcomes by queue, for the central scheduler
 	// Partial is set if Attempts lists only those that are queued or have ended; the others
 	// are unchanged. Reports to the central scheduler only list guaranteed attempts and
 	// queueable ones that it may promote.
@@ -144,8 +144,8 @@
 	Attempts []AttemptStatus
 }
 
-// QueueEnds counts the recent outcomes of one queue's runs at a worker, in hundredths.
-type QueueEnds struct {
+// QueueOutcomes counts the recent outcomes of one queue's runs at a worker, in hundredths.
+type QueueOutcomes struct {
 	Queue             string
 	Succeeded, Failed int64
 }
@@ -176,24 +176,24 @@
 // AllocationRequest requests guaranteed places from the central scheduler for similar
 // tasks of one step: for a gang all or none, else as many as there are resources for.
 type AllocationRequest struct {
-	Shard       string
-	Job         string
-	Tasks       []RequestedTask
-	Queue       string
-	Resources   resource.Amount
-	Needs       []Label
-	SubmittedMs int64
-	Avoid       []string // workers where these tasks just failed
-	Doubted     []string // workers to use only if no other can run the tasks
-	Gang        bool
-	SameRack    bool
-	Near        string
-	PerWorker   int32
-	Used        []WorkerUse // placed tasks of the same step
-	EstimateMs  int64       // expected run time
-	Excess      bool        // its tenant submits more than its weight: scheduled after all others
-	Tenant      string
-	TenantUsed  resource.Amount // taken by the tenant's tasks in this shard, queued ones included
+	Shard          string
+	Job            string
+	Tasks          []RequestedTask
+	Queue          string
+	Resources      resource.Amount
+	RequiredLabels []Label
+	SubmittedMs    int64
+	Avoid          []string // workers where these tasks just failed
+	Suspect        []string // workers to use only if no other can run the tasks
+	Gang           bool
+	SameRack       bool
+	DataRack       string
+	MaxPerWorker   int32
+	StepWorkers    []WorkerTaskCount // placed tasks of the same step
+	EstimateMs     int64             // expected run time
+	Excess         bool              // its tenant submits more than its weight: scheduled after all others
+	Tenant         string
+	TenantUsed     resource.Amount // taken by the tenant's tasks in this shard, queued ones included
 }
 
 // RequestedTask is one task of an AllocationRequest.
@@ -202,8 +202,8 @@
 	Attempt int32 // the number of the next attempt
 }
 
-// WorkerUse counts the tasks of a step that are placed on a worker.
-type WorkerUse struct {
+// WorkerTaskCount counts the tasks of a step that are placed on a worker.
+type WorkerTaskCount struct {
 	Worker string
 	Count  int32
 }
@@ -232,16 +232,16 @@
 
 // Ranks is one round of the coordinator: ranks and the target delay (paper, section 4.2).
 type Ranks struct {
-	Epoch        uint64
-	Round        int64
-	TargetMs     int64
-	WaitsForRoom bool // guaranteed tasks wait for resources
-	Idle         bool // most of the total capacity is free in every dimension
-	// UrgentPercent is the part of each worker, by dimension, that is reserved for the most
+	Epoch             uint64
+	Round             int64
+	TargetDelayMs     int64
+	GuaranteedWaiting bool // guaranteed tasks wait for resources
+	Idle              bool // most of the total capacity is free in every dimension
+	// HeadroomPercent is the part of each worker, by dimension, that is reserved for the most
 	// urgent queues.
-	UrgentPercent resource.Amount
-	FailRates     []QueueFailRate
-	Ranks         []WorkerRank
+	HeadroomPercent resource.Amount
+	FailRates       []QueueFailRate
+	Ranks           []WorkerRank
 }
 
 // Promotion makes a running queueable task guaranteed if its resources are reserved.
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -17,12 +17,12 @@
 
 // SealResponse carries a shard's live and unconfirmed records.
 type SealResponse struct {
-	Shard      string
-	Epoch      uint64
-	OK         bool   // false if a higher epoch was sealed
-	Served     uint64 // the last known epoch under which all live jobs were committed
-	Records    []statestore.Record
-	SetVersion int64 // the member's core set version at the time of the response
+	Shard       string
+	Epoch       uint64
+	OK          bool   // false if a higher epoch was sealed
+	ServedEpoch uint64 // the last known epoch under which all live jobs were committed
+	Records     []statestore.Record
+	SetVersion  int64 // the member's core set version at the time of the response
 }
 
 // WriteRequest stores records of a shard at a core member.
@@ -43,10 +43,10 @@
 	Epoch uint64
 	Seq   uint64
 	OK    bool // false if the owner's epoch was fenced off
-	// Lacking is set if nothing was stored because the member lacks the base version of a
+	// BaseMissing is set if nothing was stored because the member lacks the base version of a
 	// patch. The owner then sends the whole records.
-	Lacking    bool
-	SetVersion int64 // the member's core set version at the time of the response
+	BaseMissing bool
+	SetVersion  int64 // the member's core set version at the time of the response
 }
 
 // FetchRequest requests live or finished records by their ids.
--- a/internal/wire/tenancy.go
+++ b/internal/wire/tenancy.go
@@ -18,11 +18,11 @@
 
 // ShareAccount is one tenant's part of a ShareReport.
 type ShareAccount struct {
-	Tenant string
-	Keep   resource.Amount // the owner starts nothing beyond this until the next grant
-	Used   resource.Amount // the part of Keep taken by tasks that run or may run
-	Ahead  resource.Amount // requested beyond Keep, so that later starts need not wait
-	Claims []ShareClaim    // tasks that wait only for a share, the most urgent first
+	Tenant   string
+	Keep     resource.Amount // the owner starts nothing beyond this until the next grant
+	Used     resource.Amount // the part of Keep taken by tasks that run or may run
+	Prefetch resource.Amount // requested beyond Keep, so that later starts need not wait
+	Claims   []ShareClaim    // tasks that wait only for a share, the most urgent first
 }
 
 // ShareClaim requests a share for tasks of one step: Count units, each of which is granted as a
@@ -51,10 +51,10 @@
 
 // TenantShare is the amount that one tenant's tasks may take in a shard.
 type TenantShare struct {
-	Tenant string
-	Amount resource.Amount
-	Tight  bool // the tenant is near its limit: return unused amounts at once
-	// GiveBack is set if the amounts of tasks that end must be returned as well, without
+	Tenant    string
+	Amount    resource.Amount
+	NearLimit bool // the tenant is near its limit: return unused amounts at once
+	// ReturnFreed is set if the amounts of tasks that end must be returned as well, without
 	// replacing the tasks: more may be granted than the limit allows, or a larger unit waits.
-	GiveBack bool
+	ReturnFreed bool
 }
--- a/internal/wire/transport.go
+++ b/internal/wire/transport.go
@@ -20,9 +20,9 @@
 	dialTimeout = 350 * time.Millisecond
 	// redialDelay is the wait after a failed connection attempt.
 	redialDelay = dialTimeout / 4
-	// UnackedMs bounds how long sent bytes may stay unacknowledged before the operating
+	// UserTimeoutMs bounds how long sent bytes may stay unacknowledged before the operating
 	// system closes the connection (TCP_USER_TIMEOUT).
-	UnackedMs = 1500
+	UserTimeoutMs = 1500
 	// probeInterval is the interval of TCP keepalive probes, in whole seconds. The
 	// connection is closed after two lost probes.
 	probeInterval = time.Second
@@ -83,7 +83,7 @@
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	var optionErr error
 	err := c.Control(func(fd uintptr) {
-		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, UnackedMs)
+		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, UserTimeoutMs)
 	})
 	if err != nil {
 		return err
--- a/internal/wire/transport_test.go
+++ b/internal/wire/transport_test.go
@@ -57,7 +57,7 @@
 	b.mu.Lock()
 	for c := range b.inbound {
 		unacked, idle, every, probes := socketOptions(t, c)
-		must.Eq(t, []int{UnackedMs, 1, 1, 2}, []int{unacked, idle, every, probes})
+		must.Eq(t, []int{UserTimeoutMs, 1, 1, 2}, []int{unacked, idle, every, probes})
 	}
 	must.MapLen(t, 1, b.inbound)
 	b.mu.Unlock()
@@ -80,7 +80,7 @@
 	must.True(t, o.dial())
 	defer o.closeConn()
 	unacked, idle, every, probes := socketOptions(t, o.conn)
-	must.Eq(t, []int{UnackedMs, 1, 1, 2}, []int{unacked, idle, every, probes})
+	must.Eq(t, []int{UserTimeoutMs, 1, 1, 2}, []int{unacked, idle, every, probes})
 }
 
 // Queued frames are taken together, and those older than maxFrameAge are dropped.
