--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -20,11 +20,11 @@
 		{"twice", object(Field{}), `{"v":1,"v":2}`, []Fault{{"v", "stands twice"}}},
 		{"missing", object(Field{Required: true}), `{}`, []Fault{{"v", "is missing"}}},
 		{"text", object(Field{Kind: String, Max: 2}), `{"v":"abc"}`, []Fault{{"v", "must have 0 to 2 bytes"}}},
-		{"text of no bound", object(Field{Kind: String}), `{"v":"abc"}`, nil},
+		{"text without bound", object(Field{Kind: String}), `{"v":"abc"}`, nil},
 		{"not a text", object(Field{Kind: String}), `{"v":1}`, []Fault{{"v", "must be a text"}}},
 		{"name", object(Field{Kind: Name}), `{"v":"a b"}`, []Fault{{"v", "must be a name: 1 to 128 letters, digits, '-', '_', '.' or ':'"}}},
-		{"count", object(Field{Kind: Integer, Min: 1, Max: 3}), `{"v":4}`, []Fault{{"v", "must be 1 to 3"}}},
-		{"count of no bound", object(Field{Kind: Integer, Min: 1}), `{"v":0}`, []Fault{{"v", "must be at least 1"}}},
+		{"integer", object(Field{Kind: Integer, Min: 1, Max: 3}), `{"v":4}`, []Fault{{"v", "must be 1 to 3"}}},
+		{"integer without bound", object(Field{Kind: Integer, Min: 1}), `{"v":0}`, []Fault{{"v", "must be at least 1"}}},
 		{"negative bounds", object(Field{Kind: Integer, Min: -3, Max: 3}), `{"v":-3}`, nil},
 		{"fraction", object(Field{Kind: Integer}), `{"v":1.5}`, []Fault{{"v", "must be a whole number"}}},
 		{"number", object(Field{Kind: Number}), `{"v":-1}`, []Fault{{"v", "must be a number of 0 or more"}}},
@@ -36,7 +36,7 @@
 		{"labels", object(Field{Kind: Labels}), `{"v":{"a b":"x"}}`, []Fault{{"v.a b", "must be a name with a text of at most 256 bytes"}}},
 		{"choices", object(Field{Kind: Choices}), `{"v":{"a":[]}}`, []Fault{{"v.a", "must be a label name with a list of one or more texts"}}},
 		{"list", object(Field{Kind: List, Max: 1, Elem: &Field{Kind: Bool}}), `{"v":[true,false]}`, []Fault{{"v", "must have 0 to 1 entries"}}},
-		{"list's entry", object(Field{Kind: List, Elem: &Field{Kind: Bool}}), `{"v":[true,1]}`, []Fault{{"v.1", "must be true or false"}}},
+		{"list element", object(Field{Kind: List, Elem: &Field{Kind: Bool}}), `{"v":[true,1]}`, []Fault{{"v.1", "must be true or false"}}},
 	} {
 		t.Run(c.name, func(t *testing.T) { must.Eq(t, c.faults, Check([]byte(c.doc), c.field)) })
 	}
--- a/internal/statestore/patch.go
+++ b/internal/statestore/patch.go
@@ -98,7 +98,7 @@
 
 // Checksum returns the checksum of a value, as used in a Patch.
 //
-// Example: patch.Sum = statestore.Sum(value)
+// Example: patch.Checksum = statestore.Checksum(value)
 func Checksum(value []byte) uint64 { return uint64(crc32.ChecksumIEEE(value)) }
 
 // apply returns the patched value, or false if the patch does not fit the old value.
--- a/internal/statestore/patch_test.go
+++ b/internal/statestore/patch_test.go
@@ -89,11 +89,13 @@
 		"other version": {base, func(p *Patch) { p.Base = 4 }, false},
 		"other epoch":   {base, func(p *Patch) { p.Epoch = 4 }, false},
 		"same version":  {base, func(p *Patch) { p.Version = 5 }, false},
-		"other value":   {Record{ID: "j", Epoch: 3, Version: 5, Live: true, Value: []byte("ane two")}, func(*Patch) {}, false},
-		"beyond":        {base, func(p *Patch) { p.Splices = []Splice{{Offset: 6, Remove: 3}} }, false},
-		"before":        {base, func(p *Patch) { p.Splices = []Splice{{Offset: -1, Remove: 1}} }, false},
-		"negative":      {base, func(p *Patch) { p.Splices = []Splice{{Offset: 2, Remove: -1}} }, false},
-		"backwards":     {base, func(p *Patch) { p.Splices = []Splice{{Offset: 3}, {Offset: 1}} }, false},
+		"other value": {
+			Record{ID: "j", Epoch: 3, Version: 5, Live: true, Value: []byte("ane two")}, func(*Patch) {}, false,
+		},
+		"beyond":    {base, func(p *Patch) { p.Splices = []Splice{{Offset: 6, Remove: 3}} }, false},
+		"before":    {base, func(p *Patch) { p.Splices = []Splice{{Offset: -1, Remove: 1}} }, false},
+		"negative":  {base, func(p *Patch) { p.Splices = []Splice{{Offset: 2, Remove: -1}} }, false},
+		"backwards": {base, func(p *Patch) { p.Splices = []Splice{{Offset: 3}, {Offset: 1}} }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := New()
@@ -117,14 +119,18 @@
 		r := rand.New(rand.NewPCG(seed, 2))
 		value := randomValue(r, 1+r.IntN(8))
 		whole, patched := New(), New()
-		first := Entry{Kind: EntryRecord, Name: "east", Record: Record{ID: "j", Epoch: 1, Version: 1, Live: true, Value: value.Value}}
+		first := Entry{Kind: EntryRecord, Name: "east", Record: Record{
+			ID: "j", Epoch: 1, Version: 1, Live: true, Value: value.Value,
+		}}
 		whole.Apply(first)
 		patched.Apply(first)
 		var entries []Entry
 		for version := int64(2); version < 12; version++ {
 			newer := changeSegments(r, value)
 			splices, _ := Diff(value, newer)
-			whole.Apply(Entry{Kind: EntryRecord, Name: "east", Record: Record{ID: "j", Epoch: 1, Version: version, Live: true, Value: newer.Value}})
+			whole.Apply(Entry{Kind: EntryRecord, Name: "east", Record: Record{
+				ID: "j", Epoch: 1, Version: version, Live: true, Value: newer.Value,
+			}})
 			entries = append(entries, PatchEntry("east", Patch{
 				ID: "j", Epoch: 1, Base: version - 1, Version: version, Splices: splices, Checksum: Checksum(newer.Value)}))
 			value = newer
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -12,8 +12,10 @@
 )
 
 func finishedEntry(shard string, i int, doneMs int64) Entry {
-	return Entry{Kind: EntryRecord, Name: shard, Record: Record{ID: fmt.Sprintf("confirm-17999990-%07d", i), Epoch: 3, Version: 9, DoneMs: doneMs,
-		Confirmed: true, Value: []byte("the value of a finished job, which is some hundred bytes long in a fleet that does real work")}}
+	return Entry{Kind: EntryRecord, Name: shard, Record: Record{
+		ID: fmt.Sprintf("confirm-17999990-%07d", i), Epoch: 3, Version: 9, DoneMs: doneMs, Confirmed: true,
+		Value: []byte("the value of a finished job, which is some hundred bytes long in a fleet that does real work"),
+	}}
 }
 
 // The archive agrees with a plain map over puts, newer puts and drops, and so does a store
@@ -82,20 +84,30 @@
 		entries []Entry
 		holds   func(*Store) bool
 	}{
-		{"a vote sets the cluster", []Entry{{Kind: EntryFormationVote, Value: set.Encode()}}, func(s *Store) bool { return s.Cluster() == 7 && s.Formation().Version == 3 }},
-		{"a refused formation releases the vote for it", []Entry{{Kind: EntryFormationVote, Value: set.Encode()}, {Kind: EntryFormationRefused, Epoch: 7}}, func(s *Store) bool { return s.Cluster() == 0 && s.Refused(7) }},
-		{"a chosen set is kept when its formation is refused", []Entry{{Kind: EntryCoreSet, Value: set.Encode()}, {Kind: EntryFormationRefused, Epoch: 7}}, func(s *Store) bool { return s.Cluster() == 7 && s.CoreSet().Version == 3 }},
-		{"an older set changes nothing", []Entry{{Kind: EntryCoreSet, Value: set.Encode()}, {Kind: EntryCoreSet, Value: quorum.Set{Cluster: 7, Version: 2}.Encode()}},
+		{"a vote sets the cluster", []Entry{{Kind: EntryFormationVote, Value: set.Encode()}},
+			func(s *Store) bool { return s.Cluster() == 7 && s.Formation().Version == 3 }},
+		{"a refused formation releases the vote for it",
+			[]Entry{{Kind: EntryFormationVote, Value: set.Encode()}, {Kind: EntryFormationRefused, Epoch: 7}},
+			func(s *Store) bool { return s.Cluster() == 0 && s.Refused(7) }},
+		{"a chosen set is kept when its formation is refused",
+			[]Entry{{Kind: EntryCoreSet, Value: set.Encode()}, {Kind: EntryFormationRefused, Epoch: 7}},
+			func(s *Store) bool { return s.Cluster() == 7 && s.CoreSet().Version == 3 }},
+		{"an older set changes nothing",
+			[]Entry{{Kind: EntryCoreSet, Value: set.Encode()},
+				{Kind: EntryCoreSet, Value: quorum.Set{Cluster: 7, Version: 2}.Encode()}},
 			func(s *Store) bool { return s.CoreSet().Version == 3 }},
 		{"an accepted value is returned", []Entry{{Kind: EntryAccept, Name: "r", Ballot: ballot, Value: []byte("v")}},
 			func(s *Store) bool { return string(s.RegisterValue("r")) == "v" && s.RegisterValue("other") == nil }},
-		{"the highest sealed epoch is kept", []Entry{{Kind: EntrySeal, Name: "east", Epoch: 5}, {Kind: EntrySeal, Name: "east", Epoch: 4}},
+		{"the highest sealed epoch is kept",
+			[]Entry{{Kind: EntrySeal, Name: "east", Epoch: 5}, {Kind: EntrySeal, Name: "east", Epoch: 4}},
 			func(s *Store) bool { return s.Shard("east").SealedEpoch() == 5 }},
 		{"the newest version is kept", []Entry{liveEntry("j", 2, 1), liveEntry("j", 1, 9)},
 			func(s *Store) bool { r, _ := s.Shard("east").Get("j"); return r.Epoch == 2 }},
-		{"served epochs void older live records", []Entry{liveEntry("old", 1, 1), liveEntry("new", 2, 1), {Kind: EntryServed, Name: "east", Epoch: 2}, liveEntry("late", 1, 1)},
+		{"served epochs void older live records",
+			[]Entry{liveEntry("old", 1, 1), liveEntry("new", 2, 1), {Kind: EntryServed, Name: "east", Epoch: 2}, liveEntry("late", 1, 1)},
 			func(s *Store) bool { l := s.Shard("east").Live(); return len(l) == 1 && l[0].ID == "new" }},
-		{"an unknown kind changes nothing", []Entry{{Kind: 99, Name: "east"}}, func(s *Store) bool { return s.LoggedBytes() == 0 && len(s.ShardNames()) == 0 }},
+		{"an unknown kind changes nothing", []Entry{{Kind: 99, Name: "east"}},
+			func(s *Store) bool { return s.LoggedBytes() == 0 && len(s.ShardNames()) == 0 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := New()
--- a/internal/wire/transport_test.go
+++ b/internal/wire/transport_test.go
@@ -21,7 +21,8 @@
 			must.NoError(t, err)
 			return v
 		}
-		userTimeout, idle, interval, probes = get(unix.TCP_USER_TIMEOUT), get(unix.TCP_KEEPIDLE), get(unix.TCP_KEEPINTVL), get(unix.TCP_KEEPCNT)
+		userTimeout, idle, interval, probes = get(unix.TCP_USER_TIMEOUT), get(unix.TCP_KEEPIDLE),
+			get(unix.TCP_KEEPINTVL), get(unix.TCP_KEEPCNT)
 	}))
 	return userTimeout, idle, interval, probes
 }
@@ -30,7 +31,9 @@
 func newCountingTransport(t *testing.T, addr string) (*Transport, *atomic.Int64) {
 	t.Helper()
 	count := &atomic.Int64{}
-	transport, err := NewTransport(Options{Addr: addr, Receive: func(Header, any) { count.Add(1) }, Events: func(string, ...any) {}})
+	transport, err := NewTransport(Options{
+		Addr: addr, Receive: func(Header, any) { count.Add(1) }, Events: func(string, ...any) {},
+	})
 	must.NoError(t, err)
 	return transport, count
 }
