--- a/internal/storage/format.go
+++ b/internal/storage/format.go
@@ -99,7 +99,7 @@
 // end. An incomplete batch at the end is ignored, since it was never synced. Damage
 // with a later batch behind it gives ErrDamaged; a torn end does not.
 func readSegment(b []byte, batch uint64, apply func(statestore.Entry)) (validBytes int, lastBatch uint64, err error) {
-	var openBatch []statestore.Entry // of a batch whose last record was not read yet
+	var openBatch []statestore.Entry // a batch whose last record was not read yet
 	for offset := 0; offset < len(b); {
 		r := readRecord(b[offset:])
 		if r.size == 0 || len(openBatch) > 0 && r.batch != batch+1 {
--- a/internal/storage/identity.go
+++ b/internal/storage/identity.go
@@ -24,7 +24,7 @@
 		return identity{}, false
 	}
 	fields := len(strings.Fields(string(content)))
-	count, _ := fmt.Sscanf(string(content), "%x %d", &found.id, &found.firstSegment) // read suffices
+	count, _ := fmt.Sscanf(string(content), "%x %d", &found.id, &found.firstSegment) // an error shows in count
 	complete := count == fields && (count == 1 || count == 2 && found.firstSegment != 0)
 	return found, complete && found.id != 0
 }
--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -147,8 +147,8 @@
 	return l.readFrom(firstSegment, false)
 }
 
-// readFrom builds the store from the segments with this number and above, and if there is
-// one, the snapshot with this number.
+// readFrom builds the store from the snapshot with this number, if hasSnapshot, and the
+// segments with this number and above.
 func (l *Log) readFrom(from uint64, hasSnapshot bool) (*statestore.Store, error) {
 	store := statestore.New()
 	l.batch, l.baseSegment = 0, from
