--- a/internal/historycheck/after.go
+++ b/internal/historycheck/after.go
@@ -1,45 +1,46 @@
 package historycheck
 
-// What callers feel after a loss: how much work is done, and how long states
-// and submissions are not to be had.
+// The effects of a loss of machines on callers: the throughput afterwards, and how
+// long queries and submissions failed.
 
 const (
-	leastShare     = 0.25   // of usual work, from Bounds.Back after the machines' return
-	recoverySpanMs = 4000   // work is counted over spans this long: some hundred ends at usual rates
-	usualSpanMs    = 10_000 // usual work is what ended in the time before the loss
-	usualLeast     = 20     // ends in a usual span; with fewer nothing can be told
+	minRecoveryShare = 0.25   // share of the baseline required from Bounds.RecoveryMs after the machines' return
+	recoveryWindowMs = 4000   // throughput is measured over this time; at usual rates some hundred tasks complete in it
+	baselineWindowMs = 10_000 // the baseline is measured over this time before the loss
+	minBaselineRuns  = 20     // with fewer completed runs in the baseline a comparison says nothing
 )
 
-// Recovery is the worst span of work after a hard loss.
+// Recovery is the time window with the lowest throughput after a loss of machines.
 type Recovery struct {
-	BackMs, AtMs int64
-	Ended        int
-	Usual, Share float64
+	BackMs, AtMs int64   // when the machines were back, and the start of the window
+	Ended        int     // tasks completed in the window
+	Usual        float64 // tasks that complete in such a window at the rate before the loss
+	Share        float64 // Completed / Baseline
 }
 
-// Recoveries gives for each hard loss the span with the least work, from
-// bounds.Back after the machines' return until the next loss or the end of traffic.
+// Recoveries returns for each loss of machines the window with the lowest throughput, from
+// bounds.RecoveryMs after the machines' return until the next loss or the end of traffic.
 //
-// Example: for _, r := range historycheck.Recoveries(events, historycheck.Usual) { fmt.Println(r.Share) }
+// Example: for _, r := range historycheck.Recoveries(events, historycheck.DefaultBounds) { fmt.Println(r.Share) }
 func Recoveries(ordered []Event, bounds Bounds) []Recovery {
 	ended := func(from, to int64) int {
-		n := 0
+		completed := 0
 		for i := range ordered {
 			if e := &ordered[i]; e.Kind == End && e.Text == "ok" && e.AtMs >= from && e.AtMs < to {
-				n++
+				completed++
 			}
 		}
-		return n
+		return completed
 	}
 	var out []Recovery
 	lossMs, backMs := int64(-1), int64(-1)
-	judge := func(until int64) {
-		usual := float64(ended(lossMs-usualSpanMs, lossMs)) * recoverySpanMs / usualSpanMs
-		worst := Recovery{BackMs: backMs, Usual: usual, Share: -1}
-		for at := backMs + bounds.Back; at+recoverySpanMs <= until && usual >= usualLeast; at += 500 {
-			n := ended(at, at+recoverySpanMs)
-			if share := float64(n) / usual; worst.Share < 0 || share < worst.Share {
-				worst.AtMs, worst.Ended, worst.Share = at, n, share
+	assess := func(until int64) {
+		baseline := float64(ended(lossMs-baselineWindowMs, lossMs)) * recoveryWindowMs / baselineWindowMs
+		worst := Recovery{BackMs: backMs, Usual: baseline, Share: -1}
+		for at := backMs + bounds.Back; at+recoveryWindowMs <= until && baseline >= minBaselineRuns; at += 500 {
+			completed := ended(at, at+recoveryWindowMs)
+			if share := float64(completed) / baseline; worst.Share < 0 || share < worst.Share {
+				worst.AtMs, worst.Ended, worst.Share = at, completed, share
 			}
 		}
 		if worst.Share >= 0 {
@@ -50,7 +51,7 @@
 		switch e := &ordered[i]; e.Kind {
 		case HardLoss, TrafficEnds:
 			if backMs >= 0 {
-				judge(e.AtMs)
+				assess(e.AtMs)
 			}
 			lossMs, backMs = e.AtMs, -1
 		case MachinesBack:
@@ -60,10 +61,10 @@
 	return out
 }
 
-// Dark gives the longest time, in ms, that an accepted job's state was asked
-// for in vain, and that a job was handed in in vain.
+// LongestOutages returns the longest time, in ms, during which every query for the state of
+// one job failed, and the longest during which every submission of one job failed.
 //
-// Example: stateMs, entryMs := historycheck.Dark(events)
+// Example: stateMs, entryMs := historycheck.LongestOutages(events)
 func Dark(ordered []Event) (stateMs, entryMs int64) {
 	since := map[[2]string]int64{}
 	begin := func(kind string, e *Event) {
--- a/internal/historycheck/historycheck.go
+++ b/internal/historycheck/historycheck.go
@@ -1,6 +1,6 @@
-// Package historycheck judges a history of what callers, workers and operators saw
-// against the rules that must never be broken. It knows nothing of the daemons'
-// own state: only what was sent, what was acknowledged, and what workers
+// Package historycheck checks a history of what callers, workers and operators
+// observed against the scheduler's safety rules. It doesn't use the daemons' own
+// state, only what was sent, what was acknowledged, and which runs workers
 // recorded as started and ended.
 package historycheck
 
@@ -15,24 +15,24 @@
 // Kinds of events.
 const (
 	JobSent       = "job_sent"  // a caller sent a job for the first time
-	JobAcked      = "job_acked" // accepted
+	JobAcked      = "job_acked" // a job was accepted
 	CancelAcked   = "cancel_acked"
-	JobState      = "job_state"     // a state shown to a caller; Text is the state, "unknown" for a 404
-	Start         = "start"         // a worker began a run
+	JobState      = "job_state"     // a state returned to a caller; Text is the state, "unknown" for a 404
+	Start         = "start"         // a worker started a run
 	End           = "end"           // a worker ended a run; Text is ok, failed, stopped or crash
-	WorkerRoom    = "worker_room"   // a worker's word: Room, Labels, Zone
-	WorkerLeaves  = "worker_leaves" // acknowledged word that it is leaving
+	WorkerRoom    = "worker_room"   // a worker reported its Capacity, Labels and Zone
+	WorkerLeaves  = "worker_leaves" // a worker's report that it is leaving was acknowledged
 	SetupSent     = "setup_sent"
 	SetupAcked    = "setup_acked"
-	SetupRejected = "setup_bounced" // finally refused
-	SetupShown    = "setup_shown"   // version shown to an operator as current; AskedMs is when it was asked for
-	NoState       = "no_state"      // a job's state was asked for in vain
-	NoEntry       = "no_entry"      // a job was handed in in vain
-	Unreachable   = "unreachable"   // nobody can reach a worker, or with Worker "" any
+	SetupRejected = "setup_bounced" // a configuration was permanently rejected
+	SetupShown    = "setup_shown"   // a version was returned as current for a request sent at RequestedMs
+	NoState       = "no_state"      // a query for a job's state failed
+	NoEntry       = "no_entry"      // the submission of a job failed
+	Unreachable   = "unreachable"   // a worker became unreachable, or with Worker "" all of them
 	Reachable     = "reachable"
-	HardLoss      = "hard_loss"     // machines go down at once
-	MachinesBack  = "machines_back" // and all of them stand again
-	TrafficEnds   = "traffic_ends"  // callers send nothing new from here on
+	HardLoss      = "hard_loss"     // several machines went down at once
+	MachinesBack  = "machines_back" // all of those machines are running again
+	TrafficEnds   = "traffic_ends"  // callers send no new jobs after this
 )
 
 // Event is one line of a history.
@@ -61,7 +61,7 @@
 	Steps   []Step `json:"steps"`
 }
 
-// Step is a step of a job, with the names of those it waits on.
+// Step is a step of a job. It starts after the steps named in After.
 type Step struct {
 	Name  string   `json:"name"`
 	After []string `json:"after,omitempty"`
@@ -79,7 +79,7 @@
 	Payload any               `json:"payload,omitempty"`
 }
 
-// Setup is the part of an operator's configuration that bears on the rules.
+// Configuration holds the parts of an operator's configuration that the rules depend on.
 type Setup struct {
 	Queues     []Queue    `json:"queues"`
 	Contracts  []Contract `json:"contracts,omitempty"`
@@ -87,7 +87,7 @@
 	Note       string     `json:"note,omitempty"`
 }
 
-// Contract is what an hour of a core costs.
+// Contract is a price list for an hour of a core.
 type Contract struct {
 	Name          string  `json:"name"`
 	OffsetMinutes int64   `json:"utc_offset_minutes"`
@@ -95,21 +95,21 @@
 	Hours         []Hours `json:"hours,omitempty"`
 }
 
-// Hours are a part of each day with a price of its own.
+// Hours is a part of each day with a price of its own.
 type Hours struct {
 	From  string  `json:"from"`
 	To    string  `json:"to"`
 	Price float64 `json:"price"`
 }
 
-// Batch is what a queue's batches follow.
+// Batch holds the batch settings of a queue.
 type Batch struct {
 	Contract      string  `json:"contract"`
 	FinishByHours float64 `json:"finish_by_hours"`
 	SharePercent  int64   `json:"share_percent"`
 }
 
-// Queue ties a name to a group of workers.
+// Queue is a named queue; Selector limits the workers that run its jobs.
 type Queue struct {
 	Name     string              `json:"name"`
 	Selector map[string][]string `json:"selector,omitempty"`
@@ -118,7 +118,7 @@
 	Batch    Batch               `json:"batch,omitzero"`
 }
 
-// Breach is one broken rule.
+// Violation is one violation of a rule.
 type Breach struct {
 	Rule string
 	AtMs int64
@@ -127,18 +127,24 @@
 
 func (b Breach) String() string { return fmt.Sprintf("%s at %d ms: %s", b.Rule, b.AtMs, b.What) }
 
-// Bounds are the times of the rules, in ms.
+// Bounds are the time limits of the rules, in ms.
 type Bounds struct {
-	CancelStart, CancelRun, Leave, Empty, Setup, Known, Back int64
+	CancelStart int64 // how long after a cancel runs may still start
+	CancelRun   int64 // how long runs may go on after a cancel
+	Leave       int64 // how long runs may still start at a leaving worker
+	Empty       int64 // how long runs may still start in an evacuated zone
+	Setup       int64 // how long an acknowledged configuration takes to come into effect
+	Known       int64 // how long after its acceptance queries may still return unknown
+	Back        int64 // how long after the return of lost machines throughput may be low
 }
 
-// DefaultBounds are the bounds that the users named. A run may go on after a cancel
-// for CancelRun.
+// DefaultBounds are the bounds that the users require.
 var DefaultBounds = Bounds{
 	CancelStart: 3000, CancelRun: 10_000, Leave: 2000, Empty: 5000, Setup: 2000, Known: 3000, Back: 12_000,
 }
 
-// TaskAt gives the step and task of a flat task number.
+// TaskAt returns the step and task of a task number that counts through all steps,
+// or nil if there is no such task.
 //
 // Example: step, task := job.TaskAt(3)
 func (j *Job) TaskAt(i int) (*Step, *Task) {
@@ -151,9 +157,9 @@
 	return nil, nil
 }
 
-// Size is how many tasks a job has.
+// TaskCount returns the number of tasks of a job.
 //
-// Example: for i := range job.Size() { ... }
+// Example: for i := range job.TaskCount() { ... }
 func (j *Job) Size() int {
 	n := 0
 	for _, s := range j.Steps {
@@ -162,7 +168,7 @@
 	return n
 }
 
-// ParseRun splits an order's id into job and flat task number.
+// ParseRun splits the id of a run into the job's id and the task number.
 //
 // Example: job, task, ok := historycheck.ParseRun("order-1#0#2")
 func ParseRun(id string) (job string, task int, ok bool) {
@@ -180,26 +186,26 @@
 }
 
 type run struct {
-	start, end int64 // end 0 while open
+	start, end int64 // in ms; end is 0 while the run is open
 	outcome    string
 	worker     string
-	room       int64
+	cores      int64
 }
 
-// judge is what has been seen up to an event.
-type judge struct {
-	bounds  Bounds
-	jobs    map[string]*jobSeen
-	runs    map[taskKey][]*run
-	open    map[string]*run // by worker and run id
-	workers map[string]*workerSeen
-	setups  []setupSeen
-	sent    map[int64][]*Setup
-	away    map[string][][2]int64 // when a worker could not be reached
-	out     []Breach
+// checker holds the state derived from the events so far.
+type checker struct {
+	bounds           Bounds
+	jobs             map[string]*jobRecord
+	runs             map[taskKey][]*run
+	openRuns         map[string]*run // keyed by worker and run id
+	workers          map[string]*workerRecord
+	acknowledged     []acknowledgedConfiguration
+	submitted        map[int64][]*Setup
+	unreachableSpans map[string][][2]int64 // by worker, each from and to in ms
+	violations       []Breach
 }
 
-type jobSeen struct {
+type jobRecord struct {
 	spec      *Job
 	sentMs    int64
 	ackedMs   int64
@@ -208,126 +214,127 @@
 	acked     bool
 }
 
-type workerSeen struct {
-	room    int64
-	labels  map[string]string
-	zone    string
-	leaveMs int64
-	leaves  bool
-	used    int64
+type workerRecord struct {
+	cores     int64
+	labels    map[string]string
+	zone      string
+	leavingMs int64
+	leaving   bool
+	used      int64
 }
 
-type setupSeen struct {
+type acknowledgedConfiguration struct {
 	version, atMs int64
-	setup         *Setup
+	configuration *Setup
 }
 
-// Check gives every breach in a history. Events are put in order of time first.
+// Check returns every violation in a history. The events need not be sorted by time.
 //
-// Example: if b := historycheck.Check(events, historycheck.Usual); len(b) > 0 { ... }
+// Example: if v := historycheck.Check(events, historycheck.DefaultBounds); len(v) > 0 { ... }
 func Check(events []Event, bounds Bounds) []Breach {
 	ordered := slices.Clone(events)
 	slices.SortStableFunc(ordered, func(a, b Event) int { return cmp.Compare(a.AtMs, b.AtMs) })
-	j := &judge{bounds: bounds, jobs: map[string]*jobSeen{}, runs: map[taskKey][]*run{}, open: map[string]*run{},
-		workers: map[string]*workerSeen{}, sent: map[int64][]*Setup{}, away: map[string][][2]int64{}}
+	c := &checker{bounds: bounds, jobs: map[string]*jobRecord{}, runs: map[taskKey][]*run{}, openRuns: map[string]*run{},
+		workers: map[string]*workerRecord{}, submitted: map[int64][]*Setup{}, unreachableSpans: map[string][][2]int64{}}
 	last := int64(0)
 	for i := range ordered {
 		last = ordered[i].AtMs
 		if h, ok := handlers[ordered[i].Kind]; ok {
-			h(j, &ordered[i])
+			h(c, &ordered[i])
 		}
 	}
-	j.longAfterCancel(last)
+	c.checkRunsAfterCancel(last)
 	for _, r := range Recoveries(ordered, bounds) {
-		if r.Share < leastShare {
-			j.breach("slow_after_loss", r.AtMs, "%d tasks ended well in %d ms, %.0f were usual; machines back at %d ms",
-				r.Ended, int64(recoverySpanMs), r.Usual, r.BackMs)
+		if r.Share < minRecoveryShare {
+			c.report("slow_after_loss", r.AtMs, "%d tasks completed in %d ms, expected %.0f; machines back at %d ms",
+				r.Ended, int64(recoveryWindowMs), r.Usual, r.BackMs)
 		}
 	}
-	return j.out
+	return c.violations
 }
 
-var handlers = map[string]func(*judge, *Event){
-	JobSent: func(j *judge, e *Event) {
-		if j.jobs[e.Job] == nil {
-			j.jobs[e.Job] = &jobSeen{spec: e.Spec, sentMs: e.AtMs}
+var handlers = map[string]func(*checker, *Event){
+	JobSent: func(c *checker, e *Event) {
+		if c.jobs[e.Job] == nil {
+			c.jobs[e.Job] = &jobRecord{spec: e.Spec, sentMs: e.AtMs}
 		}
 	},
-	JobAcked: func(j *judge, e *Event) {
-		if s := j.jobs[e.Job]; s != nil && !s.acked {
+	JobAcked: func(c *checker, e *Event) {
+		if s := c.jobs[e.Job]; s != nil && !s.acked {
 			s.acked, s.ackedMs = true, e.AtMs
 		}
 	},
-	CancelAcked: func(j *judge, e *Event) {
-		if s := j.jobs[e.Job]; s != nil && !s.cancelled {
+	CancelAcked: func(c *checker, e *Event) {
+		if s := c.jobs[e.Job]; s != nil && !s.cancelled {
 			s.cancelled, s.cancelMs = true, e.AtMs
 		}
 	},
-	Unreachable: func(j *judge, e *Event) { j.away[e.Worker] = append(j.away[e.Worker], [2]int64{e.AtMs, 1 << 62}) },
-	Reachable: func(j *judge, e *Event) {
-		if a := j.away[e.Worker]; len(a) > 0 {
+	Unreachable: func(c *checker, e *Event) {
+		c.unreachableSpans[e.Worker] = append(c.unreachableSpans[e.Worker], [2]int64{e.AtMs, 1 << 62})
+	},
+	Reachable: func(c *checker, e *Event) {
+		if a := c.unreachableSpans[e.Worker]; len(a) > 0 {
 			a[len(a)-1][1] = min(a[len(a)-1][1], e.AtMs)
 		}
 	},
-	JobState: (*judge).state,
-	Start:    (*judge).start,
-	End: func(j *judge, e *Event) {
+	JobState: (*checker).state,
+	Start:    (*checker).start,
+	End: func(c *checker, e *Event) {
 		key := e.Worker + "/" + e.Run
-		if r := j.open[key]; r != nil {
+		if r := c.openRuns[key]; r != nil {
 			r.end, r.outcome = e.AtMs, e.Text
-			delete(j.open, key)
-			if w := j.workers[e.Worker]; w != nil {
-				w.used -= r.room
+			delete(c.openRuns, key)
+			if w := c.workers[e.Worker]; w != nil {
+				w.used -= r.cores
 			}
 		}
 	},
-	WorkerRoom: func(j *judge, e *Event) {
-		w := j.workers[e.Worker]
+	WorkerRoom: func(c *checker, e *Event) {
+		w := c.workers[e.Worker]
 		if w == nil {
-			w = &workerSeen{}
-			j.workers[e.Worker] = w
+			w = &workerRecord{}
+			c.workers[e.Worker] = w
 		}
-		w.room, w.labels, w.zone, w.leaves = e.Room, e.Labels, e.Zone, false
+		w.cores, w.labels, w.zone, w.leaving = e.Room, e.Labels, e.Zone, false
 	},
-	WorkerLeaves: func(j *judge, e *Event) {
-		if w := j.workers[e.Worker]; w != nil && !w.leaves {
-			w.leaves, w.leaveMs = true, e.AtMs
+	WorkerLeaves: func(c *checker, e *Event) {
+		if w := c.workers[e.Worker]; w != nil && !w.leaving {
+			w.leaving, w.leavingMs = true, e.AtMs
 		}
 	},
-	SetupSent: func(j *judge, e *Event) { j.sent[e.Version] = append(j.sent[e.Version], e.Setup) },
-	SetupAcked: func(j *judge, e *Event) {
-		for _, s := range j.setups {
-			if s.version == e.Version && !sameSetup(s.setup, e.Setup) {
-				j.breach("setup_acked_twice", e.AtMs, "version %d", e.Version)
+	SetupSent: func(c *checker, e *Event) { c.submitted[e.Version] = append(c.submitted[e.Version], e.Setup) },
+	SetupAcked: func(c *checker, e *Event) {
+		for _, s := range c.acknowledged {
+			if s.version == e.Version && !sameConfiguration(s.configuration, e.Setup) {
+				c.report("setup_acked_twice", e.AtMs, "version %d", e.Version)
 			}
 		}
-		j.setups = append(j.setups, setupSeen{e.Version, e.AtMs, e.Setup})
+		c.acknowledged = append(c.acknowledged, acknowledgedConfiguration{e.Version, e.AtMs, e.Setup})
 	},
-	SetupRejected: func(j *judge, e *Event) {
-		j.sent[e.Version] = slices.DeleteFunc(j.sent[e.Version], func(s *Setup) bool { return s == e.Setup })
+	SetupRejected: func(c *checker, e *Event) {
+		c.submitted[e.Version] = slices.DeleteFunc(c.submitted[e.Version], func(s *Setup) bool { return s == e.Setup })
 	},
-	SetupShown: func(j *judge, e *Event) {
-		for _, s := range j.setups {
-			if s.atMs+j.bounds.Setup < e.AskedMs && s.version > e.Version {
-				j.breach("setup_lost", e.AtMs, "version %d shown, %d was acknowledged", e.Version, s.version)
+	SetupShown: func(c *checker, e *Event) {
+		for _, s := range c.acknowledged {
+			if s.atMs+c.bounds.Setup < e.AskedMs && s.version > e.Version {
+				c.report("setup_lost", e.AtMs, "version %d shown, %d was acknowledged", e.Version, s.version)
 			}
 		}
 	},
 }
 
-func sameSetup(a, b *Setup) bool {
+func sameConfiguration(a, b *Setup) bool {
 	return a == b || a != nil && b != nil && fmt.Sprint(*a) == fmt.Sprint(*b)
 }
 
-func (j *judge) breach(rule string, atMs int64, format string, args ...any) {
-	j.out = append(j.out, Breach{rule, atMs, fmt.Sprintf(format, args...)})
+func (c *checker) report(rule string, atMs int64, format string, args ...any) {
+	c.violations = append(c.violations, Breach{rule, atMs, fmt.Sprintf(format, args...)})
 }
 
-// failures counts how often a task failed: by its own word, or stopped when
-// its run limit was over.
-func (j *judge) failures(k taskKey, t *Task) int {
+// failures counts the failed runs of a task, including those stopped at their run limit.
+func (c *checker) failures(k taskKey, t *Task) int {
 	n := 0
-	for _, r := range j.runs[k] {
+	for _, r := range c.runs[k] {
 		if r.outcome == "failed" || r.outcome == "stopped" && t.LimitMs > 0 && r.end-r.start >= t.LimitMs {
 			n++
 		}
@@ -335,63 +342,63 @@
 	return n
 }
 
-func (j *judge) endedWell(k taskKey) bool {
-	return slices.ContainsFunc(j.runs[k], func(r *run) bool { return r.outcome == "ok" })
+func (c *checker) succeeded(k taskKey) bool {
+	return slices.ContainsFunc(c.runs[k], func(r *run) bool { return r.outcome == "ok" })
 }
 
-func (j *judge) start(e *Event) {
+func (c *checker) start(e *Event) {
 	key := taskKey{e.Job, e.Task}
-	what := fmt.Sprintf("%s at %s", e.Run, e.Worker)
-	seen := j.jobs[e.Job]
+	subject := fmt.Sprintf("%s at %s", e.Run, e.Worker)
+	job := c.jobs[e.Job]
 	var spec *Step
 	var task *Task
-	if seen != nil {
-		spec, task = seen.spec.TaskAt(e.Task)
+	if job != nil {
+		spec, task = job.spec.TaskAt(e.Task)
 	}
 	if task == nil {
-		j.breach("run_not_sent", e.AtMs, "%s", what)
+		c.report("run_not_sent", e.AtMs, "%s", subject)
 		return
 	}
-	j.startAfterOtherRuns(e, key, task, what)
-	j.startAfterItsSteps(e, seen, spec, what)
-	if due := max(seen.spec.DueMs, seen.sentMs+seen.spec.DelayMs); e.AtMs < due {
-		j.breach("before_due", e.AtMs, "%s due at %d ms", what, due)
+	c.checkOtherRuns(e, key, task, subject)
+	c.checkPrecedingSteps(e, job, spec, subject)
+	if due := max(job.spec.DueMs, job.sentMs+job.spec.DelayMs); e.AtMs < due {
+		c.report("before_due", e.AtMs, "%s due at %d ms", subject, due)
 	}
-	if seen.cancelled && e.AtMs > seen.cancelMs+j.bounds.CancelStart {
-		j.breach("after_cancel", e.AtMs, "%s cancelled at %d ms", what, seen.cancelMs)
+	if job.cancelled && e.AtMs > job.cancelMs+c.bounds.CancelStart {
+		c.report("after_cancel", e.AtMs, "%s cancelled at %d ms", subject, job.cancelMs)
 	}
-	r := &run{start: e.AtMs, worker: e.Worker, room: task.Room}
-	j.runs[key] = append(j.runs[key], r)
-	j.open[e.Worker+"/"+e.Run] = r
-	if w := j.workers[e.Worker]; w != nil {
-		j.startAtWorker(e, task, w, what)
-		j.startUnderSetup(e, seen.spec.Queue, w, what)
+	r := &run{start: e.AtMs, worker: e.Worker, cores: task.Room}
+	c.runs[key] = append(c.runs[key], r)
+	c.openRuns[e.Worker+"/"+e.Run] = r
+	if w := c.workers[e.Worker]; w != nil {
+		c.checkWorker(e, task, w, subject)
+		c.checkConfiguration(e, job.spec.Queue, w, subject)
 	}
 }
 
-// startAfterOtherRuns checks a start against the other runs of its task.
-func (j *judge) startAfterOtherRuns(e *Event, key taskKey, task *Task, what string) {
-	for _, r := range j.runs[key] {
+// checkOtherRuns checks a start against the other runs of its task.
+func (c *checker) checkOtherRuns(e *Event, key taskKey, task *Task, subject string) {
+	for _, r := range c.runs[key] {
 		if r.end == 0 {
-			j.breach("twice_at_once", e.AtMs, "%s, other run at %s since %d ms", what, r.worker, r.start)
+			c.report("twice_at_once", e.AtMs, "%s, another run is open at %s since %d ms", subject, r.worker, r.start)
 		}
 		if r.outcome == "ok" {
-			j.breach("again_after_well", e.AtMs, "%s, ended well at %s at %d ms", what, r.worker, r.end)
+			c.report("again_after_well", e.AtMs, "%s, already completed at %s at %d ms", subject, r.worker, r.end)
 		}
 	}
-	if f := j.failures(key, task); f >= max(task.Allowed, 1) {
-		j.breach("past_failures", e.AtMs, "%s after %d failures of %d", what, f, task.Allowed)
+	if f := c.failures(key, task); f >= max(task.Allowed, 1) {
+		c.report("past_failures", e.AtMs, "%s after %d of %d allowed failures", subject, f, task.Allowed)
 	}
 }
 
-// startAfterItsSteps checks that the steps before a task's own have ended well.
-func (j *judge) startAfterItsSteps(e *Event, seen *jobSeen, spec *Step, what string) {
+// checkPrecedingSteps checks that the steps that a task's step waits for have completed.
+func (c *checker) checkPrecedingSteps(e *Event, job *jobRecord, spec *Step, subject string) {
 	for _, name := range spec.After {
 		i := 0
-		for s := range seen.spec.Steps {
-			for range seen.spec.Steps[s].Tasks {
-				if seen.spec.Steps[s].Name == name && !j.endedWell(taskKey{e.Job, i}) {
-					j.breach("before_its_steps", e.AtMs, "%s before task %d", what, i)
+		for s := range job.spec.Steps {
+			for range job.spec.Steps[s].Tasks {
+				if job.spec.Steps[s].Name == name && !c.succeeded(taskKey{e.Job, i}) {
+					c.report("before_its_steps", e.AtMs, "%s before task %d completed", subject, i)
 				}
 				i++
 			}
@@ -399,70 +406,71 @@
 	}
 }
 
-// startAtWorker checks a start against what its worker said of itself.
-func (j *judge) startAtWorker(e *Event, task *Task, w *workerSeen, what string) {
-	if w.used += task.Room; w.used > w.room {
-		j.breach("over_room", e.AtMs, "%s makes %d of %d", what, w.used, w.room)
+// checkWorker checks a start against the capacity, labels and state that its worker reported.
+func (c *checker) checkWorker(e *Event, task *Task, w *workerRecord, subject string) {
+	if w.used += task.Room; w.used > w.cores {
+		c.report("over_room", e.AtMs, "%s, %d of %d cores in use", subject, w.used, w.cores)
 	}
 	for _, k := range sortedKeys(task.Labels) {
 		if w.labels[k] != task.Labels[k] {
-			j.breach("lacks_label", e.AtMs, "%s needs %s=%s", what, k, task.Labels[k])
+			c.report("lacks_label", e.AtMs, "%s needs %s=%s", subject, k, task.Labels[k])
 		}
 	}
-	if w.leaves && e.AtMs > w.leaveMs+j.bounds.Leave {
-		j.breach("leaving_worker", e.AtMs, "%s said so at %d ms", what, w.leaveMs)
+	if w.leaving && e.AtMs > w.leavingMs+c.bounds.Leave {
+		c.report("leaving_worker", e.AtMs, "%s, leaving since %d ms", subject, w.leavingMs)
 	}
 }
 
-// startUnderSetup checks a start against every configuration that may be in effect:
-// the last one acknowledged long enough ago, and all younger or unanswered.
-func (j *judge) startUnderSetup(e *Event, queue string, w *workerSeen, what string) {
-	floor := int64(0)
-	for _, s := range j.setups {
-		if s.atMs+j.bounds.Setup < e.AtMs {
-			floor = max(floor, s.version)
+// checkConfiguration checks a start against every configuration that may be in effect: the last one
+// acknowledged long enough ago, and all that are newer or whose request got no response.
+func (c *checker) checkConfiguration(e *Event, queue string, w *workerRecord, subject string) {
+	minVersion := int64(0)
+	for _, s := range c.acknowledged {
+		if s.atMs+c.bounds.Setup < e.AtMs {
+			minVersion = max(minVersion, s.version)
 		}
 	}
-	if floor == 0 {
+	if minVersion == 0 {
 		return
 	}
-	group := false
-	for _, v := range sortedKeys(j.sent) {
-		if v < floor {
+	eligible := false
+	for _, v := range sortedKeys(c.submitted) {
+		if v < minVersion {
 			continue
 		}
-		for _, s := range j.sent[v] {
-			group = group || s.inGroup(queue, w)
+		for _, s := range c.submitted[v] {
+			eligible = eligible || s.selects(queue, w)
 		}
 	}
-	if !group {
-		j.breach("outside_group", e.AtMs, "%s of queue %s under setup %d", what, queue, floor)
+	if !eligible {
+		c.report("outside_group", e.AtMs, "%s of queue %s under configuration version %d", subject, queue, minVersion)
 	}
-	emptyFrom, emptied := int64(0), false
-	for _, s := range j.setups {
-		if slices.Contains(s.setup.EmptyZones, w.zone) {
-			if !emptied {
-				emptyFrom, emptied = s.atMs, true
+	evacuatedMs, evacuated := int64(0), false
+	for _, s := range c.acknowledged {
+		if slices.Contains(s.configuration.EmptyZones, w.zone) {
+			if !evacuated {
+				evacuatedMs, evacuated = s.atMs, true
 			}
 		} else {
-			emptied = false
+			evacuated = false
 		}
 	}
-	maybeOpen := false // a younger version, sent but unanswered, may have opened it again
-	if len(j.setups) > 0 {
-		for v, list := range j.sent {
+	mayBeReopened := false // by a newer version whose request got no response
+	if len(c.acknowledged) > 0 {
+		for v, list := range c.submitted {
 			for _, s := range list {
-				maybeOpen = maybeOpen || v > j.setups[len(j.setups)-1].version && !slices.Contains(s.EmptyZones, w.zone)
+				mayBeReopened = mayBeReopened ||
+					v > c.acknowledged[len(c.acknowledged)-1].version && !slices.Contains(s.EmptyZones, w.zone)
 			}
 		}
 	}
-	if emptied && !maybeOpen && e.AtMs > emptyFrom+j.bounds.Empty {
-		j.breach("emptied_site", e.AtMs, "%s emptied at %d ms", what, emptyFrom)
+	if evacuated && !mayBeReopened && e.AtMs > evacuatedMs+c.bounds.Empty {
+		c.report("emptied_site", e.AtMs, "%s, zone evacuated at %d ms", subject, evacuatedMs)
 	}
 }
 
-func (s *Setup) inGroup(queue string, w *workerSeen) bool {
-	for _, q := range s.Queues {
+func (c *Setup) selects(queue string, w *workerRecord) bool {
+	for _, q := range c.Queues {
 		if q.Name != queue {
 			continue
 		}
@@ -479,38 +487,38 @@
 	return false
 }
 
-func (j *judge) state(e *Event) {
-	seen := j.jobs[e.Job]
-	if seen == nil {
+func (c *checker) state(e *Event) {
+	job := c.jobs[e.Job]
+	if job == nil {
 		return
 	}
 	switch e.Text {
 	case "unknown":
-		if seen.acked && e.AskedMs > seen.ackedMs+j.bounds.Known {
-			j.breach("job_forgotten", e.AtMs, "%s accepted at %d ms", e.Job, seen.ackedMs)
+		if job.acked && e.AskedMs > job.ackedMs+c.bounds.Known {
+			c.report("job_forgotten", e.AtMs, "%s accepted at %d ms", e.Job, job.ackedMs)
 		}
 	case "complete":
-		for i := range seen.spec.Size() {
-			if !j.endedWell(taskKey{e.Job, i}) {
-				j.breach("complete_too_early", e.AtMs, "%s task %d", e.Job, i)
+		for i := range job.spec.Size() {
+			if !c.succeeded(taskKey{e.Job, i}) {
+				c.report("complete_too_early", e.AtMs, "%s task %d", e.Job, i)
 			}
 		}
 	case "failed":
 		cause := false
-		for i := range seen.spec.Size() {
-			_, t := seen.spec.TaskAt(i)
-			cause = cause || j.failures(taskKey{e.Job, i}, t) >= max(t.Allowed, 1)
+		for i := range job.spec.Size() {
+			_, t := job.spec.TaskAt(i)
+			cause = cause || c.failures(taskKey{e.Job, i}, t) >= max(t.Allowed, 1)
 		}
 		if !cause {
-			j.breach("failed_without_cause", e.AtMs, "%s", e.Job)
+			c.report("failed_without_cause", e.AtMs, "%s", e.Job)
 		}
 	}
 }
 
-// longAfterCancel finds runs that went on long after an acknowledged cancel.
-func (j *judge) longAfterCancel(last int64) {
-	for k, runs := range j.runs {
-		s := j.jobs[k.job]
+// checkRunsAfterCancel finds runs that went on too long after an acknowledged cancel.
+func (c *checker) checkRunsAfterCancel(last int64) {
+	for k, runs := range c.runs {
+		s := c.jobs[k.job]
 		if s == nil || !s.cancelled {
 			continue
 		}
@@ -519,12 +527,12 @@
 			if end == 0 {
 				end = last
 			}
-			bound := s.cancelMs + j.bounds.CancelRun
-			for _, a := range append(slices.Clone(j.away[r.worker]), j.away[""]...) { // nobody could stop it then
+			bound := s.cancelMs + c.bounds.CancelRun
+			for _, a := range append(slices.Clone(c.unreachableSpans[r.worker]), c.unreachableSpans[""]...) { // it could not be stopped then
 				bound += max(0, min(end, a[1])-max(s.cancelMs, a[0]))
 			}
 			if r.start <= s.cancelMs && end > bound {
-				j.breach("runs_on_after_cancel", end, "%s task %d at %s", k.job, k.task, r.worker)
+				c.report("runs_on_after_cancel", end, "%s task %d at %s", k.job, k.task, r.worker)
 			}
 		}
 	}
