--- a/cmd/otterchute-standin/main.go
+++ b/cmd/otterchute-standin/main.go
@@ -1,5 +1,6 @@
-// Program otterchute-standin holds the stand-ins: workers that run whatever they are told,
-// callers with their users' mixes, and the verdict over what both recorded.
+// Program otterchute-standin simulates workers and callers for tests of a cluster. The workers run
+// every order they get, the callers submit the job mix of a deployment, and the combined history
+// is checked against the safety rules.
 package main
 
 import (
@@ -26,8 +27,8 @@
 	os.Exit(int(cmd.Execute(context.Background())))
 }
 
-// request sends one HTTP request; status 0 means silence.
-func request(c *http.Client, method, url string, body []byte) (status int, retry time.Duration, answer []byte) {
+// request sends one HTTP request. Status 0 means that there was no valid response.
+func request(c *http.Client, method, url string, body []byte) (status int, retry time.Duration, response []byte) {
 	req, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
 		return 0, 0, nil
@@ -36,7 +37,7 @@
 	if err != nil {
 		return 0, 0, nil
 	}
-	defer func() { _ = resp.Body.Close() }() // it was read to its end, or is of no use
+	defer func() { _ = resp.Body.Close() }() // the body was read to its end or is discarded
 	b, err := io.ReadAll(io.LimitReader(resp.Body, 64<<20))
 	if err != nil {
 		return 0, 0, nil
@@ -47,7 +48,7 @@
 	return resp.StatusCode, retry, b
 }
 
-func newHTTP() *http.Client {
+func newHTTPClient() *http.Client {
 	return &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64,
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 }
@@ -60,7 +61,7 @@
 func mustJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // only our own types come here
+		panic(err) // all callers pass types that can be encoded
 	}
 	return b
 }
--- a/cmd/otterchute-standin/night.go
+++ b/cmd/otterchute-standin/night.go
@@ -10,98 +10,101 @@
 	"otterchute/internal/historycheck"
 )
 
-// nightQueue is the queue of batches, from a night of two minutes.
-const nightQueue = "night"
+// batchQueue is the name of the queue for batches.
+const batchQueue = "night"
 
-// night is a contract whose cheapest hours are two minutes soon to come, and
-// what became of the batches sent for them.
-type night struct {
-	opens, closes time.Time
+// batchWindow is a price contract with two cheap minutes in the near future. It records the
+// progress of the batches submitted for them.
+type batchWindow struct {
+	opens, closes time.Time // of the cheap minutes
 	mu            sync.Mutex
 	sentMs        map[string]int64
-	endedMs       map[string]int64
-	held          map[string]bool
+	completedMs   map[string]int64
+	held          map[string]bool // jobs that were reported as held for the window
 }
 
-// newNight opens with the first minute that is at least half a minute ahead.
-func newNight(now time.Time) *night {
+// newBatchWindow returns a window that opens with the first full minute that is at least 30 s ahead.
+func newBatchWindow(now time.Time) *batchWindow {
 	opens := now.UTC().Add(90 * time.Second).Truncate(time.Minute)
-	return &night{
+	return &batchWindow{
 		opens: opens, closes: opens.Add(2 * time.Minute),
-		sentMs: map[string]int64{}, endedMs: map[string]int64{}, held: map[string]bool{},
+		sentMs: map[string]int64{}, completedMs: map[string]int64{}, held: map[string]bool{},
 	}
 }
 
-// finishBy leaves a batch sent now the whole window, and what is kept for a
-// job that must start in dear hours.
-func (n *night) finishBy() time.Duration { return 7 * time.Minute }
+// finishBy returns how long after its submission a batch must finish: long enough for the whole
+// window and for the time that is reserved for jobs that have to start outside it.
+func (w *batchWindow) finishBy() time.Duration { return 7 * time.Minute }
 
-func (n *night) with(s historycheck.Setup) historycheck.Setup {
-	hours := historycheck.Hours{From: n.opens.Format("15:04"), To: n.closes.Format("15:04"), Price: 0.04}
-	s.Contracts = []historycheck.Contract{{Name: "night", Price: 0.12, Hours: []historycheck.Hours{hours}}}
-	if n.closes.Format("15:04") == "00:00" {
-		s.Contracts[0].Hours[0].To = "24:00"
+// addTo returns the configuration with the contract and the queue for batches added.
+func (w *batchWindow) addTo(config historycheck.Setup) historycheck.Setup {
+	hours := historycheck.Hours{From: w.opens.Format("15:04"), To: w.closes.Format("15:04"), Price: 0.04}
+	config.Contracts = []historycheck.Contract{{Name: "night", Price: 0.12, Hours: []historycheck.Hours{hours}}}
+	if w.closes.Format("15:04") == "00:00" {
+		config.Contracts[0].Hours[0].To = "24:00"
 	}
-	s.Queues = append(slices.Clone(s.Queues), historycheck.Queue{
-		Name: nightQueue, Selector: map[string][]string{"tier": {"fast", "bulk"}},
-		Batch: historycheck.Batch{Contract: "night", FinishByHours: n.finishBy().Hours(), SharePercent: 40},
+	config.Queues = append(slices.Clone(config.Queues), historycheck.Queue{
+		Name: batchQueue, Selector: map[string][]string{"tier": {"fast", "bulk"}},
+		Batch: historycheck.Batch{Contract: "night", FinishByHours: w.finishBy().Hours(), SharePercent: 40},
 	})
-	return s
+	return config
 }
 
-// takes tells whether a batch sent now still has half a minute of the window.
-func (n *night) takes(now time.Time) bool { return now.Before(n.closes.Add(-30 * time.Second)) }
+// accepts reports whether at least 30 s of the window are left for a batch submitted now.
+func (w *batchWindow) accepts(now time.Time) bool { return now.Before(w.closes.Add(-30 * time.Second)) }
 
-func (n *night) send(id string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.sentMs[id] = time.Now().UnixMilli()
+func (w *batchWindow) recordSent(id string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.sentMs[id] = time.Now().UnixMilli()
 }
 
-// shown takes a job's state as it was told.
-func (n *night) shown(id, state, body string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if _, ours := n.sentMs[id]; !ours {
+// recordState records the state of a job from a daemon's response.
+func (w *batchWindow) recordState(id, state, body string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if _, known := w.sentMs[id]; !known {
 		return
 	}
 	if strings.Contains(body, `"waits":"held until `) {
-		n.held[id] = true
+		w.held[id] = true
 	}
-	if state == "complete" && n.endedMs[id] == 0 {
-		n.endedMs[id] = time.Now().UnixMilli()
+	if state == "complete" && w.completedMs[id] == 0 {
+		w.completedMs[id] = time.Now().UnixMilli()
 	}
 }
 
-// judge tells how the batches fared, and how many times one did not as it should.
-func (n *night) judge(history []historycheck.Event) (map[string]any, int) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	ends, early, cheap, dear, doubled, late := map[string]int{}, 0, 0, 0, 0, 0
+// report returns the results of the batches and the number of violations: batches that were
+// late or started early, and tasks that completed more than once.
+func (w *batchWindow) report(history []historycheck.Event) (map[string]any, int) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	completions, early, cheap, expensive, repeated, late := map[string]int{}, 0, 0, 0, 0, 0
 	for _, e := range history {
-		if _, ours := n.sentMs[e.Job]; !ours {
+		if _, known := w.sentMs[e.Job]; !known {
 			continue
 		}
 		switch {
-		case e.Kind == historycheck.Start && e.AtMs < n.opens.UnixMilli():
+		case e.Kind == historycheck.Start && e.AtMs < w.opens.UnixMilli():
 			early++
-		case e.Kind == historycheck.Start && e.AtMs < n.closes.UnixMilli():
+		case e.Kind == historycheck.Start && e.AtMs < w.closes.UnixMilli():
 			cheap++
 		case e.Kind == historycheck.Start:
-			dear++
+			expensive++
 		case e.Kind == historycheck.End && e.Text == "ok":
-			if ends[fmt.Sprint(e.Job, "#", e.Task)]++; ends[fmt.Sprint(e.Job, "#", e.Task)] > 1 {
-				doubled++
+			if completions[fmt.Sprint(e.Job, "#", e.Task)]++; completions[fmt.Sprint(e.Job, "#", e.Task)] > 1 {
+				repeated++
 			}
 		}
 	}
-	for id, at := range n.sentMs {
-		if end := n.endedMs[id]; end == 0 || end > at+n.finishBy().Milliseconds() {
+	for id, at := range w.sentMs {
+		if end := w.completedMs[id]; end == 0 || end > at+w.finishBy().Milliseconds() {
 			late++
 		}
 	}
 	return map[string]any{
-		"sent": len(n.sentMs), "held": len(n.held), "complete": len(n.endedMs), "late_or_open": late,
-		"tasks_doubled": doubled, "starts": map[string]int{"before_the_window": early, "in_it": cheap, "after_it": dear},
-	}, late + doubled + early
+		"sent": len(w.sentMs), "held": len(w.held), "complete": len(w.completedMs), "late_or_open": late,
+		"tasks_doubled": repeated,
+		"starts":        map[string]int{"before_the_window": early, "in_it": cheap, "after_it": expensive},
+	}, late + repeated + early
 }
--- a/cmd/otterchute-standin/worker.go
+++ b/cmd/otterchute-standin/worker.go
@@ -24,58 +24,59 @@
 	"github.com/tidwall/gjson"
 )
 
-// workerCommand is a back end, dumb on purpose: it runs whatever it is told,
-// guards no room and removes no duplicates. It only records.
+// workerCommand simulates a worker. It runs every order it gets, without checks of capacity or
+// of duplicates, and records each start and end, so that faults of the daemons show in the record.
 type workerCommand struct {
-	name, zone, labels, listen, daemons, record string
-	journal                                     string
-	room                                        int64
-	slow                                        float64
-	failPct, stallPct                           int
-	vanishS                                     int
+	name, zone, labels, listen, daemons, recordFile string
+	journalFile                                     string
+	cores                                           int64
+	slowdown                                        float64
+	failPct, stallPct                               int
+	vanishSeconds                                   int
 }
 
 func (*workerCommand) Name() string     { return "worker" }
-func (*workerCommand) Synopsis() string { return "be one worker" }
+func (*workerCommand) Synopsis() string { return "simulate one worker" }
 func (*workerCommand) Usage() string {
 	return "otterchute-standin worker -name N -site S -listen IP:PORT -daemons LIST -room N [flags]\n" +
-		"  SIGUSR1 makes it leave; SIGTERM ends it.\n"
+		"  SIGUSR1 makes the worker leave the cluster; SIGTERM ends the process.\n"
 }
 func (c *workerCommand) SetFlags(fs *flag.FlagSet) {
-	fs.StringVar(&c.name, "name", "w00", "its name")
-	fs.StringVar(&c.zone, "site", "east", "its site")
+	fs.StringVar(&c.name, "name", "w00", "name of the worker")
+	fs.StringVar(&c.zone, "site", "east", "site of the worker")
 	fs.StringVar(&c.labels, "labels", "", "k=v,k=v")
-	fs.StringVar(&c.listen, "listen", "127.0.0.1:9000", "where it takes orders")
-	fs.StringVar(&c.daemons, "daemons", "127.0.0.1:8000", "daemons it reports to, in turn after silence")
-	fs.StringVar(&c.record, "record", "", "file for starts and ends, one JSON line each")
-	fs.StringVar(&c.journal, "journal", "", "file that keeps ends not yet acknowledged over a restart")
-	fs.Int64Var(&c.room, "room", 64, "cores")
-	fs.Float64Var(&c.slow, "slow", 1, "how many times longer everything takes")
+	fs.StringVar(&c.listen, "listen", "127.0.0.1:9000", "address on which it receives orders")
+	fs.StringVar(&c.daemons, "daemons", "127.0.0.1:8000", "daemons it reports to, separated by commas; "+
+		"after a failed report it uses the next one")
+	fs.StringVar(&c.recordFile, "record", "", "file to record starts and ends in, one JSON object per line")
+	fs.StringVar(&c.journalFile, "journal", "", "file that keeps unacknowledged ends across a restart")
+	fs.Int64Var(&c.cores, "room", 64, "cores")
+	fs.Float64Var(&c.slowdown, "slow", 1, "factor by which runs take longer")
 	fs.IntVar(&c.failPct, "fail", 0, "percent of runs that fail")
-	fs.IntVar(&c.stallPct, "stall", 0, "percent of runs that stand still")
-	fs.IntVar(&c.vanishS, "vanish", 0, "seconds until it is gone without a word; 0 for never")
+	fs.IntVar(&c.stallPct, "stall", 0, "percent of runs that make no progress until they are stopped")
+	fs.IntVar(&c.vanishSeconds, "vanish", 0, "seconds until the process exits without reporting it; 0 for never")
 }
 
 type worker struct {
 	*workerCommand
-	mu      sync.Mutex
-	inc     string
-	seq     int64
-	token   string
-	leaving bool
-	labels  map[string]string
-	running map[string]*run
-	ended   map[string]*run
-	wake    chan struct{}
-	out     *os.File
-	use     int
-	http    *http.Client
+	mu          sync.Mutex
+	incarnation string
+	seq         int64
+	token       string
+	leaving     bool
+	labels      map[string]string
+	running     map[string]*run
+	ended       map[string]*run
+	wake        chan struct{}
+	recordOut   *os.File
+	daemonIndex int
+	http        *http.Client
 }
 
 type run struct {
 	ID      string `json:"id"`
 	Tag     string `json:"tag"`
-	Room    int64  `json:"room"`
+	Cores   int64  `json:"room"`
 	RanMs   int64  `json:"ran_ms"`
 	Outcome string `json:"outcome,omitempty"`
 	started time.Time
@@ -84,38 +85,38 @@
 
 func (c *workerCommand) Execute(_ context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	w := &worker{
-		workerCommand: c, inc: strconv.FormatInt(time.Now().UnixNano(), 36), labels: map[string]string{},
-		running: map[string]*run{}, ended: map[string]*run{}, wake: make(chan struct{}, 1), http: newHTTP(),
+		workerCommand: c, incarnation: strconv.FormatInt(time.Now().UnixNano(), 36), labels: map[string]string{},
+		running: map[string]*run{}, ended: map[string]*run{}, wake: make(chan struct{}, 1), http: newHTTPClient(),
 	}
 	for _, kv := range strings.Split(c.labels, ",") {
 		if k, v, ok := strings.Cut(kv, "="); ok {
 			w.labels[k] = v
 		}
 	}
-	if c.record != "" {
-		f, err := os.OpenFile(c.record, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	if c.recordFile != "" {
+		f, err := os.OpenFile(c.recordFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
 			return fail(2, err)
 		}
-		w.out = f
+		w.recordOut = f
 	}
-	ln, err := net.Listen("tcp", c.listen)
+	listener, err := net.Listen("tcp", c.listen)
 	if err != nil {
 		return fail(2, err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /run", w.take)
+	mux.HandleFunc("POST /run", w.startRun)
 	mux.HandleFunc("POST /stop", w.stopRun)
-	go func() { _ = http.Serve(ln, mux) }()
+	go func() { _ = http.Serve(listener, mux) }()
 	w.readJournal()
-	w.note(historycheck.Event{Kind: historycheck.WorkerRoom, Room: c.room, Labels: w.labels, Zone: c.zone})
+	w.record(historycheck.Event{Kind: historycheck.WorkerRoom, Room: c.cores, Labels: w.labels, Zone: c.zone})
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1)
 	var vanish <-chan time.Time
-	if c.vanishS > 0 {
-		vanish = time.After(time.Duration(c.vanishS) * time.Second)
+	if c.vanishSeconds > 0 {
+		vanish = time.After(time.Duration(c.vanishSeconds) * time.Second)
 	}
-	go w.reports()
+	go w.reportLoop()
 	for {
 		select {
 		case s := <-signals:
@@ -123,60 +124,60 @@
 				w.mu.Lock()
 				w.leaving = true
 				w.mu.Unlock()
-				w.poke()
+				w.wakeReporter()
 				continue
 			}
-			w.crashNotes()
+			w.recordCrashes()
 			w.writeJournal()
 			return 0
 		case <-vanish:
-			w.crashNotes()
+			w.recordCrashes()
 			os.Exit(0)
 		}
 	}
 }
 
-func (w *worker) note(e historycheck.Event) {
-	if w.out == nil {
+func (w *worker) record(e historycheck.Event) {
+	if w.recordOut == nil {
 		return
 	}
 	e.AtMs, e.Worker = time.Now().UnixMilli(), w.name
-	_, _ = w.out.Write(append(mustJSON(e), '\n'))
+	_, _ = w.recordOut.Write(append(mustJSON(e), '\n'))
 }
 
-func (w *worker) crashNotes() {
+func (w *worker) recordCrashes() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(w.running)) {
 		job, task, _ := historycheck.ParseRun(id)
-		w.note(historycheck.Event{Kind: historycheck.End, Job: job, Task: task, Run: id, Text: "crash"})
+		w.record(historycheck.Event{Kind: historycheck.End, Job: job, Task: task, Run: id, Text: "crash"})
 		delete(w.running, id)
 	}
 }
 
-// writeJournal keeps what no answer has acknowledged, for the next start.
+// writeJournal saves the unacknowledged ends for the next start.
 func (w *worker) writeJournal() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.journal != "" {
-		_ = os.WriteFile(w.journal, mustJSON(w.ended), 0o644)
+	if w.journalFile != "" {
+		_ = os.WriteFile(w.journalFile, mustJSON(w.ended), 0o644)
 	}
 }
 
 func (w *worker) readJournal() {
-	if b, err := os.ReadFile(w.journal); w.journal != "" && err == nil {
+	if b, err := os.ReadFile(w.journalFile); w.journalFile != "" && err == nil {
 		_ = json.Unmarshal(b, &w.ended)
 	}
 }
 
-func (w *worker) poke() {
+func (w *worker) wakeReporter() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (w *worker) take(rw http.ResponseWriter, req *http.Request) {
+func (w *worker) startRun(rw http.ResponseWriter, req *http.Request) {
 	var o struct {
 		ID, Tag, Class string
 		Room           int64
@@ -186,21 +187,21 @@
 		http.Error(rw, err.Error(), 400)
 		return
 	}
-	r := &run{ID: o.ID, Tag: o.Tag, Room: o.Room, started: time.Now(), stop: make(chan struct{}, 1)}
+	r := &run{ID: o.ID, Tag: o.Tag, Cores: o.Room, started: time.Now(), stop: make(chan struct{}, 1)}
 	job, task, _ := historycheck.ParseRun(o.ID)
 	w.mu.Lock()
 	w.running[o.ID] = r
-	w.note(historycheck.Event{Kind: historycheck.Start, Job: job, Task: task, Run: o.ID, Text: o.Class})
+	w.record(historycheck.Event{Kind: historycheck.Start, Job: job, Task: task, Run: o.ID, Text: o.Class})
 	w.mu.Unlock()
-	outcome, last := "ok", time.Duration(float64(o.Payload.Ms)*w.slow)*time.Millisecond
+	outcome, duration := "ok", time.Duration(float64(o.Payload.Ms)*w.slowdown)*time.Millisecond
 	if rand.IntN(100) < w.failPct || rand.IntN(100) < o.Payload.FailPct {
 		outcome = "failed"
 	}
 	if o.Payload.Stall || rand.IntN(100) < w.stallPct {
-		last = 1000 * time.Hour
+		duration = 1000 * time.Hour
 	}
 	go func() {
-		t := time.NewTimer(last)
+		t := time.NewTimer(duration)
 		defer t.Stop()
 		select {
 		case <-t.C:
@@ -215,9 +216,9 @@
 		r.Outcome, r.RanMs = outcome, time.Since(r.started).Milliseconds()
 		delete(w.running, o.ID)
 		w.ended[o.ID] = r
-		w.note(historycheck.Event{Kind: historycheck.End, Job: job, Task: task, Run: o.ID, Text: outcome})
+		w.record(historycheck.Event{Kind: historycheck.End, Job: job, Task: task, Run: o.ID, Text: outcome})
 		w.mu.Unlock()
-		w.poke()
+		w.wakeReporter()
 	}()
 	rw.WriteHeader(200)
 }
@@ -236,19 +237,19 @@
 	rw.WriteHeader(200)
 }
 
-// reports tells its state to one daemon after each end and every 300 ms.
-func (w *worker) reports() {
+// reportLoop reports the worker's state to one daemon after each end and every 300 ms.
+func (w *worker) reportLoop() {
 	daemons := strings.Split(w.daemons, ",")
-	w.use = int(w.name[len(w.name)-1]) % len(daemons)
+	w.daemonIndex = int(w.name[len(w.name)-1]) % len(daemons)
 	for {
 		wait := 300 * time.Millisecond
-		if !w.report(daemons[w.use%len(daemons)]) {
-			w.use++
+		if !w.report(daemons[w.daemonIndex%len(daemons)]) {
+			w.daemonIndex++
 			wait = 200 * time.Millisecond
 		}
 		select {
 		case <-w.wake:
-			time.Sleep(2 * time.Millisecond) // ends that come together go together
+			time.Sleep(2 * time.Millisecond) // runs that end together share one report
 		case <-time.After(wait):
 		}
 	}
@@ -257,11 +258,11 @@
 func (w *worker) report(daemon string) bool {
 	w.mu.Lock()
 	w.seq++
-	free, running, ended := w.room, []run{}, []run{}
+	freeCores, running, ended := w.cores, []run{}, []run{}
 	for _, id := range slices.Sorted(maps.Keys(w.running)) {
 		r := *w.running[id]
 		r.RanMs = time.Since(r.started).Milliseconds()
-		free -= r.Room
+		freeCores -= r.Cores
 		running = append(running, r)
 	}
 	for _, id := range slices.Sorted(maps.Keys(w.ended)) {
@@ -269,8 +270,8 @@
 	}
 	leaving := w.leaving
 	body := mustJSON(map[string]any{
-		"incarnation": w.inc, "seq": w.seq, "address": w.listen, "site": w.zone, "labels": w.labels,
-		"free": max(free, 0), "leaving": leaving, "token": w.token, "running": running, "ended": ended,
+		"incarnation": w.incarnation, "seq": w.seq, "address": w.listen, "site": w.zone, "labels": w.labels,
+		"free": max(freeCores, 0), "leaving": leaving, "token": w.token, "running": running, "ended": ended,
 	})
 	w.mu.Unlock()
 	status, _, b := request(w.http, "POST", fmt.Sprintf("http://%s/v1/workers/%s/report", daemon, w.name), body)
@@ -284,7 +285,7 @@
 		delete(w.ended, id.Str)
 	}
 	if leaving {
-		w.note(historycheck.Event{Kind: historycheck.WorkerLeaves})
+		w.record(historycheck.Event{Kind: historycheck.WorkerLeaves})
 	}
 	return true
 }
