--- a/cmd/otterchute-standin/worker.go
+++ b/cmd/otterchute-standin/worker.go
@@ -46,8 +46,7 @@
 	fs.StringVar(&c.zone, "site", "east", "site of the worker")
 	fs.StringVar(&c.labels, "labels", "", "k=v,k=v")
 	fs.StringVar(&c.listen, "listen", "127.0.0.1:9000", "address on which it receives orders")
-	fs.StringVar(&c.daemons, "daemons", "127.0.0.1:8000", "daemons it reports to, separated by commas; "+
-		"after a failed report it uses the next one")
+	fs.StringVar(&c.daemons, "daemons", "127.0.0.1:8000", "comma-separated; the next is used after a failed report")
 	fs.StringVar(&c.recordFile, "record", "", "file to record starts and ends in, one JSON object per line")
 	fs.StringVar(&c.journalFile, "journal", "", "file that keeps unacknowledged ends across a restart")
 	fs.Int64Var(&c.cores, "room", 64, "cores")
