--- a/cmd/otterchute-standin/night_test.go
+++ b/cmd/otterchute-standin/night_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// The judge of a night finds each thing that may go wrong with a batch.
-func TestNightJudge(t *testing.T) {
+// Guards against early starts, repeated tasks and late batches that the report doesn't count.
+func TestBatchReport(t *testing.T) {
 	w := newBatchWindow(time.Date(2027, 1, 4, 23, 57, 40, 0, time.UTC))
 	must.Eq(t, "23:59", w.opens.Format("15:04"))
 	s := w.addTo(historycheck.Setup{Queues: []historycheck.Queue{{Name: "confirm"}}})
@@ -27,11 +27,11 @@
 	w.completedMs["a"], w.completedMs["b"] = opens+5000, opens+3600_000
 	history := []historycheck.Event{{Kind: historycheck.Start, Job: "a", AtMs: opens - 1}, {Kind: historycheck.Start, Job: "a", AtMs: opens + 1}, {Kind: historycheck.Start, Job: "b", AtMs: opens + 120_001},
 		{Kind: historycheck.End, Job: "a", Text: "ok"}, {Kind: historycheck.End, Job: "a", Task: 1, Text: "ok"}, {Kind: historycheck.End, Job: "a", Text: "stopped"}, {Kind: historycheck.Start, Job: "x", AtMs: 1}}
-	out, wrong := w.report(history)
-	must.Eq(t, 3, wrong) // one early start, b late, c open
+	out, failed := w.report(history)
+	must.Eq(t, 3, failed) // one early start, b late, c open
 	must.Eq[any](t, 2, out["late_or_open"])
 	must.Eq[any](t, 1, out["held"])
 	must.Eq[any](t, map[string]int{"before_the_window": 1, "in_it": 1, "after_it": 1}, out["starts"])
-	_, wrong = w.report(append(history, historycheck.Event{Kind: historycheck.End, Job: "a", Text: "ok"}))
-	must.Eq(t, 4, wrong)
+	_, failed = w.report(append(history, historycheck.Event{Kind: historycheck.End, Job: "a", Text: "ok"}))
+	must.Eq(t, 4, failed)
 }
--- a/internal/daemon/rules_test.go
+++ b/internal/daemon/rules_test.go
@@ -36,7 +36,6 @@
 	"internal/daemon tests":   59,
 	"internal/register tests": 1,
 	"internal/storage tests":  1,
-	"platform tests":          2,
 }
 
 // folderOf names what a file counts for.
--- a/internal/historycheck/historycheck.go
+++ b/internal/historycheck/historycheck.go
@@ -528,7 +528,8 @@
 				end = last
 			}
 			bound := s.cancelMs + c.bounds.CancelRun
-			for _, a := range append(slices.Clone(c.unreachableSpans[r.worker]), c.unreachableSpans[""]...) { // it could not be stopped then
+			// Time during which the worker could not be reached to stop the run doesn't count.
+			for _, a := range append(slices.Clone(c.unreachableSpans[r.worker]), c.unreachableSpans[""]...) {
 				bound += max(0, min(end, a[1])-max(s.cancelMs, a[0]))
 			}
 			if r.start <= s.cancelMs && end > bound {
--- a/internal/historycheck/historycheck_test.go
+++ b/internal/historycheck/historycheck_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// history builds a lawful history of one job of two steps, to be spoiled.
-func lawful() []Event {
+// validHistory returns a history of one job with two steps that violates no rule.
+func validHistory() []Event {
 	spec := &Job{Queue: "q", Steps: []Step{{Name: "a", Tasks: []Task{{Name: "x", Room: 2, Allowed: 2, LimitMs: 1000, Labels: map[string]string{"disk": "ssd"}}}},
 		{Name: "b", After: []string{"a"}, Tasks: []Task{{Name: "y", Room: 1, Allowed: 1}}}}}
 	setup := &Setup{Queues: []Queue{{Name: "q", Selector: map[string][]string{"tier": {"fast"}}}}}
@@ -29,15 +29,15 @@
 	}
 }
 
-func TestLawfulHistory(t *testing.T) { must.SliceEmpty(t, Check(lawful(), DefaultBounds)) }
+func TestValidHistory(t *testing.T) { must.SliceEmpty(t, Check(validHistory(), DefaultBounds)) }
 
-func TestPlantedBreaches(t *testing.T) {
+func TestInjectedViolations(t *testing.T) {
 	other := &Setup{Queues: []Queue{{Name: "q", Selector: map[string][]string{"tier": {"bulk"}}}}}
-	emptied := &Setup{Queues: []Queue{{Name: "q", Selector: map[string][]string{"tier": {"fast"}}}}, EmptyZones: []string{"east"}}
+	evacuated := &Setup{Queues: []Queue{{Name: "q", Selector: map[string][]string{"tier": {"fast"}}}}, EmptyZones: []string{"east"}}
 	start := func(at int64, task int, worker, run string) Event {
 		return Event{AtMs: at, Kind: Start, Job: "j", Task: task, Worker: worker, Run: run}
 	}
-	plants := map[string]func([]Event) []Event{
+	injections := map[string]func([]Event) []Event{
 		"twice_at_once":    func(h []Event) []Event { return append(h, start(3350, 0, "w1", "j#0#3")) },
 		"again_after_well": func(h []Event) []Event { return append(h, start(3900, 1, "w1", "j#1#2")) },
 		"over_room": func(h []Event) []Event {
@@ -78,7 +78,7 @@
 					h[i].AtMs += 5000
 				}
 			}
-			return append(h, Event{AtMs: 5, Kind: SetupSent, Version: 2, Setup: emptied}, Event{AtMs: 6, Kind: SetupAcked, Version: 2, Setup: emptied})
+			return append(h, Event{AtMs: 5, Kind: SetupSent, Version: 2, Setup: evacuated}, Event{AtMs: 6, Kind: SetupAcked, Version: 2, Setup: evacuated})
 		},
 		"job_forgotten": func(h []Event) []Event {
 			return append(h, Event{AtMs: 7010, Kind: JobState, Job: "j", Text: "unknown", AskedMs: 7000})
@@ -97,7 +97,7 @@
 			return append(h, Event{AtMs: 4000, Kind: Start, Job: "never-sent", Worker: "w1", Run: "never-sent#0#1"})
 		},
 	}
-	plants["slow_after_loss"] = func(h []Event) []Event { // five tasks a second, and after the loss one
+	injections["slow_after_loss"] = func(h []Event) []Event { // five tasks per second, after the loss one
 		for i := range int64(300) {
 			at := 10_000 + i*200
 			if at > 20_000 && i%5 != 0 {
@@ -110,11 +110,11 @@
 		}
 		return append(h, Event{AtMs: 20_000, Kind: HardLoss}, Event{AtMs: 22_000, Kind: MachinesBack}, Event{AtMs: 60_000, Kind: TrafficEnds})
 	}
-	for rule, plant := range plants {
+	for rule, inject := range injections {
 		t.Run(rule, func(t *testing.T) {
 			var rules []string
-			for _, b := range Check(plant(lawful()), DefaultBounds) {
-				rules = append(rules, b.Rule)
+			for _, violation := range Check(inject(validHistory()), DefaultBounds) {
+				rules = append(rules, violation.Rule)
 			}
 			rule, _, _ = strings.Cut(rule, " ")
 			must.SliceContains(t, rules, rule)
@@ -122,13 +122,13 @@
 	}
 }
 
-// What a bounced setup would have allowed is not lawful.
-func TestRejectedSetupAllowsNothing(t *testing.T) {
+// Guards against a rejected configuration that is still taken to permit a start.
+func TestRejectedConfigurationAllowsNothing(t *testing.T) {
 	other := &Setup{Queues: []Queue{{Name: "q", Selector: map[string][]string{"tier": {"bulk"}}}}}
-	h := append(lawful(), Event{AtMs: 10, Kind: SetupSent, Version: 2, Setup: other}, Event{AtMs: 20, Kind: SetupRejected, Version: 2, Setup: other},
+	h := append(validHistory(), Event{AtMs: 10, Kind: SetupSent, Version: 2, Setup: other}, Event{AtMs: 20, Kind: SetupRejected, Version: 2, Setup: other},
 		Event{AtMs: 4000, Kind: JobSent, Job: "k", Spec: &Job{Queue: "q", Steps: []Step{{Name: "a", Tasks: []Task{{Name: "x", Room: 1}}}}}},
 		Event{AtMs: 4100, Kind: Start, Job: "k", Worker: "w2", Run: "k#0#1"})
-	b := Check(h, DefaultBounds)
-	must.Len(t, 1, b)
-	must.Eq(t, "outside_group", b[0].Rule)
+	violations := Check(h, DefaultBounds)
+	must.Len(t, 1, violations)
+	must.Eq(t, "outside_group", violations[0].Rule)
 }
--- a/internal/historycheck/mix.go
+++ b/internal/historycheck/mix.go
@@ -35,8 +35,10 @@
 func randomTasks(r *rand.Rand, n int, name string, maxCores, minMs, maxMs, limitMs int64) []Task {
 	var out []Task
 	for i := range n {
-		out = append(out, Task{Name: fmt.Sprintf("%s-%d", name, i), Room: randomBetween(r, 1, maxCores), LimitMs: limitMs, Allowed: 3,
-			Payload: Work{Ms: randomBetween(r, minMs, maxMs)}})
+		out = append(out, Task{
+			Name: fmt.Sprintf("%s-%d", name, i), Room: randomBetween(r, 1, maxCores), LimitMs: limitMs, Allowed: 3,
+			Payload: Work{Ms: randomBetween(r, minMs, maxMs)},
+		})
 	}
 	return out
 }
