--- a/cmd/otterchute-standin/worker.go
+++ b/cmd/otterchute-standin/worker.go
@@ -177,26 +177,26 @@
 }
 
 func (w *worker) startRun(rw http.ResponseWriter, req *http.Request) {
-	var o struct {
+	var order struct {
 		ID, Tag, Class string
 		Room           int64
 		Payload        historycheck.Work
 	}
-	if err := json.NewDecoder(req.Body).Decode(&o); err != nil {
+	if err := json.NewDecoder(req.Body).Decode(&order); err != nil {
 		http.Error(rw, err.Error(), 400)
 		return
 	}
-	r := &run{ID: o.ID, Tag: o.Tag, Cores: o.Room, started: time.Now(), stop: make(chan struct{}, 1)}
-	job, task, _ := historycheck.ParseRun(o.ID)
+	r := &run{ID: order.ID, Tag: order.Tag, Cores: order.Room, started: time.Now(), stop: make(chan struct{}, 1)}
+	job, task, _ := historycheck.ParseRun(order.ID)
 	w.mu.Lock()
-	w.running[o.ID] = r
-	w.record(historycheck.Event{Kind: historycheck.Start, Job: job, Task: task, Run: o.ID, Text: o.Class})
+	w.running[order.ID] = r
+	w.record(historycheck.Event{Kind: historycheck.Start, Job: job, Task: task, Run: order.ID, Text: order.Class})
 	w.mu.Unlock()
-	outcome, duration := "ok", time.Duration(float64(o.Payload.Ms)*w.slowdown)*time.Millisecond
-	if rand.IntN(100) < w.failPct || rand.IntN(100) < o.Payload.FailPct {
+	outcome, duration := "ok", time.Duration(float64(order.Payload.Ms)*w.slowdown)*time.Millisecond
+	if rand.IntN(100) < w.failPct || rand.IntN(100) < order.Payload.FailPct {
 		outcome = "failed"
 	}
-	if o.Payload.Stall || rand.IntN(100) < w.stallPct {
+	if order.Payload.Stall || rand.IntN(100) < w.stallPct {
 		duration = 1000 * time.Hour
 	}
 	go func() {
@@ -208,14 +208,14 @@
 			outcome = "stopped"
 		}
 		w.mu.Lock()
-		if w.running[o.ID] != r { // the process is ending
+		if w.running[order.ID] != r { // the process is ending
 			w.mu.Unlock()
 			return
 		}
 		r.Outcome, r.RanMs = outcome, time.Since(r.started).Milliseconds()
-		delete(w.running, o.ID)
-		w.ended[o.ID] = r
-		w.record(historycheck.Event{Kind: historycheck.End, Job: job, Task: task, Run: o.ID, Text: outcome})
+		delete(w.running, order.ID)
+		w.ended[order.ID] = r
+		w.record(historycheck.Event{Kind: historycheck.End, Job: job, Task: task, Run: order.ID, Text: outcome})
 		w.mu.Unlock()
 		w.wakeReporter()
 	}()
@@ -223,10 +223,10 @@
 }
 
 func (w *worker) stopRun(rw http.ResponseWriter, req *http.Request) {
-	var o struct{ ID string }
-	_ = json.NewDecoder(req.Body).Decode(&o)
+	var order struct{ ID string }
+	_ = json.NewDecoder(req.Body).Decode(&order)
 	w.mu.Lock()
-	if r := w.running[o.ID]; r != nil {
+	if r := w.running[order.ID]; r != nil {
 		select {
 		case r.stop <- struct{}{}:
 		default:
--- a/internal/historycheck/after.go
+++ b/internal/historycheck/after.go
@@ -23,7 +23,7 @@
 //
 // Example: for _, r := range historycheck.Recoveries(events, historycheck.DefaultBounds) { fmt.Println(r.Share) }
 func Recoveries(ordered []Event, bounds Bounds) []Recovery {
-	ended := func(from, to int64) int {
+	completedTasks := func(from, to int64) int {
 		completed := 0
 		for i := range ordered {
 			if e := &ordered[i]; e.Kind == End && e.Text == "ok" && e.AtMs >= from && e.AtMs < to {
@@ -35,10 +35,10 @@
 	var out []Recovery
 	lossMs, backMs := int64(-1), int64(-1)
 	assess := func(until int64) {
-		baseline := float64(ended(lossMs-baselineWindowMs, lossMs)) * recoveryWindowMs / baselineWindowMs
+		baseline := float64(completedTasks(lossMs-baselineWindowMs, lossMs)) * recoveryWindowMs / baselineWindowMs
 		worst := Recovery{BackMs: backMs, Usual: baseline, Share: -1}
 		for at := backMs + bounds.Back; at+recoveryWindowMs <= until && baseline >= minBaselineRuns; at += 500 {
-			completed := ended(at, at+recoveryWindowMs)
+			completed := completedTasks(at, at+recoveryWindowMs)
 			if share := float64(completed) / baseline; worst.Share < 0 || share < worst.Share {
 				worst.AtMs, worst.Ended, worst.Share = at, completed, share
 			}
@@ -72,7 +72,7 @@
 			since[[2]string{kind, e.Job}] = e.AtMs
 		}
 	}
-	end := func(kind string, e *Event, worst *int64) {
+	resolve := func(kind string, e *Event, worst *int64) {
 		if from, ok := since[[2]string{kind, e.Job}]; ok {
 			*worst = max(*worst, e.AtMs-from)
 			delete(since, [2]string{kind, e.Job})
@@ -83,9 +83,9 @@
 		case NoState, NoEntry:
 			begin(e.Kind, e)
 		case JobState:
-			end(NoState, e, &stateMs)
+			resolve(NoState, e, &stateMs)
 		case JobAcked:
-			end(NoEntry, e, &entryMs)
+			resolve(NoEntry, e, &entryMs)
 		}
 	}
 	return stateMs, entryMs
--- a/internal/historycheck/historycheck.go
+++ b/internal/historycheck/historycheck.go
@@ -42,8 +42,8 @@
 	Job     string            `json:"job,omitempty"`
 	Task    int               `json:"task,omitempty"`
 	Worker  string            `json:"worker,omitempty"`
-	Run     string            `json:"run,omitempty"` // identity of one run at one worker process
-	Text    string            `json:"text,omitempty"`
+	Run     string            `json:"run,omitempty"` // id of one run at one worker process
+	Text    string            `json:"text,omitempty"` // state, outcome or class, depending on Kind
 	Room    int64             `json:"room,omitempty"`
 	Labels  map[string]string `json:"labels,omitempty"`
 	Zone    string            `json:"site,omitempty"`
@@ -56,8 +56,8 @@
 // Job is a job as its caller sent it.
 type Job struct {
 	Queue   string `json:"queue"`
-	DueMs   int64  `json:"due_ms,omitempty"`
-	DelayMs int64  `json:"delay_ms,omitempty"`
+	DueMs   int64  `json:"due_ms,omitempty"`   // earliest start
+	DelayMs int64  `json:"delay_ms,omitempty"` // earliest start, counted from the submission
 	Steps   []Step `json:"steps"`
 }
 
--- a/internal/historycheck/mix.go
+++ b/internal/historycheck/mix.go
@@ -30,7 +30,7 @@
 	Stall   bool  `json:"stall,omitempty"`    // runs make no progress until they are stopped
 }
 
-func randomBetween(r *rand.Rand, lo, hi int64) int64 { return lo + r.Int64N(hi-lo+1) }
+func randomBetween(r *rand.Rand, low, high int64) int64 { return low + r.Int64N(high-low+1) }
 
 func randomTasks(r *rand.Rand, n int, name string, maxCores, minMs, maxMs, limitMs int64) []Task {
 	var out []Task
