--- a/internal/historycheck/historycheck.go
+++ b/internal/historycheck/historycheck.go
@@ -42,7 +42,7 @@
 	Job     string            `json:"job,omitempty"`
 	Task    int               `json:"task,omitempty"`
 	Worker  string            `json:"worker,omitempty"`
-	Run     string            `json:"run,omitempty"` // id of one run at one worker process
+	Run     string            `json:"run,omitempty"`  // id of one run at one worker process
 	Text    string            `json:"text,omitempty"` // state, outcome or class, depending on Kind
 	Room    int64             `json:"room,omitempty"`
 	Labels  map[string]string `json:"labels,omitempty"`
