--- a/internal/daemon/archive_test.go
+++ b/internal/daemon/archive_test.go
@@ -19,12 +19,12 @@
 
 // recordsIn counts what can be found of a shard.
 func recordsIn(st *statestore.Store, shard string) int {
-	x := st.Shard(shard)
-	return len(x.Live()) + x.Finished()
+	replica := st.Shard(shard)
+	return len(replica.Live()) + replica.Finished()
 }
 
 func finishedEntry(slice string, i int, doneMs int64) statestore.Entry {
-	j := &job{ID: fmt.Sprintf("confirm-17999990-%07d", i), Queue: "confirm", Digest: make([]byte, 16), SubmitMs: doneMs - 500, State: jobComplete, DoneMs: doneMs, Version: 9}
+	j := &jobRecord{ID: fmt.Sprintf("confirm-17999990-%07d", i), Queue: "confirm", Digest: make([]byte, 16), SubmitMs: doneMs - 500, State: jobComplete, DoneMs: doneMs, Version: 9}
 	return statestore.Entry{Kind: statestore.EntryRecord, Name: slice, Record: statestore.Record{ID: j.ID, Epoch: 3, Version: 9, DoneMs: doneMs, Confirmed: true, Value: j.encode()}}
 }
 
@@ -71,7 +71,7 @@
 	n.kill(false)
 	must.True(t, w.until(8000, func() bool {
 		h := w.holderOf("slice/east")
-		return h != nil && h.sh.node.owned["east"].serving
+		return h != nil && h.sh.node.shards["east"].serving
 	}))
 	must.Less(t, wire.MaxFrame, w.largest)
 }
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -17,18 +17,18 @@
 	batchLearnMs = 2500 // a new owner hears all agents first, or the room would look small and all jobs late
 	// percent of the time a batch needs that is kept for it: it is pushed out, runs off its guess,
 	// finds half the room
-	batchSlack      = 200
-	batchMarginMs   = 60_000 // and beside that: a lost worker, a takeover and another attempt
-	batchHeadroom   = 25     // percent of a worker that stays free when a batch task starts there
-	batchLowMs      = 3000   // batches count on room that was left for so long at the least
-	batchStartsTick = 4      // batch tasks a shard places in one tick
-	batchTriesTick  = 64     // and those it looks for a place for
-	batchAgainMs    = 400    // a task that found no place is looked at again after this, about
-	batchCalmMs     = 1500   // so long after a more urgent task found no place none is placed
-	batchCalmShare  = 4      // nor while something waits at one in so many workers
-	batchWaitMs     = 300    // a batch task that can't start at its worker by then goes back
-	batchBackMs     = 1500   // and one that was pushed out waits this long, up to twice
-	batchRecords    = 50     // percent of a shard's records that may be full when a batch is taken
+	batchSlackPercent    = 200
+	batchMarginMs        = 60_000 // and beside that: a lost worker, a takeover and another attempt
+	batchHeadroomPercent = 25     // percent of a worker that stays free when a batch task starts there
+	spareWindowMs        = 3000   // batches count on room that was left for so long at the least
+	batchStartsTick      = 4      // batch tasks a shard places in one tick
+	batchTriesTick       = 64     // and those it looks for a place for
+	batchRecheckMs       = 400    // a task that found no place is looked at again after this, about
+	batchPauseMs         = 1500   // so long after a more urgent task found no place none is placed
+	batchPauseShare      = 4      // nor while something waits at one in so many workers
+	batchReturnMs        = 300    // a batch task that can't start at its worker by then goes back
+	batchRetryMs         = 1500   // and one that was pushed out waits this long, up to twice
+	batchRecordsPercent  = 50     // percent of a shard's records that may be full when a batch is taken
 )
 
 // Batch queues: work that may wait for the cheapest hours of a contract, and
@@ -43,7 +43,7 @@
 	OpenMs     int64 // and its beginning
 	Price      float64
 	DeadlineMs int64
-	Must       bool // it starts at any price now, to be complete in time
+	AtAnyPrice bool // it starts at any price now, to be complete in time
 }
 
 // planBatch decides when a job may start that came, or was due, at some time and
@@ -54,7 +54,7 @@
 	p := batchPlan{DeadlineMs: fromMs + r.FinishByMs}
 	latest := p.DeadlineMs - needMs
 	if nowMs >= latest {
-		p.StartMs, p.OpenMs, p.CloseMs, p.Must = max(fromMs, latest), nowMs, p.DeadlineMs, true
+		p.StartMs, p.OpenMs, p.CloseMs, p.AtAnyPrice = max(fromMs, latest), nowMs, p.DeadlineMs, true
 		p.Price = r.Contract.Windows(nowMs, nowMs)[0].Price
 		return p
 	}
@@ -78,15 +78,15 @@
 // mayStart tells whether a task that takes about so long may start now: within
 // the window, and not so late that most of it would lie behind its end.
 func (p *batchPlan) mayStart(wallMs, estMs int64) bool {
-	if p.Must {
+	if p.AtAnyPrice {
 		return wallMs >= p.StartMs
 	}
 	return wallMs >= p.StartMs && wallMs < p.CloseMs && (wallMs+estMs <= p.CloseMs || estMs > p.CloseMs-p.OpenMs)
 }
 
-// batchOf gives the rules that a job is held by. Gangs and lasting tasks, which a
+// batchRules gives the rules that a job is held by. Gangs and lasting tasks, which a
 // queue may have had before it took batches, run as they did.
-func (n *node) batchOf(j *job) *configuration.Batch {
+func (n *node) batchRules(j *jobRecord) *configuration.Batch {
 	q := n.config.current.Queues[j.Queue]
 	if q == nil || q.Batch == nil || slices.ContainsFunc(j.Steps, func(s jobStep) bool { return s.Gang || s.Lasting }) {
 		return nil
@@ -94,52 +94,52 @@
 	return q.Batch
 }
 
-// batchSpec gives the rules for a task at a worker, if it is a batch's.
-func (n *node) batchSpec(s *wire.TaskSpec) *configuration.Batch {
+// batchRulesOfSpec gives the rules for a task at a worker, if it is a batch's.
+func (n *node) batchRulesOfSpec(s *wire.TaskSpec) *configuration.Batch {
 	if q := n.config.current.Queues[s.Queue]; q != nil && s.Class == wire.ClassQueueable {
 		return q.Batch
 	}
 	return nil
 }
 
-// batchFrom is when the time that a job has to finish began.
-func (j *job) batchFrom() int64 {
+// batchFromMs is when the time that a job has to finish began.
+func (j *jobRecord) batchFromMs() int64 {
 	for i := range j.Tasks {
-		if t := &j.Tasks[i]; !t.resolved() {
-			return max(j.SubmitMs, j.dueOf(t.Round))
+		if t := &j.Tasks[i]; !t.isTerminal() {
+			return max(j.SubmitMs, j.roundDueMs(t.Round))
 		}
 	}
 	return max(j.SubmitMs, j.DueMs)
 }
 
-func (n *node) tickBatches(sl *shard) {
-	sl.batchStarts, sl.batchTries, sl.batchLoads = 0, 0, map[queueOnWorker]resource.Amount{}
-	n.planBatches(sl)
+func (n *node) tickBatches(shard *ownedShard) {
+	shard.batchStartsInTick, shard.batchTriesInTick, shard.batchUseByWorker = 0, 0, map[queueOnWorker]resource.Amount{}
+	n.planBatches(shard)
 }
 
 // planBatches plans all batch jobs of a shard anew, those that must finish first
 // first: each needs the time of its longest chain, and that of all the work that
 // must be done before it in the room that batches may have.
-func (n *node) planBatches(sl *shard) {
+func (n *node) planBatches(shard *ownedShard) {
 	wall := n.fleetTime()
-	if wall == 0 || !n.configFresh() || n.now-sl.startMs < batchLearnMs ||
-		n.now < sl.batchAt && sl.batchVersion == n.config.current.Version {
+	if wall == 0 || !n.configFresh() || n.now-shard.startMs < batchLearnMs ||
+		n.now < shard.nextBatchPlanMs && shard.batchPlanVersion == n.config.current.Version {
 		return
 	}
-	sl.batchAt, sl.batchVersion = n.now+batchPlanMs, n.config.current.Version
+	shard.nextBatchPlanMs, shard.batchPlanVersion = n.now+batchPlanMs, n.config.current.Version
 	type due struct {
-		js      *jobState
+		job     *liveJob
 		r       *configuration.Batch
 		from, d int64
 	}
 	var list []due
-	for _, id := range sorted(sl.jobs) {
-		js := sl.jobs[id]
-		if r := n.batchOf(&js.job); r == nil || js.DoneMs != 0 {
-			js.plan = nil
+	for _, id := range sortedKeys(shard.jobs) {
+		job := shard.jobs[id]
+		if r := n.batchRules(&job.jobRecord); r == nil || job.DoneMs != 0 {
+			job.plan = nil
 		} else {
-			from := js.batchFrom()
-			list = append(list, due{js, r, from, from + r.FinishByMs})
+			from := job.batchFromMs()
+			list = append(list, due{job, r, from, from + r.FinishByMs})
 		}
 	}
 	if len(list) == 0 {
@@ -148,44 +148,45 @@
 	slices.SortStableFunc(list, func(a, b due) int { return cmp.Compare(a.d, b.d) })
 	room, ahead := map[string]resource.Amount{}, 0.0
 	for _, e := range list {
-		all, known := room[e.js.Queue]
+		all, known := room[e.job.Queue]
 		if !known {
-			all = n.batchRoom(e.js.Queue, e.r)
-			room[e.js.Queue] = all
+			all = n.batchCapacity(e.job.Queue, e.r)
+			room[e.job.Queue] = all
 		}
-		chain, work := n.batchNeed(e.js, all)
+		chain, work := n.batchRemaining(e.job, all)
 		ahead += work * float64(max(1, len(n.core.Shards))) // the other shards hold as much
-		need := (int64(ahead)+chain)*batchSlack/100 + batchMarginMs
-		p := planBatch(e.r, e.js.ID, e.from, wall, need)
-		if p.Must && (e.js.plan == nil || !e.js.plan.Must) {
+		need := (int64(ahead)+chain)*batchSlackPercent/100 + batchMarginMs
+		p := planBatch(e.r, e.job.ID, e.from, wall, need)
+		if p.AtAnyPrice && (e.job.plan == nil || !e.job.plan.AtAnyPrice) {
 			n.count("batches_at_any_price")
-			n.log("batch_at_any_price", "job", e.js.ID, "queue", e.js.Queue, "need_ms", need, "price", p.Price)
+			n.log("batch_at_any_price", "job", e.job.ID, "queue", e.job.Queue, "need_ms", need, "price", p.Price)
 		}
-		e.js.plan = &p
+		e.job.plan = &p
 	}
 }
 
-// batchRoom is all the room that a queue's batches may have at once.
-func (n *node) batchRoom(queue string, r *configuration.Batch) (all resource.Amount) {
+// batchCapacity is all the room that a queue's batches may have at once.
+func (n *node) batchCapacity(queue string, r *configuration.Batch) (all resource.Amount) {
 	q := n.config.current.Queues[queue]
 	for _, w := range n.workers {
-		if n.now-w.heardMs < silentMs && !w.leaving && !n.config.current.EmptyZones[w.zone] && q.Matches(w.labels, w.zone) {
+		if n.now-w.receivedMs < workerSilentMs && !w.leaving && !n.config.current.EmptyZones[w.zone] &&
+			q.Matches(w.labels, w.zone) {
 			all = all.Plus(w.capacity.Share(r.SharePercent))
 		}
 	}
 	return all
 }
 
-// batchNeed is what a job still needs, in ms: along its longest chain of steps, and
+// batchRemaining is what a job still needs, in ms: along its longest chain of steps, and
 // of all the room that batches may have.
-func (n *node) batchNeed(js *jobState, room resource.Amount) (chainMs int64, workMs float64) {
-	longest := make([]int64, len(js.Steps))
-	for i := range js.Tasks {
-		t := &js.Tasks[i]
-		if t.resolved() {
+func (n *node) batchRemaining(job *liveJob, room resource.Amount) (chainMs int64, workMs float64) {
+	longest := make([]int64, len(job.Steps))
+	for i := range job.Tasks {
+		t := &job.Tasks[i]
+		if t.isTerminal() {
 			continue
 		}
-		est := n.estimateMs(js, t)
+		est := n.estimateMs(job, t)
 		longest[t.Step] = max(longest[t.Step], est)
 		part := 0.0
 		need := t.Resources
@@ -196,9 +197,9 @@
 		}
 		workMs += part * float64(est)
 	}
-	done := make([]int64, len(js.Steps)) // steps may stand in any order: as many passes as there are settle all
-	for range js.Steps {
-		for i, s := range js.Steps {
+	done := make([]int64, len(job.Steps)) // steps may stand in any order: as many passes as there are settle all
+	for range job.Steps {
+		for i, s := range job.Steps {
 			from := int64(0)
 			for _, a := range s.After {
 				from = max(from, done[a])
@@ -211,26 +212,27 @@
 }
 
 // batchMayStart tells whether a pending task of a batch job may start by its hours.
-func (n *node) batchMayStart(js *jobState, t *task, wall int64) bool {
-	return js.plan != nil && js.plan.mayStart(wall, n.estimateMs(js, t))
+func (n *node) batchMayStart(job *liveJob, t *task, wall int64) bool {
+	return job.plan != nil && job.plan.mayStart(wall, n.estimateMs(job, t))
 }
 
 // shortOfRoom tells whether more urgent work waits: of this shard for a place, of
 // any shard for a firm one, or at many of the workers.
-func (n *node) shortOfRoom(sl *shard) bool {
-	if sl.starvedMs != 0 && n.now-sl.starvedMs < batchCalmMs || n.ranks.short && n.now-n.ranks.heardMs < rankStaleMs {
+func (n *node) shortOfRoom(shard *ownedShard) bool {
+	if shard.starvedMs != 0 && n.now-shard.starvedMs < batchPauseMs ||
+		n.ranks.roomShort && n.now-n.ranks.receivedMs < rankStaleMs {
 		return true
 	}
 	waits, all := 0, 0
 	for _, w := range n.workers {
-		if n.now-w.heardMs < contactMs {
+		if n.now-w.receivedMs < ownerContactMs {
 			all++
-			if w.waiting > 0 {
+			if w.unstarted > 0 {
 				waits++
 			}
 		}
 	}
-	return waits > 0 && waits*batchCalmShare >= all
+	return waits > 0 && waits*batchPauseShare >= all
 }
 
 // queueOnWorker names a queue's part of a worker.
@@ -238,22 +240,22 @@
 
 // batchLoad is the room that a queue's batches, or all queues', take at a worker,
 // as far as known; it is summed up once in a tick.
-func (n *node) batchLoad(sl *shard, queue, worker string) (sum resource.Amount) {
-	if sum, ok := sl.batchLoads[queueOnWorker{queue, worker}]; ok {
+func (n *node) batchLoad(shard *ownedShard, queue, worker string) (sum resource.Amount) {
+	if sum, ok := shard.batchUseByWorker[queueOnWorker{queue, worker}]; ok {
 		return sum
 	}
 	defer func() {
-		if sl.batchLoads != nil {
-			sl.batchLoads[queueOnWorker{queue, worker}] = sum
+		if shard.batchUseByWorker != nil {
+			shard.batchUseByWorker[queueOnWorker{queue, worker}] = sum
 		}
 	}()
-	for at, room := range sl.placed[worker] {
-		if js := sl.jobs[at.job]; js != nil && js.plan != nil && (js.Queue == queue || queue == "") {
+	for ref, room := range shard.placedByWorker[worker] {
+		if job := shard.jobs[ref.jobID]; job != nil && job.plan != nil && (job.Queue == queue || queue == "") {
 			sum = sum.Plus(room)
 		}
 	}
 	if w := n.workers[worker]; w != nil {
-		for _, b := range w.batch[sl.name] {
+		for _, b := range w.batchUse[shard.name] {
 			if b.Queue == queue || queue == "" {
 				sum = sum.Plus(b.Resources)
 			}
@@ -262,28 +264,28 @@
 	return sum
 }
 
-// batchPart tells whether a batch task fits at a worker within the batches' share and beside
+// batchFraction tells whether a batch task fits at a worker within the batches' share and beside
 // what is kept for more urgent work, and what part of the worker its queue's batches hold: the
 // worker with the least of that is chosen.
-func (n *node) batchPart(
-	sl *shard,
-	js *jobState,
+func (n *node) batchFraction(
+	shard *ownedShard,
+	job *liveJob,
 	t *task,
 	worker string,
 	sharePercent int64,
 ) (part float64, fits bool) {
 	w := n.workers[worker]
-	kept := w.capacity.Share(batchHeadroom)
-	if js.plan.Must {
+	kept := w.capacity.Share(batchHeadroomPercent)
+	if job.plan.AtAnyPrice {
 		kept = resource.Amount{}
 	}
-	if !t.Resources.Plus(kept).Fits(n.freeAt(sl, worker, w)) {
+	if !t.Resources.Plus(kept).Fits(n.freeResources(shard, worker, w)) {
 		return 0, false
 	}
-	if !js.plan.Must && !n.batchLoad(sl, "", worker).Plus(t.Resources).Plus(kept).Fits(w.spare.least()) {
+	if !job.plan.AtAnyPrice && !n.batchLoad(shard, "", worker).Plus(t.Resources).Plus(kept).Fits(w.spare.least()) {
 		return 0, false
 	}
-	load := n.batchLoad(sl, js.Queue, worker)
+	load := n.batchLoad(shard, job.Queue, worker)
 	if !load.Plus(t.Resources).Fits(w.capacity.Share(sharePercent)) {
 		return 0, false
 	}
@@ -291,11 +293,11 @@
 	if w.capacity.Memory > 0 {
 		part = max(part, float64(load.Memory)/float64(w.capacity.Memory))
 	}
-	if js.plan.Must { // where most is free: there it is pushed out the least
-		free := n.freeAt(sl, worker, w)
+	if job.plan.AtAnyPrice { // where most is free: there it is pushed out the least
+		free := n.freeResources(shard, worker, w)
 		part = 1 - float64(free.CPU)/float64(max(w.capacity.CPU, 1))
 	}
-	if worker == t.Last {
+	if worker == t.LastFailedWorker {
 		part++ // it failed there: anywhere else first
 	}
 	return part, true
@@ -305,49 +307,49 @@
 // least of them, by its size, where nothing more urgent waits and enough room for
 // that stays free, counting on what was left over lately. A job that must start now
 // takes the worker with the most room, and may take the last of it.
-func (n *node) selectBatchWorker(sl *shard, js *jobState, i int) string {
-	if sl.batchStarts >= batchStartsTick || sl.batchTries >= batchTriesTick {
+func (n *node) selectBatchWorker(shard *ownedShard, job *liveJob, i int) string {
+	if shard.batchStartsInTick >= batchStartsTick || shard.batchTriesInTick >= batchTriesTick {
 		return ""
 	}
-	sl.batchTries++
-	js.runtime[i].retryMs = n.now + batchAgainMs/2 + n.rand().Int64N(batchAgainMs)
-	if !js.plan.Must && n.shortOfRoom(sl) {
+	shard.batchTriesInTick++
+	job.runtime[i].retryAtMs = n.now + batchRecheckMs/2 + n.rand().Int64N(batchRecheckMs)
+	if !job.plan.AtAnyPrice && n.shortOfRoom(shard) {
 		return ""
 	}
-	t := &js.Tasks[i]
-	st, q := &js.Steps[t.Step], n.config.current.Queues[js.Queue]
+	t := &job.Tasks[i]
+	step, q := &job.Steps[t.Step], n.config.current.Queues[job.Queue]
 	var used map[string]int32
-	if st.PerWorker > 0 {
-		used = js.usedBy(i)
+	if step.PerWorker > 0 {
+		used = job.stepTasksByWorker(i)
 	}
 	best, least, bestWeight := "", 0.0, uint64(0)
-	for _, name := range sorted(n.workers) {
+	for _, name := range sortedKeys(n.workers) {
 		w := n.workers[name]
-		if !n.allowed(w, q, t.Needs, t.Resources) || w.suspect || w.waiting > 0 || n.ranks.ejected(name) ||
-			st.PerWorker > 0 && used[name] >= st.PerWorker {
+		if !n.workerAllowed(w, q, t.Needs, t.Resources) || w.suspect || w.unstarted > 0 || n.ranks.ejected(name) ||
+			step.PerWorker > 0 && used[name] >= step.PerWorker {
 			continue
 		}
-		part, fits := n.batchPart(sl, js, t, name, q.Batch.SharePercent)
+		part, fits := n.batchFraction(shard, job, t, name, q.Batch.SharePercent)
 		if !fits {
 			continue
 		}
-		if own := rendezvous.Weight(js.ID, name); best == "" || part < least || part == least && own > bestWeight {
+		if own := rendezvous.Weight(job.ID, name); best == "" || part < least || part == least && own > bestWeight {
 			best, least, bestWeight = name, part, own
 		}
 	}
 	if best != "" {
-		sl.batchStarts++
-		for _, queue := range []string{js.Queue, ""} {
-			load := n.batchLoad(sl, queue, best).Plus(t.Resources)
-			sl.batchLoads[queueOnWorker{queue, best}] = load
+		shard.batchStartsInTick++
+		for _, queue := range []string{job.Queue, ""} {
+			load := n.batchLoad(shard, queue, best).Plus(t.Resources)
+			shard.batchUseByWorker[queueOnWorker{queue, best}] = load
 		}
 	}
 	return best
 }
 
 // explainHeld tells why a task of a batch has not started, and until when.
-func (n *node) explainHeld(js *jobState, t *task) string {
-	r, p, wall := n.batchOf(&js.job), js.plan, n.fleetTime()
+func (n *node) explainHeld(job *liveJob, t *task) string {
+	r, p, wall := n.batchRules(&job.jobRecord), job.plan, n.fleetTime()
 	if r == nil {
 		return ""
 	}
@@ -355,7 +357,7 @@
 		return "held: its hours are being planned"
 	}
 	by := "; it is to be complete by " + clockText(r.Contract, p.DeadlineMs)
-	if !p.mayStart(wall, n.estimateMs(js, t)) {
+	if !p.mayStart(wall, n.estimateMs(job, t)) {
 		if p.StartMs <= wall {
 			return "held until the next window: this one ends at " + clockText(r.Contract, p.CloseMs) + by
 		}
@@ -372,10 +374,10 @@
 			by,
 		)
 	}
-	if !p.Must && n.shortOfRoomAnywhere() {
+	if !p.AtAnyPrice && n.shortOfRoomAnywhere() {
 		return "held while more urgent work waits for room" + by
 	}
-	if !t.Resources.Fits(n.batchMost(js.Queue, r)) {
+	if !t.Resources.Fits(n.largestBatchShare(job.Queue, r)) {
 		return fmt.Sprintf("no worker can hold it within the %d percent that batches of this queue may take", r.SharePercent)
 	}
 	return "waiting for its share of the workers' room" + by
@@ -383,19 +385,19 @@
 
 // shortOfRoomAnywhere is shortOfRoom for any shard owned here.
 func (n *node) shortOfRoomAnywhere() bool {
-	for _, sl := range n.owned {
-		if n.shortOfRoom(sl) {
+	for _, shard := range n.shards {
+		if n.shortOfRoom(shard) {
 			return true
 		}
 	}
 	return false
 }
 
-// batchMost is the largest share that one worker has for a queue's batches.
-func (n *node) batchMost(queue string, r *configuration.Batch) (most resource.Amount) {
+// largestBatchShare is the largest share that one worker has for a queue's batches.
+func (n *node) largestBatchShare(queue string, r *configuration.Batch) (most resource.Amount) {
 	q := n.config.current.Queues[queue]
 	for _, w := range n.workers {
-		if s := w.capacity.Share(r.SharePercent); n.allowed(w, q, nil, resource.Amount{}) {
+		if s := w.capacity.Share(r.SharePercent); n.workerAllowed(w, q, nil, resource.Amount{}) {
 			most = resource.Amount{CPU: max(most.CPU, s.CPU), Memory: max(most.Memory, s.Memory), GPU: max(most.GPU, s.GPU)}
 		}
 	}
@@ -409,12 +411,12 @@
 
 func priceText(p float64) string { return fmt.Sprintf("%g", p) }
 
-// batchBack lets a batch task that was pushed out wait before its next try.
-func (n *node) batchBack(js *jobState) int64 {
-	if n.batchOf(&js.job) == nil {
+// batchRetryAtMs lets a batch task that was pushed out wait before its next try.
+func (n *node) batchRetryAtMs(job *liveJob) int64 {
+	if n.batchRules(&job.jobRecord) == nil {
 		return 0
 	}
-	return n.now + batchBackMs + n.rand().Int64N(batchBackMs)
+	return n.now + batchRetryMs + n.rand().Int64N(batchRetryMs)
 }
 
 // meterKey names what core seconds are counted by.
@@ -425,8 +427,8 @@
 
 // meterBatch counts the core seconds of a run that just ended, at what each
 // part of it cost.
-func (n *node) meterBatch(js *jobState, t *task, ranMs int64) {
-	r, wall := n.batchOf(&js.job), n.fleetTime()
+func (n *node) meterBatch(job *liveJob, t *task, ranMs int64) {
+	r, wall := n.batchRules(&job.jobRecord), n.fleetTime()
 	if r == nil || wall == 0 || ranMs <= 0 {
 		return
 	}
@@ -440,15 +442,15 @@
 	}
 }
 
-// batchEnded notes a batch job that is complete, and whether it is late.
-func (n *node) batchEnded(js *jobState) {
-	if n.batchOf(&js.job) == nil || js.State != jobComplete || js.plan == nil {
+// recordBatchEnd notes a batch job that is complete, and whether it is late.
+func (n *node) recordBatchEnd(job *liveJob) {
+	if n.batchRules(&job.jobRecord) == nil || job.State != jobComplete || job.plan == nil {
 		return
 	}
 	n.count("batches_complete")
-	if js.DoneMs > js.plan.DeadlineMs {
+	if job.DoneMs > job.plan.DeadlineMs {
 		n.count("batches_late")
-		n.log("batch_late", "job", js.ID, "queue", js.Queue, "late_ms", js.DoneMs-js.plan.DeadlineMs)
+		n.log("batch_late", "job", job.ID, "queue", job.Queue, "late_ms", job.DoneMs-job.plan.DeadlineMs)
 	}
 }
 
@@ -458,86 +460,87 @@
 	for _, name := range []string{"batches_held", "batches_at_risk"} {
 		out[name] = 0
 	}
-	for _, sl := range n.owned {
-		for _, js := range sl.jobs {
-			if js.plan == nil || js.DoneMs != 0 {
+	for _, shard := range n.shards {
+		for _, job := range shard.jobs {
+			if job.plan == nil || job.DoneMs != 0 {
 				continue
 			}
-			if js.state() == "pending" {
+			if job.state() == "pending" {
 				out["batches_held"]++
 			}
-			if js.plan.Must {
+			if job.plan.AtAnyPrice {
 				out["batches_at_risk"]++
 			}
 		}
 	}
 }
 
-// batchHeld is the room that each queue's batches take at a worker.
-func (ag *agent) batchHeld(n *node, but string) (out []wire.QueueUse) {
+// batchUse is the room that each queue's batches take at a worker.
+func (a *workerAgent) batchUse(n *node, but string) (out []wire.QueueUse) {
 	sum := map[string]resource.Amount{}
-	for _, h := range ag.attempts {
-		if h.state != wire.AttemptEnded && (but == "" || h.spec.Shard != but) && n.batchSpec(&h.spec) != nil {
-			sum[h.spec.Queue] = sum[h.spec.Queue].Plus(h.spec.Resources)
+	for _, attempt := range a.attempts {
+		if attempt.state != wire.AttemptEnded && (but == "" || attempt.spec.Shard != but) &&
+			n.batchRulesOfSpec(&attempt.spec) != nil {
+			sum[attempt.spec.Queue] = sum[attempt.spec.Queue].Plus(attempt.spec.Resources)
 		}
 	}
-	for _, q := range sorted(sum) {
+	for _, q := range sortedKeys(sum) {
 		out = append(out, wire.QueueUse{Queue: q, Resources: sum[q]})
 	}
 	return out
 }
 
-// withoutBatches gives the unstarted tasks at a worker that are no batch's, and the
+// loadWithoutBatches gives the unstarted tasks at a worker that are no batch's, and the
 // room that those and the running ones leave.
-func (ag *agent) withoutBatches(n *node) (waiting int64, spare resource.Amount) {
-	spare = ag.capacity
-	for _, h := range ag.attempts {
-		if h.state == wire.AttemptEnded || n.batchSpec(&h.spec) != nil {
+func (a *workerAgent) loadWithoutBatches(n *node) (waiting int64, spare resource.Amount) {
+	spare = a.capacity
+	for _, attempt := range a.attempts {
+		if attempt.state == wire.AttemptEnded || n.batchRulesOfSpec(&attempt.spec) != nil {
 			continue
 		}
-		spare = spare.Minus(h.spec.Resources)
-		if h.state == wire.AttemptQueued {
+		spare = spare.Minus(attempt.spec.Resources)
+		if attempt.state == wire.AttemptQueued {
 			waiting++
 		}
 	}
 	return waiting, spare
 }
 
-// spareWindow keeps the least of some room over the last one to two spans of batchLowMs.
+// spareWindow keeps the least of some room over the last one to two spans of spareWindowMs.
 type spareWindow struct {
-	now, past resource.Amount
-	known     int // spans seen
-	atMs      int64
+	current, previous resource.Amount
+	windows           int // spans seen
+	atMs              int64
 }
 
-func (l spareWindow) with(nowMs int64, room resource.Amount) spareWindow {
-	if l.known == 0 || nowMs-l.atMs >= batchLowMs {
-		l = spareWindow{now: room, past: l.now, known: l.known + 1, atMs: nowMs}
+func (l spareWindow) observe(nowMs int64, room resource.Amount) spareWindow {
+	if l.windows == 0 || nowMs-l.atMs >= spareWindowMs {
+		l = spareWindow{current: room, previous: l.current, windows: l.windows + 1, atMs: nowMs}
 	}
-	l.now = resource.Amount{
-		CPU:    min(l.now.CPU, room.CPU),
-		Memory: min(l.now.Memory, room.Memory),
-		GPU:    min(l.now.GPU, room.GPU),
+	l.current = resource.Amount{
+		CPU:    min(l.current.CPU, room.CPU),
+		Memory: min(l.current.Memory, room.Memory),
+		GPU:    min(l.current.GPU, room.GPU),
 	}
 	return l
 }
 
 // least gives nothing until a whole span was seen.
 func (l spareWindow) least() resource.Amount {
-	if l.known < 2 {
+	if l.windows < 2 {
 		return resource.Amount{}
 	}
 	return resource.Amount{
-		CPU:    min(l.now.CPU, l.past.CPU),
-		Memory: min(l.now.Memory, l.past.Memory),
-		GPU:    min(l.now.GPU, l.past.GPU),
+		CPU:    min(l.current.CPU, l.previous.CPU),
+		Memory: min(l.current.Memory, l.previous.Memory),
+		GPU:    min(l.current.GPU, l.previous.GPU),
 	}
 }
 
 // allocationsWait tells whether firm work has waited for room some time.
-func (n *node) allocationsWait(c *central) bool {
-	for _, ws := range c.pending {
-		if n.now-ws.firstMs > batchCalmMs && ws.hasOpen() {
+func (n *node) allocationsWait(c *centralScheduler) bool {
+	for _, request := range c.pending {
+		if n.now-request.firstMs > batchPauseMs && request.hasOpen() {
 			return true
 		}
 	}
@@ -546,34 +549,35 @@
 
 // mayStartBatch guards a worker's room once more when a batch task would start:
 // nothing more urgent waits there, and its queue stays within its share.
-func (n *node) mayStartBatch(ag *agent, h *attempt, r *configuration.Batch) bool {
-	if waiting, _ := ag.withoutBatches(n); waiting > 0 {
+func (n *node) mayStartBatch(agent *workerAgent, attempt *agentAttempt, r *configuration.Batch) bool {
+	if waiting, _ := agent.loadWithoutBatches(n); waiting > 0 {
 		return false
 	}
-	sum := h.spec.Resources
-	for _, o := range ag.attempts {
-		if o != h && o.spec.Queue == h.spec.Queue && (o.state == wire.AttemptOrdered || o.state == wire.AttemptRunning) &&
-			n.batchSpec(&o.spec) != nil {
+	sum := attempt.spec.Resources
+	for _, o := range agent.attempts {
+		if o != attempt && o.spec.Queue == attempt.spec.Queue &&
+			(o.state == wire.AttemptOrdered || o.state == wire.AttemptRunning) &&
+			n.batchRulesOfSpec(&o.spec) != nil {
 			sum = sum.Plus(o.spec.Resources)
 		}
 	}
-	return sum.Fits(ag.capacity.Share(r.SharePercent))
+	return sum.Fits(agent.capacity.Share(r.SharePercent))
 }
 
 // returnBatches gives back batch tasks that could not start here at once, and
 // leaves the others in the queue: batches never wait at a worker.
-func (n *node) returnBatches(ag *agent, queue []*attempt) []*attempt {
+func (n *node) returnBatches(agent *workerAgent, queue []*agentAttempt) []*agentAttempt {
 	some := false
-	queue = slices.DeleteFunc(queue, func(h *attempt) bool {
-		if n.batchSpec(&h.spec) == nil || n.now-h.queuedMs <= batchWaitMs {
+	queue = slices.DeleteFunc(queue, func(attempt *agentAttempt) bool {
+		if n.batchRulesOfSpec(&attempt.spec) == nil || n.now-attempt.queuedMs <= batchReturnMs {
 			return false
 		}
-		h.state, h.result, some = wire.AttemptEnded, wire.ResultShed, true
+		attempt.state, attempt.result, some = wire.AttemptEnded, wire.ResultShed, true
 		n.count("batches_returned")
 		return true
 	})
 	if some {
-		n.reportAgent(ag)
+		n.reportAgent(agent)
 	}
 	return queue
 }
--- a/internal/daemon/catchup.go
+++ b/internal/daemon/catchup.go
@@ -12,19 +12,19 @@
 // bounded parts, each once the one before is synced there, so that the member
 // holds all again soon after its return and counts for the next loss.
 type replicaLag struct {
-	missed map[string]int64 // record -> the newest version that the member lacks
-	part   map[string]int64 // of those, what is on its way
-	seq    uint64           // of the write that brings the part
-	sentMs int64
+	missed   map[string]int64 // record -> the newest version that the member lacks
+	inFlight map[string]int64 // of those, what is on its way
+	seq      uint64           // of the write that brings the part
+	sentMs   int64
 }
 
 // recordMissed remembers by name what a member did not acknowledge, so that one
 // that is gone for long costs little.
-func (sl *shard) recordMissed(member string, records []statestore.Record) {
-	lag := sl.replicaLags[member]
+func (s *ownedShard) recordMissed(member string, records []statestore.Record) {
+	lag := s.replicaLags[member]
 	if lag == nil {
 		lag = &replicaLag{missed: map[string]int64{}}
-		sl.replicaLags[member] = lag
+		s.replicaLags[member] = lag
 	}
 	for _, r := range records {
 		if _, known := lag.missed[r.ID]; known || len(lag.missed) < finishedMax {
@@ -34,42 +34,42 @@
 }
 
 // tickCatchUp sends a part to each member that lacks records, or sends it again.
-func (n *node) tickCatchUp(sl *shard) {
-	for _, member := range sorted(sl.replicaLags) {
-		lag := sl.replicaLags[member]
+func (n *node) tickCatchUp(shard *ownedShard) {
+	for _, member := range sortedKeys(shard.replicaLags) {
+		lag := shard.replicaLags[member]
 		switch {
 		case len(lag.missed) == 0:
-			delete(sl.replicaLags, member)
-		case n.peers.Alive(member) && n.core.HasName(member) && (lag.part == nil || n.now-lag.sentMs >= writeRetry):
-			n.sendCatchUp(sl, member, lag)
+			delete(shard.replicaLags, member)
+		case n.peers.Alive(member) && n.core.HasName(member) && (lag.inFlight == nil || n.now-lag.sentMs >= writeRetryMs):
+			n.sendCatchUp(shard, member, lag)
 		}
 	}
 }
 
 // sendCatchUp sends the next part of what a member lacks.
-func (n *node) sendCatchUp(sl *shard, member string, lag *replicaLag) {
-	sl.writeSeq++
-	lag.seq, lag.sentMs, lag.part = sl.writeSeq, n.now, map[string]int64{}
-	w := &wire.WriteRequest{SetVersion: n.core.Version, Shard: sl.name, Epoch: sl.epoch, Seq: lag.seq}
+func (n *node) sendCatchUp(shard *ownedShard, member string, lag *replicaLag) {
+	shard.writeSeq++
+	lag.seq, lag.sentMs, lag.inFlight = shard.writeSeq, n.now, map[string]int64{}
+	w := &wire.WriteRequest{SetVersion: n.core.Version, Shard: shard.name, Epoch: shard.epoch, Seq: lag.seq}
 	size := 0
-	for _, id := range sorted(lag.missed) {
+	for _, id := range sortedKeys(lag.missed) {
 		if size > statestore.ChunkBytes {
 			break
 		}
-		if sl.isDirty(id) {
+		if shard.isDirty(id) {
 			continue // its next version is on its way
 		}
-		r, known := sl.recordOf(id)
+		r, known := shard.recordOf(id)
 		if !known { // it is finished for so long that only the core knows it
 			delete(lag.missed, id)
 			continue
 		}
-		lag.part[id] = lag.missed[id]
+		lag.inFlight[id] = lag.missed[id]
 		w.Records = append(w.Records, r)
 		size += r.Size()
 	}
 	if len(w.Records) == 0 {
-		lag.part = nil
+		lag.inFlight = nil
 		return
 	}
 	n.count("catch_up_parts")
@@ -77,25 +77,25 @@
 }
 
 // recordOf gives a job's record as the owner has it.
-func (sl *shard) recordOf(id string) (statestore.Record, bool) {
-	if js := sl.jobs[id]; js != nil {
+func (s *ownedShard) recordOf(id string) (statestore.Record, bool) {
+	if job := s.jobs[id]; job != nil {
 		return statestore.Record{
 			ID:      id,
-			Epoch:   sl.epoch,
-			Version: js.Version,
-			Live:    js.DoneMs == 0,
-			DoneMs:  js.DoneMs,
-			Value:   js.encode(),
+			Epoch:   s.epoch,
+			Version: job.Version,
+			Live:    job.DoneMs == 0,
+			DoneMs:  job.DoneMs,
+			Value:   job.encode(),
 		}, true
 	}
-	j := sl.finished[id]
+	j := s.finished[id]
 	if j == nil {
 		return statestore.Record{}, false
 	}
 	// A finished record never changes again.
 	return statestore.Record{
 		ID:        id,
-		Epoch:     sl.epoch,
+		Epoch:     s.epoch,
 		Version:   finishedVersion,
 		Live:      j.DoneMs == 0,
 		Confirmed: true,
@@ -107,18 +107,18 @@
 const finishedVersion = 1 << 60 // above that of any live record
 
 // onCaughtUp takes a member's word that a part is synced there, and sends the next.
-func (n *node) onCaughtUp(sl *shard, member string, seq uint64) {
-	lag := sl.replicaLags[member]
-	if lag == nil || lag.part == nil || lag.seq != seq {
+func (n *node) onCaughtUp(shard *ownedShard, member string, seq uint64) {
+	lag := shard.replicaLags[member]
+	if lag == nil || lag.inFlight == nil || lag.seq != seq {
 		return
 	}
-	part := lag.part
+	inFlight := lag.inFlight
 	maps.DeleteFunc(lag.missed, func(id string, version int64) bool {
-		sent, ok := part[id]
+		sent, ok := inFlight[id]
 		return ok && version <= sent
 	})
-	if lag.part = nil; len(lag.missed) > 0 {
-		n.sendCatchUp(sl, member, lag)
+	if lag.inFlight = nil; len(lag.missed) > 0 {
+		n.sendCatchUp(shard, member, lag)
 	}
 }
 
--- a/internal/daemon/central.go
+++ b/internal/daemon/central.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	rankMs            = 3000       // the paper's and the design's round of ranks and targets
-	rankStaleMs       = 3 * rankMs // three missed rounds: ranks and targets are ignored
-	allocationStaleMs = 3000       // the central scheduler drops requests not repeated
-	grantMs           = 2500       // a grant not seen at the agent by then frees its room
-	rebuildMs         = 500        // a new central scheduler listens this long before it grants: agents speak each 300 ms
-	unhealthyMs       = 10_000     // a slow worker gets no work for twice this long, doubled each time
+	rankIntervalMs    = 3000               // the paper's and the design's round of ranks and targets
+	rankStaleMs       = 3 * rankIntervalMs // three missed rounds: ranks and targets are ignored
+	allocationStaleMs = 3000               // the central scheduler drops requests not repeated
+	grantTimeoutMs    = 2500               // a grant not seen at the agent by then frees its room
+	// a new central scheduler listens this long before it grants: agents speak each 300 ms
+	centralRebuildMs  = 500
+	unhealthyMs       = 10_000 // a slow worker gets no work for twice this long, doubled each time
 	unhealthyTimesMax = 5
 	allocateNowMax    = 64 // waiting requests up to which each event tries to grant; beyond, only ticks do
 )
 
-// central is the central scheduler with the coordinator inside it. It holds
+// centralScheduler is the central scheduler with the coordinator inside it. It holds
 // no durable truth: a successor learns all from the agents' syncs and the
 // owners' repeated requests.
-type central struct {
-	epoch   uint64
-	startMs int64
-	workers map[string]*workerCapacity
-	pending map[allocationKey]*pendingAllocation
-	roundAt int64
-	round   int64
-	urgent  scheduler.UrgentShare
+type centralScheduler struct {
+	epoch       uint64
+	startMs     int64
+	workers     map[string]*workerCapacity
+	pending     map[allocationKey]*pendingAllocation
+	nextRoundMs int64
+	round       int64
+	urgentShare scheduler.UrgentShare
 
-	allocateAtMs int64 // before this requests wait for the next pass
+	nextAllocationMs int64 // before this requests wait for the next pass
 }
 
 // allocationKey names a want by its first task's step: (job, round and step), or the
@@ -43,12 +44,12 @@
 	Step int64
 }
 
-func keyOf(m *wire.AllocationRequest) allocationKey {
+func allocationKeyOf(m *wire.AllocationRequest) allocationKey {
 	if len(m.Tasks) == 0 {
 		return allocationKey{m.Job, -1}
 	}
-	if round, step, _, ok := placeOf(m.Tasks[0].Task); ok {
-		return allocationKey{m.Job, placeID(round, step, 0)}
+	if round, step, _, ok := parseUniformTaskID(m.Tasks[0].Task); ok {
+		return allocationKey{m.Job, uniformTaskID(round, step, 0)}
 	}
 	return allocationKey{m.Job, m.Tasks[0].Task}
 }
@@ -68,19 +69,21 @@
 }
 
 // isOpen tells whether a task has no grant.
-func (ws *pendingAllocation) isOpen(t wire.RequestedTask) bool {
-	g, granted := ws.granted[t.Task]
+func (p *pendingAllocation) isOpen(t wire.RequestedTask) bool {
+	g, granted := p.granted[t.Task]
 	return !granted || g.attempt != t.Attempt
 }
 
 // hasOpen tells whether some task has no grant.
-func (ws *pendingAllocation) hasOpen() bool { return slices.ContainsFunc(ws.Tasks, ws.isOpen) }
+func (p *pendingAllocation) hasOpen() bool {
+	return slices.ContainsFunc(p.Tasks, p.isOpen)
+}
 
 // open gives the tasks without a grant.
-func (ws *pendingAllocation) open() []wire.RequestedTask {
-	out := make([]wire.RequestedTask, 0, len(ws.Tasks))
-	for _, t := range ws.Tasks {
-		if ws.isOpen(t) {
+func (p *pendingAllocation) open() []wire.RequestedTask {
+	out := make([]wire.RequestedTask, 0, len(p.Tasks))
+	for _, t := range p.Tasks {
+		if p.isOpen(t) {
 			out = append(out, t)
 		}
 	}
@@ -89,7 +92,7 @@
 
 type workerCapacity struct {
 	wire.AgentReport
-	heardMs          int64
+	receivedMs       int64
 	guaranteed       resource.Amount // room of the firm tasks it holds
 	busy             resource.Amount // room of all it holds that is not ended
 	unhealthyUntilMs int64           // unsound until
@@ -98,23 +101,23 @@
 
 // rankState is what this daemon last heard from the coordinator.
 type rankState struct {
-	epoch     uint64
-	round     int64
-	heardMs   int64
-	targetMs  int64
-	short     bool
-	idle      bool            // most of all room was free
-	urgent    resource.Amount // percent by dimension that is kept for the most urgent queues
-	ranks     map[string]int64
-	unhealthy map[string]int8
-	failRates map[string]float64 // by queue
-	added     map[string]int64   // estimates of what was placed from here since the round
+	epoch         uint64
+	round         int64
+	receivedMs    int64
+	targetMs      int64
+	roomShort     bool
+	idle          bool            // most of all room was free
+	urgentPercent resource.Amount // percent by dimension that is kept for the most urgent queues
+	ranks         map[string]int64
+	unhealthy     map[string]int8
+	failRates     map[string]float64 // by queue
+	added         map[string]int64   // estimates of what was placed from here since the round
 }
 
-// of gives a worker's rank: the coordinator's, and what this daemon itself has
+// rank gives a worker's rank: the coordinator's, and what this daemon itself has
 // sent there since. When the coordinator's word is stale only the latter counts.
-func (r *rankState) of(n *node, worker string) int64 {
-	if r.ranks == nil || n.now-r.heardMs > rankStaleMs {
+func (r *rankState) rank(n *node, worker string) int64 {
+	if r.ranks == nil || n.now-r.receivedMs > rankStaleMs {
 		return r.added[worker]
 	}
 	return r.ranks[worker] + r.added[worker]
@@ -128,12 +131,12 @@
 }
 
 func (n *node) startCentral(epoch uint64) {
-	n.central = &central{
-		epoch:   epoch,
-		startMs: n.now,
-		workers: map[string]*workerCapacity{},
-		pending: map[allocationKey]*pendingAllocation{},
-		roundAt: n.now + rebuildMs,
+	n.central = &centralScheduler{
+		epoch:       epoch,
+		startMs:     n.now,
+		workers:     map[string]*workerCapacity{},
+		pending:     map[allocationKey]*pendingAllocation{},
+		nextRoundMs: n.now + centralRebuildMs,
 	}
 }
 
@@ -150,25 +153,25 @@
 	if m.Epoch < w.Epoch {
 		return
 	}
-	w.AgentReport, w.heardMs = *m, n.now
+	w.AgentReport, w.receivedMs = *m, n.now
 	w.guaranteed, w.busy = resource.Amount{}, m.Others // to the central scheduler all are others' attempts
-	for _, h := range m.Attempts {
-		if h.Class != wire.ClassGuaranteed {
+	for _, status := range m.Attempts {
+		if status.Class != wire.ClassGuaranteed {
 			continue
 		}
-		w.guaranteed = w.guaranteed.Plus(h.Resources)
-		key := allocationKey{h.Key.Job, h.Key.Task}
-		if round, step, _, ok := placeOf(h.Key.Task); ok {
-			key.Step = placeID(round, step, 0)
+		w.guaranteed = w.guaranteed.Plus(status.Resources)
+		key := allocationKey{status.Key.Job, status.Key.Task}
+		if round, step, _, ok := parseUniformTaskID(status.Key.Task); ok {
+			key.Step = uniformTaskID(round, step, 0)
 		}
-		if ws := c.pending[key]; ws != nil {
-			if g, ok := ws.granted[h.Key.Task]; ok && g.attempt <= h.Key.Attempt {
-				delete(ws.granted, h.Key.Task)
-				ws.Tasks = slices.DeleteFunc(
-					ws.Tasks,
-					func(t wire.RequestedTask) bool { return t.Task == h.Key.Task && t.Attempt <= h.Key.Attempt },
+		if request := c.pending[key]; request != nil {
+			if g, ok := request.granted[status.Key.Task]; ok && g.attempt <= status.Key.Attempt {
+				delete(request.granted, status.Key.Task)
+				request.Tasks = slices.DeleteFunc(
+					request.Tasks,
+					func(t wire.RequestedTask) bool { return t.Task == status.Key.Task && t.Attempt <= status.Key.Attempt },
 				)
-				if len(ws.Tasks) == 0 {
+				if len(request.Tasks) == 0 {
 					delete(c.pending, key)
 				}
 			}
@@ -185,16 +188,16 @@
 	if c == nil || !n.leases.Holds(lease.Central) || len(m.Tasks) == 0 {
 		return
 	}
-	key := keyOf(m)
-	ws := c.pending[key]
-	if ws == nil {
-		ws = &pendingAllocation{firstMs: n.now, granted: map[int64]grantedTask{}}
-		c.pending[key] = ws
+	key := allocationKeyOf(m)
+	request := c.pending[key]
+	if request == nil {
+		request = &pendingAllocation{firstMs: n.now, granted: map[int64]grantedTask{}}
+		c.pending[key] = request
 	}
-	ws.AllocationRequest, ws.from, ws.lastMs = *m, from, n.now
+	request.AllocationRequest, request.from, request.lastMs = *m, from, n.now
 	for _, t := range m.Tasks { // still wanted some time after it was granted: the grant was lost or could not be taken
-		if g, ok := ws.granted[t.Task]; ok && (g.attempt != t.Attempt || n.now-g.atMs > regrantMs) {
-			delete(ws.granted, t.Task)
+		if g, ok := request.granted[t.Task]; ok && (g.attempt != t.Attempt || n.now-g.atMs > regrantAfterMs) {
+			delete(request.granted, t.Task)
 		}
 	}
 	if len(c.pending) <= allocateNowMax {
@@ -203,11 +206,11 @@
 }
 
 // grantedRoom is the guaranteed room, by worker, that agents do not show yet.
-func (c *central) grantedRoom() map[string]resource.Amount {
+func (c *centralScheduler) grantedRoom() map[string]resource.Amount {
 	room := map[string]resource.Amount{}
-	for _, ws := range c.pending { // sums: the order does not matter
-		for _, g := range ws.granted {
-			room[g.worker] = room[g.worker].Plus(ws.Resources)
+	for _, request := range c.pending { // sums: the order does not matter
+		for _, g := range request.granted {
+			room[g.worker] = room[g.worker].Plus(request.Resources)
 		}
 	}
 	return room
@@ -215,24 +218,24 @@
 
 // promote makes long-running queueable tasks firm where the room is sure, so
 // that their work is not thrown away.
-func (n *node) promote(c *central, w *workerCapacity) {
-	if !n.leases.Holds(lease.Central) || n.now-c.startMs < rebuildMs || !n.Policies.On(scheduler.Promotion) {
+func (n *node) promote(c *centralScheduler, w *workerCapacity) {
+	if !n.leases.Holds(lease.Central) || n.now-c.startMs < centralRebuildMs || !n.Policies.On(scheduler.Promotion) {
 		return
 	}
-	long := func(h wire.AttemptStatus) bool {
-		return h.Class == wire.ClassQueueable && n.mayBePromoted(h.State, h.RanMs, h.EstimateMs)
+	long := func(status wire.AttemptStatus) bool {
+		return status.Class == wire.ClassQueueable && n.mayBePromoted(status.State, status.RanMs, status.EstimateMs)
 	}
 	if !slices.ContainsFunc(w.Attempts, long) {
 		return
 	}
 	sure := w.Capacity.Minus(w.guaranteed).Minus(c.grantedRoom()[w.Worker])
-	for _, h := range w.Attempts {
-		if q := n.config.current.Queues[h.Queue]; q != nil && q.Batch != nil {
+	for _, status := range w.Attempts {
+		if q := n.config.current.Queues[status.Queue]; q != nil && q.Batch != nil {
 			continue // batches are never firm
 		}
-		if long(h) && h.Resources.Fits(sure) {
-			sure = sure.Minus(h.Resources)
-			n.send(w.Agent, &wire.Promotion{Worker: w.Worker, Epoch: w.Epoch, Key: h.Key})
+		if long(status) && status.Resources.Fits(sure) {
+			sure = sure.Minus(status.Resources)
+			n.send(w.Agent, &wire.Promotion{Worker: w.Worker, Epoch: w.Epoch, Key: status.Key})
 		}
 	}
 }
@@ -242,31 +245,31 @@
 	if c == nil {
 		return
 	}
-	for k, ws := range c.pending { // each is judged alone, so the order does not matter
-		for t, g := range ws.granted {
-			if n.now-g.atMs > grantMs {
-				delete(ws.granted, t)
+	for k, request := range c.pending { // each is judged alone, so the order does not matter
+		for t, g := range request.granted {
+			if n.now-g.atMs > grantTimeoutMs {
+				delete(request.granted, t)
 			}
 		}
-		if n.now-ws.lastMs > allocationStaleMs {
+		if n.now-request.lastMs > allocationStaleMs {
 			delete(c.pending, k)
 		}
 	}
-	for _, name := range sorted(c.workers) {
-		if n.now-c.workers[name].heardMs > forgetMs {
+	for _, name := range sortedKeys(c.workers) {
+		if n.now-c.workers[name].receivedMs > workerForgetMs {
 			delete(c.workers, name)
 		}
 	}
 	n.observeUrgent(c)
 	n.allocateAll(c)
-	if n.now < c.roundAt || !n.leases.Holds(lease.Central) {
+	if n.now < c.nextRoundMs || !n.leases.Holds(lease.Central) {
 		return
 	}
-	c.roundAt += rankMs
+	c.nextRoundMs += rankIntervalMs
 	c.round++
 	n.updateHealth(c)
 	m := &wire.Ranks{
-		Epoch: c.epoch, Round: c.round, WaitsForRoom: n.allocationsWait(c), UrgentPercent: c.urgent.Percent(),
+		Epoch: c.epoch, Round: c.round, WaitsForRoom: n.allocationsWait(c), UrgentPercent: c.urgentShare.Percent(),
 		Idle: scheduler.IdleThroughout(n.candidateWorkers(c), busyPercent), FailRates: c.failRates(),
 	}
 	n.rankWorkers(c, m)
@@ -288,11 +291,11 @@
 }
 
 // rankWorkers puts the workers' ranks into a round, and the target that follows from them.
-func (n *node) rankWorkers(c *central, m *wire.Ranks) {
+func (n *node) rankWorkers(c *centralScheduler, m *wire.Ranks) {
 	var sum, sum2, count float64
-	for _, name := range sorted(c.workers) {
+	for _, name := range sortedKeys(c.workers) {
 		w := c.workers[name]
-		if n.now-w.heardMs > rankMs {
+		if n.now-w.receivedMs > rankIntervalMs {
 			continue
 		}
 		v := wire.WorkerRank{Worker: name, RankMs: w.RankMs}
@@ -311,26 +314,26 @@
 }
 
 // observeUrgent takes what the most urgent queues hold at all workers now.
-func (n *node) observeUrgent(c *central) {
+func (n *node) observeUrgent(c *centralScheduler) {
 	if !n.Policies.On(scheduler.UrgentRoom) {
 		return
 	}
 	var used, all resource.Amount
 	for _, w := range c.workers { // a sum: the order does not matter
-		if n.now-w.heardMs < contactMs {
+		if n.now-w.receivedMs < ownerContactMs {
 			used, all = used.Plus(w.Urgent), all.Plus(w.Capacity)
 		}
 	}
-	c.urgent.Observe(used, all)
+	c.urgentShare.Observe(used, all)
 }
 
 // updateHealth finds workers that lag far more than their peers. A worker judged unhealthy is
 // tried again with real work after a while. That it fails its tasks is its agent's to find.
-func (n *node) updateHealth(c *central) {
+func (n *node) updateHealth(c *centralScheduler) {
 	var names []string
 	var paces []scheduler.Pace
-	for _, name := range sorted(c.workers) {
-		if w := c.workers[name]; n.now-w.heardMs < contactMs {
+	for _, name := range sortedKeys(c.workers) {
+		if w := c.workers[name]; n.now-w.receivedMs < ownerContactMs {
 			names = append(names, name)
 			paces = append(paces, scheduler.Pace{Succeeded: w.Succeeded, LagPercent: w.LagPercent})
 		}
@@ -352,16 +355,16 @@
 		return
 	}
 	*r = rankState{
-		epoch:     m.Epoch,
-		round:     m.Round,
-		heardMs:   n.now,
-		targetMs:  m.TargetMs,
-		short:     m.WaitsForRoom,
-		idle:      m.Idle,
-		urgent:    m.UrgentPercent,
-		ranks:     map[string]int64{},
-		unhealthy: map[string]int8{},
-		failRates: map[string]float64{},
+		epoch:         m.Epoch,
+		round:         m.Round,
+		receivedMs:    n.now,
+		targetMs:      m.TargetMs,
+		roomShort:     m.WaitsForRoom,
+		idle:          m.Idle,
+		urgentPercent: m.UrgentPercent,
+		ranks:         map[string]int64{},
+		unhealthy:     map[string]int8{},
+		failRates:     map[string]float64{},
 	}
 	for _, rate := range m.FailRates {
 		r.failRates[rate.Queue] = float64(rate.PerMille) / perMille
@@ -373,7 +376,7 @@
 		}
 	}
 	if m.TargetMs > 0 && n.Policies.On(scheduler.DelayTarget) {
-		for _, name := range sorted(n.agents) {
+		for _, name := range sortedKeys(n.agents) {
 			n.shed(n.agents[name], m.TargetMs)
 		}
 	}
--- a/internal/daemon/heartbeat_test.go
+++ b/internal/daemon/heartbeat_test.go
@@ -47,10 +47,10 @@
 	}{{true, 99, 0}, {true, 50, 1}, {true, 0, 0}, {false, 50, 1}, {false, 99, 1}} {
 		n, beat := pinned(t)
 		beat(100, running("j1", 0, 1, c.percent))
-		h := n.agents["w1"].attempts[wire.AttemptKey{Job: "j1", Task: placeID(0, 0, 0), Attempt: 1}]
-		h.unknown, h.confirmedMs, h.spec.Gang, h.spec.EstimateMs = false, n.now+60_000, c.gang, 1000
+		attempt := n.agents["w1"].attempts[wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}]
+		attempt.specUnknown, attempt.confirmedMs, attempt.spec.Gang, attempt.spec.EstimateMs = false, n.now+60_000, c.gang, 1000
 		beat(100, running("j1", 0, 1, c.percent))
-		must.Len(t, c.stops, beat(standMs+200, running("j1", 0, 1, c.percent)).Stop, must.Sprint(c))
+		must.Len(t, c.stops, beat(stallMs+200, running("j1", 0, 1, c.percent)).Stop, must.Sprint(c))
 	}
 }
 
@@ -58,21 +58,21 @@
 // that nobody confirms is held no longer than its owner's word is good.
 func TestHoldEndsWithTheOwnersWord(t *testing.T) {
 	n, beat := pinned(t)
-	must.Eq(t, int64(holdSpanMs), beat(100, "").HoldMs)
+	must.Eq(t, int64(holdMaxMs), beat(100, "").HoldMs)
 	a := beat(50, running("j1", 0, 1, 10))
 	must.Eq(t, int64(0), a.HoldMs) // found running, and no owner has spoken: what an earlier answer held must do
-	ag := n.agents["w1"]
-	h := ag.attempts[wire.AttemptKey{Job: "j1", Task: placeID(0, 0, 0), Attempt: 1}]
-	h.unknown, h.confirmedMs = false, n.now
-	must.Eq(t, int64(holdSpanMs), beat(50, running("j1", 0, 1, 20)).HoldMs)
-	a = beat(ownerSpanMs-1500, running("j1", 0, 1, 30))
+	agent := n.agents["w1"]
+	attempt := agent.attempts[wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}]
+	attempt.specUnknown, attempt.confirmedMs = false, n.now
+	must.Eq(t, int64(holdMaxMs), beat(50, running("j1", 0, 1, 20)).HoldMs)
+	a = beat(ownerTimeoutMs-1500, running("j1", 0, 1, 30))
 	must.Eq(t, int64(1450), a.HoldMs)
 	must.Len(t, 0, a.Stop)
 	must.Eq(t, int64(0), beat(1600, running("j1", 0, 1, 40)).HoldMs)
 
-	ag.attempts[wire.AttemptKey{Job: "j2", Task: placeID(0, 0, 1), Attempt: 3}] = &attempt{state: wire.AttemptOrdered, orderSeq: ag.reportSeq, confirmedMs: n.now, spec: wire.TaskSpec{Key: wire.AttemptKey{Job: "j2", Task: placeID(0, 0, 1), Attempt: 3}}}
+	agent.attempts[wire.AttemptKey{Job: "j2", Task: uniformTaskID(0, 0, 1), Attempt: 3}] = &agentAttempt{state: wire.AttemptOrdered, orderSeq: agent.reportSeq, confirmedMs: n.now, spec: wire.TaskSpec{Key: wire.AttemptKey{Job: "j2", Task: uniformTaskID(0, 0, 1), Attempt: 3}}}
 	beat(50, "")
-	must.Eq(t, wire.ResultRejected, ag.attempts[wire.AttemptKey{Job: "j2", Task: placeID(0, 0, 1), Attempt: 3}].result)
+	must.Eq(t, wire.ResultRejected, agent.attempts[wire.AttemptKey{Job: "j2", Task: uniformTaskID(0, 0, 1), Attempt: 3}].result)
 }
 
 // Another worker at the same place means that the former has crashed; an end is
@@ -80,18 +80,18 @@
 func TestWorkerReplacedAtItsPlace(t *testing.T) {
 	n, beat := pinned(t)
 	beat(100, running("j1", 0, 1, 10))
-	key := wire.AttemptKey{Job: "j1", Task: placeID(0, 0, 0), Attempt: 1}
+	key := wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}
 	ended := `,"ended":[{"n":1,"job":"j1","round":0,"step":0,"index":0,"run":1,"saved":"","outcome":"ok"}]`
-	must.Eq(t, int64(0), beat(50, ended).Seen)
-	must.Eq(t, int64(0), beat(50, ended).Seen)
+	must.Eq(t, int64(0), beat(50, ended).AcknowledgedEnds)
+	must.Eq(t, int64(0), beat(50, ended).AcknowledgedEnds)
 	n.agents["w1"].attempts[key].acked = true
-	must.Eq(t, int64(1), beat(50, ended).Seen)
+	must.Eq(t, int64(1), beat(50, ended).AcknowledgedEnds)
 
 	beat(50, running("j1", 1, 1, 10))
 	reduce(n, event{NowMs: n.now + 50, WallMs: 1, Body: evRequest{ID: 99, Op: "worker.beat", Key: "w2", Base: -1, Body: []byte(`{"seq":1,"site":"east","capacity":{"cpu":1,"memory":1,"accelerators":0}}`)}})
 	old := n.agents["w1"]
 	must.True(t, old.replaced)
-	must.Eq(t, wire.ResultLost, old.attempts[wire.AttemptKey{Job: "j1", Task: placeID(0, 0, 1), Attempt: 1}].result)
+	must.Eq(t, wire.ResultLost, old.attempts[wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 1), Attempt: 1}].result)
 }
 
 func jsonTo(b []byte, out any) error { return json.Unmarshal(b, out) }
@@ -100,7 +100,7 @@
 // the answer to the same beat sent again, nor to an earlier one that comes late,
 // nor to later ones.
 func TestHeartbeatOrderIsGivenOnce(t *testing.T) {
-	key := wire.AttemptKey{Job: "j1", Task: placeID(0, 0, 0), Attempt: 1}
+	key := wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}
 	for _, c := range []struct {
 		name  string
 		lists string // of the next beat
@@ -108,9 +108,9 @@
 	}{{"the answer arrived", running("j1", 0, 1, 0), wire.AttemptRunning}, {"the answer was lost", "", wire.AttemptEnded}} {
 		n, beat := pinned(t)
 		beat(100, "")
-		ag := n.agents["w1"]
-		h := &attempt{state: wire.AttemptOrdered, orderSeq: ag.reportSeq + 1, confirmedMs: n.now + 60_000, spec: wire.TaskSpec{Key: key, Payload: []byte(`"text"`)}}
-		ag.attempts[key], ag.toStart = h, []*attempt{h}
+		agent := n.agents["w1"]
+		attempt := &agentAttempt{state: wire.AttemptOrdered, orderSeq: agent.reportSeq + 1, confirmedMs: n.now + 60_000, spec: wire.TaskSpec{Key: key, Payload: []byte(`"text"`)}}
+		agent.attempts[key], agent.toStart = attempt, []*agentAttempt{attempt}
 		must.Len(t, 1, beat(50, "").Start, must.Sprint(c.name))
 		for seq := range int64(2) { // the same beat again and those before it, over other connections
 			for _, e := range reduce(n, event{NowMs: n.now, WallMs: 1, Seed: 1, Body: evRequest{ID: 77, Op: "worker.beat", Key: "w1", Base: -1,
@@ -123,9 +123,9 @@
 				}
 			}
 		}
-		must.Eq(t, wire.AttemptOrdered, h.state)
+		must.Eq(t, wire.AttemptOrdered, attempt.state)
 		must.Len(t, 0, beat(50, c.lists).Start, must.Sprint(c.name))
-		must.Eq(t, c.state, h.state, must.Sprint(c.name))
+		must.Eq(t, c.state, attempt.state, must.Sprint(c.name))
 		must.Len(t, 0, beat(50, c.lists).Start, must.Sprint(c.name))
 	}
 }
--- a/internal/daemon/incident_test.go
+++ b/internal/daemon/incident_test.go
@@ -16,7 +16,7 @@
 // at work, says so and nothing is learned from it: in the incidents such runs
 // counted as the daemon's own age, or as nothing.
 func TestIncidentRunTimesThatNobodySaw(t *testing.T) {
-	key := wire.AttemptKey{Job: "j1", Task: placeID(0, 0, 0), Attempt: 1}
+	key := wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}
 	ended := `,"ended":[{"n":1,"job":"j1","round":0,"step":0,"index":0,"run":1,"saved":"","outcome":"ok"}]`
 	type lists struct {
 		afterMs int64
@@ -38,24 +38,24 @@
 		n, beat := pinned(t)
 		beat(100_000, "")
 		beat(50, "")
-		ag := n.agents["w1"]
+		agent := n.agents["w1"]
 		if c.ordered {
-			ag.attempts[key] = &attempt{state: wire.AttemptOrdered, ordered: true, orderedMs: n.now, orderSeq: ag.reportSeq, confirmedMs: n.now + 60_000, spec: wire.TaskSpec{Key: key, EstimateMs: 100}}
+			agent.attempts[key] = &agentAttempt{state: wire.AttemptOrdered, ordered: true, orderedMs: n.now, orderSeq: agent.reportSeq, confirmedMs: n.now + 60_000, spec: wire.TaskSpec{Key: key, EstimateMs: 100}}
 		}
 		for _, l := range c.beats {
 			beat(l.afterMs, l.text)
 		}
-		h := ag.attempts[key]
-		must.Eq(t, wire.AttemptEnded, h.state, must.Sprint(name))
-		must.Eq(t, wire.ResultOK, h.result, must.Sprint(name))
-		must.Eq(t, c.ranMs, h.ranMs, must.Sprint(name))
+		attempt := agent.attempts[key]
+		must.Eq(t, wire.AttemptEnded, attempt.state, must.Sprint(name))
+		must.Eq(t, wire.ResultOK, attempt.result, must.Sprint(name))
+		must.Eq(t, c.ranMs, attempt.ranMs, must.Sprint(name))
 	}
 
 	n, _ := pinned(t)
-	js := &jobState{job: job{Queue: "q", Steps: []jobStep{{Alike: true}}}}
-	n.recordRunTime(js, &task{HintMs: 1000}, 1200)
-	n.recordRunTime(js, &task{HintMs: 1000}, 0)
-	mean, _ := n.estimates.Mean(guessScale("q"))
+	job := &liveJob{jobRecord: jobRecord{Queue: "q", Steps: []jobStep{{Uniform: true}}}}
+	n.recordRunTime(job, &task{EstimateHintMs: 1000}, 1200)
+	n.recordRunTime(job, &task{EstimateHintMs: 1000}, 0)
+	mean, _ := n.estimates.Mean(hintScaleKey("q"))
 	must.Eq(t, 120.0, mean)
 }
 
@@ -90,7 +90,7 @@
 		return slices.ContainsFunc(b.events, func(e platformEvent) bool { return e.kind == bStarted && e.job == gang.id })
 	}
 	must.True(t, b.until(3000, started))
-	must.Less(t, 2*syncMs+300, b.nowMs()-heldMs)
+	must.Less(t, 2*agentSyncMs+300, b.nowMs()-heldMs)
 	undo()
 	b.finish(30_000)
 	verdictOfPlatform(t, b)
@@ -159,7 +159,7 @@
 // acknowledged; they come back one after the other.
 func (b *platformWorld) blackout(downMs, spreadMs int64) {
 	b.settled()
-	for _, host := range sorted(b.nodes) {
+	for _, host := range sortedKeys(b.nodes) {
 		undo := b.kill(host, true)
 		s := b.byHost[host]
 		if s != nil {
@@ -310,7 +310,7 @@
 	if *seedsFlag > 0 {
 		from, count = *fromFlag, *seedsFlag
 	}
-	for _, name := range sorted(incidents) {
+	for _, name := range sortedKeys(incidents) {
 		for i := range count {
 			seed := from + uint64(i)
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
--- a/internal/daemon/job_encode_test.go
+++ b/internal/daemon/job_encode_test.go
@@ -12,9 +12,9 @@
 // The form in segments is the form of the codec, so that records of earlier releases are
 // read, and each segment but the first and the last is a task.
 func TestJobIsEncodedInSegments(t *testing.T) {
-	sample, next := reflect.New(reflect.TypeFor[job]()), uint64(0)
+	sample, next := reflect.New(reflect.TypeFor[jobRecord]()), uint64(0)
 	sampleValue(sample.Elem(), &next)
-	j := sample.Interface().(*job)
+	j := sample.Interface().(*jobRecord)
 	for _, c := range []struct {
 		state  jobStatus
 		doneMs int64
@@ -22,7 +22,7 @@
 	}{{jobRunning, 0, false}, {jobRunning, 0, true}, {jobComplete, 7, true}, {jobFailed, 7, false}} {
 		j.State, j.DoneMs = c.state, c.doneMs
 		for i := range j.Steps {
-			j.Steps[i].Alike = c.alike
+			j.Steps[i].Uniform = c.alike
 		}
 		got := j.encodeSegmented()
 		kept := j.recorded()
--- a/internal/daemon/queue_counts.go
+++ b/internal/daemon/queue_counts.go
@@ -15,17 +15,17 @@
 
 // queueCounts is what the owner of one shard last told.
 type queueCounts struct {
-	epoch   uint64
-	heardMs int64
-	pending map[string]int64
+	epoch      uint64
+	receivedMs int64
+	pending    map[string]int64
 }
 
 // pendingByQueue counts a shard's jobs that wait for their first start, by queue.
-func pendingByQueue(sl *shard) map[string]int64 {
+func pendingByQueue(shard *ownedShard) map[string]int64 {
 	pending := map[string]int64{}
-	for _, js := range sl.jobs {
-		if js.committed > 0 && js.state() == "pending" {
-			pending[js.Queue]++
+	for _, job := range shard.jobs {
+		if job.committed > 0 && job.state() == "pending" {
+			pending[job.Queue]++
 		}
 	}
 	return pending
@@ -33,18 +33,18 @@
 
 // tickQueueCounts tells the daemons that take callers what waits in the shards owned here.
 func (n *node) tickQueueCounts() {
-	if n.now < n.queueCountsAt || len(n.owned) == 0 {
+	if n.now < n.nextQueueCountsMs || len(n.shards) == 0 {
 		return
 	}
-	n.queueCountsAt = n.now + queueCountsMs
-	for _, name := range sorted(n.owned) {
-		sl := n.owned[name]
-		if !sl.serving || len(sl.loading) > 0 || !n.leases.Holds(lease.ShardRole(name)) {
+	n.nextQueueCountsMs = n.now + queueCountsMs
+	for _, name := range sortedKeys(n.shards) {
+		shard := n.shards[name]
+		if !shard.serving || len(shard.loading) > 0 || !n.leases.Holds(lease.ShardRole(name)) {
 			continue
 		}
-		pending := pendingByQueue(sl)
-		m := &wire.QueueCounts{Shard: name, Epoch: sl.epoch}
-		for _, queue := range sorted(pending) {
+		pending := pendingByQueue(shard)
+		m := &wire.QueueCounts{Shard: name, Epoch: shard.epoch}
+		for _, queue := range sortedKeys(pending) {
 			m.Counts = append(m.Counts, wire.QueueCount{Queue: queue, Pending: pending[queue]})
 		}
 		for _, peer := range n.peers.AliveNames() {
@@ -59,7 +59,7 @@
 	if old := n.queueCounts[m.Shard]; old != nil && m.Epoch < old.epoch {
 		return
 	}
-	counts := &queueCounts{epoch: m.Epoch, heardMs: n.now, pending: map[string]int64{}}
+	counts := &queueCounts{epoch: m.Epoch, receivedMs: n.now, pending: map[string]int64{}}
 	for _, c := range m.Counts {
 		counts.pending[c.Queue] = c.Pending
 	}
@@ -72,13 +72,13 @@
 // pendingIn counts a queue's jobs, in all shards, that wait for their first start; false
 // where a shard's owner has not told for too long.
 func (n *node) pendingIn(queue string) (count int64, known bool) {
-	for _, shard := range n.core.Shards {
-		if sl := n.owned[shard]; sl != nil && sl.serving && n.leases.Holds(lease.ShardRole(shard)) {
-			count += pendingByQueue(sl)[queue]
+	for _, name := range n.core.Shards {
+		if shard := n.shards[name]; shard != nil && shard.serving && n.leases.Holds(lease.ShardRole(name)) {
+			count += pendingByQueue(shard)[queue]
 			continue
 		}
-		counts := n.queueCounts[shard]
-		if counts == nil || n.now-counts.heardMs > queueCountsStaleMs {
+		counts := n.queueCounts[name]
+		if counts == nil || n.now-counts.receivedMs > queueCountsStaleMs {
 			return 0, false
 		}
 		count += counts.pending[queue]
@@ -87,11 +87,11 @@
 }
 
 // respondPending answers how many jobs of a queue wait for their first start.
-func (n *node) respondPending(a *request, queue string) {
+func (n *node) respondPending(req *request, queue string) {
 	count, known := n.pendingIn(queue)
 	if !known {
-		n.reject(a, "not all shards have told what waits")
+		n.reject(req, "not all shards have told what waits")
 		return
 	}
-	n.respond(a, 200, 0, mustJSON(map[string]any{"waiting": count}))
+	n.respond(req, 200, 0, mustJSON(map[string]any{"waiting": count}))
 }
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	configForwardMs = 2400 // the same for a change of the configuration, which a core member tries for changeMs
-	forwardMs       = 1200 // a request forwarded without an answer is given up on
-	quorumReadMs    = 500  // a state read from the core that takes longer is given up on
-	forwardsMax     = 2    // a request is forwarded at most this often
-	requestsMax     = 4000 // requests in flight through one daemon before it rejects
-	retryShare      = 5    // every so many requests allow one to be forwarded again: a crowd costs a fifth more at most
-	retriesPerTick  = 1    // and so many a tick, that few requests need not wait
-	readsPerTick    = 10   // states read from the core a tick: 100 a second for each daemon
-	retryBudgetMax  = 100  // what either budget saves up for a burst
+	configForwardMs  = 2400 // the same for a change of the configuration, which a core member tries for changeMs
+	forwardMs        = 1200 // a request forwarded without an answer is given up on
+	quorumReadMs     = 500  // a state read from the core that takes longer is given up on
+	forwardsMax      = 2    // a request is forwarded at most this often
+	requestsMax      = 4000 // requests in flight through one daemon before it rejects
+	requestsPerRetry = 5    // every so many requests allow one to be forwarded again: a crowd costs a fifth more at most
+	retriesPerTick   = 1    // and so many a tick, that few requests need not wait
+	readsPerTick     = 10   // states read from the core a tick: 100 a second for each daemon
+	retryBudgetMax   = 100  // what either budget saves up for a burst
 )
 
 // request is one thing a caller, worker or operator wants, at the daemon that got
@@ -94,16 +94,16 @@
 // retryBudget bounds what this daemon does beyond the first attempt, for all requests
 // together: under a crowd that sends again and again the fleet's own work must
 // not grow with what it gives up on.
-type retryBudget struct{ left int64 }
+type retryBudget struct{ tokens int64 }
 
-func (b *retryBudget) earn(v int64) { b.left = min(b.left+v, retryBudgetMax*retryShare) }
+func (b *retryBudget) add(v int64) { b.tokens = min(b.tokens+v, retryBudgetMax*requestsPerRetry) }
 
-// spend takes one try, if one is left.
-func (b *retryBudget) spend() bool {
-	if b.left < retryShare {
+// take takes one try, if one is left.
+func (b *retryBudget) take() bool {
+	if b.tokens < requestsPerRetry {
 		return false
 	}
-	b.left -= retryShare
+	b.tokens -= requestsPerRetry
 	return true
 }
 
@@ -121,7 +121,7 @@
 		return
 	}
 	n.count("requests_in")
-	n.retries.earn(1)
+	n.retries.add(1)
 	n.handleRequest(
 		&request{
 			receivedMs:  n.now,
@@ -130,7 +130,7 @@
 			op:          e.Op,
 			key:         e.Key,
 			body:        e.Body,
-			config:      e.Ready,
+			config:      e.Precompiled,
 			host:        e.Host,
 			path:        e.Path,
 			base:        e.Base,
@@ -166,41 +166,41 @@
 	)
 }
 
-func (n *node) handleRequest(a *request) {
-	op, ok := requestHandlers[a.op]
+func (n *node) handleRequest(req *request) {
+	op, ok := requestHandlers[req.op]
 	if !ok {
-		n.respond(a, 404, 0, mustJSON(map[string]any{"error": "no such ask"}))
+		n.respond(req, 404, 0, mustJSON(map[string]any{"error": "no such ask"}))
 		return
 	}
-	op(n, a)
+	op(n, req)
 }
 
-func (n *node) respond(a *request, status int, retryMs int64, body []byte) {
+func (n *node) respond(req *request, status int, retryMs int64, body []byte) {
 	if status >= 400 {
 		n.count("requests_rejected")
 	}
-	if a.outcomeUnknown(status) {
+	if req.outcomeUnknown(status) {
 		status, body = 504, mustJSON(map[string]any{"error": "outcome unknown: send the same call again"})
 	}
-	if a.byAddress && a.origin == "" && status == 404 && a.queue != "" {
+	if req.byAddress && req.origin == "" && status == 404 && req.queue != "" {
 		status, body = 410, mustJSON(map[string]any{"missing": "job", "error": "no such job"})
 	}
-	m := wire.ForwardReply{ID: a.id, Status: int32(status), RetryMs: retryMs, Body: body}
-	if a.origin == "" {
-		n.reply(a.id, m)
+	m := wire.ForwardReply{ID: req.id, Status: int32(status), RetryMs: retryMs, Body: body}
+	if req.origin == "" {
+		n.reply(req.id, m)
 		return
 	}
-	n.respondTo(peerInstance{a.origin, a.originInstance}, &m)
+	n.respondTo(peerInstance{req.origin, req.originInstance}, &m)
 }
 
 // outcomeUnknown tells that a refusal can't be passed on as it is: an earlier try
 // of this call may have been done all the same. "Not taken" is only said when
 // it is surely so. That another job has the id stands, whoever says so.
-func (a *request) outcomeUnknown(status int) bool {
-	if a.queue == "" || !a.maybeApplied {
+func (r *request) outcomeUnknown(status int) bool {
+	if r.queue == "" || !r.maybeApplied {
 		return false
 	}
-	switch a.op {
+	switch r.op {
 	case "job.put":
 		return status == 503 || status == 429 || status == 404 || status == 400
 	case "job.cancel":
@@ -209,12 +209,12 @@
 	return false
 }
 
-func (n *node) reject(a *request, reason string) {
-	n.respond(a, 503, 1000, mustJSON(map[string]any{"error": reason}))
+func (n *node) reject(req *request, reason string) {
+	n.respond(req, 503, 1000, mustJSON(map[string]any{"error": reason}))
 }
 
-func (n *node) rejectFaults(a *request, status int, retryMs int64, faults []schema.Fault) {
-	n.respond(a, status, retryMs, faultsJSON(faults))
+func (n *node) rejectFaults(req *request, status int, retryMs int64, faults []schema.Fault) {
+	n.respond(req, status, retryMs, faultsJSON(faults))
 }
 
 func faultsJSON(faults []schema.Fault) []byte {
@@ -223,39 +223,39 @@
 
 // forward passes a request on, once per daemon and at most forwardsMax times; an
 // answer that does not come is given up on long before the caller's limit.
-func (n *node) forward(a *request, to string) {
-	if a.hops >= forwardsMax || to == n.Name || to == "" || !n.peers.Alive(to) {
-		n.readFromCore(a, "nobody surely settles this now")
+func (n *node) forward(req *request, to string) {
+	if req.hops >= forwardsMax || to == n.Name || to == "" || !n.peers.Alive(to) {
+		n.readFromCore(req, "nobody surely settles this now")
 		return
 	}
-	if a.hops > 0 && a.op != "worker.report" { // a second time; reports are few and feed everything
-		if !n.Policies.On(scheduler.ForwardRetry) || !n.retries.spend() {
-			n.reject(a, "nobody surely settles this now")
+	if req.hops > 0 && req.op != "worker.report" { // a second time; reports are few and feed everything
+		if !n.Policies.On(scheduler.ForwardRetry) || !n.retries.take() {
+			n.reject(req, "nobody surely settles this now")
 			return
 		}
 		n.count("requests_retried")
 	}
 	n.forwardSeq++
-	limitMs, body := n.now+forwardMs, a.body
-	if operatorRequests[a.op] {
-		limitMs, body = n.now+configForwardMs, configuration.Deflate(a.body)
+	limitMs, body := n.now+forwardMs, req.body
+	if operatorRequests[req.op] {
+		limitMs, body = n.now+configForwardMs, configuration.Deflate(req.body)
 	}
-	n.forwarded[n.forwardSeq] = &forwardedRequest{request: a, to: to, limitMs: limitMs}
+	n.forwarded[n.forwardSeq] = &forwardedRequest{request: req, to: to, limitMs: limitMs}
 	n.count("requests_forwarded")
 	n.send(
 		to,
 		&wire.Forward{
 			ID:     n.forwardSeq,
 			Origin: n.Name,
-			Hops:   a.hops + 1,
+			Hops:   req.hops + 1,
 			WaitMs: forwardMs,
-			Op:     a.op,
-			Key:    a.key,
+			Op:     req.op,
+			Key:    req.key,
 			Body:   body,
-			Queue:  a.queue,
-			Expect: a.base,
-			Digest: a.digest,
-			Tenant: a.tenant,
+			Queue:  req.queue,
+			Expect: req.base,
+			Digest: req.digest,
+			Tenant: req.tenant,
 		},
 	)
 }
@@ -272,8 +272,8 @@
 
 // retryForwarded routes anew what waits for a daemon that has lost its role.
 func (n *node) retryForwarded(to string) {
-	for _, id := range sorted(n.forwarded) {
-		if p := n.forwarded[id]; p.to == to && to != "" && n.Policies.On(scheduler.ForwardRetry) && n.retries.spend() {
+	for _, id := range sortedKeys(n.forwarded) {
+		if p := n.forwarded[id]; p.to == to && to != "" && n.Policies.On(scheduler.ForwardRetry) && n.retries.take() {
 			delete(n.forwarded, id)
 			p.request.maybeApplied = true
 			n.count("requests_retried")
@@ -283,16 +283,16 @@
 }
 
 func (n *node) tickRequests() {
-	n.retries.earn(retriesPerTick * retryShare)
-	n.coreReads.earn(readsPerTick * retryShare)
-	for _, id := range sorted(n.forwarded) {
+	n.retries.add(retriesPerTick * requestsPerRetry)
+	n.coreReads.add(readsPerTick * requestsPerRetry)
+	for _, id := range sortedKeys(n.forwarded) {
 		if p := n.forwarded[id]; n.forwardTimedOut(p) {
 			delete(n.forwarded, id)
 			p.request.maybeApplied = true
 			n.readFromCore(p.request, "the daemon that settles this did not answer")
 		}
 	}
-	for _, id := range sorted(n.quorumReads) {
+	for _, id := range sortedKeys(n.quorumReads) {
 		if r := n.quorumReads[id]; n.now >= r.limitMs || n.leases.CutOff() {
 			delete(n.quorumReads, id)
 			n.reject(r.request, "neither the owner nor the core answered")
@@ -302,17 +302,19 @@
 
 // readFromCore is for requests that no owner answers now: a job's state can still be
 // had from the core, anything else is rejected.
-func (n *node) readFromCore(a *request, reason string) {
-	if a.op != "job.get" && a.op != "job.state" || len(n.core.Members) == 0 || n.leases.CutOff() || !n.coreReads.spend() {
-		n.reject(a, reason)
+func (n *node) readFromCore(req *request, reason string) {
+	if req.op != "job.get" && req.op != "job.state" || len(n.core.Members) == 0 || n.leases.CutOff() ||
+		!n.coreReads.take() {
+		n.reject(req, reason)
 		return
 	}
 	n.opSeq++
-	n.quorumReads[n.opSeq] = &quorumRead{request: a, got: map[string]statestore.Record{}, limitMs: n.now + quorumReadMs}
+	n.quorumReads[n.opSeq] = &quorumRead{request: req, answers: map[string]statestore.Record{},
+		limitMs: n.now + quorumReadMs}
 	for _, m := range n.core.Members {
 		n.send(
 			m.Name,
-			&wire.FetchRequest{SetVersion: n.core.Version, Op: n.opSeq, Shard: n.shardOf(a.key), IDs: []string{a.key}},
+			&wire.FetchRequest{SetVersion: n.core.Version, Op: n.opSeq, Shard: n.shardOf(req.key), IDs: []string{req.key}},
 		)
 	}
 }
@@ -320,7 +322,7 @@
 // quorumRead is a job's state on its way from the core, while no owner tells it.
 type quorumRead struct {
 	request *request
-	got     map[string]statestore.Record
+	answers map[string]statestore.Record
 	limitMs int64
 }
 
@@ -334,13 +336,13 @@
 	if len(records) == 1 {
 		rec = records[0]
 	}
-	r.got[from] = rec
+	r.answers[from] = rec
 	need := n.core.Majority()
-	if len(r.got) < need {
+	if len(r.answers) < need {
 		return
 	}
-	all := make([]statestore.Record, 0, len(r.got))
-	for _, rec := range r.got {
+	all := make([]statestore.Record, 0, len(r.answers))
+	for _, rec := range r.answers {
 		all = append(all, rec)
 	}
 	slices.SortFunc(all, func(a, b statestore.Record) int {
@@ -356,10 +358,10 @@
 		}
 		at = need - 1
 	}
-	if j, ok := jobOf(all[at]); ok {
+	if j, ok := decodeJob(all[at]); ok {
 		delete(n.quorumReads, op)
 		n.count("states_from_core")
-		if n.hides(r.request, j) {
+		if n.respondIfHidden(r.request, j) {
 			return
 		}
 		if r.request.op == "job.state" {
@@ -367,17 +369,17 @@
 				r.request,
 				200,
 				0,
-				mustJSON(map[string]any{"state": (&jobState{job: *j, runtime: make([]taskRuntime, len(j.Tasks))}).state()}),
+				mustJSON(map[string]any{"state": (&liveJob{jobRecord: *j, runtime: make([]taskRuntime, len(j.Tasks))}).state()}),
 			)
 			return
 		}
-		n.respond(r.request, 200, 0, mustJSON(j.view(func(t *task) string {
+		n.respond(r.request, 200, 0, mustJSON(j.describe(func(t *task) string {
 			if t.State == taskPending || t.State == taskPlaced {
 				return "its slice is being taken over"
 			}
 			return ""
 		})))
-	} else if len(r.got) == len(n.core.Members) {
+	} else if len(r.answers) == len(n.core.Members) {
 		delete(n.quorumReads, op)
 		n.reject(r.request, "no owner settles this now, and a majority of the core does not know it")
 	}
@@ -386,7 +388,7 @@
 // answeredByFullSet tells whether all of a full set have answered a read. In a set that is
 // larger or smaller, what a majority of the one before it held may be at fewer.
 func (n *node) answeredByFullSet(r *quorumRead) bool {
-	return len(r.got) == len(n.core.Members) && len(r.got) == n.members.Size()
+	return len(r.answers) == len(n.core.Members) && len(r.answers) == n.members.Size()
 }
 
 // shardOf decides which shard owns a job: callers never name one.
@@ -397,40 +399,40 @@
 	return rendezvous.Order(id, n.core.Shards)[0]
 }
 
-func (n *node) routeJob(a *request) {
-	name := n.shardOf(a.key)
+func (n *node) routeJob(req *request) {
+	name := n.shardOf(req.key)
 	if name == "" {
-		n.reject(a, "no cluster yet")
+		n.reject(req, "no cluster yet")
 		return
 	}
-	n.routeToShard(a, name)
+	n.routeToShard(req, name)
 }
 
-func (n *node) routeToShard(a *request, name string) {
-	if sl := n.owned[name]; sl != nil && n.leases.Holds(lease.ShardRole(name)) {
-		if !sl.serving {
-			n.readFromCore(a, "the slice is being taken over")
+func (n *node) routeToShard(req *request, name string) {
+	if shard := n.shards[name]; shard != nil && n.leases.Holds(lease.ShardRole(name)) {
+		if !shard.serving {
+			n.readFromCore(req, "the slice is being taken over")
 			return
 		}
-		op := jobOps[a.op]
+		op := jobOps[req.op]
 		if op == nil {
-			n.respond(a, 404, 0, mustJSON(map[string]any{"error": "no such ask"}))
+			n.respond(req, 404, 0, mustJSON(map[string]any{"error": "no such ask"}))
 			return
 		}
-		op(n, sl, a)
+		op(n, shard, req)
 		return
 	}
 	to, _ := n.leases.Holder(lease.ShardRole(name))
-	n.forward(a, to)
+	n.forward(req, to)
 }
 
-func (n *node) routeWorkerLost(a *request) {
-	slice, _, ok := strings.Cut(a.key, "/")
+func (n *node) routeWorkerLost(req *request) {
+	slice, _, ok := strings.Cut(req.key, "/")
 	if !ok {
-		n.respond(a, 404, 0, mustJSON(map[string]any{"error": "no such slice"}))
+		n.respond(req, 404, 0, mustJSON(map[string]any{"error": "no such slice"}))
 		return
 	}
-	n.routeToShard(a, slice)
+	n.routeToShard(req, slice)
 }
 
 type rawJSON string
