--- a/cmd/otterchute-standin/downstream.go
+++ b/cmd/otterchute-standin/downstream.go
@@ -108,14 +108,14 @@
 	sent := 0
 	send := func() {
 		sent++
-		id, job := fmt.Sprintf("%s-%d", prefix, sent), r.deployment.Draw(rng)
+		id, job := fmt.Sprintf("%s-%d", prefix, sent), r.deployment.RandomJob(rng)
 		cancel := r.cancelEvery > 0 && sent%r.cancelEvery == 0
 		followers.Go(func() { r.submitAndFollow(id, job, deadline, cancel) })
 		if r.batchWindow == nil || sent%r.batchEvery != 0 || !r.batchWindow.accepts(time.Now()) {
 			return
 		}
 		sent++
-		batchID, batch := fmt.Sprintf("%s-%d", prefix, sent), r.deployment.Draw(rng)
+		batchID, batch := fmt.Sprintf("%s-%d", prefix, sent), r.deployment.RandomJob(rng)
 		batch.Queue = batchQueue
 		r.batchWindow.recordSent(batchID)
 		followers.Go(func() {
@@ -146,15 +146,15 @@
 func (r *callersRun) randomDaemon() string { return r.daemons[rand.IntN(len(r.daemons))] }
 
 func (r *callersRun) putConfiguration() error {
-	config := r.deployment.SetupOf()
+	config := r.deployment.InitialConfiguration()
 	if r.batchWindow != nil {
 		config = r.batchWindow.addTo(config)
 	}
-	r.record(historycheck.Event{Kind: historycheck.SetupSent, Version: 1, Setup: &config})
+	r.record(historycheck.Event{Kind: historycheck.ConfigurationSent, Version: 1, Configuration: &config})
 	for range 60 {
 		status, _, b := request(r.http, "PUT", "http://"+r.randomDaemon()+"/v1/setups/1", mustJSON(config))
 		if status == 200 {
-			r.record(historycheck.Event{Kind: historycheck.SetupAcked, Version: 1, Setup: &config})
+			r.record(historycheck.Event{Kind: historycheck.ConfigurationAcked, Version: 1, Configuration: &config})
 			return nil
 		}
 		if status == 400 || status == 409 {
@@ -180,7 +180,7 @@
 		r.mu.Lock()
 		r.rejected[status]++
 		r.mu.Unlock()
-		r.record(historycheck.Event{Kind: historycheck.NoEntry, Job: id})
+		r.record(historycheck.Event{Kind: historycheck.SubmissionFailed, Job: id})
 		if status == 400 || status == 409 || time.Now().After(deadline) {
 			return
 		}
@@ -201,10 +201,10 @@
 		if status == 404 {
 			state = "unknown"
 		} else if status != 200 {
-			r.record(historycheck.Event{Kind: historycheck.NoState, Job: id})
+			r.record(historycheck.Event{Kind: historycheck.StateUnavailable, Job: id})
 			continue
 		}
-		r.record(historycheck.Event{Kind: historycheck.JobState, Job: id, Text: state, AskedMs: requestedMs})
+		r.record(historycheck.Event{Kind: historycheck.JobState, Job: id, Text: state, RequestedMs: requestedMs})
 		r.setState(id, state)
 		if r.batchWindow != nil {
 			r.batchWindow.recordState(id, state, string(b))
@@ -254,7 +254,7 @@
 		count[s]++
 	}
 	unended := sent - count["complete"] - count["failed"] - count["cancelled"]
-	stateMs, entryMs := historycheck.Dark(r.history)
+	stateMs, entryMs := historycheck.LongestOutages(r.history)
 	runs, firstStarts := startsByClass(history, sentMs)
 	out := map[string]any{
 		"deployment": r.deploymentName, "sent": sent, "states": count, "unended": unended, "bounces": r.rejected,
--- a/cmd/otterchute-standin/night.go
+++ b/cmd/otterchute-standin/night.go
@@ -37,7 +37,7 @@
 func (w *batchWindow) finishBy() time.Duration { return 7 * time.Minute }
 
 // addTo returns the configuration with the contract and the queue for batches added.
-func (w *batchWindow) addTo(config historycheck.Setup) historycheck.Setup {
+func (w *batchWindow) addTo(config historycheck.Configuration) historycheck.Configuration {
 	hours := historycheck.Hours{From: w.opens.Format("15:04"), To: w.closes.Format("15:04"), Price: 0.04}
 	config.Contracts = []historycheck.Contract{{Name: "night", Price: 0.12, Hours: []historycheck.Hours{hours}}}
 	if w.closes.Format("15:04") == "00:00" {
--- a/cmd/otterchute-standin/night_test.go
+++ b/cmd/otterchute-standin/night_test.go
@@ -13,7 +13,7 @@
 func TestBatchReport(t *testing.T) {
 	w := newBatchWindow(time.Date(2027, 1, 4, 23, 57, 40, 0, time.UTC))
 	must.Eq(t, "23:59", w.opens.Format("15:04"))
-	s := w.addTo(historycheck.Setup{Queues: []historycheck.Queue{{Name: "confirm"}}})
+	s := w.addTo(historycheck.Configuration{Queues: []historycheck.Queue{{Name: "confirm"}}})
 	must.Eq(t, "00:01", s.Contracts[0].Hours[0].To)
 	must.Len(t, 2, s.Queues)
 	must.True(t, w.accepts(w.opens.Add(89*time.Second)))
--- a/internal/historycheck/after.go
+++ b/internal/historycheck/after.go
@@ -13,8 +13,8 @@
 // Recovery is the time window with the lowest throughput after a loss of machines.
 type Recovery struct {
 	BackMs, AtMs int64   // when the machines were back, and the start of the window
-	Ended        int     // tasks completed in the window
-	Usual        float64 // tasks that complete in such a window at the rate before the loss
+	Completed    int     // tasks completed in the window
+	Baseline     float64 // tasks that complete in such a window at the rate before the loss
 	Share        float64 // Completed / Baseline
 }
 
@@ -36,11 +36,11 @@
 	lossMs, backMs := int64(-1), int64(-1)
 	assess := func(until int64) {
 		baseline := float64(completedTasks(lossMs-baselineWindowMs, lossMs)) * recoveryWindowMs / baselineWindowMs
-		worst := Recovery{BackMs: backMs, Usual: baseline, Share: -1}
-		for at := backMs + bounds.Back; at+recoveryWindowMs <= until && baseline >= minBaselineRuns; at += 500 {
+		worst := Recovery{BackMs: backMs, Baseline: baseline, Share: -1}
+		for at := backMs + bounds.RecoveryMs; at+recoveryWindowMs <= until && baseline >= minBaselineRuns; at += 500 {
 			completed := completedTasks(at, at+recoveryWindowMs)
 			if share := float64(completed) / baseline; worst.Share < 0 || share < worst.Share {
-				worst.AtMs, worst.Ended, worst.Share = at, completed, share
+				worst.AtMs, worst.Completed, worst.Share = at, completed, share
 			}
 		}
 		if worst.Share >= 0 {
@@ -49,7 +49,7 @@
 	}
 	for i := range ordered {
 		switch e := &ordered[i]; e.Kind {
-		case HardLoss, TrafficEnds:
+		case MachinesLost, TrafficEnds:
 			if backMs >= 0 {
 				assess(e.AtMs)
 			}
@@ -65,7 +65,7 @@
 // one job failed, and the longest during which every submission of one job failed.
 //
 // Example: stateMs, entryMs := historycheck.LongestOutages(events)
-func Dark(ordered []Event) (stateMs, entryMs int64) {
+func LongestOutages(ordered []Event) (stateMs, entryMs int64) {
 	since := map[[2]string]int64{}
 	begin := func(kind string, e *Event) {
 		if _, ok := since[[2]string{kind, e.Job}]; !ok {
@@ -80,12 +80,12 @@
 	}
 	for i := range ordered {
 		switch e := &ordered[i]; e.Kind {
-		case NoState, NoEntry:
+		case StateUnavailable, SubmissionFailed:
 			begin(e.Kind, e)
 		case JobState:
-			resolve(NoState, e, &stateMs)
+			resolve(StateUnavailable, e, &stateMs)
 		case JobAcked:
-			resolve(NoEntry, e, &entryMs)
+			resolve(SubmissionFailed, e, &entryMs)
 		}
 	}
 	return stateMs, entryMs
--- a/internal/historycheck/historycheck.go
+++ b/internal/historycheck/historycheck.go
@@ -14,43 +14,43 @@
 
 // Kinds of events.
 const (
-	JobSent       = "job_sent"  // a caller sent a job for the first time
-	JobAcked      = "job_acked" // a job was accepted
-	CancelAcked   = "cancel_acked"
-	JobState      = "job_state"     // a state returned to a caller; Text is the state, "unknown" for a 404
-	Start         = "start"         // a worker started a run
-	End           = "end"           // a worker ended a run; Text is ok, failed, stopped or crash
-	WorkerRoom    = "worker_room"   // a worker reported its Capacity, Labels and Zone
-	WorkerLeaves  = "worker_leaves" // a worker's report that it is leaving was acknowledged
-	SetupSent     = "setup_sent"
-	SetupAcked    = "setup_acked"
-	SetupRejected = "setup_bounced" // a configuration was permanently rejected
-	SetupShown    = "setup_shown"   // a version was returned as current for a request sent at RequestedMs
-	NoState       = "no_state"      // a query for a job's state failed
-	NoEntry       = "no_entry"      // the submission of a job failed
-	Unreachable   = "unreachable"   // a worker became unreachable, or with Worker "" all of them
-	Reachable     = "reachable"
-	HardLoss      = "hard_loss"     // several machines went down at once
-	MachinesBack  = "machines_back" // all of those machines are running again
-	TrafficEnds   = "traffic_ends"  // callers send no new jobs after this
+	JobSent               = "job_sent"  // a caller sent a job for the first time
+	JobAcked              = "job_acked" // a job was accepted
+	CancelAcked           = "cancel_acked"
+	JobState              = "job_state"     // a state returned to a caller; Text is the state, "unknown" for a 404
+	Start                 = "start"         // a worker started a run
+	End                   = "end"           // a worker ended a run; Text is ok, failed, stopped or crash
+	WorkerCapacity        = "worker_room"   // a worker reported its Capacity, Labels and Zone
+	WorkerLeaving         = "worker_leaves" // a worker's report that it is leaving was acknowledged
+	ConfigurationSent     = "setup_sent"
+	ConfigurationAcked    = "setup_acked"
+	ConfigurationRejected = "setup_bounced" // a configuration was permanently rejected
+	ConfigurationShown    = "setup_shown"   // a version was returned as current for a request sent at RequestedMs
+	StateUnavailable      = "no_state"      // a query for a job's state failed
+	SubmissionFailed      = "no_entry"      // the submission of a job failed
+	WorkerUnreachable     = "unreachable"   // a worker became unreachable, or with Worker "" all of them
+	WorkerReachable       = "reachable"
+	MachinesLost          = "hard_loss"     // several machines went down at once
+	MachinesBack          = "machines_back" // all of those machines are running again
+	TrafficEnds           = "traffic_ends"  // callers send no new jobs after this
 )
 
 // Event is one line of a history.
 type Event struct {
-	AtMs    int64             `json:"at_ms"`
-	Kind    string            `json:"kind"`
-	Job     string            `json:"job,omitempty"`
-	Task    int               `json:"task,omitempty"`
-	Worker  string            `json:"worker,omitempty"`
-	Run     string            `json:"run,omitempty"`  // id of one run at one worker process
-	Text    string            `json:"text,omitempty"` // state, outcome or class, depending on Kind
-	Room    int64             `json:"room,omitempty"`
-	Labels  map[string]string `json:"labels,omitempty"`
-	Zone    string            `json:"site,omitempty"`
-	Version int64             `json:"version,omitempty"`
-	AskedMs int64             `json:"asked_ms,omitempty"`
-	Spec    *Job              `json:"spec,omitempty"`
-	Setup   *Setup            `json:"setup,omitempty"`
+	AtMs          int64             `json:"at_ms"`
+	Kind          string            `json:"kind"`
+	Job           string            `json:"job,omitempty"`
+	Task          int               `json:"task,omitempty"`
+	Worker        string            `json:"worker,omitempty"`
+	Run           string            `json:"run,omitempty"`  // id of one run at one worker process
+	Text          string            `json:"text,omitempty"` // state, outcome or class, depending on Kind
+	Capacity      int64             `json:"room,omitempty"`
+	Labels        map[string]string `json:"labels,omitempty"`
+	Zone          string            `json:"site,omitempty"`
+	Version       int64             `json:"version,omitempty"`
+	RequestedMs   int64             `json:"asked_ms,omitempty"`
+	Spec          *Job              `json:"spec,omitempty"`
+	Configuration *Configuration    `json:"setup,omitempty"`
 }
 
 // Job is a job as its caller sent it.
@@ -70,17 +70,17 @@
 
 // Task is a task of a step.
 type Task struct {
-	Name    string            `json:"name"`
-	Room    int64             `json:"room"`
-	Labels  map[string]string `json:"labels,omitempty"`
-	LimitMs int64             `json:"limit_ms,omitempty"`
-	HintMs  int64             `json:"estimate_ms,omitempty"`
-	Allowed int               `json:"allowed_failures"`
-	Payload any               `json:"payload,omitempty"`
+	Name            string            `json:"name"`
+	Cores           int64             `json:"room"`
+	Labels          map[string]string `json:"labels,omitempty"`
+	LimitMs         int64             `json:"limit_ms,omitempty"`
+	EstimateMs      int64             `json:"estimate_ms,omitempty"`
+	AllowedFailures int               `json:"allowed_failures"`
+	Payload         any               `json:"payload,omitempty"`
 }
 
 // Configuration holds the parts of an operator's configuration that the rules depend on.
-type Setup struct {
+type Configuration struct {
 	Queues     []Queue    `json:"queues"`
 	Contracts  []Contract `json:"contracts,omitempty"`
 	EmptyZones []string   `json:"empty_sites,omitempty"`
@@ -89,10 +89,10 @@
 
 // Contract is a price list for an hour of a core.
 type Contract struct {
-	Name          string  `json:"name"`
-	OffsetMinutes int64   `json:"utc_offset_minutes"`
-	Price         float64 `json:"price"`
-	Hours         []Hours `json:"hours,omitempty"`
+	Name             string  `json:"name"`
+	UTCOffsetMinutes int64   `json:"utc_offset_minutes"`
+	Price            float64 `json:"price"`
+	Hours            []Hours `json:"hours,omitempty"`
 }
 
 // Hours is a part of each day with a price of its own.
@@ -111,36 +111,36 @@
 
 // Queue is a named queue; Selector limits the workers that run its jobs.
 type Queue struct {
-	Name     string              `json:"name"`
-	Selector map[string][]string `json:"selector,omitempty"`
-	Urgency  int64               `json:"urgency"`
-	Trust    bool                `json:"trust_run_limit,omitempty"`
-	Batch    Batch               `json:"batch,omitzero"`
+	Name          string              `json:"name"`
+	Selector      map[string][]string `json:"selector,omitempty"`
+	Urgency       int64               `json:"urgency"`
+	TrustRunLimit bool                `json:"trust_run_limit,omitempty"`
+	Batch         Batch               `json:"batch,omitzero"`
 }
 
 // Violation is one violation of a rule.
-type Breach struct {
-	Rule string
-	AtMs int64
-	What string
+type Violation struct {
+	Rule   string
+	AtMs   int64
+	Detail string
 }
 
-func (b Breach) String() string { return fmt.Sprintf("%s at %d ms: %s", b.Rule, b.AtMs, b.What) }
+func (b Violation) String() string { return fmt.Sprintf("%s at %d ms: %s", b.Rule, b.AtMs, b.Detail) }
 
 // Bounds are the time limits of the rules, in ms.
 type Bounds struct {
-	CancelStart int64 // how long after a cancel runs may still start
-	CancelRun   int64 // how long runs may go on after a cancel
-	Leave       int64 // how long runs may still start at a leaving worker
-	Empty       int64 // how long runs may still start in an evacuated zone
-	Setup       int64 // how long an acknowledged configuration takes to come into effect
-	Known       int64 // how long after its acceptance queries may still return unknown
-	Back        int64 // how long after the return of lost machines throughput may be low
+	StartAfterCancelMs     int64 // how long after a cancel runs may still start
+	RunAfterCancelMs       int64 // how long runs may go on after a cancel
+	StartAfterLeavingMs    int64 // how long runs may still start at a leaving worker
+	StartAfterEvacuationMs int64 // how long runs may still start in an evacuated zone
+	ConfigurationEffectMs  int64 // how long an acknowledged configuration takes to come into effect
+	JobVisibleMs           int64 // how long after its acceptance queries may still return unknown
+	RecoveryMs             int64 // how long after the return of lost machines throughput may be low
 }
 
 // DefaultBounds are the bounds that the users require.
 var DefaultBounds = Bounds{
-	CancelStart: 3000, CancelRun: 10_000, Leave: 2000, Empty: 5000, Setup: 2000, Known: 3000, Back: 12_000,
+	StartAfterCancelMs: 3000, RunAfterCancelMs: 10_000, StartAfterLeavingMs: 2000, StartAfterEvacuationMs: 5000, ConfigurationEffectMs: 2000, JobVisibleMs: 3000, RecoveryMs: 12_000,
 }
 
 // TaskAt returns the step and task of a task number that counts through all steps,
@@ -160,7 +160,7 @@
 // TaskCount returns the number of tasks of a job.
 //
 // Example: for i := range job.TaskCount() { ... }
-func (j *Job) Size() int {
+func (j *Job) TaskCount() int {
 	n := 0
 	for _, s := range j.Steps {
 		n += len(s.Tasks)
@@ -200,9 +200,9 @@
 	openRuns         map[string]*run // keyed by worker and run id
 	workers          map[string]*workerRecord
 	acknowledged     []acknowledgedConfiguration
-	submitted        map[int64][]*Setup
+	submitted        map[int64][]*Configuration
 	unreachableSpans map[string][][2]int64 // by worker, each from and to in ms
-	violations       []Breach
+	violations       []Violation
 }
 
 type jobRecord struct {
@@ -225,17 +225,17 @@
 
 type acknowledgedConfiguration struct {
 	version, atMs int64
-	configuration *Setup
+	configuration *Configuration
 }
 
 // Check returns every violation in a history. The events need not be sorted by time.
 //
 // Example: if v := historycheck.Check(events, historycheck.DefaultBounds); len(v) > 0 { ... }
-func Check(events []Event, bounds Bounds) []Breach {
+func Check(events []Event, bounds Bounds) []Violation {
 	ordered := slices.Clone(events)
 	slices.SortStableFunc(ordered, func(a, b Event) int { return cmp.Compare(a.AtMs, b.AtMs) })
 	c := &checker{bounds: bounds, jobs: map[string]*jobRecord{}, runs: map[taskKey][]*run{}, openRuns: map[string]*run{},
-		workers: map[string]*workerRecord{}, submitted: map[int64][]*Setup{}, unreachableSpans: map[string][][2]int64{}}
+		workers: map[string]*workerRecord{}, submitted: map[int64][]*Configuration{}, unreachableSpans: map[string][][2]int64{}}
 	last := int64(0)
 	for i := range ordered {
 		last = ordered[i].AtMs
@@ -247,7 +247,7 @@
 	for _, r := range Recoveries(ordered, bounds) {
 		if r.Share < minRecoveryShare {
 			c.report("slow_after_loss", r.AtMs, "%d tasks completed in %d ms, expected %.0f; machines back at %d ms",
-				r.Ended, int64(recoveryWindowMs), r.Usual, r.BackMs)
+				r.Completed, int64(recoveryWindowMs), r.Baseline, r.BackMs)
 		}
 	}
 	return c.violations
@@ -269,10 +269,10 @@
 			s.cancelled, s.cancelMs = true, e.AtMs
 		}
 	},
-	Unreachable: func(c *checker, e *Event) {
+	WorkerUnreachable: func(c *checker, e *Event) {
 		c.unreachableSpans[e.Worker] = append(c.unreachableSpans[e.Worker], [2]int64{e.AtMs, 1 << 62})
 	},
-	Reachable: func(c *checker, e *Event) {
+	WorkerReachable: func(c *checker, e *Event) {
 		if a := c.unreachableSpans[e.Worker]; len(a) > 0 {
 			a[len(a)-1][1] = min(a[len(a)-1][1], e.AtMs)
 		}
@@ -289,46 +289,46 @@
 			}
 		}
 	},
-	WorkerRoom: func(c *checker, e *Event) {
+	WorkerCapacity: func(c *checker, e *Event) {
 		w := c.workers[e.Worker]
 		if w == nil {
 			w = &workerRecord{}
 			c.workers[e.Worker] = w
 		}
-		w.cores, w.labels, w.zone, w.leaving = e.Room, e.Labels, e.Zone, false
+		w.cores, w.labels, w.zone, w.leaving = e.Capacity, e.Labels, e.Zone, false
 	},
-	WorkerLeaves: func(c *checker, e *Event) {
+	WorkerLeaving: func(c *checker, e *Event) {
 		if w := c.workers[e.Worker]; w != nil && !w.leaving {
 			w.leaving, w.leavingMs = true, e.AtMs
 		}
 	},
-	SetupSent: func(c *checker, e *Event) { c.submitted[e.Version] = append(c.submitted[e.Version], e.Setup) },
-	SetupAcked: func(c *checker, e *Event) {
+	ConfigurationSent: func(c *checker, e *Event) { c.submitted[e.Version] = append(c.submitted[e.Version], e.Configuration) },
+	ConfigurationAcked: func(c *checker, e *Event) {
 		for _, s := range c.acknowledged {
-			if s.version == e.Version && !sameConfiguration(s.configuration, e.Setup) {
+			if s.version == e.Version && !sameConfiguration(s.configuration, e.Configuration) {
 				c.report("setup_acked_twice", e.AtMs, "version %d", e.Version)
 			}
 		}
-		c.acknowledged = append(c.acknowledged, acknowledgedConfiguration{e.Version, e.AtMs, e.Setup})
+		c.acknowledged = append(c.acknowledged, acknowledgedConfiguration{e.Version, e.AtMs, e.Configuration})
 	},
-	SetupRejected: func(c *checker, e *Event) {
-		c.submitted[e.Version] = slices.DeleteFunc(c.submitted[e.Version], func(s *Setup) bool { return s == e.Setup })
+	ConfigurationRejected: func(c *checker, e *Event) {
+		c.submitted[e.Version] = slices.DeleteFunc(c.submitted[e.Version], func(s *Configuration) bool { return s == e.Configuration })
 	},
-	SetupShown: func(c *checker, e *Event) {
+	ConfigurationShown: func(c *checker, e *Event) {
 		for _, s := range c.acknowledged {
-			if s.atMs+c.bounds.Setup < e.AskedMs && s.version > e.Version {
+			if s.atMs+c.bounds.ConfigurationEffectMs < e.RequestedMs && s.version > e.Version {
 				c.report("setup_lost", e.AtMs, "version %d shown, %d was acknowledged", e.Version, s.version)
 			}
 		}
 	},
 }
 
-func sameConfiguration(a, b *Setup) bool {
+func sameConfiguration(a, b *Configuration) bool {
 	return a == b || a != nil && b != nil && fmt.Sprint(*a) == fmt.Sprint(*b)
 }
 
 func (c *checker) report(rule string, atMs int64, format string, args ...any) {
-	c.violations = append(c.violations, Breach{rule, atMs, fmt.Sprintf(format, args...)})
+	c.violations = append(c.violations, Violation{rule, atMs, fmt.Sprintf(format, args...)})
 }
 
 // failures counts the failed runs of a task, including those stopped at their run limit.
@@ -364,10 +364,10 @@
 	if due := max(job.spec.DueMs, job.sentMs+job.spec.DelayMs); e.AtMs < due {
 		c.report("before_due", e.AtMs, "%s due at %d ms", subject, due)
 	}
-	if job.cancelled && e.AtMs > job.cancelMs+c.bounds.CancelStart {
+	if job.cancelled && e.AtMs > job.cancelMs+c.bounds.StartAfterCancelMs {
 		c.report("after_cancel", e.AtMs, "%s cancelled at %d ms", subject, job.cancelMs)
 	}
-	r := &run{start: e.AtMs, worker: e.Worker, cores: task.Room}
+	r := &run{start: e.AtMs, worker: e.Worker, cores: task.Cores}
 	c.runs[key] = append(c.runs[key], r)
 	c.openRuns[e.Worker+"/"+e.Run] = r
 	if w := c.workers[e.Worker]; w != nil {
@@ -386,8 +386,8 @@
 			c.report("again_after_well", e.AtMs, "%s, already completed at %s at %d ms", subject, r.worker, r.end)
 		}
 	}
-	if f := c.failures(key, task); f >= max(task.Allowed, 1) {
-		c.report("past_failures", e.AtMs, "%s after %d of %d allowed failures", subject, f, task.Allowed)
+	if f := c.failures(key, task); f >= max(task.AllowedFailures, 1) {
+		c.report("past_failures", e.AtMs, "%s after %d of %d allowed failures", subject, f, task.AllowedFailures)
 	}
 }
 
@@ -408,7 +408,7 @@
 
 // checkWorker checks a start against the capacity, labels and state that its worker reported.
 func (c *checker) checkWorker(e *Event, task *Task, w *workerRecord, subject string) {
-	if w.used += task.Room; w.used > w.cores {
+	if w.used += task.Cores; w.used > w.cores {
 		c.report("over_room", e.AtMs, "%s, %d of %d cores in use", subject, w.used, w.cores)
 	}
 	for _, k := range sortedKeys(task.Labels) {
@@ -416,7 +416,7 @@
 			c.report("lacks_label", e.AtMs, "%s needs %s=%s", subject, k, task.Labels[k])
 		}
 	}
-	if w.leaving && e.AtMs > w.leavingMs+c.bounds.Leave {
+	if w.leaving && e.AtMs > w.leavingMs+c.bounds.StartAfterLeavingMs {
 		c.report("leaving_worker", e.AtMs, "%s, leaving since %d ms", subject, w.leavingMs)
 	}
 }
@@ -426,7 +426,7 @@
 func (c *checker) checkConfiguration(e *Event, queue string, w *workerRecord, subject string) {
 	minVersion := int64(0)
 	for _, s := range c.acknowledged {
-		if s.atMs+c.bounds.Setup < e.AtMs {
+		if s.atMs+c.bounds.ConfigurationEffectMs < e.AtMs {
 			minVersion = max(minVersion, s.version)
 		}
 	}
@@ -464,12 +464,12 @@
 			}
 		}
 	}
-	if evacuated && !mayBeReopened && e.AtMs > evacuatedMs+c.bounds.Empty {
+	if evacuated && !mayBeReopened && e.AtMs > evacuatedMs+c.bounds.StartAfterEvacuationMs {
 		c.report("emptied_site", e.AtMs, "%s, zone evacuated at %d ms", subject, evacuatedMs)
 	}
 }
 
-func (c *Setup) selects(queue string, w *workerRecord) bool {
+func (c *Configuration) selects(queue string, w *workerRecord) bool {
 	for _, q := range c.Queues {
 		if q.Name != queue {
 			continue
@@ -494,20 +494,20 @@
 	}
 	switch e.Text {
 	case "unknown":
-		if job.acked && e.AskedMs > job.ackedMs+c.bounds.Known {
+		if job.acked && e.RequestedMs > job.ackedMs+c.bounds.JobVisibleMs {
 			c.report("job_forgotten", e.AtMs, "%s accepted at %d ms", e.Job, job.ackedMs)
 		}
 	case "complete":
-		for i := range job.spec.Size() {
+		for i := range job.spec.TaskCount() {
 			if !c.succeeded(taskKey{e.Job, i}) {
 				c.report("complete_too_early", e.AtMs, "%s task %d", e.Job, i)
 			}
 		}
 	case "failed":
 		cause := false
-		for i := range job.spec.Size() {
+		for i := range job.spec.TaskCount() {
 			_, t := job.spec.TaskAt(i)
-			cause = cause || c.failures(taskKey{e.Job, i}, t) >= max(t.Allowed, 1)
+			cause = cause || c.failures(taskKey{e.Job, i}, t) >= max(t.AllowedFailures, 1)
 		}
 		if !cause {
 			c.report("failed_without_cause", e.AtMs, "%s", e.Job)
@@ -527,7 +527,7 @@
 			if end == 0 {
 				end = last
 			}
-			bound := s.cancelMs + c.bounds.CancelRun
+			bound := s.cancelMs + c.bounds.RunAfterCancelMs
 			// Time during which the worker could not be reached to stop the run doesn't count.
 			for _, a := range append(slices.Clone(c.unreachableSpans[r.worker]), c.unreachableSpans[""]...) {
 				bound += max(0, min(end, a[1])-max(s.cancelMs, a[0]))
--- a/internal/historycheck/mix.go
+++ b/internal/historycheck/mix.go
@@ -12,12 +12,12 @@
 	Workers    int
 	Cores      int64
 	JobsPerSec float64
-	Kinds      []Kind
+	JobKinds   []JobKind
 	Queues     []Queue
 }
 
 // JobKind is one kind of job in a deployment's mix.
-type Kind struct {
+type JobKind struct {
 	Queue  string
 	Weight int
 	Make   func(r *rand.Rand) Job
@@ -36,7 +36,7 @@
 	var out []Task
 	for i := range n {
 		out = append(out, Task{
-			Name: fmt.Sprintf("%s-%d", name, i), Room: randomBetween(r, 1, maxCores), LimitMs: limitMs, Allowed: 3,
+			Name: fmt.Sprintf("%s-%d", name, i), Cores: randomBetween(r, 1, maxCores), LimitMs: limitMs, AllowedFailures: 3,
 			Payload: Work{Ms: randomBetween(r, minMs, maxMs)},
 		})
 	}
@@ -53,7 +53,7 @@
 			{Name: "verify", Selector: allTiers, Urgency: 50},
 			{Name: "refresh", Selector: map[string][]string{"tier": {"bulk"}}, Urgency: 10},
 		},
-		Kinds: []Kind{
+		JobKinds: []JobKind{
 			{"confirm", 8, func(r *rand.Rand) Job {
 				return Job{Queue: "confirm", Steps: []Step{
 					{Name: "hold", Tasks: randomTasks(r, 1, "hold", 1, 80, 200, 20_000)},
@@ -77,7 +77,7 @@
 			{Name: "logbook", Selector: allTiers, Urgency: 40},
 			{Name: "certify", Selector: map[string][]string{"tier": {"bulk"}}, Urgency: 20},
 		},
-		Kinds: []Kind{
+		JobKinds: []JobKind{
 			{"signoff", 8, func(r *rand.Rand) Job {
 				return Job{Queue: "signoff", Steps: []Step{
 					{Name: "check", Tasks: randomTasks(r, 2, "check", 1, 80, 300, 20_000)},
@@ -100,13 +100,13 @@
 // RandomJob returns a random job of the deployment's mix.
 //
 // Example: job := historycheck.Deployments["hakata"].RandomJob(rng)
-func (d Deployment) Draw(r *rand.Rand) Job {
+func (d Deployment) RandomJob(r *rand.Rand) Job {
 	totalWeight := 0
-	for _, k := range d.Kinds {
+	for _, k := range d.JobKinds {
 		totalWeight += k.Weight
 	}
 	remaining := r.IntN(totalWeight)
-	for _, k := range d.Kinds {
+	for _, k := range d.JobKinds {
 		if remaining -= k.Weight; remaining < 0 {
 			return k.Make(r)
 		}
@@ -134,4 +134,4 @@
 // InitialConfiguration returns the deployment's first configuration.
 //
 // Example: config := historycheck.Deployments["ikenna"].InitialConfiguration()
-func (d Deployment) SetupOf() Setup { return Setup{Queues: d.Queues} }
+func (d Deployment) InitialConfiguration() Configuration { return Configuration{Queues: d.Queues} }
