--- a/internal/historycheck/historycheck.go
+++ b/internal/historycheck/historycheck.go
@@ -125,7 +125,7 @@
 	Detail string
 }
 
-func (b Violation) String() string { return fmt.Sprintf("%s at %d ms: %s", b.Rule, b.AtMs, b.Detail) }
+func (v Violation) String() string { return fmt.Sprintf("%s at %d ms: %s", v.Rule, v.AtMs, v.Detail) }
 
 // Bounds are the time limits of the rules, in ms.
 type Bounds struct {
@@ -140,7 +140,8 @@
 
 // DefaultBounds are the bounds that the users require.
 var DefaultBounds = Bounds{
-	StartAfterCancelMs: 3000, RunAfterCancelMs: 10_000, StartAfterLeavingMs: 2000, StartAfterEvacuationMs: 5000, ConfigurationEffectMs: 2000, JobVisibleMs: 3000, RecoveryMs: 12_000,
+	StartAfterCancelMs: 3000, RunAfterCancelMs: 10_000, StartAfterLeavingMs: 2000, StartAfterEvacuationMs: 5000,
+	ConfigurationEffectMs: 2000, JobVisibleMs: 3000, RecoveryMs: 12_000,
 }
 
 // TaskAt returns the step and task of a task number that counts through all steps,
@@ -234,8 +235,11 @@
 func Check(events []Event, bounds Bounds) []Violation {
 	ordered := slices.Clone(events)
 	slices.SortStableFunc(ordered, func(a, b Event) int { return cmp.Compare(a.AtMs, b.AtMs) })
-	c := &checker{bounds: bounds, jobs: map[string]*jobRecord{}, runs: map[taskKey][]*run{}, openRuns: map[string]*run{},
-		workers: map[string]*workerRecord{}, submitted: map[int64][]*Configuration{}, unreachableSpans: map[string][][2]int64{}}
+	c := &checker{
+		bounds: bounds, jobs: map[string]*jobRecord{}, runs: map[taskKey][]*run{}, openRuns: map[string]*run{},
+		workers: map[string]*workerRecord{}, submitted: map[int64][]*Configuration{},
+		unreachableSpans: map[string][][2]int64{},
+	}
 	last := int64(0)
 	for i := range ordered {
 		last = ordered[i].AtMs
@@ -302,7 +306,9 @@
 			w.leaving, w.leavingMs = true, e.AtMs
 		}
 	},
-	ConfigurationSent: func(c *checker, e *Event) { c.submitted[e.Version] = append(c.submitted[e.Version], e.Configuration) },
+	ConfigurationSent: func(c *checker, e *Event) {
+		c.submitted[e.Version] = append(c.submitted[e.Version], e.Configuration)
+	},
 	ConfigurationAcked: func(c *checker, e *Event) {
 		for _, s := range c.acknowledged {
 			if s.version == e.Version && !sameConfiguration(s.configuration, e.Configuration) {
@@ -312,7 +318,9 @@
 		c.acknowledged = append(c.acknowledged, acknowledgedConfiguration{e.Version, e.AtMs, e.Configuration})
 	},
 	ConfigurationRejected: func(c *checker, e *Event) {
-		c.submitted[e.Version] = slices.DeleteFunc(c.submitted[e.Version], func(s *Configuration) bool { return s == e.Configuration })
+		c.submitted[e.Version] = slices.DeleteFunc(
+			c.submitted[e.Version], func(s *Configuration) bool { return s == e.Configuration },
+		)
 	},
 	ConfigurationShown: func(c *checker, e *Event) {
 		for _, s := range c.acknowledged {
