--- a/internal/historycheck/historycheck_test.go
+++ b/internal/historycheck/historycheck_test.go
@@ -12,10 +12,10 @@
 func validHistory() []Event {
 	spec := &Job{Queue: "q", Steps: []Step{{Name: "a", Tasks: []Task{{Name: "x", Cores: 2, AllowedFailures: 2, LimitMs: 1000, Labels: map[string]string{"disk": "ssd"}}}},
 		{Name: "b", After: []string{"a"}, Tasks: []Task{{Name: "y", Cores: 1, AllowedFailures: 1}}}}}
-	setup := &Configuration{Queues: []Queue{{Name: "q", Selector: map[string][]string{"tier": {"fast"}}}}}
+	config := &Configuration{Queues: []Queue{{Name: "q", Selector: map[string][]string{"tier": {"fast"}}}}}
 	good := map[string]string{"tier": "fast", "disk": "ssd"}
 	return []Event{
-		{AtMs: 0, Kind: ConfigurationSent, Version: 1, Configuration: setup}, {AtMs: 1, Kind: ConfigurationAcked, Version: 1, Configuration: setup},
+		{AtMs: 0, Kind: ConfigurationSent, Version: 1, Configuration: config}, {AtMs: 1, Kind: ConfigurationAcked, Version: 1, Configuration: config},
 		{AtMs: 2, Kind: WorkerCapacity, Worker: "w1", Capacity: 4, Labels: good, Zone: "east"},
 		{AtMs: 2, Kind: WorkerCapacity, Worker: "w2", Capacity: 4, Labels: map[string]string{"tier": "bulk"}, Zone: "west"},
 		{AtMs: 3000, Kind: JobSent, Job: "j", Spec: spec}, {AtMs: 3010, Kind: JobAcked, Job: "j"},
