--- a/guards.sh
+++ b/guards.sh
@@ -17,7 +17,7 @@
 # name | file, from the repository's root | text that stands there | what stands there instead
 guards() {
   cat << 'G'
-room|internal/daemon/agent_dispatch.go|if attempt.spec.Resources.Fits(n.startRoom(agent, attempt, q, *avail)) {|if true {
+room|internal/daemon/agent_dispatch.go|if attempt.spec.Resources.Fits(n.startableResources(agent, attempt, queue, *avail)) {|if true {
 a patch needs the version it builds on|internal/daemon/core_member.go|if !patchesApply(replica, m.Patches) {|if false {
 unsettled orders hold room|internal/daemon/agent_dispatch.go|if a.colocated \|\| !attempt.listed {|if a.colocated {
 new agent waits for the worker's fresh word|internal/daemon/agent_report.go|if !agent.rebuilt && agent.tokenMs > agent.startMs+orderTimeoutMs {|if !agent.rebuilt {
@@ -28,7 +28,7 @@
 steps in order|internal/daemon/job_schedule.go|return pass.ready[job.stepIndex(t)] && |return 
 a median of all clocks|internal/daemon/core_member.go|return n.granter.ClusterTime(n.now, n.peers.AliveCount())|return n.wall
 due time|internal/daemon/job_schedule.go|due != 0 && pass.wall < due+dueMarginMs|due != 0 && false
-group at the agent|internal/daemon/agent_dispatch.go|if q == nil \|\| lack \|\| !q.Matches(agent.labels, agent.zone) \|\||if q == nil \|\| false && lack \|\|
+group at the agent|internal/daemon/agent_dispatch.go|if queue == nil \|\| missing \|\| !queue.Matches(agent.labels, agent.zone) \|\||if queue == nil \|\| false && missing \|\|
 allowed failures|internal/daemon/attempt_result.go|case t.Failures >= t.maxFailures() && !step.LongRunning:|case t.Failures > t.maxFailures() && !step.LongRunning:
 cancel reaches the agent|internal/daemon/reconcile.go|if job.State != jobRunning \|\| job.Steps[t.Step].Gang|if job.Steps[t.Step].Gang
 leaving and emptied|internal/daemon/agent_dispatch.go|if agent.leaving \|\| n.config.current.EmptyZones[agent.zone] {|if false {
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -49,7 +49,7 @@
 	failed        int64
 	lagPercent    int64
 	evidence      scheduler.Evidence                 // whether it fails more than others
-	endCounts     map[string]scheduler.OutcomeCounts // lately, by queue
+	outcomeCounts map[string]scheduler.OutcomeCounts // lately, by queue
 	failedJobs    map[string]int64                   // when a job's task last failed here
 	nextDecayMs   int64
 
@@ -60,7 +60,7 @@
 	endsByNumber     map[int64]wire.AttemptKey
 	ownerReplyMs     map[string]int64 // shard -> our clock at the last sync that its owner answered
 	toStart          []*agentAttempt  // what the answer to this heartbeat starts
-	answering        bool             // a heartbeat is being answered
+	replying         bool             // a heartbeat is being answered
 	goneAtMs         int64            // it said that it goes; 0 if not
 	leavesAtMs       int64            // what runs there then dies; 0 if it does not leave
 	replaced         bool             // another worker sends heartbeats from its place
@@ -71,7 +71,7 @@
 	lastReports      map[string]sentReport // shard, "" for the central scheduler -> its last report
 	nextChangesMs    int64                 // before that no partial report leaves
 	changesPending   bool                  // something has ended since the last one
-	quiet            bool                  // as owners were last told
+	reportedQuiet    bool                  // as owners were last told
 	guaranteedEnded  bool                  // since the central scheduler was last told
 }
 
@@ -97,7 +97,7 @@
 	orderSeq       int64 // the heartbeat whose answer carried the order
 	percent        int64
 	lastProgressMs int64 // when its work last moved
-	lateEnd        bool  // ended by itself, and its owner may have given it up meanwhile
+	endedLate      bool  // ended by itself, and its owner may have given it up meanwhile
 	voided         bool  // ended, and the hold has lapsed since
 	adoptedMs      int64
 	reportedMs     int64 // when its owner was last told of its end
@@ -207,11 +207,11 @@
 	}
 	agent.nextDecayMs = n.now + healthDecayMs
 	agent.succeeded, agent.failed = agent.succeeded*3/4, agent.failed*3/4
-	for queue, counts := range agent.endCounts {
+	for queue, counts := range agent.outcomeCounts {
 		if counts.Decay(); counts == (scheduler.OutcomeCounts{}) {
-			delete(agent.endCounts, queue)
+			delete(agent.outcomeCounts, queue)
 		} else {
-			agent.endCounts[queue] = counts
+			agent.outcomeCounts[queue] = counts
 		}
 	}
 	for job, atMs := range agent.failedJobs {
--- a/internal/daemon/agent_changes.go
+++ b/internal/daemon/agent_changes.go
@@ -74,17 +74,17 @@
 	agent.changesPending = false
 	base, keys := n.baseReport(agent), agent.keys()
 	base.Partial = true
-	news := map[string]bool{}
+	changed := map[string]bool{}
 	for _, key := range keys {
 		if attempt := agent.attempts[key]; n.isReportable(attempt) {
-			news[n.shardOfAttempt(attempt)] = true
+			changed[n.shardOfAttempt(attempt)] = true
 		}
 	}
-	if len(news) > 0 {
+	if len(changed) > 0 {
 		agent.nextChangesMs = n.now + changesMs
 	}
 	for _, shard := range n.core.Shards {
-		if news[shard] || n.now-agent.lastReports[shard].atMs >= usageReportMs {
+		if changed[shard] || n.now-agent.lastReports[shard].atMs >= usageReportMs {
 			n.sendReport(agent, base, shard, keys)
 		}
 	}
@@ -111,21 +111,21 @@
 // tickReports sends the reports that are due.
 func (n *node) tickReports(agent *workerAgent) {
 	quiet := n.now-agent.lastContactMs > quietMs
-	if n.now >= agent.nextSyncMs || quiet != agent.quiet || n.hasNewOwner(agent) {
-		agent.quiet = quiet
+	if n.now >= agent.nextSyncMs || quiet != agent.reportedQuiet || n.hasNewOwner(agent) {
+		agent.reportedQuiet = quiet
 		n.reportAgent(agent)
 		return
 	}
 	if n.now-agent.lastReports[""].atMs >= centralReportMs {
 		n.reportCentral(agent)
 	}
-	if agent.changesPending || n.hasOverdue(agent) || n.owesReport(agent) {
+	if agent.changesPending || n.hasOverdueAttempt(agent) || n.isReportDue(agent) {
 		n.reportChanges(agent)
 	}
 }
 
-// owesReport tells whether some owner has not heard of the worker lately.
-func (n *node) owesReport(agent *workerAgent) bool {
+// isReportDue tells whether some owner has not heard of the worker lately.
+func (n *node) isReportDue(agent *workerAgent) bool {
 	return slices.ContainsFunc(n.core.Shards, func(shard string) bool {
 		return n.now-agent.lastReports[shard].atMs >= aliveReportMs
 	})
@@ -144,9 +144,9 @@
 	return false
 }
 
-// hasOverdue tells whether an attempt has waited here for so long that its owner may want
+// hasOverdueAttempt tells whether an attempt has waited here for so long that its owner may want
 // it back, or an end is to be told again.
-func (n *node) hasOverdue(agent *workerAgent) bool {
+func (n *node) hasOverdueAttempt(agent *workerAgent) bool {
 	for _, attempt := range agent.attempts {
 		switch {
 		case attempt.state == wire.AttemptQueued && n.now-attempt.queuedMs > recallAfterMs,
--- a/internal/daemon/agent_dispatch.go
+++ b/internal/daemon/agent_dispatch.go
@@ -17,10 +17,10 @@
 	urgentWaitMs = 350
 )
 
-func (n *node) stopAttempt(agent *workerAgent, attempt *agentAttempt, why wire.AttemptResult) {
+func (n *node) stopAttempt(agent *workerAgent, attempt *agentAttempt, reason wire.AttemptResult) {
 	if attempt.stopMs == 0 {
-		attempt.stopMs, attempt.stopReason = n.now, why
-		n.log("run_stopped", "attempt", attempt.spec.Key.String(), "worker", agent.worker, "why", why.String(),
+		attempt.stopMs, attempt.stopReason = n.now, reason
+		n.log("run_stopped", "attempt", attempt.spec.Key.String(), "worker", agent.worker, "why", reason.String(),
 			"queue", attempt.spec.Queue, "class", attempt.spec.Class.String(), "ran_ms",
 			n.now-max(attempt.startedMs, attempt.orderedMs),
 			"percent", attempt.percent, "cpu", attempt.spec.Resources.CPU, "gang", attempt.spec.Gang)
@@ -40,7 +40,7 @@
 // runs of more urgent queues are left to end. The orders of an agent beside its worker
 // leave in the answer to a heartbeat only.
 func (n *node) startPending(agent *workerAgent) {
-	if !n.mayOrder(agent) {
+	if !n.maySendOrders(agent) {
 		return
 	}
 	queue := n.returnBatches(agent, agent.queuedAttempts(n))
@@ -65,13 +65,13 @@
 	}
 }
 
-// mayOrder tells whether this agent may give its worker orders now: nobody else may be
+// maySendOrders tells whether this agent may give its worker orders now: nobody else may be
 // its agent, it knows all that runs there, and configuration and report are fresh.
-func (n *node) mayOrder(agent *workerAgent) bool {
+func (n *node) maySendOrders(agent *workerAgent) bool {
 	if !n.isActiveAgent(agent) || !agent.rebuilt || n.now-agent.tokenMs > workerReportMaxAgeMs || !n.configFresh() {
 		return false
 	}
-	return !agent.colocated || agent.answering && agent.lapseUntilMs == 0
+	return !agent.colocated || agent.replying && agent.lapseUntilMs == 0
 }
 
 // available gives the worker's room that nothing holds; it isn't known while something
@@ -95,10 +95,10 @@
 // startOrSkip starts a waiting attempt if it may and fits into what is available, or makes
 // room for it. It gives false where nothing behind it may start before it.
 func (n *node) startOrSkip(agent *workerAgent, attempt *agentAttempt, avail *resource.Amount) bool {
-	q := n.config.current.Queues[attempt.spec.Queue]
-	_, lack := configuration.MissingLabel(agent.labels, attempt.spec.RequiredLabels)
-	if q == nil || lack || !q.Matches(agent.labels, agent.zone) ||
-		attempt.spec.MaxPerWorker > 0 && agent.startedOfStep(attempt) >= int(attempt.spec.MaxPerWorker) {
+	queue := n.config.current.Queues[attempt.spec.Queue]
+	_, missing := configuration.MissingLabel(agent.labels, attempt.spec.RequiredLabels)
+	if queue == nil || missing || !queue.Matches(agent.labels, agent.zone) ||
+		attempt.spec.MaxPerWorker > 0 && agent.startedTasksOfStep(attempt) >= int(attempt.spec.MaxPerWorker) {
 		attempt.state, attempt.result = wire.AttemptEnded, wire.ResultRejected
 		n.reportAgent(agent)
 		return true
@@ -115,7 +115,7 @@
 		(!attempt.spec.Resources.Fits(*avail) || !n.mayStartBatch(agent, attempt, r)) {
 		return true
 	}
-	if attempt.spec.Resources.Fits(n.startRoom(agent, attempt, q, *avail)) {
+	if attempt.spec.Resources.Fits(n.startableResources(agent, attempt, queue, *avail)) {
 		*avail = avail.Minus(attempt.spec.Resources)
 		n.dispatch(agent, attempt)
 		return true
@@ -129,11 +129,11 @@
 	return n.now-attempt.queuedMs <= bypassMs
 }
 
-// startRoom is the part of a worker's available room that a waiting attempt may take.
-func (n *node) startRoom(
-	agent *workerAgent, attempt *agentAttempt, q *configuration.Queue, avail resource.Amount,
+// startableResources is the part of a worker's available room that a waiting attempt may take.
+func (n *node) startableResources(
+	agent *workerAgent, attempt *agentAttempt, queue *configuration.Queue, avail resource.Amount,
 ) resource.Amount {
-	if attempt.spec.Class == wire.ClassGuaranteed || n.mayUseUrgentHeadroom(q, attempt.spec.Excess) || !agent.colocated {
+	if attempt.spec.Class == wire.ClassGuaranteed || n.mayUseUrgentHeadroom(queue, attempt.spec.Excess) || !agent.colocated {
 		return avail
 	}
 	if n.fleetIdle() && n.now-attempt.queuedMs > backfillAfterMs && n.Policies.On(scheduler.Backfill) {
@@ -142,13 +142,13 @@
 	return avail.Minus(n.urgentHeadroom(agent.capacity, agent.urgentUse(n, wire.AttemptOrdered, wire.AttemptRunning)))
 }
 
-// startedOfStep counts the started tasks here that share a task's job, round and step.
-func (a *workerAgent) startedOfStep(attempt *agentAttempt) (count int) {
+// startedTasksOfStep counts the started tasks here that share a task's job, round and step.
+func (a *workerAgent) startedTasksOfStep(attempt *agentAttempt) (count int) {
 	round, step, _, ok := parseUniformTaskID(attempt.spec.Key.Task)
-	for k, o := range a.attempts {
+	for k, other := range a.attempts {
 		r, s, _, _ := parseUniformTaskID(k.Task)
 		if ok && k.Job == attempt.spec.Key.Job && r == round && s == step &&
-			(o.state == wire.AttemptOrdered || o.state == wire.AttemptRunning) {
+			(other.state == wire.AttemptOrdered || other.state == wire.AttemptRunning) {
 			count++
 		}
 	}
@@ -157,21 +157,21 @@
 
 // queuedAttempts gives the unstarted tasks in the order they may start.
 func (a *workerAgent) queuedAttempts(n *node) []*agentAttempt {
-	var out []*agentAttempt
+	var queued []*agentAttempt
 	for _, key := range a.keys() {
 		if a.attempts[key].state == wire.AttemptQueued {
-			out = append(out, a.attempts[key])
+			queued = append(queued, a.attempts[key])
 		}
 	}
 	precedence := func(attempt *agentAttempt) int64 { return n.precedence(attempt.spec.Queue, attempt.spec.Excess) }
-	slices.SortStableFunc(out, func(x, y *agentAttempt) int {
+	slices.SortStableFunc(queued, func(x, y *agentAttempt) int {
 		return cmp.Or(
 			cmp.Compare(precedence(y), precedence(x)),
 			cmp.Compare(x.spec.Class, y.spec.Class),
 			cmp.Compare(x.spec.SubmittedMs, y.spec.SubmittedMs),
 		)
 	})
-	return out
+	return queued
 }
 
 // preempt stops queueable runs until so much room is on its way, see scheduler.Victims. For a
@@ -208,28 +208,28 @@
 	if !guaranteed && n.now-pending.queuedMs <= urgentWaitMs && n.batchRulesOfSpec(&run.spec) == nil {
 		return false // it may be called back meanwhile
 	}
-	mine, others := n.precedence(pending.spec.Queue, pending.spec.Excess), n.precedence(run.spec.Queue, run.spec.Excess)
-	return others < mine || guaranteed && others == mine
+	pendingPrecedence, runPrecedence := n.precedence(pending.spec.Queue, pending.spec.Excess), n.precedence(run.spec.Queue, run.spec.Excess)
+	return runPrecedence < pendingPrecedence || guaranteed && runPrecedence == pendingPrecedence
 }
 
 func (n *node) dispatch(agent *workerAgent, attempt *agentAttempt) {
 	attempt.state, attempt.ordered, attempt.orderedMs, attempt.listed = wire.AttemptOrdered, true, n.now, false
-	s := &attempt.spec
-	n.count("orders_" + s.Class.String())
+	spec := &attempt.spec
+	n.count("orders_" + spec.Class.String())
 	if agent.colocated {
 		attempt.orderSeq = agent.reportSeq
 		agent.toStart = append(agent.toStart, attempt)
 		return
 	}
-	payload := rawJSON(s.Payload)
-	if len(s.Payload) == 0 {
+	payload := rawJSON(spec.Payload)
+	if len(spec.Payload) == 0 {
 		payload = "null"
 	}
-	tag := mustJSON(orderTag{s.Shard, s.Queue, s.Name, s.Class, s.Resources, s.LimitMs, s.EstimateMs, s.SubmittedMs})
+	tag := mustJSON(orderTag{spec.Shard, spec.Queue, spec.Name, spec.Class, spec.Resources, spec.LimitMs, spec.EstimateMs, spec.SubmittedMs})
 	n.emit(effOrder{
 		Worker: agent.worker,
 		Addr:   agent.addr,
-		Key:    s.Key,
+		Key:    spec.Key,
 		NotAfterMs: min(
 			n.leases.HeldUntilMs(lease.AgentRole(agent.worker)),
 			attempt.confirmedMs+ownerContactMs,
@@ -238,13 +238,13 @@
 		),
 		Body: mustJSON(
 			map[string]any{
-				"id":       s.Key.String(),
-				"job":      s.Key.Job,
-				"name":     s.Name,
-				"queue":    s.Queue,
-				"class":    s.Class.String(),
-				"room":     s.Resources,
-				"limit_ms": s.LimitMs,
+				"id":       spec.Key.String(),
+				"job":      spec.Key.Job,
+				"name":     spec.Name,
+				"queue":    spec.Queue,
+				"class":    spec.Class.String(),
+				"room":     spec.Resources,
+				"limit_ms": spec.LimitMs,
 				"payload":  payload,
 				"tag":      string(tag),
 			},
--- a/internal/daemon/agent_health.go
+++ b/internal/daemon/agent_health.go
@@ -13,25 +13,25 @@
 const (
 	stallSuspectMs   = 3000   // a worker where work stood still gets no more for this long, doubled each time
 	failureSuspectMs = 10_000 // and one that fails its tasks: it is tried again with real work, which costs attempts
-	suspectMax       = 4      // times that a worker is suspect before that takes no longer
+	suspectCountMax  = 4      // times that a worker is suspect before that takes no longer
 )
 
-// observeEnd counts how a run ended. A job that can't be done fails everywhere, so that of each
+// observeOutcome counts how a run ended. A job that can't be done fails everywhere, so that of each
 // job one failure in a while speaks against the worker, and none while it gets no work.
-func (n *node) observeEnd(agent *workerAgent, attempt *agentAttempt, failed bool) {
+func (n *node) observeOutcome(agent *workerAgent, attempt *agentAttempt, failed bool) {
 	if attempt.unobserved || attempt.spec.Queue == "" {
 		return
 	}
-	if agent.endCounts == nil {
-		agent.endCounts, agent.failedJobs = map[string]scheduler.OutcomeCounts{}, map[string]int64{}
+	if agent.outcomeCounts == nil {
+		agent.outcomeCounts, agent.failedJobs = map[string]scheduler.OutcomeCounts{}, map[string]int64{}
 	}
-	counts := agent.endCounts[attempt.spec.Queue]
+	counts := agent.outcomeCounts[attempt.spec.Queue]
 	counts.Observe(failed)
-	agent.endCounts[attempt.spec.Queue] = counts
+	agent.outcomeCounts[attempt.spec.Queue] = counts
 	if failed {
-		lastMs, before := agent.failedJobs[attempt.spec.Key.Job]
+		lastFailureMs, failedBefore := agent.failedJobs[attempt.spec.Key.Job]
 		agent.failedJobs[attempt.spec.Key.Job] = n.now
-		if before && n.now-lastMs <= healthDecayMs {
+		if failedBefore && n.now-lastFailureMs <= healthDecayMs {
 			return
 		}
 	}
@@ -40,14 +40,14 @@
 	}
 }
 
-// judgeWorker has a worker that fails far more than others get no more work for a while. What
+// ejectIfUnhealthy has a worker that fails far more than others get no more work for a while. What
 // waits there, and never started, goes back.
-func (n *node) judgeWorker(agent *workerAgent) {
+func (n *node) ejectIfUnhealthy(agent *workerAgent) {
 	if !agent.evidence.Conclusive() || !n.Policies.On(scheduler.EjectUnhealthy) {
 		return
 	}
 	agent.evidence.StartProbation()
-	n.suspectWorker(agent, "fails", failureSuspectMs)
+	n.markSuspect(agent, "fails", failureSuspectMs)
 	n.count("workers_ejected")
 	for _, key := range agent.keys() {
 		if attempt := agent.attempts[key]; attempt.state == wire.AttemptQueued {
@@ -57,17 +57,17 @@
 	n.reportAgent(agent)
 }
 
-// suspectWorker has a worker get no more work for a while, each time for longer.
-func (n *node) suspectWorker(agent *workerAgent, why string, forMs int64) {
-	agent.suspectCount = min(agent.suspectCount+1, suspectMax)
-	agent.suspectUntilMs = n.now + forMs<<(agent.suspectCount-1)
-	n.log("worker_suspect", "worker", agent.worker, "why", why, "for_ms", agent.suspectUntilMs-n.now)
+// markSuspect has a worker get no more work for a while, each time for longer.
+func (n *node) markSuspect(agent *workerAgent, reason string, durationMs int64) {
+	agent.suspectCount = min(agent.suspectCount+1, suspectCountMax)
+	agent.suspectUntilMs = n.now + durationMs<<(agent.suspectCount-1)
+	n.log("worker_suspect", "worker", agent.worker, "why", reason, "for_ms", agent.suspectUntilMs-n.now)
 }
 
-// endsByQueue is how runs ended here lately, for the coordinator.
-func (a *workerAgent) endsByQueue() (ends []wire.QueueOutcomes) {
-	for _, queue := range sortedKeys(a.endCounts) {
-		counts := a.endCounts[queue]
+// outcomesByQueue is how runs ended here lately, for the coordinator.
+func (a *workerAgent) outcomesByQueue() (ends []wire.QueueOutcomes) {
+	for _, queue := range sortedKeys(a.outcomeCounts) {
+		counts := a.outcomeCounts[queue]
 		ends = append(ends, wire.QueueOutcomes{Queue: queue, Succeeded: counts.Succeeded, Failed: counts.Failed})
 	}
 	return ends
@@ -75,17 +75,17 @@
 
 // failRates is how often each queue's tasks fail at workers that nobody suspects.
 func (c *centralScheduler) failRates() (rates []wire.QueueFailRate) {
-	sums := map[string]scheduler.OutcomeCounts{}
+	counts := map[string]scheduler.OutcomeCounts{}
 	for _, w := range c.workers { // sums: the order does not matter
 		if w.Suspect {
 			continue
 		}
 		for _, e := range w.Outcomes {
-			sums[e.Queue] = sums[e.Queue].Plus(scheduler.OutcomeCounts{Succeeded: e.Succeeded, Failed: e.Failed})
+			counts[e.Queue] = counts[e.Queue].Plus(scheduler.OutcomeCounts{Succeeded: e.Succeeded, Failed: e.Failed})
 		}
 	}
-	for _, queue := range sortedKeys(sums) {
-		rates = append(rates, wire.QueueFailRate{Queue: queue, PerMille: int32(sums[queue].FailRate() * perMille)})
+	for _, queue := range sortedKeys(counts) {
+		rates = append(rates, wire.QueueFailRate{Queue: queue, PerMille: int32(counts[queue].FailRate() * perMille)})
 	}
 	return rates
 }
--- a/internal/daemon/agent_report.go
+++ b/internal/daemon/agent_report.go
@@ -18,14 +18,14 @@
 // orderTag travels with an order and comes back in the worker's lists, so that
 // a successor can rebuild what it needs from the worker alone.
 type orderTag struct {
-	Slice    string          `json:"slice"`
-	Queue    string          `json:"queue"`
-	Name     string          `json:"name"`
-	Class    wire.TaskClass  `json:"class"`
-	Room     resource.Amount `json:"room"`
-	LimitMs  int64           `json:"limit_ms"`
-	EstMs    int64           `json:"est_ms"`
-	SubmitMs int64           `json:"submit_ms"`
+	Shard       string          `json:"slice"`
+	Queue       string          `json:"queue"`
+	Name        string          `json:"name"`
+	Class       wire.TaskClass  `json:"class"`
+	Resources   resource.Amount `json:"room"`
+	LimitMs     int64           `json:"limit_ms"`
+	EstimateMs  int64           `json:"est_ms"`
+	SubmittedMs int64           `json:"submit_ms"`
 }
 
 var reportFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
@@ -52,8 +52,8 @@
 // routeReport brings a worker's report to its agent, and where it has none lets
 // the candidate of the worker's zone become it.
 func (n *node) routeReport(req *request) {
-	name := lease.AgentRole(req.key)
-	if agent := n.agents[req.key]; agent != nil && n.leases.Holds(name) {
+	role := lease.AgentRole(req.key)
+	if agent := n.agents[req.key]; agent != nil && n.leases.Holds(role) {
 		n.applyReport(agent, req)
 		return
 	}
@@ -61,19 +61,19 @@
 		n.rejectFaults(req, 400, 0, []schema.Fault{{Path: "name", Reason: "must be a name"}})
 		return
 	}
-	if to, _ := n.leases.Holder(name); to != "" {
+	if to, _ := n.leases.Holder(role); to != "" {
 		n.forward(req, to)
 		return
 	}
-	next := n.leases.Successor(name) // named by the last holder, or else the first candidate
-	if c := n.leases.Candidates(name, gjson.GetBytes(req.body, "site").Str); !n.peers.Alive(next) && len(c) > 0 {
+	next := n.leases.Successor(role) // named by the last holder, or else the first candidate
+	if c := n.leases.Candidates(role, gjson.GetBytes(req.body, "site").Str); !n.peers.Alive(next) && len(c) > 0 {
 		next = c[0]
 	}
 	if next != n.Name && req.hops < forwardsMax {
 		n.forward(req, next)
 		return
 	}
-	n.leases.Acquire(name)
+	n.leases.Acquire(role)
 	n.respond(req, 503, 200, mustJSON(map[string]any{"error": "the worker has no agent yet"}))
 }
 
@@ -83,17 +83,17 @@
 
 // applyReport brings what is held in line with a worker's report, and answers it.
 func (n *node) applyReport(agent *workerAgent, req *request) {
-	if f := schema.Check(req.body, reportFields); len(f) > 0 {
-		n.rejectFaults(req, 400, 0, f)
+	if faults := schema.Check(req.body, reportFields); len(faults) > 0 {
+		n.rejectFaults(req, 400, 0, faults)
 		return
 	}
-	r := gjson.ParseBytes(req.body)
-	if !n.recordReport(agent, r) {
+	report := gjson.ParseBytes(req.body)
+	if !n.recordReport(agent, report) {
 		n.respondReport(agent, req, nil)
 		return
 	}
-	running := n.applyReportedRuns(agent, r)
-	ended, changed := n.applyReportedEnds(agent, r)
+	running := n.applyReportedRuns(agent, report)
+	ended, changed := n.applyReportedEnds(agent, report)
 	changed = n.endUnreported(agent, running, ended) || changed
 	if !agent.rebuilt && agent.tokenMs > agent.startMs+orderTimeoutMs {
 		agent.rebuilt = true
@@ -101,7 +101,7 @@
 		changed = true
 	}
 	n.respondReport(agent, req, ended)
-	n.judgeWorker(agent)
+	n.ejectIfUnhealthy(agent)
 	if changed {
 		n.reportAgent(agent)
 	}
@@ -110,21 +110,21 @@
 
 // recordReport keeps what a report says of the worker itself. It gives false for a
 // report that comes again or late, of which nothing is kept.
-func (n *node) recordReport(agent *workerAgent, r gjson.Result) bool {
-	inc, seq := r.Get("incarnation").Str, r.Get("seq").Int()
-	if inc == agent.workerIncarnation && seq <= agent.reportSeq || slices.Contains(agent.pastIncarnations, inc) {
+func (n *node) recordReport(agent *workerAgent, report gjson.Result) bool {
+	incarnation, seq := report.Get("incarnation").Str, report.Get("seq").Int()
+	if incarnation == agent.workerIncarnation && seq <= agent.reportSeq || slices.Contains(agent.pastIncarnations, incarnation) {
 		return false
 	}
-	if agent.workerIncarnation != "" && inc != agent.workerIncarnation {
+	if agent.workerIncarnation != "" && incarnation != agent.workerIncarnation {
 		agent.pastIncarnations = append(agent.pastIncarnations, agent.workerIncarnation)
 		agent.pastIncarnations = agent.pastIncarnations[max(0, len(agent.pastIncarnations)-pastIncarnationsMax):]
 		n.log("worker_new_incarnation", "worker", agent.worker, "epoch", agent.epoch)
 	}
-	agent.workerIncarnation, agent.reportSeq, agent.lastContactMs = inc, seq, n.now
-	agent.addr, agent.zone, agent.leaving = r.Get("address").Str, r.Get("site").Str, r.Get("leaving").Bool()
-	agent.labels, agent.free = labelsOf(r.Get("labels")), resource.Parse(r.Get("free"))
+	agent.workerIncarnation, agent.reportSeq, agent.lastContactMs = incarnation, seq, n.now
+	agent.addr, agent.zone, agent.leaving = report.Get("address").Str, report.Get("site").Str, report.Get("leaving").Bool()
+	agent.labels, agent.free = labelsOf(report.Get("labels")), resource.Parse(report.Get("free"))
 	agent.tokenMs = -1 << 40
-	if epoch, ms, ok := strings.Cut(r.Get("token").Str, "."); ok && epoch == strconv.FormatUint(agent.epoch, 10) {
+	if epoch, ms, ok := strings.Cut(report.Get("token").Str, "."); ok && epoch == strconv.FormatUint(agent.epoch, 10) {
 		if v, err := strconv.ParseInt(ms, 10, 64); err == nil && v <= n.now {
 			agent.tokenMs = v
 		}
@@ -133,26 +133,26 @@
 }
 
 // applyReportedRuns applies what a report lists as running, and reckons the worker's capacity.
-func (n *node) applyReportedRuns(agent *workerAgent, r gjson.Result) map[wire.AttemptKey]bool {
+func (n *node) applyReportedRuns(agent *workerAgent, report gjson.Result) map[wire.AttemptKey]bool {
 	running := map[wire.AttemptKey]bool{}
 	agent.capacity = agent.free
-	for _, e := range r.Get("running").Array() {
-		key, ok := wire.ParseAttemptKey(e.Get("id").Str)
+	for _, entry := range report.Get("running").Array() {
+		key, ok := wire.ParseAttemptKey(entry.Get("id").Str)
 		if !ok {
-			agent.capacity = agent.capacity.Plus(resource.Parse(e.Get("room")))
+			agent.capacity = agent.capacity.Plus(resource.Parse(entry.Get("room")))
 			continue // not one of ours, but it takes room
 		}
 		running[key] = true
 		attempt := agent.attempts[key]
 		if attempt == nil {
-			attempt = agent.adopt(key, e, n.now)
+			attempt = agent.adopt(key, entry, n.now)
 		}
 		if attempt.state != wire.AttemptRunning {
 			if attempt.state == wire.AttemptEnded {
 				n.log("attempt_runs_after_end", "attempt", key.String(), "worker", agent.worker)
 			}
 			attempt.state, attempt.ordered = wire.AttemptRunning, true
-			attempt.startedMs = n.now - e.Get("ran_ms").Int()
+			attempt.startedMs = n.now - entry.Get("ran_ms").Int()
 		}
 		agent.capacity = agent.capacity.Plus(attempt.spec.Resources)
 	}
@@ -160,10 +160,10 @@
 }
 
 // applyReportedEnds applies what a report lists as ended.
-func (n *node) applyReportedEnds(agent *workerAgent, r gjson.Result) (ended map[wire.AttemptKey]bool, changed bool) {
+func (n *node) applyReportedEnds(agent *workerAgent, report gjson.Result) (ended map[wire.AttemptKey]bool, changed bool) {
 	ended = map[wire.AttemptKey]bool{}
-	for _, e := range r.Get("ended").Array() {
-		key, ok := wire.ParseAttemptKey(e.Get("id").Str)
+	for _, entry := range report.Get("ended").Array() {
+		key, ok := wire.ParseAttemptKey(entry.Get("id").Str)
 		if !ok {
 			continue
 		}
@@ -173,12 +173,12 @@
 			if _, ok := agent.tombstones[key]; ok {
 				continue
 			}
-			attempt = agent.adopt(key, e, n.now)
+			attempt = agent.adopt(key, entry, n.now)
 		}
 		attempt.ordered = true
 		if attempt.state != wire.AttemptEnded {
 			changed = true
-			n.endAttempt(agent, attempt, e.Get("outcome").Str, max(e.Get("ran_ms").Int(), 1))
+			n.endAttempt(agent, attempt, entry.Get("outcome").Str, max(entry.Get("ran_ms").Int(), 1))
 		}
 	}
 	return ended, changed
@@ -206,28 +206,28 @@
 }
 
 // adopt takes a run that only the worker knew of.
-func (a *workerAgent) adopt(key wire.AttemptKey, e gjson.Result, now int64) *agentAttempt {
-	var t orderTag
-	_ = json.Unmarshal([]byte(e.Get("tag").Str), &t)
+func (a *workerAgent) adopt(key wire.AttemptKey, entry gjson.Result, now int64) *agentAttempt {
+	var tag orderTag
+	_ = json.Unmarshal([]byte(entry.Get("tag").Str), &tag)
 	attempt := &agentAttempt{
 		state:     wire.AttemptOrdered,
 		ordered:   true,
 		orderedMs: now,
-		startedMs: now - e.Get("ran_ms").Int(),
+		startedMs: now - entry.Get("ran_ms").Int(),
 		spec: wire.TaskSpec{
 			Key:         key,
-			Shard:       t.Slice,
-			Queue:       t.Queue,
-			Name:        t.Name,
-			Class:       t.Class,
-			Resources:   t.Room,
-			LimitMs:     t.LimitMs,
-			EstimateMs:  t.EstMs,
-			SubmittedMs: t.SubmitMs,
+			Shard:       tag.Shard,
+			Queue:       tag.Queue,
+			Name:        tag.Name,
+			Class:       tag.Class,
+			Resources:   tag.Resources,
+			LimitMs:     tag.LimitMs,
+			EstimateMs:  tag.EstimateMs,
+			SubmittedMs: tag.SubmittedMs,
 		},
 	}
 	if attempt.spec.Resources == (resource.Amount{}) {
-		attempt.spec.Resources = resource.Parse(e.Get("room"))
+		attempt.spec.Resources = resource.Parse(entry.Get("room"))
 	}
 	a.attempts[key] = attempt
 	return attempt
@@ -241,8 +241,8 @@
 	}
 	slices.SortFunc(keys, wire.CompareAttemptKeys)
 	for _, k := range keys {
-		_, buried := agent.tombstones[k]
-		if attempt := agent.attempts[k]; buried || attempt != nil && attempt.acked {
+		_, tombstoned := agent.tombstones[k]
+		if attempt := agent.attempts[k]; tombstoned || attempt != nil && attempt.acked {
 			acked = append(acked, k.String())
 		}
 	}
@@ -268,7 +268,7 @@
 	case "ok":
 		attempt.result = wire.ResultOK
 		agent.succeeded++
-		n.observeEnd(agent, attempt, false)
+		n.observeOutcome(agent, attempt, false)
 		if attempt.spec.Class == wire.ClassQueueable {
 			agent.lastSuccessMs = n.now
 		}
@@ -278,7 +278,7 @@
 	case "failed":
 		attempt.result = wire.ResultFailed
 		agent.failed++
-		n.observeEnd(agent, attempt, true)
+		n.observeOutcome(agent, attempt, true)
 	case "overrun":
 		attempt.result = wire.ResultOverrun
 		agent.failed++
--- a/internal/daemon/agent_sync.go
+++ b/internal/daemon/agent_sync.go
@@ -26,17 +26,17 @@
 	}
 	attempt := &agentAttempt{spec: m.Spec, confirmedMs: m.AgentClockMs, queuedMs: n.now}
 	agent.attempts[m.Spec.Key] = attempt
-	firm, queued := resource.Amount{}, 0
-	for _, o := range agent.attempts {
-		if o.state != wire.AttemptEnded && o.spec.Class == wire.ClassGuaranteed {
-			firm = firm.Plus(o.spec.Resources)
+	guaranteed, queued := resource.Amount{}, 0
+	for _, other := range agent.attempts {
+		if other.state != wire.AttemptEnded && other.spec.Class == wire.ClassGuaranteed {
+			guaranteed = guaranteed.Plus(other.spec.Resources)
 		}
-		if o.state == wire.AttemptQueued {
+		if other.state == wire.AttemptQueued {
 			queued++
 		}
 	}
 	if !agent.rebuilt || agent.replaced || !m.Spec.Resources.Fits(agent.capacity) ||
-		m.Spec.Class == wire.ClassGuaranteed && !firm.Fits(agent.capacity) ||
+		m.Spec.Class == wire.ClassGuaranteed && !guaranteed.Fits(agent.capacity) ||
 		queued > agentQueueMax {
 		attempt.state, attempt.result = wire.AttemptEnded, wire.ResultRejected
 		n.count("placements_rejected")
@@ -54,15 +54,15 @@
 	}
 	agent.ownerEpochs[m.Shard] = m.ShardEpoch
 	agent.recordOwnerReply(m.Shard, m.SentMs, n.now)
-	for _, s := range m.Specs {
-		if attempt := agent.attempts[s.Key]; attempt != nil && attempt.specUnknown {
-			attempt.spec, attempt.specUnknown = s, false
+	for _, spec := range m.Specs {
+		if attempt := agent.attempts[spec.Key]; attempt != nil && attempt.specUnknown {
+			attempt.spec, attempt.specUnknown = spec, false
 		}
 	}
 	recalled := false
-	for _, v := range m.Decisions {
-		if attempt := agent.attempts[v.Key]; attempt != nil {
-			recalled = n.applyDecision(agent, attempt, v, m.SentMs) || recalled
+	for _, decision := range m.Decisions {
+		if attempt := agent.attempts[decision.Key]; attempt != nil {
+			recalled = n.applyDecision(agent, attempt, decision, m.SentMs) || recalled
 		}
 	}
 	if recalled {
@@ -74,9 +74,9 @@
 // applyDecision applies an owner's decision on one attempt; sentMs is when the agent
 // sent the report that it answers. It tells whether the attempt was recalled.
 func (n *node) applyDecision(
-	agent *workerAgent, attempt *agentAttempt, v wire.AttemptDecision, sentMs int64,
+	agent *workerAgent, attempt *agentAttempt, decision wire.AttemptDecision, sentMs int64,
 ) (recalled bool) {
-	switch v.Decision {
+	switch decision.Decision {
 	case wire.DecisionKeep:
 		attempt.confirmedMs = max(attempt.confirmedMs, sentMs)
 	case wire.DecisionRecall:
@@ -93,7 +93,7 @@
 			n.stopAttempt(agent, attempt, wire.ResultCancelled)
 		}
 	case wire.DecisionAcknowledged, wire.DecisionCounted:
-		n.acknowledgeEnd(agent, attempt, v.Decision)
+		n.acknowledgeEnd(agent, attempt, decision.Decision)
 	}
 	return false
 }
@@ -103,7 +103,7 @@
 	if attempt.state != wire.AttemptEnded || attempt.acked {
 		return
 	}
-	if attempt.lateEnd && decision != wire.DecisionCounted {
+	if attempt.endedLate && decision != wire.DecisionCounted {
 		return // another run may have taken its place
 	}
 	attempt.acked = true
@@ -112,9 +112,9 @@
 	}
 }
 
-// rankOf is the paper's R = T_q + T_r + T_l, without batches: all others push them out.
-func (a *workerAgent) rankOf(n *node) (rank, queuedMs, queued int64) {
-	var tq, tr int64
+// rank is the paper's R = T_q + T_r + T_l, without batches: all others push them out.
+func (a *workerAgent) rank(n *node) (rank, queuedMs, queued int64) {
+	var queuedWorkMs, remainingMs int64
 	now := n.now
 	for _, attempt := range a.attempts {
 		if n.batchRulesOfSpec(&attempt.spec) != nil {
@@ -122,13 +122,13 @@
 		}
 		switch attempt.state {
 		case wire.AttemptQueued:
-			tq += attempt.spec.EstimateMs
+			queuedWorkMs += attempt.spec.EstimateMs
 			queued++
 		case wire.AttemptOrdered, wire.AttemptRunning:
-			tr += max(0, attempt.spec.EstimateMs-(now-max(attempt.startedMs, attempt.orderedMs)))
+			remainingMs += max(0, attempt.spec.EstimateMs-(now-max(attempt.startedMs, attempt.orderedMs)))
 		}
 	}
-	return tq + tr + (now - a.lastSuccessMs), tq, queued
+	return queuedWorkMs + remainingMs + (now - a.lastSuccessMs), queuedWorkMs, queued
 }
 
 // reportAgent tells each shard's owner and the central scheduler all it holds.
@@ -160,7 +160,7 @@
 	m.Shard = target
 	m.BatchUsage = agent.batchUse(n, target)
 	if target == "" {
-		m.Outcomes = agent.endsByQueue()
+		m.Outcomes = agent.outcomesByQueue()
 	}
 	n.addAttempts(&m, agent, keys)
 	n.send(to, &m)
@@ -185,7 +185,7 @@
 
 // baseReport is what a report says of the worker and its agent, to whomever it goes.
 func (n *node) baseReport(agent *workerAgent) wire.AgentReport {
-	rank, queuedMs, queued := agent.rankOf(n)
+	rank, queuedMs, queued := agent.rank(n)
 	waiting, spare := agent.loadWithoutBatches(n)
 	return wire.AgentReport{
 		Worker: agent.worker, Agent: n.Name, Epoch: agent.epoch, SentMs: n.now,
@@ -222,16 +222,16 @@
 }
 
 func (n *node) attemptStatus(attempt *agentAttempt) wire.AttemptStatus {
-	ran := attempt.ranMs
+	ranMs := attempt.ranMs
 	if attempt.state == wire.AttemptRunning {
-		ran = n.now - attempt.startedMs
+		ranMs = n.now - attempt.startedMs
 	}
 	return wire.AttemptStatus{
 		Key: attempt.spec.Key, Class: attempt.spec.Class, State: attempt.state, Result: attempt.result,
-		Resources: attempt.spec.Resources, RanMs: ran, EstimateMs: attempt.spec.EstimateMs,
+		Resources: attempt.spec.Resources, RanMs: ranMs, EstimateMs: attempt.spec.EstimateMs,
 		Queue: attempt.spec.Queue, Name: attempt.spec.Name,
 		Checkpoint:  attempt.spec.Checkpoint,
-		SpecMissing: attempt.specUnknown, EndedLate: attempt.lateEnd, QueueMs: attempt.queueMs(), StartMs: attempt.startMs(),
+		SpecMissing: attempt.specUnknown, EndedLate: attempt.endedLate, QueueMs: attempt.queueMs(), StartMs: attempt.startMs(),
 	}
 }
 
@@ -255,10 +255,10 @@
 // shed gives back unstarted queueable tasks, the last in line first, until the
 // rank meets the coordinator's target.
 func (n *node) shed(agent *workerAgent, targetMs int64) {
-	rank, _, _ := agent.rankOf(n)
+	rank, _, _ := agent.rank(n)
 	queue := agent.queuedAttempts(n)
 	slices.Reverse(queue)
-	some := false
+	shedAny := false
 	for _, attempt := range queue {
 		if rank <= targetMs {
 			break
@@ -267,10 +267,10 @@
 			continue
 		}
 		rank -= attempt.spec.EstimateMs
-		attempt.state, attempt.result, some = wire.AttemptEnded, wire.ResultShed, true
+		attempt.state, attempt.result, shedAny = wire.AttemptEnded, wire.ResultShed, true
 		n.count("sheds")
 	}
-	if some {
+	if shedAny {
 		n.reportAgent(agent)
 	}
 }
@@ -287,13 +287,13 @@
 		n.batchRulesOfSpec(&attempt.spec) != nil {
 		return
 	}
-	firm := attempt.spec.Resources
-	for _, o := range agent.attempts {
-		if o.state != wire.AttemptEnded && o.spec.Class == wire.ClassGuaranteed {
-			firm = firm.Plus(o.spec.Resources)
+	guaranteed := attempt.spec.Resources
+	for _, other := range agent.attempts {
+		if other.state != wire.AttemptEnded && other.spec.Class == wire.ClassGuaranteed {
+			guaranteed = guaranteed.Plus(other.spec.Resources)
 		}
 	}
-	if firm.Fits(agent.capacity) {
+	if guaranteed.Fits(agent.capacity) {
 		attempt.spec.Class = wire.ClassGuaranteed
 		n.count("promotions")
 	}
--- a/internal/daemon/allocate.go
+++ b/internal/daemon/allocate.go
@@ -58,8 +58,8 @@
 		reserved:   map[string]bool{},
 		idle:       n.Policies.On(scheduler.Backfill) && scheduler.IdleInSomeDimension(candidates, busyPercent),
 	}
-	for _, k := range keys {
-		request := c.pending[k]
+	for _, key := range keys {
+		request := c.pending[key]
 		if q := n.config.current.Queues[request.Queue]; q != nil {
 			n.allocate(c, pass, request, q)
 		}
@@ -67,16 +67,16 @@
 }
 
 // allocate gives one request the places that it can have now.
-func (n *node) allocate(c *centralScheduler, pass *allocationPass, request *pendingAllocation, q *configuration.Queue) {
-	fit, healthy := n.fittingWorkers(request, q, pass.candidates)
+func (n *node) allocate(c *centralScheduler, pass *allocationPass, request *pendingAllocation, queue *configuration.Queue) {
+	fitting, healthy := n.fittingWorkers(request, queue, pass.candidates)
 	open := request.open()
-	search := n.newAssignment(request, q, pass.reserved)
+	search := n.newAssignment(request, queue, pass.reserved)
 	workers := search.Find(len(open), healthy)
 	if len(workers) == 0 && pass.idle && n.now-request.firstMs > backfillAfterMs {
 		// No room is kept back from what waited this long while most of it is free.
 		search.Reserved, search.Urgent, search.WaitsForRack = nil, true, n.waitsForRack(request, spreadAfterMs)
 		if workers = search.Find(len(open), healthy); len(workers) == 0 {
-			workers = search.Find(len(open), fit)
+			workers = search.Find(len(open), fitting)
 		}
 	}
 	if len(workers) == 0 {
@@ -90,16 +90,16 @@
 // last, and among equals by what their tenants have already and by the job's age.
 func (n *node) pendingInOrder(c *centralScheduler) []allocationKey {
 	var keys []allocationKey
-	for k, request := range c.pending {
+	for key, request := range c.pending {
 		if request.hasOpen() {
-			keys = append(keys, k)
+			keys = append(keys, key)
 		}
 	}
 	requests := make([]scheduler.FairRequest, len(keys))
-	for i, k := range keys {
-		request := c.pending[k]
+	for i, key := range keys {
+		request := c.pending[key]
 		requests[i] = scheduler.FairRequest{
-			Precedence: n.precedence(request.Queue, request.Excess), SubmittedMs: request.SubmittedMs, Job: k.Job, Step: k.Step,
+			Precedence: n.precedence(request.Queue, request.Excess), SubmittedMs: request.SubmittedMs, Job: key.Job, Step: key.Step,
 		}
 	}
 	if n.limits.HasTenants() && n.Policies.On(scheduler.WeightedFairness) {
@@ -114,7 +114,7 @@
 
 // candidateWorkers gives the workers that may get work now, with the room they have.
 func (n *node) candidateWorkers(c *centralScheduler) (candidates []*scheduler.Candidate) {
-	granted := c.grantedRoom()
+	granted := c.grantedResources()
 	for _, name := range sortedKeys(c.workers) {
 		w := c.workers[name]
 		if n.now-w.receivedMs >= ownerContactMs || !w.Rebuilt || !w.WorkerReportFresh || w.Leaving ||
@@ -126,7 +126,7 @@
 			Rack:                w.Rack,
 			Capacity:            w.Capacity,
 			FreeAfterPreemption: w.Capacity.Minus(w.guaranteed).Minus(granted[name]),
-			Free:                w.Capacity.Minus(w.busy).Minus(granted[name]),
+			Free:                w.Capacity.Minus(w.occupied).Minus(granted[name]),
 		})
 	}
 	return candidates
@@ -136,17 +136,17 @@
 // them that are healthy: unhealthy ones count only where nothing else may ever do.
 func (n *node) fittingWorkers(
 	request *pendingAllocation,
-	q *configuration.Queue,
+	queue *configuration.Queue,
 	candidates []*scheduler.Candidate,
-) (fit, healthy []*scheduler.Candidate) {
+) (fitting, healthy []*scheduler.Candidate) {
 	suspects := 0
-	for _, r := range candidates {
-		w := n.central.workers[r.Name]
-		_, lack := configuration.MissingLabel(w.Labels, request.RequiredLabels)
-		if lack || !q.Matches(w.Labels, w.Zone) || !request.Resources.Fits(r.Capacity) {
+	for _, candidate := range candidates {
+		w := n.central.workers[candidate.Name]
+		_, missing := configuration.MissingLabel(w.Labels, request.RequiredLabels)
+		if missing || !queue.Matches(w.Labels, w.Zone) || !request.Resources.Fits(candidate.Capacity) {
 			continue
 		}
-		fit = append(fit, r)
+		fitting = append(fitting, candidate)
 		if w.Suspect {
 			suspects++
 		}
@@ -154,30 +154,30 @@
 			continue
 		}
 		if w.unhealthyUntilMs <= n.now && !w.Suspect || !n.Policies.On(scheduler.EjectUnhealthy) {
-			healthy = append(healthy, r)
+			healthy = append(healthy, candidate)
 		}
 	}
-	if len(healthy) == 0 || 2*suspects > len(fit) { // where most are suspect it isn't the workers
-		healthy = fit
+	if len(healthy) == 0 || 2*suspects > len(fitting) { // where most are suspect it isn't the workers
+		healthy = fitting
 	}
-	return fit, healthy
+	return fitting, healthy
 }
 
 func (n *node) newAssignment(
 	request *pendingAllocation,
-	q *configuration.Queue,
+	queue *configuration.Queue,
 	reserved map[string]bool,
 ) *scheduler.Assignment {
 	search := &scheduler.Assignment{
 		Group: n.groupOf(request), TaskCounts: map[string]int32{}, Reserved: reserved,
-		Urgent: n.mayUseUrgentHeadroom(q, request.Excess), HeadroomPercent: n.central.headroom.Percent(),
+		Urgent: n.mayUseUrgentHeadroom(queue, request.Excess), HeadroomPercent: n.central.headroom.Percent(),
 		WaitsForRack: n.waitsForRack(request, n.rackWaitMs(request)),
 	}
-	for _, u := range request.StepWorkers {
-		search.TaskCounts[u.Worker] += u.Count
+	for _, step := range request.StepWorkers {
+		search.TaskCounts[step.Worker] += step.Count
 	}
-	for _, g := range request.granted {
-		search.TaskCounts[g.worker]++
+	for _, grant := range request.granted {
+		search.TaskCounts[grant.worker]++
 	}
 	return search
 }
@@ -223,7 +223,7 @@
 // behind it: one worker for a task, as many as hold it whole for a gang. A gang
 // that waits for one rack keeps workers of one rack, from the beginning: else
 // others take what gets free there.
-func (n *node) reserve(request *pendingAllocation, fit []*scheduler.Candidate, reserved map[string]bool, all int) {
+func (n *node) reserve(request *pendingAllocation, fitting []*scheduler.Candidate, reserved map[string]bool, workerCount int) {
 	if !n.Policies.On(scheduler.Reservation) {
 		return
 	}
@@ -231,9 +231,9 @@
 	group := n.groupOf(request)
 	switch waitedMs := n.now - request.firstMs; {
 	case request.Gang && request.SameRack && waitedMs < n.rackWaitMs(request):
-		likely = group.LikeliestRack(fit, reserved)
+		likely = group.LikeliestRack(fitting, reserved)
 	case waitedMs > reserveAfterMs:
-		likely = slices.Clone(fit)
+		likely = slices.Clone(fitting)
 	}
 	slices.SortStableFunc(likely, func(a, b *scheduler.Candidate) int {
 		return cmp.Compare(b.FreeAfterPreemption.CPU, a.FreeAfterPreemption.CPU)
@@ -242,23 +242,23 @@
 	if request.Gang {
 		need = int64(len(request.Tasks))
 	}
-	for _, r := range likely {
-		if need <= 0 || 2*len(reserved) >= all && !request.Gang {
+	for _, candidate := range likely {
+		if need <= 0 || 2*len(reserved) >= workerCount && !request.Gang {
 			return
 		}
-		reserved[r.Name] = true
-		need -= scheduler.FitCount(request.Resources, r.Capacity)
+		reserved[candidate.Name] = true
+		need -= scheduler.FitCount(request.Resources, candidate.Capacity)
 	}
 }
 
 // rackWaitMs is how long a gang that asks for one rack waits for one: a part of
 // what its run would take longer over several.
 func (n *node) rackWaitMs(request *pendingAllocation) int64 {
-	longerMs := int64((n.SpreadFactor - 1) * float64(request.EstimateMs))
-	return min(max(longerMs*rackWaitPercent/100, spreadAfterMs), rackWaitMaxMs)
+	extraMs := int64((n.SpreadFactor - 1) * float64(request.EstimateMs))
+	return min(max(extraMs*rackWaitPercent/100, spreadAfterMs), rackWaitMaxMs)
 }
 
 // waitsForRack tells whether a gang still waits for room in one rack, where it does so for long.
-func (n *node) waitsForRack(request *pendingAllocation, forMs int64) bool {
-	return n.Policies.On(scheduler.RackWait) && n.now-request.firstMs < forMs
+func (n *node) waitsForRack(request *pendingAllocation, limitMs int64) bool {
+	return n.Policies.On(scheduler.RackWait) && n.now-request.firstMs < limitMs
 }
--- a/internal/daemon/allocation_request.go
+++ b/internal/daemon/allocation_request.go
@@ -16,7 +16,7 @@
 	}
 	m := n.newAllocationRequest(shard, job, i)
 	m.Tasks = n.requestedTasks(shard, job, i)
-	m.Avoid, m.Suspect = n.avoidedBy(job, m.Tasks)
+	m.Avoid, m.Suspect = n.avoidedWorkers(job, m.Tasks)
 	n.send(to, m)
 }
 
@@ -50,16 +50,16 @@
 	return m
 }
 
-// requestedTogether gives the positions of the tasks that are requested with one.
-func (j *liveJob) requestedTogether(i int) (from, to int) {
+// requestRange gives the positions of the tasks that are requested with one.
+func (j *liveJob) requestRange(i int) (from, to int) {
 	if j.Steps[j.Tasks[i].Step].Uniform {
 		return j.gangRange(i)
 	}
 	return i, i + 1
 }
 
-// waitsForPlace tells whether a task may be placed, by its own state and the committed record.
-func (n *node) waitsForPlace(job *liveJob, k int) bool {
+// isPlaceable tells whether a task may be placed, by its own state and the committed record.
+func (n *node) isPlaceable(job *liveJob, k int) bool {
 	t := &job.Tasks[k]
 	return t.State == taskPending && t.ChangedVersion <= job.committed && n.now >= job.runtime[k].retryAtMs
 }
@@ -69,9 +69,9 @@
 	if !job.Steps[job.Tasks[i].Step].Gang {
 		return true
 	}
-	from, to := job.requestedTogether(i)
+	from, to := job.requestRange(i)
 	for k := from; k < to; k++ {
-		if !n.waitsForPlace(job, k) {
+		if !n.isPlaceable(job, k) {
 			return false
 		}
 	}
@@ -82,7 +82,7 @@
 // goes, and reserves the share for them.
 func (n *node) requestedTasks(shard *ownedShard, job *liveJob, i int) (requested []wire.RequestedTask) {
 	gang := job.Steps[job.Tasks[i].Step].Gang
-	from, to := job.requestedTogether(i)
+	from, to := job.requestRange(i)
 	attempt := int32(0)
 	for k := from; k < to; k++ {
 		attempt = max(attempt, job.Tasks[k].Attempt+1)
@@ -90,7 +90,7 @@
 	var reserved resource.Amount
 	for k := from; k < to; k++ {
 		t := &job.Tasks[k]
-		if !n.waitsForPlace(job, k) || k != i && n.classify(job, t) != wire.ClassGuaranteed {
+		if !n.isPlaceable(job, k) || k != i && n.classify(job, t) != wire.ClassGuaranteed {
 			continue
 		}
 		if !gang && !n.hasReservedShare(shard, job, i, reserved.Plus(t.Resources)) {
@@ -108,35 +108,35 @@
 	return requested
 }
 
-// avoidedMax bounds the workers that a request for guaranteed places asks to avoid, of each kind.
-const avoidedMax = 32
+// avoidedWorkersMax bounds the workers that a request for guaranteed places asks to avoid, of each kind.
+const avoidedWorkersMax = 32
 
-// avoidedBy gives the workers that requested tasks rather not go to: where they failed; and,
+// avoidedWorkers gives the workers that requested tasks rather not go to: where they failed; and,
 // doubted, where others of the job did lately, and, if one may fail no more, where anything
 // speaks against the worker.
-func (n *node) avoidedBy(job *liveJob, requested []wire.RequestedTask) (avoided, doubted []string) {
-	failed, doubts, last := map[string]bool{}, map[string]bool{}, false
+func (n *node) avoidedWorkers(job *liveJob, requested []wire.RequestedTask) (avoided, suspected []string) {
+	failed, suspects, lastAttempt := map[string]bool{}, map[string]bool{}, false
 	for _, r := range requested {
 		i, _, _ := job.position(r.Task)
 		if t := &job.Tasks[i]; t.LastFailedWorker != "" {
 			failed[t.LastFailedWorker] = true
-			last = last || t.onLastAttempt()
+			lastAttempt = lastAttempt || t.onLastAttempt()
 		}
 	}
 	for worker := range job.failedAt {
-		if job.failedLatelyAt(worker, n.now) {
-			doubts[worker] = true
+		if job.failedRecentlyAt(worker, n.now) {
+			suspects[worker] = true
 		}
 	}
-	if last {
+	if lastAttempt {
 		for worker, w := range n.workers {
 			if w.recentFailures {
-				doubts[worker] = true
+				suspects[worker] = true
 			}
 		}
 	}
-	avoided, doubted = sortedKeys(failed), sortedKeys(doubts)
-	return avoided[:min(len(avoided), avoidedMax)], doubted[:min(len(doubted), avoidedMax)]
+	avoided, suspected = sortedKeys(failed), sortedKeys(suspects)
+	return avoided[:min(len(avoided), avoidedWorkersMax)], suspected[:min(len(suspected), avoidedWorkersMax)]
 }
 
 // onAllocation takes guaranteed places from the central scheduler; a gang's all or none.
@@ -149,33 +149,33 @@
 	if job == nil || job.State != jobRunning {
 		return
 	}
-	q := n.config.current.Queues[job.Queue]
-	if !n.acceptsGang(shard, job, q, m.Places) {
+	queue := n.config.current.Queues[job.Queue]
+	if !n.acceptsGang(shard, job, queue, m.Places) {
 		n.count("grants_not_taken")
 		return
 	}
 	for _, p := range m.Places {
-		if i, ok := n.acceptsPlace(job, q, p); !ok || !n.applyPlace(shard, job, i, p) {
+		if i, ok := n.acceptsAllocation(job, queue, p); !ok || !n.applyAllocation(shard, job, i, p) {
 			n.count("grants_not_taken")
 		}
 	}
 }
 
-// acceptsPlace gives the position of a task that was granted a place, and whether it may go there.
-func (n *node) acceptsPlace(job *liveJob, q *configuration.Queue, p wire.AllocatedTask) (i int, ok bool) {
+// acceptsAllocation gives the position of a task that was granted a place, and whether it may go there.
+func (n *node) acceptsAllocation(job *liveJob, queue *configuration.Queue, p wire.AllocatedTask) (i int, ok bool) {
 	i, _, known := job.position(p.Task)
 	w := n.workers[p.Worker]
-	if !known || w == nil || q == nil {
+	if !known || w == nil || queue == nil {
 		return 0, false
 	}
 	t := &job.Tasks[i]
 	return i, t.State == taskPending && p.Attempt > t.Attempt && t.ChangedVersion <= job.committed &&
-		n.workerAllowed(w, q, t.RequiredLabels, t.Resources)
+		n.workerAllowed(w, queue, t.RequiredLabels, t.Resources)
 }
 
 // acceptsGang tells whether places for a gang are for all its members and within its tenant's share;
 // true for single tasks.
-func (n *node) acceptsGang(shard *ownedShard, job *liveJob, q *configuration.Queue, places []wire.AllocatedTask) bool {
+func (n *node) acceptsGang(shard *ownedShard, job *liveJob, queue *configuration.Queue, places []wire.AllocatedTask) bool {
 	if len(places) == 0 {
 		return true
 	}
@@ -183,19 +183,19 @@
 	if !known || !job.Steps[job.Tasks[first].Step].Gang {
 		return true
 	}
-	whole := 0
+	accepted := 0
 	for _, p := range places {
-		if _, ok := n.acceptsPlace(job, q, p); ok {
-			whole++
+		if _, ok := n.acceptsAllocation(job, queue, p); ok {
+			accepted++
 		}
 	}
-	return whole >= int(job.Steps[job.Tasks[first].Step].Size) &&
+	return accepted >= int(job.Steps[job.Tasks[first].Step].Size) &&
 		n.hasReservedShare(shard, job, first, job.allocationUnit(first))
 }
 
-// applyPlace places a task where it was granted a place, if its step and its tenant's share still
+// applyAllocation places a task where it was granted a place, if its step and its tenant's share still
 // allow that.
-func (n *node) applyPlace(shard *ownedShard, job *liveJob, i int, p wire.AllocatedTask) bool {
+func (n *node) applyAllocation(shard *ownedShard, job *liveJob, i int, p wire.AllocatedTask) bool {
 	step := &job.Steps[job.Tasks[i].Step]
 	if step.MaxPerWorker > 0 && job.stepTasksByWorker(i)[p.Worker] >= step.MaxPerWorker {
 		return false
--- a/internal/daemon/attempt_result.go
+++ b/internal/daemon/attempt_result.go
@@ -14,7 +14,7 @@
 func (n *node) resolveAttempt(shard *ownedShard, job *liveJob, i int, result wire.AttemptResult, ranMs int64) {
 	t, rt := &job.Tasks[i], &job.runtime[i]
 	step := &job.Steps[t.Step]
-	if job.awaitsOthers(i, result) {
+	if job.awaitsStepTasks(i, result) {
 		n.markDeferred(shard, job)
 	} else {
 		n.markDirty(shard, job)
@@ -41,7 +41,7 @@
 		return
 	case wire.ResultFailed, wire.ResultOverrun:
 		t.LastFailedWorker, t.Cause = t.Worker, result.String()
-		job.noteFailureAt(t.Worker, n.now)
+		job.recordFailureAt(t.Worker, n.now)
 		if !n.countFailure(job, i) {
 			break
 		}
@@ -55,7 +55,7 @@
 		rt.retryAtMs = n.now + 20 + n.rand().Int64N(100)
 	}
 	if step.Gang && job.Steps[t.Step].Checkpointing {
-		n.shareSaved(job, i)
+		n.shareCheckpoint(job, i)
 	}
 	switch {
 	case t.Failures >= t.maxFailures() && !step.LongRunning:
@@ -75,16 +75,16 @@
 // jobAvoidMs is how long tasks of a job rather go elsewhere than where one of them failed.
 const jobAvoidMs = 10_000
 
-// noteFailureAt notes where a task of the job failed.
-func (j *liveJob) noteFailureAt(worker string, nowMs int64) {
+// recordFailureAt notes where a task of the job failed.
+func (j *liveJob) recordFailureAt(worker string, nowMs int64) {
 	if j.failedAt == nil {
 		j.failedAt = map[string]int64{}
 	}
 	j.failedAt[worker] = nowMs
 }
 
-// failedLatelyAt tells whether a task of the job failed at a worker lately.
-func (j *liveJob) failedLatelyAt(worker string, nowMs int64) bool {
+// failedRecentlyAt tells whether a task of the job failed at a worker lately.
+func (j *liveJob) failedRecentlyAt(worker string, nowMs int64) bool {
 	atMs, failed := j.failedAt[worker]
 	return failed && nowMs-atMs <= jobAvoidMs
 }
@@ -95,19 +95,19 @@
 // backoffMs is how long a task waits after a failure. Of many tasks alike some fail, and the
 // next try is elsewhere: the first one comes at once.
 func (n *node) backoffMs(step *jobStep, t *task) int64 {
-	wait := int64(backoffBaseMs) << min(t.Failures-1, 10)
+	waitMs := int64(backoffBaseMs) << min(t.Failures-1, 10)
 	switch {
 	case step.Uniform && t.Failures == 1 && n.Policies.On(scheduler.RetryAtOnce):
 		return 0
 	case step.Uniform:
-		return min(wait/4, backoffBaseMs)
+		return min(waitMs/4, backoffBaseMs)
 	}
-	return min(wait, backoffMaxMs)
+	return min(waitMs, backoffMaxMs)
 }
 
-// awaitsOthers tells whether nothing follows from the end of an attempt yet: it ended well,
+// awaitsStepTasks tells whether nothing follows from the end of an attempt yet: it ended well,
 // and other tasks of its step still run.
-func (j *liveJob) awaitsOthers(i int, result wire.AttemptResult) bool {
+func (j *liveJob) awaitsStepTasks(i int, result wire.AttemptResult) bool {
 	t := &j.Tasks[i]
 	step := &j.Steps[t.Step]
 	if result != wire.ResultOK || step.Gang || step.LongRunning || j.State != jobRunning {
@@ -145,8 +145,8 @@
 func (n *node) endGang(shard *ownedShard, job *liveJob, i int) {
 	from, to := job.gangRange(i)
 	for k := from; k < to; k++ {
-		if o := &job.Tasks[k]; k != i && o.Attempt == job.Tasks[i].Attempt && o.State != taskEnded {
-			o.State, o.Cause, o.ChangedVersion = taskEnded, "", job.Version
+		if other := &job.Tasks[k]; k != i && other.Attempt == job.Tasks[i].Attempt && other.State != taskEnded {
+			other.State, other.Cause, other.ChangedVersion = taskEnded, "", job.Version
 			job.runtime[k] = taskRuntime{}
 			shard.updatePlacedIndex(job, k)
 			shard.holdUntilListed(job, k, n.now)
@@ -154,9 +154,9 @@
 	}
 }
 
-// shareSaved gives all members of a gang the newest saved text of one of them:
+// shareCheckpoint gives all members of a gang the newest saved text of one of them:
 // they must go on from the same.
-func (n *node) shareSaved(job *liveJob, i int) {
+func (n *node) shareCheckpoint(job *liveJob, i int) {
 	from, to := job.gangRange(i)
 	saved := job.Tasks[i].Checkpoint
 	for k := from; k < to; k++ {
--- a/internal/daemon/batch_test.go
+++ b/internal/daemon/batch_test.go
@@ -154,9 +154,9 @@
 		return attempt
 	}
 	pump := func() {
-		agent.answering = true
+		agent.replying = true
 		n.startPending(agent)
-		agent.answering = false
+		agent.replying = false
 	}
 	running := func(attempt *agentAttempt) { attempt.state, attempt.startedMs = wire.AttemptRunning, n.now }
 
@@ -208,7 +208,7 @@
 	running(batch)
 	n.onPromotion("", &wire.Promotion{Worker: "w", Key: batch.spec.Key})
 	must.Eq(t, wire.ClassQueueable, batch.spec.Class)
-	rank, _, _ := agent.rankOf(n)
+	rank, _, _ := agent.rank(n)
 	must.Less(t, 50_000, rank)
 }
 
--- a/internal/daemon/central.go
+++ b/internal/daemon/central.go
@@ -94,7 +94,7 @@
 	wire.AgentReport
 	receivedMs       int64
 	guaranteed       resource.Amount // room of the firm tasks it holds
-	busy             resource.Amount // room of all it holds that is not ended
+	occupied         resource.Amount // room of all it holds that is not ended
 	unhealthyUntilMs int64           // unsound until
 	unhealthyTimes   int64
 }
@@ -111,23 +111,23 @@
 	ranks           map[string]int64
 	unhealthy       map[string]int8
 	failRates       map[string]float64 // by queue
-	added           map[string]int64   // estimates of what was placed from here since the round
+	addedMs         map[string]int64   // estimates of what was placed from here since the round
 }
 
 // rank gives a worker's rank: the coordinator's, and what this daemon itself has
 // sent there since. When the coordinator's word is stale only the latter counts.
 func (r *rankState) rank(n *node, worker string) int64 {
 	if r.ranks == nil || n.now-r.receivedMs > rankStaleMs {
-		return r.added[worker]
+		return r.addedMs[worker]
 	}
-	return r.ranks[worker] + r.added[worker]
+	return r.ranks[worker] + r.addedMs[worker]
 }
 
-func (r *rankState) add(worker string, estMs int64) {
-	if r.added == nil {
-		r.added = map[string]int64{}
+func (r *rankState) add(worker string, estimateMs int64) {
+	if r.addedMs == nil {
+		r.addedMs = map[string]int64{}
 	}
-	r.added[worker] += estMs
+	r.addedMs[worker] += estimateMs
 }
 
 func (n *node) startCentral(epoch uint64) {
@@ -154,7 +154,7 @@
 		return
 	}
 	w.AgentReport, w.receivedMs = *m, n.now
-	w.guaranteed, w.busy = resource.Amount{}, m.OtherShards // to the central scheduler all are others' attempts
+	w.guaranteed, w.occupied = resource.Amount{}, m.OtherShards // to the central scheduler all are others' attempts
 	for _, status := range m.Attempts {
 		if status.Class != wire.ClassGuaranteed {
 			continue
@@ -205,15 +205,15 @@
 	}
 }
 
-// grantedRoom is the guaranteed room, by worker, that agents do not show yet.
-func (c *centralScheduler) grantedRoom() map[string]resource.Amount {
-	room := map[string]resource.Amount{}
+// grantedResources is the guaranteed room, by worker, that agents do not show yet.
+func (c *centralScheduler) grantedResources() map[string]resource.Amount {
+	granted := map[string]resource.Amount{}
 	for _, request := range c.pending { // sums: the order does not matter
 		for _, g := range request.granted {
-			room[g.worker] = room[g.worker].Plus(request.Resources)
+			granted[g.worker] = granted[g.worker].Plus(request.Resources)
 		}
 	}
-	return room
+	return granted
 }
 
 // promote makes long-running queueable tasks firm where the room is sure, so
@@ -222,19 +222,19 @@
 	if !n.leases.Holds(lease.Central) || n.now-c.startMs < centralRebuildMs || !n.Policies.On(scheduler.Promotion) {
 		return
 	}
-	long := func(status wire.AttemptStatus) bool {
+	isLong := func(status wire.AttemptStatus) bool {
 		return status.Class == wire.ClassQueueable && n.mayBePromoted(status.State, status.RanMs, status.EstimateMs)
 	}
-	if !slices.ContainsFunc(w.Attempts, long) {
+	if !slices.ContainsFunc(w.Attempts, isLong) {
 		return
 	}
-	sure := w.Capacity.Minus(w.guaranteed).Minus(c.grantedRoom()[w.Worker])
+	guaranteeable := w.Capacity.Minus(w.guaranteed).Minus(c.grantedResources()[w.Worker])
 	for _, status := range w.Attempts {
 		if q := n.config.current.Queues[status.Queue]; q != nil && q.Batch != nil {
 			continue // batches are never firm
 		}
-		if long(status) && status.Resources.Fits(sure) {
-			sure = sure.Minus(status.Resources)
+		if isLong(status) && status.Resources.Fits(guaranteeable) {
+			guaranteeable = guaranteeable.Minus(status.Resources)
 			n.send(w.Agent, &wire.Promotion{Worker: w.Worker, Epoch: w.Epoch, Key: status.Key})
 		}
 	}
@@ -260,7 +260,7 @@
 			delete(c.workers, name)
 		}
 	}
-	n.observeUrgent(c)
+	n.observeUrgentUse(c)
 	n.allocateAll(c)
 	if n.now < c.nextRoundMs || !n.leases.Holds(lease.Central) {
 		return
@@ -274,8 +274,8 @@
 	}
 	n.rankWorkers(c, m)
 	// Ranks are for those that place tasks; agents need the rest.
-	brief := *m
-	brief.Ranks = nil
+	withoutRanks := *m
+	withoutRanks.Ranks = nil
 	owners := map[string]bool{n.Name: true}
 	for _, s := range n.core.Shards {
 		to, _ := n.leases.Holder(lease.ShardRole(s))
@@ -285,46 +285,46 @@
 		if owners[name] {
 			n.send(name, m)
 		} else {
-			n.send(name, &brief)
+			n.send(name, &withoutRanks)
 		}
 	}
 }
 
 // rankWorkers puts the workers' ranks into a round, and the target that follows from them.
 func (n *node) rankWorkers(c *centralScheduler, m *wire.Ranks) {
-	var sum, sum2, count float64
+	var sum, squareSum, count float64
 	for _, name := range sortedKeys(c.workers) {
 		w := c.workers[name]
 		if n.now-w.receivedMs > rankIntervalMs {
 			continue
 		}
-		v := wire.WorkerRank{Worker: name, RankMs: w.RankMs}
+		rank := wire.WorkerRank{Worker: name, RankMs: w.RankMs}
 		if w.unhealthyUntilMs > n.now || w.Suspect {
-			v.Unhealthy = healthEjected
+			rank.Unhealthy = healthEjected
 		} else if w.Probation {
-			v.Unhealthy = healthProbation
+			rank.Unhealthy = healthProbation
 		}
-		m.Ranks = append(m.Ranks, v)
-		sum, sum2, count = sum+float64(w.RankMs), sum2+float64(w.RankMs)*float64(w.RankMs), count+1
+		m.Ranks = append(m.Ranks, rank)
+		sum, squareSum, count = sum+float64(w.RankMs), squareSum+float64(w.RankMs)*float64(w.RankMs), count+1
 	}
 	if count > 1 {
 		mean := sum / count
-		m.TargetDelayMs = int64(mean + n.TargetSigma*math.Sqrt(max(0, sum2/count-mean*mean)))
+		m.TargetDelayMs = int64(mean + n.TargetSigma*math.Sqrt(max(0, squareSum/count-mean*mean)))
 	}
 }
 
-// observeUrgent takes what the most urgent queues hold at all workers now.
-func (n *node) observeUrgent(c *centralScheduler) {
+// observeUrgentUse takes what the most urgent queues hold at all workers now.
+func (n *node) observeUrgentUse(c *centralScheduler) {
 	if !n.Policies.On(scheduler.UrgentRoom) {
 		return
 	}
-	var used, all resource.Amount
+	var used, capacity resource.Amount
 	for _, w := range c.workers { // a sum: the order does not matter
 		if n.now-w.receivedMs < ownerContactMs {
-			used, all = used.Plus(w.Urgent), all.Plus(w.Capacity)
+			used, capacity = used.Plus(w.Urgent), capacity.Plus(w.Capacity)
 		}
 	}
-	c.headroom.Observe(used, all)
+	c.headroom.Observe(used, capacity)
 }
 
 // updateHealth finds workers that lag far more than their peers. A worker judged unhealthy is
--- a/internal/daemon/central_test.go
+++ b/internal/daemon/central_test.go
@@ -33,7 +33,7 @@
 // occupy gives a worker firm work.
 func occupy(n *node, worker string, cpu int64) {
 	w := n.central.workers[worker]
-	w.guaranteed, w.busy = resource.Amount{CPU: cpu}, resource.Amount{CPU: cpu}
+	w.guaranteed, w.occupied = resource.Amount{CPU: cpu}, resource.Amount{CPU: cpu}
 }
 
 // grantAfter lets time pass and grants; it gives the workers of a job's grants.
@@ -88,7 +88,7 @@
 			gang.Gang, gang.SameRack = true, true
 			n.central.add(n.now, gang)
 			for _, i := range []int{1, 2, 4, 5} { // queueable work, so that the fleet isn't idle
-				n.central.workers[fmt.Sprint("w", i)].busy = resource.Amount{CPU: 3000}
+				n.central.workers[fmt.Sprint("w", i)].occupied = resource.Amount{CPU: 3000}
 			}
 			must.MapEmpty(t, grantAfter(n, c.waitMs-100, "gang"))
 			must.MapLen(t, 3, grantAfter(n, 100, "gang"))
--- a/internal/daemon/heartbeat.go
+++ b/internal/daemon/heartbeat.go
@@ -23,11 +23,11 @@
 	heartbeatMs      = 50     // a worker sends its heartbeat again after this; an order waits half of it in the mean
 	stallMs          = 1500   // work that does not move for this long, and a tenth of its estimate, stands still
 	lastPercent      = 99     // a worker tells no more of work that has not ended
-	lateEndsMax      = 100    // ends that wait behind a late one before the hold is let run out
+	blockedEndsMax   = 100    // ends that wait behind a late one before the hold is let run out
 	heartbeatEndsMax = 500    // ends that one heartbeat tells of at most
-	goneDelayMs      = 500    // a worker that said it goes has ended this long after
+	goodbyeDelayMs   = 500    // a worker that said it goes has ended this long after
 	leaveStopMs      = 800    // so long before its worker leaves, work that saves is stopped, to go on elsewhere
-	workerKeepMs     = 60_000 // a worker's agent whose worker is gone keeps the ends nobody took note of for this long
+	goneAgentKeepMs  = 60_000 // a worker's agent whose worker is gone keeps the ends nobody took note of for this long
 )
 
 // An agent beside its worker: the worker's heartbeats reach no other
@@ -104,21 +104,21 @@
 	Stop             []taskOrder `json:"stop"`
 }
 
-func newTaskOrder(k wire.AttemptKey) taskOrder {
-	round, step, index, _ := parseUniformTaskID(k.Task)
-	return taskOrder{Job: k.Job, Round: round, Step: step, Index: index, Run: k.Attempt}
+func newTaskOrder(key wire.AttemptKey) taskOrder {
+	round, step, index, _ := parseUniformTaskID(key.Task)
+	return taskOrder{Job: key.Job, Round: round, Step: step, Index: index, Run: key.Attempt}
 }
 
 // parseHeartbeatRun reads which run an entry of a heartbeat speaks of; false for one that no
 // otterchute ever ordered.
-func parseHeartbeatRun(e gjson.Result) (wire.AttemptKey, bool) {
-	round, run := e.Get("round").Int(), e.Get("run").Int()
-	k := wire.AttemptKey{
-		Job:     e.Get("job").Str,
-		Task:    uniformTaskID(int32(round), int32(e.Get("step").Int()), int32(e.Get("index").Int())),
-		Attempt: int32(run),
-	}
-	return k, round >= 0 && schema.ValidName(k.Job) && run > 0
+func parseHeartbeatRun(entry gjson.Result) (wire.AttemptKey, bool) {
+	round, attempt := entry.Get("round").Int(), entry.Get("run").Int()
+	key := wire.AttemptKey{
+		Job:     entry.Get("job").Str,
+		Task:    uniformTaskID(int32(round), int32(entry.Get("step").Int()), int32(entry.Get("index").Int())),
+		Attempt: int32(attempt),
+	}
+	return key, round >= 0 && schema.ValidName(key.Job) && attempt > 0
 }
 
 // handleHeartbeat takes a worker's word and answers with what is to start and stop.
@@ -127,34 +127,34 @@
 		n.rejectFaults(req, 400, 0, []schema.Fault{{Path: "worker", Reason: "must be a name"}})
 		return
 	}
-	if f := schema.Check(req.body, heartbeatFields); len(f) > 0 {
-		n.log("heartbeat_unreadable", "worker", req.key, "path", f[0].Path, "reason", f[0].Reason)
-		n.rejectFaults(req, 400, 0, f)
+	if faults := schema.Check(req.body, heartbeatFields); len(faults) > 0 {
+		n.log("heartbeat_unreadable", "worker", req.key, "path", faults[0].Path, "reason", faults[0].Reason)
+		n.rejectFaults(req, 400, 0, faults)
 		return
 	}
-	r := gjson.ParseBytes(req.body)
+	heartbeat := gjson.ParseBytes(req.body)
 	agent := n.agents[req.key]
 	if agent == nil {
 		agent = n.addColocatedAgent(req.key)
 	}
-	seq := r.Get("seq").Int()
+	seq := heartbeat.Get("seq").Int()
 	if agent.replaced || !agent.colocated || seq <= agent.reportSeq {
 		n.respond(req, 200, 0, mustJSON(heartbeatReply{IntervalMs: heartbeatMs, Start: []taskOrder{}, Stop: []taskOrder{}}))
 		return
 	}
 	changed, missed := !agent.rebuilt, n.now-agent.lastContactMs > freezeThresholdMs
 	agent.reportSeq, agent.lastContactMs, agent.tokenMs = seq, n.now, n.now
-	agent.zone, agent.rack, agent.labels = r.Get("site").Str, r.Get("rack").Str, labelsOf(r.Get("labels"))
-	agent.capacity = resource.Parse(r.Get("capacity"))
+	agent.zone, agent.rack, agent.labels = heartbeat.Get("site").Str, heartbeat.Get("rack").Str, labelsOf(heartbeat.Get("labels"))
+	agent.capacity = resource.Parse(heartbeat.Get("capacity"))
 	agent.free = agent.capacity
-	if leaving := r.Get("leaving").Bool(); leaving != agent.leaving {
+	if leaving := heartbeat.Get("leaving").Bool(); leaving != agent.leaving {
 		agent.leaving, changed = leaving, true
-		n.log("worker_leaving", "worker", agent.worker, "leaving", leaving, "leaves_ms", r.Get("leaves_ms").Int())
+		n.log("worker_leaving", "worker", agent.worker, "leaving", leaving, "leaves_ms", heartbeat.Get("leaves_ms").Int())
 	}
-	if left := r.Get("leaves_ms"); left.Exists() && agent.leaving {
-		agent.leavesAtMs = n.now + left.Int()
+	if leaves := heartbeat.Get("leaves_ms"); leaves.Exists() && agent.leaving {
+		agent.leavesAtMs = n.now + leaves.Int()
 	}
-	ended, differs := n.applyHeartbeatLists(agent, r, missed)
+	ended, differs := n.applyHeartbeatLists(agent, heartbeat, missed)
 	changed = changed || differs
 	if !agent.rebuilt { // what a former agent here ordered is listed, or never starts
 		agent.rebuilt, agent.adoptedMs = true, n.now
@@ -162,10 +162,10 @@
 		n.log("agent_rebuilt", "worker", agent.worker, "epoch", agent.epoch, "held", len(agent.attempts))
 	}
 	n.detectStalledWork(agent)
-	n.judgeWorker(agent)
-	agent.answering = true
+	n.ejectIfUnhealthy(agent)
+	agent.replying = true
 	n.startPending(agent)
-	agent.answering = false
+	agent.replying = false
 	n.respond(req, 200, 0, mustJSON(n.heartbeatReply(agent)))
 	switch {
 	case changed:
@@ -181,7 +181,7 @@
 	for _, name := range sortedKeys(n.agents) {
 		if old := n.agents[name]; old.colocated && !old.replaced {
 			n.log("worker_replaced", "worker", name, "by", worker)
-			n.loseAttempts(old)
+			n.resolveLostAttempts(old)
 			old.replaced, old.leaving = true, true
 			n.reportAgent(old)
 		}
@@ -205,8 +205,8 @@
 	return agent
 }
 
-// loseAttempts resolves all that a worker surely doesn't run any more.
-func (n *node) loseAttempts(agent *workerAgent) (some bool) {
+// resolveLostAttempts resolves all that a worker surely doesn't run any more.
+func (n *node) resolveLostAttempts(agent *workerAgent) (resolved bool) {
 	for _, key := range agent.keys() {
 		attempt := agent.attempts[key]
 		if attempt.state == wire.AttemptEnded {
@@ -218,26 +218,26 @@
 			attempt.result = wire.ResultLost
 			n.count("runs_lost")
 		}
-		attempt.state, some = wire.AttemptEnded, true
+		attempt.state, resolved = wire.AttemptEnded, true
 	}
-	return some
+	return resolved
 }
 
 // endedList is what a heartbeat lists as ended.
 type endedList struct {
-	keys    map[wire.AttemptKey]bool
-	count   int   // also of what isn't one of ours
-	first   int64 // lowest number
-	lapsed  int64 // highest number of a lapse: what ended before it ended before that lapse
-	changed bool
+	keys        map[wire.AttemptKey]bool
+	count       int   // also of what isn't one of ours
+	firstNumber int64 // lowest number
+	lastLapse   int64 // highest number of a lapse: what ended before it ended before that lapse
+	changed     bool
 }
 
 // applyHeartbeatLists brings what is held in line with what the worker lists; missed says
 // that no heartbeat was heard for so long that nobody knows when it came about. It tells
 // whether attempts ended, and whether owners must hear all of what is held.
-func (n *node) applyHeartbeatLists(agent *workerAgent, r gjson.Result, missed bool) (ended, changed bool) {
+func (n *node) applyHeartbeatLists(agent *workerAgent, heartbeat gjson.Result, missed bool) (ended, changed bool) {
 	running := map[wire.AttemptKey]bool{}
-	r.Get("running").ForEach(func(_, e gjson.Result) bool {
+	heartbeat.Get("running").ForEach(func(_, e gjson.Result) bool {
 		if key, ok := parseHeartbeatRun(e); ok {
 			running[key] = true
 			changed = n.applyRunning(agent, key, e, missed) || changed
@@ -245,17 +245,17 @@
 		return true
 	})
 	list := &endedList{keys: map[wire.AttemptKey]bool{}}
-	r.Get("ended").ForEach(func(_, e gjson.Result) bool {
+	heartbeat.Get("ended").ForEach(func(_, e gjson.Result) bool {
 		n.applyEnded(agent, list, e, missed)
 		return true
 	})
 	for number, key := range agent.endsByNumber {
-		if attempt := agent.attempts[key]; number < list.lapsed && attempt != nil {
-			attempt.lateEnd, attempt.voided = false, true
+		if attempt := agent.attempts[key]; number < list.lastLapse && attempt != nil {
+			attempt.endedLate, attempt.voided = false, true
 		}
 	}
-	if list.first > 0 && agent.acknowledgedEnds < list.first-1 {
-		agent.acknowledgedEnds = list.first - 1
+	if list.firstNumber > 0 && agent.acknowledgedEnds < list.firstNumber-1 {
+		agent.acknowledgedEnds = list.firstNumber - 1
 	}
 	return n.endUnlisted(agent, running, list) || list.changed, changed
 }
@@ -271,7 +271,7 @@
 }
 
 // applyRunning applies one run that a heartbeat lists as running.
-func (n *node) applyRunning(agent *workerAgent, key wire.AttemptKey, e gjson.Result, missed bool) (changed bool) {
+func (n *node) applyRunning(agent *workerAgent, key wire.AttemptKey, entry gjson.Result, missed bool) (changed bool) {
 	attempt := agent.attempts[key]
 	if attempt == nil {
 		attempt = agent.adoptUnknown(key, n.now)
@@ -286,48 +286,48 @@
 		attempt.state, attempt.ordered, attempt.startedMs, attempt.lastProgressMs = wire.AttemptRunning, true, n.now, n.now
 		attempt.unobserved = attempt.unobserved || missed
 	}
-	if p := e.Get("percent").Int(); p != attempt.percent {
-		attempt.percent, attempt.lastProgressMs = p, n.now
+	if percent := entry.Get("percent").Int(); percent != attempt.percent {
+		attempt.percent, attempt.lastProgressMs = percent, n.now
 	}
-	if saved := e.Get("saved").Str; saved != "" {
+	if saved := entry.Get("saved").Str; saved != "" {
 		attempt.spec.Checkpoint = saved
 	}
 	return changed
 }
 
 // applyEnded applies one run that a heartbeat lists as ended.
-func (n *node) applyEnded(agent *workerAgent, list *endedList, e gjson.Result, missed bool) {
-	number, outcome := e.Get("n").Int(), e.Get("outcome").Str
+func (n *node) applyEnded(agent *workerAgent, list *endedList, entry gjson.Result, missed bool) {
+	number, outcome := entry.Get("n").Int(), entry.Get("outcome").Str
 	list.count++
-	if list.first == 0 || number < list.first {
-		list.first = number
+	if list.firstNumber == 0 || number < list.firstNumber {
+		list.firstNumber = number
 	}
 	if outcome == "lapsed" {
-		list.lapsed = max(list.lapsed, number)
+		list.lastLapse = max(list.lastLapse, number)
 	}
-	key, ok := parseHeartbeatRun(e)
+	key, ok := parseHeartbeatRun(entry)
 	if !ok || !heartbeatOutcomes[outcome] {
 		agent.endsByNumber[number] = wire.AttemptKey{}
 		return
 	}
 	list.keys[key], agent.endsByNumber[number] = true, key
 	attempt := agent.attempts[key]
-	if _, buried := agent.tombstones[key]; buried && attempt == nil {
+	if _, tombstoned := agent.tombstones[key]; tombstoned && attempt == nil {
 		return
 	}
 	if attempt == nil { // of a former agent, that may have been cut off for long
 		attempt = agent.adoptUnknown(key, n.now)
 		attempt.startedMs = n.now
-		attempt.lateEnd = finalOutcomes[outcome]
+		attempt.endedLate = finalOutcomes[outcome]
 	}
-	if saved := e.Get("saved").Str; saved != "" {
+	if saved := entry.Get("saved").Str; saved != "" {
 		attempt.spec.Checkpoint = saved
 	}
 	// A run given up as lost that ended by itself after all: its owner says whether it still counts.
 	lost := attempt.state == wire.AttemptEnded && attempt.result == wire.ResultLost && !attempt.acked &&
 		finalOutcomes[outcome]
 	if attempt.state != wire.AttemptEnded || lost {
-		attempt.lateEnd = (attempt.lateEnd || lost) && !attempt.voided
+		attempt.endedLate = (attempt.endedLate || lost) && !attempt.voided
 		list.changed = true
 		attempt.unobserved = attempt.unobserved || missed
 		n.endAttempt(agent, attempt, outcome, max(n.now-max(attempt.startedMs, attempt.orderedMs), 1))
@@ -357,25 +357,25 @@
 // heartbeatReply says what starts and stops, which ends are acknowledged, and how
 // long the worker goes on without another answer.
 func (n *node) heartbeatReply(agent *workerAgent) heartbeatReply {
-	out := heartbeatReply{IntervalMs: heartbeatMs, Start: []taskOrder{}, Stop: []taskOrder{}}
+	reply := heartbeatReply{IntervalMs: heartbeatMs, Start: []taskOrder{}, Stop: []taskOrder{}}
 	n.acknowledgeEnds(agent)
-	out.AcknowledgedEnds = agent.acknowledgedEnds
+	reply.AcknowledgedEnds = agent.acknowledgedEnds
 	for _, attempt := range agent.toStart {
-		v := newTaskOrder(attempt.spec.Key)
-		v.Payload, v.Saved = attempt.spec.Payload, attempt.spec.Checkpoint
-		out.Start = append(out.Start, v)
+		order := newTaskOrder(attempt.spec.Key)
+		order.Payload, order.Saved = attempt.spec.Payload, attempt.spec.Checkpoint
+		reply.Start = append(reply.Start, order)
 	}
 	agent.toStart = nil
 	for _, key := range agent.keys() {
 		if attempt := agent.attempts[key]; attempt.atWorker() && attempt.stopMs != 0 {
-			out.Stop = append(out.Stop, newTaskOrder(key))
+			reply.Stop = append(reply.Stop, newTaskOrder(key))
 		}
 	}
 	if until := n.holdUntil(agent); until > n.now {
-		out.HoldMs = until - n.now
-		agent.holdUntilMs = max(agent.holdUntilMs, n.now+out.HoldMs*(100+driftPercent)/100)
+		reply.HoldMs = until - n.now
+		agent.holdUntilMs = max(agent.holdUntilMs, n.now+reply.HoldMs*(100+driftPercent)/100)
 	}
-	return out
+	return reply
 }
 
 // atWorker tells whether the worker has an attempt, or may have it.
@@ -397,8 +397,8 @@
 		agent.acknowledgedEnds++
 		delete(agent.endsByNumber, agent.acknowledgedEnds)
 	}
-	if attempt := agent.attempts[agent.endsByNumber[agent.acknowledgedEnds+1]]; len(agent.endsByNumber) > lateEndsMax &&
-		attempt != nil && attempt.lateEnd {
+	if attempt := agent.attempts[agent.endsByNumber[agent.acknowledgedEnds+1]]; len(agent.endsByNumber) > blockedEndsMax &&
+		attempt != nil && attempt.endedLate {
 		n.count("ends_waited")
 		agent.letHoldLapse()
 	}
@@ -418,8 +418,8 @@
 	if attempt := a.attempts[key]; attempt != nil {
 		return attempt.acked
 	}
-	_, buried := a.tombstones[key]
-	return buried
+	_, tombstoned := a.tombstones[key]
+	return tombstoned
 }
 
 // holdUntil is when the worker's hold ends: never later than the oldest owner's word on what
@@ -428,9 +428,9 @@
 	if agent.lapseUntilMs != 0 {
 		return 0
 	}
-	until := n.now + n.holdSpan()
+	until := n.now + n.holdDurationMs()
 	if n.leavingSinceMs != 0 {
-		until = n.now + max(n.holdSpan(), n.MaxHoldMs)
+		until = n.now + max(n.holdDurationMs(), n.MaxHoldMs)
 	}
 	for _, attempt := range agent.attempts {
 		if attempt.atWorker() {
@@ -440,8 +440,8 @@
 	return until
 }
 
-// holdSpan is how long an answer holds its worker.
-func (n *node) holdSpan() int64 {
+// holdDurationMs is how long an answer holds its worker.
+func (n *node) holdDurationMs() int64 {
 	if n.MaxHoldMs > 0 {
 		return min(holdMaxMs, n.MaxHoldMs)
 	}
@@ -454,21 +454,21 @@
 //
 // What counts is when the answer came: a sync that a cut held up was sent in
 // time and heard too late.
-func (a *workerAgent) recordOwnerReply(slice string, sentMs, now int64) {
+func (a *workerAgent) recordOwnerReply(shard string, sentMs, now int64) {
 	if !a.colocated {
 		return
 	}
-	if before, ok := a.ownerReplyMs[slice]; !ok || now-before > ownerTimeoutMs {
+	if lastReplyMs, ok := a.ownerReplyMs[shard]; !ok || now-lastReplyMs > ownerTimeoutMs {
 		for _, attempt := range a.attempts {
-			if attempt.spec.Shard == slice && attempt.state == wire.AttemptEnded &&
+			if attempt.spec.Shard == shard && attempt.state == wire.AttemptEnded &&
 				(attempt.result == wire.ResultOK || attempt.result == wire.ResultFailed) &&
 				!attempt.acked &&
 				!attempt.voided {
-				attempt.lateEnd = true
+				attempt.endedLate = true
 			}
 		}
 	}
-	a.ownerReplyMs[slice] = max(a.ownerReplyMs[slice], sentMs)
+	a.ownerReplyMs[shard] = max(a.ownerReplyMs[shard], sentMs)
 }
 
 // letHoldLapse lets the worker's hold run out: an end that another run took the place
@@ -483,13 +483,13 @@
 // once it is taken note of.
 func (a *workerAgent) voidEnds() {
 	for _, attempt := range a.attempts {
-		attempt.lateEnd, attempt.voided = false, attempt.voided || attempt.ordered
+		attempt.endedLate, attempt.voided = false, attempt.voided || attempt.ordered
 	}
 }
 
 // detectStalledWork stops work that stands still, or that its worker's leaving would cut off.
 func (n *node) detectStalledWork(agent *workerAgent) {
-	standing := false
+	stalled := false
 	for _, key := range agent.keys() {
 		attempt := agent.attempts[key]
 		if attempt.state != wire.AttemptRunning || attempt.stopMs != 0 || attempt.specUnknown {
@@ -497,11 +497,11 @@
 		}
 		// A member of a gang waits for the others at its beginning, and at its end,
 		// which comes for all at once.
-		waits := attempt.spec.Gang && (attempt.percent == 0 || attempt.percent >= lastPercent)
+		waitsForGang := attempt.spec.Gang && (attempt.percent == 0 || attempt.percent >= lastPercent)
 		switch {
-		case !attempt.spec.LongRunning && !waits && attempt.percent < 100 &&
+		case !attempt.spec.LongRunning && !waitsForGang && attempt.percent < 100 &&
 			n.now-attempt.lastProgressMs > stallMs+attempt.spec.EstimateMs/10:
-			standing = true
+			stalled = true
 			n.count("standing")
 			n.stopAttempt(agent, attempt, wire.ResultStalled)
 		case agent.leavesAtMs != 0 && attempt.spec.Checkpointing && agent.leavesAtMs-n.now < leaveStopMs:
@@ -510,8 +510,8 @@
 			n.stopAttempt(agent, attempt, wire.ResultOverrun)
 		}
 	}
-	if standing && n.now >= agent.suspectUntilMs {
-		n.suspectWorker(agent, "stands", stallSuspectMs)
+	if stalled && n.now >= agent.suspectUntilMs {
+		n.markSuspect(agent, "stands", stallSuspectMs)
 		n.reportAgent(agent)
 	}
 }
@@ -555,7 +555,7 @@
 func (n *node) endAfterSilence(agent *workerAgent) (changed bool) {
 	if n.now > agent.lapseUntilMs && agent.lapseUntilMs != 0 { // the hold has lapsed: late ends may go
 		agent.lapseUntilMs = 0
-		changed = n.loseAttempts(agent)
+		changed = n.resolveLostAttempts(agent)
 		agent.voidEnds()
 	}
 	silent := n.now > agent.holdUntilMs+lapseMarginMs && n.now-agent.lastContactMs > lapseMarginMs
@@ -566,7 +566,7 @@
 	if agent.goneAtMs == 0 {
 		agent.voidEnds()
 	}
-	if n.loseAttempts(agent) {
+	if n.resolveLostAttempts(agent) {
 		changed = true
 		n.log("worker_silent", "worker", agent.worker, "silent_ms", n.now-agent.lastContactMs)
 	}
@@ -578,7 +578,7 @@
 	if !agent.replaced && agent.goneAtMs == 0 {
 		return false
 	}
-	if n.now-agent.lastContactMs > workerKeepMs {
+	if n.now-agent.lastContactMs > goneAgentKeepMs {
 		return true
 	}
 	unacknowledged := func(k wire.AttemptKey) bool { return !agent.attempts[k].acked }
@@ -588,7 +588,7 @@
 // handleWorkerGone takes a worker's word that it ends now.
 func (n *node) handleWorkerGone(req *request) {
 	if agent := n.agents[req.key]; agent != nil && agent.colocated && agent.goneAtMs == 0 {
-		agent.leaving, agent.goneAtMs = true, n.now+goneDelayMs
+		agent.leaving, agent.goneAtMs = true, n.now+goodbyeDelayMs
 		n.log("worker_gone", "worker", agent.worker)
 		n.reportAgent(agent)
 	}
--- a/internal/daemon/order_sender.go
+++ b/internal/daemon/order_sender.go
@@ -58,44 +58,44 @@
 // deliver sends one order and tells how it went, as a key of orderOutcomes.
 //
 // Example: outcome := c.bring(effOrder{Addr: "127.0.0.1:9000", NotAfterMs: now + 500, Body: body})
-func (c *orderSender) deliver(e effOrder) string {
+func (s *orderSender) deliver(order effOrder) string {
 	select {
-	case c.slots <- struct{}{}:
-		defer func() { <-c.slots }()
+	case s.slots <- struct{}{}:
+		defer func() { <-s.slots }()
 	default:
 		return "not_sent"
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeoutMs*time.Millisecond)
 	defer cancel()
 	var conn atomic.Pointer[guardedConn] // the library may still dial once the flight has ended
-	carrier := http.Client{
+	client := http.Client{
 		CheckRedirect: noRedirect,
 		Transport: &http.Transport{
 			DisableKeepAlives: true,
 			DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-				var d net.Dialer
-				t, err := d.DialContext(ctx, network, addr)
+				var dialer net.Dialer
+				tcpConn, err := dialer.DialContext(ctx, network, addr)
 				if err != nil {
 					return nil, err
 				}
-				g := &guardedConn{TCPConn: t.(*net.TCPConn), clock: c.clock, notAfterMs: e.NotAfterMs}
-				conn.Store(g)
-				return g, nil
+				guarded := &guardedConn{TCPConn: tcpConn.(*net.TCPConn), clock: s.clock, notAfterMs: order.NotAfterMs}
+				conn.Store(guarded)
+				return guarded, nil
 			},
 		},
 	}
 	path := "/run"
-	if e.Stop {
+	if order.Stop {
 		path = "/stop"
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+e.Addr+path, bytes.NewReader(e.Body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+order.Addr+path, bytes.NewReader(order.Body))
 	if err != nil {
 		return "not_sent"
 	}
 	req.Header.Set("Content-Type", "application/json")
-	resp, err := carrier.Do(req)
+	resp, err := client.Do(req)
 	if err != nil {
-		if g := conn.Load(); g == nil || !g.wrote.Load() {
+		if guarded := conn.Load(); guarded == nil || !guarded.wrote.Load() {
 			return "not_sent"
 		}
 		return "unknown"
--- a/internal/daemon/platformworld_test.go
+++ b/internal/daemon/platformworld_test.go
@@ -184,7 +184,7 @@
 	for _, name := range sortedKeys(c.workers) {
 		w := c.workers[name]
 		tell("sees %s heard %d ms ago, rebuilt %v fresh %v leaving %v suspect %v bad for %d, capacity %v firm %v busy %v promised %v held %d", name, now-w.receivedMs, w.Rebuilt, w.WorkerReportFresh, w.Leaving,
-			w.Suspect, w.unhealthyUntilMs-now, w.Capacity, w.guaranteed, w.busy, c.grantedRoom()[name], len(w.Attempts))
+			w.Suspect, w.unhealthyUntilMs-now, w.Capacity, w.guaranteed, w.occupied, c.grantedResources()[name], len(w.Attempts))
 	}
 	for k, request := range c.pending {
 		tell("wants %s queue %s since %d ms, last %d ms ago, %d tasks of %v, open %d, gang %v needs %v", k.Job, request.Queue, now-request.firstMs, now-request.lastMs, len(request.Tasks), request.Resources, len(request.open()), request.Gang, request.RequiredLabels)
--- a/internal/daemon/queue_counts.go
+++ b/internal/daemon/queue_counts.go
@@ -56,7 +56,7 @@
 }
 
 func (n *node) onQueueCounts(_ string, m *wire.QueueCounts) {
-	if old := n.queueCounts[m.Shard]; old != nil && m.Epoch < old.epoch {
+	if last := n.queueCounts[m.Shard]; last != nil && m.Epoch < last.epoch {
 		return
 	}
 	counts := &queueCounts{epoch: m.Epoch, receivedMs: n.now, pending: map[string]int64{}}
--- a/internal/daemon/strain.go
+++ b/internal/daemon/strain.go
@@ -1,40 +1,40 @@
 package daemon
 
 const (
-	// strainLateMs: ticks come this much too late, in the mean, at a daemon whose control
+	// overloadLateMs: ticks come this much too late, in the mean, at a daemon whose control
 	// thread can't keep up: polls and leases still fit, but not much more.
-	strainLateMs = 100
-	// strainEndMs: below this mean it has caught up.
-	strainEndMs = 30
-	// strainHoldMs is how long a daemon stays strained at the least, so that roles don't
+	overloadLateMs = 100
+	// overloadEndMs: below this mean it has caught up.
+	overloadEndMs = 30
+	// overloadHoldMs is how long a daemon stays strained at the least, so that roles don't
 	// come back as soon as they have left.
-	strainHoldMs = 10_000
-	// strainWeight is the share of the newest tick in the mean: about the last two seconds count.
-	strainWeight = 0.05
+	overloadHoldMs = 10_000
+	// latenessWeight is the share of the newest tick in the mean: about the last two seconds count.
+	latenessWeight = 0.05
 )
 
 // overloadMeter observes how late a daemon's own control thread runs. Ticks are due each
 // tickMs; what waits before a tick delays it.
 type overloadMeter struct {
-	lastMs     int64
-	lateMs     float64 // mean of how late the last ticks came
-	sinceMs    int64   // when it was last above strainLateMs
-	overloaded bool
+	lastMs      int64
+	meanLateMs  float64 // mean of how late the last ticks came
+	lastAboveMs int64   // when it was last above overloadLateMs
+	overloaded  bool
 }
 
 // onTick takes a tick at a time. One long stop is a freeze, not strain.
-func (s *overloadMeter) onTick(nowMs int64) {
-	late := nowMs - s.lastMs - tickMs
-	first := s.lastMs == 0
-	s.lastMs = nowMs
-	if first || late > freezeThresholdMs {
+func (m *overloadMeter) onTick(nowMs int64) {
+	lateMs := nowMs - m.lastMs - tickMs
+	first := m.lastMs == 0
+	m.lastMs = nowMs
+	if first || lateMs > freezeThresholdMs {
 		return
 	}
-	s.lateMs += strainWeight * (float64(max(late, 0)) - s.lateMs)
+	m.meanLateMs += latenessWeight * (float64(max(lateMs, 0)) - m.meanLateMs)
 	switch {
-	case s.lateMs > strainLateMs:
-		s.overloaded, s.sinceMs = true, nowMs
-	case s.overloaded && s.lateMs < strainEndMs && nowMs-s.sinceMs > strainHoldMs:
-		s.overloaded = false
+	case m.meanLateMs > overloadLateMs:
+		m.overloaded, m.lastAboveMs = true, nowMs
+	case m.overloaded && m.meanLateMs < overloadEndMs && nowMs-m.lastAboveMs > overloadHoldMs:
+		m.overloaded = false
 	}
 }
--- a/internal/daemon/urgent_room.go
+++ b/internal/daemon/urgent_room.go
@@ -12,8 +12,8 @@
 // scheduler keeps it from firm tasks, local schedulers and agents from queueable ones.
 
 // isUrgent tells whether a queue is one of the most urgent ones.
-func (n *node) isUrgent(q *configuration.Queue) bool {
-	return q.Urgency >= n.config.current.HighestUrgency
+func (n *node) isUrgent(queue *configuration.Queue) bool {
+	return queue.Urgency >= n.config.current.HighestUrgency
 }
 
 // fleetIdle tells whether most of all room was free when the coordinator last told.
@@ -32,10 +32,10 @@
 // availableRoom is the room of a worker that a queueable task of a queue may take, as far as a
 // shard's owner knows.
 func (n *node) availableRoom(
-	shard *ownedShard, q *configuration.Queue, excess bool, name string, w *workerView,
+	shard *ownedShard, queue *configuration.Queue, excess bool, name string, w *workerView,
 ) resource.Amount {
 	free := n.freeResources(shard, name, w)
-	if n.mayUseUrgentHeadroom(q, excess) {
+	if n.mayUseUrgentHeadroom(queue, excess) {
 		return free
 	}
 	return free.Minus(n.urgentHeadroom(w.capacity, w.urgentUse))
@@ -43,7 +43,7 @@
 
 // urgentUse is the room of the attempts of the most urgent queues at a worker that have
 // one of some states.
-func (a *workerAgent) urgentUse(n *node, states ...wire.AttemptState) (held resource.Amount) {
+func (a *workerAgent) urgentUse(n *node, states ...wire.AttemptState) (used resource.Amount) {
 	for _, attempt := range a.attempts { // a sum: the order does not matter
 		q := n.config.current.Queues[attempt.spec.Queue]
 		if q == nil || !n.mayUseUrgentHeadroom(q, attempt.spec.Excess) {
@@ -51,9 +51,9 @@
 		}
 		for _, state := range states {
 			if attempt.state == state {
-				held = held.Plus(attempt.spec.Resources)
+				used = used.Plus(attempt.spec.Resources)
 			}
 		}
 	}
-	return held
+	return used
 }
--- a/internal/daemon/urgent_room_test.go
+++ b/internal/daemon/urgent_room_test.go
@@ -38,7 +38,7 @@
 	}}
 	avail := resource.Amount{CPU: 350, Memory: 100}
 	room := func(attempt *agentAttempt) resource.Amount {
-		return n.startRoom(agent, attempt, n.config.current.Queues[attempt.spec.Queue], avail)
+		return n.startableResources(agent, attempt, n.config.current.Queues[attempt.spec.Queue], avail)
 	}
 	slow, fast := attemptOf("slow", 200, wire.AttemptQueued), attemptOf("fast", 350, wire.AttemptQueued)
 	slow.spec.Class, fast.spec.Class = wire.ClassQueueable, wire.ClassQueueable
@@ -125,7 +125,7 @@
 			Capacity: resource.Amount{CPU: 1000}, Urgent: resource.Amount{CPU: 200},
 		}}
 	}
-	n.observeUrgent(c)
+	n.observeUrgentUse(c)
 	must.Eq(t, 29, c.headroom.Percent().CPU) // a fifth is used; a quarter of that and a slack are added
 	r := &scheduler.Candidate{Name: "w1", Capacity: resource.Amount{CPU: 1000}, FreeAfterPreemption: resource.Amount{CPU: 450}}
 	may := func(queue string, cpu int64) bool {
--- a/internal/daemon/worker_choice.go
+++ b/internal/daemon/worker_choice.go
@@ -13,21 +13,21 @@
 // workerChoice is what the choice of a worker goes by for queueable tasks of one step that ask
 // for the same. It is gathered once for all of them: a placement changes one worker alone.
 type workerChoice struct {
-	shard       *ownedShard
-	queue       *configuration.Queue
-	job         *liveJob
-	step        int32
-	round       int32
-	resources   resource.Amount
-	needs       []wire.Label
-	near        string
-	perWorker   int32
-	used        map[string]int32 // tasks of the step by worker
-	views       []*workerView
-	workers     []scheduler.QueueCandidate // in the order of their names
-	pinned      bool                       // agents stand beside workers: they can tell what room is left
-	mostSuspect bool                       // most workers are: then it isn't the workers
-	loadChanges uint64                     // of the shard, when this was gathered
+	shard          *ownedShard
+	queue          *configuration.Queue
+	job            *liveJob
+	step           int32
+	round          int32
+	resources      resource.Amount
+	requiredLabels []wire.Label
+	dataRack       string
+	maxPerWorker   int32
+	tasksByWorker  map[string]int32 // tasks of the step by worker
+	views          []*workerView
+	workers        []scheduler.QueueCandidate // in the order of their names
+	colocated      bool                       // agents stand beside workers: they can tell what room is left
+	mostSuspect    bool                       // most workers are: then it isn't the workers
+	loadChanges    uint64                     // of the shard, when this was gathered
 }
 
 // selectWorker is the local scheduler: at random among the k allowed workers of lowest rank.
@@ -59,13 +59,13 @@
 // its last attempt not where anything speaks against the worker.
 func (c *workerChoice) avoidingFailures(t *task) []scheduler.QueueCandidate {
 	workers := slices.Clone(c.workers)
-	if at, found := c.find(t.LastFailedWorker); found {
-		workers[at].Penalties |= scheduler.PenaltyLastFailed
+	if i, found := c.find(t.LastFailedWorker); found {
+		workers[i].Penalties |= scheduler.PenaltyLastFailed
 	}
 	if t.onLastAttempt() {
-		for at, w := range c.views {
+		for i, w := range c.views {
 			if w.recentFailures {
-				workers[at].Penalties |= scheduler.PenaltySuspect
+				workers[i].Penalties |= scheduler.PenaltySuspect
 			}
 		}
 	}
@@ -73,23 +73,23 @@
 }
 
 // newWorkerChoice gathers the workers that a task may go to.
-func (n *node) newWorkerChoice(shard *ownedShard, job *liveJob, i int, q *configuration.Queue) *workerChoice {
+func (n *node) newWorkerChoice(shard *ownedShard, job *liveJob, i int, queue *configuration.Queue) *workerChoice {
 	t := &job.Tasks[i]
 	step := &job.Steps[t.Step]
 	c := &workerChoice{
-		shard: shard, queue: q, job: job, step: t.Step, round: t.Round, resources: t.Resources, needs: t.RequiredLabels,
-		near: step.DataRack, perWorker: step.MaxPerWorker, loadChanges: shard.loadChanges,
+		shard: shard, queue: queue, job: job, step: t.Step, round: t.Round, resources: t.Resources, requiredLabels: t.RequiredLabels,
+		dataRack: step.DataRack, maxPerWorker: step.MaxPerWorker, loadChanges: shard.loadChanges,
 	}
 	if step.MaxPerWorker > 0 {
-		c.used = job.stepTasksByWorker(i)
+		c.tasksByWorker = job.stepTasksByWorker(i)
 	}
 	suspects := 0
 	for _, name := range sortedKeys(n.workers) {
 		w := n.workers[name]
-		if n.workerAllowed(w, q, t.RequiredLabels, t.Resources) && (step.MaxPerWorker == 0 || c.used[name] < step.MaxPerWorker) {
+		if n.workerAllowed(w, queue, t.RequiredLabels, t.Resources) && (step.MaxPerWorker == 0 || c.tasksByWorker[name] < step.MaxPerWorker) {
 			c.views = append(c.views, w)
 			c.workers = append(c.workers, scheduler.QueueCandidate{Name: name})
-			c.pinned = c.pinned || w.colocated
+			c.colocated = c.colocated || w.colocated
 			if w.suspect {
 				suspects++
 			}
@@ -97,47 +97,47 @@
 	}
 	c.mostSuspect = 2*suspects > len(c.workers)
 	for at := range c.workers {
-		n.observeChoosable(c, at)
+		n.refreshCandidate(c, at)
 	}
 	return c
 }
 
-// observeChoosable takes what is known now of one worker.
-func (n *node) observeChoosable(c *workerChoice, at int) {
+// refreshCandidate takes what is known now of one worker.
+func (n *node) refreshCandidate(c *workerChoice, at int) {
 	worker, w := &c.workers[at], c.views[at]
 	worker.RankMs = n.ranks.rank(n, worker.Name)
 	worker.QueueFull = w.queued >= agentQueueMax/2
-	worker.Penalties = n.shunOf(c, worker.Name, w)
+	worker.Penalties = n.penaltiesOf(c, worker.Name, w)
 }
 
-// shunOf gives the reasons to place a task elsewhere that hold for all tasks of a step.
-func (n *node) shunOf(c *workerChoice, name string, w *workerView) (shun scheduler.Penalty) {
-	on := n.Policies.On
-	if on(scheduler.EjectUnhealthy) && !c.mostSuspect && (n.ranks.ejected(name) || w.suspect) {
-		shun |= n.shunOfEjected()
+// penaltiesOf gives the reasons to place a task elsewhere that hold for all tasks of a step.
+func (n *node) penaltiesOf(c *workerChoice, name string, w *workerView) (penalties scheduler.Penalty) {
+	enabled := n.Policies.On
+	if enabled(scheduler.EjectUnhealthy) && !c.mostSuspect && (n.ranks.ejected(name) || w.suspect) {
+		penalties |= n.ejectionPenalty()
 	}
-	if on(scheduler.AvoidSilent) && w.colocated && isQuiet(n.now-w.receivedMs, w.silentMs) {
-		shun |= scheduler.PenaltySilent
+	if enabled(scheduler.AvoidSilent) && w.colocated && isQuiet(n.now-w.receivedMs, w.silentMs) {
+		penalties |= scheduler.PenaltySilent
 	}
-	if c.pinned && !c.resources.Fits(n.availableRoom(c.shard, c.queue, c.job.excess, name, w)) {
-		shun |= scheduler.PenaltyHeadroomOnly
+	if c.colocated && !c.resources.Fits(n.availableRoom(c.shard, c.queue, c.job.excess, name, w)) {
+		penalties |= scheduler.PenaltyHeadroomOnly
 		if !c.resources.Fits(n.freeResources(c.shard, name, w).Plus(n.batchLoad(c.shard, "", name))) {
-			shun |= scheduler.PenaltyFull
+			penalties |= scheduler.PenaltyFull
 		}
 	}
-	if on(scheduler.AvoidLast) && c.job.failedLatelyAt(name, n.now) {
-		shun |= scheduler.PenaltyJobFailed
+	if enabled(scheduler.AvoidLast) && c.job.failedRecentlyAt(name, n.now) {
+		penalties |= scheduler.PenaltyJobFailed
 	}
-	if on(scheduler.NearData) && c.near != "" && w.rack != c.near {
-		shun |= scheduler.PenaltyFarFromData
+	if enabled(scheduler.NearData) && c.dataRack != "" && w.rack != c.dataRack {
+		penalties |= scheduler.PenaltyFarFromData
 	}
-	return shun
+	return penalties
 }
 
-// shunOfEjected is how much is given to have a task elsewhere than at an ejected worker: it waits
+// ejectionPenalty is how much is given to have a task elsewhere than at an ejected worker: it waits
 // for another one, but not while most of the fleet is free. Then all others that it may use are
 // full, and it must not stand still beside room.
-func (n *node) shunOfEjected() scheduler.Penalty {
+func (n *node) ejectionPenalty() scheduler.Penalty {
 	if n.fleetIdle() {
 		return scheduler.PenaltySuspect
 	}
@@ -147,7 +147,7 @@
 // isValidFor tells whether what was gathered holds for a task.
 func (c *workerChoice) isValidFor(shard *ownedShard, job *liveJob, t *task) bool {
 	return c != nil && c.shard == shard && c.job == job && c.step == t.Step && c.round == t.Round &&
-		c.resources == t.Resources && slices.Equal(c.needs, t.RequiredLabels) && c.loadChanges == shard.loadChanges
+		c.resources == t.Resources && slices.Equal(c.requiredLabels, t.RequiredLabels) && c.loadChanges == shard.loadChanges
 }
 
 // find gives a worker's position.
@@ -166,12 +166,12 @@
 		return
 	}
 	c.loadChanges = c.shard.loadChanges
-	if c.perWorker > 0 {
-		if c.used[worker]++; c.used[worker] >= c.perWorker {
+	if c.maxPerWorker > 0 {
+		if c.tasksByWorker[worker]++; c.tasksByWorker[worker] >= c.maxPerWorker {
 			c.views = slices.Delete(c.views, at, at+1)
 			c.workers = slices.Delete(c.workers, at, at+1)
 			return
 		}
 	}
-	n.observeChoosable(c, at)
+	n.refreshCandidate(c, at)
 }
