--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -10,18 +10,21 @@
 )
 
 const (
-	agentIdleMs   = 600_000 // an agent whose worker is silent and owes nothing lets go
-	tombstoneMs   = 6000    // dropped attempts are remembered longer than any placement stays fresh
-	agentQueueMax = 400     // unstarted tasks an agent holds before it rejects
-	bypassMs      = 3000    // queued tasks may overtake a larger head for this long, no longer
-	// the ends of a worker's runs, and suspicions of it, count for less after each such time
-	healthDecayMs        = 10_000
-	agentSyncMs          = 300  // agents tell owners and the central scheduler all they hold
-	workerReportMaxAgeMs = 1500 // a worker's word must be this fresh; leaving must bite in 2 s
-	orderTimeoutMs       = 700  // an order that has not been answered by then is closed and unconfirmed
+	agentIdleMs   = 600_000 // a leased agent without attempts hands off its role after this much worker silence
+	tombstoneMs   = 6000    // tombstones outlive any placement that could still be accepted
+	agentQueueMax = 400     // queued attempts beyond which an agent rejects placements
+	bypassMs      = 3000    // queued tasks may overtake a larger one at the head of the queue for this long
+	// healthDecayMs is the interval at which the counts of a worker's outcomes and suspicions decay.
+	healthDecayMs = 10_000
+	agentSyncMs   = 300 // interval of a leased agent's full reports
+	// workerReportMaxAgeMs bounds the age of the worker report that orders are based on: a worker that
+	// is leaving must get no new work after 2 s.
+	workerReportMaxAgeMs = 1500
+	orderTimeoutMs       = 700 // an order without an answer after this is closed and counts as unconfirmed
 )
 
-// workerAgent is the only giver of one worker's orders and the guard of its room.
+// workerAgent is the only sender of orders to one worker, and accounts for the worker's resources.
+// It holds the agent's lease, or runs on the daemon beside the worker (colocated).
 type workerAgent struct {
 	worker  string
 	epoch   uint64
@@ -36,79 +39,81 @@
 	free              resource.Amount
 	capacity          resource.Amount
 	reportSeq         int64
-	tokenMs           int64 // our clock when the token was issued that the last report carried
+	tokenMs           int64 // when this agent issued the token that the last worker report carried
 	lastContactMs     int64
-	rebuilt           bool
+	rebuilt           bool // all attempts that may run at the worker are in attempts
 
 	attempts      map[wire.AttemptKey]*agentAttempt
-	tombstones    map[wire.AttemptKey]int64
-	ownerEpochs   map[string]uint64 // shard -> highest owner epoch heard
+	tombstones    map[wire.AttemptKey]int64 // removed attempts -> when they were removed
+	ownerEpochs   map[string]uint64         // shard -> highest owner epoch received
 	lastSuccessMs int64
 	nextSyncMs    int64
 	succeeded     int64
 	failed        int64
-	lagPercent    int64
-	evidence      scheduler.Evidence                 // whether it fails more than others
-	outcomeCounts map[string]scheduler.OutcomeCounts // lately, by queue
-	failedJobs    map[string]int64                   // when a job's task last failed here
+	lagPercent    int64                              // moving average of run time as a percentage of the estimate
+	evidence      scheduler.Evidence                 // whether the worker fails more tasks than others
+	outcomeCounts map[string]scheduler.OutcomeCounts // queue -> decaying counts
+	failedJobs    map[string]int64                   // job -> when one of its tasks last failed here
 	nextDecayMs   int64
 
 	colocated        bool
 	rack             string
-	holdUntilMs      int64 // all that runs there has surely ended by then, if no heartbeat comes
-	acknowledgedEnds int64 // ends up to this number were taken note of
+	holdUntilMs      int64 // without further heartbeats the worker has ended all attempts by this time
+	acknowledgedEnds int64 // ends with numbers up to this one are acknowledged to the worker
 	endsByNumber     map[int64]wire.AttemptKey
-	ownerReplyMs     map[string]int64 // shard -> our clock at the last sync that its owner answered
-	toStart          []*agentAttempt  // what the answer to this heartbeat starts
+	ownerReplyMs     map[string]int64 // shard -> when the last report that its owner answered was sent
+	toStart          []*agentAttempt  // attempts that the reply to the current heartbeat starts
 	replying         bool             // a heartbeat is being answered
-	goneAtMs         int64            // it said that it goes; 0 if not
-	leavesAtMs       int64            // what runs there then dies; 0 if it does not leave
-	replaced         bool             // another worker sends heartbeats from its place
-	lapseUntilMs     int64            // the hold must lapse before this: late ends wait for that
-	suspectUntilMs   int64            // until then it is suspect
-	suspectCount     int64            // how often it was, lately
+	goneAtMs         int64            // when a worker that signed off has ended for certain; 0 if it has not
+	leavesAtMs       int64            // when a leaving worker ends all its attempts; 0 if unknown
+	replaced         bool             // another worker sends heartbeats to this daemon instead
+	lapseUntilMs     int64            // no hold is granted until this time, so that it lapses; 0 if none must
+	suspectUntilMs   int64
+	suspectCount     int64 // recent suspicions; it decays
 	adoptedMs        int64
 	lastReports      map[string]sentReport // shard, "" for the central scheduler -> its last report
-	nextChangesMs    int64                 // before that no partial report leaves
-	changesPending   bool                  // something has ended since the last one
-	reportedQuiet    bool                  // as owners were last told
-	guaranteedEnded  bool                  // since the central scheduler was last told
+	nextChangesMs    int64                 // no partial report is sent before this time
+	changesPending   bool                  // attempts have ended since the last report
+	reportedQuiet    bool                  // whether the last full report was sent while the worker was quiet
+	guaranteedEnded  bool                  // a guaranteed attempt has ended since the last report to the central scheduler
 }
 
+// agentAttempt is an attempt as its worker's agent tracks it, from placement to acknowledgement.
 type agentAttempt struct {
 	spec        wire.TaskSpec
 	state       wire.AttemptState
 	result      wire.AttemptResult
 	ranMs       int64
-	confirmedMs int64
+	confirmedMs int64 // send time of the latest agent report on which the owner confirmed the attempt
 	queuedMs    int64
 	orderedMs   int64
-	answeredMs  int64
+	answeredMs  int64 // when the worker answered the order
 	startedMs   int64
-	unobserved  bool // nobody here saw when it began, or when it ended
-	listed      bool // the last report shows it running
+	unobserved  bool // its start or its end was not observed by this agent, so its run time is unknown
+	listed      bool // the worker's last report lists it as running
 	stopMs      int64
 	stopSentMs  int64
 	stopReason  wire.AttemptResult
-	ordered     bool // an order may have left; the worker may know it
-	acked       bool
+	ordered     bool // an order may have been sent, so the worker may have the attempt
+	acked       bool // the owner has acknowledged the end
 
-	specUnknown    bool  // found running: its room is not known yet
-	orderSeq       int64 // the heartbeat whose answer carried the order
+	specUnknown    bool  // reported by the worker only; the owner has not sent its spec and resources yet
+	orderSeq       int64 // sequence number of the heartbeat whose reply carried the order
 	percent        int64
-	lastProgressMs int64 // when its work last moved
-	endedLate      bool  // ended by itself, and its owner may have given it up meanwhile
-	voided         bool  // ended, and the hold has lapsed since
+	lastProgressMs int64
+	endedLate      bool // ended by itself, possibly after its owner gave it up as lost
+	voided         bool // ended before a lapse of the hold that has happened since
 	adoptedMs      int64
-	reportedMs     int64 // when its owner was last told of its end
+	reportedMs     int64 // when the end was last reported to the owner
 }
 
-// sentReport is whom a report last went to, and when.
+// sentReport records where and when a report was last sent.
 type sentReport struct {
 	to   string
 	atMs int64
 }
 
+// keys returns the keys of all attempts in a fixed order.
 func (a *workerAgent) keys() []wire.AttemptKey {
 	out := make([]wire.AttemptKey, 0, len(a.attempts))
 	for k := range a.attempts {
@@ -118,6 +123,7 @@
 	return out
 }
 
+// startAgent creates the agent of a worker whose agent lease this daemon has acquired.
 func (n *node) startAgent(w string, epoch uint64) {
 	n.agents[w] = &workerAgent{
 		worker:        w,
@@ -132,12 +138,13 @@
 	}
 }
 
+// forget removes an attempt and leaves a tombstone, so that a late message can't bring it back.
 func (a *workerAgent) forget(key wire.AttemptKey, now int64) {
 	delete(a.attempts, key)
 	a.tombstones[key] = now
 }
 
-// isActiveAgent tells whether this daemon is surely a worker's agent now.
+// isActiveAgent reports whether this daemon is certain to be the worker's agent now.
 func (n *node) isActiveAgent(agent *workerAgent) bool {
 	if agent.colocated {
 		return !agent.replaced
@@ -155,8 +162,8 @@
 	}
 }
 
-// tickLeasedAgent stops what ran too long, reports, starts what has room, and hands the
-// role off once its worker has long been silent.
+// tickLeasedAgent stops attempts that are over their run limit, sends reports, starts queued attempts,
+// and hands off the role of an agent whose worker has been silent for agentIdleMs.
 func (n *node) tickLeasedAgent(agent *workerAgent) {
 	n.enforceLimits(agent)
 	n.dropOldTombstones(agent)
@@ -170,8 +177,8 @@
 	}
 }
 
-// enforceLimits stops attempts that are past their run limit, repeats stops that are
-// not yet heard of, and gives up what waits at a silent worker.
+// enforceLimits stops attempts that are past their run limit, repeats stop orders until the end is
+// reported, and returns queued attempts to their owners while the worker is silent.
 func (n *node) enforceLimits(agent *workerAgent) {
 	for _, key := range agent.keys() {
 		attempt := agent.attempts[key]
@@ -186,12 +193,12 @@
 		case attempt.state == wire.AttemptOrdered && attempt.stopMs != 0:
 			n.stopAttempt(agent, attempt, attempt.stopReason)
 		case attempt.state == wire.AttemptQueued && n.now-agent.lastContactMs > workerSilentMs:
-			attempt.state, attempt.result = wire.AttemptEnded, wire.ResultShed // its worker is silent; it never started
+			attempt.state, attempt.result = wire.AttemptEnded, wire.ResultShed // it was never started
 		}
 	}
 }
 
-// dropOldTombstones forgets ends that no late message can bring up any more.
+// dropOldTombstones removes tombstones older than any message that could refer to them.
 func (n *node) dropOldTombstones(agent *workerAgent) {
 	for k, at := range agent.tombstones {
 		if n.now-at > tombstoneMs && agent.attempts[k] == nil {
@@ -200,7 +207,7 @@
 	}
 }
 
-// decayHealth lets a worker's past ends and suspicions count for less with time.
+// decayHealth decays the counts of a worker's outcomes and suspicions, once each healthDecayMs.
 func (n *node) decayHealth(agent *workerAgent) {
 	if n.now < agent.nextDecayMs {
 		return
--- a/internal/daemon/agent_changes.go
+++ b/internal/daemon/agent_changes.go
@@ -6,38 +6,37 @@
 	"otterchute/internal/wire"
 )
 
-// An agent beside its worker hears twenty times a second what ended there. Owners are told
-// of that in partial reports, which leave out what goes on as before; full ones, by which
-// owners find what is missing, are few. A lost partial report costs no more than the
-// wait for the next one: ends are told again until they are acknowledged.
+// A colocated agent learns twenty times a second which attempts have ended. It sends these changes to
+// the owners in partial reports, which leave out unchanged attempts. Full reports, from which owners
+// detect missing attempts, are less frequent. A lost partial report costs only the wait for the next
+// one, since an end is reported again until it is acknowledged.
 
 const (
-	// fullReportMs is the pace of full reports of an agent beside its worker. An
-	// attempt may start while its owner's word on it is younger than ownerContactMs, and owners
-	// place tasks at workers that they heard of since then: two reports fit in that.
+	// fullReportMs is the interval of a colocated agent's full reports. An attempt may start while its
+	// owner's confirmation is younger than ownerContactMs, and owners place tasks only at workers whose
+	// report is younger than that: two reports fit into this time.
 	fullReportMs = 600
-	// changesMs is how far partial reports are apart at the least: no more than one with each
-	// heartbeat of a busy worker.
+	// changesMs is the minimum interval between partial reports: at most one with each heartbeat of a
+	// busy worker.
 	changesMs = heartbeatMs * 9 / 10
-	// usageReportMs: owners whose attempts have not changed hear at this pace of the room
-	// that others took or freed meanwhile.
+	// usageReportMs is the interval at which owners without changed attempts learn the resources that
+	// other shards' attempts have taken or freed.
 	usageReportMs = 200
-	// centralReportMs is the pace of reports to the central scheduler, which needs no
-	// less while it rebuilds: see centralRebuildMs.
+	// centralReportMs is the interval of reports to the central scheduler. It must be shorter than
+	// centralRebuildMs.
 	centralReportMs = 300
-	// aliveReportMs is the pace at which owners hear of a worker at the least, if only that
-	// it is there: see quietMs.
+	// aliveReportMs is the maximum interval between reports to an owner, so that a worker without
+	// changes does not appear silent (quietMs).
 	aliveReportMs = 300
-	// quietMs: a worker of which nothing was heard for so long, while its heartbeats come
-	// each heartbeatMs and reports each aliveReportMs, is likely to be gone or cut off: new
-	// work goes elsewhere, long before that is sure.
+	// quietMs is the silence after which a worker is probably dead or cut off, as heartbeats come each
+	// heartbeatMs and reports each aliveReportMs. New work goes elsewhere, long before the loss is certain.
 	quietMs = 700
-	// endRepeatMs is how long an end may stay without acknowledgement before it is told again.
+	// endRepeatMs is the interval at which an unacknowledged end is reported again.
 	endRepeatMs = 250
 )
 
-// isReportable tells whether a partial report lists an attempt: it waits, or it ended and its
-// owner wasn't told yet, or was long ago.
+// isReportable reports whether a partial report lists an attempt: one that is queued, or an
+// unacknowledged end that was not reported within endRepeatMs.
 func (n *node) isReportable(attempt *agentAttempt) bool {
 	switch attempt.state {
 	case wire.AttemptQueued:
@@ -48,8 +47,8 @@
 	return false
 }
 
-// concernsCentral tells whether the central scheduler is told of an attempt: one that holds
-// room for good, or that it may promote. Of all others it hears the sum.
+// concernsCentral reports whether reports to the central scheduler list an attempt: a guaranteed one,
+// or one that may be promoted. The resources of all others are reported as a sum.
 func (n *node) concernsCentral(attempt *agentAttempt) bool {
 	if attempt.state == wire.AttemptEnded {
 		return false
@@ -58,14 +57,14 @@
 		n.mayBePromoted(attempt.state, n.now-attempt.startedMs, attempt.spec.EstimateMs)
 }
 
-// mayBePromoted tells whether a queueable run has gone on for so much longer than
-// expected that its work is worth keeping.
+// mayBePromoted reports whether an attempt has run for so much longer than estimated that its work
+// should no longer be lost to preemption.
 func (n *node) mayBePromoted(state wire.AttemptState, ranMs, estimateMs int64) bool {
 	return state == wire.AttemptRunning && ranMs > max(2*estimateMs, n.ThresholdMs)
 }
 
-// reportChanges tells owners what has ended or waits, and how much room is left. What
-// comes within changesMs leaves together.
+// reportChanges sends partial reports with the queued and ended attempts and the free resources.
+// Changes within changesMs are sent together.
 func (n *node) reportChanges(agent *workerAgent) {
 	agent.changesPending = true
 	if n.now < agent.nextChangesMs || !n.isActiveAgent(agent) {
@@ -93,22 +92,22 @@
 	}
 }
 
-// reportCentral tells the central scheduler alone.
+// reportCentral sends a report to the central scheduler only.
 func (n *node) reportCentral(agent *workerAgent) {
 	if n.isActiveAgent(agent) {
 		n.sendReport(agent, n.baseReport(agent), "", agent.keys())
 	}
 }
 
-// shardOfAttempt is the shard that an attempt's job belongs to.
+// shardOfAttempt returns the shard that an attempt's job belongs to.
 func (n *node) shardOfAttempt(attempt *agentAttempt) string {
-	if attempt.spec.Shard == "" { // found running: its owner has not said yet what it is
+	if attempt.spec.Shard == "" { // reported by the worker only; its owner has not sent the spec yet
 		attempt.spec.Shard = n.shardOf(attempt.spec.Key.Job)
 	}
 	return attempt.spec.Shard
 }
 
-// tickReports sends the reports that are due.
+// tickReports sends the reports of a colocated agent that are due.
 func (n *node) tickReports(agent *workerAgent) {
 	quiet := n.now-agent.lastContactMs > quietMs
 	if n.now >= agent.nextSyncMs || quiet != agent.reportedQuiet || n.hasNewOwner(agent) {
@@ -124,17 +123,19 @@
 	}
 }
 
-// isReportDue tells whether some owner has not heard of the worker lately.
+// isReportDue reports whether some owner was sent no report for aliveReportMs.
 func (n *node) isReportDue(agent *workerAgent) bool {
 	return slices.ContainsFunc(n.core.Shards, func(shard string) bool {
 		return n.now-agent.lastReports[shard].atMs >= aliveReportMs
 	})
 }
 
-// isQuiet tells whether an agent told nothing of its worker lately, or nothing new.
+// isQuiet reports whether a worker's last heartbeat is more than quietMs old: sinceMs is the age of the
+// agent's report, silentMs the age of the heartbeat when it was sent.
 func isQuiet(sinceMs, silentMs int64) bool { return sinceMs+silentMs > quietMs }
 
-// hasNewOwner tells whether a role that is told of this worker has gone to another daemon.
+// hasNewOwner reports whether a shard or the central scheduler that receives this agent's reports has
+// moved to another daemon since the last one.
 func (n *node) hasNewOwner(agent *workerAgent) bool {
 	for _, target := range append([]string{""}, n.core.Shards...) {
 		if to := n.reportTarget(target); to != "" && to != agent.lastReports[target].to {
@@ -144,8 +145,8 @@
 	return false
 }
 
-// hasOverdueAttempt tells whether an attempt has waited here for so long that its owner may want
-// it back, or an end is to be told again.
+// hasOverdueAttempt reports whether an attempt has been queued for so long that its owner may recall
+// it, or an end has to be reported again.
 func (n *node) hasOverdueAttempt(agent *workerAgent) bool {
 	for _, attempt := range agent.attempts {
 		switch {
--- a/internal/daemon/agent_dispatch.go
+++ b/internal/daemon/agent_dispatch.go
@@ -11,12 +11,11 @@
 	"otterchute/internal/wire"
 )
 
-const (
-	// a queueable task of a more urgent queue waits this long, and may be called back meanwhile,
-	// before it pushes others out
-	urgentWaitMs = 350
-)
+// urgentWaitMs is how long a queueable task of a more urgent queue waits, and may be recalled by its
+// owner, before it preempts others.
+const urgentWaitMs = 350
 
+// stopAttempt marks an attempt to be stopped, and sends the stop order, at most once a second.
 func (n *node) stopAttempt(agent *workerAgent, attempt *agentAttempt, reason wire.AttemptResult) {
 	if attempt.stopMs == 0 {
 		attempt.stopMs, attempt.stopReason = n.now, reason
@@ -26,7 +25,7 @@
 			"percent", attempt.percent, "cpu", attempt.spec.Resources.CPU, "gang", attempt.spec.Gang)
 	}
 	if n.now-attempt.stopSentMs < 1000 && attempt.stopSentMs != 0 || agent.addr == "" || agent.colocated {
-		return // an agent beside its worker says it in the answer to each heartbeat
+		return // a colocated agent puts stops into the reply to each heartbeat
 	}
 	attempt.stopSentMs = n.now
 	n.count("stops_sent")
@@ -34,11 +33,11 @@
 		NotAfterMs: n.now + orderTimeoutMs, Body: mustJSON(map[string]any{"id": attempt.spec.Key.String()})})
 }
 
-// startPending starts what may start now, by precedence (the queue's urgency, excess jobs last),
-// then firm tasks before queueable ones, then by the age of the job. For firm tasks queueable runs of
-// queues no more urgent are stopped, and they start once those ends are listed; short
-// runs of more urgent queues are left to end. The orders of an agent beside its worker
-// leave in the answer to a heartbeat only.
+// startPending starts the queued attempts that may start now, by precedence (the queue's urgency, excess
+// jobs last), then guaranteed tasks before queueable ones, then by the age of the job. A guaranteed task
+// preempts queueable attempts of queues that are no more urgent, and starts once the worker reports that
+// they have ended; attempts of more urgent queues are short and may finish. A colocated agent sends
+// orders only in the reply to a heartbeat.
 func (n *node) startPending(agent *workerAgent) {
 	if !n.maySendOrders(agent) {
 		return
@@ -48,7 +47,7 @@
 		return
 	}
 	if agent.leaving || n.config.current.EmptyZones[agent.zone] {
-		for _, attempt := range queue { // others can take them; they never started
+		for _, attempt := range queue { // they never started, so other workers can take them
 			attempt.state, attempt.result = wire.AttemptEnded, wire.ResultShed
 		}
 		n.reportAgent(agent)
@@ -65,8 +64,8 @@
 	}
 }
 
-// maySendOrders tells whether this agent may give its worker orders now: nobody else may be
-// its agent, it knows all that runs there, and configuration and report are fresh.
+// maySendOrders reports whether this agent may send its worker orders now: it is certain to be the only
+// agent, it has the full list of what runs there, and the configuration and the worker's report are fresh.
 func (n *node) maySendOrders(agent *workerAgent) bool {
 	if !n.isActiveAgent(agent) || !agent.rebuilt || n.now-agent.tokenMs > workerReportMaxAgeMs || !n.configFresh() {
 		return false
@@ -74,8 +73,8 @@
 	return !agent.colocated || agent.replying && agent.lapseUntilMs == 0
 }
 
-// available gives the worker's room that nothing holds; it isn't known while something
-// runs there of which nobody has told yet how much it takes.
+// available returns the worker's resources that no attempt holds; known is false while an attempt runs
+// there whose spec, and so its resources, has not been received yet.
 func (a *workerAgent) available() (avail resource.Amount, known bool) {
 	avail = a.free
 	for _, attempt := range a.attempts {
@@ -92,8 +91,8 @@
 	return avail, true
 }
 
-// startOrSkip starts a waiting attempt if it may and fits into what is available, or makes
-// room for it. It gives false where nothing behind it may start before it.
+// startOrSkip starts a queued attempt if it is allowed to and fits, or preempts others for it. It
+// returns false if no attempt behind it in the queue may overtake it.
 func (n *node) startOrSkip(agent *workerAgent, attempt *agentAttempt, avail *resource.Amount) bool {
 	queue := n.config.current.Queues[attempt.spec.Queue]
 	_, missing := configuration.MissingLabel(agent.labels, attempt.spec.RequiredLabels)
@@ -104,7 +103,7 @@
 		return true
 	}
 	if n.limits.Outdated(attempt.spec.Tenant, attempt.spec.LimitVersion) {
-		attempt.state, attempt.result = wire.AttemptEnded, wire.ResultShed // its owner must have it counted anew
+		attempt.state, attempt.result = wire.AttemptEnded, wire.ResultShed // its owner must place it under the current limit
 		n.reportAgent(agent)
 		return true
 	}
@@ -122,14 +121,15 @@
 	}
 	if attempt.spec.Class == wire.ClassGuaranteed {
 		n.preempt(agent, attempt, attempt.spec.Resources.Minus(*avail))
-		*avail = avail.Minus(attempt.spec.Resources) // what is free and what gets free is kept for it
+		*avail = avail.Minus(attempt.spec.Resources) // free and freed resources are kept for it
 		return true
 	}
-	n.preempt(agent, attempt, attempt.spec.Resources.Minus(*avail)) // of lesser queues only, batches at once
+	// A queueable task preempts only less urgent queues; batches at once, others after urgentWaitMs.
+	n.preempt(agent, attempt, attempt.spec.Resources.Minus(*avail))
 	return n.now-attempt.queuedMs <= bypassMs
 }
 
-// startableResources is the part of a worker's available room that a waiting attempt may take.
+// startableResources returns the part of a worker's available resources that a queued attempt may take.
 func (n *node) startableResources(
 	agent *workerAgent, attempt *agentAttempt, queue *configuration.Queue, avail resource.Amount,
 ) resource.Amount {
@@ -137,12 +137,12 @@
 		return avail
 	}
 	if n.fleetIdle() && n.now-attempt.queuedMs > backfillAfterMs && n.Policies.On(scheduler.Backfill) {
-		return avail // no room is kept back from what waited this long while most of it is free
+		return avail // the headroom is not kept from a task that has waited this long in a mostly idle fleet
 	}
 	return avail.Minus(n.urgentHeadroom(agent.capacity, agent.urgentUse(n, wire.AttemptOrdered, wire.AttemptRunning)))
 }
 
-// startedTasksOfStep counts the started tasks here that share a task's job, round and step.
+// startedTasksOfStep counts the started attempts here of the same job, round and step.
 func (a *workerAgent) startedTasksOfStep(attempt *agentAttempt) (count int) {
 	round, step, _, ok := parseUniformTaskID(attempt.spec.Key.Task)
 	for k, other := range a.attempts {
@@ -155,7 +155,7 @@
 	return count
 }
 
-// queuedAttempts gives the unstarted tasks in the order they may start.
+// queuedAttempts returns the queued attempts in the order in which they may start.
 func (a *workerAgent) queuedAttempts(n *node) []*agentAttempt {
 	var queued []*agentAttempt
 	for _, key := range a.keys() {
@@ -174,8 +174,8 @@
 	return queued
 }
 
-// preempt stops queueable runs until so much room is on its way, see scheduler.Victims. For a
-// queueable task only runs of less urgent queues are stopped, and only if that is enough.
+// preempt stops queueable attempts until the lacking resources are being freed (see scheduler.Victims).
+// For a queueable task it stops only attempts of less urgent queues, and only if that frees enough.
 func (n *node) preempt(agent *workerAgent, pending *agentAttempt, lacking resource.Amount) {
 	var attempts []*agentAttempt
 	var runs []scheduler.Run
@@ -202,16 +202,17 @@
 	}
 }
 
-// mayPreempt tells whether a queueable run may be stopped for a waiting task.
+// mayPreempt reports whether a running queueable attempt may be stopped for a queued one.
 func (n *node) mayPreempt(pending, run *agentAttempt) bool {
 	guaranteed := pending.spec.Class == wire.ClassGuaranteed
 	if !guaranteed && n.now-pending.queuedMs <= urgentWaitMs && n.batchRulesOfSpec(&run.spec) == nil {
-		return false // it may be called back meanwhile
+		return false // its owner may recall it meanwhile
 	}
 	pendingPrecedence, runPrecedence := n.precedence(pending.spec.Queue, pending.spec.Excess), n.precedence(run.spec.Queue, run.spec.Excess)
 	return runPrecedence < pendingPrecedence || guaranteed && runPrecedence == pendingPrecedence
 }
 
+// dispatch sends the order to start an attempt, or adds it to the reply of the current heartbeat.
 func (n *node) dispatch(agent *workerAgent, attempt *agentAttempt) {
 	attempt.state, attempt.ordered, attempt.orderedMs, attempt.listed = wire.AttemptOrdered, true, n.now, false
 	spec := &attempt.spec
@@ -252,6 +253,7 @@
 	})
 }
 
+// orderOutcomes maps how an order went, as orderSender.deliver returns it, to its effect on the attempt.
 var orderOutcomes = map[string]func(*node, *workerAgent, *agentAttempt){
 	"started": func(n *node, _ *workerAgent, attempt *agentAttempt) {
 		if attempt.state == wire.AttemptOrdered {
@@ -269,10 +271,11 @@
 			attempt.state, attempt.ordered = wire.AttemptQueued, false
 		}
 	},
-	// It may have started: it holds its room until the worker's report resolves it.
+	// It may have started: it keeps its resources until the worker's report resolves it.
 	"unknown": func(n *node, _ *workerAgent, attempt *agentAttempt) { n.count("orders_unconfirmed") },
 }
 
+// onOrder applies how a start order went.
 func (n *node) onOrder(e evOrder) {
 	agent := n.agents[e.Worker]
 	if agent == nil || e.Stop {
--- a/internal/daemon/agent_health.go
+++ b/internal/daemon/agent_health.go
@@ -5,19 +5,23 @@
 	"otterchute/internal/wire"
 )
 
-// An agent sees all ends at its worker, whoever owns the jobs, and the coordinator tells how
-// often each queue's tasks fail everywhere. So the agent judges its worker itself, with the
-// end that decides: see scheduler.Evidence. Owners and the central scheduler then give the
-// worker no more work, as long as there are others; after a while it is tried again.
+// An agent observes all ended attempts at its worker, for jobs of any owner, and receives from the
+// coordinator how often each queue's tasks fail across the fleet. It compares the two (see
+// scheduler.Evidence) and ejects a worker that fails significantly more tasks: owners and the central
+// scheduler place no more work there as long as other workers are available. After a while the worker
+// is tried again.
 
 const (
-	stallSuspectMs   = 3000   // a worker where work stood still gets no more for this long, doubled each time
-	failureSuspectMs = 10_000 // and one that fails its tasks: it is tried again with real work, which costs attempts
-	suspectCountMax  = 4      // times that a worker is suspect before that takes no longer
+	// stallSuspectMs is how long a worker is suspect after work has stalled there, doubled each time.
+	stallSuspectMs = 3000
+	// failureSuspectMs is the same for a worker that fails its tasks. It is longer, since the worker is
+	// tried again with real tasks, and each failure costs one of their attempts.
+	failureSuspectMs = 10_000
+	suspectCountMax  = 4 // suspicions after which the duration no longer doubles
 )
 
-// observeOutcome counts how a run ended. A job that can't be done fails everywhere, so that of each
-// job one failure in a while speaks against the worker, and none while it gets no work.
+// observeOutcome counts the outcome of an attempt. A faulty job fails on every worker, so only one failure
+// of each job within healthDecayMs counts as evidence against the worker, and none while it is suspect.
 func (n *node) observeOutcome(agent *workerAgent, attempt *agentAttempt, failed bool) {
 	if attempt.unobserved || attempt.spec.Queue == "" {
 		return
@@ -40,8 +44,8 @@
 	}
 }
 
-// ejectIfUnhealthy has a worker that fails far more than others get no more work for a while. What
-// waits there, and never started, goes back.
+// ejectIfUnhealthy marks a worker as suspect if it fails far more tasks than others, and returns its
+// queued attempts to their owners.
 func (n *node) ejectIfUnhealthy(agent *workerAgent) {
 	if !agent.evidence.Conclusive() || !n.Policies.On(scheduler.EjectUnhealthy) {
 		return
@@ -57,14 +61,14 @@
 	n.reportAgent(agent)
 }
 
-// markSuspect has a worker get no more work for a while, each time for longer.
+// markSuspect marks a worker as suspect, so that it gets no more work for a while, each time for longer.
 func (n *node) markSuspect(agent *workerAgent, reason string, durationMs int64) {
 	agent.suspectCount = min(agent.suspectCount+1, suspectCountMax)
 	agent.suspectUntilMs = n.now + durationMs<<(agent.suspectCount-1)
 	n.log("worker_suspect", "worker", agent.worker, "why", reason, "for_ms", agent.suspectUntilMs-n.now)
 }
 
-// outcomesByQueue is how runs ended here lately, for the coordinator.
+// outcomesByQueue returns the recent outcomes of attempts at the worker, for the coordinator.
 func (a *workerAgent) outcomesByQueue() (ends []wire.QueueOutcomes) {
 	for _, queue := range sortedKeys(a.outcomeCounts) {
 		counts := a.outcomeCounts[queue]
@@ -73,10 +77,10 @@
 	return ends
 }
 
-// failRates is how often each queue's tasks fail at workers that nobody suspects.
+// failRates returns how often each queue's tasks fail at workers that are not suspect.
 func (c *centralScheduler) failRates() (rates []wire.QueueFailRate) {
 	counts := map[string]scheduler.OutcomeCounts{}
-	for _, w := range c.workers { // sums: the order does not matter
+	for _, w := range c.workers { // the order does not affect sums
 		if w.Suspect {
 			continue
 		}
@@ -92,16 +96,16 @@
 
 const perMille = 1000
 
-// What a round of ranks says of a worker's health; 0 for nothing. The values are part of the wire's form.
+// A worker's health as sent with its rank; 0 is healthy. The values are part of the wire format.
 const (
-	healthEjected   int8 = 1 // it gets no more work, as long as there are others
-	healthProbation int8 = 2 // it was ejected lately and is tried again
+	healthEjected   int8 = 1 // gets no more work as long as other workers are available
+	healthProbation int8 = 2 // was ejected recently and is being tried again
 )
 
-// ejected tells whether a worker gets no more work, as long as there are others.
+// ejected reports whether the coordinator's last round lists a worker as ejected.
 func (r *rankState) ejected(worker string) bool { return r.unhealthy[worker] == healthEjected }
 
-// failRate is how often a queue's tasks fail everywhere, as the coordinator last told.
+// failRate returns how often a queue's tasks fail across the fleet, by the coordinator's last round.
 func (r *rankState) failRate(queue string) float64 {
 	if rate, known := r.failRates[queue]; known {
 		return rate
--- a/internal/daemon/agent_report.go
+++ b/internal/daemon/agent_report.go
@@ -15,8 +15,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// orderTag travels with an order and comes back in the worker's lists, so that
-// a successor can rebuild what it needs from the worker alone.
+// orderTag is sent with an order and returned in the worker's reports, so that a new agent can rebuild
+// its attempts from the worker alone.
 type orderTag struct {
 	Shard       string          `json:"slice"`
 	Queue       string          `json:"queue"`
@@ -28,6 +28,7 @@
 	SubmittedMs int64           `json:"submit_ms"`
 }
 
+// reportFields is the schema of a worker's report.
 var reportFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"incarnation": {Kind: schema.Name, Required: true},
 	"seq":         {Kind: schema.Integer, Required: true, Min: 1},
@@ -41,6 +42,7 @@
 	"ended":       {Kind: schema.List, Max: 100_000, Elem: &runFields},
 }}
 
+// runFields is the schema of one attempt in a worker's report.
 var runFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"id":      {Kind: schema.String, Required: true, Min: 1, Max: 300},
 	"tag":     {Kind: schema.String, Max: 4000},
@@ -49,8 +51,8 @@
 	"outcome": {Kind: schema.Name},
 }}
 
-// routeReport brings a worker's report to its agent, and where it has none lets
-// the candidate of the worker's zone become it.
+// routeReport passes a worker's report to its agent, or forwards it to the agent's daemon. If the worker
+// has no agent, the first candidate of the worker's zone acquires the role.
 func (n *node) routeReport(req *request) {
 	role := lease.AgentRole(req.key)
 	if agent := n.agents[req.key]; agent != nil && n.leases.Holds(role) {
@@ -65,7 +67,7 @@
 		n.forward(req, to)
 		return
 	}
-	next := n.leases.Successor(role) // named by the last holder, or else the first candidate
+	next := n.leases.Successor(role) // named by the last holder; without one the first candidate is used
 	if c := n.leases.Candidates(role, gjson.GetBytes(req.body, "site").Str); !n.peers.Alive(next) && len(c) > 0 {
 		next = c[0]
 	}
@@ -77,11 +79,11 @@
 	n.respond(req, 503, 200, mustJSON(map[string]any{"error": "the worker has no agent yet"}))
 }
 
-// pastIncarnationsMax former incarnations of a worker are remembered: a report of one of
-// them is late.
+// pastIncarnationsMax is the number of former incarnations kept for a worker, whose late reports are
+// rejected.
 const pastIncarnationsMax = 8
 
-// applyReport brings what is held in line with a worker's report, and answers it.
+// applyReport updates the agent's attempts from a worker's report, and answers it.
 func (n *node) applyReport(agent *workerAgent, req *request) {
 	if faults := schema.Check(req.body, reportFields); len(faults) > 0 {
 		n.rejectFaults(req, 400, 0, faults)
@@ -108,8 +110,8 @@
 	n.startPending(agent)
 }
 
-// recordReport keeps what a report says of the worker itself. It gives false for a
-// report that comes again or late, of which nothing is kept.
+// recordReport records the state of the worker itself. It returns false, and records nothing, for a
+// duplicate or late report.
 func (n *node) recordReport(agent *workerAgent, report gjson.Result) bool {
 	incarnation, seq := report.Get("incarnation").Str, report.Get("seq").Int()
 	if incarnation == agent.workerIncarnation && seq <= agent.reportSeq || slices.Contains(agent.pastIncarnations, incarnation) {
@@ -132,7 +134,7 @@
 	return true
 }
 
-// applyReportedRuns applies what a report lists as running, and reckons the worker's capacity.
+// applyReportedRuns applies the attempts that a report lists as running, and computes the worker's capacity.
 func (n *node) applyReportedRuns(agent *workerAgent, report gjson.Result) map[wire.AttemptKey]bool {
 	running := map[wire.AttemptKey]bool{}
 	agent.capacity = agent.free
@@ -140,7 +142,7 @@
 		key, ok := wire.ParseAttemptKey(entry.Get("id").Str)
 		if !ok {
 			agent.capacity = agent.capacity.Plus(resource.Parse(entry.Get("room")))
-			continue // not one of ours, but it takes room
+			continue // started by something else, but it uses resources
 		}
 		running[key] = true
 		attempt := agent.attempts[key]
@@ -159,7 +161,7 @@
 	return running
 }
 
-// applyReportedEnds applies what a report lists as ended.
+// applyReportedEnds applies the attempts that a report lists as ended.
 func (n *node) applyReportedEnds(agent *workerAgent, report gjson.Result) (ended map[wire.AttemptKey]bool, changed bool) {
 	ended = map[wire.AttemptKey]bool{}
 	for _, entry := range report.Get("ended").Array() {
@@ -184,8 +186,8 @@
 	return ended, changed
 }
 
-// endUnreported ends what a report doesn't list, where it must list it, and forgets
-// what is acknowledged.
+// endUnreported ends attempts that the report would have listed if the worker had them, and forgets
+// acknowledged ends that the worker no longer lists.
 func (n *node) endUnreported(agent *workerAgent, running, ended map[wire.AttemptKey]bool) (changed bool) {
 	for _, key := range agent.keys() {
 		attempt := agent.attempts[key]
@@ -205,7 +207,7 @@
 	return changed
 }
 
-// adopt takes a run that only the worker knew of.
+// adopt adds an attempt that only the worker's report lists, with the spec from its order tag.
 func (a *workerAgent) adopt(key wire.AttemptKey, entry gjson.Result, now int64) *agentAttempt {
 	var tag orderTag
 	_ = json.Unmarshal([]byte(entry.Get("tag").Str), &tag)
@@ -233,6 +235,7 @@
 	return attempt
 }
 
+// respondReport answers a worker's report with a new token and the ends that are acknowledged.
 func (n *node) respondReport(agent *workerAgent, req *request, ended map[wire.AttemptKey]bool) {
 	acked := []string{}
 	keys := make([]wire.AttemptKey, 0, len(ended))
@@ -257,12 +260,12 @@
 	)
 }
 
-// endAttempt takes a worker's word on how a run ended.
+// endAttempt records the outcome of an attempt as the worker reported it.
 func (n *node) endAttempt(agent *workerAgent, attempt *agentAttempt, outcome string, ranMs int64) {
 	attempt.state, attempt.ranMs = wire.AttemptEnded, ranMs
 	agent.guaranteedEnded = agent.guaranteedEnded || attempt.spec.Class == wire.ClassGuaranteed
 	if attempt.unobserved {
-		attempt.ranMs = 0 // nothing is learned from it
+		attempt.ranMs = 0 // an unknown run time must not enter the estimates
 	}
 	switch outcome {
 	case "ok":
@@ -293,10 +296,10 @@
 	default:
 		attempt.result = attempt.stopReason
 		if attempt.result == 0 {
-			attempt.result = wire.ResultPreempted // stopped on a former agent's order: never the task's own failure
+			attempt.result = wire.ResultPreempted // stopped by a former agent: not the task's own failure
 		}
 		if attempt.spec.LimitMs > 0 && ranMs >= attempt.spec.LimitMs {
-			attempt.result = wire.ResultOverrun // whoever had it stopped first, it ran past its limit
+			attempt.result = wire.ResultOverrun // past its limit, even if it was stopped for another reason first
 		}
 		if attempt.result == wire.ResultOverrun {
 			agent.failed++
--- a/internal/daemon/heartbeat.go
+++ b/internal/daemon/heartbeat.go
@@ -25,7 +25,7 @@
 	lastPercent      = 99     // a worker tells no more of work that has not ended
 	blockedEndsMax   = 100    // ends that wait behind a late one before the hold is let run out
 	heartbeatEndsMax = 500    // ends that one heartbeat tells of at most
-	goodbyeDelayMs   = 500    // a worker that said it goes has ended this long after
+	signOffDelayMs   = 500    // a worker that said it goes has ended this long after
 	leaveStopMs      = 800    // so long before its worker leaves, work that saves is stopped, to go on elsewhere
 	goneAgentKeepMs  = 60_000 // a worker's agent whose worker is gone keeps the ends nobody took note of for this long
 )
@@ -588,7 +588,7 @@
 // handleWorkerGone takes a worker's word that it ends now.
 func (n *node) handleWorkerGone(req *request) {
 	if agent := n.agents[req.key]; agent != nil && agent.colocated && agent.goneAtMs == 0 {
-		agent.leaving, agent.goneAtMs = true, n.now+goodbyeDelayMs
+		agent.leaving, agent.goneAtMs = true, n.now+signOffDelayMs
 		n.log("worker_gone", "worker", agent.worker)
 		n.reportAgent(agent)
 	}
