--- a/internal/daemon/agent_dispatch.go
+++ b/internal/daemon/agent_dispatch.go
@@ -215,22 +215,22 @@
 // dispatch sends the order to start an attempt, or adds it to the reply of the current heartbeat.
 func (n *node) dispatch(agent *workerAgent, attempt *agentAttempt) {
 	attempt.state, attempt.ordered, attempt.orderedMs, attempt.listed = wire.AttemptOrdered, true, n.now, false
-	spec := &attempt.spec
-	n.count("orders_" + spec.Class.String())
+	taskSpec := &attempt.spec
+	n.count("orders_" + taskSpec.Class.String())
 	if agent.colocated {
 		attempt.orderSeq = agent.reportSeq
 		agent.toStart = append(agent.toStart, attempt)
 		return
 	}
-	payload := rawJSON(spec.Payload)
-	if len(spec.Payload) == 0 {
+	payload := rawJSON(taskSpec.Payload)
+	if len(taskSpec.Payload) == 0 {
 		payload = "null"
 	}
-	tag := mustJSON(orderTag{spec.Shard, spec.Queue, spec.Name, spec.Class, spec.Resources, spec.LimitMs, spec.EstimateMs, spec.SubmittedMs})
+	tag := mustJSON(orderTag{taskSpec.Shard, taskSpec.Queue, taskSpec.Name, taskSpec.Class, taskSpec.Resources, taskSpec.LimitMs, taskSpec.EstimateMs, taskSpec.SubmittedMs})
 	n.emit(effOrder{
 		Worker: agent.worker,
 		Addr:   agent.addr,
-		Key:    spec.Key,
+		Key:    taskSpec.Key,
 		NotAfterMs: min(
 			n.leases.HeldUntilMs(lease.AgentRole(agent.worker)),
 			attempt.confirmedMs+ownerContactMs,
@@ -239,13 +239,13 @@
 		),
 		Body: mustJSON(
 			map[string]any{
-				"id":       spec.Key.String(),
-				"job":      spec.Key.Job,
-				"name":     spec.Name,
-				"queue":    spec.Queue,
-				"class":    spec.Class.String(),
-				"room":     spec.Resources,
-				"limit_ms": spec.LimitMs,
+				"id":       taskSpec.Key.String(),
+				"job":      taskSpec.Key.Job,
+				"name":     taskSpec.Name,
+				"queue":    taskSpec.Queue,
+				"class":    taskSpec.Class.String(),
+				"room":     taskSpec.Resources,
+				"limit_ms": taskSpec.LimitMs,
 				"payload":  payload,
 				"tag":      string(tag),
 			},
--- a/internal/daemon/agent_sync.go
+++ b/internal/daemon/agent_sync.go
@@ -8,6 +8,8 @@
 	"otterchute/internal/wire"
 )
 
+// onPlacement takes an attempt that an owner placed at this agent's worker, and rejects it where it can
+// never start here. A stale placement is dropped.
 func (n *node) onPlacement(_ string, m *wire.Placement) {
 	agent := n.agents[m.Worker]
 	if agent == nil || agent.epoch != m.AgentEpoch || !n.isActiveAgent(agent) && !agent.replaced ||
@@ -46,7 +48,7 @@
 	n.startPending(agent)
 }
 
-// onOwnerReply applies an owner's decisions on what this agent holds of its jobs.
+// onOwnerReply applies an owner's decisions on this agent's attempts of its jobs.
 func (n *node) onOwnerReply(_ string, m *wire.OwnerReply) {
 	agent := n.agents[m.Worker]
 	if agent == nil || agent.epoch != m.Epoch || m.ShardEpoch < agent.ownerEpochs[m.Shard] {
@@ -54,9 +56,9 @@
 	}
 	agent.ownerEpochs[m.Shard] = m.ShardEpoch
 	agent.recordOwnerReply(m.Shard, m.SentMs, n.now)
-	for _, spec := range m.Specs {
-		if attempt := agent.attempts[spec.Key]; attempt != nil && attempt.specUnknown {
-			attempt.spec, attempt.specUnknown = spec, false
+	for _, taskSpec := range m.Specs {
+		if attempt := agent.attempts[taskSpec.Key]; attempt != nil && attempt.specUnknown {
+			attempt.spec, attempt.specUnknown = taskSpec, false
 		}
 	}
 	recalled := false
@@ -71,8 +73,8 @@
 	n.startPending(agent)
 }
 
-// applyDecision applies an owner's decision on one attempt; sentMs is when the agent
-// sent the report that it answers. It tells whether the attempt was recalled.
+// applyDecision applies an owner's decision on one attempt; sentMs is when the agent sent the report
+// that it answers. It reports whether the attempt was recalled.
 func (n *node) applyDecision(
 	agent *workerAgent, attempt *agentAttempt, decision wire.AttemptDecision, sentMs int64,
 ) (recalled bool) {
@@ -98,13 +100,13 @@
 	return false
 }
 
-// acknowledgeEnd notes that an end is in its owner's record, or not wanted.
+// acknowledgeEnd records that an end is in its owner's record, or that the owner does not need it.
 func (n *node) acknowledgeEnd(agent *workerAgent, attempt *agentAttempt, decision wire.Decision) {
 	if attempt.state != wire.AttemptEnded || attempt.acked {
 		return
 	}
 	if attempt.endedLate && decision != wire.DecisionCounted {
-		return // another run may have taken its place
+		return // another attempt may have replaced it
 	}
 	attempt.acked = true
 	if !attempt.ordered || attempt.result == wire.ResultLost || attempt.result == wire.ResultRejected {
@@ -112,8 +114,10 @@
 	}
 }
 
-// rank is the paper's R = T_q + T_r + T_l, without batches: all others push them out.
-func (a *workerAgent) rank(n *node) (rank, queuedMs, queued int64) {
+// workerRank returns the rank R = T_q + T_r + T_l of the scheduling paper: the estimated time of queued
+// attempts, the remaining time of started ones, and the time since the last success. Batches don't count,
+// since any other task may preempt them.
+func (a *workerAgent) workerRank(n *node) (rank, queuedMs, queued int64) {
 	var queuedWorkMs, remainingMs int64
 	now := n.now
 	for _, attempt := range a.attempts {
@@ -131,7 +135,7 @@
 	return queuedWorkMs + remainingMs + (now - a.lastSuccessMs), queuedWorkMs, queued
 }
 
-// reportAgent tells each shard's owner and the central scheduler all it holds.
+// reportAgent sends a full report to each shard's owner and to the central scheduler.
 func (n *node) reportAgent(agent *workerAgent) {
 	agent.nextSyncMs = n.now + agentSyncMs
 	if agent.colocated {
@@ -147,15 +151,15 @@
 	agent.changesPending = false
 }
 
-// sendReport sends a report to the owner of a shard, or without one to the central
-// scheduler, if it is known.
+// sendReport completes a report for the owner of a shard, or for the central scheduler if target is "",
+// and sends it if that daemon is known.
 func (n *node) sendReport(agent *workerAgent, m wire.AgentReport, target string, keys []wire.AttemptKey) {
 	to := n.reportTarget(target)
 	if to == "" {
 		return
 	}
 	if to != agent.lastReports[target].to {
-		n.peers.AnnounceTo([]string{to}) // gossip may not have told it where this agent is
+		n.peers.AnnounceTo([]string{to}) // gossip may not have reached it with this daemon's address
 	}
 	m.Shard = target
 	m.BatchUsage = agent.batchUse(n, target)
@@ -173,7 +177,7 @@
 	}
 }
 
-// reportTarget is who hears of a shard's attempts, or for "" the central scheduler.
+// reportTarget returns the daemon that owns a shard, or that is the central scheduler if shard is "".
 func (n *node) reportTarget(shard string) string {
 	role := lease.Central
 	if shard != "" {
@@ -183,9 +187,9 @@
 	return to
 }
 
-// baseReport is what a report says of the worker and its agent, to whomever it goes.
+// baseReport returns the part of a report that is the same for all recipients.
 func (n *node) baseReport(agent *workerAgent) wire.AgentReport {
-	rank, queuedMs, queued := agent.rank(n)
+	rank, queuedMs, queued := agent.workerRank(n)
 	waiting, spare := agent.loadWithoutBatches(n)
 	return wire.AgentReport{
 		Worker: agent.worker, Agent: n.Name, Epoch: agent.epoch, SentMs: n.now,
@@ -200,8 +204,8 @@
 	}
 }
 
-// addAttempts adds to a report the attempts that bear on its shard, or, without one, those that
-// hold room; what others hold of the room is added up.
+// addAttempts adds to a report the attempts of its shard, or those that concern the central scheduler,
+// and sums up the resources that attempts of other shards hold.
 func (n *node) addAttempts(m *wire.AgentReport, agent *workerAgent, keys []wire.AttemptKey) {
 	for _, key := range keys {
 		attempt := agent.attempts[key]
@@ -221,22 +225,23 @@
 	}
 }
 
+// attemptStatus returns an attempt in the form in which reports carry it.
 func (n *node) attemptStatus(attempt *agentAttempt) wire.AttemptStatus {
-	ranMs := attempt.ranMs
+	elapsedMs := attempt.ranMs
 	if attempt.state == wire.AttemptRunning {
-		ranMs = n.now - attempt.startedMs
+		elapsedMs = n.now - attempt.startedMs
 	}
 	return wire.AttemptStatus{
 		Key: attempt.spec.Key, Class: attempt.spec.Class, State: attempt.state, Result: attempt.result,
-		Resources: attempt.spec.Resources, RanMs: ranMs, EstimateMs: attempt.spec.EstimateMs,
+		Resources: attempt.spec.Resources, RanMs: elapsedMs, EstimateMs: attempt.spec.EstimateMs,
 		Queue: attempt.spec.Queue, Name: attempt.spec.Name,
 		Checkpoint:  attempt.spec.Checkpoint,
 		SpecMissing: attempt.specUnknown, EndedLate: attempt.endedLate, QueueMs: attempt.queueMs(), StartMs: attempt.startMs(),
 	}
 }
 
-// queueMs is how long an attempt waited here before its order; 0 for one that a former
-// agent ordered.
+// queueMs returns how long an attempt was queued here before its order; 0 for one that a former agent
+// ordered.
 func (a *agentAttempt) queueMs() int64 {
 	if a.queuedMs == 0 || a.orderedMs == 0 {
 		return 0
@@ -244,7 +249,7 @@
 	return max(a.orderedMs-a.queuedMs, 0)
 }
 
-// startMs is how long it took from the order until the worker listed the run.
+// startMs returns the time from the order until the worker listed the attempt as running.
 func (a *agentAttempt) startMs() int64 {
 	if a.orderedMs == 0 || a.startedMs == 0 {
 		return 0
@@ -252,10 +257,10 @@
 	return max(a.startedMs-a.orderedMs, 0)
 }
 
-// shed gives back unstarted queueable tasks, the last in line first, until the
-// rank meets the coordinator's target.
+// shed returns queued queueable attempts to their owners, the last in the queue first, until the rank
+// is within the coordinator's target.
 func (n *node) shed(agent *workerAgent, targetMs int64) {
-	rank, _, _ := agent.rank(n)
+	rank, _, _ := agent.workerRank(n)
 	queue := agent.queuedAttempts(n)
 	slices.Reverse(queue)
 	shedAny := false
@@ -275,7 +280,7 @@
 	}
 }
 
-// onPromotion makes a running queueable task firm, if its room is sure.
+// onPromotion makes a running queueable attempt guaranteed, if all guaranteed ones still fit.
 func (n *node) onPromotion(_ string, m *wire.Promotion) {
 	agent := n.agents[m.Worker]
 	if agent == nil || agent.epoch != m.Epoch || !n.isActiveAgent(agent) {
--- a/internal/daemon/allocate.go
+++ b/internal/daemon/allocate.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	reserveAfterMs  = 4000   // the longest-waiting firm task holds a worker back after this
-	regrantAfterMs  = 400    // a place still wanted this long after its grant was not taken
-	spreadAfterMs   = 1500   // a gang that wants one rack takes several after this, at the earliest
-	rackWaitPercent = 50     // percent of what its run takes longer over several that it waits for one
-	rackWaitMaxMs   = 15_000 // ms, and no longer than this
-	// busyPercent is of all room in use: below it no reservation holds, for a job must not wait
-	// beside idle workers.
+	reserveAfterMs  = 4000   // a request that has waited this long reserves workers
+	regrantAfterMs  = 400    // a task requested again this long after its grant gets a new one
+	spreadAfterMs   = 1500   // a gang that prefers one rack waits at least this long before it is spread over several
+	rackWaitPercent = 50     // percent of the extra run time over several racks that a gang waits for one rack
+	rackWaitMaxMs   = 15_000 // ms; upper bound of that wait
+	// busyPercent is the share of the fleet's resources in use below which no reservation holds, so that
+	// no job waits beside idle workers.
 	busyPercent     = 55
-	backfillAfterMs = 2000 // against anything that waited this long
-	// allocationsPerMs is how many pairs of a request and a worker a pass may look at for each
-	// ms until the next pass: a pair takes some 100 ns, so that passes take a fifth of the
-	// control thread of half a core. Among a dozen workers the next pass comes at once, nearly.
+	backfillAfterMs = 2000 // a request that has waited this long may use reserved resources of an idle fleet
+	// allocationsPerMs is how many pairs of request and worker a pass may examine for each ms until the
+	// next pass. A pair takes about 100 ns, so passes take a fifth of the control thread on half a core.
+	// With a dozen workers the next pass can follow almost at once.
 	allocationsPerMs = 500
 )
 
-// allocationPass is one pass of the central scheduler over the requests that wait.
+// allocationPass is one pass of the central scheduler over the pending requests.
 type allocationPass struct {
 	candidates []*scheduler.Candidate
-	reserved   map[string]bool // workers kept for requests that come before
-	idle       bool            // most of all room is free: nothing is kept back for long
+	reserved   map[string]bool // workers reserved for requests that come earlier in the order
+	idle       bool            // most of the fleet is free: requests don't wait long for reserved resources
 }
 
-// allocateSoon gives guaranteed places now, or with a later event where the last pass was just
-// now: what a pass costs grows with requests and workers, and may not fill the control thread.
+// allocateSoon runs an allocation pass now, or leaves it to a later event if the last pass was too
+// recent: the cost of a pass grows with requests and workers and must not fill the control thread.
 func (n *node) allocateSoon(c *centralScheduler) {
 	if n.now >= c.nextAllocationMs {
 		n.allocateAll(c)
 	}
 }
 
-// allocateAll gives guaranteed places in order of urgency and age, only where the room
-// is sure: what queueable tasks hold counts as room, since it can be freed.
+// allocateAll grants guaranteed resources in order of urgency and age. Resources that queueable tasks
+// hold count as available, since preemption can free them.
 func (n *node) allocateAll(c *centralScheduler) {
 	if !n.leases.Holds(lease.Central) || n.now-c.startMs < centralRebuildMs || !n.configFresh() {
 		return
@@ -66,14 +66,14 @@
 	}
 }
 
-// allocate gives one request the places that it can have now.
+// allocate grants one request the workers that it can have now, or else reserves workers for it.
 func (n *node) allocate(c *centralScheduler, pass *allocationPass, request *pendingAllocation, queue *configuration.Queue) {
 	fitting, healthy := n.fittingWorkers(request, queue, pass.candidates)
 	open := request.open()
 	search := n.newAssignment(request, queue, pass.reserved)
 	workers := search.Find(len(open), healthy)
 	if len(workers) == 0 && pass.idle && n.now-request.firstMs > backfillAfterMs {
-		// No room is kept back from what waited this long while most of it is free.
+		// In a mostly idle fleet, reservations and headroom don't hold against a request that waited this long.
 		search.Reserved, search.Urgent, search.WaitsForRack = nil, true, n.waitsForRack(request, spreadAfterMs)
 		if workers = search.Find(len(open), healthy); len(workers) == 0 {
 			workers = search.Find(len(open), fitting)
@@ -86,8 +86,8 @@
 	n.sendAllocation(c, request, open, workers)
 }
 
-// pendingInOrder gives the requests with open tasks: by the queue's urgency, those of excess jobs
-// last, and among equals by what their tenants have already and by the job's age.
+// pendingInOrder returns the requests with open tasks, ordered by the queue's urgency (those of excess
+// jobs last), then by what their tenants already use, then by the job's age.
 func (n *node) pendingInOrder(c *centralScheduler) []allocationKey {
 	var keys []allocationKey
 	for key, request := range c.pending {
@@ -112,7 +112,7 @@
 	return ordered
 }
 
-// candidateWorkers gives the workers that may get work now, with the room they have.
+// candidateWorkers returns the workers that may get work now, with their free resources.
 func (n *node) candidateWorkers(c *centralScheduler) (candidates []*scheduler.Candidate) {
 	granted := c.grantedResources()
 	for _, name := range sortedKeys(c.workers) {
@@ -132,8 +132,8 @@
 	return candidates
 }
 
-// fittingWorkers gives the workers that a request's queue, labels and size allow, and those of
-// them that are healthy: unhealthy ones count only where nothing else may ever do.
+// fittingWorkers returns the workers that a request's queue, labels and size allow, and the healthy ones
+// among them. If none is healthy, or most are suspect, all count as healthy.
 func (n *node) fittingWorkers(
 	request *pendingAllocation,
 	queue *configuration.Queue,
@@ -157,12 +157,14 @@
 			healthy = append(healthy, candidate)
 		}
 	}
-	if len(healthy) == 0 || 2*suspects > len(fitting) { // where most are suspect it isn't the workers
+	if len(healthy) == 0 || 2*suspects > len(fitting) { // if most are suspect, the cause lies elsewhere
 		healthy = fitting
 	}
 	return fitting, healthy
 }
 
+// newAssignment returns the search for workers for a request, with the tasks of its step that workers
+// already have.
 func (n *node) newAssignment(
 	request *pendingAllocation,
 	queue *configuration.Queue,
@@ -182,7 +184,7 @@
 	return search
 }
 
-// groupOf is what the tasks of a request ask of workers.
+// groupOf returns the requirements of a request's tasks on workers.
 func (n *node) groupOf(request *pendingAllocation) scheduler.Group {
 	g := scheduler.Group{
 		Resources: request.Resources, Size: len(request.Tasks), MaxPerWorker: request.MaxPerWorker, Gang: request.Gang,
@@ -205,7 +207,7 @@
 	return set
 }
 
-// sendAllocation notes what is granted, and tells the request's owner.
+// sendAllocation records the granted workers and sends them to the request's owner.
 func (n *node) sendAllocation(
 	c *centralScheduler, request *pendingAllocation, open []wire.RequestedTask, workers []*scheduler.Candidate,
 ) {
@@ -219,10 +221,9 @@
 	n.send(request.from, m)
 }
 
-// reserve lets a request that waited long keep the likeliest workers from those
-// behind it: one worker for a task, as many as hold it whole for a gang. A gang
-// that waits for one rack keeps workers of one rack, from the beginning: else
-// others take what gets free there.
+// reserve reserves the most likely workers for a request that has waited long: one worker for a single
+// task, as many as a whole gang needs for a gang. A gang that waits for one rack reserves workers of one
+// rack from the beginning, as other requests would otherwise take what becomes free there.
 func (n *node) reserve(request *pendingAllocation, fitting []*scheduler.Candidate, reserved map[string]bool, workerCount int) {
 	if !n.Policies.On(scheduler.Reservation) {
 		return
@@ -251,14 +252,14 @@
 	}
 }
 
-// rackWaitMs is how long a gang that asks for one rack waits for one: a part of
-// what its run would take longer over several.
+// rackWaitMs returns how long a gang that prefers one rack waits for one: a share of the extra run time
+// that it would have over several racks.
 func (n *node) rackWaitMs(request *pendingAllocation) int64 {
 	extraMs := int64((n.SpreadFactor - 1) * float64(request.EstimateMs))
 	return min(max(extraMs*rackWaitPercent/100, spreadAfterMs), rackWaitMaxMs)
 }
 
-// waitsForRack tells whether a gang still waits for room in one rack, where it does so for long.
+// waitsForRack reports whether a request is still within the time that a gang waits for one rack.
 func (n *node) waitsForRack(request *pendingAllocation, limitMs int64) bool {
 	return n.Policies.On(scheduler.RackWait) && n.now-request.firstMs < limitMs
 }
--- a/internal/daemon/allocation_request.go
+++ b/internal/daemon/allocation_request.go
@@ -7,8 +7,8 @@
 	"otterchute/internal/wire"
 )
 
-// requestAllocation requests a guaranteed place for a task; where tasks of its step are alike,
-// for all of them that wait now, and for a gang once nobody of it is placed.
+// requestAllocation requests guaranteed resources for a task from the central scheduler. In a uniform
+// step one request covers all tasks that wait now; a gang is requested once all its members wait.
 func (n *node) requestAllocation(shard *ownedShard, job *liveJob, i int) {
 	to, _ := n.leases.Holder(lease.Central)
 	if to == "" || !n.gangReady(job, i) {
@@ -20,7 +20,7 @@
 	n.send(to, m)
 }
 
-// newAllocationRequest gives a request for a task's step, without the tasks.
+// newAllocationRequest returns a request for a task's step, without the tasks.
 func (n *node) newAllocationRequest(shard *ownedShard, job *liveJob, i int) *wire.AllocationRequest {
 	t := &job.Tasks[i]
 	step := &job.Steps[t.Step]
@@ -50,7 +50,7 @@
 	return m
 }
 
-// requestRange gives the positions of the tasks that are requested with one.
+// requestRange returns the positions of the tasks that are requested together with a task.
 func (j *liveJob) requestRange(i int) (from, to int) {
 	if j.Steps[j.Tasks[i].Step].Uniform {
 		return j.gangRange(i)
@@ -58,13 +58,13 @@
 	return i, i + 1
 }
 
-// isPlaceable tells whether a task may be placed, by its own state and the committed record.
+// isPlaceable reports whether a task is pending, committed and past its retry time.
 func (n *node) isPlaceable(job *liveJob, k int) bool {
 	t := &job.Tasks[k]
 	return t.State == taskPending && t.ChangedVersion <= job.committed && n.now >= job.runtime[k].retryAtMs
 }
 
-// gangReady tells whether all members of a task's gang wait for a place; true for a single task.
+// gangReady reports whether all members of a task's gang can be placed; true for a single task.
 func (n *node) gangReady(job *liveJob, i int) bool {
 	if !job.Steps[job.Tasks[i].Step].Gang {
 		return true
@@ -78,8 +78,8 @@
 	return true
 }
 
-// requestedTasks gives the tasks to request places for with a task, as far as the tenant's share
-// goes, and reserves the share for them.
+// requestedTasks returns the tasks to request together with a task, as many as the tenant's share
+// allows, and reserves the share for them.
 func (n *node) requestedTasks(shard *ownedShard, job *liveJob, i int) (requested []wire.RequestedTask) {
 	gang := job.Steps[job.Tasks[i].Step].Gang
 	from, to := job.requestRange(i)
@@ -108,12 +108,12 @@
 	return requested
 }
 
-// avoidedWorkersMax bounds the workers that a request for guaranteed places asks to avoid, of each kind.
+// avoidedWorkersMax is the maximum number of workers in each of the lists Avoid and Suspect of a request.
 const avoidedWorkersMax = 32
 
-// avoidedWorkers gives the workers that requested tasks rather not go to: where they failed; and,
-// doubted, where others of the job did lately, and, if one may fail no more, where anything
-// speaks against the worker.
+// avoidedWorkers returns the workers that requested tasks should not be placed at: avoided are those
+// where the tasks themselves last failed; suspected are those where other tasks of the job failed
+// recently and, if a task is on its last attempt, those with any recent failures.
 func (n *node) avoidedWorkers(job *liveJob, requested []wire.RequestedTask) (avoided, suspected []string) {
 	failed, suspects, lastAttempt := map[string]bool{}, map[string]bool{}, false
 	for _, r := range requested {
@@ -139,7 +139,7 @@
 	return avoided[:min(len(avoided), avoidedWorkersMax)], suspected[:min(len(suspected), avoidedWorkersMax)]
 }
 
-// onAllocation takes guaranteed places from the central scheduler; a gang's all or none.
+// onAllocation applies the workers that the central scheduler granted, for a gang all or none.
 func (n *node) onAllocation(_ string, m *wire.Allocation) {
 	shard := n.shards[m.Shard]
 	if shard == nil || !n.leases.Holds(lease.ShardRole(m.Shard)) {
@@ -161,7 +161,8 @@
 	}
 }
 
-// acceptsAllocation gives the position of a task that was granted a place, and whether it may go there.
+// acceptsAllocation returns the position of a task that was granted a worker, and whether it may be
+// placed there.
 func (n *node) acceptsAllocation(job *liveJob, queue *configuration.Queue, p wire.AllocatedTask) (i int, ok bool) {
 	i, _, known := job.position(p.Task)
 	w := n.workers[p.Worker]
@@ -173,7 +174,7 @@
 		n.workerAllowed(w, queue, t.RequiredLabels, t.Resources)
 }
 
-// acceptsGang tells whether places for a gang are for all its members and within its tenant's share;
+// acceptsGang reports whether a gang was granted workers for all its members, within its tenant's share;
 // true for single tasks.
 func (n *node) acceptsGang(shard *ownedShard, job *liveJob, queue *configuration.Queue, places []wire.AllocatedTask) bool {
 	if len(places) == 0 {
@@ -193,8 +194,8 @@
 		n.hasReservedShare(shard, job, first, job.allocationUnit(first))
 }
 
-// applyAllocation places a task where it was granted a place, if its step and its tenant's share still
-// allow that.
+// applyAllocation places a task at the worker that it was granted, if its step's limit per worker and its
+// tenant's share still allow that.
 func (n *node) applyAllocation(shard *ownedShard, job *liveJob, i int, p wire.AllocatedTask) bool {
 	step := &job.Steps[job.Tasks[i].Step]
 	if step.MaxPerWorker > 0 && job.stepTasksByWorker(i)[p.Worker] >= step.MaxPerWorker {
--- a/internal/daemon/attempt_result.go
+++ b/internal/daemon/attempt_result.go
@@ -6,11 +6,12 @@
 )
 
 const (
-	backoffBaseMs = 500    // base wait of a failing task's next attempt, doubled each time
-	backoffMaxMs  = 30_000 // ms; the longest such wait
+	backoffBaseMs = 500 // backoff after a task's first failure, doubled with each further one
+	backoffMaxMs  = 30_000
 )
 
-// resolveAttempt applies how an attempt ended to its task.
+// resolveAttempt applies the result of an attempt to its task, and fails the job if the task may not be
+// tried again.
 func (n *node) resolveAttempt(shard *ownedShard, job *liveJob, i int, result wire.AttemptResult, ranMs int64) {
 	t, rt := &job.Tasks[i], &job.runtime[i]
 	step := &job.Steps[t.Step]
@@ -72,10 +73,10 @@
 	}
 }
 
-// jobAvoidMs is how long tasks of a job rather go elsewhere than where one of them failed.
+// jobAvoidMs is how long the tasks of a job avoid a worker where one of them failed.
 const jobAvoidMs = 10_000
 
-// recordFailureAt notes where a task of the job failed.
+// recordFailureAt records the worker where a task of the job failed.
 func (j *liveJob) recordFailureAt(worker string, nowMs int64) {
 	if j.failedAt == nil {
 		j.failedAt = map[string]int64{}
@@ -83,17 +84,17 @@
 	j.failedAt[worker] = nowMs
 }
 
-// failedRecentlyAt tells whether a task of the job failed at a worker lately.
+// failedRecentlyAt reports whether a task of the job failed at a worker within jobAvoidMs.
 func (j *liveJob) failedRecentlyAt(worker string, nowMs int64) bool {
 	atMs, failed := j.failedAt[worker]
 	return failed && nowMs-atMs <= jobAvoidMs
 }
 
-// onLastAttempt tells whether a task may fail no more.
+// onLastAttempt reports whether one more failure fails the task.
 func (t *task) onLastAttempt() bool { return t.Failures > 0 && t.Failures+1 >= t.maxFailures() }
 
-// backoffMs is how long a task waits after a failure. Of many tasks alike some fail, and the
-// next try is elsewhere: the first one comes at once.
+// backoffMs returns how long a task waits after a failure. Some tasks of a large uniform step are bound to
+// fail, and the retry goes to another worker, so the first one is immediate.
 func (n *node) backoffMs(step *jobStep, t *task) int64 {
 	waitMs := int64(backoffBaseMs) << min(t.Failures-1, 10)
 	switch {
@@ -105,8 +106,8 @@
 	return min(waitMs, backoffMaxMs)
 }
 
-// awaitsStepTasks tells whether nothing follows from the end of an attempt yet: it ended well,
-// and other tasks of its step still run.
+// awaitsStepTasks reports whether the end of an attempt has no consequences yet: it succeeded, and
+// other tasks of its step have not ended.
 func (j *liveJob) awaitsStepTasks(i int, result wire.AttemptResult) bool {
 	t := &j.Tasks[i]
 	step := &j.Steps[t.Step]
@@ -122,7 +123,8 @@
 	return false
 }
 
-// countFailure counts a failed run, a gang's once for all its members.
+// countFailure counts a failed attempt; a gang's attempt is counted once, for all members. It returns
+// false if the gang's attempt was counted already.
 func (n *node) countFailure(job *liveJob, i int) bool {
 	t := &job.Tasks[i]
 	if !job.Steps[t.Step].Gang {
@@ -141,7 +143,7 @@
 	return true
 }
 
-// endGang takes one member's good end for all of its run.
+// endGang ends all members of a gang's attempt, after one of them succeeded.
 func (n *node) endGang(shard *ownedShard, job *liveJob, i int) {
 	from, to := job.gangRange(i)
 	for k := from; k < to; k++ {
@@ -154,8 +156,8 @@
 	}
 }
 
-// shareCheckpoint gives all members of a gang the newest saved text of one of them:
-// they must go on from the same.
+// shareCheckpoint copies one member's newest checkpoint to all members of its gang, since they must
+// resume from the same one.
 func (n *node) shareCheckpoint(job *liveJob, i int) {
 	from, to := job.gangRange(i)
 	saved := job.Tasks[i].Checkpoint
--- a/internal/daemon/batch_test.go
+++ b/internal/daemon/batch_test.go
@@ -208,7 +208,7 @@
 	running(batch)
 	n.onPromotion("", &wire.Promotion{Worker: "w", Key: batch.spec.Key})
 	must.Eq(t, wire.ClassQueueable, batch.spec.Class)
-	rank, _, _ := agent.rank(n)
+	rank, _, _ := agent.workerRank(n)
 	must.Less(t, 50_000, rank)
 }
 
--- a/internal/daemon/central.go
+++ b/internal/daemon/central.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	rankIntervalMs    = 3000               // the paper's and the design's round of ranks and targets
-	rankStaleMs       = 3 * rankIntervalMs // three missed rounds: ranks and targets are ignored
-	allocationStaleMs = 3000               // the central scheduler drops requests not repeated
-	grantTimeoutMs    = 2500               // a grant not seen at the agent by then frees its room
-	// a new central scheduler listens this long before it grants: agents speak each 300 ms
+	rankIntervalMs    = 3000               // interval of the rounds of ranks and targets, as in the scheduling paper
+	rankStaleMs       = 3 * rankIntervalMs // ranks and targets are ignored after three missed rounds
+	allocationStaleMs = 3000               // requests that are not repeated within this time are dropped
+	grantTimeoutMs    = 2500               // a grant that the agent has not reported by then is released
+	// centralRebuildMs is how long a new central scheduler collects reports before it grants anything:
+	// agents report each centralReportMs.
 	centralRebuildMs  = 500
 	unhealthyMs       = 10_000 // a slow worker gets no work for twice this long, doubled each time
-	unhealthyTimesMax = 5
-	allocateNowMax    = 64 // waiting requests up to which each event tries to grant; beyond, only ticks do
+	unhealthyTimesMax = 5      // the duration is not doubled further after this many times
+	allocateNowMax    = 64     // up to this many pending requests each event runs a pass; beyond, only ticks do
 )
 
-// centralScheduler is the central scheduler with the coordinator inside it. It holds
-// no durable truth: a successor learns all from the agents' syncs and the
-// owners' repeated requests.
+// centralScheduler is the central scheduler, including the coordinator that computes ranks. It stores
+// nothing durably: a successor rebuilds its state from the agents' reports and the owners' repeated
+// requests.
 type centralScheduler struct {
 	epoch       uint64
 	startMs     int64
@@ -34,16 +35,17 @@
 	round       int64
 	headroom    scheduler.HeadroomEstimator
 
-	nextAllocationMs int64 // before this requests wait for the next pass
+	nextAllocationMs int64 // events before this time leave the next pass to later ones
 }
 
-// allocationKey names a want by its first task's step: (job, round and step), or the
-// task itself where tasks of a step aren't alike.
+// allocationKey identifies a request by its job and step: for a uniform step by the ID of its first task in
+// the round, else by the task itself.
 type allocationKey struct {
 	Job  string
 	Step int64
 }
 
+// allocationKeyOf returns the key of a request.
 func allocationKeyOf(m *wire.AllocationRequest) allocationKey {
 	if len(m.Tasks) == 0 {
 		return allocationKey{m.Job, -1}
@@ -54,32 +56,34 @@
 	return allocationKey{m.Job, m.Tasks[0].Task}
 }
 
+// pendingAllocation is a request as its owner last repeated it, with the tasks granted so far.
 type pendingAllocation struct {
 	wire.AllocationRequest
-	from    string
+	from    string // the owner that sent it
 	firstMs int64
 	lastMs  int64
-	granted map[int64]grantedTask // by task
+	granted map[int64]grantedTask // task ID -> grant that no agent has reported yet
 }
 
+// grantedTask is the worker that was granted to one attempt of a task.
 type grantedTask struct {
 	attempt int32
 	worker  string
 	atMs    int64
 }
 
-// isOpen tells whether a task has no grant.
+// isOpen reports whether a task has no grant.
 func (p *pendingAllocation) isOpen(t wire.RequestedTask) bool {
 	g, granted := p.granted[t.Task]
 	return !granted || g.attempt != t.Attempt
 }
 
-// hasOpen tells whether some task has no grant.
+// hasOpen reports whether any task has no grant.
 func (p *pendingAllocation) hasOpen() bool {
 	return slices.ContainsFunc(p.Tasks, p.isOpen)
 }
 
-// open gives the tasks without a grant.
+// open returns the tasks without a grant.
 func (p *pendingAllocation) open() []wire.RequestedTask {
 	out := make([]wire.RequestedTask, 0, len(p.Tasks))
 	for _, t := range p.Tasks {
@@ -90,32 +94,33 @@
 	return out
 }
 
+// workerCapacity is a worker as the central scheduler tracks it from its agent's reports.
 type workerCapacity struct {
 	wire.AgentReport
 	receivedMs       int64
-	guaranteed       resource.Amount // room of the firm tasks it holds
-	occupied         resource.Amount // room of all it holds that is not ended
-	unhealthyUntilMs int64           // unsound until
+	guaranteed       resource.Amount // held by guaranteed attempts
+	occupied         resource.Amount // held by all attempts that have not ended
+	unhealthyUntilMs int64           // gets no work until then, because it is slow
 	unhealthyTimes   int64
 }
 
-// rankState is what this daemon last heard from the coordinator.
+// rankState is the coordinator's last round of ranks as received by this daemon.
 type rankState struct {
 	epoch           uint64
 	round           int64
 	receivedMs      int64
 	targetMs        int64
-	roomShort       bool
-	idle            bool            // most of all room was free
-	headroomPercent resource.Amount // percent by dimension that is kept for the most urgent queues
+	roomShort       bool            // requests for guaranteed resources were waiting
+	idle            bool            // most of the fleet's resources were free
+	headroomPercent resource.Amount // percent of each dimension kept free for the most urgent queues
 	ranks           map[string]int64
 	unhealthy       map[string]int8
-	failRates       map[string]float64 // by queue
-	addedMs         map[string]int64   // estimates of what was placed from here since the round
+	failRates       map[string]float64 // queue -> fraction of attempts that fail
+	addedMs         map[string]int64   // worker -> estimated run time placed there by this daemon since the round
 }
 
-// rank gives a worker's rank: the coordinator's, and what this daemon itself has
-// sent there since. When the coordinator's word is stale only the latter counts.
+// rank returns a worker's rank: the coordinator's rank plus the estimates of what this daemon has placed
+// there since. While the coordinator's round is stale, only the latter counts.
 func (r *rankState) rank(n *node, worker string) int64 {
 	if r.ranks == nil || n.now-r.receivedMs > rankStaleMs {
 		return r.addedMs[worker]
@@ -123,6 +128,7 @@
 	return r.ranks[worker] + r.addedMs[worker]
 }
 
+// add adds the estimated run time of a task that this daemon has placed at a worker.
 func (r *rankState) add(worker string, estimateMs int64) {
 	if r.addedMs == nil {
 		r.addedMs = map[string]int64{}
@@ -130,6 +136,7 @@
 	r.addedMs[worker] += estimateMs
 }
 
+// startCentral creates the central scheduler when this daemon acquires its role.
 func (n *node) startCentral(epoch uint64) {
 	n.central = &centralScheduler{
 		epoch:       epoch,
@@ -140,6 +147,8 @@
 	}
 }
 
+// updateCentral applies an agent's report: it updates the worker's capacity and removes the grants that
+// the agent now holds as attempts.
 func (n *node) updateCentral(_ string, m *wire.AgentReport) {
 	c := n.central
 	if c == nil {
@@ -154,7 +163,7 @@
 		return
 	}
 	w.AgentReport, w.receivedMs = *m, n.now
-	w.guaranteed, w.occupied = resource.Amount{}, m.OtherShards // to the central scheduler all are others' attempts
+	w.guaranteed, w.occupied = resource.Amount{}, m.OtherShards // all attempts count as other shards' here
 	for _, status := range m.Attempts {
 		if status.Class != wire.ClassGuaranteed {
 			continue
@@ -183,6 +192,7 @@
 	}
 }
 
+// onAllocationRequest records a request or its repetition.
 func (n *node) onAllocationRequest(from string, m *wire.AllocationRequest) {
 	c := n.central
 	if c == nil || !n.leases.Holds(lease.Central) || len(m.Tasks) == 0 {
@@ -195,7 +205,7 @@
 		c.pending[key] = request
 	}
 	request.AllocationRequest, request.from, request.lastMs = *m, from, n.now
-	for _, t := range m.Tasks { // still wanted some time after it was granted: the grant was lost or could not be taken
+	for _, t := range m.Tasks { // requested again well after the grant: it was lost or could not be accepted
 		if g, ok := request.granted[t.Task]; ok && (g.attempt != t.Attempt || n.now-g.atMs > regrantAfterMs) {
 			delete(request.granted, t.Task)
 		}
@@ -205,19 +215,19 @@
 	}
 }
 
-// grantedResources is the guaranteed room, by worker, that agents do not show yet.
+// grantedResources returns, by worker, the granted resources that agents have not reported yet.
 func (c *centralScheduler) grantedResources() map[string]resource.Amount {
-	granted := map[string]resource.Amount{}
-	for _, request := range c.pending { // sums: the order does not matter
+	byWorker := map[string]resource.Amount{}
+	for _, request := range c.pending { // the order does not affect sums
 		for _, g := range request.granted {
-			granted[g.worker] = granted[g.worker].Plus(request.Resources)
+			byWorker[g.worker] = byWorker[g.worker].Plus(request.Resources)
 		}
 	}
-	return granted
+	return byWorker
 }
 
-// promote makes long-running queueable tasks firm where the room is sure, so
-// that their work is not thrown away.
+// promote makes queueable attempts that have run long guaranteed, as far as the worker's capacity for
+// guaranteed tasks allows, so that their work is not lost to preemption.
 func (n *node) promote(c *centralScheduler, w *workerCapacity) {
 	if !n.leases.Holds(lease.Central) || n.now-c.startMs < centralRebuildMs || !n.Policies.On(scheduler.Promotion) {
 		return
@@ -231,7 +241,7 @@
 	guaranteeable := w.Capacity.Minus(w.guaranteed).Minus(c.grantedResources()[w.Worker])
 	for _, status := range w.Attempts {
 		if q := n.config.current.Queues[status.Queue]; q != nil && q.Batch != nil {
-			continue // batches are never firm
+			continue // batches are never guaranteed
 		}
 		if isLong(status) && status.Resources.Fits(guaranteeable) {
 			guaranteeable = guaranteeable.Minus(status.Resources)
@@ -240,12 +250,14 @@
 	}
 }
 
+// tickCentral drops stale grants, requests and workers, runs an allocation pass, and sends a round of
+// ranks when it is due.
 func (n *node) tickCentral() {
 	c := n.central
 	if c == nil {
 		return
 	}
-	for k, request := range c.pending { // each is judged alone, so the order does not matter
+	for k, request := range c.pending { // requests are independent, so the order does not matter
 		for t, g := range request.granted {
 			if n.now-g.atMs > grantTimeoutMs {
 				delete(request.granted, t)
@@ -273,7 +285,7 @@
 		Idle: scheduler.IdleInAllDimensions(n.candidateWorkers(c), busyPercent), FailRates: c.failRates(),
 	}
 	n.rankWorkers(c, m)
-	// Ranks are for those that place tasks; agents need the rest.
+	// Only owners place tasks and need the ranks; agents need the rest.
 	withoutRanks := *m
 	withoutRanks.Ranks = nil
 	owners := map[string]bool{n.Name: true}
@@ -290,7 +302,7 @@
 	}
 }
 
-// rankWorkers puts the workers' ranks into a round, and the target that follows from them.
+// rankWorkers adds the workers' ranks to a round, and the target delay derived from them.
 func (n *node) rankWorkers(c *centralScheduler, m *wire.Ranks) {
 	var sum, squareSum, count float64
 	for _, name := range sortedKeys(c.workers) {
@@ -313,13 +325,13 @@
 	}
 }
 
-// observeUrgentUse takes what the most urgent queues hold at all workers now.
+// observeUrgentUse feeds the headroom estimate with the resources that the most urgent queues hold now.
 func (n *node) observeUrgentUse(c *centralScheduler) {
 	if !n.Policies.On(scheduler.UrgentRoom) {
 		return
 	}
 	var used, capacity resource.Amount
-	for _, w := range c.workers { // a sum: the order does not matter
+	for _, w := range c.workers { // the order does not affect sums
 		if n.now-w.receivedMs < ownerContactMs {
 			used, capacity = used.Plus(w.Urgent), capacity.Plus(w.Capacity)
 		}
@@ -327,8 +339,8 @@
 	c.headroom.Observe(used, capacity)
 }
 
-// updateHealth finds workers that lag far more than their peers. A worker judged unhealthy is
-// tried again with real work after a while. That it fails its tasks is its agent's to find.
+// updateHealth marks workers that are far slower than others as unhealthy for a while; after that they are
+// tried again with real tasks. Workers that fail their tasks are detected by their agents.
 func (n *node) updateHealth(c *centralScheduler) {
 	var names []string
 	var paces []scheduler.Pace
@@ -349,6 +361,7 @@
 	}
 }
 
+// onRanks applies a round of the coordinator, and sheds queued tasks of agents above the target delay.
 func (n *node) onRanks(_ string, m *wire.Ranks) {
 	r := &n.ranks
 	if m.Epoch < r.epoch || m.Epoch == r.epoch && m.Round <= r.round {
--- a/internal/daemon/heartbeat.go
+++ b/internal/daemon/heartbeat.go
@@ -286,8 +286,8 @@
 		attempt.state, attempt.ordered, attempt.startedMs, attempt.lastProgressMs = wire.AttemptRunning, true, n.now, n.now
 		attempt.unobserved = attempt.unobserved || missed
 	}
-	if percent := entry.Get("percent").Int(); percent != attempt.percent {
-		attempt.percent, attempt.lastProgressMs = percent, n.now
+	if progress := entry.Get("percent").Int(); progress != attempt.percent {
+		attempt.percent, attempt.lastProgressMs = progress, n.now
 	}
 	if saved := entry.Get("saved").Str; saved != "" {
 		attempt.spec.Checkpoint = saved
--- a/internal/daemon/worker_choice.go
+++ b/internal/daemon/worker_choice.go
@@ -25,7 +25,7 @@
 	tasksByWorker  map[string]int32 // tasks of the step by worker
 	views          []*workerView
 	workers        []scheduler.QueueCandidate // in the order of their names
-	colocated      bool                       // agents stand beside workers: they can tell what room is left
+	anyColocated   bool                       // agents stand beside workers: they can tell what room is left
 	mostSuspect    bool                       // most workers are: then it isn't the workers
 	loadChanges    uint64                     // of the shard, when this was gathered
 }
@@ -89,7 +89,7 @@
 		if n.workerAllowed(w, queue, t.RequiredLabels, t.Resources) && (step.MaxPerWorker == 0 || c.tasksByWorker[name] < step.MaxPerWorker) {
 			c.views = append(c.views, w)
 			c.workers = append(c.workers, scheduler.QueueCandidate{Name: name})
-			c.colocated = c.colocated || w.colocated
+			c.anyColocated = c.anyColocated || w.colocated
 			if w.suspect {
 				suspects++
 			}
@@ -119,7 +119,7 @@
 	if enabled(scheduler.AvoidSilent) && w.colocated && isQuiet(n.now-w.receivedMs, w.silentMs) {
 		penalties |= scheduler.PenaltySilent
 	}
-	if c.colocated && !c.resources.Fits(n.availableRoom(c.shard, c.queue, c.job.excess, name, w)) {
+	if c.anyColocated && !c.resources.Fits(n.availableRoom(c.shard, c.queue, c.job.excess, name, w)) {
 		penalties |= scheduler.PenaltyHeadroomOnly
 		if !c.resources.Fits(n.freeResources(c.shard, name, w).Plus(n.batchLoad(c.shard, "", name))) {
 			penalties |= scheduler.PenaltyFull
