--- a/internal/daemon/heartbeat.go
+++ b/internal/daemon/heartbeat.go
@@ -13,27 +13,30 @@
 )
 
 const (
-	holdMaxMs = 4000 // a heartbeat's answer holds its worker this long; a daemon that is killed is back before
-	// ownerTimeoutMs is how long an agent keeps a run without its owner's word: longer than a
-	// takeover or a short cut.
+	holdMaxMs = 4000 // the longest hold; a daemon that is killed has restarted before it lapses
+	// ownerTimeoutMs is how long an agent keeps an attempt running without its owner's confirmation. It is
+	// longer than a takeover of the shard or a short partition.
 	ownerTimeoutMs   = 7000
-	staleStopMs      = 900    // before that it stops the run, in time for the stop to be listed
-	lapseMarginMs    = 300    // past the longest a hold may last, for what clocks and messages differ by
-	driftPercent     = 2      // a worker's clock may run this much slow
-	heartbeatMs      = 50     // a worker sends its heartbeat again after this; an order waits half of it in the mean
-	stallMs          = 1500   // work that does not move for this long, and a tenth of its estimate, stands still
-	lastPercent      = 99     // a worker tells no more of work that has not ended
-	blockedEndsMax   = 100    // ends that wait behind a late one before the hold is let run out
-	heartbeatEndsMax = 500    // ends that one heartbeat tells of at most
-	signOffDelayMs   = 500    // a worker that said it goes has ended this long after
-	leaveStopMs      = 800    // so long before its worker leaves, work that saves is stopped, to go on elsewhere
-	goneAgentKeepMs  = 60_000 // a worker's agent whose worker is gone keeps the ends nobody took note of for this long
+	staleStopMs      = 900    // unconfirmed attempts are stopped this long before that, to report the end in time
+	lapseMarginMs    = 300    // margin past the end of a hold for differences of clocks and message delays
+	driftPercent     = 2      // a worker's clock may run slow by this much
+	heartbeatMs      = 50     // interval of a worker's heartbeats; an order waits half of it on average
+	stallMs          = 1500   // work has stalled without progress for this long plus a tenth of its estimate
+	lastPercent      = 99     // the highest progress that a worker reports before an attempt ends
+	lateEndsMax      = 100    // ends that may wait behind a late one before the hold must lapse
+	heartbeatEndsMax = 500    // most ends that one heartbeat lists
+	signOffDelayMs   = 500    // a worker that signed off has ended after this time
+	leaveStopMs      = 800    // checkpointing attempts stop this long before their worker leaves, to resume elsewhere
+	goneAgentKeepMs  = 60_000 // the agent of a worker that has gone keeps unacknowledged ends for this long
 )
 
-// An agent beside its worker: the worker's heartbeats reach no other
-// daemon, and its orders leave in the answers to them. Heartbeats come one after the
-// other, so that a heartbeat tells what became of all that earlier answers ordered.
+// A colocated agent is the only recipient of its worker's heartbeats, and sends its orders in the replies.
+// Heartbeats follow one another, so each one shows the effect of all orders in earlier replies.
+//
+// A reply grants a hold: the worker keeps its attempts running until the hold has passed without
+// another reply, and then ends them all (the hold lapses).
 
+// heartbeatOutcomes are the outcomes that a worker may report for an attempt.
 var heartbeatOutcomes = map[string]bool{
 	"ok":          true,
 	"failed":      true,
@@ -44,10 +47,11 @@
 	"turned_away": true,
 }
 
-// finalOutcomes are the outcomes that a task's record stands on: they must not be
-// taken note of where another run took their place.
+// finalOutcomes are the outcomes that decide a task's record. They must not be acknowledged to the
+// worker if another attempt may have replaced theirs.
 var finalOutcomes = map[string]bool{"ok": true, "failed": true}
 
+// heartbeatRunFields is the schema of one attempt in a heartbeat.
 var heartbeatRunFields = map[string]schema.Field{
 	"job": {
 		Kind:     schema.String,
@@ -67,6 +71,7 @@
 	"outcome": {Kind: schema.Name},
 }
 
+// heartbeatFields is the schema of a heartbeat.
 var heartbeatFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"seq": {
 		Kind:     schema.Integer,
@@ -85,7 +90,7 @@
 	"ended":     {Kind: schema.List, Max: 100_000, Elem: &schema.Field{Kind: schema.Object, Fields: heartbeatRunFields}},
 }}
 
-// taskOrder is one task in the answer to a heartbeat.
+// taskOrder is an order to start or stop an attempt, in the reply to a heartbeat.
 type taskOrder struct {
 	Job     string          `json:"job"`
 	Round   int32           `json:"round"`
@@ -96,6 +101,7 @@
 	Saved   string          `json:"saved,omitempty"`
 }
 
+// heartbeatReply is the reply to a worker's heartbeat.
 type heartbeatReply struct {
 	HoldMs           int64       `json:"hold_ms"`
 	AcknowledgedEnds int64       `json:"seen"`
@@ -104,13 +110,14 @@
 	Stop             []taskOrder `json:"stop"`
 }
 
+// newTaskOrder returns an order for an attempt, without payload and checkpoint.
 func newTaskOrder(key wire.AttemptKey) taskOrder {
 	round, step, index, _ := parseUniformTaskID(key.Task)
 	return taskOrder{Job: key.Job, Round: round, Step: step, Index: index, Run: key.Attempt}
 }
 
-// parseHeartbeatRun reads which run an entry of a heartbeat speaks of; false for one that no
-// otterchute ever ordered.
+// parseHeartbeatRun returns the key of the attempt in an entry of a heartbeat; false if no daemon can
+// have ordered it.
 func parseHeartbeatRun(entry gjson.Result) (wire.AttemptKey, bool) {
 	round, attempt := entry.Get("round").Int(), entry.Get("run").Int()
 	key := wire.AttemptKey{
@@ -121,7 +128,7 @@
 	return key, round >= 0 && schema.ValidName(key.Job) && attempt > 0
 }
 
-// handleHeartbeat takes a worker's word and answers with what is to start and stop.
+// handleHeartbeat applies a worker's heartbeat and replies with the attempts to start and stop.
 func (n *node) handleHeartbeat(req *request) {
 	if !schema.ValidName(req.key) {
 		n.rejectFaults(req, 400, 0, []schema.Fault{{Path: "worker", Reason: "must be a name"}})
@@ -144,7 +151,8 @@
 	}
 	changed, missed := !agent.rebuilt, n.now-agent.lastContactMs > freezeThresholdMs
 	agent.reportSeq, agent.lastContactMs, agent.tokenMs = seq, n.now, n.now
-	agent.zone, agent.rack, agent.labels = heartbeat.Get("site").Str, heartbeat.Get("rack").Str, labelsOf(heartbeat.Get("labels"))
+	agent.zone, agent.rack, agent.labels = heartbeat.Get("site").Str, heartbeat.Get("rack").Str,
+		labelsOf(heartbeat.Get("labels"))
 	agent.capacity = resource.Parse(heartbeat.Get("capacity"))
 	agent.free = agent.capacity
 	if leaving := heartbeat.Get("leaving").Bool(); leaving != agent.leaving {
@@ -156,7 +164,7 @@
 	}
 	ended, differs := n.applyHeartbeatLists(agent, heartbeat, missed)
 	changed = changed || differs
-	if !agent.rebuilt { // what a former agent here ordered is listed, or never starts
+	if !agent.rebuilt { // attempts that a former agent here ordered are listed, or will never start
 		agent.rebuilt, agent.adoptedMs = true, n.now
 		agent.holdUntilMs = n.now + holdMaxMs*(100+driftPercent)/100
 		n.log("agent_rebuilt", "worker", agent.worker, "epoch", agent.epoch, "held", len(agent.attempts))
@@ -175,8 +183,8 @@
 	}
 }
 
-// addColocatedAgent makes the agent of a worker that sends heartbeats here. One worker stands at a
-// place: another that did so before has crashed, and runs nothing any more.
+// addColocatedAgent creates the agent of a worker that sends heartbeats to this daemon. Only one worker
+// runs beside a daemon, so a former one has crashed and runs nothing any more.
 func (n *node) addColocatedAgent(worker string) *workerAgent {
 	for _, name := range sortedKeys(n.agents) {
 		if old := n.agents[name]; old.colocated && !old.replaced {
@@ -205,7 +213,7 @@
 	return agent
 }
 
-// resolveLostAttempts resolves all that a worker surely doesn't run any more.
+// resolveLostAttempts ends all attempts of a worker that certainly runs none of them any more.
 func (n *node) resolveLostAttempts(agent *workerAgent) (resolved bool) {
 	for _, key := range agent.keys() {
 		attempt := agent.attempts[key]
@@ -223,18 +231,18 @@
 	return resolved
 }
 
-// endedList is what a heartbeat lists as ended.
+// endedList collects the attempts that a heartbeat lists as ended.
 type endedList struct {
 	keys        map[wire.AttemptKey]bool
-	count       int   // also of what isn't one of ours
-	firstNumber int64 // lowest number
-	lastLapse   int64 // highest number of a lapse: what ended before it ended before that lapse
+	count       int   // all entries, including those that no daemon ordered
+	firstNumber int64 // lowest number of an end
+	lastLapse   int64 // highest number of an attempt ended by a lapse; lower numbers ended before that lapse
 	changed     bool
 }
 
-// applyHeartbeatLists brings what is held in line with what the worker lists; missed says
-// that no heartbeat was heard for so long that nobody knows when it came about. It tells
-// whether attempts ended, and whether owners must hear all of what is held.
+// applyHeartbeatLists updates the agent's attempts from the worker's lists. If heartbeats were missed, the
+// time of changes since the last one is unknown. It reports whether attempts have ended, and whether
+// owners need a full report.
 func (n *node) applyHeartbeatLists(agent *workerAgent, heartbeat gjson.Result, missed bool) (ended, changed bool) {
 	running := map[wire.AttemptKey]bool{}
 	heartbeat.Get("running").ForEach(func(_, e gjson.Result) bool {
@@ -260,7 +268,7 @@
 	return n.endUnlisted(agent, running, list) || list.changed, changed
 }
 
-// adoptUnknown takes a run that only the worker knew of, as a former agent had ordered it.
+// adoptUnknown adds an attempt that only the worker lists, since a former agent ordered it.
 func (a *workerAgent) adoptUnknown(key wire.AttemptKey, now int64) *agentAttempt {
 	attempt := &agentAttempt{
 		state: wire.AttemptOrdered, specUnknown: true, ordered: true, unobserved: true,
@@ -270,7 +278,8 @@
 	return attempt
 }
 
-// applyRunning applies one run that a heartbeat lists as running.
+// applyRunning applies one attempt that a heartbeat lists as running. It reports whether owners need a
+// full report.
 func (n *node) applyRunning(agent *workerAgent, key wire.AttemptKey, entry gjson.Result, missed bool) (changed bool) {
 	attempt := agent.attempts[key]
 	if attempt == nil {
@@ -295,7 +304,7 @@
 	return changed
 }
 
-// applyEnded applies one run that a heartbeat lists as ended.
+// applyEnded applies one attempt that a heartbeat lists as ended.
 func (n *node) applyEnded(agent *workerAgent, list *endedList, entry gjson.Result, missed bool) {
 	number, outcome := entry.Get("n").Int(), entry.Get("outcome").Str
 	list.count++
@@ -315,7 +324,7 @@
 	if _, tombstoned := agent.tombstones[key]; tombstoned && attempt == nil {
 		return
 	}
-	if attempt == nil { // of a former agent, that may have been cut off for long
+	if attempt == nil { // ordered by a former agent, which may have been cut off from the owner for long
 		attempt = agent.adoptUnknown(key, n.now)
 		attempt.startedMs = n.now
 		attempt.endedLate = finalOutcomes[outcome]
@@ -323,7 +332,7 @@
 	if saved := entry.Get("saved").Str; saved != "" {
 		attempt.spec.Checkpoint = saved
 	}
-	// A run given up as lost that ended by itself after all: its owner says whether it still counts.
+	// An attempt given up as lost has ended by itself after all: its owner decides whether it still counts.
 	lost := attempt.state == wire.AttemptEnded && attempt.result == wire.ResultLost && !attempt.acked &&
 		finalOutcomes[outcome]
 	if attempt.state != wire.AttemptEnded || lost {
@@ -334,12 +343,12 @@
 	}
 }
 
-// endUnlisted ends what the worker no longer lists, and forgets what is acknowledged.
+// endUnlisted ends attempts that the worker no longer lists, and forgets acknowledged ones.
 func (n *node) endUnlisted(agent *workerAgent, running map[wire.AttemptKey]bool, ended *endedList) (changed bool) {
 	for _, key := range agent.keys() {
 		attempt := agent.attempts[key]
 		attempt.listed = running[key]
-		mayBeCutShort := ended.count >= heartbeatEndsMax // there may be more than it could list
+		mayBeCutShort := ended.count >= heartbeatEndsMax // the list is full, so more attempts may have ended
 		switch {
 		case running[key] || ended.keys[key] || mayBeCutShort && attempt.state == wire.AttemptRunning:
 		case attempt.state == wire.AttemptOrdered && attempt.orderSeq < agent.reportSeq:
@@ -354,8 +363,8 @@
 	return changed
 }
 
-// heartbeatReply says what starts and stops, which ends are acknowledged, and how
-// long the worker goes on without another answer.
+// heartbeatReply returns the reply to a heartbeat: the attempts to start and stop, the acknowledged ends,
+// and the hold.
 func (n *node) heartbeatReply(agent *workerAgent) heartbeatReply {
 	reply := heartbeatReply{IntervalMs: heartbeatMs, Start: []taskOrder{}, Stop: []taskOrder{}}
 	n.acknowledgeEnds(agent)
@@ -378,13 +387,13 @@
 	return reply
 }
 
-// atWorker tells whether the worker has an attempt, or may have it.
+// atWorker reports whether the worker runs an attempt, or may run it.
 func (a *agentAttempt) atWorker() bool {
 	return a.state == wire.AttemptOrdered || a.state == wire.AttemptRunning
 }
 
-// acknowledgeEnds counts on over the ends, by their numbers, that are in their owners'
-// records. Where too many wait behind a late one it lets the hold run out.
+// acknowledgeEnds advances acknowledgedEnds over the ends, in the order of their numbers, that their owners
+// have acknowledged. If too many wait behind a late one, it lets the hold lapse.
 func (n *node) acknowledgeEnds(agent *workerAgent) {
 	for {
 		key, ok := agent.endsByNumber[agent.acknowledgedEnds+1]
@@ -397,7 +406,7 @@
 		agent.acknowledgedEnds++
 		delete(agent.endsByNumber, agent.acknowledgedEnds)
 	}
-	if attempt := agent.attempts[agent.endsByNumber[agent.acknowledgedEnds+1]]; len(agent.endsByNumber) > blockedEndsMax &&
+	if attempt := agent.attempts[agent.endsByNumber[agent.acknowledgedEnds+1]]; len(agent.endsByNumber) > lateEndsMax &&
 		attempt != nil && attempt.endedLate {
 		n.count("ends_waited")
 		agent.letHoldLapse()
@@ -409,8 +418,8 @@
 	}
 }
 
-// isAcknowledged tells whether an end needs no more of its owner's word; the zero key stands
-// for an end that is none of ours.
+// isAcknowledged reports whether an end needs no further acknowledgement from its owner; the zero key
+// stands for an attempt that no daemon ordered.
 func (a *workerAgent) isAcknowledged(key wire.AttemptKey) bool {
 	if key == (wire.AttemptKey{}) {
 		return true
@@ -422,8 +431,8 @@
 	return tombstoned
 }
 
-// holdUntil is when the worker's hold ends: never later than the oldest owner's word on what
-// it runs allows, and at once while the hold is to run out.
+// holdUntil returns when the worker's hold ends: at most ownerTimeoutMs after the oldest confirmation of an
+// attempt at the worker, and at once while the hold must lapse.
 func (n *node) holdUntil(agent *workerAgent) int64 {
 	if agent.lapseUntilMs != 0 {
 		return 0
@@ -440,7 +449,7 @@
 	return until
 }
 
-// holdDurationMs is how long an answer holds its worker.
+// holdDurationMs returns the length of the hold that a reply grants.
 func (n *node) holdDurationMs() int64 {
 	if n.MaxHoldMs > 0 {
 		return min(holdMaxMs, n.MaxHoldMs)
@@ -448,12 +457,12 @@
 	return holdMaxMs
 }
 
-// recordOwnerReply notes that an owner answered a sync. Where it was silent for longer
-// than its word is good, or never answered this agent, it may have given up what
-// runs here, and what ended by itself meanwhile counts only if it says so.
+// recordOwnerReply records that an owner answered a report. If the owner did not answer for longer than
+// ownerTimeoutMs, or never answered this agent, it may have given up the attempts here; those that
+// ended by themselves meanwhile count only if the owner accepts them.
 //
-// What counts is when the answer came: a sync that a cut held up was sent in
-// time and heard too late.
+// The silence is measured up to the arrival of the reply, not to the sending of the report: a report
+// delayed by a partition was sent in time but received too late.
 func (a *workerAgent) recordOwnerReply(shard string, sentMs, now int64) {
 	if !a.colocated {
 		return
@@ -471,23 +480,24 @@
 	a.ownerReplyMs[shard] = max(a.ownerReplyMs[shard], sentMs)
 }
 
-// letHoldLapse lets the worker's hold run out: an end that another run took the place
-// of may be taken note of only after that. It waits until many others wait behind it.
+// letHoldLapse lets the worker's hold lapse: an end whose attempt may have been replaced can be
+// acknowledged only after that. It is called only once many other ends wait behind it.
 func (a *workerAgent) letHoldLapse() {
 	if a.lapseUntilMs == 0 {
 		a.lapseUntilMs = a.holdUntilMs + lapseMarginMs
 	}
 }
 
-// voidEnds notes that the hold lapsed: what ended before that stands for nothing
-// once it is taken note of.
+// voidEnds records that the hold has lapsed: ends before that can be acknowledged to the worker, and
+// no longer have to wait for their owner's decision as late ends.
 func (a *workerAgent) voidEnds() {
 	for _, attempt := range a.attempts {
 		attempt.endedLate, attempt.voided = false, attempt.voided || attempt.ordered
 	}
 }
 
-// detectStalledWork stops work that stands still, or that its worker's leaving would cut off.
+// detectStalledWork stops attempts that make no progress, that their worker's departure would cut off, or
+// that are over their run limit.
 func (n *node) detectStalledWork(agent *workerAgent) {
 	stalled := false
 	for _, key := range agent.keys() {
@@ -495,8 +505,7 @@
 		if attempt.state != wire.AttemptRunning || attempt.stopMs != 0 || attempt.specUnknown {
 			continue
 		}
-		// A member of a gang waits for the others at its beginning, and at its end,
-		// which comes for all at once.
+		// A member of a gang waits for the others at its start and at its end, which is common to all.
 		waitsForGang := attempt.spec.Gang && (attempt.percent == 0 || attempt.percent >= lastPercent)
 		switch {
 		case !attempt.spec.LongRunning && !waitsForGang && attempt.percent < 100 &&
@@ -516,7 +525,7 @@
 	}
 }
 
-// tickColocatedAgent ends what silence of the worker or of owners ends, and reports.
+// tickColocatedAgent ends attempts after silence of the worker or of their owners, and sends reports.
 func (n *node) tickColocatedAgent(agent *workerAgent) {
 	changed := n.endAfterSilence(agent)
 	for _, key := range agent.keys() {
@@ -542,8 +551,7 @@
 	}
 }
 
-// queuedSilenceMs is how long a worker may be silent before what waits for it, and never
-// started, goes back to its owner.
+// queuedSilenceMs returns the silence of a worker after which its queued attempts go back to their owners.
 func (n *node) queuedSilenceMs() int64 {
 	if n.Policies.On(scheduler.AvoidSilent) {
 		return quietMs
@@ -551,9 +559,10 @@
 	return ownerContactMs
 }
 
-// endAfterSilence gives up what the worker held once its hold has surely lapsed, or it is gone.
+// endAfterSilence ends the worker's attempts once its hold has certainly lapsed, or it is gone. It reports
+// whether any attempt has ended.
 func (n *node) endAfterSilence(agent *workerAgent) (changed bool) {
-	if n.now > agent.lapseUntilMs && agent.lapseUntilMs != 0 { // the hold has lapsed: late ends may go
+	if n.now > agent.lapseUntilMs && agent.lapseUntilMs != 0 { // the hold has lapsed: late ends may be acknowledged
 		agent.lapseUntilMs = 0
 		changed = n.resolveLostAttempts(agent)
 		agent.voidEnds()
@@ -573,7 +582,7 @@
 	return changed
 }
 
-// isFinished tells whether an agent whose worker is gone or replaced has nothing left to tell.
+// isFinished reports whether an agent whose worker is gone or replaced has nothing left to report.
 func (n *node) isFinished(agent *workerAgent) bool {
 	if !agent.replaced && agent.goneAtMs == 0 {
 		return false
@@ -585,7 +594,7 @@
 	return !slices.ContainsFunc(agent.keys(), unacknowledged) && n.now-agent.lastContactMs > ownerContactMs
 }
 
-// handleWorkerGone takes a worker's word that it ends now.
+// handleWorkerGone handles the sign-off of a worker that is shutting down.
 func (n *node) handleWorkerGone(req *request) {
 	if agent := n.agents[req.key]; agent != nil && agent.colocated && agent.goneAtMs == 0 {
 		agent.leaving, agent.goneAtMs = true, n.now+signOffDelayMs
--- a/internal/daemon/order_sender.go
+++ b/internal/daemon/order_sender.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	ordersMax = 256 // orders on their way at once from one daemon
+	ordersMax = 256 // concurrent orders from one daemon
 )
 
-// orderSender brings orders to workers. Each order has a connection of its own,
-// whose first byte is written only while the order is still good, and which
-// is torn down without a trace when the order's flight ends. So no order meets
-// the answer to another, and the library, which sends a request again only where
-// a connection was used before, never does so. An answer that points elsewhere
-// is not followed: with 307 the order would be told twice.
+// orderSender sends orders to workers. Each order uses a connection of its own, whose first byte is
+// written only while the order is still valid, and which is reset when the order times out. So no order
+// can receive the answer to another one, and net/http, which retries a request only on a reused
+// connection, never sends an order twice. Redirects are not followed: after a 307 the order would be sent
+// twice.
 type orderSender struct {
 	clock *steadyClock
 	slots chan struct{}
 }
 
-var errTooLate = errors.Wrap(errOrder, "no longer good")
+// errTooLate rejects an order that is written after its NotAfterMs.
+var errTooLate = errors.Wrap(errOrder, "expired before it was written")
 
-// guardedConn checks the clock right before bytes leave.
+// guardedConn checks that the order is still valid right before its first byte is written.
 type guardedConn struct {
 	*net.TCPConn
 	clock      *steadyClock
 	notAfterMs int64
 	wrote      atomic.Bool
-	answered   atomic.Bool // answered in full; the transport may close it from another goroutine
+	answered   atomic.Bool // the answer was read in full; atomic, as the transport may close it concurrently
 }
 
 func (c *guardedConn) Write(b []byte) (int, error) {
@@ -46,6 +46,7 @@
 	return c.TCPConn.Write(b)
 }
 
+// Close resets the connection if the order was not answered.
 func (c *guardedConn) Close() error {
 	if !c.answered.Load() {
 		_ = c.SetLinger(0)
@@ -55,9 +56,9 @@
 
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// deliver sends one order and tells how it went, as a key of orderOutcomes.
+// deliver sends one order and returns how it went, as a key of orderOutcomes.
 //
-// Example: outcome := c.bring(effOrder{Addr: "127.0.0.1:9000", NotAfterMs: now + 500, Body: body})
+// Example: outcome := s.deliver(effOrder{Addr: "127.0.0.1:9000", NotAfterMs: now + 500, Body: body})
 func (s *orderSender) deliver(order effOrder) string {
 	select {
 	case s.slots <- struct{}{}:
@@ -67,7 +68,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeoutMs*time.Millisecond)
 	defer cancel()
-	var conn atomic.Pointer[guardedConn] // the library may still dial once the flight has ended
+	var conn atomic.Pointer[guardedConn] // the transport may still dial after the timeout
 	client := http.Client{
 		CheckRedirect: noRedirect,
 		Transport: &http.Transport{
@@ -100,7 +101,7 @@
 		}
 		return "unknown"
 	}
-	defer func() { _ = resp.Body.Close() }() // what was read is kept, an error would change nothing
+	defer func() { _ = resp.Body.Close() }() // the answer was read, so an error changes nothing
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, 1<<16))
 	conn.Load().answered.Store(true)
 	switch {
--- a/internal/daemon/queue_counts.go
+++ b/internal/daemon/queue_counts.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// queueCountsMs is the pace at which owners tell daemons that take callers how many
-	// jobs wait in each queue.
+	// queueCountsMs is the interval at which owners send the number of pending jobs of each queue to the
+	// daemons that serve callers.
 	queueCountsMs = 800
-	// queueCountsStaleMs: a count older than this, two lost messages and the way, is not passed on.
+	// queueCountsStaleMs is the age after which a count is not served: two lost messages and the latency.
 	queueCountsStaleMs = 2000
 )
 
-// queueCounts is what the owner of one shard last told.
+// queueCounts holds the counts that the owner of one shard last sent.
 type queueCounts struct {
 	epoch      uint64
 	receivedMs int64
-	pending    map[string]int64
+	pending    map[string]int64 // queue -> jobs that wait for their first start
 }
 
 // pendingByQueue counts a shard's jobs that wait for their first start, by queue.
@@ -31,7 +31,7 @@
 	return pending
 }
 
-// tickQueueCounts tells the daemons that take callers what waits in the shards owned here.
+// tickQueueCounts sends the counts of the shards owned here to the daemons that serve callers.
 func (n *node) tickQueueCounts() {
 	if n.now < n.nextQueueCountsMs || len(n.shards) == 0 {
 		return
@@ -55,6 +55,7 @@
 	}
 }
 
+// onQueueCounts records the counts of a shard, unless they come from a former owner.
 func (n *node) onQueueCounts(_ string, m *wire.QueueCounts) {
 	if last := n.queueCounts[m.Shard]; last != nil && m.Epoch < last.epoch {
 		return
@@ -69,8 +70,8 @@
 	n.queueCounts[m.Shard] = counts
 }
 
-// pendingIn counts a queue's jobs, in all shards, that wait for their first start; false
-// where a shard's owner has not told for too long.
+// pendingIn counts a queue's jobs, in all shards, that wait for their first start; known is false if the
+// counts of some shard are missing or stale.
 func (n *node) pendingIn(queue string) (count int64, known bool) {
 	for _, name := range n.core.Shards {
 		if shard := n.shards[name]; shard != nil && shard.serving && n.leases.Holds(lease.ShardRole(name)) {
--- a/internal/daemon/strain.go
+++ b/internal/daemon/strain.go
@@ -1,28 +1,29 @@
 package daemon
 
 const (
-	// overloadLateMs: ticks come this much too late, in the mean, at a daemon whose control
-	// thread can't keep up: polls and leases still fit, but not much more.
+	// overloadLateMs is the mean lateness of ticks above which a daemon is overloaded: its control thread
+	// falls behind. Polls and lease renewals still arrive in time, but there is little margin left.
 	overloadLateMs = 100
-	// overloadEndMs: below this mean it has caught up.
+	// overloadEndMs is the mean lateness below which the daemon has caught up.
 	overloadEndMs = 30
-	// overloadHoldMs is how long a daemon stays strained at the least, so that roles don't
-	// come back as soon as they have left.
+	// overloadHoldMs is the minimum duration of an overload, so that roles don't return as soon as they
+	// have moved away.
 	overloadHoldMs = 10_000
-	// latenessWeight is the share of the newest tick in the mean: about the last two seconds count.
+	// latenessWeight is the weight of the newest tick in the moving mean, which covers about two seconds.
 	latenessWeight = 0.05
 )
 
-// overloadMeter observes how late a daemon's own control thread runs. Ticks are due each
-// tickMs; what waits before a tick delays it.
+// overloadMeter measures how late a daemon's own control thread runs. Ticks are due each tickMs, and
+// events queued before a tick delay it.
 type overloadMeter struct {
 	lastMs      int64
-	meanLateMs  float64 // mean of how late the last ticks came
-	lastAboveMs int64   // when it was last above overloadLateMs
+	meanLateMs  float64 // moving mean of the lateness of ticks
+	lastAboveMs int64   // when the mean was last above overloadLateMs
 	overloaded  bool
 }
 
-// onTick takes a tick at a time. One long stop is a freeze, not strain.
+// onTick records a tick. A single tick later than freezeThresholdMs is a freeze, not an overload, and is
+// not counted.
 func (m *overloadMeter) onTick(nowMs int64) {
 	lateMs := nowMs - m.lastMs - tickMs
 	first := m.lastMs == 0
--- a/internal/daemon/urgent_room.go
+++ b/internal/daemon/urgent_room.go
@@ -7,20 +7,21 @@
 	"otterchute/internal/wire"
 )
 
-// Work of the most urgent queues is to start at once wherever it arrives. The coordinator
-// says which share of each worker others leave to it: see scheduler.HeadroomEstimator. The central
-// scheduler keeps it from firm tasks, local schedulers and agents from queueable ones.
+// Tasks of the most urgent queues must start at once at any worker. The coordinator announces which share
+// of each worker other queues leave free for them (see scheduler.HeadroomEstimator). The central scheduler
+// keeps this headroom free of guaranteed tasks, owners and agents keep it free of queueable ones.
 
-// isUrgent tells whether a queue is one of the most urgent ones.
+// isUrgent reports whether a queue is one of the most urgent ones.
 func (n *node) isUrgent(queue *configuration.Queue) bool {
 	return queue.Urgency >= n.config.current.HighestUrgency
 }
 
-// fleetIdle tells whether most of all room was free when the coordinator last told.
+// fleetIdle reports whether most of the fleet's resources were free in the coordinator's last round; false
+// if that is stale.
 func (n *node) fleetIdle() bool { return n.ranks.idle && n.now-n.ranks.receivedMs <= rankStaleMs }
 
-// urgentHeadroom is the room of a worker that queueable tasks of other queues leave free. While the
-// coordinator's word is stale nothing is kept.
+// urgentHeadroom returns the resources of a worker that queueable tasks of less urgent queues leave free;
+// none while the coordinator's last round is stale.
 func (n *node) urgentHeadroom(capacity, urgentUsed resource.Amount) resource.Amount {
 	stale := n.now-n.ranks.receivedMs > rankStaleMs
 	if stale || n.ranks.headroomPercent == (resource.Amount{}) || !n.Policies.On(scheduler.UrgentRoom) {
@@ -29,8 +30,8 @@
 	return scheduler.UrgentHeadroom(capacity, urgentUsed, n.ranks.headroomPercent)
 }
 
-// availableRoom is the room of a worker that a queueable task of a queue may take, as far as a
-// shard's owner knows.
+// availableRoom returns the resources of a worker that a queueable task of a queue may take, from the view
+// of a shard's owner.
 func (n *node) availableRoom(
 	shard *ownedShard, queue *configuration.Queue, excess bool, name string, w *workerView,
 ) resource.Amount {
@@ -41,10 +42,10 @@
 	return free.Minus(n.urgentHeadroom(w.capacity, w.urgentUse))
 }
 
-// urgentUse is the room of the attempts of the most urgent queues at a worker that have
-// one of some states.
+// urgentUse returns the resources that attempts of the most urgent queues in the given states hold at the
+// worker.
 func (a *workerAgent) urgentUse(n *node, states ...wire.AttemptState) (used resource.Amount) {
-	for _, attempt := range a.attempts { // a sum: the order does not matter
+	for _, attempt := range a.attempts { // the order does not affect sums
 		q := n.config.current.Queues[attempt.spec.Queue]
 		if q == nil || !n.mayUseUrgentHeadroom(q, attempt.spec.Excess) {
 			continue
--- a/internal/daemon/worker_choice.go
+++ b/internal/daemon/worker_choice.go
@@ -10,8 +10,8 @@
 	"otterchute/internal/wire"
 )
 
-// workerChoice is what the choice of a worker goes by for queueable tasks of one step that ask
-// for the same. It is gathered once for all of them: a placement changes one worker alone.
+// workerChoice holds the data from which workers are chosen for queueable tasks of one step with the same
+// requirements. It is collected once for all of them, as a placement changes only one worker.
 type workerChoice struct {
 	shard          *ownedShard
 	queue          *configuration.Queue
@@ -22,16 +22,16 @@
 	requiredLabels []wire.Label
 	dataRack       string
 	maxPerWorker   int32
-	tasksByWorker  map[string]int32 // tasks of the step by worker
-	views          []*workerView
-	workers        []scheduler.QueueCandidate // in the order of their names
-	anyColocated   bool                       // agents stand beside workers: they can tell what room is left
-	mostSuspect    bool                       // most workers are: then it isn't the workers
-	loadChanges    uint64                     // of the shard, when this was gathered
+	tasksByWorker  map[string]int32           // tasks of the step
+	views          []*workerView              // parallel to workers
+	workers        []scheduler.QueueCandidate // ordered by name
+	anyColocated   bool                       // colocated agents report their free resources often enough to use them
+	mostSuspect    bool                       // most workers are suspect, so the cause lies elsewhere
+	loadChanges    uint64                     // the shard's counter of load changes when this was collected
 }
 
-// selectWorker is the local scheduler: at random among the k allowed workers of lowest rank.
-// It tells among how many it drew, too.
+// selectWorker is the local scheduler: it draws at random among the k allowed workers of lowest rank, and
+// returns the worker and among how many it was drawn.
 func (n *node) selectWorker(
 	shard *ownedShard, job *liveJob, i int, pass *schedulePass,
 ) (worker string, candidates int) {
@@ -55,8 +55,8 @@
 	return choice.workers[at].Name, among
 }
 
-// avoidingFailures gives the workers for a task that failed before: not where it last did, and for
-// its last attempt not where anything speaks against the worker.
+// avoidingFailures returns the workers for a task that has failed before, with penalties for the worker
+// where it last failed and, on its last attempt, for workers with any recent failures.
 func (c *workerChoice) avoidingFailures(t *task) []scheduler.QueueCandidate {
 	workers := slices.Clone(c.workers)
 	if i, found := c.find(t.LastFailedWorker); found {
@@ -72,13 +72,13 @@
 	return workers
 }
 
-// newWorkerChoice gathers the workers that a task may go to.
+// newWorkerChoice collects the workers where a task may be placed.
 func (n *node) newWorkerChoice(shard *ownedShard, job *liveJob, i int, queue *configuration.Queue) *workerChoice {
 	t := &job.Tasks[i]
 	step := &job.Steps[t.Step]
 	c := &workerChoice{
-		shard: shard, queue: queue, job: job, step: t.Step, round: t.Round, resources: t.Resources, requiredLabels: t.RequiredLabels,
-		dataRack: step.DataRack, maxPerWorker: step.MaxPerWorker, loadChanges: shard.loadChanges,
+		shard: shard, queue: queue, job: job, step: t.Step, round: t.Round,
+		resources: t.Resources, requiredLabels: t.RequiredLabels, dataRack: step.DataRack, maxPerWorker: step.MaxPerWorker, loadChanges: shard.loadChanges,
 	}
 	if step.MaxPerWorker > 0 {
 		c.tasksByWorker = job.stepTasksByWorker(i)
@@ -86,7 +86,8 @@
 	suspects := 0
 	for _, name := range sortedKeys(n.workers) {
 		w := n.workers[name]
-		if n.workerAllowed(w, queue, t.RequiredLabels, t.Resources) && (step.MaxPerWorker == 0 || c.tasksByWorker[name] < step.MaxPerWorker) {
+		if n.workerAllowed(w, queue, t.RequiredLabels, t.Resources) &&
+			(step.MaxPerWorker == 0 || c.tasksByWorker[name] < step.MaxPerWorker) {
 			c.views = append(c.views, w)
 			c.workers = append(c.workers, scheduler.QueueCandidate{Name: name})
 			c.anyColocated = c.anyColocated || w.colocated
@@ -102,7 +103,7 @@
 	return c
 }
 
-// refreshCandidate takes what is known now of one worker.
+// refreshCandidate updates the rank, queue and penalties of one worker.
 func (n *node) refreshCandidate(c *workerChoice, at int) {
 	worker, w := &c.workers[at], c.views[at]
 	worker.RankMs = n.ranks.rank(n, worker.Name)
@@ -110,7 +111,7 @@
 	worker.Penalties = n.penaltiesOf(c, worker.Name, w)
 }
 
-// penaltiesOf gives the reasons to place a task elsewhere that hold for all tasks of a step.
+// penaltiesOf returns the reasons to avoid a worker that apply to all tasks of the step.
 func (n *node) penaltiesOf(c *workerChoice, name string, w *workerView) (penalties scheduler.Penalty) {
 	enabled := n.Policies.On
 	if enabled(scheduler.EjectUnhealthy) && !c.mostSuspect && (n.ranks.ejected(name) || w.suspect) {
@@ -134,9 +135,9 @@
 	return penalties
 }
 
-// ejectionPenalty is how much is given to have a task elsewhere than at an ejected worker: it waits
-// for another one, but not while most of the fleet is free. Then all others that it may use are
-// full, and it must not stand still beside room.
+// ejectionPenalty returns the penalty of an ejected worker: a task rather waits for another worker, but not
+// while most of the fleet is free. In that case all other workers that it may use are full, and it must
+// not wait while resources are idle.
 func (n *node) ejectionPenalty() scheduler.Penalty {
 	if n.fleetIdle() {
 		return scheduler.PenaltySuspect
@@ -144,13 +145,13 @@
 	return scheduler.PenaltyUnhealthy
 }
 
-// isValidFor tells whether what was gathered holds for a task.
+// isValidFor reports whether the collected data applies to a task.
 func (c *workerChoice) isValidFor(shard *ownedShard, job *liveJob, t *task) bool {
 	return c != nil && c.shard == shard && c.job == job && c.step == t.Step && c.round == t.Round &&
 		c.resources == t.Resources && slices.Equal(c.requiredLabels, t.RequiredLabels) && c.loadChanges == shard.loadChanges
 }
 
-// find gives a worker's position.
+// find returns a worker's position in workers.
 func (c *workerChoice) find(worker string) (at int, found bool) {
 	if worker == "" {
 		return 0, false
@@ -159,7 +160,8 @@
 	return slices.BinarySearchFunc(c.workers, worker, byName)
 }
 
-// recordPlacement takes note of a task that went to a worker, the only thing that has changed since.
+// recordPlacement updates the one worker that has changed since the data was collected: the one where a
+// task was placed.
 func (n *node) recordPlacement(c *workerChoice, worker string) {
 	at, found := c.find(worker)
 	if !found {
