--- a/guards.sh
+++ b/guards.sh
@@ -93,7 +93,7 @@
 batches wait for their hours|internal/daemon/batch.go|return wallMs >= p.StartMs && wallMs < p.CloseMs|return wallMs > 0
 batches keep to their share|internal/daemon/batch.go|return sum.Fits(agent.capacity.Share(r.SharePercent))|return true
 batches are below all others|internal/configuration/queue.go|q.Urgency -= batchUrgencyOffset|q.Urgency -= 0
-batches make room at once|internal/daemon/agent_dispatch.go|n.now-pending.queuedMs <= urgentWaitMs && n.batchRulesOfSpec(&run.spec) == nil|n.now-pending.queuedMs <= urgentWaitMs
+batches make room at once|internal/daemon/agent_dispatch.go|n.now-pending.queuedMs <= urgentWaitMs && n.batchRulesOfSpec(&running.spec) == nil|n.now-pending.queuedMs <= urgentWaitMs
 batches are never firm|internal/daemon/agent_sync.go|attempt.spec.Class != wire.ClassQueueable \|\|\n\t\tn.batchRulesOfSpec(&attempt.spec) != nil {\n\t\treturn|attempt.spec.Class != wire.ClassQueueable {\n\t\treturn
 batches leave urgent work its room|internal/daemon/batch.go|if waiting, _ := agent.loadWithoutBatches(n); waiting > 0 {|if false {
 a counter knows all shards before it lends|internal/quota/counter.go|if c.shards[shard] == nil {|if c.shards[shard] == nil && false {
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -124,9 +124,9 @@
 }
 
 // startAgent creates the agent of a worker whose agent lease this daemon has acquired.
-func (n *node) startAgent(w string, epoch uint64) {
-	n.agents[w] = &workerAgent{
-		worker:        w,
+func (n *node) startAgent(name string, epoch uint64) {
+	n.agents[name] = &workerAgent{
+		worker:        name,
 		epoch:         epoch,
 		startMs:       n.now,
 		attempts:      map[wire.AttemptKey]*agentAttempt{},
@@ -152,6 +152,7 @@
 	return n.leases.Holds(lease.AgentRole(agent.worker))
 }
 
+// tickAgents does the periodic work of all agents of this daemon.
 func (n *node) tickAgents() {
 	for _, name := range sortedKeys(n.agents) {
 		if agent := n.agents[name]; agent.colocated {
--- a/internal/daemon/agent_dispatch.go
+++ b/internal/daemon/agent_dispatch.go
@@ -133,7 +133,8 @@
 func (n *node) startableResources(
 	agent *workerAgent, attempt *agentAttempt, queue *configuration.Queue, avail resource.Amount,
 ) resource.Amount {
-	if attempt.spec.Class == wire.ClassGuaranteed || n.mayUseUrgentHeadroom(queue, attempt.spec.Excess) || !agent.colocated {
+	if attempt.spec.Class == wire.ClassGuaranteed || n.mayUseUrgentHeadroom(queue, attempt.spec.Excess) ||
+		!agent.colocated {
 		return avail
 	}
 	if n.fleetIdle() && n.now-attempt.queuedMs > backfillAfterMs && n.Policies.On(scheduler.Backfill) {
@@ -145,9 +146,9 @@
 // startedTasksOfStep counts the started attempts here of the same job, round and step.
 func (a *workerAgent) startedTasksOfStep(attempt *agentAttempt) (count int) {
 	round, step, _, ok := parseUniformTaskID(attempt.spec.Key.Task)
-	for k, other := range a.attempts {
-		r, s, _, _ := parseUniformTaskID(k.Task)
-		if ok && k.Job == attempt.spec.Key.Job && r == round && s == step &&
+	for otherKey, other := range a.attempts {
+		otherRound, otherStep, _, _ := parseUniformTaskID(otherKey.Task)
+		if ok && otherKey.Job == attempt.spec.Key.Job && otherRound == round && otherStep == step &&
 			(other.state == wire.AttemptOrdered || other.state == wire.AttemptRunning) {
 			count++
 		}
@@ -203,12 +204,13 @@
 }
 
 // mayPreempt reports whether a running queueable attempt may be stopped for a queued one.
-func (n *node) mayPreempt(pending, run *agentAttempt) bool {
+func (n *node) mayPreempt(pending, running *agentAttempt) bool {
 	guaranteed := pending.spec.Class == wire.ClassGuaranteed
-	if !guaranteed && n.now-pending.queuedMs <= urgentWaitMs && n.batchRulesOfSpec(&run.spec) == nil {
+	if !guaranteed && n.now-pending.queuedMs <= urgentWaitMs && n.batchRulesOfSpec(&running.spec) == nil {
 		return false // its owner may recall it meanwhile
 	}
-	pendingPrecedence, runPrecedence := n.precedence(pending.spec.Queue, pending.spec.Excess), n.precedence(run.spec.Queue, run.spec.Excess)
+	pendingPrecedence, runPrecedence := n.precedence(pending.spec.Queue, pending.spec.Excess),
+		n.precedence(running.spec.Queue, running.spec.Excess)
 	return runPrecedence < pendingPrecedence || guaranteed && runPrecedence == pendingPrecedence
 }
 
@@ -226,7 +228,10 @@
 	if len(taskSpec.Payload) == 0 {
 		payload = "null"
 	}
-	tag := mustJSON(orderTag{taskSpec.Shard, taskSpec.Queue, taskSpec.Name, taskSpec.Class, taskSpec.Resources, taskSpec.LimitMs, taskSpec.EstimateMs, taskSpec.SubmittedMs})
+	tag := mustJSON(orderTag{
+		taskSpec.Shard, taskSpec.Queue, taskSpec.Name, taskSpec.Class, taskSpec.Resources,
+		taskSpec.LimitMs, taskSpec.EstimateMs, taskSpec.SubmittedMs,
+	})
 	n.emit(effOrder{
 		Worker: agent.worker,
 		Addr:   agent.addr,
--- a/internal/daemon/agent_health.go
+++ b/internal/daemon/agent_health.go
@@ -94,6 +94,7 @@
 	return rates
 }
 
+// perMille scales the failure rates that are sent as integers.
 const perMille = 1000
 
 // A worker's health as sent with its rank; 0 is healthy. The values are part of the wire format.
--- a/internal/daemon/agent_report.go
+++ b/internal/daemon/agent_report.go
@@ -114,7 +114,8 @@
 // duplicate or late report.
 func (n *node) recordReport(agent *workerAgent, report gjson.Result) bool {
 	incarnation, seq := report.Get("incarnation").Str, report.Get("seq").Int()
-	if incarnation == agent.workerIncarnation && seq <= agent.reportSeq || slices.Contains(agent.pastIncarnations, incarnation) {
+	if incarnation == agent.workerIncarnation && seq <= agent.reportSeq ||
+		slices.Contains(agent.pastIncarnations, incarnation) {
 		return false
 	}
 	if agent.workerIncarnation != "" && incarnation != agent.workerIncarnation {
@@ -162,7 +163,9 @@
 }
 
 // applyReportedEnds applies the attempts that a report lists as ended.
-func (n *node) applyReportedEnds(agent *workerAgent, report gjson.Result) (ended map[wire.AttemptKey]bool, changed bool) {
+func (n *node) applyReportedEnds(
+	agent *workerAgent, report gjson.Result,
+) (ended map[wire.AttemptKey]bool, changed bool) {
 	ended = map[wire.AttemptKey]bool{}
 	for _, entry := range report.Get("ended").Array() {
 		key, ok := wire.ParseAttemptKey(entry.Get("id").Str)
--- a/internal/daemon/agent_sync.go
+++ b/internal/daemon/agent_sync.go
@@ -193,8 +193,9 @@
 	waiting, spare := agent.loadWithoutBatches(n)
 	return wire.AgentReport{
 		Worker: agent.worker, Agent: n.Name, Epoch: agent.epoch, SentMs: n.now,
-		Rebuilt: agent.rebuilt, WorkerReportFresh: n.now-agent.tokenMs <= workerReportMaxAgeMs, SilentMs: n.now - agent.lastContactMs,
-		Zone: agent.zone, Labels: agent.labels, Rack: agent.rack, Leaving: agent.leaving,
+		Rebuilt: agent.rebuilt, WorkerReportFresh: n.now-agent.tokenMs <= workerReportMaxAgeMs,
+		SilentMs: n.now - agent.lastContactMs,
+		Zone:     agent.zone, Labels: agent.labels, Rack: agent.rack, Leaving: agent.leaving,
 		Free: agent.free, Capacity: agent.capacity, SpareCapacity: spare, WaitingTasks: waiting,
 		Suspect: n.now < agent.suspectUntilMs, RecentFailures: agent.evidence.Suspect(),
 		Probation: agent.suspectCount > 0 && n.now >= agent.suspectUntilMs, Colocated: agent.colocated,
@@ -236,7 +237,8 @@
 		Resources: attempt.spec.Resources, RanMs: elapsedMs, EstimateMs: attempt.spec.EstimateMs,
 		Queue: attempt.spec.Queue, Name: attempt.spec.Name,
 		Checkpoint:  attempt.spec.Checkpoint,
-		SpecMissing: attempt.specUnknown, EndedLate: attempt.endedLate, QueueMs: attempt.queueMs(), StartMs: attempt.startMs(),
+		SpecMissing: attempt.specUnknown, EndedLate: attempt.endedLate,
+		QueueMs: attempt.queueMs(), StartMs: attempt.startMs(),
 	}
 }
 
--- a/internal/daemon/allocate.go
+++ b/internal/daemon/allocate.go
@@ -67,7 +67,9 @@
 }
 
 // allocate grants one request the workers that it can have now, or else reserves workers for it.
-func (n *node) allocate(c *centralScheduler, pass *allocationPass, request *pendingAllocation, queue *configuration.Queue) {
+func (n *node) allocate(
+	c *centralScheduler, pass *allocationPass, request *pendingAllocation, queue *configuration.Queue,
+) {
 	fitting, healthy := n.fittingWorkers(request, queue, pass.candidates)
 	open := request.open()
 	search := n.newAssignment(request, queue, pass.reserved)
@@ -99,7 +101,8 @@
 	for i, key := range keys {
 		request := c.pending[key]
 		requests[i] = scheduler.FairRequest{
-			Precedence: n.precedence(request.Queue, request.Excess), SubmittedMs: request.SubmittedMs, Job: key.Job, Step: key.Step,
+			Precedence: n.precedence(request.Queue, request.Excess), SubmittedMs: request.SubmittedMs,
+			Job: key.Job, Step: key.Step,
 		}
 	}
 	if n.limits.HasTenants() && n.Policies.On(scheduler.WeightedFairness) {
@@ -175,8 +178,8 @@
 		Urgent: n.mayUseUrgentHeadroom(queue, request.Excess), HeadroomPercent: n.central.headroom.Percent(),
 		WaitsForRack: n.waitsForRack(request, n.rackWaitMs(request)),
 	}
-	for _, step := range request.StepWorkers {
-		search.TaskCounts[step.Worker] += step.Count
+	for _, taskCount := range request.StepWorkers {
+		search.TaskCounts[taskCount.Worker] += taskCount.Count
 	}
 	for _, grant := range request.granted {
 		search.TaskCounts[grant.worker]++
@@ -224,7 +227,9 @@
 // reserve reserves the most likely workers for a request that has waited long: one worker for a single
 // task, as many as a whole gang needs for a gang. A gang that waits for one rack reserves workers of one
 // rack from the beginning, as other requests would otherwise take what becomes free there.
-func (n *node) reserve(request *pendingAllocation, fitting []*scheduler.Candidate, reserved map[string]bool, workerCount int) {
+func (n *node) reserve(
+	request *pendingAllocation, fitting []*scheduler.Candidate, reserved map[string]bool, workerCount int,
+) {
 	if !n.Policies.On(scheduler.Reservation) {
 		return
 	}
--- a/internal/daemon/allocation_request.go
+++ b/internal/daemon/allocation_request.go
@@ -154,8 +154,8 @@
 		n.count("grants_not_taken")
 		return
 	}
-	for _, p := range m.Places {
-		if i, ok := n.acceptsAllocation(job, queue, p); !ok || !n.applyAllocation(shard, job, i, p) {
+	for _, place := range m.Places {
+		if i, ok := n.acceptsAllocation(job, queue, place); !ok || !n.applyAllocation(shard, job, i, place) {
 			n.count("grants_not_taken")
 		}
 	}
@@ -163,20 +163,22 @@
 
 // acceptsAllocation returns the position of a task that was granted a worker, and whether it may be
 // placed there.
-func (n *node) acceptsAllocation(job *liveJob, queue *configuration.Queue, p wire.AllocatedTask) (i int, ok bool) {
-	i, _, known := job.position(p.Task)
-	w := n.workers[p.Worker]
+func (n *node) acceptsAllocation(job *liveJob, queue *configuration.Queue, place wire.AllocatedTask) (i int, ok bool) {
+	i, _, known := job.position(place.Task)
+	w := n.workers[place.Worker]
 	if !known || w == nil || queue == nil {
 		return 0, false
 	}
 	t := &job.Tasks[i]
-	return i, t.State == taskPending && p.Attempt > t.Attempt && t.ChangedVersion <= job.committed &&
+	return i, t.State == taskPending && place.Attempt > t.Attempt && t.ChangedVersion <= job.committed &&
 		n.workerAllowed(w, queue, t.RequiredLabels, t.Resources)
 }
 
 // acceptsGang reports whether a gang was granted workers for all its members, within its tenant's share;
 // true for single tasks.
-func (n *node) acceptsGang(shard *ownedShard, job *liveJob, queue *configuration.Queue, places []wire.AllocatedTask) bool {
+func (n *node) acceptsGang(
+	shard *ownedShard, job *liveJob, queue *configuration.Queue, places []wire.AllocatedTask,
+) bool {
 	if len(places) == 0 {
 		return true
 	}
@@ -185,8 +187,8 @@
 		return true
 	}
 	accepted := 0
-	for _, p := range places {
-		if _, ok := n.acceptsAllocation(job, queue, p); ok {
+	for _, place := range places {
+		if _, ok := n.acceptsAllocation(job, queue, place); ok {
 			accepted++
 		}
 	}
@@ -196,16 +198,16 @@
 
 // applyAllocation places a task at the worker that it was granted, if its step's limit per worker and its
 // tenant's share still allow that.
-func (n *node) applyAllocation(shard *ownedShard, job *liveJob, i int, p wire.AllocatedTask) bool {
+func (n *node) applyAllocation(shard *ownedShard, job *liveJob, i int, place wire.AllocatedTask) bool {
 	step := &job.Steps[job.Tasks[i].Step]
-	if step.MaxPerWorker > 0 && job.stepTasksByWorker(i)[p.Worker] >= step.MaxPerWorker {
+	if step.MaxPerWorker > 0 && job.stepTasksByWorker(i)[place.Worker] >= step.MaxPerWorker {
 		return false
 	}
 	if !step.Gang && !n.hasReservedShare(shard, job, i, job.Tasks[i].Resources) {
 		return false
 	}
-	n.placeTask(shard, job, i, p.Worker, wire.ClassGuaranteed)
+	n.placeTask(shard, job, i, place.Worker, wire.ClassGuaranteed)
 	n.tracePlaced(job, i, 0)
-	job.Tasks[i].Attempt = p.Attempt
+	job.Tasks[i].Attempt = place.Attempt
 	return true
 }
--- a/internal/daemon/central.go
+++ b/internal/daemon/central.go
@@ -232,19 +232,19 @@
 	if !n.leases.Holds(lease.Central) || n.now-c.startMs < centralRebuildMs || !n.Policies.On(scheduler.Promotion) {
 		return
 	}
-	isLong := func(status wire.AttemptStatus) bool {
+	isPromotable := func(status wire.AttemptStatus) bool {
 		return status.Class == wire.ClassQueueable && n.mayBePromoted(status.State, status.RanMs, status.EstimateMs)
 	}
-	if !slices.ContainsFunc(w.Attempts, isLong) {
+	if !slices.ContainsFunc(w.Attempts, isPromotable) {
 		return
 	}
-	guaranteeable := w.Capacity.Minus(w.guaranteed).Minus(c.grantedResources()[w.Worker])
+	available := w.Capacity.Minus(w.guaranteed).Minus(c.grantedResources()[w.Worker])
 	for _, status := range w.Attempts {
 		if q := n.config.current.Queues[status.Queue]; q != nil && q.Batch != nil {
 			continue // batches are never guaranteed
 		}
-		if isLong(status) && status.Resources.Fits(guaranteeable) {
-			guaranteeable = guaranteeable.Minus(status.Resources)
+		if isPromotable(status) && status.Resources.Fits(available) {
+			available = available.Minus(status.Resources)
 			n.send(w.Agent, &wire.Promotion{Worker: w.Worker, Epoch: w.Epoch, Key: status.Key})
 		}
 	}
--- a/internal/daemon/order_sender.go
+++ b/internal/daemon/order_sender.go
@@ -26,8 +26,8 @@
 	slots chan struct{}
 }
 
-// errTooLate rejects an order that is written after its NotAfterMs.
-var errTooLate = errors.Wrap(errOrder, "expired before it was written")
+// errOrderExpired is returned for an order that would be written after its NotAfterMs.
+var errOrderExpired = errors.Wrap(errOrder, "expired before it was written")
 
 // guardedConn checks that the order is still valid right before its first byte is written.
 type guardedConn struct {
@@ -38,9 +38,10 @@
 	answered   atomic.Bool // the answer was read in full; atomic, as the transport may close it concurrently
 }
 
+// Write writes the order, unless it has expired before the first byte.
 func (c *guardedConn) Write(b []byte) (int, error) {
 	if !c.wrote.Load() && c.clock.nowMs() > c.notAfterMs {
-		return 0, errTooLate
+		return 0, errOrderExpired
 	}
 	c.wrote.Store(true)
 	return c.TCPConn.Write(b)
@@ -54,6 +55,7 @@
 	return c.TCPConn.Close()
 }
 
+// noRedirect returns the redirect itself as the answer.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // deliver sends one order and returns how it went, as a key of orderOutcomes.
--- a/internal/daemon/worker_choice.go
+++ b/internal/daemon/worker_choice.go
@@ -78,7 +78,8 @@
 	step := &job.Steps[t.Step]
 	c := &workerChoice{
 		shard: shard, queue: queue, job: job, step: t.Step, round: t.Round,
-		resources: t.Resources, requiredLabels: t.RequiredLabels, dataRack: step.DataRack, maxPerWorker: step.MaxPerWorker, loadChanges: shard.loadChanges,
+		resources: t.Resources, requiredLabels: t.RequiredLabels, dataRack: step.DataRack,
+		maxPerWorker: step.MaxPerWorker, loadChanges: shard.loadChanges,
 	}
 	if step.MaxPerWorker > 0 {
 		c.tasksByWorker = job.stepTasksByWorker(i)
