--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -43,18 +43,18 @@
 	lastContactMs     int64
 	rebuilt           bool // all attempts that may run at the worker are in attempts
 
-	attempts      map[wire.AttemptKey]*agentAttempt
-	tombstones    map[wire.AttemptKey]int64 // removed attempts -> when they were removed
-	ownerEpochs   map[string]uint64         // shard -> highest owner epoch received
-	lastSuccessMs int64
-	nextSyncMs    int64
-	succeeded     int64
-	failed        int64
-	lagPercent    int64                              // moving average of run time as a percentage of the estimate
-	evidence      scheduler.Evidence                 // whether the worker fails more tasks than others
-	outcomeCounts map[string]scheduler.OutcomeCounts // queue -> decaying counts
-	failedJobs    map[string]int64                   // job -> when one of its tasks last failed here
-	nextDecayMs   int64
+	attempts         map[wire.AttemptKey]*agentAttempt
+	tombstones       map[wire.AttemptKey]int64 // removed attempts -> when they were removed
+	ownerEpochs      map[string]uint64         // shard -> highest owner epoch received
+	lastSuccessMs    int64
+	nextFullReportMs int64
+	succeeded        int64
+	failed           int64
+	lagPercent       int64                              // moving average of run time as a percentage of the estimate
+	evidence         scheduler.Evidence                 // whether the worker fails more tasks than others
+	outcomeCounts    map[string]scheduler.OutcomeCounts // queue -> decaying counts
+	failedJobs       map[string]int64                   // job -> when one of its tasks last failed here
+	nextDecayMs      int64
 
 	colocated        bool
 	rack             string
@@ -169,7 +169,7 @@
 	n.enforceLimits(agent)
 	n.dropOldTombstones(agent)
 	n.decayHealth(agent)
-	if n.now >= agent.nextSyncMs {
+	if n.now >= agent.nextFullReportMs {
 		n.reportAgent(agent)
 	}
 	n.startPending(agent)
--- a/internal/daemon/agent_changes.go
+++ b/internal/daemon/agent_changes.go
@@ -110,7 +110,7 @@
 // tickReports sends the reports of a colocated agent that are due.
 func (n *node) tickReports(agent *workerAgent) {
 	quiet := n.now-agent.lastContactMs > quietMs
-	if n.now >= agent.nextSyncMs || quiet != agent.reportedQuiet || n.hasNewOwner(agent) {
+	if n.now >= agent.nextFullReportMs || quiet != agent.reportedQuiet || n.hasNewOwner(agent) {
 		agent.reportedQuiet = quiet
 		n.reportAgent(agent)
 		return
--- a/internal/daemon/agent_sync.go
+++ b/internal/daemon/agent_sync.go
@@ -137,9 +137,9 @@
 
 // reportAgent sends a full report to each shard's owner and to the central scheduler.
 func (n *node) reportAgent(agent *workerAgent) {
-	agent.nextSyncMs = n.now + agentSyncMs
+	agent.nextFullReportMs = n.now + agentSyncMs
 	if agent.colocated {
-		agent.nextSyncMs = n.now + fullReportMs
+		agent.nextFullReportMs = n.now + fullReportMs
 	}
 	if !n.isActiveAgent(agent) && !agent.replaced {
 		return
