--- a/internal/daemon/agent_dispatch.go
+++ b/internal/daemon/agent_dispatch.go
@@ -11,22 +11,21 @@
 	"otterchute/internal/wire"
 )
 
-const (
-	// a queueable task of a more urgent queue waits this long, and may be called back meanwhile,
-	// before it pushes others out
-	urgentWaitMs = 350
-)
+// urgentWaitMs is how long a queueable task of a more urgent queue waits, and may be recalled by its
+// owner, before it preempts others.
+const urgentWaitMs = 350
 
-func (n *node) stopAttempt(agent *workerAgent, attempt *agentAttempt, why wire.AttemptResult) {
+// stopAttempt marks an attempt to be stopped, and sends the stop order, at most once a second.
+func (n *node) stopAttempt(agent *workerAgent, attempt *agentAttempt, reason wire.AttemptResult) {
 	if attempt.stopMs == 0 {
-		attempt.stopMs, attempt.stopReason = n.now, why
-		n.log("run_stopped", "attempt", attempt.spec.Key.String(), "worker", agent.worker, "why", why.String(),
+		attempt.stopMs, attempt.stopReason = n.now, reason
+		n.log("run_stopped", "attempt", attempt.spec.Key.String(), "worker", agent.worker, "why", reason.String(),
 			"queue", attempt.spec.Queue, "class", attempt.spec.Class.String(), "ran_ms",
 			n.now-max(attempt.startedMs, attempt.orderedMs),
 			"percent", attempt.percent, "cpu", attempt.spec.Resources.CPU, "gang", attempt.spec.Gang)
 	}
 	if n.now-attempt.stopSentMs < 1000 && attempt.stopSentMs != 0 || agent.addr == "" || agent.colocated {
-		return // an agent beside its worker says it in the answer to each heartbeat
+		return // a colocated agent puts stops into the reply to each heartbeat
 	}
 	attempt.stopSentMs = n.now
 	n.count("stops_sent")
@@ -34,13 +33,13 @@
 		NotAfterMs: n.now + orderTimeoutMs, Body: mustJSON(map[string]any{"id": attempt.spec.Key.String()})})
 }
 
-// startPending starts what may start now, by precedence (the queue's urgency, excess jobs last),
-// then firm tasks before queueable ones, then by the age of the job. For firm tasks queueable runs of
-// queues no more urgent are stopped, and they start once those ends are listed; short
-// runs of more urgent queues are left to end. The orders of an agent beside its worker
-// leave in the answer to a heartbeat only.
+// startPending starts the queued attempts that may start now, by precedence (the queue's urgency, excess
+// jobs last), then guaranteed tasks before queueable ones, then by the age of the job. A guaranteed task
+// preempts queueable attempts of queues that are no more urgent, and starts once the worker reports that
+// they have ended; attempts of more urgent queues are short and may finish. A colocated agent sends
+// orders only in the reply to a heartbeat.
 func (n *node) startPending(agent *workerAgent) {
-	if !n.mayOrder(agent) {
+	if !n.maySendOrders(agent) {
 		return
 	}
 	queue := n.returnBatches(agent, agent.queuedAttempts(n))
@@ -48,7 +47,7 @@
 		return
 	}
 	if agent.leaving || n.config.current.EmptyZones[agent.zone] {
-		for _, attempt := range queue { // others can take them; they never started
+		for _, attempt := range queue { // they never started, so other workers can take them
 			attempt.state, attempt.result = wire.AttemptEnded, wire.ResultShed
 		}
 		n.reportAgent(agent)
@@ -65,17 +64,17 @@
 	}
 }
 
-// mayOrder tells whether this agent may give its worker orders now: nobody else may be
-// its agent, it knows all that runs there, and configuration and report are fresh.
-func (n *node) mayOrder(agent *workerAgent) bool {
+// maySendOrders reports whether this agent may send its worker orders now: it is certain to be the only
+// agent, it has the full list of what runs there, and the configuration and the worker's report are fresh.
+func (n *node) maySendOrders(agent *workerAgent) bool {
 	if !n.isActiveAgent(agent) || !agent.rebuilt || n.now-agent.tokenMs > workerReportMaxAgeMs || !n.configFresh() {
 		return false
 	}
-	return !agent.colocated || agent.answering && agent.lapseUntilMs == 0
+	return !agent.colocated || agent.replying && agent.lapseUntilMs == 0
 }
 
-// available gives the worker's room that nothing holds; it isn't known while something
-// runs there of which nobody has told yet how much it takes.
+// available returns the worker's resources that no attempt holds; known is false while an attempt runs
+// there whose spec, and so its resources, has not been received yet.
 func (a *workerAgent) available() (avail resource.Amount, known bool) {
 	avail = a.free
 	for _, attempt := range a.attempts {
@@ -92,19 +91,19 @@
 	return avail, true
 }
 
-// startOrSkip starts a waiting attempt if it may and fits into what is available, or makes
-// room for it. It gives false where nothing behind it may start before it.
+// startOrSkip starts a queued attempt if it is allowed to and fits, or preempts others for it. It
+// returns false if no attempt behind it in the queue may overtake it.
 func (n *node) startOrSkip(agent *workerAgent, attempt *agentAttempt, avail *resource.Amount) bool {
-	q := n.config.current.Queues[attempt.spec.Queue]
-	_, lack := configuration.MissingLabel(agent.labels, attempt.spec.RequiredLabels)
-	if q == nil || lack || !q.Matches(agent.labels, agent.zone) ||
-		attempt.spec.MaxPerWorker > 0 && agent.startedOfStep(attempt) >= int(attempt.spec.MaxPerWorker) {
+	queue := n.config.current.Queues[attempt.spec.Queue]
+	_, missing := configuration.MissingLabel(agent.labels, attempt.spec.RequiredLabels)
+	if queue == nil || missing || !queue.Matches(agent.labels, agent.zone) ||
+		attempt.spec.MaxPerWorker > 0 && agent.startedTasksOfStep(attempt) >= int(attempt.spec.MaxPerWorker) {
 		attempt.state, attempt.result = wire.AttemptEnded, wire.ResultRejected
 		n.reportAgent(agent)
 		return true
 	}
 	if n.limits.Outdated(attempt.spec.Tenant, attempt.spec.LimitVersion) {
-		attempt.state, attempt.result = wire.AttemptEnded, wire.ResultShed // its owner must have it counted anew
+		attempt.state, attempt.result = wire.AttemptEnded, wire.ResultShed // its owner must place it under the current limit
 		n.reportAgent(agent)
 		return true
 	}
@@ -115,67 +114,69 @@
 		(!attempt.spec.Resources.Fits(*avail) || !n.mayStartBatch(agent, attempt, r)) {
 		return true
 	}
-	if attempt.spec.Resources.Fits(n.startRoom(agent, attempt, q, *avail)) {
+	if attempt.spec.Resources.Fits(n.startableResources(agent, attempt, queue, *avail)) {
 		*avail = avail.Minus(attempt.spec.Resources)
 		n.dispatch(agent, attempt)
 		return true
 	}
 	if attempt.spec.Class == wire.ClassGuaranteed {
 		n.preempt(agent, attempt, attempt.spec.Resources.Minus(*avail))
-		*avail = avail.Minus(attempt.spec.Resources) // what is free and what gets free is kept for it
+		*avail = avail.Minus(attempt.spec.Resources) // free and freed resources are kept for it
 		return true
 	}
-	n.preempt(agent, attempt, attempt.spec.Resources.Minus(*avail)) // of lesser queues only, batches at once
+	// A queueable task preempts only less urgent queues; batches at once, others after urgentWaitMs.
+	n.preempt(agent, attempt, attempt.spec.Resources.Minus(*avail))
 	return n.now-attempt.queuedMs <= bypassMs
 }
 
-// startRoom is the part of a worker's available room that a waiting attempt may take.
-func (n *node) startRoom(
-	agent *workerAgent, attempt *agentAttempt, q *configuration.Queue, avail resource.Amount,
+// startableResources returns the part of a worker's available resources that a queued attempt may take.
+func (n *node) startableResources(
+	agent *workerAgent, attempt *agentAttempt, queue *configuration.Queue, avail resource.Amount,
 ) resource.Amount {
-	if attempt.spec.Class == wire.ClassGuaranteed || n.mayUseUrgentHeadroom(q, attempt.spec.Excess) || !agent.colocated {
+	if attempt.spec.Class == wire.ClassGuaranteed || n.mayUseUrgentHeadroom(queue, attempt.spec.Excess) ||
+		!agent.colocated {
 		return avail
 	}
 	if n.fleetIdle() && n.now-attempt.queuedMs > backfillAfterMs && n.Policies.On(scheduler.Backfill) {
-		return avail // no room is kept back from what waited this long while most of it is free
+		return avail // the headroom is not kept from a task that has waited this long in a mostly idle fleet
 	}
 	return avail.Minus(n.urgentHeadroom(agent.capacity, agent.urgentUse(n, wire.AttemptOrdered, wire.AttemptRunning)))
 }
 
-// startedOfStep counts the started tasks here that share a task's job, round and step.
-func (a *workerAgent) startedOfStep(attempt *agentAttempt) (count int) {
+// startedTasksOfStep counts the started attempts here of the same job, round and step.
+func (a *workerAgent) startedTasksOfStep(attempt *agentAttempt) (count int) {
 	round, step, _, ok := parseUniformTaskID(attempt.spec.Key.Task)
-	for k, o := range a.attempts {
-		r, s, _, _ := parseUniformTaskID(k.Task)
-		if ok && k.Job == attempt.spec.Key.Job && r == round && s == step &&
-			(o.state == wire.AttemptOrdered || o.state == wire.AttemptRunning) {
+	for otherKey, other := range a.attempts {
+		otherRound, otherStep, _, _ := parseUniformTaskID(otherKey.Task)
+		if ok && otherKey.Job == attempt.spec.Key.Job && otherRound == round && otherStep == step &&
+			(other.state == wire.AttemptOrdered || other.state == wire.AttemptRunning) {
 			count++
 		}
 	}
 	return count
 }
 
-// queuedAttempts gives the unstarted tasks in the order they may start.
+// queuedAttempts returns the queued attempts in the order in which they may start.
 func (a *workerAgent) queuedAttempts(n *node) []*agentAttempt {
-	var out []*agentAttempt
+	var queued []*agentAttempt
 	for _, key := range a.keys() {
 		if a.attempts[key].state == wire.AttemptQueued {
-			out = append(out, a.attempts[key])
+			queued = append(queued, a.attempts[key])
 		}
 	}
 	precedence := func(attempt *agentAttempt) int64 { return n.precedence(attempt.spec.Queue, attempt.spec.Excess) }
-	slices.SortStableFunc(out, func(x, y *agentAttempt) int {
+	slices.SortStableFunc(queued, func(x, y *agentAttempt) int {
 		return cmp.Or(
 			cmp.Compare(precedence(y), precedence(x)),
 			cmp.Compare(x.spec.Class, y.spec.Class),
 			cmp.Compare(x.spec.SubmittedMs, y.spec.SubmittedMs),
 		)
 	})
-	return out
+	return queued
 }
 
-// preempt stops queueable runs until so much room is on its way, see scheduler.Victims. For a
-// queueable task only runs of less urgent queues are stopped, and only if that is enough.
+// preempt stops queueable attempts until the lacking resources are being freed (see scheduler.Victims).
+// For a queueable task it stops only attempts of less urgent queues, and only if that frees enough.
 func (n *node) preempt(agent *workerAgent, pending *agentAttempt, lacking resource.Amount) {
 	var attempts []*agentAttempt
 	var runs []scheduler.Run
@@ -202,34 +203,39 @@
 	}
 }
 
-// mayPreempt tells whether a queueable run may be stopped for a waiting task.
-func (n *node) mayPreempt(pending, run *agentAttempt) bool {
+// mayPreempt reports whether a running queueable attempt may be stopped for a queued one.
+func (n *node) mayPreempt(pending, running *agentAttempt) bool {
 	guaranteed := pending.spec.Class == wire.ClassGuaranteed
-	if !guaranteed && n.now-pending.queuedMs <= urgentWaitMs && n.batchRulesOfSpec(&run.spec) == nil {
-		return false // it may be called back meanwhile
+	if !guaranteed && n.now-pending.queuedMs <= urgentWaitMs && n.batchRulesOfSpec(&running.spec) == nil {
+		return false // its owner may recall it meanwhile
 	}
-	mine, others := n.precedence(pending.spec.Queue, pending.spec.Excess), n.precedence(run.spec.Queue, run.spec.Excess)
-	return others < mine || guaranteed && others == mine
+	pendingPrecedence, runPrecedence := n.precedence(pending.spec.Queue, pending.spec.Excess),
+		n.precedence(running.spec.Queue, running.spec.Excess)
+	return runPrecedence < pendingPrecedence || guaranteed && runPrecedence == pendingPrecedence
 }
 
+// dispatch sends the order to start an attempt, or adds it to the reply of the current heartbeat.
 func (n *node) dispatch(agent *workerAgent, attempt *agentAttempt) {
 	attempt.state, attempt.ordered, attempt.orderedMs, attempt.listed = wire.AttemptOrdered, true, n.now, false
-	s := &attempt.spec
-	n.count("orders_" + s.Class.String())
+	taskSpec := &attempt.spec
+	n.count("orders_" + taskSpec.Class.String())
 	if agent.colocated {
 		attempt.orderSeq = agent.reportSeq
 		agent.toStart = append(agent.toStart, attempt)
 		return
 	}
-	payload := rawJSON(s.Payload)
-	if len(s.Payload) == 0 {
+	payload := rawJSON(taskSpec.Payload)
+	if len(taskSpec.Payload) == 0 {
 		payload = "null"
 	}
-	tag := mustJSON(orderTag{s.Shard, s.Queue, s.Name, s.Class, s.Resources, s.LimitMs, s.EstimateMs, s.SubmittedMs})
+	tag := mustJSON(orderTag{
+		taskSpec.Shard, taskSpec.Queue, taskSpec.Name, taskSpec.Class, taskSpec.Resources,
+		taskSpec.LimitMs, taskSpec.EstimateMs, taskSpec.SubmittedMs,
+	})
 	n.emit(effOrder{
 		Worker: agent.worker,
 		Addr:   agent.addr,
-		Key:    s.Key,
+		Key:    taskSpec.Key,
 		NotAfterMs: min(
 			n.leases.HeldUntilMs(lease.AgentRole(agent.worker)),
 			attempt.confirmedMs+ownerContactMs,
@@ -238,13 +244,13 @@
 		),
 		Body: mustJSON(
 			map[string]any{
-				"id":       s.Key.String(),
-				"job":      s.Key.Job,
-				"name":     s.Name,
-				"queue":    s.Queue,
-				"class":    s.Class.String(),
-				"room":     s.Resources,
-				"limit_ms": s.LimitMs,
+				"id":       taskSpec.Key.String(),
+				"job":      taskSpec.Key.Job,
+				"name":     taskSpec.Name,
+				"queue":    taskSpec.Queue,
+				"class":    taskSpec.Class.String(),
+				"room":     taskSpec.Resources,
+				"limit_ms": taskSpec.LimitMs,
 				"payload":  payload,
 				"tag":      string(tag),
 			},
@@ -252,6 +258,7 @@
 	})
 }
 
+// orderOutcomes maps how an order went, as orderSender.deliver returns it, to its effect on the attempt.
 var orderOutcomes = map[string]func(*node, *workerAgent, *agentAttempt){
 	"started": func(n *node, _ *workerAgent, attempt *agentAttempt) {
 		if attempt.state == wire.AttemptOrdered {
@@ -269,10 +276,11 @@
 			attempt.state, attempt.ordered = wire.AttemptQueued, false
 		}
 	},
-	// It may have started: it holds its room until the worker's report resolves it.
+	// It may have started: it keeps its resources until the worker's report resolves it.
 	"unknown": func(n *node, _ *workerAgent, attempt *agentAttempt) { n.count("orders_unconfirmed") },
 }
 
+// onOrder applies how a start order went.
 func (n *node) onOrder(e evOrder) {
 	agent := n.agents[e.Worker]
 	if agent == nil || e.Stop {
--- a/internal/daemon/agent_health.go
+++ b/internal/daemon/agent_health.go
@@ -5,33 +5,37 @@
 	"otterchute/internal/wire"
 )
 
-// An agent sees all ends at its worker, whoever owns the jobs, and the coordinator tells how
-// often each queue's tasks fail everywhere. So the agent judges its worker itself, with the
-// end that decides: see scheduler.Evidence. Owners and the central scheduler then give the
-// worker no more work, as long as there are others; after a while it is tried again.
+// An agent observes all ended attempts at its worker, for jobs of any owner, and receives from the
+// coordinator how often each queue's tasks fail across the fleet. It compares the two (see
+// scheduler.Evidence) and ejects a worker that fails significantly more tasks: owners and the central
+// scheduler place no more work there as long as other workers are available. After a while the worker
+// is tried again.
 
 const (
-	stallSuspectMs   = 3000   // a worker where work stood still gets no more for this long, doubled each time
-	failureSuspectMs = 10_000 // and one that fails its tasks: it is tried again with real work, which costs attempts
-	suspectMax       = 4      // times that a worker is suspect before that takes no longer
+	// stallSuspectMs is how long a worker is suspect after work has stalled there, doubled each time.
+	stallSuspectMs = 3000
+	// failureSuspectMs is the same for a worker that fails its tasks. It is longer, since the worker is
+	// tried again with real tasks, and each failure costs one of their attempts.
+	failureSuspectMs = 10_000
+	suspectCountMax  = 4 // suspicions after which the duration no longer doubles
 )
 
-// observeEnd counts how a run ended. A job that can't be done fails everywhere, so that of each
-// job one failure in a while speaks against the worker, and none while it gets no work.
-func (n *node) observeEnd(agent *workerAgent, attempt *agentAttempt, failed bool) {
+// observeOutcome counts the outcome of an attempt. A faulty job fails on every worker, so only one failure
+// of each job within healthDecayMs counts as evidence against the worker, and none while it is suspect.
+func (n *node) observeOutcome(agent *workerAgent, attempt *agentAttempt, failed bool) {
 	if attempt.unobserved || attempt.spec.Queue == "" {
 		return
 	}
-	if agent.endCounts == nil {
-		agent.endCounts, agent.failedJobs = map[string]scheduler.OutcomeCounts{}, map[string]int64{}
+	if agent.outcomeCounts == nil {
+		agent.outcomeCounts, agent.failedJobs = map[string]scheduler.OutcomeCounts{}, map[string]int64{}
 	}
-	counts := agent.endCounts[attempt.spec.Queue]
+	counts := agent.outcomeCounts[attempt.spec.Queue]
 	counts.Observe(failed)
-	agent.endCounts[attempt.spec.Queue] = counts
+	agent.outcomeCounts[attempt.spec.Queue] = counts
 	if failed {
-		lastMs, before := agent.failedJobs[attempt.spec.Key.Job]
+		lastFailureMs, failedBefore := agent.failedJobs[attempt.spec.Key.Job]
 		agent.failedJobs[attempt.spec.Key.Job] = n.now
-		if before && n.now-lastMs <= healthDecayMs {
+		if failedBefore && n.now-lastFailureMs <= healthDecayMs {
 			return
 		}
 	}
@@ -40,14 +44,14 @@
 	}
 }
 
-// judgeWorker has a worker that fails far more than others get no more work for a while. What
-// waits there, and never started, goes back.
-func (n *node) judgeWorker(agent *workerAgent) {
+// ejectIfUnhealthy marks a worker as suspect if it fails far more tasks than others, and returns its
+// queued attempts to their owners.
+func (n *node) ejectIfUnhealthy(agent *workerAgent) {
 	if !agent.evidence.Conclusive() || !n.Policies.On(scheduler.EjectUnhealthy) {
 		return
 	}
 	agent.evidence.StartProbation()
-	n.suspectWorker(agent, "fails", failureSuspectMs)
+	n.markSuspect(agent, "fails", failureSuspectMs)
 	n.count("workers_ejected")
 	for _, key := range agent.keys() {
 		if attempt := agent.attempts[key]; attempt.state == wire.AttemptQueued {
@@ -57,51 +61,52 @@
 	n.reportAgent(agent)
 }
 
-// suspectWorker has a worker get no more work for a while, each time for longer.
-func (n *node) suspectWorker(agent *workerAgent, why string, forMs int64) {
-	agent.suspectCount = min(agent.suspectCount+1, suspectMax)
-	agent.suspectUntilMs = n.now + forMs<<(agent.suspectCount-1)
-	n.log("worker_suspect", "worker", agent.worker, "why", why, "for_ms", agent.suspectUntilMs-n.now)
+// markSuspect marks a worker as suspect, so that it gets no more work for a while, each time for longer.
+func (n *node) markSuspect(agent *workerAgent, reason string, durationMs int64) {
+	agent.suspectCount = min(agent.suspectCount+1, suspectCountMax)
+	agent.suspectUntilMs = n.now + durationMs<<(agent.suspectCount-1)
+	n.log("worker_suspect", "worker", agent.worker, "why", reason, "for_ms", agent.suspectUntilMs-n.now)
 }
 
-// endsByQueue is how runs ended here lately, for the coordinator.
-func (a *workerAgent) endsByQueue() (ends []wire.QueueOutcomes) {
-	for _, queue := range sortedKeys(a.endCounts) {
-		counts := a.endCounts[queue]
+// outcomesByQueue returns the recent outcomes of attempts at the worker, for the coordinator.
+func (a *workerAgent) outcomesByQueue() (ends []wire.QueueOutcomes) {
+	for _, queue := range sortedKeys(a.outcomeCounts) {
+		counts := a.outcomeCounts[queue]
 		ends = append(ends, wire.QueueOutcomes{Queue: queue, Succeeded: counts.Succeeded, Failed: counts.Failed})
 	}
 	return ends
 }
 
-// failRates is how often each queue's tasks fail at workers that nobody suspects.
+// failRates returns how often each queue's tasks fail at workers that are not suspect.
 func (c *centralScheduler) failRates() (rates []wire.QueueFailRate) {
-	sums := map[string]scheduler.OutcomeCounts{}
-	for _, w := range c.workers { // sums: the order does not matter
+	counts := map[string]scheduler.OutcomeCounts{}
+	for _, w := range c.workers { // the order does not affect sums
 		if w.Suspect {
 			continue
 		}
 		for _, e := range w.Outcomes {
-			sums[e.Queue] = sums[e.Queue].Plus(scheduler.OutcomeCounts{Succeeded: e.Succeeded, Failed: e.Failed})
+			counts[e.Queue] = counts[e.Queue].Plus(scheduler.OutcomeCounts{Succeeded: e.Succeeded, Failed: e.Failed})
 		}
 	}
-	for _, queue := range sortedKeys(sums) {
-		rates = append(rates, wire.QueueFailRate{Queue: queue, PerMille: int32(sums[queue].FailRate() * perMille)})
+	for _, queue := range sortedKeys(counts) {
+		rates = append(rates, wire.QueueFailRate{Queue: queue, PerMille: int32(counts[queue].FailRate() * perMille)})
 	}
 	return rates
 }
 
+// perMille scales the failure rates that are sent as integers.
 const perMille = 1000
 
-// What a round of ranks says of a worker's health; 0 for nothing. The values are part of the wire's form.
+// A worker's health as sent with its rank; 0 is healthy. The values are part of the wire format.
 const (
-	healthEjected   int8 = 1 // it gets no more work, as long as there are others
-	healthProbation int8 = 2 // it was ejected lately and is tried again
+	healthEjected   int8 = 1 // gets no more work as long as other workers are available
+	healthProbation int8 = 2 // was ejected recently and is being tried again
 )
 
-// ejected tells whether a worker gets no more work, as long as there are others.
+// ejected reports whether the coordinator's last round lists a worker as ejected.
 func (r *rankState) ejected(worker string) bool { return r.unhealthy[worker] == healthEjected }
 
-// failRate is how often a queue's tasks fail everywhere, as the coordinator last told.
+// failRate returns how often a queue's tasks fail across the fleet, by the coordinator's last round.
 func (r *rankState) failRate(queue string) float64 {
 	if rate, known := r.failRates[queue]; known {
 		return rate
--- a/internal/daemon/agent_report.go
+++ b/internal/daemon/agent_report.go
@@ -15,19 +15,20 @@
 	"github.com/tidwall/gjson"
 )
 
-// orderTag travels with an order and comes back in the worker's lists, so that
-// a successor can rebuild what it needs from the worker alone.
+// orderTag is sent with an order and returned in the worker's reports, so that a new agent can rebuild
+// its attempts from the worker alone.
 type orderTag struct {
-	Slice    string          `json:"slice"`
-	Queue    string          `json:"queue"`
-	Name     string          `json:"name"`
-	Class    wire.TaskClass  `json:"class"`
-	Room     resource.Amount `json:"room"`
-	LimitMs  int64           `json:"limit_ms"`
-	EstMs    int64           `json:"est_ms"`
-	SubmitMs int64           `json:"submit_ms"`
+	Shard       string          `json:"slice"`
+	Queue       string          `json:"queue"`
+	Name        string          `json:"name"`
+	Class       wire.TaskClass  `json:"class"`
+	Resources   resource.Amount `json:"room"`
+	LimitMs     int64           `json:"limit_ms"`
+	EstimateMs  int64           `json:"est_ms"`
+	SubmittedMs int64           `json:"submit_ms"`
 }
 
+// reportFields is the schema of a worker's report.
 var reportFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"incarnation": {Kind: schema.Name, Required: true},
 	"seq":         {Kind: schema.Integer, Required: true, Min: 1},
@@ -41,6 +42,7 @@
 	"ended":       {Kind: schema.List, Max: 100_000, Elem: &runFields},
 }}
 
+// runFields is the schema of one attempt in a worker's report.
 var runFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"id":      {Kind: schema.String, Required: true, Min: 1, Max: 300},
 	"tag":     {Kind: schema.String, Max: 4000},
@@ -49,11 +51,11 @@
 	"outcome": {Kind: schema.Name},
 }}
 
-// routeReport brings a worker's report to its agent, and where it has none lets
-// the candidate of the worker's zone become it.
+// routeReport passes a worker's report to its agent, or forwards it to the agent's daemon. If the worker
+// has no agent, the first candidate of the worker's zone acquires the role.
 func (n *node) routeReport(req *request) {
-	name := lease.AgentRole(req.key)
-	if agent := n.agents[req.key]; agent != nil && n.leases.Holds(name) {
+	role := lease.AgentRole(req.key)
+	if agent := n.agents[req.key]; agent != nil && n.leases.Holds(role) {
 		n.applyReport(agent, req)
 		return
 	}
@@ -61,39 +63,39 @@
 		n.rejectFaults(req, 400, 0, []schema.Fault{{Path: "name", Reason: "must be a name"}})
 		return
 	}
-	if to, _ := n.leases.Holder(name); to != "" {
+	if to, _ := n.leases.Holder(role); to != "" {
 		n.forward(req, to)
 		return
 	}
-	next := n.leases.Successor(name) // named by the last holder, or else the first candidate
-	if c := n.leases.Candidates(name, gjson.GetBytes(req.body, "site").Str); !n.peers.Alive(next) && len(c) > 0 {
+	next := n.leases.Successor(role) // named by the last holder; without one the first candidate is used
+	if c := n.leases.Candidates(role, gjson.GetBytes(req.body, "site").Str); !n.peers.Alive(next) && len(c) > 0 {
 		next = c[0]
 	}
 	if next != n.Name && req.hops < forwardsMax {
 		n.forward(req, next)
 		return
 	}
-	n.leases.Acquire(name)
+	n.leases.Acquire(role)
 	n.respond(req, 503, 200, mustJSON(map[string]any{"error": "the worker has no agent yet"}))
 }
 
-// pastIncarnationsMax former incarnations of a worker are remembered: a report of one of
-// them is late.
+// pastIncarnationsMax is the number of former incarnations kept for a worker, whose late reports are
+// rejected.
 const pastIncarnationsMax = 8
 
-// applyReport brings what is held in line with a worker's report, and answers it.
+// applyReport updates the agent's attempts from a worker's report, and answers it.
 func (n *node) applyReport(agent *workerAgent, req *request) {
-	if f := schema.Check(req.body, reportFields); len(f) > 0 {
-		n.rejectFaults(req, 400, 0, f)
+	if faults := schema.Check(req.body, reportFields); len(faults) > 0 {
+		n.rejectFaults(req, 400, 0, faults)
 		return
 	}
-	r := gjson.ParseBytes(req.body)
-	if !n.recordReport(agent, r) {
+	report := gjson.ParseBytes(req.body)
+	if !n.recordReport(agent, report) {
 		n.respondReport(agent, req, nil)
 		return
 	}
-	running := n.applyReportedRuns(agent, r)
-	ended, changed := n.applyReportedEnds(agent, r)
+	running := n.applyReportedRuns(agent, report)
+	ended, changed := n.applyReportedEnds(agent, report)
 	changed = n.endUnreported(agent, running, ended) || changed
 	if !agent.rebuilt && agent.tokenMs > agent.startMs+orderTimeoutMs {
 		agent.rebuilt = true
@@ -101,30 +103,31 @@
 		changed = true
 	}
 	n.respondReport(agent, req, ended)
-	n.judgeWorker(agent)
+	n.ejectIfUnhealthy(agent)
 	if changed {
 		n.reportAgent(agent)
 	}
 	n.startPending(agent)
 }
 
-// recordReport keeps what a report says of the worker itself. It gives false for a
-// report that comes again or late, of which nothing is kept.
-func (n *node) recordReport(agent *workerAgent, r gjson.Result) bool {
-	inc, seq := r.Get("incarnation").Str, r.Get("seq").Int()
-	if inc == agent.workerIncarnation && seq <= agent.reportSeq || slices.Contains(agent.pastIncarnations, inc) {
+// recordReport records the state of the worker itself. It returns false, and records nothing, for a
+// duplicate or late report.
+func (n *node) recordReport(agent *workerAgent, report gjson.Result) bool {
+	incarnation, seq := report.Get("incarnation").Str, report.Get("seq").Int()
+	if incarnation == agent.workerIncarnation && seq <= agent.reportSeq ||
+		slices.Contains(agent.pastIncarnations, incarnation) {
 		return false
 	}
-	if agent.workerIncarnation != "" && inc != agent.workerIncarnation {
+	if agent.workerIncarnation != "" && incarnation != agent.workerIncarnation {
 		agent.pastIncarnations = append(agent.pastIncarnations, agent.workerIncarnation)
 		agent.pastIncarnations = agent.pastIncarnations[max(0, len(agent.pastIncarnations)-pastIncarnationsMax):]
 		n.log("worker_new_incarnation", "worker", agent.worker, "epoch", agent.epoch)
 	}
-	agent.workerIncarnation, agent.reportSeq, agent.lastContactMs = inc, seq, n.now
-	agent.addr, agent.zone, agent.leaving = r.Get("address").Str, r.Get("site").Str, r.Get("leaving").Bool()
-	agent.labels, agent.free = labelsOf(r.Get("labels")), resource.Parse(r.Get("free"))
+	agent.workerIncarnation, agent.reportSeq, agent.lastContactMs = incarnation, seq, n.now
+	agent.addr, agent.zone, agent.leaving = report.Get("address").Str, report.Get("site").Str, report.Get("leaving").Bool()
+	agent.labels, agent.free = labelsOf(report.Get("labels")), resource.Parse(report.Get("free"))
 	agent.tokenMs = -1 << 40
-	if epoch, ms, ok := strings.Cut(r.Get("token").Str, "."); ok && epoch == strconv.FormatUint(agent.epoch, 10) {
+	if epoch, ms, ok := strings.Cut(report.Get("token").Str, "."); ok && epoch == strconv.FormatUint(agent.epoch, 10) {
 		if v, err := strconv.ParseInt(ms, 10, 64); err == nil && v <= n.now {
 			agent.tokenMs = v
 		}
@@ -132,38 +135,40 @@
 	return true
 }
 
-// applyReportedRuns applies what a report lists as running, and reckons the worker's capacity.
-func (n *node) applyReportedRuns(agent *workerAgent, r gjson.Result) map[wire.AttemptKey]bool {
+// applyReportedRuns applies the attempts that a report lists as running, and computes the worker's capacity.
+func (n *node) applyReportedRuns(agent *workerAgent, report gjson.Result) map[wire.AttemptKey]bool {
 	running := map[wire.AttemptKey]bool{}
 	agent.capacity = agent.free
-	for _, e := range r.Get("running").Array() {
-		key, ok := wire.ParseAttemptKey(e.Get("id").Str)
+	for _, entry := range report.Get("running").Array() {
+		key, ok := wire.ParseAttemptKey(entry.Get("id").Str)
 		if !ok {
-			agent.capacity = agent.capacity.Plus(resource.Parse(e.Get("room")))
-			continue // not one of ours, but it takes room
+			agent.capacity = agent.capacity.Plus(resource.Parse(entry.Get("room")))
+			continue // started by something else, but it uses resources
 		}
 		running[key] = true
 		attempt := agent.attempts[key]
 		if attempt == nil {
-			attempt = agent.adopt(key, e, n.now)
+			attempt = agent.adopt(key, entry, n.now)
 		}
 		if attempt.state != wire.AttemptRunning {
 			if attempt.state == wire.AttemptEnded {
 				n.log("attempt_runs_after_end", "attempt", key.String(), "worker", agent.worker)
 			}
 			attempt.state, attempt.ordered = wire.AttemptRunning, true
-			attempt.startedMs = n.now - e.Get("ran_ms").Int()
+			attempt.startedMs = n.now - entry.Get("ran_ms").Int()
 		}
 		agent.capacity = agent.capacity.Plus(attempt.spec.Resources)
 	}
 	return running
 }
 
-// applyReportedEnds applies what a report lists as ended.
-func (n *node) applyReportedEnds(agent *workerAgent, r gjson.Result) (ended map[wire.AttemptKey]bool, changed bool) {
+// applyReportedEnds applies the attempts that a report lists as ended.
+func (n *node) applyReportedEnds(
+	agent *workerAgent, report gjson.Result,
+) (ended map[wire.AttemptKey]bool, changed bool) {
 	ended = map[wire.AttemptKey]bool{}
-	for _, e := range r.Get("ended").Array() {
-		key, ok := wire.ParseAttemptKey(e.Get("id").Str)
+	for _, entry := range report.Get("ended").Array() {
+		key, ok := wire.ParseAttemptKey(entry.Get("id").Str)
 		if !ok {
 			continue
 		}
@@ -173,19 +178,19 @@
 			if _, ok := agent.tombstones[key]; ok {
 				continue
 			}
-			attempt = agent.adopt(key, e, n.now)
+			attempt = agent.adopt(key, entry, n.now)
 		}
 		attempt.ordered = true
 		if attempt.state != wire.AttemptEnded {
 			changed = true
-			n.endAttempt(agent, attempt, e.Get("outcome").Str, max(e.Get("ran_ms").Int(), 1))
+			n.endAttempt(agent, attempt, entry.Get("outcome").Str, max(entry.Get("ran_ms").Int(), 1))
 		}
 	}
 	return ended, changed
 }
 
-// endUnreported ends what a report doesn't list, where it must list it, and forgets
-// what is acknowledged.
+// endUnreported ends attempts that the report would have listed if the worker had them, and forgets
+// acknowledged ends that the worker no longer lists.
 func (n *node) endUnreported(agent *workerAgent, running, ended map[wire.AttemptKey]bool) (changed bool) {
 	for _, key := range agent.keys() {
 		attempt := agent.attempts[key]
@@ -205,34 +210,35 @@
 	return changed
 }
 
-// adopt takes a run that only the worker knew of.
-func (a *workerAgent) adopt(key wire.AttemptKey, e gjson.Result, now int64) *agentAttempt {
-	var t orderTag
-	_ = json.Unmarshal([]byte(e.Get("tag").Str), &t)
+// adopt adds an attempt that only the worker's report lists, with the spec from its order tag.
+func (a *workerAgent) adopt(key wire.AttemptKey, entry gjson.Result, now int64) *agentAttempt {
+	var tag orderTag
+	_ = json.Unmarshal([]byte(entry.Get("tag").Str), &tag)
 	attempt := &agentAttempt{
 		state:     wire.AttemptOrdered,
 		ordered:   true,
 		orderedMs: now,
-		startedMs: now - e.Get("ran_ms").Int(),
+		startedMs: now - entry.Get("ran_ms").Int(),
 		spec: wire.TaskSpec{
 			Key:         key,
-			Shard:       t.Slice,
-			Queue:       t.Queue,
-			Name:        t.Name,
-			Class:       t.Class,
-			Resources:   t.Room,
-			LimitMs:     t.LimitMs,
-			EstimateMs:  t.EstMs,
-			SubmittedMs: t.SubmitMs,
+			Shard:       tag.Shard,
+			Queue:       tag.Queue,
+			Name:        tag.Name,
+			Class:       tag.Class,
+			Resources:   tag.Resources,
+			LimitMs:     tag.LimitMs,
+			EstimateMs:  tag.EstimateMs,
+			SubmittedMs: tag.SubmittedMs,
 		},
 	}
 	if attempt.spec.Resources == (resource.Amount{}) {
-		attempt.spec.Resources = resource.Parse(e.Get("room"))
+		attempt.spec.Resources = resource.Parse(entry.Get("room"))
 	}
 	a.attempts[key] = attempt
 	return attempt
 }
 
+// respondReport answers a worker's report with a new token and the ends that are acknowledged.
 func (n *node) respondReport(agent *workerAgent, req *request, ended map[wire.AttemptKey]bool) {
 	acked := []string{}
 	keys := make([]wire.AttemptKey, 0, len(ended))
@@ -241,8 +247,8 @@
 	}
 	slices.SortFunc(keys, wire.CompareAttemptKeys)
 	for _, k := range keys {
-		_, buried := agent.tombstones[k]
-		if attempt := agent.attempts[k]; buried || attempt != nil && attempt.acked {
+		_, tombstoned := agent.tombstones[k]
+		if attempt := agent.attempts[k]; tombstoned || attempt != nil && attempt.acked {
 			acked = append(acked, k.String())
 		}
 	}
@@ -257,18 +263,18 @@
 	)
 }
 
-// endAttempt takes a worker's word on how a run ended.
+// endAttempt records the outcome of an attempt as the worker reported it.
 func (n *node) endAttempt(agent *workerAgent, attempt *agentAttempt, outcome string, ranMs int64) {
 	attempt.state, attempt.ranMs = wire.AttemptEnded, ranMs
 	agent.guaranteedEnded = agent.guaranteedEnded || attempt.spec.Class == wire.ClassGuaranteed
 	if attempt.unobserved {
-		attempt.ranMs = 0 // nothing is learned from it
+		attempt.ranMs = 0 // an unknown run time must not enter the estimates
 	}
 	switch outcome {
 	case "ok":
 		attempt.result = wire.ResultOK
 		agent.succeeded++
-		n.observeEnd(agent, attempt, false)
+		n.observeOutcome(agent, attempt, false)
 		if attempt.spec.Class == wire.ClassQueueable {
 			agent.lastSuccessMs = n.now
 		}
@@ -278,7 +284,7 @@
 	case "failed":
 		attempt.result = wire.ResultFailed
 		agent.failed++
-		n.observeEnd(agent, attempt, true)
+		n.observeOutcome(agent, attempt, true)
 	case "overrun":
 		attempt.result = wire.ResultOverrun
 		agent.failed++
@@ -293,10 +299,10 @@
 	default:
 		attempt.result = attempt.stopReason
 		if attempt.result == 0 {
-			attempt.result = wire.ResultPreempted // stopped on a former agent's order: never the task's own failure
+			attempt.result = wire.ResultPreempted // stopped by a former agent: not the task's own failure
 		}
 		if attempt.spec.LimitMs > 0 && ranMs >= attempt.spec.LimitMs {
-			attempt.result = wire.ResultOverrun // whoever had it stopped first, it ran past its limit
+			attempt.result = wire.ResultOverrun // past its limit, even if it was stopped for another reason first
 		}
 		if attempt.result == wire.ResultOverrun {
 			agent.failed++
--- a/internal/daemon/agent_sync.go
+++ b/internal/daemon/agent_sync.go
@@ -8,6 +8,8 @@
 	"otterchute/internal/wire"
 )
 
+// onPlacement takes an attempt that an owner placed at this agent's worker, and rejects it where it can
+// never start here. A stale placement is dropped.
 func (n *node) onPlacement(_ string, m *wire.Placement) {
 	agent := n.agents[m.Worker]
 	if agent == nil || agent.epoch != m.AgentEpoch || !n.isActiveAgent(agent) && !agent.replaced ||
@@ -26,17 +28,17 @@
 	}
 	attempt := &agentAttempt{spec: m.Spec, confirmedMs: m.AgentClockMs, queuedMs: n.now}
 	agent.attempts[m.Spec.Key] = attempt
-	firm, queued := resource.Amount{}, 0
-	for _, o := range agent.attempts {
-		if o.state != wire.AttemptEnded && o.spec.Class == wire.ClassGuaranteed {
-			firm = firm.Plus(o.spec.Resources)
+	guaranteed, queued := resource.Amount{}, 0
+	for _, other := range agent.attempts {
+		if other.state != wire.AttemptEnded && other.spec.Class == wire.ClassGuaranteed {
+			guaranteed = guaranteed.Plus(other.spec.Resources)
 		}
-		if o.state == wire.AttemptQueued {
+		if other.state == wire.AttemptQueued {
 			queued++
 		}
 	}
 	if !agent.rebuilt || agent.replaced || !m.Spec.Resources.Fits(agent.capacity) ||
-		m.Spec.Class == wire.ClassGuaranteed && !firm.Fits(agent.capacity) ||
+		m.Spec.Class == wire.ClassGuaranteed && !guaranteed.Fits(agent.capacity) ||
 		queued > agentQueueMax {
 		attempt.state, attempt.result = wire.AttemptEnded, wire.ResultRejected
 		n.count("placements_rejected")
@@ -46,7 +48,7 @@
 	n.startPending(agent)
 }
 
-// onOwnerReply applies an owner's decisions on what this agent holds of its jobs.
+// onOwnerReply applies an owner's decisions on this agent's attempts of its jobs.
 func (n *node) onOwnerReply(_ string, m *wire.OwnerReply) {
 	agent := n.agents[m.Worker]
 	if agent == nil || agent.epoch != m.Epoch || m.ShardEpoch < agent.ownerEpochs[m.Shard] {
@@ -54,15 +56,15 @@
 	}
 	agent.ownerEpochs[m.Shard] = m.ShardEpoch
 	agent.recordOwnerReply(m.Shard, m.SentMs, n.now)
-	for _, s := range m.Specs {
-		if attempt := agent.attempts[s.Key]; attempt != nil && attempt.specUnknown {
-			attempt.spec, attempt.specUnknown = s, false
+	for _, taskSpec := range m.Specs {
+		if attempt := agent.attempts[taskSpec.Key]; attempt != nil && attempt.specUnknown {
+			attempt.spec, attempt.specUnknown = taskSpec, false
 		}
 	}
 	recalled := false
-	for _, v := range m.Decisions {
-		if attempt := agent.attempts[v.Key]; attempt != nil {
-			recalled = n.applyDecision(agent, attempt, v, m.SentMs) || recalled
+	for _, decision := range m.Decisions {
+		if attempt := agent.attempts[decision.Key]; attempt != nil {
+			recalled = n.applyDecision(agent, attempt, decision, m.SentMs) || recalled
 		}
 	}
 	if recalled {
@@ -71,12 +73,12 @@
 	n.startPending(agent)
 }
 
-// applyDecision applies an owner's decision on one attempt; sentMs is when the agent
-// sent the report that it answers. It tells whether the attempt was recalled.
+// applyDecision applies an owner's decision on one attempt; sentMs is when the agent sent the report
+// that it answers. It reports whether the attempt was recalled.
 func (n *node) applyDecision(
-	agent *workerAgent, attempt *agentAttempt, v wire.AttemptDecision, sentMs int64,
+	agent *workerAgent, attempt *agentAttempt, decision wire.AttemptDecision, sentMs int64,
 ) (recalled bool) {
-	switch v.Decision {
+	switch decision.Decision {
 	case wire.DecisionKeep:
 		attempt.confirmedMs = max(attempt.confirmedMs, sentMs)
 	case wire.DecisionRecall:
@@ -93,18 +95,18 @@
 			n.stopAttempt(agent, attempt, wire.ResultCancelled)
 		}
 	case wire.DecisionAcknowledged, wire.DecisionCounted:
-		n.acknowledgeEnd(agent, attempt, v.Decision)
+		n.acknowledgeEnd(agent, attempt, decision.Decision)
 	}
 	return false
 }
 
-// acknowledgeEnd notes that an end is in its owner's record, or not wanted.
+// acknowledgeEnd records that an end is in its owner's record, or that the owner does not need it.
 func (n *node) acknowledgeEnd(agent *workerAgent, attempt *agentAttempt, decision wire.Decision) {
 	if attempt.state != wire.AttemptEnded || attempt.acked {
 		return
 	}
-	if attempt.lateEnd && decision != wire.DecisionCounted {
-		return // another run may have taken its place
+	if attempt.endedLate && decision != wire.DecisionCounted {
+		return // another attempt may have replaced it
 	}
 	attempt.acked = true
 	if !attempt.ordered || attempt.result == wire.ResultLost || attempt.result == wire.ResultRejected {
@@ -112,9 +114,11 @@
 	}
 }
 
-// rankOf is the paper's R = T_q + T_r + T_l, without batches: all others push them out.
-func (a *workerAgent) rankOf(n *node) (rank, queuedMs, queued int64) {
-	var tq, tr int64
+// workerRank returns the rank R = T_q + T_r + T_l of the scheduling paper: the estimated time of queued
+// attempts, the remaining time of started ones, and the time since the last success. Batches don't count,
+// since any other task may preempt them.
+func (a *workerAgent) workerRank(n *node) (rank, queuedMs, queued int64) {
+	var queuedWorkMs, remainingMs int64
 	now := n.now
 	for _, attempt := range a.attempts {
 		if n.batchRulesOfSpec(&attempt.spec) != nil {
@@ -122,20 +126,20 @@
 		}
 		switch attempt.state {
 		case wire.AttemptQueued:
-			tq += attempt.spec.EstimateMs
+			queuedWorkMs += attempt.spec.EstimateMs
 			queued++
 		case wire.AttemptOrdered, wire.AttemptRunning:
-			tr += max(0, attempt.spec.EstimateMs-(now-max(attempt.startedMs, attempt.orderedMs)))
+			remainingMs += max(0, attempt.spec.EstimateMs-(now-max(attempt.startedMs, attempt.orderedMs)))
 		}
 	}
-	return tq + tr + (now - a.lastSuccessMs), tq, queued
+	return queuedWorkMs + remainingMs + (now - a.lastSuccessMs), queuedWorkMs, queued
 }
 
-// reportAgent tells each shard's owner and the central scheduler all it holds.
+// reportAgent sends a full report to each shard's owner and to the central scheduler.
 func (n *node) reportAgent(agent *workerAgent) {
-	agent.nextSyncMs = n.now + agentSyncMs
+	agent.nextFullReportMs = n.now + agentSyncMs
 	if agent.colocated {
-		agent.nextSyncMs = n.now + fullReportMs
+		agent.nextFullReportMs = n.now + fullReportMs
 	}
 	if !n.isActiveAgent(agent) && !agent.replaced {
 		return
@@ -147,20 +151,20 @@
 	agent.changesPending = false
 }
 
-// sendReport sends a report to the owner of a shard, or without one to the central
-// scheduler, if it is known.
+// sendReport completes a report for the owner of a shard, or for the central scheduler if target is "",
+// and sends it if that daemon is known.
 func (n *node) sendReport(agent *workerAgent, m wire.AgentReport, target string, keys []wire.AttemptKey) {
 	to := n.reportTarget(target)
 	if to == "" {
 		return
 	}
 	if to != agent.lastReports[target].to {
-		n.peers.AnnounceTo([]string{to}) // gossip may not have told it where this agent is
+		n.peers.AnnounceTo([]string{to}) // gossip may not have reached it with this daemon's address
 	}
 	m.Shard = target
 	m.BatchUsage = agent.batchUse(n, target)
 	if target == "" {
-		m.Outcomes = agent.endsByQueue()
+		m.Outcomes = agent.outcomesByQueue()
 	}
 	n.addAttempts(&m, agent, keys)
 	n.send(to, &m)
@@ -173,7 +177,7 @@
 	}
 }
 
-// reportTarget is who hears of a shard's attempts, or for "" the central scheduler.
+// reportTarget returns the daemon that owns a shard, or that is the central scheduler if shard is "".
 func (n *node) reportTarget(shard string) string {
 	role := lease.Central
 	if shard != "" {
@@ -183,14 +187,15 @@
 	return to
 }
 
-// baseReport is what a report says of the worker and its agent, to whomever it goes.
+// baseReport returns the part of a report that is the same for all recipients.
 func (n *node) baseReport(agent *workerAgent) wire.AgentReport {
-	rank, queuedMs, queued := agent.rankOf(n)
+	rank, queuedMs, queued := agent.workerRank(n)
 	waiting, spare := agent.loadWithoutBatches(n)
 	return wire.AgentReport{
 		Worker: agent.worker, Agent: n.Name, Epoch: agent.epoch, SentMs: n.now,
-		Rebuilt: agent.rebuilt, WorkerReportFresh: n.now-agent.tokenMs <= workerReportMaxAgeMs, SilentMs: n.now - agent.lastContactMs,
-		Zone: agent.zone, Labels: agent.labels, Rack: agent.rack, Leaving: agent.leaving,
+		Rebuilt: agent.rebuilt, WorkerReportFresh: n.now-agent.tokenMs <= workerReportMaxAgeMs,
+		SilentMs: n.now - agent.lastContactMs,
+		Zone:     agent.zone, Labels: agent.labels, Rack: agent.rack, Leaving: agent.leaving,
 		Free: agent.free, Capacity: agent.capacity, SpareCapacity: spare, WaitingTasks: waiting,
 		Suspect: n.now < agent.suspectUntilMs, RecentFailures: agent.evidence.Suspect(),
 		Probation: agent.suspectCount > 0 && n.now >= agent.suspectUntilMs, Colocated: agent.colocated,
@@ -200,8 +205,8 @@
 	}
 }
 
-// addAttempts adds to a report the attempts that bear on its shard, or, without one, those that
-// hold room; what others hold of the room is added up.
+// addAttempts adds to a report the attempts of its shard, or those that concern the central scheduler,
+// and sums up the resources that attempts of other shards hold.
 func (n *node) addAttempts(m *wire.AgentReport, agent *workerAgent, keys []wire.AttemptKey) {
 	for _, key := range keys {
 		attempt := agent.attempts[key]
@@ -221,22 +226,24 @@
 	}
 }
 
+// attemptStatus returns an attempt in the form in which reports carry it.
 func (n *node) attemptStatus(attempt *agentAttempt) wire.AttemptStatus {
-	ran := attempt.ranMs
+	elapsedMs := attempt.ranMs
 	if attempt.state == wire.AttemptRunning {
-		ran = n.now - attempt.startedMs
+		elapsedMs = n.now - attempt.startedMs
 	}
 	return wire.AttemptStatus{
 		Key: attempt.spec.Key, Class: attempt.spec.Class, State: attempt.state, Result: attempt.result,
-		Resources: attempt.spec.Resources, RanMs: ran, EstimateMs: attempt.spec.EstimateMs,
+		Resources: attempt.spec.Resources, RanMs: elapsedMs, EstimateMs: attempt.spec.EstimateMs,
 		Queue: attempt.spec.Queue, Name: attempt.spec.Name,
 		Checkpoint:  attempt.spec.Checkpoint,
-		SpecMissing: attempt.specUnknown, EndedLate: attempt.lateEnd, QueueMs: attempt.queueMs(), StartMs: attempt.startMs(),
+		SpecMissing: attempt.specUnknown, EndedLate: attempt.endedLate,
+		QueueMs: attempt.queueMs(), StartMs: attempt.startMs(),
 	}
 }
 
-// queueMs is how long an attempt waited here before its order; 0 for one that a former
-// agent ordered.
+// queueMs returns how long an attempt was queued here before its order; 0 for one that a former agent
+// ordered.
 func (a *agentAttempt) queueMs() int64 {
 	if a.queuedMs == 0 || a.orderedMs == 0 {
 		return 0
@@ -244,7 +251,7 @@
 	return max(a.orderedMs-a.queuedMs, 0)
 }
 
-// startMs is how long it took from the order until the worker listed the run.
+// startMs returns the time from the order until the worker listed the attempt as running.
 func (a *agentAttempt) startMs() int64 {
 	if a.orderedMs == 0 || a.startedMs == 0 {
 		return 0
@@ -252,13 +259,13 @@
 	return max(a.startedMs-a.orderedMs, 0)
 }
 
-// shed gives back unstarted queueable tasks, the last in line first, until the
-// rank meets the coordinator's target.
+// shed returns queued queueable attempts to their owners, the last in the queue first, until the rank
+// is within the coordinator's target.
 func (n *node) shed(agent *workerAgent, targetMs int64) {
-	rank, _, _ := agent.rankOf(n)
+	rank, _, _ := agent.workerRank(n)
 	queue := agent.queuedAttempts(n)
 	slices.Reverse(queue)
-	some := false
+	shedAny := false
 	for _, attempt := range queue {
 		if rank <= targetMs {
 			break
@@ -267,15 +274,15 @@
 			continue
 		}
 		rank -= attempt.spec.EstimateMs
-		attempt.state, attempt.result, some = wire.AttemptEnded, wire.ResultShed, true
+		attempt.state, attempt.result, shedAny = wire.AttemptEnded, wire.ResultShed, true
 		n.count("sheds")
 	}
-	if some {
+	if shedAny {
 		n.reportAgent(agent)
 	}
 }
 
-// onPromotion makes a running queueable task firm, if its room is sure.
+// onPromotion makes a running queueable attempt guaranteed, if all guaranteed ones still fit.
 func (n *node) onPromotion(_ string, m *wire.Promotion) {
 	agent := n.agents[m.Worker]
 	if agent == nil || agent.epoch != m.Epoch || !n.isActiveAgent(agent) {
@@ -287,13 +294,13 @@
 		n.batchRulesOfSpec(&attempt.spec) != nil {
 		return
 	}
-	firm := attempt.spec.Resources
-	for _, o := range agent.attempts {
-		if o.state != wire.AttemptEnded && o.spec.Class == wire.ClassGuaranteed {
-			firm = firm.Plus(o.spec.Resources)
+	guaranteed := attempt.spec.Resources
+	for _, other := range agent.attempts {
+		if other.state != wire.AttemptEnded && other.spec.Class == wire.ClassGuaranteed {
+			guaranteed = guaranteed.Plus(other.spec.Resources)
 		}
 	}
-	if firm.Fits(agent.capacity) {
+	if guaranteed.Fits(agent.capacity) {
 		attempt.spec.Class = wire.ClassGuaranteed
 		n.count("promotions")
 	}
--- a/internal/daemon/allocation_request.go
+++ b/internal/daemon/allocation_request.go
@@ -7,8 +7,8 @@
 	"otterchute/internal/wire"
 )
 
-// requestAllocation requests a guaranteed place for a task; where tasks of its step are alike,
-// for all of them that wait now, and for a gang once nobody of it is placed.
+// requestAllocation requests guaranteed resources for a task from the central scheduler. In a uniform
+// step one request covers all tasks that wait now; a gang is requested once all its members wait.
 func (n *node) requestAllocation(shard *ownedShard, job *liveJob, i int) {
 	to, _ := n.leases.Holder(lease.Central)
 	if to == "" || !n.gangReady(job, i) {
@@ -16,11 +16,11 @@
 	}
 	m := n.newAllocationRequest(shard, job, i)
 	m.Tasks = n.requestedTasks(shard, job, i)
-	m.Avoid, m.Suspect = n.avoidedBy(job, m.Tasks)
+	m.Avoid, m.Suspect = n.avoidedWorkers(job, m.Tasks)
 	n.send(to, m)
 }
 
-// newAllocationRequest gives a request for a task's step, without the tasks.
+// newAllocationRequest returns a request for a task's step, without the tasks.
 func (n *node) newAllocationRequest(shard *ownedShard, job *liveJob, i int) *wire.AllocationRequest {
 	t := &job.Tasks[i]
 	step := &job.Steps[t.Step]
@@ -50,39 +50,39 @@
 	return m
 }
 
-// requestedTogether gives the positions of the tasks that are requested with one.
-func (j *liveJob) requestedTogether(i int) (from, to int) {
+// requestRange returns the positions of the tasks that are requested together with a task.
+func (j *liveJob) requestRange(i int) (from, to int) {
 	if j.Steps[j.Tasks[i].Step].Uniform {
 		return j.gangRange(i)
 	}
 	return i, i + 1
 }
 
-// waitsForPlace tells whether a task may be placed, by its own state and the committed record.
-func (n *node) waitsForPlace(job *liveJob, k int) bool {
+// isPlaceable reports whether a task is pending, committed and past its retry time.
+func (n *node) isPlaceable(job *liveJob, k int) bool {
 	t := &job.Tasks[k]
 	return t.State == taskPending && t.ChangedVersion <= job.committed && n.now >= job.runtime[k].retryAtMs
 }
 
-// gangReady tells whether all members of a task's gang wait for a place; true for a single task.
+// gangReady reports whether all members of a task's gang can be placed; true for a single task.
 func (n *node) gangReady(job *liveJob, i int) bool {
 	if !job.Steps[job.Tasks[i].Step].Gang {
 		return true
 	}
-	from, to := job.requestedTogether(i)
+	from, to := job.requestRange(i)
 	for k := from; k < to; k++ {
-		if !n.waitsForPlace(job, k) {
+		if !n.isPlaceable(job, k) {
 			return false
 		}
 	}
 	return true
 }
 
-// requestedTasks gives the tasks to request places for with a task, as far as the tenant's share
-// goes, and reserves the share for them.
+// requestedTasks returns the tasks to request together with a task, as many as the tenant's share
+// allows, and reserves the share for them.
 func (n *node) requestedTasks(shard *ownedShard, job *liveJob, i int) (requested []wire.RequestedTask) {
 	gang := job.Steps[job.Tasks[i].Step].Gang
-	from, to := job.requestedTogether(i)
+	from, to := job.requestRange(i)
 	attempt := int32(0)
 	for k := from; k < to; k++ {
 		attempt = max(attempt, job.Tasks[k].Attempt+1)
@@ -90,7 +90,7 @@
 	var reserved resource.Amount
 	for k := from; k < to; k++ {
 		t := &job.Tasks[k]
-		if !n.waitsForPlace(job, k) || k != i && n.classify(job, t) != wire.ClassGuaranteed {
+		if !n.isPlaceable(job, k) || k != i && n.classify(job, t) != wire.ClassGuaranteed {
 			continue
 		}
 		if !gang && !n.hasReservedShare(shard, job, i, reserved.Plus(t.Resources)) {
@@ -108,38 +108,38 @@
 	return requested
 }
 
-// avoidedMax bounds the workers that a request for guaranteed places asks to avoid, of each kind.
-const avoidedMax = 32
+// avoidedWorkersMax is the maximum number of workers in each of the lists Avoid and Suspect of a request.
+const avoidedWorkersMax = 32
 
-// avoidedBy gives the workers that requested tasks rather not go to: where they failed; and,
-// doubted, where others of the job did lately, and, if one may fail no more, where anything
-// speaks against the worker.
-func (n *node) avoidedBy(job *liveJob, requested []wire.RequestedTask) (avoided, doubted []string) {
-	failed, doubts, last := map[string]bool{}, map[string]bool{}, false
+// avoidedWorkers returns the workers that requested tasks should not be placed at: avoided are those
+// where the tasks themselves last failed; suspected are those where other tasks of the job failed
+// recently and, if a task is on its last attempt, those with any recent failures.
+func (n *node) avoidedWorkers(job *liveJob, requested []wire.RequestedTask) (avoided, suspected []string) {
+	failed, suspects, lastAttempt := map[string]bool{}, map[string]bool{}, false
 	for _, r := range requested {
 		i, _, _ := job.position(r.Task)
 		if t := &job.Tasks[i]; t.LastFailedWorker != "" {
 			failed[t.LastFailedWorker] = true
-			last = last || t.onLastAttempt()
+			lastAttempt = lastAttempt || t.onLastAttempt()
 		}
 	}
 	for worker := range job.failedAt {
-		if job.failedLatelyAt(worker, n.now) {
-			doubts[worker] = true
+		if job.failedRecentlyAt(worker, n.now) {
+			suspects[worker] = true
 		}
 	}
-	if last {
+	if lastAttempt {
 		for worker, w := range n.workers {
 			if w.recentFailures {
-				doubts[worker] = true
+				suspects[worker] = true
 			}
 		}
 	}
-	avoided, doubted = sortedKeys(failed), sortedKeys(doubts)
-	return avoided[:min(len(avoided), avoidedMax)], doubted[:min(len(doubted), avoidedMax)]
+	avoided, suspected = sortedKeys(failed), sortedKeys(suspects)
+	return avoided[:min(len(avoided), avoidedWorkersMax)], suspected[:min(len(suspected), avoidedWorkersMax)]
 }
 
-// onAllocation takes guaranteed places from the central scheduler; a gang's all or none.
+// onAllocation applies the workers that the central scheduler granted, for a gang all or none.
 func (n *node) onAllocation(_ string, m *wire.Allocation) {
 	shard := n.shards[m.Shard]
 	if shard == nil || !n.leases.Holds(lease.ShardRole(m.Shard)) {
@@ -149,33 +149,36 @@
 	if job == nil || job.State != jobRunning {
 		return
 	}
-	q := n.config.current.Queues[job.Queue]
-	if !n.acceptsGang(shard, job, q, m.Places) {
+	queue := n.config.current.Queues[job.Queue]
+	if !n.acceptsGang(shard, job, queue, m.Places) {
 		n.count("grants_not_taken")
 		return
 	}
-	for _, p := range m.Places {
-		if i, ok := n.acceptsPlace(job, q, p); !ok || !n.applyPlace(shard, job, i, p) {
+	for _, place := range m.Places {
+		if i, ok := n.acceptsAllocation(job, queue, place); !ok || !n.applyAllocation(shard, job, i, place) {
 			n.count("grants_not_taken")
 		}
 	}
 }
 
-// acceptsPlace gives the position of a task that was granted a place, and whether it may go there.
-func (n *node) acceptsPlace(job *liveJob, q *configuration.Queue, p wire.AllocatedTask) (i int, ok bool) {
-	i, _, known := job.position(p.Task)
-	w := n.workers[p.Worker]
-	if !known || w == nil || q == nil {
+// acceptsAllocation returns the position of a task that was granted a worker, and whether it may be
+// placed there.
+func (n *node) acceptsAllocation(job *liveJob, queue *configuration.Queue, place wire.AllocatedTask) (i int, ok bool) {
+	i, _, known := job.position(place.Task)
+	w := n.workers[place.Worker]
+	if !known || w == nil || queue == nil {
 		return 0, false
 	}
 	t := &job.Tasks[i]
-	return i, t.State == taskPending && p.Attempt > t.Attempt && t.ChangedVersion <= job.committed &&
-		n.workerAllowed(w, q, t.RequiredLabels, t.Resources)
+	return i, t.State == taskPending && place.Attempt > t.Attempt && t.ChangedVersion <= job.committed &&
+		n.workerAllowed(w, queue, t.RequiredLabels, t.Resources)
 }
 
-// acceptsGang tells whether places for a gang are for all its members and within its tenant's share;
+// acceptsGang reports whether a gang was granted workers for all its members, within its tenant's share;
 // true for single tasks.
-func (n *node) acceptsGang(shard *ownedShard, job *liveJob, q *configuration.Queue, places []wire.AllocatedTask) bool {
+func (n *node) acceptsGang(
+	shard *ownedShard, job *liveJob, queue *configuration.Queue, places []wire.AllocatedTask,
+) bool {
 	if len(places) == 0 {
 		return true
 	}
@@ -183,28 +186,28 @@
 	if !known || !job.Steps[job.Tasks[first].Step].Gang {
 		return true
 	}
-	whole := 0
-	for _, p := range places {
-		if _, ok := n.acceptsPlace(job, q, p); ok {
-			whole++
+	accepted := 0
+	for _, place := range places {
+		if _, ok := n.acceptsAllocation(job, queue, place); ok {
+			accepted++
 		}
 	}
-	return whole >= int(job.Steps[job.Tasks[first].Step].Size) &&
+	return accepted >= int(job.Steps[job.Tasks[first].Step].Size) &&
 		n.hasReservedShare(shard, job, first, job.allocationUnit(first))
 }
 
-// applyPlace places a task where it was granted a place, if its step and its tenant's share still
-// allow that.
-func (n *node) applyPlace(shard *ownedShard, job *liveJob, i int, p wire.AllocatedTask) bool {
+// applyAllocation places a task at the worker that it was granted, if its step's limit per worker and its
+// tenant's share still allow that.
+func (n *node) applyAllocation(shard *ownedShard, job *liveJob, i int, place wire.AllocatedTask) bool {
 	step := &job.Steps[job.Tasks[i].Step]
-	if step.MaxPerWorker > 0 && job.stepTasksByWorker(i)[p.Worker] >= step.MaxPerWorker {
+	if step.MaxPerWorker > 0 && job.stepTasksByWorker(i)[place.Worker] >= step.MaxPerWorker {
 		return false
 	}
 	if !step.Gang && !n.hasReservedShare(shard, job, i, job.Tasks[i].Resources) {
 		return false
 	}
-	n.placeTask(shard, job, i, p.Worker, wire.ClassGuaranteed)
+	n.placeTask(shard, job, i, place.Worker, wire.ClassGuaranteed)
 	n.tracePlaced(job, i, 0)
-	job.Tasks[i].Attempt = p.Attempt
+	job.Tasks[i].Attempt = place.Attempt
 	return true
 }
--- a/internal/daemon/heartbeat.go
+++ b/internal/daemon/heartbeat.go
@@ -13,27 +13,30 @@
 )
 
 const (
-	holdMaxMs = 4000 // a heartbeat's answer holds its worker this long; a daemon that is killed is back before
-	// ownerTimeoutMs is how long an agent keeps a run without its owner's word: longer than a
-	// takeover or a short cut.
+	holdMaxMs = 4000 // the longest hold; a daemon that is killed has restarted before it lapses
+	// ownerTimeoutMs is how long an agent keeps an attempt running without its owner's confirmation. It is
+	// longer than a takeover of the shard or a short partition.
 	ownerTimeoutMs   = 7000
-	staleStopMs      = 900    // before that it stops the run, in time for the stop to be listed
-	lapseMarginMs    = 300    // past the longest a hold may last, for what clocks and messages differ by
-	driftPercent     = 2      // a worker's clock may run this much slow
-	heartbeatMs      = 50     // a worker sends its heartbeat again after this; an order waits half of it in the mean
-	stallMs          = 1500   // work that does not move for this long, and a tenth of its estimate, stands still
-	lastPercent      = 99     // a worker tells no more of work that has not ended
-	lateEndsMax      = 100    // ends that wait behind a late one before the hold is let run out
-	heartbeatEndsMax = 500    // ends that one heartbeat tells of at most
-	goneDelayMs      = 500    // a worker that said it goes has ended this long after
-	leaveStopMs      = 800    // so long before its worker leaves, work that saves is stopped, to go on elsewhere
-	workerKeepMs     = 60_000 // a worker's agent whose worker is gone keeps the ends nobody took note of for this long
+	staleStopMs      = 900    // unconfirmed attempts are stopped this long before that, to report the end in time
+	lapseMarginMs    = 300    // margin past the end of a hold for differences of clocks and message delays
+	driftPercent     = 2      // a worker's clock may run slow by this much
+	heartbeatMs      = 50     // interval of a worker's heartbeats; an order waits half of it on average
+	stallMs          = 1500   // work has stalled without progress for this long plus a tenth of its estimate
+	lastPercent      = 99     // the highest progress that a worker reports before an attempt ends
+	lateEndsMax      = 100    // ends that may wait behind a late one before the hold must lapse
+	heartbeatEndsMax = 500    // most ends that one heartbeat lists
+	signOffDelayMs   = 500    // a worker that signed off has ended after this time
+	leaveStopMs      = 800    // checkpointing attempts stop this long before their worker leaves, to resume elsewhere
+	goneAgentKeepMs  = 60_000 // the agent of a worker that has gone keeps unacknowledged ends for this long
 )
 
-// An agent beside its worker: the worker's heartbeats reach no other
-// daemon, and its orders leave in the answers to them. Heartbeats come one after the
-// other, so that a heartbeat tells what became of all that earlier answers ordered.
+// A colocated agent is the only recipient of its worker's heartbeats, and sends its orders in the replies.
+// Heartbeats follow one another, so each one shows the effect of all orders in earlier replies.
+//
+// A reply grants a hold: the worker keeps its attempts running until the hold has passed without
+// another reply, and then ends them all (the hold lapses).
 
+// heartbeatOutcomes are the outcomes that a worker may report for an attempt.
 var heartbeatOutcomes = map[string]bool{
 	"ok":          true,
 	"failed":      true,
@@ -44,10 +47,11 @@
 	"turned_away": true,
 }
 
-// finalOutcomes are the outcomes that a task's record stands on: they must not be
-// taken note of where another run took their place.
+// finalOutcomes are the outcomes that decide a task's record. They must not be acknowledged to the
+// worker if another attempt may have replaced theirs.
 var finalOutcomes = map[string]bool{"ok": true, "failed": true}
 
+// heartbeatRunFields is the schema of one attempt in a heartbeat.
 var heartbeatRunFields = map[string]schema.Field{
 	"job": {
 		Kind:     schema.String,
@@ -67,6 +71,7 @@
 	"outcome": {Kind: schema.Name},
 }
 
+// heartbeatFields is the schema of a heartbeat.
 var heartbeatFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"seq": {
 		Kind:     schema.Integer,
@@ -85,7 +90,7 @@
 	"ended":     {Kind: schema.List, Max: 100_000, Elem: &schema.Field{Kind: schema.Object, Fields: heartbeatRunFields}},
 }}
 
-// taskOrder is one task in the answer to a heartbeat.
+// taskOrder is an order to start or stop an attempt, in the reply to a heartbeat.
 type taskOrder struct {
 	Job     string          `json:"job"`
 	Round   int32           `json:"round"`
@@ -96,6 +101,7 @@
 	Saved   string          `json:"saved,omitempty"`
 }
 
+// heartbeatReply is the reply to a worker's heartbeat.
 type heartbeatReply struct {
 	HoldMs           int64       `json:"hold_ms"`
 	AcknowledgedEnds int64       `json:"seen"`
@@ -104,68 +110,70 @@
 	Stop             []taskOrder `json:"stop"`
 }
 
-func newTaskOrder(k wire.AttemptKey) taskOrder {
-	round, step, index, _ := parseUniformTaskID(k.Task)
-	return taskOrder{Job: k.Job, Round: round, Step: step, Index: index, Run: k.Attempt}
+// newTaskOrder returns an order for an attempt, without payload and checkpoint.
+func newTaskOrder(key wire.AttemptKey) taskOrder {
+	round, step, index, _ := parseUniformTaskID(key.Task)
+	return taskOrder{Job: key.Job, Round: round, Step: step, Index: index, Run: key.Attempt}
 }
 
-// parseHeartbeatRun reads which run an entry of a heartbeat speaks of; false for one that no
-// otterchute ever ordered.
-func parseHeartbeatRun(e gjson.Result) (wire.AttemptKey, bool) {
-	round, run := e.Get("round").Int(), e.Get("run").Int()
-	k := wire.AttemptKey{
-		Job:     e.Get("job").Str,
-		Task:    uniformTaskID(int32(round), int32(e.Get("step").Int()), int32(e.Get("index").Int())),
-		Attempt: int32(run),
+// parseHeartbeatRun returns the key of the attempt in an entry of a heartbeat; false if no daemon can
+// have ordered it.
+func parseHeartbeatRun(entry gjson.Result) (wire.AttemptKey, bool) {
+	round, attempt := entry.Get("round").Int(), entry.Get("run").Int()
+	key := wire.AttemptKey{
+		Job:     entry.Get("job").Str,
+		Task:    uniformTaskID(int32(round), int32(entry.Get("step").Int()), int32(entry.Get("index").Int())),
+		Attempt: int32(attempt),
 	}
-	return k, round >= 0 && schema.ValidName(k.Job) && run > 0
+	return key, round >= 0 && schema.ValidName(key.Job) && attempt > 0
 }
 
-// handleHeartbeat takes a worker's word and answers with what is to start and stop.
+// handleHeartbeat applies a worker's heartbeat and replies with the attempts to start and stop.
 func (n *node) handleHeartbeat(req *request) {
 	if !schema.ValidName(req.key) {
 		n.rejectFaults(req, 400, 0, []schema.Fault{{Path: "worker", Reason: "must be a name"}})
 		return
 	}
-	if f := schema.Check(req.body, heartbeatFields); len(f) > 0 {
-		n.log("heartbeat_unreadable", "worker", req.key, "path", f[0].Path, "reason", f[0].Reason)
-		n.rejectFaults(req, 400, 0, f)
+	if faults := schema.Check(req.body, heartbeatFields); len(faults) > 0 {
+		n.log("heartbeat_unreadable", "worker", req.key, "path", faults[0].Path, "reason", faults[0].Reason)
+		n.rejectFaults(req, 400, 0, faults)
 		return
 	}
-	r := gjson.ParseBytes(req.body)
+	heartbeat := gjson.ParseBytes(req.body)
 	agent := n.agents[req.key]
 	if agent == nil {
 		agent = n.addColocatedAgent(req.key)
 	}
-	seq := r.Get("seq").Int()
+	seq := heartbeat.Get("seq").Int()
 	if agent.replaced || !agent.colocated || seq <= agent.reportSeq {
 		n.respond(req, 200, 0, mustJSON(heartbeatReply{IntervalMs: heartbeatMs, Start: []taskOrder{}, Stop: []taskOrder{}}))
 		return
 	}
 	changed, missed := !agent.rebuilt, n.now-agent.lastContactMs > freezeThresholdMs
 	agent.reportSeq, agent.lastContactMs, agent.tokenMs = seq, n.now, n.now
-	agent.zone, agent.rack, agent.labels = r.Get("site").Str, r.Get("rack").Str, labelsOf(r.Get("labels"))
-	agent.capacity = resource.Parse(r.Get("capacity"))
+	agent.zone, agent.rack, agent.labels = heartbeat.Get("site").Str, heartbeat.Get("rack").Str,
+		labelsOf(heartbeat.Get("labels"))
+	agent.capacity = resource.Parse(heartbeat.Get("capacity"))
 	agent.free = agent.capacity
-	if leaving := r.Get("leaving").Bool(); leaving != agent.leaving {
+	if leaving := heartbeat.Get("leaving").Bool(); leaving != agent.leaving {
 		agent.leaving, changed = leaving, true
-		n.log("worker_leaving", "worker", agent.worker, "leaving", leaving, "leaves_ms", r.Get("leaves_ms").Int())
+		n.log("worker_leaving", "worker", agent.worker, "leaving", leaving, "leaves_ms", heartbeat.Get("leaves_ms").Int())
 	}
-	if left := r.Get("leaves_ms"); left.Exists() && agent.leaving {
-		agent.leavesAtMs = n.now + left.Int()
+	if leaves := heartbeat.Get("leaves_ms"); leaves.Exists() && agent.leaving {
+		agent.leavesAtMs = n.now + leaves.Int()
 	}
-	ended, differs := n.applyHeartbeatLists(agent, r, missed)
+	ended, differs := n.applyHeartbeatLists(agent, heartbeat, missed)
 	changed = changed || differs
-	if !agent.rebuilt { // what a former agent here ordered is listed, or never starts
+	if !agent.rebuilt { // attempts that a former agent here ordered are listed, or will never start
 		agent.rebuilt, agent.adoptedMs = true, n.now
 		agent.holdUntilMs = n.now + holdMaxMs*(100+driftPercent)/100
 		n.log("agent_rebuilt", "worker", agent.worker, "epoch", agent.epoch, "held", len(agent.attempts))
 	}
 	n.detectStalledWork(agent)
-	n.judgeWorker(agent)
-	agent.answering = true
+	n.ejectIfUnhealthy(agent)
+	agent.replying = true
 	n.startPending(agent)
-	agent.answering = false
+	agent.replying = false
 	n.respond(req, 200, 0, mustJSON(n.heartbeatReply(agent)))
 	switch {
 	case changed:
@@ -175,13 +183,13 @@
 	}
 }
 
-// addColocatedAgent makes the agent of a worker that sends heartbeats here. One worker stands at a
-// place: another that did so before has crashed, and runs nothing any more.
+// addColocatedAgent creates the agent of a worker that sends heartbeats to this daemon. Only one worker
+// runs beside a daemon, so a former one has crashed and runs nothing any more.
 func (n *node) addColocatedAgent(worker string) *workerAgent {
 	for _, name := range sortedKeys(n.agents) {
 		if old := n.agents[name]; old.colocated && !old.replaced {
 			n.log("worker_replaced", "worker", name, "by", worker)
-			n.loseAttempts(old)
+			n.resolveLostAttempts(old)
 			old.replaced, old.leaving = true, true
 			n.reportAgent(old)
 		}
@@ -205,8 +213,8 @@
 	return agent
 }
 
-// loseAttempts resolves all that a worker surely doesn't run any more.
-func (n *node) loseAttempts(agent *workerAgent) (some bool) {
+// resolveLostAttempts ends all attempts of a worker that certainly runs none of them any more.
+func (n *node) resolveLostAttempts(agent *workerAgent) (resolved bool) {
 	for _, key := range agent.keys() {
 		attempt := agent.attempts[key]
 		if attempt.state == wire.AttemptEnded {
@@ -218,26 +226,26 @@
 			attempt.result = wire.ResultLost
 			n.count("runs_lost")
 		}
-		attempt.state, some = wire.AttemptEnded, true
+		attempt.state, resolved = wire.AttemptEnded, true
 	}
-	return some
+	return resolved
 }
 
-// endedList is what a heartbeat lists as ended.
+// endedList collects the attempts that a heartbeat lists as ended.
 type endedList struct {
-	keys    map[wire.AttemptKey]bool
-	count   int   // also of what isn't one of ours
-	first   int64 // lowest number
-	lapsed  int64 // highest number of a lapse: what ended before it ended before that lapse
-	changed bool
+	keys        map[wire.AttemptKey]bool
+	count       int   // all entries, including those that no daemon ordered
+	firstNumber int64 // lowest number of an end
+	lastLapse   int64 // highest number of an attempt ended by a lapse; lower numbers ended before that lapse
+	changed     bool
 }
 
-// applyHeartbeatLists brings what is held in line with what the worker lists; missed says
-// that no heartbeat was heard for so long that nobody knows when it came about. It tells
-// whether attempts ended, and whether owners must hear all of what is held.
-func (n *node) applyHeartbeatLists(agent *workerAgent, r gjson.Result, missed bool) (ended, changed bool) {
+// applyHeartbeatLists updates the agent's attempts from the worker's lists. If heartbeats were missed, the
+// time of changes since the last one is unknown. It reports whether attempts have ended, and whether
+// owners need a full report.
+func (n *node) applyHeartbeatLists(agent *workerAgent, heartbeat gjson.Result, missed bool) (ended, changed bool) {
 	running := map[wire.AttemptKey]bool{}
-	r.Get("running").ForEach(func(_, e gjson.Result) bool {
+	heartbeat.Get("running").ForEach(func(_, e gjson.Result) bool {
 		if key, ok := parseHeartbeatRun(e); ok {
 			running[key] = true
 			changed = n.applyRunning(agent, key, e, missed) || changed
@@ -245,22 +253,22 @@
 		return true
 	})
 	list := &endedList{keys: map[wire.AttemptKey]bool{}}
-	r.Get("ended").ForEach(func(_, e gjson.Result) bool {
+	heartbeat.Get("ended").ForEach(func(_, e gjson.Result) bool {
 		n.applyEnded(agent, list, e, missed)
 		return true
 	})
 	for number, key := range agent.endsByNumber {
-		if attempt := agent.attempts[key]; number < list.lapsed && attempt != nil {
-			attempt.lateEnd, attempt.voided = false, true
+		if attempt := agent.attempts[key]; number < list.lastLapse && attempt != nil {
+			attempt.endedLate, attempt.voided = false, true
 		}
 	}
-	if list.first > 0 && agent.acknowledgedEnds < list.first-1 {
-		agent.acknowledgedEnds = list.first - 1
+	if list.firstNumber > 0 && agent.acknowledgedEnds < list.firstNumber-1 {
+		agent.acknowledgedEnds = list.firstNumber - 1
 	}
 	return n.endUnlisted(agent, running, list) || list.changed, changed
 }
 
-// adoptUnknown takes a run that only the worker knew of, as a former agent had ordered it.
+// adoptUnknown adds an attempt that only the worker lists, since a former agent ordered it.
 func (a *workerAgent) adoptUnknown(key wire.AttemptKey, now int64) *agentAttempt {
 	attempt := &agentAttempt{
 		state: wire.AttemptOrdered, specUnknown: true, ordered: true, unobserved: true,
@@ -270,8 +278,9 @@
 	return attempt
 }
 
-// applyRunning applies one run that a heartbeat lists as running.
-func (n *node) applyRunning(agent *workerAgent, key wire.AttemptKey, e gjson.Result, missed bool) (changed bool) {
+// applyRunning applies one attempt that a heartbeat lists as running. It reports whether owners need a
+// full report.
+func (n *node) applyRunning(agent *workerAgent, key wire.AttemptKey, entry gjson.Result, missed bool) (changed bool) {
 	attempt := agent.attempts[key]
 	if attempt == nil {
 		attempt = agent.adoptUnknown(key, n.now)
@@ -286,60 +295,60 @@
 		attempt.state, attempt.ordered, attempt.startedMs, attempt.lastProgressMs = wire.AttemptRunning, true, n.now, n.now
 		attempt.unobserved = attempt.unobserved || missed
 	}
-	if p := e.Get("percent").Int(); p != attempt.percent {
-		attempt.percent, attempt.lastProgressMs = p, n.now
+	if progress := entry.Get("percent").Int(); progress != attempt.percent {
+		attempt.percent, attempt.lastProgressMs = progress, n.now
 	}
-	if saved := e.Get("saved").Str; saved != "" {
+	if saved := entry.Get("saved").Str; saved != "" {
 		attempt.spec.Checkpoint = saved
 	}
 	return changed
 }
 
-// applyEnded applies one run that a heartbeat lists as ended.
-func (n *node) applyEnded(agent *workerAgent, list *endedList, e gjson.Result, missed bool) {
-	number, outcome := e.Get("n").Int(), e.Get("outcome").Str
+// applyEnded applies one attempt that a heartbeat lists as ended.
+func (n *node) applyEnded(agent *workerAgent, list *endedList, entry gjson.Result, missed bool) {
+	number, outcome := entry.Get("n").Int(), entry.Get("outcome").Str
 	list.count++
-	if list.first == 0 || number < list.first {
-		list.first = number
+	if list.firstNumber == 0 || number < list.firstNumber {
+		list.firstNumber = number
 	}
 	if outcome == "lapsed" {
-		list.lapsed = max(list.lapsed, number)
+		list.lastLapse = max(list.lastLapse, number)
 	}
-	key, ok := parseHeartbeatRun(e)
+	key, ok := parseHeartbeatRun(entry)
 	if !ok || !heartbeatOutcomes[outcome] {
 		agent.endsByNumber[number] = wire.AttemptKey{}
 		return
 	}
 	list.keys[key], agent.endsByNumber[number] = true, key
 	attempt := agent.attempts[key]
-	if _, buried := agent.tombstones[key]; buried && attempt == nil {
+	if _, tombstoned := agent.tombstones[key]; tombstoned && attempt == nil {
 		return
 	}
-	if attempt == nil { // of a former agent, that may have been cut off for long
+	if attempt == nil { // ordered by a former agent, which may have been cut off from the owner for long
 		attempt = agent.adoptUnknown(key, n.now)
 		attempt.startedMs = n.now
-		attempt.lateEnd = finalOutcomes[outcome]
+		attempt.endedLate = finalOutcomes[outcome]
 	}
-	if saved := e.Get("saved").Str; saved != "" {
+	if saved := entry.Get("saved").Str; saved != "" {
 		attempt.spec.Checkpoint = saved
 	}
-	// A run given up as lost that ended by itself after all: its owner says whether it still counts.
+	// An attempt given up as lost has ended by itself after all: its owner decides whether it still counts.
 	lost := attempt.state == wire.AttemptEnded && attempt.result == wire.ResultLost && !attempt.acked &&
 		finalOutcomes[outcome]
 	if attempt.state != wire.AttemptEnded || lost {
-		attempt.lateEnd = (attempt.lateEnd || lost) && !attempt.voided
+		attempt.endedLate = (attempt.endedLate || lost) && !attempt.voided
 		list.changed = true
 		attempt.unobserved = attempt.unobserved || missed
 		n.endAttempt(agent, attempt, outcome, max(n.now-max(attempt.startedMs, attempt.orderedMs), 1))
 	}
 }
 
-// endUnlisted ends what the worker no longer lists, and forgets what is acknowledged.
+// endUnlisted ends attempts that the worker no longer lists, and forgets acknowledged ones.
 func (n *node) endUnlisted(agent *workerAgent, running map[wire.AttemptKey]bool, ended *endedList) (changed bool) {
 	for _, key := range agent.keys() {
 		attempt := agent.attempts[key]
 		attempt.listed = running[key]
-		mayBeCutShort := ended.count >= heartbeatEndsMax // there may be more than it could list
+		mayBeCutShort := ended.count >= heartbeatEndsMax // the list is full, so more attempts may have ended
 		switch {
 		case running[key] || ended.keys[key] || mayBeCutShort && attempt.state == wire.AttemptRunning:
 		case attempt.state == wire.AttemptOrdered && attempt.orderSeq < agent.reportSeq:
@@ -354,37 +363,37 @@
 	return changed
 }
 
-// heartbeatReply says what starts and stops, which ends are acknowledged, and how
-// long the worker goes on without another answer.
+// heartbeatReply returns the reply to a heartbeat: the attempts to start and stop, the acknowledged ends,
+// and the hold.
 func (n *node) heartbeatReply(agent *workerAgent) heartbeatReply {
-	out := heartbeatReply{IntervalMs: heartbeatMs, Start: []taskOrder{}, Stop: []taskOrder{}}
+	reply := heartbeatReply{IntervalMs: heartbeatMs, Start: []taskOrder{}, Stop: []taskOrder{}}
 	n.acknowledgeEnds(agent)
-	out.AcknowledgedEnds = agent.acknowledgedEnds
+	reply.AcknowledgedEnds = agent.acknowledgedEnds
 	for _, attempt := range agent.toStart {
-		v := newTaskOrder(attempt.spec.Key)
-		v.Payload, v.Saved = attempt.spec.Payload, attempt.spec.Checkpoint
-		out.Start = append(out.Start, v)
+		order := newTaskOrder(attempt.spec.Key)
+		order.Payload, order.Saved = attempt.spec.Payload, attempt.spec.Checkpoint
+		reply.Start = append(reply.Start, order)
 	}
 	agent.toStart = nil
 	for _, key := range agent.keys() {
 		if attempt := agent.attempts[key]; attempt.atWorker() && attempt.stopMs != 0 {
-			out.Stop = append(out.Stop, newTaskOrder(key))
+			reply.Stop = append(reply.Stop, newTaskOrder(key))
 		}
 	}
 	if until := n.holdUntil(agent); until > n.now {
-		out.HoldMs = until - n.now
-		agent.holdUntilMs = max(agent.holdUntilMs, n.now+out.HoldMs*(100+driftPercent)/100)
+		reply.HoldMs = until - n.now
+		agent.holdUntilMs = max(agent.holdUntilMs, n.now+reply.HoldMs*(100+driftPercent)/100)
 	}
-	return out
+	return reply
 }
 
-// atWorker tells whether the worker has an attempt, or may have it.
+// atWorker reports whether the worker runs an attempt, or may run it.
 func (a *agentAttempt) atWorker() bool {
 	return a.state == wire.AttemptOrdered || a.state == wire.AttemptRunning
 }
 
-// acknowledgeEnds counts on over the ends, by their numbers, that are in their owners'
-// records. Where too many wait behind a late one it lets the hold run out.
+// acknowledgeEnds advances acknowledgedEnds over the ends, in the order of their numbers, that their owners
+// have acknowledged. If too many wait behind a late one, it lets the hold lapse.
 func (n *node) acknowledgeEnds(agent *workerAgent) {
 	for {
 		key, ok := agent.endsByNumber[agent.acknowledgedEnds+1]
@@ -398,7 +407,7 @@
 		delete(agent.endsByNumber, agent.acknowledgedEnds)
 	}
 	if attempt := agent.attempts[agent.endsByNumber[agent.acknowledgedEnds+1]]; len(agent.endsByNumber) > lateEndsMax &&
-		attempt != nil && attempt.lateEnd {
+		attempt != nil && attempt.endedLate {
 		n.count("ends_waited")
 		agent.letHoldLapse()
 	}
@@ -409,8 +418,8 @@
 	}
 }
 
-// isAcknowledged tells whether an end needs no more of its owner's word; the zero key stands
-// for an end that is none of ours.
+// isAcknowledged reports whether an end needs no further acknowledgement from its owner; the zero key
+// stands for an attempt that no daemon ordered.
 func (a *workerAgent) isAcknowledged(key wire.AttemptKey) bool {
 	if key == (wire.AttemptKey{}) {
 		return true
@@ -418,19 +427,19 @@
 	if attempt := a.attempts[key]; attempt != nil {
 		return attempt.acked
 	}
-	_, buried := a.tombstones[key]
-	return buried
+	_, tombstoned := a.tombstones[key]
+	return tombstoned
 }
 
-// holdUntil is when the worker's hold ends: never later than the oldest owner's word on what
-// it runs allows, and at once while the hold is to run out.
+// holdUntil returns when the worker's hold ends: at most ownerTimeoutMs after the oldest confirmation of an
+// attempt at the worker, and at once while the hold must lapse.
 func (n *node) holdUntil(agent *workerAgent) int64 {
 	if agent.lapseUntilMs != 0 {
 		return 0
 	}
-	until := n.now + n.holdSpan()
+	until := n.now + n.holdDurationMs()
 	if n.leavingSinceMs != 0 {
-		until = n.now + max(n.holdSpan(), n.MaxHoldMs)
+		until = n.now + max(n.holdDurationMs(), n.MaxHoldMs)
 	}
 	for _, attempt := range agent.attempts {
 		if attempt.atWorker() {
@@ -440,68 +449,68 @@
 	return until
 }
 
-// holdSpan is how long an answer holds its worker.
-func (n *node) holdSpan() int64 {
+// holdDurationMs returns the length of the hold that a reply grants.
+func (n *node) holdDurationMs() int64 {
 	if n.MaxHoldMs > 0 {
 		return min(holdMaxMs, n.MaxHoldMs)
 	}
 	return holdMaxMs
 }
 
-// recordOwnerReply notes that an owner answered a sync. Where it was silent for longer
-// than its word is good, or never answered this agent, it may have given up what
-// runs here, and what ended by itself meanwhile counts only if it says so.
+// recordOwnerReply records that an owner answered a report. If the owner did not answer for longer than
+// ownerTimeoutMs, or never answered this agent, it may have given up the attempts here; those that
+// ended by themselves meanwhile count only if the owner accepts them.
 //
-// What counts is when the answer came: a sync that a cut held up was sent in
-// time and heard too late.
-func (a *workerAgent) recordOwnerReply(slice string, sentMs, now int64) {
+// The silence is measured up to the arrival of the reply, not to the sending of the report: a report
+// delayed by a partition was sent in time but received too late.
+func (a *workerAgent) recordOwnerReply(shard string, sentMs, now int64) {
 	if !a.colocated {
 		return
 	}
-	if before, ok := a.ownerReplyMs[slice]; !ok || now-before > ownerTimeoutMs {
+	if lastReplyMs, ok := a.ownerReplyMs[shard]; !ok || now-lastReplyMs > ownerTimeoutMs {
 		for _, attempt := range a.attempts {
-			if attempt.spec.Shard == slice && attempt.state == wire.AttemptEnded &&
+			if attempt.spec.Shard == shard && attempt.state == wire.AttemptEnded &&
 				(attempt.result == wire.ResultOK || attempt.result == wire.ResultFailed) &&
 				!attempt.acked &&
 				!attempt.voided {
-				attempt.lateEnd = true
+				attempt.endedLate = true
 			}
 		}
 	}
-	a.ownerReplyMs[slice] = max(a.ownerReplyMs[slice], sentMs)
+	a.ownerReplyMs[shard] = max(a.ownerReplyMs[shard], sentMs)
 }
 
-// letHoldLapse lets the worker's hold run out: an end that another run took the place
-// of may be taken note of only after that. It waits until many others wait behind it.
+// letHoldLapse lets the worker's hold lapse: an end whose attempt may have been replaced can be
+// acknowledged only after that. It is called only once many other ends wait behind it.
 func (a *workerAgent) letHoldLapse() {
 	if a.lapseUntilMs == 0 {
 		a.lapseUntilMs = a.holdUntilMs + lapseMarginMs
 	}
 }
 
-// voidEnds notes that the hold lapsed: what ended before that stands for nothing
-// once it is taken note of.
+// voidEnds records that the hold has lapsed: ends before that can be acknowledged to the worker, and
+// no longer have to wait for their owner's decision as late ends.
 func (a *workerAgent) voidEnds() {
 	for _, attempt := range a.attempts {
-		attempt.lateEnd, attempt.voided = false, attempt.voided || attempt.ordered
+		attempt.endedLate, attempt.voided = false, attempt.voided || attempt.ordered
 	}
 }
 
-// detectStalledWork stops work that stands still, or that its worker's leaving would cut off.
+// detectStalledWork stops attempts that make no progress, that their worker's departure would cut off, or
+// that are over their run limit.
 func (n *node) detectStalledWork(agent *workerAgent) {
-	standing := false
+	stalled := false
 	for _, key := range agent.keys() {
 		attempt := agent.attempts[key]
 		if attempt.state != wire.AttemptRunning || attempt.stopMs != 0 || attempt.specUnknown {
 			continue
 		}
-		// A member of a gang waits for the others at its beginning, and at its end,
-		// which comes for all at once.
-		waits := attempt.spec.Gang && (attempt.percent == 0 || attempt.percent >= lastPercent)
+		// A member of a gang waits for the others at its start and at its end, which is common to all.
+		waitsForGang := attempt.spec.Gang && (attempt.percent == 0 || attempt.percent >= lastPercent)
 		switch {
-		case !attempt.spec.LongRunning && !waits && attempt.percent < 100 &&
+		case !attempt.spec.LongRunning && !waitsForGang && attempt.percent < 100 &&
 			n.now-attempt.lastProgressMs > stallMs+attempt.spec.EstimateMs/10:
-			standing = true
+			stalled = true
 			n.count("standing")
 			n.stopAttempt(agent, attempt, wire.ResultStalled)
 		case agent.leavesAtMs != 0 && attempt.spec.Checkpointing && agent.leavesAtMs-n.now < leaveStopMs:
@@ -510,13 +519,13 @@
 			n.stopAttempt(agent, attempt, wire.ResultOverrun)
 		}
 	}
-	if standing && n.now >= agent.suspectUntilMs {
-		n.suspectWorker(agent, "stands", stallSuspectMs)
+	if stalled && n.now >= agent.suspectUntilMs {
+		n.markSuspect(agent, "stands", stallSuspectMs)
 		n.reportAgent(agent)
 	}
 }
 
-// tickColocatedAgent ends what silence of the worker or of owners ends, and reports.
+// tickColocatedAgent ends attempts after silence of the worker or of their owners, and sends reports.
 func (n *node) tickColocatedAgent(agent *workerAgent) {
 	changed := n.endAfterSilence(agent)
 	for _, key := range agent.keys() {
@@ -542,8 +551,7 @@
 	}
 }
 
-// queuedSilenceMs is how long a worker may be silent before what waits for it, and never
-// started, goes back to its owner.
+// queuedSilenceMs returns the silence of a worker after which its queued attempts go back to their owners.
 func (n *node) queuedSilenceMs() int64 {
 	if n.Policies.On(scheduler.AvoidSilent) {
 		return quietMs
@@ -551,11 +559,12 @@
 	return ownerContactMs
 }
 
-// endAfterSilence gives up what the worker held once its hold has surely lapsed, or it is gone.
+// endAfterSilence ends the worker's attempts once its hold has certainly lapsed, or it is gone. It reports
+// whether any attempt has ended.
 func (n *node) endAfterSilence(agent *workerAgent) (changed bool) {
-	if n.now > agent.lapseUntilMs && agent.lapseUntilMs != 0 { // the hold has lapsed: late ends may go
+	if n.now > agent.lapseUntilMs && agent.lapseUntilMs != 0 { // the hold has lapsed: late ends may be acknowledged
 		agent.lapseUntilMs = 0
-		changed = n.loseAttempts(agent)
+		changed = n.resolveLostAttempts(agent)
 		agent.voidEnds()
 	}
 	silent := n.now > agent.holdUntilMs+lapseMarginMs && n.now-agent.lastContactMs > lapseMarginMs
@@ -566,29 +575,29 @@
 	if agent.goneAtMs == 0 {
 		agent.voidEnds()
 	}
-	if n.loseAttempts(agent) {
+	if n.resolveLostAttempts(agent) {
 		changed = true
 		n.log("worker_silent", "worker", agent.worker, "silent_ms", n.now-agent.lastContactMs)
 	}
 	return changed
 }
 
-// isFinished tells whether an agent whose worker is gone or replaced has nothing left to tell.
+// isFinished reports whether an agent whose worker is gone or replaced has nothing left to report.
 func (n *node) isFinished(agent *workerAgent) bool {
 	if !agent.replaced && agent.goneAtMs == 0 {
 		return false
 	}
-	if n.now-agent.lastContactMs > workerKeepMs {
+	if n.now-agent.lastContactMs > goneAgentKeepMs {
 		return true
 	}
 	unacknowledged := func(k wire.AttemptKey) bool { return !agent.attempts[k].acked }
 	return !slices.ContainsFunc(agent.keys(), unacknowledged) && n.now-agent.lastContactMs > ownerContactMs
 }
 
-// handleWorkerGone takes a worker's word that it ends now.
+// handleWorkerGone handles the sign-off of a worker that is shutting down.
 func (n *node) handleWorkerGone(req *request) {
 	if agent := n.agents[req.key]; agent != nil && agent.colocated && agent.goneAtMs == 0 {
-		agent.leaving, agent.goneAtMs = true, n.now+goneDelayMs
+		agent.leaving, agent.goneAtMs = true, n.now+signOffDelayMs
 		n.log("worker_gone", "worker", agent.worker)
 		n.reportAgent(agent)
 	}
--- a/internal/daemon/worker_choice.go
+++ b/internal/daemon/worker_choice.go
@@ -10,28 +10,28 @@
 	"otterchute/internal/wire"
 )
 
-// workerChoice is what the choice of a worker goes by for queueable tasks of one step that ask
-// for the same. It is gathered once for all of them: a placement changes one worker alone.
+// workerChoice holds the data from which workers are chosen for queueable tasks of one step with the same
+// requirements. It is collected once for all of them, as a placement changes only one worker.
 type workerChoice struct {
-	shard       *ownedShard
-	queue       *configuration.Queue
-	job         *liveJob
-	step        int32
-	round       int32
-	resources   resource.Amount
-	needs       []wire.Label
-	near        string
-	perWorker   int32
-	used        map[string]int32 // tasks of the step by worker
-	views       []*workerView
-	workers     []scheduler.QueueCandidate // in the order of their names
-	pinned      bool                       // agents stand beside workers: they can tell what room is left
-	mostSuspect bool                       // most workers are: then it isn't the workers
-	loadChanges uint64                     // of the shard, when this was gathered
+	shard          *ownedShard
+	queue          *configuration.Queue
+	job            *liveJob
+	step           int32
+	round          int32
+	resources      resource.Amount
+	requiredLabels []wire.Label
+	dataRack       string
+	maxPerWorker   int32
+	tasksByWorker  map[string]int32           // tasks of the step
+	views          []*workerView              // parallel to workers
+	workers        []scheduler.QueueCandidate // ordered by name
+	anyColocated   bool                       // colocated agents report their free resources often enough to use them
+	mostSuspect    bool                       // most workers are suspect, so the cause lies elsewhere
+	loadChanges    uint64                     // the shard's counter of load changes when this was collected
 }
 
-// selectWorker is the local scheduler: at random among the k allowed workers of lowest rank.
-// It tells among how many it drew, too.
+// selectWorker is the local scheduler: it draws at random among the k allowed workers of lowest rank, and
+// returns the worker and among how many it was drawn.
 func (n *node) selectWorker(
 	shard *ownedShard, job *liveJob, i int, pass *schedulePass,
 ) (worker string, candidates int) {
@@ -55,41 +55,43 @@
 	return choice.workers[at].Name, among
 }
 
-// avoidingFailures gives the workers for a task that failed before: not where it last did, and for
-// its last attempt not where anything speaks against the worker.
+// avoidingFailures returns the workers for a task that has failed before, with penalties for the worker
+// where it last failed and, on its last attempt, for workers with any recent failures.
 func (c *workerChoice) avoidingFailures(t *task) []scheduler.QueueCandidate {
 	workers := slices.Clone(c.workers)
-	if at, found := c.find(t.LastFailedWorker); found {
-		workers[at].Penalties |= scheduler.PenaltyLastFailed
+	if i, found := c.find(t.LastFailedWorker); found {
+		workers[i].Penalties |= scheduler.PenaltyLastFailed
 	}
 	if t.onLastAttempt() {
-		for at, w := range c.views {
+		for i, w := range c.views {
 			if w.recentFailures {
-				workers[at].Penalties |= scheduler.PenaltySuspect
+				workers[i].Penalties |= scheduler.PenaltySuspect
 			}
 		}
 	}
 	return workers
 }
 
-// newWorkerChoice gathers the workers that a task may go to.
-func (n *node) newWorkerChoice(shard *ownedShard, job *liveJob, i int, q *configuration.Queue) *workerChoice {
+// newWorkerChoice collects the workers where a task may be placed.
+func (n *node) newWorkerChoice(shard *ownedShard, job *liveJob, i int, queue *configuration.Queue) *workerChoice {
 	t := &job.Tasks[i]
 	step := &job.Steps[t.Step]
 	c := &workerChoice{
-		shard: shard, queue: q, job: job, step: t.Step, round: t.Round, resources: t.Resources, needs: t.RequiredLabels,
-		near: step.DataRack, perWorker: step.MaxPerWorker, loadChanges: shard.loadChanges,
+		shard: shard, queue: queue, job: job, step: t.Step, round: t.Round,
+		resources: t.Resources, requiredLabels: t.RequiredLabels, dataRack: step.DataRack,
+		maxPerWorker: step.MaxPerWorker, loadChanges: shard.loadChanges,
 	}
 	if step.MaxPerWorker > 0 {
-		c.used = job.stepTasksByWorker(i)
+		c.tasksByWorker = job.stepTasksByWorker(i)
 	}
 	suspects := 0
 	for _, name := range sortedKeys(n.workers) {
 		w := n.workers[name]
-		if n.workerAllowed(w, q, t.RequiredLabels, t.Resources) && (step.MaxPerWorker == 0 || c.used[name] < step.MaxPerWorker) {
+		if n.workerAllowed(w, queue, t.RequiredLabels, t.Resources) &&
+			(step.MaxPerWorker == 0 || c.tasksByWorker[name] < step.MaxPerWorker) {
 			c.views = append(c.views, w)
 			c.workers = append(c.workers, scheduler.QueueCandidate{Name: name})
-			c.pinned = c.pinned || w.colocated
+			c.anyColocated = c.anyColocated || w.colocated
 			if w.suspect {
 				suspects++
 			}
@@ -97,60 +99,60 @@
 	}
 	c.mostSuspect = 2*suspects > len(c.workers)
 	for at := range c.workers {
-		n.observeChoosable(c, at)
+		n.refreshCandidate(c, at)
 	}
 	return c
 }
 
-// observeChoosable takes what is known now of one worker.
-func (n *node) observeChoosable(c *workerChoice, at int) {
+// refreshCandidate updates the rank, queue and penalties of one worker.
+func (n *node) refreshCandidate(c *workerChoice, at int) {
 	worker, w := &c.workers[at], c.views[at]
 	worker.RankMs = n.ranks.rank(n, worker.Name)
 	worker.QueueFull = w.queued >= agentQueueMax/2
-	worker.Penalties = n.shunOf(c, worker.Name, w)
+	worker.Penalties = n.penaltiesOf(c, worker.Name, w)
 }
 
-// shunOf gives the reasons to place a task elsewhere that hold for all tasks of a step.
-func (n *node) shunOf(c *workerChoice, name string, w *workerView) (shun scheduler.Penalty) {
-	on := n.Policies.On
-	if on(scheduler.EjectUnhealthy) && !c.mostSuspect && (n.ranks.ejected(name) || w.suspect) {
-		shun |= n.shunOfEjected()
+// penaltiesOf returns the reasons to avoid a worker that apply to all tasks of the step.
+func (n *node) penaltiesOf(c *workerChoice, name string, w *workerView) (penalties scheduler.Penalty) {
+	enabled := n.Policies.On
+	if enabled(scheduler.EjectUnhealthy) && !c.mostSuspect && (n.ranks.ejected(name) || w.suspect) {
+		penalties |= n.ejectionPenalty()
 	}
-	if on(scheduler.AvoidSilent) && w.colocated && isQuiet(n.now-w.receivedMs, w.silentMs) {
-		shun |= scheduler.PenaltySilent
+	if enabled(scheduler.AvoidSilent) && w.colocated && isQuiet(n.now-w.receivedMs, w.silentMs) {
+		penalties |= scheduler.PenaltySilent
 	}
-	if c.pinned && !c.resources.Fits(n.availableRoom(c.shard, c.queue, c.job.excess, name, w)) {
-		shun |= scheduler.PenaltyHeadroomOnly
+	if c.anyColocated && !c.resources.Fits(n.availableRoom(c.shard, c.queue, c.job.excess, name, w)) {
+		penalties |= scheduler.PenaltyHeadroomOnly
 		if !c.resources.Fits(n.freeResources(c.shard, name, w).Plus(n.batchLoad(c.shard, "", name))) {
-			shun |= scheduler.PenaltyFull
+			penalties |= scheduler.PenaltyFull
 		}
 	}
-	if on(scheduler.AvoidLast) && c.job.failedLatelyAt(name, n.now) {
-		shun |= scheduler.PenaltyJobFailed
+	if enabled(scheduler.AvoidLast) && c.job.failedRecentlyAt(name, n.now) {
+		penalties |= scheduler.PenaltyJobFailed
 	}
-	if on(scheduler.NearData) && c.near != "" && w.rack != c.near {
-		shun |= scheduler.PenaltyFarFromData
+	if enabled(scheduler.NearData) && c.dataRack != "" && w.rack != c.dataRack {
+		penalties |= scheduler.PenaltyFarFromData
 	}
-	return shun
+	return penalties
 }
 
-// shunOfEjected is how much is given to have a task elsewhere than at an ejected worker: it waits
-// for another one, but not while most of the fleet is free. Then all others that it may use are
-// full, and it must not stand still beside room.
-func (n *node) shunOfEjected() scheduler.Penalty {
+// ejectionPenalty returns the penalty of an ejected worker: a task rather waits for another worker, but not
+// while most of the fleet is free. In that case all other workers that it may use are full, and it must
+// not wait while resources are idle.
+func (n *node) ejectionPenalty() scheduler.Penalty {
 	if n.fleetIdle() {
 		return scheduler.PenaltySuspect
 	}
 	return scheduler.PenaltyUnhealthy
 }
 
-// isValidFor tells whether what was gathered holds for a task.
+// isValidFor reports whether the collected data applies to a task.
 func (c *workerChoice) isValidFor(shard *ownedShard, job *liveJob, t *task) bool {
 	return c != nil && c.shard == shard && c.job == job && c.step == t.Step && c.round == t.Round &&
-		c.resources == t.Resources && slices.Equal(c.needs, t.RequiredLabels) && c.loadChanges == shard.loadChanges
+		c.resources == t.Resources && slices.Equal(c.requiredLabels, t.RequiredLabels) && c.loadChanges == shard.loadChanges
 }
 
-// find gives a worker's position.
+// find returns a worker's position in workers.
 func (c *workerChoice) find(worker string) (at int, found bool) {
 	if worker == "" {
 		return 0, false
@@ -159,19 +161,20 @@
 	return slices.BinarySearchFunc(c.workers, worker, byName)
 }
 
-// recordPlacement takes note of a task that went to a worker, the only thing that has changed since.
+// recordPlacement updates the one worker that has changed since the data was collected: the one where a
+// task was placed.
 func (n *node) recordPlacement(c *workerChoice, worker string) {
 	at, found := c.find(worker)
 	if !found {
 		return
 	}
 	c.loadChanges = c.shard.loadChanges
-	if c.perWorker > 0 {
-		if c.used[worker]++; c.used[worker] >= c.perWorker {
+	if c.maxPerWorker > 0 {
+		if c.tasksByWorker[worker]++; c.tasksByWorker[worker] >= c.maxPerWorker {
 			c.views = slices.Delete(c.views, at, at+1)
 			c.workers = slices.Delete(c.workers, at, at+1)
 			return
 		}
 	}
-	n.observeChoosable(c, at)
+	n.refreshCandidate(c, at)
 }
