--- a/internal/lease/acquire.go
+++ b/internal/lease/acquire.go
@@ -9,19 +9,19 @@
 	"otterchute/internal/rendezvous"
 )
 
-// TickRoles gives up leases that ran out, and tries for roles that are free: the
-// first candidate at once, each later one only if the role stays free for longer.
+// TickRoles gives up leases that expired, and requests roles that are free: the first candidate at
+// once, each later one only if the role stays free for longer.
 func (m *Manager) TickRoles() {
 	m.dropExpired()
 	set, self := m.host.CoreSet(), m.host.Self()
-	if set.Cluster == 0 || m.host.NowMs()-m.contactMs > DurationMs || self.Leaving {
+	if set.Cluster == 0 || m.host.NowMs()-m.lastContactMs > DurationMs || self.Leaving {
 		m.freeSince = nil
 		return
 	}
 	if m.freeSince == nil {
 		m.freeSince = map[string]int64{}
 	}
-	for _, role := range slices.Sorted(maps.Keys(m.holders)) { // what its holder named this daemon the successor for
+	for _, role := range slices.Sorted(maps.Keys(m.holders)) { // this daemon is the successor that the last holder named
 		if h := m.holders[role]; h.Holder == "" && h.Successor == self.Name {
 			m.Acquire(role)
 		}
@@ -35,10 +35,10 @@
 	}
 }
 
-// tickRole tries for one role, or hands one back to its zone.
+// tickRole requests a role if it is free, or moves it to a better holder.
 func (m *Manager) tickRole(role, zone string) {
 	if m.leases[role] != nil {
-		m.returnToFirst(role, zone)
+		m.moveToBetterHolder(role, zone)
 		return
 	}
 	if h, known := m.holders[role]; known && h.Holder != "" {
@@ -50,33 +50,33 @@
 		m.freeSince[role] = now
 	}
 	rank := slices.Index(m.Candidates(role, zone), m.host.Self().Name)
-	if rank >= 0 && now-m.freeSince[role] >= int64(rank)*acquireStepMs {
+	if rank >= 0 && now-m.freeSince[role] >= int64(rank)*acquireStaggerMs {
 		m.Acquire(role)
 	}
 }
 
-// dropExpired gives up what ran out, and what was tried for in vain.
+// dropExpired gives up leases that expired and requests that were not granted in time.
 func (m *Manager) dropExpired() {
 	now := m.host.NowMs()
 	for _, role := range m.Roles() {
 		l := m.leases[role]
 		switch {
-		case l.phase == wanted || l.phase == handingOff:
-			if now-l.wantedMs > acquireForMs && now >= l.untilMs {
+		case l.phase == requesting || l.phase == handingOff:
+			if now-l.requestedMs > acquireTimeoutMs && now >= l.untilMs {
 				m.Lose(role, "not_granted")
 			}
-		case m.ranOut(l):
+		case m.expired(l):
 			m.Lose(role, "lease_ended")
 		}
 	}
 }
 
-// returnToFirst hands a role back that is held where it should not stay: a shard outside
-// its zone, or any role on a weak or strained machine, once a better one stood for a while.
-func (m *Manager) returnToFirst(role, zone string) {
+// moveToBetterHolder hands off a role that should move: a shard held outside its zone, or any role
+// on a weak or overloaded machine. It waits until the role has been held for minHoldMs.
+func (m *Manager) moveToBetterHolder(role, zone string) {
 	l, self := m.leases[role], m.host.Self().Name
 	kind, _ := SplitRole(role)
-	if l.phase != held || kind == KindAgent || m.host.NowMs()-l.takenMs < returnMs {
+	if l.phase != held || kind == KindAgent || m.host.NowMs()-l.acquiredMs < minHoldMs {
 		return
 	}
 	order := m.Candidates(role, zone)
@@ -84,17 +84,18 @@
 		return
 	}
 	first := order[0]
-	home := kind == KindShard && m.peers.Zone(first) == zone && m.peers.Zone(self) != zone
+	toHomeZone := kind == KindShard && m.peers.Zone(first) == zone && m.peers.Zone(self) != zone
 	best := m.strongest()
-	if home || m.tier(first, best) < m.tier(self, best) {
-		l.takenMs = m.host.NowMs() // one try per period, if the successor fails it
+	if toHomeZone || m.tier(first, best) < m.tier(self, best) {
+		l.acquiredMs = m.host.NowMs() // one attempt per period, if the successor doesn't take the role
 		m.HandOff(role, first)
 	}
 }
 
-// Candidates orders the live daemons for a role: strong machines before weak ones, those in
-// a zone before others, and by rendezvous weight. The central scheduler goes where no
-// shard would. Who has just lost the role, most likely by its death, is none.
+// Candidates returns the live daemons in their order of preference for a role: strong machines
+// before weak ones, those in the zone before others, then by rendezvous weight. The central
+// scheduler prefers machines that hold no shard. The daemon that just lost the role is left out,
+// since it is most likely dead.
 func (m *Manager) Candidates(role, zone string) []string {
 	kind, _ := SplitRole(role)
 	former := m.recentHolder(role)
@@ -126,14 +127,14 @@
 	return 0
 }
 
-// nearestFirst puts those of a zone first.
+// nearestFirst moves the daemons of a zone to the front.
 func (m *Manager) nearestFirst(names []string, zone string) []string {
 	away := func(name string) int { return intOf(m.peers.Zone(name) != zone) }
 	slices.SortStableFunc(names, func(a, b string) int { return away(a) - away(b) })
 	return names
 }
 
-// shardOwnersLast puts the machines that hold a shard, or would be the first to, last.
+// shardOwnersLast moves daemons to the end that hold a shard or are its first candidate.
 func (m *Manager) shardOwnersLast(names []string) []string {
 	owners := map[string]bool{}
 	for _, shard := range m.host.CoreSet().Shards {
@@ -147,24 +148,24 @@
 	return names
 }
 
-// tier says how fit a machine is for a role; lower ones go first.
+// tier rates how suitable a machine is for a role; lower tiers come first.
 type tier int
 
 const (
-	tierStrong    tier = iota // has about what the strongest have
-	tierStrained              // it can't keep up with what it does already
-	tierWeak                  // far less processor or link than the strongest
-	tierColocated             // stands beside a worker, for which it is there
+	tierStrong     tier = iota // comparable to the strongest machine
+	tierOverloaded             // can't keep up with its current load
+	tierWeak                   // far less processor or link than the strongest
+	tierColocated              // reserved for its worker
 )
 
-// weakShare: a machine with less than half of the strongest one's processor, or less than a
-// quarter of its link, is weak: a role takes more of both than most of what a weak one has.
+// A machine is weak if it has less than half of the strongest machine's processor, or less than a
+// quarter of its link: a role needs more than most of what a weak machine has.
 const (
 	weakCoreShare = 2
 	weakLinkShare = 4
 )
 
-// tier judges a machine by what it says of itself, against the strongest that is alive.
+// tier rates a machine by the resources it reports, relative to the strongest live machine.
 func (m *Manager) tier(name string, best strength) tier {
 	p := m.peers.Describe(name)
 	switch {
@@ -176,7 +177,7 @@
 		p.LinkMbps != 0 && weakLinkShare*p.LinkMbps < best.linkMbps:
 		return tierWeak
 	case p.Strained:
-		return tierStrained
+		return tierOverloaded
 	}
 	return tierStrong
 }
@@ -184,7 +185,8 @@
 // strength is what a machine has: thousandths of a core, and Mbit/s.
 type strength struct{ milliCores, linkMbps int64 }
 
-// strongest gives the most processor and the fastest link of a live machine that may hold roles.
+// strongest returns the highest processor and link capacity of all live machines that may hold
+// roles.
 func (m *Manager) strongest() (best strength) {
 	for _, name := range m.peers.AliveNames() {
 		if p := m.peers.Describe(name); !p.Colocated {
@@ -194,7 +196,7 @@
 	return best
 }
 
-// recentHolder returns who lost a role a short while ago.
+// recentHolder returns the daemon that lost a role within the last AliveTimeoutMs.
 func (m *Manager) recentHolder(role string) string {
 	former, known := m.former[role]
 	if known && m.host.NowMs()-former.atMs > cluster.AliveMs {
--- a/internal/lease/clock.go
+++ b/internal/lease/clock.go
@@ -7,49 +7,50 @@
 )
 
 const (
-	// clockOldMs: a clock reading older than this is replaced by a later one, or
-	// has no say.
-	clockOldMs = 10_000
-	// ClockWaitMs is how long a core member hears clocks before it tells the
-	// fleet's time.
+	// clockExpiryMs is the age at which a clock reading is replaced by any newer one. A Granter
+	// drops readings twice as old.
+	clockExpiryMs = 10_000
+	// ClockWarmupMs is how long a core member collects clock readings before it reports the
+	// cluster's time.
 	ClockWaitMs = 800
-	// medianMs is how long a core member tells the fleet's time by one median of all clocks:
-	// it answers each daemon's polls, and clocks move little.
-	medianMs = 100
+	// medianIntervalMs is how long a computed median is reused: a core member reports the cluster's
+	// time in its response to every poll, and clocks drift little in between.
+	medianIntervalMs = 100
 )
 
-// Clock is the fleet's time as one daemon knows it: the median of what the core
-// members make of all clocks they hear, carried by the own steady clock. So a
-// minority of wrong clocks, of core members or not, has no say.
+// Clock is the cluster's time as one daemon knows it: the median of what the core members report,
+// advanced by the daemon's own monotonic clock. Each core member in turn reports the median of all
+// clocks it observes, so a minority of wrong clocks has no effect.
 type Clock struct {
 	members map[string]clockBounds
 }
 
-// clockBounds bounds a core member's word on the fleet's time, minus our steady
-// clock: it spoke after we asked and before we heard it. The closest bounds of
-// the last seconds count.
-type clockBounds struct{ least, leastMs, most, mostMs int64 }
+// clockBounds holds bounds on the cluster's time minus this daemon's monotonic clock, as derived
+// from one core member: the member took the reading after the poll was sent and before the response
+// arrived. The tightest bounds within clockExpiryMs are kept.
+type clockBounds struct{ lower, lowerAtMs, upper, upperAtMs int64 }
 
-// Observe takes the fleet's time, in ms, that a member told in answer to a poll
-// sent at sentMs; 0 is none.
-func (c *Clock) Observe(member string, fleetMs, sentMs, nowMs int64) {
-	if fleetMs == 0 {
+// Observe records the cluster's time, in ms, from a member's response to a poll sent at sentMs. A
+// time of 0 means that the member doesn't know it.
+func (c *Clock) Observe(member string, clusterMs, sentMs, nowMs int64) {
+	if clusterMs == 0 {
 		return
 	}
 	if c.members == nil {
 		c.members = map[string]clockBounds{}
 	}
 	b, known := c.members[member]
-	if least := fleetMs - nowMs; !known || least >= b.least || nowMs-b.leastMs >= clockOldMs {
-		b.least, b.leastMs = least, nowMs
+	if lower := clusterMs - nowMs; !known || lower >= b.lower || nowMs-b.lowerAtMs >= clockExpiryMs {
+		b.lower, b.lowerAtMs = lower, nowMs
 	}
-	if most := fleetMs - sentMs; !known || most <= b.most || nowMs-b.mostMs >= clockOldMs {
-		b.most, b.mostMs = most, nowMs
+	if upper := clusterMs - sentMs; !known || upper <= b.upper || nowMs-b.upperAtMs >= clockExpiryMs {
+		b.upper, b.upperAtMs = upper, nowMs
 	}
 	c.members[member] = b
 }
 
-// Forget takes the say of those that are no members of a set, and returns them.
+// RetainMembers drops the readings of daemons that are not members of a set, and returns their
+// names.
 func (c *Clock) Forget(set quorum.Set) (forgotten []string) {
 	for name := range c.members {
 		if !set.HasName(name) {
@@ -60,29 +61,29 @@
 	return forgotten
 }
 
-// Readings is how many members have told the fleet's time.
+// Readings returns the number of members that have reported the cluster's time.
 func (c *Clock) Readings() int { return len(c.members) }
 
-// Earliest is the fleet's time, in ms, at the least; 0 while it is unknown.
+// Earliest returns a lower bound on the cluster's time, in ms; 0 while it is unknown.
 func (c *Clock) Earliest(set quorum.Set, nowMs int64) int64 {
-	all := c.bounds(set, func(b clockBounds) int64 { return b.least })
+	all := c.bounds(set, func(b clockBounds) int64 { return b.lower })
 	if len(all) == 0 {
 		return 0
 	}
 	return all[(len(all)-1)/2] + nowMs
 }
 
-// Latest is the fleet's time, in ms, at the most. A delay counts from here, so
-// that no later owner, with a better reading, finds a job due too early.
+// Latest returns an upper bound on the cluster's time, in ms. Delays are counted from it, so that a
+// later owner with a more accurate reading doesn't consider a job due too early.
 func (c *Clock) Latest(set quorum.Set, nowMs int64) int64 {
-	all := c.bounds(set, func(b clockBounds) int64 { return b.most })
+	all := c.bounds(set, func(b clockBounds) int64 { return b.upper })
 	if len(all) == 0 {
 		return 0
 	}
 	return all[len(all)/2] + nowMs
 }
 
-// bounds returns one bound of each member of a set, in order.
+// bounds returns one bound of each member of a set, sorted.
 func (c *Clock) bounds(set quorum.Set, of func(clockBounds) int64) (all []int64) {
 	for _, m := range set.Members {
 		if b, ok := c.members[m.Name]; ok {
--- a/internal/lease/granter.go
+++ b/internal/lease/granter.go
@@ -7,20 +7,20 @@
 	"otterchute/internal/wire"
 )
 
-// Granter is what a core member knows of the leases it gave out and of the clocks
-// it hears. Nothing of it is stored.
+// Granter is a core member's record of the leases it has granted and of the clocks it observes.
+// None of it is stored.
 type Granter struct {
-	guardMs int64 // before this time a lease is granted only where the last holder is surely over
-	startMs int64 // when this member began to hear clocks
-	grants  map[string]*grant
-	clocks  map[string]clockReading // of all daemons that poll here
-	polls   map[string]pollMark     // the newest poll of each daemon
-	median  clockMedian
-
-	forgotMs int64 // when silent clocks were last dropped
+	grantDelayUntilMs int64 // until then a lease is granted only if the last holder is known to have ended
+	observingSinceMs  int64 // when this member began to observe clocks
+	grants            map[string]*grant
+	clocks            map[string]clockReading // by daemon, of all that poll this member
+	latestPolls       map[string]pollID       // by daemon
+	median            clockMedian
+
+	clocksPrunedMs int64 // when expired clock readings were last removed
 }
 
-// clockMedian is the median of all clocks as it was last worked out.
+// clockMedian is the most recently computed median of all clocks.
 type clockMedian struct {
 	offsetMs int64
 	atMs     int64
@@ -28,7 +28,7 @@
 	known    bool
 }
 
-// grant is a lease given to one process; without a holder, one that was given back.
+// grant is a lease given to one process. One without a holder was released.
 type grant struct {
 	holder    Process
 	epoch     uint64
@@ -36,14 +36,14 @@
 	successor string
 }
 
-// Process is one process of a daemon, as leases know it.
+// Process identifies one process of a daemon.
 type Process struct {
 	Name        string
 	Incarnation uint64
 	Addr        string // only one process at a time can listen there
 }
 
-// same tells whether two are one process, wherever it is heard from.
+// same reports whether both are the same process, regardless of the address.
 func (p Process) same(other Process) bool {
 	return p.Name == other.Name && p.Incarnation == other.Incarnation
 }
@@ -51,53 +51,56 @@
 // clockReading is a daemon's wall clock minus this member's steady one.
 type clockReading struct{ offsetMs, atMs int64 }
 
-// pollMark is the newest poll that was heard of a daemon, and of which process.
-type pollMark struct{ incarnation, seq uint64 }
+// pollID identifies a poll by the process that sent it and its sequence number.
+type pollID struct{ incarnation, seq uint64 }
 
-// NewGranter returns the granter of a member that has granted nothing yet.
+// NewGranter returns the granter of a member that has not granted any lease yet.
 //
-// Example: g := lease.NewGranter(); g.Guard(now)
+// Example: g := lease.NewGranter(); g.DelayGrants(now)
 func NewGranter() *Granter {
-	return &Granter{grants: map[string]*grant{}, clocks: map[string]clockReading{}, polls: map[string]pollMark{}}
+	return &Granter{grants: map[string]*grant{}, clocks: map[string]clockReading{}, latestPolls: map[string]pollID{}}
 }
 
-// Guard has the member wait for a whole lease from now on, since it may have
-// granted what it doesn't know: after a start, or when it joined.
-func (g *Granter) Guard(nowMs int64) { g.guardMs, g.startMs = nowMs+DurationMs, nowMs }
+// DelayGrants makes the member wait for one whole lease before it grants, since it may have granted
+// leases that it has no record of: after a start, or when it joined the core.
+func (g *Granter) Guard(nowMs int64) {
+	g.grantDelayUntilMs, g.observingSinceMs = nowMs+DurationMs, nowMs
+}
 
-// GuardLeftMs is how long the member grants nothing yet.
-func (g *Granter) GuardLeftMs(nowMs int64) int64 { return max(0, g.guardMs-nowMs) }
+// GrantDelayLeftMs returns how long the member will still not grant leases.
+func (g *Granter) GuardLeftMs(nowMs int64) int64 { return max(0, g.grantDelayUntilMs-nowMs) }
 
-// Overtaken takes note of a poll, and tells whether a later one of the same
-// process came before: what it holds or releases may have changed since.
+// ObservePoll records a poll and reports whether it is stale: whether a later one of the same
+// process was received before. The leases requested or released in a stale poll may have changed
+// since.
 func (g *Granter) Overtaken(from string, m *wire.PollRequest) bool {
-	if p := g.polls[from]; p.incarnation == m.Incarnation && m.Seq < p.seq {
+	if p := g.latestPolls[from]; p.incarnation == m.Incarnation && m.Seq < p.seq {
 		return true
 	}
-	g.polls[from] = pollMark{m.Incarnation, m.Seq}
+	g.latestPolls[from] = pollID{m.Incarnation, m.Seq}
 	return false
 }
 
-// ObserveClock takes a daemon's wall clock. What a message took on its way, or
-// waited here, makes a clock seem late, never early: the latest reading of the
-// last seconds is the truest.
+// ObserveClock records a daemon's wall clock. Delays in transit or in a queue make a clock appear
+// late, never early, so the highest offset within clockExpiryMs is the most accurate.
 func (g *Granter) ObserveClock(from string, wallMs, nowMs int64) {
 	c, known := g.clocks[from]
-	if !known || wallMs-nowMs >= c.offsetMs || nowMs-c.atMs > clockOldMs {
+	if !known || wallMs-nowMs >= c.offsetMs || nowMs-c.atMs > clockExpiryMs {
 		g.clocks[from] = clockReading{wallMs - nowMs, nowMs}
 	}
 }
 
-// FleetTime is the median of the wall clocks that this member hears, its own among
-// them, in ms. Right after a start it waits, so that it hears the others first;
-// and it needs more than half of the daemons that are alive. 0 while it is unknown.
+// ClusterTime returns the median of the wall clocks that this member observes, its own among them,
+// in ms; 0 while it is unknown. It is unknown for ClockWarmupMs after a start, so that other
+// daemons' clocks are included, and while readings of at most half of the live daemons are
+// available.
 func (g *Granter) FleetTime(nowMs int64, alive int) int64 {
-	if nowMs-g.startMs < ClockWaitMs {
+	if nowMs-g.observingSinceMs < ClockWaitMs {
 		return 0
 	}
-	if nowMs-g.forgotMs >= medianMs {
-		g.forgotMs = nowMs
-		maps.DeleteFunc(g.clocks, func(_ string, c clockReading) bool { return nowMs-c.atMs > 2*clockOldMs })
+	if nowMs-g.clocksPrunedMs >= medianIntervalMs {
+		g.clocksPrunedMs = nowMs
+		maps.DeleteFunc(g.clocks, func(_ string, c clockReading) bool { return nowMs-c.atMs > 2*clockExpiryMs })
 	}
 	if 2*len(g.clocks) <= alive {
 		return 0
@@ -105,10 +108,10 @@
 	return g.medianOffset(nowMs) + nowMs
 }
 
-// medianOffset is the median of all clocks' offsets, worked out anew each medianMs at the most,
-// and whenever clocks have come or gone.
+// medianOffset returns the median offset of all clocks. It is recomputed after medianIntervalMs, or
+// when the number of clocks has changed.
 func (g *Granter) medianOffset(nowMs int64) int64 {
-	if m := g.median; m.known && nowMs-m.atMs < medianMs && m.clocks == len(g.clocks) {
+	if m := g.median; m.known && nowMs-m.atMs < medianIntervalMs && m.clocks == len(g.clocks) {
 		return m.offsetMs
 	}
 	all := make([]int64, 0, len(g.clocks))
@@ -120,17 +123,17 @@
 	return g.median.offsetMs
 }
 
-// ClockOffsets returns each daemon's wall clock minus a time, in ms, as now.
-func (g *Granter) ClockOffsets(fleetMs, nowMs int64) map[string]int64 {
+// ClockOffsets returns each daemon's wall clock minus the given time, in ms, as of nowMs.
+func (g *Granter) ClockOffsets(clusterMs, nowMs int64) map[string]int64 {
 	out := map[string]int64{}
 	for name, c := range g.clocks {
-		out[name] = c.offsetMs + nowMs - fleetMs
+		out[name] = c.offsetMs + nowMs - clusterMs
 	}
 	return out
 }
 
-// Release takes leases back that a process gives up. A successor that it names may
-// have one at once; without one anybody may.
+// Release takes back the leases that a process gives up. Only the named successor may be granted
+// such a lease at once; without a named successor any daemon may.
 func (g *Granter) Release(from Process, releases []wire.LeaseRelease, nowMs int64) {
 	for _, r := range releases {
 		if held := g.grants[r.Name]; held != nil && held.holder.same(from) {
@@ -139,9 +142,9 @@
 	}
 }
 
-// Grant gives a process the lease of a role, or renews it, if no other may hold it.
-// last is who took the role last, as far as this member's disk knows; ended tells
-// of a process whether it surely has ended.
+// Grant grants a process the lease of a role, or renews it, and reports whether it did. It refuses
+// if another process may hold the role. last is the latest holder that this member's disk records;
+// ended reports whether a process is known to have ended.
 func (g *Granter) Grant(
 	r wire.LeaseRequest, to Process, last wire.RoleHolder, nowMs int64, ended func(Process) bool,
 ) bool {
@@ -149,17 +152,17 @@
 		return false
 	}
 	lastHolder := Process{last.Holder, last.Incarnation, last.Addr}
-	if nowMs < g.guardMs && last.Holder != "" && !ended(lastHolder) {
+	if nowMs < g.grantDelayUntilMs && last.Holder != "" && !ended(lastHolder) {
 		return false
 	}
-	if r.Epoch != 0 && r.Epoch < last.Epoch { // it lost the role and doesn't know
+	if r.Epoch != 0 && r.Epoch < last.Epoch { // the process has lost the role and doesn't know it yet
 		return false
 	}
 	g.grants[r.Name] = &grant{holder: to, epoch: r.Epoch, untilMs: nowMs + DurationMs}
 	return true
 }
 
-// free tells whether no other process may hold what this member granted.
+// free reports whether no other process may hold a lease that this member granted.
 func (g *Granter) free(role string, to Process, nowMs int64, ended func(Process) bool) bool {
 	held := g.grants[role]
 	switch {
@@ -171,7 +174,7 @@
 	return ended(held.holder)
 }
 
-// Holders returns the leases that stand, by role, and drops those that ran out.
+// Holders returns the current leases, sorted by role, and drops those that expired.
 func (g *Granter) Holders(nowMs int64) (out []wire.RoleHolder) {
 	for _, role := range slices.Sorted(maps.Keys(g.grants)) {
 		held := g.grants[role]
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -23,15 +23,15 @@
 		must.Eq(t, want.kind, kind)
 		must.Eq(t, want.subject, subject)
 	}
-	must.Eq(t, "duty/slice/east", Register(ShardRole("east"))) // as it stands on disks
+	must.Eq(t, "duty/slice/east", Register(ShardRole("east"))) // as stored on disk
 }
 
 var (
-	first  = Process{Name: "a", Incarnation: 1, Addr: "a:1"}
-	second = Process{Name: "b", Incarnation: 1, Addr: "b:1"}
+	firstProcess  = Process{Name: "a", Incarnation: 1, Addr: "a:1"}
+	secondProcess = Process{Name: "b", Incarnation: 1, Addr: "b:1"}
 )
 
-func nobodyEnded(Process) bool { return false }
+func noneEnded(Process) bool { return false }
 
 func TestGrant(t *testing.T) {
 	request := wire.LeaseRequest{Name: "slice/s"}
@@ -45,24 +45,24 @@
 		ended  func(Process) bool
 		ok     bool
 	}{
-		{"free", func(*Granter) {}, first, 0, wire.RoleHolder{}, nobodyEnded, true},
-		{"held by another", func(g *Granter) { g.Grant(request, first, wire.RoleHolder{}, 900, nobodyEnded) }, second, 0, wire.RoleHolder{}, nobodyEnded, false},
-		{"renewed", func(g *Granter) { g.Grant(request, first, wire.RoleHolder{}, 900, nobodyEnded) }, first, 3, last, nobodyEnded, true},
-		{"ran out", func(g *Granter) { g.Grant(request, first, wire.RoleHolder{}, 0, nobodyEnded) }, second, 0, wire.RoleHolder{}, nobodyEnded, true},
-		{"its holder has ended", func(g *Granter) { g.Grant(request, first, wire.RoleHolder{}, 900, nobodyEnded) }, second, 0, wire.RoleHolder{},
-			func(p Process) bool { return p == first }, true},
-		{"given to a successor", func(g *Granter) {
-			g.Grant(request, first, wire.RoleHolder{}, 900, nobodyEnded)
-			g.Release(first, []wire.LeaseRelease{{Name: "slice/s", Successor: "b"}}, 900)
-		}, second, 0, wire.RoleHolder{}, nobodyEnded, true},
-		{"given to another successor", func(g *Granter) {
-			g.Grant(request, first, wire.RoleHolder{}, 900, nobodyEnded)
-			g.Release(first, []wire.LeaseRelease{{Name: "slice/s", Successor: "c"}}, 900)
-		}, second, 0, wire.RoleHolder{}, nobodyEnded, false},
-		{"after a start", func(g *Granter) { g.Guard(500) }, second, 0, last, nobodyEnded, false},
-		{"after a start, nobody had it", func(g *Granter) { g.Guard(500) }, second, 0, wire.RoleHolder{}, nobodyEnded, true},
-		{"after a start, its holder has ended", func(g *Granter) { g.Guard(500) }, second, 0, last, func(p Process) bool { return p == first }, true},
-		{"an epoch that has passed", func(*Granter) {}, second, 2, last, nobodyEnded, false},
+		{"free", func(*Granter) {}, firstProcess, 0, wire.RoleHolder{}, noneEnded, true},
+		{"held by another", func(g *Granter) { g.Grant(request, firstProcess, wire.RoleHolder{}, 900, noneEnded) }, secondProcess, 0, wire.RoleHolder{}, noneEnded, false},
+		{"renewed", func(g *Granter) { g.Grant(request, firstProcess, wire.RoleHolder{}, 900, noneEnded) }, firstProcess, 3, last, noneEnded, true},
+		{"lease expired", func(g *Granter) { g.Grant(request, firstProcess, wire.RoleHolder{}, 0, noneEnded) }, secondProcess, 0, wire.RoleHolder{}, noneEnded, true},
+		{"the holder has ended", func(g *Granter) { g.Grant(request, firstProcess, wire.RoleHolder{}, 900, noneEnded) }, secondProcess, 0, wire.RoleHolder{},
+			func(p Process) bool { return p == firstProcess }, true},
+		{"released to this successor", func(g *Granter) {
+			g.Grant(request, firstProcess, wire.RoleHolder{}, 900, noneEnded)
+			g.Release(firstProcess, []wire.LeaseRelease{{Name: "slice/s", Successor: "b"}}, 900)
+		}, secondProcess, 0, wire.RoleHolder{}, noneEnded, true},
+		{"released to another successor", func(g *Granter) {
+			g.Grant(request, firstProcess, wire.RoleHolder{}, 900, noneEnded)
+			g.Release(firstProcess, []wire.LeaseRelease{{Name: "slice/s", Successor: "c"}}, 900)
+		}, secondProcess, 0, wire.RoleHolder{}, noneEnded, false},
+		{"grants delayed, the last holder may be alive", func(g *Granter) { g.Guard(500) }, secondProcess, 0, last, noneEnded, false},
+		{"grants delayed, no last holder", func(g *Granter) { g.Guard(500) }, secondProcess, 0, wire.RoleHolder{}, noneEnded, true},
+		{"grants delayed, the last holder has ended", func(g *Granter) { g.Guard(500) }, secondProcess, 0, last, func(p Process) bool { return p == firstProcess }, true},
+		{"stale epoch", func(*Granter) {}, secondProcess, 2, last, noneEnded, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewGranter()
@@ -72,7 +72,8 @@
 	}
 }
 
-// The median of all clocks counts, once more than half of the daemons are heard.
+// Guards against a cluster time that is not the median of all clocks, or that is reported while
+// half of the daemons or more are missing.
 func TestGranterFleetTime(t *testing.T) {
 	g := NewGranter()
 	g.Guard(0)
@@ -83,10 +84,10 @@
 	must.Zero(t, g.FleetTime(1000, 6))
 	must.Eq(t, int64(101_010), g.FleetTime(1000, 5))
 	must.Eq(t, int64(-10), g.ClockOffsets(g.FleetTime(1000, 5), 1000)["a"])
-	must.Zero(t, g.FleetTime(1000+2*clockOldMs+1, 1)) // nobody was heard for long
+	must.Zero(t, g.FleetTime(1000+2*clockExpiryMs+1, 1)) // all readings are too old
 }
 
-func TestOvertaken(t *testing.T) {
+func TestObservePoll(t *testing.T) {
 	g := NewGranter()
 	must.False(t, g.Overtaken("a", &wire.PollRequest{Incarnation: 1, Seq: 5}))
 	must.True(t, g.Overtaken("a", &wire.PollRequest{Incarnation: 1, Seq: 4}))
@@ -94,7 +95,8 @@
 	must.False(t, g.Overtaken("b", &wire.PollRequest{Incarnation: 1, Seq: 1}))
 }
 
-// A wrong clock of one member of three has no say, and bounds only get closer.
+// Guards against a wrong clock of one member in three that affects the time, and against bounds
+// that get looser.
 func TestClock(t *testing.T) {
 	set := quorum.Set{Members: []quorum.Member{{Name: "a"}, {Name: "b"}, {Name: "c"}}}
 	var c Clock
@@ -105,22 +107,22 @@
 	must.Eq(t, 3, c.Readings())
 	must.Eq(t, int64(1_000_005), c.Earliest(set, 50))
 	must.Eq(t, int64(1_000_015), c.Latest(set, 50))
-	c.Observe("b", 1_000_050, 95, 100) // a quicker answer
+	c.Observe("b", 1_000_050, 95, 100) // a faster response
 	must.Eq(t, int64(1_000_005), c.Earliest(set, 50))
 	must.Eq(t, int64(1_000_010), c.Latest(set, 50))
 	must.Eq(t, []string{"c"}, c.Forget(quorum.Set{Members: set.Members[:2]}))
 }
 
-// fakeHost is a daemon that a test reads.
+// fakeHost is a daemon whose messages and callbacks a test can inspect.
 type fakeHost struct {
-	self    wire.Peer
-	set     quorum.Set
-	nowMs   int64
-	wokeMs  int64
-	polls   []*wire.PollRequest
-	counted []string
-	taken   []string
-	lost    []string
+	self        wire.Peer
+	set         quorum.Set
+	nowMs       int64
+	wokeMs      int64
+	polls       []*wire.PollRequest
+	incremented []string
+	taken       []string
+	lost        []string
 }
 
 func (h *fakeHost) NowMs() int64         { return h.nowMs }
@@ -137,7 +139,7 @@
 	h.polls = append(h.polls, msg.(*wire.PollRequest))
 }
 func (h *fakeHost) SendAt(string, string, any)      {}
-func (h *fakeHost) CountEpoch(role string)          { h.counted = append(h.counted, role) }
+func (h *fakeHost) CountEpoch(role string)          { h.incremented = append(h.incremented, role) }
 func (h *fakeHost) RoleTaken(role string, _ uint64) { h.taken = append(h.taken, role) }
 func (h *fakeHost) RoleLost(role string)            { h.lost = append(h.lost, role) }
 func (h *fakeHost) AdoptCoreSet(quorum.Set)         {}
@@ -150,32 +152,32 @@
 	return h, NewManager(h, cluster.New(h, "d", nil))
 }
 
-// answer answers the newest round from a member, granting all or nothing.
-func (h *fakeHost) answer(m *Manager, member string, granted bool, epoch uint64) {
+// respond sends a member's response to the newest round, granting all leases or none.
+func (h *fakeHost) respond(m *Manager, member string, granted bool, epoch uint64) {
 	request := h.polls[len(h.polls)-1]
-	a := &wire.PollResponse{Seq: request.Seq, SetVersion: h.set.Version}
+	response := &wire.PollResponse{Seq: request.Seq, SetVersion: h.set.Version}
 	for range request.Wanted {
-		a.Granted, a.Epochs = append(a.Granted, granted), append(a.Epochs, epoch)
+		response.Granted, response.Epochs = append(response.Granted, granted), append(response.Epochs, epoch)
 	}
-	m.OnResponse(member, a)
+	m.OnResponse(member, response)
 }
 
-func done(epoch uint64) []byte {
+func encodedHolder(epoch uint64) []byte {
 	return codec.Append(nil, wire.RoleHolder{Name: "slice/east", Holder: "d", Incarnation: 5, Epoch: epoch})
 }
 
-// From the wish to the end: a majority grants, the epoch is counted, the role is
-// served until its lease runs out.
-func TestRoleIsTakenAndLost(t *testing.T) {
+// Covers a role's whole course: a majority grants the lease, the epoch is incremented, and the role
+// is served until its lease expires.
+func TestRoleAcquiredAndLost(t *testing.T) {
 	h, m := newManager()
 	m.Acquire("slice/east")
 	m.Tick()
-	h.answer(m, "a", true, 0)
-	must.SliceEmpty(t, h.counted)
-	h.answer(m, "b", true, 0)
-	must.Eq(t, []string{"slice/east"}, h.counted)
+	h.respond(m, "a", true, 0)
+	must.SliceEmpty(t, h.incremented)
+	h.respond(m, "b", true, 0)
+	must.Eq(t, []string{"slice/east"}, h.incremented)
 	must.False(t, m.Holds("slice/east"))
-	m.EpochChanged("slice/east", register.Done, done(7))
+	m.EpochChanged("slice/east", register.Done, encodedHolder(7))
 	must.Eq(t, []string{"slice/east"}, h.taken)
 	name, epoch := m.Holder("slice/east")
 	must.Eq(t, "d", name)
@@ -189,29 +191,30 @@
 	must.SliceEmpty(t, m.Roles())
 }
 
-// Who took a role after the lease was asked for goes first: a change of the epoch
-// that builds on an older one is lost.
-func TestEpochTakenMeanwhile(t *testing.T) {
+// Guards against an epoch increment that builds on an older epoch than the register's: another
+// daemon took the role after this daemon's lease was requested.
+func TestNextEpochRefusesNewerHolder(t *testing.T) {
 	_, m := newManager()
-	m.leases["slice/some"] = &lease{role: "slice/some", knownEpoch: 3}
+	m.leases["slice/some"] = &lease{role: "slice/some", majorityEpoch: 3}
 	decide := func(holder string, incarnation, epoch uint64) register.Decision {
 		decision, _ := m.DecideEpoch("slice/some", codec.Append(nil, wire.RoleHolder{Name: "slice/some", Holder: holder, Incarnation: incarnation, Epoch: epoch}))
 		return decision
 	}
 	must.Eq(t, register.Replace, decide("d07", 5, 3))
 	must.Eq(t, register.Refuse, decide("d09", 1, 4))
-	must.Eq(t, register.Replace, decide("d", 5, 4)) // an own earlier try
+	must.Eq(t, register.Replace, decide("d", 5, 4)) // an earlier attempt of this daemon
 	decision, _ := m.DecideEpoch("other", nil)
 	must.Eq(t, register.Fail, decision)
 }
 
-// A lease is refused at first where the members know a newer epoch, and asked for again.
-func TestRefusedEpochIsAskedForAgain(t *testing.T) {
+// An increment is refused at first if the members know a newer epoch. The lease is then requested
+// again.
+func TestRefusedEpochIncrementIsRetried(t *testing.T) {
 	h, m := newManager()
 	m.Acquire("slice/east")
 	m.Tick()
-	h.answer(m, "a", true, 0)
-	h.answer(m, "b", true, 4)
+	h.respond(m, "a", true, 0)
+	h.respond(m, "b", true, 4)
 	m.EpochChanged("slice/east", register.Refused, nil)
 	must.False(t, m.Serves("slice/east"))
 	must.SliceEmpty(t, h.lost)
@@ -219,7 +222,7 @@
 	must.Len(t, 1, h.polls[len(h.polls)-1].Wanted)
 }
 
-// A role that is handed off is released until a majority has taken that.
+// A role that is handed off is released until a majority has acknowledged the release.
 func TestHandOff(t *testing.T) {
 	h, m := newManager()
 	m.Assume("slice/east", 3, h.nowMs+DurationMs)
@@ -227,10 +230,10 @@
 	must.Eq(t, []string{"slice/east"}, h.lost)
 	m.Tick()
 	must.Eq(t, []wire.LeaseRelease{{Name: "slice/east", Successor: "a"}}, h.polls[0].Releases)
-	h.answer(m, "a", true, 0)
+	h.respond(m, "a", true, 0)
 	must.SliceNotEmpty(t, m.Roles())
-	h.answer(m, "b", true, 0)
-	h.answer(m, "c", true, 0)
+	h.respond(m, "b", true, 0)
+	h.respond(m, "c", true, 0)
 	must.SliceEmpty(t, m.Roles())
 }
 
@@ -239,27 +242,27 @@
 	m.Tick()
 	must.True(t, m.CutOff())
 	h.wokeMs = h.nowMs
-	must.False(t, m.CutOff()) // its first polls are under way
+	must.False(t, m.CutOff()) // its first polls are in flight
 	must.False(t, m.InContact())
-	h.answer(m, "a", true, 0)
+	h.respond(m, "a", true, 0)
 	must.False(t, m.InContact())
-	h.answer(m, "b", true, 0)
+	h.respond(m, "b", true, 0)
 	must.True(t, m.InContact())
 	h.nowMs += HeldMs + 1
 	must.False(t, m.InContact())
 	must.True(t, m.CutOff())
 }
 
-// A member is unresponsive only where a majority answers, and a new one is heard
-// since it joined.
+// A member is unresponsive only if a majority answers, and the silence of a new member is counted
+// from when it joined.
 func TestUnresponsive(t *testing.T) {
 	h, m := newManager()
 	m.Tick()
 	h.nowMs += 5000
 	must.False(t, m.Unresponsive("c", 1600))
 	m.Tick()
-	h.answer(m, "a", true, 0)
-	h.answer(m, "b", true, 0)
+	h.respond(m, "a", true, 0)
+	h.respond(m, "b", true, 0)
 	must.True(t, m.Unresponsive("c", 1600))
 	before := h.set
 	h.set.Members = []quorum.Member{{Name: "a"}, {Name: "b"}, {Name: "c", DiskID: 9}}
@@ -267,8 +270,8 @@
 	must.False(t, m.Unresponsive("c", 1600))
 }
 
-// The own zone comes first, machines beside workers last; who has just lost the
-// role is none.
+// Daemons of the role's zone come first and colocated ones last. The daemon that just lost the role
+// is no candidate.
 func TestCandidates(t *testing.T) {
 	h, m := newManager()
 	for _, p := range []wire.Peer{{Name: "e", Zone: "east", Disk: true}, {Name: "f", Zone: "east", Colocated: true}, {Name: "g", Zone: "west"}, {Name: "h", Zone: "west", Leaving: true}} {
@@ -285,8 +288,8 @@
 	must.SliceContains(t, m.Candidates("slice/east", "east"), "e")
 }
 
-// A strong machine of another zone goes before a weak one at home, a strained one between
-// them; where nobody says what it has, all count alike.
+// A strong machine of another zone comes before a weak one of the role's zone, an overloaded one
+// between them. If no machine reports its resources, all are equal.
 func TestCandidatesByStrength(t *testing.T) {
 	h, m := newManager()
 	for _, p := range []wire.Peer{
@@ -306,8 +309,9 @@
 	must.Eq(t, "beside-east", got[6])
 }
 
-// The central scheduler goes where no shard is, or would be first.
-func TestCentralApartFromShards(t *testing.T) {
+// The central scheduler prefers machines that neither hold a shard nor are a shard's first
+// candidate.
+func TestCentralAvoidsShardOwners(t *testing.T) {
 	h, m := newManager()
 	for _, name := range []string{"e1", "e2", "w1", "w2"} {
 		m.peers.Record(wire.Peer{Name: name, Zone: map[byte]string{'e': "east", 'w': "west"}[name[0]], Disk: true}, h.nowMs)
@@ -320,9 +324,9 @@
 	must.SliceNotContains(t, free[:len(free)-2], firstWest)
 }
 
-// A role on a weak machine goes to a strong one once that has stood for a while, and stays
-// where both are alike.
-func TestRoleLeavesAWeakMachine(t *testing.T) {
+// A role on a weak machine moves to a strong one after minHoldMs, and stays if both are equally
+// strong.
+func TestRoleMovesOffWeakMachine(t *testing.T) {
 	for _, milliCores := range []int64{99, 640} {
 		h, m := newManager()
 		h.self.MilliCores, h.self.Disk = milliCores, true
@@ -330,12 +334,12 @@
 		h.set.Shards = []string{h.self.Zone}
 		role := ShardRole(h.self.Zone)
 		m.Assume(role, 1, h.nowMs+60_000)
-		m.leases[role].takenMs = h.nowMs
-		m.contactMs = h.nowMs
+		m.leases[role].acquiredMs = h.nowMs
+		m.lastContactMs = h.nowMs
 		m.TickRoles()
 		must.Eq(t, held, m.leases[role].phase)
-		h.nowMs += returnMs
-		m.contactMs = h.nowMs
+		h.nowMs += minHoldMs
+		m.lastContactMs = h.nowMs
 		m.peers.Record(wire.Peer{Name: "strong", Zone: h.self.Zone, Disk: true, MilliCores: 640}, h.nowMs)
 		m.TickRoles()
 		want := map[int64]phase{99: handingOff, 640: held}[milliCores]
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -14,46 +14,46 @@
 )
 
 const (
-	// PollMs is the pace of renewals; five tries fit in one lease.
+	// PollIntervalMs is the interval between renewals; five attempts fit in one lease.
 	PollMs = 200
-	// PollColocatedMs is the pace of daemons beside workers: they hold no lease, and
-	// the configuration they go by is confirmed this often.
+	// ColocatedPollIntervalMs is the poll interval of daemons colocated with workers. They hold no
+	// leases, and use polls to confirm their configuration.
 	PollColocatedMs = 400
-	// unheardMs: a member that answered no poll of a daemon beside a worker for so long is told
-	// where that daemon is.
-	unheardMs = 2 * PollColocatedMs
-	// acquireStepMs: each lower-ranked candidate waits this much longer for a free role.
-	acquireStepMs = 400
-	// returnMs: a role's holder hands it to a better machine when it has held it this long.
-	returnMs = 8000
-	// acquireForMs: a candidate keeps trying for a role this long.
-	acquireForMs = 3000
-	// splitRounds is how many rounds may leave a role's grants split before the
-	// candidates back off.
-	splitRounds = 2
+	// announceAfterMs is how long a member may leave a colocated daemon's polls unanswered before
+	// the daemon announces its address to that member.
+	announceAfterMs = 2 * PollColocatedMs
+	// acquireStaggerMs is the additional wait of each lower-ranked candidate for a free role.
+	acquireStaggerMs = 400
+	// minHoldMs is how long a daemon holds a role before it hands it to a better machine.
+	minHoldMs = 8000
+	// acquireTimeoutMs is how long a candidate keeps requesting a role.
+	acquireTimeoutMs = 3000
+	// maxSplitRounds is how many rounds may leave a role's grants split between candidates before
+	// they back off.
+	maxSplitRounds = 2
 )
 
 // Host is the daemon that a Manager belongs to.
 type Host interface {
 	step.Context
-	// Self is what the daemon says of itself.
+	// Self describes the daemon to its peers.
 	Self() wire.Peer
-	// CoreSet is the newest core set it knows.
+	// CoreSet is the newest core set that the daemon knows.
 	CoreSet() quorum.Set
-	// WokeMs is when it last woke from a freeze, or began.
+	// WokeMs is when the daemon last resumed after a freeze, or started.
 	WokeMs() int64
-	// CountEpoch begins to count a role's epoch up in its register, see
-	// Manager.DecideEpoch and Manager.EpochChanged.
+	// IncrementEpoch starts to increment a role's epoch in its register, by way of
+	// Manager.NextEpoch and Manager.OnEpochOutcome.
 	CountEpoch(role string)
-	// RoleTaken tells that the daemon holds a role from now on.
+	// RoleTaken is called when the daemon begins to hold a role.
 	RoleTaken(role string, epoch uint64)
-	// RoleLost tells that it holds a role no more, if it did.
+	// RoleLost is called when the daemon no longer holds a role, or gives up requesting it.
 	RoleLost(role string)
-	// HolderLost tells that a daemon has lost a role.
+	// HolderLost is called when another daemon has lost a role.
 	HolderLost(holder string)
-	// RoundAnswered tells that a majority has answered a round of polls. It is
-	// told again with each further answer.
-	RoundAnswered(r *Round)
+	// RoundAnswered is called when a majority has answered a round of polls, and again for each
+	// further response.
+	RoundAnswered(round *Round)
 }
 
 // Round is one round of polls to all core members.
@@ -61,37 +61,37 @@
 	Seq      uint64
 	SentMs   int64
 	Answers  map[string]*wire.PollResponse // by member
-	hashes   map[string]uint64             // member -> the holders that it was asked to leave out
-	wanted   []wire.LeaseRequest
-	leases   []*lease // what each of wanted was asked for: one given up since is another
+	hashes   map[string]uint64             // member -> hash of the holders it may leave out
+	requests []wire.LeaseRequest
+	leases   []*lease // for each request; a lease given up since is no longer in Manager.leases
 	releases []wire.LeaseRelease
 }
 
-// phase is how far the daemon is with a role.
+// phase is the progress of taking or giving up a role.
 type phase int8
 
 const (
-	wanted     phase = iota // asked for in polls
-	counting                // the epoch is being counted up
-	held                    // in service
-	handingOff              // being given to a successor, or back
+	requesting        phase = iota // requested in polls
+	incrementingEpoch              // granted; the epoch is being incremented
+	held                           // in service
+	handingOff                     // being released, to a named successor or to any daemon
 )
 
-// lease is a role that this daemon holds or tries for.
+// lease is a role that this daemon holds or requests.
 type lease struct {
-	role        string
-	epoch       uint64
-	knownEpoch  uint64 // the newest that a majority of the grants was given in knowledge of
-	untilMs     int64
-	phase       phase
-	takenMs     int64 // when the lease was first had
-	wantedMs    int64 // asked for since
-	rounds      int   // polls that asked for it
-	successor   string
-	releaseAcks map[string]bool // members that took the release
+	role          string
+	epoch         uint64
+	majorityEpoch uint64 // the newest epoch known to a majority when it granted the lease
+	untilMs       int64
+	phase         phase
+	acquiredMs    int64 // when the lease was first granted by a majority
+	requestedMs   int64 // when the request began
+	requestRounds int   // polls that requested the lease
+	successor     string
+	releaseAcks   map[string]bool // members that acknowledged the release
 }
 
-// formerHolder is who held a role whose lease has ended: not the one to ask next.
+// formerHolder is the daemon whose lease of a role has ended. It is not a candidate for a while.
 type formerHolder struct {
 	name string
 	atMs int64
@@ -103,54 +103,54 @@
 	peers *cluster.Directory
 	clock Clock
 
-	seq           uint64
-	nextMs        int64
-	lastMs        int64 // when the last round was sent
-	firstMs       int64 // when this daemon first polled
-	contactMs     int64 // when the newest round that a majority answered was sent
-	guardMs       int64 // until then too many members grant nothing
-	sent          map[uint64]*Round
-	heardMs       map[string]int64         // member -> when it last answered a poll
-	syncMs        map[string]int64         // member -> its last sync
-	memberHolders map[string]memberHolders // by member
+	seq               uint64
+	nextPollMs        int64
+	lastPollMs        int64 // when the last round was sent
+	firstPollMs       int64 // 0 before the first poll
+	lastContactMs     int64 // when the newest round that a majority answered was sent
+	grantDelayUntilMs int64 // until then no majority grants leases, since members delay grants after a start
+	rounds            map[uint64]*Round
+	lastResponseMs    map[string]int64         // member -> when it last answered a poll
+	memberSyncMs      map[string]int64         // member -> duration of its last disk sync
+	memberHolders     map[string]memberHolders // by member
 
 	leases    map[string]*lease
-	holders   map[string]wire.RoleHolder // as far as a majority told
+	holders   map[string]wire.RoleHolder // as known to a majority
 	former    map[string]formerHolder
 	freeSince map[string]int64 // role -> since when no majority lists a holder
 
 	ignoreStrength bool
 }
 
-// NewManager returns the manager of a daemon that holds nothing.
+// NewManager returns the manager of a daemon that holds no roles.
 //
 // Example: leases := lease.NewManager(host, peers)
 func NewManager(host Host, peers *cluster.Directory) *Manager {
 	return &Manager{
 		host: host, peers: peers,
-		sent: map[uint64]*Round{}, heardMs: map[string]int64{}, syncMs: map[string]int64{},
+		rounds: map[uint64]*Round{}, lastResponseMs: map[string]int64{}, memberSyncMs: map[string]int64{},
 		memberHolders: map[string]memberHolders{},
 		leases:        map[string]*lease{}, holders: map[string]wire.RoleHolder{}, former: map[string]formerHolder{},
 	}
 }
 
-// IgnoreStrength has roles go to any machine of their zone first, however weak: for
+// IgnoreStrength makes Candidates treat all machines that are not colocated as equally strong, for
 // comparisons.
 func (m *Manager) IgnoreStrength(ignore bool) { m.ignoreStrength = ignore }
 
-// inService tells whether a lease is surely held now.
+// inService reports whether a lease is certainly held now.
 func (m *Manager) inService(l *lease) bool {
 	return l != nil && l.phase == held && m.host.NowMs() < l.untilMs-SlackMs
 }
 
-// ranOut tells whether a lease must be given up.
-func (m *Manager) ranOut(l *lease) bool { return m.host.NowMs() >= l.untilMs-SlackMs }
+// expired reports whether a lease must be given up.
+func (m *Manager) expired(l *lease) bool { return m.host.NowMs() >= l.untilMs-SlackMs }
 
-// Holds tells whether this daemon surely holds a role now.
+// Holds reports whether this daemon certainly holds a role now.
 func (m *Manager) Holds(role string) bool { return m.inService(m.leases[role]) }
 
-// HeldUntilMs is when this daemon gives a role up at the latest, by the steady
-// clock; 0 for one that it doesn't hold.
+// HeldUntilMs returns the latest time at which this daemon gives up a role, by its monotonic clock;
+// 0 for a role that it doesn't hold.
 func (m *Manager) HeldUntilMs(role string) int64 {
 	if l := m.leases[role]; l != nil {
 		return l.untilMs - SlackMs
@@ -158,8 +158,7 @@
 	return 0
 }
 
-// Holder returns who holds a role and its epoch, as far as the core told; "" where
-// nobody does.
+// Holder returns the holder of a role and its epoch, as known to the core; "" if the role is free.
 func (m *Manager) Holder(role string) (name string, epoch uint64) {
 	self := m.host.Self().Name
 	if l := m.leases[role]; m.inService(l) {
@@ -172,10 +171,10 @@
 	return h.Holder, h.Epoch
 }
 
-// Successor returns whom a role's last holder named for it; "" for nobody.
+// Successor returns the successor that a role's last holder named; "" for none.
 func (m *Manager) Successor(role string) string { return m.holders[role].Successor }
 
-// Holders returns all that the core told of who holds what, by role.
+// Holders returns the holders of all roles, as known to the core, sorted by role.
 func (m *Manager) Holders() []wire.RoleHolder {
 	out := make([]wire.RoleHolder, 0, len(m.holders))
 	for _, role := range slices.Sorted(maps.Keys(m.holders)) {
@@ -184,31 +183,30 @@
 	return out
 }
 
-// Roles returns the roles that this daemon holds, tries for or gives up, in order.
+// Roles returns the roles that this daemon holds, requests or gives up, sorted.
 func (m *Manager) Roles() []string { return slices.Sorted(maps.Keys(m.leases)) }
 
-// Serves tells whether this daemon took a role and has not let go of it; its lease
-// may have run out since.
+// Serves reports whether this daemon has taken a role and not given it up. Its lease may have
+// expired since.
 func (m *Manager) Serves(role string) bool {
 	l := m.leases[role]
 	return l != nil && l.phase == held
 }
 
-// Acquire tries for a role, unless the daemon is about to stop.
+// Acquire requests a role, unless the daemon is stopping.
 func (m *Manager) Acquire(role string) {
 	if m.leases[role] == nil && !m.host.Self().Leaving && m.host.CoreSet().Cluster != 0 {
-		m.leases[role] = &lease{role: role, wantedMs: m.host.NowMs()}
+		m.leases[role] = &lease{role: role, requestedMs: m.host.NowMs()}
 		m.PollSoon()
 	}
 }
 
-// Assume records a role as held until a time, as if it had been granted. Tests
-// begin with it.
+// Assume records a role as held until the given time without a grant. It sets up tests.
 func (m *Manager) Assume(role string, epoch uint64, untilMs int64) {
 	m.leases[role] = &lease{role: role, epoch: epoch, phase: held, untilMs: untilMs}
 }
 
-// Lose gives a role up at once, whatever the members still grant.
+// Lose gives up a role at once, even if members still grant its lease.
 func (m *Manager) Lose(role, why string) {
 	l := m.leases[role]
 	if l == nil {
@@ -222,7 +220,7 @@
 	m.host.RoleLost(role)
 }
 
-// HandOff stops serving a role at once and names who takes it next; "" for anybody.
+// HandOff stops serving a role at once and names the successor; "" for any daemon.
 func (m *Manager) HandOff(role, successor string) {
 	l := m.leases[role]
 	if l == nil || l.phase == handingOff {
@@ -234,18 +232,19 @@
 	m.PollSoon()
 }
 
-// backOff gives up on a role whose grants were split, and waits a while.
+// backOff releases a role whose grants were split between candidates, and waits for a random time
+// before the next request.
 func (m *Manager) backOff(l *lease) {
 	l.phase, l.successor, l.releaseAcks = handingOff, "", map[string]bool{}
 	m.PollSoon()
 	if m.freeSince != nil {
-		m.freeSince[l.role] = m.host.NowMs() + m.random().Int64N(acquireStepMs)
+		m.freeSince[l.role] = m.host.NowMs() + m.random().Int64N(acquireStaggerMs)
 	}
 }
 
 func (m *Manager) random() *rand.Rand { return m.host.Rand() }
 
-// DecideEpoch counts a role's epoch up: it is the change of the role's register.
+// NextEpoch is the register.Change that increments a role's epoch.
 func (m *Manager) DecideEpoch(role string, current []byte) (register.Decision, []byte) {
 	l := m.leases[role]
 	var h wire.RoleHolder
@@ -253,27 +252,28 @@
 		return register.Fail, nil
 	}
 	self := m.host.Self()
-	if h.Epoch > l.knownEpoch && (h.Holder != self.Name || h.Incarnation != self.Incarnation) {
-		return register.Refuse, nil // taken by another since our lease was granted, by members that have started anew
+	if h.Epoch > l.majorityEpoch && (h.Holder != self.Name || h.Incarnation != self.Incarnation) {
+		return register.Refuse, nil // taken by another daemon since the lease was granted by members that have restarted
 	}
 	return register.Replace, codec.Append(nil, wire.RoleHolder{
 		Name: role, Holder: self.Name, Incarnation: self.Incarnation, Addr: self.Addr, Epoch: h.Epoch + 1,
 	})
 }
 
-// EpochChanged takes what came of counting a role's epoch up, and begins to serve it.
+// OnEpochOutcome handles the outcome of incrementing a role's epoch. On success the daemon begins
+// to serve the role.
 func (m *Manager) EpochChanged(role string, outcome register.Outcome, value []byte) {
 	l := m.leases[role]
-	if l == nil || l.phase != counting {
+	if l == nil || l.phase != incrementingEpoch {
 		return
 	}
-	if outcome == register.Refused && !m.ranOut(l) {
-		l.phase, l.rounds = wanted, 0 // the members know the newer epoch now
+	if outcome == register.Refused && !m.expired(l) {
+		l.phase, l.requestRounds = requesting, 0 // the members know the newer epoch now
 		m.PollSoon()
 		return
 	}
 	var h wire.RoleHolder
-	if outcome != register.Done || codec.Unmarshal(value, &h) != nil || m.ranOut(l) {
+	if outcome != register.Done || codec.Unmarshal(value, &h) != nil || m.expired(l) {
 		m.Lose(role, "not_taken")
 		return
 	}
--- a/internal/lease/poll.go
+++ b/internal/lease/poll.go
@@ -8,105 +8,105 @@
 	"otterchute/internal/wire"
 )
 
-// PollSoon has the next tick poll.
-func (m *Manager) PollSoon() { m.nextMs = 0 }
+// PollSoon makes the next tick poll.
+func (m *Manager) PollSoon() { m.nextPollMs = 0 }
 
-// PollNextTick has the next tick poll if none is on its way already; ticks are
-// tickMs apart.
-func (m *Manager) PollNextTick(tickMs int64) { m.nextMs = min(m.nextMs, m.lastMs+tickMs) }
+// PollNextTick schedules a poll for one tick after the last poll, unless one is due sooner. tickMs
+// is the interval between ticks.
+func (m *Manager) PollNextTick(tickMs int64) { m.nextPollMs = min(m.nextPollMs, m.lastPollMs+tickMs) }
 
-// Polls is the number of the newest round. What a later round confirms was so after it.
+// LatestRound returns the number of the newest round. What a later round confirms was still true
+// after this call.
 func (m *Manager) Polls() uint64 { return m.seq }
 
-// ContactMs is when the newest round that a majority answered was sent.
-func (m *Manager) ContactMs() int64 { return m.contactMs }
+// LastContactMs returns when the newest round that a majority answered was sent.
+func (m *Manager) ContactMs() int64 { return m.lastContactMs }
 
-// FirstPollMs is when this daemon first polled; 0 before.
-func (m *Manager) FirstPollMs() int64 { return m.firstMs }
+// FirstPollMs returns when this daemon first polled; 0 if it has not.
+func (m *Manager) FirstPollMs() int64 { return m.firstPollMs }
 
-// HeardMs is when a member last answered a poll; 0 for never.
-func (m *Manager) HeardMs(member string) int64 { return m.heardMs[member] }
+// LastResponseMs returns when a member last answered a poll; 0 for never.
+func (m *Manager) HeardMs(member string) int64 { return m.lastResponseMs[member] }
 
-// SyncMs returns the time of the last sync of each member that told.
-func (m *Manager) SyncMs() map[string]int64 { return m.syncMs }
+// MemberSyncMs returns the duration of the last disk sync of each member that reported it.
+func (m *Manager) SyncMs() map[string]int64 { return m.memberSyncMs }
 
-// Clock is the fleet's time as the members told it.
+// Clock returns the cluster's time as reported by the members.
 func (m *Manager) Clock() *Clock { return &m.clock }
 
-// InContact tells whether a majority of the core answered a round that was sent
-// within the span of a lease.
+// InContact reports whether a majority of the core answered a round that was sent within the
+// duration of a lease.
 //
-// A round counts from when it was sent, and only once a majority has answered it.
-// So a daemon that hears and isn't heard is out of contact like one that hears
-// nothing. What needs a majority is checked where it is done: a lease by its end,
-// a configuration by its confirmation, a change of a register by its two rounds.
-// Contact only decides how soon a caller is told that none of that can be had here.
+// A round counts from when it was sent, and only once a majority has answered it. So a daemon that
+// receives messages but can't send them is out of contact like one that receives nothing.
+// Operations that need a majority are checked on their own: a lease by its end, a configuration by
+// its confirmation, a change of a register by its two rounds. InContact only decides how soon a
+// caller is told that they are unavailable here.
 func (m *Manager) InContact() bool {
-	return m.host.CoreSet().Cluster != 0 && m.host.NowMs()-m.contactMs <= HeldMs
+	return m.host.CoreSet().Cluster != 0 && m.host.NowMs()-m.lastContactMs <= HeldMs
 }
 
-// CutOff tells whether this daemon ran for a whole lease without contact. One that
-// has just started, or woken from a freeze, can't tell yet: its first polls are
-// under way.
+// CutOff reports whether this daemon has run for a whole lease without contact. It is false right
+// after a start or after a freeze, while the first polls are in flight.
 func (m *Manager) CutOff() bool {
-	return m.host.NowMs()-max(m.contactMs, m.host.WokeMs()) > HeldMs
+	return m.host.NowMs()-max(m.lastContactMs, m.host.WokeMs()) > HeldMs
 }
 
-// Tick polls where a round is due.
+// Tick sends a round of polls if one is due.
 func (m *Manager) Tick() {
 	set, now := m.host.CoreSet(), m.host.NowMs()
-	if len(set.Members) == 0 || now < m.nextMs {
+	if len(set.Members) == 0 || now < m.nextPollMs {
 		return
 	}
 	self := m.host.Self()
-	m.nextMs, m.lastMs = now+PollMs, now
+	m.nextPollMs, m.lastPollMs = now+PollMs, now
 	if self.Colocated {
-		m.nextMs = now + PollColocatedMs
+		m.nextPollMs = now + PollColocatedMs
 	}
 	m.seq++
 	round := &Round{Seq: m.seq, SentMs: now, Answers: map[string]*wire.PollResponse{}, hashes: map[string]uint64{}}
-	m.sent[m.seq] = round
-	m.fill(round)
-	maps.DeleteFunc(m.sent, func(_ uint64, r *Round) bool { return now-r.SentMs > DurationMs })
-	if m.firstMs == 0 {
-		m.firstMs = now
+	m.rounds[m.seq] = round
+	m.fillRequests(round)
+	maps.DeleteFunc(m.rounds, func(_ uint64, r *Round) bool { return now-r.SentMs > DurationMs })
+	if m.firstPollMs == 0 {
+		m.firstPollMs = now
 	}
 	for _, member := range set.Members {
-		if self.Colocated && now-m.heardMs[member.Name] > unheardMs {
-			m.peers.AnnounceTo([]string{member.Name}) // gossip may not have told it where to answer
+		if self.Colocated && now-m.lastResponseMs[member.Name] > announceAfterMs {
+			m.peers.AnnounceTo([]string{member.Name}) // gossip may not have given it this daemon's address
 		}
 		m.host.Send(member.Name, &wire.PollRequest{
 			Incarnation: self.Incarnation, Seq: m.seq, SetVersion: set.Version, WallMs: m.host.WallMs(),
-			HoldersHash: m.memberHolders[member.Name].hash, Wanted: round.wanted, Releases: round.releases,
+			HoldersHash: m.memberHolders[member.Name].hash, Wanted: round.requests, Releases: round.releases,
 		})
 		round.hashes[member.Name] = m.memberHolders[member.Name].hash
 	}
 }
 
-// memberHolders is who holds what, as one member last told in full.
+// memberHolders holds the complete list of holders that a member last sent, and its hash.
 type memberHolders struct {
 	hash    uint64
 	holders []wire.RoleHolder
 }
 
-// completeHolders fills in the holders that an answer left out. It gives false where a newer
-// answer has overtaken this one: then nobody knows here what it left out.
-func (m *Manager) completeHolders(from string, a *wire.PollResponse, asked uint64) bool {
-	if !a.HoldersSame {
-		m.memberHolders[from] = memberHolders{wire.HashHolders(a.Holders), a.Holders}
+// completeHolders fills in the holders that a response left out as unchanged. It returns false if a
+// newer response has replaced the list: what was left out is then unknown.
+func (m *Manager) completeHolders(from string, response *wire.PollResponse, requestedHash uint64) bool {
+	if !response.HoldersSame {
+		m.memberHolders[from] = memberHolders{wire.HashHolders(response.Holders), response.Holders}
 		return true
 	}
 	last := m.memberHolders[from]
-	a.Holders = last.holders
-	return last.hash == asked
+	response.Holders = last.holders
+	return last.hash == requestedHash
 }
 
-// fill puts into a round what is asked for and given back.
-func (m *Manager) fill(round *Round) {
+// fillRequests adds the leases to request and to release to a round.
+func (m *Manager) fillRequests(round *Round) {
 	for _, role := range m.Roles() {
 		l := m.leases[role]
-		if l.phase == wanted {
-			if l.rounds++; l.rounds > splitRounds {
+		if l.phase == requesting {
+			if l.requestRounds++; l.requestRounds > maxSplitRounds {
 				m.backOff(l)
 			}
 		}
@@ -114,90 +114,90 @@
 			round.releases = append(round.releases, wire.LeaseRelease{Name: role, Successor: l.successor})
 			continue
 		}
-		round.wanted = append(round.wanted, wire.LeaseRequest{Name: role, Epoch: l.epoch})
+		round.requests = append(round.requests, wire.LeaseRequest{Name: role, Epoch: l.epoch})
 		round.leases = append(round.leases, l)
 	}
 }
 
-// OnResponse takes a member's answer to a poll.
-func (m *Manager) OnResponse(from string, a *wire.PollResponse) {
+// OnResponse handles a member's response to a poll.
+func (m *Manager) OnResponse(from string, response *wire.PollResponse) {
 	set, now := m.host.CoreSet(), m.host.NowMs()
-	m.heardMs[from] = now
-	r := m.sent[a.Seq]
-	if r == nil || a.SetVersion != set.Version || r.Answers[from] != nil {
+	m.lastResponseMs[from] = now
+	round := m.rounds[response.Seq]
+	if round == nil || response.SetVersion != set.Version || round.Answers[from] != nil {
 		return
 	}
-	if len(a.Granted) != len(r.wanted) || len(a.Epochs) != len(r.wanted) {
+	if len(response.Granted) != len(round.requests) || len(response.Epochs) != len(round.requests) {
 		return
 	}
-	if !m.completeHolders(from, a, r.hashes[from]) {
+	if !m.completeHolders(from, response, round.hashes[from]) {
 		return
 	}
-	r.Answers[from] = a
-	m.clock.Observe(from, a.FleetMs, r.SentMs, now)
-	m.syncMs[from] = a.SyncMs
-	for i, l := range r.leases {
+	round.Answers[from] = response
+	m.clock.Observe(from, response.FleetMs, round.SentMs, now)
+	m.memberSyncMs[from] = response.SyncMs
+	for i, l := range round.leases {
 		if m.leases[l.role] == l {
-			m.onGrants(r, l, r.grantedEpochs(i))
+			m.onGrants(round, l, round.grantedEpochs(i))
 		}
 	}
-	if len(r.Answers) < set.Majority() {
+	if len(round.Answers) < set.Majority() {
 		return
 	}
-	m.waitForGuards(r)
-	m.contactMs = max(m.contactMs, r.SentMs)
-	m.host.RoundAnswered(r)
-	m.observeHolders(r)
-	m.onReleases(r, from)
+	m.pollAfterGrantDelay(round)
+	m.lastContactMs = max(m.lastContactMs, round.SentMs)
+	m.host.RoundAnswered(round)
+	m.observeHolders(round)
+	m.onReleases(round, from)
 }
 
-// waitForGuards polls again as soon as a majority may grant, where too many
-// members wait for leases that they may have granted before a start.
-func (m *Manager) waitForGuards(r *Round) {
-	var guards []int64
-	for _, a := range r.Answers {
-		guards = append(guards, a.GuardMs)
+// pollAfterGrantDelay schedules a poll for when a majority may grant leases again, if too many
+// members delay grants after a start.
+func (m *Manager) pollAfterGrantDelay(round *Round) {
+	var delays []int64
+	for _, response := range round.Answers {
+		delays = append(delays, response.GuardMs)
 	}
-	slices.Sort(guards)
-	if g := guards[m.host.CoreSet().Majority()-1]; g > 0 {
-		m.guardMs = m.host.NowMs() + g
-		m.nextMs = min(m.nextMs, m.guardMs)
+	slices.Sort(delays)
+	if delay := delays[m.host.CoreSet().Majority()-1]; delay > 0 {
+		m.grantDelayUntilMs = m.host.NowMs() + delay
+		m.nextPollMs = min(m.nextPollMs, m.grantDelayUntilMs)
 	}
 }
 
-// onGrants counts the grants of a lease in one round. The lease runs from when the
-// round was sent, so it ends here before any member's grant does.
-func (m *Manager) onGrants(r *Round, l *lease, epochs []uint64) {
+// onGrants counts the grants of a lease in one round. The lease runs from when the round was sent,
+// so it ends here before any member's grant does.
+func (m *Manager) onGrants(round *Round, l *lease, epochs []uint64) {
 	set := m.host.CoreSet()
 	need := set.Majority()
 	switch {
 	case l.phase == handingOff:
-	case l.phase == held && m.ranOut(l):
-		// Others may have held it since: it is taken anew, under a new epoch.
+	case l.phase == held && m.expired(l):
+		// Another daemon may have held it since: it is acquired again under a new epoch.
 		m.Lose(l.role, "lease_ended")
 	case len(epochs) >= need:
-		l.untilMs = max(l.untilMs, r.SentMs+DurationMs)
-		if l.phase == wanted {
-			l.phase, l.takenMs, l.knownEpoch = counting, m.host.NowMs(), epochs[need-1]
+		l.untilMs = max(l.untilMs, round.SentMs+DurationMs)
+		if l.phase == requesting {
+			l.phase, l.acquiredMs, l.majorityEpoch = incrementingEpoch, m.host.NowMs(), epochs[need-1]
 			m.host.CountEpoch(l.role)
 		}
-	case l.phase == wanted && len(r.Answers) == len(set.Members):
+	case l.phase == requesting && len(round.Answers) == len(set.Members):
 		m.backOff(l)
 	}
 }
 
-// grantedEpochs returns the newest epochs known to those members that granted the
-// round's lease number i, highest first. The epoch at the position of the majority
-// is what a change of the role's register may build on: a majority of those who
-// granted the lease knows it. One that knows less may have granted a lease before
-// and forgotten it in a restart, and can't tell that its holder went on to count
-// the epoch up: where the register holds a newer epoch the change is lost, the
-// newer one is written back, and the lease is asked for again of members that then
-// know it.
+// grantedEpochs returns the newest epochs known to the members that granted the round's lease
+// number i, highest first. The epoch at the majority's position is the one that a change of the
+// role's register may build on: a majority of those that granted the lease knows it.
+//
+// A member that knows an older epoch may have granted a lease before, forgotten it in a restart,
+// and not know that its holder then incremented the epoch. In that case the register holds a newer
+// epoch: the change is refused, the newer epoch is written back, and the lease is requested again
+// from members that then know it.
 func (r *Round) grantedEpochs(i int) (epochs []uint64) {
-	for _, a := range r.Answers {
-		if a.Granted[i] {
-			epochs = append(epochs, a.Epochs[i])
+	for _, response := range r.Answers {
+		if response.Granted[i] {
+			epochs = append(epochs, response.Epochs[i])
 		}
 	}
 	slices.Sort(epochs)
@@ -205,12 +205,12 @@
 	return epochs
 }
 
-// observeHolders learns from a majority's answers who holds what, and which role
-// is free.
-func (m *Manager) observeHolders(r *Round) {
+// observeHolders updates the holders of all roles from a majority's responses, and removes roles
+// that became free.
+func (m *Manager) observeHolders(round *Round) {
 	seen := map[string]bool{}
-	for _, from := range slices.Sorted(maps.Keys(r.Answers)) {
-		for _, h := range r.Answers[from].Holders {
+	for _, from := range slices.Sorted(maps.Keys(round.Answers)) {
+		for _, h := range round.Answers[from].Holders {
 			old, known := m.holders[h.Name]
 			if !seen[h.Name] || !known || h.Epoch > old.Epoch || h.Epoch == old.Epoch && old.Holder == "" {
 				m.holders[h.Name] = h
@@ -229,9 +229,10 @@
 	}
 }
 
-// onReleases counts who took the round's releases, and lets go at a majority.
-func (m *Manager) onReleases(r *Round, from string) {
-	for _, release := range r.releases {
+// onReleases counts the members that acknowledged the round's releases, and gives up each role that
+// a majority has acknowledged.
+func (m *Manager) onReleases(round *Round, from string) {
+	for _, release := range round.releases {
 		l := m.leases[release.Name]
 		if l == nil || l.phase != handingOff {
 			continue
@@ -243,23 +244,23 @@
 	}
 }
 
-// OnCoreSet tells that the core set is another from now on: the silence of new
-// members counts from now, and former members have no say on the time.
+// OnCoreSet handles a change of the core set: a new member's silence is counted from now, and
+// former members no longer contribute to the time.
 func (m *Manager) OnCoreSet(before, after quorum.Set) {
 	for _, member := range after.Members {
 		if !before.Has(member.Name, member.DiskID) {
-			m.heardMs[member.Name] = m.host.NowMs()
+			m.lastResponseMs[member.Name] = m.host.NowMs()
 		}
 	}
 	for _, name := range m.clock.Forget(after) {
-		delete(m.syncMs, name)
+		delete(m.memberSyncMs, name)
 	}
 }
 
-// Unresponsive tells whether a member answers none of this daemon's polls for so
-// long, though a majority does.
+// Unresponsive reports whether a member has answered none of this daemon's polls for longer than
+// forMs, although a majority answers.
 func (m *Manager) Unresponsive(member string, forMs int64) bool {
 	now := m.host.NowMs()
-	majorityAnswers := m.firstMs != 0 && now-m.contactMs < 2*PollColocatedMs
-	return majorityAnswers && now-max(m.heardMs[member], m.firstMs) > forMs
+	majorityAnswers := m.firstPollMs != 0 && now-m.lastContactMs < 2*PollColocatedMs
+	return majorityAnswers && now-max(m.lastResponseMs[member], m.firstPollMs) > forMs
 }
--- a/internal/lease/poll_test.go
+++ b/internal/lease/poll_test.go
@@ -8,19 +8,19 @@
 	"github.com/shoenig/test/must"
 )
 
-// member answers polls as a core member does that holds one list of holders.
+// member answers polls like a core member with one list of holders.
 type member struct{ holders []wire.RoleHolder }
 
-func (m *member) answer(request *wire.PollRequest, version int64) *wire.PollResponse {
-	a := &wire.PollResponse{Seq: request.Seq, SetVersion: version, Holders: m.holders}
+func (m *member) respond(request *wire.PollRequest, version int64) *wire.PollResponse {
+	response := &wire.PollResponse{Seq: request.Seq, SetVersion: version, Holders: m.holders}
 	if request.HoldersHash == wire.HashHolders(m.holders) {
-		a.Holders, a.HoldersSame = nil, true
+		response.Holders, response.HoldersSame = nil, true
 	}
-	return a
+	return response
 }
 
-// pollOf gives the newest poll that went to the member at a position of the set.
-func (h *fakeHost) pollOf(position int) *wire.PollRequest {
+// latestPollTo returns the newest poll sent to the member at a position of the set.
+func (h *fakeHost) latestPollTo(position int) *wire.PollRequest {
 	return h.polls[len(h.polls)-len(h.set.Members)+position]
 }
 
@@ -29,20 +29,20 @@
 	m.Tick()
 }
 
-// Holders come in full once, and again when they have changed; between, an answer without
-// them stands for the same.
-func TestHoldersComeOnce(t *testing.T) {
+// Holders are sent in full once, and again when they have changed. In between, a response without
+// them means the same list.
+func TestHoldersSentOnlyWhenChanged(t *testing.T) {
 	h, m := newManager()
 	east := wire.RoleHolder{Name: "slice/east", Holder: "x", Epoch: 3}
 	core := &member{[]wire.RoleHolder{east}}
 	round := func() (full int) {
 		m.pollNow(h)
 		for i, name := range []string{"a", "b"} {
-			a := core.answer(h.pollOf(i), h.set.Version)
-			if !a.HoldersSame {
+			response := core.respond(h.latestPollTo(i), h.set.Version)
+			if !response.HoldersSame {
 				full++
 			}
-			m.OnResponse(name, a)
+			m.OnResponse(name, response)
 		}
 		return full
 	}
@@ -59,34 +59,35 @@
 	must.Eq(t, "y", holder())
 	must.Eq(t, 0, round())
 	must.Eq(t, "y", holder())
-	core.holders = nil // nobody holds it
+	core.holders = nil // the role is free
 	must.Eq(t, 2, round())
 	must.Eq(t, "", holder())
 	must.Eq(t, 0, round())
 	must.Eq(t, "", holder())
 }
 
-// An answer that leaves out holders which a newer one has changed tells nothing: it must not
-// bring a former holder back, nor stand for nobody.
-func TestOvertakenAnswerWithoutHolders(t *testing.T) {
+// Guards against a stale response that leaves out the holders which a newer response has changed:
+// it must not restore a former holder, nor make the role appear free.
+func TestStaleResponseWithoutHolders(t *testing.T) {
 	h, m := newManager()
 	core := &member{[]wire.RoleHolder{{Name: "slice/east", Holder: "x", Epoch: 3}}}
 	m.pollNow(h)
-	m.OnResponse("a", core.answer(h.pollOf(0), h.set.Version))
+	m.OnResponse("a", core.respond(h.latestPollTo(0), h.set.Version))
 	m.pollNow(h)
-	late := core.answer(h.pollOf(0), h.set.Version)
+	late := core.respond(h.latestPollTo(0), h.set.Version)
 	must.True(t, late.HoldersSame)
 	core.holders = []wire.RoleHolder{{Name: "slice/east", Holder: "y", Epoch: 4}}
 	m.pollNow(h)
-	newest := h.pollOf(0)
-	m.OnResponse("a", core.answer(newest, h.set.Version))
+	newest := h.latestPollTo(0)
+	m.OnResponse("a", core.respond(newest, h.set.Version))
 	m.OnResponse("a", late)
-	must.MapLen(t, 0, m.sent[late.Seq].Answers)
-	must.Eq(t, core.holders, m.sent[newest.Seq].Answers["a"].Holders)
+	must.MapLen(t, 0, m.rounds[late.Seq].Answers)
+	must.Eq(t, core.holders, m.rounds[newest.Seq].Answers["a"].Holders)
 }
 
-// The median is worked out once for many polls, and anew when clocks come or time passes.
-func TestMedianIsKeptForAWhile(t *testing.T) {
+// The median is computed once for many polls, and again when the number of clocks changes or after
+// medianIntervalMs.
+func TestMedianIsCached(t *testing.T) {
 	g := NewGranter()
 	g.Guard(0)
 	observe := func(name string, offsetMs, nowMs int64) { g.ObserveClock(name, nowMs+offsetMs, nowMs) }
@@ -97,9 +98,9 @@
 	observe("a", 5000, 2010)
 	observe("b", 5000, 2010)
 	must.Eq(t, int64(2010+1000), g.FleetTime(2010, 3))
-	must.Eq(t, int64(2000+medianMs+5000), g.FleetTime(2000+medianMs, 3))
+	must.Eq(t, int64(2000+medianIntervalMs+5000), g.FleetTime(2000+medianIntervalMs, 3))
 	observe("d", 9000, 2110)
 	observe("e", 9000, 2110)
 	observe("f", 9000, 2110)
-	must.Eq(t, int64(2110+5000), g.FleetTime(2110, 3)) // six clocks now
+	must.Eq(t, int64(2110+5000), g.FleetTime(2110, 3)) // there are six clocks now
 }
