--- a/guards.sh
+++ b/guards.sh
@@ -64,14 +64,14 @@
 a ballot belongs to its operation|internal/register/proposer.go|\tp.round++\n|\tp.round = 1\n
 a promise binds|internal/register/acceptor.go|if m.Ballot.Less(a.Promised) {|if false {
 a promise is kept|internal/register/acceptor.go|if a.Promised.Less(w.Ballot) {|if false {
-the highest accepted value goes on|internal/register/proposer.go|if o.accepted.Less(m.Accepted) {|if o.accepted.IsZero() {
+the highest accepted value goes on|internal/register/proposer.go|if o.highestAccepted.Less(m.Accepted) {|if o.highestAccepted.IsZero() {
 acceptors answer for their set|internal/register/acceptor.go|m.SetVersion != setVersion {|false {
-what is kept stands at a majority|internal/register/proposer.go|if !o.split {|if true {
+what is kept stands at a majority|internal/register/proposer.go|if !o.ballotsDiffer {|if true {
 an answer leaves after its write is synced|internal/daemon/registers.go|n.persist([]statestore.Entry{entry}, n.sendEffect(to, answer))|n.persist([]statestore.Entry{entry})\n\tn.send(to, answer)
 an order is known again|internal/configuration/history.go|found = o == id|found = false
 an order that was forgotten is not refused|internal/daemon/config_change.go|if !cur.Accepted.Covers(o.change) {|if false {
 orders have the base in their identity|internal/configuration/history.go|id := ChangeID{Version: base + int64(rise), Base: base}|id := ChangeID{Version: base + int64(rise)}
-a refusal is written back|internal/register/proposer.go|\t\to.atEnd = Refused\n|\t\to.outcome = Refused\n\t\treturn nil\n
+a refusal is written back|internal/register/proposer.go|\t\to.outcomeOnAccept = Refused\n|\t\to.outcome = Refused\n\t\treturn nil\n
 a leaving member waits for its successor|internal/daemon/roles.go|if n.leavingSince == 0 \|\| n.members.AwaitsSuccessor() {|if n.leavingSince == 0 {
 copied again before a member leaves|internal/membership/learner.go|if at == newest \|\| m.copyComplete(l, set.Majority()-1) {|if true {
 a successor that stalls is taken out|internal/membership/learner.go|if late \|\| m.leases.Unresponsive(set.Members[newest].Name, UnresponsiveMs) {|if late && false {
--- a/internal/daemon/rules_test.go
+++ b/internal/daemon/rules_test.go
@@ -33,10 +33,9 @@
 // folder that isn't named here has none, and one that got better gets the lower
 // number at once.
 var withdrawnLeft = map[string]int{
-	"internal/daemon tests":   59,
-	"internal/register tests": 1,
-	"internal/storage tests":  1,
-	"platform tests":          2,
+	"internal/daemon tests":  59,
+	"internal/storage tests": 1,
+	"platform tests":         2,
 }
 
 // folderOf names what a file counts for.
--- a/internal/quorum/set.go
+++ b/internal/quorum/set.go
@@ -1,7 +1,6 @@
-// Package quorum holds the core set: the members whose disks hold the state, and
-// how many of them must agree. The set is the value of a register and changes by
-// one member at a time (see package membership for when); this package is its
-// plain data and does nothing by itself.
+// Package quorum defines the core set: the members whose disks store the state, and how many of
+// them make a majority. The set is the value of a register and changes by one member at a time;
+// package membership decides when. This package only holds the data.
 package quorum
 
 import (
@@ -11,17 +10,17 @@
 	"otterchute/internal/register"
 )
 
-// Set is one version of the core set. The zero Set is that of a daemon that
-// knows of no cluster yet.
+// Set is one version of the core set. The zero Set means that the daemon doesn't know of any
+// cluster yet.
 type Set struct {
 	Cluster uint64 // drawn at random when the cluster was formed; 0 for none
-	Version int64  // counted up with each change
+	Version int64  // incremented by each change
 	Members []Member
-	Shards  []string // the shards of the jobs, one a zone; they never change
+	Shards  []string // shards of the jobs, one per zone; they never change
 }
 
-// Member is one disk of a core set. A machine whose disk was wiped comes back
-// under another DiskID, and so is another member.
+// Member is one disk of a core set. A machine whose disk was wiped returns with another DiskID, and
+// is therefore another member.
 type Member struct {
 	Name   string // of the daemon
 	DiskID uint64
@@ -36,35 +35,35 @@
 	return out
 }
 
-// Majority is how many members make a quorum; a set of two needs both.
+// Majority returns how many members make a quorum; a set of two needs both.
 func (s Set) Majority() int { return len(s.Members)/2 + 1 }
 
-// Has tells whether a daemon is a member with this very disk.
+// Has reports whether a daemon is a member with exactly this disk.
 func (s Set) Has(name string, diskID uint64) bool {
 	return slices.Contains(s.Members, Member{name, diskID})
 }
 
-// HasName tells whether a daemon is a member, with whatever disk.
+// HasName reports whether a daemon is a member, with any disk.
 func (s Set) HasName(name string) bool {
 	return slices.ContainsFunc(s.Members, func(m Member) bool { return m.Name == name })
 }
 
-// RegisterSet is the set as package register needs it.
+// RegisterSet returns the set in the form that package register uses.
 func (s Set) RegisterSet() register.Set {
 	return register.Set{Version: s.Version, Members: s.Names()}
 }
 
-// Encode returns the binary form in which the set is a register's value.
+// Encode returns the set's binary form, which is the value of its register.
 func (s Set) Encode() []byte { return codec.Append(nil, s) }
 
-// With returns the next version with one more member, its newest from then on.
+// With returns the next version of the set, with one more member at its end.
 func (s Set) With(m Member) Set {
 	s.Members = append(slices.Clone(s.Members), m)
 	s.Version++
 	return s
 }
 
-// Without returns the next version without the member at an index.
+// Without returns the next version of the set, without the member at an index.
 func (s Set) Without(at int) Set {
 	s.Members = slices.Delete(slices.Clone(s.Members), at, at+1)
 	s.Version++
--- a/internal/quorum/set_test.go
+++ b/internal/quorum/set_test.go
@@ -32,7 +32,7 @@
 	must.Eq(t, int64(4), s.RegisterSet().Version)
 }
 
-// The next set shares no memory with the one before it.
+// The next set shares no memory with the previous one.
 func TestNextSet(t *testing.T) {
 	s := setOf("a", "b", "c")
 	larger := s.With(Member{"d", 4})
--- a/internal/register/acceptor.go
+++ b/internal/register/acceptor.go
@@ -1,23 +1,22 @@
 package register
 
-// Acceptor is one member's part of a register. Its state changes by writes
-// alone, so that applying them again after a restart gives the same acceptor.
+// Acceptor is one member's part of a register. Only writes change its state, so applying them again
+// after a restart yields the same acceptor.
 type Acceptor struct {
-	Promised Ballot // nothing below it is accepted
+	Promised Ballot // no lower ballot is accepted
 	Accepted Ballot
 	Value    []byte
 }
 
-// Write is a change of an acceptor that must be durable before the answer that
-// came with it leaves.
+// Write is a change of an acceptor that must be durable before the accompanying response is sent.
 type Write struct {
-	Accept bool // else it is a promise only
+	Accept bool // else it is only a promise
 	Ballot Ballot
 	Value  []byte
 }
 
-// Apply carries a write out. Writes may come again and, when a copy of another
-// member is merged in, in any order: the highest ballots stand.
+// Apply carries out a write. Writes may be repeated and, when the copy of another member is merged,
+// may arrive in any order: the highest ballots win.
 func (a *Acceptor) Apply(w Write) {
 	if a.Promised.Less(w.Ballot) {
 		a.Promised = w.Ballot
@@ -27,9 +26,9 @@
 	}
 }
 
-// OnPrepare answers a Prepare of a member that is in the set with this version.
-// There is no answer to one that was asked under another set. A write is to be
-// applied at once, and to be durable before the answer leaves.
+// OnPrepare handles a Prepare on a member that is in the set with the given version. A request made
+// under another set gets no response. The returned write must be applied at once, and be durable
+// before the response is sent.
 func (a *Acceptor) OnPrepare(setVersion int64, m *Prepare) (*Promise, *Write) {
 	if m.SetVersion != setVersion {
 		return nil, nil
@@ -37,11 +36,11 @@
 	if !a.Promised.Less(m.Ballot) {
 		return &Promise{Op: m.Op, Promised: a.Promised, Ballot: m.Ballot}, nil
 	}
-	answer := &Promise{Op: m.Op, OK: true, Promised: a.Promised, Accepted: a.Accepted, Value: a.Value, Ballot: m.Ballot}
-	return answer, &Write{Ballot: m.Ballot}
+	response := &Promise{Op: m.Op, OK: true, Promised: a.Promised, Accepted: a.Accepted, Value: a.Value, Ballot: m.Ballot}
+	return response, &Write{Ballot: m.Ballot}
 }
 
-// OnAccept answers an Accept on the same terms.
+// OnAccept handles an Accept under the same rules as OnPrepare.
 func (a *Acceptor) OnAccept(setVersion int64, m *Accept) (*Accepted, *Write) {
 	if m.SetVersion != setVersion {
 		return nil, nil
--- a/internal/register/model_test.go
+++ b/internal/register/model_test.go
@@ -9,24 +9,23 @@
 	"strings"
 )
 
-// The model is a register with its acceptors, proposers, disks and network, as
-// plain data that can be copied, so that a test can try every next event.
+// The model is a register with its acceptors, proposers, disks and network, as plain data that can
+// be copied, so that a test can try every possible next event.
 //
-// Messages stay in the network for good: each may be delivered at any later
-// time, any number of times, to whichever life then has the name, or never.
-// That is loss, delay, repetition and every order at once.
+// Messages stay in the network: each may be delivered at any later time, any number of times, to
+// whichever instance of the proposer runs then, or never. This covers loss, delay, duplication and
+// reordering.
 //
-// The value is the list of the orders accepted so far, one byte each; the
-// version is its length. An order builds on a version, and is taken if it
-// stands in the list already.
+// The value is the list of the changes accepted so far, one byte each; the version is its length. A
+// change builds on a version, and has been accepted if it is in the list.
 
-// modelOrder is what an operator sends: one letter on top of a version.
-type modelOrder struct {
+// modelChange is a change made by an operator: one letter on top of a version.
+type modelChange struct {
 	letter byte
 	base   int
 }
 
-func (o modelOrder) change(current []byte) (Decision, []byte) {
+func (o modelChange) apply(current []byte) (Decision, []byte) {
 	switch {
 	case bytes.IndexByte(current, o.letter) >= 0:
 		return Keep, nil
@@ -36,77 +35,77 @@
 	return Replace, append(slices.Clone(current), o.letter)
 }
 
-// letters is a set of orders.
-type letters [4]uint64
+// letterSet is a set of changes.
+type letterSet [4]uint64
 
-func (l letters) has(letter byte) bool     { return l[letter>>6]&(1<<(letter&63)) != 0 }
-func (l letters) with(letter byte) letters { l[letter>>6] |= 1 << (letter & 63); return l }
+func (l letterSet) has(letter byte) bool       { return l[letter>>6]&(1<<(letter&63)) != 0 }
+func (l letterSet) with(letter byte) letterSet { l[letter>>6] |= 1 << (letter & 63); return l }
 
-// modelDisk is what a member keeps.
+// modelDisk is the state that a member stores.
 type modelDisk struct {
 	acceptor Acceptor
-	set      int64 // the version of the set it knows of
+	set      int64 // version of the newest set that the member knows
 }
 
 func (d modelDisk) same(other modelDisk) bool {
 	return d.set == other.set && d.acceptor.Promised == other.acceptor.Promised && d.acceptor.Accepted == other.acceptor.Accepted
 }
 
-// modelMember is an acceptor, with all messages that were ever sent to it and by it.
+// modelMember is an acceptor, with all messages ever sent to it and by it.
 type modelMember struct {
-	name             string
-	applied, durable modelDisk
-	waiting          []int // answers that leave with the next sync
-	to, from         []int // numbers of the messageTable
+	name                string
+	applied, durable    modelDisk
+	unsent              []int // responses that are sent after the next sync
+	requests, responses []int // indexes in the messageTable
 }
 
-// modelProcess is one life of a proposer.
+// modelProcess is one instance of a proposer.
 type modelProcess struct {
-	proposer Proposer
-	op       *Operation
-	order    modelOrder
-	before   letters // acknowledged before the current try began
-	nextID   uint64  // operations are numbered anew in each life
-	set      int64
+	proposer           Proposer
+	op                 *Operation
+	change             modelChange
+	acknowledgedBefore letterSet // changes acknowledged before the current attempt started
+	nextID             uint64    // operations are numbered anew by each instance
+	set                int64
 }
 
-// modelMessage is between a proposer's name and a member.
+// modelMessage is a message between a proposer of a name and a member.
 type modelMessage struct {
 	proposer string
 	body     any
 }
 
-// mutant is a fault that is built into the model, to see whether it is found.
+// mutant is a fault built into the model, to verify that the checks find it.
 type mutant struct {
-	answerBeforeSync   bool // answers don't wait for the disk
-	sharedLife         bool // all lives of a proposer have the same number
-	answersOfAnyTry    bool // answers count for whatever try is on its way
-	refuseWithoutWrite bool // what makes a change refused isn't written back
-	keepWithoutWrite   bool // nor what is kept, though it stands at a minority only
-	forgetPromise      bool // a promise is not kept against lower accepts
-	answerAnySet       bool // members answer what is asked under another set
-	joinAfterOneCopy   bool // a new member copies from one of two only
-	removeWithoutCopy  bool // a leaving member is removed before the new one copied again
-	smallQuorum        bool // one member less than a majority is enough
-	anyAccepted        bool // a proposer goes on from the first promise, not from the highest
-	compareNewestOnly  bool // an order is known as taken only while it is the newest
-	refusalsAsPromises bool // a refused try goes on
-}
-
-// model is one state of the whole.
+	respondBeforeSync     bool // responses don't wait for the disk
+	sharedInstance        bool // all instances of a proposer have the same number
+	responsesOfAnyAttempt bool // responses count for whichever attempt is in progress
+	refuseWithoutWrite    bool // a value that causes a refusal isn't written back
+	keepWithoutWrite      bool // nor is a kept value that only a minority has accepted
+	forgetPromise         bool // promises don't prevent lower accepts
+	respondToAnySet       bool // members respond to requests made under another set
+	joinAfterOneCopy      bool // a new member copies from only one of two members
+	removeWithoutCopy     bool // a leaving member is removed before the new one copied again
+	smallQuorum           bool // one member less than a majority is enough
+	anyAccepted           bool // a proposer uses the value of the first promise, not of the highest ballot
+	compareNewestOnly     bool // a change is known as accepted only while it is the newest
+	refusalsAsPromises    bool // a refused attempt continues
+}
+
+// model is one state of the whole system.
 type model struct {
 	mutant    mutant
-	sets      []Set // by version, from 1
-	chosen    int64 // the newest set
+	sets      []Set // by version, starting at 1
+	latestSet int64 // version of the newest set
 	members   []modelMember
 	processes []modelProcess
 	messages  *messageTable
-	copied    []string // members of the newest set whose copy the joiner has
+	copied    []string // members of the newest set whose copy the joining member has
 
-	orders                []modelOrder
-	told                  int // the highest version that an operation ended with
-	acknowledged, refused letters
-	broken                string
+	changes               []modelChange
+	reportedVersion       int // the highest version returned by an operation
+	acknowledged, refused letterSet
+	violation             string
 }
 
 // messageTable numbers the messages of all states of an exploration.
@@ -126,7 +125,7 @@
 	return id
 }
 
-// keyWriter writes what states are told apart by.
+// keyWriter encodes the fields by which states differ.
 type keyWriter []byte
 
 func (b *keyWriter) number(values ...int64) {
@@ -150,7 +149,7 @@
 	b.text(x.Proposer)
 }
 
-func (b *keyWriter) letters(l letters) {
+func (b *keyWriter) letterSet(l letterSet) {
 	for _, x := range l {
 		*b = binary.LittleEndian.AppendUint64(*b, x)
 	}
@@ -203,7 +202,7 @@
 
 func newModel(m mutant, proposers int) *model {
 	first := Set{Version: 1, Members: []string{"a", "b", "c"}}
-	s := &model{mutant: m, sets: []Set{first}, chosen: 1, messages: &messageTable{ids: map[string]int{}}}
+	s := &model{mutant: m, sets: []Set{first}, latestSet: 1, messages: &messageTable{ids: map[string]int{}}}
 	for _, name := range first.Members {
 		s.members = append(s.members, modelMember{name: name, applied: modelDisk{set: 1}, durable: modelDisk{set: 1}})
 	}
@@ -214,8 +213,8 @@
 	return s
 }
 
-// clone copies all that an event may change. Slices that only grow are shared:
-// whoever appends to one has clipped it before.
+// clone copies everything that an event may change. Slices that only grow are shared, and are
+// cloned before an append.
 func (s *model) clone() *model {
 	c := *s
 	c.members = slices.Clone(s.members)
@@ -230,8 +229,8 @@
 	return &c
 }
 
-// key is the same for states that can't be told apart by what follows. Members
-// are alike but for what they hold, so they stand in any order.
+// key returns equal strings for states that behave alike from here on. Members differ only in their
+// state, so they are encoded in sorted order.
 func (s *model) key() string {
 	blocks := make([]string, 0, len(s.members))
 	for i := range s.members {
@@ -244,9 +243,9 @@
 			b.flag(false)
 			b.disk(m.durable)
 		}
-		b.numbers(m.waiting)
-		b.numbers(m.to)
-		b.numbers(m.from)
+		b.numbers(m.unsent)
+		b.numbers(m.requests)
+		b.numbers(m.responses)
 		for _, set := range s.sets {
 			b.flag(slices.Contains(set.Members, m.name))
 		}
@@ -268,18 +267,18 @@
 		p := &s.processes[i]
 		b.number(int64(p.proposer.round), int64(p.proposer.Instance), int64(p.nextID), p.set)
 		if o := p.op; o != nil {
-			b.number(int64(p.order.letter), int64(o.phase), int64(o.atEnd), o.set.Version)
+			b.number(int64(p.change.letter), int64(o.phase), int64(o.outcomeOnAccept), o.set.Version)
 			b.ballot(o.Ballot)
-			b.ballot(o.accepted)
-			b.flag(o.split)
-			b.text(string(o.current))
-			b.text(string(o.next))
-			b.letters(p.before)
+			b.ballot(o.highestAccepted)
+			b.flag(o.ballotsDiffer)
+			b.text(string(o.currentValue))
+			b.text(string(o.nextValue))
+			b.letterSet(p.acknowledgedBefore)
 		}
 	}
-	b.number(s.chosen)
-	b.letters(s.acknowledged)
-	b.letters(s.refused)
+	b.number(s.latestSet)
+	b.letterSet(s.acknowledged)
+	b.letterSet(s.refused)
 	return string(b)
 }
 
@@ -292,8 +291,9 @@
 	return nil
 }
 
-// put adds a number to an ordered list that other states may share.
-func put(list []int, id int) []int {
+// insertSorted returns a sorted list with a number added. It copies the list, which other states
+// may share.
+func insertSorted(list []int, id int) []int {
 	at, found := slices.BinarySearch(list, id)
 	if found {
 		return list
@@ -305,116 +305,116 @@
 	for _, e := range out {
 		m := s.member(e.To)
 		if m == nil {
-			continue // gone for good
+			continue // removed for good
 		}
-		m.to = put(m.to, s.messages.id(modelMessage{p.proposer.Name, e.Message}))
+		m.requests = insertSorted(m.requests, s.messages.id(modelMessage{p.proposer.Name, e.Message}))
 	}
 }
 
-func (s *model) setOf(version int64) Set { return s.sets[version-1] }
+func (s *model) setAt(version int64) Set { return s.sets[version-1] }
 
-// begin has a process start on an order.
-func (s *model) begin(p *modelProcess, o modelOrder) {
-	if !slices.Contains(s.orders, o) {
-		s.orders = append(slices.Clone(s.orders), o)
+// begin starts a change on a process.
+func (s *model) begin(p *modelProcess, o modelChange) {
+	if !slices.Contains(s.changes, o) {
+		s.changes = append(slices.Clone(s.changes), o)
 	}
 	p.nextID++
-	p.order, p.before = o, s.acknowledged
-	change := o.change
+	p.change, p.acknowledgedBefore = o, s.acknowledged
+	apply := o.apply
 	if s.mutant.compareNewestOnly {
-		change = o.changeOfTheNewest
+		apply = o.applyKnowingNewestOnly
 	}
 	var out []Envelope
-	p.op, out = p.proposer.Begin(p.nextID, "register", change, s.setOf(p.set), 0)
+	p.op, out = p.proposer.Begin(p.nextID, "register", apply, s.setAt(p.set), 0)
 	s.sendAll(p, out)
 }
 
-// changeOfTheNewest is the change of one who knows only the newest order as taken.
-func (o modelOrder) changeOfTheNewest(current []byte) (Decision, []byte) {
+// applyKnowingNewestOnly is apply with the fault that only the newest change is known as accepted.
+func (o modelChange) applyKnowingNewestOnly(current []byte) (Decision, []byte) {
 	if len(current) > 0 && current[len(current)-1] != o.letter && len(current) != o.base {
 		return Refuse, nil
 	}
-	return o.change(current)
+	return o.apply(current)
 }
 
-// restart ends a life; the next one knows nothing of it.
+// restart replaces a proposer by its next instance, which has no state of the previous one.
 func (s *model) restart(p *modelProcess) {
-	life := p.proposer.Instance + 1
-	if s.mutant.sharedLife {
-		life = 1
+	instance := p.proposer.Instance + 1
+	if s.mutant.sharedInstance {
+		instance = 1
 	}
-	p.proposer = Proposer{Name: p.proposer.Name, Instance: life, Timing: modelTiming}
+	p.proposer = Proposer{Name: p.proposer.Name, Instance: instance, Timing: modelTiming}
 	p.op, p.nextID = nil, 0
 }
 
-// retry lets the time for a try's answers run out.
+// retry makes an attempt's responses time out.
 func (s *model) retry(p *modelProcess) {
-	p.before = s.acknowledged
-	s.sendAll(p, p.op.Tick(s.setOf(p.set), p.op.sentMs+modelTiming.AnswersMs+modelTiming.RetryMs+1))
+	p.acknowledgedBefore = s.acknowledged
+	s.sendAll(p, p.op.Tick(s.setAt(p.set), p.op.sentMs+modelTiming.AnswersMs+modelTiming.RetryMs+1))
 	p.op.sentMs, p.op.retryMs = 0, 0
 }
 
-// giveUp is the deadline: the outcome is unknown.
-func (s *model) giveUp(p *modelProcess) {
-	p.op.Tick(s.setOf(p.set), 2*modelTiming.DeadlineMs)
-	s.settle(p)
+// timeOut passes the deadline: the outcome is unknown.
+func (s *model) timeOut(p *modelProcess) {
+	p.op.Tick(s.setAt(p.set), 2*modelTiming.DeadlineMs)
+	s.finish(p)
 }
 
-// sync makes a member's writes durable, and lets its answers go.
+// sync makes a member's writes durable, and sends its responses.
 func (s *model) sync(m *modelMember) {
 	m.durable = m.applied
-	for _, id := range m.waiting {
-		m.from = put(m.from, id)
+	for _, id := range m.unsent {
+		m.responses = insertSorted(m.responses, id)
 	}
-	m.waiting = nil
+	m.unsent = nil
 }
 
-// crash loses what wasn't synced.
+// crash discards writes that were not synced.
 func (s *model) crash(m *modelMember) {
-	m.applied, m.waiting = m.durable, nil
+	m.applied, m.unsent = m.durable, nil
 }
 
-// request brings a message to a member, if it is in the set that it knows of.
-func (s *model) request(m *modelMember, id int) {
-	if !slices.Contains(s.setOf(m.applied.set).Members, m.name) {
+// deliverRequest delivers a message to a member, if the member is in the set that it knows.
+func (s *model) deliverRequest(m *modelMember, id int) {
+	if !slices.Contains(s.setAt(m.applied.set).Members, m.name) {
 		return
 	}
 	message := s.messages.all[id]
-	var answer any
+	var response any
 	var write *Write
 	switch body := message.body.(type) {
 	case *Prepare:
 		if promise, w := s.mutant.prepared(m.applied, body); promise != nil {
-			answer, write = promise, w
+			response, write = promise, w
 		}
 	case *Accept:
 		if accepted, w := s.mutant.accepted(m.applied, body); accepted != nil {
-			answer, write = accepted, w
+			response, write = accepted, w
 		}
 	}
-	if answer == nil {
+	if response == nil {
 		return
 	}
-	back := s.messages.id(modelMessage{message.proposer, answer})
+	responseID := s.messages.id(modelMessage{message.proposer, response})
 	if write != nil {
 		m.applied.acceptor.Apply(*write)
 	}
-	if write == nil || s.mutant.answerBeforeSync {
-		m.from = put(m.from, back)
+	if write == nil || s.mutant.respondBeforeSync {
+		m.responses = insertSorted(m.responses, responseID)
 		return
 	}
-	m.waiting = put(m.waiting, back)
+	m.unsent = insertSorted(m.unsent, responseID)
 }
 
 func (f mutant) prepared(d modelDisk, body *Prepare) (*Promise, *Write) {
-	if f.answerAnySet {
+	if f.respondToAnySet {
 		d.set = body.SetVersion
 	}
 	return d.acceptor.OnPrepare(d.set, body)
 }
 
 func (f mutant) accepted(d modelDisk, body *Accept) (*Accepted, *Write) {
-	if f.answerAnySet {
+	if f.respondToAnySet {
 		d.set = body.SetVersion
 	}
 	if f.forgetPromise {
@@ -423,9 +423,9 @@
 	return d.acceptor.OnAccept(d.set, body)
 }
 
-// answer brings a member's message to the operation with its number, in
-// whatever life now has the name.
-func (s *model) answer(m *modelMember, id int) {
+// deliverResponse delivers a member's message to the operation with its number, on whichever
+// instance of the proposer runs now.
+func (s *model) deliverResponse(m *modelMember, id int) {
 	message := s.messages.all[id]
 	for i := range s.processes {
 		p := &s.processes[i]
@@ -447,7 +447,7 @@
 
 func (s *model) onPromise(p *modelProcess, from string, m Promise) {
 	o := p.op
-	if s.mutant.answersOfAnyTry {
+	if s.mutant.responsesOfAnyAttempt {
 		m.Ballot = o.Ballot
 	}
 	if s.mutant.anyAccepted && o.granted != 0 {
@@ -456,27 +456,27 @@
 	if s.mutant.refusalsAsPromises && !m.OK {
 		m = Promise{Op: m.Op, OK: true, Ballot: m.Ballot}
 	}
-	s.vote(o, from)
+	s.addExtraVote(o, from)
 	out := o.OnPromise(from, &m, 0, noJitter)
-	keeps := o.atEnd == Done && bytes.Equal(o.next, o.current)
-	if len(out) > 0 && (s.mutant.refuseWithoutWrite && o.atEnd == Refused || s.mutant.keepWithoutWrite && keeps) {
-		o.outcome, out = o.atEnd, nil
+	keeps := o.outcomeOnAccept == Done && bytes.Equal(o.nextValue, o.currentValue)
+	if len(out) > 0 && (s.mutant.refuseWithoutWrite && o.outcomeOnAccept == Refused || s.mutant.keepWithoutWrite && keeps) {
+		o.outcome, out = o.outcomeOnAccept, nil
 	}
 	s.sendAll(p, out)
-	s.settle(p)
+	s.finish(p)
 }
 
 func (s *model) onAccepted(p *modelProcess, from string, m Accepted) {
-	if s.mutant.answersOfAnyTry {
+	if s.mutant.responsesOfAnyAttempt {
 		m.Ballot = p.op.Ballot
 	}
-	s.vote(p.op, from)
+	s.addExtraVote(p.op, from)
 	p.op.OnAccepted(from, &m, 0, noJitter)
-	s.settle(p)
+	s.finish(p)
 }
 
-// vote is the mutant for which one member less than a majority is enough.
-func (s *model) vote(o *Operation, from string) {
+// addExtraVote implements the mutant for which one member less than a majority is enough.
+func (s *model) addExtraVote(o *Operation, from string) {
 	if s.mutant.smallQuorum {
 		for _, other := range o.set.Members {
 			if other != from {
@@ -487,9 +487,9 @@
 	}
 }
 
-// settle takes note of what an operation came to, and checks it.
-func (s *model) settle(p *modelProcess) {
-	o, letter := p.op, p.order.letter
+// finish records and checks the outcome of an operation.
+func (s *model) finish(p *modelProcess) {
+	o, letter := p.op, p.change.letter
 	switch o.Outcome() {
 	case Pending:
 		return
@@ -504,19 +504,19 @@
 		}
 		s.refused = s.refused.with(letter)
 	}
-	// Its answers may be older than what was acknowledged since its try began.
-	s.checkValue(ofOperation, o.Value(), p.before)
-	s.told = max(s.told, len(o.Value()))
+	// Its responses may predate changes that were acknowledged since its attempt started.
+	s.checkValue(atOperationEnd, o.Value(), p.acknowledgedBefore)
+	s.reportedVersion = max(s.reportedVersion, len(o.Value()))
 	p.op = nil
 }
 
 func (s *model) onDone(p *modelProcess) {
-	letter := p.order.letter
+	letter := p.change.letter
 	if bytes.IndexByte(p.op.Value(), letter) < 0 {
-		s.fail("%c is acknowledged, and isn't in %q", letter, p.op.Value())
+		s.fail("%c is acknowledged, but missing from %q", letter, p.op.Value())
 	}
-	for _, other := range s.orders {
-		if other.letter != letter && other.base == p.order.base && s.acknowledged.has(other.letter) {
+	for _, other := range s.changes {
+		if other.letter != letter && other.base == p.change.base && s.acknowledged.has(other.letter) {
 			s.fail("%c and %c are both acknowledged on version %d", letter, other.letter, other.base)
 		}
 	}
@@ -524,45 +524,45 @@
 }
 
 func (s *model) fail(format string, args ...any) {
-	if s.broken == "" {
-		s.broken = fmt.Sprintf(format, args...)
+	if s.violation == "" {
+		s.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// ofOperation says that a value is what an operation ended with; any other
-// place is the version of a set.
-const ofOperation int64 = 0
+// atOperationEnd means that a value was returned by an operation. Any other location is the version
+// of a set.
+const atOperationEnd int64 = 0
 
 func placeName(where int64) string {
-	if where == ofOperation {
-		return "what an operation ended with"
+	if where == atOperationEnd {
+		return "the result of an operation"
 	}
 	return fmt.Sprint("at a quorum of set ", where)
 }
 
-// checkValue checks a value that stands, or that a reader could find.
-func (s *model) checkValue(where int64, value []byte, acknowledged letters) {
-	for _, o := range s.orders {
+// checkValue checks a value that a majority accepted, or that a reader could find.
+func (s *model) checkValue(where int64, value []byte, acknowledged letterSet) {
+	for _, o := range s.changes {
 		at := bytes.IndexByte(value, o.letter)
 		switch {
 		case acknowledged.has(o.letter) && at < 0:
-			s.fail("%q stands (%s): %c was acknowledged and is lost", value, placeName(where), o.letter)
+			s.fail("%q (%s): %c was acknowledged and is lost", value, placeName(where), o.letter)
 		case s.refused.has(o.letter) && at >= 0:
-			s.fail("%q stands (%s): %c was refused and takes effect", value, placeName(where), o.letter)
+			s.fail("%q (%s): %c was refused and takes effect", value, placeName(where), o.letter)
 		case at >= 0 && at != o.base:
-			s.fail("%q stands (%s): %c builds on %d", value, placeName(where), o.letter, o.base)
+			s.fail("%q (%s): %c builds on %d", value, placeName(where), o.letter, o.base)
 		}
 	}
 }
 
-// setsInUse is how many sets before the newest may yet be asked.
+// setsInUse is how many sets before the newest may still be used for requests.
 const setsInUse = 3
 
-// check looks at what every quorum would tell a reader now, each member with
-// what it applied or, after a crash, with what is durable.
+// check checks what a reader would get from every quorum now, from each member with its applied
+// state or, after a crash, with its durable state.
 func (s *model) check() {
-	for version := max(1, s.chosen-setsInUse); version <= s.chosen; version++ {
-		set := s.setOf(version)
+	for version := max(1, s.latestSet-setsInUse); version <= s.latestSet; version++ {
+		set := s.setAt(version)
 		var disks [5][2]modelDisk
 		var count [5]int
 		for i, name := range set.Members {
@@ -570,7 +570,7 @@
 			if m == nil {
 				continue
 			}
-			if m.applied.set <= version { // it may answer under this set yet
+			if m.applied.set <= version { // it may still respond under this set
 				disks[i][0], count[i] = m.applied, 1
 			}
 			if m.durable.set <= version && (count[i] == 0 || m.durable.acceptor.Accepted != m.applied.acceptor.Accepted) {
@@ -603,14 +603,14 @@
 	}
 }
 
-// Changes of the set. The register that holds it is not part of the model: a
-// set is chosen at a majority of the one before, and learned by each at any time.
+// Set changes. The register that holds the set is not part of the model: a set is chosen by a
+// majority of the previous one, and learned by each member at any time.
 
-// settled tells whether a majority of the newest set is in it for good.
-func (s *model) settled() bool {
-	set, in := s.setOf(s.chosen), 0
+// majorityKnowsLatestSet reports whether a majority of the newest set durably knows that set.
+func (s *model) majorityKnowsLatestSet() bool {
+	set, in := s.setAt(s.latestSet), 0
 	for _, name := range set.Members {
-		if s.member(name).durable.set == s.chosen {
+		if s.member(name).durable.set == s.latestSet {
 			in++
 		}
 	}
@@ -618,20 +618,20 @@
 }
 
 func (s *model) choose(members []string) {
-	s.chosen++
-	s.sets = append(slices.Clone(s.sets), Set{Version: s.chosen, Members: members})
+	s.latestSet++
+	s.sets = append(slices.Clone(s.sets), Set{Version: s.latestSet, Members: members})
 	s.copied = nil
 }
 
-// remove begins a set without a member.
+// remove chooses a set without a member.
 func (s *model) remove(name string) {
-	s.choose(slices.DeleteFunc(slices.Clone(s.setOf(s.chosen).Members), func(m string) bool { return m == name }))
+	s.choose(slices.DeleteFunc(slices.Clone(s.setAt(s.latestSet).Members), func(m string) bool { return m == name }))
 }
 
-// copyTo has a new member copy what one of the set has synced.
+// copyTo copies the synced state of a member to a new member.
 func (s *model) copyTo(joiner, from string) {
 	if s.member(joiner) == nil {
-		s.members = append(slices.Clone(s.members), modelMember{name: joiner, applied: modelDisk{set: s.chosen}, durable: modelDisk{set: s.chosen}})
+		s.members = append(slices.Clone(s.members), modelMember{name: joiner, applied: modelDisk{set: s.latestSet}, durable: modelDisk{set: s.latestSet}})
 	}
 	a, m := s.member(from).durable.acceptor, s.member(joiner)
 	if !a.Accepted.IsZero() {
@@ -642,36 +642,36 @@
 	s.copied = append(slices.Clone(s.copied), from)
 }
 
-// mayCopy tells whether a member serves copies now: it knows the newest set for good.
-func (s *model) mayCopy(from string) bool {
-	return s.member(from).durable.set == s.chosen && !slices.Contains(s.copied, from)
+// canCopy reports whether a member serves copies now: it durably knows the newest set.
+func (s *model) canCopy(from string) bool {
+	return s.member(from).durable.set == s.latestSet && !slices.Contains(s.copied, from)
 }
 
-// mayJoin tells whether a new member has copied from a majority.
-func (s *model) mayJoin() bool {
-	need := s.setOf(s.chosen).Majority()
+// canJoin reports whether a new member has copied from a majority.
+func (s *model) canJoin() bool {
+	need := s.setAt(s.latestSet).Majority()
 	if s.mutant.joinAfterOneCopy {
 		need = 1
 	}
-	return len(s.copied) >= need && s.settled()
+	return len(s.copied) >= need && s.majorityKnowsLatestSet()
 }
 
-// join begins a set with a new member.
+// join chooses a set with a new member.
 func (s *model) join(name string) {
-	s.choose(append(slices.Clone(s.setOf(s.chosen).Members), name))
+	s.choose(append(slices.Clone(s.setAt(s.latestSet).Members), name))
 }
 
-// learnSet tells a process of the newest set.
+// learnSet gives a process the newest set.
 func (s *model) learnSet(p *modelProcess) {
-	p.set = s.chosen
+	p.set = s.latestSet
 	if p.op != nil {
-		p.before = s.acknowledged
-		s.sendAll(p, p.op.Tick(s.setOf(p.set), p.op.sentMs))
+		p.acknowledgedBefore = s.acknowledged
+		s.sendAll(p, p.op.Tick(s.setAt(p.set), p.op.sentMs))
 		p.op.sentMs = 0
 	}
 }
 
-// describe tells a state, for a failure's message.
+// describe formats a state for a failure message.
 func (s *model) describe() string {
 	var b strings.Builder
 	for _, m := range s.members {
--- a/internal/register/proposer.go
+++ b/internal/register/proposer.go
@@ -5,40 +5,40 @@
 	"slices"
 )
 
-// Decision is what a change makes of the value that stands.
+// Decision is what a Change decides about the current value.
 type Decision int8
 
-// Decisions of a change.
+// The possible decisions.
 const (
-	Keep    Decision = iota // nothing is to be changed, or it was before
-	Replace                 // by the value given with it
-	Refuse                  // the change can't be made on this value
-	Fail                    // the value can't be read
+	Keep    Decision = iota // nothing to change, or the change was made before
+	Replace                 // replace it by the returned value
+	Refuse                  // the change is impossible on this value
+	Fail                    // the value can't be decoded
 )
 
-// Change computes the next value from the current one, nil if there is none. It
-// may be called again for a later try, with another value.
+// Change computes the next value from the current one, nil if there is none. It may be called again
+// for a later attempt, with another current value.
 type Change func(current []byte) (Decision, []byte)
 
 // Outcome is how an operation ended.
 type Outcome int8
 
-// Outcomes of an operation.
+// The possible outcomes.
 const (
 	Pending Outcome = iota
-	Done            // what the change gave, or found, stands at a majority
-	Refused         // another value stands at a majority, and the change never takes effect
-	Unknown         // it may have taken effect or may do so yet
+	Done            // the returned or kept value is accepted by a majority
+	Refused         // another value is accepted by a majority, and the change never takes effect
+	Unknown         // the change may have taken effect, or may do so later
 )
 
-// Timing bounds an operation, in the milliseconds of the clock it is handed.
+// Timing bounds an operation, in milliseconds of the clock that the caller passes in.
 type Timing struct {
-	DeadlineMs int64 // from its beginning: then its outcome is unknown
-	AnswersMs  int64 // a try without enough answers by then is made anew
-	RetryMs    int64 // base of the wait before the next try of one that was refused
+	DeadlineMs int64 // from the operation's start; after it the outcome is Unknown
+	AnswersMs  int64 // an attempt without enough responses by then is repeated
+	RetryMs    int64 // base of the backoff after a refused attempt
 }
 
-// Proposer makes the ballots of one process.
+// Proposer creates the ballots of one process.
 type Proposer struct {
 	Name     string
 	Instance uint64 // drawn at random by each process
@@ -46,8 +46,7 @@
 	round    uint64
 }
 
-// Observe raises the next ballot above a round that was seen elsewhere, which
-// saves a refused try.
+// Observe raises the next ballot above a round seen elsewhere, which saves a refused attempt.
 func (p *Proposer) Observe(round uint64) { p.round = max(p.round, round) }
 
 func (p *Proposer) nextBallot() Ballot {
@@ -55,8 +54,8 @@
 	return Ballot{Round: p.round, Proposer: p.Name, Instance: p.Instance}
 }
 
-// votes are the members of a set that answered, one bit for each: no member
-// counts twice, and who isn't in the set doesn't count.
+// votes is the set of members that responded, one bit for each position in the register's set. A
+// member counts once, and a non-member doesn't count.
 type votes uint64
 
 func (v votes) with(set Set, member string) votes {
@@ -73,71 +72,71 @@
 const (
 	preparing phase = iota
 	accepting
-	waiting // for the next try
+	waiting // for the next attempt
 )
 
-// retriesSpread bounds how far the waits between tries grow.
-const retriesSpread = 4
+// maxBackoffFactor bounds the growth of the backoff between attempts.
+const maxBackoffFactor = 4
 
-// Operation is one change of a register on its way.
+// Operation is one change of a register in progress.
 type Operation struct {
 	ID       uint64
 	Register string
-	Ballot   Ballot // of the current try
+	Ballot   Ballot // of the current attempt
 
-	proposer *Proposer
-	change   Change
-	set      Set // of the current try; a quorum counts within one set
-	phase    phase
-	outcome  Outcome
-	atEnd    Outcome // what it comes to once the value is accepted
+	proposer        *Proposer
+	change          Change
+	set             Set // of the current attempt; a quorum counts within one set
+	phase           phase
+	outcome         Outcome
+	outcomeOnAccept Outcome // the outcome once the value is accepted
 
 	granted, refused votes
-	accepted         Ballot // the highest among the promises
-	current          []byte // the value accepted under it
-	split            bool   // the promises tell of different ballots
-	next             []byte
+	highestAccepted  Ballot // highest ballot among the promises
+	currentValue     []byte // value accepted under highestAccepted
+	ballotsDiffer    bool   // the promises report different accepted ballots
+	nextValue        []byte
 
-	beganMs, sentMs, retryMs int64
-	tries                    int64
+	startMs, sentMs, retryMs int64
+	attempts                 int64
 }
 
-// Begin starts an operation. Without members it waits for a set.
+// Begin starts an operation. If the set is empty, the operation waits for one.
 func (p *Proposer) Begin(id uint64, name string, change Change, set Set, nowMs int64) (*Operation, []Envelope) {
-	o := &Operation{ID: id, Register: name, proposer: p, change: change, beganMs: nowMs}
+	o := &Operation{ID: id, Register: name, proposer: p, change: change, startMs: nowMs}
 	return o, o.prepare(set, nowMs)
 }
 
-// Outcome tells how it ended, or that it hasn't.
+// Outcome returns how the operation ended, or Pending.
 func (o *Operation) Outcome() Outcome { return o.outcome }
 
-// Abandon ends an operation whose outcome nobody waits for any more.
+// Abandon ends an operation whose outcome is no longer needed.
 func (o *Operation) Abandon() {
 	if o.outcome == Pending {
 		o.outcome = Unknown
 	}
 }
 
-// Current is the value that the last try read.
-func (o *Operation) Current() []byte { return o.current }
+// Current returns the value that the last attempt read.
+func (o *Operation) Current() []byte { return o.currentValue }
 
-// Value is what stands once the outcome is Done or Refused.
-func (o *Operation) Value() []byte { return o.next }
+// Value returns the value of the register once the outcome is Done or Refused.
+func (o *Operation) Value() []byte { return o.nextValue }
 
-// ValueBallot is the ballot that Value was accepted under.
+// ValueBallot returns the ballot under which Value was accepted.
 func (o *Operation) ValueBallot() Ballot {
 	if o.phase == accepting {
 		return o.Ballot
 	}
-	return o.accepted
+	return o.highestAccepted
 }
 
 func (o *Operation) prepare(set Set, nowMs int64) []Envelope {
 	o.set, o.phase, o.sentMs = set, preparing, nowMs
 	o.Ballot = o.proposer.nextBallot()
 	o.granted, o.refused = 0, 0
-	o.accepted, o.current, o.next, o.split = Ballot{}, nil, nil, false
-	o.tries++
+	o.highestAccepted, o.currentValue, o.nextValue, o.ballotsDiffer = Ballot{}, nil, nil, false
+	o.attempts++
 	return o.toAll(func() any {
 		return &Prepare{Op: o.ID, SetVersion: set.Version, Register: o.Register, Ballot: o.Ballot}
 	})
@@ -151,8 +150,8 @@
 	return out
 }
 
-// OnPromise takes a member's answer. One to another try says nothing of this
-// one: between the two the member may have accepted another's value.
+// OnPromise handles a member's response. A response to another attempt is ignored: the member may
+// have accepted another value in between.
 func (o *Operation) OnPromise(from string, m *Promise, nowMs int64, jitter func(int64) int64) []Envelope {
 	if o.outcome != Pending || o.phase != preparing || m.Ballot != o.Ballot {
 		return nil
@@ -161,38 +160,39 @@
 		o.onRefusal(from, m.Promised, nowMs, jitter)
 		return nil
 	}
-	if o.granted != 0 && m.Accepted != o.accepted {
-		o.split = true
+	if o.granted != 0 && m.Accepted != o.highestAccepted {
+		o.ballotsDiffer = true
 	}
 	o.granted = o.granted.with(o.set, from)
-	if o.accepted.Less(m.Accepted) {
-		o.accepted, o.current = m.Accepted, m.Value
+	if o.highestAccepted.Less(m.Accepted) {
+		o.highestAccepted, o.currentValue = m.Accepted, m.Value
 	}
 	if o.granted.count() < o.set.Majority() {
 		return nil
 	}
-	return o.decide(nowMs)
-}
-
-// decide computes the next value once a majority has promised. A value that is
-// to be kept is written back, for it may stand at a minority only, unless all
-// of the majority have accepted it already. One that makes the change refused is
-// written back in any case: a try of this very change, by this operation or by
-// another proposer, may stand at a minority under a higher ballot than what was
-// read, and only below the new ballot it is sure never to take effect.
-func (o *Operation) decide(nowMs int64) []Envelope {
-	decision, next := o.change(o.current)
-	o.atEnd, o.next = Done, o.current
+	return o.computeNext(nowMs)
+}
+
+// computeNext computes the next value once a majority has promised.
+//
+// A value to be kept is written back, since it may be accepted by a minority only, unless the whole
+// majority has already accepted it. A value that causes a refusal is always written back: an
+// attempt of this very change, by this operation or another proposer, may be accepted by a minority
+// under a higher ballot than the one read. Only a write under the new ballot ensures that this
+// attempt never takes effect.
+func (o *Operation) computeNext(nowMs int64) []Envelope {
+	decision, nextValue := o.change(o.currentValue)
+	o.outcomeOnAccept, o.nextValue = Done, o.currentValue
 	switch decision {
 	case Replace:
-		o.next = next
+		o.nextValue = nextValue
 	case Refuse:
-		o.atEnd = Refused
+		o.outcomeOnAccept = Refused
 	case Fail:
 		o.outcome = Unknown
 		return nil
 	default:
-		if !o.split {
+		if !o.ballotsDiffer {
 			o.outcome = Done
 			return nil
 		}
@@ -204,11 +204,11 @@
 	o.phase, o.sentMs = accepting, nowMs
 	o.granted, o.refused = 0, 0
 	return o.toAll(func() any {
-		return &Accept{Op: o.ID, SetVersion: o.set.Version, Register: o.Register, Ballot: o.Ballot, Value: o.next}
+		return &Accept{Op: o.ID, SetVersion: o.set.Version, Register: o.Register, Ballot: o.Ballot, Value: o.nextValue}
 	})
 }
 
-// OnAccepted takes a member's answer on the same terms as OnPromise.
+// OnAccepted handles a member's response under the same rules as OnPromise.
 func (o *Operation) OnAccepted(from string, m *Accepted, nowMs int64, jitter func(int64) int64) {
 	if o.outcome != Pending || o.phase != accepting || m.Ballot != o.Ballot {
 		return
@@ -219,29 +219,28 @@
 	}
 	o.granted = o.granted.with(o.set, from)
 	if o.granted.count() >= o.set.Majority() {
-		o.outcome = o.atEnd
+		o.outcome = o.outcomeOnAccept
 	}
 }
 
-// onRefusal gives the try up once no majority can be had any more.
+// onRefusal ends the attempt once a majority is no longer possible.
 func (o *Operation) onRefusal(from string, promised Ballot, nowMs int64, jitter func(int64) int64) {
 	o.proposer.Observe(promised.Round)
 	o.refused = o.refused.with(o.set, from)
 	if len(o.set.Members)-o.refused.count() < o.set.Majority() {
 		o.phase = waiting
 		base := o.proposer.Timing.RetryMs
-		o.retryMs = nowMs + base/2 + jitter(base*min(o.tries, retriesSpread))
+		o.retryMs = nowMs + base/2 + jitter(base*min(o.attempts, maxBackoffFactor))
 	}
 }
 
-// Tick tries again where that is due, under the set that is in force now, and
-// gives up at the deadline.
+// Tick starts another attempt if one is due, under the current set, and gives up at the deadline.
 func (o *Operation) Tick(set Set, nowMs int64) []Envelope {
 	timing := o.proposer.Timing
 	switch {
 	case o.outcome != Pending:
 		return nil
-	case nowMs-o.beganMs > timing.DeadlineMs:
+	case nowMs-o.startMs > timing.DeadlineMs:
 		o.outcome = Unknown
 		return nil
 	case set.Version != o.set.Version,
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -1,34 +1,33 @@
-// Package register keeps single values at a quorum of acceptors and changes
-// them in two rounds, as in CASPaxos (Rystsov, 2018): a proposer has a majority
-// promise to take no lower ballot, computes the next value from the highest
-// accepted one among their answers, and has a majority accept it. There is no
-// log and no leader.
+// Package register stores single values on a quorum of acceptors and changes them in two rounds, as
+// in CASPaxos (Rystsov, 2018): a proposer gets a majority to promise not to accept lower ballots,
+// computes the next value from the highest accepted one among their responses, and gets a majority
+// to accept it. There is no log and no leader.
 //
-// Everything here is a state machine: messages go in, messages and durable
-// writes come out. Nothing reads a clock, draws randomness or does I/O; times
-// are handed in, in milliseconds of any steady clock.
+// The whole package is a state machine: messages are its input, messages and durable writes its
+// output. It reads no clock, draws no random numbers and does no I/O. Times are passed in, in
+// milliseconds of any monotonic clock.
 //
-// What it rests on:
-//   - An acceptor's answer leaves only after its write is durable.
-//   - A ballot belongs to one try of one operation: see Ballot. It belongs to
-//     one set of members too, since a try keeps to the set it began with.
-//   - A member answers only what is asked under the set it is in. Sets follow
-//     each other one member at a time, and one that joins has copied what a
-//     majority of the others had accepted and promised.
+// Correctness depends on these conditions:
+//   - An acceptor's response is sent only after its write is durable.
+//   - A ballot belongs to one attempt of one operation: see Ballot. It also belongs to one set
+//     of members, since an attempt keeps the set that it started with.
+//   - A member responds only to requests made under the set that it is in. Successive sets
+//     differ by one member, and a new member has copied what a majority of the others had
+//     accepted and promised.
 package register
 
 import "cmp"
 
-// Ballot names one try to change a register, and orders all of them. No two
-// tries share one: a proposer's rounds only rise within one process, whose instance is
-// a number drawn at random, so neither a clock nor a disk is needed for it.
+// Ballot identifies one attempt to change a register, and orders all attempts. No two attempts
+// share a ballot: the rounds of a proposer only increase within one process, and each process draws
+// a random instance number. So uniqueness depends on neither a clock nor a disk.
 type Ballot struct {
 	Round    uint64
 	Proposer string
 	Instance uint64
 }
 
-// Less orders ballots by round; proposer and instance only break ties.
+// Less orders ballots by round. Proposer and instance only break ties.
 func (b Ballot) Less(other Ballot) bool {
 	order := cmp.Or(
 		cmp.Compare(b.Round, other.Round),
@@ -37,19 +36,19 @@
 	return order < 0
 }
 
-// IsZero tells whether this is no ballot: nothing was promised or accepted.
+// IsZero reports whether this is the zero ballot: nothing was promised or accepted.
 func (b Ballot) IsZero() bool { return b == Ballot{} }
 
-// Set is the members of a register and the version of that set.
+// Set holds the members of a register and the version of that set.
 type Set struct {
 	Version int64
 	Members []string
 }
 
-// Majority is how many members make a quorum; a set of two needs both.
+// Majority returns how many members make a quorum; a set of two needs both.
 func (s Set) Majority() int { return len(s.Members)/2 + 1 }
 
-// Prepare asks a member to promise that it accepts nothing below a ballot.
+// Prepare asks a member to promise not to accept any lower ballot.
 type Prepare struct {
 	Op         uint64
 	SetVersion int64
@@ -57,14 +56,14 @@
 	Ballot     Ballot
 }
 
-// Promise answers a Prepare with what the member has accepted last.
+// Promise is the response to a Prepare, with the value that the member accepted last.
 type Promise struct {
 	Op       uint64
 	OK       bool
-	Promised Ballot // where it was refused: the ballot that stands in the way
+	Promised Ballot // if refused: the higher ballot that was promised
 	Accepted Ballot
 	Value    []byte
-	Ballot   Ballot // that was asked for
+	Ballot   Ballot // of the request
 }
 
 // Accept asks a member to accept a value under a ballot.
@@ -76,15 +75,15 @@
 	Value      []byte
 }
 
-// Accepted answers an Accept.
+// Accepted is the response to an Accept.
 type Accepted struct {
 	Op       uint64
 	OK       bool
-	Promised Ballot // where it was refused: the ballot that stands in the way
-	Ballot   Ballot // that was asked for
+	Promised Ballot // if refused: the higher ballot that was promised
+	Ballot   Ballot // of the request
 }
 
-// Envelope is a message and the member it goes to.
+// Envelope is a message and its recipient.
 type Envelope struct {
 	To      string
 	Message any
--- a/internal/register/walk_test.go
+++ b/internal/register/walk_test.go
@@ -11,53 +11,51 @@
 	"github.com/shoenig/test/must"
 )
 
-// walk goes a random way through the model, far beyond what can be explored:
-// many orders, three proposers, members that crash and are replaced again and
-// again. It gives what is broken, and how many orders were acknowledged.
+// walk is a random walk through the model, far beyond the depth of an exploration: many changes,
+// three proposers, and members that crash and are replaced repeatedly.
 type walk struct {
 	*model
 	rng     *rand.Rand
 	joined  int
-	leaving string // a member that is being replaced and still answers
-	sent    []modelOrder
+	leaving string // a member that is being replaced and still responds
+	issued  []modelChange
 }
 
 const (
 	firstLetter = 33
 	lastLetter  = 250
-	walkWindow  = 30 // messages of a member that are brought most of the time
+	walkWindow  = 30 // the newest messages of a member, which are delivered most of the time
 )
 
 func newWalk(seed uint64, m mutant) *walk {
 	return &walk{model: newModel(m, 3), rng: rand.New(rand.NewPCG(seed, 11))}
 }
 
-func (w *walk) one(bound int) bool { return w.rng.IntN(bound) == 0 }
+func (w *walk) oneIn(bound int) bool { return w.rng.IntN(bound) == 0 }
 
-// order draws what an operator sends: on top of a version that stood at a
-// majority, for only of such a one operators are told. (One that builds on a
-// version yet to come is refused, and a copy of it that is on its way elsewhere
-// could be accepted once that version has come.)
-func (w *walk) order() modelOrder {
-	letter := firstLetter + len(w.sent)
-	if len(w.sent) > 0 && (w.one(3) || letter > lastLetter) { // one comes again, most often a late one
-		o := w.sent[len(w.sent)-1-w.rng.IntN(min(len(w.sent), 1+w.rng.IntN(len(w.sent))))]
-		if !w.refused.has(o.letter) { // a refused order is final
+// nextChange draws a change that builds on a version accepted by a majority, since operators only
+// learn of such versions. A change that builds on a later version is refused, and a copy of it in
+// transit to another proposer could be accepted once that version exists.
+func (w *walk) nextChange() modelChange {
+	letter := firstLetter + len(w.issued)
+	if len(w.issued) > 0 && (w.oneIn(3) || letter > lastLetter) { // repeat a change, most often a recent one
+		o := w.issued[len(w.issued)-1-w.rng.IntN(min(len(w.issued), 1+w.rng.IntN(len(w.issued))))]
+		if !w.refused.has(o.letter) { // a refusal is final
 			return o
 		}
 	}
 	if letter > lastLetter {
-		return w.sent[0]
+		return w.issued[0]
 	}
-	o := modelOrder{byte(letter), w.told}
-	w.sent = append(w.sent, o)
+	o := modelChange{byte(letter), w.reportedVersion}
+	w.issued = append(w.issued, o)
 	return o
 }
 
-// pick draws a message: mostly of a try that is on its way, else any that was
-// ever sent; -1 if there is none.
+// pick draws a message: mostly one of an attempt in progress, otherwise any that was ever sent; -1
+// if there is none.
 func (w *walk) pick(ids []int) int {
-	if len(ids) > 0 && w.one(8) {
+	if len(ids) > 0 && w.oneIn(8) {
 		return ids[w.rng.IntN(len(ids))]
 	}
 	var live []int
@@ -107,12 +105,12 @@
 	p := &w.processes[w.rng.IntN(len(w.processes))]
 	switch draw := w.rng.IntN(1000); {
 	case draw < 350:
-		if m, id := w.pickOf(func(m *modelMember) []int { return m.to }); m != nil {
-			w.request(m, id)
+		if m, id := w.pickOf(func(m *modelMember) []int { return m.requests }); m != nil {
+			w.deliverRequest(m, id)
 		}
 	case draw < 700:
-		if m, id := w.pickOf(func(m *modelMember) []int { return m.from }); m != nil {
-			w.answer(m, id)
+		if m, id := w.pickOf(func(m *modelMember) []int { return m.responses }); m != nil {
+			w.deliverResponse(m, id)
 		}
 	case draw < 850:
 		w.sync(m)
@@ -120,7 +118,7 @@
 		w.crash(m)
 	case draw < 900:
 		if p.op == nil {
-			w.begin(p, w.order())
+			w.begin(p, w.nextChange())
 		}
 	case draw < 920:
 		if p.op != nil {
@@ -128,14 +126,14 @@
 		}
 	case draw < 924:
 		if p.op != nil {
-			w.giveUp(p)
+			w.timeOut(p)
 		}
 	case draw < 928:
 		w.restart(p)
 	case draw < 945:
-		m.applied.set = w.chosen
+		m.applied.set = w.latestSet
 	case draw < 955:
-		if p.set < w.chosen {
+		if p.set < w.latestSet {
 			w.learnSet(p)
 		}
 	case draw < 970:
@@ -144,17 +142,16 @@
 	w.check()
 }
 
-// changeSet takes the next step of a member's replacement: the seat of one that
-// is gone is refilled by remove, copy, add; that of one that leaves and still
-// answers by copy, add, copy, remove.
+// changeSet takes the next step of a member's replacement: a member that is gone is replaced by
+// remove, copy, add; one that leaves and still responds by copy, add, copy, remove.
 func (w *walk) changeSet() {
-	set := w.setOf(w.chosen)
+	set := w.setAt(w.latestSet)
 	joiner := fmt.Sprint("n", w.joined)
 	switch {
 	case len(set.Members) == 3 && w.leaving == "":
-		if w.settled() && w.one(3) {
+		if w.majorityKnowsLatestSet() && w.oneIn(3) {
 			w.joined++
-			if gone := set.Members[w.rng.IntN(3)]; w.one(2) {
+			if gone := set.Members[w.rng.IntN(3)]; w.oneIn(2) {
 				w.remove(gone)
 			} else {
 				w.leaving = gone
@@ -162,23 +159,23 @@
 		}
 	case len(set.Members) == 4:
 		w.finishReplacement(set, joiner)
-	case w.mayJoin():
+	case w.canJoin():
 		w.join(joiner)
 	default:
 		w.copyFromOne(joiner, set.Members)
 	}
-	w.forgetFormer()
+	w.dropFormerMembers()
 }
 
-// finishReplacement takes the leaving member out once the new one has copied from
-// two others again, or the new one, which needs no copy.
+// finishReplacement removes the leaving member once the new one has copied from two others again.
+// It may instead remove the new member, which needs no copy.
 func (w *walk) finishReplacement(set Set, joiner string) {
 	others := slices.DeleteFunc(slices.Clone(set.Members), func(m string) bool { return m == joiner || m == w.leaving })
 	switch {
-	case w.settled() && w.one(20):
+	case w.majorityKnowsLatestSet() && w.oneIn(20):
 		w.remove(joiner)
 		w.leaving = ""
-	case w.settled() && (len(w.copied) >= len(others) || w.mutant.removeWithoutCopy):
+	case w.majorityKnowsLatestSet() && (len(w.copied) >= len(others) || w.mutant.removeWithoutCopy):
 		w.remove(w.leaving)
 		w.leaving = ""
 	default:
@@ -187,16 +184,16 @@
 }
 
 func (w *walk) copyFromOne(joiner string, members []string) {
-	if from := members[w.rng.IntN(len(members))]; w.mayCopy(from) {
+	if from := members[w.rng.IntN(len(members))]; w.canCopy(from) {
 		w.copyTo(joiner, from)
 	}
 }
 
-// forgetFormer drops members that are in no set that anyone can use any more.
-func (w *walk) forgetFormer() {
+// dropFormerMembers removes members that are in no set still in use.
+func (w *walk) dropFormerMembers() {
 	w.members = slices.DeleteFunc(slices.Clone(w.members), func(m modelMember) bool {
-		for version := max(1, w.chosen-setsInUse); version <= w.chosen; version++ {
-			if slices.Contains(w.setOf(version).Members, m.name) {
+		for version := max(1, w.latestSet-setsInUse); version <= w.latestSet; version++ {
+			if slices.Contains(w.setAt(version).Members, m.name) {
 				return false
 			}
 		}
@@ -204,53 +201,53 @@
 	})
 }
 
-var walks = flag.Int("walks", 800, "random walks")
+var walkCount = flag.Int("walks", 800, "random walks")
 
 func TestWalks(t *testing.T) {
 	const steps = 2000
-	began, orders, sets := time.Now(), 0, int64(0)
-	for seed := range uint64(*walks) {
+	began, changes, sets := time.Now(), 0, int64(0)
+	for seed := range uint64(*walkCount) {
 		w := newWalk(seed, mutant{})
 		for range steps {
 			w.step()
-			if w.broken != "" {
-				t.Fatalf("walk %d: %s\n%s", seed, w.broken, w.describe())
+			if w.violation != "" {
+				t.Fatalf("walk %d: %s\n%s", seed, w.violation, w.describe())
 			}
 		}
-		orders, sets = orders+w.told, sets+w.chosen
+		changes, sets = changes+w.reportedVersion, sets+w.latestSet
 	}
-	t.Logf("%d walks of %d events: %d orders accepted, %d sets, %v", *walks, steps, orders, sets, time.Since(began).Round(time.Millisecond))
-	must.Greater(t, *walks, orders) // they get somewhere
-	must.Greater(t, int64(*walks), sets)
+	t.Logf("%d walks of %d events: %d changes accepted, %d sets, %v", *walkCount, steps, changes, sets, time.Since(began).Round(time.Millisecond))
+	must.Greater(t, *walkCount, changes) // the walks make progress
+	must.Greater(t, int64(*walkCount), sets)
 }
 
-// Each guard taken out is noticed.
+// Verifies that each mutant is found.
 func TestMutantsAreFound(t *testing.T) {
 	for name, m := range map[string]mutant{
-		"answerBeforeSync": {answerBeforeSync: true}, "sharedLife": {sharedLife: true}, "answersOfAnyTry": {answersOfAnyTry: true},
+		"respondBeforeSync": {respondBeforeSync: true}, "sharedInstance": {sharedInstance: true}, "responsesOfAnyAttempt": {responsesOfAnyAttempt: true},
 		"refuseWithoutWrite": {refuseWithoutWrite: true}, "keepWithoutWrite": {keepWithoutWrite: true}, "forgetPromise": {forgetPromise: true},
-		"answerAnySet": {answerAnySet: true}, "joinAfterOneCopy": {joinAfterOneCopy: true}, "smallQuorum": {smallQuorum: true},
+		"respondToAnySet": {respondToAnySet: true}, "joinAfterOneCopy": {joinAfterOneCopy: true}, "smallQuorum": {smallQuorum: true},
 		"anyAccepted": {anyAccepted: true}, "compareNewestOnly": {compareNewestOnly: true}, "removeWithoutCopy": {removeWithoutCopy: true}, "refusalsAsPromises": {refusalsAsPromises: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			began := time.Now()
-			if m.refuseWithoutWrite { // it takes three orders on values that only one member has
-				sc := script{plans: [][]modelOrder{{orderA}, {orderC, orderC}}, giveUps: 1}
-				states, depth, broken := explore(sc, m, 100_000)
-				t.Logf("%d states, %d events deep, %v: %s", states, depth, time.Since(began).Round(time.Millisecond), broken)
-				must.StrContains(t, broken, "was refused and takes effect")
+			if m.refuseWithoutWrite { // this takes three changes on values that only one member has
+				sc := scenario{plans: [][]modelChange{{changeA}, {changeC, changeC}}, timeouts: 1}
+				states, depth, violation := explore(sc, m, 100_000)
+				t.Logf("%d states, depth %d, %v: %s", states, depth, time.Since(began).Round(time.Millisecond), violation)
+				must.StrContains(t, violation, "was refused and takes effect")
 				return
 			}
 			for seed := range uint64(1000) {
 				w := newWalk(seed, m)
 				for step := range 3000 {
-					if w.step(); w.broken != "" {
-						t.Logf("walk %d, event %d, %v: %s", seed, step, time.Since(began).Round(time.Millisecond), w.broken)
+					if w.step(); w.violation != "" {
+						t.Logf("walk %d, event %d, %v: %s", seed, step, time.Since(began).Round(time.Millisecond), w.violation)
 						return
 					}
 				}
 			}
-			t.Fatal("not noticed")
+			t.Fatal("not found")
 		})
 	}
 }
