--- a/internal/membership/formation.go
+++ b/internal/membership/formation.go
@@ -11,28 +11,27 @@
 	"otterchute/internal/wire"
 )
 
-// A core begins as a formation: a cluster number and its first members. Each of
-// the named members votes on it once, for or against, and its disk keeps that. A
-// formation stands exactly if all its members voted for it, and has failed exactly
-// if one voted against; so any member can bring it to its end when the one that
-// proposed it is gone, and all come to the same. A disk votes for a formation only
-// while it has no vote for another that may still stand: of two formations that
-// share a member at most one ever does. Members are the lowest names of each zone,
-// so two proposers that see the fleet differently still share some, unless neither
-// hears of any the other takes.
+// A core is created by a formation: a cluster number and its first members. Each of these members
+// votes on it once, for or against, and stores its vote on disk. A formation succeeds if and only
+// if all its members voted for it, and fails if and only if one voted against. So any member can
+// complete it if the proposer is gone, and all reach the same result. A disk votes for a formation
+// only while it has no vote for another that may still succeed: of two formations that share a
+// member, at most one succeeds. The members are the lowest names of each zone, so two proposers
+// with different views of the cluster still share a member, unless neither knows any disk that the
+// other selects.
 
-// formation is one that this disk voted for.
+// formation is a formation that this disk voted for.
 type formation struct {
 	set     quorum.Set
 	votes   map[string]bool // members that voted for it
-	sinceMs int64           // since when this disk is bound by its vote
+	votedMs int64           // when this disk voted
 	sentMs  int64
 }
 
-// spreadOverZones picks so many disks, spread over the zones as evenly as possible:
-// in turns through the zones in the order of their names, each turn the lowest name
-// that is left. No zone gets more than its even share while another has disks to
-// give, so a zone's loss leaves a majority wherever that is possible.
+// spreadOverZones selects the given number of disks, spread over the zones as evenly as possible:
+// it takes the lowest remaining name of each zone in turn, in the order of the zones' names. No
+// zone gets more than its even share while another has disks left, so the loss of a zone leaves a
+// majority where that is possible.
 func spreadOverZones(disks []wire.Peer, count int) []quorum.Member {
 	byZone := map[string][]quorum.Member{}
 	for _, d := range disks {
@@ -52,8 +51,7 @@
 	return out
 }
 
-// TickFormation takes up the set that the disk knows, or takes part in forming the
-// first one.
+// TickFormation adopts the set stored on disk, or takes part in forming the first one.
 func (m *Manager) TickFormation() {
 	if !m.host.DiskWorks() || m.host.CoreSet().Cluster != 0 {
 		m.forming = nil
@@ -65,38 +63,36 @@
 		return
 	}
 	if len(store.Formed().Members) > 0 {
-		m.driveFormation()
+		m.advanceFormation()
 		return
 	}
 	m.forming = nil
 	disks := m.emptyDisks()
-	if len(disks) < m.size || m.host.NowMs()-m.stableMs < formStableMs {
+	if len(disks) < m.size || m.host.NowMs()-m.emptyDisksSinceMs < formationStableMs {
 		return
 	}
 	set := m.firstSet(disks)
-	if set.Members[0].Name == m.name { // one proposes: the lowest name among the members
+	if set.Members[0].Name == m.name { // only the lowest name among the members proposes
 		m.voteFor(set)
 	}
 }
 
-// emptyDisks returns the empty disks of daemons at their first start, and notes
-// since when they are the same.
+// emptyDisks returns the empty disks of live daemons, and records when the list last changed.
 func (m *Manager) emptyDisks() (disks []wire.Peer) {
-	seen := ""
+	names := ""
 	for _, name := range m.peers.AliveNames() {
 		if p := m.peers.Describe(name); p.Disk && p.Empty {
 			disks = append(disks, p)
-			seen += p.Name + " "
+			names += p.Name + " "
 		}
 	}
-	if seen != m.emptySeen {
-		m.emptySeen, m.stableMs = seen, m.host.NowMs()
+	if names != m.emptyDiskNames {
+		m.emptyDiskNames, m.emptyDisksSinceMs = names, m.host.NowMs()
 	}
 	return disks
 }
 
-// firstSet returns the set to be formed of these disks, with a shard for each of
-// their zones.
+// firstSet returns the set to form from these disks, with one shard for each of their zones.
 func (m *Manager) firstSet(disks []wire.Peer) quorum.Set {
 	set := quorum.Set{Cluster: m.host.Rand().Uint64() | 1, Version: 1, Members: spreadOverZones(disks, m.size)}
 	for _, d := range disks {
@@ -108,32 +104,33 @@
 	return set
 }
 
-// voteFor binds this disk to a formation; its own vote comes back once that is synced.
+// voteFor commits this disk to a formation. The daemon receives its own vote as a message once the
+// vote is synced.
 func (m *Manager) voteFor(set quorum.Set, then ...step.Message) {
-	m.forming = &formation{set: set, votes: map[string]bool{}, sinceMs: m.host.NowMs()}
+	m.forming = &formation{set: set, votes: map[string]bool{}, votedMs: m.host.NowMs()}
 	if first := set.Members[0].Name; first != m.name {
-		m.forming.votes[first] = true // who proposed it had synced its vote before it asked
+		m.forming.votes[first] = true // the proposer synced its vote before it sent the request
 	}
 	own := step.Message{To: m.name, Msg: &wire.FormResponse{Cluster: set.Cluster, OK: true}}
 	m.host.Persist([]statestore.Entry{{Kind: statestore.EntryForm, Value: set.Encode()}}, append(then, own)...)
 }
 
-// refuse votes against a formation, for good, and tells so once that is synced.
-func (m *Manager) refuse(cluster uint64, then ...step.Message) {
+// voteAgainst votes against a formation permanently, and sends the messages once that is synced.
+func (m *Manager) voteAgainst(cluster uint64, then ...step.Message) {
 	m.host.Persist([]statestore.Entry{{Kind: statestore.EntryRefused, Epoch: cluster}}, then...)
 }
 
-// driveFormation asks for the members' votes: the first member at once, each later
-// one only if it hasn't heard of an end for longer.
-func (m *Manager) driveFormation() {
+// advanceFormation requests the members' votes: the first member does so at once, each later one
+// only if the formation has not ended for longer.
+func (m *Manager) advanceFormation() {
 	now := m.host.NowMs()
 	if m.forming == nil { // a restart with a vote on disk
 		formed := m.host.Store().Formed()
-		m.forming = &formation{set: formed, votes: map[string]bool{m.name: true, formed.Members[0].Name: true}, sinceMs: now}
+		m.forming = &formation{set: formed, votes: map[string]bool{m.name: true, formed.Members[0].Name: true}, votedMs: now}
 	}
 	f := m.forming
-	turn := int64(slices.Index(f.set.Members, m.member()))
-	if !f.votes[m.name] || now-f.sinceMs < turn*formTurnMs || now-f.sentMs < formAgainMs && f.sentMs != 0 {
+	rank := int64(slices.Index(f.set.Members, m.ownMember()))
+	if !f.votes[m.name] || now-f.votedMs < rank*formationStaggerMs || now-f.sentMs < formationRetryMs && f.sentMs != 0 {
 		return
 	}
 	f.sentMs = now
@@ -144,7 +141,8 @@
 	}
 }
 
-// OnFormRequest votes. Members of a formation that failed are told so and go free.
+// OnFormRequest votes on a formation. A request that reports a failed formation releases this disk
+// from its vote.
 func (m *Manager) OnFormRequest(from string, r *wire.FormRequest) {
 	if !m.host.DiskWorks() || !r.Set.Has(m.name, m.host.Self().DiskID) {
 		return
@@ -156,33 +154,33 @@
 	core := m.host.CoreSet().Cluster
 	switch {
 	case core == id || store.Set().Cluster == id && store.Set().Version != 0:
-		m.host.Send(from, m.peers.Table(false)) // it stands
+		m.host.Send(from, m.peers.Table(false)) // it has succeeded
 	case r.Failed:
 		if store.Formed().Cluster == id {
 			m.forming = nil
 		}
-		m.refuse(id)
+		m.voteAgainst(id)
 	case store.Refused(id):
 		m.host.Persist(nil, vote(false))
 	case store.Formed().Cluster == id:
 		m.host.Persist(nil, vote(true))
-	case store.Cluster() != 0 || core != 0: // bound to another
-		m.refuse(id, vote(false))
+	case store.Cluster() != 0 || core != 0: // committed to another formation
+		m.voteAgainst(id, vote(false))
 	case !m.host.FirstStart():
 		m.forming = nil
-		m.refuse(id, vote(false))
+		m.voteAgainst(id, vote(false))
 	default:
 		m.voteFor(r.Set, vote(true))
 	}
 }
 
-// OnFormResponse takes a vote.
+// OnFormResponse handles a member's vote.
 func (m *Manager) OnFormResponse(from string, r *wire.FormResponse) {
 	f := m.forming
 	if f == nil || r.Cluster != f.set.Cluster || m.host.CoreSet().Cluster != 0 {
 		return
 	}
-	if !r.OK { // it never stands: all may vote anew
+	if !r.OK { // it never succeeds; all members may vote on another
 		m.onFormationFailed(f, from)
 		return
 	}
@@ -201,12 +199,12 @@
 func (m *Manager) onFormationFailed(f *formation, against string) {
 	m.host.Log("formation_failed", "cluster", f.set.Cluster, "against", against)
 	m.forming = nil
-	m.stableMs = m.host.NowMs() + m.host.Rand().Int64N(formTurnMs)
+	m.emptyDisksSinceMs = m.host.NowMs() + m.host.Rand().Int64N(formationStaggerMs)
 	var then []step.Message
 	for _, member := range f.set.Members {
 		if member.Name != m.name && member.Name != against {
 			then = append(then, step.Message{To: member.Name, Msg: &wire.FormRequest{Set: f.set, Failed: true}})
 		}
 	}
-	m.refuse(f.set.Cluster, then...)
+	m.voteAgainst(f.set.Cluster, then...)
 }
--- a/internal/membership/learner.go
+++ b/internal/membership/learner.go
@@ -7,20 +7,19 @@
 	"otterchute/internal/wire"
 )
 
-// learner is what a spare knows of its own way into the core, and the newest
-// member of a set larger than full of what it has still to do.
+// learner is the state of a spare on its way into the core. The newest member of an oversized set
+// uses it as well, for its second copy.
 type learner struct {
-	setVersion   int64                        // of the core set that is copied: another set's copies say nothing
-	vacantSince  map[string]int64             // member -> since when its slot is vacant; "" for a slot that nobody has
-	cursors      map[string]statestore.Cursor // member -> the part of its copy that is awaited
+	setVersion   int64                        // of the core set being copied; copies made under another set don't count
+	vacantSince  map[string]int64             // member -> when its slot became vacant; "" is an unassigned slot
+	cursors      map[string]statestore.Cursor // member -> the next part of its copy
 	copied       map[string]bool              // members whose copy is complete and synced
 	op           uint64
 	sentMs       int64
 	nextChangeMs int64
 }
 
-// currentLearner returns the learner under the set that is known, begun anew where
-// that is another than before.
+// currentLearner returns the learner for the current core set. A change of the set starts it anew.
 func (m *Manager) currentLearner(vacantSince map[string]int64) *learner {
 	version := m.host.CoreSet().Version
 	if m.learner == nil || m.learner.setVersion != version {
@@ -32,8 +31,8 @@
 	return m.learner
 }
 
-// CopyCursor is the part of a member's copy that is awaited; the zero Cursor before
-// the first.
+// CopyCursor returns the position of the next part of a member's copy; the zero Cursor before the
+// first part.
 func (m *Manager) CopyCursor(member string) statestore.Cursor {
 	if m.learner == nil {
 		return statestore.Cursor{}
@@ -41,7 +40,7 @@
 	return m.learner.cursors[member]
 }
 
-// Tick goes for a slot, or brings a set that is larger than full back to that.
+// Tick claims a vacant slot, or reduces an oversized set.
 func (m *Manager) Tick() {
 	set := m.host.CoreSet()
 	if !m.host.DiskWorks() || set.Cluster == 0 {
@@ -49,7 +48,7 @@
 		return
 	}
 	if m.host.InCore() {
-		m.tickOversizedSet()
+		m.shrinkOversizedSet()
 		return
 	}
 	self := m.host.Self()
@@ -58,8 +57,8 @@
 		return
 	}
 	if m.host.Store().Set().Has(m.name, self.DiskID) {
-		// This disk once was a member and was replaced: what it holds is old,
-		// and an old acceptance must not stand beside newer ones.
+		// This disk was a member before and was replaced. Its state is outdated, and an old
+		// acceptance must not be combined with newer ones.
 		m.host.ResetDisk()
 		return
 	}
@@ -67,28 +66,28 @@
 	switch members := len(set.Members); {
 	case members < m.size:
 		if m.host.NowMs()-l.vacantSince[""] >= m.joinWaitMs() && m.copyComplete(l, set.Majority()) {
-			m.propose(l, set.With(m.member()))
+			m.propose(l, set.With(m.ownMember()))
 		}
 	case members == m.size:
 		m.claimSlot(l)
 	}
 }
 
-// member is this daemon as a member of the core.
-func (m *Manager) member() quorum.Member {
+// ownMember returns this daemon as a member of the core.
+func (m *Manager) ownMember() quorum.Member {
 	return quorum.Member{Name: m.name, DiskID: m.host.Self().DiskID}
 }
 
-// joinWaitMs is how long this spare leaves a free slot to those before it. One
-// whose own former slot is still to be removed comes last.
+// joinWaitMs returns how long this spare leaves a free slot to the spares that rank before it. A
+// spare whose own former slot has not been removed yet comes last.
 func (m *Manager) joinWaitMs() int64 {
 	if m.host.CoreSet().HasName(m.name) {
-		return int64(len(m.spares())) * spareStepMs
+		return int64(len(m.spares())) * spareStaggerMs
 	}
-	return m.spareRank("") * spareStepMs
+	return m.spareRank("") * spareStaggerMs
 }
 
-// claimSlot goes for a slot of a full set.
+// claimSlot claims a slot of a full set if one is vacant.
 func (m *Manager) claimSlot(l *learner) {
 	set := m.host.CoreSet()
 	at, state := m.vacantSlot(l)
@@ -96,15 +95,15 @@
 		return
 	}
 	if state == slotLeaving && !m.leases.Unresponsive(set.Members[at].Name, UnresponsiveMs) {
-		m.propose(l, set.With(m.member()))
+		m.propose(l, set.With(m.ownMember()))
 		return
 	}
 	m.propose(l, set.Without(at))
 }
 
-// tickOversizedSet brings a set that is larger than full back to that. Its newest
-// member does so; the others only take it out again where it fails to.
-func (m *Manager) tickOversizedSet() {
+// shrinkOversizedSet reduces an oversized set. Its newest member does so; the others only remove
+// the newest member again if that fails.
+func (m *Manager) shrinkOversizedSet() {
 	set := m.host.CoreSet()
 	newest := len(set.Members) - 1
 	if newest < m.size {
@@ -114,7 +113,7 @@
 	l := m.currentLearner(map[string]int64{})
 	if set.Members[newest].Name != m.name {
 		since := m.host.LeavingSinceMs()
-		late := since != 0 && m.host.NowMs()-since > HandoverMs-undoMs
+		late := since != 0 && m.host.NowMs()-since > HandoverMs-removalMarginMs
 		if late || m.leases.Unresponsive(set.Members[newest].Name, UnresponsiveMs) {
 			m.propose(l, set.Without(newest))
 		}
@@ -131,8 +130,8 @@
 	}
 }
 
-// copyComplete tells whether the copies of so many members are complete and
-// synced, and asks for them.
+// copyComplete reports whether the copies of the needed number of members are complete and synced,
+// and otherwise requests them.
 func (m *Manager) copyComplete(l *learner, need int) bool {
 	if len(l.copied) >= need {
 		return true
@@ -140,7 +139,7 @@
 	if l.op == 0 {
 		l.op = m.host.NextOp()
 	}
-	if l.sentMs == 0 || m.host.NowMs()-l.sentMs > copyAgainMs {
+	if l.sentMs == 0 || m.host.NowMs()-l.sentMs > copyRetryMs {
 		l.sentMs = m.host.NowMs()
 		set := m.host.CoreSet()
 		for _, member := range set.Members {
@@ -152,20 +151,20 @@
 	return false
 }
 
-// propose tries to put another set in the place of the one that is known.
+// propose proposes the next core set, unless the previous proposal may still be in progress.
 func (m *Manager) propose(l *learner, next quorum.Set) {
 	if m.host.NowMs() < l.nextChangeMs {
 		return
 	}
-	l.nextChangeMs = m.host.NowMs() + changeMs
+	l.nextChangeMs = m.host.NowMs() + changeRetryMs
 	m.host.ChangeCoreSet(next)
 }
 
-// OnCopyRequest brings a learner the part of the store that it asks for. It is for
-// members that serve the learner's set.
+// OnCopyRequest sends a learner the requested part of the store. Only members that serve the
+// learner's set may call it.
 func (m *Manager) OnCopyRequest(from string, r *wire.CopyRequest) {
 	at, instance := r.At, m.host.Instance()
-	if at.Instance != instance { // the copy begins, or begins again since this daemon has restarted
+	if at.Instance != instance { // the copy starts, or starts again because this daemon has restarted
 		at = statestore.Cursor{}
 	}
 	part, next := m.host.Store().CopyPart(at, statestore.ChunkBytes)
@@ -175,17 +174,17 @@
 	m.host.Persist(nil, step.Message{To: from, Msg: &wire.CopyResponse{Op: r.Op, At: r.At, Next: next, Entries: part}})
 }
 
-// OnCopyResponse keeps one part of a member's copy, and asks for the next once it is
-// synced. The highest of all copies wins entry by entry.
+// OnCopyResponse stores one part of a member's copy, and requests the next once it is synced. Entry
+// by entry, the highest version among all copies wins.
 func (m *Manager) OnCopyResponse(from string, r *wire.CopyResponse) {
 	l := m.learner
 	if l == nil || l.op != r.Op {
 		return
 	}
-	if from == m.name { // our own word that a member's last part is synced
+	if from == m.name { // own message: the last part of a member's copy is synced
 		l.copied[r.Finished] = true
 		m.host.Log("core_copied", "from", r.Finished)
-		m.Tick() // the next step waits for no tick
+		m.Tick() // take the next step without waiting for a tick
 		return
 	}
 	if l.cursors[from] != r.At || l.copied[from] {
--- a/internal/membership/manager.go
+++ b/internal/membership/manager.go
@@ -1,11 +1,11 @@
-// Package membership decides which disks are the core's members: how the first set
-// is formed, how a slot is refilled whose member is gone or leaves, and how a new
-// member copies the state before it counts for a quorum.
+// Package membership decides which disks are members of the core: how the first set is formed, how
+// the slot of a lost or leaving member is refilled, and how a new member copies the state before it
+// counts for a quorum.
 //
-// Every daemon with a disk has a Manager. One that stands by as a spare copies from
-// the members (a learner) and proposes the next set itself, by a change of the
-// register "core"; members only remove what is too many. Nothing here grants
-// leases or serves records: the daemon does so while it is in the set.
+// Every daemon with a disk has a Manager. On a spare, the Manager acts as a learner: it copies from
+// the members and then proposes the next set itself, by a change of the register "core". Members
+// only remove excess members. This package neither grants leases nor serves records; the daemon
+// does both while it is in the set.
 package membership
 
 import (
@@ -18,56 +18,56 @@
 )
 
 const (
-	// Register is the name of the register that holds the core set.
+	// RegisterName is the name of the register that holds the core set.
 	Register = "core"
-	// DefaultSize is how many disks hold the state where nothing else is set.
+	// DefaultSize is how many disks store the state unless configured otherwise.
 	DefaultSize = 3
-	// UnresponsiveMs is how long a member may answer no poll: some four of them.
+	// UnresponsiveMs is how long a member may leave polls unanswered: about four polls.
 	UnresponsiveMs = 1600
-	// HandoverMs is how long a member that stops waits for a spare to take its slot.
+	// HandoverMs is how long a stopping member waits for a spare to take its slot.
 	HandoverMs = 3000
 
-	undoMs      = 600    // before that it takes a spare out again that has not finished
-	replaceMs   = 10_000 // a member gone this long may be replaced by a spare
-	spareStepMs = 1500   // each later spare waits this much longer before it goes for a slot
-	copyAgainMs = 2000   // a part of a copy that doesn't come is asked for again
-	changeMs    = 2500   // and so is a change of the set, when it must have ended
+	removalMarginMs = 600    // before HandoverMs ends, to remove a spare that has not finished
+	replaceAfterMs  = 10_000 // how long a member is missing before a spare may replace it
+	spareStaggerMs  = 1500   // additional wait of each later spare before it claims a slot
+	copyRetryMs     = 2000   // resend a request for a part of a copy
+	changeRetryMs   = 2500   // minimum time between proposals, by when the previous change has ended
 
-	formStableMs = 700  // so long the same empty disks must be seen before a core is formed of them
-	formTurnMs   = 1500 // each later member waits this much longer before it brings a formation to its end
-	formAgainMs  = 300  // votes that didn't come are asked for again
+	formationStableMs  = 700  // the same empty disks must be visible this long before they form a core
+	formationStaggerMs = 1500 // additional wait of each later member before it drives a formation
+	formationRetryMs   = 300  // resend a request for a vote
 )
 
 // Host is the daemon that a Manager belongs to.
 type Host interface {
 	step.Context
-	// Self is what the daemon says of itself.
+	// Self describes the daemon to its peers.
 	Self() wire.Peer
-	// CoreSet is the newest core set it knows.
+	// CoreSet is the newest core set that the daemon knows.
 	CoreSet() quorum.Set
-	// InCore tells whether it is a member whose disk works.
+	// InCore reports whether the daemon is a member with a working disk.
 	InCore() bool
-	// DiskWorks tells whether it has a disk, and that takes writes.
+	// DiskWorks reports whether the daemon has a disk that accepts writes.
 	DiskWorks() bool
-	// Store is the state on its disk; nil without one.
+	// Store is the state on the daemon's disk; nil without a disk.
 	Store() *statestore.Store
-	// Instance names its process.
+	// Instance identifies the daemon's process.
 	Instance() uint64
-	// FirstStart tells whether the whole fleet starts for the first time.
+	// FirstStart reports whether the whole cluster starts for the first time.
 	FirstStart() bool
-	// LeavingSinceMs is when it was asked to stop; 0 if it wasn't.
+	// LeavingSinceMs is when the daemon was asked to stop; 0 if it was not.
 	LeavingSinceMs() int64
-	// NextOp numbers a request.
+	// NextOp returns the number for a new request.
 	NextOp() uint64
 	// Persist applies entries, and sends messages once they are durable.
 	Persist(entries []statestore.Entry, then ...step.Message)
-	// RestoreCoreSet takes up the set that the disk knows, after a start.
+	// RestoreCoreSet adopts the set stored on disk, after a start.
 	RestoreCoreSet(set quorum.Set)
-	// BeginCluster takes up the first set of a cluster that was just formed.
+	// BeginCluster adopts the first set of a cluster that was just formed.
 	BeginCluster(set quorum.Set)
-	// ChangeCoreSet proposes the set after the one that is known.
+	// ChangeCoreSet proposes the successor of the current set.
 	ChangeCoreSet(next quorum.Set)
-	// ResetDisk makes the disk a new, empty one; the Manager is told by OnDiskReset.
+	// ResetDisk replaces the disk's state by a new, empty one, and calls Manager.OnDiskReset.
 	ResetDisk()
 }
 
@@ -75,23 +75,22 @@
 type Manager struct {
 	host   Host
 	name   string
-	size   int // disks that are to hold the state
+	size   int // how many disks should store the state
 	peers  *cluster.Directory
 	leases *lease.Manager
 
-	forming   *formation
-	emptySeen string // the names of the empty disks seen
-	stableMs  int64  // since when they are the same
-	learner   *learner
-	// newcomer: this disk came into a fleet that isn't new, most likely in the
-	// place of a member that went or is about to. It doesn't wait as long as a
-	// disk that stood by before; if that member is back it becomes a spare.
+	forming           *formation
+	emptyDiskNames    string // names of the empty disks seen last, to detect changes
+	emptyDisksSinceMs int64  // when emptyDiskNames last changed
+	learner           *learner
+	// newcomer is set if this disk joined an existing cluster, most likely to replace a member that
+	// is gone or about to leave. It waits less than a disk that was a spare before. If the member
+	// returns, the newcomer becomes a spare.
 	newcomer bool
 }
 
-// NewManager returns the manager of the daemon of this name. size is how many disks
-// are to hold the state, 0 for DefaultSize; an even number counts as the odd one
-// below it, which bears as many losses.
+// NewManager returns the manager of a daemon. size is how many disks should store the state, 0 for
+// DefaultSize. An even size is reduced by one, since the smaller set tolerates as many losses.
 //
 // Example: members := membership.NewManager(host, "edge-1", 3, peers, leases)
 func NewManager(host Host, name string, size int, peers *cluster.Directory, leases *lease.Manager) *Manager {
@@ -105,25 +104,25 @@
 	return m
 }
 
-// Size is how many disks are to hold the state.
+// Size returns how many disks should store the state.
 func (m *Manager) Size() int { return m.size }
 
-// OnCoreSet tells that a cluster stands: there is nothing left to form.
+// OnCoreSet handles the adoption of a core set: no formation is needed any more.
 func (m *Manager) OnCoreSet() { m.forming = nil }
 
-// OnDiskReset tells that the disk is a new, empty one. Where its slot was taken, the
-// fleet has a machine more than before, which was brought for some member's.
+// OnDiskReset handles the replacement of the disk's state by a new, empty one. If its slot was
+// taken, the cluster has one machine more than before, which was added to replace a member.
 func (m *Manager) OnDiskReset() { m.learner, m.forming, m.newcomer = nil, nil, true }
 
-// FillsUp tells whether a set is full again by this daemon as its newest member:
-// then it has missed what the others granted before.
+// CompletesSet reports whether a change brings the set back to full size with this daemon as its
+// newest member. The daemon then doesn't know the leases that the others granted before.
 func (m *Manager) FillsUp(before, after quorum.Set) bool {
 	full := len(after.Members) == m.size && len(before.Members) > m.size
 	return full && after.Members[len(after.Members)-1].Name == m.name
 }
 
-// AwaitsSuccessor tells whether a member that stops is to wait until its slot is
-// taken: a spare can have it, or is about to.
+// AwaitsSuccessor reports whether a stopping member should wait until its slot is taken: a spare is
+// available, or is about to take it.
 func (m *Manager) AwaitsSuccessor() bool {
 	if !m.host.InCore() || m.host.NowMs()-m.host.LeavingSinceMs() > HandoverMs {
 		return false
@@ -132,7 +131,7 @@
 	return members > m.size || members == m.size && len(m.spares()) > 0
 }
 
-// NotifySpares lets the spares know at once that this member leaves.
+// NotifySpares tells the spares at once that this member leaves.
 func (m *Manager) NotifySpares() {
 	var names []string
 	for _, p := range m.spares() {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -14,7 +14,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// fakeHost is a daemon that a test reads.
+// fakeHost is a daemon whose messages and proposals a test can inspect.
 type fakeHost struct {
 	self       wire.Peer
 	nowMs      int64
@@ -70,33 +70,33 @@
 	h.sent = append(h.sent, then...)
 }
 
-// Of several slots that can be had the surest loss goes first.
-func TestSurestLossFirst(t *testing.T) {
+// Among several vacant slots, the one whose member is most certainly lost comes first.
+func TestVacantSlotPrefersMostCertainLoss(t *testing.T) {
 	h, m := newManager(3)
 	h.nowMs = 20_000
 	h.set = quorum.Set{Cluster: 9, Version: 2, Members: []quorum.Member{{Name: "a", DiskID: 1}, {Name: "b", DiskID: 2}, {Name: "c", DiskID: 3}}}
 	for i, name := range []string{"a", "b", "c"} {
 		m.peers.Record(wire.Peer{Name: name, Disk: true, DiskID: uint64(i + 1)}, h.nowMs)
 	}
-	j := &learner{vacantSince: map[string]int64{"a": 1, "b": 1, "c": 1}}
-	says := func(want int, state slotState) {
+	l := &learner{vacantSince: map[string]int64{"a": 1, "b": 1, "c": 1}}
+	expect := func(want int, state slotState) {
 		t.Helper()
 		for _, name := range []string{"a", "b", "c"} {
-			j.vacantSince[name] = 1
+			l.vacantSince[name] = 1
 		}
-		at, got := m.vacantSlot(j)
+		at, got := m.vacantSlot(l)
 		must.Eq(t, want, at)
 		must.Eq(t, state, got)
 	}
-	says(-1, slotOccupied)
+	expect(-1, slotOccupied)
 	m.peers.Get("a").Disk = false
-	says(0, slotDiskFailed)
+	expect(0, slotDiskFailed)
 	m.peers.Get("b").HeardMs = 0
-	says(1, slotSilent)
+	expect(1, slotSilent)
 	m.peers.Get("c").Leaving = true
-	says(2, slotLeaving)
+	expect(2, slotLeaving)
 	m.peers.Get("a").DiskID = 7
-	says(0, slotWiped)
+	expect(0, slotWiped)
 }
 
 func TestSize(t *testing.T) {
@@ -106,7 +106,7 @@
 	}
 }
 
-// Members are spread over the zones, whatever the names are.
+// Members are spread over the zones, regardless of their names.
 func TestSpreadOverZones(t *testing.T) {
 	disks := []wire.Peer{{Name: "a", Zone: "x"}, {Name: "b", Zone: "x"}, {Name: "c", Zone: "x"}, {Name: "d", Zone: "y"}, {Name: "e", Zone: "z"}}
 	names := func(count int) []string { return quorum.Set{Members: spreadOverZones(disks, count)}.Names() }
@@ -122,25 +122,25 @@
 	m.peers.Record(wire.Peer{Name: "a", Disk: true, DiskID: 1}, h.nowMs)
 	m.peers.Record(wire.Peer{Name: "b", Disk: true, DiskID: 2}, h.nowMs)
 	m.Tick()
-	must.Len(t, 2, h.sent) // a request to each
+	must.Len(t, 2, h.sent) // one request to each member
 	op := h.sent[0].Msg.(*wire.CopyRequest).Op
 	middle := statestore.Cursor{Shard: "east", Instance: 1}
 	m.OnCopyResponse("a", &wire.CopyResponse{Op: op, Next: middle})
 	must.Eq(t, middle, m.CopyCursor("a"))
 	must.Eq(t, middle, h.sent[2].Msg.(*wire.CopyRequest).At)
-	m.OnCopyResponse("a", &wire.CopyResponse{Op: op}) // the first part, told twice
+	m.OnCopyResponse("a", &wire.CopyResponse{Op: op}) // a duplicate of the first part
 	must.Len(t, 3, h.sent)
 	m.OnCopyResponse("a", &wire.CopyResponse{Op: op, At: middle})
 	m.OnCopyResponse("b", &wire.CopyResponse{Op: op})
 	must.SliceEmpty(t, h.proposed)
-	for _, own := range h.sent[3:] { // synced
+	for _, own := range h.sent[3:] { // the last parts are synced
 		m.OnCopyResponse("d", own.Msg.(*wire.CopyResponse))
 	}
 	must.Eq(t, []string{"a", "b", "d"}, h.proposed[0].Names())
 }
 
-// A disk that was a member once begins anew; a failed one does nothing.
-func TestFormerMember(t *testing.T) {
+// A disk that was a member before is reset; a failed disk does nothing.
+func TestFormerMemberResetsDisk(t *testing.T) {
 	h, m := newManager(3)
 	h.store.Apply(statestore.Entry{Kind: statestore.EntrySet, Value: quorum.Set{Cluster: 9, Version: 1, Members: []quorum.Member{{Name: "d", DiskID: 4}}}.Encode()})
 	h.set = quorum.Set{Cluster: 9, Version: 2, Members: []quorum.Member{{Name: "a", DiskID: 1}}}
@@ -160,8 +160,8 @@
 	m.peers.Record(wire.Peer{Name: "e", Zone: "mid", Disk: true, DiskID: 5, Empty: true}, h.nowMs)
 	m.peers.Record(wire.Peer{Name: "f", Zone: "west", Disk: true, DiskID: 6, Empty: true}, h.nowMs)
 	m.TickFormation()
-	must.SliceEmpty(t, h.sent) // they must be seen for a while
-	h.nowMs += formStableMs
+	must.SliceEmpty(t, h.sent) // they must be visible for a while
+	h.nowMs += formationStableMs
 	m.TickFormation()
 	must.Len(t, 1, h.sent)
 	m.OnFormResponse("d", h.sent[0].Msg.(*wire.FormResponse))
@@ -177,7 +177,7 @@
 	must.Eq(t, set, h.store.Set())
 }
 
-// A formation that one member voted against frees the others.
+// A member's vote against a formation releases the others.
 func TestFormationRefused(t *testing.T) {
 	h, m := newManager(3)
 	h.firstStart = true
--- a/internal/membership/slots.go
+++ b/internal/membership/slots.go
@@ -11,56 +11,54 @@
 	"otterchute/internal/wire"
 )
 
-// The core set changes by one member at a time, each change a compare
-// and swap of the register "core" at a majority of the set it replaces. So
-// consecutive sets share a member in any two of their majorities, and a member
-// answers only requests made under the set it knows: two sets that
-// both reach a majority are the same or neighbours. Let the full set have k=2f+1
-// members. A slot is refilled in one of two ways.
+// The core set changes by one member at a time, each change a compare-and-swap of the register
+// "core" on a majority of the set it replaces. So any majorities of consecutive sets share a
+// member, and a member responds only to requests made under the set it knows: two sets that both
+// reach a majority are equal or adjacent. Let the full set have k=2f+1 members. A slot is refilled
+// in one of two ways.
 //
-// The slot's member doesn't answer (it is gone, wiped, or its disk failed):
-// remove, copy, add. What was acknowledged under the full set is held by f+1 of
-// its members, so by f of the 2f left, whoever left; a majority of those is f+1,
-// and f+(f+1) > 2f: a copy of a majority of those left meets every such write.
-// With the copy it is at f+1 of 2f+1 again. What is acknowledged while the set
-// lacks one is held by f+1 of the 2f, which with or without the copy is a
-// majority of the full set after it. The set of 2f bears f-1 losses, as many as
-// the full one with one member gone: removing it takes no loss away that could be
-// borne. It does take away what the member still has, should it come back; so the
-// spare shows first, by a whole copy under the full set, that it can take the
-// slot (but for a wiped member, which has nothing). A spare that then stalls leaves
-// a majority of 2f, which needs none of it.
+// If the slot's member doesn't respond (it is gone, was wiped, or its disk failed): remove, copy,
+// add. A write acknowledged under the full set is on f+1 of its members, so on at least f of the
+// remaining 2f. A majority of those is f+1, and f+(f+1) > 2f: a copy of a majority of the remaining
+// members includes every such write. With the copy, the write is on f+1 of 2f+1 again. A write
+// acknowledged while the set has 2f members is on f+1 of them, which is a majority of the full set
+// afterwards, with or without the copy. The set of 2f tolerates f-1 losses, as many as the full one
+// with one member gone, so the removal costs no tolerance. It does discard what the removed member
+// still stores, should it return. So the spare first proves that it can take the slot, by a
+// complete copy under the full set (except for a wiped member, which stores nothing). A spare that
+// then stalls leaves a majority of 2f, which doesn't need the spare.
 //
-// The slot's member answers but leaves: copy, add, copy, remove. The set of 2f+2
-// has majorities of f+2, so it bears f losses like the full one, at any moment,
-// the spare's or the leaving member's among them. What was acknowledged under the
-// full set is at f+1 of its 2f+1 members, and every f+2 of the 2f+2 include f+1 of
-// those: nothing hangs on the spare yet. Before the removal the spare copies once
-// more, under the larger set, from f+1 other members: each answers under it only
-// after its last acknowledgement under the full set, and f+1 of 2f+1 meet each of
-// those. So all that was acknowledged under the full set is at f others, at the
-// least, and the spare; and what is acknowledged under the larger set is at f+2 of
-// it, f+1 without the leaving member: a majority after the removal either way.
-// If nobody leaves after all, or the newest member fails, that one is removed
-// again, which needs no copy: f+2 less one is f+1 of the rest, and what was
-// acknowledged under the full set stood there without it. The leaving member stays
-// until it is out, and if that takes too long it removes the newest one before it
-// ends; so a set never stays larger than full with a member gone. What isn't
-// borne: while the set is 2f+2 (some 0.3 s) f+1 losses, as the end of the leaving
-// member by itself together with f others; and a zone that holds both the leaving
-// member and the spare, for f=1, stops the core until it is back, losing nothing.
+// If the slot's member responds but leaves: copy, add, copy, remove. The set of 2f+2 has majorities
+// of f+2, so it tolerates f losses like the full one, at any moment, including the spare and the
+// leaving member. A write acknowledged under the full set is on f+1 of its 2f+1 members, and every
+// f+2 of the 2f+2 include one of those: nothing depends on the spare yet. Before the removal the
+// spare copies again, under the larger set, from f+1 other members. Each of them responds under
+// that set only after its last acknowledgement under the full set, and f+1 of 2f+1 overlap with
+// every majority of the full set. So every write acknowledged under the full set is on at least f
+// others and the spare. A write acknowledged under the larger set is on f+2 of its members, f+1
+// without the leaving one: a majority after the removal in both cases.
 //
-// Leases are in memory only, so a new member grants none before one lease has
-// passed: since it joined, and, where it joined a larger set, since that set
-// became full. Until then every majority includes one who knew of the lease.
+// If no member leaves after all, or the newest member fails, the newest one is removed again, which
+// needs no copy: f+2 less one is f+1 of the rest, and writes acknowledged under the full set were
+// on a majority without it. The leaving member stays until it is removed. If that takes too long,
+// it removes the newest member before it stops, so a set never remains larger than full with a
+// member gone. Two cases are not tolerated. While the set has 2f+2 members (about 0.3 s), f+1
+// losses are too many, such as the leaving member stopping on its own together with f others. And
+// for f=1, the loss of a zone that holds both the leaving member and the spare stops the core until
+// the zone is back; no data is lost.
+//
+// Leases are kept in memory only, so a new member grants none until the duration of one lease has
+// passed: since it joined or, if it joined a larger set, since that set became full. Until then
+// every majority includes a member that knows of the lease.
 
-// slotState is how surely a member is gone, the surest last.
+// slotState is the state of a member's slot, in ascending order of certainty that the member is
+// lost.
 type slotState int8
 
 const (
 	slotOccupied   slotState = iota
-	slotDiskFailed           // its disk takes no writes, and may again
-	slotSilent               // neither its heartbeats nor its answers to polls come
+	slotDiskFailed           // its disk rejects writes, and may recover
+	slotSilent               // no heartbeats and no responses to polls arrive
 	slotLeaving              // it was asked to stop
 	slotWiped                // it has another disk now
 )
@@ -76,7 +74,7 @@
 // String names the state for logs and test failures.
 func (s slotState) String() string { return slotStateNames[s] }
 
-// stateOf returns the state of a member's slot as it looks from here.
+// stateOf returns the state of a member's slot as observed by this daemon.
 func (m *Manager) stateOf(member quorum.Member) slotState {
 	if member.Name == m.name {
 		return m.ownState(member)
@@ -90,7 +88,7 @@
 	switch {
 	case alive && peer.DiskID != member.DiskID:
 		return slotWiped
-	case peer.Leaving && silentMs <= replaceMs: // what it said longer ago counts for nothing
+	case peer.Leaving && silentMs <= replaceAfterMs: // an older announcement is ignored
 		return slotLeaving
 	case !alive || unresponsive && silentMs > UnresponsiveMs:
 		return slotSilent
@@ -100,7 +98,7 @@
 	return slotOccupied
 }
 
-// ownState is the state of this daemon's own slot.
+// ownState returns the state of this daemon's own slot.
 func (m *Manager) ownState(member quorum.Member) slotState {
 	switch self := m.host.Self(); {
 	case member.DiskID != self.DiskID:
@@ -111,7 +109,7 @@
 	return slotOccupied
 }
 
-// waitMs is how long a slot stands in its state before a spare goes for it.
+// waitMs returns how long a slot must be in a state before a spare claims it.
 func (m *Manager) waitMs(state slotState) int64 {
 	switch {
 	case state == slotWiped:
@@ -119,25 +117,25 @@
 	case state == slotLeaving, state == slotSilent && m.newcomer:
 		return 0
 	}
-	return replaceMs
+	return replaceAfterMs
 }
 
-// vacantSlot returns the index in the core set of the slot that is most surely
-// vacant, or -1, and its state. A wiped disk goes for its own.
+// vacantSlot returns the index and state of the slot in the core set whose member is most certainly
+// lost; the index is -1 if there is none. A wiped disk only claims its own slot.
 func (m *Manager) vacantSlot(l *learner) (at int, state slotState) {
 	at = -1
 	set, now := m.host.CoreSet(), m.host.NowMs()
-	mine := set.HasName(m.name)
+	ownNameInSet := set.HasName(m.name)
 	for i, member := range set.Members {
 		current := m.stateOf(member)
-		if current == slotOccupied || mine && member.Name != m.name {
+		if current == slotOccupied || ownNameInSet && member.Name != m.name {
 			delete(l.vacantSince, member.Name)
 			continue
 		}
 		if _, known := l.vacantSince[member.Name]; !known {
 			l.vacantSince[member.Name] = now
 		}
-		waitMs := m.waitMs(current) + m.spareRank(member.Name)*spareStepMs
+		waitMs := m.waitMs(current) + m.spareRank(member.Name)*spareStaggerMs
 		if current > state && now-l.vacantSince[member.Name] >= waitMs {
 			at, state = i, current
 		}
@@ -145,8 +143,8 @@
 	return at, state
 }
 
-// spares returns the disks outside the core whose daemons were heard of lately: a
-// member that was just removed because it is gone is none.
+// spares returns the disks outside the core whose daemons sent heartbeats recently. This excludes a
+// member that was just removed because it is gone.
 func (m *Manager) spares() (out []wire.Peer) {
 	set := m.host.CoreSet()
 	for _, name := range m.peers.AliveNames() {
@@ -161,9 +159,9 @@
 	return out
 }
 
-// spareRank orders the live disks outside the core: the first goes at once, the
-// others only if it doesn't. One that comes back under the missing member's name
-// is first, then those in the zones with the fewest members.
+// spareRank returns this daemon's position among the live disks outside the core. The first one
+// acts at once, the others only if it doesn't. A disk that returns under the missing member's name
+// is first, followed by disks in the zones with the fewest members.
 func (m *Manager) spareRank(missing string) int64 {
 	set := m.host.CoreSet()
 	members := map[string]int{} // by zone
