--- a/guards.sh
+++ b/guards.sh
@@ -54,7 +54,7 @@
 copied from a majority|internal/membership/learner.go|if len(l.copied) >= need {|if len(l.copied) >= 1 {
 an acknowledgement belongs to its set|internal/daemon/core_set.go|b.acked, b.sentMs = map[string]bool{}, 0|b.sentMs = 0
 unknown queues by a newer setup|internal/daemon/request_address.go|case !ok && n.configConfirmedSince(a):|case !ok:
-one vote for a disk|internal/membership/formation.go|case store.Cluster() != 0 \|\| core != 0: // bound to another|case false:
+one vote for a disk|internal/membership/formation.go|case store.Cluster() != 0 \|\| core != 0: // committed to another formation|case false:
 a response belongs to its instance|internal/daemon/identity.go|if head.To == n.Instance {|if true {
 a request belongs to its addressee|internal/daemon/identity.go|case head.To == addressOf(n.Name), |case true, 
 not taken only when surely so|internal/daemon/request.go|a.queue == "" \|\| !a.maybeApplied|true
@@ -70,7 +70,7 @@
 an answer leaves after its write is synced|internal/daemon/registers.go|n.persist([]statestore.Entry{entry}, n.sendEffect(to, answer))|n.persist([]statestore.Entry{entry})\n\tn.send(to, answer)
 an order is known again|internal/configuration/history.go|found = o == id|found = false
 an order that was forgotten is not refused|internal/daemon/config_change.go|if !cur.Accepted.Covers(o.change) {|if false {
-orders have the base in their identity|internal/configuration/history.go|id := ChangeID{Version: base + int64(rise), Base: base}|id := ChangeID{Version: base + int64(rise)}
+orders have the base in their identity|internal/configuration/history.go|id := ChangeID{Version: base + int64(increment), Base: base}|id := ChangeID{Version: base + int64(increment)}
 a refusal is written back|internal/register/proposer.go|\t\to.outcomeOnAccept = Refused\n|\t\to.outcome = Refused\n\t\treturn nil\n
 a leaving member waits for its successor|internal/daemon/roles.go|if n.leavingSince == 0 \|\| n.members.AwaitsSuccessor() {|if n.leavingSince == 0 {
 copied again before a member leaves|internal/membership/learner.go|if at == newest \|\| m.copyComplete(l, set.Majority()-1) {|if true {
--- a/internal/cluster/directory.go
+++ b/internal/cluster/directory.go
@@ -1,12 +1,11 @@
-// Package cluster is what one daemon knows of the others: who they are, where they
-// listen, and whether they are alive. Tables are exchanged by gossip: each round
-// goes to a few peers as a digest, and only what the other side lacks follows in
-// full. A daemon whose heartbeat has stood still for long counts as dead.
+// Package cluster is one daemon's view of the other daemons: their names, addresses, and whether
+// they are alive. Daemons exchange their tables by gossip: each round is sent to a few peers as a
+// digest, and only the differences follow in full. A daemon whose heartbeat has not advanced for
+// long counts as dead.
 //
-// Incarnations order the processes of one name: a process begins with the time of
-// its start and rises above any higher one that it hears of under its own name.
-// Membership of the core, leases and epochs are not decided here; the core set only
-// travels with the gossip.
+// Incarnations order the processes of one name: a process starts with the time of its start as its
+// incarnation, and raises it above any higher one that it receives under its own name. Membership
+// of the core, leases and epochs are not decided here; gossip only carries the core set.
 package cluster
 
 import (
@@ -20,117 +19,122 @@
 )
 
 const (
-	// AliveMs is how long a peer's heartbeat may stand still before it counts as dead.
+	// AliveTimeoutMs is how long a peer's heartbeat may stay unchanged before the peer counts as
+	// dead.
 	AliveMs = 4000
-	// ColocatedAliveMs is the same for daemons beside workers, whose heartbeats come with each
-	// fullRounds-th round alone: they hold no role that anybody waits to take over.
+	// ColocatedAliveTimeoutMs is the same for daemons colocated with workers. Their heartbeats are
+	// only sent in full digests, and they hold no role that another daemon waits to take over.
 	ColocatedAliveMs = 15_000
-	// RoundMs is the pace of gossip.
+	// GossipIntervalMs is the interval between rounds of gossip.
 	RoundMs = 500
-	// colocatedRoundMs is the pace of daemons beside workers, which gossip with others alone.
-	colocatedRoundMs = 2000
-	// fullRounds: once in so many rounds a digest holds the daemons beside workers too.
-	fullRounds = 4
-	// firstRoundMs is the pace of a disk that knows no cluster, before the first one is formed.
-	firstRoundMs = 200
-	// Fanout is how many peers a daemon gossips with: log2 of today's fleets.
+	// colocatedGossipIntervalMs is the interval of colocated daemons, which gossip only with
+	// standalone ones.
+	colocatedGossipIntervalMs = 2000
+	// One in roundsPerFullDigest digests also includes the colocated daemons.
+	roundsPerFullDigest = 4
+	// formingGossipIntervalMs is the interval of a disk that knows no cluster, until the first one
+	// is formed.
+	formingGossipIntervalMs = 200
+	// Fanout is how many peers a daemon gossips with: log2 of current cluster sizes.
 	Fanout = 4
-	// colocatedFanout is that of a daemon beside a worker.
+	// colocatedFanout is the fanout of a colocated daemon.
 	colocatedFanout = 2
-	// keepMs: a zone cut off for hours must still know where the others were.
-	keepMs = 48 * 3600 * 1000
-	// MaxPeers bounds the table; the longest silent one goes first.
+	// peerExpiryMs is how long a silent peer is kept: a zone that was cut off for hours must still
+	// know the addresses of the others.
+	peerExpiryMs = 48 * 3600 * 1000
+	// MaxPeers bounds the table; the peer that has been silent longest is removed first.
 	MaxPeers = 1000
 
-	// Once in so many rounds a seed is gossiped with, and once in so many a dead peer.
-	seedRounds = 8
-	deadRounds = 2
+	// On average, one in roundsPerSeed rounds is sent to a seed, and one in roundsPerDeadPeer to a
+	// dead peer.
+	roundsPerSeed     = 8
+	roundsPerDeadPeer = 2
 )
 
 // Host is the daemon that a Directory belongs to.
 type Host interface {
 	step.Context
-	// Self is what the daemon says of itself; the Directory adds the heartbeat.
+	// Self describes the daemon to its peers; the Directory adds the heartbeat.
 	Self() wire.Peer
-	// CoreSet is the newest core set it knows.
+	// CoreSet is the newest core set that the daemon knows.
 	CoreSet() quorum.Set
-	// AdoptCoreSet takes a core set that gossip brought, if it is newer.
+	// AdoptCoreSet adopts a core set received by gossip, if it is newer.
 	AdoptCoreSet(set quorum.Set)
-	// Forming tells whether it waits for the first cluster to be formed.
+	// Forming reports whether the daemon waits for the first cluster to be formed.
 	Forming() bool
-	// RaiseIncarnation has it go on under an incarnation above this one, which
-	// another process of its name was heard under.
+	// RaiseIncarnation raises the daemon's incarnation above the given one, under which another
+	// process of its name was seen.
 	RaiseIncarnation(above uint64)
 }
 
-// Peer is another daemon as it is known here.
+// Peer is the record of another daemon.
 type Peer struct {
 	wire.Peer
-	HeardMs int64 // when its heartbeat last moved, by our steady clock
+	HeardMs int64 // when its heartbeat last advanced, by this daemon's monotonic clock
 	hash    uint64
 }
 
-// Directory is one daemon's table of the others.
+// Directory is one daemon's table of its peers.
 type Directory struct {
-	host      Host
-	name      string
-	seeds     []string
-	heartbeat uint64
-	rounds    uint64
-	nextMs    int64
-	peers     map[string]*Peer
-	byHash    map[uint64]string // peers by what is said of them
+	host        Host
+	name        string
+	seeds       []string
+	heartbeat   uint64
+	rounds      uint64
+	nextRoundMs int64
+	peers       map[string]*Peer
+	byHash      map[uint64]string // names of peers by Peer.hash
 }
 
-// New returns the empty directory of the daemon of this name, which gossips with
-// the seeds' addresses first.
+// New returns the empty directory of the daemon of this name, which first gossips with the seeds'
+// addresses.
 //
 // Example: peers := cluster.New(host, "edge-1", []string{"10.0.0.1:7000"})
 func New(host Host, name string, seeds []string) *Directory {
 	return &Directory{host: host, name: name, seeds: seeds, peers: map[string]*Peer{}}
 }
 
-// Self is what the daemon says of itself, with its heartbeat.
+// Self returns the daemon's own description, with its heartbeat.
 func (d *Directory) Self() wire.Peer {
 	self := d.host.Self()
 	self.Heartbeat = d.heartbeat
 	return self
 }
 
-// Get returns a peer; nil for one that isn't known, and for the daemon itself.
+// Get returns a peer; nil for an unknown one, and for the daemon itself.
 func (d *Directory) Get(name string) *Peer { return d.peers[name] }
 
-// Names returns the names of all known peers, dead or alive, in order.
+// Names returns the names of all known peers, dead or alive, sorted.
 func (d *Directory) Names() []string { return slices.Sorted(maps.Keys(d.peers)) }
 
-// Len is how many peers are known.
+// Len returns the number of known peers.
 func (d *Directory) Len() int { return len(d.peers) }
 
-// Record takes what is said of a peer as heard at a time, whatever was known before.
+// Record replaces the record of a peer, with the time of its last heartbeat.
 func (d *Directory) Record(p wire.Peer, heardMs int64) {
 	d.peers[p.Name] = &Peer{Peer: p, HeardMs: heardMs}
-	d.index(d.peers[p.Name])
+	d.indexByHash(d.peers[p.Name])
 }
 
-// Alive tells whether a daemon's heartbeat still moves; the daemon's own does.
+// Alive reports whether a daemon's heartbeat still advances; true for the daemon itself.
 func (d *Directory) Alive(name string) bool {
 	if name == d.name {
 		return true
 	}
 	p := d.peers[name]
-	return p != nil && d.host.NowMs()-p.HeardMs < d.aliveMs(p)
+	return p != nil && d.host.NowMs()-p.HeardMs < d.aliveTimeoutMs(p)
 }
 
-// aliveMs is how long a peer's heartbeat may stand still here. What a daemon beside a worker
-// hears of others is older, and so is what others hear of it.
-func (d *Directory) aliveMs(p *Peer) int64 {
+// aliveTimeoutMs returns how long a peer's heartbeat may stay unchanged here. Heartbeats take
+// longer to reach colocated daemons, and to get from them to others.
+func (d *Directory) aliveTimeoutMs(p *Peer) int64 {
 	if p.Colocated || d.host.Self().Colocated {
 		return ColocatedAliveMs
 	}
 	return AliveMs
 }
 
-// AliveCount is how many daemons are alive, the own one too.
+// AliveCount returns the number of live daemons, including this one.
 func (d *Directory) AliveCount() int {
 	count := 1
 	for name := range d.peers {
@@ -141,7 +145,7 @@
 	return count
 }
 
-// AliveNames returns the names of all daemons that are alive, the own one too, in order.
+// AliveNames returns the names of all live daemons, including this one, sorted.
 func (d *Directory) AliveNames() []string {
 	out := []string{d.name}
 	for name := range d.peers {
@@ -153,7 +157,7 @@
 	return out
 }
 
-// SilentMs is how long a peer's heartbeat has stood still; false for one that isn't known.
+// SilentMs returns how long a peer's heartbeat has not advanced; false for an unknown peer.
 func (d *Directory) SilentMs(name string) (ms int64, known bool) {
 	p := d.peers[name]
 	if p == nil {
@@ -162,8 +166,7 @@
 	return d.host.NowMs() - p.HeardMs, true
 }
 
-// Describe returns what is known of a daemon, the own one too; the zero Peer for one
-// that isn't known.
+// Describe returns the description of a daemon, which may be this one; the zero Peer if unknown.
 func (d *Directory) Describe(name string) wire.Peer {
 	if name == d.name {
 		return d.Self()
@@ -174,31 +177,30 @@
 	return wire.Peer{}
 }
 
-// Zone returns a daemon's zone; "" for one that isn't known.
+// Zone returns a daemon's zone; "" if unknown.
 func (d *Directory) Zone(name string) string { return d.Describe(name).Zone }
 
-// Addr returns the address that other daemons reach a daemon at; "" for one that
-// isn't known.
+// Addr returns the address at which other daemons reach a daemon; "" if unknown.
 func (d *Directory) Addr(name string) string { return d.Describe(name).Addr }
 
-// IncarnationEnded tells whether a process surely has ended: a later one is heard
-// from at the same address, where only one process at a time can listen.
+// IncarnationEnded reports whether a process has certainly ended: a later one was seen at the same
+// address, where only one process at a time can listen.
 func (d *Directory) IncarnationEnded(name string, incarnation uint64, addr string) bool {
 	p := d.Describe(name)
 	ended := p.Incarnation > incarnation && p.Addr == addr
 	return ended && (addr != "" || name == d.name)
 }
 
-// SetSeeds gives other addresses to find the fleet by, and gossips at the next tick.
+// SetSeeds replaces the addresses used to find the cluster, and gossips at the next tick.
 func (d *Directory) SetSeeds(seeds []string) {
 	d.seeds = seeds
 	d.GossipSoon()
 }
 
-// GossipSoon has the next tick gossip: what the daemon says of itself has changed.
-func (d *Directory) GossipSoon() { d.nextMs = 0 }
+// GossipSoon makes the next tick gossip, since the daemon's own description has changed.
+func (d *Directory) GossipSoon() { d.nextRoundMs = 0 }
 
-// targets names the few peers that this daemon gossips with: none beside a worker, as long
+// targets returns the few peers that this daemon gossips with. Colocated ones are excluded as long
 // as there are enough others.
 func (d *Directory) targets() []string {
 	others := slices.DeleteFunc(d.AliveNames(), func(name string) bool { return name == d.name })
@@ -214,13 +216,13 @@
 	return others[:min(fanout, len(others))]
 }
 
-// forgetOld drops peers that were silent for very long, and the longest silent one
-// where there are too many.
-func (d *Directory) forgetOld() {
+// removeExpired removes peers that have been silent for peerExpiryMs, and the one silent longest if
+// there are too many.
+func (d *Directory) removeExpired() {
 	oldest := ""
 	for _, name := range d.Names() {
 		switch p := d.peers[name]; {
-		case d.host.NowMs()-p.HeardMs > keepMs:
+		case d.host.NowMs()-p.HeardMs > peerExpiryMs:
 			delete(d.peers, name)
 		case oldest == "" || p.HeardMs < d.peers[oldest].HeardMs:
 			oldest = name
@@ -231,15 +233,15 @@
 	}
 }
 
-// merge takes what somebody says of a daemon, if it is newer.
+// merge adopts a received description of a daemon if it is newer.
 func (d *Directory) merge(p wire.Peer) {
 	self := d.Self()
 	if p.Name == self.Name {
 		newer := p.Incarnation > self.Incarnation
 		same := p.Incarnation == self.Incarnation
 		if newer || same && (p.Heartbeat > self.Heartbeat || p.Addr != self.Addr) {
-			// An earlier process of this name began by a later clock, or another
-			// one has our name: only above it are we heard.
+			// An earlier process of this name started by a later clock, or another daemon uses the
+			// name. Peers only accept a higher incarnation.
 			d.host.RaiseIncarnation(p.Incarnation)
 			d.GossipSoon()
 		}
@@ -255,7 +257,7 @@
 	d.Record(p, d.host.NowMs())
 }
 
-// newerThan tells whether what is said of a daemon is newer than what was.
+// newerThan reports whether a description of a daemon is newer than an old one.
 func newerThan(p, old wire.Peer) bool {
 	return p.Incarnation > old.Incarnation || p.Incarnation == old.Incarnation && p.Heartbeat > old.Heartbeat
 }
--- a/internal/cluster/directory_test.go
+++ b/internal/cluster/directory_test.go
@@ -12,16 +12,16 @@
 	"github.com/shoenig/test/must"
 )
 
-// fakeHost is a daemon that a test reads.
+// fakeHost is a daemon whose messages a test can inspect.
 type fakeHost struct {
-	self    wire.Peer
-	nowMs   int64
-	set     quorum.Set
-	forming bool
-	raised  uint64
-	sent    []any
-	to      []string // addresses or names of what was sent
-	random  *rand.Rand
+	self        wire.Peer
+	nowMs       int64
+	set         quorum.Set
+	forming     bool
+	raisedAbove uint64
+	sent        []any
+	to          []string // addresses or names of the recipients
+	random      *rand.Rand
 }
 
 func newHost(name string) (*fakeHost, *Directory) {
@@ -39,21 +39,21 @@
 func (h *fakeHost) CoreSet() quorum.Set           { return h.set }
 func (h *fakeHost) AdoptCoreSet(set quorum.Set)   { h.set = set }
 func (h *fakeHost) Forming() bool                 { return h.forming }
-func (h *fakeHost) RaiseIncarnation(above uint64) { h.raised, h.self.Incarnation = above, above+1 }
+func (h *fakeHost) RaiseIncarnation(above uint64) { h.raisedAbove, h.self.Incarnation = above, above+1 }
 func (h *fakeHost) Send(to string, msg any)       { h.sent, h.to = append(h.sent, msg), append(h.to, to) }
 func (h *fakeHost) SendAt(to, addr string, msg any) {
 	h.sent, h.to = append(h.sent, msg), append(h.to, addr)
 }
 
-// take gives what was sent since the last time.
-func (h *fakeHost) take() []any {
+// takeSent returns the messages sent since the last call.
+func (h *fakeHost) takeSent() []any {
 	out := h.sent
 	h.sent, h.to = nil, nil
 	return out
 }
 
-// A digest's entry is far smaller than a table's, and a daemon that knows
-// nothing of its daemons gets them in full.
+// An entry of a digest is far smaller than one of a table, and a daemon that lacks peers gets them
+// in full.
 func TestDigest(t *testing.T) {
 	hostA, a := newHost("a")
 	hostB, b := newHost("b")
@@ -64,23 +64,23 @@
 	b.merge(wire.Peer{Name: "f", Incarnation: 1, Heartbeat: 8, Zone: "z"})
 	must.Less(t, len(codec.Append(nil, a.Table(true)))/2, len(codec.Append(nil, a.digest())))
 	b.OnDigest("a", a.digest())
-	ack := hostB.take()[0].(*wire.DigestReply)
-	must.Len(t, 2, ack.Unknown)
-	a.OnDigestReply("b", ack)
+	reply := hostB.takeSent()[0].(*wire.DigestReply)
+	must.Len(t, 2, reply.Unknown)
+	a.OnDigestReply("b", reply)
 	must.Eq(t, 8, a.Get("e").Heartbeat)
 	must.NotNil(t, a.Get("f"))
 	must.NotNil(t, a.Get("b"))
-	b.OnGossip("a", hostA.take()[0].(*wire.Gossip))
+	b.OnGossip("a", hostA.takeSent()[0].(*wire.Gossip))
 	must.Eq(t, 3, b.Get("c").Heartbeat)
 	must.Eq(t, 3, b.Get("d").Heartbeat)
 	must.Eq(t, 8, b.Get("e").Heartbeat)
-	b.OnDigest("a", a.digest()) // all is known now
-	again := hostB.take()[0].(*wire.DigestReply)
+	b.OnDigest("a", a.digest()) // nothing differs now
+	again := hostB.takeSent()[0].(*wire.DigestReply)
 	must.SliceEmpty(t, again.Unknown)
 	must.SliceEmpty(t, again.Table)
 }
 
-// A peer is alive as long as its heartbeat moves, and what is newer stands.
+// A peer is alive as long as its heartbeat advances, and newer descriptions replace older ones.
 func TestAlive(t *testing.T) {
 	h, d := newHost("a")
 	d.merge(wire.Peer{Name: "b", Incarnation: 2, Heartbeat: 5, Zone: "y", Addr: "b:1"})
@@ -89,7 +89,7 @@
 	must.False(t, d.Alive("c"))
 	must.Eq(t, []string{"a", "b"}, d.AliveNames())
 	h.nowMs += AliveMs
-	d.merge(wire.Peer{Name: "b", Incarnation: 2, Heartbeat: 5}) // it stands still
+	d.merge(wire.Peer{Name: "b", Incarnation: 2, Heartbeat: 5}) // the heartbeat hasn't advanced
 	must.False(t, d.Alive("b"))
 	ms, known := d.SilentMs("b")
 	must.True(t, known)
@@ -105,18 +105,19 @@
 	must.False(t, d.IncarnationEnded("c", 0, ""))
 }
 
-// Another process of the own name is outbid, an earlier one isn't.
-func TestOwnName(t *testing.T) {
+// A daemon raises its incarnation above that of another process of its name, but not above that of
+// an earlier one.
+func TestOwnNameConflict(t *testing.T) {
 	h, d := newHost("a")
 	d.merge(wire.Peer{Name: "a", Incarnation: 4, Heartbeat: 100, Addr: "a"})
-	must.Zero(t, h.raised)
+	must.Zero(t, h.raisedAbove)
 	d.merge(wire.Peer{Name: "a", Incarnation: 5, Heartbeat: 0, Addr: "elsewhere"})
-	must.Eq(t, uint64(5), h.raised)
+	must.Eq(t, uint64(5), h.raisedAbove)
 	d.merge(wire.Peer{Name: "a", Incarnation: 9, Heartbeat: 0, Addr: "a"})
-	must.Eq(t, uint64(9), h.raised)
+	must.Eq(t, uint64(9), h.raisedAbove)
 }
 
-// Who hears nobody gossips with all seeds but itself; a round is due at its pace.
+// A daemon without live peers gossips with all seeds except itself. Rounds keep their interval.
 func TestTick(t *testing.T) {
 	h, d := newHost("a")
 	must.True(t, d.Tick())
@@ -130,26 +131,28 @@
 	h.forming = true
 	d.GossipSoon()
 	d.Tick()
-	h.nowMs += firstRoundMs
+	h.nowMs += formingGossipIntervalMs
 	must.True(t, d.Tick())
 }
 
-// The table is bounded: very old peers go, and the longest silent one of too many.
-func TestForgetOld(t *testing.T) {
+// The table is bounded: expired peers are removed, and the one silent longest if there are too
+// many.
+func TestRemoveExpired(t *testing.T) {
 	h, d := newHost("a")
-	h.nowMs = keepMs + 1000
+	h.nowMs = peerExpiryMs + 1000
 	d.Record(wire.Peer{Name: "old"}, 0)
 	for i := range MaxPeers + 1 {
 		d.Record(wire.Peer{Name: fmt.Sprint("p", i)}, h.nowMs-int64(i))
 	}
-	d.forgetOld()
+	d.removeExpired()
 	must.Eq(t, MaxPeers, d.Len())
 	must.Nil(t, d.Get("old"))
 	must.Nil(t, d.Get(fmt.Sprint("p", MaxPeers)))
 }
 
-// Daemons beside workers are many: others' rounds leave them out but for one in four, they
-// gossip with others alone, and what they send and get doesn't grow with their number.
+// Guards against gossip that grows with the number of colocated daemons: standalone daemons include
+// them only in one digest of four, colocated ones gossip only with standalone ones, and the size of
+// what a colocated daemon sends and receives is bounded.
 func TestGossipOfColocatedDaemons(t *testing.T) {
 	h, d := newHost("a")
 	d.seeds = nil
@@ -160,7 +163,7 @@
 		d.merge(wire.Peer{Name: fmt.Sprint("edge", i), Incarnation: 1, Heartbeat: 1})
 	}
 	entries := map[int]int{}
-	for range 4 * fullRounds {
+	for range 4 * roundsPerFullDigest {
 		h.nowMs += RoundMs
 		d.Tick()
 		for i, m := range h.sent {
@@ -169,8 +172,8 @@
 				must.StrHasPrefix(t, "edge", h.to[i])
 			}
 		}
-		h.take()
-		for _, p := range d.peers { // all live on
+		h.takeSent()
+		for _, p := range d.peers { // all stay alive
 			p.HeardMs = h.nowMs
 		}
 	}
@@ -188,19 +191,19 @@
 	side.nowMs += RoundMs
 	must.True(t, s.Tick())
 	must.Len(t, colocatedFanout, side.sent)
-	digest := side.take()[0].(*wire.Digest)
+	digest := side.takeSent()[0].(*wire.Digest)
 	must.True(t, digest.Partial)
 	must.Len(t, 6, digest.Heartbeats)
 	side.nowMs += RoundMs
-	must.False(t, s.Tick()) // its rounds are further apart
+	must.False(t, s.Tick()) // its interval is longer
 	d.OnDigest("side000", digest)
-	reply := h.take()[0].(*wire.DigestReply)
+	reply := h.takeSent()[0].(*wire.DigestReply)
 	must.LessEq(t, 7, len(reply.Table)+len(reply.Heartbeats))
 	must.True(t, d.Alive("side000"))
 }
 
-// Heartbeats of daemons beside workers come seldom: they count as alive for longer, and for
-// them others do.
+// Heartbeats of colocated daemons are rare: they count as alive for longer, and so do others for
+// them.
 func TestAliveOfColocatedDaemons(t *testing.T) {
 	h, d := newHost("a")
 	d.merge(wire.Peer{Name: "side", Incarnation: 1, Colocated: true})
@@ -214,16 +217,16 @@
 	must.Eq(t, 1, d.AliveCount())
 }
 
-// A daemon whose clock was set back before its start hears of its earlier process from
-// whoever it gossips with.
+// Guards against a colocated daemon whose clock was set back before its start and which never
+// raises its incarnation: any peer that it gossips with must report its earlier process.
 func TestReplyNamesEarlierIncarnation(t *testing.T) {
 	h, d := newHost("a")
 	d.merge(wire.Peer{Name: "side", Incarnation: 9, Heartbeat: 4, Colocated: true})
 	d.OnDigest("side", &wire.Digest{Self: wire.Peer{Name: "side", Incarnation: 7, Colocated: true}, Partial: true})
-	reply := h.take()[0].(*wire.DigestReply)
+	reply := h.takeSent()[0].(*wire.DigestReply)
 	must.Eq(t, 9, reply.Table[0].Incarnation)
 	side, s := newHost("side")
 	side.self.Incarnation, side.self.Colocated = 7, true
 	s.OnDigestReply("a", reply)
-	must.Eq(t, 9, side.raised)
+	must.Eq(t, 9, side.raisedAbove)
 }
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -2,22 +2,22 @@
 
 import "otterchute/internal/wire"
 
-// Tick gossips where a round is due. It tells whether one was.
+// Tick sends a round of gossip if one is due, and reports whether it did.
 func (d *Directory) Tick() bool {
 	now := d.host.NowMs()
-	if now < d.nextMs {
+	if now < d.nextRoundMs {
 		return false
 	}
-	d.nextMs = now + RoundMs
+	d.nextRoundMs = now + RoundMs
 	switch {
 	case d.host.Forming():
-		d.nextMs = now + firstRoundMs
+		d.nextRoundMs = now + formingGossipIntervalMs
 	case d.host.Self().Colocated && len(d.peers) >= colocatedFanout:
-		d.nextMs = now + colocatedRoundMs
+		d.nextRoundMs = now + colocatedGossipIntervalMs
 	}
 	d.heartbeat++
 	d.rounds++
-	d.forgetOld()
+	d.removeExpired()
 	round := d.digest()
 	for _, name := range d.targets() {
 		d.host.Send(name, round)
@@ -27,8 +27,8 @@
 	return true
 }
 
-// gossipWithSeeds tries one seed now and then, so that a fleet joined through
-// seeds that were all replaced finds the rest. Who hears nobody yet tries all.
+// gossipWithSeeds occasionally sends a round to a seed, so that a daemon whose known peers were all
+// replaced finds the rest. A daemon that knows no live peer sends to all seeds.
 func (d *Directory) gossipWithSeeds(round *wire.Digest) {
 	own := d.host.Self().Addr
 	if len(d.AliveNames()) == 1 {
@@ -40,7 +40,7 @@
 		return
 	}
 	rand := d.host.Rand()
-	if len(d.seeds) == 0 || len(d.peers) >= Fanout && rand.IntN(seedRounds) != 0 {
+	if len(d.seeds) == 0 || len(d.peers) >= Fanout && rand.IntN(roundsPerSeed) != 0 {
 		return
 	}
 	if addr := d.seeds[rand.IntN(len(d.seeds))]; addr != own {
@@ -48,27 +48,27 @@
 	}
 }
 
-// gossipWithDead tries a dead peer now and then, so that a zone back from a long
-// partition finds the rest.
+// gossipWithDead occasionally sends a round to a dead peer, so that a zone finds the rest after a
+// long partition.
 func (d *Directory) gossipWithDead(round *wire.Digest) {
 	var dead []string
 	for _, name := range d.Names() {
-		if !d.Alive(name) && !d.peers[name].Colocated { // which finds the others itself
+		if !d.Alive(name) && !d.peers[name].Colocated { // a colocated daemon finds the others itself
 			dead = append(dead, name)
 		}
 	}
 	rand := d.host.Rand()
-	if len(dead) > 0 && rand.IntN(deadRounds) == 0 {
+	if len(dead) > 0 && rand.IntN(roundsPerDeadPeer) == 0 {
 		d.host.Send(dead[rand.IntN(len(dead))], round)
 	}
 }
 
-// Table returns the whole table of live peers, and the core set.
+// Table returns a message with all live peers and the core set.
 func (d *Directory) Table(replyRequested bool) *wire.Gossip {
 	return d.table(replyRequested, false)
 }
 
-// table returns the table, if it is partial without the daemons beside workers.
+// table returns the table, without the colocated daemons if it is partial.
 func (d *Directory) table(replyRequested, partial bool) *wire.Gossip {
 	m := &wire.Gossip{Self: d.Self(), Core: d.host.CoreSet(), ReplyRequested: replyRequested}
 	for _, name := range d.Names() {
@@ -79,14 +79,13 @@
 	return m
 }
 
-// CoreSetUpdate returns the core set alone, with what the daemon says of itself.
+// CoreSetUpdate returns a message with only the core set and the daemon's own description.
 func (d *Directory) CoreSetUpdate() *wire.Gossip {
 	return &wire.Gossip{Self: d.Self(), Core: d.host.CoreSet()}
 }
 
-// BroadcastCoreSet spreads a set that was just learned, so that a first start or a
-// new daemon waits for no round of gossip: to its members, and to those that this
-// daemon gossips with.
+// BroadcastCoreSet sends a newly learned set to its members and to this daemon's gossip targets, so
+// that a first start or a new daemon doesn't wait for a round of gossip.
 func (d *Directory) BroadcastCoreSet() {
 	sent := map[string]bool{d.name: true}
 	for _, name := range append(d.targets(), d.host.CoreSet().Names()...) {
@@ -97,7 +96,7 @@
 	}
 }
 
-// AnnounceTo tells some peers at once what has changed about this daemon.
+// AnnounceTo sends the daemon's changed description to some peers at once.
 func (d *Directory) AnnounceTo(names []string) {
 	d.heartbeat++
 	for _, name := range names {
@@ -105,7 +104,7 @@
 	}
 }
 
-// OnGossip takes another daemon's table.
+// OnGossip handles another daemon's table.
 func (d *Directory) OnGossip(from string, m *wire.Gossip) {
 	d.merge(m.Self)
 	for _, p := range m.Table {
@@ -113,15 +112,17 @@
 	}
 	d.host.AdoptCoreSet(m.Core)
 	if m.ReplyRequested && from != d.name {
-		// To where it says it is: a daemon that is new at its address, with a
-		// clock set back, is known at its old one until it has heard of that.
+		// Reply to the address that the sender gives: the record of a daemon that moved to a new
+		// address, with its clock set back, has the old one until the daemon raises its
+		// incarnation.
 		d.host.SendAt(from, m.Self.Addr, d.table(false, m.Self.Colocated))
 	}
 }
 
-// find finds a daemon by its hash, the own one too, whose hash is given.
-func (d *Directory) find(hash, own uint64) (name string, known bool) {
-	if hash == own {
+// findByHash returns the name of the daemon with the given hash. ownHash is the hash of this daemon
+// itself.
+func (d *Directory) findByHash(hash, ownHash uint64) (name string, known bool) {
+	if hash == ownHash {
 		return d.name, true
 	}
 	name, known = d.byHash[hash]
@@ -131,9 +132,9 @@
 	return name, true
 }
 
-// index makes a peer's new entry found by its hash. Old hashes are dropped once
-// they are more than the peers.
-func (d *Directory) index(p *Peer) {
+// indexByHash adds a peer to byHash. The index is rebuilt without outdated hashes once it has more
+// than twice as many entries as there are peers.
+func (d *Directory) indexByHash(p *Peer) {
 	p.hash = p.DetailHash()
 	if d.byHash == nil || len(d.byHash) > 2*len(d.peers)+Fanout {
 		d.byHash = map[uint64]string{}
@@ -144,10 +145,10 @@
 	d.byHash[p.hash] = p.Name
 }
 
-// digest is one round of gossip.
+// digest returns the message of one round of gossip.
 func (d *Directory) digest() *wire.Digest {
 	m := &wire.Digest{Self: d.Self(), SetVersion: d.host.CoreSet().Version}
-	m.Partial = m.Self.Colocated || d.rounds%fullRounds != 1
+	m.Partial = m.Self.Colocated || d.rounds%roundsPerFullDigest != 1
 	for _, name := range d.Names() {
 		p := d.peers[name]
 		if omitted := m.Partial && p.Colocated; d.Alive(name) && !omitted {
@@ -157,11 +158,11 @@
 	return m
 }
 
-// recordHeartbeat takes a heartbeat of a daemon that is known by its hash.
+// recordHeartbeat records a received heartbeat of a known daemon.
 func (d *Directory) recordHeartbeat(h wire.Heartbeat, name string) {
 	if name == d.name {
 		self := d.Self()
-		if h.Heartbeat > int32(self.Heartbeat) { // said by another process with our name
+		if h.Heartbeat > int32(self.Heartbeat) { // sent by another process with this daemon's name
 			self.Heartbeat = uint64(h.Heartbeat)
 			d.merge(self)
 		}
@@ -172,41 +173,41 @@
 	}
 }
 
-// OnDigest takes a round of gossip, and answers with what differs here.
+// OnDigest handles a round of gossip, and replies with the differences.
 func (d *Directory) OnDigest(from string, m *wire.Digest) {
 	d.merge(m.Self)
 	set := d.host.CoreSet()
 	reply := &wire.DigestReply{SetVersion: set.Version}
-	own := d.Self().DetailHash()
-	said := map[string]int32{from: int32(m.Self.Heartbeat)}
+	ownHash := d.Self().DetailHash()
+	reported := map[string]int32{from: int32(m.Self.Heartbeat)}
 	for _, h := range m.Heartbeats {
-		name, known := d.find(h.Hash, own)
+		name, known := d.findByHash(h.Hash, ownHash)
 		if !known {
 			reply.Unknown = append(reply.Unknown, h.Hash)
 			continue
 		}
-		said[name] = h.Heartbeat
+		reported[name] = h.Heartbeat
 		d.recordHeartbeat(h, name)
 	}
 	if p := d.peers[from]; p != nil && p.Incarnation > m.Self.Incarnation {
-		reply.Table = append(reply.Table, p.Peer) // an earlier process of its name began by a later clock
+		reply.Table = append(reply.Table, p.Peer) // an earlier process of its name started by a later clock
 	}
-	d.addDifferences(reply, said, own, m.Partial)
+	d.addDifferences(reply, reported, ownHash, m.Partial)
 	d.host.SendAt(from, m.Self.Addr, reply)
 	if m.SetVersion < set.Version {
 		d.host.SendAt(from, m.Self.Addr, d.CoreSetUpdate())
 	}
 }
 
-// addDifferences puts into a reply the live daemons that weren't said there, and
-// the higher heartbeats of those that were. A partial digest speaks of no daemon beside a worker.
-func (d *Directory) addDifferences(reply *wire.DigestReply, said map[string]int32, own uint64, partial bool) {
+// addDifferences adds to a reply the live daemons that the digest didn't report, and the higher
+// heartbeats of those that it did. A partial digest never reports colocated daemons.
+func (d *Directory) addDifferences(reply *wire.DigestReply, reported map[string]int32, ownHash uint64, partial bool) {
 	for _, name := range d.Names() {
 		p := d.peers[name]
-		if _, known := said[name]; !d.Alive(name) || partial && p.Colocated && !known {
+		if _, known := reported[name]; !d.Alive(name) || partial && p.Colocated && !known {
 			continue
 		}
-		if heartbeat, ok := said[name]; !ok {
+		if heartbeat, ok := reported[name]; !ok {
 			reply.Table = append(reply.Table, p.Peer)
 		} else if int32(p.Heartbeat) > heartbeat {
 			reply.Heartbeats = append(reply.Heartbeats, wire.Heartbeat{Hash: p.hash, Heartbeat: int32(p.Heartbeat)})
@@ -216,35 +217,35 @@
 	if partial && self.Colocated {
 		return
 	}
-	if _, ok := said[d.name]; ok {
-		reply.Heartbeats = append(reply.Heartbeats, wire.Heartbeat{Hash: own, Heartbeat: int32(self.Heartbeat)})
+	if _, ok := reported[d.name]; ok {
+		reply.Heartbeats = append(reply.Heartbeats, wire.Heartbeat{Hash: ownHash, Heartbeat: int32(self.Heartbeat)})
 	} else {
 		reply.Table = append(reply.Table, self)
 	}
 }
 
-// OnDigestReply takes what differs at a peer, and sends what it lacks.
+// OnDigestReply handles the differences found by a peer, and sends what the peer lacks.
 func (d *Directory) OnDigestReply(from string, m *wire.DigestReply) {
-	own := d.Self().DetailHash()
+	ownHash := d.Self().DetailHash()
 	for _, p := range m.Table {
 		d.merge(p)
 	}
 	for _, h := range m.Heartbeats {
-		if name, known := d.find(h.Hash, own); known {
+		if name, known := d.findByHash(h.Hash, ownHash); known {
 			d.recordHeartbeat(h, name)
-		} // else it is new here, and comes in full with a digest
+		} // else it is new here, and follows in full with a digest
 	}
 	set, self := d.host.CoreSet(), d.Self()
-	more := &wire.Gossip{Self: self}
+	missing := &wire.Gossip{Self: self}
 	for _, hash := range m.Unknown {
-		if name, known := d.find(hash, own); known && name != d.name {
-			more.Table = append(more.Table, d.peers[name].Peer)
+		if name, known := d.findByHash(hash, ownHash); known && name != d.name {
+			missing.Table = append(missing.Table, d.peers[name].Peer)
 		}
 	}
 	if m.SetVersion < set.Version {
-		more.Core = set
+		missing.Core = set
 	}
-	if len(more.Table) > 0 || more.Core.Cluster != 0 {
-		d.host.Send(from, more)
+	if len(missing.Table) > 0 || missing.Core.Cluster != 0 {
+		d.host.Send(from, missing)
 	}
 }
--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -43,10 +43,10 @@
 // Fields is the table that a document is checked by.
 var Fields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"note":        {Kind: schema.Text, Max: 1000},
-	"queues":      {Kind: schema.List, Required: true, Max: 20_000, Elem: &queueField},
-	"contracts":   {Kind: schema.List, Max: 100, Elem: &contractFields},
+	"queues":      {Kind: schema.List, Required: true, Max: 20_000, Elem: &queueSchema},
+	"contracts":   {Kind: schema.List, Max: 100, Elem: &contractSchema},
 	"empty_sites": {Kind: schema.List, Max: 100, Elem: &schema.Field{Kind: schema.Name}},
-	"tenants":     {Kind: schema.List, Max: maxTenants, Elem: &tenantFields},
+	"tenants":     {Kind: schema.List, Max: maxTenants, Elem: &tenantSchema},
 	"source":      {Kind: schema.Any},
 }}
 
@@ -61,9 +61,9 @@
 	Highest    int64
 	Tenants    map[string]*Tenant // by name; nil where the document declares none
 
-	digest  [sha256.Size]byte // of the document, where an operator sent it
-	emptied []string          // of EmptyZones, what the document itself says
-	hosts   map[string]*hostPrefixes
+	digest             [sha256.Size]byte // of the document, where an operator sent it
+	declaredEmptyZones []string          // of EmptyZones, what the document itself says
+	prefixesByHost     map[string]*hostPrefixes
 
 	tenantsByKey map[KeyDigest]*Tenant
 }
@@ -88,7 +88,7 @@
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
-	h := c.hosts[strings.ToLower(host)]
+	h := c.prefixesByHost[strings.ToLower(host)]
 	if h == nil {
 		return "", "", false
 	}
@@ -108,7 +108,7 @@
 func (c *Configuration) WithEmptied(zones []string) *Configuration {
 	next := *c
 	next.EmptyZones = map[string]bool{}
-	for _, zone := range append(slices.Clone(c.emptied), zones...) {
+	for _, zone := range append(slices.Clone(c.declaredEmptyZones), zones...) {
 		next.EmptyZones[zone] = true
 	}
 	return &next
@@ -139,7 +139,7 @@
 	}
 	root := gjson.ParseBytes(doc)
 	c := compiler{config: &Configuration{Version: version, Queues: map[string]*Queue{}, EmptyZones: map[string]bool{},
-		Lowest: 1 << 40, hosts: map[string]*hostPrefixes{}, Contracts: map[string]*Contract{}}}
+		Lowest: 1 << 40, prefixesByHost: map[string]*hostPrefixes{}, Contracts: map[string]*Contract{}}}
 	for i, contract := range root.Get("contracts").Array() {
 		c.addContract("contracts."+strconv.Itoa(i), contract)
 	}
@@ -155,8 +155,8 @@
 	if len(c.faults) > 0 {
 		return nil, c.faults
 	}
-	c.config.emptied = slices.Sorted(maps.Keys(c.config.EmptyZones))
-	for _, h := range c.config.hosts {
+	c.config.declaredEmptyZones = slices.Sorted(maps.Keys(c.config.EmptyZones))
+	for _, h := range c.config.prefixesByHost {
 		h.sortLengths()
 	}
 	return c.config, nil
@@ -194,16 +194,16 @@
 	faults []schema.Fault
 }
 
-func (c *compiler) fault(path, reason string) {
+func (c *compiler) addFault(path, reason string) {
 	c.faults = append(c.faults, schema.Fault{Path: path, Reason: reason})
 }
 
 // addAddress tells whether an address is the first of its kind.
 func (c *compiler) addAddress(a Address, queue string) bool {
-	h := c.config.hosts[a.Host]
+	h := c.config.prefixesByHost[a.Host]
 	if h == nil {
 		h = &hostPrefixes{queues: map[string]string{}}
-		c.config.hosts[a.Host] = h
+		c.config.prefixesByHost[a.Host] = h
 	}
 	if _, twice := h.queues[a.Prefix]; twice {
 		return false
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -17,7 +17,7 @@
 const nightContract = `{"name":"night","utc_offset_minutes":120,"price":0.12,"hours":[
 	{"from":"22:00","to":"06:00","price":0.04},{"from":"06:00","to":"08:00","days":["mon","tue","wed","thu","fri"],"price":0.08}]}`
 
-func batchSetup(contracts, batch string) string {
+func batchDocument(contracts, batch string) string {
 	return fmt.Sprintf(`{"contracts":[%s],"queues":[{"name":"confirm","urgency":90},{"name":"refresh","urgency":5,"batch":%s}]}`, contracts, batch)
 }
 
@@ -33,7 +33,7 @@
 
 func TestContractFaults(t *testing.T) {
 	good := `{"contract":"night","finish_by_hours":20,"share_percent":30}`
-	c, faults := Compile(1, []byte(batchSetup(nightContract, good)))
+	c, faults := Compile(1, []byte(batchDocument(nightContract, good)))
 	must.SliceEmpty(t, faults)
 	must.Eq(t, int64(20*msPerHour), c.Queues["refresh"].Batch.FinishByMs)
 	must.Eq(t, "night", c.Queues["refresh"].Batch.Contract.Name)
@@ -66,20 +66,20 @@
 		{with(`{"from":"22:00","to":"06:00","price":1},{"from":"05:00","to":"07:00","price":2}`), good, "contracts.0.hours.1", "overlap hours.0"},
 		{with(`{"from":"00:00","to":"01:00","days":["mon"],"price":1},{"from":"23:00","to":"00:30","days":["sun"],"price":2}`), good, "contracts.0.hours.1", "overlap hours.0"},
 	} {
-		_, faults := Compile(1, []byte(batchSetup(x.contracts, x.batch)))
+		_, faults := Compile(1, []byte(batchDocument(x.contracts, x.batch)))
 		must.Positive(t, len(faults), must.Sprint(x))
 		must.Eq(t, x.path, faults[0].Path, must.Sprint(faults))
 		must.StrContains(t, faults[0].Reason, x.reason, must.Sprint(x.path))
 	}
-	_, faults = Compile(1, []byte(batchSetup(with(`{"from":"00:00","to":"24:00","days":["mon"],"price":1},{"from":"00:00","to":"01:00","days":["tue"],"price":2}`), good)))
+	_, faults = Compile(1, []byte(batchDocument(with(`{"from":"00:00","to":"24:00","days":["mon"],"price":1},{"from":"00:00","to":"01:00","days":["tue"],"price":2}`), good)))
 	must.SliceEmpty(t, faults) // they touch
 }
 
-// aMonday is Monday 4 January 2027, 00:00 UTC, in ms.
-const aMonday = int64(1_799_020_800_000)
+// monday is Monday 4 January 2027, 00:00 UTC, in ms.
+const monday = int64(1_799_020_800_000)
 
-func TestWindows(t *testing.T) {
-	at := func(day, hour int64) int64 { return aMonday + (day*24+hour-2)*msPerHour } // on the contract's clock
+func TestPriceWindows(t *testing.T) {
+	at := func(day, hour int64) int64 { return monday + (day*24+hour-2)*msPerHour } // on the contract's clock
 	c := mustContract(t, nightContract)
 	must.Eq(t, 0.04, c.Cheapest)
 	must.Eq(t, "Mon 2027-01-04 22:00 +02:00", time.UnixMilli(at(0, 22)).In(c.Location()).Format("Mon 2006-01-02 15:04 -07:00"))
@@ -94,7 +94,7 @@
 }
 
 func TestExplainContracts(t *testing.T) {
-	c, faults := Compile(1, []byte(batchSetup(`{"name":"night","utc_offset_minutes":-210,"price":0.12,"hours":[{"from":"22:00","to":"06:00","days":["sat"],"price":0.04}]}`,
+	c, faults := Compile(1, []byte(batchDocument(`{"name":"night","utc_offset_minutes":-210,"price":0.12,"hours":[{"from":"22:00","to":"06:00","days":["sat"],"price":0.04}]}`,
 		`{"contract":"night","finish_by_hours":20.5,"share_percent":30}`)))
 	must.SliceEmpty(t, faults)
 	must.Eq(t, []string{"contract night, clock UTC-03:30 all year:", "  mon 00:00 to sat 22:00: 0.12 a core hour", "  sat 22:00 to sun 06:00: 0.04 a core hour, the cheapest",
@@ -216,7 +216,7 @@
 }
 
 // The zones emptied beside a document add to its own, and go without a trace.
-func TestWithEmptied(t *testing.T) {
+func TestWithEmptiedZones(t *testing.T) {
 	c, faults := Compile(1, []byte(`{"queues":[],"empty_sites":["east"]}`))
 	must.SliceEmpty(t, faults)
 	must.Eq(t, map[string]bool{"east": true, "mid": true}, c.WithEmptied([]string{"mid"}).EmptyZones)
--- a/internal/configuration/contract.go
+++ b/internal/configuration/contract.go
@@ -28,7 +28,7 @@
 
 var weekdays = []string{"mon", "tue", "wed", "thu", "fri", "sat", "sun"}
 
-var contractFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
+var contractSchema = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"name":               {Kind: schema.Name, Required: true},
 	"utc_offset_minutes": {Kind: schema.Count, Required: true, Min: -minutesPerDay + 1, Max: minutesPerDay - 1},
 	"price":              {Kind: schema.Number, Required: true},
@@ -40,7 +40,7 @@
 	}}},
 }}
 
-var batchFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
+var batchSchema = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"contract":        {Kind: schema.Name, Required: true},
 	"finish_by_hours": {Kind: schema.Number, Required: true},
 	"share_percent":   {Kind: schema.Count, Required: true, Min: 1, Max: 100},
@@ -81,21 +81,21 @@
 
 func (c *compiler) addContract(path string, doc gjson.Result) {
 	before := len(c.faults)
-	contract := c.contractOf(path, doc)
+	contract := c.compileContract(path, doc)
 	if len(c.faults) > before {
 		contract = &Contract{Name: doc.Get("name").Str} // its queues are checked all the same
 	}
 	if c.config.Contracts[contract.Name] != nil {
-		c.fault(path+".name", "stands twice")
+		c.addFault(path+".name", "stands twice")
 	}
 	c.config.Contracts[contract.Name] = contract
 }
 
-func (c *compiler) contractOf(path string, doc gjson.Result) *Contract {
+func (c *compiler) compileContract(path string, doc gjson.Result) *Contract {
 	before := len(c.faults)
 	var declared []declaredSpan
 	for i, hours := range doc.Get("hours").Array() {
-		for _, span := range c.spansOf(path+".hours."+strconv.Itoa(i), hours) {
+		for _, span := range c.parseSpans(path+".hours."+strconv.Itoa(i), hours) {
 			declared = append(declared, declaredSpan{span, i})
 		}
 	}
@@ -111,26 +111,26 @@
 	return contract
 }
 
-// spansOf returns the spans of one declaration, one a day, or two where it goes
+// parseSpans returns the spans of one declaration, one a day, or two where it goes
 // over the week's end.
-func (c *compiler) spansOf(path string, doc gjson.Result) (out []priceSpan) {
+func (c *compiler) parseSpans(path string, doc gjson.Result) (out []priceSpan) {
 	from, fromOK := minuteOfDay(doc.Get("from").Str)
 	to, toOK := minuteOfDay(doc.Get("to").Str)
 	if !fromOK || from == minutesPerDay {
-		c.fault(path+".from", "must be a time of day, 00:00 to 23:59")
+		c.addFault(path+".from", "must be a time of day, 00:00 to 23:59")
 	}
 	if !toOK {
-		c.fault(path+".to", "must be a time of day, 00:00 to 24:00")
+		c.addFault(path+".to", "must be a time of day, 00:00 to 24:00")
 	}
 	if fromOK && toOK && from == to {
-		c.fault(path+".to", "is the same as from: a whole day is 00:00 to 24:00")
+		c.addFault(path+".to", "is the same as from: a whole day is 00:00 to 24:00")
 	}
 	length := to - from
 	if length < 0 { // over midnight, into the next day
 		length += minutesPerDay
 	}
 	price := doc.Get("price").Num
-	for _, day := range c.daysOf(path, doc) {
+	for _, day := range c.parseDays(path, doc) {
 		begin := int64(day)*minutesPerDay + from
 		end := begin + length
 		out = append(out, priceSpan{begin, min(end, minutesPerWeek), price})
@@ -141,9 +141,9 @@
 	return out
 }
 
-// daysOf returns the days of the week that a declaration is for; all where it
+// parseDays returns the days of the week that a declaration is for; all where it
 // names none.
-func (c *compiler) daysOf(path string, doc gjson.Result) (days []int) {
+func (c *compiler) parseDays(path string, doc gjson.Result) (days []int) {
 	given := doc.Get("days")
 	if !given.Exists() {
 		return []int{0, 1, 2, 3, 4, 5, 6}
@@ -151,7 +151,7 @@
 	for i, name := range given.Array() {
 		day := slices.Index(weekdays, name.Str)
 		if day < 0 || slices.Contains(days, day) {
-			c.fault(fmt.Sprintf("%s.days.%d", path, i), "must be one of "+strings.Join(weekdays, ", ")+", once")
+			c.addFault(fmt.Sprintf("%s.days.%d", path, i), "must be one of "+strings.Join(weekdays, ", ")+", once")
 		}
 		days = append(days, day)
 	}
@@ -166,21 +166,21 @@
 		later := max(a.index, b.index)
 		if b.From < a.To && !reported[later] {
 			reported[later] = true
-			c.fault(fmt.Sprintf("%s.hours.%d", path, later), fmt.Sprintf("overlap hours.%d", min(a.index, b.index)))
+			c.addFault(fmt.Sprintf("%s.hours.%d", path, later), fmt.Sprintf("overlap hours.%d", min(a.index, b.index)))
 		}
 	}
 }
 
 // fillWeek makes the week of the declared spans, in order, and the usual price
 // between them.
-func (k *Contract) fillWeek(declared []declaredSpan, usual float64) {
+func (k *Contract) fillWeek(declared []declaredSpan, basePrice float64) {
 	at := int64(0)
 	for _, d := range declared {
-		k.addSpan(priceSpan{at, max(at, d.From), usual})
+		k.addSpan(priceSpan{at, max(at, d.From), basePrice})
 		k.addSpan(d.priceSpan)
 		at = max(at, d.To)
 	}
-	k.addSpan(priceSpan{at, minutesPerWeek, usual})
+	k.addSpan(priceSpan{at, minutesPerWeek, basePrice})
 	k.Cheapest = math.Inf(1)
 	for _, s := range k.spans {
 		k.Cheapest = min(k.Cheapest, s.Price)
@@ -205,18 +205,18 @@
 	return int64(t.Hour()*60 + t.Minute()), err == nil && len(s) == 5
 }
 
-// batchOf checks what a queue says of its batches.
-func (c *compiler) batchOf(path string, doc gjson.Result) *Batch {
+// compileBatchRules checks what a queue says of its batches.
+func (c *compiler) compileBatchRules(path string, doc gjson.Result) *Batch {
 	b := &Batch{
 		Contract:     c.config.Contracts[doc.Get("contract").Str],
 		FinishByMs:   int64(doc.Get("finish_by_hours").Num * msPerHour),
 		SharePercent: doc.Get("share_percent").Int(),
 	}
 	if b.Contract == nil {
-		c.fault(path+".contract", "is not among the contracts")
+		c.addFault(path+".contract", "is not among the contracts")
 	}
 	if b.FinishByMs < msPerMinute || b.FinishByMs > MaxFinishHours*msPerHour {
-		c.fault(path+".finish_by_hours", fmt.Sprintf("must be a minute to %d hours", MaxFinishHours))
+		c.addFault(path+".finish_by_hours", fmt.Sprintf("must be a minute to %d hours", MaxFinishHours))
 	}
 	return b
 }
@@ -230,8 +230,8 @@
 	minute := fromMs/msPerMinute + k.OffsetMinutes + epochWeekday*minutesPerDay
 	week := (fromMs/msPerMinute - minute%minutesPerWeek) * msPerMinute // when this week began
 	last := len(k.spans) - 1
-	most := 2 * len(k.spans) * (MaxFinishHours/(7*24) + 2) // spans in twice the longest time there is
-	for at := range most {
+	maxSpans := 2 * len(k.spans) * (MaxFinishHours/(7*24) + 2) // spans in twice the longest time there is
+	for at := range maxSpans {
 		s := k.spans[at%len(k.spans)]
 		w := PriceWindow{week + s.From*msPerMinute, week + s.To*msPerMinute, s.Price}
 		if at%len(k.spans) == last {
--- a/internal/configuration/history.go
+++ b/internal/configuration/history.go
@@ -28,17 +28,17 @@
 
 // each calls do with every change, the oldest first, until do returns false. It
 // tells whether the history is sound.
-func (h *History) each(do func(ChangeID) bool) bool {
+func (h *History) each(visit func(ChangeID) bool) bool {
 	base := h.Base
 	for rest := h.Packed; len(rest) > 0; {
-		rise, n := binary.Uvarint(rest)
+		increment, n := binary.Uvarint(rest)
 		if n <= 0 || len(rest) < n+sha256.Size {
 			return false
 		}
-		id := ChangeID{Version: base + int64(rise), Base: base}
+		id := ChangeID{Version: base + int64(increment), Base: base}
 		copy(id.Digest[:], rest[n:])
 		rest = rest[n+sha256.Size:]
-		if !do(id) {
+		if !visit(id) {
 			return true
 		}
 		base = id.Version
@@ -63,8 +63,8 @@
 func (h History) With(id ChangeID) History {
 	packed := h.Packed
 	if h.Count >= MaxHistory {
-		rise, n := binary.Uvarint(packed)
-		h.Base += int64(rise)
+		increment, n := binary.Uvarint(packed)
+		h.Base += int64(increment)
 		h.Count--
 		packed = packed[n+sha256.Size:]
 	}
--- a/internal/configuration/queue.go
+++ b/internal/configuration/queue.go
@@ -20,7 +20,7 @@
 // others, which have 0 to 1000.
 const batchUrgencyOffset = 2000
 
-var queueField = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
+var queueSchema = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"name":             {Kind: schema.Name, Required: true},
 	"selector":         {Kind: schema.Choices},
 	"urgency":          {Kind: schema.Count, Min: 0, Max: 1000},
@@ -35,7 +35,7 @@
 	"latency_ms":       {Kind: schema.Count, Min: 0, Max: 1 << 40},
 	"stretch":          {Kind: schema.Number},
 	"open":             {Kind: schema.Flag},
-	"batch":            batchFields,
+	"batch":            batchSchema,
 	"addresses": {Kind: schema.List, Max: 100, Elem: &schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 		"host":   {Kind: schema.Text, Required: true, Min: 1, Max: 256},
 		"prefix": {Kind: schema.Text, Required: true, Min: 1, Max: 1024},
@@ -132,7 +132,7 @@
 func (c *compiler) addQueue(path string, doc queueDocument) {
 	name := doc["name"].Str
 	if c.config.Queues[name] != nil {
-		c.fault(path+".name", "stands twice")
+		c.addFault(path+".name", "stands twice")
 		return
 	}
 	q := &Queue{
@@ -140,16 +140,16 @@
 		Urgency:    doc["urgency"].Int(),
 		Quota:      cmp.Or(doc["quota"].Int(), defaultQuota),
 		TrustLimit: doc["trust_run_limit"].Bool(),
-		Selector:   selectorOf(doc["selector"]),
+		Selector:   parseSelector(doc["selector"]),
 		LatencyMs:  doc["latency_ms"].Int(),
 		Stretch:    doc["stretch"].Num,
 		Open:       doc["open"].Bool(),
 	}
-	q.Admission = c.admissionOf(path, doc)
+	q.Admission = c.compileAdmission(path, doc)
 	c.addAddresses(path, q, doc)
 	c.config.Queues[name] = q
 	if batch := doc["batch"]; batch.Exists() {
-		q.Batch = c.batchOf(path+".batch", batch)
+		q.Batch = c.compileBatchRules(path+".batch", batch)
 		q.Urgency -= batchUrgencyOffset
 		q.Admission = slices.Insert(q.Admission, 0, Rule{RuleNoGangs, 1})
 		return
@@ -158,7 +158,7 @@
 	c.config.Highest = max(c.config.Highest, q.Urgency)
 }
 
-func selectorOf(doc gjson.Result) (out []Choice) {
+func parseSelector(doc gjson.Result) (out []Choice) {
 	labels := doc.Map()
 	for _, key := range slices.Sorted(maps.Keys(labels)) {
 		choice := Choice{Key: key}
@@ -170,18 +170,18 @@
 	return out
 }
 
-func (c *compiler) admissionOf(path string, doc queueDocument) []Rule {
-	limit, most := doc["default_limit_ms"].Int(), doc["max_limit_ms"].Int()
-	if limit > 0 && most > 0 && limit > most {
-		c.fault(path+".default_limit_ms", "is above max_limit_ms")
+func (c *compiler) compileAdmission(path string, doc queueDocument) []Rule {
+	defaultRunLimit, maxRunLimit := doc["default_limit_ms"].Int(), doc["max_limit_ms"].Int()
+	if defaultRunLimit > 0 && maxRunLimit > 0 && defaultRunLimit > maxRunLimit {
+		c.addFault(path+".default_limit_ms", "is above max_limit_ms")
 	}
-	usual := min(cmp.Or(most, defaultLimitMs), defaultLimitMs)
+	fallback := min(cmp.Or(maxRunLimit, defaultLimitMs), defaultLimitMs)
 	return []Rule{
-		{RuleDefaultLimit, cmp.Or(limit, usual)},
+		{RuleDefaultLimit, cmp.Or(defaultRunLimit, fallback)},
 		{RuleDefaultFailures, doc["default_failures"].Int()},
 		{RuleMaxTasks, doc["max_tasks"].Int()},
 		{RuleMaxResources, doc["max_room"].Int()},
-		{RuleMaxLimit, most},
+		{RuleMaxLimit, maxRunLimit},
 		{RuleAdmit, cmp.Or(doc["max_live_jobs"].Int(), MaxQueueJobs)},
 	}
 }
@@ -190,7 +190,7 @@
 	for i, a := range doc["addresses"].Array() {
 		at := Address{strings.ToLower(a.Get("host").Str), a.Get("prefix").Str}
 		if !c.addAddress(at, q.Name) {
-			c.fault(fmt.Sprintf("%s.addresses.%d", path, i), "stands twice")
+			c.addFault(fmt.Sprintf("%s.addresses.%d", path, i), "stands twice")
 		}
 		q.Addresses = append(q.Addresses, at)
 	}
--- a/internal/configuration/tenant.go
+++ b/internal/configuration/tenant.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	maxTenants    = 10_000
-	maxTenantKeys = 1000
-	maxLimit      = 1 << 40 // of one dimension, as of any resource
+	maxTenants     = 10_000
+	maxTenantKeys  = 1000
+	maxTenantLimit = 1 << 40 // of one dimension, as of any resource
 
 	keyDigestDigits = 2 * sha256.Size // in hex
 )
 
-var tenantFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
+var tenantSchema = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"name":   {Kind: schema.Name, Required: true},
 	"weight": {Kind: schema.Number},
-	"limit":  tenantLimitFields,
+	"limit":  tenantLimitSchema,
 	"key_digests": {Kind: schema.List, Max: maxTenantKeys, Elem: &schema.Field{
 		Kind: schema.Text, Min: keyDigestDigits, Max: keyDigestDigits,
 	}},
 }}
 
-// tenantLimitFields allow a limit of 0 in all dimensions, unlike what a task takes: it has none then.
-var tenantLimitFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
-	"cpu":          {Kind: schema.Count, Max: maxLimit},
-	"memory":       {Kind: schema.Count, Max: maxLimit},
-	"accelerators": {Kind: schema.Count, Max: maxLimit},
+// tenantLimitSchema allow a limit of 0 in all dimensions, unlike what a task takes: it has none then.
+var tenantLimitSchema = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
+	"cpu":          {Kind: schema.Count, Max: maxTenantLimit},
+	"memory":       {Kind: schema.Count, Max: maxTenantLimit},
+	"accelerators": {Kind: schema.Count, Max: maxTenantLimit},
 }}
 
 // Tenant is one customer of the fleet: its keys admit calls, its limit bounds what it may have
@@ -71,7 +71,7 @@
 			Name: doc.Get("name").Str, Weight: doc.Get("weight").Num, Limit: resource.Parse(doc.Get("limit")),
 		}
 		if c.config.Tenants[t.Name] != nil {
-			c.fault(at+".name", "stands twice")
+			c.addFault(at+".name", "stands twice")
 			continue
 		}
 		c.config.Tenants[t.Name] = t
@@ -84,11 +84,11 @@
 func (c *compiler) addKey(path string, t *Tenant, text string) {
 	var digest KeyDigest
 	if _, err := hex.Decode(digest[:], []byte(text)); err != nil {
-		c.fault(path, "must be a SHA-256 in hex digits")
+		c.addFault(path, "must be a SHA-256 in hex digits")
 		return
 	}
 	if other := c.config.tenantsByKey[digest]; other != nil {
-		c.fault(path, "is a key of tenant "+other.Name+" and of tenant "+t.Name)
+		c.addFault(path, "is a key of tenant "+other.Name+" and of tenant "+t.Name)
 		return
 	}
 	c.config.tenantsByKey[digest] = t
--- a/internal/configuration/tenant_test.go
+++ b/internal/configuration/tenant_test.go
@@ -11,22 +11,22 @@
 	"github.com/shoenig/test/must"
 )
 
-func digestText(key string) string {
+func hexDigest(key string) string {
 	digest := DigestOfKey(key)
 	return hex.EncodeToString(digest[:])
 }
 
-func tenantsSetup(tenants string) []byte {
+func tenantsDocument(tenants string) []byte {
 	return []byte(`{"queues":[{"name":"checks","addresses":[{"host":"h","prefix":"/"}]},{"name":"free","open":true}],"tenants":` + tenants + `}`)
 }
 
 // Guards against keys, limits and weights that are not those of the document, and against calls
 // that need a key where the document declares no tenants, or need none where it declares some.
 func TestTenants(t *testing.T) {
-	c, faults := Compile(1, tenantsSetup(`[{"name":"a","key_digests":["`+digestText("one")+`","`+strings.ToUpper(digestText("two"))+`"],"weight":2.5,"limit":{"cpu":5,"memory":7,"accelerators":1}},{"name":"b"}]`))
+	c, faults := Compile(1, tenantsDocument(`[{"name":"a","key_digests":["`+hexDigest("one")+`","`+strings.ToUpper(hexDigest("two"))+`"],"weight":2.5,"limit":{"cpu":5,"memory":7,"accelerators":1}},{"name":"b"}]`))
 	must.SliceEmpty(t, faults)
 	must.True(t, c.Authenticates())
-	for key, name := range map[string]string{"one": "a", "two": "a", "three": "", "": "", digestText("one"): ""} {
+	for key, name := range map[string]string{"one": "a", "two": "a", "three": "", "": "", hexDigest("one"): ""} {
 		tenant := c.TenantOfKey(DigestOfKey(key))
 		must.Eq(t, name != "", tenant != nil, must.Sprint(key))
 		if name != "" {
@@ -42,7 +42,7 @@
 
 	emptied := c.WithEmptied([]string{"attic"})
 	must.NotNil(t, emptied.TenantOfKey(DigestOfKey("one")), must.Sprint("an emptied zone takes no key away"))
-	none, faults := Compile(1, tenantsSetup(`[]`))
+	none, faults := Compile(1, tenantsDocument(`[]`))
 	must.SliceEmpty(t, faults)
 	must.True(t, none.Authenticates())
 	must.Nil(t, none.TenantOfKey(DigestOfKey("one")))
@@ -58,7 +58,7 @@
 	for limit, amount := range map[string]resource.Amount{
 		`{}`: {}, `{"cpu":0,"memory":0,"accelerators":0}`: {}, `{"memory":3}`: {Memory: 3}, `{"cpu":0,"accelerators":2}`: {GPU: 2},
 	} {
-		c, faults := Compile(1, tenantsSetup(`[{"name":"a","key_digests":[],"weight":0,"limit":`+limit+`}]`))
+		c, faults := Compile(1, tenantsDocument(`[{"name":"a","key_digests":[],"weight":0,"limit":`+limit+`}]`))
 		must.SliceEmpty(t, faults, must.Sprint(limit))
 		must.Eq(t, amount, c.Tenants["a"].Limit)
 	}
@@ -66,7 +66,7 @@
 
 // Guards against damaged tenants that are accepted, and against a key, or its digest, in a fault.
 func TestTenantFaults(t *testing.T) {
-	key := `"` + digestText("one") + `"`
+	key := `"` + hexDigest("one") + `"`
 	for _, x := range []struct{ tenants, path, reason string }{
 		{`{}`, "tenants", "must be a list"},
 		{`null`, "tenants", "must be a list"},
@@ -85,11 +85,11 @@
 		{`[{"name":"a","key_digests":[` + key + `]},{"name":"b","key_digests":[` + key + `]}]`, "tenants.1.key_digests.0", "is a key of tenant a and of tenant b"},
 		{`[{"name":"a","key_digests":[` + key + `,` + key + `]}]`, "tenants.0.key_digests.1", "is a key of tenant a and of tenant a"},
 	} {
-		_, faults := Compile(1, tenantsSetup(x.tenants))
+		_, faults := Compile(1, tenantsDocument(x.tenants))
 		must.Positive(t, len(faults), must.Sprint(x))
 		must.Eq(t, x.path, faults[0].Path, must.Sprint(faults))
 		must.StrContains(t, faults[0].Reason, x.reason, must.Sprint(x.path))
-		must.StrNotContains(t, fmt.Sprint(faults), digestText("one"))
+		must.StrNotContains(t, fmt.Sprint(faults), hexDigest("one"))
 	}
 	_, faults := Compile(1, []byte(`{"queues":[{"name":"checks","open":1}]}`))
 	must.Eq(t, "queues.0.open", faults[0].Path)
