--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -27,8 +27,9 @@
 	return true
 }
 
-// gossipWithSeeds occasionally sends a round to a seed, so that a daemon whose known peers were all
-// replaced finds the rest. A daemon that knows no live peer sends to all seeds.
+// gossipWithSeeds occasionally sends a round to a seed, so that daemons find each other even if the
+// seeds through which they joined were all replaced. A daemon that knows no live peer sends to all
+// seeds.
 func (d *Directory) gossipWithSeeds(round *wire.Digest) {
 	own := d.host.Self().Addr
 	if len(d.AliveNames()) == 1 {
--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -1,11 +1,10 @@
-// Package configuration is what operators declare: queues with their worker
-// groups, addresses, priorities and batch rules, and the zones that are emptied.
+// Package configuration compiles what operators declare: queues with their worker groups,
+// addresses, priorities and batch rules, and the zones to be emptied.
 //
-// Compile checks a JSON document and turns it into a Configuration, which
-// daemons look queues up in; it never changes after that. A Record is the value of
-// the register that holds the newest version, with the History by which a change
-// that is sent again is known. Everything here is a function of its arguments;
-// which version is in force, and when it was confirmed, is not decided here.
+// Compile checks a JSON document and turns it into an immutable Configuration, which daemons use to
+// look up queues. A Record is the value of the register that holds the newest version; its History
+// identifies changes that are sent again. Everything here depends only on its arguments: which
+// version is in force, and when it was confirmed, is not decided here.
 package configuration
 
 import (
@@ -22,25 +21,25 @@
 )
 
 const (
-	// MaxVersion bounds a version's number: it is exact as a number in JSON.
+	// MaxVersion bounds version numbers, which must be exact as numbers in JSON.
 	MaxVersion = 1 << 50
-	// MaxBytes bounds a document.
+	// MaxBytes bounds the size of a document.
 	MaxBytes = 16 << 20
-	// MaxQueueJobs is how many live jobs one queue may have in a shard, unless the
-	// configuration says less.
+	// MaxQueueJobs is how many live jobs a queue may have in a shard, unless the configuration sets
+	// a lower limit.
 	MaxQueueJobs = 2000
 	// MaxTasks bounds the tasks of a job.
 	MaxTasks = 1000
 
-	defaultQuota   = 100     // the paper's queueable tasks per job (section 4.1)
-	defaultLimitMs = 600_000 // a run's limit where neither the job nor its queue has one
+	defaultQuota   = 100     // queueable tasks per job, as in section 4.1 of the paper
+	defaultLimitMs = 600_000 // run limit if neither the job nor its queue sets one
 
 	msPerMinute = 60_000
 	msPerHour   = 60 * msPerMinute
 	maxLimitMs  = 30 * 24 * msPerHour
 )
 
-// Fields is the table that a document is checked by.
+// DocumentSchema is the schema of a configuration document.
 var Fields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"note":        {Kind: schema.Text, Max: 1000},
 	"queues":      {Kind: schema.List, Required: true, Max: 20_000, Elem: &queueSchema},
@@ -50,19 +49,18 @@
 	"source":      {Kind: schema.Any},
 }}
 
-// Configuration is a compiled document. It is shared by many goroutines and never
-// written to.
+// Configuration is a compiled document. It is shared by many goroutines and never modified.
 type Configuration struct {
 	Version    int64
 	Queues     map[string]*Queue
-	EmptyZones map[string]bool // by the document, and emptied beside it
+	EmptyZones map[string]bool // declared in the document, or emptied separately
 	Contracts  map[string]*Contract
-	Lowest     int64 // urgency, of the queues that take no batches
+	Lowest     int64 // urgency, of the queues without batches
 	Highest    int64
-	Tenants    map[string]*Tenant // by name; nil where the document declares none
+	Tenants    map[string]*Tenant // by name; nil if the document declares none
 
-	digest             [sha256.Size]byte // of the document, where an operator sent it
-	declaredEmptyZones []string          // of EmptyZones, what the document itself says
+	digest             [sha256.Size]byte // of the document; zero if it was not sent by an operator
+	declaredEmptyZones []string          // those of EmptyZones that the document declares
 	prefixesByHost     map[string]*hostPrefixes
 
 	tenantsByKey map[KeyDigest]*Tenant
@@ -75,15 +73,15 @@
 	return &Configuration{Queues: map[string]*Queue{}, EmptyZones: map[string]bool{}}
 }
 
-// hostPrefixes finds the longest of a host's prefixes with which a path begins:
-// one look-up for each length there is.
+// hostPrefixes finds the longest of a host's prefixes that a path begins with, with one lookup for
+// each distinct length.
 type hostPrefixes struct {
 	lengths []int // longest first
 	queues  map[string]string
 }
 
-// Resolve returns the queue that an address belongs to and what follows its
-// prefix. The host may carry a port.
+// Resolve returns the queue that an address belongs to, and the part of the path after its prefix.
+// The host may include a port.
 func (c *Configuration) Resolve(host, path string) (queue, rest string, ok bool) {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -103,8 +101,8 @@
 	return "", "", false
 }
 
-// WithEmptied returns the configuration with the zones that were emptied beside
-// the document.
+// WithEmptiedZones returns the configuration with additional zones that were emptied separately
+// from the document.
 func (c *Configuration) WithEmptied(zones []string) *Configuration {
 	next := *c
 	next.EmptyZones = map[string]bool{}
@@ -114,7 +112,7 @@
 	return &next
 }
 
-// Urgency ranks a queue; one that is no longer configured comes last.
+// Urgency returns a queue's urgency; a queue that is no longer configured comes last.
 func (c *Configuration) Urgency(queue string) int64 {
 	if q := c.Queues[queue]; q != nil {
 		return q.Urgency
@@ -122,12 +120,12 @@
 	return -1
 }
 
-// Digest is the SHA-256 of the document as an operator sent it; zero where it was
-// compiled from a Record.
+// Digest returns the SHA-256 of the document as an operator sent it; zero if it was compiled from a
+// Record.
 func (c *Configuration) Digest() [sha256.Size]byte { return c.digest }
 
-// Compile checks a document and compiles it as a version. Of a document with
-// faults it returns all of them and no Configuration.
+// Compile checks a document and compiles it as a version. If the document has faults, Compile
+// returns all of them and no Configuration.
 //
 // Example: c, faults := configuration.Compile(3, []byte(`{"queues":[{"name":"checks","urgency":5}]}`))
 func Compile(version int64, doc []byte) (*Configuration, []schema.Fault) {
@@ -144,7 +142,7 @@
 		c.addContract("contracts."+strconv.Itoa(i), contract)
 	}
 	for i, queue := range root.Get("queues").Array() {
-		c.addQueue("queues."+strconv.Itoa(i), queue.Map()) // one pass over its fields: there are thousands
+		c.addQueue("queues."+strconv.Itoa(i), queue.Map()) // one pass over the fields: there are thousands of queues
 	}
 	if tenants := root.Get("tenants"); tenants.Exists() {
 		c.addTenants("tenants", tenants.Array())
@@ -162,7 +160,7 @@
 	return c.config, nil
 }
 
-// Parse is Compile for a version as an operator writes it.
+// Parse is Compile for a version in text form, as operators send it.
 //
 // Example: c, faults := configuration.Parse("3", body)
 func Parse(key string, doc []byte) (*Configuration, []schema.Fault) {
@@ -177,7 +175,7 @@
 	return c, faults
 }
 
-// ParseVersion reads a version's number.
+// ParseVersion parses a version number.
 //
 // Example: version, faults := configuration.ParseVersion("3")
 func ParseVersion(key string) (int64, []schema.Fault) {
@@ -188,7 +186,7 @@
 	return version, nil
 }
 
-// compiler gathers what one document compiles to, and its faults.
+// compiler collects the compiled parts and the faults of one document.
 type compiler struct {
 	config *Configuration
 	faults []schema.Fault
@@ -198,7 +196,8 @@
 	c.faults = append(c.faults, schema.Fault{Path: path, Reason: reason})
 }
 
-// addAddress tells whether an address is the first of its kind.
+// addAddress adds an address of a queue, and reports whether it is the first with its host and
+// prefix.
 func (c *compiler) addAddress(a Address, queue string) bool {
 	h := c.config.prefixesByHost[a.Host]
 	if h == nil {
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -37,7 +37,7 @@
 	must.SliceEmpty(t, faults)
 	must.Eq(t, int64(20*msPerHour), c.Queues["refresh"].Batch.FinishByMs)
 	must.Eq(t, "night", c.Queues["refresh"].Batch.Contract.Name)
-	must.Less(t, c.Urgency("gone"), c.Urgency("refresh")) // below even a queue that is no more
+	must.Less(t, c.Urgency("gone"), c.Urgency("refresh")) // below even a queue that is not configured any more
 	must.Eq(t, int64(90), c.Lowest)
 	must.Nil(t, c.Queues["confirm"].Batch)
 	with := func(hours string) string {
@@ -72,7 +72,7 @@
 		must.StrContains(t, faults[0].Reason, x.reason, must.Sprint(x.path))
 	}
 	_, faults = Compile(1, []byte(batchDocument(with(`{"from":"00:00","to":"24:00","days":["mon"],"price":1},{"from":"00:00","to":"01:00","days":["tue"],"price":2}`), good)))
-	must.SliceEmpty(t, faults) // they touch
+	must.SliceEmpty(t, faults) // adjacent spans don't overlap
 }
 
 // monday is Monday 4 January 2027, 00:00 UTC, in ms.
@@ -84,10 +84,10 @@
 	must.Eq(t, 0.04, c.Cheapest)
 	must.Eq(t, "Mon 2027-01-04 22:00 +02:00", time.UnixMilli(at(0, 22)).In(c.Location()).Format("Mon 2006-01-02 15:04 -07:00"))
 	must.Eq(t, []PriceWindow{{at(0, 8), at(0, 22), 0.12}, {at(0, 22), at(1, 6), 0.04}, {at(1, 6), at(1, 8), 0.08}}, c.Windows(at(0, 12), at(1, 7)))
-	// over the week's end, where Sunday's night goes on to Monday's morning
+	// past the end of the week, where Sunday's night continues into Monday morning
 	must.Eq(t, []PriceWindow{{at(6, 22), at(7, 6), 0.04}, {at(7, 6), at(7, 8), 0.08}}, c.Windows(at(6, 23), at(7, 7)))
 	must.Eq(t, []PriceWindow{{at(6, 22), at(7, 6), 0.04}}, c.Windows(at(7, 3), at(7, 3)))
-	must.Eq(t, []PriceWindow{{at(5, 6), at(5, 22), 0.12}}, c.Windows(at(5, 7), at(5, 9))) // no early hours on a Saturday
+	must.Eq(t, []PriceWindow{{at(5, 6), at(5, 22), 0.12}}, c.Windows(at(5, 7), at(5, 9))) // the early hours don't apply on a Saturday
 	flat := mustContract(t, `{"name":"flat","utc_offset_minutes":-300,"price":3}`)
 	must.Len(t, 1, flat.Windows(at(0, 0), at(30, 0)))
 	must.LessEq(t, 6*3*(MaxFinishHours/24+14), len(c.Windows(at(0, 8), at(7000, 8))))
@@ -121,7 +121,7 @@
 	must.Eq(t, []schema.Fault{{Path: "queues.1.addresses.1", Reason: "stands twice"}}, faults)
 }
 
-// Thousands of queues, as the largest documents of the users have them.
+// Compiles thousands of queues, as in the largest documents in use.
 func TestThousandsOfQueuesCompile(t *testing.T) {
 	var b strings.Builder
 	b.WriteString(`{"queues":[`)
@@ -141,7 +141,7 @@
 	must.Eq(t, "abc", rest)
 }
 
-// All faults of a setup are listed, not only the first.
+// All faults of a document are listed, not only the first.
 func TestFaults(t *testing.T) {
 	_, faults := Compile(1, []byte(`{"queues":[{"name":"a","urgency":-1},{"urgency":"x","selector":{"t":[]}}],"empty":1}`))
 	paths := map[string]bool{}
@@ -215,7 +215,7 @@
 	must.Eq(t, "tier", missing.Key)
 }
 
-// The zones emptied beside a document add to its own, and go without a trace.
+// Zones emptied separately are added to those of the document, and can be removed again.
 func TestWithEmptiedZones(t *testing.T) {
 	c, faults := Compile(1, []byte(`{"queues":[],"empty_sites":["east"]}`))
 	must.SliceEmpty(t, faults)
@@ -223,7 +223,7 @@
 	must.Eq(t, map[string]bool{"east": true}, c.WithEmptied([]string{"mid"}).WithEmptied(nil).EmptyZones)
 }
 
-// A record keeps what the next version needs, and shows the last ones.
+// A record keeps what the next version needs, and lists the last versions.
 func TestRecord(t *testing.T) {
 	var r Record
 	doc := []byte(`{"queues":[{"name":"a"}]}`)
@@ -243,7 +243,7 @@
 	message := &wire.RegisterValue{Register: Register, Value: codec.Append(nil, r)}
 	first := p.Compile(message)
 	must.Eq(t, r.Version, first.Version)
-	must.True(t, first == p.Compile(message)) // the same one
+	must.True(t, first == p.Compile(message)) // not compiled again
 	must.Nil(t, p.Compile(&wire.RegisterValue{Register: "core"}))
 	must.Nil(t, p.Compile(&wire.Gossip{}))
 }
--- a/internal/configuration/contract.go
+++ b/internal/configuration/contract.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// MaxFinishHours bounds the time a batch may be given: a month, within what is
-	// kept of jobs.
+	// MaxFinishHours bounds the time that a batch may take: a month, which is less than the
+	// retention of jobs.
 	MaxFinishHours = 720
 
 	minutesPerDay  = 24 * 60
@@ -46,34 +46,34 @@
 	"share_percent":   {Kind: schema.Count, Required: true, Min: 1, Max: 100},
 }}
 
-// Contract is what an hour of a core costs, through a week that repeats.
+// Contract is the price of a core hour, by a repeating weekly schedule.
 type Contract struct {
 	Name          string
-	OffsetMinutes int64 // of its clock from UTC, all year: daylight saving is declared, never known
+	OffsetMinutes int64 // of its clock from UTC, all year: there is no daylight saving time
 	Cheapest      float64
-	spans         []priceSpan // all of the week in order, neighbours of different prices
+	spans         []priceSpan // cover the week in order; adjacent ones have different prices
 }
 
-// priceSpan is a part of the week, in minutes from Monday 00:00 of the contract's clock.
+// priceSpan is a part of the week, in minutes from Monday 00:00 on the contract's clock.
 type priceSpan struct {
 	From, To int64
 	Price    float64
 }
 
-// Batch is what a queue says of its batches.
+// BatchRules are the rules for the batches of a queue.
 type Batch struct {
 	Contract     *Contract
-	FinishByMs   int64 // a job is complete so long after it came or was due
-	SharePercent int64 // the most of each worker's capacity
+	FinishByMs   int64 // time to complete a job after it was submitted or became due
+	SharePercent int64 // maximum share of each worker's capacity
 }
 
-// PriceWindow is a stretch of one price, by the fleet's time in ms.
+// PriceWindow is a period with one price, in ms of the cluster's time.
 type PriceWindow struct {
 	FromMs, ToMs int64
 	Price        float64
 }
 
-// declaredSpan is a span and the number of the declaration it comes from.
+// declaredSpan is a span and the index of the declaration that it comes from.
 type declaredSpan struct {
 	priceSpan
 	index int
@@ -83,7 +83,7 @@
 	before := len(c.faults)
 	contract := c.compileContract(path, doc)
 	if len(c.faults) > before {
-		contract = &Contract{Name: doc.Get("name").Str} // its queues are checked all the same
+		contract = &Contract{Name: doc.Get("name").Str} // checks its queues nevertheless
 	}
 	if c.config.Contracts[contract.Name] != nil {
 		c.addFault(path+".name", "stands twice")
@@ -111,8 +111,8 @@
 	return contract
 }
 
-// parseSpans returns the spans of one declaration, one a day, or two where it goes
-// over the week's end.
+// parseSpans returns the spans of one declaration: one per day, or two if it crosses the end of the
+// week.
 func (c *compiler) parseSpans(path string, doc gjson.Result) (out []priceSpan) {
 	from, fromOK := minuteOfDay(doc.Get("from").Str)
 	to, toOK := minuteOfDay(doc.Get("to").Str)
@@ -126,7 +126,7 @@
 		c.addFault(path+".to", "is the same as from: a whole day is 00:00 to 24:00")
 	}
 	length := to - from
-	if length < 0 { // over midnight, into the next day
+	if length < 0 { // past midnight, into the next day
 		length += minutesPerDay
 	}
 	price := doc.Get("price").Num
@@ -141,8 +141,7 @@
 	return out
 }
 
-// parseDays returns the days of the week that a declaration is for; all where it
-// names none.
+// parseDays returns the days of the week that a declaration applies to; all if it lists none.
 func (c *compiler) parseDays(path string, doc gjson.Result) (days []int) {
 	given := doc.Get("days")
 	if !given.Exists() {
@@ -158,7 +157,7 @@
 	return days
 }
 
-// checkOverlaps tells of each declaration, once, that it overlaps an earlier one.
+// checkOverlaps reports each declaration that overlaps an earlier one, once.
 func (c *compiler) checkOverlaps(path string, declared []declaredSpan) {
 	reported := map[int]bool{}
 	for i := 1; i < len(declared); i++ {
@@ -171,8 +170,8 @@
 	}
 }
 
-// fillWeek makes the week of the declared spans, in order, and the usual price
-// between them.
+// fillWeek sets the spans of the week: the declared ones, in order, and the base price between
+// them.
 func (k *Contract) fillWeek(declared []declaredSpan, basePrice float64) {
 	at := int64(0)
 	for _, d := range declared {
@@ -187,7 +186,7 @@
 	}
 }
 
-// addSpan adds a span, or makes the last one longer where the price is the same.
+// addSpan appends a span, or extends the last one if the price is the same.
 func (k *Contract) addSpan(s priceSpan) {
 	if last := len(k.spans) - 1; last >= 0 && k.spans[last].Price == s.Price {
 		k.spans[last].To = s.To
@@ -196,7 +195,7 @@
 	}
 }
 
-// minuteOfDay reads a time of day such as 22:00.
+// minuteOfDay parses a time of day such as 22:00.
 func minuteOfDay(s string) (int64, bool) {
 	if s == "24:00" {
 		return minutesPerDay, true
@@ -205,7 +204,7 @@
 	return int64(t.Hour()*60 + t.Minute()), err == nil && len(s) == 5
 }
 
-// compileBatchRules checks what a queue says of its batches.
+// compileBatchRules compiles and checks the batch rules of a queue.
 func (c *compiler) compileBatchRules(path string, doc gjson.Result) *Batch {
 	b := &Batch{
 		Contract:     c.config.Contracts[doc.Get("contract").Str],
@@ -221,23 +220,23 @@
 	return b
 }
 
-// Windows returns the stretches of one price that lie between two times, in
-// order. The first may have opened before, the last may go on after.
+// PriceWindows returns the periods of one price between two times, in order. The first may start
+// before, the last may end after.
 func (k *Contract) Windows(fromMs, toMs int64) (out []PriceWindow) {
 	if len(k.spans) == 1 {
 		return []PriceWindow{{math.MinInt64 / 2, math.MaxInt64 / 2, k.spans[0].Price}}
 	}
 	minute := fromMs/msPerMinute + k.OffsetMinutes + epochWeekday*minutesPerDay
-	week := (fromMs/msPerMinute - minute%minutesPerWeek) * msPerMinute // when this week began
+	week := (fromMs/msPerMinute - minute%minutesPerWeek) * msPerMinute // the start of this week
 	last := len(k.spans) - 1
-	maxSpans := 2 * len(k.spans) * (MaxFinishHours/(7*24) + 2) // spans in twice the longest time there is
+	maxSpans := 2 * len(k.spans) * (MaxFinishHours/(7*24) + 2) // spans in twice the longest possible time
 	for at := range maxSpans {
 		s := k.spans[at%len(k.spans)]
 		w := PriceWindow{week + s.From*msPerMinute, week + s.To*msPerMinute, s.Price}
 		if at%len(k.spans) == last {
 			week += msPerWeek
 		}
-		if n := len(out) - 1; n >= 0 && out[n].Price == w.Price { // over the week's end
+		if n := len(out) - 1; n >= 0 && out[n].Price == w.Price { // continues past the end of the week
 			out[n].ToMs = w.ToMs
 			continue
 		}
@@ -254,13 +253,13 @@
 	return out
 }
 
-// Location is the contract's clock.
+// Location returns the time zone of the contract.
 func (k *Contract) Location() *time.Location {
 	return time.FixedZone("", int(k.OffsetMinutes)*60)
 }
 
-// ExplainContracts tells an operator, line by line, what the hours of a
-// configuration come to.
+// ExplainContracts describes the contracts and batch rules of a configuration to an operator, line
+// by line.
 func (c *Configuration) ExplainContracts() (out []string) {
 	for _, name := range slices.Sorted(maps.Keys(c.Contracts)) {
 		k := c.Contracts[name]
@@ -283,7 +282,7 @@
 	return out
 }
 
-// weekMinute tells a minute of the week as a day and a time.
+// weekMinute formats a minute of the week as a day and a time.
 func weekMinute(m int64) string {
 	return fmt.Sprintf("%s %02d:%02d", weekdays[m/minutesPerDay%7], m%minutesPerDay/60, m%60)
 }
--- a/internal/configuration/history.go
+++ b/internal/configuration/history.go
@@ -5,29 +5,29 @@
 	"encoding/binary"
 )
 
-// MaxHistory is how many accepted changes a History holds, some 33 bytes each: a
-// storm of changes makes hundreds in a day.
+// MaxHistory is how many accepted changes a History holds, about 33 bytes each. A burst of changes
+// can produce hundreds in a day.
 const MaxHistory = 4096
 
-// ChangeID tells an operator's change from all others: the version it makes, the
-// version it builds on, and a SHA-256 of what was sent. A change without a clear
-// answer is sent again as it was, so it comes with the same identity.
+// ChangeID identifies a change made by an operator: the version it creates, the version it is based
+// on, and a SHA-256 of the request. A change that received no clear response is sent again
+// unmodified, so it has the same ChangeID.
 type ChangeID struct {
 	Version, Base int64
 	Digest        [sha256.Size]byte
 }
 
-// History holds the identities of the last accepted changes. Each built on the one
-// before it, so a base needs no bytes of its own: a change takes its digest and
-// what the version rose by, 33 bytes or little more.
+// History holds the identities of the last accepted changes. Each is based on the one before it, so
+// a base is not stored separately: a change takes its digest and the increment of the version, 33
+// bytes or little more.
 type History struct {
-	Base   int64 // the oldest change here built on it; what led to it is known no more
+	Base   int64 // base of the oldest change held; earlier changes are not known any more
 	Count  int64
-	Packed []byte // for each change: uvarint of the version less its base, digest
+	Packed []byte // for each change: the version minus its base as a uvarint, then the digest
 }
 
-// each calls do with every change, the oldest first, until do returns false. It
-// tells whether the history is sound.
+// each calls visit for every change, the oldest first, until visit returns false. It reports
+// whether the history is well-formed.
 func (h *History) each(visit func(ChangeID) bool) bool {
 	base := h.Base
 	for rest := h.Packed; len(rest) > 0; {
@@ -46,7 +46,7 @@
 	return true
 }
 
-// Contains tells whether a change was accepted.
+// Contains reports whether a change was accepted.
 func (h *History) Contains(id ChangeID) (found bool) {
 	h.each(func(o ChangeID) bool {
 		found = o == id
@@ -55,11 +55,11 @@
 	return found
 }
 
-// Covers tells whether the history can say of a change that it was not accepted:
-// of those that it once held and let go of it can't.
+// Covers reports whether the history can tell if a change was accepted. It can't for changes older
+// than those it holds.
 func (h *History) Covers(id ChangeID) bool { return id.Base >= h.Base }
 
-// With returns the history with one more change, which builds on the last one.
+// With returns the history with one more change, which is based on the last one.
 func (h History) With(id ChangeID) History {
 	packed := h.Packed
 	if h.Count >= MaxHistory {
--- a/internal/configuration/queue.go
+++ b/internal/configuration/queue.go
@@ -13,11 +13,11 @@
 	"github.com/tidwall/gjson"
 )
 
-// zoneKey is the selector key that stands for a worker's zone, in the operators' words.
+// zoneKey is the selector key for a worker's zone; operators call zones sites.
 const zoneKey = "site"
 
-// batchUrgencyOffset is how far the urgency of batch queues lies below that of all
-// others, which have 0 to 1000.
+// batchUrgencyOffset is subtracted from the urgency of batch queues. The others have 0 to 1000, so
+// all batch queues are below them.
 const batchUrgencyOffset = 2000
 
 var queueSchema = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
@@ -45,19 +45,19 @@
 // Queue is one queue of a Configuration.
 type Queue struct {
 	Name       string
-	Urgency    int64    // higher goes first; of batch queues below 0
+	Urgency    int64    // higher goes first; negative for batch queues
 	Quota      int64    // queueable tasks that one job may have outstanding
-	TrustLimit bool     // its workers surely end each run at its limit, even cut off
+	TrustLimit bool     // its workers always end a run at its limit, even while cut off
 	Selector   []Choice // its worker group
-	Admission  []Rule   // what a new job is put through, in order
+	Admission  []Rule   // rules that a new job must pass, in order
 	Addresses  []Address
-	LatencyMs  int64   // the target for a job's time
-	Stretch    float64 // the target for a job's time against its work alone
-	Batch      *Batch  // nil where its jobs don't wait for cheap hours
+	LatencyMs  int64   // target for a job's time
+	Stretch    float64 // target for the ratio of a job's time to its execution time alone
+	Batch      *Batch  // nil if its jobs don't wait for cheap hours
 	Open       bool    // callers need no key
 }
 
-// Choice is one label of a selector and the values that it may have.
+// LabelRequirement is a label of a selector and its allowed values.
 type Choice struct {
 	Key    string
 	Values []string
@@ -66,8 +66,8 @@
 // Address is where callers reach a queue: all paths of a host that begin with a prefix.
 type Address struct{ Host, Prefix string }
 
-// Matches tells whether a worker's labels put it in the queue's group. The worker's
-// zone counts as its label "site".
+// Matches reports whether a worker's labels put it in the queue's group. The worker's zone counts
+// as its label "site".
 func (q *Queue) Matches(labels []wire.Label, zone string) bool {
 	for _, c := range q.Selector {
 		value := zone
@@ -81,7 +81,7 @@
 	return true
 }
 
-// LabelValue returns the value of a label; "" where there is none.
+// LabelValue returns the value of a label; "" if there is none.
 //
 // Example: rack := configuration.LabelValue(labels, "rack")
 func LabelValue(labels []wire.Label, key string) string {
@@ -93,40 +93,39 @@
 	return ""
 }
 
-// MissingLabel returns the first needed label that a worker lacks; false where it
-// has them all.
+// MissingLabel returns the first required label that a worker lacks; false if it has all.
 //
-// Example: _, lacks := configuration.MissingLabel(worker.Labels, task.Needs)
-func MissingLabel(have, needs []wire.Label) (wire.Label, bool) {
-	for _, l := range needs {
-		if LabelValue(have, l.Key) != l.Value {
+// Example: _, lacks := configuration.MissingLabel(worker.Labels, task.RequiredLabels)
+func MissingLabel(labels, required []wire.Label) (wire.Label, bool) {
+	for _, l := range required {
+		if LabelValue(labels, l.Key) != l.Value {
 			return l, true
 		}
 	}
 	return wire.Label{}, false
 }
 
-// RuleOp names one step of the admission of a job.
+// RuleOp is the operation of one admission rule.
 type RuleOp string
 
-// Steps of the admission; N is a Rule's number.
+// Operations of admission rules; N is the rule's number.
 const (
-	RuleNoGangs         RuleOp = "noGangs"         // rejects gangs and lasting tasks
-	RuleDefaultLimit    RuleOp = "defaultLimit"    // sets a run limit of N ms where the job has none
-	RuleDefaultFailures RuleOp = "defaultFailures" // allows N failures where the job doesn't say
+	RuleNoGangs         RuleOp = "noGangs"         // rejects gangs and long-running tasks
+	RuleDefaultLimit    RuleOp = "defaultLimit"    // sets a run limit of N ms if the job has none
+	RuleDefaultFailures RuleOp = "defaultFailures" // allows N failures if the job doesn't specify it
 	RuleMaxTasks        RuleOp = "maxTasks"        // rejects more than N tasks, 0 for any
-	RuleMaxResources    RuleOp = "maxResources"    // rejects a task with more than N processor, 0 for any
+	RuleMaxResources    RuleOp = "maxResources"    // rejects a task that needs more than N processor, 0 for any
 	RuleMaxLimit        RuleOp = "maxLimit"        // rejects a run limit above N ms, 0 for any
-	RuleAdmit           RuleOp = "admit"           // rejects where N jobs of the queue are live
+	RuleAdmit           RuleOp = "admit"           // rejects if N jobs of the queue are live
 )
 
-// Rule is one step of the program that a new job is put through.
+// Rule is one admission rule for new jobs.
 type Rule struct {
 	Op RuleOp
 	N  int64
 }
 
-// queueDocument is a queue's fields as a document gives them.
+// queueDocument holds a queue's fields as given in a document.
 type queueDocument map[string]gjson.Result
 
 func (c *compiler) addQueue(path string, doc queueDocument) {
--- a/internal/configuration/record.go
+++ b/internal/configuration/record.go
@@ -16,34 +16,34 @@
 	"github.com/tidwall/gjson"
 )
 
-// Register is the name of the register that holds the newest Record. It stands on
-// disks and on the wire.
+// RegisterName is the name of the register that holds the newest Record. It is stored on disk and
+// sent on the wire.
 const Register = "setup"
 
-// MaxShown is how many accepted versions operators are shown.
+// MaxPastVersions is how many accepted versions are listed for operators.
 const MaxShown = 50
 
-// Record is the value of the register: the newest version and what led to it. The
-// zero Record is that of a fleet without a configuration.
+// Record is the value of the register: the newest version and its history. The zero Record is that
+// of a cluster without a configuration.
 type Record struct {
 	Version  int64
-	Document []byte // deflated
+	Document []byte // compressed by Deflate
 	Past     []VersionInfo
-	Emptied  []string // zones emptied by an operator's word beside the document, in order
+	Emptied  []string // zones emptied by an operator's command, separately from the document; sorted
 	Accepted History
 }
 
-// VersionInfo is what operators are shown of an accepted version.
+// VersionInfo is the summary of an accepted version, for operators.
 type VersionInfo struct {
 	Version int64
-	Digest  uint64 // the first bytes of the document's SHA-256
+	Digest  uint64 // the first 8 bytes of the document's SHA-256
 	Queues  int64
 	Bytes   int64
-	AtMs    int64 // wall time, in ms
+	AtMs    int64 // wall-clock time
 }
 
-// Next returns the record after a change was accepted with this document at this
-// wall time, in ms.
+// Next returns the record after a change with this document was accepted at the given wall-clock
+// time.
 func (r *Record) Next(change ChangeID, doc []byte, atMs int64) Record {
 	info := VersionInfo{
 		Version: change.Version,
@@ -65,7 +65,7 @@
 	}
 }
 
-// Previous is the version that was accepted before this one; 0 for none.
+// Previous returns the version accepted before this one; 0 for none.
 func (r *Record) Previous() int64 {
 	if len(r.Past) < 2 {
 		return 0
@@ -73,7 +73,7 @@
 	return r.Past[len(r.Past)-2].Version
 }
 
-// Compile compiles the record's document, without the zones emptied beside it.
+// Compile compiles the record's document, without the zones emptied separately.
 func (r *Record) Compile() (*Configuration, []schema.Fault) {
 	doc, ok := Inflate(r.Document)
 	if !ok {
@@ -82,28 +82,27 @@
 	return Compile(r.Version, doc)
 }
 
-// SameDocument tells whether two records hold the same document and version.
+// SameDocument reports whether two records hold the same document and version.
 func (r *Record) SameDocument(other *Record) bool {
 	return r.Version == other.Version && bytes.Equal(r.Document, other.Document)
 }
 
-// Deflate packs a document for the wire and the disk: documents say much the same
-// of each queue, and machines with thin lines take each version too.
+// Deflate compresses a document for the wire and the disk: the entries of queues are much alike,
+// and machines with slow links receive each version too.
 //
 // Example: packed := configuration.Deflate([]byte(`{"queues":[]}`))
 func Deflate(doc []byte) []byte {
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
 	if err != nil {
-		panic(err) // the level is known
+		panic(err) // the level is valid
 	}
-	_, _ = w.Write(doc) // a buffer takes any bytes
+	_, _ = w.Write(doc) // writing to a buffer can't fail
 	_ = w.Close()
 	return out.Bytes()
 }
 
-// Inflate is the opposite of Deflate; false for what is damaged or larger than any
-// document may be.
+// Inflate reverses Deflate; false if the data is damaged or larger than any document may be.
 //
 // Example: doc, ok := configuration.Inflate(packed)
 func Inflate(packed []byte) ([]byte, bool) {
@@ -114,16 +113,16 @@
 	return doc, err == nil && len(doc) <= MaxBytes
 }
 
-// Precompiler compiles the records that messages from the core bring, on the
-// goroutines that read them: thousands of queues would hold the control thread up.
-// A document that it met last is not compiled again. The zero Precompiler is ready.
+// Precompiler compiles the records in messages from the core, on the goroutines that read them:
+// compiling thousands of queues would delay the control thread. It doesn't recompile the last
+// document. The zero Precompiler is ready to use.
 type Precompiler struct {
 	mu       sync.Mutex
 	document []byte
 	last     *Configuration
 }
 
-// Compile returns the configuration in a message; nil where there is none in it.
+// Compile returns the configuration in a message; nil if it contains none.
 func (p *Precompiler) Compile(msg any) *Configuration {
 	m, ok := msg.(*wire.RegisterValue)
 	var r Record
@@ -134,20 +133,20 @@
 	defer p.mu.Unlock()
 	if p.last == nil || p.last.Version != r.Version || !bytes.Equal(p.document, r.Document) {
 		p.document = r.Document
-		p.last, _ = r.Compile() // nil where it has faults: the control thread tells of them
+		p.last, _ = r.Compile() // nil if it has faults, which the control thread reports
 	}
 	return p.last
 }
 
-// ReaderCopy is the register's value without the history of its changes, which
-// only a change of the register needs. All daemons read each new value, so it is
-// encoded once for each. The zero ReaderCopy is ready.
+// ReaderValueCache caches the register's value without the history of its changes, which only a
+// change of the register needs. All daemons read each new value, so it is encoded once. The zero
+// ReaderValueCache is ready to use.
 type ReaderCopy struct {
 	ballot register.Ballot
 	value  []byte
 }
 
-// Of returns an acceptor's value as readers get it.
+// Value returns an acceptor's value in the form sent to readers.
 func (c *ReaderCopy) Of(a *register.Acceptor) []byte {
 	if c.ballot == a.Accepted && c.value != nil {
 		return c.value
--- a/internal/configuration/tenant.go
+++ b/internal/configuration/tenant.go
@@ -14,7 +14,7 @@
 const (
 	maxTenants     = 10_000
 	maxTenantKeys  = 1000
-	maxTenantLimit = 1 << 40 // of one dimension, as of any resource
+	maxTenantLimit = 1 << 40 // of one dimension, as for any resource
 
 	keyDigestDigits = 2 * sha256.Size // in hex
 )
@@ -28,41 +28,42 @@
 	}},
 }}
 
-// tenantLimitSchema allow a limit of 0 in all dimensions, unlike what a task takes: it has none then.
+// tenantLimitSchema allows 0 in all dimensions, unlike a task's resources: 0 means no limit.
 var tenantLimitSchema = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"cpu":          {Kind: schema.Count, Max: maxTenantLimit},
 	"memory":       {Kind: schema.Count, Max: maxTenantLimit},
 	"accelerators": {Kind: schema.Count, Max: maxTenantLimit},
 }}
 
-// Tenant is one customer of the fleet: its keys admit calls, its limit bounds what it may have
-// running, and its weight says how much it may send and what it gets when all is full.
+// Tenant is one customer of the cluster. Its keys authenticate calls, its limit bounds the
+// resources of its running tasks, and its weight sets its admission rate and its share when the
+// cluster is full.
 type Tenant struct {
 	Name   string
-	Weight float64         // jobs a second that count as its own; also its share of a full fleet
-	Limit  resource.Amount // over all workers; a dimension that is 0 has no limit
+	Weight float64         // jobs per second that count as its own; also its share of a full cluster
+	Limit  resource.Amount // over all workers; 0 in a dimension means no limit
 	Keys   []KeyDigest
 }
 
-// KeyDigest is the SHA-256 of a key: keys themselves are kept nowhere but in the document that
-// the operator sent.
+// KeyDigest is the SHA-256 of a key. Keys themselves are stored only in the document that the
+// operator sent.
 type KeyDigest [sha256.Size]byte
 
-// DigestOfKey returns the digest that a key is known by.
+// DigestOfKey returns the digest by which a key is looked up.
 //
 // Example: tenant := config.TenantOfKey(configuration.DigestOfKey(key))
 func DigestOfKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// Authenticates tells whether calls need a key, but for those at open queues: whether the
-// document declares tenants.
+// RequiresKey reports whether calls need a key, except at open queues: whether the document
+// declares tenants.
 func (c *Configuration) Authenticates() bool { return c.Tenants != nil }
 
-// TenantOfKey returns whose key has a digest; nil for a key that nobody has. It takes as long
-// for any key, since only digests are compared.
+// TenantOfKey returns the tenant whose key has a digest; nil if there is none. The lookup takes the
+// same time for any key, since only digests are compared.
 func (c *Configuration) TenantOfKey(digest KeyDigest) *Tenant { return c.tenantsByKey[digest] }
 
-// addTenants compiles the tenants of a document. A key that two of them hold would leave open
-// whose jobs come with it: it is a fault, which names both and not the key.
+// addTenants compiles the tenants of a document. A key that two tenants hold would make the owner
+// of a job ambiguous: it is a fault, which names both tenants and not the key.
 func (c *compiler) addTenants(path string, docs []gjson.Result) {
 	c.config.Tenants, c.config.tenantsByKey = map[string]*Tenant{}, map[KeyDigest]*Tenant{}
 	for i, doc := range docs {
--- a/internal/configuration/tenant_test.go
+++ b/internal/configuration/tenant_test.go
@@ -20,8 +20,8 @@
 	return []byte(`{"queues":[{"name":"checks","addresses":[{"host":"h","prefix":"/"}]},{"name":"free","open":true}],"tenants":` + tenants + `}`)
 }
 
-// Guards against keys, limits and weights that are not those of the document, and against calls
-// that need a key where the document declares no tenants, or need none where it declares some.
+// Guards against keys, limits and weights that differ from the document's, and against calls that
+// need a key although the document declares no tenants, or need none although it declares some.
 func TestTenants(t *testing.T) {
 	c, faults := Compile(1, tenantsDocument(`[{"name":"a","key_digests":["`+hexDigest("one")+`","`+strings.ToUpper(hexDigest("two"))+`"],"weight":2.5,"limit":{"cpu":5,"memory":7,"accelerators":1}},{"name":"b"}]`))
 	must.SliceEmpty(t, faults)
@@ -52,8 +52,8 @@
 	must.Nil(t, absent.TenantOfKey(DigestOfKey("one")))
 }
 
-// Guards against a valid document that is refused: a tenant need have no limit, in one dimension
-// or in any, and no keys.
+// Guards against a valid document that is rejected: a tenant needs neither a limit, in any
+// dimension, nor keys.
 func TestTenantsWithoutLimits(t *testing.T) {
 	for limit, amount := range map[string]resource.Amount{
 		`{}`: {}, `{"cpu":0,"memory":0,"accelerators":0}`: {}, `{"memory":3}`: {Memory: 3}, `{"cpu":0,"accelerators":2}`: {GPU: 2},
@@ -64,7 +64,8 @@
 	}
 }
 
-// Guards against damaged tenants that are accepted, and against a key, or its digest, in a fault.
+// Guards against invalid tenants that are accepted, and against a key or its digest in the text of
+// a fault.
 func TestTenantFaults(t *testing.T) {
 	key := `"` + hexDigest("one") + `"`
 	for _, x := range []struct{ tenants, path, reason string }{
