--- a/guards.sh
+++ b/guards.sh
@@ -47,7 +47,7 @@
 reads by a later poll|internal/daemon/config_state.go|return n.config.confirmedBy > a.pollsBefore|return n.config.confirmedMs >= a.receivedMs
 reads are checked after a freeze|internal/daemon/config_state.go|confirmedBy > a.pollsBefore && n.configFresh()|confirmedBy > a.pollsBefore
 copied before joining|internal/membership/learner.go|if len(l.copied) >= need {|if true {
-a copy begins again after a restart|internal/membership/learner.go|if at.Instance != instance {|if at.Shard == "" {
+a copy begins again after a restart|internal/membership/learner.go|if cursor.Instance != instance {|if cursor.Shard == "" {
 a job ends at a known time|internal/daemon/job_schedule.go|return // how long the job is kept|wall = 1 // how long the job is kept
 finished jobs go by the time of a majority|internal/daemon/core_member.go|if n.leases.Clock().Readings() < n.core.Majority() {|if false {
 a told end is not taken back|internal/daemon/request.go|if !n.answeredByFullSet(r) {|if false {
@@ -73,9 +73,9 @@
 orders have the base in their identity|internal/configuration/history.go|id := ChangeID{Version: base + int64(increment), Base: base}|id := ChangeID{Version: base + int64(increment)}
 a refusal is written back|internal/register/proposer.go|\t\to.outcomeOnAccept = Refused\n|\t\to.outcome = Refused\n\t\treturn nil\n
 a leaving member waits for its successor|internal/daemon/roles.go|if n.leavingSince == 0 \|\| n.members.AwaitsSuccessor() {|if n.leavingSince == 0 {
-copied again before a member leaves|internal/membership/learner.go|if at == newest \|\| m.copyComplete(l, set.Majority()-1) {|if true {
+copied again before a member leaves|internal/membership/learner.go|if index == newest \|\| m.copyComplete(l, set.Majority()-1) {|if true {
 a successor that stalls is taken out|internal/membership/learner.go|if late \|\| m.leases.Unresponsive(set.Members[newest].Name, UnresponsiveMs) {|if late && false {
-the surest loss goes first|internal/membership/slots.go|if current > state && now-l.vacantSince|if at < 0 && now-l.vacantSince
+the surest loss goes first|internal/membership/slots.go|if current > state && now-l.vacantSince|if index < 0 && now-l.vacantSince
 a failing disk keeps its slot for a while|internal/membership/slots.go|case !peer.Disk:\n\t\treturn slotDiskFailed|case !peer.Disk:\n\t\treturn slotLeaving
 a member that restarts keeps its slot|internal/membership/slots.go|unresponsive && silentMs > UnresponsiveMs|(unresponsive \|\| true) && silentMs > cluster.RoundMs
 a former member starts over|internal/membership/learner.go|if m.host.Store().Set().Has(m.name, self.DiskID) {|if false {
--- a/internal/cluster/directory.go
+++ b/internal/cluster/directory.go
@@ -111,8 +111,8 @@
 func (d *Directory) Len() int { return len(d.peers) }
 
 // Record replaces the record of a peer, with the time of its last heartbeat.
-func (d *Directory) Record(p wire.Peer, heardMs int64) {
-	d.peers[p.Name] = &Peer{Peer: p, HeardMs: heardMs}
+func (d *Directory) Record(p wire.Peer, lastHeartbeatMs int64) {
+	d.peers[p.Name] = &Peer{Peer: p, HeardMs: lastHeartbeatMs}
 	d.indexByHash(d.peers[p.Name])
 }
 
--- a/internal/lease/acquire.go
+++ b/internal/lease/acquire.go
@@ -106,7 +106,7 @@
 		return m.nearestFirst(order, zone)
 	}
 	slices.SortStableFunc(order, func(a, b string) int {
-		return intOf(!m.peers.Describe(a).Disk) - intOf(!m.peers.Describe(b).Disk)
+		return boolToInt(!m.peers.Describe(a).Disk) - boolToInt(!m.peers.Describe(b).Disk)
 	})
 	if kind == KindCentral && !m.ignoreStrength {
 		order = m.shardOwnersLast(order)
@@ -120,7 +120,7 @@
 	return order
 }
 
-func intOf(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
@@ -129,7 +129,7 @@
 
 // nearestFirst moves the daemons of a zone to the front.
 func (m *Manager) nearestFirst(names []string, zone string) []string {
-	away := func(name string) int { return intOf(m.peers.Zone(name) != zone) }
+	away := func(name string) int { return boolToInt(m.peers.Zone(name) != zone) }
 	slices.SortStableFunc(names, func(a, b string) int { return away(a) - away(b) })
 	return names
 }
@@ -144,7 +144,7 @@
 			owners[c[0]] = true
 		}
 	}
-	slices.SortStableFunc(names, func(a, b string) int { return intOf(owners[a]) - intOf(owners[b]) })
+	slices.SortStableFunc(names, func(a, b string) int { return boolToInt(owners[a]) - boolToInt(owners[b]) })
 	return names
 }
 
--- a/internal/lease/granter.go
+++ b/internal/lease/granter.go
@@ -48,7 +48,7 @@
 	return p.Name == other.Name && p.Incarnation == other.Incarnation
 }
 
-// clockReading is a daemon's wall clock minus this member's steady one.
+// clockReading is a daemon's wall clock minus this member's monotonic one.
 type clockReading struct{ offsetMs, atMs int64 }
 
 // pollID identifies a poll by the process that sent it and its sequence number.
@@ -136,8 +136,8 @@
 // such a lease at once; without a named successor any daemon may.
 func (g *Granter) Release(from Process, releases []wire.LeaseRelease, nowMs int64) {
 	for _, r := range releases {
-		if held := g.grants[r.Name]; held != nil && held.holder.same(from) {
-			*held = grant{untilMs: nowMs + DurationMs, epoch: held.epoch, successor: r.Successor}
+		if current := g.grants[r.Name]; current != nil && current.holder.same(from) {
+			*current = grant{untilMs: nowMs + DurationMs, epoch: current.epoch, successor: r.Successor}
 		}
 	}
 }
@@ -164,26 +164,26 @@
 
 // free reports whether no other process may hold a lease that this member granted.
 func (g *Granter) free(role string, to Process, nowMs int64, ended func(Process) bool) bool {
-	held := g.grants[role]
+	current := g.grants[role]
 	switch {
-	case held == nil || held.untilMs <= nowMs, held.holder.same(to):
+	case current == nil || current.untilMs <= nowMs, current.holder.same(to):
 		return true
-	case held.holder.Name == "":
-		return held.successor == "" || held.successor == to.Name
+	case current.holder.Name == "":
+		return current.successor == "" || current.successor == to.Name
 	}
-	return ended(held.holder)
+	return ended(current.holder)
 }
 
 // Holders returns the current leases, sorted by role, and drops those that expired.
 func (g *Granter) Holders(nowMs int64) (out []wire.RoleHolder) {
 	for _, role := range slices.Sorted(maps.Keys(g.grants)) {
-		held := g.grants[role]
-		if held.untilMs <= nowMs {
+		current := g.grants[role]
+		if current.untilMs <= nowMs {
 			delete(g.grants, role)
 			continue
 		}
-		out = append(out, wire.RoleHolder{Name: role, Holder: held.holder.Name, Incarnation: held.holder.Incarnation,
-			Epoch: held.epoch, Successor: held.successor})
+		out = append(out, wire.RoleHolder{Name: role, Holder: current.holder.Name, Incarnation: current.holder.Incarnation,
+			Epoch: current.epoch, Successor: current.successor})
 	}
 	return out
 }
--- a/internal/membership/learner.go
+++ b/internal/membership/learner.go
@@ -90,15 +90,15 @@
 // claimSlot claims a slot of a full set if one is vacant.
 func (m *Manager) claimSlot(l *learner) {
 	set := m.host.CoreSet()
-	at, state := m.vacantSlot(l)
-	if at < 0 || state != slotWiped && !m.copyComplete(l, set.Majority()) {
+	index, state := m.vacantSlot(l)
+	if index < 0 || state != slotWiped && !m.copyComplete(l, set.Majority()) {
 		return
 	}
-	if state == slotLeaving && !m.leases.Unresponsive(set.Members[at].Name, UnresponsiveMs) {
+	if state == slotLeaving && !m.leases.Unresponsive(set.Members[index].Name, UnresponsiveMs) {
 		m.propose(l, set.With(m.ownMember()))
 		return
 	}
-	m.propose(l, set.Without(at))
+	m.propose(l, set.Without(index))
 }
 
 // shrinkOversizedSet reduces an oversized set. Its newest member does so; the others only remove
@@ -119,14 +119,14 @@
 		}
 		return
 	}
-	at, state := newest, slotOccupied
+	index, state := newest, slotOccupied
 	for i, member := range set.Members[:newest] {
 		if current := m.stateOf(member); current > state {
-			at, state = i, current
+			index, state = i, current
 		}
 	}
-	if at == newest || m.copyComplete(l, set.Majority()-1) {
-		m.propose(l, set.Without(at))
+	if index == newest || m.copyComplete(l, set.Majority()-1) {
+		m.propose(l, set.Without(index))
 	}
 }
 
@@ -163,11 +163,11 @@
 // OnCopyRequest sends a learner the requested part of the store. Only members that serve the
 // learner's set may call it.
 func (m *Manager) OnCopyRequest(from string, r *wire.CopyRequest) {
-	at, instance := r.At, m.host.Instance()
-	if at.Instance != instance { // the copy starts, or starts again because this daemon has restarted
-		at = statestore.Cursor{}
+	cursor, instance := r.At, m.host.Instance()
+	if cursor.Instance != instance { // the copy starts, or starts again because this daemon has restarted
+		cursor = statestore.Cursor{}
 	}
-	part, next := m.host.Store().CopyPart(at, statestore.ChunkBytes)
+	part, next := m.host.Store().CopyPart(cursor, statestore.ChunkBytes)
 	if !next.AtEnd() {
 		next.Instance = instance
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -166,9 +166,9 @@
 	must.Len(t, 1, h.sent)
 	m.OnFormResponse("d", h.sent[0].Msg.(*wire.FormResponse))
 	m.TickFormation()
-	asked := h.sent[1:]
-	must.Len(t, 2, asked)
-	set := asked[0].Msg.(*wire.FormRequest).Set
+	requests := h.sent[1:]
+	must.Len(t, 2, requests)
+	set := requests[0].Msg.(*wire.FormRequest).Set
 	must.Eq(t, []string{"east", "mid", "west"}, set.Shards)
 	m.OnFormResponse("e", &wire.FormResponse{Cluster: set.Cluster, OK: true})
 	must.Zero(t, h.set.Version)
--- a/internal/membership/slots.go
+++ b/internal/membership/slots.go
@@ -122,8 +122,8 @@
 
 // vacantSlot returns the index and state of the slot in the core set whose member is most certainly
 // lost; the index is -1 if there is none. A wiped disk only claims its own slot.
-func (m *Manager) vacantSlot(l *learner) (at int, state slotState) {
-	at = -1
+func (m *Manager) vacantSlot(l *learner) (index int, state slotState) {
+	index = -1
 	set, now := m.host.CoreSet(), m.host.NowMs()
 	ownNameInSet := set.HasName(m.name)
 	for i, member := range set.Members {
@@ -137,10 +137,10 @@
 		}
 		waitMs := m.waitMs(current) + m.spareRank(member.Name)*spareStaggerMs
 		if current > state && now-l.vacantSince[member.Name] >= waitMs {
-			at, state = i, current
+			index, state = i, current
 		}
 	}
-	return at, state
+	return index, state
 }
 
 // spares returns the disks outside the core whose daemons sent heartbeats recently. This excludes a
--- a/internal/quorum/set.go
+++ b/internal/quorum/set.go
@@ -64,8 +64,8 @@
 }
 
 // Without returns the next version of the set, without the member at an index.
-func (s Set) Without(at int) Set {
-	s.Members = slices.Delete(slices.Clone(s.Members), at, at+1)
+func (s Set) Without(index int) Set {
+	s.Members = slices.Delete(slices.Clone(s.Members), index, index+1)
 	s.Version++
 	return s
 }
