--- a/internal/daemon/brief_test.go
+++ b/internal/daemon/brief_test.go
@@ -40,7 +40,7 @@
 	scenarios["due work while clocks are wrong"] = scenario{"ikenna", func(t *testing.T, w *world) {
 		w.run(3000)
 		for round := range 4 {
-			for i, name := range sorted(w.nodes) { // two of the core and five others, forwards and back
+			for i, name := range sortedKeys(w.nodes) { // two of the core and five others, forwards and back
 				if i < 2 || i%3 == 0 && i < 16 {
 					w.nodes[name].skewMs = int64(1-2*(round%2)) * 3_600_000
 				}
@@ -292,7 +292,7 @@
 			if duty == "core" {
 				n = w.nodes["d01"]
 			} else if duty == "none" {
-				for _, name := range sorted(w.nodes) {
+				for _, name := range sortedKeys(w.nodes) {
 					if o := w.nodes[name]; !o.Disk && len(o.sh.node.leases.Roles()) == 0 {
 						n = o
 					}
@@ -319,7 +319,7 @@
 		w.traffic(40_000)
 		w.run(5000)
 		seeds := []string{w.nodes["d07"].Addr, w.nodes["d08"].Addr, w.nodes["d09"].Addr}
-		for _, name := range sorted(w.nodes) {
+		for _, name := range sortedKeys(w.nodes) {
 			w.nodes[name].Seeds = seeds // from their next start on
 		}
 		n := w.nodes["d02"]
@@ -424,7 +424,7 @@
 	must.Positive(t, entered)
 	again, reads := w.total("requests_retried"), w.total("states_from_core")
 	must.LessEq(t, int64(sent), handed-again, must.Sprintf("%d handed over of %d sent", handed, sent))
-	most := int64(sent/retryShare + len(w.nodes)*(retryBudgetMax+(11_000/tickMs)*retriesPerTick))
+	most := int64(sent/requestsPerRetry + len(w.nodes)*(retryBudgetMax+(11_000/tickMs)*retriesPerTick))
 	must.LessEq(t, most, again+reads, must.Sprintf("%d tries beyond the first", again+reads))
 	t.Log("sent", sent, "handed over", handed, "entered", entered, strings.TrimSpace(w.counts()))
 }
@@ -484,7 +484,7 @@
 			}
 			w.run(c.ms)
 			words := map[string][]byte{}
-			for _, name := range sorted(w.nodes) {
+			for _, name := range sortedKeys(w.nodes) {
 				if w.nodes[name].up {
 					_, _, words[name], _ = w.asked("operator", w.nodes[name], "soundness", "", nil)
 				}
@@ -510,7 +510,7 @@
 		if !n.up {
 			continue
 		}
-		for _, name := range sorted(n.sh.node.agents) {
+		for _, name := range sortedKeys(n.sh.node.agents) {
 			if ended := n.sh.node.agents[name].succeeded; ended > most {
 				busiest, most = name, ended
 			}
--- a/internal/daemon/estimate.go
+++ b/internal/daemon/estimate.go
@@ -5,53 +5,55 @@
 	"otterchute/internal/wire"
 )
 
-// unknownRunMs is what a task is expected to take of which nothing is known, if its limit allows.
-const unknownRunMs = 5000
+// defaultEstimateMs is what a task is expected to take of which nothing is known, if its limit allows.
+const defaultEstimateMs = 5000
 
-// guessScale is the name under which a queue's mean of how far guesses are off is learned,
+// hintScaleKey is the name under which a queue's mean of how far guesses are off is learned,
 // in percent.
-func guessScale(queue string) string { return queue + "/%" }
+func hintScaleKey(queue string) string { return queue + "/%" }
 
-// isGuessed tells whether a task's caller has guessed how long it runs.
-func (js *jobState) isGuessed(t *task) bool { return js.Steps[t.Step].Alike && t.HintMs > 0 }
+// hasEstimateHint tells whether a task's caller has guessed how long it runs.
+func (j *liveJob) hasEstimateHint(t *task) bool {
+	return j.Steps[t.Step].Uniform && t.EstimateHintMs > 0
+}
 
-func (n *node) estimateMs(js *jobState, t *task) int64 {
-	if js.isGuessed(t) {
+func (n *node) estimateMs(job *liveJob, t *task) int64 {
+	if job.hasEstimateHint(t) {
 		percent := 100.0
-		if mean, known := n.estimates.Mean(guessScale(js.Queue)); known && n.Policies.On(scheduler.LearnedEstimates) {
+		if mean, known := n.estimates.Mean(hintScaleKey(job.Queue)); known && n.Policies.On(scheduler.LearnedEstimates) {
 			percent = mean
 		}
-		return max(int64(float64(t.HintMs)*percent/100), 1)
+		return max(int64(float64(t.EstimateHintMs)*percent/100), 1)
 	}
-	if mean, known := n.estimates.Mean(js.Queue + "/" + t.Name); known {
+	if mean, known := n.estimates.Mean(job.Queue + "/" + t.Name); known {
 		return int64(mean)
 	}
-	if t.HintMs > 0 {
-		return t.HintMs
+	if t.EstimateHintMs > 0 {
+		return t.EstimateHintMs
 	}
-	return min(unknownRunMs, t.LimitMs)
+	return min(defaultEstimateMs, t.LimitMs)
 }
 
 // recordRunTime takes one run's time: into its name's mean, or into how far the guesses
 // of its queue are off, in percent.
-func (n *node) recordRunTime(js *jobState, t *task, ranMs int64) {
+func (n *node) recordRunTime(job *liveJob, t *task, ranMs int64) {
 	if ranMs <= 0 {
 		return // nobody saw how long it took
 	}
-	if js.isGuessed(t) {
-		n.estimates.Learn(guessScale(js.Queue), float64(min(100*ranMs/t.HintMs, 1000)), n.now)
+	if job.hasEstimateHint(t) {
+		n.estimates.Learn(hintScaleKey(job.Queue), float64(min(100*ranMs/t.EstimateHintMs, 1000)), n.now)
 		return
 	}
-	n.estimates.Learn(js.Queue+"/"+t.Name, float64(ranMs), n.now)
+	n.estimates.Learn(job.Queue+"/"+t.Name, float64(ranMs), n.now)
 }
 
 // tickEstimates tells all daemons that may own a shard what this one learned since the last round, so
 // that estimates outlive their owner: whoever takes a shard has them.
 func (n *node) tickEstimates() {
-	if n.now < n.learnedAt || len(n.owned) == 0 {
+	if n.now < n.nextEstimatesMs || len(n.shards) == 0 {
 		return
 	}
-	n.learnedAt = n.now + rankMs
+	n.nextEstimatesMs = n.now + rankIntervalMs
 	m := &wire.Estimates{}
 	for _, name := range n.estimates.Unshared() {
 		mean, _ := n.estimates.Mean(name)
--- a/internal/daemon/job_parse.go
+++ b/internal/daemon/job_parse.go
@@ -81,18 +81,18 @@
 // queue is the one that the caller's address stands for, or else the body's.
 //
 // Example: j, faults := parseJob("order-7", "checks", body)
-func parseJob(id, queue string, body []byte) (*job, []schema.Fault) {
+func parseJob(id, queue string, body []byte) (*jobRecord, []schema.Fault) {
 	if !schema.ValidName(id) {
 		return nil, []schema.Fault{{Path: "id", Reason: "must be a name: 1 to 128 letters, digits, '-', '_', '.' or ':'"}}
 	}
-	if len(body) > bodyMax {
+	if len(body) > bodyMaxBytes {
 		return nil, []schema.Fault{{Path: "", Reason: "is larger than 1 MiB"}}
 	}
 	if f := schema.Check(body, jobFields); len(f) > 0 {
 		return nil, f
 	}
 	root := gjson.ParseBytes(body)
-	p := &jobParser{index: map[string]int32{}, job: &job{
+	p := &jobParser{index: map[string]int32{}, job: &jobRecord{
 		ID: id, Queue: orText(queue, root.Get("queue").Str), Digest: bodyDigest(body),
 		DueMs: root.Get("due_ms").Int(), DelayMs: root.Get("delay_ms").Int(),
 		Payload: []byte(root.Get("payload").Raw), Rounds: int32(root.Get("rounds").Int()),
@@ -123,7 +123,7 @@
 
 // jobParser fills a job from its body and collects what is wrong with it.
 type jobParser struct {
-	job    *job
+	job    *jobRecord
 	index  map[string]int32 // of the steps, by name
 	faults []schema.Fault
 }
@@ -182,9 +182,9 @@
 			allowed = int32(a.Int())
 		}
 		p.job.Tasks = append(p.job.Tasks, task{
-			Step: int32(step), InStep: int32(k), Name: name, Resources: resource.Parse(t.Get("room")),
-			Needs: labelsOf(t.Get("labels")), LimitMs: t.Get("limit_ms").Int(), HintMs: t.Get("estimate_ms").Int(),
-			Allowed: allowed, Payload: []byte(t.Get("payload").Raw),
+			Step: int32(step), IndexInStep: int32(k), Name: name, Resources: resource.Parse(t.Get("room")),
+			Needs: labelsOf(t.Get("labels")), LimitMs: t.Get("limit_ms").Int(), EstimateHintMs: t.Get("estimate_ms").Int(),
+			AllowedFailures: allowed, Payload: []byte(t.Get("payload").Raw),
 		})
 	}
 }
@@ -193,8 +193,8 @@
 // either lists its tasks or counts them.
 func (p *jobParser) openFirstRound() {
 	j := p.job
-	if !j.placed() {
-		j.Opened = 1
+	if !j.hasUniformStep() {
+		j.RoundsOpened = 1
 		if j.Rounds > 0 {
 			p.fault("rounds", "needs steps with a count")
 		}
@@ -219,27 +219,28 @@
 }
 
 // alike reads the specification that all tasks of a step share.
-func (st *jobStep) alike(s gjson.Result) {
-	st.Alike, st.Size, st.Resources, st.Needs = true, int32(
+func (step *jobStep) alike(s gjson.Result) {
+	step.Uniform, step.Size, step.Resources, step.Needs = true, int32(
 		s.Get("count").Int(),
 	), resource.Parse(
 		s.Get("room"),
 	), labelsOf(
 		s.Get("labels"),
 	)
-	st.LimitMs, st.HintMs, st.Allowed = s.Get("limit_ms").Int(), s.Get("estimate_ms").Int(), -1
+	step.LimitMs, step.EstimateHintMs, step.AllowedFailures = s.Get("limit_ms").Int(), s.Get("estimate_ms").Int(), -1
 	if a := s.Get("allowed_failures"); a.Exists() {
-		st.Allowed = int32(a.Int())
+		step.AllowedFailures = int32(a.Int())
 	}
-	st.Gang, st.SameRack, st.Near, st.PerWorker = s.Get("gang").Bool() &&
-		st.Size > 1, s.Get(
+	step.Gang, step.SameRack, step.Near, step.PerWorker = s.Get("gang").Bool() &&
+		step.Size > 1, s.Get(
 		"same_rack",
 	).Bool(), s.Get(
 		"near",
 	).Str, int32(
 		s.Get("per_worker").Int(),
 	)
-	st.Copies, st.Lasting, st.Saves = s.Get("copies").Bool(), s.Get("lasting").Bool(), s.Get("saves").Bool()
+	step.AllowsDuplicates, step.Lasting, step.Saves = s.Get("copies").Bool(), s.Get("lasting").Bool(),
+		s.Get("saves").Bool()
 }
 
 // cycle gives a step that waits on itself through others.
--- a/internal/daemon/quiet_test.go
+++ b/internal/daemon/quiet_test.go
@@ -7,15 +7,15 @@
 )
 
 // placedAtWorker gives all tasks that owners have at a worker now.
-func (b *platformWorld) placedAtWorker(worker string) map[placedAt]bool {
-	placed := map[placedAt]bool{}
+func (b *platformWorld) placedAtWorker(worker string) map[taskRef]bool {
+	placed := map[taskRef]bool{}
 	for _, n := range b.nodesInOrder() {
 		if !n.up {
 			continue
 		}
-		for _, name := range sorted(n.sh.node.owned) {
-			for _, at := range n.sh.node.owned[name].placedOn(worker) {
-				placed[at] = true
+		for _, name := range sortedKeys(n.sh.node.shards) {
+			for _, ref := range n.sh.node.shards[name].tasksPlacedOn(worker) {
+				placed[ref] = true
 			}
 		}
 	}
@@ -39,8 +39,8 @@
 		b.run(quietMs + 2*tickMs + 50)
 		before := b.placedAtWorker(worker)
 		b.run(1500)
-		for at := range b.placedAtWorker(worker) {
-			must.MapContainsKey(t, before, at, must.Sprintf("seed %d: %v was placed at a quiet worker", seed, at))
+		for ref := range b.placedAtWorker(worker) {
+			must.MapContainsKey(t, before, ref, must.Sprintf("seed %d: %v was placed at a quiet worker", seed, ref))
 		}
 		b.finish(120_000)
 		verdictOfPlatform(t, b)
--- a/internal/daemon/worker_choice.go
+++ b/internal/daemon/worker_choice.go
@@ -13,9 +13,9 @@
 // workerChoice is what the choice of a worker goes by for queueable tasks of one step that ask
 // for the same. It is gathered once for all of them: a placement changes one worker alone.
 type workerChoice struct {
-	shard       *shard
+	shard       *ownedShard
 	queue       *configuration.Queue
-	job         *jobState
+	job         *liveJob
 	step        int32
 	round       int32
 	resources   resource.Amount
@@ -32,10 +32,12 @@
 
 // selectWorker is the local scheduler: at random among the k allowed workers of lowest rank.
 // It tells among how many it drew, too.
-func (n *node) selectWorker(sl *shard, js *jobState, i int, pass *schedulePass) (worker string, candidates int) {
-	t := &js.Tasks[i]
-	if !pass.choice.serves(sl, js, t) {
-		pass.choice = n.newWorkerChoice(sl, js, i, pass.queue)
+func (n *node) selectWorker(
+	shard *ownedShard, job *liveJob, i int, pass *schedulePass,
+) (worker string, candidates int) {
+	t := &job.Tasks[i]
+	if !pass.choice.isValidFor(shard, job, t) {
+		pass.choice = n.newWorkerChoice(shard, job, i, pass.queue)
 	}
 	choice := pass.choice
 	k := n.KLowest
@@ -43,8 +45,8 @@
 		k = -1
 	}
 	workers := choice.workers
-	if t.Last != "" && n.Policies.On(scheduler.AvoidLast) {
-		workers = choice.withoutFormer(t)
+	if t.LastFailedWorker != "" && n.Policies.On(scheduler.AvoidLast) {
+		workers = choice.avoidingFailures(t)
 	}
 	at, among := scheduler.Choose(workers, k, n.rand().IntN)
 	if at < 0 {
@@ -53,11 +55,11 @@
 	return choice.workers[at].Name, among
 }
 
-// withoutFormer gives the workers for a task that failed before: not where it last did, and for
+// avoidingFailures gives the workers for a task that failed before: not where it last did, and for
 // its last attempt not where anything speaks against the worker.
-func (c *workerChoice) withoutFormer(t *task) []scheduler.Choosable {
+func (c *workerChoice) avoidingFailures(t *task) []scheduler.Choosable {
 	workers := slices.Clone(c.workers)
-	if at, found := c.find(t.Last); found {
+	if at, found := c.find(t.LastFailedWorker); found {
 		workers[at].Shun |= scheduler.ShunLast
 	}
 	if t.onLastAttempt() {
@@ -71,20 +73,20 @@
 }
 
 // newWorkerChoice gathers the workers that a task may go to.
-func (n *node) newWorkerChoice(sl *shard, js *jobState, i int, q *configuration.Queue) *workerChoice {
-	t := &js.Tasks[i]
-	st := &js.Steps[t.Step]
+func (n *node) newWorkerChoice(shard *ownedShard, job *liveJob, i int, q *configuration.Queue) *workerChoice {
+	t := &job.Tasks[i]
+	step := &job.Steps[t.Step]
 	c := &workerChoice{
-		shard: sl, queue: q, job: js, step: t.Step, round: t.Round, resources: t.Resources, needs: t.Needs,
-		near: st.Near, perWorker: st.PerWorker, loadChanges: sl.loadChanges,
+		shard: shard, queue: q, job: job, step: t.Step, round: t.Round, resources: t.Resources, needs: t.Needs,
+		near: step.Near, perWorker: step.PerWorker, loadChanges: shard.loadChanges,
 	}
-	if st.PerWorker > 0 {
-		c.used = js.usedBy(i)
+	if step.PerWorker > 0 {
+		c.used = job.stepTasksByWorker(i)
 	}
 	suspects := 0
-	for _, name := range sorted(n.workers) {
+	for _, name := range sortedKeys(n.workers) {
 		w := n.workers[name]
-		if n.allowed(w, q, t.Needs, t.Resources) && (st.PerWorker == 0 || c.used[name] < st.PerWorker) {
+		if n.workerAllowed(w, q, t.Needs, t.Resources) && (step.PerWorker == 0 || c.used[name] < step.PerWorker) {
 			c.views = append(c.views, w)
 			c.workers = append(c.workers, scheduler.Choosable{Name: name})
 			c.pinned = c.pinned || w.colocated
@@ -103,7 +105,7 @@
 // observeChoosable takes what is known now of one worker.
 func (n *node) observeChoosable(c *workerChoice, at int) {
 	worker, w := &c.workers[at], c.views[at]
-	worker.RankMs = n.ranks.of(n, worker.Name)
+	worker.RankMs = n.ranks.rank(n, worker.Name)
 	worker.QueueFull = w.queued >= agentQueueMax/2
 	worker.Shun = n.shunOf(c, worker.Name, w)
 }
@@ -114,12 +116,12 @@
 	if on(scheduler.EjectUnhealthy) && !c.mostSuspect && (n.ranks.ejected(name) || w.suspect) {
 		shun |= n.shunOfEjected()
 	}
-	if on(scheduler.ShunQuiet) && w.colocated && isQuiet(n.now-w.heardMs, w.silentMs) {
+	if on(scheduler.ShunQuiet) && w.colocated && isQuiet(n.now-w.receivedMs, w.silentMs) {
 		shun |= scheduler.ShunSilent
 	}
-	if c.pinned && !c.resources.Fits(n.roomFor(c.shard, c.queue, c.job.excess, name, w)) {
+	if c.pinned && !c.resources.Fits(n.availableRoom(c.shard, c.queue, c.job.excess, name, w)) {
 		shun |= scheduler.ShunKept
-		if !c.resources.Fits(n.freeAt(c.shard, name, w).Plus(n.batchLoad(c.shard, "", name))) {
+		if !c.resources.Fits(n.freeResources(c.shard, name, w).Plus(n.batchLoad(c.shard, "", name))) {
 			shun |= scheduler.ShunFull
 		}
 	}
@@ -142,10 +144,10 @@
 	return scheduler.ShunUnhealthy
 }
 
-// serves tells whether what was gathered holds for a task.
-func (c *workerChoice) serves(sl *shard, js *jobState, t *task) bool {
-	return c != nil && c.shard == sl && c.job == js && c.step == t.Step && c.round == t.Round &&
-		c.resources == t.Resources && slices.Equal(c.needs, t.Needs) && c.loadChanges == sl.loadChanges
+// isValidFor tells whether what was gathered holds for a task.
+func (c *workerChoice) isValidFor(shard *ownedShard, job *liveJob, t *task) bool {
+	return c != nil && c.shard == shard && c.job == job && c.step == t.Step && c.round == t.Round &&
+		c.resources == t.Resources && slices.Equal(c.needs, t.Needs) && c.loadChanges == shard.loadChanges
 }
 
 // find gives a worker's position.
@@ -157,8 +159,8 @@
 	return slices.BinarySearchFunc(c.workers, worker, byName)
 }
 
-// placed takes note of a task that went to a worker, the only thing that has changed since.
-func (n *node) placed(c *workerChoice, worker string) {
+// recordPlacement takes note of a task that went to a worker, the only thing that has changed since.
+func (n *node) recordPlacement(c *workerChoice, worker string) {
 	at, found := c.find(worker)
 	if !found {
 		return
