--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -86,9 +86,9 @@
 	return a
 }
 
-// CounterIs tells who counts and under which epoch. One of an earlier epoch is never turned to
+// SetCounter tells who counts and under which epoch. One of an earlier epoch is never turned to
 // again: what it lends may have been lent by a later one.
-func (b *Borrower) CounterIs(name string, epoch uint64) {
+func (b *Borrower) SetCounter(name string, epoch uint64) {
 	if name == "" || epoch < b.toEpoch || epoch == b.toEpoch && name == b.to {
 		return
 	}
@@ -158,9 +158,9 @@
 	a.reserved[key] = reservation{amount: amount, sinceMs: sinceMs, untilMs: untilMs}
 }
 
-// Yields tells whether a reservation under a key is to wait: it was kept for long, its starts didn't
+// YieldReservation tells whether a reservation under a key is to wait: it was kept for long, its starts didn't
 // come, and other tasks of the tenant lack what it keeps. It is over then.
-func (b *Borrower) Yields(tenant, key string, nowMs int64) bool {
+func (b *Borrower) YieldReservation(tenant, key string, nowMs int64) bool {
 	a := b.accounts[tenant]
 	if a == nil {
 		return false
@@ -258,18 +258,18 @@
 	}
 }
 
-// LimitLowered gives up what is held of a tenant beyond what is used: it was lent by a higher
+// OnLimitLowered gives up what is held of a tenant beyond what is used: it was lent by a higher
 // limit, as what is on its way may be. Grants for what was reported until now are taken no more.
-func (b *Borrower) LimitLowered(tenant string) {
+func (b *Borrower) OnLimitLowered(tenant string) {
 	a := b.account(tenant)
 	a.held, a.reserved, a.replaces = a.used, map[string]reservation{}, false
 	b.seq++
 	b.due, b.answered = true, true
 }
 
-// Report gives the next report, if one is due, and who it is for. From then on no more is used
+// NextReport gives the next report, if one is due, and who it is for. From then on no more is used
 // than it says to keep.
-func (b *Borrower) Report(nowMs, version int64) (to string, m *wire.ShareReport) {
+func (b *Borrower) NextReport(nowMs, version int64) (to string, m *wire.ShareReport) {
 	if b.to == "" || nowMs-b.sentMs < reportSpacingMs {
 		return "", nil
 	}
@@ -381,8 +381,8 @@
 	return grown
 }
 
-// Settle forgets the claims of a tenant: more is held now, and who still lacks some tells it again.
-func (b *Borrower) Settle(tenant string) {
+// ClearClaims forgets the claims of a tenant: more is held now, and who still lacks some tells it again.
+func (b *Borrower) ClearClaims(tenant string) {
 	for _, c := range b.account(tenant).claims {
 		c.Count = 0
 	}
@@ -429,8 +429,8 @@
 	return resource.Amount{}, resource.Amount{}
 }
 
-// Waiting is how many units of a tenant wait for a share.
-func (b *Borrower) Waiting(tenant string) (count int) {
+// PendingUnits is how many units of a tenant wait for a share.
+func (b *Borrower) PendingUnits(tenant string) (count int) {
 	if a := b.accounts[tenant]; a != nil {
 		for _, c := range a.claims {
 			count += int(c.Count)
--- a/internal/quota/counter.go
+++ b/internal/quota/counter.go
@@ -23,8 +23,8 @@
 	tightPercent = 75
 )
 
-// Policy is what the counter's configuration says now.
-type Policy struct {
+// CounterConfig is what the counter's configuration says now.
+type CounterConfig struct {
 	Shards []string // all that may use shares
 	Limits *Limits
 }
@@ -95,8 +95,8 @@
 	return true
 }
 
-// Complete tells whether each shard has reported: before that nothing is lent.
-func (c *Counter) Complete(shards []string) bool {
+// HasAllReports tells whether each shard has reported: before that nothing is lent.
+func (c *Counter) HasAllReports(shards []string) bool {
 	for _, shard := range shards {
 		if c.shards[shard] == nil {
 			return false
@@ -106,8 +106,8 @@
 }
 
 // Lend lends what is free to those that claim it, and gives the messages that tell them.
-func (c *Counter) Lend(p Policy) []Grant {
-	if !c.Complete(p.Shards) {
+func (c *Counter) Lend(p CounterConfig) []Grant {
+	if !c.HasAllReports(p.Shards) {
 		return nil
 	}
 	for _, tenant := range c.tenants() { // a borrower that knows no limit asks for nothing
@@ -186,7 +186,7 @@
 			claim.Count--
 			c.shards[claim.shard].changed = true
 		}
-		if claim.Count == 0 || !limit.EverAdmits(claim.Unit, claim.Task) {
+		if claim.Count == 0 || !limit.AdmitsAlone(claim.Unit, claim.Task) {
 			continue // what the whole limit is too low for waits for a higher one
 		}
 		byTurns := limit.share(holdBackPercent).Admits(sum)
--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -47,8 +47,8 @@
 // Version is the version of the configuration that the limits are of.
 func (l *Limits) Version() int64 { return l.version }
 
-// Any tells whether there is a tenant to count.
-func (l *Limits) Any() bool { return len(l.byTenant) > 0 }
+// HasTenants tells whether there is a tenant to count.
+func (l *Limits) HasTenants() bool { return len(l.byTenant) > 0 }
 
 // Of is a tenant's limit; none for a tenant that no version has declared.
 func (l *Limits) Of(tenant string) Limit { return l.byTenant[tenant] }
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -162,7 +162,7 @@
 	lowered := d.limits.Adopt(version, version-1, map[string]Limit{modelTenant: m.versions[version-1]})
 	for _, o := range m.allOwners() {
 		if o.daemon == d && len(lowered) > 0 {
-			o.borrower.LimitLowered(modelTenant)
+			o.borrower.OnLimitLowered(modelTenant)
 		}
 	}
 }
@@ -228,7 +228,7 @@
 		}
 	}
 	m.forget()
-	o.borrower.CounterIs(m.counting().daemon.name, m.counting().epoch)
+	o.borrower.SetCounter(m.counting().daemon.name, m.counting().epoch)
 }
 
 // forget lets go of what is over, and has lost placements wait again.
@@ -322,7 +322,7 @@
 func (m *model) advance(o *modelOwner, u *modelUnit) {
 	limit := o.daemon.limits.Of(modelTenant)
 	switch {
-	case o.borrower.Yields(modelTenant, u.key(), m.nowMs):
+	case o.borrower.YieldReservation(modelTenant, u.key(), m.nowMs):
 	case !o.borrower.FitsReserved(modelTenant, u.key(), u.amount(), u.task, limit, m.nowMs):
 		o.borrower.Claim(modelTenant, u.key(), wire.ShareClaim{
 			Job: u.key(), SubmittedMs: u.sinceMs, Unit: u.amount(), Task: u.task, Count: 1,
@@ -358,9 +358,9 @@
 	}
 	if m.rng.IntN(3) > 0 { // what is told of earlier ones comes late
 		c := pick(m, append(slices.Clone(m.countings), m.counting(), m.counting()))
-		o.borrower.CounterIs(c.daemon.name, c.epoch)
+		o.borrower.SetCounter(c.daemon.name, c.epoch)
 	}
-	if _, report := o.borrower.Report(m.nowMs, o.daemon.limits.Version()); report != nil {
+	if _, report := o.borrower.NextReport(m.nowMs, o.daemon.limits.Version()); report != nil {
 		m.send(modelMessage{report: report})
 	}
 }
@@ -372,7 +372,7 @@
 
 // lend has a counter lend, whether it still counts or only believes so.
 func (m *model) lend(c *modelCounting) {
-	for _, g := range c.counter.Lend(Policy{Shards: modelShards, Limits: &c.daemon.limits}) {
+	for _, g := range c.counter.Lend(CounterConfig{Shards: modelShards, Limits: &c.daemon.limits}) {
 		m.send(modelMessage{grant: g.Message})
 	}
 }
@@ -392,7 +392,7 @@
 			continue
 		}
 		for _, tenant := range o.borrower.OnGrant(message.grant, m.nowMs, o.daemon.limits.Version()) {
-			o.borrower.Settle(tenant)
+			o.borrower.ClearClaims(tenant)
 			for _, u := range slices.Clone(m.waiting) {
 				if u.shard == o.shard {
 					m.advance(o, u)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -52,8 +52,8 @@
 	return l.Admits(others.Plus(unit)) || others == resource.Amount{} && l.Admits(unit.Minus(task))
 }
 
-// EverAdmits tells whether a unit may start once nothing else of its tenant is held.
-func (l Limit) EverAdmits(unit, task resource.Amount) bool {
+// AdmitsAlone tells whether a unit may start once nothing else of its tenant is held.
+func (l Limit) AdmitsAlone(unit, task resource.Amount) bool {
 	return l.admitsUnit(resource.Amount{}, unit, task)
 }
 
--- a/internal/scheduler/assignment.go
+++ b/internal/scheduler/assignment.go
@@ -28,16 +28,16 @@
 	Name     string
 	Rack     string
 	Capacity resource.Amount
-	// Sure is the room that no guaranteed task holds. What queueable tasks hold counts as
+	// FreeAfterPreemption is the room that no guaranteed task holds. What queueable tasks hold counts as
 	// room, since it can be freed.
-	Sure resource.Amount
+	FreeAfterPreemption resource.Amount
 	// Free is the room that nothing holds.
 	Free resource.Amount
 }
 
 // take has a candidate hold so much more; a negative amount gives room back.
 func (c *Candidate) take(room resource.Amount) {
-	c.Sure, c.Free = c.Sure.Minus(room), c.Free.Minus(room)
+	c.FreeAfterPreemption, c.Free = c.FreeAfterPreemption.Minus(room), c.Free.Minus(room)
 }
 
 // freeShare is the part of a worker that is free, in thousandths, in its scarcer dimension.
@@ -51,27 +51,27 @@
 
 // Group is what tasks that are alike ask of workers.
 type Group struct {
-	Resources resource.Amount // of each task
-	Size      int             // tasks in all, placed or not
-	PerWorker int32           // most of them on one worker; 0 for any number
-	Gang      bool            // they start together or not at all
-	SameRack  bool            // a gang that runs longer over several racks
-	Near      string          // the rack that holds their data; "" for none
-	Avoid     map[string]bool // workers where some of them just failed
-	Doubted   map[string]bool // workers that anything speaks against
+	Resources    resource.Amount // of each task
+	Size         int             // tasks in all, placed or not
+	MaxPerWorker int32           // most of them on one worker; 0 for any number
+	Gang         bool            // they start together or not at all
+	SameRack     bool            // a gang that runs longer over several racks
+	DataRack     string          // the rack that holds their data; "" for none
+	Avoid        map[string]bool // workers where some of them just failed
+	Suspect      map[string]bool // workers that anything speaks against
 }
 
 // Assignment searches sure room for the tasks of a group.
 type Assignment struct {
 	Group Group
-	// Used counts the tasks of the group on each worker. Find adds what it assigns.
-	Used map[string]int32
+	// TaskCounts counts the tasks of the group on each worker. Find adds what it assigns.
+	TaskCounts map[string]int32
 	// Reserved are workers kept for others.
 	Reserved map[string]bool
 	// Urgent is work of the most urgent queues: nothing is kept back from it.
 	Urgent bool
-	// Kept is the share of each worker, in percent, that other work leaves to urgent work.
-	Kept resource.Amount
+	// HeadroomPercent is the share of each worker, in percent, that other work leaves to urgent work.
+	HeadroomPercent resource.Amount
 	// WaitsForRack has a gang that asks for one rack take no more, if one could ever hold it.
 	WaitsForRack bool
 }
@@ -120,7 +120,7 @@
 	}
 	for _, c := range found {
 		c.take(resource.Amount{}.Minus(a.Group.Resources))
-		a.Used[c.Name]--
+		a.TaskCounts[c.Name]--
 	}
 	return nil
 }
@@ -131,7 +131,7 @@
 func (a *Assignment) fill(open int, candidates []*Candidate) (found []*Candidate) {
 	best := make(scoreHeap, 0, len(candidates))
 	for i, c := range candidates {
-		if a.May(c) {
+		if a.CanPlace(c) {
 			best = append(best, scored{a.score(c), i})
 		}
 	}
@@ -139,9 +139,9 @@
 	for len(found) < open && len(best) > 0 {
 		c := candidates[best[0].index]
 		c.take(a.Group.Resources)
-		a.Used[c.Name]++
+		a.TaskCounts[c.Name]++
 		found = append(found, c)
-		if a.May(c) {
+		if a.CanPlace(c) {
 			best[0].score = a.score(c)
 			heap.Fix(&best, 0)
 		} else {
@@ -151,23 +151,23 @@
 	return found
 }
 
-// May tells whether a worker's sure room holds one more. Queues below the most urgent ones
+// CanPlace tells whether a worker's sure room holds one more. Queues below the most urgent ones
 // leave a part of each worker to those, where they can do without it.
 //
 // Example: if search.May(candidate) { … }
-func (a *Assignment) May(c *Candidate) bool {
-	if a.Reserved[c.Name] || a.Group.PerWorker > 0 && a.Used[c.Name] >= a.Group.PerWorker {
+func (a *Assignment) CanPlace(c *Candidate) bool {
+	if a.Reserved[c.Name] || a.Group.MaxPerWorker > 0 && a.TaskCounts[c.Name] >= a.Group.MaxPerWorker {
 		return false
 	}
-	if !a.Group.Resources.Fits(c.Sure) {
+	if !a.Group.Resources.Fits(c.FreeAfterPreemption) {
 		return false
 	}
 	if a.Urgent {
 		return true
 	}
-	kept := KeptRoom(c.Capacity, resource.Amount{}, a.Kept)
+	kept := UrgentHeadroom(c.Capacity, resource.Amount{}, a.HeadroomPercent)
 	needsAll := !a.Group.Resources.Fits(c.Capacity.Minus(kept))
-	return needsAll || a.Group.Resources.Fits(c.Sure.Minus(kept))
+	return needsAll || a.Group.Resources.Fits(c.FreeAfterPreemption.Minus(kept))
 }
 
 // score prefers a worker that is free without a stop, then one near the data, then the
@@ -180,7 +180,7 @@
 	if a.nearness(c.Rack) > 0 {
 		score += scoreNear
 	}
-	if a.Group.Doubted[c.Name] {
+	if a.Group.Suspect[c.Name] {
 		score -= scoreDoubted
 	}
 	if a.Group.Avoid[c.Name] {
@@ -190,7 +190,7 @@
 }
 
 func (a *Assignment) nearness(rack string) int {
-	if a.Group.Near != "" && a.Group.Near == rack {
+	if a.Group.DataRack != "" && a.Group.DataRack == rack {
 		return 1
 	}
 	return 0
@@ -210,7 +210,7 @@
 		}
 		held := int64(0)
 		for _, c := range racks[name] {
-			held += g.timesAt(c.Sure)
+			held += g.timesAt(c.FreeAfterPreemption)
 		}
 		if held > mostHeld {
 			best, mostHeld = racks[name], held
@@ -230,9 +230,9 @@
 
 // timesAt is how many tasks of a group some room of one worker holds.
 func (g *Group) timesAt(room resource.Amount) int64 {
-	times := TimesIn(g.Resources, room)
-	if g.PerWorker > 0 {
-		times = min(times, int64(g.PerWorker))
+	times := FitCount(g.Resources, room)
+	if g.MaxPerWorker > 0 {
+		times = min(times, int64(g.MaxPerWorker))
 	}
 	return times
 }
@@ -240,10 +240,10 @@
 // manyTimes stands for any number: what needs no room fits as often.
 const manyTimes = 1 << 20
 
-// TimesIn is how often some room fits into another.
+// FitCount is how often some room fits into another.
 //
-// Example: TimesIn(resource.Amount{CPU: 2}, resource.Amount{CPU: 5}) is 2
-func TimesIn(room, in resource.Amount) int64 {
+// Example: FitCount(resource.Amount{CPU: 2}, resource.Amount{CPU: 5}) is 2
+func FitCount(room, in resource.Amount) int64 {
 	times, wanted, had := int64(manyTimes), parts(room), parts(in)
 	for i := range wanted {
 		if wanted[i] > 0 {
@@ -253,10 +253,10 @@
 	return times
 }
 
-// MostlyIdle tells whether, in some dimension, no more than a share of all room is in use.
+// IdleInSomeDimension tells whether, in some dimension, no more than a share of all room is in use.
 //
-// Example: idle := scheduler.MostlyIdle(candidates, 55)
-func MostlyIdle(candidates []*Candidate, busyPercent int64) bool {
+// Example: idle := scheduler.IdleInSomeDimension(candidates, 55)
+func IdleInSomeDimension(candidates []*Candidate, busyPercent int64) bool {
 	var free, all resource.Amount
 	for _, c := range candidates {
 		free, all = free.Plus(c.Free), all.Plus(c.Capacity)
@@ -265,11 +265,11 @@
 	return free.CPU > idle.CPU || free.Memory > idle.Memory || free.GPU > idle.GPU
 }
 
-// IdleThroughout tells whether, in every dimension that workers have, no more than a share of
+// IdleInAllDimensions tells whether, in every dimension that workers have, no more than a share of
 // all room is in use: then even room that is kept for others may go.
 //
-// Example: idle := scheduler.IdleThroughout(candidates, 55)
-func IdleThroughout(candidates []*Candidate, busyPercent int64) bool {
+// Example: idle := scheduler.IdleInAllDimensions(candidates, 55)
+func IdleInAllDimensions(candidates []*Candidate, busyPercent int64) bool {
 	var free, all resource.Amount
 	for _, c := range candidates {
 		free, all = free.Plus(c.Free), all.Plus(c.Capacity)
--- a/internal/scheduler/class.go
+++ b/internal/scheduler/class.go
@@ -2,10 +2,10 @@
 
 // TaskFacts are what the class of a task goes by.
 type TaskFacts struct {
-	Batch    bool
-	Gang     bool
-	Lasting  bool
-	Preempts int64 // how often it was preempted
+	Batch       bool
+	Gang        bool
+	Lasting     bool
+	Preemptions int64 // how often it was preempted
 	// EstimateMs is how long the task is expected to run; 0 where nothing is known.
 	EstimateMs int64
 }
@@ -28,7 +28,7 @@
 		return true, "a gang starts whole"
 	case t.Lasting:
 		return true, "it lasts until it is cancelled"
-	case t.Preempts >= preemptsMost:
+	case t.Preemptions >= preemptsMost:
 		return true, "it was preempted as often as a task may be"
 	case t.EstimateMs == 0:
 		return true, "nothing is known of how long it runs"
--- a/internal/scheduler/estimate.go
+++ b/internal/scheduler/estimate.go
@@ -43,16 +43,16 @@
 	o.usedMs, o.shared = nowMs, false
 }
 
-// Adopt takes a mean that another daemon learned, unless one was learned here within a span:
+// MergeRemote takes a mean that another daemon learned, unless one was learned here within a span:
 // what was seen here lately counts more.
-func (e *Estimates) Adopt(name string, mean float64, nowMs, freshMs int64) {
+func (e *Estimates) MergeRemote(name string, mean float64, nowMs, freshMs int64) {
 	if o := e.of(name, mean); nowMs-o.usedMs > freshMs {
 		o.Mean, o.shared = mean, true
 	}
 }
 
-// Unshared gives the names learned here since they were last given, in order, some at a time.
-func (e *Estimates) Unshared() (names []string) {
+// TakeUnshared gives the names learned here since they were last given, in order, some at a time.
+func (e *Estimates) TakeUnshared() (names []string) {
 	for _, name := range slices.Sorted(maps.Keys(e.byName)) {
 		if o := e.byName[name]; !o.shared && len(names) < estimatesShared {
 			o.shared = true
--- a/internal/scheduler/fairorder.go
+++ b/internal/scheduler/fairorder.go
@@ -13,7 +13,7 @@
 	Precedence  int64 // higher ones come first
 	Tenant      string
 	Share       float64 // of its tenant before, see WeightedShare; the same in all its requests
-	Adds        float64 // to that share, where the request gets what it asks for
+	AddedShare  float64 // to that share, where the request gets what it asks for
 	SubmittedMs int64
 	Job         string
 	Step        int64
@@ -88,7 +88,7 @@
 		line := turns[0]
 		at := line.waiting[0]
 		order, line.waiting = append(order, at), line.waiting[1:]
-		line.share += requests[at].Adds
+		line.share += requests[at].AddedShare
 		shares[requests[at].Tenant] = line.share
 		if len(line.waiting) == 0 {
 			heap.Pop(&turns)
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -43,21 +43,21 @@
 // Conclusive tells whether the worker is to get no more work for now.
 func (e *Evidence) Conclusive() bool { return e.score >= conclusive }
 
-// Doubtful tells whether some failures speak against the worker: a task's last attempt is
+// Suspect tells whether some failures speak against the worker: a task's last attempt is
 // better made elsewhere.
-func (e *Evidence) Doubtful() bool { return e.score > 0 }
+func (e *Evidence) Suspect() bool { return e.score > 0 }
 
 // StartProbation has the worker tried again with real work, and judged sooner.
 func (e *Evidence) StartProbation() { e.score = conclusive * probationShare }
 
-// EndCounts counts how tasks ended, in hundredths, so that old ends can count for less.
-type EndCounts struct{ Succeeded, Failed int64 }
+// OutcomeCounts counts how tasks ended, in hundredths, so that old ends can count for less.
+type OutcomeCounts struct{ Succeeded, Failed int64 }
 
 // endWeight is what one end counts for.
 const endWeight = 100
 
 // Observe counts one end.
-func (c *EndCounts) Observe(failed bool) {
+func (c *OutcomeCounts) Observe(failed bool) {
 	if failed {
 		c.Failed += endWeight
 	} else {
@@ -66,24 +66,24 @@
 }
 
 // Decay has past ends count for a quarter less.
-func (c *EndCounts) Decay() { c.Succeeded, c.Failed = c.Succeeded*3/4, c.Failed*3/4 }
+func (c *OutcomeCounts) Decay() { c.Succeeded, c.Failed = c.Succeeded*3/4, c.Failed*3/4 }
 
 // Plus adds other counts.
-func (c EndCounts) Plus(o EndCounts) EndCounts {
-	return EndCounts{c.Succeeded + o.Succeeded, c.Failed + o.Failed}
+func (c OutcomeCounts) Plus(o OutcomeCounts) OutcomeCounts {
+	return OutcomeCounts{c.Succeeded + o.Succeeded, c.Failed + o.Failed}
 }
 
 // FailRate is the share of ends that failed, of 0 to 1. Few ends say little: the rate of an
 // unknown queue counts as some more of them.
-func (c EndCounts) FailRate() float64 {
+func (c OutcomeCounts) FailRate() float64 {
 	const priorEnds = 10 * endWeight
 	return (float64(c.Failed) + priorEnds*unknownFailRate) / (float64(c.Succeeded+c.Failed) + priorEnds)
 }
 
-// UnknownFailRate is the rate of a queue of which nobody has told.
+// DefaultFailRate is the rate of a queue of which nobody has told.
 //
-// Example: evidence.Observe(failed, scheduler.UnknownFailRate())
-func UnknownFailRate() float64 { return unknownFailRate }
+// Example: evidence.Observe(failed, scheduler.DefaultFailRate())
+func DefaultFailRate() float64 { return unknownFailRate }
 
 const (
 	// slowLeastEnds a worker must have had before it is called slow.
--- a/internal/scheduler/policy.go
+++ b/internal/scheduler/policy.go
@@ -30,8 +30,8 @@
 	AvoidLast Policy = "avoid_last"
 	// EjectUnhealthy gives no more work to workers that fail or lag far more than others.
 	EjectUnhealthy Policy = "eject_unhealthy"
-	// ShunQuiet gives new work to workers that were just heard of before others.
-	ShunQuiet Policy = "shun_quiet"
+	// AvoidSilent gives new work to workers that were just heard of before others.
+	AvoidSilent Policy = "shun_quiet"
 	// LearnedEstimates corrects callers' guesses of run times by how earlier ones turned out.
 	LearnedEstimates Policy = "learned_estimates"
 	// Recall takes back tasks that wait at a worker while another has room.
@@ -69,7 +69,7 @@
 }
 
 var optional = []Policy{
-	UrgentRoom, RetryAtOnce, NearData, RackWait, AvoidLast, EjectUnhealthy, ShunQuiet, LearnedEstimates, Recall, Promotion,
+	UrgentRoom, RetryAtOnce, NearData, RackWait, AvoidLast, EjectUnhealthy, AvoidSilent, LearnedEstimates, Recall, Promotion,
 	Reservation, Backfill, StrongRoles, GatherWrites, ForwardRetry, RankedChoice, DelayTarget,
 	TenantWeight, WeightedFairness,
 }
--- a/internal/scheduler/tenantweight.go
+++ b/internal/scheduler/tenantweight.go
@@ -21,12 +21,12 @@
 	atMs int64   // when that was so
 }
 
-// IsExcess counts one job of a tenant that may send perSecond jobs a second, and tells whether it
+// CountJob counts one job of a tenant that may send perSecond jobs a second, and tells whether it
 // is beyond that. A job that is beyond takes nothing from those that follow. A tenant whose rate
 // is 0 has none.
 //
-// Example: excess := rates.IsExcess("kaje80", weight/shards, nowMs)
-func (r *JobRates) IsExcess(tenant string, perSecond float64, nowMs int64) bool {
+// Example: excess := rates.CountJob("kaje80", weight/shards, nowMs)
+func (r *JobRates) CountJob(tenant string, perSecond float64, nowMs int64) bool {
 	if perSecond <= 0 {
 		return false
 	}
--- a/internal/scheduler/urgentroom.go
+++ b/internal/scheduler/urgentroom.go
@@ -3,9 +3,9 @@
 import "otterchute/internal/resource"
 
 const (
-	// UrgentPercent is the share of each worker that is kept for the most urgent queues
+	// DefaultHeadroomPercent is the share of each worker that is kept for the most urgent queues
 	// while nobody has seen what they use.
-	UrgentPercent = 12
+	DefaultHeadroomPercent = 12
 	// urgentLeast and urgentMost bound what is kept, in percent: a queue that rests still
 	// finds room for a few tasks, and one that floods the fleet leaves others most of it.
 	urgentLeast = 6
@@ -20,9 +20,9 @@
 	urgentFall = 0.025
 )
 
-// UrgentShare follows how much of all room the most urgent queues use and says how much of
-// each worker is kept for them, by dimension. Its zero value keeps UrgentPercent.
-type UrgentShare struct {
+// HeadroomEstimator follows how much of all room the most urgent queues use and says how much of
+// each worker is kept for them, by dimension. Its zero value keeps DefaultHeadroomPercent.
+type HeadroomEstimator struct {
 	used  [dimensions]float64 // mean share of all room, in percent
 	known bool
 }
@@ -33,7 +33,7 @@
 func parts(a resource.Amount) [dimensions]int64 { return [dimensions]int64{a.CPU, a.Memory, a.GPU} }
 
 // Observe takes what the urgent queues hold, or wait for, of all room, ten times a second.
-func (s *UrgentShare) Observe(used, all resource.Amount) {
+func (s *HeadroomEstimator) Observe(used, all resource.Amount) {
 	u, a := parts(used), parts(all)
 	for i := range s.used {
 		if a[i] <= 0 {
@@ -52,9 +52,9 @@
 }
 
 // Percent is the share of each dimension of a worker to keep.
-func (s *UrgentShare) Percent() resource.Amount {
+func (s *HeadroomEstimator) Percent() resource.Amount {
 	if !s.known {
-		return resource.Amount{CPU: UrgentPercent, Memory: UrgentPercent, GPU: UrgentPercent}
+		return resource.Amount{CPU: DefaultHeadroomPercent, Memory: DefaultHeadroomPercent, GPU: DefaultHeadroomPercent}
 	}
 	keep := func(i int) int64 {
 		return min(max(int64(s.used[i]*(100+urgentMargin)/100+urgentSlack), urgentLeast), urgentMost)
@@ -62,11 +62,11 @@
 	return resource.Amount{CPU: keep(0), Memory: keep(1), GPU: keep(2)}
 }
 
-// KeptRoom is the room of a worker that other queues leave to the urgent ones: the kept
+// UrgentHeadroom is the room of a worker that other queues leave to the urgent ones: the kept
 // share, in percent by dimension, without what the urgent ones use there already.
 //
-// Example: free = free.Minus(scheduler.KeptRoom(capacity, urgent, percent))
-func KeptRoom(capacity, urgentUsed, percent resource.Amount) resource.Amount {
+// Example: free = free.Minus(scheduler.UrgentHeadroom(capacity, urgent, percent))
+func UrgentHeadroom(capacity, urgentUsed, percent resource.Amount) resource.Amount {
 	keep := func(all, used, share int64) int64 { return max(all*share/100-used, 0) }
 	return resource.Amount{
 		CPU:    keep(capacity.CPU, urgentUsed.CPU, percent.CPU),
