--- a/internal/cluster/directory.go
+++ b/internal/cluster/directory.go
@@ -21,12 +21,12 @@
 const (
 	// AliveTimeoutMs is how long a peer's heartbeat may stay unchanged before the peer counts as
 	// dead.
-	AliveMs = 4000
+	AliveTimeoutMs = 4000
 	// ColocatedAliveTimeoutMs is the same for daemons colocated with workers. Their heartbeats are
 	// only sent in full digests, and they hold no role that another daemon waits to take over.
-	ColocatedAliveMs = 15_000
+	ColocatedAliveTimeoutMs = 15_000
 	// GossipIntervalMs is the interval between rounds of gossip.
-	RoundMs = 500
+	GossipIntervalMs = 500
 	// colocatedGossipIntervalMs is the interval of colocated daemons, which gossip only with
 	// standalone ones.
 	colocatedGossipIntervalMs = 2000
@@ -70,8 +70,8 @@
 // Peer is the record of another daemon.
 type Peer struct {
 	wire.Peer
-	HeardMs int64 // when its heartbeat last advanced, by this daemon's monotonic clock
-	hash    uint64
+	LastHeartbeatMs int64 // when its heartbeat last advanced, by this daemon's monotonic clock
+	hash            uint64
 }
 
 // Directory is one daemon's table of its peers.
@@ -112,7 +112,7 @@
 
 // Record replaces the record of a peer, with the time of its last heartbeat.
 func (d *Directory) Record(p wire.Peer, lastHeartbeatMs int64) {
-	d.peers[p.Name] = &Peer{Peer: p, HeardMs: lastHeartbeatMs}
+	d.peers[p.Name] = &Peer{Peer: p, LastHeartbeatMs: lastHeartbeatMs}
 	d.indexByHash(d.peers[p.Name])
 }
 
@@ -122,16 +122,16 @@
 		return true
 	}
 	p := d.peers[name]
-	return p != nil && d.host.NowMs()-p.HeardMs < d.aliveTimeoutMs(p)
+	return p != nil && d.host.NowMs()-p.LastHeartbeatMs < d.aliveTimeoutMs(p)
 }
 
 // aliveTimeoutMs returns how long a peer's heartbeat may stay unchanged here. Heartbeats take
 // longer to reach colocated daemons, and to get from them to others.
 func (d *Directory) aliveTimeoutMs(p *Peer) int64 {
 	if p.Colocated || d.host.Self().Colocated {
-		return ColocatedAliveMs
+		return ColocatedAliveTimeoutMs
 	}
-	return AliveMs
+	return AliveTimeoutMs
 }
 
 // AliveCount returns the number of live daemons, including this one.
@@ -163,7 +163,7 @@
 	if p == nil {
 		return 0, false
 	}
-	return d.host.NowMs() - p.HeardMs, true
+	return d.host.NowMs() - p.LastHeartbeatMs, true
 }
 
 // Describe returns the description of a daemon, which may be this one; the zero Peer if unknown.
@@ -222,9 +222,9 @@
 	oldest := ""
 	for _, name := range d.Names() {
 		switch p := d.peers[name]; {
-		case d.host.NowMs()-p.HeardMs > peerExpiryMs:
+		case d.host.NowMs()-p.LastHeartbeatMs > peerExpiryMs:
 			delete(d.peers, name)
-		case oldest == "" || p.HeardMs < d.peers[oldest].HeardMs:
+		case oldest == "" || p.LastHeartbeatMs < d.peers[oldest].LastHeartbeatMs:
 			oldest = name
 		}
 	}
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -8,7 +8,7 @@
 	if now < d.nextRoundMs {
 		return false
 	}
-	d.nextRoundMs = now + RoundMs
+	d.nextRoundMs = now + GossipIntervalMs
 	switch {
 	case d.host.Forming():
 		d.nextRoundMs = now + formingGossipIntervalMs
@@ -170,7 +170,7 @@
 		return
 	}
 	if p := d.peers[name]; h.Heartbeat > int32(p.Heartbeat) {
-		p.Heartbeat, p.HeardMs = uint64(h.Heartbeat), d.host.NowMs()
+		p.Heartbeat, p.LastHeartbeatMs = uint64(h.Heartbeat), d.host.NowMs()
 	}
 }
 
--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -40,7 +40,7 @@
 )
 
 // DocumentSchema is the schema of a configuration document.
-var Fields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
+var DocumentSchema = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"note":        {Kind: schema.Text, Max: 1000},
 	"queues":      {Kind: schema.List, Required: true, Max: 20_000, Elem: &queueSchema},
 	"contracts":   {Kind: schema.List, Max: 100, Elem: &contractSchema},
@@ -51,13 +51,13 @@
 
 // Configuration is a compiled document. It is shared by many goroutines and never modified.
 type Configuration struct {
-	Version    int64
-	Queues     map[string]*Queue
-	EmptyZones map[string]bool // declared in the document, or emptied separately
-	Contracts  map[string]*Contract
-	Lowest     int64 // urgency, of the queues without batches
-	Highest    int64
-	Tenants    map[string]*Tenant // by name; nil if the document declares none
+	Version        int64
+	Queues         map[string]*Queue
+	EmptyZones     map[string]bool // declared in the document, or emptied separately
+	Contracts      map[string]*Contract
+	LowestUrgency  int64 // urgency, of the queues without batches
+	HighestUrgency int64
+	Tenants        map[string]*Tenant // by name; nil if the document declares none
 
 	digest             [sha256.Size]byte // of the document; zero if it was not sent by an operator
 	declaredEmptyZones []string          // those of EmptyZones that the document declares
@@ -103,7 +103,7 @@
 
 // WithEmptiedZones returns the configuration with additional zones that were emptied separately
 // from the document.
-func (c *Configuration) WithEmptied(zones []string) *Configuration {
+func (c *Configuration) WithEmptiedZones(zones []string) *Configuration {
 	next := *c
 	next.EmptyZones = map[string]bool{}
 	for _, zone := range append(slices.Clone(c.declaredEmptyZones), zones...) {
@@ -132,12 +132,12 @@
 	if len(doc) > MaxBytes {
 		return nil, []schema.Fault{{Path: "", Reason: "is larger than 16 MiB"}}
 	}
-	if faults := schema.Check(doc, Fields); len(faults) > 0 {
+	if faults := schema.Check(doc, DocumentSchema); len(faults) > 0 {
 		return nil, faults
 	}
 	root := gjson.ParseBytes(doc)
 	c := compiler{config: &Configuration{Version: version, Queues: map[string]*Queue{}, EmptyZones: map[string]bool{},
-		Lowest: 1 << 40, prefixesByHost: map[string]*hostPrefixes{}, Contracts: map[string]*Contract{}}}
+		LowestUrgency: 1 << 40, prefixesByHost: map[string]*hostPrefixes{}, Contracts: map[string]*Contract{}}}
 	for i, contract := range root.Get("contracts").Array() {
 		c.addContract("contracts."+strconv.Itoa(i), contract)
 	}
--- a/internal/configuration/contract.go
+++ b/internal/configuration/contract.go
@@ -61,7 +61,7 @@
 }
 
 // BatchRules are the rules for the batches of a queue.
-type Batch struct {
+type BatchRules struct {
 	Contract     *Contract
 	FinishByMs   int64 // time to complete a job after it was submitted or became due
 	SharePercent int64 // maximum share of each worker's capacity
@@ -205,8 +205,8 @@
 }
 
 // compileBatchRules compiles and checks the batch rules of a queue.
-func (c *compiler) compileBatchRules(path string, doc gjson.Result) *Batch {
-	b := &Batch{
+func (c *compiler) compileBatchRules(path string, doc gjson.Result) *BatchRules {
+	b := &BatchRules{
 		Contract:     c.config.Contracts[doc.Get("contract").Str],
 		FinishByMs:   int64(doc.Get("finish_by_hours").Num * msPerHour),
 		SharePercent: doc.Get("share_percent").Int(),
@@ -222,7 +222,7 @@
 
 // PriceWindows returns the periods of one price between two times, in order. The first may start
 // before, the last may end after.
-func (k *Contract) Windows(fromMs, toMs int64) (out []PriceWindow) {
+func (k *Contract) PriceWindows(fromMs, toMs int64) (out []PriceWindow) {
 	if len(k.spans) == 1 {
 		return []PriceWindow{{math.MinInt64 / 2, math.MaxInt64 / 2, k.spans[0].Price}}
 	}
--- a/internal/configuration/queue.go
+++ b/internal/configuration/queue.go
@@ -44,21 +44,21 @@
 
 // Queue is one queue of a Configuration.
 type Queue struct {
-	Name       string
-	Urgency    int64    // higher goes first; negative for batch queues
-	Quota      int64    // queueable tasks that one job may have outstanding
-	TrustLimit bool     // its workers always end a run at its limit, even while cut off
-	Selector   []Choice // its worker group
-	Admission  []Rule   // rules that a new job must pass, in order
-	Addresses  []Address
-	LatencyMs  int64   // target for a job's time
-	Stretch    float64 // target for the ratio of a job's time to its execution time alone
-	Batch      *Batch  // nil if its jobs don't wait for cheap hours
-	Open       bool    // callers need no key
+	Name          string
+	Urgency       int64              // higher goes first; negative for batch queues
+	Quota         int64              // queueable tasks that one job may have outstanding
+	TrustRunLimit bool               // its workers always end a run at its limit, even while cut off
+	Selector      []LabelRequirement // its worker group
+	Admission     []Rule             // rules that a new job must pass, in order
+	Addresses     []Address
+	LatencyMs     int64       // target for a job's time
+	Stretch       float64     // target for the ratio of a job's time to its execution time alone
+	Batch         *BatchRules // nil if its jobs don't wait for cheap hours
+	Open          bool        // callers need no key
 }
 
 // LabelRequirement is a label of a selector and its allowed values.
-type Choice struct {
+type LabelRequirement struct {
 	Key    string
 	Values []string
 }
@@ -135,14 +135,14 @@
 		return
 	}
 	q := &Queue{
-		Name:       name,
-		Urgency:    doc["urgency"].Int(),
-		Quota:      cmp.Or(doc["quota"].Int(), defaultQuota),
-		TrustLimit: doc["trust_run_limit"].Bool(),
-		Selector:   parseSelector(doc["selector"]),
-		LatencyMs:  doc["latency_ms"].Int(),
-		Stretch:    doc["stretch"].Num,
-		Open:       doc["open"].Bool(),
+		Name:          name,
+		Urgency:       doc["urgency"].Int(),
+		Quota:         cmp.Or(doc["quota"].Int(), defaultQuota),
+		TrustRunLimit: doc["trust_run_limit"].Bool(),
+		Selector:      parseSelector(doc["selector"]),
+		LatencyMs:     doc["latency_ms"].Int(),
+		Stretch:       doc["stretch"].Num,
+		Open:          doc["open"].Bool(),
 	}
 	q.Admission = c.compileAdmission(path, doc)
 	c.addAddresses(path, q, doc)
@@ -153,14 +153,14 @@
 		q.Admission = slices.Insert(q.Admission, 0, Rule{RuleNoGangs, 1})
 		return
 	}
-	c.config.Lowest = min(c.config.Lowest, q.Urgency)
-	c.config.Highest = max(c.config.Highest, q.Urgency)
+	c.config.LowestUrgency = min(c.config.LowestUrgency, q.Urgency)
+	c.config.HighestUrgency = max(c.config.HighestUrgency, q.Urgency)
 }
 
-func parseSelector(doc gjson.Result) (out []Choice) {
+func parseSelector(doc gjson.Result) (out []LabelRequirement) {
 	labels := doc.Map()
 	for _, key := range slices.Sorted(maps.Keys(labels)) {
-		choice := Choice{Key: key}
+		choice := LabelRequirement{Key: key}
 		for _, value := range labels[key].Array() {
 			choice.Values = append(choice.Values, value.Str)
 		}
--- a/internal/configuration/record.go
+++ b/internal/configuration/record.go
@@ -18,19 +18,19 @@
 
 // RegisterName is the name of the register that holds the newest Record. It is stored on disk and
 // sent on the wire.
-const Register = "setup"
+const RegisterName = "setup"
 
 // MaxPastVersions is how many accepted versions are listed for operators.
-const MaxShown = 50
+const MaxPastVersions = 50
 
 // Record is the value of the register: the newest version and its history. The zero Record is that
 // of a cluster without a configuration.
 type Record struct {
-	Version  int64
-	Document []byte // compressed by Deflate
-	Past     []VersionInfo
-	Emptied  []string // zones emptied by an operator's command, separately from the document; sorted
-	Accepted History
+	Version         int64
+	Document        []byte // compressed by Deflate
+	PastVersions    []VersionInfo
+	EmptiedZones    []string // zones emptied by an operator's command, separately from the document; sorted
+	AcceptedChanges History
 }
 
 // VersionInfo is the summary of an accepted version, for operators.
@@ -52,25 +52,25 @@
 		Bytes:   int64(len(doc)),
 		AtMs:    atMs,
 	}
-	past := append(slices.Clone(r.Past), info)
-	if len(past) > MaxShown {
-		past = past[len(past)-MaxShown:]
+	past := append(slices.Clone(r.PastVersions), info)
+	if len(past) > MaxPastVersions {
+		past = past[len(past)-MaxPastVersions:]
 	}
 	return Record{
-		Version:  change.Version,
-		Document: Deflate(doc),
-		Past:     past,
-		Emptied:  r.Emptied,
-		Accepted: r.Accepted.With(change),
+		Version:         change.Version,
+		Document:        Deflate(doc),
+		PastVersions:    past,
+		EmptiedZones:    r.EmptiedZones,
+		AcceptedChanges: r.AcceptedChanges.With(change),
 	}
 }
 
 // Previous returns the version accepted before this one; 0 for none.
 func (r *Record) Previous() int64 {
-	if len(r.Past) < 2 {
+	if len(r.PastVersions) < 2 {
 		return 0
 	}
-	return r.Past[len(r.Past)-2].Version
+	return r.PastVersions[len(r.PastVersions)-2].Version
 }
 
 // Compile compiles the record's document, without the zones emptied separately.
@@ -126,7 +126,7 @@
 func (p *Precompiler) Compile(msg any) *Configuration {
 	m, ok := msg.(*wire.RegisterValue)
 	var r Record
-	if !ok || m.Register != Register || codec.Unmarshal(m.Value, &r) != nil || r.Version == 0 {
+	if !ok || m.Register != RegisterName || codec.Unmarshal(m.Value, &r) != nil || r.Version == 0 {
 		return nil
 	}
 	p.mu.Lock()
@@ -141,13 +141,13 @@
 // ReaderValueCache caches the register's value without the history of its changes, which only a
 // change of the register needs. All daemons read each new value, so it is encoded once. The zero
 // ReaderValueCache is ready to use.
-type ReaderCopy struct {
+type ReaderValueCache struct {
 	ballot register.Ballot
 	value  []byte
 }
 
 // Value returns an acceptor's value in the form sent to readers.
-func (c *ReaderCopy) Of(a *register.Acceptor) []byte {
+func (c *ReaderValueCache) Value(a *register.Acceptor) []byte {
 	if c.ballot == a.Accepted && c.value != nil {
 		return c.value
 	}
@@ -155,7 +155,7 @@
 	if codec.Unmarshal(a.Value, &r) != nil {
 		return a.Value
 	}
-	r.Accepted = History{}
+	r.AcceptedChanges = History{}
 	c.ballot, c.value = a.Accepted, codec.Append(nil, r)
 	return c.value
 }
--- a/internal/configuration/tenant.go
+++ b/internal/configuration/tenant.go
@@ -56,7 +56,7 @@
 
 // RequiresKey reports whether calls need a key, except at open queues: whether the document
 // declares tenants.
-func (c *Configuration) Authenticates() bool { return c.Tenants != nil }
+func (c *Configuration) RequiresKey() bool { return c.Tenants != nil }
 
 // TenantOfKey returns the tenant whose key has a digest; nil if there is none. The lookup takes the
 // same time for any key, since only digests are compared.
--- a/internal/lease/acquire.go
+++ b/internal/lease/acquire.go
@@ -199,7 +199,7 @@
 // recentHolder returns the daemon that lost a role within the last AliveTimeoutMs.
 func (m *Manager) recentHolder(role string) string {
 	former, known := m.former[role]
-	if known && m.host.NowMs()-former.atMs > cluster.AliveMs {
+	if known && m.host.NowMs()-former.atMs > cluster.AliveTimeoutMs {
 		delete(m.former, role)
 		return ""
 	}
--- a/internal/lease/clock.go
+++ b/internal/lease/clock.go
@@ -12,7 +12,7 @@
 	clockExpiryMs = 10_000
 	// ClockWarmupMs is how long a core member collects clock readings before it reports the
 	// cluster's time.
-	ClockWaitMs = 800
+	ClockWarmupMs = 800
 	// medianIntervalMs is how long a computed median is reused: a core member reports the cluster's
 	// time in its response to every poll, and clocks drift little in between.
 	medianIntervalMs = 100
@@ -51,7 +51,7 @@
 
 // RetainMembers drops the readings of daemons that are not members of a set, and returns their
 // names.
-func (c *Clock) Forget(set quorum.Set) (forgotten []string) {
+func (c *Clock) RetainMembers(set quorum.Set) (forgotten []string) {
 	for name := range c.members {
 		if !set.HasName(name) {
 			delete(c.members, name)
--- a/internal/lease/granter.go
+++ b/internal/lease/granter.go
@@ -63,17 +63,17 @@
 
 // DelayGrants makes the member wait for one whole lease before it grants, since it may have granted
 // leases that it has no record of: after a start, or when it joined the core.
-func (g *Granter) Guard(nowMs int64) {
+func (g *Granter) DelayGrants(nowMs int64) {
 	g.grantDelayUntilMs, g.observingSinceMs = nowMs+DurationMs, nowMs
 }
 
 // GrantDelayLeftMs returns how long the member will still not grant leases.
-func (g *Granter) GuardLeftMs(nowMs int64) int64 { return max(0, g.grantDelayUntilMs-nowMs) }
+func (g *Granter) GrantDelayLeftMs(nowMs int64) int64 { return max(0, g.grantDelayUntilMs-nowMs) }
 
 // ObservePoll records a poll and reports whether it is stale: whether a later one of the same
 // process was received before. The leases requested or released in a stale poll may have changed
 // since.
-func (g *Granter) Overtaken(from string, m *wire.PollRequest) bool {
+func (g *Granter) ObservePoll(from string, m *wire.PollRequest) bool {
 	if p := g.latestPolls[from]; p.incarnation == m.Incarnation && m.Seq < p.seq {
 		return true
 	}
@@ -94,8 +94,8 @@
 // in ms; 0 while it is unknown. It is unknown for ClockWarmupMs after a start, so that other
 // daemons' clocks are included, and while readings of at most half of the live daemons are
 // available.
-func (g *Granter) FleetTime(nowMs int64, alive int) int64 {
-	if nowMs-g.observingSinceMs < ClockWaitMs {
+func (g *Granter) ClusterTime(nowMs int64, alive int) int64 {
+	if nowMs-g.observingSinceMs < ClockWarmupMs {
 		return 0
 	}
 	if nowMs-g.clocksPrunedMs >= medianIntervalMs {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -23,7 +23,7 @@
 		must.Eq(t, want.kind, kind)
 		must.Eq(t, want.subject, subject)
 	}
-	must.Eq(t, "duty/slice/east", Register(ShardRole("east"))) // as stored on disk
+	must.Eq(t, "duty/slice/east", RegisterName(ShardRole("east"))) // as stored on disk
 }
 
 var (
@@ -59,9 +59,9 @@
 			g.Grant(request, firstProcess, wire.RoleHolder{}, 900, noneEnded)
 			g.Release(firstProcess, []wire.LeaseRelease{{Name: "slice/s", Successor: "c"}}, 900)
 		}, secondProcess, 0, wire.RoleHolder{}, noneEnded, false},
-		{"grants delayed, the last holder may be alive", func(g *Granter) { g.Guard(500) }, secondProcess, 0, last, noneEnded, false},
-		{"grants delayed, no last holder", func(g *Granter) { g.Guard(500) }, secondProcess, 0, wire.RoleHolder{}, noneEnded, true},
-		{"grants delayed, the last holder has ended", func(g *Granter) { g.Guard(500) }, secondProcess, 0, last, func(p Process) bool { return p == firstProcess }, true},
+		{"grants delayed, the last holder may be alive", func(g *Granter) { g.DelayGrants(500) }, secondProcess, 0, last, noneEnded, false},
+		{"grants delayed, no last holder", func(g *Granter) { g.DelayGrants(500) }, secondProcess, 0, wire.RoleHolder{}, noneEnded, true},
+		{"grants delayed, the last holder has ended", func(g *Granter) { g.DelayGrants(500) }, secondProcess, 0, last, func(p Process) bool { return p == firstProcess }, true},
 		{"stale epoch", func(*Granter) {}, secondProcess, 2, last, noneEnded, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -76,23 +76,23 @@
 // half of the daemons or more are missing.
 func TestGranterFleetTime(t *testing.T) {
 	g := NewGranter()
-	g.Guard(0)
+	g.DelayGrants(0)
 	for name, wallMs := range map[string]int64{"a": 100_000, "b": 100_010, "c": 999_999_999} {
 		g.ObserveClock(name, wallMs+1000, 1000)
 	}
-	must.Zero(t, g.FleetTime(ClockWaitMs-1, 3))
-	must.Zero(t, g.FleetTime(1000, 6))
-	must.Eq(t, int64(101_010), g.FleetTime(1000, 5))
-	must.Eq(t, int64(-10), g.ClockOffsets(g.FleetTime(1000, 5), 1000)["a"])
-	must.Zero(t, g.FleetTime(1000+2*clockExpiryMs+1, 1)) // all readings are too old
+	must.Zero(t, g.ClusterTime(ClockWarmupMs-1, 3))
+	must.Zero(t, g.ClusterTime(1000, 6))
+	must.Eq(t, int64(101_010), g.ClusterTime(1000, 5))
+	must.Eq(t, int64(-10), g.ClockOffsets(g.ClusterTime(1000, 5), 1000)["a"])
+	must.Zero(t, g.ClusterTime(1000+2*clockExpiryMs+1, 1)) // all readings are too old
 }
 
 func TestObservePoll(t *testing.T) {
 	g := NewGranter()
-	must.False(t, g.Overtaken("a", &wire.PollRequest{Incarnation: 1, Seq: 5}))
-	must.True(t, g.Overtaken("a", &wire.PollRequest{Incarnation: 1, Seq: 4}))
-	must.False(t, g.Overtaken("a", &wire.PollRequest{Incarnation: 2, Seq: 1}))
-	must.False(t, g.Overtaken("b", &wire.PollRequest{Incarnation: 1, Seq: 1}))
+	must.False(t, g.ObservePoll("a", &wire.PollRequest{Incarnation: 1, Seq: 5}))
+	must.True(t, g.ObservePoll("a", &wire.PollRequest{Incarnation: 1, Seq: 4}))
+	must.False(t, g.ObservePoll("a", &wire.PollRequest{Incarnation: 2, Seq: 1}))
+	must.False(t, g.ObservePoll("b", &wire.PollRequest{Incarnation: 1, Seq: 1}))
 }
 
 // Guards against a wrong clock of one member in three that affects the time, and against bounds
@@ -110,7 +110,7 @@
 	c.Observe("b", 1_000_050, 95, 100) // a faster response
 	must.Eq(t, int64(1_000_005), c.Earliest(set, 50))
 	must.Eq(t, int64(1_000_010), c.Latest(set, 50))
-	must.Eq(t, []string{"c"}, c.Forget(quorum.Set{Members: set.Members[:2]}))
+	must.Eq(t, []string{"c"}, c.RetainMembers(quorum.Set{Members: set.Members[:2]}))
 }
 
 // fakeHost is a daemon whose messages and callbacks a test can inspect.
@@ -139,7 +139,7 @@
 	h.polls = append(h.polls, msg.(*wire.PollRequest))
 }
 func (h *fakeHost) SendAt(string, string, any)      {}
-func (h *fakeHost) CountEpoch(role string)          { h.incremented = append(h.incremented, role) }
+func (h *fakeHost) IncrementEpoch(role string)      { h.incremented = append(h.incremented, role) }
 func (h *fakeHost) RoleTaken(role string, _ uint64) { h.taken = append(h.taken, role) }
 func (h *fakeHost) RoleLost(role string)            { h.lost = append(h.lost, role) }
 func (h *fakeHost) AdoptCoreSet(quorum.Set)         {}
@@ -177,7 +177,7 @@
 	h.respond(m, "b", true, 0)
 	must.Eq(t, []string{"slice/east"}, h.incremented)
 	must.False(t, m.Holds("slice/east"))
-	m.EpochChanged("slice/east", register.Done, encodedHolder(7))
+	m.OnEpochOutcome("slice/east", register.Done, encodedHolder(7))
 	must.Eq(t, []string{"slice/east"}, h.taken)
 	name, epoch := m.Holder("slice/east")
 	must.Eq(t, "d", name)
@@ -197,13 +197,13 @@
 	_, m := newManager()
 	m.leases["slice/some"] = &lease{role: "slice/some", majorityEpoch: 3}
 	decide := func(holder string, incarnation, epoch uint64) register.Decision {
-		decision, _ := m.DecideEpoch("slice/some", codec.Append(nil, wire.RoleHolder{Name: "slice/some", Holder: holder, Incarnation: incarnation, Epoch: epoch}))
+		decision, _ := m.NextEpoch("slice/some", codec.Append(nil, wire.RoleHolder{Name: "slice/some", Holder: holder, Incarnation: incarnation, Epoch: epoch}))
 		return decision
 	}
 	must.Eq(t, register.Replace, decide("d07", 5, 3))
 	must.Eq(t, register.Refuse, decide("d09", 1, 4))
 	must.Eq(t, register.Replace, decide("d", 5, 4)) // an earlier attempt of this daemon
-	decision, _ := m.DecideEpoch("other", nil)
+	decision, _ := m.NextEpoch("other", nil)
 	must.Eq(t, register.Fail, decision)
 }
 
@@ -215,7 +215,7 @@
 	m.Tick()
 	h.respond(m, "a", true, 0)
 	h.respond(m, "b", true, 4)
-	m.EpochChanged("slice/east", register.Refused, nil)
+	m.OnEpochOutcome("slice/east", register.Refused, nil)
 	must.False(t, m.Serves("slice/east"))
 	must.SliceEmpty(t, h.lost)
 	m.Tick()
@@ -283,7 +283,7 @@
 	must.Eq(t, []string{"g", "f"}, got[2:])
 	m.former["slice/east"] = formerHolder{"e", h.nowMs}
 	must.SliceNotContains(t, m.Candidates("slice/east", "east"), "e")
-	h.nowMs += cluster.AliveMs + 1
+	h.nowMs += cluster.AliveTimeoutMs + 1
 	m.peers.Record(wire.Peer{Name: "e", Zone: "east", Disk: true}, h.nowMs)
 	must.SliceContains(t, m.Candidates("slice/east", "east"), "e")
 }
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -15,13 +15,13 @@
 
 const (
 	// PollIntervalMs is the interval between renewals; five attempts fit in one lease.
-	PollMs = 200
+	PollIntervalMs = 200
 	// ColocatedPollIntervalMs is the poll interval of daemons colocated with workers. They hold no
 	// leases, and use polls to confirm their configuration.
-	PollColocatedMs = 400
+	ColocatedPollIntervalMs = 400
 	// announceAfterMs is how long a member may leave a colocated daemon's polls unanswered before
 	// the daemon announces its address to that member.
-	announceAfterMs = 2 * PollColocatedMs
+	announceAfterMs = 2 * ColocatedPollIntervalMs
 	// acquireStaggerMs is the additional wait of each lower-ranked candidate for a free role.
 	acquireStaggerMs = 400
 	// minHoldMs is how long a daemon holds a role before it hands it to a better machine.
@@ -44,7 +44,7 @@
 	WokeMs() int64
 	// IncrementEpoch starts to increment a role's epoch in its register, by way of
 	// Manager.NextEpoch and Manager.OnEpochOutcome.
-	CountEpoch(role string)
+	IncrementEpoch(role string)
 	// RoleTaken is called when the daemon begins to hold a role.
 	RoleTaken(role string, epoch uint64)
 	// RoleLost is called when the daemon no longer holds a role, or gives up requesting it.
@@ -58,13 +58,13 @@
 
 // Round is one round of polls to all core members.
 type Round struct {
-	Seq      uint64
-	SentMs   int64
-	Answers  map[string]*wire.PollResponse // by member
-	hashes   map[string]uint64             // member -> hash of the holders it may leave out
-	requests []wire.LeaseRequest
-	leases   []*lease // for each request; a lease given up since is no longer in Manager.leases
-	releases []wire.LeaseRelease
+	Seq       uint64
+	SentMs    int64
+	Responses map[string]*wire.PollResponse // by member
+	hashes    map[string]uint64             // member -> hash of the holders it may leave out
+	requests  []wire.LeaseRequest
+	leases    []*lease // for each request; a lease given up since is no longer in Manager.leases
+	releases  []wire.LeaseRelease
 }
 
 // phase is the progress of taking or giving up a role.
@@ -245,7 +245,7 @@
 func (m *Manager) random() *rand.Rand { return m.host.Rand() }
 
 // NextEpoch is the register.Change that increments a role's epoch.
-func (m *Manager) DecideEpoch(role string, current []byte) (register.Decision, []byte) {
+func (m *Manager) NextEpoch(role string, current []byte) (register.Decision, []byte) {
 	l := m.leases[role]
 	var h wire.RoleHolder
 	if l == nil || len(current) > 0 && codec.Unmarshal(current, &h) != nil {
@@ -262,7 +262,7 @@
 
 // OnEpochOutcome handles the outcome of incrementing a role's epoch. On success the daemon begins
 // to serve the role.
-func (m *Manager) EpochChanged(role string, outcome register.Outcome, value []byte) {
+func (m *Manager) OnEpochOutcome(role string, outcome register.Outcome, value []byte) {
 	l := m.leases[role]
 	if l == nil || l.phase != incrementingEpoch {
 		return
--- a/internal/lease/poll.go
+++ b/internal/lease/poll.go
@@ -17,19 +17,19 @@
 
 // LatestRound returns the number of the newest round. What a later round confirms was still true
 // after this call.
-func (m *Manager) Polls() uint64 { return m.seq }
+func (m *Manager) LatestRound() uint64 { return m.seq }
 
 // LastContactMs returns when the newest round that a majority answered was sent.
-func (m *Manager) ContactMs() int64 { return m.lastContactMs }
+func (m *Manager) LastContactMs() int64 { return m.lastContactMs }
 
 // FirstPollMs returns when this daemon first polled; 0 if it has not.
 func (m *Manager) FirstPollMs() int64 { return m.firstPollMs }
 
 // LastResponseMs returns when a member last answered a poll; 0 for never.
-func (m *Manager) HeardMs(member string) int64 { return m.lastResponseMs[member] }
+func (m *Manager) LastResponseMs(member string) int64 { return m.lastResponseMs[member] }
 
 // MemberSyncMs returns the duration of the last disk sync of each member that reported it.
-func (m *Manager) SyncMs() map[string]int64 { return m.memberSyncMs }
+func (m *Manager) MemberSyncMs() map[string]int64 { return m.memberSyncMs }
 
 // Clock returns the cluster's time as reported by the members.
 func (m *Manager) Clock() *Clock { return &m.clock }
@@ -59,12 +59,12 @@
 		return
 	}
 	self := m.host.Self()
-	m.nextPollMs, m.lastPollMs = now+PollMs, now
+	m.nextPollMs, m.lastPollMs = now+PollIntervalMs, now
 	if self.Colocated {
-		m.nextPollMs = now + PollColocatedMs
+		m.nextPollMs = now + ColocatedPollIntervalMs
 	}
 	m.seq++
-	round := &Round{Seq: m.seq, SentMs: now, Answers: map[string]*wire.PollResponse{}, hashes: map[string]uint64{}}
+	round := &Round{Seq: m.seq, SentMs: now, Responses: map[string]*wire.PollResponse{}, hashes: map[string]uint64{}}
 	m.rounds[m.seq] = round
 	m.fillRequests(round)
 	maps.DeleteFunc(m.rounds, func(_ uint64, r *Round) bool { return now-r.SentMs > DurationMs })
@@ -124,7 +124,7 @@
 	set, now := m.host.CoreSet(), m.host.NowMs()
 	m.lastResponseMs[from] = now
 	round := m.rounds[response.Seq]
-	if round == nil || response.SetVersion != set.Version || round.Answers[from] != nil {
+	if round == nil || response.SetVersion != set.Version || round.Responses[from] != nil {
 		return
 	}
 	if len(response.Granted) != len(round.requests) || len(response.Epochs) != len(round.requests) {
@@ -133,7 +133,7 @@
 	if !m.completeHolders(from, response, round.hashes[from]) {
 		return
 	}
-	round.Answers[from] = response
+	round.Responses[from] = response
 	m.clock.Observe(from, response.FleetMs, round.SentMs, now)
 	m.memberSyncMs[from] = response.SyncMs
 	for i, l := range round.leases {
@@ -141,7 +141,7 @@
 			m.onGrants(round, l, round.grantedEpochs(i))
 		}
 	}
-	if len(round.Answers) < set.Majority() {
+	if len(round.Responses) < set.Majority() {
 		return
 	}
 	m.pollAfterGrantDelay(round)
@@ -155,7 +155,7 @@
 // members delay grants after a start.
 func (m *Manager) pollAfterGrantDelay(round *Round) {
 	var delays []int64
-	for _, response := range round.Answers {
+	for _, response := range round.Responses {
 		delays = append(delays, response.GuardMs)
 	}
 	slices.Sort(delays)
@@ -179,9 +179,9 @@
 		l.untilMs = max(l.untilMs, round.SentMs+DurationMs)
 		if l.phase == requesting {
 			l.phase, l.acquiredMs, l.majorityEpoch = incrementingEpoch, m.host.NowMs(), epochs[need-1]
-			m.host.CountEpoch(l.role)
+			m.host.IncrementEpoch(l.role)
 		}
-	case l.phase == requesting && len(round.Answers) == len(set.Members):
+	case l.phase == requesting && len(round.Responses) == len(set.Members):
 		m.backOff(l)
 	}
 }
@@ -195,7 +195,7 @@
 // epoch: the change is refused, the newer epoch is written back, and the lease is requested again
 // from members that then know it.
 func (r *Round) grantedEpochs(i int) (epochs []uint64) {
-	for _, response := range r.Answers {
+	for _, response := range r.Responses {
 		if response.Granted[i] {
 			epochs = append(epochs, response.Epochs[i])
 		}
@@ -209,8 +209,8 @@
 // that became free.
 func (m *Manager) observeHolders(round *Round) {
 	seen := map[string]bool{}
-	for _, from := range slices.Sorted(maps.Keys(round.Answers)) {
-		for _, h := range round.Answers[from].Holders {
+	for _, from := range slices.Sorted(maps.Keys(round.Responses)) {
+		for _, h := range round.Responses[from].Holders {
 			old, known := m.holders[h.Name]
 			if !seen[h.Name] || !known || h.Epoch > old.Epoch || h.Epoch == old.Epoch && old.Holder == "" {
 				m.holders[h.Name] = h
@@ -252,7 +252,7 @@
 			m.lastResponseMs[member.Name] = m.host.NowMs()
 		}
 	}
-	for _, name := range m.clock.Forget(after) {
+	for _, name := range m.clock.RetainMembers(after) {
 		delete(m.memberSyncMs, name)
 	}
 }
@@ -261,6 +261,6 @@
 // forMs, although a majority answers.
 func (m *Manager) Unresponsive(member string, forMs int64) bool {
 	now := m.host.NowMs()
-	majorityAnswers := m.firstPollMs != 0 && now-m.lastContactMs < 2*PollColocatedMs
+	majorityAnswers := m.firstPollMs != 0 && now-m.lastContactMs < 2*ColocatedPollIntervalMs
 	return majorityAnswers && now-max(m.lastResponseMs[member], m.firstPollMs) > forMs
 }
--- a/internal/lease/role.go
+++ b/internal/lease/role.go
@@ -44,7 +44,7 @@
 // RegisterName returns the name of the register that holds a role's epoch.
 //
 // Example: store.RegisterValue(lease.RegisterName(lease.Central))
-func Register(role string) string { return registerPrefix + role }
+func RegisterName(role string) string { return registerPrefix + role }
 
 // SplitRole returns a role's kind and the shard or worker it is for.
 //
--- a/internal/membership/manager.go
+++ b/internal/membership/manager.go
@@ -19,7 +19,7 @@
 
 const (
 	// RegisterName is the name of the register that holds the core set.
-	Register = "core"
+	RegisterName = "core"
 	// DefaultSize is how many disks store the state unless configured otherwise.
 	DefaultSize = 3
 	// UnresponsiveMs is how long a member may leave polls unanswered: about four polls.
@@ -116,7 +116,7 @@
 
 // CompletesSet reports whether a change brings the set back to full size with this daemon as its
 // newest member. The daemon then doesn't know the leases that the others granted before.
-func (m *Manager) FillsUp(before, after quorum.Set) bool {
+func (m *Manager) CompletesSet(before, after quorum.Set) bool {
 	full := len(after.Members) == m.size && len(before.Members) > m.size
 	return full && after.Members[len(after.Members)-1].Name == m.name
 }
--- a/internal/register/proposer.go
+++ b/internal/register/proposer.go
@@ -33,9 +33,9 @@
 
 // Timing bounds an operation, in milliseconds of the clock that the caller passes in.
 type Timing struct {
-	DeadlineMs int64 // from the operation's start; after it the outcome is Unknown
-	AnswersMs  int64 // an attempt without enough responses by then is repeated
-	RetryMs    int64 // base of the backoff after a refused attempt
+	DeadlineMs        int64 // from the operation's start; after it the outcome is Unknown
+	ResponseTimeoutMs int64 // an attempt without enough responses by then is repeated
+	RetryBaseMs       int64 // base of the backoff after a refused attempt
 }
 
 // Proposer creates the ballots of one process.
@@ -229,7 +229,7 @@
 	o.refused = o.refused.with(o.set, from)
 	if len(o.set.Members)-o.refused.count() < o.set.Majority() {
 		o.phase = waiting
-		base := o.proposer.Timing.RetryMs
+		base := o.proposer.Timing.RetryBaseMs
 		o.retryMs = nowMs + base/2 + jitter(base*min(o.attempts, maxBackoffFactor))
 	}
 }
@@ -245,7 +245,7 @@
 		return nil
 	case set.Version != o.set.Version,
 		o.phase == waiting && nowMs >= o.retryMs,
-		o.phase != waiting && nowMs-o.sentMs > timing.AnswersMs:
+		o.phase != waiting && nowMs-o.sentMs > timing.ResponseTimeoutMs:
 		return o.prepare(set, nowMs)
 	}
 	return nil
