--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -74,7 +74,7 @@
 	m := &wire.Gossip{Self: d.Self(), Core: d.host.CoreSet(), ReplyRequested: replyRequested}
 	for _, name := range d.Names() {
 		if omitted := partial && d.peers[name].Colocated; d.Alive(name) && !omitted {
-			m.Table = append(m.Table, d.peers[name].Peer)
+			m.Peers = append(m.Peers, d.peers[name].Peer)
 		}
 	}
 	return m
@@ -108,7 +108,7 @@
 // OnGossip handles another daemon's table.
 func (d *Directory) OnGossip(from string, m *wire.Gossip) {
 	d.merge(m.Self)
-	for _, p := range m.Table {
+	for _, p := range m.Peers {
 		d.merge(p)
 	}
 	d.host.AdoptCoreSet(m.Core)
@@ -184,14 +184,14 @@
 	for _, h := range m.Heartbeats {
 		name, known := d.findByHash(h.Hash, ownHash)
 		if !known {
-			reply.Unknown = append(reply.Unknown, h.Hash)
+			reply.UnknownHashes = append(reply.UnknownHashes, h.Hash)
 			continue
 		}
 		reported[name] = h.Heartbeat
 		d.recordHeartbeat(h, name)
 	}
 	if p := d.peers[from]; p != nil && p.Incarnation > m.Self.Incarnation {
-		reply.Table = append(reply.Table, p.Peer) // an earlier process of its name started by a later clock
+		reply.Peers = append(reply.Peers, p.Peer) // an earlier process of its name started by a later clock
 	}
 	d.addDifferences(reply, reported, ownHash, m.Partial)
 	d.host.SendAt(from, m.Self.Addr, reply)
@@ -209,7 +209,7 @@
 			continue
 		}
 		if heartbeat, ok := reported[name]; !ok {
-			reply.Table = append(reply.Table, p.Peer)
+			reply.Peers = append(reply.Peers, p.Peer)
 		} else if int32(p.Heartbeat) > heartbeat {
 			reply.Heartbeats = append(reply.Heartbeats, wire.Heartbeat{Hash: p.hash, Heartbeat: int32(p.Heartbeat)})
 		}
@@ -221,14 +221,14 @@
 	if _, ok := reported[d.name]; ok {
 		reply.Heartbeats = append(reply.Heartbeats, wire.Heartbeat{Hash: ownHash, Heartbeat: int32(self.Heartbeat)})
 	} else {
-		reply.Table = append(reply.Table, self)
+		reply.Peers = append(reply.Peers, self)
 	}
 }
 
 // OnDigestReply handles the differences found by a peer, and sends what the peer lacks.
 func (d *Directory) OnDigestReply(from string, m *wire.DigestReply) {
 	ownHash := d.Self().DetailHash()
-	for _, p := range m.Table {
+	for _, p := range m.Peers {
 		d.merge(p)
 	}
 	for _, h := range m.Heartbeats {
@@ -238,15 +238,15 @@
 	}
 	set, self := d.host.CoreSet(), d.Self()
 	missing := &wire.Gossip{Self: self}
-	for _, hash := range m.Unknown {
+	for _, hash := range m.UnknownHashes {
 		if name, known := d.findByHash(hash, ownHash); known && name != d.name {
-			missing.Table = append(missing.Table, d.peers[name].Peer)
+			missing.Peers = append(missing.Peers, d.peers[name].Peer)
 		}
 	}
 	if m.SetVersion < set.Version {
 		missing.Core = set
 	}
-	if len(missing.Table) > 0 || missing.Core.Cluster != 0 {
+	if len(missing.Peers) > 0 || missing.Core.Cluster != 0 {
 		d.host.Send(from, missing)
 	}
 }
--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -41,7 +41,7 @@
 
 // DocumentSchema is the schema of a configuration document.
 var DocumentSchema = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
-	"note":        {Kind: schema.Text, Max: 1000},
+	"note":        {Kind: schema.String, Max: 1000},
 	"queues":      {Kind: schema.List, Required: true, Max: 20_000, Elem: &queueSchema},
 	"contracts":   {Kind: schema.List, Max: 100, Elem: &contractSchema},
 	"empty_sites": {Kind: schema.List, Max: 100, Elem: &schema.Field{Kind: schema.Name}},
--- a/internal/configuration/tenant.go
+++ b/internal/configuration/tenant.go
@@ -24,15 +24,15 @@
 	"weight": {Kind: schema.Number},
 	"limit":  tenantLimitSchema,
 	"key_digests": {Kind: schema.List, Max: maxTenantKeys, Elem: &schema.Field{
-		Kind: schema.Text, Min: keyDigestDigits, Max: keyDigestDigits,
+		Kind: schema.String, Min: keyDigestDigits, Max: keyDigestDigits,
 	}},
 }}
 
 // tenantLimitSchema allows 0 in all dimensions, unlike a task's resources: 0 means no limit.
 var tenantLimitSchema = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
-	"cpu":          {Kind: schema.Count, Max: maxTenantLimit},
-	"memory":       {Kind: schema.Count, Max: maxTenantLimit},
-	"accelerators": {Kind: schema.Count, Max: maxTenantLimit},
+	"cpu":          {Kind: schema.Integer, Max: maxTenantLimit},
+	"memory":       {Kind: schema.Integer, Max: maxTenantLimit},
+	"accelerators": {Kind: schema.Integer, Max: maxTenantLimit},
 }}
 
 // Tenant is one customer of the cluster. Its keys authenticate calls, its limit bounds the
--- a/internal/lease/poll.go
+++ b/internal/lease/poll.go
@@ -77,7 +77,7 @@
 		}
 		m.host.Send(member.Name, &wire.PollRequest{
 			Incarnation: self.Incarnation, Seq: m.seq, SetVersion: set.Version, WallMs: m.host.WallMs(),
-			HoldersHash: m.memberHolders[member.Name].hash, Wanted: round.requests, Releases: round.releases,
+			HoldersHash: m.memberHolders[member.Name].hash, Leases: round.requests, Releases: round.releases,
 		})
 		round.hashes[member.Name] = m.memberHolders[member.Name].hash
 	}
@@ -92,7 +92,7 @@
 // completeHolders fills in the holders that a response left out as unchanged. It returns false if a
 // newer response has replaced the list: what was left out is then unknown.
 func (m *Manager) completeHolders(from string, response *wire.PollResponse, requestedHash uint64) bool {
-	if !response.HoldersSame {
+	if !response.HoldersUnchanged {
 		m.memberHolders[from] = memberHolders{wire.HashHolders(response.Holders), response.Holders}
 		return true
 	}
@@ -134,8 +134,8 @@
 		return
 	}
 	round.Responses[from] = response
-	m.clock.Observe(from, response.FleetMs, round.SentMs, now)
-	m.memberSyncMs[from] = response.SyncMs
+	m.clock.Observe(from, response.ClusterTimeMs, round.SentMs, now)
+	m.memberSyncMs[from] = response.DiskSyncMs
 	for i, l := range round.leases {
 		if m.leases[l.role] == l {
 			m.onGrants(round, l, round.grantedEpochs(i))
@@ -156,7 +156,7 @@
 func (m *Manager) pollAfterGrantDelay(round *Round) {
 	var delays []int64
 	for _, response := range round.Responses {
-		delays = append(delays, response.GuardMs)
+		delays = append(delays, response.GracePeriodMs)
 	}
 	slices.Sort(delays)
 	if delay := delays[m.host.CoreSet().Majority()-1]; delay > 0 {
--- a/internal/lease/poll_test.go
+++ b/internal/lease/poll_test.go
@@ -14,7 +14,7 @@
 func (m *member) respond(request *wire.PollRequest, version int64) *wire.PollResponse {
 	response := &wire.PollResponse{Seq: request.Seq, SetVersion: version, Holders: m.holders}
 	if request.HoldersHash == wire.HashHolders(m.holders) {
-		response.Holders, response.HoldersSame = nil, true
+		response.Holders, response.HoldersUnchanged = nil, true
 	}
 	return response
 }
@@ -39,7 +39,7 @@
 		m.pollNow(h)
 		for i, name := range []string{"a", "b"} {
 			response := core.respond(h.latestPollTo(i), h.set.Version)
-			if !response.HoldersSame {
+			if !response.HoldersUnchanged {
 				full++
 			}
 			m.OnResponse(name, response)
@@ -75,7 +75,7 @@
 	m.OnResponse("a", core.respond(h.latestPollTo(0), h.set.Version))
 	m.pollNow(h)
 	late := core.respond(h.latestPollTo(0), h.set.Version)
-	must.True(t, late.HoldersSame)
+	must.True(t, late.HoldersUnchanged)
 	core.holders = []wire.RoleHolder{{Name: "slice/east", Holder: "y", Epoch: 4}}
 	m.pollNow(h)
 	newest := h.latestPollTo(0)
--- a/internal/membership/formation.go
+++ b/internal/membership/formation.go
@@ -58,11 +58,11 @@
 		return
 	}
 	store := m.host.Store()
-	if set := store.Set(); set.Version != 0 { // a restart
+	if set := store.CoreSet(); set.Version != 0 { // a restart
 		m.host.RestoreCoreSet(set)
 		return
 	}
-	if len(store.Formed().Members) > 0 {
+	if len(store.Formation().Members) > 0 {
 		m.advanceFormation()
 		return
 	}
@@ -81,7 +81,7 @@
 func (m *Manager) emptyDisks() (disks []wire.Peer) {
 	names := ""
 	for _, name := range m.peers.AliveNames() {
-		if p := m.peers.Describe(name); p.Disk && p.Empty {
+		if p := m.peers.Describe(name); p.Disk && p.EmptyDisk {
 			disks = append(disks, p)
 			names += p.Name + " "
 		}
@@ -112,12 +112,12 @@
 		m.forming.votes[first] = true // the proposer synced its vote before it sent the request
 	}
 	own := step.Message{To: m.name, Msg: &wire.FormResponse{Cluster: set.Cluster, OK: true}}
-	m.host.Persist([]statestore.Entry{{Kind: statestore.EntryForm, Value: set.Encode()}}, append(then, own)...)
+	m.host.Persist([]statestore.Entry{{Kind: statestore.EntryFormationVote, Value: set.Encode()}}, append(then, own)...)
 }
 
 // voteAgainst votes against a formation permanently, and sends the messages once that is synced.
 func (m *Manager) voteAgainst(cluster uint64, then ...step.Message) {
-	m.host.Persist([]statestore.Entry{{Kind: statestore.EntryRefused, Epoch: cluster}}, then...)
+	m.host.Persist([]statestore.Entry{{Kind: statestore.EntryFormationRefused, Epoch: cluster}}, then...)
 }
 
 // advanceFormation requests the members' votes: the first member does so at once, each later one
@@ -125,7 +125,7 @@
 func (m *Manager) advanceFormation() {
 	now := m.host.NowMs()
 	if m.forming == nil { // a restart with a vote on disk
-		formed := m.host.Store().Formed()
+		formed := m.host.Store().Formation()
 		m.forming = &formation{set: formed, votes: map[string]bool{m.name: true, formed.Members[0].Name: true}, votedMs: now}
 	}
 	f := m.forming
@@ -153,16 +153,16 @@
 	}
 	core := m.host.CoreSet().Cluster
 	switch {
-	case core == id || store.Set().Cluster == id && store.Set().Version != 0:
+	case core == id || store.CoreSet().Cluster == id && store.CoreSet().Version != 0:
 		m.host.Send(from, m.peers.Table(false)) // it has succeeded
 	case r.Failed:
-		if store.Formed().Cluster == id {
+		if store.Formation().Cluster == id {
 			m.forming = nil
 		}
 		m.voteAgainst(id)
 	case store.Refused(id):
 		m.host.Persist(nil, vote(false))
-	case store.Formed().Cluster == id:
+	case store.Formation().Cluster == id:
 		m.host.Persist(nil, vote(true))
 	case store.Cluster() != 0 || core != 0: // committed to another formation
 		m.voteAgainst(id, vote(false))
@@ -189,7 +189,7 @@
 		return
 	}
 	m.forming = nil
-	m.host.Persist([]statestore.Entry{{Kind: statestore.EntrySet, Value: f.set.Encode()}})
+	m.host.Persist([]statestore.Entry{{Kind: statestore.EntryCoreSet, Value: f.set.Encode()}})
 	m.host.BeginCluster(f.set)
 	m.host.Log("cluster_formed", "cluster", f.set.Cluster, "members", f.set.Names(), "shards", f.set.Shards)
 	m.peers.BroadcastCoreSet()
--- a/internal/membership/learner.go
+++ b/internal/membership/learner.go
@@ -56,7 +56,7 @@
 		m.learner = nil
 		return
 	}
-	if m.host.Store().Set().Has(m.name, self.DiskID) {
+	if m.host.Store().CoreSet().Has(m.name, self.DiskID) {
 		// This disk was a member before and was replaced. Its state is outdated, and an old
 		// acceptance must not be combined with newer ones.
 		m.host.ResetDisk()
@@ -144,7 +144,7 @@
 		set := m.host.CoreSet()
 		for _, member := range set.Members {
 			if member.Name != m.name && !l.copied[member.Name] {
-				m.host.Send(member.Name, &wire.CopyRequest{SetVersion: set.Version, Op: l.op, At: l.cursors[member.Name]})
+				m.host.Send(member.Name, &wire.CopyRequest{SetVersion: set.Version, Op: l.op, Cursor: l.cursors[member.Name]})
 			}
 		}
 	}
@@ -163,7 +163,7 @@
 // OnCopyRequest sends a learner the requested part of the store. Only members that serve the
 // learner's set may call it.
 func (m *Manager) OnCopyRequest(from string, r *wire.CopyRequest) {
-	cursor, instance := r.At, m.host.Instance()
+	cursor, instance := r.Cursor, m.host.Instance()
 	if cursor.Instance != instance { // the copy starts, or starts again because this daemon has restarted
 		cursor = statestore.Cursor{}
 	}
@@ -171,7 +171,7 @@
 	if !next.AtEnd() {
 		next.Instance = instance
 	}
-	m.host.Persist(nil, step.Message{To: from, Msg: &wire.CopyResponse{Op: r.Op, At: r.At, Next: next, Entries: part}})
+	m.host.Persist(nil, step.Message{To: from, Msg: &wire.CopyResponse{Op: r.Op, Cursor: r.Cursor, Next: next, Entries: part}})
 }
 
 // OnCopyResponse stores one part of a member's copy, and requests the next once it is synced. Entry
@@ -182,18 +182,18 @@
 		return
 	}
 	if from == m.name { // own message: the last part of a member's copy is synced
-		l.copied[r.Finished] = true
-		m.host.Log("core_copied", "from", r.Finished)
+		l.copied[r.FinishedMember] = true
+		m.host.Log("core_copied", "from", r.FinishedMember)
 		m.Tick() // take the next step without waiting for a tick
 		return
 	}
-	if l.cursors[from] != r.At || l.copied[from] {
+	if l.cursors[from] != r.Cursor || l.copied[from] {
 		return
 	}
 	l.cursors[from], l.sentMs = r.Next, m.host.NowMs()
-	next := step.Message{To: from, Msg: &wire.CopyRequest{SetVersion: m.host.CoreSet().Version, Op: l.op, At: r.Next}}
+	next := step.Message{To: from, Msg: &wire.CopyRequest{SetVersion: m.host.CoreSet().Version, Op: l.op, Cursor: r.Next}}
 	if r.Next.AtEnd() {
-		next = step.Message{To: m.name, Msg: &wire.CopyResponse{Op: r.Op, Finished: from}}
+		next = step.Message{To: m.name, Msg: &wire.CopyResponse{Op: r.Op, FinishedMember: from}}
 	}
 	m.host.Persist(r.Entries, next)
 }
--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -342,7 +342,7 @@
 func (a *account) report(tenant string, nowMs int64) wire.ShareAccount {
 	out := wire.ShareAccount{Tenant: tenant, Keep: a.held, Used: a.used}
 	if !a.tight {
-		out.Ahead = larger(a.taken(nowMs).Plus(a.ahead).Minus(a.held), resource.Amount{})
+		out.Prefetch = larger(a.taken(nowMs).Plus(a.ahead).Minus(a.held), resource.Amount{})
 	}
 	for _, c := range a.claims {
 		v := c.ShareClaim
@@ -366,11 +366,11 @@
 	}
 	for _, s := range m.Shares {
 		a := b.account(s.Tenant)
-		if s.Tight && !a.tight {
+		if s.NearLimit && !a.tight {
 			b.due = true
 		}
-		a.tight, a.replaces = s.Tight, !s.GiveBack
-		if s.GiveBack && a.reduced {
+		a.tight, a.replaces = s.NearLimit, !s.ReturnFreed
+		if s.ReturnFreed && a.reduced {
 			continue // the amount has a part that was given up since
 		}
 		if next := larger(a.held, s.Amount); next != a.held {
--- a/internal/quota/counter.go
+++ b/internal/quota/counter.go
@@ -87,7 +87,7 @@
 	}
 	for _, a := range m.Accounts {
 		l.accounts[a.Tenant] = &lentAccount{
-			amount: larger(a.Keep, a.Used), used: a.Used, ahead: a.Ahead, claims: slices.Clone(a.Claims),
+			amount: larger(a.Keep, a.Used), used: a.Used, ahead: a.Prefetch, claims: slices.Clone(a.Claims),
 			giveBack: true, // until it is counted beside the others
 		}
 	}
@@ -252,7 +252,7 @@
 		for _, tenant := range slices.Sorted(maps.Keys(l.accounts)) {
 			account := l.accounts[tenant]
 			m.Shares = append(m.Shares, wire.TenantShare{
-				Tenant: tenant, Amount: account.amount, Tight: account.tight, GiveBack: account.giveBack,
+				Tenant: tenant, Amount: account.amount, NearLimit: account.tight, ReturnFreed: account.giveBack,
 			})
 		}
 		grants = append(grants, Grant{To: l.owner, Message: m})
