--- a/guards.sh
+++ b/guards.sh
@@ -36,7 +36,7 @@
 register needs a majority|internal/quorum/set.go|return len(s.Members)/2 + 1|return 1
 old epochs are fenced|internal/daemon/core_member.go|if m.Epoch != replica.SealedEpoch() {|if false {
 leases exclude|internal/lease/granter.go|if !g.free(r.Name, to, nowMs, ended) {|if false {
-a started member waits a lease|internal/lease/granter.go|if nowMs < g.grantDelayUntilMs && last.Holder != "" && !ended(lastHolder) {|if false && !ended(lastHolder) {
+a started member waits a lease|internal/lease/granter.go|if nowMs < g.gracePeriodUntilMs && last.Holder != "" && !ended(lastHolder) {|if false && !ended(lastHolder) {
 a lease builds on what its granters know|internal/lease/poll.go|m.host.NowMs(), epochs[need-1]|m.host.NowMs(), epochs[0]
 a lease that ran out is not renewed|internal/lease/poll.go|case l.phase == held && m.expired(l):|case false:
 a lease belongs to its role|internal/lease/poll.go|if m.leases[l.role] == l {|if l = m.leases[l.role]; l != nil {
--- a/internal/lease/granter.go
+++ b/internal/lease/granter.go
@@ -10,12 +10,12 @@
 // Granter is a core member's record of the leases it has granted and of the clocks it observes.
 // None of it is stored.
 type Granter struct {
-	grantDelayUntilMs int64 // until then a lease is granted only if the last holder is known to have ended
-	observingSinceMs  int64 // when this member began to observe clocks
-	grants            map[string]*grant
-	clocks            map[string]clockReading // by daemon, of all that poll this member
-	latestPolls       map[string]pollID       // by daemon
-	median            clockMedian
+	gracePeriodUntilMs int64 // until then a lease is granted only if the last holder is known to have ended
+	observingSinceMs   int64 // when this member began to observe clocks
+	grants             map[string]*grant
+	clocks             map[string]clockReading // by daemon, of all that poll this member
+	latestPolls        map[string]pollID       // by daemon
+	median             clockMedian
 
 	clocksPrunedMs int64 // when expired clock readings were last removed
 }
@@ -61,14 +61,15 @@
 	return &Granter{grants: map[string]*grant{}, clocks: map[string]clockReading{}, latestPolls: map[string]pollID{}}
 }
 
-// DelayGrants makes the member wait for one whole lease before it grants, since it may have granted
-// leases that it has no record of: after a start, or when it joined the core.
+// DelayGrants starts a grace period of one whole lease, in which the member grants a lease only if
+// the last holder is known to have ended. After a start, or after joining the core, it may have
+// granted leases that it has no record of.
 func (g *Granter) DelayGrants(nowMs int64) {
-	g.grantDelayUntilMs, g.observingSinceMs = nowMs+DurationMs, nowMs
+	g.gracePeriodUntilMs, g.observingSinceMs = nowMs+DurationMs, nowMs
 }
 
-// GrantDelayLeftMs returns how long the member will still not grant leases.
-func (g *Granter) GrantDelayLeftMs(nowMs int64) int64 { return max(0, g.grantDelayUntilMs-nowMs) }
+// GrantDelayLeftMs returns how long the grace period still lasts.
+func (g *Granter) GrantDelayLeftMs(nowMs int64) int64 { return max(0, g.gracePeriodUntilMs-nowMs) }
 
 // ObservePoll records a poll and reports whether it is stale: whether a later one of the same
 // process was received before. The leases requested or released in a stale poll may have changed
@@ -152,7 +153,7 @@
 		return false
 	}
 	lastHolder := Process{last.Holder, last.Incarnation, last.Addr}
-	if nowMs < g.grantDelayUntilMs && last.Holder != "" && !ended(lastHolder) {
+	if nowMs < g.gracePeriodUntilMs && last.Holder != "" && !ended(lastHolder) {
 		return false
 	}
 	if r.Epoch != 0 && r.Epoch < last.Epoch { // the process has lost the role and doesn't know it yet
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -59,9 +59,9 @@
 			g.Grant(request, firstProcess, wire.RoleHolder{}, 900, noneEnded)
 			g.Release(firstProcess, []wire.LeaseRelease{{Name: "slice/s", Successor: "c"}}, 900)
 		}, secondProcess, 0, wire.RoleHolder{}, noneEnded, false},
-		{"grants delayed, the last holder may be alive", func(g *Granter) { g.DelayGrants(500) }, secondProcess, 0, last, noneEnded, false},
-		{"grants delayed, no last holder", func(g *Granter) { g.DelayGrants(500) }, secondProcess, 0, wire.RoleHolder{}, noneEnded, true},
-		{"grants delayed, the last holder has ended", func(g *Granter) { g.DelayGrants(500) }, secondProcess, 0, last, func(p Process) bool { return p == firstProcess }, true},
+		{"grace period, the last holder may be alive", func(g *Granter) { g.DelayGrants(500) }, secondProcess, 0, last, noneEnded, false},
+		{"grace period, no last holder", func(g *Granter) { g.DelayGrants(500) }, secondProcess, 0, wire.RoleHolder{}, noneEnded, true},
+		{"grace period, the last holder has ended", func(g *Granter) { g.DelayGrants(500) }, secondProcess, 0, last, func(p Process) bool { return p == firstProcess }, true},
 		{"stale epoch", func(*Granter) {}, secondProcess, 2, last, noneEnded, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -103,16 +103,16 @@
 	peers *cluster.Directory
 	clock Clock
 
-	seq               uint64
-	nextPollMs        int64
-	lastPollMs        int64 // when the last round was sent
-	firstPollMs       int64 // 0 before the first poll
-	lastContactMs     int64 // when the newest round that a majority answered was sent
-	grantDelayUntilMs int64 // until then no majority grants leases, since members delay grants after a start
-	rounds            map[uint64]*Round
-	lastResponseMs    map[string]int64         // member -> when it last answered a poll
-	memberSyncMs      map[string]int64         // member -> duration of its last disk sync
-	memberHolders     map[string]memberHolders // by member
+	seq                uint64
+	nextPollMs         int64
+	lastPollMs         int64 // when the last round was sent
+	firstPollMs        int64 // 0 before the first poll
+	lastContactMs      int64 // when the newest round that a majority answered was sent
+	gracePeriodUntilMs int64 // until then no majority grants leases, since members are in their grace period
+	rounds             map[uint64]*Round
+	lastResponseMs     map[string]int64         // member -> when it last answered a poll
+	memberSyncMs       map[string]int64         // member -> duration of its last disk sync
+	memberHolders      map[string]memberHolders // by member
 
 	leases    map[string]*lease
 	holders   map[string]wire.RoleHolder // as known to a majority
--- a/internal/lease/poll.go
+++ b/internal/lease/poll.go
@@ -144,24 +144,24 @@
 	if len(round.Responses) < set.Majority() {
 		return
 	}
-	m.pollAfterGrantDelay(round)
+	m.pollAfterGracePeriod(round)
 	m.lastContactMs = max(m.lastContactMs, round.SentMs)
 	m.host.RoundAnswered(round)
 	m.observeHolders(round)
 	m.onReleases(round, from)
 }
 
-// pollAfterGrantDelay schedules a poll for when a majority may grant leases again, if too many
-// members delay grants after a start.
-func (m *Manager) pollAfterGrantDelay(round *Round) {
-	var delays []int64
+// pollAfterGracePeriod schedules a poll for when a majority may grant leases again, if too many
+// members are in their grace period after a start.
+func (m *Manager) pollAfterGracePeriod(round *Round) {
+	var gracePeriods []int64
 	for _, response := range round.Responses {
-		delays = append(delays, response.GracePeriodMs)
+		gracePeriods = append(gracePeriods, response.GracePeriodMs)
 	}
-	slices.Sort(delays)
-	if delay := delays[m.host.CoreSet().Majority()-1]; delay > 0 {
-		m.grantDelayUntilMs = m.host.NowMs() + delay
-		m.nextPollMs = min(m.nextPollMs, m.grantDelayUntilMs)
+	slices.Sort(gracePeriods)
+	if gracePeriod := gracePeriods[m.host.CoreSet().Majority()-1]; gracePeriod > 0 {
+		m.gracePeriodUntilMs = m.host.NowMs() + gracePeriod
+		m.nextPollMs = min(m.nextPollMs, m.gracePeriodUntilMs)
 	}
 }
 
--- a/internal/membership/learner.go
+++ b/internal/membership/learner.go
@@ -171,7 +171,9 @@
 	if !next.AtEnd() {
 		next.Instance = instance
 	}
-	m.host.Persist(nil, step.Message{To: from, Msg: &wire.CopyResponse{Op: r.Op, Cursor: r.Cursor, Next: next, Entries: part}})
+	m.host.Persist(nil, step.Message{
+		To: from, Msg: &wire.CopyResponse{Op: r.Op, Cursor: r.Cursor, Next: next, Entries: part},
+	})
 }
 
 // OnCopyResponse stores one part of a member's copy, and requests the next once it is synced. Entry
