--- a/internal/configuration/contract.go
+++ b/internal/configuration/contract.go
@@ -83,7 +83,7 @@
 	before := len(c.faults)
 	contract := c.compileContract(path, doc)
 	if len(c.faults) > before {
-		contract = &Contract{Name: doc.Get("name").Str} // checks its queues nevertheless
+		contract = &Contract{Name: doc.Get("name").Str} // without spans, so that its queues are still checked
 	}
 	if c.config.Contracts[contract.Name] != nil {
 		c.addFault(path+".name", "stands twice")
--- a/internal/membership/formation.go
+++ b/internal/membership/formation.go
@@ -120,8 +120,8 @@
 	m.host.Persist([]statestore.Entry{{Kind: statestore.EntryFormationRefused, Epoch: cluster}}, then...)
 }
 
-// advanceFormation requests the members' votes: the first member does so at once, each later one
-// only if the formation has not ended for longer.
+// advanceFormation requests the members' votes. The first member does so at once; each later one
+// waits longer, and then only does so if the formation has not ended.
 func (m *Manager) advanceFormation() {
 	now := m.host.NowMs()
 	if m.forming == nil { // a restart with a vote on disk
@@ -195,7 +195,7 @@
 	m.peers.BroadcastCoreSet()
 }
 
-// onFormationFailed tells the other members that one voted against.
+// onFormationFailed notifies the other members that one voted against.
 func (m *Manager) onFormationFailed(f *formation, against string) {
 	m.host.Log("formation_failed", "cluster", f.set.Cluster, "against", against)
 	m.forming = nil
