--- a/guards.sh
+++ b/guards.sh
@@ -77,7 +77,7 @@
 a successor that stalls is taken out|internal/membership/learner.go|if late \|\| m.leases.Unresponsive(set.Members[newest].Name, UnresponsiveMs) {|if late && false {
 the surest loss goes first|internal/membership/slots.go|if current > state && now-l.vacantSince|if index < 0 && now-l.vacantSince
 a failing disk keeps its slot for a while|internal/membership/slots.go|case !peer.Disk:\n\t\treturn slotDiskFailed|case !peer.Disk:\n\t\treturn slotLeaving
-a member that restarts keeps its slot|internal/membership/slots.go|unresponsive && silentMs > UnresponsiveMs|(unresponsive \|\| true) && silentMs > cluster.RoundMs
+a member that restarts keeps its slot|internal/membership/slots.go|unresponsive && silentMs > UnresponsiveMs|(unresponsive \|\| true) && silentMs > cluster.GossipIntervalMs
 a former member starts over|internal/membership/learner.go|if m.host.Store().CoreSet().Has(m.name, self.DiskID) {|if false {
 a failed disk stops voting|internal/daemon/core_set.go|n.store != nil && n.diskFailed == "" && n.store.Cluster()|n.store != nil && n.store.Cluster()
 a newcomer grants no lease before its set is full|internal/daemon/core_set.go|(!was \|\| fillsUp)|(!was \|\| fillsUp && false)
