--- a/guards.sh
+++ b/guards.sh
@@ -36,9 +36,9 @@
 register needs a majority|internal/quorum/set.go|return len(s.Members)/2 + 1|return 1
 old epochs are fenced|internal/daemon/core_member.go|if m.Epoch != replica.SealedEpoch() {|if false {
 leases exclude|internal/lease/granter.go|if !g.free(r.Name, to, nowMs, ended) {|if false {
-a started member waits a lease|internal/lease/granter.go|if nowMs < g.guardMs && last.Holder != "" && !ended(lastHolder) {|if false && !ended(lastHolder) {
+a started member waits a lease|internal/lease/granter.go|if nowMs < g.gracePeriodUntilMs && last.Holder != "" && !ended(lastHolder) {|if false && !ended(lastHolder) {
 a lease builds on what its granters know|internal/lease/poll.go|m.host.NowMs(), epochs[need-1]|m.host.NowMs(), epochs[0]
-a lease that ran out is not renewed|internal/lease/poll.go|case l.phase == held && m.ranOut(l):|case false:
+a lease that ran out is not renewed|internal/lease/poll.go|case l.phase == held && m.expired(l):|case false:
 a lease belongs to its role|internal/lease/poll.go|if m.leases[l.role] == l {|if l = m.leases[l.role]; l != nil {
 overtaken polls change nothing|internal/lease/granter.go|p.incarnation == m.Incarnation && m.Seq < p.seq|p.incarnation == m.Incarnation && false
 passed epochs are not renewed|internal/lease/granter.go|if r.Epoch != 0 && r.Epoch < last.Epoch {|if false {
@@ -47,14 +47,14 @@
 reads by a later poll|internal/daemon/config_state.go|return n.config.confirmedPoll > req.pollsBefore|return n.config.confirmedMs >= req.receivedMs
 reads are checked after a freeze|internal/daemon/config_state.go|confirmedPoll > req.pollsBefore && n.configFresh()|confirmedPoll > req.pollsBefore
 copied before joining|internal/membership/learner.go|if len(l.copied) >= need {|if true {
-a copy begins again after a restart|internal/membership/learner.go|if at.Instance != instance {|if at.Shard == "" {
+a copy begins again after a restart|internal/membership/learner.go|if cursor.Instance != instance {|if cursor.Shard == "" {
 a job ends at a known time|internal/daemon/job_schedule.go|return // how long the job is kept|wall = 1 // how long the job is kept
 finished jobs go by the time of a majority|internal/daemon/core_member.go|if n.leases.Clock().Readings() < n.core.Majority() {|if false {
 a told end is not taken back|internal/daemon/request.go|if !n.answeredByFullSet(r) {|if false {
 copied from a majority|internal/membership/learner.go|if len(l.copied) >= need {|if len(l.copied) >= 1 {
 an acknowledgement belongs to its set|internal/daemon/core_set.go|b.acked, b.sentMs = map[string]bool{}, 0|b.sentMs = 0
 unknown queues by a newer setup|internal/daemon/request_address.go|case !ok && n.configConfirmedSince(req):|case !ok:
-one vote for a disk|internal/membership/formation.go|case store.Cluster() != 0 \|\| core != 0: // bound to another|case false:
+one vote for a disk|internal/membership/formation.go|case store.Cluster() != 0 \|\| core != 0: // committed to another formation|case false:
 a response belongs to its instance|internal/daemon/identity.go|if head.To == n.Instance {|if true {
 a request belongs to its addressee|internal/daemon/identity.go|case head.To == addressOf(n.Name), |case true, 
 not taken only when surely so|internal/daemon/request.go|r.queue == "" \|\| !r.maybeApplied|true
@@ -64,20 +64,20 @@
 a ballot belongs to its operation|internal/register/proposer.go|\tp.round++\n|\tp.round = 1\n
 a promise binds|internal/register/acceptor.go|if m.Ballot.Less(a.Promised) {|if false {
 a promise is kept|internal/register/acceptor.go|if a.Promised.Less(w.Ballot) {|if false {
-the highest accepted value goes on|internal/register/proposer.go|if o.accepted.Less(m.Accepted) {|if o.accepted.IsZero() {
+the highest accepted value goes on|internal/register/proposer.go|if o.highestAccepted.Less(m.Accepted) {|if o.highestAccepted.IsZero() {
 acceptors answer for their set|internal/register/acceptor.go|m.SetVersion != setVersion {|false {
-what is kept stands at a majority|internal/register/proposer.go|if !o.split {|if true {
+what is kept stands at a majority|internal/register/proposer.go|if !o.ballotsDiffer {|if true {
 an answer leaves after its write is synced|internal/daemon/registers.go|n.persist([]statestore.Entry{entry}, n.sendEffect(to, answer))|n.persist([]statestore.Entry{entry})\n\tn.send(to, answer)
 an order is known again|internal/configuration/history.go|found = o == id|found = false
 an order that was forgotten is not refused|internal/daemon/config_change.go|if !cur.AcceptedChanges.Covers(o.changeID) {|if false {
-orders have the base in their identity|internal/configuration/history.go|id := ChangeID{Version: base + int64(rise), Base: base}|id := ChangeID{Version: base + int64(rise)}
-a refusal is written back|internal/register/proposer.go|\t\to.atEnd = Refused\n|\t\to.outcome = Refused\n\t\treturn nil\n
+orders have the base in their identity|internal/configuration/history.go|id := ChangeID{Version: base + int64(increment), Base: base}|id := ChangeID{Version: base + int64(increment)}
+a refusal is written back|internal/register/proposer.go|\t\to.outcomeOnAccept = Refused\n|\t\to.outcome = Refused\n\t\treturn nil\n
 a leaving member waits for its successor|internal/daemon/roles.go|if n.leavingSinceMs == 0 \|\| n.members.AwaitsSuccessor() {|if n.leavingSinceMs == 0 {
-copied again before a member leaves|internal/membership/learner.go|if at == newest \|\| m.copyComplete(l, set.Majority()-1) {|if true {
+copied again before a member leaves|internal/membership/learner.go|if index == newest \|\| m.copyComplete(l, set.Majority()-1) {|if true {
 a successor that stalls is taken out|internal/membership/learner.go|if late \|\| m.leases.Unresponsive(set.Members[newest].Name, UnresponsiveMs) {|if late && false {
-the surest loss goes first|internal/membership/slots.go|if current > state && now-l.vacantSince|if at < 0 && now-l.vacantSince
+the surest loss goes first|internal/membership/slots.go|if current > state && now-l.vacantSince|if index < 0 && now-l.vacantSince
 a failing disk keeps its slot for a while|internal/membership/slots.go|case !peer.Disk:\n\t\treturn slotDiskFailed|case !peer.Disk:\n\t\treturn slotLeaving
-a member that restarts keeps its slot|internal/membership/slots.go|unresponsive && silentMs > UnresponsiveMs|(unresponsive \|\| true) && silentMs > cluster.RoundMs
+a member that restarts keeps its slot|internal/membership/slots.go|unresponsive && silentMs > UnresponsiveMs|(unresponsive \|\| true) && silentMs > cluster.GossipIntervalMs
 a former member starts over|internal/membership/learner.go|if m.host.Store().CoreSet().Has(m.name, self.DiskID) {|if false {
 a failed disk stops voting|internal/daemon/core_set.go|n.store != nil && n.diskFailed == "" && n.store.Cluster()|n.store != nil && n.store.Cluster()
 a newcomer grants no lease before its set is full|internal/daemon/core_set.go|(!was \|\| fillsUp)|(!was \|\| fillsUp && false)
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -17,7 +17,7 @@
 const nightContract = `{"name":"night","utc_offset_minutes":120,"price":0.12,"hours":[
 	{"from":"22:00","to":"06:00","price":0.04},{"from":"06:00","to":"08:00","days":["mon","tue","wed","thu","fri"],"price":0.08}]}`
 
-func batchSetup(contracts, batch string) string {
+func batchDocument(contracts, batch string) string {
 	return fmt.Sprintf(`{"contracts":[%s],"queues":[{"name":"confirm","urgency":90},{"name":"refresh","urgency":5,"batch":%s}]}`, contracts, batch)
 }
 
@@ -33,11 +33,11 @@
 
 func TestContractFaults(t *testing.T) {
 	good := `{"contract":"night","finish_by_hours":20,"share_percent":30}`
-	c, faults := Compile(1, []byte(batchSetup(nightContract, good)))
+	c, faults := Compile(1, []byte(batchDocument(nightContract, good)))
 	must.SliceEmpty(t, faults)
 	must.Eq(t, int64(20*msPerHour), c.Queues["refresh"].Batch.FinishByMs)
 	must.Eq(t, "night", c.Queues["refresh"].Batch.Contract.Name)
-	must.Less(t, c.Urgency("gone"), c.Urgency("refresh")) // below even a queue that is no more
+	must.Less(t, c.Urgency("gone"), c.Urgency("refresh")) // below even a queue that is not configured any more
 	must.Eq(t, int64(90), c.LowestUrgency)
 	must.Nil(t, c.Queues["confirm"].Batch)
 	with := func(hours string) string {
@@ -66,35 +66,35 @@
 		{with(`{"from":"22:00","to":"06:00","price":1},{"from":"05:00","to":"07:00","price":2}`), good, "contracts.0.hours.1", "overlap hours.0"},
 		{with(`{"from":"00:00","to":"01:00","days":["mon"],"price":1},{"from":"23:00","to":"00:30","days":["sun"],"price":2}`), good, "contracts.0.hours.1", "overlap hours.0"},
 	} {
-		_, faults := Compile(1, []byte(batchSetup(x.contracts, x.batch)))
+		_, faults := Compile(1, []byte(batchDocument(x.contracts, x.batch)))
 		must.Positive(t, len(faults), must.Sprint(x))
 		must.Eq(t, x.path, faults[0].Path, must.Sprint(faults))
 		must.StrContains(t, faults[0].Reason, x.reason, must.Sprint(x.path))
 	}
-	_, faults = Compile(1, []byte(batchSetup(with(`{"from":"00:00","to":"24:00","days":["mon"],"price":1},{"from":"00:00","to":"01:00","days":["tue"],"price":2}`), good)))
-	must.SliceEmpty(t, faults) // they touch
+	_, faults = Compile(1, []byte(batchDocument(with(`{"from":"00:00","to":"24:00","days":["mon"],"price":1},{"from":"00:00","to":"01:00","days":["tue"],"price":2}`), good)))
+	must.SliceEmpty(t, faults) // adjacent spans don't overlap
 }
 
-// aMonday is Monday 4 January 2027, 00:00 UTC, in ms.
-const aMonday = int64(1_799_020_800_000)
+// monday is Monday 4 January 2027, 00:00 UTC, in ms.
+const monday = int64(1_799_020_800_000)
 
-func TestWindows(t *testing.T) {
-	at := func(day, hour int64) int64 { return aMonday + (day*24+hour-2)*msPerHour } // on the contract's clock
+func TestPriceWindows(t *testing.T) {
+	at := func(day, hour int64) int64 { return monday + (day*24+hour-2)*msPerHour } // on the contract's clock
 	c := mustContract(t, nightContract)
 	must.Eq(t, 0.04, c.Cheapest)
 	must.Eq(t, "Mon 2027-01-04 22:00 +02:00", time.UnixMilli(at(0, 22)).In(c.Location()).Format("Mon 2006-01-02 15:04 -07:00"))
 	must.Eq(t, []PriceWindow{{at(0, 8), at(0, 22), 0.12}, {at(0, 22), at(1, 6), 0.04}, {at(1, 6), at(1, 8), 0.08}}, c.PriceWindows(at(0, 12), at(1, 7)))
-	// over the week's end, where Sunday's night goes on to Monday's morning
+	// past the end of the week, where Sunday's night continues into Monday morning
 	must.Eq(t, []PriceWindow{{at(6, 22), at(7, 6), 0.04}, {at(7, 6), at(7, 8), 0.08}}, c.PriceWindows(at(6, 23), at(7, 7)))
 	must.Eq(t, []PriceWindow{{at(6, 22), at(7, 6), 0.04}}, c.PriceWindows(at(7, 3), at(7, 3)))
-	must.Eq(t, []PriceWindow{{at(5, 6), at(5, 22), 0.12}}, c.PriceWindows(at(5, 7), at(5, 9))) // no early hours on a Saturday
+	must.Eq(t, []PriceWindow{{at(5, 6), at(5, 22), 0.12}}, c.PriceWindows(at(5, 7), at(5, 9))) // the early hours don't apply on a Saturday
 	flat := mustContract(t, `{"name":"flat","utc_offset_minutes":-300,"price":3}`)
 	must.Len(t, 1, flat.PriceWindows(at(0, 0), at(30, 0)))
 	must.LessEq(t, 6*3*(MaxFinishHours/24+14), len(c.PriceWindows(at(0, 8), at(7000, 8))))
 }
 
 func TestExplainContracts(t *testing.T) {
-	c, faults := Compile(1, []byte(batchSetup(`{"name":"night","utc_offset_minutes":-210,"price":0.12,"hours":[{"from":"22:00","to":"06:00","days":["sat"],"price":0.04}]}`,
+	c, faults := Compile(1, []byte(batchDocument(`{"name":"night","utc_offset_minutes":-210,"price":0.12,"hours":[{"from":"22:00","to":"06:00","days":["sat"],"price":0.04}]}`,
 		`{"contract":"night","finish_by_hours":20.5,"share_percent":30}`)))
 	must.SliceEmpty(t, faults)
 	must.Eq(t, []string{"contract night, clock UTC-03:30 all year:", "  mon 00:00 to sat 22:00: 0.12 a core hour", "  sat 22:00 to sun 06:00: 0.04 a core hour, the cheapest",
@@ -121,7 +121,7 @@
 	must.Eq(t, []schema.Fault{{Path: "queues.1.addresses.1", Reason: "stands twice"}}, faults)
 }
 
-// Thousands of queues, as the largest documents of the users have them.
+// Compiles thousands of queues, as in the largest documents in use.
 func TestThousandsOfQueuesCompile(t *testing.T) {
 	var b strings.Builder
 	b.WriteString(`{"queues":[`)
@@ -141,7 +141,7 @@
 	must.Eq(t, "abc", rest)
 }
 
-// All faults of a setup are listed, not only the first.
+// All faults of a document are listed, not only the first.
 func TestFaults(t *testing.T) {
 	_, faults := Compile(1, []byte(`{"queues":[{"name":"a","urgency":-1},{"urgency":"x","selector":{"t":[]}}],"empty":1}`))
 	paths := map[string]bool{}
@@ -215,15 +215,15 @@
 	must.Eq(t, "tier", missing.Key)
 }
 
-// The zones emptied beside a document add to its own, and go without a trace.
-func TestWithEmptied(t *testing.T) {
+// Zones emptied separately are added to those of the document, and can be removed again.
+func TestWithEmptiedZones(t *testing.T) {
 	c, faults := Compile(1, []byte(`{"queues":[],"empty_sites":["east"]}`))
 	must.SliceEmpty(t, faults)
 	must.Eq(t, map[string]bool{"east": true, "mid": true}, c.WithEmptiedZones([]string{"mid"}).EmptyZones)
 	must.Eq(t, map[string]bool{"east": true}, c.WithEmptiedZones([]string{"mid"}).WithEmptiedZones(nil).EmptyZones)
 }
 
-// A record keeps what the next version needs, and shows the last ones.
+// A record keeps what the next version needs, and lists the last versions.
 func TestRecord(t *testing.T) {
 	var r Record
 	doc := []byte(`{"queues":[{"name":"a"}]}`)
@@ -243,7 +243,7 @@
 	message := &wire.RegisterValue{Register: RegisterName, Value: codec.Append(nil, r)}
 	first := p.Compile(message)
 	must.Eq(t, r.Version, first.Version)
-	must.True(t, first == p.Compile(message)) // the same one
+	must.True(t, first == p.Compile(message)) // not compiled again
 	must.Nil(t, p.Compile(&wire.RegisterValue{Register: "core"}))
 	must.Nil(t, p.Compile(&wire.Gossip{}))
 }
--- a/internal/configuration/queue.go
+++ b/internal/configuration/queue.go
@@ -13,14 +13,14 @@
 	"github.com/tidwall/gjson"
 )
 
-// zoneKey is the selector key that stands for a worker's zone, in the operators' words.
+// zoneKey is the selector key for a worker's zone; operators call zones sites.
 const zoneKey = "site"
 
-// batchUrgencyOffset is how far the urgency of batch queues lies below that of all
-// others, which have 0 to 1000.
+// batchUrgencyOffset is subtracted from the urgency of batch queues. The others have 0 to 1000, so
+// all batch queues are below them.
 const batchUrgencyOffset = 2000
 
-var queueField = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
+var queueSchema = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"name":             {Kind: schema.Name, Required: true},
 	"selector":         {Kind: schema.Choices},
 	"urgency":          {Kind: schema.Integer, Min: 0, Max: 1000},
@@ -35,7 +35,7 @@
 	"latency_ms":       {Kind: schema.Integer, Min: 0, Max: 1 << 40},
 	"stretch":          {Kind: schema.Number},
 	"open":             {Kind: schema.Bool},
-	"batch":            batchFields,
+	"batch":            batchSchema,
 	"addresses": {Kind: schema.List, Max: 100, Elem: &schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 		"host":   {Kind: schema.String, Required: true, Min: 1, Max: 256},
 		"prefix": {Kind: schema.String, Required: true, Min: 1, Max: 1024},
@@ -45,19 +45,19 @@
 // Queue is one queue of a Configuration.
 type Queue struct {
 	Name          string
-	Urgency       int64              // higher goes first; of batch queues below 0
+	Urgency       int64              // higher goes first; negative for batch queues
 	Quota         int64              // queueable tasks that one job may have outstanding
-	TrustRunLimit bool               // its workers surely end each run at its limit, even cut off
+	TrustRunLimit bool               // its workers always end a run at its limit, even while cut off
 	Selector      []LabelRequirement // its worker group
-	Admission     []Rule             // what a new job is put through, in order
+	Admission     []Rule             // rules that a new job must pass, in order
 	Addresses     []Address
-	LatencyMs     int64       // the target for a job's time
-	Stretch       float64     // the target for a job's time against its work alone
-	Batch         *BatchRules // nil where its jobs don't wait for cheap hours
+	LatencyMs     int64       // target for a job's time
+	Stretch       float64     // target for the ratio of a job's time to its execution time alone
+	Batch         *BatchRules // nil if its jobs don't wait for cheap hours
 	Open          bool        // callers need no key
 }
 
-// LabelRequirement is one label of a selector and the values that it may have.
+// LabelRequirement is a label of a selector and its allowed values.
 type LabelRequirement struct {
 	Key    string
 	Values []string
@@ -66,8 +66,8 @@
 // Address is where callers reach a queue: all paths of a host that begin with a prefix.
 type Address struct{ Host, Prefix string }
 
-// Matches tells whether a worker's labels put it in the queue's group. The worker's
-// zone counts as its label "site".
+// Matches reports whether a worker's labels put it in the queue's group. The worker's zone counts
+// as its label "site".
 func (q *Queue) Matches(labels []wire.Label, zone string) bool {
 	for _, c := range q.Selector {
 		value := zone
@@ -81,7 +81,7 @@
 	return true
 }
 
-// LabelValue returns the value of a label; "" where there is none.
+// LabelValue returns the value of a label; "" if there is none.
 //
 // Example: rack := configuration.LabelValue(labels, "rack")
 func LabelValue(labels []wire.Label, key string) string {
@@ -93,46 +93,45 @@
 	return ""
 }
 
-// MissingLabel returns the first needed label that a worker lacks; false where it
-// has them all.
+// MissingLabel returns the first required label that a worker lacks; false if it has all.
 //
-// Example: _, lacks := configuration.MissingLabel(worker.Labels, task.Needs)
-func MissingLabel(have, needs []wire.Label) (wire.Label, bool) {
-	for _, l := range needs {
-		if LabelValue(have, l.Key) != l.Value {
+// Example: _, lacks := configuration.MissingLabel(worker.Labels, task.RequiredLabels)
+func MissingLabel(labels, required []wire.Label) (wire.Label, bool) {
+	for _, l := range required {
+		if LabelValue(labels, l.Key) != l.Value {
 			return l, true
 		}
 	}
 	return wire.Label{}, false
 }
 
-// RuleOp names one step of the admission of a job.
+// RuleOp is the operation of one admission rule.
 type RuleOp string
 
-// Steps of the admission; N is a Rule's number.
+// Operations of admission rules; N is the rule's number.
 const (
-	RuleNoGangs         RuleOp = "noGangs"         // rejects gangs and lasting tasks
-	RuleDefaultLimit    RuleOp = "defaultLimit"    // sets a run limit of N ms where the job has none
-	RuleDefaultFailures RuleOp = "defaultFailures" // allows N failures where the job doesn't say
+	RuleNoGangs         RuleOp = "noGangs"         // rejects gangs and long-running tasks
+	RuleDefaultLimit    RuleOp = "defaultLimit"    // sets a run limit of N ms if the job has none
+	RuleDefaultFailures RuleOp = "defaultFailures" // allows N failures if the job doesn't specify it
 	RuleMaxTasks        RuleOp = "maxTasks"        // rejects more than N tasks, 0 for any
-	RuleMaxResources    RuleOp = "maxResources"    // rejects a task with more than N processor, 0 for any
+	RuleMaxResources    RuleOp = "maxResources"    // rejects a task that needs more than N processor, 0 for any
 	RuleMaxLimit        RuleOp = "maxLimit"        // rejects a run limit above N ms, 0 for any
-	RuleAdmit           RuleOp = "admit"           // rejects where N jobs of the queue are live
+	RuleAdmit           RuleOp = "admit"           // rejects if N jobs of the queue are live
 )
 
-// Rule is one step of the program that a new job is put through.
+// Rule is one admission rule for new jobs.
 type Rule struct {
 	Op RuleOp
 	N  int64
 }
 
-// queueDocument is a queue's fields as a document gives them.
+// queueDocument holds a queue's fields as given in a document.
 type queueDocument map[string]gjson.Result
 
 func (c *compiler) addQueue(path string, doc queueDocument) {
 	name := doc["name"].Str
 	if c.config.Queues[name] != nil {
-		c.fault(path+".name", "stands twice")
+		c.addFault(path+".name", "stands twice")
 		return
 	}
 	q := &Queue{
@@ -140,16 +139,16 @@
 		Urgency:       doc["urgency"].Int(),
 		Quota:         cmp.Or(doc["quota"].Int(), defaultQuota),
 		TrustRunLimit: doc["trust_run_limit"].Bool(),
-		Selector:      selectorOf(doc["selector"]),
+		Selector:      parseSelector(doc["selector"]),
 		LatencyMs:     doc["latency_ms"].Int(),
 		Stretch:       doc["stretch"].Num,
 		Open:          doc["open"].Bool(),
 	}
-	q.Admission = c.admissionOf(path, doc)
+	q.Admission = c.compileAdmission(path, doc)
 	c.addAddresses(path, q, doc)
 	c.config.Queues[name] = q
 	if batch := doc["batch"]; batch.Exists() {
-		q.Batch = c.batchOf(path+".batch", batch)
+		q.Batch = c.compileBatchRules(path+".batch", batch)
 		q.Urgency -= batchUrgencyOffset
 		q.Admission = slices.Insert(q.Admission, 0, Rule{RuleNoGangs, 1})
 		return
@@ -158,7 +157,7 @@
 	c.config.HighestUrgency = max(c.config.HighestUrgency, q.Urgency)
 }
 
-func selectorOf(doc gjson.Result) (out []LabelRequirement) {
+func parseSelector(doc gjson.Result) (out []LabelRequirement) {
 	labels := doc.Map()
 	for _, key := range slices.Sorted(maps.Keys(labels)) {
 		choice := LabelRequirement{Key: key}
@@ -170,18 +169,18 @@
 	return out
 }
 
-func (c *compiler) admissionOf(path string, doc queueDocument) []Rule {
-	limit, most := doc["default_limit_ms"].Int(), doc["max_limit_ms"].Int()
-	if limit > 0 && most > 0 && limit > most {
-		c.fault(path+".default_limit_ms", "is above max_limit_ms")
+func (c *compiler) compileAdmission(path string, doc queueDocument) []Rule {
+	defaultRunLimit, maxRunLimit := doc["default_limit_ms"].Int(), doc["max_limit_ms"].Int()
+	if defaultRunLimit > 0 && maxRunLimit > 0 && defaultRunLimit > maxRunLimit {
+		c.addFault(path+".default_limit_ms", "is above max_limit_ms")
 	}
-	usual := min(cmp.Or(most, defaultLimitMs), defaultLimitMs)
+	fallback := min(cmp.Or(maxRunLimit, defaultLimitMs), defaultLimitMs)
 	return []Rule{
-		{RuleDefaultLimit, cmp.Or(limit, usual)},
+		{RuleDefaultLimit, cmp.Or(defaultRunLimit, fallback)},
 		{RuleDefaultFailures, doc["default_failures"].Int()},
 		{RuleMaxTasks, doc["max_tasks"].Int()},
 		{RuleMaxResources, doc["max_room"].Int()},
-		{RuleMaxLimit, most},
+		{RuleMaxLimit, maxRunLimit},
 		{RuleAdmit, cmp.Or(doc["max_live_jobs"].Int(), MaxQueueJobs)},
 	}
 }
@@ -190,7 +189,7 @@
 	for i, a := range doc["addresses"].Array() {
 		at := Address{strings.ToLower(a.Get("host").Str), a.Get("prefix").Str}
 		if !c.addAddress(at, q.Name) {
-			c.fault(fmt.Sprintf("%s.addresses.%d", path, i), "stands twice")
+			c.addFault(fmt.Sprintf("%s.addresses.%d", path, i), "stands twice")
 		}
 		q.Addresses = append(q.Addresses, at)
 	}
--- a/internal/daemon/rules_test.go
+++ b/internal/daemon/rules_test.go
@@ -33,8 +33,7 @@
 // folder that isn't named here has none, and one that got better gets the lower
 // number at once.
 var withdrawnLeft = map[string]int{
-	"internal/daemon tests":   59,
-	"internal/register tests": 1,
+	"internal/daemon tests": 59,
 }
 
 // folderOf names what a file counts for.
--- a/internal/lease/granter.go
+++ b/internal/lease/granter.go
@@ -7,20 +7,20 @@
 	"otterchute/internal/wire"
 )
 
-// Granter is what a core member knows of the leases it gave out and of the clocks
-// it hears. Nothing of it is stored.
+// Granter is a core member's record of the leases it has granted and of the clocks it observes.
+// None of it is stored.
 type Granter struct {
-	guardMs int64 // before this time a lease is granted only where the last holder is surely over
-	startMs int64 // when this member began to hear clocks
-	grants  map[string]*grant
-	clocks  map[string]clockReading // of all daemons that poll here
-	polls   map[string]pollMark     // the newest poll of each daemon
-	median  clockMedian
-
-	forgotMs int64 // when silent clocks were last dropped
+	gracePeriodUntilMs int64 // until then a lease is granted only if the last holder is known to have ended
+	observingSinceMs   int64 // when this member began to observe clocks
+	grants             map[string]*grant
+	clocks             map[string]clockReading // by daemon, of all that poll this member
+	latestPolls        map[string]pollID       // by daemon
+	median             clockMedian
+
+	clocksPrunedMs int64 // when expired clock readings were last removed
 }
 
-// clockMedian is the median of all clocks as it was last worked out.
+// clockMedian is the most recently computed median of all clocks.
 type clockMedian struct {
 	offsetMs int64
 	atMs     int64
@@ -28,7 +28,7 @@
 	known    bool
 }
 
-// grant is a lease given to one process; without a holder, one that was given back.
+// grant is a lease given to one process. One without a holder was released.
 type grant struct {
 	holder    Process
 	epoch     uint64
@@ -36,68 +36,72 @@
 	successor string
 }
 
-// Process is one process of a daemon, as leases know it.
+// Process identifies one process of a daemon.
 type Process struct {
 	Name        string
 	Incarnation uint64
 	Addr        string // only one process at a time can listen there
 }
 
-// same tells whether two are one process, wherever it is heard from.
+// same reports whether both are the same process, regardless of the address.
 func (p Process) same(other Process) bool {
 	return p.Name == other.Name && p.Incarnation == other.Incarnation
 }
 
-// clockReading is a daemon's wall clock minus this member's steady one.
+// clockReading is a daemon's wall clock minus this member's monotonic one.
 type clockReading struct{ offsetMs, atMs int64 }
 
-// pollMark is the newest poll that was heard of a daemon, and of which process.
-type pollMark struct{ incarnation, seq uint64 }
+// pollID identifies a poll by the process that sent it and its sequence number.
+type pollID struct{ incarnation, seq uint64 }
 
-// NewGranter returns the granter of a member that has granted nothing yet.
+// NewGranter returns the granter of a member that has not granted any lease yet.
 //
-// Example: g := lease.NewGranter(); g.Guard(now)
+// Example: g := lease.NewGranter(); g.DelayGrants(now)
 func NewGranter() *Granter {
-	return &Granter{grants: map[string]*grant{}, clocks: map[string]clockReading{}, polls: map[string]pollMark{}}
+	return &Granter{grants: map[string]*grant{}, clocks: map[string]clockReading{}, latestPolls: map[string]pollID{}}
 }
 
-// DelayGrants has the member wait for a whole lease from now on, since it may have
-// granted what it doesn't know: after a start, or when it joined.
-func (g *Granter) DelayGrants(nowMs int64) { g.guardMs, g.startMs = nowMs+DurationMs, nowMs }
+// DelayGrants starts a grace period of one whole lease, in which the member grants a lease only if
+// the last holder is known to have ended. After a start, or after joining the core, it may have
+// granted leases that it has no record of.
+func (g *Granter) DelayGrants(nowMs int64) {
+	g.gracePeriodUntilMs, g.observingSinceMs = nowMs+DurationMs, nowMs
+}
 
-// GrantDelayLeftMs is how long the member grants nothing yet.
-func (g *Granter) GrantDelayLeftMs(nowMs int64) int64 { return max(0, g.guardMs-nowMs) }
+// GrantDelayLeftMs returns how long the grace period still lasts.
+func (g *Granter) GrantDelayLeftMs(nowMs int64) int64 { return max(0, g.gracePeriodUntilMs-nowMs) }
 
-// ObservePoll takes note of a poll, and tells whether a later one of the same
-// process came before: what it holds or releases may have changed since.
+// ObservePoll records a poll and reports whether it is stale: whether a later one of the same
+// process was received before. The leases requested or released in a stale poll may have changed
+// since.
 func (g *Granter) ObservePoll(from string, m *wire.PollRequest) bool {
-	if p := g.polls[from]; p.incarnation == m.Incarnation && m.Seq < p.seq {
+	if p := g.latestPolls[from]; p.incarnation == m.Incarnation && m.Seq < p.seq {
 		return true
 	}
-	g.polls[from] = pollMark{m.Incarnation, m.Seq}
+	g.latestPolls[from] = pollID{m.Incarnation, m.Seq}
 	return false
 }
 
-// ObserveClock takes a daemon's wall clock. What a message took on its way, or
-// waited here, makes a clock seem late, never early: the latest reading of the
-// last seconds is the truest.
+// ObserveClock records a daemon's wall clock. Delays in transit or in a queue make a clock appear
+// late, never early, so the highest offset within clockExpiryMs is the most accurate.
 func (g *Granter) ObserveClock(from string, wallMs, nowMs int64) {
 	c, known := g.clocks[from]
-	if !known || wallMs-nowMs >= c.offsetMs || nowMs-c.atMs > clockOldMs {
+	if !known || wallMs-nowMs >= c.offsetMs || nowMs-c.atMs > clockExpiryMs {
 		g.clocks[from] = clockReading{wallMs - nowMs, nowMs}
 	}
 }
 
-// ClusterTime is the median of the wall clocks that this member hears, its own among
-// them, in ms. Right after a start it waits, so that it hears the others first;
-// and it needs more than half of the daemons that are alive. 0 while it is unknown.
+// ClusterTime returns the median of the wall clocks that this member observes, its own among them,
+// in ms; 0 while it is unknown. It is unknown for ClockWarmupMs after a start, so that other
+// daemons' clocks are included, and while readings of at most half of the live daemons are
+// available.
 func (g *Granter) ClusterTime(nowMs int64, alive int) int64 {
-	if nowMs-g.startMs < ClockWarmupMs {
+	if nowMs-g.observingSinceMs < ClockWarmupMs {
 		return 0
 	}
-	if nowMs-g.forgotMs >= medianMs {
-		g.forgotMs = nowMs
-		maps.DeleteFunc(g.clocks, func(_ string, c clockReading) bool { return nowMs-c.atMs > 2*clockOldMs })
+	if nowMs-g.clocksPrunedMs >= medianIntervalMs {
+		g.clocksPrunedMs = nowMs
+		maps.DeleteFunc(g.clocks, func(_ string, c clockReading) bool { return nowMs-c.atMs > 2*clockExpiryMs })
 	}
 	if 2*len(g.clocks) <= alive {
 		return 0
@@ -105,10 +109,10 @@
 	return g.medianOffset(nowMs) + nowMs
 }
 
-// medianOffset is the median of all clocks' offsets, worked out anew each medianMs at the most,
-// and whenever clocks have come or gone.
+// medianOffset returns the median offset of all clocks. It is recomputed after medianIntervalMs, or
+// when the number of clocks has changed.
 func (g *Granter) medianOffset(nowMs int64) int64 {
-	if m := g.median; m.known && nowMs-m.atMs < medianMs && m.clocks == len(g.clocks) {
+	if m := g.median; m.known && nowMs-m.atMs < medianIntervalMs && m.clocks == len(g.clocks) {
 		return m.offsetMs
 	}
 	all := make([]int64, 0, len(g.clocks))
@@ -120,28 +124,28 @@
 	return g.median.offsetMs
 }
 
-// ClockOffsets returns each daemon's wall clock minus a time, in ms, as now.
-func (g *Granter) ClockOffsets(fleetMs, nowMs int64) map[string]int64 {
+// ClockOffsets returns each daemon's wall clock minus the given time, in ms, as of nowMs.
+func (g *Granter) ClockOffsets(clusterMs, nowMs int64) map[string]int64 {
 	out := map[string]int64{}
 	for name, c := range g.clocks {
-		out[name] = c.offsetMs + nowMs - fleetMs
+		out[name] = c.offsetMs + nowMs - clusterMs
 	}
 	return out
 }
 
-// Release takes leases back that a process gives up. A successor that it names may
-// have one at once; without one anybody may.
+// Release takes back the leases that a process gives up. Only the named successor may be granted
+// such a lease at once; without a named successor any daemon may.
 func (g *Granter) Release(from Process, releases []wire.LeaseRelease, nowMs int64) {
 	for _, r := range releases {
-		if held := g.grants[r.Name]; held != nil && held.holder.same(from) {
-			*held = grant{untilMs: nowMs + DurationMs, epoch: held.epoch, successor: r.Successor}
+		if current := g.grants[r.Name]; current != nil && current.holder.same(from) {
+			*current = grant{untilMs: nowMs + DurationMs, epoch: current.epoch, successor: r.Successor}
 		}
 	}
 }
 
-// Grant gives a process the lease of a role, or renews it, if no other may hold it.
-// last is who took the role last, as far as this member's disk knows; ended tells
-// of a process whether it surely has ended.
+// Grant grants a process the lease of a role, or renews it, and reports whether it did. It refuses
+// if another process may hold the role. last is the latest holder that this member's disk records;
+// ended reports whether a process is known to have ended.
 func (g *Granter) Grant(
 	r wire.LeaseRequest, to Process, last wire.RoleHolder, nowMs int64, ended func(Process) bool,
 ) bool {
@@ -149,38 +153,38 @@
 		return false
 	}
 	lastHolder := Process{last.Holder, last.Incarnation, last.Addr}
-	if nowMs < g.guardMs && last.Holder != "" && !ended(lastHolder) {
+	if nowMs < g.gracePeriodUntilMs && last.Holder != "" && !ended(lastHolder) {
 		return false
 	}
-	if r.Epoch != 0 && r.Epoch < last.Epoch { // it lost the role and doesn't know
+	if r.Epoch != 0 && r.Epoch < last.Epoch { // the process has lost the role and doesn't know it yet
 		return false
 	}
 	g.grants[r.Name] = &grant{holder: to, epoch: r.Epoch, untilMs: nowMs + DurationMs}
 	return true
 }
 
-// free tells whether no other process may hold what this member granted.
+// free reports whether no other process may hold a lease that this member granted.
 func (g *Granter) free(role string, to Process, nowMs int64, ended func(Process) bool) bool {
-	held := g.grants[role]
+	current := g.grants[role]
 	switch {
-	case held == nil || held.untilMs <= nowMs, held.holder.same(to):
+	case current == nil || current.untilMs <= nowMs, current.holder.same(to):
 		return true
-	case held.holder.Name == "":
-		return held.successor == "" || held.successor == to.Name
+	case current.holder.Name == "":
+		return current.successor == "" || current.successor == to.Name
 	}
-	return ended(held.holder)
+	return ended(current.holder)
 }
 
-// Holders returns the leases that stand, by role, and drops those that ran out.
+// Holders returns the current leases, sorted by role, and drops those that expired.
 func (g *Granter) Holders(nowMs int64) (out []wire.RoleHolder) {
 	for _, role := range slices.Sorted(maps.Keys(g.grants)) {
-		held := g.grants[role]
-		if held.untilMs <= nowMs {
+		current := g.grants[role]
+		if current.untilMs <= nowMs {
 			delete(g.grants, role)
 			continue
 		}
-		out = append(out, wire.RoleHolder{Name: role, Holder: held.holder.Name, Incarnation: held.holder.Incarnation,
-			Epoch: held.epoch, Successor: held.successor})
+		out = append(out, wire.RoleHolder{Name: role, Holder: current.holder.Name, Incarnation: current.holder.Incarnation,
+			Epoch: current.epoch, Successor: current.successor})
 	}
 	return out
 }
