--- a/guards.sh
+++ b/guards.sh
@@ -100,17 +100,17 @@
 a counter takes no overtaken report|internal/quota/counter.go|if m.ShardEpoch < l.epoch \|\| m.ShardEpoch == l.epoch && m.Seq <= l.seq {|if false {
 a report belongs to its counter|internal/quota/counter.go|if m.Counter != c.shard \|\| m.CounterEpoch != c.epoch {|if m.Counter != c.shard {
 owners go by a lowered limit before more is lent|internal/quota/counter.go|l != nil && l.version < version|l != nil && false
-claims by a later version wait|internal/quota/counter.go|account == nil \|\| c.shards[shard].version > version|account == nil
+claims by a later version wait|internal/quota/counter.go|loan == nil \|\| c.shards[shard].version > version|loan == nil
 only a unit alone passes its limit|internal/quota/quota.go|others == resource.Amount{} && l.Admits(unit.Minus(task))|l.Admits(unit.Minus(task))
 a share for a large unit is for it alone|internal/quota/borrower.go|if !limit.admitsUnit(others, amount, task) {|if false {
 a grant answers the newest report|internal/quota/borrower.go|\t\tm.Seq != b.seq {|\t\tfalse {
 a grant is for its owner|internal/quota/borrower.go|m.ShardEpoch != b.epoch|false
 a grant is by no earlier version|internal/quota/borrower.go|if m.ConfigVersion < version {|if false {
-no earlier counter is turned to|internal/quota/borrower.go|epoch < b.toEpoch \|\| epoch == b.toEpoch|epoch == b.toEpoch
-a lowered limit is given up|internal/quota/borrower.go|a.held, a.reserved, a.replaces = a.used, map[string]reservation{}, false|_ = a
-a lowered limit voids grants on their way|internal/quota/borrower.go|b.seq++\n\tb.due|b.due
-what ends is not replaced beyond the limit|internal/quota/borrower.go|if !a.replaces {\n|if false {\n
-what was given up is not taken back|internal/quota/borrower.go|if s.GiveBack && a.reduced {|if false {
+no earlier counter is turned to|internal/quota/borrower.go|epoch < b.counterEpoch \|\| epoch == b.counterEpoch|epoch == b.counterEpoch
+a lowered limit is given up|internal/quota/borrower.go|a.held, a.reserved, a.reusesReleased = a.used, map[string]reservation{}, false|_ = a
+a lowered limit voids grants on their way|internal/quota/borrower.go|b.seq++\n\tb.reportDue|b.reportDue
+what ends is not replaced beyond the limit|internal/quota/borrower.go|if !a.reusesReleased {\n|if false {\n
+what was given up is not taken back|internal/quota/borrower.go|if s.GiveBack && a.reducedSinceReport {|if false {
 what a former owner placed is used|internal/quota/borrower.go|a.held = larger(a.held, a.used)\n\ta.started|a.held, a.used = larger(a.held, a.used), larger(resource.Amount{}, a.used.Minus(amount))\n\ta.started
 a version that was not seen may have lent more|internal/quota/limits.go|skipped && !limit.Unlimited()|skipped && false
 tasks placed by a higher limit go back|internal/quota/limits.go|version < l.LoweredIn(tenant)|false
--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -9,50 +9,50 @@
 )
 
 const (
-	reportSpacingMs = 10   // between two reports of one owner to one counter
-	answerMs        = 250  // a report is answered at once: the next one waits for that, but no longer than this
-	claimRepeatMs   = 250  // a report with claims is repeated, for either message may be lost
-	reportIdleMs    = 1000 // and one without
-	rateWindowMs    = 2000 // what was started and used in this time tells what to hold
-	aheadShare      = 4    // a quarter of what was started
-	reservedMostMs  = 2000 // a reservation without starts yields to other tasks after this
-	yieldMs         = 1000 // for this long
-	claimsMax       = 16   // of one tenant in a report, the most urgent ones
+	minReportIntervalMs     = 10   // between two reports of one owner to one counter
+	answerTimeoutMs         = 250  // a report is answered at once: the next one waits for that, but no longer than this
+	claimReportIntervalMs   = 250  // a report with claims is repeated, for either message may be lost
+	idleReportIntervalMs    = 1000 // and one without
+	usageWindowMs           = 2000 // what was started and used in this time tells what to hold
+	aheadDivisor            = 4    // a quarter of what was started
+	reservationYieldAfterMs = 2000 // a reservation without starts yields to other tasks after this
+	yieldDurationMs         = 1000 // for this long
+	maxClaims               = 16   // of one tenant in a report, the most urgent ones
 )
 
 // Borrower is what one shard's owner holds of the limits of all tenants with one counter.
 type Borrower struct {
-	shard   string
-	epoch   uint64
-	counter string
-	to      string // who counts, as far as is known
-	toEpoch uint64
-	seq     uint64
-	sentMs  int64
-	due     bool
-
-	answered   bool  // the newest report was, see answerMs
+	shard         string
+	epoch         uint64
+	counterShard  string
+	counterDaemon string // who counts, as far as is known
+	counterEpoch  uint64
+	seq           uint64
+	reportedMs    int64
+	reportDue     bool
+
+	answered   bool  // the newest report was, see answerTimeoutMs
 	answeredMs int64 // when a newest report was last answered
 	accounts   map[string]*account
 }
 
-// account is one tenant's.
+// loan is one tenant's.
 type account struct {
 	held     resource.Amount
 	used     resource.Amount
 	reserved map[string]reservation // by job and step: room was asked for, and the start will follow
 	claims   []*claim
 	tight    bool
-	// replaces: what ends makes room for another start. A counter has told that all that is lent is
+	// reusesReleased: what ends makes room for another start. A counter has told that all that is lent is
 	// within the limit; before that as much may run elsewhere.
-	replaces bool
-	reduced  bool // less is held than the newest report says
+	reusesReleased     bool
+	reducedSinceReport bool // less is held than the newest report says
 
-	windowMs int64
-	started  resource.Amount // since windowMs
-	ahead    resource.Amount // a part of what was started in the window before
-	peak     resource.Amount // of what was used since windowMs
-	lastPeak resource.Amount // and in the window before
+	windowStartMs int64
+	started       resource.Amount // since windowStartMs
+	ahead         resource.Amount // a part of what was started in the window before
+	peak          resource.Amount // of what was used since windowStartMs
+	lastPeak      resource.Amount // and in the window before
 }
 
 type reservation struct {
@@ -67,14 +67,14 @@
 	wire.ShareClaim
 	key     string
 	sinceMs int64
-	fresh   bool // told since the last BeginClaims
+	renewed bool // told since the last BeginClaims
 }
 
 // NewBorrower begins an owner's accounts under its epoch of a shard.
 //
 // Example: borrower := quota.NewBorrower("oita-d", epoch, "fukuoka-a")
 func NewBorrower(shard string, epoch uint64, counter string) *Borrower {
-	return &Borrower{shard: shard, epoch: epoch, counter: counter, accounts: map[string]*account{}}
+	return &Borrower{shard: shard, epoch: epoch, counterShard: counter, accounts: map[string]*account{}}
 }
 
 func (b *Borrower) account(tenant string) *account {
@@ -89,10 +89,10 @@
 // CounterIs tells who counts and under which epoch. One of an earlier epoch is never turned to
 // again: what it lends may have been lent by a later one.
 func (b *Borrower) CounterIs(name string, epoch uint64) {
-	if name == "" || epoch < b.toEpoch || epoch == b.toEpoch && name == b.to {
+	if name == "" || epoch < b.counterEpoch || epoch == b.counterEpoch && name == b.counterDaemon {
 		return
 	}
-	b.to, b.toEpoch, b.due, b.answered = name, epoch, true, true
+	b.counterDaemon, b.counterEpoch, b.reportDue, b.answered = name, epoch, true, true
 }
 
 // Use notes that a task is started, or was by a former owner.
@@ -108,11 +108,11 @@
 func (b *Borrower) Release(tenant string, amount resource.Amount) {
 	a := b.account(tenant)
 	a.used = a.used.Minus(amount)
-	if !a.replaces {
-		a.held, a.reduced = larger(a.held.Minus(amount), a.used), true
+	if !a.reusesReleased {
+		a.held, a.reducedSinceReport = larger(a.held.Minus(amount), a.used), true
 	}
-	if a.tight || !a.replaces {
-		b.due = true
+	if a.tight || !a.reusesReleased {
+		b.reportDue = true
 	}
 }
 
@@ -122,7 +122,7 @@
 		return true
 	}
 	a := b.account(tenant)
-	return a.covers(a.taken(nowMs), amount, amount, limit)
+	return a.covers(a.usedAndReserved(nowMs), amount, amount, limit)
 }
 
 // FitsReserved is Fits for tasks of which each takes as much, and that a reservation may have been
@@ -132,7 +132,7 @@
 		return true
 	}
 	a := b.account(tenant)
-	others := a.taken(nowMs).Minus(smaller(a.reservedAt(key, nowMs), amount))
+	others := a.usedAndReserved(nowMs).Minus(smaller(a.reservedAt(key, nowMs), amount))
 	return a.covers(others, amount, task, limit)
 }
 
@@ -169,9 +169,9 @@
 	if !ok || r.untilMs <= nowMs {
 		return false
 	}
-	if !r.yielded && a.tight && nowMs-r.sinceMs >= reservedMostMs {
-		r = reservation{untilMs: nowMs + yieldMs, yielded: true}
-		a.reserved[key], b.due = r, true
+	if !r.yielded && a.tight && nowMs-r.sinceMs >= reservationYieldAfterMs {
+		r = reservation{untilMs: nowMs + yieldDurationMs, yielded: true}
+		a.reserved[key], b.reportDue = r, true
 	}
 	return r.yielded
 }
@@ -206,8 +206,8 @@
 	return resource.Amount{}
 }
 
-// taken is what is used or reserved.
-func (a *account) taken(nowMs int64) resource.Amount {
+// usedAndReserved is what is used or reserved.
+func (a *account) usedAndReserved(nowMs int64) resource.Amount {
 	sum := a.used
 	for key, r := range a.reserved { // a sum: the order does not matter
 		if r.untilMs <= nowMs {
@@ -223,7 +223,7 @@
 func (b *Borrower) BeginClaims() {
 	for _, a := range b.accounts {
 		for _, c := range a.claims {
-			c.fresh = false
+			c.renewed = false
 		}
 	}
 }
@@ -234,27 +234,27 @@
 	for _, c := range a.claims {
 		if c.key == key {
 			if v.Count > c.Count || v.Unit != c.Unit {
-				b.due = true
+				b.reportDue = true
 			}
-			c.ShareClaim, c.fresh = v, true
+			c.ShareClaim, c.renewed = v, true
 			return
 		}
 	}
-	if len(a.claims) >= claimsMax { // those told in this round are more urgent than those not told yet
-		at := slices.IndexFunc(a.claims, func(c *claim) bool { return !c.fresh })
+	if len(a.claims) >= maxClaims { // those told in this round are more urgent than those not told yet
+		at := slices.IndexFunc(a.claims, func(c *claim) bool { return !c.renewed })
 		if at < 0 {
 			return
 		}
 		a.claims = slices.Delete(a.claims, at, at+1)
 	}
-	a.claims = append(a.claims, &claim{ShareClaim: v, key: key, sinceMs: nowMs, fresh: true})
-	b.due = true
+	a.claims = append(a.claims, &claim{ShareClaim: v, key: key, sinceMs: nowMs, renewed: true})
+	b.reportDue = true
 }
 
 // EndClaims ends a round of claims.
 func (b *Borrower) EndClaims() {
 	for _, a := range b.accounts {
-		a.claims = slices.DeleteFunc(a.claims, func(c *claim) bool { return !c.fresh })
+		a.claims = slices.DeleteFunc(a.claims, func(c *claim) bool { return !c.renewed })
 	}
 }
 
@@ -262,48 +262,48 @@
 // limit, as what is on its way may be. Grants for what was reported until now are taken no more.
 func (b *Borrower) LimitLowered(tenant string) {
 	a := b.account(tenant)
-	a.held, a.reserved, a.replaces = a.used, map[string]reservation{}, false
+	a.held, a.reserved, a.reusesReleased = a.used, map[string]reservation{}, false
 	b.seq++
-	b.due, b.answered = true, true
+	b.reportDue, b.answered = true, true
 }
 
 // Report gives the next report, if one is due, and who it is for. From then on no more is used
 // than it says to keep.
 func (b *Borrower) Report(nowMs, version int64) (to string, m *wire.ShareReport) {
-	if b.to == "" || nowMs-b.sentMs < reportSpacingMs {
+	if b.counterDaemon == "" || nowMs-b.reportedMs < minReportIntervalMs {
 		return "", nil
 	}
-	wait := int64(reportIdleMs)
-	if b.claimsSome() {
-		wait = claimRepeatMs
+	interval := int64(idleReportIntervalMs)
+	if b.hasClaims() {
+		interval = claimReportIntervalMs
 	}
-	if !b.due && nowMs-b.sentMs < wait && b.seq != 0 {
+	if !b.reportDue && nowMs-b.reportedMs < interval && b.seq != 0 {
 		return "", nil
 	}
 	// An answer to a report that another has followed is not taken: were the next one sent while
 	// this one's answer is on its way, none might ever come in time.
-	if !b.answered && nowMs-b.sentMs < answerMs && b.seq != 0 {
+	if !b.answered && nowMs-b.reportedMs < answerTimeoutMs && b.seq != 0 {
 		return "", nil
 	}
 	b.seq++
-	b.sentMs, b.due, b.answered = nowMs, false, false
+	b.reportedMs, b.reportDue, b.answered = nowMs, false, false
 	m = &wire.ShareReport{
-		Counter: b.counter, CounterEpoch: b.toEpoch, Shard: b.shard, ShardEpoch: b.epoch, Seq: b.seq, ConfigVersion: version,
+		Counter: b.counterShard, CounterEpoch: b.counterEpoch, Shard: b.shard, ShardEpoch: b.epoch, Seq: b.seq, ConfigVersion: version,
 	}
 	for _, tenant := range slices.Sorted(maps.Keys(b.accounts)) {
 		a := b.accounts[tenant]
 		a.trim(nowMs)
-		a.reduced = false
-		if a.idle() {
+		a.reducedSinceReport = false
+		if a.isEmpty() {
 			delete(b.accounts, tenant)
 			continue
 		}
 		m.Accounts = append(m.Accounts, a.report(tenant, nowMs))
 	}
-	return b.to, m
+	return b.counterDaemon, m
 }
 
-func (b *Borrower) claimsSome() bool {
+func (b *Borrower) hasClaims() bool {
 	for _, a := range b.accounts {
 		if len(a.claims) > 0 {
 			return true
@@ -314,12 +314,12 @@
 
 // rollWindow sets what to hold ahead by what was started in the window that is over.
 func (a *account) rollWindow(nowMs int64) {
-	if nowMs-a.windowMs < rateWindowMs {
+	if nowMs-a.windowStartMs < usageWindowMs {
 		return
 	}
-	quarter := func(v int64) int64 { return (v + aheadShare - 1) / aheadShare }
+	quarter := func(v int64) int64 { return (v + aheadDivisor - 1) / aheadDivisor }
 	a.ahead = resource.Amount{CPU: quarter(a.started.CPU), Memory: quarter(a.started.Memory), GPU: quarter(a.started.GPU)}
-	a.windowMs, a.started = nowMs, resource.Amount{}
+	a.windowStartMs, a.started = nowMs, resource.Amount{}
 	a.lastPeak, a.peak = a.peak, a.used
 }
 
@@ -327,14 +327,14 @@
 // kept: with a steady load starts need no grants, also while nobody counts.
 func (a *account) trim(nowMs int64) {
 	a.rollWindow(nowMs)
-	keep := a.taken(nowMs)
+	keep := a.usedAndReserved(nowMs)
 	if !a.tight {
 		keep = larger(keep, larger(a.peak, a.lastPeak)).Plus(a.ahead)
 	}
 	a.held = larger(smaller(a.held, keep), a.used)
 }
 
-func (a *account) idle() bool {
+func (a *account) isEmpty() bool {
 	zero := resource.Amount{}
 	return a.held == zero && a.used == zero && a.ahead == zero && len(a.claims) == 0 && len(a.reserved) == 0
 }
@@ -342,7 +342,7 @@
 func (a *account) report(tenant string, nowMs int64) wire.ShareAccount {
 	out := wire.ShareAccount{Tenant: tenant, Keep: a.held, Used: a.used}
 	if !a.tight {
-		out.Ahead = larger(a.taken(nowMs).Plus(a.ahead).Minus(a.held), resource.Amount{})
+		out.Ahead = larger(a.usedAndReserved(nowMs).Plus(a.ahead).Minus(a.held), resource.Amount{})
 	}
 	for _, c := range a.claims {
 		v := c.ShareClaim
@@ -355,8 +355,8 @@
 // OnGrant takes a grant if it answers the newest report, and gives the tenants of which more is
 // held now. A grant by an older configuration than the owner's is left: its limits may be higher.
 // The counter answers anew once it goes by the owner's.
-func (b *Borrower) OnGrant(m *wire.ShareGrant, nowMs, version int64) (grown []string) {
-	if m.Counter != b.counter || m.CounterEpoch != b.toEpoch || m.Shard != b.shard || m.ShardEpoch != b.epoch ||
+func (b *Borrower) OnGrant(m *wire.ShareGrant, nowMs, version int64) (increased []string) {
+	if m.Counter != b.counterShard || m.CounterEpoch != b.counterEpoch || m.Shard != b.shard || m.ShardEpoch != b.epoch ||
 		m.Seq != b.seq {
 		return nil
 	}
@@ -367,18 +367,18 @@
 	for _, s := range m.Shares {
 		a := b.account(s.Tenant)
 		if s.Tight && !a.tight {
-			b.due = true
+			b.reportDue = true
 		}
-		a.tight, a.replaces = s.Tight, !s.GiveBack
-		if s.GiveBack && a.reduced {
+		a.tight, a.reusesReleased = s.Tight, !s.GiveBack
+		if s.GiveBack && a.reducedSinceReport {
 			continue // the amount has a part that was given up since
 		}
 		if next := larger(a.held, s.Amount); next != a.held {
 			a.held = next
-			grown = append(grown, s.Tenant)
+			increased = append(increased, s.Tenant)
 		}
 	}
-	return grown
+	return increased
 }
 
 // Settle forgets the claims of a tenant: more is held now, and who still lacks some tells it again.
@@ -406,8 +406,8 @@
 	for _, tenant := range slices.Sorted(maps.Keys(b.accounts)) {
 		a := b.accounts[tenant]
 		d := Delay{
-			Tenant: tenant, Held: a.held, Used: a.used, Reserved: a.taken(nowMs).Minus(a.used), Claims: len(a.claims),
-			Counter: b.to, UnansweredMs: nowMs - b.answeredMs,
+			Tenant: tenant, Held: a.held, Used: a.used, Reserved: a.usedAndReserved(nowMs).Minus(a.used), Claims: len(a.claims),
+			Counter: b.counterDaemon, UnansweredMs: nowMs - b.answeredMs,
 		}
 		for _, c := range a.claims {
 			if waited := nowMs - c.sinceMs; waited > d.WaitedMs {
--- a/internal/quota/counter.go
+++ b/internal/quota/counter.go
@@ -17,10 +17,10 @@
 	holdBackAfterMs = 1000
 	holdBackMs      = 2000
 	holdBackPercent = 50
-	// aheadPercent of a limit is lent ahead of need at most; above tightPercent owners give back
+	// maxAheadPercent of a limit is lent ahead of need at most; above tightPercent owners give back
 	// at once what they don't use.
-	aheadPercent = 50
-	tightPercent = 75
+	maxAheadPercent = 50
+	tightPercent    = 75
 )
 
 // Policy is what the counter's configuration says now.
@@ -33,21 +33,21 @@
 type Counter struct {
 	shard  string
 	epoch  uint64
-	shards map[string]*lent
+	shards map[string]*shardLoans
 }
 
-// lent is what one shard's owner was lent, by its newest report.
-type lent struct {
-	owner    string
-	epoch    uint64 // of the shard
-	seq      uint64
-	version  int64 // of the configuration that the owner went by
-	accounts map[string]*lentAccount
-	changed  bool  // since the last grant was sent; a new report is always answered
-	answered int64 // the version that the last grant was by
+// shardLoans is what one shard's owner was lent, by its newest report.
+type shardLoans struct {
+	owner           string
+	epoch           uint64 // of the shard
+	seq             uint64
+	version         int64 // of the configuration that the owner went by
+	loans           map[string]*loan
+	grantDue        bool  // since the last grant was sent; a new report is always answered
+	answeredVersion int64 // the version that the last grant was by
 }
 
-type lentAccount struct {
+type loan struct {
 	amount resource.Amount
 	used   resource.Amount
 	ahead  resource.Amount
@@ -67,7 +67,7 @@
 //
 // Example: counter := quota.NewCounter("fukuoka-a", epoch)
 func NewCounter(shard string, epoch uint64) *Counter {
-	return &Counter{shard: shard, epoch: epoch, shards: map[string]*lent{}}
+	return &Counter{shard: shard, epoch: epoch, shards: map[string]*shardLoans{}}
 }
 
 // OnReport takes what a shard's owner says it holds. It gives false for a report to another
@@ -81,12 +81,12 @@
 			return false
 		}
 	}
-	l := &lent{
+	l := &shardLoans{
 		owner: from, epoch: m.ShardEpoch, seq: m.Seq, version: m.ConfigVersion,
-		accounts: map[string]*lentAccount{}, changed: true,
+		loans: map[string]*loan{}, grantDue: true,
 	}
 	for _, a := range m.Accounts {
-		l.accounts[a.Tenant] = &lentAccount{
+		l.loans[a.Tenant] = &loan{
 			amount: larger(a.Keep, a.Used), used: a.Used, ahead: a.Ahead, claims: slices.Clone(a.Claims),
 			giveBack: true, // until it is counted beside the others
 		}
@@ -111,18 +111,18 @@
 		return nil
 	}
 	for _, tenant := range c.tenants() { // a borrower that knows no limit asks for nothing
-		if c.adopted(p.Shards, p.Limits.LoweredIn(tenant)) {
-			c.lendTo(tenant, p.Limits)
+		if c.allReportedAt(p.Shards, p.Limits.LoweredIn(tenant)) {
+			c.lendToTenant(tenant, p.Limits)
 		} else {
-			c.mark(tenant, true, true)
+			c.setFlags(tenant, true, true)
 		}
 	}
-	return c.messages(p.Limits.Version())
+	return c.grants(p.Limits.Version())
 }
 
-// adopted tells whether each shard has reported by a version or a later one. Before that, an
+// allReportedAt tells whether each shard has reported by a version or a later one. Before that, an
 // owner may hold more than it said: by an earlier version the tenant may have had no limit.
-func (c *Counter) adopted(shards []string, version int64) bool {
+func (c *Counter) allReportedAt(shards []string, version int64) bool {
 	for _, shard := range shards {
 		if l := c.shards[shard]; l != nil && l.version < version {
 			return false
@@ -135,7 +135,7 @@
 func (c *Counter) tenants() []string {
 	names := map[string]bool{}
 	for _, l := range c.shards {
-		for tenant := range l.accounts {
+		for tenant := range l.loans {
 			names[tenant] = true
 		}
 	}
@@ -145,20 +145,20 @@
 // shardClaim is one claim of one shard.
 type shardClaim struct {
 	*wire.ShareClaim
-	shard   string
-	account *lentAccount
+	shard string
+	loan  *loan
 }
 
 // claims gives what shards claim of a tenant's limit, the most urgent and oldest first. Those by
 // a later version than the counter's wait: it may have a lower limit.
 func (c *Counter) claims(tenant string, version int64) (claims []shardClaim) {
 	for _, shard := range slices.Sorted(maps.Keys(c.shards)) {
-		account := c.shards[shard].accounts[tenant]
-		if account == nil || c.shards[shard].version > version {
+		loan := c.shards[shard].loans[tenant]
+		if loan == nil || c.shards[shard].version > version {
 			continue
 		}
-		for i := range account.claims {
-			claims = append(claims, shardClaim{&account.claims[i], shard, account})
+		for i := range loan.claims {
+			claims = append(claims, shardClaim{&loan.claims[i], shard, loan})
 		}
 	}
 	slices.SortStableFunc(claims, func(a, b shardClaim) int {
@@ -170,41 +170,41 @@
 // Lent is what all shards may use of a tenant's limit.
 func (c *Counter) Lent(tenant string) (sum resource.Amount) {
 	for _, l := range c.shards { // a sum: the order does not matter
-		if account := l.accounts[tenant]; account != nil {
-			sum = sum.Plus(account.amount)
+		if loan := l.loans[tenant]; loan != nil {
+			sum = sum.Plus(loan.amount)
 		}
 	}
 	return sum
 }
 
-func (c *Counter) lendTo(tenant string, limits *Limits) {
+func (c *Counter) lendToTenant(tenant string, limits *Limits) {
 	limit := limits.Of(tenant)
-	sum, short, heldBack := c.Lent(tenant), false, false
+	sum, unsatisfied, heldBack := c.Lent(tenant), false, false
 	for _, claim := range c.claims(tenant, limits.Version()) {
 		for claim.Count > 0 && limit.admitsUnit(sum, claim.Unit, claim.Task) {
-			claim.account.amount, sum = claim.account.amount.Plus(claim.Unit), sum.Plus(claim.Unit)
+			claim.loan.amount, sum = claim.loan.amount.Plus(claim.Unit), sum.Plus(claim.Unit)
 			claim.Count--
-			c.shards[claim.shard].changed = true
+			c.shards[claim.shard].grantDue = true
 		}
 		if claim.Count == 0 || !limit.EverAdmits(claim.Unit, claim.Task) {
 			continue // what the whole limit is too low for waits for a higher one
 		}
-		byTurns := limit.share(holdBackPercent).Admits(sum)
-		if heldBack = (!short || !byTurns) && limit.holdsBack(sum, claim.WaitedMs); heldBack {
-			short = true
+		takesTurns := limit.scaled(holdBackPercent).Admits(sum)
+		if heldBack = (!unsatisfied || !takesTurns) && limit.holdsBack(sum, claim.WaitedMs); heldBack {
+			unsatisfied = true
 			break
 		}
-		short = true
+		unsatisfied = true
 	}
-	if !short {
+	if !unsatisfied {
 		sum = c.lendAhead(tenant, limits, sum)
 	}
-	c.mark(tenant, short || !limit.share(tightPercent).Admits(sum), heldBack || !limit.Admits(sum))
+	c.setFlags(tenant, unsatisfied || !limit.scaled(tightPercent).Admits(sum), heldBack || !limit.Admits(sum))
 }
 
 // holdsBack tells whether a unit that has waited so long keeps what gets free from those behind it.
 func (l Limit) holdsBack(sum resource.Amount, waitedMs int64) bool {
-	if waitedMs >= holdBackAfterMs && !l.share(holdBackPercent).Admits(sum) {
+	if waitedMs >= holdBackAfterMs && !l.scaled(holdBackPercent).Admits(sum) {
 		return true
 	}
 	return waitedMs%(holdBackAfterMs+holdBackMs) >= holdBackAfterMs
@@ -212,47 +212,47 @@
 
 // lendAhead lends what owners like to have at hand, while most of the limit is free.
 func (c *Counter) lendAhead(tenant string, limits *Limits, sum resource.Amount) resource.Amount {
-	most := limits.Of(tenant).share(aheadPercent)
+	limit := limits.Of(tenant).scaled(maxAheadPercent)
 	for _, shard := range slices.Sorted(maps.Keys(c.shards)) {
 		l := c.shards[shard]
-		account := l.accounts[tenant]
-		if account == nil || account.ahead == (resource.Amount{}) || l.version > limits.Version() {
+		loan := l.loans[tenant]
+		if loan == nil || loan.ahead == (resource.Amount{}) || l.version > limits.Version() {
 			continue
 		}
-		if next := sum.Plus(account.ahead); most.Admits(next) {
-			account.amount, sum = account.amount.Plus(account.ahead), next
-			account.ahead = resource.Amount{}
-			l.changed = true
+		if next := sum.Plus(loan.ahead); limit.Admits(next) {
+			loan.amount, sum = loan.amount.Plus(loan.ahead), next
+			loan.ahead = resource.Amount{}
+			l.grantDue = true
 		}
 	}
 	return sum
 }
 
-// mark has owners told whether to give back at once what they don't use, and what ends.
-func (c *Counter) mark(tenant string, tight, giveBack bool) {
+// setFlags has owners told whether to give back at once what they don't use, and what ends.
+func (c *Counter) setFlags(tenant string, tight, giveBack bool) {
 	for _, l := range c.shards {
-		account := l.accounts[tenant]
-		if account != nil && (account.tight != tight || account.giveBack != giveBack) {
-			account.tight, account.giveBack, l.changed = tight, giveBack, true
+		loan := l.loans[tenant]
+		if loan != nil && (loan.tight != tight || loan.giveBack != giveBack) {
+			loan.tight, loan.giveBack, l.grantDue = tight, giveBack, true
 		}
 	}
 }
 
-// messages gives a grant for each owner of whose shares something has changed.
-func (c *Counter) messages(version int64) (grants []Grant) {
+// grants gives a grant for each owner of whose shares something has changed.
+func (c *Counter) grants(version int64) (grants []Grant) {
 	for _, shard := range slices.Sorted(maps.Keys(c.shards)) {
 		l := c.shards[shard]
-		if !l.changed && l.answered == version {
+		if !l.grantDue && l.answeredVersion == version {
 			continue
 		}
-		l.changed, l.answered = false, version
+		l.grantDue, l.answeredVersion = false, version
 		m := &wire.ShareGrant{
 			Counter: c.shard, CounterEpoch: c.epoch, Shard: shard, ShardEpoch: l.epoch, Seq: l.seq, ConfigVersion: version,
 		}
-		for _, tenant := range slices.Sorted(maps.Keys(l.accounts)) {
-			account := l.accounts[tenant]
+		for _, tenant := range slices.Sorted(maps.Keys(l.loans)) {
+			loan := l.loans[tenant]
 			m.Shares = append(m.Shares, wire.TenantShare{
-				Tenant: tenant, Amount: account.amount, Tight: account.tight, GiveBack: account.giveBack,
+				Tenant: tenant, Amount: loan.amount, Tight: loan.tight, GiveBack: loan.giveBack,
 			})
 		}
 		grants = append(grants, Grant{To: l.owner, Message: m})
@@ -275,12 +275,12 @@
 	for _, tenant := range c.tenants() {
 		u := Usage{Tenant: tenant, Lent: c.Lent(tenant)}
 		for _, l := range c.shards {
-			account := l.accounts[tenant]
-			if account == nil {
+			loan := l.loans[tenant]
+			if loan == nil {
 				continue
 			}
-			u.Used = u.Used.Plus(account.used)
-			for _, claim := range account.claims {
+			u.Used = u.Used.Plus(loan.used)
+			for _, claim := range loan.claims {
 				u.Claimed += int(claim.Count)
 				if claim.Count > 0 {
 					u.WaitedMs = max(u.WaitedMs, claim.WaitedMs)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -63,15 +63,15 @@
 	return lower(l.CPU, other.CPU) || lower(l.Memory, other.Memory) || lower(l.GPU, other.GPU)
 }
 
-// share is a part of the limit, in percent; a dimension without a limit stays so.
-func (l Limit) share(percent int64) Limit {
-	part := func(v int64) int64 {
+// scaled is a part of the limit, in percent; a dimension without a limit stays so.
+func (l Limit) scaled(percent int64) Limit {
+	scale := func(v int64) int64 {
 		if v == 0 {
 			return 0
 		}
 		return max(v*percent/100, 1)
 	}
-	return Limit{CPU: part(l.CPU), Memory: part(l.Memory), GPU: part(l.GPU)}
+	return Limit{CPU: scale(l.CPU), Memory: scale(l.Memory), GPU: scale(l.GPU)}
 }
 
 // larger is the larger of two amounts, dimension by dimension.
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -238,21 +238,21 @@
 func TestReservationYields(t *testing.T) {
 	b := holding(8)
 	renew := func(nowMs int64) { b.Reserve("t", "x", cpu(6), nowMs, nowMs+500) }
-	for now := int64(0); now <= 2*reservedMostMs; now += 400 {
+	for now := int64(0); now <= 2*reservationYieldAfterMs; now += 400 {
 		renew(now)
 		must.False(t, b.Yields("t", "x", now)) // nobody lacks it
 	}
 	must.False(t, b.Yields("t", "y", 0))
 	must.False(t, b.Yields("u", "x", 0))
 	b.account("t").tight = true
-	must.True(t, b.Yields("t", "x", 2*reservedMostMs))
-	must.Eq(t, cpu(0), b.Reserved("t", "x", 2*reservedMostMs))
-	must.True(t, b.Fits("t", cpu(8), Limit{CPU: 10}, 2*reservedMostMs))
-	must.True(t, b.Yields("t", "x", 2*reservedMostMs+yieldMs-1))
-	must.False(t, b.Yields("t", "x", 2*reservedMostMs+yieldMs))
-	renew(2*reservedMostMs + yieldMs)
-	must.False(t, b.Yields("t", "x", 2*reservedMostMs+yieldMs))
-	must.Eq(t, cpu(6), b.Reserved("t", "x", 2*reservedMostMs+yieldMs))
+	must.True(t, b.Yields("t", "x", 2*reservationYieldAfterMs))
+	must.Eq(t, cpu(0), b.Reserved("t", "x", 2*reservationYieldAfterMs))
+	must.True(t, b.Fits("t", cpu(8), Limit{CPU: 10}, 2*reservationYieldAfterMs))
+	must.True(t, b.Yields("t", "x", 2*reservationYieldAfterMs+yieldDurationMs-1))
+	must.False(t, b.Yields("t", "x", 2*reservationYieldAfterMs+yieldDurationMs))
+	renew(2*reservationYieldAfterMs + yieldDurationMs)
+	must.False(t, b.Yields("t", "x", 2*reservationYieldAfterMs+yieldDurationMs))
+	must.Eq(t, cpu(6), b.Reserved("t", "x", 2*reservationYieldAfterMs+yieldDurationMs))
 }
 
 // When reports are due, and what they keep: what was used lately and a part of what was started,
@@ -275,23 +275,23 @@
 		}
 		return m
 	}
-	must.Nil(t, next(reportIdleMs-1))
+	must.Nil(t, next(idleReportIntervalMs-1))
 	m = next(1)
 	must.Eq(t, uint64(2), m.Seq)
 	must.Eq(t, wire.ShareAccount{Tenant: "t", Keep: cpu(8), Used: cpu(4)}, m.Accounts[0])
-	m = next(rateWindowMs)
+	m = next(usageWindowMs)
 	must.Eq(t, wire.ShareAccount{Tenant: "t", Keep: cpu(8), Used: cpu(4)}, m.Accounts[0])
 	b.Claim("t", "x", claimOf("1", 0, 0, 2, 1), at)
-	must.Nil(t, next(reportSpacingMs-1))
+	must.Nil(t, next(minReportIntervalMs-1))
 	must.Eq(t, int32(1), next(1).Accounts[0].Claims[0].Count)
-	must.Nil(t, next(claimRepeatMs-1))
+	must.Nil(t, next(claimReportIntervalMs-1))
 	m = next(1)
-	must.Eq(t, int64(reportSpacingMs+claimRepeatMs), m.Accounts[0].Claims[0].WaitedMs)
+	must.Eq(t, int64(minReportIntervalMs+claimReportIntervalMs), m.Accounts[0].Claims[0].WaitedMs)
 	b.OnGrant(&wire.ShareGrant{
 		Counter: "a", CounterEpoch: 1, Shard: "b", ShardEpoch: 1, Seq: m.Seq, ConfigVersion: 1,
 		Shares: []wire.TenantShare{{Tenant: "t", Amount: cpu(8), Tight: true}},
 	}, 0, 1)
-	must.Eq(t, cpu(4), next(reportSpacingMs).Accounts[0].Keep)
+	must.Eq(t, cpu(4), next(minReportIntervalMs).Accounts[0].Keep)
 }
 
 // What ends makes no room before a counter has told that all that is lent is within the limit.
@@ -326,11 +326,11 @@
 		}
 	}
 	b.BeginClaims()
-	tell(0, claimsMax+4)
+	tell(0, maxClaims+4)
 	b.EndClaims()
-	must.Eq(t, claimsMax, b.Waiting("t"))
+	must.Eq(t, maxClaims, b.Waiting("t"))
 	b.BeginClaims()
-	tell(claimsMax-1, claimsMax+4) // takes the places of those not told yet
+	tell(maxClaims-1, maxClaims+4) // takes the places of those not told yet
 	tell(0, 2)
 	b.EndClaims()
 	_, m := b.Report(200, 1)
@@ -339,7 +339,7 @@
 	must.Eq(t, 0, b.Waiting("t"))
 	b.BeginClaims()
 	b.EndClaims()
-	_, m = b.Report(300+reportIdleMs, 1)
+	_, m = b.Report(300+idleReportIntervalMs, 1)
 	must.SliceEmpty(t, m.Accounts)
 }
 
@@ -419,14 +419,14 @@
 			b := NewBorrower("b", 2, "a")
 			b.CounterIs("n1", 2)
 			b.Report(100, 2)
-			_, m := b.Report(100+reportIdleMs, 2)
+			_, m := b.Report(100+idleReportIntervalMs, 2)
 			grant := &wire.ShareGrant{
 				Counter: "a", CounterEpoch: 2, Shard: "b", ShardEpoch: 2, Seq: m.Seq, ConfigVersion: 2,
 				Shares: []wire.TenantShare{{Tenant: "t", Amount: cpu(4)}},
 			}
 			tt.before(b)
 			tt.change(grant)
-			must.Eq(t, tt.taken, len(b.OnGrant(grant, 200+reportIdleMs, 2)) == 1)
+			must.Eq(t, tt.taken, len(b.OnGrant(grant, 200+idleReportIntervalMs, 2)) == 1)
 			must.Eq(t, tt.taken, b.Fits("t", cpu(4), Limit{CPU: 10}, 0))
 		})
 	}
--- a/internal/scheduler/assignment.go
+++ b/internal/scheduler/assignment.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// fullShare is all of a worker's room, in the thousandths that a score counts in.
-	fullShare = 1000
+	// perMille is all of a worker's room, in the thousandths that a score counts in.
+	perMille = 1000
 	// What a score adds for a worker where the task starts without a stop, and for one near
 	// its data. Each outweighs all that stands below it.
-	scoreFree = 1 << 40
-	scoreNear = 1 << 30
-	// scoreDoubted is taken off a worker that anything speaks against: it comes after others where
+	scoreNoPreemption = 1 << 40
+	scoreNearData     = 1 << 30
+	// suspectPenalty is taken off a worker that anything speaks against: it comes after others where
 	// the task starts without a stop, and before those where it doesn't.
-	scoreDoubted = 1 << 35
-	// scoreAvoided is taken off a worker where the task just failed: it comes last.
-	scoreAvoided = 1 << 50
+	suspectPenalty = 1 << 35
+	// avoidedPenalty is taken off a worker where the task just failed: it comes last.
+	avoidedPenalty = 1 << 50
 )
 
 // Candidate is a worker as the central scheduler sees it while it assigns tasks.
@@ -35,18 +35,18 @@
 	Free resource.Amount
 }
 
-// take has a candidate hold so much more; a negative amount gives room back.
-func (c *Candidate) take(room resource.Amount) {
-	c.Sure, c.Free = c.Sure.Minus(room), c.Free.Minus(room)
+// reserve has a candidate hold so much more; a negative amount gives room back.
+func (c *Candidate) reserve(amount resource.Amount) {
+	c.Sure, c.Free = c.Sure.Minus(amount), c.Free.Minus(amount)
 }
 
-// freeShare is the part of a worker that is free, in thousandths, in its scarcer dimension.
-func (c *Candidate) freeShare() int64 {
-	share := c.Free.CPU * fullShare / max(c.Capacity.CPU, 1)
+// freePerMille is the part of a worker that is free, in thousandths, in its scarcer dimension.
+func (c *Candidate) freePerMille() int64 {
+	free := c.Free.CPU * perMille / max(c.Capacity.CPU, 1)
 	if c.Capacity.Memory > 0 {
-		share = min(share, c.Free.Memory*fullShare/c.Capacity.Memory)
+		free = min(free, c.Free.Memory*perMille/c.Capacity.Memory)
 	}
-	return share
+	return free
 }
 
 // Group is what tasks that are alike ask of workers.
@@ -89,37 +89,37 @@
 		return nil
 	}
 	if a.Group.SameRack {
-		found, able := a.findInOneRack(open, candidates)
-		if found != nil || able && a.WaitsForRack {
+		found, feasible := a.findInOneRack(open, candidates)
+		if found != nil || feasible && a.WaitsForRack {
 			return found
 		}
 	}
-	return a.fillWhole(open, candidates)
+	return a.fillAllOrNone(open, candidates)
 }
 
 // findInOneRack tries each rack, the one near the data first. It tells whether some rack
 // could hold the gang once nothing else is there.
-func (a *Assignment) findInOneRack(open int, candidates []*Candidate) (found []*Candidate, able bool) {
+func (a *Assignment) findInOneRack(open int, candidates []*Candidate) (found []*Candidate, feasible bool) {
 	racks := byRack(candidates)
 	names := slices.Sorted(maps.Keys(racks))
 	slices.SortStableFunc(names, func(x, y string) int { return cmp.Compare(a.nearness(y), a.nearness(x)) })
 	for _, name := range names {
-		if found = a.fillWhole(open, racks[name]); found != nil {
+		if found = a.fillAllOrNone(open, racks[name]); found != nil {
 			return found, true
 		}
-		able = able || a.Group.wholeIn(racks[name])
+		feasible = feasible || a.Group.couldHoldAll(racks[name])
 	}
-	return nil, able
+	return nil, feasible
 }
 
-// fillWhole assigns all tasks, or gives all room back.
-func (a *Assignment) fillWhole(open int, candidates []*Candidate) []*Candidate {
+// fillAllOrNone assigns all tasks, or gives all room back.
+func (a *Assignment) fillAllOrNone(open int, candidates []*Candidate) []*Candidate {
 	found := a.fill(open, candidates)
 	if len(found) == open {
 		return found
 	}
 	for _, c := range found {
-		c.take(resource.Amount{}.Minus(a.Group.Resources))
+		c.reserve(resource.Amount{}.Minus(a.Group.Resources))
 		a.Used[c.Name]--
 	}
 	return nil
@@ -129,23 +129,23 @@
 // none. An assignment changes the score of its own worker alone, so a heap of scores finds the
 // next one without looking at all workers again.
 func (a *Assignment) fill(open int, candidates []*Candidate) (found []*Candidate) {
-	best := make(scoreHeap, 0, len(candidates))
+	scores := make(scoreHeap, 0, len(candidates))
 	for i, c := range candidates {
 		if a.May(c) {
-			best = append(best, scored{a.score(c), i})
+			scores = append(scores, scored{a.score(c), i})
 		}
 	}
-	heap.Init(&best)
-	for len(found) < open && len(best) > 0 {
-		c := candidates[best[0].index]
-		c.take(a.Group.Resources)
+	heap.Init(&scores)
+	for len(found) < open && len(scores) > 0 {
+		c := candidates[scores[0].index]
+		c.reserve(a.Group.Resources)
 		a.Used[c.Name]++
 		found = append(found, c)
 		if a.May(c) {
-			best[0].score = a.score(c)
-			heap.Fix(&best, 0)
+			scores[0].score = a.score(c)
+			heap.Fix(&scores, 0)
 		} else {
-			heap.Pop(&best)
+			heap.Pop(&scores)
 		}
 	}
 	return found
@@ -165,26 +165,26 @@
 	if a.Urgent {
 		return true
 	}
-	kept := KeptRoom(c.Capacity, resource.Amount{}, a.Kept)
-	needsAll := !a.Group.Resources.Fits(c.Capacity.Minus(kept))
-	return needsAll || a.Group.Resources.Fits(c.Sure.Minus(kept))
+	headroom := KeptRoom(c.Capacity, resource.Amount{}, a.Kept)
+	needsHeadroom := !a.Group.Resources.Fits(c.Capacity.Minus(headroom))
+	return needsHeadroom || a.Group.Resources.Fits(c.Sure.Minus(headroom))
 }
 
 // score prefers a worker that is free without a stop, then one near the data, then the
 // emptiest; one that just failed the task comes last.
 func (a *Assignment) score(c *Candidate) int64 {
-	score := c.freeShare()
+	score := c.freePerMille()
 	if a.Group.Resources.Fits(c.Free) {
-		score += scoreFree
+		score += scoreNoPreemption
 	}
 	if a.nearness(c.Rack) > 0 {
-		score += scoreNear
+		score += scoreNearData
 	}
 	if a.Group.Doubted[c.Name] {
-		score -= scoreDoubted
+		score -= suspectPenalty
 	}
 	if a.Group.Avoid[c.Name] {
-		score -= scoreAvoided
+		score -= avoidedPenalty
 	}
 	return score
 }
@@ -203,54 +203,54 @@
 func (g *Group) LikeliestRack(candidates []*Candidate, reserved map[string]bool) (best []*Candidate) {
 	isReserved := func(c *Candidate) bool { return reserved[c.Name] }
 	racks := byRack(slices.DeleteFunc(slices.Clone(candidates), isReserved))
-	mostHeld := int64(-1)
+	mostPlaceable := int64(-1)
 	for _, name := range slices.Sorted(maps.Keys(racks)) {
-		if !g.wholeIn(racks[name]) {
+		if !g.couldHoldAll(racks[name]) {
 			continue
 		}
-		held := int64(0)
+		placeable := int64(0)
 		for _, c := range racks[name] {
-			held += g.timesAt(c.Sure)
+			placeable += g.tasksFitting(c.Sure)
 		}
-		if held > mostHeld {
-			best, mostHeld = racks[name], held
+		if placeable > mostPlaceable {
+			best, mostPlaceable = racks[name], placeable
 		}
 	}
 	return best
 }
 
-// wholeIn tells whether workers hold all tasks of a group once nothing else is there.
-func (g *Group) wholeIn(candidates []*Candidate) bool {
-	times := int64(0)
+// couldHoldAll tells whether workers hold all tasks of a group once nothing else is there.
+func (g *Group) couldHoldAll(candidates []*Candidate) bool {
+	count := int64(0)
 	for _, c := range candidates {
-		times += g.timesAt(c.Capacity)
+		count += g.tasksFitting(c.Capacity)
 	}
-	return times >= int64(g.Size)
+	return count >= int64(g.Size)
 }
 
-// timesAt is how many tasks of a group some room of one worker holds.
-func (g *Group) timesAt(room resource.Amount) int64 {
-	times := TimesIn(g.Resources, room)
+// tasksFitting is how many tasks of a group some room of one worker holds.
+func (g *Group) tasksFitting(capacity resource.Amount) int64 {
+	count := TimesIn(g.Resources, capacity)
 	if g.PerWorker > 0 {
-		times = min(times, int64(g.PerWorker))
+		count = min(count, int64(g.PerWorker))
 	}
-	return times
+	return count
 }
 
-// manyTimes stands for any number: what needs no room fits as often.
-const manyTimes = 1 << 20
+// unlimitedFit stands for any number: what needs no room fits as often.
+const unlimitedFit = 1 << 20
 
 // TimesIn is how often some room fits into another.
 //
 // Example: TimesIn(resource.Amount{CPU: 2}, resource.Amount{CPU: 5}) is 2
-func TimesIn(room, in resource.Amount) int64 {
-	times, wanted, had := int64(manyTimes), parts(room), parts(in)
-	for i := range wanted {
-		if wanted[i] > 0 {
-			times = min(times, had[i]/wanted[i])
+func TimesIn(unit, capacity resource.Amount) int64 {
+	count, needed, available := int64(unlimitedFit), components(unit), components(capacity)
+	for i := range needed {
+		if needed[i] > 0 {
+			count = min(count, available[i]/needed[i])
 		}
 	}
-	return times
+	return count
 }
 
 // MostlyIdle tells whether, in some dimension, no more than a share of all room is in use.
--- a/internal/scheduler/assignment_test.go
+++ b/internal/scheduler/assignment_test.go
@@ -119,7 +119,7 @@
 		if best == nil {
 			break
 		}
-		best.take(a.Group.Resources)
+		best.reserve(a.Group.Resources)
 		a.Used[best.Name]++
 		found = append(found, best)
 	}
@@ -187,7 +187,7 @@
 	in := resource.Amount{CPU: 100, Memory: 10}
 	must.Eq(t, int64(3), TimesIn(resource.Amount{CPU: 30}, in))
 	must.Eq(t, int64(0), TimesIn(resource.Amount{CPU: 30, GPU: 1}, in))
-	must.Eq(t, int64(manyTimes), TimesIn(resource.Amount{}, in))
+	must.Eq(t, int64(unlimitedFit), TimesIn(resource.Amount{}, in))
 }
 
 func BenchmarkAssignment(b *testing.B) {
--- a/internal/scheduler/choice.go
+++ b/internal/scheduler/choice.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// kMost is the design's k: the most workers a queueable task is drawn among.
-	kMost = 50
-	// kLeast is the fewest; between them a quarter of the allowed ones. Source: docs/rounds.md.
-	kLeast   = 3
-	kQuarter = 4
+	// maxDrawn is the design's k: the most workers a queueable task is drawn among.
+	maxDrawn = 50
+	// minDrawn is the fewest; between them a quarter of the allowed ones. Source: docs/rounds.md.
+	minDrawn     = 3
+	drawnDivisor = 4
 )
 
 // Shun is a set of reasons to give a task to another worker, as long as there is one. A higher
@@ -44,33 +44,33 @@
 // among all. Workers stand in the order of their names, which decides between equal ranks.
 //
 // Example: at, among := scheduler.Choose(workers, 0, random.IntN)
-func Choose(workers []Choosable, k int, intN func(int) int) (at, among int) {
-	list := leastShunned(workers)
-	if len(list) == 0 {
+func Choose(workers []Choosable, k int, intN func(int) int) (index, drawnAmong int) {
+	positions := leastPenalized(workers)
+	if len(positions) == 0 {
 		return -1, 0
 	}
-	slices.SortStableFunc(list, func(a, b int) int { return cmp.Compare(workers[a].RankMs, workers[b].RankMs) })
+	slices.SortStableFunc(positions, func(a, b int) int { return cmp.Compare(workers[a].RankMs, workers[b].RankMs) })
 	switch {
 	case k < 0:
-		k = len(list)
+		k = len(positions)
 	case k == 0:
-		k = min(max(len(list)/kQuarter, kLeast), kMost)
+		k = min(max(len(positions)/drawnDivisor, minDrawn), maxDrawn)
 	}
-	list = list[:min(k, len(list))]
-	return list[intN(len(list))], len(list)
+	positions = positions[:min(k, len(positions))]
+	return positions[intN(len(positions))], len(positions)
 }
 
-// leastShunned gives the positions of the workers that there is least reason to shun. Of those,
+// leastPenalized gives the positions of the workers that there is least reason to shun. Of those,
 // the ones whose queue is full are left out: queues are bounded, and so is what is sent to them.
-func leastShunned(workers []Choosable) (list []int) {
+func leastPenalized(workers []Choosable) (positions []int) {
 	least := Shun(0)
 	for i, w := range workers {
 		switch {
 		case i == 0 || w.Shun < least:
-			least, list = w.Shun, append(list[:0], i)
+			least, positions = w.Shun, append(positions[:0], i)
 		case w.Shun == least:
-			list = append(list, i)
+			positions = append(positions, i)
 		}
 	}
-	return slices.DeleteFunc(list, func(i int) bool { return workers[i].QueueFull })
+	return slices.DeleteFunc(positions, func(i int) bool { return workers[i].QueueFull })
 }
--- a/internal/scheduler/choice_test.go
+++ b/internal/scheduler/choice_test.go
@@ -22,7 +22,7 @@
 		"queues are bounded":         {[]Choosable{{QueueFull: true}, {}}, []int{1}},
 		"even where nobody else is":  {[]Choosable{{QueueFull: true}, {Shun: ShunLast}}, nil},
 	} {
-		t.Run(name, func(t *testing.T) { must.SliceContainsAll(t, c.want, leastShunned(c.workers)) })
+		t.Run(name, func(t *testing.T) { must.SliceContainsAll(t, c.want, leastPenalized(c.workers)) })
 	}
 }
 
@@ -53,5 +53,5 @@
 	few, _ := Choose(workers[:0], 0, random.IntN)
 	must.Eq(t, -1, few)
 	_, among := Choose(workers[:4], 0, random.IntN)
-	must.Eq(t, kLeast, among)
+	must.Eq(t, minDrawn, among)
 }
--- a/internal/scheduler/class.go
+++ b/internal/scheduler/class.go
@@ -10,8 +10,8 @@
 	EstimateMs int64
 }
 
-// preemptsMost: after so many preemptions a task is guaranteed.
-const preemptsMost = 2
+// maxPreemptions: after so many preemptions a task is guaranteed.
+const maxPreemptions = 2
 
 // IsGuaranteed is the paper's hybrid-GQ rule: a task known to be short may wait or be stopped,
 // all others get a guaranteed place. It gives the reason, too. A threshold below 0 makes all
@@ -28,7 +28,7 @@
 		return true, "a gang starts whole"
 	case t.Lasting:
 		return true, "it lasts until it is cancelled"
-	case t.Preempts >= preemptsMost:
+	case t.Preempts >= maxPreemptions:
 		return true, "it was preempted as often as a task may be"
 	case t.EstimateMs == 0:
 		return true, "nothing is known of how long it runs"
--- a/internal/scheduler/estimate_test.go
+++ b/internal/scheduler/estimate_test.go
@@ -41,10 +41,10 @@
 func TestEstimatesUnshared(t *testing.T) {
 	var e Estimates
 	e.Adopt("told", 1, 1000, 10)
-	for i := range estimatesShared + 3 {
+	for i := range maxSharedPerRound + 3 {
 		e.Learn(fmt.Sprintf("name-%04d", i), 1, 1)
 	}
-	must.Len(t, estimatesShared, e.Unshared())
+	must.Len(t, maxSharedPerRound, e.Unshared())
 	must.Len(t, 3, e.Unshared())
 	must.SliceEmpty(t, e.Unshared())
 	e.Learn("name-0000", 2, 2)
@@ -53,10 +53,10 @@
 
 func TestEstimatesAreBounded(t *testing.T) {
 	var e Estimates
-	for i := range estimatesMost + 5 {
+	for i := range maxEstimates + 5 {
 		e.Learn(fmt.Sprint(i), 1, int64(i+1))
 	}
-	must.Eq(t, estimatesMost, e.Len())
+	must.Eq(t, maxEstimates, e.Len())
 	_, known := e.Mean("4")
 	must.False(t, known)
 	_, known = e.Mean("5")
--- a/internal/scheduler/fairorder.go
+++ b/internal/scheduler/fairorder.go
@@ -24,10 +24,10 @@
 //
 // Example: request.Share = scheduler.WeightedShare(used, capacity, tenant.Weight)
 func WeightedShare(used, all resource.Amount, weight float64) (share float64) {
-	u, a := parts(used), parts(all)
-	for i := range u {
-		if a[i] > 0 {
-			share = max(share, float64(u[i])/float64(a[i]))
+	usedParts, allParts := components(used), components(all)
+	for i := range usedParts {
+		if allParts[i] > 0 {
+			share = max(share, float64(usedParts[i])/float64(allParts[i]))
 		}
 	}
 	if weight <= 0 {
@@ -43,21 +43,21 @@
 //
 // Example: for _, at := range scheduler.FairOrder(requests) { allocate(requests[at]) }
 func FairOrder(requests []FairRequest) []int {
-	byAge := make([]int, len(requests))
-	for i := range byAge {
-		byAge[i] = i
+	indices := make([]int, len(requests))
+	for i := range indices {
+		indices[i] = i
 	}
-	slices.SortFunc(byAge, func(a, b int) int {
+	slices.SortFunc(indices, func(a, b int) int {
 		return cmp.Or(cmp.Compare(requests[b].Precedence, requests[a].Precedence), compareAge(&requests[a], &requests[b]))
 	})
 	order, shares := make([]int, 0, len(requests)), map[string]float64{}
-	for len(byAge) > 0 {
-		precedence, end := requests[byAge[0]].Precedence, 1
-		for end < len(byAge) && requests[byAge[end]].Precedence == precedence {
+	for len(indices) > 0 {
+		precedence, end := requests[indices[0]].Precedence, 1
+		for end < len(indices) && requests[indices[end]].Precedence == precedence {
 			end++
 		}
-		order = appendFairly(order, requests, byAge[:end], shares)
-		byAge = byAge[end:]
+		order = appendFairly(order, requests, indices[:end], shares)
+		indices = indices[end:]
 	}
 	return order
 }
@@ -68,58 +68,58 @@
 
 // appendFairly orders the requests of one precedence, which come by age. What those before them
 // add to their tenants' shares is kept in shares.
-func appendFairly(order []int, requests []FairRequest, byAge []int, shares map[string]float64) []int {
-	lines := map[string]*tenantLine{}
-	var turns tenantLines
-	for _, at := range byAge {
-		r := &requests[at]
-		line := lines[r.Tenant]
-		if line == nil {
+func appendFairly(order []int, requests []FairRequest, indices []int, shares map[string]float64) []int {
+	queues := map[string]*tenantQueue{}
+	var tenants tenantHeap
+	for _, index := range indices {
+		r := &requests[index]
+		queue := queues[r.Tenant]
+		if queue == nil {
 			if _, known := shares[r.Tenant]; !known {
 				shares[r.Tenant] = r.Share
 			}
-			line = &tenantLine{share: shares[r.Tenant], requests: requests}
-			lines[r.Tenant], turns = line, append(turns, line)
+			queue = &tenantQueue{share: shares[r.Tenant], requests: requests}
+			queues[r.Tenant], tenants = queue, append(tenants, queue)
 		}
-		line.waiting = append(line.waiting, at)
+		queue.pending = append(queue.pending, index)
 	}
-	heap.Init(&turns)
-	for len(turns) > 0 {
-		line := turns[0]
-		at := line.waiting[0]
-		order, line.waiting = append(order, at), line.waiting[1:]
-		line.share += requests[at].Adds
-		shares[requests[at].Tenant] = line.share
-		if len(line.waiting) == 0 {
-			heap.Pop(&turns)
+	heap.Init(&tenants)
+	for len(tenants) > 0 {
+		queue := tenants[0]
+		index := queue.pending[0]
+		order, queue.pending = append(order, index), queue.pending[1:]
+		queue.share += requests[index].Adds
+		shares[requests[index].Tenant] = queue.share
+		if len(queue.pending) == 0 {
+			heap.Pop(&tenants)
 		} else {
-			heap.Fix(&turns, 0)
+			heap.Fix(&tenants, 0)
 		}
 	}
 	return order
 }
 
-// tenantLine is one tenant's requests of one precedence, the oldest first.
-type tenantLine struct {
+// tenantQueue is one tenant's requests of one precedence, the oldest first.
+type tenantQueue struct {
 	share    float64
-	waiting  []int
+	pending  []int
 	requests []FairRequest
 }
 
-// tenantLines is a heap: the tenant with the least share is on top.
-type tenantLines []*tenantLine
+// tenantHeap is a heap: the tenant with the least share is on top.
+type tenantHeap []*tenantQueue
 
-func (l tenantLines) Len() int      { return len(l) }
-func (l tenantLines) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
-func (l *tenantLines) Push(x any)   { *l = append(*l, x.(*tenantLine)) }
-func (l tenantLines) Less(i, j int) bool {
-	a, b := l[i], l[j]
-	return cmp.Or(cmp.Compare(a.share, b.share), compareAge(&a.requests[a.waiting[0]], &b.requests[b.waiting[0]])) < 0
+func (h tenantHeap) Len() int      { return len(h) }
+func (h tenantHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *tenantHeap) Push(x any)   { *h = append(*h, x.(*tenantQueue)) }
+func (h tenantHeap) Less(i, j int) bool {
+	a, b := h[i], h[j]
+	return cmp.Or(cmp.Compare(a.share, b.share), compareAge(&a.requests[a.pending[0]], &b.requests[b.pending[0]])) < 0
 }
 
-func (l *tenantLines) Pop() any {
-	last := len(*l) - 1
-	line := (*l)[last]
-	*l = (*l)[:last]
-	return line
+func (h *tenantHeap) Pop() any {
+	last := len(*h) - 1
+	queue := (*h)[last]
+	*h = (*h)[:last]
+	return queue
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -14,28 +14,28 @@
 	RanMs     int64
 }
 
-// lost is the work that a stop throws away, in ms times thousandths of a core.
-func (r Run) lost() int64 { return r.RanMs * max(r.Resources.CPU, 1) }
+// lostWork is the work that a stop throws away, in ms times thousandths of a core.
+func (r Run) lostWork() int64 { return r.RanMs * max(r.Resources.CPU, 1) }
 
 // Victims gives the positions of the runs to stop until so much room is on its way: the least
 // urgent first, and of those the ones that lose the least work. Where all of them would not be
 // enough, and partly is false, it gives none.
 //
 // Example: for _, at := range scheduler.Victims(runs, lacking, false) { stop(runs[at]) }
-func Victims(runs []Run, lacking resource.Amount, partly bool) (victims []int) {
+func Victims(runs []Run, lacking resource.Amount, allowPartial bool) (victims []int) {
 	order := make([]int, len(runs))
-	all := resource.Amount{}
+	total := resource.Amount{}
 	for i, r := range runs {
-		order[i], all = i, all.Plus(r.Resources)
+		order[i], total = i, total.Plus(r.Resources)
 	}
-	if !partly && !lacking.Fits(all) {
+	if !allowPartial && !lacking.Fits(total) {
 		return nil
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		return cmp.Or(cmp.Compare(runs[a].Urgency, runs[b].Urgency), cmp.Compare(runs[a].lost(), runs[b].lost()))
+		return cmp.Or(cmp.Compare(runs[a].Urgency, runs[b].Urgency), cmp.Compare(runs[a].lostWork(), runs[b].lostWork()))
 	})
-	for _, at := range order {
-		r := runs[at].Resources
+	for _, index := range order {
+		r := runs[index].Resources
 		if lacking.Fits(resource.Amount{}) {
 			break
 		}
@@ -43,7 +43,7 @@
 			continue // it holds nothing of what is lacking
 		}
 		lacking = lacking.Minus(r)
-		victims = append(victims, at)
+		victims = append(victims, index)
 	}
 	return victims
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -43,7 +43,7 @@
 		}
 	}
 	observe(1, resource.Amount{CPU: 20_000, Memory: 1000})
-	must.Eq(t, resource.Amount{CPU: 29, Memory: urgentLeast, GPU: urgentLeast}, s.Percent())
+	must.Eq(t, resource.Amount{CPU: 29, Memory: minHeadroomPercent, GPU: minHeadroomPercent}, s.Percent())
 	observe(10, resource.Amount{CPU: 28_000}) // a second of more
 	must.Between(t, 31, s.Percent().CPU, 36)
 	observe(50, resource.Amount{CPU: 28_000})
@@ -51,9 +51,9 @@
 	observe(10, resource.Amount{}) // a second of nothing takes little back
 	must.Between(t, 29, s.Percent().CPU, 36)
 	observe(200, resource.Amount{})
-	must.Eq(t, urgentLeast, s.Percent().CPU)
+	must.Eq(t, minHeadroomPercent, s.Percent().CPU)
 	observe(100, resource.Amount{Memory: 300_000})
-	must.Eq(t, urgentMost, s.Percent().Memory)
+	must.Eq(t, maxHeadroomPercent, s.Percent().Memory)
 }
 
 func TestKeptRoom(t *testing.T) {
--- a/internal/scheduler/tenantweight.go
+++ b/internal/scheduler/tenantweight.go
@@ -1,11 +1,11 @@
 package scheduler
 
 const (
-	// weightBurstMs is how much of its rate a tenant may save up: jobs come in clusters, and a
+	// burstWindowMs is how much of its rate a tenant may save up: jobs come in clusters, and a
 	// short one is not an excess.
-	weightBurstMs = 1000
-	// weightBurstLeast is what the smallest tenant may save up, in jobs.
-	weightBurstLeast = 5
+	burstWindowMs = 1000
+	// minBurstJobs is what the smallest tenant may save up, in jobs.
+	minBurstJobs = 5
 	// excessDemotion is above any queue's urgency.
 	excessDemotion = 1 << 32
 )
@@ -13,12 +13,12 @@
 // JobRates tells which jobs of tenants come beyond the tenants' rates. Each tenant has a token
 // bucket, which is full at first. The zero value is ready.
 type JobRates struct {
-	buckets map[string]*jobBucket
+	buckets map[string]*tokenBucket
 }
 
-type jobBucket struct {
-	jobs float64 // that may come at once
-	atMs int64   // when that was so
+type tokenBucket struct {
+	tokens    float64 // that may come at once
+	updatedMs int64   // when that was so
 }
 
 // IsExcess counts one job of a tenant that may send perSecond jobs a second, and tells whether it
@@ -30,21 +30,21 @@
 	if perSecond <= 0 {
 		return false
 	}
-	burst := max(perSecond*weightBurstMs/1000, weightBurstLeast)
+	burst := max(perSecond*burstWindowMs/1000, minBurstJobs)
 	b := r.buckets[tenant]
 	if b == nil {
 		if r.buckets == nil {
-			r.buckets = map[string]*jobBucket{}
+			r.buckets = map[string]*tokenBucket{}
 		}
-		b = &jobBucket{jobs: burst, atMs: nowMs}
+		b = &tokenBucket{tokens: burst, updatedMs: nowMs}
 		r.buckets[tenant] = b
 	}
-	b.jobs = min(b.jobs+perSecond*float64(max(nowMs-b.atMs, 0))/1000, burst)
-	b.atMs = max(b.atMs, nowMs)
-	if b.jobs < 1 {
+	b.tokens = min(b.tokens+perSecond*float64(max(nowMs-b.updatedMs, 0))/1000, burst)
+	b.updatedMs = max(b.updatedMs, nowMs)
+	if b.tokens < 1 {
 		return true
 	}
-	b.jobs--
+	b.tokens--
 	return false
 }
 
