--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -9,72 +9,74 @@
 )
 
 const (
-	minReportIntervalMs     = 10   // between two reports of one owner to one counter
-	answerTimeoutMs         = 250  // a report is answered at once: the next one waits for that, but no longer than this
-	claimReportIntervalMs   = 250  // a report with claims is repeated, for either message may be lost
-	idleReportIntervalMs    = 1000 // and one without
-	usageWindowMs           = 2000 // what was started and used in this time tells what to hold
-	aheadDivisor            = 4    // a quarter of what was started
-	reservationYieldAfterMs = 2000 // a reservation without starts yields to other tasks after this
-	yieldDurationMs         = 1000 // for this long
-	maxClaims               = 16   // of one tenant in a report, the most urgent ones
+	minReportIntervalMs     = 10   // between two reports to one counter
+	answerTimeoutMs         = 250  // the next report waits for the answer to the last one, but no longer
+	claimReportIntervalMs   = 250  // a report with claims is repeated, since either message may be lost
+	idleReportIntervalMs    = 1000 // repetition of a report without claims
+	usageWindowMs           = 2000 // starts and usage of this period determine what to hold
+	aheadDivisor            = 4    // a quarter of the starts of a window is held in advance
+	reservationYieldAfterMs = 2000 // a reservation without starts yields to other tasks after this time
+	yieldDurationMs         = 1000 // how long it yields
+	maxClaims               = 16   // per tenant in a report, the most urgent ones
 )
 
-// Borrower is what one shard's owner holds of the limits of all tenants with one counter.
+// Borrower tracks what the owner of one shard holds of the limits of all tenants of one counter.
 type Borrower struct {
 	shard         string
 	epoch         uint64
 	counterShard  string
-	counterDaemon string // who counts, as far as is known
+	counterDaemon string // the daemon that runs the counter, as far as known
 	counterEpoch  uint64
-	seq           uint64
+	seq           uint64 // of the newest report
 	reportedMs    int64
 	reportDue     bool
 
-	answered   bool  // the newest report was, see answerTimeoutMs
-	answeredMs int64 // when a newest report was last answered
+	answered   bool  // the newest report was answered, see answerTimeoutMs
+	answeredMs int64 // when the newest report at that time was last answered
 	accounts   map[string]*account
 }
 
-// loan is one tenant's.
+// account holds the state of one tenant.
 type account struct {
 	held     resource.Amount
 	used     resource.Amount
-	reserved map[string]reservation // by job and step: room was asked for, and the start will follow
+	reserved map[string]reservation // by job and step, for starts whose placement was requested
 	claims   []*claim
 	tight    bool
-	// reusesReleased: what ends makes room for another start. A counter has told that all that is lent is
-	// within the limit; before that as much may run elsewhere.
+	// reusesReleased means that resources of finished tasks may be used for other starts: a counter
+	// has confirmed that the sum of all loans is within the limit. Before that, other shards may
+	// use as much already.
 	reusesReleased     bool
 	reducedSinceReport bool // less is held than the newest report says
 
 	windowStartMs int64
 	started       resource.Amount // since windowStartMs
-	ahead         resource.Amount // a part of what was started in the window before
-	peak          resource.Amount // of what was used since windowStartMs
-	lastPeak      resource.Amount // and in the window before
+	ahead         resource.Amount // to hold in advance, by the starts of the previous window
+	peak          resource.Amount // maximum of used since windowStartMs
+	lastPeak      resource.Amount // peak of the previous window
 }
 
+// reservation is an amount held for the starts of one step.
 type reservation struct {
 	amount  resource.Amount
 	sinceMs int64
 	untilMs int64
-	yielded bool // until untilMs others go first
+	yielded bool // other tasks have priority until untilMs
 }
 
-// claim is a wire.ShareClaim and since when it stands.
+// claim is a wire.ShareClaim and the time since when it has been waiting.
 type claim struct {
 	wire.ShareClaim
 	key     string
 	sinceMs int64
-	renewed bool // told since the last BeginClaims
+	renewed bool // since the last BeginClaims
 }
 
-// NewBorrower begins an owner's accounts under its epoch of a shard.
+// NewBorrower returns a borrower without accounts for an owner's epoch of a shard.
 //
 // Example: borrower := quota.NewBorrower("oita-d", epoch, "fukuoka-a")
-func NewBorrower(shard string, epoch uint64, counter string) *Borrower {
-	return &Borrower{shard: shard, epoch: epoch, counterShard: counter, accounts: map[string]*account{}}
+func NewBorrower(shard string, epoch uint64, counterShard string) *Borrower {
+	return &Borrower{shard: shard, epoch: epoch, counterShard: counterShard, accounts: map[string]*account{}}
 }
 
 func (b *Borrower) account(tenant string) *account {
@@ -86,8 +88,8 @@
 	return a
 }
 
-// CounterIs tells who counts and under which epoch. One of an earlier epoch is never turned to
-// again: what it lends may have been lent by a later one.
+// SetCounter sets the daemon that runs the counter, and its epoch. It ignores earlier epochs:
+// what an earlier counter lends may already be lent by a later one.
 func (b *Borrower) CounterIs(name string, epoch uint64) {
 	if name == "" || epoch < b.counterEpoch || epoch == b.counterEpoch && name == b.counterDaemon {
 		return
@@ -95,7 +97,7 @@
 	b.counterDaemon, b.counterEpoch, b.reportDue, b.answered = name, epoch, true, true
 }
 
-// Use notes that a task is started, or was by a former owner.
+// Use records the start of a task, by this owner or a former one.
 func (b *Borrower) Use(tenant string, amount resource.Amount) {
 	a := b.account(tenant)
 	a.used = a.used.Plus(amount)
@@ -104,7 +106,7 @@
 	a.peak = larger(a.peak, a.used)
 }
 
-// Release notes that a task surely runs no more.
+// Release records that a task has certainly ended.
 func (b *Borrower) Release(tenant string, amount resource.Amount) {
 	a := b.account(tenant)
 	a.used = a.used.Minus(amount)
@@ -116,7 +118,7 @@
 	}
 }
 
-// Fits tells whether a task of a tenant may be started beside what is used and reserved.
+// Fits reports whether a task of a tenant may start in addition to what is used and reserved.
 func (b *Borrower) Fits(tenant string, amount resource.Amount, limit Limit, nowMs int64) bool {
 	if limit.Unlimited() {
 		return true
@@ -125,8 +127,7 @@
 	return a.covers(a.usedAndReserved(nowMs), amount, amount, limit)
 }
 
-// FitsReserved is Fits for tasks of which each takes as much, and that a reservation may have been
-// made for.
+// FitsReserved is like Fits for a unit of equal tasks, which may use the reservation under a key.
 func (b *Borrower) FitsReserved(tenant, key string, amount, task resource.Amount, limit Limit, nowMs int64) bool {
 	if limit.Unlimited() {
 		return true
@@ -136,8 +137,9 @@
 	return a.covers(others, amount, task, limit)
 }
 
-// covers tells whether what is held covers an amount beside others, in the dimensions that have a
-// limit. What was lent to a unit that passes the limit by its last task is for such units alone.
+// covers reports whether the held amount covers another amount in addition to others, in the
+// dimensions that have a limit. A loan above the limit, for a unit that exceeds it by its last
+// task, may only be used by such a unit.
 func (a *account) covers(others, amount, task resource.Amount, limit Limit) bool {
 	sum := others.Plus(amount)
 	if !limit.admitsUnit(others, amount, task) {
@@ -148,7 +150,7 @@
 		(limit.GPU == 0 || sum.GPU <= a.held.GPU)
 }
 
-// Reserve keeps a part of what is held for starts that were arranged, until a time.
+// Reserve reserves a part of the held amount for the planned starts of a step, until untilMs.
 func (b *Borrower) Reserve(tenant, key string, amount resource.Amount, nowMs, untilMs int64) {
 	a := b.account(tenant)
 	sinceMs := nowMs
@@ -158,8 +160,9 @@
 	a.reserved[key] = reservation{amount: amount, sinceMs: sinceMs, untilMs: untilMs}
 }
 
-// Yields tells whether a reservation under a key is to wait: it was kept for long, its starts didn't
-// come, and other tasks of the tenant lack what it keeps. It is over then.
+// YieldReservation reports whether the step of a reservation has to wait. It drops a reservation
+// that is old and has no starts while the tenant is near its limit, so that other tasks can use
+// the amount; the step then waits for yieldDurationMs.
 func (b *Borrower) Yields(tenant, key string, nowMs int64) bool {
 	a := b.accounts[tenant]
 	if a == nil {
@@ -176,7 +179,7 @@
 	return r.yielded
 }
 
-// Reserved is what is kept so under a key.
+// Reserved returns the amount that is reserved under a key.
 func (b *Borrower) Reserved(tenant, key string, nowMs int64) resource.Amount {
 	if a := b.accounts[tenant]; a != nil {
 		return a.reservedAt(key, nowMs)
@@ -184,7 +187,7 @@
 	return resource.Amount{}
 }
 
-// Unreserve lets go of a part of a reservation: a task that it was made for is started.
+// Unreserve releases a part of a reservation when one of its tasks is started.
 func (b *Borrower) Unreserve(tenant, key string, amount resource.Amount) {
 	a := b.account(tenant)
 	r, ok := a.reserved[key]
@@ -206,10 +209,10 @@
 	return resource.Amount{}
 }
 
-// usedAndReserved is what is used or reserved.
+// usedAndReserved returns the sum of the used and reserved amounts, and deletes expired reservations.
 func (a *account) usedAndReserved(nowMs int64) resource.Amount {
 	sum := a.used
-	for key, r := range a.reserved { // a sum: the order does not matter
+	for key, r := range a.reserved { // the order doesn't affect the sum
 		if r.untilMs <= nowMs {
 			delete(a.reserved, key)
 			continue
@@ -219,7 +222,7 @@
 	return sum
 }
 
-// BeginClaims begins a new round of claims: those not told again before EndClaims are over.
+// BeginClaims starts a round of claims. EndClaims drops the claims that are not renewed in it.
 func (b *Borrower) BeginClaims() {
 	for _, a := range b.accounts {
 		for _, c := range a.claims {
@@ -228,7 +231,7 @@
 	}
 }
 
-// Claim tells what tasks of one step lack; key names the step.
+// Claim adds or renews the claim of one step, which is identified by the key.
 func (b *Borrower) Claim(tenant, key string, v wire.ShareClaim, nowMs int64) {
 	a := b.account(tenant)
 	for _, c := range a.claims {
@@ -240,7 +243,7 @@
 			return
 		}
 	}
-	if len(a.claims) >= maxClaims { // those told in this round are more urgent than those not told yet
+	if len(a.claims) >= maxClaims { // claims of this round are more urgent than those not renewed yet
 		at := slices.IndexFunc(a.claims, func(c *claim) bool { return !c.renewed })
 		if at < 0 {
 			return
@@ -251,15 +254,15 @@
 	b.reportDue = true
 }
 
-// EndClaims ends a round of claims.
+// EndClaims ends a round and drops the claims that were not renewed in it.
 func (b *Borrower) EndClaims() {
 	for _, a := range b.accounts {
 		a.claims = slices.DeleteFunc(a.claims, func(c *claim) bool { return !c.renewed })
 	}
 }
 
-// LimitLowered gives up what is held of a tenant beyond what is used: it was lent by a higher
-// limit, as what is on its way may be. Grants for what was reported until now are taken no more.
+// OnLimitLowered gives up what is held for a tenant beyond its usage, since it was lent under a
+// higher limit. Grants in flight may be, too, so grants for earlier reports are rejected from now on.
 func (b *Borrower) LimitLowered(tenant string) {
 	a := b.account(tenant)
 	a.held, a.reserved, a.reusesReleased = a.used, map[string]reservation{}, false
@@ -267,9 +270,9 @@
 	b.reportDue, b.answered = true, true
 }
 
-// Report gives the next report, if one is due, and who it is for. From then on no more is used
-// than it says to keep.
-func (b *Borrower) Report(nowMs, version int64) (to string, m *wire.ShareReport) {
+// NextReport returns the next report and the daemon to send it to; nil if none is due. After it, no
+// more than the amounts in the report is used until a grant answers it.
+func (b *Borrower) Report(nowMs, version int64) (counterDaemon string, m *wire.ShareReport) {
 	if b.counterDaemon == "" || nowMs-b.reportedMs < minReportIntervalMs {
 		return "", nil
 	}
@@ -280,15 +283,16 @@
 	if !b.reportDue && nowMs-b.reportedMs < interval && b.seq != 0 {
 		return "", nil
 	}
-	// An answer to a report that another has followed is not taken: were the next one sent while
-	// this one's answer is on its way, none might ever come in time.
+	// A grant for a report that is not the newest is rejected. If reports followed each other
+	// faster than their answers arrive, no grant would ever be accepted.
 	if !b.answered && nowMs-b.reportedMs < answerTimeoutMs && b.seq != 0 {
 		return "", nil
 	}
 	b.seq++
 	b.reportedMs, b.reportDue, b.answered = nowMs, false, false
 	m = &wire.ShareReport{
-		Counter: b.counterShard, CounterEpoch: b.counterEpoch, Shard: b.shard, ShardEpoch: b.epoch, Seq: b.seq, ConfigVersion: version,
+		Counter: b.counterShard, CounterEpoch: b.counterEpoch,
+		Shard: b.shard, ShardEpoch: b.epoch, Seq: b.seq, ConfigVersion: version,
 	}
 	for _, tenant := range slices.Sorted(maps.Keys(b.accounts)) {
 		a := b.accounts[tenant]
@@ -312,7 +316,8 @@
 	return false
 }
 
-// rollWindow sets what to hold ahead by what was started in the window that is over.
+// rollWindow starts a new window if the current one is over, and derives from the starts of the
+// old one how much to hold in advance.
 func (a *account) rollWindow(nowMs int64) {
 	if nowMs-a.windowStartMs < usageWindowMs {
 		return
@@ -323,8 +328,8 @@
 	a.lastPeak, a.peak = a.peak, a.used
 }
 
-// trim gives up what is held beyond recent use and what is held ahead. What was used lately is
-// kept: with a steady load starts need no grants, also while nobody counts.
+// trim gives up what is held beyond the recent peak usage and the amount to hold in advance. Since
+// the recent peak is kept, a steady load needs no grants, even while there is no counter.
 func (a *account) trim(nowMs int64) {
 	a.rollWindow(nowMs)
 	keep := a.usedAndReserved(nowMs)
@@ -352,9 +357,9 @@
 	return out
 }
 
-// OnGrant takes a grant if it answers the newest report, and gives the tenants of which more is
-// held now. A grant by an older configuration than the owner's is left: its limits may be higher.
-// The counter answers anew once it goes by the owner's.
+// OnGrant applies a grant if it answers the newest report, and returns the tenants for which more
+// is held now. It ignores a grant by an older configuration than the owner's, which may have
+// higher limits; the counter sends another one when it adopts the newer configuration.
 func (b *Borrower) OnGrant(m *wire.ShareGrant, nowMs, version int64) (increased []string) {
 	if m.Counter != b.counterShard || m.CounterEpoch != b.counterEpoch || m.Shard != b.shard || m.ShardEpoch != b.epoch ||
 		m.Seq != b.seq {
@@ -371,7 +376,7 @@
 		}
 		a.tight, a.reusesReleased = s.Tight, !s.GiveBack
 		if s.GiveBack && a.reducedSinceReport {
-			continue // the amount has a part that was given up since
+			continue // the amount includes a part that was given up since the report
 		}
 		if next := larger(a.held, s.Amount); next != a.held {
 			a.held = next
@@ -381,27 +386,28 @@
 	return increased
 }
 
-// Settle forgets the claims of a tenant: more is held now, and who still lacks some tells it again.
+// ClearClaims clears the claims of a tenant after a grant. Steps that still lack resources claim
+// them again.
 func (b *Borrower) Settle(tenant string) {
 	for _, c := range b.account(tenant).claims {
 		c.Count = 0
 	}
 }
 
-// Delay is what one tenant's tasks wait for.
+// Delay describes a tenant whose tasks wait for a grant.
 type Delay struct {
 	Tenant       string
 	Held, Used   resource.Amount
 	Reserved     resource.Amount
 	Claims       int
 	Unit         resource.Amount // of the claim that has waited longest
-	Job          string
-	WaitedMs     int64
-	Counter      string // who counts, as far as is known
-	UnansweredMs int64  // since the last grant for the newest report, or an older one
+	Job          string          // of that claim
+	WaitedMs     int64           // of that claim
+	Counter      string          // the daemon that runs the counter, as far as known
+	UnansweredMs int64           // time since a grant last answered the newest report of its time
 }
 
-// Delays gives the tenants of which a claim has waited for so long.
+// Delays returns the tenants with a claim that has waited longer than forMs.
 func (b *Borrower) Delays(nowMs, forMs int64) (delays []Delay) {
 	for _, tenant := range slices.Sorted(maps.Keys(b.accounts)) {
 		a := b.accounts[tenant]
@@ -421,7 +427,7 @@
 	return delays
 }
 
-// Held is what the owner may have running of a tenant, and what it has.
+// Held returns the amount that a tenant's tasks may use in this shard, and the amount they use.
 func (b *Borrower) Held(tenant string) (held, used resource.Amount) {
 	if a := b.accounts[tenant]; a != nil {
 		return a.held, a.used
@@ -429,7 +435,7 @@
 	return resource.Amount{}, resource.Amount{}
 }
 
-// Waiting is how many units of a tenant wait for a share.
+// PendingUnits returns the number of a tenant's units that wait for a grant.
 func (b *Borrower) Waiting(tenant string) (count int) {
 	if a := b.accounts[tenant]; a != nil {
 		for _, c := range a.claims {
--- a/internal/quota/counter.go
+++ b/internal/quota/counter.go
@@ -10,68 +10,71 @@
 )
 
 const (
-	// A unit that doesn't fit may be overtaken by smaller ones for holdBackAfterMs; then what gets
-	// free is kept for it, so that a gang doesn't wait for ever beside single tasks. Where less than
-	// holdBackPercent of the limit is lent meanwhile it is so for holdBackMs, and so on by turns:
-	// they don't wait for long beside a gang, either.
+	// Smaller units may overtake a unit that doesn't fit for holdBackAfterMs. After that, the
+	// capacity that becomes free is held back for the unit, so that a gang isn't starved by
+	// single tasks. While less than holdBackPercent of the limit is lent, the two phases
+	// alternate, and capacity is held back for holdBackMs at a time, so that a gang doesn't
+	// starve single tasks either.
 	holdBackAfterMs = 1000
 	holdBackMs      = 2000
 	holdBackPercent = 50
-	// maxAheadPercent of a limit is lent ahead of need at most; above tightPercent owners give back
-	// at once what they don't use.
+	// maxAheadPercent is the part of a limit that may be lent before it is needed. If more than
+	// tightPercent is lent, owners return what they don't use at once.
 	maxAheadPercent = 50
 	tightPercent    = 75
 )
 
-// Policy is what the counter's configuration says now.
+// CounterConfig is the configuration that a counter applies.
 type Policy struct {
-	Shards []string // all that may use shares
+	Shards []string // all shards that may borrow
 	Limits *Limits
 }
 
-// Counter counts what the tenants of one counting shard may have running in each shard.
+// Counter lends the limits of the tenants assigned to one counting shard to the owners of all
+// shards.
 type Counter struct {
 	shard  string
 	epoch  uint64
 	shards map[string]*shardLoans
 }
 
-// shardLoans is what one shard's owner was lent, by its newest report.
+// shardLoans holds what is lent to the owner of one shard, starting from its newest report.
 type shardLoans struct {
 	owner           string
 	epoch           uint64 // of the shard
-	seq             uint64
-	version         int64 // of the configuration that the owner went by
-	loans           map[string]*loan
-	grantDue        bool  // since the last grant was sent; a new report is always answered
-	answeredVersion int64 // the version that the last grant was by
+	seq             uint64 // of the newest report
+	version         int64  // configuration version of the owner
+	loans           map[string]*tenantLoan
+	grantDue        bool  // a loan changed since the last grant, or a new report came
+	answeredVersion int64 // configuration version of the last grant
 }
 
-type loan struct {
+// tenantLoan holds what is lent to one shard for one tenant.
+type tenantLoan struct {
 	amount resource.Amount
 	used   resource.Amount
-	ahead  resource.Amount
+	ahead  resource.Amount // requested before it is needed
 	claims []wire.ShareClaim
 	tight  bool
-	// giveBack: what ends is to be given back, too, and not replaced.
+	// giveBack tells the owner to return the resources of finished tasks, too.
 	giveBack bool
 }
 
-// Grant is a message for a shard's owner.
+// Grant is a grant message and the owner to send it to.
 type Grant struct {
 	To      string
 	Message *wire.ShareGrant
 }
 
-// NewCounter begins to count under an epoch of the counting shard, knowing nothing.
+// NewCounter returns a counter for an epoch of the counting shard, without any reports.
 //
 // Example: counter := quota.NewCounter("fukuoka-a", epoch)
 func NewCounter(shard string, epoch uint64) *Counter {
 	return &Counter{shard: shard, epoch: epoch, shards: map[string]*shardLoans{}}
 }
 
-// OnReport takes what a shard's owner says it holds. It gives false for a report to another
-// counter, or one that a later report has overtaken.
+// OnReport records what the owner of a shard holds. It returns false for a report to another
+// counter, and for one that is not newer than the last report of the shard.
 func (c *Counter) OnReport(from string, m *wire.ShareReport) bool {
 	if m.Counter != c.shard || m.CounterEpoch != c.epoch {
 		return false
@@ -83,19 +86,19 @@
 	}
 	l := &shardLoans{
 		owner: from, epoch: m.ShardEpoch, seq: m.Seq, version: m.ConfigVersion,
-		loans: map[string]*loan{}, grantDue: true,
+		loans: map[string]*tenantLoan{}, grantDue: true,
 	}
 	for _, a := range m.Accounts {
-		l.loans[a.Tenant] = &loan{
+		l.loans[a.Tenant] = &tenantLoan{
 			amount: larger(a.Keep, a.Used), used: a.Used, ahead: a.Ahead, claims: slices.Clone(a.Claims),
-			giveBack: true, // until it is counted beside the others
+			giveBack: true, // until Lend has compared the sum of all shards with the limit
 		}
 	}
 	c.shards[m.Shard] = l
 	return true
 }
 
-// Complete tells whether each shard has reported: before that nothing is lent.
+// HasAllReports reports whether every shard has reported. Until then nothing is lent.
 func (c *Counter) Complete(shards []string) bool {
 	for _, shard := range shards {
 		if c.shards[shard] == nil {
@@ -105,23 +108,24 @@
 	return true
 }
 
-// Lend lends what is free to those that claim it, and gives the messages that tell them.
+// Lend lends free parts of the limits to the shards that claim them, and returns the grants to send.
 func (c *Counter) Lend(p Policy) []Grant {
 	if !c.Complete(p.Shards) {
 		return nil
 	}
-	for _, tenant := range c.tenants() { // a borrower that knows no limit asks for nothing
+	for _, tenant := range c.tenants() { // borrowers claim nothing for a tenant without a known limit
 		if c.allReportedAt(p.Shards, p.Limits.LoweredIn(tenant)) {
 			c.lendToTenant(tenant, p.Limits)
 		} else {
 			c.setFlags(tenant, true, true)
 		}
 	}
-	return c.grants(p.Limits.Version())
+	return c.pendingGrants(p.Limits.Version())
 }
 
-// allReportedAt tells whether each shard has reported by a version or a later one. Before that, an
-// owner may hold more than it said: by an earlier version the tenant may have had no limit.
+// allReportedAt reports whether every shard has reported by the given version or a later one.
+// Before that, an owner may hold more than it reported: by an earlier version the tenant may have
+// been unlimited.
 func (c *Counter) allReportedAt(shards []string, version int64) bool {
 	for _, shard := range shards {
 		if l := c.shards[shard]; l != nil && l.version < version {
@@ -131,7 +135,7 @@
 	return true
 }
 
-// tenants gives all that some shard has an account of, in order.
+// tenants returns the names of all tenants in the reports of the shards, sorted.
 func (c *Counter) tenants() []string {
 	names := map[string]bool{}
 	for _, l := range c.shards {
@@ -146,11 +150,11 @@
 type shardClaim struct {
 	*wire.ShareClaim
 	shard string
-	loan  *loan
+	loan  *tenantLoan
 }
 
-// claims gives what shards claim of a tenant's limit, the most urgent and oldest first. Those by
-// a later version than the counter's wait: it may have a lower limit.
+// claims returns the claims of all shards for a tenant, the most urgent and then the oldest first.
+// Claims by a later version than the counter's are left out: that version may have a lower limit.
 func (c *Counter) claims(tenant string, version int64) (claims []shardClaim) {
 	for _, shard := range slices.Sorted(maps.Keys(c.shards)) {
 		loan := c.shards[shard].loans[tenant]
@@ -167,9 +171,9 @@
 	return claims
 }
 
-// Lent is what all shards may use of a tenant's limit.
+// Lent returns the total amount lent to all shards for a tenant.
 func (c *Counter) Lent(tenant string) (sum resource.Amount) {
-	for _, l := range c.shards { // a sum: the order does not matter
+	for _, l := range c.shards { // the order doesn't affect the sum
 		if loan := l.loans[tenant]; loan != nil {
 			sum = sum.Plus(loan.amount)
 		}
@@ -177,6 +181,7 @@
 	return sum
 }
 
+// lendToTenant grants the claims for one tenant in order, and then lends ahead if all are satisfied.
 func (c *Counter) lendToTenant(tenant string, limits *Limits) {
 	limit := limits.Of(tenant)
 	sum, unsatisfied, heldBack := c.Lent(tenant), false, false
@@ -187,7 +192,7 @@
 			c.shards[claim.shard].grantDue = true
 		}
 		if claim.Count == 0 || !limit.EverAdmits(claim.Unit, claim.Task) {
-			continue // what the whole limit is too low for waits for a higher one
+			continue // a unit that exceeds the whole limit doesn't delay others
 		}
 		takesTurns := limit.scaled(holdBackPercent).Admits(sum)
 		if heldBack = (!unsatisfied || !takesTurns) && limit.holdsBack(sum, claim.WaitedMs); heldBack {
@@ -202,7 +207,7 @@
 	c.setFlags(tenant, unsatisfied || !limit.scaled(tightPercent).Admits(sum), heldBack || !limit.Admits(sum))
 }
 
-// holdsBack tells whether a unit that has waited so long keeps what gets free from those behind it.
+// holdsBack reports whether a unit that has waited this long keeps free capacity from later claims.
 func (l Limit) holdsBack(sum resource.Amount, waitedMs int64) bool {
 	if waitedMs >= holdBackAfterMs && !l.scaled(holdBackPercent).Admits(sum) {
 		return true
@@ -210,16 +215,17 @@
 	return waitedMs%(holdBackAfterMs+holdBackMs) >= holdBackAfterMs
 }
 
-// lendAhead lends what owners like to have at hand, while most of the limit is free.
+// lendAhead lends what owners request in advance, as long as at most maxAheadPercent of the limit
+// is lent in total.
 func (c *Counter) lendAhead(tenant string, limits *Limits, sum resource.Amount) resource.Amount {
-	limit := limits.Of(tenant).scaled(maxAheadPercent)
+	aheadLimit := limits.Of(tenant).scaled(maxAheadPercent)
 	for _, shard := range slices.Sorted(maps.Keys(c.shards)) {
 		l := c.shards[shard]
 		loan := l.loans[tenant]
 		if loan == nil || loan.ahead == (resource.Amount{}) || l.version > limits.Version() {
 			continue
 		}
-		if next := sum.Plus(loan.ahead); limit.Admits(next) {
+		if next := sum.Plus(loan.ahead); aheadLimit.Admits(next) {
 			loan.amount, sum = loan.amount.Plus(loan.ahead), next
 			loan.ahead = resource.Amount{}
 			l.grantDue = true
@@ -228,7 +234,7 @@
 	return sum
 }
 
-// setFlags has owners told whether to give back at once what they don't use, and what ends.
+// setFlags sets the tight and giveBack flags of a tenant in all shards.
 func (c *Counter) setFlags(tenant string, tight, giveBack bool) {
 	for _, l := range c.shards {
 		loan := l.loans[tenant]
@@ -238,8 +244,9 @@
 	}
 }
 
-// grants gives a grant for each owner of whose shares something has changed.
-func (c *Counter) grants(version int64) (grants []Grant) {
+// pendingGrants returns a grant for each owner that has changed loans, an unanswered report, or
+// a last grant by another configuration version.
+func (c *Counter) pendingGrants(version int64) (grants []Grant) {
 	for _, shard := range slices.Sorted(maps.Keys(c.shards)) {
 		l := c.shards[shard]
 		if !l.grantDue && l.answeredVersion == version {
@@ -260,17 +267,17 @@
 	return grants
 }
 
-// Usage is what a counter knows of one tenant.
+// Usage holds what a counter knows about one tenant.
 type Usage struct {
 	Tenant  string
 	Lent    resource.Amount
 	Used    resource.Amount
-	Claimed int // units that wait for a share
-	// WaitedMs is how long the oldest of them has waited, as its shard's owner last told.
+	Claimed int // number of units that wait for a loan
+	// WaitedMs is the longest waiting time of a claim, as of the newest report of its shard.
 	WaitedMs int64
 }
 
-// Usages tells what is lent, used and claimed, by tenant.
+// Usages returns what is lent, used and claimed, by tenant.
 func (c *Counter) Usages() (usages []Usage) {
 	for _, tenant := range c.tenants() {
 		u := Usage{Tenant: tenant, Lent: c.Lent(tenant)}
--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// Limits are the limits that one daemon goes by, and since when it does.
+// Limits holds the tenant limits that one daemon applies, and the versions that lowered them.
 //
-// A version may leave a tenant out that an earlier one declared. What the tenant handed in goes
-// on within the limit that it had last.
+// If a version no longer declares a tenant that an earlier one declared, the jobs of that tenant
+// continue under its last limit.
 type Limits struct {
 	version   int64
 	byTenant  map[string]Limit
 	loweredIn map[string]int64
 }
 
-// Adopt goes by another version of the configuration, which was accepted after the previous one,
-// and gives the tenants whose limits are lower than they may have been: where this daemon has
-// skipped the previous one, that may have had a higher limit. A version without tenants gives
-// nil, and nothing is counted.
+// Adopt applies a version of the configuration, whose predecessor is the previous version, and
+// returns the tenants whose limits may have become lower. If this daemon skipped the previous
+// version, that includes every tenant with a limit, since the skipped version may have had a
+// higher one. For a version without tenants byTenant is nil, and nothing is limited.
 //
 // Example: lowered := limits.Adopt(version, previous, map[string]Limit{"kaje80": {CPU: 64000}})
 func (l *Limits) Adopt(version, previous int64, byTenant map[string]Limit) (lowered []string) {
@@ -44,26 +44,26 @@
 	return lowered
 }
 
-// Version is the version of the configuration that the limits are of.
+// Version returns the configuration version of the limits.
 func (l *Limits) Version() int64 { return l.version }
 
-// Any tells whether there is a tenant to count.
+// HasTenants reports whether any tenant is declared.
 func (l *Limits) Any() bool { return len(l.byTenant) > 0 }
 
-// Of is a tenant's limit; none for a tenant that no version has declared.
+// Of returns the limit of a tenant; a tenant that no version has declared is unlimited.
 func (l *Limits) Of(tenant string) Limit { return l.byTenant[tenant] }
 
-// Declared tells whether some version has declared a tenant.
+// Declared reports whether this or an earlier version declares a tenant.
 func (l *Limits) Declared(tenant string) bool {
 	_, declared := l.byTenant[tenant]
 	return declared
 }
 
-// LoweredIn is the version that lowered a tenant's limit last, as far as this daemon knows; 0 for
-// none. What was arranged by an earlier one may have been so by a higher limit.
+// LoweredIn returns the last version known to this daemon that may have lowered the limit of a
+// tenant; 0 if there is none. Decisions by an earlier version may have used a higher limit.
 func (l *Limits) LoweredIn(tenant string) int64 { return l.loweredIn[tenant] }
 
-// Outdated tells whether what a version arranged for a tenant may be beyond its limit now.
+// Outdated reports whether a decision by a version may exceed the current limit of a tenant.
 func (l *Limits) Outdated(tenant string, version int64) bool {
 	return !l.Of(tenant).Unlimited() && version < l.LoweredIn(tenant)
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,69 +1,70 @@
-// Package quota bounds what each tenant may have running over the whole fleet, while each
-// shard's owner starts tasks by itself.
+// Package quota enforces a resource limit for each tenant across the whole fleet, while the
+// owner of each shard starts tasks independently.
 //
-// One daemon counts a tenant: its Counter lends parts of the tenant's limit to the owners of
-// shards, and each owner's Borrower starts nothing beyond what it holds. What must hold at any
-// time, for each tenant and dimension that has a limit:
+// The limit of a tenant is managed by one daemon: its Counter lends parts of the limit to the
+// owners of shards, and the Borrower of each owner starts no tasks beyond the amount it holds. The
+// invariant, for each tenant and each dimension that has a limit:
 //
-//	the sum, over all shards, of what tasks take that run or may run
-//	<= the sum of what the shards' owners hold <= the limit
+//	the sum, over all shards, of the resources of tasks that run or may run
+//	<= the sum of the amounts held by the owners of the shards <= the limit
 //
-// but for one task: where nothing else is held, a unit may pass the limit by its last task, for
-// else a task larger than the limit would never run.
+// There is one exception: if nothing else is held, a unit may exceed the limit by its last task.
+// Otherwise a task larger than the limit would never run.
 //
-// Nothing here is stored. What a shard uses follows from its jobs' records, which are at a
-// quorum; so a shard's next owner holds what it uses, and a Counter that begins lends nothing
-// until each shard has told it what it holds. A report binds its owner: from then on it uses no
-// more than it said to keep, until the answer to that very report comes. An owner reports to
-// counters of rising epochs only, and a counter takes reports of rising epochs of a shard only.
-// So no two counters lend the same share, whatever is lost, late or sent twice, and whoever still
-// believes to count.
+// Nothing is stored here. The usage of a shard follows from the records of its jobs, which are
+// replicated to a quorum. So a new owner of a shard starts with holding what the shard uses, and a
+// new Counter lends nothing until every shard has reported what it holds. A report is binding: after
+// it, the owner uses no more than the reported amount until it receives the grant that answers
+// exactly this report. An owner reports only to counters of increasing epochs, and a counter accepts
+// only reports of increasing epochs of a shard. So no two counters lend the same part of a limit,
+// even if messages are lost, delayed or duplicated, and even if a superseded counter still runs.
 //
-// Limits change while all this goes on. Who goes by a version that lowers a limit, or may have
-// skipped one that had a higher limit, gives up what it holds beyond use, and takes no grant that
-// was on its way. A counter lends to no report by a later version than its own, and once a limit
-// was lowered not before each shard has reported by that version.
+// Limits may change at any time. A daemon that adopts a configuration version that lowers a limit,
+// or that may have skipped a version with a higher limit, gives up what it holds beyond its usage
+// and rejects grants that are in flight. A counter grants nothing to a report by a later version
+// than its own. After a limit was lowered, it lends only once every shard has reported by that
+// version.
 //
-// What ends makes room for another start only once the counter has told an owner that the sum is
-// within the limit: it may be above it after a limit was lowered, or after a takeover, where ends
-// that the former owner had not written down yet still count.
+// Released resources may be used for another start only after the counter has confirmed that the
+// sum is within the limit. The sum may be above the limit after the limit was lowered, and after a
+// takeover, because finished tasks that the former owner had not recorded yet still count.
 //
 // Everything is a function of its arguments: there is no clock, network or disk here.
 package quota
 
 import "otterchute/internal/resource"
 
-// Limit is a tenant's limit over all workers; a dimension that is 0 has none.
+// Limit is a tenant's limit across all workers; a dimension that is 0 is unlimited.
 type Limit resource.Amount
 
-// Unlimited tells whether no dimension has a limit.
+// Unlimited reports whether no dimension has a limit.
 func (l Limit) Unlimited() bool { return l == Limit{} }
 
-// Admits tells whether a sum is within the limit.
+// Admits reports whether a sum is within the limit.
 func (l Limit) Admits(sum resource.Amount) bool {
 	return (l.CPU == 0 || sum.CPU <= l.CPU) &&
 		(l.Memory == 0 || sum.Memory <= l.Memory) &&
 		(l.GPU == 0 || sum.GPU <= l.GPU)
 }
 
-// admitsUnit tells whether a unit is within the limit beside others. Alone it may pass the limit by
-// its last task.
+// admitsUnit reports whether a unit is within the limit in addition to others. If there are no
+// others, it may exceed the limit by its last task.
 func (l Limit) admitsUnit(others, unit, task resource.Amount) bool {
 	return l.Admits(others.Plus(unit)) || others == resource.Amount{} && l.Admits(unit.Minus(task))
 }
 
-// EverAdmits tells whether a unit may start once nothing else of its tenant is held.
+// AdmitsAlone reports whether a unit may start if nothing else is held for its tenant.
 func (l Limit) EverAdmits(unit, task resource.Amount) bool {
 	return l.admitsUnit(resource.Amount{}, unit, task)
 }
 
-// LowerThan tells whether the limit is lower than another in some dimension.
+// LowerThan reports whether the limit is lower than another in some dimension.
 func (l Limit) LowerThan(other Limit) bool {
 	lower := func(a, b int64) bool { return a != 0 && (b == 0 || a < b) }
 	return lower(l.CPU, other.CPU) || lower(l.Memory, other.Memory) || lower(l.GPU, other.GPU)
 }
 
-// scaled is a part of the limit, in percent; a dimension without a limit stays so.
+// scaled returns the given percentage of the limit; an unlimited dimension stays unlimited.
 func (l Limit) scaled(percent int64) Limit {
 	scale := func(v int64) int64 {
 		if v == 0 {
@@ -74,12 +75,12 @@
 	return Limit{CPU: scale(l.CPU), Memory: scale(l.Memory), GPU: scale(l.GPU)}
 }
 
-// larger is the larger of two amounts, dimension by dimension.
+// larger returns the maximum of two amounts by dimension.
 func larger(a, b resource.Amount) resource.Amount {
 	return resource.Amount{CPU: max(a.CPU, b.CPU), Memory: max(a.Memory, b.Memory), GPU: max(a.GPU, b.GPU)}
 }
 
-// smaller is the smaller of two amounts, dimension by dimension.
+// smaller returns the minimum of two amounts by dimension.
 func smaller(a, b resource.Amount) resource.Amount {
 	return resource.Amount{CPU: min(a.CPU, b.CPU), Memory: min(a.Memory, b.Memory), GPU: min(a.GPU, b.GPU)}
 }
--- a/internal/scheduler/assignment.go
+++ b/internal/scheduler/assignment.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// perMille is all of a worker's room, in the thousandths that a score counts in.
+	// perMille is the unit of the free capacity in a score; a fully free worker scores 1000.
 	perMille = 1000
-	// What a score adds for a worker where the task starts without a stop, and for one near
-	// its data. Each outweighs all that stands below it.
+	// The bonuses of a worker where the task starts without preempting others, and of one near
+	// its data. Each outweighs the sum of all smaller parts of a score.
 	scoreNoPreemption = 1 << 40
 	scoreNearData     = 1 << 30
-	// suspectPenalty is taken off a worker that anything speaks against: it comes after others where
-	// the task starts without a stop, and before those where it doesn't.
+	// suspectPenalty ranks a suspect worker after all others where the task starts without
+	// preemption, but before those where it doesn't.
 	suspectPenalty = 1 << 35
-	// avoidedPenalty is taken off a worker where the task just failed: it comes last.
+	// avoidedPenalty ranks a worker where the task just failed last.
 	avoidedPenalty = 1 << 50
 )
 
@@ -28,19 +28,19 @@
 	Name     string
 	Rack     string
 	Capacity resource.Amount
-	// Sure is the room that no guaranteed task holds. What queueable tasks hold counts as
-	// room, since it can be freed.
+	// Sure is the capacity that no guaranteed task occupies. It includes the capacity of
+	// queueable tasks, since they can be preempted.
 	Sure resource.Amount
-	// Free is the room that nothing holds.
+	// Free is the unoccupied capacity.
 	Free resource.Amount
 }
 
-// reserve has a candidate hold so much more; a negative amount gives room back.
+// reserve subtracts an amount from the free capacity; a negative amount returns it.
 func (c *Candidate) reserve(amount resource.Amount) {
 	c.Sure, c.Free = c.Sure.Minus(amount), c.Free.Minus(amount)
 }
 
-// freePerMille is the part of a worker that is free, in thousandths, in its scarcer dimension.
+// freePerMille returns the free share of a worker in thousandths, the lower of CPU and memory.
 func (c *Candidate) freePerMille() int64 {
 	free := c.Free.CPU * perMille / max(c.Capacity.CPU, 1)
 	if c.Capacity.Memory > 0 {
@@ -49,36 +49,36 @@
 	return free
 }
 
-// Group is what tasks that are alike ask of workers.
+// Group describes identical tasks and their requirements for workers.
 type Group struct {
 	Resources resource.Amount // of each task
-	Size      int             // tasks in all, placed or not
-	PerWorker int32           // most of them on one worker; 0 for any number
-	Gang      bool            // they start together or not at all
-	SameRack  bool            // a gang that runs longer over several racks
-	Near      string          // the rack that holds their data; "" for none
-	Avoid     map[string]bool // workers where some of them just failed
-	Doubted   map[string]bool // workers that anything speaks against
+	Size      int             // total number of tasks, placed or not
+	PerWorker int32           // maximum on one worker; 0 for no limit
+	Gang      bool            // all tasks start together or none does
+	SameRack  bool            // the gang runs longer when spread over several racks
+	Near      string          // the rack that holds the data; "" for none
+	Avoid     map[string]bool // workers where tasks of the group just failed
+	Doubted   map[string]bool // workers with some evidence against them
 }
 
-// Assignment searches sure room for the tasks of a group.
+// Assignment assigns workers to the tasks of a group.
 type Assignment struct {
 	Group Group
-	// Used counts the tasks of the group on each worker. Find adds what it assigns.
+	// Used is the number of tasks of the group on each worker. Find adds the assigned ones.
 	Used map[string]int32
-	// Reserved are workers kept for others.
+	// Reserved lists workers that are reserved for other tasks.
 	Reserved map[string]bool
-	// Urgent is work of the most urgent queues: nothing is kept back from it.
+	// Urgent marks tasks of the most urgent queues, which may use the headroom.
 	Urgent bool
-	// Kept is the share of each worker, in percent, that other work leaves to urgent work.
+	// Kept is the headroom for urgent tasks on each worker, in percent by dimension.
 	Kept resource.Amount
-	// WaitsForRack has a gang that asks for one rack take no more, if one could ever hold it.
+	// WaitsForRack makes a gang that requests a single rack wait if some rack could ever hold it.
 	WaitsForRack bool
 }
 
-// Find assigns a worker to each of some open tasks in turn, as far as there is sure room,
-// and takes that room. Of a gang it assigns all or none, in one rack where the gang asks for
-// that and one has the room.
+// Find assigns workers to open tasks one by one while capacity is free or preemptible, and
+// reserves that capacity. It assigns all tasks of a gang or none, in a single rack if the
+// gang requests that and one has the capacity.
 //
 // Example: workers := search.Find(len(open), candidates)
 func (a *Assignment) Find(open int, candidates []*Candidate) []*Candidate {
@@ -97,8 +97,8 @@
 	return a.fillAllOrNone(open, candidates)
 }
 
-// findInOneRack tries each rack, the one near the data first. It tells whether some rack
-// could hold the gang once nothing else is there.
+// findInOneRack tries each rack, the one near the data first. It also reports whether some
+// rack could hold the gang if it were otherwise empty.
 func (a *Assignment) findInOneRack(open int, candidates []*Candidate) (found []*Candidate, feasible bool) {
 	racks := byRack(candidates)
 	names := slices.Sorted(maps.Keys(racks))
@@ -112,7 +112,7 @@
 	return nil, feasible
 }
 
-// fillAllOrNone assigns all tasks, or gives all room back.
+// fillAllOrNone assigns all tasks, or returns the reserved capacity and assigns none.
 func (a *Assignment) fillAllOrNone(open int, candidates []*Candidate) []*Candidate {
 	found := a.fill(open, candidates)
 	if len(found) == open {
@@ -125,9 +125,9 @@
 	return nil
 }
 
-// fill takes the best worker for each task in turn, and stops at the first task that has
-// none. An assignment changes the score of its own worker alone, so a heap of scores finds the
-// next one without looking at all workers again.
+// fill assigns the worker with the best score to each task in turn and stops when none is
+// left. An assignment changes only the score of its own worker, so a heap finds the next best
+// worker without a scan of all workers.
 func (a *Assignment) fill(open int, candidates []*Candidate) (found []*Candidate) {
 	scores := make(scoreHeap, 0, len(candidates))
 	for i, c := range candidates {
@@ -151,10 +151,11 @@
 	return found
 }
 
-// May tells whether a worker's sure room holds one more. Queues below the most urgent ones
-// leave a part of each worker to those, where they can do without it.
+// CanPlace reports whether a worker can take one more task, preempting queueable tasks if
+// necessary. Queues that are not urgent leave the headroom to urgent ones, unless the task
+// would not fit beside the headroom even on an empty worker.
 //
-// Example: if search.May(candidate) { … }
+// Example: if search.CanPlace(candidate) { … }
 func (a *Assignment) May(c *Candidate) bool {
 	if a.Reserved[c.Name] || a.Group.PerWorker > 0 && a.Used[c.Name] >= a.Group.PerWorker {
 		return false
@@ -170,8 +171,8 @@
 	return needsHeadroom || a.Group.Resources.Fits(c.Sure.Minus(headroom))
 }
 
-// score prefers a worker that is free without a stop, then one near the data, then the
-// emptiest; one that just failed the task comes last.
+// score prefers workers where the task starts without preemption, then workers near its data,
+// then the one with the most free capacity. A worker where the task just failed comes last.
 func (a *Assignment) score(c *Candidate) int64 {
 	score := c.freePerMille()
 	if a.Group.Resources.Fits(c.Free) {
@@ -196,8 +197,9 @@
 	return 0
 }
 
-// LikeliestRack gives the workers of the rack that has sure room for most of a gang already,
-// of those racks that could hold all of it and are not reserved; nil for none.
+// LikeliestRack returns the workers of the rack that can hold the most tasks of a gang now,
+// among the racks whose unreserved workers could hold all of it if they were otherwise empty;
+// nil if there is no such rack.
 //
 // Example: likely := group.LikeliestRack(candidates, reserved)
 func (g *Group) LikeliestRack(candidates []*Candidate, reserved map[string]bool) (best []*Candidate) {
@@ -219,7 +221,7 @@
 	return best
 }
 
-// couldHoldAll tells whether workers hold all tasks of a group once nothing else is there.
+// couldHoldAll reports whether the workers could hold all tasks of a group if they were empty.
 func (g *Group) couldHoldAll(candidates []*Candidate) bool {
 	count := int64(0)
 	for _, c := range candidates {
@@ -228,7 +230,7 @@
 	return count >= int64(g.Size)
 }
 
-// tasksFitting is how many tasks of a group some room of one worker holds.
+// tasksFitting returns how many tasks of a group fit into some capacity of one worker.
 func (g *Group) tasksFitting(capacity resource.Amount) int64 {
 	count := TimesIn(g.Resources, capacity)
 	if g.PerWorker > 0 {
@@ -237,12 +239,12 @@
 	return count
 }
 
-// unlimitedFit stands for any number: what needs no room fits as often.
+// unlimitedFit is the result of FitCount for an empty amount.
 const unlimitedFit = 1 << 20
 
-// TimesIn is how often some room fits into another.
+// FitCount returns how many times a unit fits into some capacity.
 //
-// Example: TimesIn(resource.Amount{CPU: 2}, resource.Amount{CPU: 5}) is 2
+// Example: FitCount(resource.Amount{CPU: 2}, resource.Amount{CPU: 5}) is 2
 func TimesIn(unit, capacity resource.Amount) int64 {
 	count, needed, available := int64(unlimitedFit), components(unit), components(capacity)
 	for i := range needed {
@@ -253,9 +255,10 @@
 	return count
 }
 
-// MostlyIdle tells whether, in some dimension, no more than a share of all room is in use.
+// IdleInSomeDimension reports whether, in some dimension, less than busyPercent of the total
+// capacity is in use.
 //
-// Example: idle := scheduler.MostlyIdle(candidates, 55)
+// Example: idle := scheduler.IdleInSomeDimension(candidates, 55)
 func MostlyIdle(candidates []*Candidate, busyPercent int64) bool {
 	var free, all resource.Amount
 	for _, c := range candidates {
@@ -265,10 +268,10 @@
 	return free.CPU > idle.CPU || free.Memory > idle.Memory || free.GPU > idle.GPU
 }
 
-// IdleThroughout tells whether, in every dimension that workers have, no more than a share of
-// all room is in use: then even room that is kept for others may go.
+// IdleInAllDimensions reports whether, in every dimension, at most busyPercent of the total
+// capacity is in use. Then even capacity that is reserved for others may be used.
 //
-// Example: idle := scheduler.IdleThroughout(candidates, 55)
+// Example: idle := scheduler.IdleInAllDimensions(candidates, 55)
 func IdleThroughout(candidates []*Candidate, busyPercent int64) bool {
 	var free, all resource.Amount
 	for _, c := range candidates {
@@ -277,7 +280,7 @@
 	return len(candidates) > 0 && all.Share(100-busyPercent).Fits(free)
 }
 
-// byRack groups workers by the rack they are in.
+// byRack groups workers by rack.
 func byRack(candidates []*Candidate) map[string][]*Candidate {
 	racks := map[string][]*Candidate{}
 	for _, c := range candidates {
@@ -286,13 +289,13 @@
 	return racks
 }
 
-// scored is a candidate by its position, with its score.
+// scored is the index of a candidate and its score.
 type scored struct {
 	score int64
 	index int
 }
 
-// scoreHeap has the best score on top; of equal ones the first candidate.
+// scoreHeap is a max-heap by score; of equal scores the lowest index comes first.
 type scoreHeap []scored
 
 func (h scoreHeap) Len() int      { return len(h) }
@@ -301,10 +304,10 @@
 	return h[i].score > h[j].score || h[i].score == h[j].score && h[i].index < h[j].index
 }
 
-// Push is part of heap.Interface; nothing is ever pushed.
+// Push implements heap.Interface; it is never called.
 func (h *scoreHeap) Push(x any) { *h = append(*h, x.(scored)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (h *scoreHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
--- a/internal/scheduler/choice.go
+++ b/internal/scheduler/choice.go
@@ -6,44 +6,45 @@
 )
 
 const (
-	// maxDrawn is the design's k: the most workers a queueable task is drawn among.
-	maxDrawn = 50
-	// minDrawn is the fewest; between them a quarter of the allowed ones. Source: docs/rounds.md.
+	// A queueable task is assigned to a random one of k workers: a quarter of the allowed ones,
+	// at least minDrawn and at most maxDrawn. Source: docs/rounds.md.
+	maxDrawn     = 50
 	minDrawn     = 3
 	drawnDivisor = 4
 )
 
-// Shun is a set of reasons to give a task to another worker, as long as there is one. A higher
-// bit counts for more than all lower ones together.
+// Shun is a set of penalties of a worker. The task goes to a worker with fewer penalties if
+// there is one. A higher bit outweighs all lower bits together.
 type Shun uint8
 
-// The reasons, the weightiest last.
+// The penalties, in ascending order of weight.
 const (
-	ShunFar       Shun = 1 << iota // it is not in the rack that holds the task's data
-	ShunJobFailed                  // other tasks of the job failed there lately
-	ShunDoubtful                   // some failures speak against it, and the task may fail no more
-	ShunFull                       // the task would wait there, even if batches made room
-	ShunKept                       // it has no room now that the task's queue may take
+	ShunFar       Shun = 1 << iota // not in the rack that holds the task's data
+	ShunJobFailed                  // other tasks of the job failed there recently
+	ShunDoubtful                   // some failures count against the worker, and the task is on its last attempt
+	ShunFull                       // the task would have to wait there, even if batch tasks were preempted
+	ShunKept                       // no free capacity outside the headroom that the task's queue must not use
 	ShunLast                       // the task last failed there
-	ShunSilent                     // nothing was heard of it just now
-	ShunUnhealthy                  // it fails or lags
+	ShunSilent                     // no recent heartbeat
+	ShunUnhealthy                  // it fails or lags far more than others
 )
 
-// Choosable is a worker that a queueable task may go to, as its local scheduler sees it.
+// Choosable is a candidate worker for a queueable task, as the local scheduler sees it.
 type Choosable struct {
 	Name   string
 	RankMs int64
 	Shun   Shun
-	// QueueFull says that as many tasks wait there as a scheduler may send.
+	// QueueFull means that the worker's queue holds as many tasks as a scheduler may send.
 	QueueFull bool
 }
 
-// Choose draws a worker for a queueable task: at random among the k of lowest rank, of those
-// that there is least reason to shun. It gives its position, -1 for none, and how many it
-// drew among. Where k is 0 it is a quarter of the workers, within bounds; a k below 0 draws
-// among all. Workers stand in the order of their names, which decides between equal ranks.
+// ChooseWorker draws a worker for a queueable task at random among the k of lowest rank,
+// considering only the workers with the least penalty. It returns the index of the worker, or
+// -1 if there is none, and the number of workers it drew among. If k is 0, a quarter of the
+// workers is used, within bounds; if k is negative, all are. Workers must be sorted by name;
+// equal ranks are ordered by name.
 //
-// Example: at, among := scheduler.Choose(workers, 0, random.IntN)
+// Example: index, drawnAmong := scheduler.ChooseWorker(workers, 0, random.IntN)
 func Choose(workers []Choosable, k int, intN func(int) int) (index, drawnAmong int) {
 	positions := leastPenalized(workers)
 	if len(positions) == 0 {
@@ -60,8 +61,8 @@
 	return positions[intN(len(positions))], len(positions)
 }
 
-// leastPenalized gives the positions of the workers that there is least reason to shun. Of those,
-// the ones whose queue is full are left out: queues are bounded, and so is what is sent to them.
+// leastPenalized returns the indices of the workers with the least penalty, without those whose
+// queue is full: it doesn't fall back to more penalized workers then, so that queues stay bounded.
 func leastPenalized(workers []Choosable) (positions []int) {
 	least := Shun(0)
 	for i, w := range workers {
--- a/internal/scheduler/class.go
+++ b/internal/scheduler/class.go
@@ -1,21 +1,21 @@
 package scheduler
 
-// TaskFacts are what the class of a task goes by.
+// TaskFacts holds the properties of a task that determine its class.
 type TaskFacts struct {
 	Batch    bool
 	Gang     bool
-	Lasting  bool
-	Preempts int64 // how often it was preempted
-	// EstimateMs is how long the task is expected to run; 0 where nothing is known.
+	Lasting  bool  // runs until it is cancelled
+	Preempts int64 // number of preemptions so far
+	// EstimateMs is the expected run time; 0 if unknown.
 	EstimateMs int64
 }
 
-// maxPreemptions: after so many preemptions a task is guaranteed.
+// maxPreemptions is the number of preemptions after which a task becomes guaranteed.
 const maxPreemptions = 2
 
-// IsGuaranteed is the paper's hybrid-GQ rule: a task known to be short may wait or be stopped,
-// all others get a guaranteed place. It gives the reason, too. A threshold below 0 makes all
-// tasks queueable.
+// IsGuaranteed reports whether a task is guaranteed or queueable, by the hybrid-GQ rule of the
+// paper, and why. A task that is known to be short is queueable: it may wait or be preempted.
+// All others are guaranteed. A negative threshold makes all tasks queueable.
 //
 // Example: guaranteed, why := scheduler.IsGuaranteed(scheduler.TaskFacts{EstimateMs: 800}, 2500)
 func IsGuaranteed(t TaskFacts, thresholdMs int64) (guaranteed bool, reason string) {
--- a/internal/scheduler/estimate.go
+++ b/internal/scheduler/estimate.go
@@ -6,26 +6,27 @@
 )
 
 const (
-	// maxEstimates bounds the run-time estimates that a daemon keeps.
+	// maxEstimates bounds the run time estimates that a daemon keeps.
 	maxEstimates = 4096
-	// maxSharedPerRound is how many of them it tells others in one round.
+	// maxSharedPerRound is the number of estimates that are sent to other daemons in one round.
 	maxSharedPerRound = 500
-	// newestRunWeight is that of the newest run: an even memory of about the last ten.
+	// newestRunWeight is the weight of the newest run in the moving average, which covers about
+	// the last ten runs.
 	newestRunWeight = 0.2
 )
 
-// Estimate is the mean of what was learned under one name.
+// Estimate is the moving average of the values learned under one name.
 type Estimate struct {
 	Mean      float64
-	learnedMs int64 // when a run last ended here; 0 where others told it
+	learnedMs int64 // when a run last ended on this daemon; 0 for a value from another daemon
 	shared    bool
 }
 
-// Estimates are means learned from runs, by name. Its zero value is empty. Only one goroutine
-// may use it.
+// Estimates holds moving averages learned from runs, by name. The zero value is empty. It is
+// not safe for concurrent use.
 type Estimates struct{ byName map[string]*Estimate }
 
-// Mean gives what is known under a name; false for nothing.
+// Mean returns the mean of a name; false if there is none.
 func (e *Estimates) Mean(name string) (mean float64, known bool) {
 	if estimate := e.byName[name]; estimate != nil {
 		return estimate.Mean, true
@@ -33,25 +34,26 @@
 	return 0, false
 }
 
-// Len is how many means are kept.
+// Len returns the number of estimates.
 func (e *Estimates) Len() int { return len(e.byName) }
 
-// Learn takes a value that was just seen here into the mean of a name.
+// Learn adds a value observed on this daemon to the mean of a name.
 func (e *Estimates) Learn(name string, value float64, nowMs int64) {
 	estimate := e.getOrCreate(name, value)
 	estimate.Mean += newestRunWeight * (value - estimate.Mean)
 	estimate.learnedMs, estimate.shared = nowMs, false
 }
 
-// Adopt takes a mean that another daemon learned, unless one was learned here within a span:
-// what was seen here lately counts more.
+// MergeRemote takes over a mean from another daemon, unless this daemon learned a value within
+// the last freshMs: recent local values have priority.
 func (e *Estimates) Adopt(name string, mean float64, nowMs, freshMs int64) {
 	if estimate := e.getOrCreate(name, mean); nowMs-estimate.learnedMs > freshMs {
 		estimate.Mean, estimate.shared = mean, true
 	}
 }
 
-// Unshared gives the names learned here since they were last given, in order, some at a time.
+// TakeUnshared returns, in order, up to maxSharedPerRound names whose mean changed on this daemon
+// since it was last shared, and marks them as shared.
 func (e *Estimates) Unshared() (names []string) {
 	for _, name := range slices.Sorted(maps.Keys(e.byName)) {
 		if estimate := e.byName[name]; !estimate.shared && len(names) < maxSharedPerRound {
@@ -62,8 +64,8 @@
 	return names
 }
 
-// getOrCreate gives an estimate, made with a first mean where there is none; the longest unused one
-// makes room.
+// getOrCreate returns the estimate of a name and creates it with an initial mean if there is
+// none, evicting the least recently learned one if necessary.
 func (e *Estimates) getOrCreate(name string, mean float64) *Estimate {
 	if estimate := e.byName[name]; estimate != nil {
 		return estimate
@@ -79,10 +81,10 @@
 }
 
 func (e *Estimates) leastRecentlyLearned() (oldest string) {
-	oldestMs := int64(0)
+	learnedMs := int64(0)
 	for name, estimate := range e.byName {
-		if oldest == "" || estimate.learnedMs < oldestMs || estimate.learnedMs == oldestMs && name < oldest {
-			oldest, oldestMs = name, estimate.learnedMs
+		if oldest == "" || estimate.learnedMs < learnedMs || estimate.learnedMs == learnedMs && name < oldest {
+			oldest, learnedMs = name, estimate.learnedMs
 		}
 	}
 	return oldest
--- a/internal/scheduler/fairorder.go
+++ b/internal/scheduler/fairorder.go
@@ -8,19 +8,19 @@
 	"otterchute/internal/resource"
 )
 
-// FairRequest is what the order of requests for room goes by.
+// FairRequest is a request for capacity as FairOrder sees it.
 type FairRequest struct {
 	Precedence  int64 // higher ones come first
 	Tenant      string
-	Share       float64 // of its tenant before, see WeightedShare; the same in all its requests
-	Adds        float64 // to that share, where the request gets what it asks for
+	Share       float64 // current share of the tenant, see WeightedShare; equal in all its requests
+	Adds        float64 // increase of the share if the request is granted
 	SubmittedMs int64
 	Job         string
 	Step        int64
 }
 
-// WeightedShare is the share of all room that an amount takes in the dimension where that is the
-// most, divided by a tenant's weight. A weight of 0 counts as 1.
+// WeightedShare returns the dominant share of an amount, which is its largest share of the total
+// capacity in any dimension, divided by the tenant's weight. A weight of 0 counts as 1.
 //
 // Example: request.Share = scheduler.WeightedShare(used, capacity, tenant.Weight)
 func WeightedShare(used, all resource.Amount, weight float64) (share float64) {
@@ -36,12 +36,12 @@
 	return share / weight
 }
 
-// FairOrder gives the positions of requests in the order in which they get room: by precedence,
-// and within one by weighted max-min fairness. The tenant with the least share is next with its
-// oldest request, which adds to its share. Among equal shares the older request goes first, so
-// requests of one tenant, or without any, go by age.
+// FairOrder returns the indices of requests in the order in which they are allocated: by
+// precedence, and within one precedence by weighted max-min fairness. The tenant with the least
+// share is next with its oldest request, which adds to its share. Of equal shares the older
+// request is first, so requests of one tenant, or without a tenant, are ordered by age.
 //
-// Example: for _, at := range scheduler.FairOrder(requests) { allocate(requests[at]) }
+// Example: for _, index := range scheduler.FairOrder(requests) { allocate(requests[index]) }
 func FairOrder(requests []FairRequest) []int {
 	indices := make([]int, len(requests))
 	for i := range indices {
@@ -66,8 +66,8 @@
 	return cmp.Or(cmp.Compare(a.SubmittedMs, b.SubmittedMs), cmp.Compare(a.Job, b.Job), cmp.Compare(a.Step, b.Step))
 }
 
-// appendFairly orders the requests of one precedence, which come by age. What those before them
-// add to their tenants' shares is kept in shares.
+// appendFairly appends the fair order of the requests of one precedence, which are given by age.
+// Shares holds the shares of the tenants, including those of requests that were ordered before.
 func appendFairly(order []int, requests []FairRequest, indices []int, shares map[string]float64) []int {
 	queues := map[string]*tenantQueue{}
 	var tenants tenantHeap
@@ -99,14 +99,14 @@
 	return order
 }
 
-// tenantQueue is one tenant's requests of one precedence, the oldest first.
+// tenantQueue holds the requests of one tenant and precedence, the oldest first.
 type tenantQueue struct {
 	share    float64
 	pending  []int
 	requests []FairRequest
 }
 
-// tenantHeap is a heap: the tenant with the least share is on top.
+// tenantHeap is a min-heap of tenants by share, then by the age of their oldest request.
 type tenantHeap []*tenantQueue
 
 func (h tenantHeap) Len() int      { return len(h) }
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -3,34 +3,36 @@
 import "math"
 
 const (
-	// minFailRate and maxFailRate bound the rate of failures that a worker is taken to
-	// have: few ends must not look like certainty.
+	// minFailRate and maxFailRate bound the assumed failure rates, so that a few outcomes
+	// don't count as certainty.
 	minFailRate = 0.02
 	maxFailRate = 0.95
-	// defaultFailRate stands for a queue of which nobody has told yet.
+	// defaultFailRate is the failure rate of a queue without reported outcomes.
 	defaultFailRate = 0.1
-	// A bad worker fails at least so much of its work, and so many times more than usual.
+	// A bad worker fails at least this share of its tasks, and this many times the usual rate.
 	badFailRate   = 0.5
 	badFailFactor = 4
-	// conclusiveScore is when the ends are 10,000 times as likely at a bad worker as at one of the
-	// usual rate: with 300 workers a healthy one is taken for bad about once in thousands of ends.
+	// conclusiveScore means that the outcomes are 10,000 times as likely for a bad worker as for
+	// one with the usual rate (ln 10,000 is 9.2). With 300 workers, a healthy one is ejected by
+	// mistake about once in thousands of outcomes.
 	conclusiveScore = 9.2
-	// probationFraction of a conclusive score is what a worker begins its probation with: it is
-	// judged again by fewer ends.
+	// probationFraction of the conclusive score is the score of a worker that starts its
+	// probation, so that fewer failures suffice to eject it again.
 	probationFraction = 0.5
 )
 
-// Evidence is a sequential test (a cumulative sum of log likelihood ratios, never below 0) of
-// whether a worker fails its tasks, against the usual rate of each task's queue. A queue
-// whose tasks fail everywhere blames nobody. Its zero value blames nobody either.
+// Evidence is a sequential test of whether a worker fails its tasks, compared with the usual
+// failure rate of each task's queue. It is a CUSUM: a cumulative sum of log likelihood ratios that
+// never drops below 0. If the tasks of a queue fail on all workers, their failures don't count
+// against any of them. The zero value has no evidence.
 type Evidence struct{ score float64 }
 
-// Observe takes one end of a task whose queue fails at a usual rate, of 0 to 1.
+// Observe adds the outcome of one task whose queue has a usual failure rate from 0 to 1.
 func (e *Evidence) Observe(failed bool, usualRate float64) {
 	usual := min(max(usualRate, minFailRate), maxFailRate)
 	bad := min(max(badFailRate, badFailFactor*usual), maxFailRate)
 	if bad <= usual {
-		return // nothing can be told apart
+		return // the rates can't be distinguished
 	}
 	if failed {
 		e.score += math.Log(bad / usual)
@@ -40,23 +42,24 @@
 	e.score = max(e.score, 0)
 }
 
-// Conclusive tells whether the worker is to get no more work for now.
+// Conclusive reports whether the worker should be ejected for now.
 func (e *Evidence) Conclusive() bool { return e.score >= conclusiveScore }
 
-// Doubtful tells whether some failures speak against the worker: a task's last attempt is
-// better made elsewhere.
+// Suspect reports whether some failures count against the worker, so that the last attempt of a
+// task should use another one.
 func (e *Evidence) Doubtful() bool { return e.score > 0 }
 
-// StartProbation has the worker tried again with real work, and judged sooner.
+// StartProbation resets the score for a worker that gets work again. The score is higher than that
+// of a new worker, so that further failures eject it sooner.
 func (e *Evidence) StartProbation() { e.score = conclusiveScore * probationFraction }
 
-// EndCounts counts how tasks ended, in hundredths, so that old ends can count for less.
+// OutcomeCounts counts task outcomes in hundredths, so that the weight of old ones can decay.
 type EndCounts struct{ Succeeded, Failed int64 }
 
-// outcomeWeight is what one end counts for.
+// outcomeWeight is the weight of a new outcome.
 const outcomeWeight = 100
 
-// Observe counts one end.
+// Observe counts one outcome.
 func (c *EndCounts) Observe(failed bool) {
 	if failed {
 		c.Failed += outcomeWeight
@@ -65,44 +68,45 @@
 	}
 }
 
-// Decay has past ends count for a quarter less.
+// Decay reduces the weight of past outcomes by a quarter.
 func (c *EndCounts) Decay() { c.Succeeded, c.Failed = c.Succeeded*3/4, c.Failed*3/4 }
 
-// Plus adds other counts.
+// Plus returns the sum of two counts.
 func (c EndCounts) Plus(o EndCounts) EndCounts {
 	return EndCounts{c.Succeeded + o.Succeeded, c.Failed + o.Failed}
 }
 
-// FailRate is the share of ends that failed, of 0 to 1. Few ends say little: the rate of an
-// unknown queue counts as some more of them.
+// FailRate returns the share of failures, from 0 to 1. It is smoothed by a prior of ten outcomes
+// at the default rate, since a few outcomes alone say little.
 func (c EndCounts) FailRate() float64 {
 	const priorOutcomes = 10 * outcomeWeight
 	return (float64(c.Failed) + priorOutcomes*defaultFailRate) / (float64(c.Succeeded+c.Failed) + priorOutcomes)
 }
 
-// UnknownFailRate is the rate of a queue of which nobody has told.
+// DefaultFailRate returns the failure rate to assume for a queue without reported outcomes.
 //
-// Example: evidence.Observe(failed, scheduler.UnknownFailRate())
+// Example: evidence.Observe(failed, scheduler.DefaultFailRate())
 func UnknownFailRate() float64 { return defaultFailRate }
 
 const (
-	// slowMinRuns a worker must have had before it is called slow.
+	// slowMinRuns is the number of successful runs before a worker can count as slow.
 	slowMinRuns = 8
-	// A slow worker takes so many percent of what was expected, and so many times as long as others.
+	// A slow worker takes more than this percentage of the estimates, and more than this many
+	// times as long as the other workers.
 	slowLagPercent = 300
 	slowFactor     = 3
 )
 
-// Pace is how long the runs of a worker take against what was expected.
+// Pace holds the run times of a worker compared with the estimates.
 type Pace struct {
 	Succeeded  int64
-	LagPercent int64 // run time against the estimate, in percent, smoothed
+	LagPercent int64 // smoothed run time in percent of the estimate
 }
 
-// SlowWorkers gives the positions of the workers that lag far behind the others' mean. Where
-// that would be most of them the estimates are wrong, and nobody is slow.
+// SlowWorkers returns the indices of the workers that are much slower than the mean of the
+// others. It returns none if most workers would count as slow: then the estimates are wrong.
 //
-// Example: for _, at := range scheduler.SlowWorkers(paces) { … }
+// Example: for _, index := range scheduler.SlowWorkers(paces) { … }
 func SlowWorkers(workers []Pace) (slow []int) {
 	totalLag := int64(0)
 	for _, w := range workers {
--- a/internal/scheduler/policy.go
+++ b/internal/scheduler/policy.go
@@ -1,8 +1,8 @@
-// Package scheduler holds decisions of scheduling as named policies. It knows no network,
-// no clock and no disk: a policy gets what it looks at, and gives what it decides.
+// Package scheduler implements scheduling decisions as named policies. It uses no network,
+// clock or disk: each policy is a function of its arguments.
 //
-// Every policy that no rule needs can be switched off for a trial: see Set. More of the
-// decisions still stand in package daemon; docs/ROADMAP.md says which.
+// A policy that is not required can be disabled for an experiment, see Set. Some decisions
+// are still in package daemon; docs/ROADMAP.md lists them.
 package scheduler
 
 import (
@@ -12,53 +12,53 @@
 	"github.com/go-faster/errors"
 )
 
-// Policy names a decision.
+// Policy is the name of a scheduling policy.
 type Policy string
 
-// The policies, and where they decide.
+// The optional policies.
 const (
-	// UrgentRoom keeps room for the most urgent queues by what they were seen to use,
-	// instead of a fixed share of each worker.
+	// UrgentRoom sizes the headroom for the most urgent queues by their observed usage
+	// instead of by a fixed share of each worker.
 	UrgentRoom Policy = "urgent_room"
-	// RetryAtOnce starts a task that failed for the first time again without a pause.
+	// RetryAtOnce retries a task without backoff after its first failure.
 	RetryAtOnce Policy = "retry_at_once"
 	// NearData prefers workers in the rack that holds a step's data.
 	NearData Policy = "near_data"
-	// RackWait has gangs that ask for one rack wait for room in one.
+	// RackWait makes a gang that requests a single rack wait until one has capacity.
 	RackWait Policy = "rack_wait"
-	// AvoidLast keeps a task from the worker where it last failed.
+	// AvoidLast avoids the worker where a task last failed.
 	AvoidLast Policy = "avoid_last"
-	// EjectUnhealthy gives no more work to workers that fail or lag far more than others.
+	// EjectUnhealthy gives no new work to workers that fail or lag far more than others.
 	EjectUnhealthy Policy = "eject_unhealthy"
-	// ShunQuiet gives new work to workers that were just heard of before others.
+	// ShunQuiet prefers workers with a recent heartbeat for new work.
 	ShunQuiet Policy = "shun_quiet"
-	// LearnedEstimates corrects callers' guesses of run times by how earlier ones turned out.
+	// LearnedEstimates corrects callers' run time estimates by the outcome of earlier ones.
 	LearnedEstimates Policy = "learned_estimates"
-	// Recall takes back tasks that wait at a worker while another has room.
+	// Recall takes back tasks that are queued at a worker while another has free capacity.
 	Recall Policy = "recall"
-	// Promotion makes long-running queueable tasks guaranteed where the room is sure.
+	// Promotion makes long-running queueable tasks guaranteed where the capacity for it exists.
 	Promotion Policy = "promotion"
-	// Reservation keeps workers back for guaranteed tasks that waited long.
+	// Reservation reserves workers for guaranteed tasks that have waited long.
 	Reservation Policy = "reservation"
-	// Backfill lets what waited long take kept room while most of all room is free.
+	// Backfill lets tasks that have waited long use reserved capacity while most of the fleet is free.
 	Backfill Policy = "backfill"
-	// StrongRoles gives roles to strong machines before those of the own zone.
+	// StrongRoles assigns roles to powerful machines before machines of the local zone.
 	StrongRoles Policy = "strong_roles"
-	// GatherWrites has an owner gather record changes while a batch is on its way.
+	// GatherWrites makes an owner collect record changes while an earlier batch is in flight.
 	GatherWrites Policy = "gather_writes"
-	// ForwardRetry forwards a call a second time, out of a budget.
+	// ForwardRetry forwards a request a second time, within a retry budget.
 	ForwardRetry Policy = "forward_retry"
-	// RankedChoice draws among the workers of lowest rank; without it among all allowed ones.
+	// RankedChoice draws among the workers of lowest rank instead of among all allowed ones.
 	RankedChoice Policy = "ranked_choice"
 	// DelayTarget sheds unstarted tasks above the coordinator's target.
 	DelayTarget Policy = "delay_target"
-	// TenantWeight puts what a tenant sends beyond its weight behind all that others send.
+	// TenantWeight ranks jobs that a tenant submits beyond its weight below the jobs of all others.
 	TenantWeight Policy = "tenant_weight"
-	// WeightedFairness gives guaranteed places first to the tenant that has the least by its weight.
+	// WeightedFairness allocates guaranteed capacity first to the tenant with the least weighted share.
 	WeightedFairness Policy = "weighted_fairness"
 )
 
-// The design names these as its ordinary path, or a rule needs them: they stay on.
+// required maps each policy that can't be disabled to the reason.
 var required = map[Policy]string{
 	"class_rule":       "the design's ordinary path",
 	"sure_room":        "the rule that no worker gets more than it has",
@@ -74,13 +74,13 @@
 	TenantWeight, WeightedFairness,
 }
 
-// ErrPolicy tells that a policy isn't known, or can't be switched off.
+// ErrPolicy means that a policy is unknown or can't be disabled.
 var ErrPolicy = errors.New("policy")
 
-// Set is the policies that are switched off. Its zero value has all of them on.
+// Set is a set of enabled policies. In the zero value all are enabled.
 type Set struct{ off []Policy }
 
-// ParseSet reads a list of policies to switch off, parted by commas.
+// ParseSet parses a comma-separated list of policies to disable.
 //
 // Example: off, err := scheduler.ParseSet("recall,rack_wait")
 func ParseSet(list string) (Set, error) {
@@ -101,10 +101,10 @@
 	return s, nil
 }
 
-// On tells whether a policy decides.
+// On reports whether a policy is enabled.
 func (s Set) On(p Policy) bool { return !slices.Contains(s.off, p) }
 
-// Names gives the policies that are off, in the order in which they were named.
+// Names returns the disabled policies in the order in which they were listed.
 func (s Set) Names() (names []string) {
 	for _, p := range s.off {
 		names = append(names, string(p))
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -7,21 +7,21 @@
 	"otterchute/internal/resource"
 )
 
-// Run is a queueable run at a worker that could be stopped to make room.
+// Run is a running queueable task that could be preempted.
 type Run struct {
 	Resources resource.Amount
 	Urgency   int64
 	RanMs     int64
 }
 
-// lostWork is the work that a stop throws away, in ms times thousandths of a core.
+// lostWork returns the work that a preemption discards, in ms times thousandths of a core.
 func (r Run) lostWork() int64 { return r.RanMs * max(r.Resources.CPU, 1) }
 
-// Victims gives the positions of the runs to stop until so much room is on its way: the least
-// urgent first, and of those the ones that lose the least work. Where all of them would not be
-// enough, and partly is false, it gives none.
+// Victims returns the indices of the runs to preempt in order to free an amount: the least
+// urgent first, and among those the ones that lose the least work. If all runs together would
+// not free enough, it returns none unless allowPartial is set.
 //
-// Example: for _, at := range scheduler.Victims(runs, lacking, false) { stop(runs[at]) }
+// Example: for _, index := range scheduler.Victims(runs, lacking, false) { stop(runs[index]) }
 func Victims(runs []Run, lacking resource.Amount, allowPartial bool) (victims []int) {
 	order := make([]int, len(runs))
 	total := resource.Amount{}
@@ -40,7 +40,7 @@
 			break
 		}
 		if lacking.CPU <= 0 && r.Memory == 0 && r.GPU == 0 {
-			continue // it holds nothing of what is lacking
+			continue // it uses nothing of what is lacking
 		}
 		lacking = lacking.Minus(r)
 		victims = append(victims, index)
--- a/internal/scheduler/tenantweight.go
+++ b/internal/scheduler/tenantweight.go
@@ -1,17 +1,17 @@
 package scheduler
 
 const (
-	// burstWindowMs is how much of its rate a tenant may save up: jobs come in clusters, and a
-	// short one is not an excess.
+	// burstWindowMs is the time at a tenant's rate that fills its token bucket: jobs arrive in
+	// clusters, and a short cluster is not an excess.
 	burstWindowMs = 1000
-	// minBurstJobs is what the smallest tenant may save up, in jobs.
+	// minBurstJobs is the minimum size of a token bucket.
 	minBurstJobs = 5
-	// excessDemotion is above any queue's urgency.
+	// excessDemotion is larger than any queue's urgency.
 	excessDemotion = 1 << 32
 )
 
-// JobRates tells which jobs of tenants come beyond the tenants' rates. Each tenant has a token
-// bucket, which is full at first. The zero value is ready.
+// JobRates detects jobs that exceed the rates of their tenants. Each tenant has a token bucket,
+// which is full at first. The zero value is ready to use.
 type JobRates struct {
 	buckets map[string]*tokenBucket
 }
@@ -21,11 +21,10 @@
 	updatedMs int64   // when that was so
 }
 
-// IsExcess counts one job of a tenant that may send perSecond jobs a second, and tells whether it
-// is beyond that. A job that is beyond takes nothing from those that follow. A tenant whose rate
-// is 0 has none.
+// CountJob counts one job of a tenant that may submit perSecond jobs a second, and reports whether
+// the job exceeds that rate. Such a job takes no token. With a rate of 0 no job is in excess.
 //
-// Example: excess := rates.IsExcess("kaje80", weight/shards, nowMs)
+// Example: excess := rates.CountJob("kaje80", weight/shards, nowMs)
 func (r *JobRates) IsExcess(tenant string, perSecond float64, nowMs int64) bool {
 	if perSecond <= 0 {
 		return false
@@ -48,7 +47,7 @@
 	return false
 }
 
-// Precedence ranks tasks by their queue's urgency, but those of excess jobs below all others.
+// Precedence ranks tasks by the urgency of their queue, with tasks of excess jobs below all others.
 //
 // Example: slices.SortFunc(tasks, func(a, b task) int { return cmp.Compare(rank(b), rank(a)) })
 func Precedence(urgency int64, excess bool) int64 {
--- a/internal/scheduler/urgentroom.go
+++ b/internal/scheduler/urgentroom.go
@@ -3,38 +3,40 @@
 import "otterchute/internal/resource"
 
 const (
-	// UrgentPercent is the share of each worker that is kept for the most urgent queues
-	// while nobody has seen what they use.
+	// UrgentPercent is the headroom on each worker for the most urgent queues before
+	// their usage has been observed.
 	UrgentPercent = 12
-	// minHeadroomPercent and maxHeadroomPercent bound what is kept, in percent: a queue that rests still
-	// finds room for a few tasks, and one that floods the fleet leaves others most of it.
+	// The bounds of the headroom: an inactive queue can still start a few tasks at once, and one
+	// that floods the fleet leaves most of it to others.
 	minHeadroomPercent = 6
 	maxHeadroomPercent = 40
-	// headroomMarginPercent, in percent of what is used, and headroomSlackPercent, in percent of all room, stand
-	// for what arrivals vary by and how unevenly they meet workers.
+	// The margin, relative to the observed usage, and the slack, in percent of the total capacity,
+	// cover variations of the arrivals and their uneven distribution over workers.
 	headroomMarginPercent = 25
 	headroomSlackPercent  = 4
-	// The mean follows a rise of use within about two seconds and a fall within four, at ten
-	// observations a second: a wave finds room, and does not keep it for long from others.
+	// With ten observations a second, the mean follows a rise of usage within about two seconds
+	// and a fall within four: a surge finds capacity and doesn't withhold it from others for long.
 	riseWeight = 0.05
 	fallWeight = 0.025
 )
 
-// UrgentShare follows how much of all room the most urgent queues use and says how much of
-// each worker is kept for them, by dimension. Its zero value keeps UrgentPercent.
+// HeadroomEstimator tracks the share of the total capacity that the most urgent queues use, and
+// derives the headroom to keep for them on each worker, by dimension. The zero value returns
+// DefaultHeadroomPercent.
 type UrgentShare struct {
-	usedPercent [dimensionCount]float64 // mean share of all room, in percent
+	usedPercent [dimensionCount]float64 // moving average, in percent of the total capacity
 	observed    bool
 }
 
-// dimensionCount of an amount: processor, memory, accelerators.
+// dimensionCount is the number of dimensions of an amount: CPU, memory, GPU.
 const dimensionCount = 3
 
 func components(a resource.Amount) [dimensionCount]int64 {
 	return [dimensionCount]int64{a.CPU, a.Memory, a.GPU}
 }
 
-// Observe takes what the urgent queues hold, or wait for, of all room, ten times a second.
+// Observe adds the capacity that tasks of urgent queues use or wait for, and the total capacity.
+// It must be called ten times a second.
 func (s *UrgentShare) Observe(used, all resource.Amount) {
 	usedParts, allParts := components(used), components(all)
 	for i := range s.usedPercent {
@@ -53,21 +55,24 @@
 	s.observed = s.observed || all != (resource.Amount{})
 }
 
-// Percent is the share of each dimension of a worker to keep.
+// Percent returns the headroom to keep on each worker, in percent by dimension.
 func (s *UrgentShare) Percent() resource.Amount {
 	if !s.observed {
 		return resource.Amount{CPU: UrgentPercent, Memory: UrgentPercent, GPU: UrgentPercent}
 	}
 	percent := func(i int) int64 {
-		return min(max(int64(s.usedPercent[i]*(100+headroomMarginPercent)/100+headroomSlackPercent), minHeadroomPercent), maxHeadroomPercent)
+		return min(
+			max(int64(s.usedPercent[i]*(100+headroomMarginPercent)/100+headroomSlackPercent), minHeadroomPercent),
+			maxHeadroomPercent,
+		)
 	}
 	return resource.Amount{CPU: percent(0), Memory: percent(1), GPU: percent(2)}
 }
 
-// KeptRoom is the room of a worker that other queues leave to the urgent ones: the kept
-// share, in percent by dimension, without what the urgent ones use there already.
+// UrgentHeadroom returns the capacity of a worker that other queues must leave to the urgent ones:
+// the given percentage of each dimension, less what the urgent ones already use there.
 //
-// Example: free = free.Minus(scheduler.KeptRoom(capacity, urgent, percent))
+// Example: free = free.Minus(scheduler.UrgentHeadroom(capacity, urgentUsed, percent))
 func KeptRoom(capacity, urgentUsed, percent resource.Amount) resource.Amount {
 	unusedShare := func(all, used, share int64) int64 { return max(all*share/100-used, 0) }
 	return resource.Amount{
