--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -9,46 +9,46 @@
 	"otterchute/internal/wire"
 )
 
-// The model is a fleet whose shards place the tasks of one tenant, as plain data that a random
-// walk moves from state to state. What may go wrong:
+// The model is a fleet whose shards place the tasks of one tenant. It is plain data, and a random
+// walk moves it from state to state. It includes these faults:
 //
-// Messages stay in the network until they are dropped: each is delivered at any later time, any
+// Messages stay in the network until they are dropped: each may be delivered at any later time, any
 // number of times, in any order, or never.
 //
-// Daemons learn of versions of the configuration late, and may never see some of them.
+// Daemons adopt configuration versions late and may skip some of them.
 //
-// The owner of a shard is followed by another at any time. A former owner goes on placing tasks,
-// but the core takes no record of it any more; what it reported may still be on its way. The next
-// owner begins with what the core's records say is placed, where ends that the former one had not
-// written down yet still count. It knows each counter that had begun when it took over: its lease
-// and the counter's are granted by majorities, of which each two have a member in common.
+// The owner of a shard may be replaced at any time. A former owner continues to place tasks, but
+// the core rejects its records; its reports may still be in flight. The new owner starts with the
+// placements in the core's records, which include finished tasks that the former owner had not
+// recorded yet. It knows every counter that started before its takeover, because its lease and the
+// counter's lease are granted by majorities, and any two majorities overlap.
 //
-// Who counts is followed by another in the same way, and goes on lending all the while.
+// A counter may be replaced in the same way, and the former counter continues to lend.
 
 const (
 	modelTenant  = "t"
-	modelCounter = "a" // the shard whose owner counts
-	inboxMax     = 12  // messages that are on their way; beyond that the oldest is lost
+	modelCounter = "a" // the shard whose owner runs the counter
+	maxInFlight  = 12  // messages in flight; beyond that the oldest is lost
 )
 
 var modelShards = []string{"a", "b", "c"}
 
-// modelDaemon is a daemon as far as limits go.
+// modelDaemon is a daemon with the limits that it applies.
 type modelDaemon struct {
 	name   string
 	limits Limits
 }
 
-// modelUnit is what starts together: one task, or a gang.
+// modelUnit is one task, or a gang whose tasks start together.
 type modelUnit struct {
-	id       int
-	shard    string
-	task     resource.Amount
-	size     int
-	firm     bool // room is asked for first, and a share is reserved meanwhile
-	sinceMs  int64
-	placedMs int64
-	runs     []*modelRun // one for each task, once it is placed
+	id         int
+	shard      string
+	task       resource.Amount
+	size       int
+	guaranteed bool // placement is requested first, with a reservation in the meantime
+	sinceMs    int64
+	placedMs   int64
+	runs       []*modelRun // one for each task after its placement
 }
 
 func (u *modelUnit) key() string { return fmt.Sprint(u.id) }
@@ -63,16 +63,16 @@
 // modelRun is one placed task.
 type modelRun struct {
 	unit      *modelUnit
-	version   int64 // of the configuration by which it was placed
-	committed bool  // the core has its record
-	doomed    bool  // its owner was followed by another before that
+	version   int64 // configuration version of the placement
+	committed bool  // the record is in the core
+	lost      bool  // its owner was replaced before that
 	started   bool
-	ended     bool // surely runs no more, nor will it
-	released  bool // as the current owner knows
-	recorded  bool // and as the core's records say
+	ended     bool // does not run and never will
+	released  bool // the current owner knows of the end
+	recorded  bool // the end is in the core's records
 }
 
-// modelOwner is one life of a shard's owner.
+// modelOwner is the owner of a shard in one epoch.
 type modelOwner struct {
 	shard    string
 	epoch    uint64
@@ -81,46 +81,46 @@
 	borrower *Borrower
 }
 
-// modelCounting is one life of a counter.
-type modelCounting struct {
+// modelCounterInstance is a counter in one epoch.
+type modelCounterInstance struct {
 	daemon  *modelDaemon
 	epoch   uint64
 	counter *Counter
 }
 
-// modelMessage is one message on its way: a report or a grant.
+// modelMessage is a message in flight: a report or a grant.
 type modelMessage struct {
 	report *wire.ShareReport
 	grant  *wire.ShareGrant
 }
 
-// model is the state of a walk.
+// model is the state of a random walk.
 type model struct {
-	rng       *rand.Rand
-	nowMs     int64
-	versions  []Limit // number i is version i+1
-	daemons   []*modelDaemon
-	owners    map[string]*modelOwner
-	formers   []*modelOwner
-	countings []*modelCounting // the last one counts
-	epoch     uint64           // of that
-	inbox     []modelMessage
-	waiting   []*modelUnit
-	placed    []*modelUnit
-	units     int
-	starts    int
-	steady    bool // the limit never changes
-	unlimited bool // some versions have none
-	fault     string
+	rng                *rand.Rand
+	nowMs              int64
+	versions           []Limit // index i holds version i+1
+	daemons            []*modelDaemon
+	owners             map[string]*modelOwner
+	formerOwners       []*modelOwner
+	counters           []*modelCounterInstance // the last one is current
+	epoch              uint64                  // of the current counter
+	inFlight           []modelMessage
+	waiting            []*modelUnit
+	placed             []*modelUnit
+	units              int
+	starts             int
+	fixedLimit         bool // the limit never changes
+	sometimesUnlimited bool // some versions have no limit
+	violation          string
 }
 
 func newModel(seed uint64) *model {
 	m := &model{rng: rand.New(rand.NewPCG(seed, 1)), nowMs: 1000, owners: map[string]*modelOwner{}}
 	switch m.rng.IntN(6) {
 	case 0, 1:
-		m.steady = true
+		m.fixedLimit = true
 	case 2:
-		m.unlimited = true
+		m.sometimesUnlimited = true
 	}
 	m.publish(Limit{CPU: int64(6 + m.rng.IntN(15)), Memory: int64(m.rng.IntN(2) * 20)})
 	for i := range 4 {
@@ -128,36 +128,36 @@
 		m.daemons = append(m.daemons, d)
 		m.adopt(d, 1)
 	}
-	m.nextCounter()
+	m.replaceCounter()
 	for _, shard := range modelShards {
-		m.nextOwner(shard)
+		m.replaceOwner(shard)
 	}
 	return m
 }
 
-// pick gives one of several.
-func pick[T any](m *model, of []T) T { return of[m.rng.IntN(len(of))] }
+// pick returns a random item.
+func pick[T any](m *model, items []T) T { return items[m.rng.IntN(len(items))] }
 
-func (m *model) newest() int64 { return int64(len(m.versions)) }
+func (m *model) newestVersion() int64 { return int64(len(m.versions)) }
 
 func (m *model) publish(limit Limit) { m.versions = append(m.versions, limit) }
 
-// publishNext has another version in force. Daemons go by no version older than the one before.
+// publishNext publishes another version. No daemon stays at a version older than the previous one.
 func (m *model) publishNext() {
 	limit := m.versions[0]
 	limit.CPU = max(2, limit.CPU+int64(m.rng.IntN(25)-12))
-	if m.unlimited && m.rng.IntN(2) == 0 {
+	if m.sometimesUnlimited && m.rng.IntN(2) == 0 {
 		limit = Limit{}
 	}
 	m.publish(limit)
 	for _, d := range m.daemons {
-		if d.limits.Version() < m.newest()-1 {
-			m.adopt(d, m.newest()-int64(m.rng.IntN(2)))
+		if d.limits.Version() < m.newestVersion()-1 {
+			m.adopt(d, m.newestVersion()-int64(m.rng.IntN(2)))
 		}
 	}
 }
 
-// adopt has a daemon, and all owners there, go by a version.
+// adopt applies a version at a daemon and at all owners on it.
 func (m *model) adopt(d *modelDaemon, version int64) {
 	lowered := d.limits.Adopt(version, version-1, map[string]Limit{modelTenant: m.versions[version-1]})
 	for _, o := range m.allOwners() {
@@ -173,11 +173,11 @@
 			owners = append(owners, o)
 		}
 	}
-	return append(owners, m.formers...)
+	return append(owners, m.formerOwners...)
 }
 
-// limitInForce is the highest limit of the versions that some daemon goes by.
-func (m *model) limitInForce() (limit Limit) {
+// highestAppliedLimit returns the highest limit that some daemon applies.
+func (m *model) highestAppliedLimit() (limit Limit) {
 	limit = m.daemons[0].limits.Of(modelTenant)
 	for _, d := range m.daemons {
 		other := d.limits.Of(modelTenant)
@@ -189,57 +189,58 @@
 	return limit
 }
 
-func (m *model) counting() *modelCounting { return m.countings[len(m.countings)-1] }
+func (m *model) currentCounter() *modelCounterInstance { return m.counters[len(m.counters)-1] }
 
-func (m *model) nextCounter() {
+func (m *model) replaceCounter() {
 	m.epoch++
 	epoch := m.epoch
-	m.countings = append(m.countings, &modelCounting{
+	m.counters = append(m.counters, &modelCounterInstance{
 		daemon: pick(m, m.daemons), epoch: epoch, counter: NewCounter(modelCounter, epoch),
 	})
-	m.countings = m.countings[max(0, len(m.countings)-3):]
+	m.counters = m.counters[max(0, len(m.counters)-3):]
 }
 
-// nextOwner has a shard's records read by its next owner, which what the core doesn't have is lost to.
-func (m *model) nextOwner(shard string) {
+// replaceOwner replaces the owner of a shard. The new owner reads the records of the core;
+// placements that are not committed are lost.
+func (m *model) replaceOwner(shard string) {
 	epoch := uint64(1)
 	if former := m.owners[shard]; former != nil {
 		former.former, epoch = true, former.epoch+1
-		m.formers = append(m.formers, former)
-		m.formers = m.formers[max(0, len(m.formers)-4):]
+		m.formerOwners = append(m.formerOwners, former)
+		m.formerOwners = m.formerOwners[max(0, len(m.formerOwners)-4):]
 	}
 	o := &modelOwner{
 		shard: shard, epoch: epoch, daemon: pick(m, m.daemons), borrower: NewBorrower(shard, epoch, modelCounter),
 	}
 	m.owners[shard] = o
-	if m.unlimited { // by an earlier version, it would place without a limit what no counter knows of
-		m.adopt(o.daemon, m.newest())
+	if m.sometimesUnlimited { // by an earlier version, it would place tasks without a limit, unknown to any counter
+		m.adopt(o.daemon, m.newestVersion())
 	}
 	for _, u := range m.placed {
 		if u.shard != shard {
 			continue
 		}
 		for _, r := range u.runs {
-			r.doomed = r.doomed || !r.committed
+			r.lost = r.lost || !r.committed
 			if r.committed && !r.recorded {
 				r.released = false
 				o.borrower.Use(modelTenant, u.task)
 			}
 		}
 	}
-	m.forget()
-	o.borrower.CounterIs(m.counting().daemon.name, m.counting().epoch)
+	m.removeFinished()
+	o.borrower.CounterIs(m.currentCounter().daemon.name, m.currentCounter().epoch)
 }
 
-// forget lets go of what is over, and has lost placements wait again.
-func (m *model) forget() {
+// removeFinished removes runs that are lost or whose end is recorded.
+func (m *model) removeFinished() {
 	m.placed = slices.DeleteFunc(m.placed, func(u *modelUnit) bool {
-		u.runs = slices.DeleteFunc(u.runs, func(r *modelRun) bool { return r.doomed || r.recorded })
+		u.runs = slices.DeleteFunc(u.runs, func(r *modelRun) bool { return r.lost || r.recorded })
 		return len(u.runs) == 0
 	})
 }
 
-// running is what runs, and which units it is of.
+// running returns the resources of running tasks, and their units.
 func (m *model) running() (sum resource.Amount, units map[*modelUnit]bool) {
 	units = map[*modelUnit]bool{}
 	for _, u := range m.placed {
@@ -253,12 +254,12 @@
 	return sum, units
 }
 
-// mayRun is what runs or may be started.
+// mayRun returns the resources of tasks that run or may be started, and their units.
 func (m *model) mayRun() (sum resource.Amount, units map[*modelUnit]bool) {
 	units = map[*modelUnit]bool{}
 	for _, u := range m.placed {
 		for _, r := range u.runs {
-			if !r.doomed && !r.ended {
+			if !r.lost && !r.ended {
 				sum = sum.Plus(u.task)
 				units[u] = true
 			}
@@ -267,9 +268,9 @@
 	return sum, units
 }
 
-// check compares a sum with a limit: one unit alone may pass it by its last task.
-func (m *model) check(what string, sum resource.Amount, units map[*modelUnit]bool, limit Limit) {
-	if m.fault != "" || limit.Admits(sum) {
+// checkLimit compares a sum with a limit, which a single unit may exceed by its last task.
+func (m *model) checkLimit(what string, sum resource.Amount, units map[*modelUnit]bool, limit Limit) {
+	if m.violation != "" || limit.Admits(sum) {
 		return
 	}
 	if len(units) == 1 {
@@ -279,21 +280,21 @@
 			}
 		}
 	}
-	m.fault = fmt.Sprintf("%s: %v of %v by %d units", what, sum, limit, len(units))
+	m.violation = fmt.Sprintf("%s: %v of %v by %d units", what, sum, limit, len(units))
 }
 
-// submit has a shard get another unit.
-func (m *model) submit(shard string, cpu int64, size int, firm bool) *modelUnit {
+// submit adds a unit to a shard.
+func (m *model) submit(shard string, cpu int64, size int, guaranteed bool) *modelUnit {
 	m.units++
 	u := &modelUnit{
 		id: m.units, shard: shard, task: resource.Amount{CPU: cpu, Memory: cpu}, size: size,
-		firm: firm || size > 1, sinceMs: m.nowMs,
+		guaranteed: guaranteed || size > 1, sinceMs: m.nowMs,
 	}
 	m.waiting = append(m.waiting, u)
 	return u
 }
 
-func (m *model) submitAny() {
+func (m *model) submitRandom() {
 	if len(m.waiting) > 8 {
 		return
 	}
@@ -307,19 +308,20 @@
 	m.submit(pick(m, modelShards), cpu, size, m.rng.IntN(3) == 0)
 }
 
-// pass has an owner place what fits and claim what doesn't, as a tick does.
-func (m *model) pass(o *modelOwner) {
+// schedulePass makes an owner place the units that fit and claim resources for the others, as in
+// one tick.
+func (m *model) schedulePass(o *modelOwner) {
 	o.borrower.BeginClaims()
 	for _, u := range slices.Clone(m.waiting) {
 		if u.shard == o.shard {
-			m.advance(o, u)
+			m.placeOrClaim(o, u)
 		}
 	}
 	o.borrower.EndClaims()
 }
 
-// advance places a unit if its share is held, or claims what it lacks.
-func (m *model) advance(o *modelOwner, u *modelUnit) {
+// placeOrClaim places a unit if the held amount covers it, and claims the resources otherwise.
+func (m *model) placeOrClaim(o *modelOwner, u *modelUnit) {
 	limit := o.daemon.limits.Of(modelTenant)
 	switch {
 	case o.borrower.Yields(modelTenant, u.key(), m.nowMs):
@@ -327,14 +329,14 @@
 		o.borrower.Claim(modelTenant, u.key(), wire.ShareClaim{
 			Job: u.key(), SubmittedMs: u.sinceMs, Unit: u.amount(), Task: u.task, Count: 1,
 		}, m.nowMs)
-	case u.firm && (m.rng.IntN(3) == 0 || o.borrower.Reserved(modelTenant, u.key(), m.nowMs) == resource.Amount{}):
+	case u.guaranteed && (m.rng.IntN(3) == 0 || o.borrower.Reserved(modelTenant, u.key(), m.nowMs) == resource.Amount{}):
 		o.borrower.Reserve(modelTenant, u.key(), u.amount(), m.nowMs, m.nowMs+1500)
 	default:
 		m.place(o, u)
 	}
 }
 
-// place has a unit placed. What a former owner places is never committed: the unit waits still.
+// place places a unit. A placement by a former owner is never committed, so the unit stays waiting.
 func (m *model) place(o *modelOwner, u *modelUnit) {
 	for range u.size {
 		o.borrower.Use(modelTenant, u.task)
@@ -351,13 +353,13 @@
 	m.placed = append(m.placed, u)
 }
 
-// report sends an owner's report if one is due. Only who holds the shard's lease reports.
+// report sends an owner's report if one is due. Only the holder of the shard's lease reports.
 func (m *model) report(o *modelOwner) {
 	if o.former {
 		return
 	}
-	if m.rng.IntN(3) > 0 { // what is told of earlier ones comes late
-		c := pick(m, append(slices.Clone(m.countings), m.counting(), m.counting()))
+	if m.rng.IntN(3) > 0 { // messages about earlier counters may arrive late
+		c := pick(m, append(slices.Clone(m.counters), m.currentCounter(), m.currentCounter()))
 		o.borrower.CounterIs(c.daemon.name, c.epoch)
 	}
 	if _, report := o.borrower.Report(m.nowMs, o.daemon.limits.Version()); report != nil {
@@ -366,21 +368,21 @@
 }
 
 func (m *model) send(message modelMessage) {
-	m.inbox = append(m.inbox, message)
-	m.inbox = m.inbox[max(0, len(m.inbox)-inboxMax):]
+	m.inFlight = append(m.inFlight, message)
+	m.inFlight = m.inFlight[max(0, len(m.inFlight)-maxInFlight):]
 }
 
-// lend has a counter lend, whether it still counts or only believes so.
-func (m *model) lend(c *modelCounting) {
+// lend makes a counter lend, whether it is current or superseded.
+func (m *model) lend(c *modelCounterInstance) {
 	for _, g := range c.counter.Lend(Policy{Shards: modelShards, Limits: &c.daemon.limits}) {
 		m.send(modelMessage{grant: g.Message})
 	}
 }
 
-// deliver has a message come to all that it may come to.
+// deliver delivers a message to all possible receivers.
 func (m *model) deliver(message modelMessage) {
 	if message.report != nil {
-		for _, c := range m.countings {
+		for _, c := range m.counters {
 			if c.counter.OnReport("owner-"+message.report.Shard, message.report) {
 				m.lend(c)
 			}
@@ -395,18 +397,18 @@
 			o.borrower.Settle(tenant)
 			for _, u := range slices.Clone(m.waiting) {
 				if u.shard == o.shard {
-					m.advance(o, u)
+					m.placeOrClaim(o, u)
 				}
 			}
 		}
 	}
 }
 
-// runs gives the placed tasks that something holds of.
-func (m *model) runs(holds func(*modelRun) bool) (runs []*modelRun) {
+// runs returns the placed tasks that match a condition.
+func (m *model) runs(matches func(*modelRun) bool) (runs []*modelRun) {
 	for _, u := range m.placed {
 		for _, r := range u.runs {
-			if !r.doomed && holds(r) {
+			if !r.lost && matches(r) {
 				runs = append(runs, r)
 			}
 		}
@@ -414,7 +416,7 @@
 	return runs
 }
 
-// start has an agent start a task, or send it back where the limit was lowered since.
+// start makes an agent start a task, or reject it if the limit was lowered since its placement.
 func (m *model) start(r *modelRun, d *modelDaemon) {
 	if d.limits.Outdated(modelTenant, r.version) {
 		r.ended = true
@@ -423,112 +425,112 @@
 	r.started = true
 	m.starts++
 	sum, units := m.running()
-	m.check(fmt.Sprint("start of ", r.unit.id), sum, units, m.limitInForce())
+	m.checkLimit(fmt.Sprint("start of ", r.unit.id), sum, units, m.highestAppliedLimit())
 }
 
-// release has the owner of a task's shard learn of its end.
+// release reports the end of a task to the owner of its shard.
 func (m *model) release(r *modelRun) {
 	r.released = true
 	m.owners[r.unit.shard].borrower.Release(modelTenant, r.unit.task)
 }
 
-// randomRun does something with one of the tasks that something holds of.
-func (m *model) randomRun(holds func(*modelRun) bool, do func(*modelRun)) {
-	if runs := m.runs(holds); len(runs) > 0 {
-		do(pick(m, runs))
+// applyToRandomRun applies a function to a random task that matches a condition.
+func (m *model) applyToRandomRun(matches func(*modelRun) bool, apply func(*modelRun)) {
+	if runs := m.runs(matches); len(runs) > 0 {
+		apply(pick(m, runs))
 	}
 }
 
-// step is one event of a random walk.
+// step makes one random event happen and checks the invariants.
 func (m *model) step() {
 	m.nowMs += int64(m.rng.IntN(40))
 	switch n := m.rng.IntN(100); {
 	case n < 10:
-		m.submitAny()
+		m.submitRandom()
 	case n < 24:
-		m.pass(pick(m, m.allOwners()))
+		m.schedulePass(pick(m, m.allOwners()))
 	case n < 40:
 		m.report(pick(m, m.allOwners()))
 	case n < 44:
-		m.lend(pick(m, m.countings))
+		m.lend(pick(m, m.counters))
 	case n < 68:
-		m.network()
+		m.networkEvent()
 	case n < 97:
-		m.tasks()
+		m.taskEvent()
 	default:
-		m.change()
+		m.clusterEvent()
 	}
-	if m.steady {
+	if m.fixedLimit {
 		sum, units := m.mayRun()
-		m.check("placed", sum, units, m.limitInForce())
+		m.checkLimit("placed", sum, units, m.highestAppliedLimit())
 	}
 	m.checkOwners()
 }
 
-// network delivers a message, and keeps, doubles or drops it.
-func (m *model) network() {
-	if len(m.inbox) == 0 {
+// networkEvent delivers a message, with possible loss, duplication and reordering.
+func (m *model) networkEvent() {
+	if len(m.inFlight) == 0 {
 		return
 	}
-	at := m.rng.IntN(len(m.inbox))
+	at := m.rng.IntN(len(m.inFlight))
 	if m.rng.IntN(3) > 0 {
-		at = len(m.inbox) - 1
+		at = len(m.inFlight) - 1
 	}
-	message := m.inbox[at]
+	message := m.inFlight[at]
 	if m.rng.IntN(4) > 0 {
-		m.inbox = slices.Delete(m.inbox, at, at+1)
+		m.inFlight = slices.Delete(m.inFlight, at, at+1)
 	}
 	if m.rng.IntN(10) > 0 {
 		m.deliver(message)
 	}
 }
 
-// tasks has something happen to a placed task.
-func (m *model) tasks() {
+// taskEvent advances the state of a random placed task.
+func (m *model) taskEvent() {
 	switch m.rng.IntN(6) {
 	case 0, 1:
-		m.randomRun(func(r *modelRun) bool { return !r.committed }, func(r *modelRun) { r.committed = true })
+		m.applyToRandomRun(func(r *modelRun) bool { return !r.committed }, func(r *modelRun) { r.committed = true })
 	case 2, 3:
-		m.randomRun(
+		m.applyToRandomRun(
 			func(r *modelRun) bool { return r.committed && !r.started && !r.ended },
 			func(r *modelRun) { m.start(r, pick(m, m.daemons)) },
 		)
 	case 4:
-		m.randomRun(func(r *modelRun) bool { return r.started && !r.ended }, func(r *modelRun) { r.ended = true })
+		m.applyToRandomRun(func(r *modelRun) bool { return r.started && !r.ended }, func(r *modelRun) { r.ended = true })
 	case 5:
 		if m.rng.IntN(3) > 0 {
-			m.randomRun(func(r *modelRun) bool { return r.ended && !r.released }, m.release)
+			m.applyToRandomRun(func(r *modelRun) bool { return r.ended && !r.released }, m.release)
 			return
 		}
-		m.randomRun(func(r *modelRun) bool { return r.released }, func(r *modelRun) { r.recorded = true })
-		m.forget()
+		m.applyToRandomRun(func(r *modelRun) bool { return r.released }, func(r *modelRun) { r.recorded = true })
+		m.removeFinished()
 	}
 }
 
-// change has a daemon or the configuration change.
-func (m *model) change() {
+// clusterEvent replaces a counter or an owner, or changes the configuration of the fleet or a daemon.
+func (m *model) clusterEvent() {
 	switch m.rng.IntN(12) {
 	case 0:
-		m.nextCounter()
+		m.replaceCounter()
 	case 1, 2:
-		m.nextOwner(pick(m, modelShards))
+		m.replaceOwner(pick(m, modelShards))
 	case 3, 4, 5:
-		if !m.steady {
+		if !m.fixedLimit {
 			m.publishNext()
 		}
 	default:
-		if d := pick(m, m.daemons); d.limits.Version() < m.newest() {
-			m.adopt(d, d.limits.Version()+1+m.rng.Int64N(m.newest()-d.limits.Version()))
+		if d := pick(m, m.daemons); d.limits.Version() < m.newestVersion() {
+			m.adopt(d, d.limits.Version()+1+m.rng.Int64N(m.newestVersion()-d.limits.Version()))
 		}
 	}
 }
 
-// checkOwners looks at what each owner holds: never less than it uses.
+// checkOwners checks that each owner holds at least what it uses.
 func (m *model) checkOwners() {
 	for _, o := range m.allOwners() {
 		held, used := o.borrower.Held(modelTenant)
-		if m.fault == "" && !used.Fits(held) {
-			m.fault = fmt.Sprintf("%s holds %v and uses %v", o.shard, held, used)
+		if m.violation == "" && !used.Fits(held) {
+			m.violation = fmt.Sprintf("%s holds %v and uses %v", o.shard, held, used)
 		}
 	}
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -12,14 +12,14 @@
 
 func cpu(v int64) resource.Amount { return resource.Amount{CPU: v} }
 
-// limitsOf gives the limits of one version with a tenant t.
+// limitsOf returns the limits of one version with a tenant t.
 func limitsOf(version int64, limit Limit) *Limits {
 	l := &Limits{}
 	l.Adopt(version, version-1, map[string]Limit{"t": limit})
 	return l
 }
 
-// exchange has a borrower report and takes the answers.
+// exchange delivers a report of a borrower and the grants in response.
 func exchange(c *Counter, b *Borrower, nowMs int64, p Policy) {
 	if _, m := b.Report(nowMs, p.Limits.Version()); m != nil {
 		c.OnReport("owner-"+m.Shard, m)
@@ -29,14 +29,14 @@
 	}
 }
 
-// Nothing is lent before each shard has told what it holds.
-func TestCounterWaitsForEachShard(t *testing.T) {
+// Nothing is lent before each shard has reported what it holds.
+func TestNothingLentBeforeAllReports(t *testing.T) {
 	c := NewCounter("a", 1)
 	p := Policy{Shards: []string{"a", "b"}, Limits: limitsOf(1, Limit{CPU: 10})}
 	a, b := NewBorrower("a", 1, "a"), NewBorrower("b", 1, "a")
 	a.CounterIs("n1", 1)
 	b.CounterIs("n1", 1)
-	b.Use("t", cpu(6)) // loaded from its records
+	b.Use("t", cpu(6)) // loaded from the records
 	a.Claim("t", "j", wire.ShareClaim{Job: "j", Unit: cpu(2), Task: cpu(2), Count: 5}, 0)
 	exchange(c, a, 100, p)
 	must.False(t, a.Fits("t", cpu(2), Limit{CPU: 10}, 100))
@@ -47,7 +47,7 @@
 	must.Eq(t, cpu(10), c.Lent("t"))
 }
 
-// report is what shard says it holds and claims of tenant t.
+// report returns a report of what a shard holds and claims for tenant t.
 func report(shard string, seq uint64, version, keep int64, claims ...wire.ShareClaim) *wire.ShareReport {
 	return &wire.ShareReport{
 		Counter: "a", CounterEpoch: 1, Shard: shard, ShardEpoch: 1, Seq: seq, ConfigVersion: version,
@@ -61,13 +61,13 @@
 	}
 }
 
-func waited(claim wire.ShareClaim, ms int64) wire.ShareClaim {
+func withWaitMs(claim wire.ShareClaim, ms int64) wire.ShareClaim {
 	claim.WaitedMs = ms
 	return claim
 }
 
-// What is lent to the claims of shards b and c beside what is held, in units of which each is
-// granted whole.
+// Claims of shards b and c are granted in order, next to what shard a holds. Each unit is granted
+// whole or not at all.
 func TestLendInOrder(t *testing.T) {
 	const tight, giveBack = true, true
 	for _, tt := range []struct {
@@ -81,29 +81,29 @@
 	}{
 		{"all fit", Limit{CPU: 20}, 0, claimOf("1", 0, 0, 2, 3), claimOf("2", 0, 0, 2, 1), 6, 2, false, false},
 		{"near the limit", Limit{CPU: 20}, 10, claimOf("1", 0, 0, 2, 2), claimOf("2", 0, 0, 2, 1), 4, 2, tight, false},
-		{"the more urgent first", Limit{CPU: 10}, 6, claimOf("1", 0, 0, 2, 2), claimOf("2", 1, 9, 2, 2), 0, 4, tight, false},
-		{"the older first", Limit{CPU: 10}, 6, claimOf("1", 0, 9, 2, 2), claimOf("2", 0, 0, 2, 1), 2, 2, tight, false},
+		{"the more urgent claim first", Limit{CPU: 10}, 6, claimOf("1", 0, 0, 2, 2), claimOf("2", 1, 9, 2, 2), 0, 4, tight, false},
+		{"the older claim first", Limit{CPU: 10}, 6, claimOf("1", 0, 9, 2, 2), claimOf("2", 0, 0, 2, 1), 2, 2, tight, false},
 		{"whole units only", Limit{CPU: 10}, 5, claimOf("1", 0, 0, 4, 2), claimOf("2", 0, 1, 6, 1), 4, 0, tight, false},
-		{"smaller ones pass by", Limit{CPU: 10}, 5, claimOf("1", 0, 0, 6, 1), claimOf("2", 0, 1, 2, 1), 0, 2, tight, false},
+		{"a smaller unit overtakes", Limit{CPU: 10}, 5, claimOf("1", 0, 0, 6, 1), claimOf("2", 0, 1, 2, 1), 0, 2, tight, false},
 		{
-			"held back for one that waits", Limit{CPU: 10}, 5,
-			waited(claimOf("1", 0, 0, 6, 1), holdBackAfterMs), claimOf("2", 0, 1, 2, 1), 0, 0, tight, giveBack,
+			"capacity is held back for a unit that has waited", Limit{CPU: 10}, 5,
+			withWaitMs(claimOf("1", 0, 0, 6, 1), holdBackAfterMs), claimOf("2", 0, 1, 2, 1), 0, 0, tight, giveBack,
 		},
 		{
-			"by turns, where little is lent", Limit{CPU: 10}, 2,
-			waited(claimOf("1", 0, 0, 9, 1), holdBackAfterMs+holdBackMs), claimOf("2", 0, 1, 2, 1), 0, 2, tight, false,
+			"held back in alternation while little is lent", Limit{CPU: 10}, 2,
+			withWaitMs(claimOf("1", 0, 0, 9, 1), holdBackAfterMs+holdBackMs), claimOf("2", 0, 1, 2, 1), 0, 2, tight, false,
 		},
 		{
-			"until it fits, where much is lent", Limit{CPU: 10}, 6,
-			waited(claimOf("1", 0, 0, 6, 1), holdBackAfterMs+holdBackMs), claimOf("2", 0, 1, 2, 1), 0, 0, tight, giveBack,
+			"held back until it fits while much is lent", Limit{CPU: 10}, 6,
+			withWaitMs(claimOf("1", 0, 0, 6, 1), holdBackAfterMs+holdBackMs), claimOf("2", 0, 1, 2, 1), 0, 0, tight, giveBack,
 		},
 		{
-			"not for what never fits", Limit{CPU: 10}, 0,
-			waited(claimOf("1", 0, 0, 20, 1), holdBackAfterMs), claimOf("2", 0, 1, 2, 1), 0, 2, false, false,
+			"nothing held back for a unit that never fits", Limit{CPU: 10}, 0,
+			withWaitMs(claimOf("1", 0, 0, 20, 1), holdBackAfterMs), claimOf("2", 0, 1, 2, 1), 0, 2, false, false,
 		},
-		{"its last task may pass the limit", Limit{CPU: 10}, 0, claimOf("1", 0, 0, 11, 1), claimOf("2", 0, 1, 2, 1), 11, 0, tight, giveBack},
-		{"but only alone", Limit{CPU: 10}, 1, claimOf("1", 0, 0, 11, 1), claimOf("2", 0, 1, 2, 1), 0, 2, tight, false},
-		{"more is held than the limit", Limit{CPU: 10}, 11, claimOf("1", 0, 0, 2, 1), claimOf("2", 0, 1, 2, 1), 0, 0, tight, giveBack},
+		{"the last task may exceed the limit", Limit{CPU: 10}, 0, claimOf("1", 0, 0, 11, 1), claimOf("2", 0, 1, 2, 1), 11, 0, tight, giveBack},
+		{"the last task may not exceed the limit beside others", Limit{CPU: 10}, 1, claimOf("1", 0, 0, 11, 1), claimOf("2", 0, 1, 2, 1), 0, 2, tight, false},
+		{"more than the limit is held", Limit{CPU: 10}, 11, claimOf("1", 0, 0, 2, 1), claimOf("2", 0, 1, 2, 1), 0, 0, tight, giveBack},
 		{"another dimension", Limit{Memory: 10}, 90, claimOf("1", 0, 0, 9, 1), claimOf("2", 0, 1, 9, 1), 9, 9, false, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -117,12 +117,12 @@
 			must.Len(t, 3, grants)
 			must.Eq(t, []wire.TenantShare{{Tenant: "t", Amount: cpu(tt.toB), Tight: tt.tight, GiveBack: tt.giveBack}}, grants[1].Message.Shares)
 			must.Eq(t, []wire.TenantShare{{Tenant: "t", Amount: cpu(tt.toC), Tight: tt.tight, GiveBack: tt.giveBack}}, grants[2].Message.Shares)
-			must.SliceEmpty(t, c.Lend(p)) // nothing has changed
+			must.SliceEmpty(t, c.Lend(p)) // no changes, no grants
 		})
 	}
 }
 
-// Owners hold what they are likely to need while most of the limit is free, and no more.
+// Owners get what they request in advance only while most of the limit is free.
 func TestLendAhead(t *testing.T) {
 	for _, tt := range []struct {
 		name               string
@@ -144,9 +144,9 @@
 	}
 }
 
-// A counter whose configuration is older than an owner's lends it nothing, not even later by the
-// same report: the limit that it goes by may be the higher one.
-func TestLendNothingByAnEarlierVersion(t *testing.T) {
+// A counter with an older configuration than an owner's lends it nothing, since its limit may be the
+// higher one. After adopting the newer configuration it still waits for the reports of all shards.
+func TestNothingLentToReportsByLaterVersion(t *testing.T) {
 	c, limits := NewCounter("a", 1), limitsOf(1, Limit{CPU: 20})
 	p := Policy{Shards: []string{"a", "b"}, Limits: limits}
 	c.OnReport("n1", report("a", 1, 1, 0, claimOf("1", 0, 0, 2, 2)))
@@ -161,8 +161,9 @@
 	must.Eq(t, cpu(10), c.Lent("t"))
 }
 
-// Where a tenant gets a limit that it didn't have, owners may use more than they said.
-func TestLendOnceAllGoByALimit(t *testing.T) {
+// When an unlimited tenant gets a limit, owners that haven't adopted it may use more than they
+// reported, so nothing is lent until all have.
+func TestNothingLentBeforeAllAdoptLimit(t *testing.T) {
 	c, limits := NewCounter("a", 1), limitsOf(1, Limit{})
 	p := Policy{Shards: []string{"a", "b"}, Limits: limits}
 	c.OnReport("n1", report("a", 1, 1, 0))
@@ -177,8 +178,8 @@
 	must.Eq(t, cpu(10), c.Lent("t"))
 }
 
-// holding gives a borrower that has reported and then was granted an amount.
-func holding(amount int64) *Borrower {
+// borrowerHolding returns a borrower that has reported and received a grant.
+func borrowerHolding(amount int64) *Borrower {
 	b := NewBorrower("b", 1, "a")
 	b.CounterIs("n1", 1)
 	_, m := b.Report(100, 1)
@@ -205,11 +206,11 @@
 		{"more than is held", 8, 4, 2, 5, 5, 0, false, false},
 		{"the reservation is over", 8, 4, 4, 4, 4, 500, true, true},
 		{"alone beyond the limit", 14, 0, 0, 14, 14, 0, true, true},
-		{"beside what has its share", 14, 4, 0, 8, 8, 0, false, false},
-		{"beyond the limit by more than one", 14, 0, 0, 14, 2, 0, true, false},
+		{"beside used resources", 14, 4, 0, 8, 8, 0, false, false},
+		{"beyond the limit by more than one task", 14, 0, 0, 14, 2, 0, true, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := holding(tt.held)
+			b := borrowerHolding(tt.held)
 			if tt.used > 0 {
 				b.Use("t", cpu(tt.used))
 			}
@@ -222,7 +223,7 @@
 }
 
 func TestReserve(t *testing.T) {
-	b := holding(8)
+	b := borrowerHolding(8)
 	b.Reserve("t", "x", cpu(6), 0, 500)
 	b.Unreserve("t", "x", cpu(2))
 	must.Eq(t, cpu(4), b.Reserved("t", "x", 0))
@@ -234,13 +235,13 @@
 	must.True(t, b.Fits("t", cpu(8), Limit{CPU: 10}, 0))
 }
 
-// A reservation whose starts don't come yields for a while where other tasks lack what it keeps.
-func TestReservationYields(t *testing.T) {
-	b := holding(8)
+// A reservation without starts yields for a while if other tasks lack the reserved amount.
+func TestYieldReservation(t *testing.T) {
+	b := borrowerHolding(8)
 	renew := func(nowMs int64) { b.Reserve("t", "x", cpu(6), nowMs, nowMs+500) }
 	for now := int64(0); now <= 2*reservationYieldAfterMs; now += 400 {
 		renew(now)
-		must.False(t, b.Yields("t", "x", now)) // nobody lacks it
+		must.False(t, b.Yields("t", "x", now)) // no other task lacks it
 	}
 	must.False(t, b.Yields("t", "y", 0))
 	must.False(t, b.Yields("u", "x", 0))
@@ -255,20 +256,20 @@
 	must.Eq(t, cpu(6), b.Reserved("t", "x", 2*reservationYieldAfterMs+yieldDurationMs))
 }
 
-// When reports are due, and what they keep: what was used lately and a part of what was started,
-// but only what is used where the tenant is near its limit.
-func TestReport(t *testing.T) {
+// Reports are sent when they are due. They keep the recent peak usage and a part of the recent
+// starts, but only the current usage if the tenant is near its limit.
+func TestNextReport(t *testing.T) {
 	b := NewBorrower("b", 1, "a")
 	_, m := b.Report(100, 1)
-	must.Nil(t, m) // nobody counts yet
-	b = holding(40)
+	must.Nil(t, m) // no counter is known yet
+	b = borrowerHolding(40)
 	b.Use("t", cpu(8))
 	b.Release("t", cpu(4))
 	at := int64(100)
 	next := func(afterMs int64) *wire.ShareReport {
 		at += afterMs
 		_, m := b.Report(at, 1)
-		if m != nil { // answered at once
+		if m != nil { // answer it at once
 			b.OnGrant(&wire.ShareGrant{
 				Counter: "a", CounterEpoch: 1, Shard: "b", ShardEpoch: 1, Seq: m.Seq, ConfigVersion: 1,
 			}, at, 1)
@@ -294,10 +295,11 @@
 	must.Eq(t, cpu(4), next(minReportIntervalMs).Accounts[0].Keep)
 }
 
-// What ends makes no room before a counter has told that all that is lent is within the limit.
-func TestReleaseBeforeTheCounterAnswers(t *testing.T) {
+// Resources of finished tasks are not reused before a counter has confirmed that the sum of all
+// loans is within the limit.
+func TestReleaseBeforeFirstGrant(t *testing.T) {
 	b := NewBorrower("b", 2, "a")
-	b.Use("t", cpu(8)) // placed by the former owner
+	b.Use("t", cpu(8)) // placed by a former owner
 	b.CounterIs("n1", 1)
 	_, m := b.Report(100, 1)
 	b.Release("t", cpu(2))
@@ -317,21 +319,21 @@
 	must.True(t, b.Fits("t", cpu(4), Limit{CPU: 10}, 100))
 }
 
-// Of more claims than a report may hold, those that were told in this round stay.
+// If there are more claims than a report may hold, those renewed in this round are kept.
 func TestClaimsAreEvicted(t *testing.T) {
-	b := holding(0)
-	tell := func(from, to int) {
+	b := borrowerHolding(0)
+	claim := func(from, to int) {
 		for i := from; i < to; i++ {
 			b.Claim("t", strconv.Itoa(i), claimOf(strconv.Itoa(i), 0, 0, 2, 1), 100)
 		}
 	}
 	b.BeginClaims()
-	tell(0, maxClaims+4)
+	claim(0, maxClaims+4)
 	b.EndClaims()
 	must.Eq(t, maxClaims, b.Waiting("t"))
 	b.BeginClaims()
-	tell(maxClaims-1, maxClaims+4) // takes the places of those not told yet
-	tell(0, 2)
+	claim(maxClaims-1, maxClaims+4) // replaces claims that are not renewed yet
+	claim(0, 2)
 	b.EndClaims()
 	_, m := b.Report(200, 1)
 	must.Len(t, 7, m.Accounts[0].Claims)
@@ -346,74 +348,74 @@
 func TestLimitsAdopt(t *testing.T) {
 	l := &Limits{}
 	must.False(t, l.Any())
-	must.Eq(t, []string{"low"}, l.Adopt(4, 3, map[string]Limit{"low": {CPU: 4}, "none": {}})) // none was seen before
+	must.Eq(t, []string{"low"}, l.Adopt(4, 3, map[string]Limit{"low": {CPU: 4}, "none": {}})) // version 3 was not seen
 	must.Eq(t, nil, l.Adopt(5, 4, map[string]Limit{"low": {CPU: 5}, "none": {}}))
 	must.Eq(t, []string{"none"}, l.Adopt(6, 5, map[string]Limit{"low": {CPU: 5, GPU: 0}, "none": {GPU: 1}}))
-	must.Eq(t, []string{"low", "none"}, l.Adopt(8, 7, map[string]Limit{"low": {CPU: 9}})) // 7 may have had higher ones
-	must.Eq(t, Limit{GPU: 1}, l.Of("none"))                                               // goes on within its last limit
+	must.Eq(t, []string{"low", "none"}, l.Adopt(8, 7, map[string]Limit{"low": {CPU: 9}})) // version 7 may have had higher limits
+	must.Eq(t, Limit{GPU: 1}, l.Of("none"))                                               // keeps its last limit
 	must.True(t, l.Declared("none"))
 	must.False(t, l.Declared("other"))
 	must.Eq(t, int64(8), l.Version())
 	must.True(t, l.Outdated("low", 7))
 	must.False(t, l.Outdated("low", 8))
 	must.False(t, l.Outdated("other", 0))
-	must.Eq(t, nil, l.Adopt(17, 8, map[string]Limit{"low": {CPU: 9}})) // numbers go up in steps: none is skipped
-	must.Eq(t, nil, l.Adopt(18, 17, nil))                              // nothing is counted any more
+	must.Eq(t, nil, l.Adopt(17, 8, map[string]Limit{"low": {CPU: 9}})) // version numbers may have gaps: none is skipped
+	must.Eq(t, nil, l.Adopt(18, 17, nil))                              // nothing is limited any more
 	must.False(t, l.Any())
 	must.False(t, l.Outdated("low", 0))
 }
 
-// A busy owner, whose tasks end all the time, got no grant for as long as its reports followed
-// each other faster than a grant takes to come: each one was for a report that was overtaken.
+// An owner whose tasks end all the time used to send reports faster than grants arrive. It never
+// got a usable grant, since each one answered a report that was no longer the newest.
 func TestReportWaitsForAnswer(t *testing.T) {
 	c := NewCounter("a", 1)
 	p := Policy{Shards: []string{"a"}, Limits: limitsOf(1, Limit{CPU: 10})}
 	b := NewBorrower("a", 1, "a")
 	b.CounterIs("n1", 1)
 	b.Use("t", cpu(9))
-	const wayMs = 40 // of a report and its answer
-	type flight struct {
+	const roundTripMs = 40 // for a report and its answer
+	type delayedGrant struct {
 		atMs int64
 		m    *wire.ShareGrant
 	}
-	var onWay []flight
+	var inFlight []delayedGrant
 	granted := false
 	for now := int64(1000); now < 4000 && !granted; now += 10 {
-		b.Release("t", cpu(1)) // one ends, another is started: the owner has news each time
+		b.Release("t", cpu(1)) // one task ends and another starts, so a report is due each time
 		b.Use("t", cpu(1))
 		b.Claim("t", "j/0.0", wire.ShareClaim{Job: "j", Unit: cpu(1), Task: cpu(1), Count: 1}, now)
 		if _, m := b.Report(now, 1); m != nil {
 			c.OnReport("n2", m)
 			for _, g := range c.Lend(p) {
-				onWay = append(onWay, flight{now + wayMs, g.Message})
+				inFlight = append(inFlight, delayedGrant{now + roundTripMs, g.Message})
 			}
 		}
-		for len(onWay) > 0 && onWay[0].atMs <= now {
-			b.OnGrant(onWay[0].m, now, 1)
-			onWay = onWay[1:]
+		for len(inFlight) > 0 && inFlight[0].atMs <= now {
+			b.OnGrant(inFlight[0].m, now, 1)
+			inFlight = inFlight[1:]
 		}
 		granted = b.Fits("t", cpu(1), Limit{CPU: 10}, now)
 	}
 	must.True(t, granted)
 }
 
-// Grants that are not taken: more is held only by the answer to the newest report.
-func TestGrantsThatAreLeft(t *testing.T) {
+// A grant is accepted only if it answers the newest report, and not by an older configuration.
+func TestOnGrantAcceptsOnlyCurrentGrants(t *testing.T) {
 	for _, tt := range []struct {
-		name   string
-		before func(*Borrower)
-		change func(*wire.ShareGrant)
-		taken  bool
+		name     string
+		before   func(*Borrower)
+		change   func(*wire.ShareGrant)
+		accepted bool
 	}{
 		{"the answer", func(*Borrower) {}, func(*wire.ShareGrant) {}, true},
 		{"by a later version", func(*Borrower) {}, func(m *wire.ShareGrant) { m.ConfigVersion = 3 }, true},
 		{"by an earlier version", func(*Borrower) {}, func(m *wire.ShareGrant) { m.ConfigVersion = 1 }, false},
-		{"of another counter", func(*Borrower) {}, func(m *wire.ShareGrant) { m.CounterEpoch = 1 }, false},
+		{"by another counter", func(*Borrower) {}, func(m *wire.ShareGrant) { m.CounterEpoch = 1 }, false},
 		{"for a former owner", func(*Borrower) {}, func(m *wire.ShareGrant) { m.ShardEpoch = 1 }, false},
 		{"for an earlier report", func(*Borrower) {}, func(m *wire.ShareGrant) { m.Seq-- }, false},
 		{"before the limit was lowered", func(b *Borrower) { b.LimitLowered("t") }, func(*wire.ShareGrant) {}, false},
-		{"of the counter before", func(b *Borrower) { b.CounterIs("n2", 3) }, func(*wire.ShareGrant) {}, false},
-		{"though an earlier counter was told of", func(b *Borrower) { b.CounterIs("n2", 1) }, func(*wire.ShareGrant) {}, true},
+		{"by a counter that was replaced", func(b *Borrower) { b.CounterIs("n2", 3) }, func(*wire.ShareGrant) {}, false},
+		{"after news of an earlier counter", func(b *Borrower) { b.CounterIs("n2", 1) }, func(*wire.ShareGrant) {}, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b := NewBorrower("b", 2, "a")
@@ -426,18 +428,18 @@
 			}
 			tt.before(b)
 			tt.change(grant)
-			must.Eq(t, tt.taken, len(b.OnGrant(grant, 200+idleReportIntervalMs, 2)) == 1)
-			must.Eq(t, tt.taken, b.Fits("t", cpu(4), Limit{CPU: 10}, 0))
+			must.Eq(t, tt.accepted, len(b.OnGrant(grant, 200+idleReportIntervalMs, 2)) == 1)
+			must.Eq(t, tt.accepted, b.Fits("t", cpu(4), Limit{CPU: 10}, 0))
 		})
 	}
 }
 
-// A counter takes reports to it alone, and none that a later one has overtaken.
-func TestReportsThatAreLeft(t *testing.T) {
+// A counter accepts only reports that are addressed to it and newer than the last one.
+func TestOnReportAcceptsOnlyNewerReports(t *testing.T) {
 	for _, tt := range []struct {
-		name   string
-		change func(*wire.ShareReport)
-		taken  bool
+		name     string
+		change   func(*wire.ShareReport)
+		accepted bool
 	}{
 		{"the next one", func(m *wire.ShareReport) { m.Seq = 6 }, true},
 		{"twice", func(*wire.ShareReport) {}, false},
@@ -445,7 +447,7 @@
 		{"of the next owner", func(m *wire.ShareReport) { m.ShardEpoch, m.Seq = 3, 1 }, true},
 		{"of a former owner", func(m *wire.ShareReport) { m.ShardEpoch, m.Seq = 1, 9 }, false},
 		{"to another counter", func(m *wire.ShareReport) { m.CounterEpoch, m.Seq = 2, 6 }, false},
-		{"to the counter of others", func(m *wire.ShareReport) { m.Counter, m.Seq = "b", 6 }, false},
+		{"to the counter of other tenants", func(m *wire.ShareReport) { m.Counter, m.Seq = "b", 6 }, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := NewCounter("a", 1)
@@ -457,8 +459,8 @@
 			must.True(t, c.OnReport("n1", next(4)))
 			m := next(1)
 			tt.change(m)
-			must.Eq(t, tt.taken, c.OnReport("n2", m))
-			must.Eq(t, tt.taken, c.Lent("t") == cpu(1))
+			must.Eq(t, tt.accepted, c.OnReport("n2", m))
+			must.Eq(t, tt.accepted, c.Lent("t") == cpu(1))
 		})
 	}
 }
--- a/internal/quota/walk_test.go
+++ b/internal/quota/walk_test.go
@@ -17,15 +17,15 @@
 
 const walkSteps = 1200
 
-// Whatever is lost, late, doubled or overtaken, whoever fails over or believes to count, and
-// whatever versions are in force at once: no start takes a tenant above its limit.
-func TestWalks(t *testing.T) {
+// No start exceeds the limit of its tenant, with lost, late, duplicated and reordered messages,
+// failovers, superseded counters, and several configuration versions in use at once.
+func TestRandomWalksKeepLimits(t *testing.T) {
 	starts := 0
 	for seed := *fromFlag; seed < *fromFlag+*seedsFlag; seed++ {
 		m := newModel(seed)
 		for step := range walkSteps {
 			m.step()
-			must.Eq(t, "", m.fault, must.Sprintf("-seeds 1 -from %d, step %d", seed, step))
+			must.Eq(t, "", m.violation, must.Sprintf("-seeds 1 -from %d, step %d", seed, step))
 		}
 		starts += m.starts
 	}
@@ -33,37 +33,38 @@
 }
 
 const (
-	roundMs  = 100 // ticks of daemons that nothing fails at
-	runMs    = 300 // what each task takes in such rounds
-	settleMs = 30_000
+	roundMs       = 100 // tick interval of daemons without faults
+	runMs         = 300 // run time of each task in such rounds
+	convergenceMs = 30_000
 )
 
-// calm delivers nothing that was sent before, and has all daemons go by the newest version.
-func (m *model) calm() {
-	m.inbox, m.formers, m.countings = nil, nil, m.countings[len(m.countings)-1:]
+// heal drops all messages in flight and former owners and counters, and makes all daemons adopt the
+// newest version.
+func (m *model) heal() {
+	m.inFlight, m.formerOwners, m.counters = nil, nil, m.counters[len(m.counters)-1:]
 	for _, d := range m.daemons {
-		if d.limits.Version() < m.newest() {
-			m.adopt(d, m.newest())
+		if d.limits.Version() < m.newestVersion() {
+			m.adopt(d, m.newestVersion())
 		}
 	}
 }
 
-// round is one tick of each owner with all messages delivered at once, and what agents do meanwhile.
+// round simulates one tick of each owner and agent, with immediate delivery of all messages.
 func (m *model) round() {
 	m.nowMs += roundMs
-	c := m.counting()
+	c := m.currentCounter()
 	for _, shard := range modelShards {
 		o := m.owners[shard]
 		o.borrower.CounterIs(c.daemon.name, c.epoch)
-		m.pass(o)
+		m.schedulePass(o)
 		if _, report := o.borrower.Report(m.nowMs, o.daemon.limits.Version()); report != nil {
 			m.deliver(modelMessage{report: report})
 		}
 	}
 	m.lend(c)
-	for len(m.inbox) > 0 {
-		message := m.inbox[0]
-		m.inbox = m.inbox[1:]
+	for len(m.inFlight) > 0 {
+		message := m.inFlight[0]
+		m.inFlight = m.inFlight[1:]
 		m.deliver(message)
 	}
 	for _, r := range m.runs(func(*modelRun) bool { return true }) {
@@ -77,72 +78,73 @@
 		}
 		r.recorded = r.released
 	}
-	m.forget()
+	m.removeFinished()
 }
 
-// roundsUntil counts rounds until something holds, and gives up at most.
-func (m *model) roundsUntil(most int, holds func() bool) (rounds int) {
-	for ; rounds < most && !holds(); rounds++ {
+// roundsUntil plays rounds until a condition holds, at most maxRounds, and returns their number.
+func (m *model) roundsUntil(maxRounds int, done func() bool) (rounds int) {
+	for ; rounds < maxRounds && !done(); rounds++ {
 		m.round()
 	}
 	return rounds
 }
 
-// Whatever went wrong before: once messages arrive and nobody fails, each claim is granted, also of
-// gangs and of tasks larger than the limit, and all that is lent comes back.
-func TestWalksSettle(t *testing.T) {
+// After any faults, once messages arrive and nothing fails, every claim is granted, including those
+// of gangs and of tasks larger than the limit, and all tasks run and end.
+func TestRandomWalksConverge(t *testing.T) {
 	for seed := *fromFlag; seed < *fromFlag+*seedsFlag/3; seed++ {
 		m := newModel(seed)
 		for range 300 {
 			m.step()
 		}
-		m.calm()
-		limit := m.limitInForce()
-		most := settleMs / roundMs
-		rounds := m.roundsUntil(most, func() bool {
+		m.heal()
+		limit := m.highestAppliedLimit()
+		maxRounds := convergenceMs / roundMs
+		rounds := m.roundsUntil(maxRounds, func() bool {
 			return len(m.placed) == 0 && !slices.ContainsFunc(m.waiting, func(u *modelUnit) bool {
 				return limit.admitsUnit(resource.Amount{}, u.amount(), u.task)
 			})
 		})
-		must.Less(t, most, rounds, must.Sprintf("-seeds 3 -from %d: %d units wait", seed, len(m.waiting)))
-		must.Eq(t, "", m.fault, must.Sprintf("-seeds 3 -from %d", seed))
+		must.Less(t, maxRounds, rounds, must.Sprintf("-seeds 3 -from %d: %d units wait", seed, len(m.waiting)))
+		must.Eq(t, "", m.violation, must.Sprintf("-seeds 3 -from %d", seed))
 	}
 }
 
-// settled is a model of one version in which each shard has reported.
-func settled(limit int64) *model {
+// convergedModel returns a model with a fixed limit in which each shard has reported.
+func convergedModel(limit int64) *model {
 	m := newModel(1)
-	m.steady = true
+	m.fixedLimit = true
 	m.publish(Limit{CPU: limit})
-	m.calm()
+	m.heal()
 	for range 5 {
 		m.round()
 	}
 	return m
 }
 
-// A claim that fits is granted with the first report that holds it.
-func TestClaimsAreGrantedAtOnce(t *testing.T) {
-	m := settled(10)
+// A claim that fits is granted in response to the first report that includes it.
+func TestClaimGrantedInFirstRound(t *testing.T) {
+	m := convergedModel(10)
 	u := m.submit("b", 8, 1, false)
 	must.Eq(t, 1, m.roundsUntil(9, func() bool { return len(u.runs) > 0 }))
 }
 
-// Two gangs that each need most of the limit don't hold a part of it each: both run.
-func TestGangsOfTwoShards(t *testing.T) {
-	m := settled(10)
+// Gangs of different shards that each need most of the limit don't block each other by holding a
+// part of it each: all of them run.
+func TestGangsOfSeveralShardsAllRun(t *testing.T) {
+	m := convergedModel(10)
 	m.submit("a", 2, 4, true)
 	m.submit("b", 2, 4, true)
 	m.submit("c", 2, 4, true)
 	must.Less(t, 40, m.roundsUntil(40, func() bool { return len(m.waiting) == 0 }))
 }
 
-// Beside single tasks that keep coming a gang that needs nearly the whole limit gets its turn; and
-// so do they beside gangs that keep coming.
-func TestGangBesideSingles(t *testing.T) {
-	const mostMs = 3 * (holdBackAfterMs + holdBackMs)
+// A gang that needs nearly the whole limit isn't starved by a stream of single tasks, and single
+// tasks aren't starved by a stream of gangs.
+func TestGangsAndSingleTasksMakeProgress(t *testing.T) {
+	const maxWaitMs = 3 * (holdBackAfterMs + holdBackMs)
 	for _, gangs := range []int{1, 3} {
-		m := settled(10)
+		m := convergedModel(10)
 		m.submit("c", 3, 3, true)
 		var longest int64
 		for range 400 {
@@ -155,25 +157,25 @@
 				}
 			}
 			m.round()
-			must.Eq(t, "", m.fault)
+			must.Eq(t, "", m.violation)
 			for _, u := range m.waiting {
 				longest = max(longest, m.nowMs-u.sinceMs)
 			}
 			m.waiting = m.waiting[:min(len(m.waiting), 12)]
 		}
-		must.Less(t, mostMs, longest, must.Sprintf("%d shards with gangs", gangs))
+		must.Less(t, maxWaitMs, longest, must.Sprintf("gangs on %d shards", gangs))
 	}
 }
 
-// The next counter lends as soon as each owner has reported to it once, and starts within what
-// owners hold need no counter.
-func TestCounterFailsOver(t *testing.T) {
-	m := settled(10)
+// A new counter lends as soon as each owner has reported to it once. Starts within the held amounts
+// need no counter.
+func TestCounterFailover(t *testing.T) {
+	m := convergedModel(10)
 	held := m.submit("a", 2, 1, false)
 	m.roundsUntil(9, func() bool { return len(held.runs) > 0 })
-	m.nextCounter()
-	m.calm()
+	m.replaceCounter()
+	m.heal()
 	u := m.submit("b", 5, 1, false)
 	must.Eq(t, 1, m.roundsUntil(9, func() bool { return len(u.runs) > 0 }))
-	must.Eq(t, "", m.fault)
+	must.Eq(t, "", m.violation)
 }
--- a/internal/scheduler/choice_test.go
+++ b/internal/scheduler/choice_test.go
@@ -8,33 +8,33 @@
 	"github.com/shoenig/test/must"
 )
 
-// Reasons to shun a worker count in their order, and only where another is left.
-func TestLeastShunned(t *testing.T) {
+// Penalties are compared by weight; a penalized worker is used only if there is no better one.
+func TestLeastPenalized(t *testing.T) {
 	for name, c := range map[string]struct {
 		workers []Choosable
 		want    []int
 	}{
-		"none":                       {nil, nil},
-		"all alike":                  {[]Choosable{{}, {}}, []int{0, 1}},
-		"a weightier reason decides": {[]Choosable{{Shun: ShunUnhealthy}, {Shun: ShunFar | ShunFull | ShunKept}}, []int{1}},
-		"fewer reasons decide":       {[]Choosable{{Shun: ShunKept | ShunFar}, {Shun: ShunKept}, {Shun: ShunKept}}, []int{1, 2}},
-		"all unhealthy":              {[]Choosable{{Shun: ShunUnhealthy}, {Shun: ShunUnhealthy | ShunLast}}, []int{0}},
-		"queues are bounded":         {[]Choosable{{QueueFull: true}, {}}, []int{1}},
-		"even where nobody else is":  {[]Choosable{{QueueFull: true}, {Shun: ShunLast}}, nil},
+		"none":                        {nil, nil},
+		"all alike":                   {[]Choosable{{}, {}}, []int{0, 1}},
+		"a heavier penalty decides":   {[]Choosable{{Shun: ShunUnhealthy}, {Shun: ShunFar | ShunFull | ShunKept}}, []int{1}},
+		"fewer penalties decide":      {[]Choosable{{Shun: ShunKept | ShunFar}, {Shun: ShunKept}, {Shun: ShunKept}}, []int{1, 2}},
+		"all unhealthy":               {[]Choosable{{Shun: ShunUnhealthy}, {Shun: ShunUnhealthy | ShunLast}}, []int{0}},
+		"queues are bounded":          {[]Choosable{{QueueFull: true}, {}}, []int{1}},
+		"even without an alternative": {[]Choosable{{QueueFull: true}, {Shun: ShunLast}}, nil},
 	} {
 		t.Run(name, func(t *testing.T) { must.SliceContainsAll(t, c.want, leastPenalized(c.workers)) })
 	}
 }
 
-// The draw is even among the k of lowest rank, and leaves all others out.
-func TestChoose(t *testing.T) {
+// The draw is uniform among the k workers of lowest rank.
+func TestChooseWorker(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var workers []Choosable
 	for i := range 100 {
 		workers = append(workers, Choosable{Name: fmt.Sprintf("w%02d", i), RankMs: int64(100 - i)})
 	}
 	for name, c := range map[string]struct{ k, among int }{
-		"a quarter": {0, 25}, "as set": {7, 7}, "more than there are": {500, 100}, "all": {-1, 100},
+		"a quarter": {0, 25}, "as set": {7, 7}, "more than available": {500, 100}, "all": {-1, 100},
 	} {
 		t.Run(name, func(t *testing.T) {
 			drawn := map[int]int{}
--- a/internal/scheduler/class_test.go
+++ b/internal/scheduler/class_test.go
@@ -12,15 +12,15 @@
 		thresholdMs int64
 		want        bool
 	}{
-		"short":                          {TaskFacts{EstimateMs: 2499}, 2500, false},
-		"long":                           {TaskFacts{EstimateMs: 2500}, 2500, true},
-		"nothing known":                  {TaskFacts{}, 2500, true},
-		"gang":                           {TaskFacts{Gang: true, EstimateMs: 1}, 2500, true},
-		"lasting":                        {TaskFacts{Lasting: true, EstimateMs: 1}, 2500, true},
-		"preempted once":                 {TaskFacts{Preempts: 1, EstimateMs: 1}, 2500, false},
-		"preempted twice":                {TaskFacts{Preempts: 2, EstimateMs: 1}, 2500, true},
-		"a batch, however long":          {TaskFacts{Batch: true, Gang: true, EstimateMs: 9000}, 2500, false},
-		"all queueable by the threshold": {TaskFacts{Gang: true, EstimateMs: 9000}, -1, false},
+		"short":                 {TaskFacts{EstimateMs: 2499}, 2500, false},
+		"long":                  {TaskFacts{EstimateMs: 2500}, 2500, true},
+		"unknown run time":      {TaskFacts{}, 2500, true},
+		"gang":                  {TaskFacts{Gang: true, EstimateMs: 1}, 2500, true},
+		"lasting":               {TaskFacts{Lasting: true, EstimateMs: 1}, 2500, true},
+		"preempted once":        {TaskFacts{Preempts: 1, EstimateMs: 1}, 2500, false},
+		"preempted twice":       {TaskFacts{Preempts: 2, EstimateMs: 1}, 2500, true},
+		"a batch, however long": {TaskFacts{Batch: true, Gang: true, EstimateMs: 9000}, 2500, false},
+		"all queueable with a negative threshold": {TaskFacts{Gang: true, EstimateMs: 9000}, -1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			guaranteed, reason := IsGuaranteed(c.task, c.thresholdMs)
--- a/internal/scheduler/estimate_test.go
+++ b/internal/scheduler/estimate_test.go
@@ -21,8 +21,8 @@
 	must.InDelta(t, 200, mean, 1)
 }
 
-// What was seen here lately counts more than what others tell, for so long.
-func TestEstimatesAdopt(t *testing.T) {
+// A value from another daemon replaces a local one only after the local one is old enough.
+func TestEstimatesMergeRemote(t *testing.T) {
 	var e Estimates
 	e.Adopt("q/t", 50, 1000, 500)
 	mean, _ := e.Mean("q/t")
@@ -37,8 +37,8 @@
 	must.Eq(t, 900.0, mean)
 }
 
-// Each is told once, some at a time; what others told isn't told again.
-func TestEstimatesUnshared(t *testing.T) {
+// Each change is shared once, in limited batches; values from other daemons are not shared again.
+func TestEstimatesTakeUnshared(t *testing.T) {
 	var e Estimates
 	e.Adopt("told", 1, 1000, 10)
 	for i := range maxSharedPerRound + 3 {
--- a/internal/scheduler/fairorder_test.go
+++ b/internal/scheduler/fairorder_test.go
@@ -17,12 +17,12 @@
 		weight float64
 		share  float64
 	}{
-		"nothing":                  {resource.Amount{}, 5, 0},
-		"processor dominates":      {resource.Amount{CPU: 500, Memory: 400}, 1, 0.5},
-		"memory dominates":         {resource.Amount{CPU: 100, Memory: 1000}, 1, 0.25},
-		"by weight":                {resource.Amount{CPU: 500}, 5, 0.1},
-		"no weight counts as 1":    {resource.Amount{CPU: 500}, 0, 0.5},
-		"a dimension without room": {resource.Amount{CPU: 100, GPU: 7}, 1, 0.1},
+		"nothing":                      {resource.Amount{}, 5, 0},
+		"processor dominates":          {resource.Amount{CPU: 500, Memory: 400}, 1, 0.5},
+		"memory dominates":             {resource.Amount{CPU: 100, Memory: 1000}, 1, 0.25},
+		"by weight":                    {resource.Amount{CPU: 500}, 5, 0.1},
+		"no weight counts as 1":        {resource.Amount{CPU: 500}, 0, 0.5},
+		"a dimension without capacity": {resource.Amount{CPU: 100, GPU: 7}, 1, 0.1},
 	} {
 		t.Run(name, func(t *testing.T) { must.InDelta(t, c.share, WeightedShare(c.used, all, c.weight), 1e-9) })
 	}
@@ -40,18 +40,18 @@
 		"no tenants: age":   {[]FairRequest{request("", 0, 1, 3), request("", 0, 1, 1), request("", 0, 1, 2)}, []int{1, 2, 0}},
 		"least share first": {[]FairRequest{request("a", 0.5, 0.1, 1), request("b", 0.2, 0.1, 2)}, []int{1, 0}},
 		"equal shares: age": {[]FairRequest{request("a", 0.2, 0.1, 2), request("b", 0.2, 0.1, 1)}, []int{1, 0}},
-		"by turns while shares grow": {
+		"alternating while shares grow": {
 			[]FairRequest{request("a", 0, 0.1, 1), request("a", 0, 0.1, 2), request("a", 0, 0.1, 3), request("b", 0, 0.1, 4), request("b", 0, 0.1, 5)},
 			[]int{0, 3, 1, 4, 2},
 		},
-		"a large one counts for several": {
+		"a large request counts for several": {
 			[]FairRequest{request("a", 0, 0.3, 1), request("a", 0, 0.3, 2), request("b", 0, 0.1, 3), request("b", 0, 0.1, 4), request("b", 0, 0.1, 5)},
 			[]int{0, 2, 3, 4, 1},
 		},
 		"precedence before shares": {
 			[]FairRequest{{Precedence: 1, Tenant: "a"}, {Precedence: 9, Tenant: "b", Share: 5}}, []int{1, 0},
 		},
-		"what the more urgent ones add counts": {
+		"requests of a higher precedence add to the share": {
 			[]FairRequest{{Precedence: 9, Tenant: "a", Adds: 1}, {Precedence: 1, Tenant: "a"}, {Precedence: 1, Tenant: "b", Share: 0.5, SubmittedMs: 1}},
 			[]int{0, 2, 1},
 		},
@@ -60,9 +60,9 @@
 	}
 }
 
-// Whatever is asked for: each request has one turn, no tenant waits for another that asks for
-// ever, and a tenant's own requests of one precedence go by age.
-func TestFairOrderOfMany(t *testing.T) {
+// For random requests, each request is in the order exactly once, and the requests of one tenant and
+// precedence are ordered by age.
+func TestFairOrderRandomRequests(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
 		var requests []FairRequest
@@ -76,16 +76,16 @@
 			must.False(t, seen[at])
 			seen[at] = true
 			r := requests[at]
-			line := fmt.Sprint(r.Tenant, r.Precedence)
-			must.GreaterEq(t, last[line], r.SubmittedMs)
-			last[line] = r.SubmittedMs
+			tenantAndPrecedence := fmt.Sprint(r.Tenant, r.Precedence)
+			must.GreaterEq(t, last[tenantAndPrecedence], r.SubmittedMs)
+			last[tenantAndPrecedence] = r.SubmittedMs
 		}
 		must.Eq(t, len(requests), len(seen))
 	}
 }
 
-// One tenant with a thousand requests holds up another with few by one turn each.
-func TestFairOrderNoTenantWaitsForHotOne(t *testing.T) {
+// A tenant with a thousand requests delays each of the few requests of another by one turn at most.
+func TestFairOrderBusyTenantDelaysOthersByOneTurnEach(t *testing.T) {
 	var requests []FairRequest
 	for i := range 1000 {
 		requests = append(requests, FairRequest{Tenant: "hot", Adds: 0.1, SubmittedMs: int64(i)})
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// What is kept follows what is used, up faster than down, within its bounds, each dimension
-// by itself.
-func TestUrgentShare(t *testing.T) {
+// The headroom follows the usage, faster up than down, within its bounds, independently in each
+// dimension.
+func TestHeadroomEstimator(t *testing.T) {
 	all := resource.Amount{CPU: 100_000, Memory: 400_000}
 	s := &UrgentShare{}
 	s.Observe(resource.Amount{CPU: 1}, resource.Amount{}) // no workers yet
@@ -44,11 +44,11 @@
 	}
 	observe(1, resource.Amount{CPU: 20_000, Memory: 1000})
 	must.Eq(t, resource.Amount{CPU: 29, Memory: minHeadroomPercent, GPU: minHeadroomPercent}, s.Percent())
-	observe(10, resource.Amount{CPU: 28_000}) // a second of more
+	observe(10, resource.Amount{CPU: 28_000}) // higher usage for a second
 	must.Between(t, 31, s.Percent().CPU, 36)
 	observe(50, resource.Amount{CPU: 28_000})
 	must.Between(t, 37, s.Percent().CPU, 39)
-	observe(10, resource.Amount{}) // a second of nothing takes little back
+	observe(10, resource.Amount{}) // no usage for a second reduces it only a little
 	must.Between(t, 29, s.Percent().CPU, 36)
 	observe(200, resource.Amount{})
 	must.Eq(t, minHeadroomPercent, s.Percent().CPU)
@@ -56,7 +56,7 @@
 	must.Eq(t, maxHeadroomPercent, s.Percent().Memory)
 }
 
-func TestKeptRoom(t *testing.T) {
+func TestUrgentHeadroom(t *testing.T) {
 	capacity, quarter := resource.Amount{CPU: 64_000, Memory: 1000}, resource.Amount{CPU: 25, Memory: 25, GPU: 25}
 	must.Eq(t, resource.Amount{CPU: 16_000, Memory: 250}, KeptRoom(capacity, resource.Amount{}, quarter))
 	must.Eq(t, resource.Amount{CPU: 6000}, KeptRoom(capacity, resource.Amount{CPU: 10_000, Memory: 300}, quarter))
