--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -232,25 +232,25 @@
 }
 
 // Claim adds or renews the claim of one step, which is identified by the key.
-func (b *Borrower) Claim(tenant, key string, v wire.ShareClaim, nowMs int64) {
+func (b *Borrower) Claim(tenant, key string, request wire.ShareClaim, nowMs int64) {
 	a := b.account(tenant)
 	for _, c := range a.claims {
 		if c.key == key {
-			if v.Count > c.Count || v.Unit != c.Unit {
+			if request.Count > c.Count || request.Unit != c.Unit {
 				b.reportDue = true
 			}
-			c.ShareClaim, c.renewed = v, true
+			c.ShareClaim, c.renewed = request, true
 			return
 		}
 	}
 	if len(a.claims) >= maxClaims { // claims of this round are more urgent than those not renewed yet
-		at := slices.IndexFunc(a.claims, func(c *claim) bool { return !c.renewed })
-		if at < 0 {
+		unrenewed := slices.IndexFunc(a.claims, func(c *claim) bool { return !c.renewed })
+		if unrenewed < 0 {
 			return
 		}
-		a.claims = slices.Delete(a.claims, at, at+1)
+		a.claims = slices.Delete(a.claims, unrenewed, unrenewed+1)
 	}
-	a.claims = append(a.claims, &claim{ShareClaim: v, key: key, sinceMs: nowMs, renewed: true})
+	a.claims = append(a.claims, &claim{ShareClaim: request, key: key, sinceMs: nowMs, renewed: true})
 	b.reportDue = true
 }
 
@@ -323,7 +323,9 @@
 		return
 	}
 	quarter := func(v int64) int64 { return (v + aheadDivisor - 1) / aheadDivisor }
-	a.ahead = resource.Amount{CPU: quarter(a.started.CPU), Memory: quarter(a.started.Memory), GPU: quarter(a.started.GPU)}
+	a.ahead = resource.Amount{
+		CPU: quarter(a.started.CPU), Memory: quarter(a.started.Memory), GPU: quarter(a.started.GPU),
+	}
 	a.windowStartMs, a.started = nowMs, resource.Amount{}
 	a.lastPeak, a.peak = a.peak, a.used
 }
@@ -345,16 +347,16 @@
 }
 
 func (a *account) report(tenant string, nowMs int64) wire.ShareAccount {
-	out := wire.ShareAccount{Tenant: tenant, Keep: a.held, Used: a.used}
+	shareAccount := wire.ShareAccount{Tenant: tenant, Keep: a.held, Used: a.used}
 	if !a.tight {
-		out.Ahead = larger(a.usedAndReserved(nowMs).Plus(a.ahead).Minus(a.held), resource.Amount{})
+		shareAccount.Ahead = larger(a.usedAndReserved(nowMs).Plus(a.ahead).Minus(a.held), resource.Amount{})
 	}
 	for _, c := range a.claims {
-		v := c.ShareClaim
-		v.WaitedMs = nowMs - c.sinceMs
-		out.Claims = append(out.Claims, v)
+		shareClaim := c.ShareClaim
+		shareClaim.WaitedMs = nowMs - c.sinceMs
+		shareAccount.Claims = append(shareAccount.Claims, shareClaim)
 	}
-	return out
+	return shareAccount
 }
 
 // OnGrant applies a grant if it answers the newest report, and returns the tenants for which more
--- a/internal/scheduler/policy.go
+++ b/internal/scheduler/policy.go
@@ -60,17 +60,18 @@
 
 // required maps each policy that can't be disabled to the reason.
 var required = map[Policy]string{
-	"class_rule":       "the design's ordinary path",
-	"sure_room":        "the rule that no worker gets more than it has",
-	"agent_queue":      "the design's ordinary path",
-	"preemption":       "the design's ordinary path",
-	"unstarted_only":   "the design's ordinary path",
-	"health_by_report": "the rule on draining workers",
+	"class_rule":       "it is part of the core scheduling path",
+	"sure_room":        "workers must never be overcommitted",
+	"agent_queue":      "it is part of the core scheduling path",
+	"preemption":       "it is part of the core scheduling path",
+	"unstarted_only":   "it is part of the core scheduling path",
+	"health_by_report": "draining workers depends on it",
 }
 
+// optional lists the policies that can be disabled.
 var optional = []Policy{
-	UrgentRoom, RetryAtOnce, NearData, RackWait, AvoidLast, EjectUnhealthy, ShunQuiet, LearnedEstimates, Recall, Promotion,
-	Reservation, Backfill, StrongRoles, GatherWrites, ForwardRetry, RankedChoice, DelayTarget,
+	UrgentRoom, RetryAtOnce, NearData, RackWait, AvoidLast, EjectUnhealthy, ShunQuiet, LearnedEstimates, Recall,
+	Promotion, Reservation, Backfill, StrongRoles, GatherWrites, ForwardRetry, RankedChoice, DelayTarget,
 	TenantWeight, WeightedFairness,
 }
 
