--- a/internal/scheduler/urgentroom.go
+++ b/internal/scheduler/urgentroom.go
@@ -24,8 +24,8 @@
 // derives the headroom to keep for them on each worker, by dimension. The zero value returns
 // DefaultHeadroomPercent.
 type UrgentShare struct {
-	usedPercent [dimensionCount]float64 // moving average, in percent of the total capacity
-	observed    bool
+	used     [dimensionCount]float64 // moving average, in percent of the total capacity
+	observed bool
 }
 
 // dimensionCount is the number of dimensions of an amount: CPU, memory, GPU.
@@ -39,7 +39,7 @@
 // It must be called ten times a second.
 func (s *UrgentShare) Observe(used, all resource.Amount) {
 	usedParts, allParts := components(used), components(all)
-	for i := range s.usedPercent {
+	for i := range s.used {
 		if allParts[i] <= 0 {
 			continue
 		}
@@ -47,10 +47,10 @@
 		switch {
 		case !s.observed:
 			weight = 1
-		case share > s.usedPercent[i]:
+		case share > s.used[i]:
 			weight = riseWeight
 		}
-		s.usedPercent[i] += weight * (share - s.usedPercent[i])
+		s.used[i] += weight * (share - s.used[i])
 	}
 	s.observed = s.observed || all != (resource.Amount{})
 }
@@ -62,7 +62,7 @@
 	}
 	percent := func(i int) int64 {
 		return min(
-			max(int64(s.usedPercent[i]*(100+headroomMarginPercent)/100+headroomSlackPercent), minHeadroomPercent),
+			max(int64(s.used[i]*(100+headroomMarginPercent)/100+headroomSlackPercent), minHeadroomPercent),
 			maxHeadroomPercent,
 		)
 	}
