--- a/internal/daemon/agent_health.go
+++ b/internal/daemon/agent_health.go
@@ -11,70 +11,70 @@
 // worker no more work, as long as there are others; after a while it is tried again.
 
 const (
-	standsMs   = 3000   // a worker where work stood still gets no more for this long, doubled each time
-	failsMs    = 10_000 // and one that fails its tasks: it is tried again with real work, which costs attempts
-	suspectMax = 4      // times that a worker is suspect before that takes no longer
+	stallSuspectMs   = 3000   // a worker where work stood still gets no more for this long, doubled each time
+	failureSuspectMs = 10_000 // and one that fails its tasks: it is tried again with real work, which costs attempts
+	suspectMax       = 4      // times that a worker is suspect before that takes no longer
 )
 
 // observeEnd counts how a run ended. A job that can't be done fails everywhere, so that of each
 // job one failure in a while speaks against the worker, and none while it gets no work.
-func (n *node) observeEnd(ag *agent, h *attempt, failed bool) {
-	if h.unobserved || h.spec.Queue == "" {
+func (n *node) observeEnd(agent *workerAgent, attempt *agentAttempt, failed bool) {
+	if attempt.unobserved || attempt.spec.Queue == "" {
 		return
 	}
-	if ag.ended == nil {
-		ag.ended, ag.failedJobs = map[string]scheduler.EndCounts{}, map[string]int64{}
+	if agent.endCounts == nil {
+		agent.endCounts, agent.failedJobs = map[string]scheduler.EndCounts{}, map[string]int64{}
 	}
-	counts := ag.ended[h.spec.Queue]
+	counts := agent.endCounts[attempt.spec.Queue]
 	counts.Observe(failed)
-	ag.ended[h.spec.Queue] = counts
+	agent.endCounts[attempt.spec.Queue] = counts
 	if failed {
-		lastMs, before := ag.failedJobs[h.spec.Key.Job]
-		ag.failedJobs[h.spec.Key.Job] = n.now
+		lastMs, before := agent.failedJobs[attempt.spec.Key.Job]
+		agent.failedJobs[attempt.spec.Key.Job] = n.now
 		if before && n.now-lastMs <= healthDecayMs {
 			return
 		}
 	}
-	if n.now >= ag.suspectMs {
-		ag.evidence.Observe(failed, n.ranks.failRate(h.spec.Queue))
+	if n.now >= agent.suspectUntilMs {
+		agent.evidence.Observe(failed, n.ranks.failRate(attempt.spec.Queue))
 	}
 }
 
 // judgeWorker has a worker that fails far more than others get no more work for a while. What
 // waits there, and never started, goes back.
-func (n *node) judgeWorker(ag *agent) {
-	if !ag.evidence.Conclusive() || !n.Policies.On(scheduler.EjectUnhealthy) {
+func (n *node) judgeWorker(agent *workerAgent) {
+	if !agent.evidence.Conclusive() || !n.Policies.On(scheduler.EjectUnhealthy) {
 		return
 	}
-	ag.evidence.StartProbation()
-	n.suspectWorker(ag, "fails", failsMs)
+	agent.evidence.StartProbation()
+	n.suspectWorker(agent, "fails", failureSuspectMs)
 	n.count("workers_ejected")
-	for _, key := range ag.keys() {
-		if h := ag.attempts[key]; h.state == wire.AttemptQueued {
-			h.state, h.result = wire.AttemptEnded, wire.ResultShed
+	for _, key := range agent.keys() {
+		if attempt := agent.attempts[key]; attempt.state == wire.AttemptQueued {
+			attempt.state, attempt.result = wire.AttemptEnded, wire.ResultShed
 		}
 	}
-	n.reportAgent(ag)
+	n.reportAgent(agent)
 }
 
 // suspectWorker has a worker get no more work for a while, each time for longer.
-func (n *node) suspectWorker(ag *agent, why string, forMs int64) {
-	ag.suspects = min(ag.suspects+1, suspectMax)
-	ag.suspectMs = n.now + forMs<<(ag.suspects-1)
-	n.log("worker_suspect", "worker", ag.worker, "why", why, "for_ms", ag.suspectMs-n.now)
+func (n *node) suspectWorker(agent *workerAgent, why string, forMs int64) {
+	agent.suspectCount = min(agent.suspectCount+1, suspectMax)
+	agent.suspectUntilMs = n.now + forMs<<(agent.suspectCount-1)
+	n.log("worker_suspect", "worker", agent.worker, "why", why, "for_ms", agent.suspectUntilMs-n.now)
 }
 
 // endsByQueue is how runs ended here lately, for the coordinator.
-func (ag *agent) endsByQueue() (ends []wire.QueueEnds) {
-	for _, queue := range sorted(ag.ended) {
-		counts := ag.ended[queue]
+func (a *workerAgent) endsByQueue() (ends []wire.QueueEnds) {
+	for _, queue := range sortedKeys(a.endCounts) {
+		counts := a.endCounts[queue]
 		ends = append(ends, wire.QueueEnds{Queue: queue, Succeeded: counts.Succeeded, Failed: counts.Failed})
 	}
 	return ends
 }
 
 // failRates is how often each queue's tasks fail at workers that nobody suspects.
-func (c *central) failRates() (rates []wire.QueueFailRate) {
+func (c *centralScheduler) failRates() (rates []wire.QueueFailRate) {
 	sums := map[string]scheduler.EndCounts{}
 	for _, w := range c.workers { // sums: the order does not matter
 		if w.Suspect {
@@ -84,7 +84,7 @@
 			sums[e.Queue] = sums[e.Queue].Plus(scheduler.EndCounts{Succeeded: e.Succeeded, Failed: e.Failed})
 		}
 	}
-	for _, queue := range sorted(sums) {
+	for _, queue := range sortedKeys(sums) {
 		rates = append(rates, wire.QueueFailRate{Queue: queue, PerMille: int32(sums[queue].FailRate() * perMille)})
 	}
 	return rates
--- a/internal/daemon/core_member.go
+++ b/internal/daemon/core_member.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	snapshotMin = 8 << 20 // bytes of log before a snapshot is worth its writing
+	snapshotMinBytes = 8 << 20 // bytes of log before a snapshot is worth its writing
 )
 
 // persistSet keeps a newer set on this disk, but not one that lacks it: a former
@@ -54,14 +54,14 @@
 	if !n.servesSet(m.SetVersion) {
 		return
 	}
-	x := n.store.Shard(m.Shard)
-	if m.Epoch < x.Sealed() {
+	replica := n.store.Shard(m.Shard)
+	if m.Epoch < replica.Sealed() {
 		n.send(from, &wire.SealResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch})
 		return
 	}
-	a := &wire.SealResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch, OK: true, Served: x.Served()}
-	a.Records = append(a.Records, x.Live()...)
-	a.Records = append(a.Records, x.Unconfirmed()...)
+	a := &wire.SealResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch, OK: true, Served: replica.Served()}
+	a.Records = append(a.Records, replica.Live()...)
+	a.Records = append(a.Records, replica.Unconfirmed()...)
 	n.persist([]statestore.Entry{{Kind: statestore.EntrySeal, Name: m.Shard, Epoch: m.Epoch}}, n.sendEffect(from, a))
 }
 
@@ -69,9 +69,9 @@
 	if !n.servesSet(m.SetVersion) {
 		return
 	}
-	x := n.store.Shard(m.Shard)
-	if m.Epoch != x.Sealed() {
-		if m.Epoch > x.Sealed() { // a member that missed the seal learns it with the write
+	replica := n.store.Shard(m.Shard)
+	if m.Epoch != replica.Sealed() {
+		if m.Epoch > replica.Sealed() { // a member that missed the seal learns it with the write
 			n.persist([]statestore.Entry{{Kind: statestore.EntrySeal, Name: m.Shard, Epoch: m.Epoch}})
 		} else {
 			n.count("writes_rejected")
@@ -79,7 +79,7 @@
 			return
 		}
 	}
-	if !fits(x, m.Patches) {
+	if !patchesApply(replica, m.Patches) {
 		n.count("writes_lacking")
 		n.send(from, &wire.WriteResponse{
 			SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch, Seq: m.Seq, OK: true, Lacking: true,
@@ -87,7 +87,7 @@
 		return
 	}
 	entries := make([]statestore.Entry, 0, len(m.Records)+len(m.Patches)+len(m.Confirmed)+1)
-	if m.Complete && x.Served() < m.Epoch {
+	if m.Complete && replica.Served() < m.Epoch {
 		entries = append(entries, statestore.Entry{Kind: statestore.EntryServed, Name: m.Shard, Epoch: m.Epoch})
 	}
 	for _, id := range m.Confirmed {
@@ -111,11 +111,11 @@
 	)
 }
 
-// fits tells whether all patches build on what a shard has. One of a version that is here
+// patchesApply tells whether all patches build on what a shard has. One of a version that is here
 // already, or an older one, came before: it fits, and changes nothing.
-func fits(x *statestore.Shard, patches []statestore.Patch) bool {
+func patchesApply(replica *statestore.Shard, patches []statestore.Patch) bool {
 	for _, p := range patches {
-		if _, ok := x.Patched(p); !ok && !x.HasVersion(p.ID, p.Epoch, p.Version) {
+		if _, ok := replica.Patched(p); !ok && !replica.HasVersion(p.ID, p.Epoch, p.Version) {
 			return false
 		}
 	}
@@ -150,7 +150,7 @@
 		SetVersion: n.core.Version,
 		GuardMs:    n.granter.GuardLeftMs(n.now),
 		FleetMs:    n.fleetTimeHeard(),
-		SyncMs:     n.syncMs,
+		SyncMs:     n.diskSyncMs,
 	}
 	process := lease.Process{Name: from, Incarnation: m.Incarnation, Addr: n.peers.Addr(from)}
 	n.granter.Release(process, m.Releases, n.now)
@@ -192,7 +192,7 @@
 	if n.leases.Clock().Readings() < n.core.Majority() {
 		return
 	}
-	cutMs := n.fleetTime() - n.KeepMs
+	cutMs := n.fleetTime() - n.FinishedKeepMs
 	for _, name := range n.store.ShardNames() {
 		if n.store.Shard(name).Expired(cutMs) {
 			n.persist([]statestore.Entry{{Kind: statestore.EntryDrop, Name: name, Epoch: uint64(cutMs)}})
--- a/internal/daemon/history_test.go
+++ b/internal/daemon/history_test.go
@@ -73,7 +73,7 @@
 // resendAll sends orders again to every daemon: all are acknowledged.
 func (w *world) resendAll(t *testing.T, when string, orders ...operatorOrder) {
 	t.Helper()
-	for _, name := range sorted(w.nodes) {
+	for _, name := range sortedKeys(w.nodes) {
 		for _, o := range orders {
 			got := w.acknowledged(t, w.nodes[name], o.again())
 			must.Eq(t, 200, got.status, must.Sprint(when, " ", o, " at ", name, ": ", got.body))
@@ -89,7 +89,7 @@
 	other.queue = "never-accepted"
 	otherBase := taken
 	otherBase.base--
-	for _, name := range sorted(w.nodes) {
+	for _, name := range sortedKeys(w.nodes) {
 		to := w.nodes[name]
 		must.Eq(t, 409, w.acknowledged(t, to, other.put()).status)
 		must.Eq(t, 409, w.acknowledged(t, to, other.again()).status)
@@ -120,11 +120,11 @@
 	all = append(all, w.storm(t, all[59], 240)...)
 	w.resendAll(t, "300 changes later", first, second, all[60], all[299])
 
-	for _, name := range sorted(w.nodes) {
+	for _, name := range sortedKeys(w.nodes) {
 		w.nodes[name].kill(true)
 	}
 	w.run(500)
-	for _, name := range sorted(w.nodes) {
+	for _, name := range sortedKeys(w.nodes) {
 		w.nodes[name].start()
 	}
 	w.run(5000)
@@ -151,7 +151,7 @@
 		w := served(t, 980+seed)
 		inForce := map[int64]string{} // version to queue, as any daemon had it
 		look := func() {
-			for _, name := range sorted(w.nodes) {
+			for _, name := range sortedKeys(w.nodes) {
 				if n := w.nodes[name]; n.up && n.sh.node.config.record.Version > 0 {
 					d := n.sh.node.config.record
 					doc, _ := configuration.Inflate(d.Document)
@@ -230,7 +230,7 @@
 					at := w.nowMs()
 					got := w.settle(w.nodes[name], e, 4000)
 					must.Eq(t, 503, got.status, must.Sprint(name, " ", afterMs, " ", e.Op, " ", got.body))
-					if afterMs > contactMs {
+					if afterMs > ownerContactMs {
 						must.Less(t, 120, w.nowMs()-at)
 					}
 				}
@@ -261,7 +261,7 @@
 	t.Logf("register %d bytes, then %d; read %d, then %d", keptBefore, kept, readBefore, read)
 	must.LessEq(t, 34*100, kept-keptBefore)
 	must.LessEq(t, 20, read-readBefore) // names of other lengths
-	for _, name := range sorted(w.nodes) {
+	for _, name := range sortedKeys(w.nodes) {
 		must.Zero(t, w.nodes[name].sh.node.config.record.Accepted.Count)
 	}
 }
@@ -275,17 +275,17 @@
 		id     configuration.ChangeID
 		status int
 	}{{configuration.ChangeID{Version: 5000, Base: 4999}, 503}, {configuration.ChangeID{Version: 8999, Base: 5000}, 409}, {configuration.ChangeID{Version: 9000, Base: 5000}, 200}} {
-		n.out, n.changes = nil, map[uint64]*registerChange{}
+		n.effects, n.changes = nil, map[uint64]*registerChange{}
 		o := n.startChange("setup", "taken", nil, 0)
-		o.change, o.request = c.id, &request{id: 5}
+		o.changeID, o.request = c.id, &request{id: 5}
 		for _, m := range n.core.Names()[:2] {
 			n.onPromise(m, &register.Promise{Op: o.ID, OK: true, Ballot: o.Ballot, Accepted: register.Ballot{Round: 1}, Value: codec.Append(nil, value)})
 		}
-		n.out = slices.DeleteFunc(n.out, func(e effect) bool { _, isSend := e.(effSend); return isSend })
+		n.effects = slices.DeleteFunc(n.effects, func(e effect) bool { _, isSend := e.(effSend); return isSend })
 		for _, m := range n.core.Names()[:2] {
 			n.onAccepted(m, &register.Accepted{Op: o.ID, OK: true, Ballot: o.Ballot})
 		}
-		must.Len(t, 1, n.out)
-		must.Eq(t, c.status, n.out[0].(effReply).Status, must.Sprint(c.id.Version))
+		must.Len(t, 1, n.effects)
+		must.Eq(t, c.status, n.effects[0].(effReply).Status, must.Sprint(c.id.Version))
 	}
 }
--- a/internal/daemon/job_timeline_test.go
+++ b/internal/daemon/job_timeline_test.go
@@ -26,7 +26,7 @@
 	b.traffic()
 	b.run(12_000)
 	explained, observed := 0, 0
-	for _, id := range sorted(b.jobs) {
+	for _, id := range sortedKeys(b.jobs) {
 		if b.jobs[id].state != "complete" {
 			continue
 		}
@@ -57,7 +57,7 @@
 	must.Greater(t, 20, explained)
 	must.Greater(t, explained, observed)
 	seen := map[jobtrace.Stage]uint64{}
-	for _, name := range sorted(b.nodes) {
+	for _, name := range sortedKeys(b.nodes) {
 		stages := b.nodes[name].sh.node.stages.Snapshot()
 		for key, h := range stages {
 			seen[key.Stage] += h.Count()
@@ -82,7 +82,7 @@
 	b.kill(owner.Name, false)
 	must.True(t, b.until(15_000, func() bool {
 		after := b.holderOf("slice/" + before.Shard)
-		return after != nil && after.Name != before.Owner && after.sh.node.owned[before.Shard].serving
+		return after != nil && after.Name != before.Owner && after.sh.node.shards[before.Shard].serving
 	}))
 	after, status := b.explain(t, lasting.id)
 	must.Eq(t, 200, status)
--- a/internal/daemon/placement.go
+++ b/internal/daemon/placement.go
@@ -10,98 +10,99 @@
 const (
 	thresholdMs        = 2500 // learned run time below this is queueable; see docs/rounds.md
 	allocationRetryMs  = 1000 // owners repeat their requests for firm places
-	reservedMs         = 1500 // a share is kept so long for requested places: until they are surely requested again
+	shareReservationMs = 1500 // a share is kept so long for requested places: until they are surely requested again
 	allocationsPerTick = 64   // requests for firm places a shard sends in one tick, most urgent first
 )
 
-// allowed tells whether a task may go to a worker now, as far as is known here.
-func (n *node) allowed(w *workerView, q *configuration.Queue, needs []wire.Label, room resource.Amount) bool {
+// workerAllowed tells whether a task may go to a worker now, as far as is known here.
+func (n *node) workerAllowed(w *workerView, q *configuration.Queue, needs []wire.Label, room resource.Amount) bool {
 	_, lack := configuration.MissingLabel(w.labels, needs)
-	return n.now-w.heardMs < contactMs && w.rebuilt && w.fresh && !w.leaving && !n.config.current.EmptyZones[w.zone] &&
+	return n.now-w.receivedMs < ownerContactMs && w.rebuilt && w.reportFresh && !w.leaving &&
+		!n.config.current.EmptyZones[w.zone] &&
 		room.Fits(w.capacity) && !lack && q.Matches(w.labels, w.zone)
 }
 
-// freeAt is the room of a worker that nothing known here takes: what its agent
+// freeResources is the room of a worker that nothing known here takes: what its agent
 // holds for other shards, and all that this shard has placed there.
-func (n *node) freeAt(sl *shard, name string, w *workerView) resource.Amount {
-	return w.capacity.Minus(w.otherShards[sl.name]).Minus(sl.load[name])
+func (n *node) freeResources(shard *ownedShard, name string, w *workerView) resource.Amount {
+	return w.capacity.Minus(w.usedByOthers[shard.name]).Minus(shard.loadByWorker[name])
 }
 
-// usedBy counts the tasks of a task's step and round by worker.
-func (js *jobState) usedBy(i int) map[string]int32 {
+// stepTasksByWorker counts the tasks of a task's step and round by worker.
+func (j *liveJob) stepTasksByWorker(i int) map[string]int32 {
 	used := map[string]int32{}
-	from, to := js.gangRange(i)
+	from, to := j.gangRange(i)
 	for k := from; k < to; k++ {
-		if js.Tasks[k].State == taskPlaced {
-			used[js.Tasks[k].Worker]++
+		if j.Tasks[k].State == taskPlaced {
+			used[j.Tasks[k].Worker]++
 		}
 	}
 	return used
 }
 
-func (n *node) placeTask(sl *shard, js *jobState, i int, worker string, class wire.TaskClass) {
-	t := &js.Tasks[i]
-	n.markDirty(sl, js)
+func (n *node) placeTask(shard *ownedShard, job *liveJob, i int, worker string, class wire.TaskClass) {
+	t := &job.Tasks[i]
+	n.markDirty(shard, job)
 	w := n.workers[worker]
-	t.State, t.Class, t.ChangedIn = taskPlaced, class, js.Version
+	t.State, t.Class, t.ChangedVersion = taskPlaced, class, job.Version
 	t.Worker, t.Agent, t.AgentEpoch = worker, w.agent, w.epoch
 	t.Attempt++
-	sl.indexTask(js, i)
+	shard.updatePlacedIndex(job, i)
 	n.workers[worker].queued++ // until its agent's next word
 	if class == wire.ClassQueueable {
-		n.ranks.add(worker, n.estimateMs(js, t))
+		n.ranks.add(worker, n.estimateMs(job, t))
 	}
-	js.runtime[i] = taskRuntime{limitVersion: n.limits.Version()}
-	sl.shares.unreserve(js, i, t.Resources)
+	job.runtime[i] = taskRuntime{limitVersion: n.limits.Version()}
+	shard.shares.unreserve(job, i, t.Resources)
 	n.count("placements_" + class.String())
 }
 
-func (n *node) sendPlacement(sl *shard, js *jobState, i int) {
-	t := &js.Tasks[i]
+func (n *node) sendPlacement(shard *ownedShard, job *liveJob, i int) {
+	t := &job.Tasks[i]
 	w := n.workers[t.Worker]
-	if w == nil || w.epoch != t.AgentEpoch || !n.leases.Holds(lease.ShardRole(sl.name)) {
+	if w == nil || w.epoch != t.AgentEpoch || !n.leases.Holds(lease.ShardRole(shard.name)) {
 		return
 	}
-	js.runtime[i].sentMs, js.runtime[i].echoMs = n.now, w.echoMs
-	n.traceSent(js, i)
+	job.runtime[i].sentMs, job.runtime[i].echoMs = n.now, w.echoMs
+	n.traceSent(job, i)
 	n.send(
 		w.agent,
 		&wire.Placement{
 			Worker:     t.Worker,
 			AgentEpoch: t.AgentEpoch,
-			ShardEpoch: sl.epoch,
+			ShardEpoch: shard.epoch,
 			EchoMs:     w.echoMs,
-			Spec:       n.specOf(sl, js, i),
+			Spec:       n.taskSpec(shard, job, i),
 		},
 	)
 }
 
-// specOf is what an agent must know of a placed task.
-func (n *node) specOf(sl *shard, js *jobState, i int) wire.TaskSpec {
-	t := &js.Tasks[i]
+// taskSpec is what an agent must know of a placed task.
+func (n *node) taskSpec(shard *ownedShard, job *liveJob, i int) wire.TaskSpec {
+	t := &job.Tasks[i]
 	return wire.TaskSpec{
 		Key: wire.AttemptKey{
-			Job:     js.ID,
-			Task:    js.taskID(i),
+			Job:     job.ID,
+			Task:    job.taskID(i),
 			Attempt: t.Attempt,
 		},
-		Shard:        sl.name,
-		Queue:        js.Queue,
+		Shard:        shard.name,
+		Queue:        job.Queue,
 		Name:         t.Name,
 		Class:        t.Class,
 		Resources:    t.Resources,
 		Needs:        t.Needs,
-		SubmittedMs:  js.SubmitMs,
-		EstimateMs:   n.estimateMs(js, t),
+		SubmittedMs:  job.SubmitMs,
+		EstimateMs:   n.estimateMs(job, t),
 		LimitMs:      t.LimitMs,
 		Payload:      t.Payload,
 		Saved:        t.Saved,
-		Gang:         js.Steps[t.Step].Gang,
-		Lasting:      js.Steps[t.Step].Lasting,
-		Saves:        js.Steps[t.Step].Saves,
-		PerWorker:    js.Steps[t.Step].PerWorker,
-		Tenant:       js.Tenant,
-		LimitVersion: js.runtime[i].limitVersion,
-		Excess:       js.excess,
+		Gang:         job.Steps[t.Step].Gang,
+		Lasting:      job.Steps[t.Step].Lasting,
+		Saves:        job.Steps[t.Step].Saves,
+		PerWorker:    job.Steps[t.Step].PerWorker,
+		Tenant:       job.Tenant,
+		LimitVersion: job.runtime[i].limitVersion,
+		Excess:       job.excess,
 	}
 }
--- a/internal/daemon/product_test.go
+++ b/internal/daemon/product_test.go
@@ -36,7 +36,7 @@
 	}
 	status, _ = call(platform.Call{Op: "setup.put", Key: "4", Body: []byte(`{"queues":`)})
 	must.Eq(t, 400, status)
-	status, _ = call(platform.Call{Op: "queue.submit", Body: make([]byte, bodyMax+1)})
+	status, _ = call(platform.Call{Op: "queue.submit", Body: make([]byte, bodyMaxBytes+1)})
 	must.Eq(t, 400, status)
 	// The calls above are answered before the control thread's first tick, which
 	// is what readiness is told by.
@@ -74,23 +74,23 @@
 		for _, m := range n.core.Names() { // nothing is committed
 			w.cuts[[2]string{owner.Name, m}] = m != owner.Name
 		}
-		sl := n.owned[name]
-		js := &jobState{job: job{ID: id, Queue: "a"}}
+		shard := n.shards[name]
+		job := &liveJob{jobRecord: jobRecord{ID: id, Queue: "a"}}
 		put, get := &request{id: 900001, op: "job.put", key: id, queue: "a"}, &request{id: 900002, op: "job.state", key: id, queue: "a"}
-		js.waiters = []waiter{{version: 1, request: put, status: 201}, {version: 1, request: get, status: 200}}
-		sl.jobs[id] = js
+		job.waiters = []waiter{{version: 1, request: put, status: 201}, {version: 1, request: get, status: 200}}
+		shard.jobs[id] = job
 		look := &request{id: 900003, op: "job.put", key: "other", queue: "a"}
-		sl.fetches[77] = &fetchOp{id: "other", job: &job{ID: "other"}, requests: []*request{look}}
-		n.out = nil
+		shard.fetches[77] = &fetchOp{id: "other", job: &jobRecord{ID: "other"}, requests: []*request{look}}
+		n.effects = nil
 		n.endShard(name)
 		got := map[uint64]int{}
-		for _, e := range n.out {
+		for _, e := range n.effects {
 			if r, ok := e.(effReply); ok {
 				got[r.ID] = r.Status
 			}
 		}
 		must.Eq(t, map[uint64]int{900001: 504, 900002: 503, 900003: 503}, got)
-		must.MapNotContainsKey(t, n.owned, name)
+		must.MapNotContainsKey(t, n.shards, name)
 		return
 	}
 	t.Fatal("no owner was met")
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -61,7 +61,7 @@
 	}, 10_000},
 	"sent again to every daemon": {"hakata", func(t *testing.T, w *world) {
 		j := w.submit(w.oneTask("confirm", 300, 1, 10_000, 1))
-		for _, name := range sorted(w.nodes) {
+		for _, name := range sortedKeys(w.nodes) {
 			w.ask("caller", w.nodes[name], "job.put", j.id, j.body, 3000, func(status int, _ int64, _ []byte) {
 				must.SliceContains(t, []int{200, 201, 503}, status)
 			})
@@ -201,7 +201,7 @@
 			at := w.nowMs()
 			must.True(t, w.until(2000, func() bool { h := w.holderOf(duty); return h != nil && h != n }), must.Sprint("no successor for ", duty))
 			must.Less(t, lease.DurationMs, w.nowMs()-at, must.Sprint(duty, " waited for the lease"))
-			must.True(t, w.until(stopMs+500, func() bool { return !n.up }), must.Sprint("the daemon did not end"))
+			must.True(t, w.until(shutdownTimeoutMs+500, func() bool { return !n.up }), must.Sprint("the daemon did not end"))
 			n.start()
 			w.run(3000)
 		}
@@ -494,7 +494,7 @@
 func init() {
 	scenarios["a member that missed an end, after the end's keeping is over"] = scenario{"hakata", func(t *testing.T, w *world) {
 		for _, n := range w.nodesInOrder() {
-			n.KeepMs, n.sh.node.KeepMs = 20_000, 20_000
+			n.FinishedKeepMs, n.sh.node.FinishedKeepMs = 20_000, 20_000
 		}
 		j, owner, _ := w.ownerCut(t, func() historycheck.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
 		name := "slice/" + owner.sh.node.shardOf(j.id)
@@ -532,7 +532,7 @@
 			}
 			w.note(historycheck.Event{Kind: historycheck.JobSent, Job: id, Spec: &spec})
 			w.ask("early", owner, "job.put", id, body, 2000, func(int, int64, []byte) {})
-			for owner.sh.node.owned[name[6:]].jobs[id] == nil {
+			for owner.sh.node.shards[name[6:]].jobs[id] == nil {
 				w.step()
 			}
 			for c := range membership.DefaultSize { // its write is on its way, and reaches one member only
--- a/internal/daemon/setup_test.go
+++ b/internal/daemon/setup_test.go
@@ -101,7 +101,7 @@
 		must.True(t, w.until(5000, func() bool { return len(done) == 3 }))
 		must.Eq(t, map[string]int{"setup": 200, "empty": 200, "open": 200}, done)
 		w.run(1500)
-		for _, name := range sorted(w.nodes) {
+		for _, name := range sortedKeys(w.nodes) {
 			n := w.nodes[name].sh.node
 			must.Eq(t, map[string]bool{"mid": true}, n.config.current.EmptyZones, must.Sprint(name))
 			must.Eq(t, int64(3), n.config.current.Version)
--- a/internal/daemon/shard_write.go
+++ b/internal/daemon/shard_write.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	writeRetry = 600 // ms before unacknowledged record writes are sent again
+	writeRetryMs = 600 // ms before unacknowledged record writes are sent again
 	// commitHoldMs: while a batch is on its way to a quorum the next one gathers what
 	// changes, so that a busy owner sends few large ones; no longer than this, since the
 	// batch may be lost.
@@ -17,102 +17,103 @@
 	// job, at a busy owner. The worker keeps such an end listed meanwhile: it must stay
 	// well below the 100 ms within which ends should be noted.
 	deferredMs = 40
-	// busyBatches is how many batches in one tick make an owner busy.
-	busyBatches = 4
+	// busyWrites is how many batches in one tick make an owner busy.
+	busyWrites = 4
 )
 
 // writeBatch is what one event changed of a shard's records, on its way to the core.
 type writeBatch struct {
-	records []statestore.Record         // whole, for members that lack what patches build on
-	patches map[string]statestore.Patch // by job, of those records that have one
-	settled []string
-	acked   map[string]bool
-	done    bool
-	sentMs  int64
-	firstMs int64 // when it was first sent
+	records      []statestore.Record         // whole, for members that lack what patches build on
+	patches      map[string]statestore.Patch // by job, of those records that have one
+	confirmedIDs []string
+	acked        map[string]bool
+	done         bool
+	sentMs       int64
+	firstMs      int64 // when it was first sent
 }
 
-// gathers tells whether the next batch waits for the one before it.
-func (sl *shard) gathers(nowMs int64) bool {
-	b := sl.newestWrite
+// holdsNextWrite tells whether the next batch waits for the one before it.
+func (s *ownedShard) holdsNextWrite(nowMs int64) bool {
+	b := s.newestWrite
 	return b != nil && !b.done && nowMs-b.firstMs < commitHoldMs
 }
 
-// takeDue moves deferred changes whose time has come to the next batch.
-func (sl *shard) takeDue(nowMs int64) {
-	for id, dueMs := range sl.deferred {
+// flushDeferred moves deferred changes whose time has come to the next batch.
+func (s *ownedShard) flushDeferred(nowMs int64) {
+	for id, dueMs := range s.deferred {
 		if nowMs >= dueMs {
-			sl.dirty[id] = true
-			delete(sl.deferred, id)
+			s.dirty[id] = true
+			delete(s.deferred, id)
 		}
 	}
 }
 
 // flushWrites sends what changed as one batch to all of the core.
 func (n *node) flushWrites() {
-	for _, name := range sorted(n.owned) {
-		sl := n.owned[name]
-		if n.Policies.On(scheduler.GatherWrites) && sl.gathers(n.now) {
+	for _, name := range sortedKeys(n.shards) {
+		shard := n.shards[name]
+		if n.Policies.On(scheduler.GatherWrites) && shard.holdsNextWrite(n.now) {
 			continue
 		}
-		sl.takeDue(n.now)
-		whole := sl.serving && len(sl.loading) == 0 && sl.completeAt == 0
-		if len(sl.dirty) == 0 && !whole && (len(sl.confirmed) == 0 || n.now-sl.confirmedSentMs < writeRetry) {
+		shard.flushDeferred(n.now)
+		whole := shard.serving && len(shard.loading) == 0 && shard.completeSeq == 0
+		if len(shard.dirty) == 0 && !whole &&
+			(len(shard.unsentConfirmedIDs) == 0 || n.now-shard.confirmedSentMs < writeRetryMs) {
 			continue
 		}
 		b := &writeBatch{
 			acked: map[string]bool{}, patches: map[string]statestore.Patch{},
-			sentMs: n.now, firstMs: n.now, settled: sl.confirmed,
+			sentMs: n.now, firstMs: n.now, confirmedIDs: shard.unsentConfirmedIDs,
 		}
-		sl.confirmed, sl.confirmedSentMs = nil, n.now
-		for _, id := range sorted(sl.dirty) {
-			js := sl.jobs[id]
-			b.add(sl.epoch, js)
+		shard.unsentConfirmedIDs, shard.confirmedSentMs = nil, n.now
+		for _, id := range sortedKeys(shard.dirty) {
+			job := shard.jobs[id]
+			b.add(shard.epoch, job)
 		}
-		sl.dirty = map[string]bool{}
-		sl.writeSeq++
-		sl.writes[sl.writeSeq], sl.newestWrite = b, b
-		sl.batchesNow++
+		shard.dirty = map[string]bool{}
+		shard.writeSeq++
+		shard.writes[shard.writeSeq], shard.newestWrite = b, b
+		shard.writesThisTick++
 		if whole {
-			sl.completeAt = sl.writeSeq
+			shard.completeSeq = shard.writeSeq
 		}
-		n.sendBatch(sl, sl.writeSeq, b, false)
+		n.sendBatch(shard, shard.writeSeq, b, false)
 	}
 }
 
 // add puts a job's record into the batch as it stands, and a patch where the members are
 // expected to have the version before.
-func (b *writeBatch) add(epoch uint64, js *jobState) {
-	record := statestore.Record{ID: js.ID, Epoch: epoch, Version: js.Version, Live: js.DoneMs == 0, DoneMs: js.DoneMs}
-	value := js.encodeSegmented()
+func (b *writeBatch) add(epoch uint64, job *liveJob) {
+	record := statestore.Record{ID: job.ID, Epoch: epoch, Version: job.Version, Live: job.DoneMs == 0, DoneMs: job.DoneMs}
+	value := job.encodeSegmented()
 	record.Value = value.Value
 	b.records = append(b.records, record)
-	if splices, ok := statestore.Diff(js.sent, value); ok && record.Live && js.sentVersion != 0 {
-		b.patches[js.ID] = statestore.Patch{
-			ID: js.ID, Epoch: epoch, Base: js.sentVersion, Version: js.Version,
+	if splices, ok := statestore.Diff(job.sent, value); ok && record.Live && job.sentVersion != 0 {
+		b.patches[job.ID] = statestore.Patch{
+			ID: job.ID, Epoch: epoch, Base: job.sentVersion, Version: job.Version,
 			Splices: splices, Sum: statestore.Sum(value.Value),
 		}
 	}
-	js.sent, js.sentVersion = value, js.Version
+	job.sent, job.sentVersion = value, job.Version
 	if !record.Live { // nothing builds on it any more
-		js.sent = statestore.Segmented{}
+		job.sent = statestore.Segmented{}
 	}
 }
 
 // sendBatch sends a batch to all members that have not acknowledged it, with whole records
 // where it was sent before.
-func (n *node) sendBatch(sl *shard, seq uint64, b *writeBatch, whole bool) {
+func (n *node) sendBatch(shard *ownedShard, seq uint64, b *writeBatch, whole bool) {
 	for _, m := range n.core.Members {
 		if !b.acked[m.Name] {
-			n.sendBatchTo(m.Name, sl, seq, b, whole)
+			n.sendBatchTo(m.Name, shard, seq, b, whole)
 		}
 	}
 }
 
-func (n *node) sendBatchTo(member string, sl *shard, seq uint64, b *writeBatch, whole bool) {
+func (n *node) sendBatchTo(member string, shard *ownedShard, seq uint64, b *writeBatch, whole bool) {
 	m := &wire.WriteRequest{
-		SetVersion: n.core.Version, Shard: sl.name, Epoch: sl.epoch, Seq: seq,
-		Confirmed: b.settled, Complete: sl.completeAt != 0,
+		SetVersion: n.core.Version, Shard: shard.name, Epoch: shard.epoch, Seq: seq,
+		Confirmed: b.confirmedIDs, Complete: shard.completeSeq != 0,
 	}
 	for _, r := range b.records {
 		if patch, ok := b.patches[r.ID]; ok && !whole {
@@ -126,23 +127,23 @@
 }
 
 func (n *node) applyWriteResponse(from string, m *wire.WriteResponse) {
-	sl := n.owned[m.Shard]
-	if sl == nil || m.Epoch != sl.epoch {
+	shard := n.shards[m.Shard]
+	if shard == nil || m.Epoch != shard.epoch {
 		return
 	}
-	b := sl.writes[m.Seq]
+	b := shard.writes[m.Seq]
 	if !m.OK {
 		n.leases.Lose(lease.ShardRole(m.Shard), "epoch_passed")
 		return
 	}
 	if b == nil {
 		if !m.Lacking {
-			n.onCaughtUp(sl, from, m.Seq)
+			n.onCaughtUp(shard, from, m.Seq)
 		}
 		return
 	}
 	if m.Lacking {
-		n.sendBatchTo(from, sl, m.Seq, b, true)
+		n.sendBatchTo(from, shard, m.Seq, b, true)
 		return
 	}
 	b.acked[from] = true
@@ -151,46 +152,46 @@
 		n.count("commits")
 		acknowledged := endReplies{}
 		for _, r := range b.records {
-			delete(sl.loading, r.ID)
+			delete(shard.loading, r.ID)
 			if !r.Live {
-				sl.confirmed = append(sl.confirmed, r.ID)
+				shard.unsentConfirmedIDs = append(shard.unsentConfirmedIDs, r.ID)
 			}
-			if js := sl.jobs[r.ID]; js != nil {
-				ends := n.traceCommitted(js, r.Version)
-				js.committed = max(js.committed, r.Version)
-				acknowledged.add(sl, js, ends)
-				n.advanceJob(sl, js)
+			if job := shard.jobs[r.ID]; job != nil {
+				ends := n.traceCommitted(job, r.Version)
+				job.committed = max(job.committed, r.Version)
+				acknowledged.add(shard, job, ends)
+				n.advanceJob(shard, job)
 			}
 		}
 		n.sendEndReplies(acknowledged)
 	}
 	if len(b.acked) >= len(n.core.Members) {
-		delete(sl.writes, m.Seq)
+		delete(shard.writes, m.Seq)
 	}
 }
 
 // tickWrites repeats unacknowledged writes. What a majority holds and one
 // member lacks is remembered by name, so that a long-gone member costs little.
-func (n *node) tickWrites(sl *shard) {
-	for _, seq := range sorted(sl.writes) {
-		b := sl.writes[seq]
-		if n.now-b.sentMs < writeRetry {
+func (n *node) tickWrites(shard *ownedShard) {
+	for _, seq := range sortedKeys(shard.writes) {
+		b := shard.writes[seq]
+		if n.now-b.sentMs < writeRetryMs {
 			continue
 		}
 		b.sentMs = n.now
 		if !b.done {
-			n.sendBatch(sl, seq, b, true)
+			n.sendBatch(shard, seq, b, true)
 			continue
 		}
-		delete(sl.writes, seq)
+		delete(shard.writes, seq)
 		for _, m := range n.core.Members {
 			if b.acked[m.Name] {
 				continue
 			}
-			sl.recordMissed(m.Name, b.records)
+			shard.recordMissed(m.Name, b.records)
 		}
 	}
-	n.tickCatchUp(sl)
+	n.tickCatchUp(shard)
 }
 
 // endReplies are acknowledgements of ends that are at a quorum now, by worker. An agent hears
@@ -203,20 +204,20 @@
 }
 
 // add puts in what a job's record says now of ends that it has.
-func (r endReplies) add(sl *shard, js *jobState, ends []endedAttempt) {
+func (r endReplies) add(shard *ownedShard, job *liveJob, ends []endedAttempt) {
 	for _, e := range ends {
-		i, _, ok := js.position(e.status.Key.Task)
+		i, _, ok := job.position(e.status.Key.Task)
 		if !ok {
 			continue // the agent tells it again, and hears that its round is over
 		}
-		decision := js.decideFormer(&js.Tasks[i], e.status)
+		decision := job.decideSuperseded(&job.Tasks[i], e.status)
 		if decision == 0 {
 			continue
 		}
 		to, known := r[e.worker]
 		if !known || to.reply.Epoch != e.agentEpoch {
 			to = endReply{e.agent, &wire.OwnerReply{
-				Worker: e.worker, Epoch: e.agentEpoch, Shard: sl.name, ShardEpoch: sl.epoch, SentMs: e.sentMs,
+				Worker: e.worker, Epoch: e.agentEpoch, Shard: shard.name, ShardEpoch: shard.epoch, SentMs: e.sentMs,
 			}}
 			r[e.worker] = to
 		}
@@ -226,7 +227,7 @@
 }
 
 func (n *node) sendEndReplies(r endReplies) {
-	for _, worker := range sorted(r) {
+	for _, worker := range sortedKeys(r) {
 		n.send(r[worker].agent, r[worker].reply)
 	}
 }
