--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -48,9 +48,9 @@
 	succeeded     int64
 	failed        int64
 	lagPercent    int64
-	evidence      scheduler.Evidence             // whether it fails more than others
-	endCounts     map[string]scheduler.EndCounts // lately, by queue
-	failedJobs    map[string]int64               // when a job's task last failed here
+	evidence      scheduler.Evidence                 // whether it fails more than others
+	endCounts     map[string]scheduler.OutcomeCounts // lately, by queue
+	failedJobs    map[string]int64                   // when a job's task last failed here
 	nextDecayMs   int64
 
 	colocated        bool
@@ -208,7 +208,7 @@
 	agent.nextDecayMs = n.now + healthDecayMs
 	agent.succeeded, agent.failed = agent.succeeded*3/4, agent.failed*3/4
 	for queue, counts := range agent.endCounts {
-		if counts.Decay(); counts == (scheduler.EndCounts{}) {
+		if counts.Decay(); counts == (scheduler.OutcomeCounts{}) {
 			delete(agent.endCounts, queue)
 		} else {
 			agent.endCounts[queue] = counts
--- a/internal/daemon/agent_health.go
+++ b/internal/daemon/agent_health.go
@@ -23,7 +23,7 @@
 		return
 	}
 	if agent.endCounts == nil {
-		agent.endCounts, agent.failedJobs = map[string]scheduler.EndCounts{}, map[string]int64{}
+		agent.endCounts, agent.failedJobs = map[string]scheduler.OutcomeCounts{}, map[string]int64{}
 	}
 	counts := agent.endCounts[attempt.spec.Queue]
 	counts.Observe(failed)
@@ -75,13 +75,13 @@
 
 // failRates is how often each queue's tasks fail at workers that nobody suspects.
 func (c *centralScheduler) failRates() (rates []wire.QueueFailRate) {
-	sums := map[string]scheduler.EndCounts{}
+	sums := map[string]scheduler.OutcomeCounts{}
 	for _, w := range c.workers { // sums: the order does not matter
 		if w.Suspect {
 			continue
 		}
 		for _, e := range w.Ends {
-			sums[e.Queue] = sums[e.Queue].Plus(scheduler.EndCounts{Succeeded: e.Succeeded, Failed: e.Failed})
+			sums[e.Queue] = sums[e.Queue].Plus(scheduler.OutcomeCounts{Succeeded: e.Succeeded, Failed: e.Failed})
 		}
 	}
 	for _, queue := range sortedKeys(sums) {
@@ -106,5 +106,5 @@
 	if rate, known := r.failRates[queue]; known {
 		return rate
 	}
-	return scheduler.UnknownFailRate()
+	return scheduler.DefaultFailRate()
 }
--- a/internal/daemon/agent_sync.go
+++ b/internal/daemon/agent_sync.go
@@ -192,7 +192,7 @@
 		Rebuilt: agent.rebuilt, Fresh: n.now-agent.tokenMs <= workerReportMaxAgeMs, SilentMs: n.now - agent.lastContactMs,
 		Zone: agent.zone, Labels: agent.labels, Rack: agent.rack, Leaving: agent.leaving,
 		Free: agent.free, Capacity: agent.capacity, Spare: spare, Waiting: waiting,
-		Suspect: n.now < agent.suspectUntilMs, Doubtful: agent.evidence.Doubtful(),
+		Suspect: n.now < agent.suspectUntilMs, Doubtful: agent.evidence.Suspect(),
 		Probation: agent.suspectCount > 0 && n.now >= agent.suspectUntilMs, Colocated: agent.colocated,
 		RankMs: rank, QueuedMs: queuedMs, Queued: queued,
 		Succeeded: agent.succeeded, Failed: agent.failed, LagPercent: agent.lagPercent,
--- a/internal/daemon/allocate.go
+++ b/internal/daemon/allocate.go
@@ -56,7 +56,7 @@
 	pass := &allocationPass{
 		candidates: candidates,
 		reserved:   map[string]bool{},
-		idle:       n.Policies.On(scheduler.Backfill) && scheduler.MostlyIdle(candidates, busyPercent),
+		idle:       n.Policies.On(scheduler.Backfill) && scheduler.IdleInSomeDimension(candidates, busyPercent),
 	}
 	for _, k := range keys {
 		request := c.pending[k]
@@ -102,7 +102,7 @@
 			Precedence: n.precedence(request.Queue, request.Excess), SubmittedMs: request.SubmittedMs, Job: k.Job, Step: k.Step,
 		}
 	}
-	if n.limits.Any() && n.Policies.On(scheduler.WeightedFairness) {
+	if n.limits.HasTenants() && n.Policies.On(scheduler.WeightedFairness) {
 		n.addTenantShares(c, keys, requests)
 	}
 	ordered := make([]allocationKey, len(keys))
@@ -122,11 +122,11 @@
 			continue
 		}
 		candidates = append(candidates, &scheduler.Candidate{
-			Name:     name,
-			Rack:     w.Rack,
-			Capacity: w.Capacity,
-			Sure:     w.Capacity.Minus(w.guaranteed).Minus(granted[name]),
-			Free:     w.Capacity.Minus(w.busy).Minus(granted[name]),
+			Name:                name,
+			Rack:                w.Rack,
+			Capacity:            w.Capacity,
+			FreeAfterPreemption: w.Capacity.Minus(w.guaranteed).Minus(granted[name]),
+			Free:                w.Capacity.Minus(w.busy).Minus(granted[name]),
 		})
 	}
 	return candidates
@@ -150,7 +150,7 @@
 		if w.Suspect {
 			suspects++
 		}
-		if n.Policies.On(scheduler.ShunQuiet) && w.Colocated && isQuiet(n.now-w.receivedMs, w.SilentMs) {
+		if n.Policies.On(scheduler.AvoidSilent) && w.Colocated && isQuiet(n.now-w.receivedMs, w.SilentMs) {
 			continue
 		}
 		if w.unhealthyUntilMs <= n.now && !w.Suspect || !n.Policies.On(scheduler.EjectUnhealthy) {
@@ -169,15 +169,15 @@
 	reserved map[string]bool,
 ) *scheduler.Assignment {
 	search := &scheduler.Assignment{
-		Group: n.groupOf(request), Used: map[string]int32{}, Reserved: reserved,
-		Urgent: n.mayUseUrgentRoom(q, request.Excess), Kept: n.central.urgentShare.Percent(),
+		Group: n.groupOf(request), TaskCounts: map[string]int32{}, Reserved: reserved,
+		Urgent: n.mayUseUrgentRoom(q, request.Excess), HeadroomPercent: n.central.urgentShare.Percent(),
 		WaitsForRack: n.waitsForRack(request, n.rackWaitMs(request)),
 	}
 	for _, u := range request.Used {
-		search.Used[u.Worker] += u.Count
+		search.TaskCounts[u.Worker] += u.Count
 	}
 	for _, g := range request.granted {
-		search.Used[g.worker]++
+		search.TaskCounts[g.worker]++
 	}
 	return search
 }
@@ -185,14 +185,14 @@
 // groupOf is what the tasks of a request ask of workers.
 func (n *node) groupOf(request *pendingAllocation) scheduler.Group {
 	g := scheduler.Group{
-		Resources: request.Resources, Size: len(request.Tasks), PerWorker: request.PerWorker, Gang: request.Gang,
+		Resources: request.Resources, Size: len(request.Tasks), MaxPerWorker: request.PerWorker, Gang: request.Gang,
 		SameRack: request.SameRack,
 	}
 	if n.Policies.On(scheduler.NearData) {
-		g.Near = request.Near
+		g.DataRack = request.Near
 	}
 	if n.Policies.On(scheduler.AvoidLast) {
-		g.Avoid, g.Doubted = setOf(request.Avoid), setOf(request.Doubted)
+		g.Avoid, g.Suspect = setOf(request.Avoid), setOf(request.Doubted)
 	}
 	return g
 }
@@ -235,7 +235,9 @@
 	case waitedMs > reserveAfterMs:
 		likely = slices.Clone(fit)
 	}
-	slices.SortStableFunc(likely, func(a, b *scheduler.Candidate) int { return cmp.Compare(b.Sure.CPU, a.Sure.CPU) })
+	slices.SortStableFunc(likely, func(a, b *scheduler.Candidate) int {
+		return cmp.Compare(b.FreeAfterPreemption.CPU, a.FreeAfterPreemption.CPU)
+	})
 	need := int64(1)
 	if request.Gang {
 		need = int64(len(request.Tasks))
@@ -245,7 +247,7 @@
 			return
 		}
 		reserved[r.Name] = true
-		need -= scheduler.TimesIn(request.Resources, r.Capacity)
+		need -= scheduler.FitCount(request.Resources, r.Capacity)
 	}
 }
 
--- a/internal/daemon/allocation_request.go
+++ b/internal/daemon/allocation_request.go
@@ -38,7 +38,7 @@
 		EstimateMs:  n.estimateMs(job, t),
 		Excess:      job.excess,
 	}
-	if n.limits.Any() {
+	if n.limits.HasTenants() {
 		m.Tenant, m.TenantUsed = job.Tenant, shard.tenantUsed[job.Tenant]
 	}
 	if step.PerWorker > 0 {
--- a/internal/daemon/central.go
+++ b/internal/daemon/central.go
@@ -32,7 +32,7 @@
 	pending     map[allocationKey]*pendingAllocation
 	nextRoundMs int64
 	round       int64
-	urgentShare scheduler.UrgentShare
+	urgentShare scheduler.HeadroomEstimator
 
 	nextAllocationMs int64 // before this requests wait for the next pass
 }
@@ -270,7 +270,7 @@
 	n.updateHealth(c)
 	m := &wire.Ranks{
 		Epoch: c.epoch, Round: c.round, WaitsForRoom: n.allocationsWait(c), UrgentPercent: c.urgentShare.Percent(),
-		Idle: scheduler.IdleThroughout(n.candidateWorkers(c), busyPercent), FailRates: c.failRates(),
+		Idle: scheduler.IdleInAllDimensions(n.candidateWorkers(c), busyPercent), FailRates: c.failRates(),
 	}
 	n.rankWorkers(c, m)
 	// Ranks are for those that place tasks; agents need the rest.
--- a/internal/daemon/estimate.go
+++ b/internal/daemon/estimate.go
@@ -55,7 +55,7 @@
 	}
 	n.nextEstimatesMs = n.now + rankIntervalMs
 	m := &wire.Estimates{}
-	for _, name := range n.estimates.Unshared() {
+	for _, name := range n.estimates.TakeUnshared() {
 		mean, _ := n.estimates.Mean(name)
 		m.Means = append(m.Means, wire.Estimate{Key: name, MeanMs: mean})
 	}
@@ -71,6 +71,6 @@
 
 func (n *node) onEstimates(_ string, m *wire.Estimates) {
 	for _, v := range m.Means {
-		n.estimates.Adopt(v.Key, v.MeanMs, n.now, rankStaleMs)
+		n.estimates.MergeRemote(v.Key, v.MeanMs, n.now, rankStaleMs)
 	}
 }
--- a/internal/daemon/heartbeat.go
+++ b/internal/daemon/heartbeat.go
@@ -545,7 +545,7 @@
 // queuedSilenceMs is how long a worker may be silent before what waits for it, and never
 // started, goes back to its owner.
 func (n *node) queuedSilenceMs() int64 {
-	if n.Policies.On(scheduler.ShunQuiet) {
+	if n.Policies.On(scheduler.AvoidSilent) {
 		return quietMs
 	}
 	return ownerContactMs
--- a/internal/daemon/job_schedule.go
+++ b/internal/daemon/job_schedule.go
@@ -278,7 +278,7 @@
 	step := &job.Steps[t.Step]
 	guaranteed, reason := scheduler.IsGuaranteed(scheduler.TaskFacts{
 		Batch: n.batchRules(&job.jobRecord) != nil, Gang: step.Gang, Lasting: step.Lasting,
-		Preempts: int64(t.Preempts), EstimateMs: n.knownRunMs(job, t),
+		Preemptions: int64(t.Preempts), EstimateMs: n.knownRunMs(job, t),
 	}, n.ThresholdMs)
 	if guaranteed {
 		return wire.ClassGuaranteed, reason
--- a/internal/daemon/tenant_shares.go
+++ b/internal/daemon/tenant_shares.go
@@ -88,7 +88,7 @@
 // yields tells whether a task's step is to leave what was reserved for it to other tasks.
 func (s *tenantShares) yields(job *liveJob, i int, nowMs int64) bool {
 	b := s.borrowerFor(job.Tenant)
-	return b != nil && b.Yields(job.Tenant, shareKey(job, i), nowMs)
+	return b != nil && b.YieldReservation(job.Tenant, shareKey(job, i), nowMs)
 }
 
 func (s *tenantShares) unreserve(job *liveJob, i int, amount resource.Amount) {
@@ -136,7 +136,7 @@
 	for _, tenant := range n.limits.Adopt(n.config.current.Version, n.config.record.Previous(), limits) {
 		for _, name := range sortedKeys(n.shards) {
 			if b := n.shards[name].shares.borrowerFor(tenant); b != nil {
-				b.LimitLowered(tenant)
+				b.OnLimitLowered(tenant)
 			}
 		}
 	}
@@ -216,7 +216,7 @@
 	}
 	for _, at := range sortedKeys(pass.shareWaits) {
 		lack := pass.shareWaits[at]
-		if !n.limits.Of(job.Tenant).EverAdmits(job.allocationUnit(lack.task), job.Tasks[lack.task].Resources) {
+		if !n.limits.Of(job.Tenant).AdmitsAlone(job.allocationUnit(lack.task), job.Tasks[lack.task].Resources) {
 			continue // it waits for a higher limit, and leaves the few claims to others
 		}
 		b.Claim(job.Tenant, shareKey(job, lack.task), wire.ShareClaim{
@@ -228,7 +228,7 @@
 
 // flushShares sends the reports that are due to those who count.
 func (n *node) flushShares() {
-	if !n.limits.Any() {
+	if !n.limits.HasTenants() {
 		return
 	}
 	for _, name := range sortedKeys(n.shards) {
@@ -237,7 +237,7 @@
 			continue
 		}
 		for _, counter := range shard.shares.shardNames {
-			to, m := shard.shares.borrowers[counter].Report(n.now, n.config.current.Version)
+			to, m := shard.shares.borrowers[counter].NextReport(n.now, n.config.current.Version)
 			switch {
 			case m == nil:
 			case to == n.Name:
@@ -267,12 +267,12 @@
 
 // tickCounters finds who counts, and lends what has become free.
 func (n *node) tickCounters() {
-	if !n.limits.Any() {
+	if !n.limits.HasTenants() {
 		return
 	}
 	for _, name := range sortedKeys(n.shards) {
 		for _, counter := range n.shards[name].shares.shardNames {
-			n.shards[name].shares.borrowers[counter].CounterIs(n.leases.Holder(lease.ShardRole(counter)))
+			n.shards[name].shares.borrowers[counter].SetCounter(n.leases.Holder(lease.ShardRole(counter)))
 		}
 	}
 	for _, name := range sortedKeys(n.counters) {
@@ -286,7 +286,7 @@
 	if c == nil || !n.leases.Holds(lease.ShardRole(counter)) || !n.configFresh() {
 		return
 	}
-	for _, grant := range c.Lend(quota.Policy{Shards: n.core.Shards, Limits: &n.limits}) {
+	for _, grant := range c.Lend(quota.CounterConfig{Shards: n.core.Shards, Limits: &n.limits}) {
 		if grant.To == n.Name {
 			n.onShareGrant(n.Name, grant.Message)
 		} else {
@@ -317,7 +317,7 @@
 		return
 	}
 	for _, tenant := range grown {
-		b.Settle(tenant)
+		b.ClearClaims(tenant)
 	}
 	var waiting []*liveJob
 	for _, job := range shard.jobs {
--- a/internal/daemon/tenant_status.go
+++ b/internal/daemon/tenant_status.go
@@ -90,7 +90,7 @@
 		Held: n.heldTenants(shard),
 	}
 	if c := n.counters[shard.name]; c != nil {
-		out.Complete = c.Complete(n.core.Shards)
+		out.Complete = c.HasAllReports(n.core.Shards)
 	}
 	if over := len(out.Counted) - tenantsListedMax; over > 0 {
 		out.Counted, out.Omitted = out.Counted[:tenantsListedMax], out.Omitted+over
@@ -164,7 +164,7 @@
 // silentShards gives the shards that have not reported for a while to the counter of a shard.
 func (n *node) silentShards(shard *ownedShard) []string {
 	silent := []string{}
-	if !n.limits.Any() {
+	if !n.limits.HasTenants() {
 		return silent
 	}
 	for _, otherShard := range n.core.Shards {
--- a/internal/daemon/tenant_weight.go
+++ b/internal/daemon/tenant_weight.go
@@ -30,7 +30,7 @@
 
 // isExcess counts a new job, and tells whether it is beyond its tenant's weight.
 func (n *node) isExcess(shard *ownedShard, tenant string) bool {
-	return n.Policies.On(scheduler.TenantWeight) && shard.jobRates.IsExcess(tenant, n.shardWeight(tenant), n.now)
+	return n.Policies.On(scheduler.TenantWeight) && shard.jobRates.CountJob(tenant, n.shardWeight(tenant), n.now)
 }
 
 // precedence ranks the tasks of a queue, see scheduler.Precedence.
@@ -83,7 +83,7 @@
 		}
 		requests[i].Tenant = request.Tenant
 		requests[i].Share = scheduler.WeightedShare(used[request.Tenant], all, weight)
-		requests[i].Adds = scheduler.WeightedShare(adds, all, weight)
+		requests[i].AddedShare = scheduler.WeightedShare(adds, all, weight)
 	}
 }
 
--- a/internal/daemon/tenantshares_test.go
+++ b/internal/daemon/tenantshares_test.go
@@ -201,9 +201,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			n, shard := shareOwner(t)
 			b := shard.shares.borrowerFor("full")
-			b.CounterIs("d0", 1)
+			b.SetCounter("d0", 1)
 			b.Use("full", resource.Amount{CPU: 1})
-			_, report := b.Report(n.now, 1)
+			_, report := b.NextReport(n.now, 1)
 			b.OnGrant(&wire.ShareGrant{
 				Counter: "s", CounterEpoch: 1, Shard: "s", ShardEpoch: 1, Seq: report.Seq, ConfigVersion: 1,
 				Shares: []wire.TenantShare{{Tenant: "full", Amount: resource.Amount{CPU: 4}}},
@@ -260,7 +260,7 @@
 // Gangs that the whole limit is too low for don't keep the tenant's other tasks from claiming.
 func TestGangsBeyondTheLimitLeaveClaimsToOthers(t *testing.T) {
 	n, shard := shareOwner(t)
-	shard.shares.borrowerFor("full").CounterIs("d1", 1)
+	shard.shares.borrowerFor("full").SetCounter("d1", 1)
 	jobs := []*liveJob{}
 	for i := range 20 { // the limit is 4
 		jobs = append(jobs, jobOfTenant(t, shard, fmt.Sprintf("a%02d", i), "full", `{"name":"s","count":6,"room":1,"gang":true,"estimate_ms":9000}`, 6))
@@ -275,7 +275,7 @@
 		n.claimShares(shard, job, pass)
 	}
 	shard.shares.endClaims()
-	_, m := shard.shares.borrowerFor("full").Report(n.now, 1)
+	_, m := shard.shares.borrowerFor("full").NextReport(n.now, 1)
 	must.NotNil(t, m)
 	claimed := map[string]bool{}
 	for _, c := range m.Accounts[0].Claims {
--- a/internal/daemon/urgent_room.go
+++ b/internal/daemon/urgent_room.go
@@ -8,7 +8,7 @@
 )
 
 // Work of the most urgent queues is to start at once wherever it arrives. The coordinator
-// says which share of each worker others leave to it: see scheduler.UrgentShare. The central
+// says which share of each worker others leave to it: see scheduler.HeadroomEstimator. The central
 // scheduler keeps it from firm tasks, local schedulers and agents from queueable ones.
 
 // isUrgent tells whether a queue is one of the most urgent ones.
@@ -24,7 +24,7 @@
 	if stale || n.ranks.urgentPercent == (resource.Amount{}) || !n.Policies.On(scheduler.UrgentRoom) {
 		return resource.Amount{}
 	}
-	return scheduler.KeptRoom(capacity, urgentUsed, n.ranks.urgentPercent)
+	return scheduler.UrgentHeadroom(capacity, urgentUsed, n.ranks.urgentPercent)
 }
 
 // availableRoom is the room of a worker that a queueable task of a queue may take, as far as a
--- a/internal/daemon/urgent_room_test.go
+++ b/internal/daemon/urgent_room_test.go
@@ -127,10 +127,10 @@
 	}
 	n.observeUrgent(c)
 	must.Eq(t, 29, c.urgentShare.Percent().CPU) // a fifth is used; a quarter of that and a slack are added
-	r := &scheduler.Candidate{Name: "w1", Capacity: resource.Amount{CPU: 1000}, Sure: resource.Amount{CPU: 450}}
+	r := &scheduler.Candidate{Name: "w1", Capacity: resource.Amount{CPU: 1000}, FreeAfterPreemption: resource.Amount{CPU: 450}}
 	may := func(queue string, cpu int64) bool {
 		request := &pendingAllocation{AllocationRequest: wire.AllocationRequest{Queue: queue, Resources: resource.Amount{CPU: cpu}}}
-		return n.newAssignment(request, n.config.current.Queues[queue], nil).May(r)
+		return n.newAssignment(request, n.config.current.Queues[queue], nil).CanPlace(r)
 	}
 	must.True(t, may("slow", 160))
 	must.False(t, may("slow", 161))
--- a/internal/daemon/worker_choice.go
+++ b/internal/daemon/worker_choice.go
@@ -24,10 +24,10 @@
 	perWorker   int32
 	used        map[string]int32 // tasks of the step by worker
 	views       []*workerView
-	workers     []scheduler.Choosable // in the order of their names
-	pinned      bool                  // agents stand beside workers: they can tell what room is left
-	mostSuspect bool                  // most workers are: then it isn't the workers
-	loadChanges uint64                // of the shard, when this was gathered
+	workers     []scheduler.QueueCandidate // in the order of their names
+	pinned      bool                       // agents stand beside workers: they can tell what room is left
+	mostSuspect bool                       // most workers are: then it isn't the workers
+	loadChanges uint64                     // of the shard, when this was gathered
 }
 
 // selectWorker is the local scheduler: at random among the k allowed workers of lowest rank.
@@ -48,7 +48,7 @@
 	if t.LastFailedWorker != "" && n.Policies.On(scheduler.AvoidLast) {
 		workers = choice.avoidingFailures(t)
 	}
-	at, among := scheduler.Choose(workers, k, n.rand().IntN)
+	at, among := scheduler.ChooseWorker(workers, k, n.rand().IntN)
 	if at < 0 {
 		return "", 0
 	}
@@ -57,15 +57,15 @@
 
 // avoidingFailures gives the workers for a task that failed before: not where it last did, and for
 // its last attempt not where anything speaks against the worker.
-func (c *workerChoice) avoidingFailures(t *task) []scheduler.Choosable {
+func (c *workerChoice) avoidingFailures(t *task) []scheduler.QueueCandidate {
 	workers := slices.Clone(c.workers)
 	if at, found := c.find(t.LastFailedWorker); found {
-		workers[at].Shun |= scheduler.ShunLast
+		workers[at].Penalties |= scheduler.PenaltyLastFailed
 	}
 	if t.onLastAttempt() {
 		for at, w := range c.views {
 			if w.doubtful {
-				workers[at].Shun |= scheduler.ShunDoubtful
+				workers[at].Penalties |= scheduler.PenaltySuspect
 			}
 		}
 	}
@@ -88,7 +88,7 @@
 		w := n.workers[name]
 		if n.workerAllowed(w, q, t.Needs, t.Resources) && (step.PerWorker == 0 || c.used[name] < step.PerWorker) {
 			c.views = append(c.views, w)
-			c.workers = append(c.workers, scheduler.Choosable{Name: name})
+			c.workers = append(c.workers, scheduler.QueueCandidate{Name: name})
 			c.pinned = c.pinned || w.colocated
 			if w.suspect {
 				suspects++
@@ -107,29 +107,29 @@
 	worker, w := &c.workers[at], c.views[at]
 	worker.RankMs = n.ranks.rank(n, worker.Name)
 	worker.QueueFull = w.queued >= agentQueueMax/2
-	worker.Shun = n.shunOf(c, worker.Name, w)
+	worker.Penalties = n.shunOf(c, worker.Name, w)
 }
 
 // shunOf gives the reasons to place a task elsewhere that hold for all tasks of a step.
-func (n *node) shunOf(c *workerChoice, name string, w *workerView) (shun scheduler.Shun) {
+func (n *node) shunOf(c *workerChoice, name string, w *workerView) (shun scheduler.Penalty) {
 	on := n.Policies.On
 	if on(scheduler.EjectUnhealthy) && !c.mostSuspect && (n.ranks.ejected(name) || w.suspect) {
 		shun |= n.shunOfEjected()
 	}
-	if on(scheduler.ShunQuiet) && w.colocated && isQuiet(n.now-w.receivedMs, w.silentMs) {
-		shun |= scheduler.ShunSilent
+	if on(scheduler.AvoidSilent) && w.colocated && isQuiet(n.now-w.receivedMs, w.silentMs) {
+		shun |= scheduler.PenaltySilent
 	}
 	if c.pinned && !c.resources.Fits(n.availableRoom(c.shard, c.queue, c.job.excess, name, w)) {
-		shun |= scheduler.ShunKept
+		shun |= scheduler.PenaltyHeadroomOnly
 		if !c.resources.Fits(n.freeResources(c.shard, name, w).Plus(n.batchLoad(c.shard, "", name))) {
-			shun |= scheduler.ShunFull
+			shun |= scheduler.PenaltyFull
 		}
 	}
 	if on(scheduler.AvoidLast) && c.job.failedLatelyAt(name, n.now) {
-		shun |= scheduler.ShunJobFailed
+		shun |= scheduler.PenaltyJobFailed
 	}
 	if on(scheduler.NearData) && c.near != "" && w.rack != c.near {
-		shun |= scheduler.ShunFar
+		shun |= scheduler.PenaltyFarFromData
 	}
 	return shun
 }
@@ -137,11 +137,11 @@
 // shunOfEjected is how much is given to have a task elsewhere than at an ejected worker: it waits
 // for another one, but not while most of the fleet is free. Then all others that it may use are
 // full, and it must not stand still beside room.
-func (n *node) shunOfEjected() scheduler.Shun {
+func (n *node) shunOfEjected() scheduler.Penalty {
 	if n.fleetIdle() {
-		return scheduler.ShunDoubtful
+		return scheduler.PenaltySuspect
 	}
-	return scheduler.ShunUnhealthy
+	return scheduler.PenaltyUnhealthy
 }
 
 // isValidFor tells whether what was gathered holds for a task.
@@ -155,7 +155,7 @@
 	if worker == "" {
 		return 0, false
 	}
-	byName := func(w scheduler.Choosable, name string) int { return cmp.Compare(w.Name, name) }
+	byName := func(w scheduler.QueueCandidate, name string) int { return cmp.Compare(w.Name, name) }
 	return slices.BinarySearchFunc(c.workers, worker, byName)
 }
 
--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -90,7 +90,7 @@
 
 // SetCounter sets the daemon that runs the counter, and its epoch. It ignores earlier epochs:
 // what an earlier counter lends may already be lent by a later one.
-func (b *Borrower) CounterIs(name string, epoch uint64) {
+func (b *Borrower) SetCounter(name string, epoch uint64) {
 	if name == "" || epoch < b.counterEpoch || epoch == b.counterEpoch && name == b.counterDaemon {
 		return
 	}
@@ -163,7 +163,7 @@
 // YieldReservation reports whether the step of a reservation has to wait. It drops a reservation
 // that is old and has no starts while the tenant is near its limit, so that other tasks can use
 // the amount; the step then waits for yieldDurationMs.
-func (b *Borrower) Yields(tenant, key string, nowMs int64) bool {
+func (b *Borrower) YieldReservation(tenant, key string, nowMs int64) bool {
 	a := b.accounts[tenant]
 	if a == nil {
 		return false
@@ -263,7 +263,7 @@
 
 // OnLimitLowered gives up what is held for a tenant beyond its usage, since it was lent under a
 // higher limit. Grants in flight may be, too, so grants for earlier reports are rejected from now on.
-func (b *Borrower) LimitLowered(tenant string) {
+func (b *Borrower) OnLimitLowered(tenant string) {
 	a := b.account(tenant)
 	a.held, a.reserved, a.reusesReleased = a.used, map[string]reservation{}, false
 	b.seq++
@@ -272,7 +272,7 @@
 
 // NextReport returns the next report and the daemon to send it to; nil if none is due. After it, no
 // more than the amounts in the report is used until a grant answers it.
-func (b *Borrower) Report(nowMs, version int64) (counterDaemon string, m *wire.ShareReport) {
+func (b *Borrower) NextReport(nowMs, version int64) (counterDaemon string, m *wire.ShareReport) {
 	if b.counterDaemon == "" || nowMs-b.reportedMs < minReportIntervalMs {
 		return "", nil
 	}
@@ -390,7 +390,7 @@
 
 // ClearClaims clears the claims of a tenant after a grant. Steps that still lack resources claim
 // them again.
-func (b *Borrower) Settle(tenant string) {
+func (b *Borrower) ClearClaims(tenant string) {
 	for _, c := range b.account(tenant).claims {
 		c.Count = 0
 	}
@@ -438,7 +438,7 @@
 }
 
 // PendingUnits returns the number of a tenant's units that wait for a grant.
-func (b *Borrower) Waiting(tenant string) (count int) {
+func (b *Borrower) PendingUnits(tenant string) (count int) {
 	if a := b.accounts[tenant]; a != nil {
 		for _, c := range a.claims {
 			count += int(c.Count)
--- a/internal/quota/counter.go
+++ b/internal/quota/counter.go
@@ -25,7 +25,7 @@
 )
 
 // CounterConfig is the configuration that a counter applies.
-type Policy struct {
+type CounterConfig struct {
 	Shards []string // all shards that may borrow
 	Limits *Limits
 }
@@ -99,7 +99,7 @@
 }
 
 // HasAllReports reports whether every shard has reported. Until then nothing is lent.
-func (c *Counter) Complete(shards []string) bool {
+func (c *Counter) HasAllReports(shards []string) bool {
 	for _, shard := range shards {
 		if c.shards[shard] == nil {
 			return false
@@ -109,8 +109,8 @@
 }
 
 // Lend lends free parts of the limits to the shards that claim them, and returns the grants to send.
-func (c *Counter) Lend(p Policy) []Grant {
-	if !c.Complete(p.Shards) {
+func (c *Counter) Lend(p CounterConfig) []Grant {
+	if !c.HasAllReports(p.Shards) {
 		return nil
 	}
 	for _, tenant := range c.tenants() { // borrowers claim nothing for a tenant without a known limit
@@ -191,7 +191,7 @@
 			claim.Count--
 			c.shards[claim.shard].grantDue = true
 		}
-		if claim.Count == 0 || !limit.EverAdmits(claim.Unit, claim.Task) {
+		if claim.Count == 0 || !limit.AdmitsAlone(claim.Unit, claim.Task) {
 			continue // a unit that exceeds the whole limit doesn't delay others
 		}
 		takesTurns := limit.scaled(holdBackPercent).Admits(sum)
--- a/internal/quota/holdback_test.go
+++ b/internal/quota/holdback_test.go
@@ -11,7 +11,7 @@
 func TestTwoGangsDoNotStarveSingleTask(t *testing.T) {
 	for _, offsetMs := range []int64{0, 500, 1000, 1500, 2000, 2500} {
 		c := NewCounter("a", 1)
-		p := Policy{Shards: []string{"a", "b", "c"}, Limits: limitsOf(1, Limit{CPU: 100})}
+		p := CounterConfig{Shards: []string{"a", "b", "c"}, Limits: limitsOf(1, Limit{CPU: 100})}
 		c.OnReport("n1", report("a", 1, 1, 30)) // a long-running task
 		lentMs := int64(-1)
 		for ms, seq := int64(0), uint64(1); ms <= 6000 && lentMs < 0; ms, seq = ms+100, seq+1 {
--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -48,7 +48,7 @@
 func (l *Limits) Version() int64 { return l.version }
 
 // HasTenants reports whether any tenant is declared.
-func (l *Limits) Any() bool { return len(l.byTenant) > 0 }
+func (l *Limits) HasTenants() bool { return len(l.byTenant) > 0 }
 
 // Of returns the limit of a tenant; a tenant that no version has declared is unlimited.
 func (l *Limits) Of(tenant string) Limit { return l.byTenant[tenant] }
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -162,7 +162,7 @@
 	lowered := d.limits.Adopt(version, version-1, map[string]Limit{modelTenant: m.versions[version-1]})
 	for _, o := range m.allOwners() {
 		if o.daemon == d && len(lowered) > 0 {
-			o.borrower.LimitLowered(modelTenant)
+			o.borrower.OnLimitLowered(modelTenant)
 		}
 	}
 }
@@ -229,7 +229,7 @@
 		}
 	}
 	m.removeFinished()
-	o.borrower.CounterIs(m.currentCounter().daemon.name, m.currentCounter().epoch)
+	o.borrower.SetCounter(m.currentCounter().daemon.name, m.currentCounter().epoch)
 }
 
 // removeFinished removes runs that are lost or whose end is recorded.
@@ -324,7 +324,7 @@
 func (m *model) placeOrClaim(o *modelOwner, u *modelUnit) {
 	limit := o.daemon.limits.Of(modelTenant)
 	switch {
-	case o.borrower.Yields(modelTenant, u.key(), m.nowMs):
+	case o.borrower.YieldReservation(modelTenant, u.key(), m.nowMs):
 	case !o.borrower.FitsReserved(modelTenant, u.key(), u.amount(), u.task, limit, m.nowMs):
 		o.borrower.Claim(modelTenant, u.key(), wire.ShareClaim{
 			Job: u.key(), SubmittedMs: u.sinceMs, Unit: u.amount(), Task: u.task, Count: 1,
@@ -360,9 +360,9 @@
 	}
 	if m.rng.IntN(3) > 0 { // messages about earlier counters may arrive late
 		c := pick(m, append(slices.Clone(m.counters), m.currentCounter(), m.currentCounter()))
-		o.borrower.CounterIs(c.daemon.name, c.epoch)
+		o.borrower.SetCounter(c.daemon.name, c.epoch)
 	}
-	if _, report := o.borrower.Report(m.nowMs, o.daemon.limits.Version()); report != nil {
+	if _, report := o.borrower.NextReport(m.nowMs, o.daemon.limits.Version()); report != nil {
 		m.send(modelMessage{report: report})
 	}
 }
@@ -374,7 +374,7 @@
 
 // lend makes a counter lend, whether it is current or superseded.
 func (m *model) lend(c *modelCounterInstance) {
-	for _, g := range c.counter.Lend(Policy{Shards: modelShards, Limits: &c.daemon.limits}) {
+	for _, g := range c.counter.Lend(CounterConfig{Shards: modelShards, Limits: &c.daemon.limits}) {
 		m.send(modelMessage{grant: g.Message})
 	}
 }
@@ -394,7 +394,7 @@
 			continue
 		}
 		for _, tenant := range o.borrower.OnGrant(message.grant, m.nowMs, o.daemon.limits.Version()) {
-			o.borrower.Settle(tenant)
+			o.borrower.ClearClaims(tenant)
 			for _, u := range slices.Clone(m.waiting) {
 				if u.shard == o.shard {
 					m.placeOrClaim(o, u)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -54,7 +54,7 @@
 }
 
 // AdmitsAlone reports whether a unit may start if nothing else is held for its tenant.
-func (l Limit) EverAdmits(unit, task resource.Amount) bool {
+func (l Limit) AdmitsAlone(unit, task resource.Amount) bool {
 	return l.admitsUnit(resource.Amount{}, unit, task)
 }
 
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -20,8 +20,8 @@
 }
 
 // exchange delivers a report of a borrower and the grants in response.
-func exchange(c *Counter, b *Borrower, nowMs int64, p Policy) {
-	if _, m := b.Report(nowMs, p.Limits.Version()); m != nil {
+func exchange(c *Counter, b *Borrower, nowMs int64, p CounterConfig) {
+	if _, m := b.NextReport(nowMs, p.Limits.Version()); m != nil {
 		c.OnReport("owner-"+m.Shard, m)
 	}
 	for _, g := range c.Lend(p) {
@@ -32,10 +32,10 @@
 // Nothing is lent before each shard has reported what it holds.
 func TestNothingLentBeforeAllReports(t *testing.T) {
 	c := NewCounter("a", 1)
-	p := Policy{Shards: []string{"a", "b"}, Limits: limitsOf(1, Limit{CPU: 10})}
+	p := CounterConfig{Shards: []string{"a", "b"}, Limits: limitsOf(1, Limit{CPU: 10})}
 	a, b := NewBorrower("a", 1, "a"), NewBorrower("b", 1, "a")
-	a.CounterIs("n1", 1)
-	b.CounterIs("n1", 1)
+	a.SetCounter("n1", 1)
+	b.SetCounter("n1", 1)
 	b.Use("t", cpu(6)) // loaded from the records
 	a.Claim("t", "j", wire.ShareClaim{Job: "j", Unit: cpu(2), Task: cpu(2), Count: 5}, 0)
 	exchange(c, a, 100, p)
@@ -108,7 +108,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := NewCounter("a", 1)
-			p := Policy{Shards: []string{"a", "b", "c"}, Limits: limitsOf(1, tt.limit)}
+			p := CounterConfig{Shards: []string{"a", "b", "c"}, Limits: limitsOf(1, tt.limit)}
 			must.True(t, c.OnReport("n1", report("a", 1, 1, tt.heldByA)))
 			must.True(t, c.OnReport("n2", report("b", 1, 1, 0, tt.b)))
 			must.SliceEmpty(t, c.Lend(p))
@@ -134,7 +134,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := NewCounter("a", 1)
-			p := Policy{Shards: []string{"a", "b"}, Limits: limitsOf(1, Limit{CPU: 20})}
+			p := CounterConfig{Shards: []string{"a", "b"}, Limits: limitsOf(1, Limit{CPU: 20})}
 			c.OnReport("n2", report("b", 1, 1, tt.heldByB))
 			ahead := report("a", 1, 1, 0)
 			ahead.Accounts[0].Ahead = cpu(tt.ahead)
@@ -148,7 +148,7 @@
 // higher one. After adopting the newer configuration it still waits for the reports of all shards.
 func TestNothingLentToReportsByLaterVersion(t *testing.T) {
 	c, limits := NewCounter("a", 1), limitsOf(1, Limit{CPU: 20})
-	p := Policy{Shards: []string{"a", "b"}, Limits: limits}
+	p := CounterConfig{Shards: []string{"a", "b"}, Limits: limits}
 	c.OnReport("n1", report("a", 1, 1, 0, claimOf("1", 0, 0, 2, 2)))
 	c.OnReport("n2", report("b", 1, 2, 0, claimOf("2", 0, 0, 2, 9)))
 	c.Lend(p)
@@ -165,7 +165,7 @@
 // reported, so nothing is lent until all have.
 func TestNothingLentBeforeAllAdoptLimit(t *testing.T) {
 	c, limits := NewCounter("a", 1), limitsOf(1, Limit{})
-	p := Policy{Shards: []string{"a", "b"}, Limits: limits}
+	p := CounterConfig{Shards: []string{"a", "b"}, Limits: limits}
 	c.OnReport("n1", report("a", 1, 1, 0))
 	c.OnReport("n2", report("b", 1, 1, 0))
 	limits.Adopt(2, 1, map[string]Limit{"t": {CPU: 10}})
@@ -181,8 +181,8 @@
 // borrowerHolding returns a borrower that has reported and received a grant.
 func borrowerHolding(amount int64) *Borrower {
 	b := NewBorrower("b", 1, "a")
-	b.CounterIs("n1", 1)
-	_, m := b.Report(100, 1)
+	b.SetCounter("n1", 1)
+	_, m := b.NextReport(100, 1)
 	b.OnGrant(&wire.ShareGrant{
 		Counter: "a", CounterEpoch: 1, Shard: "b", ShardEpoch: 1, Seq: m.Seq, ConfigVersion: 1,
 		Shares: []wire.TenantShare{{Tenant: "t", Amount: cpu(amount)}},
@@ -241,18 +241,18 @@
 	renew := func(nowMs int64) { b.Reserve("t", "x", cpu(6), nowMs, nowMs+500) }
 	for now := int64(0); now <= 2*reservationYieldAfterMs; now += 400 {
 		renew(now)
-		must.False(t, b.Yields("t", "x", now)) // no other task lacks it
+		must.False(t, b.YieldReservation("t", "x", now)) // no other task lacks it
 	}
-	must.False(t, b.Yields("t", "y", 0))
-	must.False(t, b.Yields("u", "x", 0))
+	must.False(t, b.YieldReservation("t", "y", 0))
+	must.False(t, b.YieldReservation("u", "x", 0))
 	b.account("t").tight = true
-	must.True(t, b.Yields("t", "x", 2*reservationYieldAfterMs))
+	must.True(t, b.YieldReservation("t", "x", 2*reservationYieldAfterMs))
 	must.Eq(t, cpu(0), b.Reserved("t", "x", 2*reservationYieldAfterMs))
 	must.True(t, b.Fits("t", cpu(8), Limit{CPU: 10}, 2*reservationYieldAfterMs))
-	must.True(t, b.Yields("t", "x", 2*reservationYieldAfterMs+yieldDurationMs-1))
-	must.False(t, b.Yields("t", "x", 2*reservationYieldAfterMs+yieldDurationMs))
+	must.True(t, b.YieldReservation("t", "x", 2*reservationYieldAfterMs+yieldDurationMs-1))
+	must.False(t, b.YieldReservation("t", "x", 2*reservationYieldAfterMs+yieldDurationMs))
 	renew(2*reservationYieldAfterMs + yieldDurationMs)
-	must.False(t, b.Yields("t", "x", 2*reservationYieldAfterMs+yieldDurationMs))
+	must.False(t, b.YieldReservation("t", "x", 2*reservationYieldAfterMs+yieldDurationMs))
 	must.Eq(t, cpu(6), b.Reserved("t", "x", 2*reservationYieldAfterMs+yieldDurationMs))
 }
 
@@ -260,7 +260,7 @@
 // starts, but only the current usage if the tenant is near its limit.
 func TestNextReport(t *testing.T) {
 	b := NewBorrower("b", 1, "a")
-	_, m := b.Report(100, 1)
+	_, m := b.NextReport(100, 1)
 	must.Nil(t, m) // no counter is known yet
 	b = borrowerHolding(40)
 	b.Use("t", cpu(8))
@@ -268,7 +268,7 @@
 	at := int64(100)
 	next := func(afterMs int64) *wire.ShareReport {
 		at += afterMs
-		_, m := b.Report(at, 1)
+		_, m := b.NextReport(at, 1)
 		if m != nil { // answer it at once
 			b.OnGrant(&wire.ShareGrant{
 				Counter: "a", CounterEpoch: 1, Shard: "b", ShardEpoch: 1, Seq: m.Seq, ConfigVersion: 1,
@@ -300,8 +300,8 @@
 func TestReleaseBeforeFirstGrant(t *testing.T) {
 	b := NewBorrower("b", 2, "a")
 	b.Use("t", cpu(8)) // placed by a former owner
-	b.CounterIs("n1", 1)
-	_, m := b.Report(100, 1)
+	b.SetCounter("n1", 1)
+	_, m := b.NextReport(100, 1)
 	b.Release("t", cpu(2))
 	held, used := b.Held("t")
 	must.Eq(t, cpu(6), held)
@@ -330,24 +330,24 @@
 	b.BeginClaims()
 	claim(0, maxClaims+4)
 	b.EndClaims()
-	must.Eq(t, maxClaims, b.Waiting("t"))
+	must.Eq(t, maxClaims, b.PendingUnits("t"))
 	b.BeginClaims()
 	claim(maxClaims-1, maxClaims+4) // replaces claims that are not renewed yet
 	claim(0, 2)
 	b.EndClaims()
-	_, m := b.Report(200, 1)
+	_, m := b.NextReport(200, 1)
 	must.Len(t, 7, m.Accounts[0].Claims)
-	b.Settle("t")
-	must.Eq(t, 0, b.Waiting("t"))
+	b.ClearClaims("t")
+	must.Eq(t, 0, b.PendingUnits("t"))
 	b.BeginClaims()
 	b.EndClaims()
-	_, m = b.Report(300+idleReportIntervalMs, 1)
+	_, m = b.NextReport(300+idleReportIntervalMs, 1)
 	must.SliceEmpty(t, m.Accounts)
 }
 
 func TestLimitsAdopt(t *testing.T) {
 	l := &Limits{}
-	must.False(t, l.Any())
+	must.False(t, l.HasTenants())
 	must.Eq(t, []string{"low"}, l.Adopt(4, 3, map[string]Limit{"low": {CPU: 4}, "none": {}})) // version 3 was not seen
 	must.Eq(t, nil, l.Adopt(5, 4, map[string]Limit{"low": {CPU: 5}, "none": {}}))
 	must.Eq(t, []string{"none"}, l.Adopt(6, 5, map[string]Limit{"low": {CPU: 5, GPU: 0}, "none": {GPU: 1}}))
@@ -361,7 +361,7 @@
 	must.False(t, l.Outdated("other", 0))
 	must.Eq(t, nil, l.Adopt(17, 8, map[string]Limit{"low": {CPU: 9}})) // version numbers may have gaps: none is skipped
 	must.Eq(t, nil, l.Adopt(18, 17, nil))                              // nothing is limited any more
-	must.False(t, l.Any())
+	must.False(t, l.HasTenants())
 	must.False(t, l.Outdated("low", 0))
 }
 
@@ -369,9 +369,9 @@
 // got a usable grant, since each one answered a report that was no longer the newest.
 func TestReportWaitsForAnswer(t *testing.T) {
 	c := NewCounter("a", 1)
-	p := Policy{Shards: []string{"a"}, Limits: limitsOf(1, Limit{CPU: 10})}
+	p := CounterConfig{Shards: []string{"a"}, Limits: limitsOf(1, Limit{CPU: 10})}
 	b := NewBorrower("a", 1, "a")
-	b.CounterIs("n1", 1)
+	b.SetCounter("n1", 1)
 	b.Use("t", cpu(9))
 	const roundTripMs = 40 // for a report and its answer
 	type delayedGrant struct {
@@ -384,7 +384,7 @@
 		b.Release("t", cpu(1)) // one task ends and another starts, so a report is due each time
 		b.Use("t", cpu(1))
 		b.Claim("t", "j/0.0", wire.ShareClaim{Job: "j", Unit: cpu(1), Task: cpu(1), Count: 1}, now)
-		if _, m := b.Report(now, 1); m != nil {
+		if _, m := b.NextReport(now, 1); m != nil {
 			c.OnReport("n2", m)
 			for _, g := range c.Lend(p) {
 				inFlight = append(inFlight, delayedGrant{now + roundTripMs, g.Message})
@@ -413,15 +413,15 @@
 		{"by another counter", func(*Borrower) {}, func(m *wire.ShareGrant) { m.CounterEpoch = 1 }, false},
 		{"for a former owner", func(*Borrower) {}, func(m *wire.ShareGrant) { m.ShardEpoch = 1 }, false},
 		{"for an earlier report", func(*Borrower) {}, func(m *wire.ShareGrant) { m.Seq-- }, false},
-		{"before the limit was lowered", func(b *Borrower) { b.LimitLowered("t") }, func(*wire.ShareGrant) {}, false},
-		{"by a counter that was replaced", func(b *Borrower) { b.CounterIs("n2", 3) }, func(*wire.ShareGrant) {}, false},
-		{"after news of an earlier counter", func(b *Borrower) { b.CounterIs("n2", 1) }, func(*wire.ShareGrant) {}, true},
+		{"before the limit was lowered", func(b *Borrower) { b.OnLimitLowered("t") }, func(*wire.ShareGrant) {}, false},
+		{"by a counter that was replaced", func(b *Borrower) { b.SetCounter("n2", 3) }, func(*wire.ShareGrant) {}, false},
+		{"after news of an earlier counter", func(b *Borrower) { b.SetCounter("n2", 1) }, func(*wire.ShareGrant) {}, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b := NewBorrower("b", 2, "a")
-			b.CounterIs("n1", 2)
-			b.Report(100, 2)
-			_, m := b.Report(100+idleReportIntervalMs, 2)
+			b.SetCounter("n1", 2)
+			b.NextReport(100, 2)
+			_, m := b.NextReport(100+idleReportIntervalMs, 2)
 			grant := &wire.ShareGrant{
 				Counter: "a", CounterEpoch: 2, Shard: "b", ShardEpoch: 2, Seq: m.Seq, ConfigVersion: 2,
 				Shares: []wire.TenantShare{{Tenant: "t", Amount: cpu(4)}},
--- a/internal/quota/walk_test.go
+++ b/internal/quota/walk_test.go
@@ -55,9 +55,9 @@
 	c := m.currentCounter()
 	for _, shard := range modelShards {
 		o := m.owners[shard]
-		o.borrower.CounterIs(c.daemon.name, c.epoch)
+		o.borrower.SetCounter(c.daemon.name, c.epoch)
 		m.schedulePass(o)
-		if _, report := o.borrower.Report(m.nowMs, o.daemon.limits.Version()); report != nil {
+		if _, report := o.borrower.NextReport(m.nowMs, o.daemon.limits.Version()); report != nil {
 			m.deliver(modelMessage{report: report})
 		}
 	}
--- a/internal/scheduler/assignment.go
+++ b/internal/scheduler/assignment.go
@@ -28,16 +28,16 @@
 	Name     string
 	Rack     string
 	Capacity resource.Amount
-	// Sure is the capacity that no guaranteed task occupies. It includes the capacity of
+	// FreeAfterPreemption is the capacity that no guaranteed task occupies. It includes the capacity of
 	// queueable tasks, since they can be preempted.
-	Sure resource.Amount
+	FreeAfterPreemption resource.Amount
 	// Free is the unoccupied capacity.
 	Free resource.Amount
 }
 
 // reserve subtracts an amount from the free capacity; a negative amount returns it.
 func (c *Candidate) reserve(amount resource.Amount) {
-	c.Sure, c.Free = c.Sure.Minus(amount), c.Free.Minus(amount)
+	c.FreeAfterPreemption, c.Free = c.FreeAfterPreemption.Minus(amount), c.Free.Minus(amount)
 }
 
 // freePerMille returns the free share of a worker in thousandths, the lower of CPU and memory.
@@ -51,27 +51,27 @@
 
 // Group describes identical tasks and their requirements for workers.
 type Group struct {
-	Resources resource.Amount // of each task
-	Size      int             // total number of tasks, placed or not
-	PerWorker int32           // maximum on one worker; 0 for no limit
-	Gang      bool            // all tasks start together or none does
-	SameRack  bool            // the gang runs longer when spread over several racks
-	Near      string          // the rack that holds the data; "" for none
-	Avoid     map[string]bool // workers where tasks of the group just failed
-	Doubted   map[string]bool // workers with some evidence against them
+	Resources    resource.Amount // of each task
+	Size         int             // total number of tasks, placed or not
+	MaxPerWorker int32           // maximum on one worker; 0 for no limit
+	Gang         bool            // all tasks start together or none does
+	SameRack     bool            // the gang runs longer when spread over several racks
+	DataRack     string          // the rack that holds the data; "" for none
+	Avoid        map[string]bool // workers where tasks of the group just failed
+	Suspect      map[string]bool // workers with some evidence against them
 }
 
 // Assignment assigns workers to the tasks of a group.
 type Assignment struct {
 	Group Group
-	// Used is the number of tasks of the group on each worker. Find adds the assigned ones.
-	Used map[string]int32
+	// TaskCounts is the number of tasks of the group on each worker. Find adds the assigned ones.
+	TaskCounts map[string]int32
 	// Reserved lists workers that are reserved for other tasks.
 	Reserved map[string]bool
 	// Urgent marks tasks of the most urgent queues, which may use the headroom.
 	Urgent bool
-	// Kept is the headroom for urgent tasks on each worker, in percent by dimension.
-	Kept resource.Amount
+	// HeadroomPercent is the headroom for urgent tasks on each worker, in percent by dimension.
+	HeadroomPercent resource.Amount
 	// WaitsForRack makes a gang that requests a single rack wait if some rack could ever hold it.
 	WaitsForRack bool
 }
@@ -120,7 +120,7 @@
 	}
 	for _, c := range found {
 		c.reserve(resource.Amount{}.Minus(a.Group.Resources))
-		a.Used[c.Name]--
+		a.TaskCounts[c.Name]--
 	}
 	return nil
 }
@@ -131,7 +131,7 @@
 func (a *Assignment) fill(open int, candidates []*Candidate) (found []*Candidate) {
 	scores := make(scoreHeap, 0, len(candidates))
 	for i, c := range candidates {
-		if a.May(c) {
+		if a.CanPlace(c) {
 			scores = append(scores, scored{a.score(c), i})
 		}
 	}
@@ -139,9 +139,9 @@
 	for len(found) < open && len(scores) > 0 {
 		c := candidates[scores[0].index]
 		c.reserve(a.Group.Resources)
-		a.Used[c.Name]++
+		a.TaskCounts[c.Name]++
 		found = append(found, c)
-		if a.May(c) {
+		if a.CanPlace(c) {
 			scores[0].score = a.score(c)
 			heap.Fix(&scores, 0)
 		} else {
@@ -156,19 +156,19 @@
 // would not fit beside the headroom even on an empty worker.
 //
 // Example: if search.CanPlace(candidate) { … }
-func (a *Assignment) May(c *Candidate) bool {
-	if a.Reserved[c.Name] || a.Group.PerWorker > 0 && a.Used[c.Name] >= a.Group.PerWorker {
+func (a *Assignment) CanPlace(c *Candidate) bool {
+	if a.Reserved[c.Name] || a.Group.MaxPerWorker > 0 && a.TaskCounts[c.Name] >= a.Group.MaxPerWorker {
 		return false
 	}
-	if !a.Group.Resources.Fits(c.Sure) {
+	if !a.Group.Resources.Fits(c.FreeAfterPreemption) {
 		return false
 	}
 	if a.Urgent {
 		return true
 	}
-	headroom := KeptRoom(c.Capacity, resource.Amount{}, a.Kept)
+	headroom := UrgentHeadroom(c.Capacity, resource.Amount{}, a.HeadroomPercent)
 	needsHeadroom := !a.Group.Resources.Fits(c.Capacity.Minus(headroom))
-	return needsHeadroom || a.Group.Resources.Fits(c.Sure.Minus(headroom))
+	return needsHeadroom || a.Group.Resources.Fits(c.FreeAfterPreemption.Minus(headroom))
 }
 
 // score prefers workers where the task starts without preemption, then workers near its data,
@@ -181,7 +181,7 @@
 	if a.nearness(c.Rack) > 0 {
 		score += scoreNearData
 	}
-	if a.Group.Doubted[c.Name] {
+	if a.Group.Suspect[c.Name] {
 		score -= suspectPenalty
 	}
 	if a.Group.Avoid[c.Name] {
@@ -191,7 +191,7 @@
 }
 
 func (a *Assignment) nearness(rack string) int {
-	if a.Group.Near != "" && a.Group.Near == rack {
+	if a.Group.DataRack != "" && a.Group.DataRack == rack {
 		return 1
 	}
 	return 0
@@ -212,7 +212,7 @@
 		}
 		placeable := int64(0)
 		for _, c := range racks[name] {
-			placeable += g.tasksFitting(c.Sure)
+			placeable += g.tasksFitting(c.FreeAfterPreemption)
 		}
 		if placeable > mostPlaceable {
 			best, mostPlaceable = racks[name], placeable
@@ -232,9 +232,9 @@
 
 // tasksFitting returns how many tasks of a group fit into some capacity of one worker.
 func (g *Group) tasksFitting(capacity resource.Amount) int64 {
-	count := TimesIn(g.Resources, capacity)
-	if g.PerWorker > 0 {
-		count = min(count, int64(g.PerWorker))
+	count := FitCount(g.Resources, capacity)
+	if g.MaxPerWorker > 0 {
+		count = min(count, int64(g.MaxPerWorker))
 	}
 	return count
 }
@@ -245,7 +245,7 @@
 // FitCount returns how many times a unit fits into some capacity.
 //
 // Example: FitCount(resource.Amount{CPU: 2}, resource.Amount{CPU: 5}) is 2
-func TimesIn(unit, capacity resource.Amount) int64 {
+func FitCount(unit, capacity resource.Amount) int64 {
 	count, needed, available := int64(unlimitedFit), components(unit), components(capacity)
 	for i := range needed {
 		if needed[i] > 0 {
@@ -259,7 +259,7 @@
 // capacity is in use.
 //
 // Example: idle := scheduler.IdleInSomeDimension(candidates, 55)
-func MostlyIdle(candidates []*Candidate, busyPercent int64) bool {
+func IdleInSomeDimension(candidates []*Candidate, busyPercent int64) bool {
 	var free, all resource.Amount
 	for _, c := range candidates {
 		free, all = free.Plus(c.Free), all.Plus(c.Capacity)
@@ -272,7 +272,7 @@
 // capacity is in use. Then even capacity that is reserved for others may be used.
 //
 // Example: idle := scheduler.IdleInAllDimensions(candidates, 55)
-func IdleThroughout(candidates []*Candidate, busyPercent int64) bool {
+func IdleInAllDimensions(candidates []*Candidate, busyPercent int64) bool {
 	var free, all resource.Amount
 	for _, c := range candidates {
 		free, all = free.Plus(c.Free), all.Plus(c.Capacity)
--- a/internal/scheduler/assignment_test.go
+++ b/internal/scheduler/assignment_test.go
@@ -15,7 +15,7 @@
 	for i, cpu := range availableCPU {
 		available := resource.Amount{CPU: cpu}
 		candidates = append(candidates, &Candidate{
-			Name: fmt.Sprint("w", i), Rack: fmt.Sprint("r", i/3), Capacity: resource.Amount{CPU: 4000}, Sure: available, Free: available,
+			Name: fmt.Sprint("w", i), Rack: fmt.Sprint("r", i/3), Capacity: resource.Amount{CPU: 4000}, FreeAfterPreemption: available, Free: available,
 		})
 	}
 	return candidates
@@ -43,30 +43,30 @@
 			Assignment{Group: Group{Resources: cores(2), Size: 3}}, 3, candidatesByRack(2000, 1000, 2500), []string{"w2", "w0"},
 		},
 		"near its data": {
-			Assignment{Group: Group{Resources: cores(1), Size: 1, Near: "r1"}}, 1, candidatesByRack(4000, 4000, 4000, 1500), []string{"w3"},
+			Assignment{Group: Group{Resources: cores(1), Size: 1, DataRack: "r1"}}, 1, candidatesByRack(4000, 4000, 4000, 1500), []string{"w3"},
 		},
 		"a worker where it just failed last": {
 			Assignment{Group: Group{Resources: cores(2), Size: 2, Avoid: map[string]bool{"w0": true}}}, 2, candidatesByRack(4000, 2000), []string{"w1", "w0"},
 		},
 		"a suspect worker only if no other is free": {
-			Assignment{Group: Group{Resources: cores(2), Size: 2, Doubted: map[string]bool{"w0": true}}}, 2,
-			[]*Candidate{candidatesByRack(4000)[0], {Name: "w1", Capacity: cores(4), Sure: cores(4), Free: cores(2)}}, []string{"w1", "w0"},
+			Assignment{Group: Group{Resources: cores(2), Size: 2, Suspect: map[string]bool{"w0": true}}}, 2,
+			[]*Candidate{candidatesByRack(4000)[0], {Name: "w1", Capacity: cores(4), FreeAfterPreemption: cores(4), Free: cores(2)}}, []string{"w1", "w0"},
 		},
 		"a maximum per worker": {
-			Assignment{Group: Group{Resources: cores(1), Size: 3, PerWorker: 1}, Used: map[string]int32{"w2": 1}},
+			Assignment{Group: Group{Resources: cores(1), Size: 3, MaxPerWorker: 1}, TaskCounts: map[string]int32{"w2": 1}},
 			3, candidatesByRack(4000, 4000, 4000), []string{"w0", "w1"},
 		},
 		"not on reserved workers": {
 			Assignment{Group: Group{Resources: cores(1), Size: 1}, Reserved: map[string]bool{"w0": true}}, 1, candidatesByRack(4000, 1000), []string{"w1"},
 		},
 		"not in the headroom for urgent tasks": {
-			Assignment{Group: Group{Resources: cores(1), Size: 2}, Kept: resource.Amount{CPU: 25}}, 2, candidatesByRack(1500, 2000), []string{"w1"},
+			Assignment{Group: Group{Resources: cores(1), Size: 2}, HeadroomPercent: resource.Amount{CPU: 25}}, 2, candidatesByRack(1500, 2000), []string{"w1"},
 		},
 		"urgent tasks use the headroom": {
-			Assignment{Group: Group{Resources: cores(1), Size: 2}, Kept: resource.Amount{CPU: 25}, Urgent: true}, 2, candidatesByRack(1500, 1900), []string{"w1", "w0"},
+			Assignment{Group: Group{Resources: cores(1), Size: 2}, HeadroomPercent: resource.Amount{CPU: 25}, Urgent: true}, 2, candidatesByRack(1500, 1900), []string{"w1", "w0"},
 		},
 		"a task that does not fit beside the headroom uses it": {
-			Assignment{Group: Group{Resources: resource.Amount{CPU: 3500}, Size: 1}, Kept: resource.Amount{CPU: 25}}, 1, candidatesByRack(3500), []string{"w0"},
+			Assignment{Group: Group{Resources: resource.Amount{CPU: 3500}, Size: 1}, HeadroomPercent: resource.Amount{CPU: 25}}, 1, candidatesByRack(3500), []string{"w0"},
 		},
 		"a whole gang or nothing": {
 			Assignment{Group: Group{Resources: cores(2), Size: 3, Gang: true}}, 3, candidatesByRack(2000, 2000, 1000), nil,
@@ -88,8 +88,8 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if c.assignment.Used == nil {
-				c.assignment.Used = map[string]int32{}
+			if c.assignment.TaskCounts == nil {
+				c.assignment.TaskCounts = map[string]int32{}
 			}
 			before := totalAvailableCPU(c.candidates)
 			found := c.assignment.Find(c.open, c.candidates)
@@ -102,7 +102,7 @@
 
 func totalAvailableCPU(candidates []*Candidate) (cpu int64) {
 	for _, c := range candidates {
-		cpu += c.Sure.CPU
+		cpu += c.FreeAfterPreemption.CPU
 	}
 	return cpu
 }
@@ -112,7 +112,7 @@
 	for range open {
 		var best *Candidate
 		for _, c := range candidates {
-			if a.May(c) && (best == nil || a.score(c) > a.score(best)) {
+			if a.CanPlace(c) && (best == nil || a.score(c) > a.score(best)) {
 				best = c
 			}
 		}
@@ -120,7 +120,7 @@
 			break
 		}
 		best.reserve(a.Group.Resources)
-		a.Used[best.Name]++
+		a.TaskCounts[best.Name]++
 		found = append(found, best)
 	}
 	return found
@@ -132,9 +132,9 @@
 	for seed := range uint64(500) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		group := Group{
-			Resources: resource.Amount{CPU: 1 + random.Int64N(900), Memory: random.Int64N(300)},
-			PerWorker: int32(random.IntN(4)), Near: fmt.Sprint("r", random.IntN(6)), Avoid: map[string]bool{fmt.Sprint("w", random.IntN(30)): true},
-			Doubted: map[string]bool{fmt.Sprint("w", random.IntN(30)): true},
+			Resources:    resource.Amount{CPU: 1 + random.Int64N(900), Memory: random.Int64N(300)},
+			MaxPerWorker: int32(random.IntN(4)), DataRack: fmt.Sprint("r", random.IntN(6)), Avoid: map[string]bool{fmt.Sprint("w", random.IntN(30)): true},
+			Suspect: map[string]bool{fmt.Sprint("w", random.IntN(30)): true},
 		}
 		generate := func() []*Candidate {
 			random := rand.New(rand.NewPCG(seed, 2))
@@ -143,19 +143,19 @@
 				capacity := resource.Amount{CPU: 1000 + random.Int64N(3000), Memory: 1000}
 				available := resource.Amount{CPU: random.Int64N(capacity.CPU), Memory: random.Int64N(1000)}
 				free := resource.Amount{CPU: random.Int64N(available.CPU + 1), Memory: available.Memory}
-				out = append(out, &Candidate{Name: fmt.Sprint("w", i), Rack: fmt.Sprint("r", i/4), Capacity: capacity, Sure: available, Free: free})
+				out = append(out, &Candidate{Name: fmt.Sprint("w", i), Rack: fmt.Sprint("r", i/4), Capacity: capacity, FreeAfterPreemption: available, Free: free})
 			}
 			return out
 		}
 		headroom, reserved := resource.Amount{CPU: random.Int64N(30), Memory: random.Int64N(30)}, map[string]bool{"w3": true}
-		byHeap := Assignment{Group: group, Used: map[string]int32{}, Kept: headroom, Reserved: reserved}
-		byScan := Assignment{Group: group, Used: map[string]int32{}, Kept: headroom, Reserved: reserved}
+		byHeap := Assignment{Group: group, TaskCounts: map[string]int32{}, HeadroomPercent: headroom, Reserved: reserved}
+		byScan := Assignment{Group: group, TaskCounts: map[string]int32{}, HeadroomPercent: headroom, Reserved: reserved}
 		open := 1 + random.IntN(60)
 		first, second := generate(), generate()
 		must.Eq(t, namesOf(byScan.fillByScan(open, second)), namesOf(byHeap.fill(open, first)), must.Sprint("seed ", seed))
 		must.Eq(t, second, first)
 		for _, c := range first {
-			must.True(t, (resource.Amount{}).Fits(c.Sure), must.Sprint("seed ", seed))
+			must.True(t, (resource.Amount{}).Fits(c.FreeAfterPreemption), must.Sprint("seed ", seed))
 		}
 	}
 }
@@ -165,29 +165,29 @@
 	candidates := candidatesByRack(1000, 1000, 0, 3000, 0, 0)
 	must.Eq(t, []string{"w3", "w4", "w5"}, namesOf(group.LikeliestRack(candidates, nil)))
 	must.Eq(t, []string{"w0", "w1", "w2"}, namesOf(group.LikeliestRack(candidates, map[string]bool{"w3": true, "w4": true})))
-	group.PerWorker = 1 // no rack can hold six tasks
+	group.MaxPerWorker = 1 // no rack can hold six tasks
 	must.Nil(t, group.LikeliestRack(candidates, nil))
 }
 
 func TestIdleInSomeDimension(t *testing.T) {
-	must.True(t, MostlyIdle(candidatesByRack(4000, 4000, 0), 55))
-	must.False(t, MostlyIdle(candidatesByRack(4000, 1000, 0), 55))
+	must.True(t, IdleInSomeDimension(candidatesByRack(4000, 4000, 0), 55))
+	must.False(t, IdleInSomeDimension(candidatesByRack(4000, 1000, 0), 55))
 }
 
 func TestIdleInAllDimensions(t *testing.T) {
-	must.True(t, IdleThroughout(candidatesByRack(4000, 4000, 0), 55))
-	must.False(t, IdleThroughout(candidatesByRack(4000, 1000, 0), 55))
-	must.False(t, IdleThroughout(nil, 55))
+	must.True(t, IdleInAllDimensions(candidatesByRack(4000, 4000, 0), 55))
+	must.False(t, IdleInAllDimensions(candidatesByRack(4000, 1000, 0), 55))
+	must.False(t, IdleInAllDimensions(nil, 55))
 	worker := &Candidate{Capacity: resource.Amount{CPU: 100, Memory: 100}, Free: resource.Amount{CPU: 90, Memory: 20}}
-	must.True(t, MostlyIdle([]*Candidate{worker}, 55))
-	must.False(t, IdleThroughout([]*Candidate{worker}, 55), must.Sprint("its memory is in use"))
+	must.True(t, IdleInSomeDimension([]*Candidate{worker}, 55))
+	must.False(t, IdleInAllDimensions([]*Candidate{worker}, 55), must.Sprint("its memory is in use"))
 }
 
 func TestFitCount(t *testing.T) {
 	capacity := resource.Amount{CPU: 100, Memory: 10}
-	must.Eq(t, int64(3), TimesIn(resource.Amount{CPU: 30}, capacity))
-	must.Eq(t, int64(0), TimesIn(resource.Amount{CPU: 30, GPU: 1}, capacity))
-	must.Eq(t, int64(unlimitedFit), TimesIn(resource.Amount{}, capacity))
+	must.Eq(t, int64(3), FitCount(resource.Amount{CPU: 30}, capacity))
+	must.Eq(t, int64(0), FitCount(resource.Amount{CPU: 30, GPU: 1}, capacity))
+	must.Eq(t, int64(unlimitedFit), FitCount(resource.Amount{}, capacity))
 }
 
 func BenchmarkAssignment(b *testing.B) {
@@ -197,7 +197,7 @@
 		available[i] = random.Int64N(4000)
 	}
 	for b.Loop() {
-		a := Assignment{Group: Group{Resources: resource.Amount{CPU: 100}, Size: 300}, Used: map[string]int32{}}
+		a := Assignment{Group: Group{Resources: resource.Amount{CPU: 100}, Size: 300}, TaskCounts: map[string]int32{}}
 		a.Find(300, candidatesByRack(available...))
 	}
 }
--- a/internal/scheduler/choice.go
+++ b/internal/scheduler/choice.go
@@ -13,27 +13,27 @@
 	drawnDivisor = 4
 )
 
-// Shun is a set of penalties of a worker. The task goes to a worker with fewer penalties if
+// Penalties is a set of penalties of a worker. The task goes to a worker with fewer penalties if
 // there is one. A higher bit outweighs all lower bits together.
-type Shun uint8
+type Penalty uint8
 
 // The penalties, in ascending order of weight.
 const (
-	ShunFar       Shun = 1 << iota // not in the rack that holds the task's data
-	ShunJobFailed                  // other tasks of the job failed there recently
-	ShunDoubtful                   // some failures count against the worker, and the task is on its last attempt
-	ShunFull                       // the task would have to wait there, even if batch tasks were preempted
-	ShunKept                       // no free capacity outside the headroom that the task's queue must not use
-	ShunLast                       // the task last failed there
-	ShunSilent                     // no recent heartbeat
-	ShunUnhealthy                  // it fails or lags far more than others
+	PenaltyFarFromData  Penalty = 1 << iota // not in the rack that holds the task's data
+	PenaltyJobFailed                        // other tasks of the job failed there recently
+	PenaltySuspect                          // some failures count against the worker, and the task is on its last attempt
+	PenaltyFull                             // the task would have to wait there, even if batch tasks were preempted
+	PenaltyHeadroomOnly                     // no free capacity outside the headroom that the task's queue must not use
+	PenaltyLastFailed                       // the task last failed there
+	PenaltySilent                           // no recent heartbeat
+	PenaltyUnhealthy                        // it fails or lags far more than others
 )
 
-// Choosable is a candidate worker for a queueable task, as the local scheduler sees it.
-type Choosable struct {
-	Name   string
-	RankMs int64
-	Shun   Shun
+// QueueCandidate is a candidate worker for a queueable task, as the local scheduler sees it.
+type QueueCandidate struct {
+	Name      string
+	RankMs    int64
+	Penalties Penalty
 	// QueueFull means that the worker's queue holds as many tasks as a scheduler may send.
 	QueueFull bool
 }
@@ -45,7 +45,7 @@
 // equal ranks are ordered by name.
 //
 // Example: index, drawnAmong := scheduler.ChooseWorker(workers, 0, random.IntN)
-func Choose(workers []Choosable, k int, intN func(int) int) (index, drawnAmong int) {
+func ChooseWorker(workers []QueueCandidate, k int, intN func(int) int) (index, drawnAmong int) {
 	positions := leastPenalized(workers)
 	if len(positions) == 0 {
 		return -1, 0
@@ -63,13 +63,13 @@
 
 // leastPenalized returns the indices of the workers with the least penalty, without those whose
 // queue is full: it doesn't fall back to more penalized workers then, so that queues stay bounded.
-func leastPenalized(workers []Choosable) (positions []int) {
-	least := Shun(0)
+func leastPenalized(workers []QueueCandidate) (positions []int) {
+	least := Penalty(0)
 	for i, w := range workers {
 		switch {
-		case i == 0 || w.Shun < least:
-			least, positions = w.Shun, append(positions[:0], i)
-		case w.Shun == least:
+		case i == 0 || w.Penalties < least:
+			least, positions = w.Penalties, append(positions[:0], i)
+		case w.Penalties == least:
 			positions = append(positions, i)
 		}
 	}
--- a/internal/scheduler/class.go
+++ b/internal/scheduler/class.go
@@ -2,10 +2,10 @@
 
 // TaskFacts holds the properties of a task that determine its class.
 type TaskFacts struct {
-	Batch    bool
-	Gang     bool
-	Lasting  bool  // runs until it is cancelled
-	Preempts int64 // number of preemptions so far
+	Batch       bool
+	Gang        bool
+	Lasting     bool  // runs until it is cancelled
+	Preemptions int64 // number of preemptions so far
 	// EstimateMs is the expected run time; 0 if unknown.
 	EstimateMs int64
 }
@@ -28,7 +28,7 @@
 		return true, "a gang starts whole"
 	case t.Lasting:
 		return true, "it lasts until it is cancelled"
-	case t.Preempts >= maxPreemptions:
+	case t.Preemptions >= maxPreemptions:
 		return true, "it was preempted as often as a task may be"
 	case t.EstimateMs == 0:
 		return true, "nothing is known of how long it runs"
--- a/internal/scheduler/class_test.go
+++ b/internal/scheduler/class_test.go
@@ -17,8 +17,8 @@
 		"unknown run time":      {TaskFacts{}, 2500, true},
 		"gang":                  {TaskFacts{Gang: true, EstimateMs: 1}, 2500, true},
 		"lasting":               {TaskFacts{Lasting: true, EstimateMs: 1}, 2500, true},
-		"preempted once":        {TaskFacts{Preempts: 1, EstimateMs: 1}, 2500, false},
-		"preempted twice":       {TaskFacts{Preempts: 2, EstimateMs: 1}, 2500, true},
+		"preempted once":        {TaskFacts{Preemptions: 1, EstimateMs: 1}, 2500, false},
+		"preempted twice":       {TaskFacts{Preemptions: 2, EstimateMs: 1}, 2500, true},
 		"a batch, however long": {TaskFacts{Batch: true, Gang: true, EstimateMs: 9000}, 2500, false},
 		"all queueable with a negative threshold": {TaskFacts{Gang: true, EstimateMs: 9000}, -1, false},
 	} {
--- a/internal/scheduler/estimate.go
+++ b/internal/scheduler/estimate.go
@@ -46,7 +46,7 @@
 
 // MergeRemote takes over a mean from another daemon, unless this daemon learned a value within
 // the last freshMs: recent local values have priority.
-func (e *Estimates) Adopt(name string, mean float64, nowMs, freshMs int64) {
+func (e *Estimates) MergeRemote(name string, mean float64, nowMs, freshMs int64) {
 	if estimate := e.getOrCreate(name, mean); nowMs-estimate.learnedMs > freshMs {
 		estimate.Mean, estimate.shared = mean, true
 	}
@@ -54,7 +54,7 @@
 
 // TakeUnshared returns, in order, up to maxSharedPerRound names whose mean changed on this daemon
 // since it was last shared, and marks them as shared.
-func (e *Estimates) Unshared() (names []string) {
+func (e *Estimates) TakeUnshared() (names []string) {
 	for _, name := range slices.Sorted(maps.Keys(e.byName)) {
 		if estimate := e.byName[name]; !estimate.shared && len(names) < maxSharedPerRound {
 			estimate.shared = true
--- a/internal/scheduler/estimate_test.go
+++ b/internal/scheduler/estimate_test.go
@@ -24,15 +24,15 @@
 // A value from another daemon replaces a local one only after the local one is old enough.
 func TestEstimatesMergeRemote(t *testing.T) {
 	var e Estimates
-	e.Adopt("q/t", 50, 1000, 500)
+	e.MergeRemote("q/t", 50, 1000, 500)
 	mean, _ := e.Mean("q/t")
 	must.Eq(t, 50.0, mean)
 	e.Learn("q/t", 100, 2000)
 	learned, _ := e.Mean("q/t")
-	e.Adopt("q/t", 900, 2500, 500)
+	e.MergeRemote("q/t", 900, 2500, 500)
 	mean, _ = e.Mean("q/t")
 	must.Eq(t, learned, mean)
-	e.Adopt("q/t", 900, 2501, 500)
+	e.MergeRemote("q/t", 900, 2501, 500)
 	mean, _ = e.Mean("q/t")
 	must.Eq(t, 900.0, mean)
 }
@@ -40,15 +40,15 @@
 // Each change is shared once, in limited batches; values from other daemons are not shared again.
 func TestEstimatesTakeUnshared(t *testing.T) {
 	var e Estimates
-	e.Adopt("told", 1, 1000, 10)
+	e.MergeRemote("told", 1, 1000, 10)
 	for i := range maxSharedPerRound + 3 {
 		e.Learn(fmt.Sprintf("name-%04d", i), 1, 1)
 	}
-	must.Len(t, maxSharedPerRound, e.Unshared())
-	must.Len(t, 3, e.Unshared())
-	must.SliceEmpty(t, e.Unshared())
+	must.Len(t, maxSharedPerRound, e.TakeUnshared())
+	must.Len(t, 3, e.TakeUnshared())
+	must.SliceEmpty(t, e.TakeUnshared())
 	e.Learn("name-0000", 2, 2)
-	must.Eq(t, []string{"name-0000"}, e.Unshared())
+	must.Eq(t, []string{"name-0000"}, e.TakeUnshared())
 }
 
 func TestEstimatesAreBounded(t *testing.T) {
--- a/internal/scheduler/fairorder.go
+++ b/internal/scheduler/fairorder.go
@@ -13,7 +13,7 @@
 	Precedence  int64 // higher ones come first
 	Tenant      string
 	Share       float64 // current share of the tenant, see WeightedShare; equal in all its requests
-	Adds        float64 // increase of the share if the request is granted
+	AddedShare  float64 // increase of the share if the request is granted
 	SubmittedMs int64
 	Job         string
 	Step        int64
@@ -88,7 +88,7 @@
 		queue := tenants[0]
 		index := queue.pending[0]
 		order, queue.pending = append(order, index), queue.pending[1:]
-		queue.share += requests[index].Adds
+		queue.share += requests[index].AddedShare
 		shares[requests[index].Tenant] = queue.share
 		if len(queue.pending) == 0 {
 			heap.Pop(&tenants)
--- a/internal/scheduler/fairorder_test.go
+++ b/internal/scheduler/fairorder_test.go
@@ -30,7 +30,7 @@
 
 func TestFairOrder(t *testing.T) {
 	request := func(tenant string, share, adds float64, submittedMs int64) FairRequest {
-		return FairRequest{Tenant: tenant, Share: share, Adds: adds, SubmittedMs: submittedMs}
+		return FairRequest{Tenant: tenant, Share: share, AddedShare: adds, SubmittedMs: submittedMs}
 	}
 	for name, c := range map[string]struct {
 		requests []FairRequest
@@ -52,7 +52,7 @@
 			[]FairRequest{{Precedence: 1, Tenant: "a"}, {Precedence: 9, Tenant: "b", Share: 5}}, []int{1, 0},
 		},
 		"requests of a higher precedence add to the share": {
-			[]FairRequest{{Precedence: 9, Tenant: "a", Adds: 1}, {Precedence: 1, Tenant: "a"}, {Precedence: 1, Tenant: "b", Share: 0.5, SubmittedMs: 1}},
+			[]FairRequest{{Precedence: 9, Tenant: "a", AddedShare: 1}, {Precedence: 1, Tenant: "a"}, {Precedence: 1, Tenant: "b", Share: 0.5, SubmittedMs: 1}},
 			[]int{0, 2, 1},
 		},
 	} {
@@ -68,7 +68,7 @@
 		var requests []FairRequest
 		for i := range rng.IntN(60) {
 			requests = append(requests, FairRequest{
-				Precedence: rng.Int64N(2), Tenant: fmt.Sprint("t", rng.IntN(4)), Adds: float64(rng.IntN(3)), SubmittedMs: rng.Int64N(50), Step: int64(i),
+				Precedence: rng.Int64N(2), Tenant: fmt.Sprint("t", rng.IntN(4)), AddedShare: float64(rng.IntN(3)), SubmittedMs: rng.Int64N(50), Step: int64(i),
 			})
 		}
 		seen, last := map[int]bool{}, map[string]int64{}
@@ -88,10 +88,10 @@
 func TestFairOrderBusyTenantDelaysOthersByOneTurnEach(t *testing.T) {
 	var requests []FairRequest
 	for i := range 1000 {
-		requests = append(requests, FairRequest{Tenant: "hot", Adds: 0.1, SubmittedMs: int64(i)})
+		requests = append(requests, FairRequest{Tenant: "hot", AddedShare: 0.1, SubmittedMs: int64(i)})
 	}
 	for i := range 10 {
-		requests = append(requests, FairRequest{Tenant: "calm", Adds: 0.1, SubmittedMs: 5000 + int64(i)})
+		requests = append(requests, FairRequest{Tenant: "calm", AddedShare: 0.1, SubmittedMs: 5000 + int64(i)})
 	}
 	calm := 0
 	for _, at := range FairOrder(requests)[:20] {
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -47,20 +47,20 @@
 
 // Suspect reports whether some failures count against the worker, so that the last attempt of a
 // task should use another one.
-func (e *Evidence) Doubtful() bool { return e.score > 0 }
+func (e *Evidence) Suspect() bool { return e.score > 0 }
 
 // StartProbation resets the score for a worker that gets work again. The score is higher than that
 // of a new worker, so that further failures eject it sooner.
 func (e *Evidence) StartProbation() { e.score = conclusiveScore * probationFraction }
 
 // OutcomeCounts counts task outcomes in hundredths, so that the weight of old ones can decay.
-type EndCounts struct{ Succeeded, Failed int64 }
+type OutcomeCounts struct{ Succeeded, Failed int64 }
 
 // outcomeWeight is the weight of a new outcome.
 const outcomeWeight = 100
 
 // Observe counts one outcome.
-func (c *EndCounts) Observe(failed bool) {
+func (c *OutcomeCounts) Observe(failed bool) {
 	if failed {
 		c.Failed += outcomeWeight
 	} else {
@@ -69,16 +69,16 @@
 }
 
 // Decay reduces the weight of past outcomes by a quarter.
-func (c *EndCounts) Decay() { c.Succeeded, c.Failed = c.Succeeded*3/4, c.Failed*3/4 }
+func (c *OutcomeCounts) Decay() { c.Succeeded, c.Failed = c.Succeeded*3/4, c.Failed*3/4 }
 
 // Plus returns the sum of two counts.
-func (c EndCounts) Plus(o EndCounts) EndCounts {
-	return EndCounts{c.Succeeded + o.Succeeded, c.Failed + o.Failed}
+func (c OutcomeCounts) Plus(o OutcomeCounts) OutcomeCounts {
+	return OutcomeCounts{c.Succeeded + o.Succeeded, c.Failed + o.Failed}
 }
 
 // FailRate returns the share of failures, from 0 to 1. It is smoothed by a prior of ten outcomes
 // at the default rate, since a few outcomes alone say little.
-func (c EndCounts) FailRate() float64 {
+func (c OutcomeCounts) FailRate() float64 {
 	const priorOutcomes = 10 * outcomeWeight
 	return (float64(c.Failed) + priorOutcomes*defaultFailRate) / (float64(c.Succeeded+c.Failed) + priorOutcomes)
 }
@@ -86,7 +86,7 @@
 // DefaultFailRate returns the failure rate to assume for a queue without reported outcomes.
 //
 // Example: evidence.Observe(failed, scheduler.DefaultFailRate())
-func UnknownFailRate() float64 { return defaultFailRate }
+func DefaultFailRate() float64 { return defaultFailRate }
 
 const (
 	// slowMinRuns is the number of successful runs before a worker can count as slow.
--- a/internal/scheduler/health_test.go
+++ b/internal/scheduler/health_test.go
@@ -32,12 +32,12 @@
 		t.Run(name, func(t *testing.T) { must.Eq(t, c.conclusive, c.evidence.Conclusive()) })
 	}
 	e := evidenceOf(0.05, true)
-	must.True(t, e.Doubtful())
+	must.True(t, e.Suspect())
 	e.Observe(false, 0.05)
 	for range 4 {
 		e.Observe(false, 0.05)
 	}
-	must.False(t, e.Doubtful())
+	must.False(t, e.Suspect())
 	e.StartProbation()
 	must.False(t, e.Conclusive())
 	e.Observe(true, 0.05)
@@ -73,8 +73,8 @@
 }
 
 func TestFailRate(t *testing.T) {
-	var c EndCounts
-	must.Eq(t, UnknownFailRate(), c.FailRate())
+	var c OutcomeCounts
+	must.Eq(t, DefaultFailRate(), c.FailRate())
 	for range 90 {
 		c.Observe(false)
 	}
@@ -85,8 +85,8 @@
 	must.Between(t, 0.5, c.FailRate(), 0.53)
 	half := c
 	half.Decay()
-	must.Eq(t, EndCounts{Succeeded: c.Succeeded * 3 / 4, Failed: c.Failed * 3 / 4}, half)
-	must.Eq(t, EndCounts{Succeeded: 2 * c.Succeeded, Failed: 2 * c.Failed}, c.Plus(c))
+	must.Eq(t, OutcomeCounts{Succeeded: c.Succeeded * 3 / 4, Failed: c.Failed * 3 / 4}, half)
+	must.Eq(t, OutcomeCounts{Succeeded: 2 * c.Succeeded, Failed: 2 * c.Failed}, c.Plus(c))
 }
 
 func TestSlowWorkers(t *testing.T) {
--- a/internal/scheduler/policy.go
+++ b/internal/scheduler/policy.go
@@ -30,8 +30,8 @@
 	AvoidLast Policy = "avoid_last"
 	// EjectUnhealthy gives no new work to workers that fail or lag far more than others.
 	EjectUnhealthy Policy = "eject_unhealthy"
-	// ShunQuiet prefers workers with a recent heartbeat for new work.
-	ShunQuiet Policy = "shun_quiet"
+	// AvoidSilent prefers workers with a recent heartbeat for new work.
+	AvoidSilent Policy = "shun_quiet"
 	// LearnedEstimates corrects callers' run time estimates by the outcome of earlier ones.
 	LearnedEstimates Policy = "learned_estimates"
 	// Recall takes back tasks that are queued at a worker while another has free capacity.
@@ -70,7 +70,7 @@
 
 // optional lists the policies that can be disabled.
 var optional = []Policy{
-	UrgentRoom, RetryAtOnce, NearData, RackWait, AvoidLast, EjectUnhealthy, ShunQuiet, LearnedEstimates, Recall,
+	UrgentRoom, RetryAtOnce, NearData, RackWait, AvoidLast, EjectUnhealthy, AvoidSilent, LearnedEstimates, Recall,
 	Promotion, Reservation, Backfill, StrongRoles, GatherWrites, ForwardRetry, RankedChoice, DelayTarget,
 	TenantWeight, WeightedFairness,
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -34,9 +34,9 @@
 // dimension.
 func TestHeadroomEstimator(t *testing.T) {
 	all := resource.Amount{CPU: 100_000, Memory: 400_000}
-	s := &UrgentShare{}
+	s := &HeadroomEstimator{}
 	s.Observe(resource.Amount{CPU: 1}, resource.Amount{}) // no workers yet
-	must.Eq(t, resource.Amount{CPU: UrgentPercent, Memory: UrgentPercent, GPU: UrgentPercent}, s.Percent())
+	must.Eq(t, resource.Amount{CPU: DefaultHeadroomPercent, Memory: DefaultHeadroomPercent, GPU: DefaultHeadroomPercent}, s.Percent())
 	observe := func(times int, used resource.Amount) {
 		for range times {
 			s.Observe(used, all)
@@ -58,7 +58,7 @@
 
 func TestUrgentHeadroom(t *testing.T) {
 	capacity, quarter := resource.Amount{CPU: 64_000, Memory: 1000}, resource.Amount{CPU: 25, Memory: 25, GPU: 25}
-	must.Eq(t, resource.Amount{CPU: 16_000, Memory: 250}, KeptRoom(capacity, resource.Amount{}, quarter))
-	must.Eq(t, resource.Amount{CPU: 6000}, KeptRoom(capacity, resource.Amount{CPU: 10_000, Memory: 300}, quarter))
-	must.Eq(t, resource.Amount{}, KeptRoom(capacity, capacity, quarter))
+	must.Eq(t, resource.Amount{CPU: 16_000, Memory: 250}, UrgentHeadroom(capacity, resource.Amount{}, quarter))
+	must.Eq(t, resource.Amount{CPU: 6000}, UrgentHeadroom(capacity, resource.Amount{CPU: 10_000, Memory: 300}, quarter))
+	must.Eq(t, resource.Amount{}, UrgentHeadroom(capacity, capacity, quarter))
 }
--- a/internal/scheduler/tenantweight.go
+++ b/internal/scheduler/tenantweight.go
@@ -25,7 +25,7 @@
 // the job exceeds that rate. Such a job takes no token. With a rate of 0 no job is in excess.
 //
 // Example: excess := rates.CountJob("kaje80", weight/shards, nowMs)
-func (r *JobRates) IsExcess(tenant string, perSecond float64, nowMs int64) bool {
+func (r *JobRates) CountJob(tenant string, perSecond float64, nowMs int64) bool {
 	if perSecond <= 0 {
 		return false
 	}
--- a/internal/scheduler/tenantweight_test.go
+++ b/internal/scheduler/tenantweight_test.go
@@ -13,7 +13,7 @@
 		if atMs >= fromMs+forMs {
 			return excess
 		}
-		if r.IsExcess(tenant, weight, atMs) {
+		if r.CountJob(tenant, weight, atMs) {
 			excess++
 		}
 	}
@@ -41,7 +41,7 @@
 	var r JobRates
 	atOnce := func(nowMs int64) (excess int) {
 		for range 40 {
-			if r.IsExcess("a", 6, nowMs) {
+			if r.CountJob("a", 6, nowMs) {
 				excess++
 			}
 		}
--- a/internal/scheduler/urgentroom.go
+++ b/internal/scheduler/urgentroom.go
@@ -3,9 +3,9 @@
 import "otterchute/internal/resource"
 
 const (
-	// UrgentPercent is the headroom on each worker for the most urgent queues before
+	// DefaultHeadroomPercent is the headroom on each worker for the most urgent queues before
 	// their usage has been observed.
-	UrgentPercent = 12
+	DefaultHeadroomPercent = 12
 	// The bounds of the headroom: an inactive queue can still start a few tasks at once, and one
 	// that floods the fleet leaves most of it to others.
 	minHeadroomPercent = 6
@@ -23,7 +23,7 @@
 // HeadroomEstimator tracks the share of the total capacity that the most urgent queues use, and
 // derives the headroom to keep for them on each worker, by dimension. The zero value returns
 // DefaultHeadroomPercent.
-type UrgentShare struct {
+type HeadroomEstimator struct {
 	used     [dimensionCount]float64 // moving average, in percent of the total capacity
 	observed bool
 }
@@ -37,7 +37,7 @@
 
 // Observe adds the capacity that tasks of urgent queues use or wait for, and the total capacity.
 // It must be called ten times a second.
-func (s *UrgentShare) Observe(used, all resource.Amount) {
+func (s *HeadroomEstimator) Observe(used, all resource.Amount) {
 	usedParts, allParts := components(used), components(all)
 	for i := range s.used {
 		if allParts[i] <= 0 {
@@ -56,9 +56,9 @@
 }
 
 // Percent returns the headroom to keep on each worker, in percent by dimension.
-func (s *UrgentShare) Percent() resource.Amount {
+func (s *HeadroomEstimator) Percent() resource.Amount {
 	if !s.observed {
-		return resource.Amount{CPU: UrgentPercent, Memory: UrgentPercent, GPU: UrgentPercent}
+		return resource.Amount{CPU: DefaultHeadroomPercent, Memory: DefaultHeadroomPercent, GPU: DefaultHeadroomPercent}
 	}
 	percent := func(i int) int64 {
 		return min(
@@ -73,7 +73,7 @@
 // the given percentage of each dimension, less what the urgent ones already use there.
 //
 // Example: free = free.Minus(scheduler.UrgentHeadroom(capacity, urgentUsed, percent))
-func KeptRoom(capacity, urgentUsed, percent resource.Amount) resource.Amount {
+func UrgentHeadroom(capacity, urgentUsed, percent resource.Amount) resource.Amount {
 	unusedShare := func(all, used, share int64) int64 { return max(all*share/100-used, 0) }
 	return resource.Amount{
 		CPU:    unusedShare(capacity.CPU, urgentUsed.CPU, percent.CPU),
