--- a/guards.sh
+++ b/guards.sh
@@ -26,7 +26,7 @@
 placement is durable first|internal/daemon/job_schedule.go|if t.ChangedVersion <= job.committed && rt.sentMs == 0|if rt.sentMs == 0
 end is durable before it is acknowledged|internal/daemon/reconcile.go|if t.ChangedVersion > j.committed {\n\t\treturn 0\n\t}\n\tif !t.counted|if !t.counted
 steps in order|internal/daemon/job_schedule.go|return pass.ready[job.stepIndex(t)] && |return 
-a median of all clocks|internal/daemon/core_member.go|return n.granter.FleetTime(n.now, n.peers.AliveCount())|return n.wall
+a median of all clocks|internal/daemon/core_member.go|return n.granter.ClusterTime(n.now, n.peers.AliveCount())|return n.wall
 due time|internal/daemon/job_schedule.go|due != 0 && pass.wall < due+dueMarginMs|due != 0 && false
 group at the agent|internal/daemon/agent_dispatch.go|if q == nil \|\| lack \|\| !q.Matches(agent.labels, agent.zone) \|\||if q == nil \|\| false && lack \|\|
 allowed failures|internal/daemon/attempt_result.go|case t.Failures >= t.maxFailures() && !step.Lasting:|case t.Failures > t.maxFailures() && !step.Lasting:
@@ -69,7 +69,7 @@
 what is kept stands at a majority|internal/register/proposer.go|if !o.split {|if true {
 an answer leaves after its write is synced|internal/daemon/registers.go|n.persist([]statestore.Entry{entry}, n.sendEffect(to, answer))|n.persist([]statestore.Entry{entry})\n\tn.send(to, answer)
 an order is known again|internal/configuration/history.go|found = o == id|found = false
-an order that was forgotten is not refused|internal/daemon/config_change.go|if !cur.Accepted.Covers(o.changeID) {|if false {
+an order that was forgotten is not refused|internal/daemon/config_change.go|if !cur.AcceptedChanges.Covers(o.changeID) {|if false {
 orders have the base in their identity|internal/configuration/history.go|id := ChangeID{Version: base + int64(rise), Base: base}|id := ChangeID{Version: base + int64(rise)}
 a refusal is written back|internal/register/proposer.go|\t\to.atEnd = Refused\n|\t\to.outcome = Refused\n\t\treturn nil\n
 a leaving member waits for its successor|internal/daemon/roles.go|if n.leavingSinceMs == 0 \|\| n.members.AwaitsSuccessor() {|if n.leavingSinceMs == 0 {
--- a/internal/cluster/directory.go
+++ b/internal/cluster/directory.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	// AliveMs is how long a peer's heartbeat may stand still before it counts as dead.
-	AliveMs = 4000
-	// ColocatedAliveMs is the same for daemons beside workers, whose heartbeats come with each
+	// AliveTimeoutMs is how long a peer's heartbeat may stand still before it counts as dead.
+	AliveTimeoutMs = 4000
+	// ColocatedAliveTimeoutMs is the same for daemons beside workers, whose heartbeats come with each
 	// fullRounds-th round alone: they hold no role that anybody waits to take over.
-	ColocatedAliveMs = 15_000
-	// RoundMs is the pace of gossip.
-	RoundMs = 500
+	ColocatedAliveTimeoutMs = 15_000
+	// GossipIntervalMs is the pace of gossip.
+	GossipIntervalMs = 500
 	// colocatedRoundMs is the pace of daemons beside workers, which gossip with others alone.
 	colocatedRoundMs = 2000
 	// fullRounds: once in so many rounds a digest holds the daemons beside workers too.
@@ -66,8 +66,8 @@
 // Peer is another daemon as it is known here.
 type Peer struct {
 	wire.Peer
-	HeardMs int64 // when its heartbeat last moved, by our steady clock
-	hash    uint64
+	LastHeartbeatMs int64 // when its heartbeat last moved, by our steady clock
+	hash            uint64
 }
 
 // Directory is one daemon's table of the others.
@@ -108,7 +108,7 @@
 
 // Record takes what is said of a peer as heard at a time, whatever was known before.
 func (d *Directory) Record(p wire.Peer, heardMs int64) {
-	d.peers[p.Name] = &Peer{Peer: p, HeardMs: heardMs}
+	d.peers[p.Name] = &Peer{Peer: p, LastHeartbeatMs: heardMs}
 	d.index(d.peers[p.Name])
 }
 
@@ -118,16 +118,16 @@
 		return true
 	}
 	p := d.peers[name]
-	return p != nil && d.host.NowMs()-p.HeardMs < d.aliveMs(p)
+	return p != nil && d.host.NowMs()-p.LastHeartbeatMs < d.aliveMs(p)
 }
 
 // aliveMs is how long a peer's heartbeat may stand still here. What a daemon beside a worker
 // hears of others is older, and so is what others hear of it.
 func (d *Directory) aliveMs(p *Peer) int64 {
 	if p.Colocated || d.host.Self().Colocated {
-		return ColocatedAliveMs
+		return ColocatedAliveTimeoutMs
 	}
-	return AliveMs
+	return AliveTimeoutMs
 }
 
 // AliveCount is how many daemons are alive, the own one too.
@@ -159,7 +159,7 @@
 	if p == nil {
 		return 0, false
 	}
-	return d.host.NowMs() - p.HeardMs, true
+	return d.host.NowMs() - p.LastHeartbeatMs, true
 }
 
 // Describe returns what is known of a daemon, the own one too; the zero Peer for one
@@ -220,9 +220,9 @@
 	oldest := ""
 	for _, name := range d.Names() {
 		switch p := d.peers[name]; {
-		case d.host.NowMs()-p.HeardMs > keepMs:
+		case d.host.NowMs()-p.LastHeartbeatMs > keepMs:
 			delete(d.peers, name)
-		case oldest == "" || p.HeardMs < d.peers[oldest].HeardMs:
+		case oldest == "" || p.LastHeartbeatMs < d.peers[oldest].LastHeartbeatMs:
 			oldest = name
 		}
 	}
--- a/internal/cluster/directory_test.go
+++ b/internal/cluster/directory_test.go
@@ -88,12 +88,12 @@
 	must.True(t, d.Alive("b"))
 	must.False(t, d.Alive("c"))
 	must.Eq(t, []string{"a", "b"}, d.AliveNames())
-	h.nowMs += AliveMs
+	h.nowMs += AliveTimeoutMs
 	d.merge(wire.Peer{Name: "b", Incarnation: 2, Heartbeat: 5}) // it stands still
 	must.False(t, d.Alive("b"))
 	ms, known := d.SilentMs("b")
 	must.True(t, known)
-	must.Eq(t, int64(AliveMs), ms)
+	must.Eq(t, int64(AliveTimeoutMs), ms)
 	must.Eq(t, "y", d.Zone("b"))
 	d.merge(wire.Peer{Name: "b", Incarnation: 1, Heartbeat: 9, Zone: "x"}) // an earlier process
 	must.Eq(t, "y", d.Zone("b"))
@@ -122,7 +122,7 @@
 	must.True(t, d.Tick())
 	must.Eq(t, []string{"seed:1", "seed:2"}, h.to)
 	must.False(t, d.Tick())
-	h.nowMs += RoundMs
+	h.nowMs += GossipIntervalMs
 	must.True(t, d.Tick())
 	d.GossipSoon()
 	must.True(t, d.Tick())
@@ -161,7 +161,7 @@
 	}
 	entries := map[int]int{}
 	for range 4 * fullRounds {
-		h.nowMs += RoundMs
+		h.nowMs += GossipIntervalMs
 		d.Tick()
 		for i, m := range h.sent {
 			if digest, ok := m.(*wire.Digest); ok {
@@ -171,7 +171,7 @@
 		}
 		h.take()
 		for _, p := range d.peers { // all live on
-			p.HeardMs = h.nowMs
+			p.LastHeartbeatMs = h.nowMs
 		}
 	}
 	must.Eq(t, map[int]int{6: 3 * 4 * Fanout, 206: 4 * Fanout}, entries)
@@ -185,13 +185,13 @@
 	for i := range 6 {
 		s.merge(wire.Peer{Name: fmt.Sprint("edge", i), Incarnation: 1, Heartbeat: 1})
 	}
-	side.nowMs += RoundMs
+	side.nowMs += GossipIntervalMs
 	must.True(t, s.Tick())
 	must.Len(t, colocatedFanout, side.sent)
 	digest := side.take()[0].(*wire.Digest)
 	must.True(t, digest.Partial)
 	must.Len(t, 6, digest.Heartbeats)
-	side.nowMs += RoundMs
+	side.nowMs += GossipIntervalMs
 	must.False(t, s.Tick()) // its rounds are further apart
 	d.OnDigest("side000", digest)
 	reply := h.take()[0].(*wire.DigestReply)
@@ -206,11 +206,11 @@
 	d.merge(wire.Peer{Name: "side", Incarnation: 1, Colocated: true})
 	d.merge(wire.Peer{Name: "edge", Incarnation: 1})
 	must.Eq(t, 3, d.AliveCount())
-	h.nowMs += AliveMs
+	h.nowMs += AliveTimeoutMs
 	must.Eq(t, []string{"a", "side"}, d.AliveNames())
 	h.self.Colocated = true
 	must.Eq(t, 3, d.AliveCount())
-	h.nowMs += ColocatedAliveMs
+	h.nowMs += ColocatedAliveTimeoutMs
 	must.Eq(t, 1, d.AliveCount())
 }
 
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -8,7 +8,7 @@
 	if now < d.nextMs {
 		return false
 	}
-	d.nextMs = now + RoundMs
+	d.nextMs = now + GossipIntervalMs
 	switch {
 	case d.host.Forming():
 		d.nextMs = now + firstRoundMs
@@ -168,7 +168,7 @@
 		return
 	}
 	if p := d.peers[name]; h.Heartbeat > int32(p.Heartbeat) {
-		p.Heartbeat, p.HeardMs = uint64(h.Heartbeat), d.host.NowMs()
+		p.Heartbeat, p.LastHeartbeatMs = uint64(h.Heartbeat), d.host.NowMs()
 	}
 }
 
--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -40,8 +40,8 @@
 	maxLimitMs  = 30 * 24 * msPerHour
 )
 
-// Fields is the table that a document is checked by.
-var Fields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
+// DocumentSchema is the table that a document is checked by.
+var DocumentSchema = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"note":        {Kind: schema.Text, Max: 1000},
 	"queues":      {Kind: schema.List, Required: true, Max: 20_000, Elem: &queueField},
 	"contracts":   {Kind: schema.List, Max: 100, Elem: &contractFields},
@@ -53,13 +53,13 @@
 // Configuration is a compiled document. It is shared by many goroutines and never
 // written to.
 type Configuration struct {
-	Version    int64
-	Queues     map[string]*Queue
-	EmptyZones map[string]bool // by the document, and emptied beside it
-	Contracts  map[string]*Contract
-	Lowest     int64 // urgency, of the queues that take no batches
-	Highest    int64
-	Tenants    map[string]*Tenant // by name; nil where the document declares none
+	Version        int64
+	Queues         map[string]*Queue
+	EmptyZones     map[string]bool // by the document, and emptied beside it
+	Contracts      map[string]*Contract
+	LowestUrgency  int64 // urgency, of the queues that take no batches
+	HighestUrgency int64
+	Tenants        map[string]*Tenant // by name; nil where the document declares none
 
 	digest  [sha256.Size]byte // of the document, where an operator sent it
 	emptied []string          // of EmptyZones, what the document itself says
@@ -103,9 +103,9 @@
 	return "", "", false
 }
 
-// WithEmptied returns the configuration with the zones that were emptied beside
+// WithEmptiedZones returns the configuration with the zones that were emptied beside
 // the document.
-func (c *Configuration) WithEmptied(zones []string) *Configuration {
+func (c *Configuration) WithEmptiedZones(zones []string) *Configuration {
 	next := *c
 	next.EmptyZones = map[string]bool{}
 	for _, zone := range append(slices.Clone(c.emptied), zones...) {
@@ -134,12 +134,12 @@
 	if len(doc) > MaxBytes {
 		return nil, []schema.Fault{{Path: "", Reason: "is larger than 16 MiB"}}
 	}
-	if faults := schema.Check(doc, Fields); len(faults) > 0 {
+	if faults := schema.Check(doc, DocumentSchema); len(faults) > 0 {
 		return nil, faults
 	}
 	root := gjson.ParseBytes(doc)
 	c := compiler{config: &Configuration{Version: version, Queues: map[string]*Queue{}, EmptyZones: map[string]bool{},
-		Lowest: 1 << 40, hosts: map[string]*hostPrefixes{}, Contracts: map[string]*Contract{}}}
+		LowestUrgency: 1 << 40, hosts: map[string]*hostPrefixes{}, Contracts: map[string]*Contract{}}}
 	for i, contract := range root.Get("contracts").Array() {
 		c.addContract("contracts."+strconv.Itoa(i), contract)
 	}
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -38,7 +38,7 @@
 	must.Eq(t, int64(20*msPerHour), c.Queues["refresh"].Batch.FinishByMs)
 	must.Eq(t, "night", c.Queues["refresh"].Batch.Contract.Name)
 	must.Less(t, c.Urgency("gone"), c.Urgency("refresh")) // below even a queue that is no more
-	must.Eq(t, int64(90), c.Lowest)
+	must.Eq(t, int64(90), c.LowestUrgency)
 	must.Nil(t, c.Queues["confirm"].Batch)
 	with := func(hours string) string {
 		return `{"name":"night","utc_offset_minutes":0,"price":1,"hours":[` + hours + `]}`
@@ -83,14 +83,14 @@
 	c := mustContract(t, nightContract)
 	must.Eq(t, 0.04, c.Cheapest)
 	must.Eq(t, "Mon 2027-01-04 22:00 +02:00", time.UnixMilli(at(0, 22)).In(c.Location()).Format("Mon 2006-01-02 15:04 -07:00"))
-	must.Eq(t, []PriceWindow{{at(0, 8), at(0, 22), 0.12}, {at(0, 22), at(1, 6), 0.04}, {at(1, 6), at(1, 8), 0.08}}, c.Windows(at(0, 12), at(1, 7)))
+	must.Eq(t, []PriceWindow{{at(0, 8), at(0, 22), 0.12}, {at(0, 22), at(1, 6), 0.04}, {at(1, 6), at(1, 8), 0.08}}, c.PriceWindows(at(0, 12), at(1, 7)))
 	// over the week's end, where Sunday's night goes on to Monday's morning
-	must.Eq(t, []PriceWindow{{at(6, 22), at(7, 6), 0.04}, {at(7, 6), at(7, 8), 0.08}}, c.Windows(at(6, 23), at(7, 7)))
-	must.Eq(t, []PriceWindow{{at(6, 22), at(7, 6), 0.04}}, c.Windows(at(7, 3), at(7, 3)))
-	must.Eq(t, []PriceWindow{{at(5, 6), at(5, 22), 0.12}}, c.Windows(at(5, 7), at(5, 9))) // no early hours on a Saturday
+	must.Eq(t, []PriceWindow{{at(6, 22), at(7, 6), 0.04}, {at(7, 6), at(7, 8), 0.08}}, c.PriceWindows(at(6, 23), at(7, 7)))
+	must.Eq(t, []PriceWindow{{at(6, 22), at(7, 6), 0.04}}, c.PriceWindows(at(7, 3), at(7, 3)))
+	must.Eq(t, []PriceWindow{{at(5, 6), at(5, 22), 0.12}}, c.PriceWindows(at(5, 7), at(5, 9))) // no early hours on a Saturday
 	flat := mustContract(t, `{"name":"flat","utc_offset_minutes":-300,"price":3}`)
-	must.Len(t, 1, flat.Windows(at(0, 0), at(30, 0)))
-	must.LessEq(t, 6*3*(MaxFinishHours/24+14), len(c.Windows(at(0, 8), at(7000, 8))))
+	must.Len(t, 1, flat.PriceWindows(at(0, 0), at(30, 0)))
+	must.LessEq(t, 6*3*(MaxFinishHours/24+14), len(c.PriceWindows(at(0, 8), at(7000, 8))))
 }
 
 func TestExplainContracts(t *testing.T) {
@@ -197,7 +197,7 @@
 }
 
 func TestMatches(t *testing.T) {
-	q := Queue{Selector: []Choice{{"site", []string{"east", "mid"}}, {"tier", []string{"fast"}}}}
+	q := Queue{Selector: []LabelRequirement{{"site", []string{"east", "mid"}}, {"tier", []string{"fast"}}}}
 	for _, c := range []struct {
 		labels  []wire.Label
 		zone    string
@@ -219,28 +219,28 @@
 func TestWithEmptied(t *testing.T) {
 	c, faults := Compile(1, []byte(`{"queues":[],"empty_sites":["east"]}`))
 	must.SliceEmpty(t, faults)
-	must.Eq(t, map[string]bool{"east": true, "mid": true}, c.WithEmptied([]string{"mid"}).EmptyZones)
-	must.Eq(t, map[string]bool{"east": true}, c.WithEmptied([]string{"mid"}).WithEmptied(nil).EmptyZones)
+	must.Eq(t, map[string]bool{"east": true, "mid": true}, c.WithEmptiedZones([]string{"mid"}).EmptyZones)
+	must.Eq(t, map[string]bool{"east": true}, c.WithEmptiedZones([]string{"mid"}).WithEmptiedZones(nil).EmptyZones)
 }
 
 // A record keeps what the next version needs, and shows the last ones.
 func TestRecord(t *testing.T) {
 	var r Record
 	doc := []byte(`{"queues":[{"name":"a"}]}`)
-	for version := int64(1); version <= MaxShown+5; version++ {
+	for version := int64(1); version <= MaxPastVersions+5; version++ {
 		change := ChangeID{Version: version, Base: version - 1, Digest: sha256.Sum256(doc)}
 		r = r.Next(change, doc, version*1000)
-		must.True(t, r.Accepted.Contains(change))
+		must.True(t, r.AcceptedChanges.Contains(change))
 	}
-	must.Len(t, MaxShown, r.Past)
-	must.Eq(t, VersionInfo{Version: MaxShown + 5, Digest: r.Past[0].Digest, Queues: 1, Bytes: int64(len(doc)), AtMs: (MaxShown + 5) * 1000}, r.Past[MaxShown-1])
+	must.Len(t, MaxPastVersions, r.PastVersions)
+	must.Eq(t, VersionInfo{Version: MaxPastVersions + 5, Digest: r.PastVersions[0].Digest, Queues: 1, Bytes: int64(len(doc)), AtMs: (MaxPastVersions + 5) * 1000}, r.PastVersions[MaxPastVersions-1])
 	c, faults := r.Compile()
 	must.SliceEmpty(t, faults)
 	must.MapContainsKey(t, c.Queues, "a")
 	must.True(t, r.SameDocument(&Record{Version: r.Version, Document: r.Document}))
 
 	var p Precompiler
-	message := &wire.RegisterValue{Register: Register, Value: codec.Append(nil, r)}
+	message := &wire.RegisterValue{Register: RegisterName, Value: codec.Append(nil, r)}
 	first := p.Compile(message)
 	must.Eq(t, r.Version, first.Version)
 	must.True(t, first == p.Compile(message)) // the same one
--- a/internal/configuration/contract.go
+++ b/internal/configuration/contract.go
@@ -60,8 +60,8 @@
 	Price    float64
 }
 
-// Batch is what a queue says of its batches.
-type Batch struct {
+// BatchRules is what a queue says of its batches.
+type BatchRules struct {
 	Contract     *Contract
 	FinishByMs   int64 // a job is complete so long after it came or was due
 	SharePercent int64 // the most of each worker's capacity
@@ -206,8 +206,8 @@
 }
 
 // batchOf checks what a queue says of its batches.
-func (c *compiler) batchOf(path string, doc gjson.Result) *Batch {
-	b := &Batch{
+func (c *compiler) batchOf(path string, doc gjson.Result) *BatchRules {
+	b := &BatchRules{
 		Contract:     c.config.Contracts[doc.Get("contract").Str],
 		FinishByMs:   int64(doc.Get("finish_by_hours").Num * msPerHour),
 		SharePercent: doc.Get("share_percent").Int(),
@@ -221,9 +221,9 @@
 	return b
 }
 
-// Windows returns the stretches of one price that lie between two times, in
+// PriceWindows returns the stretches of one price that lie between two times, in
 // order. The first may have opened before, the last may go on after.
-func (k *Contract) Windows(fromMs, toMs int64) (out []PriceWindow) {
+func (k *Contract) PriceWindows(fromMs, toMs int64) (out []PriceWindow) {
 	if len(k.spans) == 1 {
 		return []PriceWindow{{math.MinInt64 / 2, math.MaxInt64 / 2, k.spans[0].Price}}
 	}
--- a/internal/configuration/queue.go
+++ b/internal/configuration/queue.go
@@ -44,21 +44,21 @@
 
 // Queue is one queue of a Configuration.
 type Queue struct {
-	Name       string
-	Urgency    int64    // higher goes first; of batch queues below 0
-	Quota      int64    // queueable tasks that one job may have outstanding
-	TrustLimit bool     // its workers surely end each run at its limit, even cut off
-	Selector   []Choice // its worker group
-	Admission  []Rule   // what a new job is put through, in order
-	Addresses  []Address
-	LatencyMs  int64   // the target for a job's time
-	Stretch    float64 // the target for a job's time against its work alone
-	Batch      *Batch  // nil where its jobs don't wait for cheap hours
-	Open       bool    // callers need no key
+	Name          string
+	Urgency       int64              // higher goes first; of batch queues below 0
+	Quota         int64              // queueable tasks that one job may have outstanding
+	TrustRunLimit bool               // its workers surely end each run at its limit, even cut off
+	Selector      []LabelRequirement // its worker group
+	Admission     []Rule             // what a new job is put through, in order
+	Addresses     []Address
+	LatencyMs     int64       // the target for a job's time
+	Stretch       float64     // the target for a job's time against its work alone
+	Batch         *BatchRules // nil where its jobs don't wait for cheap hours
+	Open          bool        // callers need no key
 }
 
-// Choice is one label of a selector and the values that it may have.
-type Choice struct {
+// LabelRequirement is one label of a selector and the values that it may have.
+type LabelRequirement struct {
 	Key    string
 	Values []string
 }
@@ -136,14 +136,14 @@
 		return
 	}
 	q := &Queue{
-		Name:       name,
-		Urgency:    doc["urgency"].Int(),
-		Quota:      cmp.Or(doc["quota"].Int(), defaultQuota),
-		TrustLimit: doc["trust_run_limit"].Bool(),
-		Selector:   selectorOf(doc["selector"]),
-		LatencyMs:  doc["latency_ms"].Int(),
-		Stretch:    doc["stretch"].Num,
-		Open:       doc["open"].Bool(),
+		Name:          name,
+		Urgency:       doc["urgency"].Int(),
+		Quota:         cmp.Or(doc["quota"].Int(), defaultQuota),
+		TrustRunLimit: doc["trust_run_limit"].Bool(),
+		Selector:      selectorOf(doc["selector"]),
+		LatencyMs:     doc["latency_ms"].Int(),
+		Stretch:       doc["stretch"].Num,
+		Open:          doc["open"].Bool(),
 	}
 	q.Admission = c.admissionOf(path, doc)
 	c.addAddresses(path, q, doc)
@@ -154,14 +154,14 @@
 		q.Admission = slices.Insert(q.Admission, 0, Rule{RuleNoGangs, 1})
 		return
 	}
-	c.config.Lowest = min(c.config.Lowest, q.Urgency)
-	c.config.Highest = max(c.config.Highest, q.Urgency)
+	c.config.LowestUrgency = min(c.config.LowestUrgency, q.Urgency)
+	c.config.HighestUrgency = max(c.config.HighestUrgency, q.Urgency)
 }
 
-func selectorOf(doc gjson.Result) (out []Choice) {
+func selectorOf(doc gjson.Result) (out []LabelRequirement) {
 	labels := doc.Map()
 	for _, key := range slices.Sorted(maps.Keys(labels)) {
-		choice := Choice{Key: key}
+		choice := LabelRequirement{Key: key}
 		for _, value := range labels[key].Array() {
 			choice.Values = append(choice.Values, value.Str)
 		}
--- a/internal/configuration/record.go
+++ b/internal/configuration/record.go
@@ -16,21 +16,21 @@
 	"github.com/tidwall/gjson"
 )
 
-// Register is the name of the register that holds the newest Record. It stands on
+// RegisterName is the name of the register that holds the newest Record. It stands on
 // disks and on the wire.
-const Register = "setup"
+const RegisterName = "setup"
 
-// MaxShown is how many accepted versions operators are shown.
-const MaxShown = 50
+// MaxPastVersions is how many accepted versions operators are shown.
+const MaxPastVersions = 50
 
 // Record is the value of the register: the newest version and what led to it. The
 // zero Record is that of a fleet without a configuration.
 type Record struct {
-	Version  int64
-	Document []byte // deflated
-	Past     []VersionInfo
-	Emptied  []string // zones emptied by an operator's word beside the document, in order
-	Accepted History
+	Version         int64
+	Document        []byte // deflated
+	PastVersions    []VersionInfo
+	EmptiedZones    []string // zones emptied by an operator's word beside the document, in order
+	AcceptedChanges History
 }
 
 // VersionInfo is what operators are shown of an accepted version.
@@ -52,25 +52,25 @@
 		Bytes:   int64(len(doc)),
 		AtMs:    atMs,
 	}
-	past := append(slices.Clone(r.Past), info)
-	if len(past) > MaxShown {
-		past = past[len(past)-MaxShown:]
+	past := append(slices.Clone(r.PastVersions), info)
+	if len(past) > MaxPastVersions {
+		past = past[len(past)-MaxPastVersions:]
 	}
 	return Record{
-		Version:  change.Version,
-		Document: Deflate(doc),
-		Past:     past,
-		Emptied:  r.Emptied,
-		Accepted: r.Accepted.With(change),
+		Version:         change.Version,
+		Document:        Deflate(doc),
+		PastVersions:    past,
+		EmptiedZones:    r.EmptiedZones,
+		AcceptedChanges: r.AcceptedChanges.With(change),
 	}
 }
 
 // Previous is the version that was accepted before this one; 0 for none.
 func (r *Record) Previous() int64 {
-	if len(r.Past) < 2 {
+	if len(r.PastVersions) < 2 {
 		return 0
 	}
-	return r.Past[len(r.Past)-2].Version
+	return r.PastVersions[len(r.PastVersions)-2].Version
 }
 
 // Compile compiles the record's document, without the zones emptied beside it.
@@ -127,7 +127,7 @@
 func (p *Precompiler) Compile(msg any) *Configuration {
 	m, ok := msg.(*wire.RegisterValue)
 	var r Record
-	if !ok || m.Register != Register || codec.Unmarshal(m.Value, &r) != nil || r.Version == 0 {
+	if !ok || m.Register != RegisterName || codec.Unmarshal(m.Value, &r) != nil || r.Version == 0 {
 		return nil
 	}
 	p.mu.Lock()
@@ -139,16 +139,16 @@
 	return p.last
 }
 
-// ReaderCopy is the register's value without the history of its changes, which
+// ReaderValueCache is the register's value without the history of its changes, which
 // only a change of the register needs. All daemons read each new value, so it is
-// encoded once for each. The zero ReaderCopy is ready.
-type ReaderCopy struct {
+// encoded once for each. The zero ReaderValueCache is ready.
+type ReaderValueCache struct {
 	ballot register.Ballot
 	value  []byte
 }
 
-// Of returns an acceptor's value as readers get it.
-func (c *ReaderCopy) Of(a *register.Acceptor) []byte {
+// Value returns an acceptor's value as readers get it.
+func (c *ReaderValueCache) Value(a *register.Acceptor) []byte {
 	if c.ballot == a.Accepted && c.value != nil {
 		return c.value
 	}
@@ -156,7 +156,7 @@
 	if codec.Unmarshal(a.Value, &r) != nil {
 		return a.Value
 	}
-	r.Accepted = History{}
+	r.AcceptedChanges = History{}
 	c.ballot, c.value = a.Accepted, codec.Append(nil, r)
 	return c.value
 }
--- a/internal/configuration/tenant.go
+++ b/internal/configuration/tenant.go
@@ -53,9 +53,9 @@
 // Example: tenant := config.TenantOfKey(configuration.DigestOfKey(key))
 func DigestOfKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// Authenticates tells whether calls need a key, but for those at open queues: whether the
+// RequiresKey tells whether calls need a key, but for those at open queues: whether the
 // document declares tenants.
-func (c *Configuration) Authenticates() bool { return c.Tenants != nil }
+func (c *Configuration) RequiresKey() bool { return c.Tenants != nil }
 
 // TenantOfKey returns whose key has a digest; nil for a key that nobody has. It takes as long
 // for any key, since only digests are compared.
--- a/internal/configuration/tenant_test.go
+++ b/internal/configuration/tenant_test.go
@@ -25,7 +25,7 @@
 func TestTenants(t *testing.T) {
 	c, faults := Compile(1, tenantsSetup(`[{"name":"a","key_digests":["`+digestText("one")+`","`+strings.ToUpper(digestText("two"))+`"],"weight":2.5,"limit":{"cpu":5,"memory":7,"accelerators":1}},{"name":"b"}]`))
 	must.SliceEmpty(t, faults)
-	must.True(t, c.Authenticates())
+	must.True(t, c.RequiresKey())
 	for key, name := range map[string]string{"one": "a", "two": "a", "three": "", "": "", digestText("one"): ""} {
 		tenant := c.TenantOfKey(DigestOfKey(key))
 		must.Eq(t, name != "", tenant != nil, must.Sprint(key))
@@ -40,15 +40,15 @@
 	must.True(t, c.Queues["free"].Open)
 	must.False(t, c.Queues["checks"].Open)
 
-	emptied := c.WithEmptied([]string{"attic"})
+	emptied := c.WithEmptiedZones([]string{"attic"})
 	must.NotNil(t, emptied.TenantOfKey(DigestOfKey("one")), must.Sprint("an emptied zone takes no key away"))
 	none, faults := Compile(1, tenantsSetup(`[]`))
 	must.SliceEmpty(t, faults)
-	must.True(t, none.Authenticates())
+	must.True(t, none.RequiresKey())
 	must.Nil(t, none.TenantOfKey(DigestOfKey("one")))
 	absent, faults := Compile(1, []byte(`{"queues":[]}`))
 	must.SliceEmpty(t, faults)
-	must.False(t, absent.Authenticates())
+	must.False(t, absent.RequiresKey())
 	must.Nil(t, absent.TenantOfKey(DigestOfKey("one")))
 }
 
--- a/internal/daemon/ballot_test.go
+++ b/internal/daemon/ballot_test.go
@@ -140,7 +140,7 @@
 			o, _ := propose(n, queue)
 			must.MapNotContainsKey(t, seen, o.Ballot)
 			seen[o.Ballot] = true
-			n.now += changeTiming.AnswersMs + 1
+			n.now += changeTiming.ResponseTimeoutMs + 1
 			n.tickChanges()
 			must.MapNotContainsKey(t, seen, o.Ballot)
 			seen[o.Ballot] = true
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -50,15 +50,15 @@
 // needs some time. It takes the cheapest window that leaves that time before
 // the deadline, the first of several; starts are spread over the first half of
 // it, or of what of it the job can use, each at a point of its own.
-func planBatch(r *configuration.Batch, id string, fromMs, nowMs, needMs int64) batchPlan {
+func planBatch(r *configuration.BatchRules, id string, fromMs, nowMs, needMs int64) batchPlan {
 	p := batchPlan{DeadlineMs: fromMs + r.FinishByMs}
 	latest := p.DeadlineMs - needMs
 	if nowMs >= latest {
 		p.StartMs, p.OpenMs, p.CloseMs, p.AtAnyPrice = max(fromMs, latest), nowMs, p.DeadlineMs, true
-		p.Price = r.Contract.Windows(nowMs, nowMs)[0].Price
+		p.Price = r.Contract.PriceWindows(nowMs, nowMs)[0].Price
 		return p
 	}
-	all := r.Contract.Windows(max(nowMs, fromMs), max(latest, fromMs))
+	all := r.Contract.PriceWindows(max(nowMs, fromMs), max(latest, fromMs))
 	best := all[0]
 	for _, w := range all {
 		if w.Price < best.Price {
@@ -86,7 +86,7 @@
 
 // batchRules gives the rules that a job is held by. Gangs and lasting tasks, which a
 // queue may have had before it took batches, run as they did.
-func (n *node) batchRules(j *jobRecord) *configuration.Batch {
+func (n *node) batchRules(j *jobRecord) *configuration.BatchRules {
 	q := n.config.current.Queues[j.Queue]
 	if q == nil || q.Batch == nil || slices.ContainsFunc(j.Steps, func(s jobStep) bool { return s.Gang || s.Lasting }) {
 		return nil
@@ -95,7 +95,7 @@
 }
 
 // batchRulesOfSpec gives the rules for a task at a worker, if it is a batch's.
-func (n *node) batchRulesOfSpec(s *wire.TaskSpec) *configuration.Batch {
+func (n *node) batchRulesOfSpec(s *wire.TaskSpec) *configuration.BatchRules {
 	if q := n.config.current.Queues[s.Queue]; q != nil && s.Class == wire.ClassQueueable {
 		return q.Batch
 	}
@@ -129,7 +129,7 @@
 	shard.nextBatchPlanMs, shard.batchPlanVersion = n.now+batchPlanMs, n.config.current.Version
 	type due struct {
 		job     *liveJob
-		r       *configuration.Batch
+		r       *configuration.BatchRules
 		from, d int64
 	}
 	var list []due
@@ -166,7 +166,7 @@
 }
 
 // batchCapacity is all the room that a queue's batches may have at once.
-func (n *node) batchCapacity(queue string, r *configuration.Batch) (all resource.Amount) {
+func (n *node) batchCapacity(queue string, r *configuration.BatchRules) (all resource.Amount) {
 	q := n.config.current.Queues[queue]
 	for _, w := range n.workers {
 		if n.now-w.receivedMs < workerSilentMs && !w.leaving && !n.config.current.EmptyZones[w.zone] &&
@@ -394,7 +394,7 @@
 }
 
 // largestBatchShare is the largest share that one worker has for a queue's batches.
-func (n *node) largestBatchShare(queue string, r *configuration.Batch) (most resource.Amount) {
+func (n *node) largestBatchShare(queue string, r *configuration.BatchRules) (most resource.Amount) {
 	q := n.config.current.Queues[queue]
 	for _, w := range n.workers {
 		if s := w.capacity.Share(r.SharePercent); n.workerAllowed(w, q, nil, resource.Amount{}) {
@@ -435,7 +435,7 @@
 	if n.batchMeter == nil {
 		n.batchMeter = map[meterKey]float64{}
 	}
-	for _, w := range r.Contract.Windows(wall-ranMs, wall) {
+	for _, w := range r.Contract.PriceWindows(wall-ranMs, wall) {
 		if ms := min(w.ToMs, wall) - max(w.FromMs, wall-ranMs); ms > 0 {
 			n.batchMeter[meterKey{r.Contract.Name, w.Price}] += float64(ms) / 1000 * float64(t.Resources.CPU)
 		}
@@ -549,7 +549,7 @@
 
 // mayStartBatch guards a worker's room once more when a batch task would start:
 // nothing more urgent waits there, and its queue stays within its share.
-func (n *node) mayStartBatch(agent *workerAgent, attempt *agentAttempt, r *configuration.Batch) bool {
+func (n *node) mayStartBatch(agent *workerAgent, attempt *agentAttempt, r *configuration.BatchRules) bool {
 	if waiting, _ := agent.loadWithoutBatches(n); waiting > 0 {
 		return false
 	}
--- a/internal/daemon/batch_test.go
+++ b/internal/daemon/batch_test.go
@@ -37,7 +37,7 @@
 
 func TestBatchPlan(t *testing.T) {
 	at := func(day, hour int64) int64 { return aMonday + (day*24+hour-2)*msPerHour }
-	night := &configuration.Batch{Contract: mustContract(t, nightContract), FinishByMs: 20 * msPerHour, SharePercent: 30}
+	night := &configuration.BatchRules{Contract: mustContract(t, nightContract), FinishByMs: 20 * msPerHour, SharePercent: 30}
 	came := at(0, 14)
 	p := planBatch(night, "j1", came, came, msPerHour)
 	must.False(t, p.AtAnyPrice)
@@ -68,7 +68,7 @@
 	must.Eq(t, at(0, 23), planBatch(night, "j1", at(0, 23), at(0, 23), msPerHour).StartMs)
 
 	// the cheap hours come too late: those that are cheapest until then
-	morning := &configuration.Batch{Contract: night.Contract, FinishByMs: 4 * msPerHour, SharePercent: 30}
+	morning := &configuration.BatchRules{Contract: night.Contract, FinishByMs: 4 * msPerHour, SharePercent: 30}
 	p = planBatch(morning, "j2", at(1, 5), at(1, 7), msPerHour)
 	must.Eq(t, 0.08, p.Price)
 	must.False(t, p.AtAnyPrice)
@@ -98,7 +98,7 @@
 
 	// an offset of its own: 22:00 there is another time
 	west := mustContract(t, strings.Replace(nightContract, "120", "-480", 1))
-	there := &configuration.Batch{Contract: west, FinishByMs: 20 * msPerHour}
+	there := &configuration.BatchRules{Contract: west, FinishByMs: 20 * msPerHour}
 	must.Eq(t, came, planBatch(there, "j1", came, came, msPerHour).StartMs) // 04:00 there
 	must.Eq(t, at(1, 8), planBatch(there, "j1", at(0, 17), at(0, 17), msPerHour).OpenMs)
 }
--- a/internal/daemon/campaign_faults_test.go
+++ b/internal/daemon/campaign_faults_test.go
@@ -34,7 +34,7 @@
 	}
 	for _, m := range set.Members {
 		n := w.nodes[m.Name]
-		if n.up && w.nowUs >= n.frozenTo && n.sh.node.inCore() && n.sh.node.core.Version == set.Version && n.sh.node.now-n.sh.node.leases.ContactMs() < 1000 {
+		if n.up && w.nowUs >= n.frozenTo && n.sh.node.inCore() && n.sh.node.core.Version == set.Version && n.sh.node.now-n.sh.node.leases.LastContactMs() < 1000 {
 			out = append(out, n)
 		}
 	}
--- a/internal/daemon/client.go
+++ b/internal/daemon/client.go
@@ -246,7 +246,7 @@
 		return exitFound
 	}
 	fmt.Printf("sound: %d queues, %d sites to empty", len(c.Queues), len(c.EmptyZones))
-	if c.Authenticates() {
+	if c.RequiresKey() {
 		fmt.Printf(", %d tenants", len(c.Tenants))
 	}
 	fmt.Println()
--- a/internal/daemon/config_change.go
+++ b/internal/daemon/config_change.go
@@ -17,7 +17,7 @@
 	switch {
 	case len(current) > 0 && codec.Unmarshal(current, &cur) != nil:
 		return register.Fail, nil
-	case cur.Accepted.Contains(o.changeID):
+	case cur.AcceptedChanges.Contains(o.changeID):
 		return register.Keep, nil
 	case cur.Version != o.changeID.Base:
 		return register.Refuse, nil
@@ -33,12 +33,12 @@
 		return register.Fail, nil
 	}
 	zone := string(o.arg)
-	zones := slices.DeleteFunc(slices.Clone(cur.Emptied), func(s string) bool { return s == zone })
+	zones := slices.DeleteFunc(slices.Clone(cur.EmptiedZones), func(s string) bool { return s == zone })
 	if o.kind == "empty" {
 		zones = append(zones, zone)
 		slices.Sort(zones)
 	}
-	cur.Emptied = zones
+	cur.EmptiedZones = zones
 	return register.Replace, codec.Append(nil, cur)
 }
 
@@ -54,8 +54,8 @@
 	if codec.Unmarshal(o.Value(), &next) == nil && n.config.ballot.Less(o.ValueBallot()) {
 		n.adoptConfig(o.ValueBallot(), next)
 	}
-	n.log("zones_accepted", "emptied", next.Emptied)
-	n.respond(o.request, 200, 0, mustJSON(map[string]any{"emptied": append([]string{}, next.Emptied...)}))
+	n.log("zones_accepted", "emptied", next.EmptiedZones)
+	n.respond(o.request, 200, 0, mustJSON(map[string]any{"emptied": append([]string{}, next.EmptiedZones...)}))
 }
 
 func (n *node) configChanged(o *registerChange, outcome register.Outcome) {
@@ -138,7 +138,7 @@
 	switch {
 	case len(current) > 0 && codec.Unmarshal(current, &cur) != nil:
 		return register.Fail, nil
-	case cur.Accepted.Contains(o.changeID) || cur.Version == o.changeID.Base:
+	case cur.AcceptedChanges.Contains(o.changeID) || cur.Version == o.changeID.Base:
 		return register.Keep, nil
 	}
 	return register.Refuse, nil
@@ -152,7 +152,7 @@
 		n.reject(o.request, "outcome unknown: send it again")
 	case outcome == register.Refused:
 		n.respondRefused(o, &cur)
-	case cur.Accepted.Contains(o.changeID):
+	case cur.AcceptedChanges.Contains(o.changeID):
 		n.respondAccepted(o)
 	default:
 		n.reject(o.request, "not accepted yet, and its base is current: send it again")
@@ -167,7 +167,7 @@
 // respondRefused says that another version stands: only of an order that surely
 // was not accepted, else its outcome is unknown.
 func (n *node) respondRefused(o *registerChange, cur *configuration.Record) {
-	if !cur.Accepted.Covers(o.changeID) {
+	if !cur.AcceptedChanges.Covers(o.changeID) {
 		n.count("changes_forgotten")
 		n.reject(o.request, "outcome unknown: too many versions were accepted since")
 		return
--- a/internal/daemon/config_request.go
+++ b/internal/daemon/config_request.go
@@ -54,7 +54,7 @@
 		return ""
 	}
 	for _, m := range n.core.Names() {
-		if n.peers.Alive(m) && n.now-n.leases.HeardMs(m) < 2*lease.PollColocatedMs &&
+		if n.peers.Alive(m) && n.now-n.leases.LastResponseMs(m) < 2*lease.ColocatedPollIntervalMs &&
 			(best == "" || n.peers.Zone(m) == n.Zone && n.peers.Zone(best) != n.Zone) {
 			best = m
 		}
@@ -90,14 +90,14 @@
 		n.awaitConfirmation(req, "the setup is not confirmed here")
 		return
 	}
-	past := make([]map[string]any, 0, len(n.config.record.Past))
-	for _, p := range n.config.record.Past {
+	past := make([]map[string]any, 0, len(n.config.record.PastVersions))
+	for _, p := range n.config.record.PastVersions {
 		past = append(
 			past,
 			map[string]any{"version": p.Version, "digest": p.Digest, "queues": p.Queues, "bytes": p.Bytes, "at_ms": p.AtMs},
 		)
 	}
-	emptied := n.config.record.Emptied
+	emptied := n.config.record.EmptiedZones
 	if emptied == nil {
 		emptied = []string{}
 	}
--- a/internal/daemon/config_state.go
+++ b/internal/daemon/config_state.go
@@ -20,7 +20,7 @@
 	confirmedPoll uint64 // the newest poll that confirmed it
 	requestedMs   int64
 	nextRepairMs  int64
-	readerCopy    configuration.ReaderCopy
+	readerCopy    configuration.ReaderValueCache
 	awaiting      []*request // requests that name a queue not known here, until a newer confirmation
 }
 
@@ -44,11 +44,11 @@
 // of the time the round was sent.
 func (n *node) confirmConfig(r *lease.Round) {
 	votes := map[register.Ballot]int{}
-	for _, a := range r.Answers {
+	for _, a := range r.Responses {
 		votes[a.Config]++
 	}
-	for _, from := range sortedKeys(r.Answers) {
-		b := r.Answers[from].Config
+	for _, from := range sortedKeys(r.Responses) {
+		b := r.Responses[from].Config
 		if n.config.newestBallot.Less(b) {
 			n.config.newestBallot = b
 		}
@@ -64,8 +64,8 @@
 		}
 		return
 	}
-	if len(r.Answers) == len(n.core.Members) ||
-		n.now-max(n.config.confirmedMs, n.leases.FirstPollMs()) > lease.PollColocatedMs*2 {
+	if len(r.Responses) == len(n.core.Members) ||
+		n.now-max(n.config.confirmedMs, n.leases.FirstPollMs()) > lease.ColocatedPollIntervalMs*2 {
 		// The members differ: somebody's change stopped half way. Any daemon
 		// may finish it; core members do, at random, so that few compete. One
 		// that was away hears all first: it may be the only one that differs.
@@ -80,8 +80,8 @@
 // the own zone, or else any, so that not all daemons ask the same.
 func (n *node) nearestWith(r *lease.Round, b register.Ballot) string {
 	var near, all []string
-	for _, from := range sortedKeys(r.Answers) {
-		if r.Answers[from].Config != b {
+	for _, from := range sortedKeys(r.Responses) {
+		if r.Responses[from].Config != b {
 			continue
 		}
 		all = append(all, from)
@@ -109,14 +109,14 @@
 
 // adoptConfig compiles a value; it counts only once a poll confirms its ballot.
 func (n *node) adoptConfig(b register.Ballot, d configuration.Record) {
-	n.config.requestedMs = 0             // what was asked for has come: a newer one may be asked for at once
-	d.Accepted = configuration.History{} // only a change of the register needs it
+	n.config.requestedMs = 0                    // what was asked for has come: a newer one may be asked for at once
+	d.AcceptedChanges = configuration.History{} // only a change of the register needs it
 	if d.SameDocument(&n.config.record) {
 		n.config.ballot = b
-		if !slices.Equal(d.Emptied, n.config.record.Emptied) {
-			n.config.current, n.config.record = n.config.current.WithEmptied(d.Emptied), d
+		if !slices.Equal(d.EmptiedZones, n.config.record.EmptiedZones) {
+			n.config.current, n.config.record = n.config.current.WithEmptiedZones(d.EmptiedZones), d
 			n.config.confirmedMs, n.config.confirmedPoll = -1<<40, 0
-			n.log("zones_adopted", "emptied", d.Emptied)
+			n.log("zones_adopted", "emptied", d.EmptiedZones)
 			n.leases.PollSoon()
 		}
 		return
@@ -129,7 +129,7 @@
 			return
 		}
 	}
-	n.config.current, n.config.record, n.config.ballot = c.WithEmptied(d.Emptied), d, b
+	n.config.current, n.config.record, n.config.ballot = c.WithEmptiedZones(d.EmptiedZones), d, b
 	n.adoptLimits()
 	n.config.confirmedMs, n.config.confirmedPoll = -1<<40, 0
 	n.log("config_adopted", "version", d.Version, "queues", len(c.Queues))
--- a/internal/daemon/core_member.go
+++ b/internal/daemon/core_member.go
@@ -42,7 +42,7 @@
 	r := n.store.Register(m.Register)
 	value, whole := r.Value, true
 	if m.Register == "setup" && !n.core.HasName(from) {
-		value, whole = n.config.readerCopy.Of(r), false
+		value, whole = n.config.readerCopy.Value(r), false
 	}
 	n.persist(
 		nil,
@@ -140,7 +140,7 @@
 	if !n.servesSet(m.SetVersion) {
 		return
 	}
-	if n.granter.Overtaken(from, m) {
+	if n.granter.ObservePoll(from, m) {
 		n.count("polls_overtaken")
 		return
 	}
@@ -148,7 +148,7 @@
 	a := &wire.PollResponse{
 		Seq:        m.Seq,
 		SetVersion: n.core.Version,
-		GuardMs:    n.granter.GuardLeftMs(n.now),
+		GuardMs:    n.granter.GrantDelayLeftMs(n.now),
 		FleetMs:    n.fleetTimeHeard(),
 		SyncMs:     n.diskSyncMs,
 	}
@@ -164,14 +164,14 @@
 	if m.HoldersHash != 0 && m.HoldersHash == wire.HashHolders(a.Holders) {
 		a.Holders, a.HoldersSame = nil, true
 	}
-	a.Config = n.store.Register(configuration.Register).Accepted
+	a.Config = n.store.Register(configuration.RegisterName).Accepted
 	n.persist(nil, n.sendEffect(from, a))
 }
 
 // lastHolder is who took a role last, as far as this disk knows. Of any majority
 // one member at least knows the newest.
 func (n *node) lastHolder(name string) (v wire.RoleHolder) {
-	if value := n.store.RegisterValue(lease.Register(name)); value != nil {
+	if value := n.store.RegisterValue(lease.RegisterName(name)); value != nil {
 		_ = codec.Unmarshal(value, &v) // a value that can't be read is nobody's
 	}
 	return v
@@ -180,10 +180,10 @@
 // fleetTimeHeard is the fleet's time by the clocks that this core member hears; 0
 // right after a freeze, until what waited here for long is replaced.
 func (n *node) fleetTimeHeard() int64 {
-	if n.now-n.wokeMs < 2*lease.PollColocatedMs {
+	if n.now-n.wokeMs < 2*lease.ColocatedPollIntervalMs {
 		return 0
 	}
-	return n.granter.FleetTime(n.now, n.peers.AliveCount())
+	return n.granter.ClusterTime(n.now, n.peers.AliveCount())
 }
 
 // dropExpired lets go of finished records past their keeping. Where less than a
--- a/internal/daemon/core_set.go
+++ b/internal/daemon/core_set.go
@@ -13,7 +13,7 @@
 		return // at a start, before the set on disk was taken up
 	}
 	was, first := n.inCore(), n.core.Cluster == 0
-	fillsUp := n.members.FillsUp(n.core, c)
+	fillsUp := n.members.CompletesSet(n.core, c)
 	before := n.core
 	n.core = c
 	n.leases.OnCoreSet(before, c)
@@ -30,7 +30,7 @@
 		formed := c.Version == 1 && n.store.Set().Version == 0
 		n.persistSet(c)
 		if (!was || fillsUp) && n.inCore() && !formed {
-			n.granter.Guard(n.now)
+			n.granter.DelayGrants(n.now)
 		}
 	}
 }
--- a/internal/daemon/credential_test.go
+++ b/internal/daemon/credential_test.go
@@ -181,7 +181,7 @@
 	for range 40 {
 		w.run(37)
 		must.True(t, n.sh.node.configFresh())
-		sentBefore, confirmedBy, done := n.sh.node.leases.Polls(), uint64(0), false
+		sentBefore, confirmedBy, done := n.sh.node.leases.LatestRound(), uint64(0), false
 		w.call("caller", n, evRequest{Op: "queue.state", Host: "h.example", Path: "/p/none", Base: -1, Credential: "unknown"}, 3000, func(status int, _ int64, _ []byte) {
 			must.Eq(t, 401, status)
 			done = true
--- a/internal/daemon/cutoff_test.go
+++ b/internal/daemon/cutoff_test.go
@@ -219,8 +219,8 @@
 				got = append(got, answered{status, string(b)})
 			})
 			must.True(t, w.stepUntil(1000, func() bool { return len(n.sh.node.config.awaiting) > 0 }))
-			polls := n.sh.node.leases.Polls()
-			must.True(t, w.stepUntil(1000, func() bool { return n.sh.node.leases.Polls() > polls }))
+			polls := n.sh.node.leases.LatestRound()
+			must.True(t, w.stepUntil(1000, func() bool { return n.sh.node.leases.LatestRound() > polls }))
 			n.freeze(9000) // its poll is on its way: the answers wait for it
 			w.run(2000)
 			w.putAnywhere(t, 3, 2)
--- a/internal/daemon/fence_test.go
+++ b/internal/daemon/fence_test.go
@@ -63,7 +63,7 @@
 	n.now += lease.DurationMs + 1
 	must.True(t, poll("x09", 1))
 	n.now += lease.DurationMs + 1
-	n.granter.Guard(n.now) // as after a start
+	n.granter.DelayGrants(n.now) // as after a start
 	n.store.Register("duty/slice/some").Value = codec.Append(nil, wire.RoleHolder{Name: "slice/some", Holder: "x07", Incarnation: 5, Addr: "10.0.0.7:7000", Epoch: 3})
 	must.False(t, poll("x09", 1))
 	n.now += lease.DurationMs
@@ -91,7 +91,7 @@
 
 	// After a start the grants are forgotten: what the register says of the last holder counts.
 	n.granter = lease.NewGranter()
-	n.granter.Guard(n.now)
+	n.granter.DelayGrants(n.now)
 	n.store.Register("duty/slice/some").Value = codec.Append(nil, wire.RoleHolder{Name: "slice/some", Holder: "x07", Incarnation: 5, Addr: "10.0.0.7:7000", Epoch: 3})
 	must.False(t, poll("x09", 1).Granted[0])
 	heard("x07", 6, "10.0.0.77:7000")
--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -313,10 +313,10 @@
 	for _, key := range sortedKeys(settingsFields.Fields) {
 		fmt.Fprintln(&out, "setting", key)
 	}
-	for _, key := range sortedKeys(configuration.Fields.Fields) {
+	for _, key := range sortedKeys(configuration.DocumentSchema.Fields) {
 		fmt.Fprintln(&out, "setup", key)
 	}
-	for _, key := range sortedKeys(configuration.Fields.Fields["queues"].Elem.Fields) {
+	for _, key := range sortedKeys(configuration.DocumentSchema.Fields["queues"].Elem.Fields) {
 		fmt.Fprintln(&out, "queue", key)
 	}
 	compareFixture(t, "names.txt", out.Bytes())
--- a/internal/daemon/formation_test.go
+++ b/internal/daemon/formation_test.go
@@ -303,7 +303,7 @@
 	o := n.startChange("setup", "setup", queueSetup("a", ""), 0)
 	o.changeID = configuration.ChangeID{Version: 1}
 	first := o.Ballot
-	n.now += changeTiming.AnswersMs + 1
+	n.now += changeTiming.ResponseTimeoutMs + 1
 	n.tickChanges()
 	must.True(t, first.Less(o.Ballot))
 	accepts := func() int {
--- a/internal/daemon/history_test.go
+++ b/internal/daemon/history_test.go
@@ -248,12 +248,12 @@
 	w := served(t, 996)
 	first := operatorOrder{version: 1, base: 0, queue: "first"}
 	must.Eq(t, 200, w.acknowledged(t, w.nodes["d00"], first.put()).status)
-	last := w.storm(t, first, configuration.MaxShown) // from here on the list that is shown stays as long as it is
+	last := w.storm(t, first, configuration.MaxPastVersions) // from here on the list that is shown stays as long as it is
 	size := func() (kept, read int) {
 		w.run(1500)
 		n := w.nodes["d00"].sh.node
 		r := n.store.Register("setup")
-		return len(r.Value), len(n.config.readerCopy.Of(r))
+		return len(r.Value), len(n.config.readerCopy.Value(r))
 	}
 	keptBefore, readBefore := size()
 	w.storm(t, last[len(last)-1], 100)
@@ -262,15 +262,15 @@
 	must.LessEq(t, 34*100, kept-keptBefore)
 	must.LessEq(t, 20, read-readBefore) // names of other lengths
 	for _, name := range sortedKeys(w.nodes) {
-		must.Zero(t, w.nodes[name].sh.node.config.record.Accepted.Count)
+		must.Zero(t, w.nodes[name].sh.node.config.record.AcceptedChanges.Count)
 	}
 }
 
 // An order so old that the history has let go of it has no clear answer.
 func TestForgottenChangesAreNotRefused(t *testing.T) {
 	n := newQuorumOfThree().life(1)
-	value := configuration.Record{Version: 9000, Accepted: configuration.History{Base: 5000}}
-	value.Accepted = value.Accepted.With(configuration.ChangeID{Version: 9000, Base: 5000})
+	value := configuration.Record{Version: 9000, AcceptedChanges: configuration.History{Base: 5000}}
+	value.AcceptedChanges = value.AcceptedChanges.With(configuration.ChangeID{Version: 9000, Base: 5000})
 	for _, c := range []struct {
 		id     configuration.ChangeID
 		status int
--- a/internal/daemon/job_request.go
+++ b/internal/daemon/job_request.go
@@ -105,7 +105,7 @@
 		queueLive:     shard.liveByQueue[j.Queue],
 		shardLive:     len(shard.jobs),
 		bytes:         shard.recordBytes + size,
-		lowestUrgency: q.Urgency <= n.config.current.Lowest && len(n.config.current.Queues) > 1,
+		lowestUrgency: q.Urgency <= n.config.current.LowestUrgency && len(n.config.current.Queues) > 1,
 		batch:         q.Batch != nil,
 
 		excess: n.isExcess(shard, req.tenant),
--- a/internal/daemon/job_schedule.go
+++ b/internal/daemon/job_schedule.go
@@ -203,7 +203,7 @@
 	if rt.silentSinceMs == 0 {
 		rt.silentSinceMs = n.now
 	}
-	if q := n.config.current.Queues[job.Queue]; q != nil && q.TrustLimit && n.configFresh() &&
+	if q := n.config.current.Queues[job.Queue]; q != nil && q.TrustRunLimit && n.configFresh() &&
 		n.now-rt.silentSinceMs > ownerContactMs+orderTimeoutMs+t.LimitMs+limitMarginMs {
 		n.count("run_limits_resolved")
 		n.resolveAttempt(shard, job, i, wire.ResultLost, 0)
--- a/internal/daemon/lease_test.go
+++ b/internal/daemon/lease_test.go
@@ -258,7 +258,7 @@
 	n.leases.Lose(name, "released")
 	n.leases.Acquire(name)
 	for _, m := range n.core.Names() {
-		a := &wire.PollResponse{Seq: n.leases.Polls(), SetVersion: n.core.Version, Granted: make([]bool, len(asked.Wanted)), Epochs: make([]uint64, len(asked.Wanted))}
+		a := &wire.PollResponse{Seq: n.leases.LatestRound(), SetVersion: n.core.Version, Granted: make([]bool, len(asked.Wanted)), Epochs: make([]uint64, len(asked.Wanted))}
 		a.Granted[i] = true
 		n.onPollResponse(m, a)
 	}
@@ -281,7 +281,7 @@
 	asked := lastPoll(t, n)
 	n.now += 150
 	for _, m := range n.core.Names() {
-		a := &wire.PollResponse{Seq: n.leases.Polls(), SetVersion: n.core.Version, Granted: make([]bool, len(asked.Wanted)), Epochs: make([]uint64, len(asked.Wanted))}
+		a := &wire.PollResponse{Seq: n.leases.LatestRound(), SetVersion: n.core.Version, Granted: make([]bool, len(asked.Wanted)), Epochs: make([]uint64, len(asked.Wanted))}
 		for i := range a.Granted {
 			a.Granted[i] = true
 		}
--- a/internal/daemon/linear_test.go
+++ b/internal/daemon/linear_test.go
@@ -20,13 +20,13 @@
 	w.putAnywhere(t, 2, 0)
 	w.run(1000)
 	n = w.nodes["d05"].sh.node
-	n.now, n.effects = n.now+lease.PollMs, nil
+	n.now, n.effects = n.now+lease.PollIntervalMs, nil
 	n.leases.PollSoon()
 	n.tickPoll()
 	confirm = func() {
 		count := len(lastPoll(t, n).Wanted)
 		for _, m := range n.core.Names() {
-			n.onPollResponse(m, &wire.PollResponse{Seq: n.leases.Polls(), SetVersion: n.core.Version, Granted: make([]bool, count), Epochs: make([]uint64, count), Config: n.config.ballot})
+			n.onPollResponse(m, &wire.PollResponse{Seq: n.leases.LatestRound(), SetVersion: n.core.Version, Granted: make([]bool, count), Epochs: make([]uint64, count), Config: n.config.ballot})
 		}
 		n.tickConfig()
 	}
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -46,7 +46,7 @@
 // RestoreCoreSet takes up the set that the disk knows, after a start.
 func (h host) RestoreCoreSet(set quorum.Set) {
 	h.core = set
-	h.granter.Guard(h.now)
+	h.granter.DelayGrants(h.now)
 	h.log("core_set", "version", set.Version, "members", set.Names())
 }
 
@@ -55,7 +55,7 @@
 
 // ChangeCoreSet proposes the set after the one that is known.
 func (h host) ChangeCoreSet(next quorum.Set) {
-	h.startChange(membership.Register, "core", next.Encode(), h.core.Version)
+	h.startChange(membership.RegisterName, "core", next.Encode(), h.core.Version)
 }
 
 // ResetDisk makes the disk a new, empty one.
--- a/internal/daemon/membership_test.go
+++ b/internal/daemon/membership_test.go
@@ -522,7 +522,7 @@
 	n.now = 50_000
 	n.tickPoll()
 	for _, member := range []string{"b", "c"} {
-		n.onPollResponse(member, &wire.PollResponse{Seq: n.leases.Polls(), SetVersion: 1})
+		n.onPollResponse(member, &wire.PollResponse{Seq: n.leases.LatestRound(), SetVersion: 1})
 	}
 	must.True(t, n.leases.Unresponsive("a", membership.UnresponsiveMs))
 	larger := quorum.Set{Cluster: 9, Version: 2, Members: []quorum.Member{{Name: "a", DiskID: 1}, {Name: "b", DiskID: 2}, {Name: "c", DiskID: 3}, {Name: "d", DiskID: 4}}}
@@ -543,7 +543,7 @@
 		}
 	}
 	must.Eq(t, []int64{3, 3, 3}, versions)
-	must.Eq(t, lease.DurationMs, n.granter.GuardLeftMs(n.now))
+	must.Eq(t, lease.DurationMs, n.granter.GrantDelayLeftMs(n.now))
 	n.granter = lease.NewGranter()
 	n.adoptCoreSet(larger.Without(2).Without(0).With(quorum.Member{Name: "e", DiskID: 5}))
 	n.now += membership.UnresponsiveMs
--- a/internal/daemon/registers.go
+++ b/internal/daemon/registers.go
@@ -46,7 +46,7 @@
 	}
 }
 
-var changeTiming = register.Timing{DeadlineMs: changeMs, AnswersMs: changeMs / 4, RetryMs: changeRetryMs}
+var changeTiming = register.Timing{DeadlineMs: changeMs, ResponseTimeoutMs: changeMs / 4, RetryBaseMs: changeRetryMs}
 
 func (n *node) startChange(reg, kind string, arg []byte, expect int64) *registerChange {
 	n.opSeq++
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -125,7 +125,7 @@
 	n.handleRequest(
 		&request{
 			receivedMs:  n.now,
-			pollsBefore: n.leases.Polls(),
+			pollsBefore: n.leases.LatestRound(),
 			id:          e.ID,
 			op:          e.Op,
 			key:         e.Key,
@@ -150,7 +150,7 @@
 	n.handleRequest(
 		&request{
 			receivedMs:     n.now,
-			pollsBefore:    n.leases.Polls(),
+			pollsBefore:    n.leases.LatestRound(),
 			id:             m.ID,
 			origin:         from,
 			originInstance: n.sender.instance,
@@ -444,5 +444,5 @@
 // order where the core member that has it answers no polls.
 func (n *node) forwardTimedOut(p *forwardedRequest) bool {
 	return n.now >= p.limitMs || n.leases.CutOff() ||
-		operatorRequests[p.request.op] && n.now-n.leases.HeardMs(p.to) > lease.HeldMs
+		operatorRequests[p.request.op] && n.now-n.leases.LastResponseMs(p.to) > lease.HeldMs
 }
--- a/internal/daemon/request_address.go
+++ b/internal/daemon/request_address.go
@@ -53,7 +53,7 @@
 // where one is needed and nobody has it. A call without a key is nobody's, whatever the digests of
 // the configuration are.
 func authenticate(c *configuration.Configuration, queue, credential string) (tenant string, known bool) {
-	if !c.Authenticates() {
+	if !c.RequiresKey() {
 		return "", true
 	}
 	if credential != "" {
--- a/internal/daemon/roles.go
+++ b/internal/daemon/roles.go
@@ -8,8 +8,10 @@
 
 // What the roles of this daemon are for: see package lease for who holds them.
 
-// CountEpoch begins to count a role's epoch up.
-func (h host) CountEpoch(role string) { h.startChange(lease.Register(role), "duty", []byte(role), 0) }
+// IncrementEpoch begins to count a role's epoch up.
+func (h host) IncrementEpoch(role string) {
+	h.startChange(lease.RegisterName(role), "duty", []byte(role), 0)
+}
 
 // WokeMs is when this daemon last woke from a freeze, or began.
 func (h host) WokeMs() int64 { return h.wokeMs }
@@ -46,11 +48,11 @@
 
 // decideEpoch counts a role's epoch up, as the change of its register.
 func decideEpoch(n *node, o *registerChange, current []byte) (register.Decision, []byte) {
-	return n.leases.DecideEpoch(string(o.arg), current)
+	return n.leases.NextEpoch(string(o.arg), current)
 }
 
 func (n *node) epochChanged(o *registerChange, outcome register.Outcome) {
-	n.leases.EpochChanged(string(o.arg), outcome, o.Value())
+	n.leases.OnEpochOutcome(string(o.arg), outcome, o.Value())
 }
 
 func (n *node) onPollResponse(from string, m *wire.PollResponse) { n.leases.OnResponse(from, m) }
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -16,7 +16,7 @@
 		return "no cluster yet"
 	case n.leavingSinceMs != 0:
 		return "this daemon is stopping"
-	case n.now-n.leases.ContactMs() > ownerContactMs:
+	case n.now-n.leases.LastContactMs() > ownerContactMs:
 		return "the core can't be reached from here"
 	case n.config.current.Version == 0:
 		return "no setup yet"
@@ -91,7 +91,7 @@
 // handleGetHealth is what doctor reads: this daemon's view of the common faults.
 func (n *node) handleGetHealth(req *request) {
 	slow := map[string]int64{}
-	for m, ms := range n.leases.SyncMs() {
+	for m, ms := range n.leases.MemberSyncMs() {
 		slow[m] = ms
 	}
 	unsound := []string{}
@@ -115,7 +115,7 @@
 			"siblings_lost":    n.lostPeers(),
 			"core_size":        len(n.core.Members),
 			"core_live":        coreLive,
-			"core_contact_ms":  n.now - n.leases.ContactMs(),
+			"core_contact_ms":  n.now - n.leases.LastContactMs(),
 			"clock_spread_ms":  n.clockOffsets(),
 			"sync_ms":          slow,
 			"disk_failed":      n.diskFailed,
@@ -179,7 +179,7 @@
 	for _, q := range sortedKeys(n.config.current.Queues) {
 		found := false
 		for _, w := range n.workers {
-			found = found || n.now-w.receivedMs < cluster.AliveMs && n.config.current.Queues[q].Matches(w.labels, w.zone)
+			found = found || n.now-w.receivedMs < cluster.AliveTimeoutMs && n.config.current.Queues[q].Matches(w.labels, w.zone)
 		}
 		if !found {
 			unmatched = append(unmatched, q)
--- a/internal/daemon/tenant_shares.go
+++ b/internal/daemon/tenant_shares.go
@@ -127,7 +127,7 @@
 // by the higher one is given up, but for what runs.
 func (n *node) adoptLimits() {
 	var limits map[string]quota.Limit
-	if c := n.config.current; c.Authenticates() {
+	if c := n.config.current; c.RequiresKey() {
 		limits = make(map[string]quota.Limit, len(c.Tenants))
 		for name, t := range c.Tenants {
 			limits[name] = quota.Limit(t.Limit)
--- a/internal/daemon/tenantshares_test.go
+++ b/internal/daemon/tenantshares_test.go
@@ -22,7 +22,7 @@
 		"tenants":[{"name":"full","limit":{"cpu":4}},{"name":"free"}]}`))
 	must.SliceEmpty(t, faults)
 	n.config.current, n.config.confirmedMs = current, n.now
-	n.config.record.Past = []configuration.VersionInfo{{Version: 1}}
+	n.config.record.PastVersions = []configuration.VersionInfo{{Version: 1}}
 	n.adoptLimits()
 	n.core.Shards = []string{"s"}
 	n.workers["large"] = &workerView{capacity: resource.Amount{CPU: 100}}
@@ -127,7 +127,7 @@
 		`{"queues":[{"name":"q"}],"tenants":[{"name":"full","limit":{"cpu":%d}},{"name":"free"}]}`, limit))
 	must.SliceEmpty(t, faults)
 	n.config.current, n.config.confirmedMs = current, n.now
-	past := &n.config.record.Past
+	past := &n.config.record.PastVersions
 	for v := (*past)[len(*past)-1].Version + 1; v <= version; v++ {
 		*past = append(*past, configuration.VersionInfo{Version: v})
 	}
--- a/internal/daemon/urgent_room.go
+++ b/internal/daemon/urgent_room.go
@@ -12,7 +12,9 @@
 // scheduler keeps it from firm tasks, local schedulers and agents from queueable ones.
 
 // isUrgent tells whether a queue is one of the most urgent ones.
-func (n *node) isUrgent(q *configuration.Queue) bool { return q.Urgency >= n.config.current.Highest }
+func (n *node) isUrgent(q *configuration.Queue) bool {
+	return q.Urgency >= n.config.current.HighestUrgency
+}
 
 // fleetIdle tells whether most of all room was free when the coordinator last told.
 func (n *node) fleetIdle() bool { return n.ranks.idle && n.now-n.ranks.receivedMs <= rankStaleMs }
--- a/internal/lease/acquire.go
+++ b/internal/lease/acquire.go
@@ -197,7 +197,7 @@
 // recentHolder returns who lost a role a short while ago.
 func (m *Manager) recentHolder(role string) string {
 	former, known := m.former[role]
-	if known && m.host.NowMs()-former.atMs > cluster.AliveMs {
+	if known && m.host.NowMs()-former.atMs > cluster.AliveTimeoutMs {
 		delete(m.former, role)
 		return ""
 	}
--- a/internal/lease/clock.go
+++ b/internal/lease/clock.go
@@ -10,9 +10,9 @@
 	// clockOldMs: a clock reading older than this is replaced by a later one, or
 	// has no say.
 	clockOldMs = 10_000
-	// ClockWaitMs is how long a core member hears clocks before it tells the
+	// ClockWarmupMs is how long a core member hears clocks before it tells the
 	// fleet's time.
-	ClockWaitMs = 800
+	ClockWarmupMs = 800
 	// medianMs is how long a core member tells the fleet's time by one median of all clocks:
 	// it answers each daemon's polls, and clocks move little.
 	medianMs = 100
@@ -49,8 +49,8 @@
 	c.members[member] = b
 }
 
-// Forget takes the say of those that are no members of a set, and returns them.
-func (c *Clock) Forget(set quorum.Set) (forgotten []string) {
+// RetainMembers takes the say of those that are no members of a set, and returns them.
+func (c *Clock) RetainMembers(set quorum.Set) (forgotten []string) {
 	for name := range c.members {
 		if !set.HasName(name) {
 			delete(c.members, name)
--- a/internal/lease/granter.go
+++ b/internal/lease/granter.go
@@ -61,16 +61,16 @@
 	return &Granter{grants: map[string]*grant{}, clocks: map[string]clockReading{}, polls: map[string]pollMark{}}
 }
 
-// Guard has the member wait for a whole lease from now on, since it may have
+// DelayGrants has the member wait for a whole lease from now on, since it may have
 // granted what it doesn't know: after a start, or when it joined.
-func (g *Granter) Guard(nowMs int64) { g.guardMs, g.startMs = nowMs+DurationMs, nowMs }
+func (g *Granter) DelayGrants(nowMs int64) { g.guardMs, g.startMs = nowMs+DurationMs, nowMs }
 
-// GuardLeftMs is how long the member grants nothing yet.
-func (g *Granter) GuardLeftMs(nowMs int64) int64 { return max(0, g.guardMs-nowMs) }
+// GrantDelayLeftMs is how long the member grants nothing yet.
+func (g *Granter) GrantDelayLeftMs(nowMs int64) int64 { return max(0, g.guardMs-nowMs) }
 
-// Overtaken takes note of a poll, and tells whether a later one of the same
+// ObservePoll takes note of a poll, and tells whether a later one of the same
 // process came before: what it holds or releases may have changed since.
-func (g *Granter) Overtaken(from string, m *wire.PollRequest) bool {
+func (g *Granter) ObservePoll(from string, m *wire.PollRequest) bool {
 	if p := g.polls[from]; p.incarnation == m.Incarnation && m.Seq < p.seq {
 		return true
 	}
@@ -88,11 +88,11 @@
 	}
 }
 
-// FleetTime is the median of the wall clocks that this member hears, its own among
+// ClusterTime is the median of the wall clocks that this member hears, its own among
 // them, in ms. Right after a start it waits, so that it hears the others first;
 // and it needs more than half of the daemons that are alive. 0 while it is unknown.
-func (g *Granter) FleetTime(nowMs int64, alive int) int64 {
-	if nowMs-g.startMs < ClockWaitMs {
+func (g *Granter) ClusterTime(nowMs int64, alive int) int64 {
+	if nowMs-g.startMs < ClockWarmupMs {
 		return 0
 	}
 	if nowMs-g.forgotMs >= medianMs {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -23,7 +23,7 @@
 		must.Eq(t, want.kind, kind)
 		must.Eq(t, want.subject, subject)
 	}
-	must.Eq(t, "duty/slice/east", Register(ShardRole("east"))) // as it stands on disks
+	must.Eq(t, "duty/slice/east", RegisterName(ShardRole("east"))) // as it stands on disks
 }
 
 var (
@@ -59,9 +59,9 @@
 			g.Grant(request, first, wire.RoleHolder{}, 900, nobodyEnded)
 			g.Release(first, []wire.LeaseRelease{{Name: "slice/s", Successor: "c"}}, 900)
 		}, second, 0, wire.RoleHolder{}, nobodyEnded, false},
-		{"after a start", func(g *Granter) { g.Guard(500) }, second, 0, last, nobodyEnded, false},
-		{"after a start, nobody had it", func(g *Granter) { g.Guard(500) }, second, 0, wire.RoleHolder{}, nobodyEnded, true},
-		{"after a start, its holder has ended", func(g *Granter) { g.Guard(500) }, second, 0, last, func(p Process) bool { return p == first }, true},
+		{"after a start", func(g *Granter) { g.DelayGrants(500) }, second, 0, last, nobodyEnded, false},
+		{"after a start, nobody had it", func(g *Granter) { g.DelayGrants(500) }, second, 0, wire.RoleHolder{}, nobodyEnded, true},
+		{"after a start, its holder has ended", func(g *Granter) { g.DelayGrants(500) }, second, 0, last, func(p Process) bool { return p == first }, true},
 		{"an epoch that has passed", func(*Granter) {}, second, 2, last, nobodyEnded, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -75,23 +75,23 @@
 // The median of all clocks counts, once more than half of the daemons are heard.
 func TestGranterFleetTime(t *testing.T) {
 	g := NewGranter()
-	g.Guard(0)
+	g.DelayGrants(0)
 	for name, wallMs := range map[string]int64{"a": 100_000, "b": 100_010, "c": 999_999_999} {
 		g.ObserveClock(name, wallMs+1000, 1000)
 	}
-	must.Zero(t, g.FleetTime(ClockWaitMs-1, 3))
-	must.Zero(t, g.FleetTime(1000, 6))
-	must.Eq(t, int64(101_010), g.FleetTime(1000, 5))
-	must.Eq(t, int64(-10), g.ClockOffsets(g.FleetTime(1000, 5), 1000)["a"])
-	must.Zero(t, g.FleetTime(1000+2*clockOldMs+1, 1)) // nobody was heard for long
+	must.Zero(t, g.ClusterTime(ClockWarmupMs-1, 3))
+	must.Zero(t, g.ClusterTime(1000, 6))
+	must.Eq(t, int64(101_010), g.ClusterTime(1000, 5))
+	must.Eq(t, int64(-10), g.ClockOffsets(g.ClusterTime(1000, 5), 1000)["a"])
+	must.Zero(t, g.ClusterTime(1000+2*clockOldMs+1, 1)) // nobody was heard for long
 }
 
 func TestOvertaken(t *testing.T) {
 	g := NewGranter()
-	must.False(t, g.Overtaken("a", &wire.PollRequest{Incarnation: 1, Seq: 5}))
-	must.True(t, g.Overtaken("a", &wire.PollRequest{Incarnation: 1, Seq: 4}))
-	must.False(t, g.Overtaken("a", &wire.PollRequest{Incarnation: 2, Seq: 1}))
-	must.False(t, g.Overtaken("b", &wire.PollRequest{Incarnation: 1, Seq: 1}))
+	must.False(t, g.ObservePoll("a", &wire.PollRequest{Incarnation: 1, Seq: 5}))
+	must.True(t, g.ObservePoll("a", &wire.PollRequest{Incarnation: 1, Seq: 4}))
+	must.False(t, g.ObservePoll("a", &wire.PollRequest{Incarnation: 2, Seq: 1}))
+	must.False(t, g.ObservePoll("b", &wire.PollRequest{Incarnation: 1, Seq: 1}))
 }
 
 // A wrong clock of one member of three has no say, and bounds only get closer.
@@ -108,7 +108,7 @@
 	c.Observe("b", 1_000_050, 95, 100) // a quicker answer
 	must.Eq(t, int64(1_000_005), c.Earliest(set, 50))
 	must.Eq(t, int64(1_000_010), c.Latest(set, 50))
-	must.Eq(t, []string{"c"}, c.Forget(quorum.Set{Members: set.Members[:2]}))
+	must.Eq(t, []string{"c"}, c.RetainMembers(quorum.Set{Members: set.Members[:2]}))
 }
 
 // fakeHost is a daemon that a test reads.
@@ -137,7 +137,7 @@
 	h.polls = append(h.polls, msg.(*wire.PollRequest))
 }
 func (h *fakeHost) SendAt(string, string, any)      {}
-func (h *fakeHost) CountEpoch(role string)          { h.counted = append(h.counted, role) }
+func (h *fakeHost) IncrementEpoch(role string)      { h.counted = append(h.counted, role) }
 func (h *fakeHost) RoleTaken(role string, _ uint64) { h.taken = append(h.taken, role) }
 func (h *fakeHost) RoleLost(role string)            { h.lost = append(h.lost, role) }
 func (h *fakeHost) AdoptCoreSet(quorum.Set)         {}
@@ -175,7 +175,7 @@
 	h.answer(m, "b", true, 0)
 	must.Eq(t, []string{"slice/east"}, h.counted)
 	must.False(t, m.Holds("slice/east"))
-	m.EpochChanged("slice/east", register.Done, done(7))
+	m.OnEpochOutcome("slice/east", register.Done, done(7))
 	must.Eq(t, []string{"slice/east"}, h.taken)
 	name, epoch := m.Holder("slice/east")
 	must.Eq(t, "d", name)
@@ -195,13 +195,13 @@
 	_, m := newManager()
 	m.leases["slice/some"] = &lease{role: "slice/some", knownEpoch: 3}
 	decide := func(holder string, incarnation, epoch uint64) register.Decision {
-		decision, _ := m.DecideEpoch("slice/some", codec.Append(nil, wire.RoleHolder{Name: "slice/some", Holder: holder, Incarnation: incarnation, Epoch: epoch}))
+		decision, _ := m.NextEpoch("slice/some", codec.Append(nil, wire.RoleHolder{Name: "slice/some", Holder: holder, Incarnation: incarnation, Epoch: epoch}))
 		return decision
 	}
 	must.Eq(t, register.Replace, decide("d07", 5, 3))
 	must.Eq(t, register.Refuse, decide("d09", 1, 4))
 	must.Eq(t, register.Replace, decide("d", 5, 4)) // an own earlier try
-	decision, _ := m.DecideEpoch("other", nil)
+	decision, _ := m.NextEpoch("other", nil)
 	must.Eq(t, register.Fail, decision)
 }
 
@@ -212,7 +212,7 @@
 	m.Tick()
 	h.answer(m, "a", true, 0)
 	h.answer(m, "b", true, 4)
-	m.EpochChanged("slice/east", register.Refused, nil)
+	m.OnEpochOutcome("slice/east", register.Refused, nil)
 	must.False(t, m.Serves("slice/east"))
 	must.SliceEmpty(t, h.lost)
 	m.Tick()
@@ -280,7 +280,7 @@
 	must.Eq(t, []string{"g", "f"}, got[2:])
 	m.former["slice/east"] = formerHolder{"e", h.nowMs}
 	must.SliceNotContains(t, m.Candidates("slice/east", "east"), "e")
-	h.nowMs += cluster.AliveMs + 1
+	h.nowMs += cluster.AliveTimeoutMs + 1
 	m.peers.Record(wire.Peer{Name: "e", Zone: "east", Disk: true}, h.nowMs)
 	must.SliceContains(t, m.Candidates("slice/east", "east"), "e")
 }
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// PollMs is the pace of renewals; five tries fit in one lease.
-	PollMs = 200
-	// PollColocatedMs is the pace of daemons beside workers: they hold no lease, and
+	// PollIntervalMs is the pace of renewals; five tries fit in one lease.
+	PollIntervalMs = 200
+	// ColocatedPollIntervalMs is the pace of daemons beside workers: they hold no lease, and
 	// the configuration they go by is confirmed this often.
-	PollColocatedMs = 400
+	ColocatedPollIntervalMs = 400
 	// unheardMs: a member that answered no poll of a daemon beside a worker for so long is told
 	// where that daemon is.
-	unheardMs = 2 * PollColocatedMs
+	unheardMs = 2 * ColocatedPollIntervalMs
 	// acquireStepMs: each lower-ranked candidate waits this much longer for a free role.
 	acquireStepMs = 400
 	// returnMs: a role's holder hands it to a better machine when it has held it this long.
@@ -42,9 +42,9 @@
 	CoreSet() quorum.Set
 	// WokeMs is when it last woke from a freeze, or began.
 	WokeMs() int64
-	// CountEpoch begins to count a role's epoch up in its register, see
-	// Manager.DecideEpoch and Manager.EpochChanged.
-	CountEpoch(role string)
+	// IncrementEpoch begins to count a role's epoch up in its register, see
+	// Manager.NextEpoch and Manager.OnEpochOutcome.
+	IncrementEpoch(role string)
 	// RoleTaken tells that the daemon holds a role from now on.
 	RoleTaken(role string, epoch uint64)
 	// RoleLost tells that it holds a role no more, if it did.
@@ -58,13 +58,13 @@
 
 // Round is one round of polls to all core members.
 type Round struct {
-	Seq      uint64
-	SentMs   int64
-	Answers  map[string]*wire.PollResponse // by member
-	hashes   map[string]uint64             // member -> the holders that it was asked to leave out
-	wanted   []wire.LeaseRequest
-	leases   []*lease // what each of wanted was asked for: one given up since is another
-	releases []wire.LeaseRelease
+	Seq       uint64
+	SentMs    int64
+	Responses map[string]*wire.PollResponse // by member
+	hashes    map[string]uint64             // member -> the holders that it was asked to leave out
+	wanted    []wire.LeaseRequest
+	leases    []*lease // what each of wanted was asked for: one given up since is another
+	releases  []wire.LeaseRelease
 }
 
 // phase is how far the daemon is with a role.
@@ -245,8 +245,8 @@
 
 func (m *Manager) random() *rand.Rand { return m.host.Rand() }
 
-// DecideEpoch counts a role's epoch up: it is the change of the role's register.
-func (m *Manager) DecideEpoch(role string, current []byte) (register.Decision, []byte) {
+// NextEpoch counts a role's epoch up: it is the change of the role's register.
+func (m *Manager) NextEpoch(role string, current []byte) (register.Decision, []byte) {
 	l := m.leases[role]
 	var h wire.RoleHolder
 	if l == nil || len(current) > 0 && codec.Unmarshal(current, &h) != nil {
@@ -261,8 +261,8 @@
 	})
 }
 
-// EpochChanged takes what came of counting a role's epoch up, and begins to serve it.
-func (m *Manager) EpochChanged(role string, outcome register.Outcome, value []byte) {
+// OnEpochOutcome takes what came of counting a role's epoch up, and begins to serve it.
+func (m *Manager) OnEpochOutcome(role string, outcome register.Outcome, value []byte) {
 	l := m.leases[role]
 	if l == nil || l.phase != counting {
 		return
--- a/internal/lease/poll.go
+++ b/internal/lease/poll.go
@@ -15,20 +15,20 @@
 // tickMs apart.
 func (m *Manager) PollNextTick(tickMs int64) { m.nextMs = min(m.nextMs, m.lastMs+tickMs) }
 
-// Polls is the number of the newest round. What a later round confirms was so after it.
-func (m *Manager) Polls() uint64 { return m.seq }
+// LatestRound is the number of the newest round. What a later round confirms was so after it.
+func (m *Manager) LatestRound() uint64 { return m.seq }
 
-// ContactMs is when the newest round that a majority answered was sent.
-func (m *Manager) ContactMs() int64 { return m.contactMs }
+// LastContactMs is when the newest round that a majority answered was sent.
+func (m *Manager) LastContactMs() int64 { return m.contactMs }
 
 // FirstPollMs is when this daemon first polled; 0 before.
 func (m *Manager) FirstPollMs() int64 { return m.firstMs }
 
-// HeardMs is when a member last answered a poll; 0 for never.
-func (m *Manager) HeardMs(member string) int64 { return m.heardMs[member] }
+// LastResponseMs is when a member last answered a poll; 0 for never.
+func (m *Manager) LastResponseMs(member string) int64 { return m.heardMs[member] }
 
-// SyncMs returns the time of the last sync of each member that told.
-func (m *Manager) SyncMs() map[string]int64 { return m.syncMs }
+// MemberSyncMs returns the time of the last sync of each member that told.
+func (m *Manager) MemberSyncMs() map[string]int64 { return m.syncMs }
 
 // Clock is the fleet's time as the members told it.
 func (m *Manager) Clock() *Clock { return &m.clock }
@@ -59,12 +59,12 @@
 		return
 	}
 	self := m.host.Self()
-	m.nextMs, m.lastMs = now+PollMs, now
+	m.nextMs, m.lastMs = now+PollIntervalMs, now
 	if self.Colocated {
-		m.nextMs = now + PollColocatedMs
+		m.nextMs = now + ColocatedPollIntervalMs
 	}
 	m.seq++
-	round := &Round{Seq: m.seq, SentMs: now, Answers: map[string]*wire.PollResponse{}, hashes: map[string]uint64{}}
+	round := &Round{Seq: m.seq, SentMs: now, Responses: map[string]*wire.PollResponse{}, hashes: map[string]uint64{}}
 	m.sent[m.seq] = round
 	m.fill(round)
 	maps.DeleteFunc(m.sent, func(_ uint64, r *Round) bool { return now-r.SentMs > DurationMs })
@@ -124,7 +124,7 @@
 	set, now := m.host.CoreSet(), m.host.NowMs()
 	m.heardMs[from] = now
 	r := m.sent[a.Seq]
-	if r == nil || a.SetVersion != set.Version || r.Answers[from] != nil {
+	if r == nil || a.SetVersion != set.Version || r.Responses[from] != nil {
 		return
 	}
 	if len(a.Granted) != len(r.wanted) || len(a.Epochs) != len(r.wanted) {
@@ -133,7 +133,7 @@
 	if !m.completeHolders(from, a, r.hashes[from]) {
 		return
 	}
-	r.Answers[from] = a
+	r.Responses[from] = a
 	m.clock.Observe(from, a.FleetMs, r.SentMs, now)
 	m.syncMs[from] = a.SyncMs
 	for i, l := range r.leases {
@@ -141,7 +141,7 @@
 			m.onGrants(r, l, r.grantedEpochs(i))
 		}
 	}
-	if len(r.Answers) < set.Majority() {
+	if len(r.Responses) < set.Majority() {
 		return
 	}
 	m.waitForGuards(r)
@@ -155,7 +155,7 @@
 // members wait for leases that they may have granted before a start.
 func (m *Manager) waitForGuards(r *Round) {
 	var guards []int64
-	for _, a := range r.Answers {
+	for _, a := range r.Responses {
 		guards = append(guards, a.GuardMs)
 	}
 	slices.Sort(guards)
@@ -179,9 +179,9 @@
 		l.untilMs = max(l.untilMs, r.SentMs+DurationMs)
 		if l.phase == wanted {
 			l.phase, l.takenMs, l.knownEpoch = counting, m.host.NowMs(), epochs[need-1]
-			m.host.CountEpoch(l.role)
+			m.host.IncrementEpoch(l.role)
 		}
-	case l.phase == wanted && len(r.Answers) == len(set.Members):
+	case l.phase == wanted && len(r.Responses) == len(set.Members):
 		m.backOff(l)
 	}
 }
@@ -195,7 +195,7 @@
 // newer one is written back, and the lease is asked for again of members that then
 // know it.
 func (r *Round) grantedEpochs(i int) (epochs []uint64) {
-	for _, a := range r.Answers {
+	for _, a := range r.Responses {
 		if a.Granted[i] {
 			epochs = append(epochs, a.Epochs[i])
 		}
@@ -209,8 +209,8 @@
 // is free.
 func (m *Manager) observeHolders(r *Round) {
 	seen := map[string]bool{}
-	for _, from := range slices.Sorted(maps.Keys(r.Answers)) {
-		for _, h := range r.Answers[from].Holders {
+	for _, from := range slices.Sorted(maps.Keys(r.Responses)) {
+		for _, h := range r.Responses[from].Holders {
 			old, known := m.holders[h.Name]
 			if !seen[h.Name] || !known || h.Epoch > old.Epoch || h.Epoch == old.Epoch && old.Holder == "" {
 				m.holders[h.Name] = h
@@ -251,7 +251,7 @@
 			m.heardMs[member.Name] = m.host.NowMs()
 		}
 	}
-	for _, name := range m.clock.Forget(after) {
+	for _, name := range m.clock.RetainMembers(after) {
 		delete(m.syncMs, name)
 	}
 }
@@ -260,6 +260,6 @@
 // long, though a majority does.
 func (m *Manager) Unresponsive(member string, forMs int64) bool {
 	now := m.host.NowMs()
-	majorityAnswers := m.firstMs != 0 && now-m.contactMs < 2*PollColocatedMs
+	majorityAnswers := m.firstMs != 0 && now-m.contactMs < 2*ColocatedPollIntervalMs
 	return majorityAnswers && now-max(m.heardMs[member], m.firstMs) > forMs
 }
--- a/internal/lease/poll_test.go
+++ b/internal/lease/poll_test.go
@@ -25,7 +25,7 @@
 }
 
 func (m *Manager) pollNow(h *fakeHost) {
-	h.nowMs += PollMs
+	h.nowMs += PollIntervalMs
 	m.Tick()
 }
 
@@ -81,25 +81,25 @@
 	newest := h.pollOf(0)
 	m.OnResponse("a", core.answer(newest, h.set.Version))
 	m.OnResponse("a", late)
-	must.MapLen(t, 0, m.sent[late.Seq].Answers)
-	must.Eq(t, core.holders, m.sent[newest.Seq].Answers["a"].Holders)
+	must.MapLen(t, 0, m.sent[late.Seq].Responses)
+	must.Eq(t, core.holders, m.sent[newest.Seq].Responses["a"].Holders)
 }
 
 // The median is worked out once for many polls, and anew when clocks come or time passes.
 func TestMedianIsKeptForAWhile(t *testing.T) {
 	g := NewGranter()
-	g.Guard(0)
+	g.DelayGrants(0)
 	observe := func(name string, offsetMs, nowMs int64) { g.ObserveClock(name, nowMs+offsetMs, nowMs) }
 	for _, name := range []string{"a", "b", "c"} {
 		observe(name, 1000, 2000)
 	}
-	must.Eq(t, int64(3000), g.FleetTime(2000, 3))
+	must.Eq(t, int64(3000), g.ClusterTime(2000, 3))
 	observe("a", 5000, 2010)
 	observe("b", 5000, 2010)
-	must.Eq(t, int64(2010+1000), g.FleetTime(2010, 3))
-	must.Eq(t, int64(2000+medianMs+5000), g.FleetTime(2000+medianMs, 3))
+	must.Eq(t, int64(2010+1000), g.ClusterTime(2010, 3))
+	must.Eq(t, int64(2000+medianMs+5000), g.ClusterTime(2000+medianMs, 3))
 	observe("d", 9000, 2110)
 	observe("e", 9000, 2110)
 	observe("f", 9000, 2110)
-	must.Eq(t, int64(2110+5000), g.FleetTime(2110, 3)) // six clocks now
+	must.Eq(t, int64(2110+5000), g.ClusterTime(2110, 3)) // six clocks now
 }
--- a/internal/lease/role.go
+++ b/internal/lease/role.go
@@ -42,10 +42,10 @@
 // Example: lease.AgentRole("worker-1")
 func AgentRole(worker string) string { return string(KindAgent) + "/" + worker }
 
-// Register is the name of the register that counts a role's epoch.
+// RegisterName is the name of the register that counts a role's epoch.
 //
 // Example: store.RegisterValue(lease.Register(lease.Central))
-func Register(role string) string { return registerPrefix + role }
+func RegisterName(role string) string { return registerPrefix + role }
 
 // SplitRole returns a role's kind and the shard or worker it is for.
 //
--- a/internal/membership/manager.go
+++ b/internal/membership/manager.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// Register is the name of the register that holds the core set.
-	Register = "core"
+	// RegisterName is the name of the register that holds the core set.
+	RegisterName = "core"
 	// DefaultSize is how many disks hold the state where nothing else is set.
 	DefaultSize = 3
 	// UnresponsiveMs is how long a member may answer no poll: some four of them.
@@ -115,9 +115,9 @@
 // fleet has a machine more than before, which was brought for some member's.
 func (m *Manager) OnDiskReset() { m.learner, m.forming, m.newcomer = nil, nil, true }
 
-// FillsUp tells whether a set is full again by this daemon as its newest member:
+// CompletesSet tells whether a set is full again by this daemon as its newest member:
 // then it has missed what the others granted before.
-func (m *Manager) FillsUp(before, after quorum.Set) bool {
+func (m *Manager) CompletesSet(before, after quorum.Set) bool {
 	full := len(after.Members) == m.size && len(before.Members) > m.size
 	return full && after.Members[len(after.Members)-1].Name == m.name
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -55,7 +55,7 @@
 func (h *fakeHost) Forming() bool                 { return false }
 func (h *fakeHost) RaiseIncarnation(uint64)       {}
 func (h *fakeHost) WokeMs() int64                 { return 0 }
-func (h *fakeHost) CountEpoch(string)             {}
+func (h *fakeHost) IncrementEpoch(string)         {}
 func (h *fakeHost) RoleTaken(string, uint64)      {}
 func (h *fakeHost) RoleLost(string)               {}
 func (h *fakeHost) HolderLost(string)             {}
@@ -91,7 +91,7 @@
 	says(-1, slotOccupied)
 	m.peers.Get("a").Disk = false
 	says(0, slotDiskFailed)
-	m.peers.Get("b").HeardMs = 0
+	m.peers.Get("b").LastHeartbeatMs = 0
 	says(1, slotSilent)
 	m.peers.Get("c").Leaving = true
 	says(2, slotLeaving)
--- a/internal/membership/slots.go
+++ b/internal/membership/slots.go
@@ -115,7 +115,7 @@
 func (m *Manager) waitMs(state slotState) int64 {
 	switch {
 	case state == slotWiped:
-		return 2 * cluster.RoundMs
+		return 2 * cluster.GossipIntervalMs
 	case state == slotLeaving, state == slotSilent && m.newcomer:
 		return 0
 	}
--- a/internal/register/model_test.go
+++ b/internal/register/model_test.go
@@ -197,7 +197,7 @@
 	return string(b)
 }
 
-var modelTiming = Timing{DeadlineMs: 1 << 40, AnswersMs: 10, RetryMs: 4}
+var modelTiming = Timing{DeadlineMs: 1 << 40, ResponseTimeoutMs: 10, RetryBaseMs: 4}
 
 func noJitter(int64) int64 { return 0 }
 
@@ -350,7 +350,7 @@
 // retry lets the time for a try's answers run out.
 func (s *model) retry(p *modelProcess) {
 	p.before = s.acknowledged
-	s.sendAll(p, p.op.Tick(s.setOf(p.set), p.op.sentMs+modelTiming.AnswersMs+modelTiming.RetryMs+1))
+	s.sendAll(p, p.op.Tick(s.setOf(p.set), p.op.sentMs+modelTiming.ResponseTimeoutMs+modelTiming.RetryBaseMs+1))
 	p.op.sentMs, p.op.retryMs = 0, 0
 }
 
--- a/internal/register/proposer.go
+++ b/internal/register/proposer.go
@@ -33,9 +33,9 @@
 
 // Timing bounds an operation, in the milliseconds of the clock it is handed.
 type Timing struct {
-	DeadlineMs int64 // from its beginning: then its outcome is unknown
-	AnswersMs  int64 // a try without enough answers by then is made anew
-	RetryMs    int64 // base of the wait before the next try of one that was refused
+	DeadlineMs        int64 // from its beginning: then its outcome is unknown
+	ResponseTimeoutMs int64 // a try without enough answers by then is made anew
+	RetryBaseMs       int64 // base of the wait before the next try of one that was refused
 }
 
 // Proposer makes the ballots of one process.
@@ -229,7 +229,7 @@
 	o.refused = o.refused.with(o.set, from)
 	if len(o.set.Members)-o.refused.count() < o.set.Majority() {
 		o.phase = waiting
-		base := o.proposer.Timing.RetryMs
+		base := o.proposer.Timing.RetryBaseMs
 		o.retryMs = nowMs + base/2 + jitter(base*min(o.tries, retriesSpread))
 	}
 }
@@ -246,7 +246,7 @@
 		return nil
 	case set.Version != o.set.Version,
 		o.phase == waiting && nowMs >= o.retryMs,
-		o.phase != waiting && nowMs-o.sentMs > timing.AnswersMs:
+		o.phase != waiting && nowMs-o.sentMs > timing.ResponseTimeoutMs:
 		return o.prepare(set, nowMs)
 	}
 	return nil
