--- a/guards.sh
+++ b/guards.sh
@@ -34,7 +34,7 @@
 leaving and emptied|internal/daemon/agent_dispatch.go|if agent.leaving \|\| n.config.current.EmptyZones[agent.zone] {|if false {
 acknowledged only when durable|internal/daemon/job_request.go|if w.version > job.committed {|if false {
 register needs a majority|internal/quorum/set.go|return len(s.Members)/2 + 1|return 1
-old epochs are fenced|internal/daemon/core_member.go|if m.Epoch != replica.Sealed() {|if false {
+old epochs are fenced|internal/daemon/core_member.go|if m.Epoch != replica.SealedEpoch() {|if false {
 leases exclude|internal/lease/granter.go|if !g.free(r.Name, to, nowMs, ended) {|if false {
 a started member waits a lease|internal/lease/granter.go|if nowMs < g.guardMs && last.Holder != "" && !ended(lastHolder) {|if false && !ended(lastHolder) {
 a lease builds on what its granters know|internal/lease/poll.go|m.host.NowMs(), epochs[need-1]|m.host.NowMs(), epochs[0]
@@ -43,7 +43,7 @@
 overtaken polls change nothing|internal/lease/granter.go|p.incarnation == m.Incarnation && m.Seq < p.seq|p.incarnation == m.Incarnation && false
 passed epochs are not renewed|internal/lease/granter.go|if r.Epoch != 0 && r.Epoch < last.Epoch {|if false {
 leases end with their incarnation|internal/daemon/host.go|n.leases.Lose(role, "incarnation_raised")|_ = role
-a start takes no older set|internal/daemon/core_set.go|c.Version < n.store.Set().Version {|false {
+a start takes no older set|internal/daemon/core_set.go|c.Version < n.store.CoreSet().Version {|false {
 reads by a later poll|internal/daemon/config_state.go|return n.config.confirmedPoll > req.pollsBefore|return n.config.confirmedMs >= req.receivedMs
 reads are checked after a freeze|internal/daemon/config_state.go|confirmedPoll > req.pollsBefore && n.configFresh()|confirmedPoll > req.pollsBefore
 copied before joining|internal/membership/learner.go|if len(l.copied) >= need {|if true {
@@ -78,7 +78,7 @@
 the surest loss goes first|internal/membership/slots.go|if current > state && now-l.vacantSince|if at < 0 && now-l.vacantSince
 a failing disk keeps its slot for a while|internal/membership/slots.go|case !peer.Disk:\n\t\treturn slotDiskFailed|case !peer.Disk:\n\t\treturn slotLeaving
 a member that restarts keeps its slot|internal/membership/slots.go|unresponsive && silentMs > UnresponsiveMs|(unresponsive \|\| true) && silentMs > cluster.RoundMs
-a former member starts over|internal/membership/learner.go|if m.host.Store().Set().Has(m.name, self.DiskID) {|if false {
+a former member starts over|internal/membership/learner.go|if m.host.Store().CoreSet().Has(m.name, self.DiskID) {|if false {
 a failed disk stops voting|internal/daemon/core_set.go|n.store != nil && n.diskFailed == "" && n.store.Cluster()|n.store != nil && n.store.Cluster()
 a newcomer grants no lease before its set is full|internal/daemon/core_set.go|(!was \|\| fillsUp)|(!was \|\| fillsUp && false)
 a member's silence counts since it joined|internal/daemon/core_set.go|\tn.leases.OnCoreSet(before, c)|\t_ = before
@@ -110,7 +110,7 @@
 a lowered limit is given up|internal/quota/borrower.go|a.held, a.reserved, a.reusesReleased = a.used, map[string]reservation{}, false|_ = a
 a lowered limit voids grants on their way|internal/quota/borrower.go|b.seq++\n\tb.reportDue|b.reportDue
 what ends is not replaced beyond the limit|internal/quota/borrower.go|if !a.reusesReleased {\n|if false {\n
-what was given up is not taken back|internal/quota/borrower.go|if s.GiveBack && a.reducedSinceReport {|if false {
+what was given up is not taken back|internal/quota/borrower.go|if s.ReturnFreed && a.reducedSinceReport {|if false {
 what a former owner placed is used|internal/quota/borrower.go|a.held = larger(a.held, a.used)\n\ta.started|a.held, a.used = larger(a.held, a.used), larger(resource.Amount{}, a.used.Minus(amount))\n\ta.started
 a version that was not seen may have lent more|internal/quota/limits.go|skipped && !limit.Unlimited()|skipped && false
 tasks placed by a higher limit go back|internal/quota/limits.go|version < l.LoweredIn(tenant)|false
--- a/internal/cluster/directory_test.go
+++ b/internal/cluster/directory_test.go
@@ -25,7 +25,7 @@
 }
 
 func newHost(name string) (*fakeHost, *Directory) {
-	h := &fakeHost{self: wire.Peer{Name: name, Incarnation: 5, Addr: name, HTTP: name, Zone: "z"}, nowMs: 10_000,
+	h := &fakeHost{self: wire.Peer{Name: name, Incarnation: 5, Addr: name, HTTPAddr: name, Zone: "z"}, nowMs: 10_000,
 		set: quorum.Set{Cluster: 9, Version: 1}, random: rand.New(rand.NewPCG(1, 1))}
 	return h, New(h, name, []string{"seed:1", "seed:2", name})
 }
@@ -58,14 +58,14 @@
 	hostA, a := newHost("a")
 	hostB, b := newHost("b")
 	for _, name := range []string{"c", "d", "e"} {
-		a.merge(wire.Peer{Name: name, Incarnation: 1, Heartbeat: 3, Addr: "127.0.0.1:7000", HTTP: "127.0.0.1:8000", Zone: "z"})
+		a.merge(wire.Peer{Name: name, Incarnation: 1, Heartbeat: 3, Addr: "127.0.0.1:7000", HTTPAddr: "127.0.0.1:8000", Zone: "z"})
 	}
-	b.merge(wire.Peer{Name: "e", Incarnation: 1, Heartbeat: 8, Addr: "127.0.0.1:7000", HTTP: "127.0.0.1:8000", Zone: "z"})
+	b.merge(wire.Peer{Name: "e", Incarnation: 1, Heartbeat: 8, Addr: "127.0.0.1:7000", HTTPAddr: "127.0.0.1:8000", Zone: "z"})
 	b.merge(wire.Peer{Name: "f", Incarnation: 1, Heartbeat: 8, Zone: "z"})
 	must.Less(t, len(codec.Append(nil, a.Table(true)))/2, len(codec.Append(nil, a.digest())))
 	b.OnDigest("a", a.digest())
 	ack := hostB.take()[0].(*wire.DigestReply)
-	must.Len(t, 2, ack.Unknown)
+	must.Len(t, 2, ack.UnknownHashes)
 	a.OnDigestReply("b", ack)
 	must.Eq(t, 8, a.Get("e").Heartbeat)
 	must.NotNil(t, a.Get("f"))
@@ -76,8 +76,8 @@
 	must.Eq(t, 8, b.Get("e").Heartbeat)
 	b.OnDigest("a", a.digest()) // all is known now
 	again := hostB.take()[0].(*wire.DigestReply)
-	must.SliceEmpty(t, again.Unknown)
-	must.SliceEmpty(t, again.Table)
+	must.SliceEmpty(t, again.UnknownHashes)
+	must.SliceEmpty(t, again.Peers)
 }
 
 // A peer is alive as long as its heartbeat moves, and what is newer stands.
@@ -195,7 +195,7 @@
 	must.False(t, s.Tick()) // its rounds are further apart
 	d.OnDigest("side000", digest)
 	reply := h.take()[0].(*wire.DigestReply)
-	must.LessEq(t, 7, len(reply.Table)+len(reply.Heartbeats))
+	must.LessEq(t, 7, len(reply.Peers)+len(reply.Heartbeats))
 	must.True(t, d.Alive("side000"))
 }
 
@@ -221,7 +221,7 @@
 	d.merge(wire.Peer{Name: "side", Incarnation: 9, Heartbeat: 4, Colocated: true})
 	d.OnDigest("side", &wire.Digest{Self: wire.Peer{Name: "side", Incarnation: 7, Colocated: true}, Partial: true})
 	reply := h.take()[0].(*wire.DigestReply)
-	must.Eq(t, 9, reply.Table[0].Incarnation)
+	must.Eq(t, 9, reply.Peers[0].Incarnation)
 	side, s := newHost("side")
 	side.self.Incarnation, side.self.Colocated = 7, true
 	s.OnDigestReply("a", reply)
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -73,7 +73,7 @@
 	m := &wire.Gossip{Self: d.Self(), Core: d.host.CoreSet(), ReplyRequested: replyRequested}
 	for _, name := range d.Names() {
 		if omitted := partial && d.peers[name].Colocated; d.Alive(name) && !omitted {
-			m.Table = append(m.Table, d.peers[name].Peer)
+			m.Peers = append(m.Peers, d.peers[name].Peer)
 		}
 	}
 	return m
@@ -108,7 +108,7 @@
 // OnGossip takes another daemon's table.
 func (d *Directory) OnGossip(from string, m *wire.Gossip) {
 	d.merge(m.Self)
-	for _, p := range m.Table {
+	for _, p := range m.Peers {
 		d.merge(p)
 	}
 	d.host.AdoptCoreSet(m.Core)
@@ -182,14 +182,14 @@
 	for _, h := range m.Heartbeats {
 		name, known := d.find(h.Hash, own)
 		if !known {
-			reply.Unknown = append(reply.Unknown, h.Hash)
+			reply.UnknownHashes = append(reply.UnknownHashes, h.Hash)
 			continue
 		}
 		said[name] = h.Heartbeat
 		d.recordHeartbeat(h, name)
 	}
 	if p := d.peers[from]; p != nil && p.Incarnation > m.Self.Incarnation {
-		reply.Table = append(reply.Table, p.Peer) // an earlier process of its name began by a later clock
+		reply.Peers = append(reply.Peers, p.Peer) // an earlier process of its name began by a later clock
 	}
 	d.addDifferences(reply, said, own, m.Partial)
 	d.host.SendAt(from, m.Self.Addr, reply)
@@ -207,7 +207,7 @@
 			continue
 		}
 		if heartbeat, ok := said[name]; !ok {
-			reply.Table = append(reply.Table, p.Peer)
+			reply.Peers = append(reply.Peers, p.Peer)
 		} else if int32(p.Heartbeat) > heartbeat {
 			reply.Heartbeats = append(reply.Heartbeats, wire.Heartbeat{Hash: p.hash, Heartbeat: int32(p.Heartbeat)})
 		}
@@ -219,14 +219,14 @@
 	if _, ok := said[d.name]; ok {
 		reply.Heartbeats = append(reply.Heartbeats, wire.Heartbeat{Hash: own, Heartbeat: int32(self.Heartbeat)})
 	} else {
-		reply.Table = append(reply.Table, self)
+		reply.Peers = append(reply.Peers, self)
 	}
 }
 
 // OnDigestReply takes what differs at a peer, and sends what it lacks.
 func (d *Directory) OnDigestReply(from string, m *wire.DigestReply) {
 	own := d.Self().DetailHash()
-	for _, p := range m.Table {
+	for _, p := range m.Peers {
 		d.merge(p)
 	}
 	for _, h := range m.Heartbeats {
@@ -236,15 +236,15 @@
 	}
 	set, self := d.host.CoreSet(), d.Self()
 	more := &wire.Gossip{Self: self}
-	for _, hash := range m.Unknown {
+	for _, hash := range m.UnknownHashes {
 		if name, known := d.find(hash, own); known && name != d.name {
-			more.Table = append(more.Table, d.peers[name].Peer)
+			more.Peers = append(more.Peers, d.peers[name].Peer)
 		}
 	}
 	if m.SetVersion < set.Version {
 		more.Core = set
 	}
-	if len(more.Table) > 0 || more.Core.Cluster != 0 {
+	if len(more.Peers) > 0 || more.Core.Cluster != 0 {
 		d.host.Send(from, more)
 	}
 }
--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -42,7 +42,7 @@
 
 // DocumentSchema is the table that a document is checked by.
 var DocumentSchema = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
-	"note":        {Kind: schema.Text, Max: 1000},
+	"note":        {Kind: schema.String, Max: 1000},
 	"queues":      {Kind: schema.List, Required: true, Max: 20_000, Elem: &queueField},
 	"contracts":   {Kind: schema.List, Max: 100, Elem: &contractFields},
 	"empty_sites": {Kind: schema.List, Max: 100, Elem: &schema.Field{Kind: schema.Name}},
--- a/internal/configuration/contract.go
+++ b/internal/configuration/contract.go
@@ -30,12 +30,12 @@
 
 var contractFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"name":               {Kind: schema.Name, Required: true},
-	"utc_offset_minutes": {Kind: schema.Count, Required: true, Min: -minutesPerDay + 1, Max: minutesPerDay - 1},
+	"utc_offset_minutes": {Kind: schema.Integer, Required: true, Min: -minutesPerDay + 1, Max: minutesPerDay - 1},
 	"price":              {Kind: schema.Number, Required: true},
 	"hours": {Kind: schema.List, Max: 100, Elem: &schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
-		"from":  {Kind: schema.Text, Required: true, Min: 5, Max: 5},
-		"to":    {Kind: schema.Text, Required: true, Min: 5, Max: 5},
-		"days":  {Kind: schema.List, Min: 1, Max: 7, Elem: &schema.Field{Kind: schema.Text, Min: 3, Max: 3}},
+		"from":  {Kind: schema.String, Required: true, Min: 5, Max: 5},
+		"to":    {Kind: schema.String, Required: true, Min: 5, Max: 5},
+		"days":  {Kind: schema.List, Min: 1, Max: 7, Elem: &schema.Field{Kind: schema.String, Min: 3, Max: 3}},
 		"price": {Kind: schema.Number, Required: true},
 	}}},
 }}
@@ -43,7 +43,7 @@
 var batchFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"contract":        {Kind: schema.Name, Required: true},
 	"finish_by_hours": {Kind: schema.Number, Required: true},
-	"share_percent":   {Kind: schema.Count, Required: true, Min: 1, Max: 100},
+	"share_percent":   {Kind: schema.Integer, Required: true, Min: 1, Max: 100},
 }}
 
 // Contract is what an hour of a core costs, through a week that repeats.
--- a/internal/configuration/tenant.go
+++ b/internal/configuration/tenant.go
@@ -24,15 +24,15 @@
 	"weight": {Kind: schema.Number},
 	"limit":  tenantLimitFields,
 	"key_digests": {Kind: schema.List, Max: maxTenantKeys, Elem: &schema.Field{
-		Kind: schema.Text, Min: keyDigestDigits, Max: keyDigestDigits,
+		Kind: schema.String, Min: keyDigestDigits, Max: keyDigestDigits,
 	}},
 }}
 
 // tenantLimitFields allow a limit of 0 in all dimensions, unlike what a task takes: it has none then.
 var tenantLimitFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
-	"cpu":          {Kind: schema.Count, Max: maxLimit},
-	"memory":       {Kind: schema.Count, Max: maxLimit},
-	"accelerators": {Kind: schema.Count, Max: maxLimit},
+	"cpu":          {Kind: schema.Integer, Max: maxLimit},
+	"memory":       {Kind: schema.Integer, Max: maxLimit},
+	"accelerators": {Kind: schema.Integer, Max: maxLimit},
 }}
 
 // Tenant is one customer of the fleet: its keys admit calls, its limit bounds what it may have
--- a/internal/daemon/agent_dispatch.go
+++ b/internal/daemon/agent_dispatch.go
@@ -96,9 +96,9 @@
 // room for it. It gives false where nothing behind it may start before it.
 func (n *node) startOrSkip(agent *workerAgent, attempt *agentAttempt, avail *resource.Amount) bool {
 	q := n.config.current.Queues[attempt.spec.Queue]
-	_, lack := configuration.MissingLabel(agent.labels, attempt.spec.Needs)
+	_, lack := configuration.MissingLabel(agent.labels, attempt.spec.RequiredLabels)
 	if q == nil || lack || !q.Matches(agent.labels, agent.zone) ||
-		attempt.spec.PerWorker > 0 && agent.startedOfStep(attempt) >= int(attempt.spec.PerWorker) {
+		attempt.spec.MaxPerWorker > 0 && agent.startedOfStep(attempt) >= int(attempt.spec.MaxPerWorker) {
 		attempt.state, attempt.result = wire.AttemptEnded, wire.ResultRejected
 		n.reportAgent(agent)
 		return true
--- a/internal/daemon/agent_health.go
+++ b/internal/daemon/agent_health.go
@@ -65,10 +65,10 @@
 }
 
 // endsByQueue is how runs ended here lately, for the coordinator.
-func (a *workerAgent) endsByQueue() (ends []wire.QueueEnds) {
+func (a *workerAgent) endsByQueue() (ends []wire.QueueOutcomes) {
 	for _, queue := range sortedKeys(a.endCounts) {
 		counts := a.endCounts[queue]
-		ends = append(ends, wire.QueueEnds{Queue: queue, Succeeded: counts.Succeeded, Failed: counts.Failed})
+		ends = append(ends, wire.QueueOutcomes{Queue: queue, Succeeded: counts.Succeeded, Failed: counts.Failed})
 	}
 	return ends
 }
@@ -80,7 +80,7 @@
 		if w.Suspect {
 			continue
 		}
-		for _, e := range w.Ends {
+		for _, e := range w.Outcomes {
 			sums[e.Queue] = sums[e.Queue].Plus(scheduler.OutcomeCounts{Succeeded: e.Succeeded, Failed: e.Failed})
 		}
 	}
--- a/internal/daemon/agent_report.go
+++ b/internal/daemon/agent_report.go
@@ -30,22 +30,22 @@
 
 var reportFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"incarnation": {Kind: schema.Name, Required: true},
-	"seq":         {Kind: schema.Count, Required: true, Min: 1},
-	"address":     {Kind: schema.Text, Required: true, Min: 3, Max: 200},
+	"seq":         {Kind: schema.Integer, Required: true, Min: 1},
+	"address":     {Kind: schema.String, Required: true, Min: 3, Max: 200},
 	"site":        {Kind: schema.Name, Required: true},
 	"labels":      {Kind: schema.Labels},
-	"free":        {Kind: schema.Count, Required: true, Min: 0},
-	"leaving":     {Kind: schema.Flag},
-	"token":       {Kind: schema.Text, Max: 100},
+	"free":        {Kind: schema.Integer, Required: true, Min: 0},
+	"leaving":     {Kind: schema.Bool},
+	"token":       {Kind: schema.String, Max: 100},
 	"running":     {Kind: schema.List, Max: 100_000, Elem: &runFields},
 	"ended":       {Kind: schema.List, Max: 100_000, Elem: &runFields},
 }}
 
 var runFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
-	"id":      {Kind: schema.Text, Required: true, Min: 1, Max: 300},
-	"tag":     {Kind: schema.Text, Max: 4000},
-	"room":    {Kind: schema.Count, Min: 0},
-	"ran_ms":  {Kind: schema.Count, Min: 0},
+	"id":      {Kind: schema.String, Required: true, Min: 1, Max: 300},
+	"tag":     {Kind: schema.String, Max: 4000},
+	"room":    {Kind: schema.Integer, Min: 0},
+	"ran_ms":  {Kind: schema.Integer, Min: 0},
 	"outcome": {Kind: schema.Name},
 }}
 
--- a/internal/daemon/agent_sync.go
+++ b/internal/daemon/agent_sync.go
@@ -12,19 +12,19 @@
 	agent := n.agents[m.Worker]
 	if agent == nil || agent.epoch != m.AgentEpoch || !n.isActiveAgent(agent) && !agent.replaced ||
 		m.ShardEpoch < agent.ownerEpochs[m.Spec.Shard] ||
-		n.now-m.EchoMs > ownerContactMs {
+		n.now-m.AgentClockMs > ownerContactMs {
 		n.count("placements_stale")
 		return
 	}
 	agent.ownerEpochs[m.Spec.Shard] = m.ShardEpoch
 	if attempt := agent.attempts[m.Spec.Key]; attempt != nil {
-		attempt.confirmedMs = max(attempt.confirmedMs, m.EchoMs)
+		attempt.confirmedMs = max(attempt.confirmedMs, m.AgentClockMs)
 		return
 	}
 	if _, ok := agent.tombstones[m.Spec.Key]; ok {
 		return
 	}
-	attempt := &agentAttempt{spec: m.Spec, confirmedMs: m.EchoMs, queuedMs: n.now}
+	attempt := &agentAttempt{spec: m.Spec, confirmedMs: m.AgentClockMs, queuedMs: n.now}
 	agent.attempts[m.Spec.Key] = attempt
 	firm, queued := resource.Amount{}, 0
 	for _, o := range agent.attempts {
@@ -158,9 +158,9 @@
 		n.peers.AnnounceTo([]string{to}) // gossip may not have told it where this agent is
 	}
 	m.Shard = target
-	m.Batch = agent.batchUse(n, target)
+	m.BatchUsage = agent.batchUse(n, target)
 	if target == "" {
-		m.Ends = agent.endsByQueue()
+		m.Outcomes = agent.endsByQueue()
 	}
 	n.addAttempts(&m, agent, keys)
 	n.send(to, &m)
@@ -189,10 +189,10 @@
 	waiting, spare := agent.loadWithoutBatches(n)
 	return wire.AgentReport{
 		Worker: agent.worker, Agent: n.Name, Epoch: agent.epoch, SentMs: n.now,
-		Rebuilt: agent.rebuilt, Fresh: n.now-agent.tokenMs <= workerReportMaxAgeMs, SilentMs: n.now - agent.lastContactMs,
+		Rebuilt: agent.rebuilt, WorkerReportFresh: n.now-agent.tokenMs <= workerReportMaxAgeMs, SilentMs: n.now - agent.lastContactMs,
 		Zone: agent.zone, Labels: agent.labels, Rack: agent.rack, Leaving: agent.leaving,
-		Free: agent.free, Capacity: agent.capacity, Spare: spare, Waiting: waiting,
-		Suspect: n.now < agent.suspectUntilMs, Doubtful: agent.evidence.Suspect(),
+		Free: agent.free, Capacity: agent.capacity, SpareCapacity: spare, WaitingTasks: waiting,
+		Suspect: n.now < agent.suspectUntilMs, RecentFailures: agent.evidence.Suspect(),
 		Probation: agent.suspectCount > 0 && n.now >= agent.suspectUntilMs, Colocated: agent.colocated,
 		RankMs: rank, QueuedMs: queuedMs, Queued: queued,
 		Succeeded: agent.succeeded, Failed: agent.failed, LagPercent: agent.lagPercent,
@@ -206,7 +206,7 @@
 	for _, key := range keys {
 		attempt := agent.attempts[key]
 		if shard := n.shardOfAttempt(attempt); attempt.state != wire.AttemptEnded && shard != m.Shard {
-			m.Others = m.Others.Plus(attempt.spec.Resources)
+			m.OtherShards = m.OtherShards.Plus(attempt.spec.Resources)
 		}
 		switch {
 		case m.Shard == "" && !n.concernsCentral(attempt):
@@ -230,8 +230,8 @@
 		Key: attempt.spec.Key, Class: attempt.spec.Class, State: attempt.state, Result: attempt.result,
 		Resources: attempt.spec.Resources, RanMs: ran, EstimateMs: attempt.spec.EstimateMs,
 		Queue: attempt.spec.Queue, Name: attempt.spec.Name,
-		Saved:   attempt.spec.Saved,
-		Unknown: attempt.specUnknown, Late: attempt.lateEnd, QueueMs: attempt.queueMs(), StartMs: attempt.startMs(),
+		Checkpoint:  attempt.spec.Checkpoint,
+		SpecMissing: attempt.specUnknown, EndedLate: attempt.lateEnd, QueueMs: attempt.queueMs(), StartMs: attempt.startMs(),
 	}
 }
 
--- a/internal/daemon/allocate.go
+++ b/internal/daemon/allocate.go
@@ -117,7 +117,7 @@
 	granted := c.grantedRoom()
 	for _, name := range sortedKeys(c.workers) {
 		w := c.workers[name]
-		if n.now-w.receivedMs >= ownerContactMs || !w.Rebuilt || !w.Fresh || w.Leaving ||
+		if n.now-w.receivedMs >= ownerContactMs || !w.Rebuilt || !w.WorkerReportFresh || w.Leaving ||
 			n.config.current.EmptyZones[w.Zone] {
 			continue
 		}
@@ -142,7 +142,7 @@
 	suspects := 0
 	for _, r := range candidates {
 		w := n.central.workers[r.Name]
-		_, lack := configuration.MissingLabel(w.Labels, request.Needs)
+		_, lack := configuration.MissingLabel(w.Labels, request.RequiredLabels)
 		if lack || !q.Matches(w.Labels, w.Zone) || !request.Resources.Fits(r.Capacity) {
 			continue
 		}
@@ -173,7 +173,7 @@
 		Urgent: n.mayUseUrgentRoom(q, request.Excess), HeadroomPercent: n.central.urgentShare.Percent(),
 		WaitsForRack: n.waitsForRack(request, n.rackWaitMs(request)),
 	}
-	for _, u := range request.Used {
+	for _, u := range request.StepWorkers {
 		search.TaskCounts[u.Worker] += u.Count
 	}
 	for _, g := range request.granted {
@@ -185,14 +185,14 @@
 // groupOf is what the tasks of a request ask of workers.
 func (n *node) groupOf(request *pendingAllocation) scheduler.Group {
 	g := scheduler.Group{
-		Resources: request.Resources, Size: len(request.Tasks), MaxPerWorker: request.PerWorker, Gang: request.Gang,
+		Resources: request.Resources, Size: len(request.Tasks), MaxPerWorker: request.MaxPerWorker, Gang: request.Gang,
 		SameRack: request.SameRack,
 	}
 	if n.Policies.On(scheduler.NearData) {
-		g.DataRack = request.Near
+		g.DataRack = request.DataRack
 	}
 	if n.Policies.On(scheduler.AvoidLast) {
-		g.Avoid, g.Suspect = setOf(request.Avoid), setOf(request.Doubted)
+		g.Avoid, g.Suspect = setOf(request.Avoid), setOf(request.Suspect)
 	}
 	return g
 }
--- a/internal/daemon/allocation_request.go
+++ b/internal/daemon/allocation_request.go
@@ -16,7 +16,7 @@
 	}
 	m := n.newAllocationRequest(shard, job, i)
 	m.Tasks = n.requestedTasks(shard, job, i)
-	m.Avoid, m.Doubted = n.avoidedBy(job, m.Tasks)
+	m.Avoid, m.Suspect = n.avoidedBy(job, m.Tasks)
 	n.send(to, m)
 }
 
@@ -25,18 +25,18 @@
 	t := &job.Tasks[i]
 	step := &job.Steps[t.Step]
 	m := &wire.AllocationRequest{
-		Shard:       shard.name,
-		Job:         job.ID,
-		Queue:       job.Queue,
-		Resources:   t.Resources,
-		Needs:       t.Needs,
-		SubmittedMs: job.SubmitMs,
-		Gang:        step.Gang,
-		SameRack:    step.SameRack,
-		Near:        step.Near,
-		PerWorker:   step.PerWorker,
-		EstimateMs:  n.estimateMs(job, t),
-		Excess:      job.excess,
+		Shard:          shard.name,
+		Job:            job.ID,
+		Queue:          job.Queue,
+		Resources:      t.Resources,
+		RequiredLabels: t.Needs,
+		SubmittedMs:    job.SubmitMs,
+		Gang:           step.Gang,
+		SameRack:       step.SameRack,
+		DataRack:       step.Near,
+		MaxPerWorker:   step.PerWorker,
+		EstimateMs:     n.estimateMs(job, t),
+		Excess:         job.excess,
 	}
 	if n.limits.HasTenants() {
 		m.Tenant, m.TenantUsed = job.Tenant, shard.tenantUsed[job.Tenant]
@@ -44,7 +44,7 @@
 	if step.PerWorker > 0 {
 		used := job.stepTasksByWorker(i)
 		for _, w := range sortedKeys(used) {
-			m.Used = append(m.Used, wire.WorkerUse{Worker: w, Count: used[w]})
+			m.StepWorkers = append(m.StepWorkers, wire.WorkerTaskCount{Worker: w, Count: used[w]})
 		}
 	}
 	return m
--- a/internal/daemon/archive_test.go
+++ b/internal/daemon/archive_test.go
@@ -109,14 +109,14 @@
 	})
 	n := newNode(nodeConfig{Name: "d00"}, st)
 	n.core = quorum.Set{Cluster: 1, Version: 1, Members: []quorum.Member{{Name: "d00", DiskID: 0}}}
-	st.Apply(statestore.Entry{Kind: statestore.EntryForm, Value: quorum.Set{Cluster: 1}.Encode()})
+	st.Apply(statestore.Entry{Kind: statestore.EntryFormationVote, Value: quorum.Set{Cluster: 1}.Encode()})
 	took("seal", func() { n.onSealRequest("d01", &wire.SealRequest{SetVersion: 1, Shard: "east", Epoch: 9}) })
 	took("a part of a copy", func() {
-		n.onCopyRequest("d01", &wire.CopyRequest{SetVersion: 1, At: statestore.Cursor{Shard: "mid", Chunk: 5, Instance: n.Instance}})
+		n.onCopyRequest("d01", &wire.CopyRequest{SetVersion: 1, Cursor: statestore.Cursor{Shard: "mid", Chunk: 5, Instance: n.Instance}})
 	})
 	took("drop of an hour", func() {
 		for _, s := range slices {
-			st.Apply(statestore.Entry{Kind: statestore.EntryDrop, Name: s, Epoch: uint64(wallStart + 3_600_000)})
+			st.Apply(statestore.Entry{Kind: statestore.EntryExpire, Name: s, Epoch: uint64(wallStart + 3_600_000)})
 		}
 	})
 	took("start from the snapshot", func() { _, st, err = storage.Open(dir, 77, quiet) })
--- a/internal/daemon/ballot_test.go
+++ b/internal/daemon/ballot_test.go
@@ -26,7 +26,7 @@
 	q := &quorumOfThree{set: set, members: map[string]*node{}}
 	for _, m := range set.Members {
 		st := statestore.New()
-		st.Apply(statestore.Entry{Kind: statestore.EntrySet, Value: set.Encode()})
+		st.Apply(statestore.Entry{Kind: statestore.EntryCoreSet, Value: set.Encode()})
 		n := newNode(nodeConfig{Name: m.Name, DiskID: m.DiskID, Disk: true}, st)
 		n.core = set
 		q.members[m.Name] = n
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -476,7 +476,7 @@
 }
 
 // batchUse is the room that each queue's batches take at a worker.
-func (a *workerAgent) batchUse(n *node, but string) (out []wire.QueueUse) {
+func (a *workerAgent) batchUse(n *node, but string) (out []wire.QueueUsage) {
 	sum := map[string]resource.Amount{}
 	for _, attempt := range a.attempts {
 		if attempt.state != wire.AttemptEnded && (but == "" || attempt.spec.Shard != but) &&
@@ -485,7 +485,7 @@
 		}
 	}
 	for _, q := range sortedKeys(sum) {
-		out = append(out, wire.QueueUse{Queue: q, Resources: sum[q]})
+		out = append(out, wire.QueueUsage{Queue: q, Resources: sum[q]})
 	}
 	return out
 }
--- a/internal/daemon/batch_test.go
+++ b/internal/daemon/batch_test.go
@@ -163,7 +163,7 @@
 	one, two := queued("b1", "refresh", wire.ClassQueueable, 20), queued("b2", "refresh", wire.ClassQueueable, 20)
 	pump()
 	must.Eq(t, []wire.AttemptState{wire.AttemptOrdered, wire.AttemptQueued}, []wire.AttemptState{one.state, two.state}) // a second would be above 30 percent
-	must.Eq(t, []wire.QueueUse{{Queue: "refresh", Resources: resource.Amount{CPU: 40}}}, agent.batchUse(n, ""))
+	must.Eq(t, []wire.QueueUsage{{Queue: "refresh", Resources: resource.Amount{CPU: 40}}}, agent.batchUse(n, ""))
 	must.SliceEmpty(t, agent.batchUse(n, "east"))
 	n.now += batchReturnMs + 1
 	agent.tokenMs, n.config.confirmedMs = n.now, n.now
@@ -218,7 +218,7 @@
 	shard := n.batchSlice()
 	roomy := spareWindow{}.observe(0, resource.Amount{CPU: 100}).observe(spareWindowMs, resource.Amount{CPU: 100})
 	for _, name := range []string{"w1", "w2", "w3"} {
-		n.workers[name] = &workerView{receivedMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 100}, spare: roomy, usedByOthers: map[string]resource.Amount{}, batchUse: map[string][]wire.QueueUse{}}
+		n.workers[name] = &workerView{receivedMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 100}, spare: roomy, usedByOthers: map[string]resource.Amount{}, batchUse: map[string][]wire.QueueUsage{}}
 	}
 	job := n.batchJob(t, shard, "b1", oneBatch(10, 1000), 0)
 	job.plan = &batchPlan{}
@@ -226,8 +226,8 @@
 		shard.batchStartsInTick, shard.batchTriesInTick, shard.batchUseByWorker = 0, 0, map[queueOnWorker]resource.Amount{}
 		return n.selectBatchWorker(shard, job, 0)
 	}
-	n.workers["w1"].batchUse["east"] = []wire.QueueUse{{Queue: "refresh", Resources: resource.Amount{CPU: 10}}}
-	n.workers["w2"].batchUse["east"] = []wire.QueueUse{{Queue: "refresh", Resources: resource.Amount{CPU: 5}}}
+	n.workers["w1"].batchUse["east"] = []wire.QueueUsage{{Queue: "refresh", Resources: resource.Amount{CPU: 10}}}
+	n.workers["w2"].batchUse["east"] = []wire.QueueUsage{{Queue: "refresh", Resources: resource.Amount{CPU: 5}}}
 	must.Eq(t, "w3", choose())
 	must.Greater(t, n.now, job.runtime[0].retryAtMs)
 	n.workers["w3"].unstarted = 1 // something more urgent waits there
@@ -243,7 +243,7 @@
 	must.Eq(t, "w2", choose())
 	n.workers["w2"].usedByOthers["east"] = resource.Amount{CPU: 70} // less than headroom would be left
 	must.Eq(t, "w1", choose())
-	n.workers["w1"].batchUse["east"] = []wire.QueueUse{{Queue: "refresh", Resources: resource.Amount{CPU: 21}}} // above its share
+	n.workers["w1"].batchUse["east"] = []wire.QueueUsage{{Queue: "refresh", Resources: resource.Amount{CPU: 21}}} // above its share
 	must.Eq(t, "", choose())
 	n.workers["w2"].usedByOthers["east"] = resource.Amount{}
 	shard.starvedMs = n.now - batchPauseMs + 1
--- a/internal/daemon/campaign_test.go
+++ b/internal/daemon/campaign_test.go
@@ -147,7 +147,7 @@
 					t.Log(w.jobs[*dumpFlag].last)
 					if n := w.holderOf("central"); n != nil {
 						for name, f := range n.sh.node.central.workers {
-							t.Log("central", name, f.Capacity, f.guaranteed, f.busy, f.unhealthyUntilMs-n.sh.node.now, f.Fresh, f.Rebuilt, f.Leaving, n.sh.node.now-f.receivedMs, len(f.Attempts))
+							t.Log("central", name, f.Capacity, f.guaranteed, f.busy, f.unhealthyUntilMs-n.sh.node.now, f.WorkerReportFresh, f.Rebuilt, f.Leaving, n.sh.node.now-f.receivedMs, len(f.Attempts))
 						}
 						for k, request := range n.sh.node.central.pending {
 							t.Log("want", k, request.granted, request.Resources, request.Tasks, n.sh.node.now-request.lastMs, n.sh.node.now-request.firstMs)
--- a/internal/daemon/central.go
+++ b/internal/daemon/central.go
@@ -154,7 +154,7 @@
 		return
 	}
 	w.AgentReport, w.receivedMs = *m, n.now
-	w.guaranteed, w.busy = resource.Amount{}, m.Others // to the central scheduler all are others' attempts
+	w.guaranteed, w.busy = resource.Amount{}, m.OtherShards // to the central scheduler all are others' attempts
 	for _, status := range m.Attempts {
 		if status.Class != wire.ClassGuaranteed {
 			continue
@@ -269,7 +269,7 @@
 	c.round++
 	n.updateHealth(c)
 	m := &wire.Ranks{
-		Epoch: c.epoch, Round: c.round, WaitsForRoom: n.allocationsWait(c), UrgentPercent: c.urgentShare.Percent(),
+		Epoch: c.epoch, Round: c.round, GuaranteedWaiting: n.allocationsWait(c), HeadroomPercent: c.urgentShare.Percent(),
 		Idle: scheduler.IdleInAllDimensions(n.candidateWorkers(c), busyPercent), FailRates: c.failRates(),
 	}
 	n.rankWorkers(c, m)
@@ -309,7 +309,7 @@
 	}
 	if count > 1 {
 		mean := sum / count
-		m.TargetMs = int64(mean + n.TargetSigma*math.Sqrt(max(0, sum2/count-mean*mean)))
+		m.TargetDelayMs = int64(mean + n.TargetSigma*math.Sqrt(max(0, sum2/count-mean*mean)))
 	}
 }
 
@@ -358,10 +358,10 @@
 		epoch:         m.Epoch,
 		round:         m.Round,
 		receivedMs:    n.now,
-		targetMs:      m.TargetMs,
-		roomShort:     m.WaitsForRoom,
+		targetMs:      m.TargetDelayMs,
+		roomShort:     m.GuaranteedWaiting,
 		idle:          m.Idle,
-		urgentPercent: m.UrgentPercent,
+		urgentPercent: m.HeadroomPercent,
 		ranks:         map[string]int64{},
 		unhealthy:     map[string]int8{},
 		failRates:     map[string]float64{},
@@ -375,9 +375,9 @@
 			r.unhealthy[v.Worker] = v.Unhealthy
 		}
 	}
-	if m.TargetMs > 0 && n.Policies.On(scheduler.DelayTarget) {
+	if m.TargetDelayMs > 0 && n.Policies.On(scheduler.DelayTarget) {
 		for _, name := range sortedKeys(n.agents) {
-			n.shed(n.agents[name], m.TargetMs)
+			n.shed(n.agents[name], m.TargetDelayMs)
 		}
 	}
 }
--- a/internal/daemon/central_test.go
+++ b/internal/daemon/central_test.go
@@ -24,7 +24,7 @@
 	n.startCentral(1)
 	n.now += centralRebuildMs
 	for i := range 6 {
-		w := &workerCapacity{AgentReport: wire.AgentReport{Worker: fmt.Sprint("w", i), Rack: fmt.Sprint("r", i/3), Rebuilt: true, Fresh: true, Capacity: resource.Amount{CPU: 4000}}}
+		w := &workerCapacity{AgentReport: wire.AgentReport{Worker: fmt.Sprint("w", i), Rack: fmt.Sprint("r", i/3), Rebuilt: true, WorkerReportFresh: true, Capacity: resource.Amount{CPU: 4000}}}
 		n.central.workers[w.Worker] = w
 	}
 	return n
--- a/internal/daemon/copypace_test.go
+++ b/internal/daemon/copypace_test.go
@@ -31,7 +31,7 @@
 	for c := (statestore.Cursor{}); ; {
 		began := time.Now()
 		part, next := st.CopyPart(c, statestore.ChunkBytes)
-		frame := wire.EncodeFrame(wire.Header{From: "d00"}, &wire.CopyResponse{At: c, Next: next, Entries: part})
+		frame := wire.EncodeFrame(wire.Header{From: "d00"}, &wire.CopyResponse{Cursor: c, Next: next, Entries: part})
 		longest = max(longest, time.Since(began))
 		parts, largest = parts+1, max(largest, len(frame))
 		for _, e := range part {
--- a/internal/daemon/core_member.go
+++ b/internal/daemon/core_member.go
@@ -17,8 +17,8 @@
 // persistSet keeps a newer set on this disk, but not one that lacks it: a former
 // member must know after a restart, too, that it was one.
 func (n *node) persistSet(c quorum.Set) {
-	if s := n.store.Set(); c.Version > s.Version && (c.Has(n.Name, n.DiskID) || !s.Has(n.Name, n.DiskID)) {
-		n.persist([]statestore.Entry{{Kind: statestore.EntrySet, Value: codec.Append(nil, c)}})
+	if s := n.store.CoreSet(); c.Version > s.Version && (c.Has(n.Name, n.DiskID) || !s.Has(n.Name, n.DiskID)) {
+		n.persist([]statestore.Entry{{Kind: statestore.EntryCoreSet, Value: codec.Append(nil, c)}})
 	}
 }
 
@@ -55,11 +55,11 @@
 		return
 	}
 	replica := n.store.Shard(m.Shard)
-	if m.Epoch < replica.Sealed() {
+	if m.Epoch < replica.SealedEpoch() {
 		n.send(from, &wire.SealResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch})
 		return
 	}
-	a := &wire.SealResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch, OK: true, Served: replica.Served()}
+	a := &wire.SealResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch, OK: true, ServedEpoch: replica.ServedEpoch()}
 	a.Records = append(a.Records, replica.Live()...)
 	a.Records = append(a.Records, replica.Unconfirmed()...)
 	n.persist([]statestore.Entry{{Kind: statestore.EntrySeal, Name: m.Shard, Epoch: m.Epoch}}, n.sendEffect(from, a))
@@ -70,8 +70,8 @@
 		return
 	}
 	replica := n.store.Shard(m.Shard)
-	if m.Epoch != replica.Sealed() {
-		if m.Epoch > replica.Sealed() { // a member that missed the seal learns it with the write
+	if m.Epoch != replica.SealedEpoch() {
+		if m.Epoch > replica.SealedEpoch() { // a member that missed the seal learns it with the write
 			n.persist([]statestore.Entry{{Kind: statestore.EntrySeal, Name: m.Shard, Epoch: m.Epoch}})
 		} else {
 			n.count("writes_rejected")
@@ -82,12 +82,12 @@
 	if !patchesApply(replica, m.Patches) {
 		n.count("writes_lacking")
 		n.send(from, &wire.WriteResponse{
-			SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch, Seq: m.Seq, OK: true, Lacking: true,
+			SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch, Seq: m.Seq, OK: true, BaseMissing: true,
 		})
 		return
 	}
 	entries := make([]statestore.Entry, 0, len(m.Records)+len(m.Patches)+len(m.Confirmed)+1)
-	if m.Complete && replica.Served() < m.Epoch {
+	if m.Complete && replica.ServedEpoch() < m.Epoch {
 		entries = append(entries, statestore.Entry{Kind: statestore.EntryServed, Name: m.Shard, Epoch: m.Epoch})
 	}
 	for _, id := range m.Confirmed {
@@ -146,23 +146,23 @@
 	}
 	n.granter.ObserveClock(from, m.WallMs, n.now)
 	a := &wire.PollResponse{
-		Seq:        m.Seq,
-		SetVersion: n.core.Version,
-		GuardMs:    n.granter.GrantDelayLeftMs(n.now),
-		FleetMs:    n.fleetTimeHeard(),
-		SyncMs:     n.diskSyncMs,
+		Seq:           m.Seq,
+		SetVersion:    n.core.Version,
+		GracePeriodMs: n.granter.GrantDelayLeftMs(n.now),
+		ClusterTimeMs: n.fleetTimeHeard(),
+		DiskSyncMs:    n.diskSyncMs,
 	}
 	process := lease.Process{Name: from, Incarnation: m.Incarnation, Addr: n.peers.Addr(from)}
 	n.granter.Release(process, m.Releases, n.now)
 	ended := func(p lease.Process) bool { return n.peers.IncarnationEnded(p.Name, p.Incarnation, p.Addr) }
-	for _, r := range m.Wanted {
+	for _, r := range m.Leases {
 		last := n.lastHolder(r.Name)
 		a.Granted = append(a.Granted, n.granter.Grant(r, process, last, n.now, ended))
 		a.Epochs = append(a.Epochs, last.Epoch)
 	}
 	a.Holders = n.granter.Holders(n.now)
 	if m.HoldersHash != 0 && m.HoldersHash == wire.HashHolders(a.Holders) {
-		a.Holders, a.HoldersSame = nil, true
+		a.Holders, a.HoldersUnchanged = nil, true
 	}
 	a.Config = n.store.Register(configuration.RegisterName).Accepted
 	n.persist(nil, n.sendEffect(from, a))
@@ -195,7 +195,7 @@
 	cutMs := n.fleetTime() - n.FinishedKeepMs
 	for _, name := range n.store.ShardNames() {
 		if n.store.Shard(name).Expired(cutMs) {
-			n.persist([]statestore.Entry{{Kind: statestore.EntryDrop, Name: name, Epoch: uint64(cutMs)}})
+			n.persist([]statestore.Entry{{Kind: statestore.EntryExpire, Name: name, Epoch: uint64(cutMs)}})
 		}
 	}
 }
--- a/internal/daemon/core_set.go
+++ b/internal/daemon/core_set.go
@@ -9,7 +9,7 @@
 	if c.Cluster == 0 || n.core.Cluster != 0 && c.Cluster != n.core.Cluster || c.Version <= n.core.Version {
 		return
 	}
-	if n.store != nil && c.Cluster == n.store.Set().Cluster && c.Version < n.store.Set().Version {
+	if n.store != nil && c.Cluster == n.store.CoreSet().Cluster && c.Version < n.store.CoreSet().Version {
 		return // at a start, before the set on disk was taken up
 	}
 	was, first := n.inCore(), n.core.Cluster == 0
@@ -27,7 +27,7 @@
 		// A joined member waits one lease before it grants. At the very first
 		// set there is nothing to wait for: had this disk granted anything
 		// under it, the set would have been synced before.
-		formed := c.Version == 1 && n.store.Set().Version == 0
+		formed := c.Version == 1 && n.store.CoreSet().Version == 0
 		n.persistSet(c)
 		if (!was || fillsUp) && n.inCore() && !formed {
 			n.granter.DelayGrants(n.now)
--- a/internal/daemon/durability_test.go
+++ b/internal/daemon/durability_test.go
@@ -130,7 +130,7 @@
 		source.disk.plant(finishedEntry("mid", i, wallStart+int64(i)*1000))
 	}
 	keepFrom := int64(wallStart + gone*1000)
-	source.disk.plant(statestore.Entry{Kind: statestore.EntryDrop, Name: "mid", Epoch: uint64(keepFrom)})
+	source.disk.plant(statestore.Entry{Kind: statestore.EntryExpire, Name: "mid", Epoch: uint64(keepFrom)})
 	source.kill(false)
 	source.start()
 	past := source.sh.node.store.Shard("mid")
--- a/internal/daemon/fence_test.go
+++ b/internal/daemon/fence_test.go
@@ -54,7 +54,7 @@
 func TestLeaseExcludes(t *testing.T) {
 	n, say := coreMemberOf(t)
 	poll := func(from string, inc uint64) bool {
-		return say(from, &wire.PollRequest{Incarnation: inc, SetVersion: n.core.Version, Wanted: []wire.LeaseRequest{{Name: "slice/some"}}}).(*wire.PollResponse).Granted[0]
+		return say(from, &wire.PollRequest{Incarnation: inc, SetVersion: n.core.Version, Leases: []wire.LeaseRequest{{Name: "slice/some"}}}).(*wire.PollResponse).Granted[0]
 	}
 	must.True(t, poll("x08", 1))
 	must.True(t, poll("x08", 1))
@@ -76,7 +76,7 @@
 func TestLeaseOfAnIncarnationThatEnded(t *testing.T) {
 	n, say := coreMemberOf(t)
 	poll := func(from string, inc uint64) *wire.PollResponse {
-		return say(from, &wire.PollRequest{Incarnation: inc, SetVersion: n.core.Version, Wanted: []wire.LeaseRequest{{Name: "slice/some"}}}).(*wire.PollResponse)
+		return say(from, &wire.PollRequest{Incarnation: inc, SetVersion: n.core.Version, Leases: []wire.LeaseRequest{{Name: "slice/some"}}}).(*wire.PollResponse)
 	}
 	heard := func(name string, inc uint64, addr string) {
 		n.peers.Record(wire.Peer{Name: name, Incarnation: inc, Addr: addr}, n.now)
--- a/internal/daemon/formation_test.go
+++ b/internal/daemon/formation_test.go
@@ -59,8 +59,8 @@
 		if c := n.sh.node.core.Cluster; c != 0 {
 			all[c] = true
 		}
-		if st := n.sh.node.store; st != nil && st.Set().Version != 0 {
-			all[st.Set().Cluster] = true
+		if st := n.sh.node.store; st != nil && st.CoreSet().Version != 0 {
+			all[st.CoreSet().Cluster] = true
 		}
 	}
 	return all
@@ -153,7 +153,7 @@
 		first := w.nodes["d00"]
 		must.True(t, w.until(10_000, func() bool {
 			for _, name := range sortedKeys(w.nodes) {
-				if n := w.nodes[name]; name != "d00" && n.up && n.sh.node.store != nil && n.sh.node.store.Formed().Cluster != 0 {
+				if n := w.nodes[name]; name != "d00" && n.up && n.sh.node.store != nil && n.sh.node.store.Formation().Cluster != 0 {
 					return true
 				}
 			}
@@ -399,7 +399,7 @@
 	}
 	must.Eq(t, &wire.FormResponse{Cluster: 11, OK: true}, say(&wire.FormRequest{Set: set(11)}))
 	must.Eq(t, &wire.FormResponse{Cluster: 13}, say(&wire.FormRequest{Set: set(13)}))
-	must.Eq(t, uint64(11), n.store.Formed().Cluster)
+	must.Eq(t, uint64(11), n.store.Formation().Cluster)
 	say(&wire.FormRequest{Set: set(11), Failed: true})
 	must.Eq(t, uint64(0), n.store.Cluster())
 	must.Eq(t, &wire.FormResponse{Cluster: 13}, say(&wire.FormRequest{Set: set(13)}))
--- a/internal/daemon/gossip_test.go
+++ b/internal/daemon/gossip_test.go
@@ -38,5 +38,5 @@
 	w.nodes["d07"].start()
 	must.True(t, w.until(4000, func() bool { return told("d07", func(s *cluster.Peer) bool { return s.Zone == "moved" }) }))
 	w.nodes["d08"].sh.node.HTTP = "10.9.9.9:8000"
-	must.True(t, w.until(3000, func() bool { return told("d08", func(s *cluster.Peer) bool { return s.HTTP == "10.9.9.9:8000" }) }))
+	must.True(t, w.until(3000, func() bool { return told("d08", func(s *cluster.Peer) bool { return s.HTTPAddr == "10.9.9.9:8000" }) }))
 }
--- a/internal/daemon/heartbeat.go
+++ b/internal/daemon/heartbeat.go
@@ -50,37 +50,37 @@
 
 var heartbeatRunFields = map[string]schema.Field{
 	"job": {
-		Kind:     schema.Text,
+		Kind:     schema.String,
 		Required: true,
 		Min:      1,
 		Max:      300,
 	},
 	"round": {Kind: schema.Any, Required: true},
-	"step":  {Kind: schema.Count},
-	"index": {Kind: schema.Count},
+	"step":  {Kind: schema.Integer},
+	"index": {Kind: schema.Integer},
 	"run": {
-		Kind: schema.Count,
+		Kind: schema.Integer,
 	},
-	"saved":   {Kind: schema.Text, Max: 1 << 16},
+	"saved":   {Kind: schema.String, Max: 1 << 16},
 	"percent": {Kind: schema.Number},
-	"n":       {Kind: schema.Count},
+	"n":       {Kind: schema.Integer},
 	"outcome": {Kind: schema.Name},
 }
 
 var heartbeatFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"seq": {
-		Kind:     schema.Count,
+		Kind:     schema.Integer,
 		Required: true,
 		Min:      1,
 	},
 	"site":      {Kind: schema.Name, Required: true},
-	"address":   {Kind: schema.Text, Max: 200},
+	"address":   {Kind: schema.String, Max: 200},
 	"labels":    {Kind: schema.Labels},
-	"rack":      {Kind: schema.Text, Max: 200},
+	"rack":      {Kind: schema.String, Max: 200},
 	"capacity":  {Kind: schema.Any, Required: true},
-	"leaving":   {Kind: schema.Flag},
-	"leaves_ms": {Kind: schema.Count},
-	"cold_ms":   {Kind: schema.Count},
+	"leaving":   {Kind: schema.Bool},
+	"leaves_ms": {Kind: schema.Integer},
+	"cold_ms":   {Kind: schema.Integer},
 	"running":   {Kind: schema.List, Max: 100_000, Elem: &schema.Field{Kind: schema.Object, Fields: heartbeatRunFields}},
 	"ended":     {Kind: schema.List, Max: 100_000, Elem: &schema.Field{Kind: schema.Object, Fields: heartbeatRunFields}},
 }}
@@ -290,7 +290,7 @@
 		attempt.percent, attempt.lastProgressMs = p, n.now
 	}
 	if saved := e.Get("saved").Str; saved != "" {
-		attempt.spec.Saved = saved
+		attempt.spec.Checkpoint = saved
 	}
 	return changed
 }
@@ -321,7 +321,7 @@
 		attempt.lateEnd = finalOutcomes[outcome]
 	}
 	if saved := e.Get("saved").Str; saved != "" {
-		attempt.spec.Saved = saved
+		attempt.spec.Checkpoint = saved
 	}
 	// A run given up as lost that ended by itself after all: its owner says whether it still counts.
 	lost := attempt.state == wire.AttemptEnded && attempt.result == wire.ResultLost && !attempt.acked &&
@@ -362,7 +362,7 @@
 	out.AcknowledgedEnds = agent.acknowledgedEnds
 	for _, attempt := range agent.toStart {
 		v := newTaskOrder(attempt.spec.Key)
-		v.Payload, v.Saved = attempt.spec.Payload, attempt.spec.Saved
+		v.Payload, v.Saved = attempt.spec.Payload, attempt.spec.Checkpoint
 		out.Start = append(out.Start, v)
 	}
 	agent.toStart = nil
@@ -499,12 +499,12 @@
 		// which comes for all at once.
 		waits := attempt.spec.Gang && (attempt.percent == 0 || attempt.percent >= lastPercent)
 		switch {
-		case !attempt.spec.Lasting && !waits && attempt.percent < 100 &&
+		case !attempt.spec.LongRunning && !waits && attempt.percent < 100 &&
 			n.now-attempt.lastProgressMs > stallMs+attempt.spec.EstimateMs/10:
 			standing = true
 			n.count("standing")
 			n.stopAttempt(agent, attempt, wire.ResultStalled)
-		case agent.leavesAtMs != 0 && attempt.spec.Saves && agent.leavesAtMs-n.now < leaveStopMs:
+		case agent.leavesAtMs != 0 && attempt.spec.Checkpointing && agent.leavesAtMs-n.now < leaveStopMs:
 			n.stopAttempt(agent, attempt, wire.ResultMoved)
 		case attempt.spec.LimitMs > 0 && n.now-attempt.startedMs > attempt.spec.LimitMs:
 			n.stopAttempt(agent, attempt, wire.ResultOverrun)
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -49,11 +49,11 @@
 // Self is what this daemon says of itself, but for its heartbeat.
 func (h host) Self() wire.Peer {
 	n := h.node
-	self := wire.Peer{Name: n.Name, Incarnation: n.Incarnation, Addr: n.Addr, HTTP: n.HTTP, Zone: n.Zone,
+	self := wire.Peer{Name: n.Name, Incarnation: n.Incarnation, Addr: n.Addr, HTTPAddr: n.HTTP, Zone: n.Zone,
 		Disk: n.Disk && n.diskFailed == "", Leaving: n.leavingSinceMs != 0, Colocated: n.Colocated,
-		MilliCores: n.MilliCores, LinkMbps: n.LinkMbps, Strained: n.strain.strained}
+		MilliCores: n.MilliCores, LinkMbps: n.LinkMbps, Overloaded: n.strain.strained}
 	if n.store != nil {
-		self.DiskID, self.Empty = n.DiskID, n.store.Cluster() == 0 && n.FirstStart
+		self.DiskID, self.EmptyDisk = n.DiskID, n.store.Cluster() == 0 && n.FirstStart
 	}
 	return self
 }
--- a/internal/daemon/lease_test.go
+++ b/internal/daemon/lease_test.go
@@ -235,7 +235,7 @@
 			w.nodes[other].sh.node.onGossip("d07", &wire.Gossip{Self: said})
 		}
 	}
-	first.event(evMsg{Head: wire.Header{From: "d07", Cluster: first.sh.node.core.Cluster}, Msg: &wire.Gossip{Self: w.nodes["d07"].sh.node.peers.Self(), Table: []wire.Peer{said}}})
+	first.event(evMsg{Head: wire.Header{From: "d07", Cluster: first.sh.node.core.Cluster}, Msg: &wire.Gossip{Self: w.nodes["d07"].sh.node.peers.Self(), Peers: []wire.Peer{said}}})
 	must.Greater(t, said.Incarnation, first.sh.node.Incarnation)
 	w.cutHost("d05")
 	second.sh.node.leases.Acquire(name)
@@ -254,11 +254,11 @@
 	n.leases.PollSoon()
 	n.tickPoll()
 	asked := lastPoll(t, n)
-	i := slices.IndexFunc(asked.Wanted, func(h wire.LeaseRequest) bool { return h.Name == name })
+	i := slices.IndexFunc(asked.Leases, func(h wire.LeaseRequest) bool { return h.Name == name })
 	n.leases.Lose(name, "released")
 	n.leases.Acquire(name)
 	for _, m := range n.core.Names() {
-		a := &wire.PollResponse{Seq: n.leases.LatestRound(), SetVersion: n.core.Version, Granted: make([]bool, len(asked.Wanted)), Epochs: make([]uint64, len(asked.Wanted))}
+		a := &wire.PollResponse{Seq: n.leases.LatestRound(), SetVersion: n.core.Version, Granted: make([]bool, len(asked.Leases)), Epochs: make([]uint64, len(asked.Leases))}
 		a.Granted[i] = true
 		n.onPollResponse(m, a)
 	}
@@ -281,7 +281,7 @@
 	asked := lastPoll(t, n)
 	n.now += 150
 	for _, m := range n.core.Names() {
-		a := &wire.PollResponse{Seq: n.leases.LatestRound(), SetVersion: n.core.Version, Granted: make([]bool, len(asked.Wanted)), Epochs: make([]uint64, len(asked.Wanted))}
+		a := &wire.PollResponse{Seq: n.leases.LatestRound(), SetVersion: n.core.Version, Granted: make([]bool, len(asked.Leases)), Epochs: make([]uint64, len(asked.Leases))}
 		for i := range a.Granted {
 			a.Granted[i] = true
 		}
@@ -296,9 +296,9 @@
 func TestLeasePollsOutOfOrder(t *testing.T) {
 	n, say := coreMemberOf(t)
 	poll := func(from string, seq, epoch uint64, released bool) *wire.PollResponse {
-		m := &wire.PollRequest{Incarnation: 1, Seq: seq, SetVersion: n.core.Version, Wanted: []wire.LeaseRequest{{Name: "slice/some", Epoch: epoch}}}
+		m := &wire.PollRequest{Incarnation: 1, Seq: seq, SetVersion: n.core.Version, Leases: []wire.LeaseRequest{{Name: "slice/some", Epoch: epoch}}}
 		if released {
-			m.Wanted, m.Releases = nil, []wire.LeaseRelease{{Name: "slice/some", Successor: "x09"}}
+			m.Leases, m.Releases = nil, []wire.LeaseRelease{{Name: "slice/some", Successor: "x09"}}
 		}
 		a, _ := say(from, m).(*wire.PollResponse)
 		return a
--- a/internal/daemon/linear_test.go
+++ b/internal/daemon/linear_test.go
@@ -24,7 +24,7 @@
 	n.leases.PollSoon()
 	n.tickPoll()
 	confirm = func() {
-		count := len(lastPoll(t, n).Wanted)
+		count := len(lastPoll(t, n).Leases)
 		for _, m := range n.core.Names() {
 			n.onPollResponse(m, &wire.PollResponse{Seq: n.leases.LatestRound(), SetVersion: n.core.Version, Granted: make([]bool, count), Epochs: make([]uint64, count), Config: n.config.ballot})
 		}
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -60,7 +60,7 @@
 	}
 	cmd.Register(
 		&command{name: "version", about: "tell the version", do: func(context.Context, *flag.FlagSet) subcommands.ExitStatus {
-			fmt.Printf("otterchute %s, wire %d\n", version, wire.FormVersion)
+			fmt.Printf("otterchute %s, wire %d\n", version, wire.FormatVersion)
 			return exitOK
 		}},
 		"help",
--- a/internal/daemon/membership_test.go
+++ b/internal/daemon/membership_test.go
@@ -410,7 +410,7 @@
 // between its first copy and their hearing of the larger set is in no other copy.
 func TestCopiedAgainBeforeRemoval(t *testing.T) {
 	n := newNode(nodeConfig{Name: "d", Addr: "d:1", Instance: 7, Disk: true, DiskID: 4}, statestore.New())
-	n.store.Apply(statestore.Entry{Kind: statestore.EntryForm, Value: quorum.Set{Cluster: 9}.Encode()})
+	n.store.Apply(statestore.Entry{Kind: statestore.EntryFormationVote, Value: quorum.Set{Cluster: 9}.Encode()})
 	n.core = quorum.Set{Cluster: 9, Version: 2, Members: []quorum.Member{{Name: "a", DiskID: 1}, {Name: "b", DiskID: 2}, {Name: "c", DiskID: 3}, {Name: "d", DiskID: 4}}}
 	nowMs := int64(1000)
 	for i, name := range []string{"a", "b", "c"} {
@@ -515,7 +515,7 @@
 // full grants no lease for as long as one may be held that it never knew of.
 func TestNextSetIsLearned(t *testing.T) {
 	n := newNode(nodeConfig{Name: "d", Addr: "d:1", Disk: true, DiskID: 4}, statestore.New())
-	n.store.Apply(statestore.Entry{Kind: statestore.EntryForm, Value: quorum.Set{Cluster: 9}.Encode()})
+	n.store.Apply(statestore.Entry{Kind: statestore.EntryFormationVote, Value: quorum.Set{Cluster: 9}.Encode()})
 	n.now = 10_000 // long before, with other disks
 	n.adoptCoreSet(quorum.Set{Cluster: 9, Version: 1, Members: []quorum.Member{{Name: "a", DiskID: 11}, {Name: "b", DiskID: 12}, {Name: "c", DiskID: 13}}})
 	n.tickPoll()
--- a/internal/daemon/platformunit_test.go
+++ b/internal/daemon/platformunit_test.go
@@ -101,7 +101,7 @@
 	beat("w2")
 	must.True(t, n.agents["w1"].replaced)
 	key := wire.AttemptKey{Job: "j", Task: uniformTaskID(0, 0, 1), Attempt: 1}
-	n.onPlacement("d1", &wire.Placement{Worker: "w1", AgentEpoch: 7, ShardEpoch: 1, EchoMs: n.now, Spec: wire.TaskSpec{Key: key, Shard: "s", Resources: resource.Amount{CPU: 1}}})
+	n.onPlacement("d1", &wire.Placement{Worker: "w1", AgentEpoch: 7, ShardEpoch: 1, AgentClockMs: n.now, Spec: wire.TaskSpec{Key: key, Shard: "s", Resources: resource.Amount{CPU: 1}}})
 	attempt := n.agents["w1"].attempts[key]
 	must.NotNil(t, attempt)
 	must.Eq(t, wire.AttemptEnded, attempt.state)
--- a/internal/daemon/platformworld_test.go
+++ b/internal/daemon/platformworld_test.go
@@ -88,7 +88,7 @@
 	b := &platformWorld{world: newWorld(seed, dep), deployment: site, byHost: map[string]*platformWorker{}, jobs: map[string]*platformJob{}, gangs: map[gangName]*platformEffort{},
 		texts: map[string]savedPoint{}, waste: map[string]float64{}, answers: map[string]int{}, cutOff: map[string]bool{}, emptied: map[string]bool{}, pace: 1,
 		tenants: copyTenants(site.tenants), cutOneWay: map[string]cutWay{}, sentSetups: map[string]*sentSetup{}, troubled: map[string]int{}, calmMs: map[string]int64{}}
-	b.holdUpMs = wire.UnackedMs
+	b.holdUpMs = wire.UserTimeoutMs
 	b.whenAnswered(b.noteTaken)
 	b.edgeHosts, b.diskHosts = sortedKeys(b.nodes)[:site.edges], sortedKeys(b.nodes)[:site.disks]
 	for i, host := range sortedKeys(b.nodes) {
@@ -183,11 +183,11 @@
 	c, now := n.sh.node.central, n.sh.node.now
 	for _, name := range sortedKeys(c.workers) {
 		w := c.workers[name]
-		tell("sees %s heard %d ms ago, rebuilt %v fresh %v leaving %v suspect %v bad for %d, capacity %v firm %v busy %v promised %v held %d", name, now-w.receivedMs, w.Rebuilt, w.Fresh, w.Leaving,
+		tell("sees %s heard %d ms ago, rebuilt %v fresh %v leaving %v suspect %v bad for %d, capacity %v firm %v busy %v promised %v held %d", name, now-w.receivedMs, w.Rebuilt, w.WorkerReportFresh, w.Leaving,
 			w.Suspect, w.unhealthyUntilMs-now, w.Capacity, w.guaranteed, w.busy, c.grantedRoom()[name], len(w.Attempts))
 	}
 	for k, request := range c.pending {
-		tell("wants %s queue %s since %d ms, last %d ms ago, %d tasks of %v, open %d, gang %v needs %v", k.Job, request.Queue, now-request.firstMs, now-request.lastMs, len(request.Tasks), request.Resources, len(request.open()), request.Gang, request.Needs)
+		tell("wants %s queue %s since %d ms, last %d ms ago, %d tasks of %v, open %d, gang %v needs %v", k.Job, request.Queue, now-request.firstMs, now-request.lastMs, len(request.Tasks), request.Resources, len(request.open()), request.Gang, request.RequiredLabels)
 	}
 	for _, name := range sortedKeys(b.nodes) {
 		if b.nodes[name].up {
--- a/internal/daemon/reconcile.go
+++ b/internal/daemon/reconcile.go
@@ -60,18 +60,18 @@
 	if m.Epoch > w.epoch || m.SentMs > w.echoMs {
 		others, batchUse := w.usedByOthers, w.batchUse
 		if others == nil || m.Epoch > w.epoch {
-			others, batchUse = map[string]resource.Amount{}, map[string][]wire.QueueUse{}
+			others, batchUse = map[string]resource.Amount{}, map[string][]wire.QueueUsage{}
 		}
 		*w = workerView{
 			agent: from, epoch: m.Epoch, echoMs: m.SentMs, receivedMs: n.now, zone: m.Zone, labels: m.Labels, leaving: m.Leaving,
-			rebuilt: m.Rebuilt, reportFresh: m.Fresh, free: m.Free, capacity: m.Capacity, queued: m.Queued, rankMs: m.RankMs,
-			silentMs: m.SilentMs, usedByOthers: others, batchUse: batchUse, unstarted: m.Waiting,
-			spare: w.spare.observe(n.now, m.Spare),
-			rack:  m.Rack, suspect: m.Suspect, doubtful: m.Doubtful, colocated: m.Colocated, urgentUse: m.Urgent,
+			rebuilt: m.Rebuilt, reportFresh: m.WorkerReportFresh, free: m.Free, capacity: m.Capacity, queued: m.Queued, rankMs: m.RankMs,
+			silentMs: m.SilentMs, usedByOthers: others, batchUse: batchUse, unstarted: m.WaitingTasks,
+			spare: w.spare.observe(n.now, m.SpareCapacity),
+			rack:  m.Rack, suspect: m.Suspect, doubtful: m.RecentFailures, colocated: m.Colocated, urgentUse: m.Urgent,
 		}
 	}
 	if m.Epoch == w.epoch && m.Shard != "" {
-		w.usedByOthers[m.Shard], w.batchUse[m.Shard] = m.Others, m.Batch
+		w.usedByOthers[m.Shard], w.batchUse[m.Shard] = m.OtherShards, m.BatchUsage
 	}
 	return true
 }
@@ -87,7 +87,7 @@
 			continue
 		}
 		reply.Decisions = append(reply.Decisions, wire.AttemptDecision{Key: status.Key, Decision: decision})
-		if job := shard.jobs[status.Key.Job]; job != nil && status.Unknown && decision == wire.DecisionKeep {
+		if job := shard.jobs[status.Key.Job]; job != nil && status.SpecMissing && decision == wire.DecisionKeep {
 			i, _, _ := job.position(status.Key.Task)
 			reply.Specs = append(reply.Specs, n.taskSpec(shard, job, i))
 		}
@@ -190,7 +190,7 @@
 
 // decideWithoutJob decides on an attempt whose job isn't live here.
 func (n *node) decideWithoutJob(shard *ownedShard, status wire.AttemptStatus) wire.Decision {
-	if status.State == wire.AttemptEnded && status.Late {
+	if status.State == wire.AttemptEnded && status.EndedLate {
 		return n.decideLateEnd(shard, status.Key)
 	}
 	if j := shard.finished[status.Key.Job]; j != nil && status.State == wire.AttemptEnded {
@@ -235,8 +235,8 @@
 		rt.runningSinceMs = nowMs
 	}
 	rt.state = status.State
-	if status.Saved != "" {
-		rt.saved = status.Saved
+	if status.Checkpoint != "" {
+		rt.saved = status.Checkpoint
 	}
 }
 
--- a/internal/daemon/reduce.go
+++ b/internal/daemon/reduce.go
@@ -356,7 +356,7 @@
 	return wire.Header{Cluster: n.core.Cluster, From: n.Name, Instance: n.Instance}
 }
 func (n *node) reply(id uint64, a wire.ForwardReply) {
-	n.emit(effReply{ID: id, Status: int(a.Status), RetryMs: a.RetryMs, Body: a.Body})
+	n.emit(effReply{ID: id, Status: int(a.Status), RetryMs: a.RetryAfterMs, Body: a.Body})
 }
 
 func (n *node) sendEffect(to string, msg any) effect {
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -159,7 +159,7 @@
 			key:            m.Key,
 			body:           body,
 			queue:          m.Queue,
-			base:           m.Expect,
+			base:           m.ExpectedVersion,
 			digest:         m.Digest,
 			tenant:         m.Tenant,
 		},
@@ -185,7 +185,7 @@
 	if req.byAddress && req.origin == "" && status == 404 && req.queue != "" {
 		status, body = 410, mustJSON(map[string]any{"missing": "job", "error": "no such job"})
 	}
-	m := wire.ForwardReply{ID: req.id, Status: int32(status), RetryMs: retryMs, Body: body}
+	m := wire.ForwardReply{ID: req.id, Status: int32(status), RetryAfterMs: retryMs, Body: body}
 	if req.origin == "" {
 		n.reply(req.id, m)
 		return
@@ -245,17 +245,17 @@
 	n.send(
 		to,
 		&wire.Forward{
-			ID:     n.forwardSeq,
-			Origin: n.Name,
-			Hops:   req.hops + 1,
-			WaitMs: forwardMs,
-			Op:     req.op,
-			Key:    req.key,
-			Body:   body,
-			Queue:  req.queue,
-			Expect: req.base,
-			Digest: req.digest,
-			Tenant: req.tenant,
+			ID:              n.forwardSeq,
+			Origin:          n.Name,
+			Hops:            req.hops + 1,
+			WaitMs:          forwardMs,
+			Op:              req.op,
+			Key:             req.key,
+			Body:            body,
+			Queue:           req.queue,
+			ExpectedVersion: req.base,
+			Digest:          req.digest,
+			Tenant:          req.tenant,
 		},
 	)
 }
@@ -267,7 +267,7 @@
 		return
 	}
 	delete(n.forwarded, m.ID)
-	n.respond(p.request, int(m.Status), m.RetryMs, m.Body)
+	n.respond(p.request, int(m.Status), m.RetryAfterMs, m.Body)
 }
 
 // retryForwarded routes anew what waits for a daemon that has lost its role.
--- a/internal/daemon/shard.go
+++ b/internal/daemon/shard.go
@@ -38,8 +38,8 @@
 
 	jobs               map[string]*liveJob
 	finished           map[string]*jobRecord
-	finishedTraces     jobtrace.Finished // of the last of them
-	finishedOrder      []string          // of finished, oldest first
+	finishedTraces     jobtrace.FinishedJobs // of the last of them
+	finishedOrder      []string              // of finished, oldest first
 	dirty              map[string]bool
 	deferred           map[string]int64 // changed jobs whose records may wait -> until when
 	newestWrite        *writeBatch
@@ -190,10 +190,10 @@
 	reportFresh  bool
 	free         resource.Amount
 	capacity     resource.Amount
-	usedByOthers map[string]resource.Amount // shard -> room there of what isn't this shard's
-	batchUse     map[string][]wire.QueueUse // shard -> of that, the batches'
-	unstarted    int64                      // unstarted tasks that are no batch's
-	spare        spareWindow                // the least room lately that batches didn't have to leave
+	usedByOthers map[string]resource.Amount   // shard -> room there of what isn't this shard's
+	batchUse     map[string][]wire.QueueUsage // shard -> of that, the batches'
+	unstarted    int64                        // unstarted tasks that are no batch's
+	spare        spareWindow                  // the least room lately that batches didn't have to leave
 	rack         string
 	urgentUse    resource.Amount // room there of the most urgent queues
 	suspect      bool
--- a/internal/daemon/shard_takeover.go
+++ b/internal/daemon/shard_takeover.go
@@ -35,7 +35,7 @@
 		n.leases.Lose(lease.ShardRole(m.Shard), "sealed_higher")
 		return
 	}
-	shard.lastCompleteEpoch = max(shard.lastCompleteEpoch, m.Served)
+	shard.lastCompleteEpoch = max(shard.lastCompleteEpoch, m.ServedEpoch)
 	recs := map[string]statestore.Record{}
 	for _, r := range m.Records {
 		recs[r.ID] = r
--- a/internal/daemon/shard_write.go
+++ b/internal/daemon/shard_write.go
@@ -91,7 +91,7 @@
 	if splices, ok := statestore.Diff(job.sent, value); ok && record.Live && job.sentVersion != 0 {
 		b.patches[job.ID] = statestore.Patch{
 			ID: job.ID, Epoch: epoch, Base: job.sentVersion, Version: job.Version,
-			Splices: splices, Sum: statestore.Sum(value.Value),
+			Splices: splices, Checksum: statestore.Checksum(value.Value),
 		}
 	}
 	job.sent, job.sentVersion = value, job.Version
@@ -137,12 +137,12 @@
 		return
 	}
 	if b == nil {
-		if !m.Lacking {
+		if !m.BaseMissing {
 			n.onCaughtUp(shard, from, m.Seq)
 		}
 		return
 	}
-	if m.Lacking {
+	if m.BaseMissing {
 		n.sendBatchTo(from, shard, m.Seq, b, true)
 		return
 	}
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -44,7 +44,7 @@
 	for _, name := range append([]string{n.Name}, n.peers.Names()...) {
 		s := n.peers.Describe(name)
 		ago, _ := n.peers.SilentMs(name) // 0 for ourselves
-		list = append(list, map[string]any{"name": s.Name, "site": s.Zone, "addr": s.Addr, "http": s.HTTP, "disk": s.Disk,
+		list = append(list, map[string]any{"name": s.Name, "site": s.Zone, "addr": s.Addr, "http": s.HTTPAddr, "disk": s.Disk,
 			"live": n.peers.Alive(name), "heard_ms": ago, "core": n.core.Has(s.Name, s.DiskID)})
 	}
 	roles := []map[string]any{}
--- a/internal/daemon/world_node_test.go
+++ b/internal/daemon/world_node_test.go
@@ -309,13 +309,13 @@
 func (d *simDisk) fail(n *simNode, reason string) {
 	d.failed, d.syncing = true, false
 	n.event(evDisk{Failed: reason})
-	n.later(storage.RetryFirst.Microseconds(), func() { d.again(n, 2*storage.RetryFirst.Milliseconds()) })
+	n.later(storage.MinRetryDelay.Microseconds(), func() { d.again(n, 2*storage.MinRetryDelay.Milliseconds()) })
 }
 
 // again tries a failed disk anew, as diskrecovery.go does.
 func (d *simDisk) again(n *simNode, nextMs int64) {
 	if d.full || d.stallUs > d.w.nowUs {
-		n.later(nextMs*1000, func() { d.again(n, min(2*nextMs, storage.RetryMax.Milliseconds())) })
+		n.later(nextMs*1000, func() { d.again(n, min(2*nextMs, storage.MaxRetryDelay.Milliseconds())) })
 		return
 	}
 	d.failed, d.synced = false, len(d.entries)
--- a/internal/jobtrace/jobtrace_test.go
+++ b/internal/jobtrace/jobtrace_test.go
@@ -79,7 +79,7 @@
 }
 
 func TestFinishedIsBounded(t *testing.T) {
-	f := &Finished{}
+	f := &FinishedJobs{}
 	must.Nil(t, f.Get("job-0"))
 	for i := range MaxFinished + 10 {
 		f.Add(fmt.Sprint("job-", i), NewJob(1, 1))
--- a/internal/jobtrace/trace.go
+++ b/internal/jobtrace/trace.go
@@ -97,15 +97,15 @@
 	}
 }
 
-// Finished keeps the traces of the last jobs that finished, MaxFinished of them.
+// FinishedJobs keeps the traces of the last jobs that finished, MaxFinished of them.
 // Its zero value is ready.
-type Finished struct {
+type FinishedJobs struct {
 	byID  map[string]*Job
 	order []string
 }
 
 // Add keeps a trace, and drops the oldest where there are too many.
-func (f *Finished) Add(id string, j *Job) {
+func (f *FinishedJobs) Add(id string, j *Job) {
 	if f.byID == nil {
 		f.byID = map[string]*Job{}
 	}
@@ -120,4 +120,4 @@
 }
 
 // Get gives a finished job's trace; nil where it isn't kept.
-func (f *Finished) Get(id string) *Job { return f.byID[id] }
+func (f *FinishedJobs) Get(id string) *Job { return f.byID[id] }
--- a/internal/lease/acquire.go
+++ b/internal/lease/acquire.go
@@ -175,7 +175,7 @@
 	case p.MilliCores != 0 && weakCoreShare*p.MilliCores < best.milliCores,
 		p.LinkMbps != 0 && weakLinkShare*p.LinkMbps < best.linkMbps:
 		return tierWeak
-	case p.Strained:
+	case p.Overloaded:
 		return tierStrained
 	}
 	return tierStrong
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -154,7 +154,7 @@
 func (h *fakeHost) answer(m *Manager, member string, granted bool, epoch uint64) {
 	request := h.polls[len(h.polls)-1]
 	a := &wire.PollResponse{Seq: request.Seq, SetVersion: h.set.Version}
-	for range request.Wanted {
+	for range request.Leases {
 		a.Granted, a.Epochs = append(a.Granted, granted), append(a.Epochs, epoch)
 	}
 	m.OnResponse(member, a)
@@ -216,7 +216,7 @@
 	must.False(t, m.Serves("slice/east"))
 	must.SliceEmpty(t, h.lost)
 	m.Tick()
-	must.Len(t, 1, h.polls[len(h.polls)-1].Wanted)
+	must.Len(t, 1, h.polls[len(h.polls)-1].Leases)
 }
 
 // A role that is handed off is released until a majority has taken that.
@@ -295,7 +295,7 @@
 		{Name: "weak-east", Zone: "east", MilliCores: 99, LinkMbps: 200},
 		{Name: "thin-east", Zone: "east", MilliCores: 640, LinkMbps: 2},
 		{Name: "strong-west", Zone: "west", Disk: true, MilliCores: 640, LinkMbps: 200},
-		{Name: "strained-east", Zone: "east", Disk: true, MilliCores: 640, LinkMbps: 200, Strained: true},
+		{Name: "strained-east", Zone: "east", Disk: true, MilliCores: 640, LinkMbps: 200, Overloaded: true},
 		{Name: "beside-east", Zone: "east", MilliCores: 240, LinkMbps: 1000, Colocated: true},
 	} {
 		m.peers.Record(p, h.nowMs)
--- a/internal/lease/poll.go
+++ b/internal/lease/poll.go
@@ -77,7 +77,7 @@
 		}
 		m.host.Send(member.Name, &wire.PollRequest{
 			Incarnation: self.Incarnation, Seq: m.seq, SetVersion: set.Version, WallMs: m.host.WallMs(),
-			HoldersHash: m.memberHolders[member.Name].hash, Wanted: round.wanted, Releases: round.releases,
+			HoldersHash: m.memberHolders[member.Name].hash, Leases: round.wanted, Releases: round.releases,
 		})
 		round.hashes[member.Name] = m.memberHolders[member.Name].hash
 	}
@@ -92,7 +92,7 @@
 // completeHolders fills in the holders that an answer left out. It gives false where a newer
 // answer has overtaken this one: then nobody knows here what it left out.
 func (m *Manager) completeHolders(from string, a *wire.PollResponse, asked uint64) bool {
-	if !a.HoldersSame {
+	if !a.HoldersUnchanged {
 		m.memberHolders[from] = memberHolders{wire.HashHolders(a.Holders), a.Holders}
 		return true
 	}
@@ -134,8 +134,8 @@
 		return
 	}
 	r.Responses[from] = a
-	m.clock.Observe(from, a.FleetMs, r.SentMs, now)
-	m.syncMs[from] = a.SyncMs
+	m.clock.Observe(from, a.ClusterTimeMs, r.SentMs, now)
+	m.syncMs[from] = a.DiskSyncMs
 	for i, l := range r.leases {
 		if m.leases[l.role] == l {
 			m.onGrants(r, l, r.grantedEpochs(i))
@@ -156,7 +156,7 @@
 func (m *Manager) waitForGuards(r *Round) {
 	var guards []int64
 	for _, a := range r.Responses {
-		guards = append(guards, a.GuardMs)
+		guards = append(guards, a.GracePeriodMs)
 	}
 	slices.Sort(guards)
 	if g := guards[m.host.CoreSet().Majority()-1]; g > 0 {
--- a/internal/lease/poll_test.go
+++ b/internal/lease/poll_test.go
@@ -14,7 +14,7 @@
 func (m *member) answer(request *wire.PollRequest, version int64) *wire.PollResponse {
 	a := &wire.PollResponse{Seq: request.Seq, SetVersion: version, Holders: m.holders}
 	if request.HoldersHash == wire.HashHolders(m.holders) {
-		a.Holders, a.HoldersSame = nil, true
+		a.Holders, a.HoldersUnchanged = nil, true
 	}
 	return a
 }
@@ -39,7 +39,7 @@
 		m.pollNow(h)
 		for i, name := range []string{"a", "b"} {
 			a := core.answer(h.pollOf(i), h.set.Version)
-			if !a.HoldersSame {
+			if !a.HoldersUnchanged {
 				full++
 			}
 			m.OnResponse(name, a)
@@ -75,7 +75,7 @@
 	m.OnResponse("a", core.answer(h.pollOf(0), h.set.Version))
 	m.pollNow(h)
 	late := core.answer(h.pollOf(0), h.set.Version)
-	must.True(t, late.HoldersSame)
+	must.True(t, late.HoldersUnchanged)
 	core.holders = []wire.RoleHolder{{Name: "slice/east", Holder: "y", Epoch: 4}}
 	m.pollNow(h)
 	newest := h.pollOf(0)
--- a/internal/membership/formation.go
+++ b/internal/membership/formation.go
@@ -60,11 +60,11 @@
 		return
 	}
 	store := m.host.Store()
-	if set := store.Set(); set.Version != 0 { // a restart
+	if set := store.CoreSet(); set.Version != 0 { // a restart
 		m.host.RestoreCoreSet(set)
 		return
 	}
-	if len(store.Formed().Members) > 0 {
+	if len(store.Formation().Members) > 0 {
 		m.driveFormation()
 		return
 	}
@@ -84,7 +84,7 @@
 func (m *Manager) emptyDisks() (disks []wire.Peer) {
 	seen := ""
 	for _, name := range m.peers.AliveNames() {
-		if p := m.peers.Describe(name); p.Disk && p.Empty {
+		if p := m.peers.Describe(name); p.Disk && p.EmptyDisk {
 			disks = append(disks, p)
 			seen += p.Name + " "
 		}
@@ -115,12 +115,12 @@
 		m.forming.votes[first] = true // who proposed it had synced its vote before it asked
 	}
 	own := step.Message{To: m.name, Msg: &wire.FormResponse{Cluster: set.Cluster, OK: true}}
-	m.host.Persist([]statestore.Entry{{Kind: statestore.EntryForm, Value: set.Encode()}}, append(then, own)...)
+	m.host.Persist([]statestore.Entry{{Kind: statestore.EntryFormationVote, Value: set.Encode()}}, append(then, own)...)
 }
 
 // refuse votes against a formation, for good, and tells so once that is synced.
 func (m *Manager) refuse(cluster uint64, then ...step.Message) {
-	m.host.Persist([]statestore.Entry{{Kind: statestore.EntryRefused, Epoch: cluster}}, then...)
+	m.host.Persist([]statestore.Entry{{Kind: statestore.EntryFormationRefused, Epoch: cluster}}, then...)
 }
 
 // driveFormation asks for the members' votes: the first member at once, each later
@@ -128,7 +128,7 @@
 func (m *Manager) driveFormation() {
 	now := m.host.NowMs()
 	if m.forming == nil { // a restart with a vote on disk
-		formed := m.host.Store().Formed()
+		formed := m.host.Store().Formation()
 		m.forming = &formation{set: formed, votes: map[string]bool{m.name: true, formed.Members[0].Name: true}, sinceMs: now}
 	}
 	f := m.forming
@@ -155,16 +155,16 @@
 	}
 	core := m.host.CoreSet().Cluster
 	switch {
-	case core == id || store.Set().Cluster == id && store.Set().Version != 0:
+	case core == id || store.CoreSet().Cluster == id && store.CoreSet().Version != 0:
 		m.host.Send(from, m.peers.Table(false)) // it stands
 	case r.Failed:
-		if store.Formed().Cluster == id {
+		if store.Formation().Cluster == id {
 			m.forming = nil
 		}
 		m.refuse(id)
 	case store.Refused(id):
 		m.host.Persist(nil, vote(false))
-	case store.Formed().Cluster == id:
+	case store.Formation().Cluster == id:
 		m.host.Persist(nil, vote(true))
 	case store.Cluster() != 0 || core != 0: // bound to another
 		m.refuse(id, vote(false))
@@ -191,7 +191,7 @@
 		return
 	}
 	m.forming = nil
-	m.host.Persist([]statestore.Entry{{Kind: statestore.EntrySet, Value: f.set.Encode()}})
+	m.host.Persist([]statestore.Entry{{Kind: statestore.EntryCoreSet, Value: f.set.Encode()}})
 	m.host.BeginCluster(f.set)
 	m.host.Log("cluster_formed", "cluster", f.set.Cluster, "members", f.set.Names(), "shards", f.set.Shards)
 	m.peers.BroadcastCoreSet()
--- a/internal/membership/learner.go
+++ b/internal/membership/learner.go
@@ -57,7 +57,7 @@
 		m.learner = nil
 		return
 	}
-	if m.host.Store().Set().Has(m.name, self.DiskID) {
+	if m.host.Store().CoreSet().Has(m.name, self.DiskID) {
 		// This disk once was a member and was replaced: what it holds is old,
 		// and an old acceptance must not stand beside newer ones.
 		m.host.ResetDisk()
@@ -145,7 +145,7 @@
 		set := m.host.CoreSet()
 		for _, member := range set.Members {
 			if member.Name != m.name && !l.copied[member.Name] {
-				m.host.Send(member.Name, &wire.CopyRequest{SetVersion: set.Version, Op: l.op, At: l.cursors[member.Name]})
+				m.host.Send(member.Name, &wire.CopyRequest{SetVersion: set.Version, Op: l.op, Cursor: l.cursors[member.Name]})
 			}
 		}
 	}
@@ -164,7 +164,7 @@
 // OnCopyRequest brings a learner the part of the store that it asks for. It is for
 // members that serve the learner's set.
 func (m *Manager) OnCopyRequest(from string, r *wire.CopyRequest) {
-	at, instance := r.At, m.host.Instance()
+	at, instance := r.Cursor, m.host.Instance()
 	if at.Instance != instance { // the copy begins, or begins again since this daemon has restarted
 		at = statestore.Cursor{}
 	}
@@ -172,7 +172,7 @@
 	if !next.AtEnd() {
 		next.Instance = instance
 	}
-	m.host.Persist(nil, step.Message{To: from, Msg: &wire.CopyResponse{Op: r.Op, At: r.At, Next: next, Entries: part}})
+	m.host.Persist(nil, step.Message{To: from, Msg: &wire.CopyResponse{Op: r.Op, Cursor: r.Cursor, Next: next, Entries: part}})
 }
 
 // OnCopyResponse keeps one part of a member's copy, and asks for the next once it is
@@ -183,18 +183,18 @@
 		return
 	}
 	if from == m.name { // our own word that a member's last part is synced
-		l.copied[r.Finished] = true
-		m.host.Log("core_copied", "from", r.Finished)
+		l.copied[r.FinishedMember] = true
+		m.host.Log("core_copied", "from", r.FinishedMember)
 		m.Tick() // the next step waits for no tick
 		return
 	}
-	if l.cursors[from] != r.At || l.copied[from] {
+	if l.cursors[from] != r.Cursor || l.copied[from] {
 		return
 	}
 	l.cursors[from], l.sentMs = r.Next, m.host.NowMs()
-	next := step.Message{To: from, Msg: &wire.CopyRequest{SetVersion: m.host.CoreSet().Version, Op: l.op, At: r.Next}}
+	next := step.Message{To: from, Msg: &wire.CopyRequest{SetVersion: m.host.CoreSet().Version, Op: l.op, Cursor: r.Next}}
 	if r.Next.AtEnd() {
-		next = step.Message{To: m.name, Msg: &wire.CopyResponse{Op: r.Op, Finished: from}}
+		next = step.Message{To: m.name, Msg: &wire.CopyResponse{Op: r.Op, FinishedMember: from}}
 	}
 	m.host.Persist(r.Entries, next)
 }
--- a/internal/membership/manager.go
+++ b/internal/membership/manager.go
@@ -100,7 +100,7 @@
 	}
 	m := &Manager{host: host, name: name, size: size - 1 + size%2, peers: peers, leases: leases}
 	if st := host.Store(); st != nil {
-		m.newcomer = st.Set().Version == 0 && !host.FirstStart()
+		m.newcomer = st.CoreSet().Version == 0 && !host.FirstStart()
 	}
 	return m
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -127,10 +127,10 @@
 	middle := statestore.Cursor{Shard: "east", Instance: 1}
 	m.OnCopyResponse("a", &wire.CopyResponse{Op: op, Next: middle})
 	must.Eq(t, middle, m.CopyCursor("a"))
-	must.Eq(t, middle, h.sent[2].Msg.(*wire.CopyRequest).At)
+	must.Eq(t, middle, h.sent[2].Msg.(*wire.CopyRequest).Cursor)
 	m.OnCopyResponse("a", &wire.CopyResponse{Op: op}) // the first part, told twice
 	must.Len(t, 3, h.sent)
-	m.OnCopyResponse("a", &wire.CopyResponse{Op: op, At: middle})
+	m.OnCopyResponse("a", &wire.CopyResponse{Op: op, Cursor: middle})
 	m.OnCopyResponse("b", &wire.CopyResponse{Op: op})
 	must.SliceEmpty(t, h.proposed)
 	for _, own := range h.sent[3:] { // synced
@@ -142,7 +142,7 @@
 // A disk that was a member once begins anew; a failed one does nothing.
 func TestFormerMember(t *testing.T) {
 	h, m := newManager(3)
-	h.store.Apply(statestore.Entry{Kind: statestore.EntrySet, Value: quorum.Set{Cluster: 9, Version: 1, Members: []quorum.Member{{Name: "d", DiskID: 4}}}.Encode()})
+	h.store.Apply(statestore.Entry{Kind: statestore.EntryCoreSet, Value: quorum.Set{Cluster: 9, Version: 1, Members: []quorum.Member{{Name: "d", DiskID: 4}}}.Encode()})
 	h.set = quorum.Set{Cluster: 9, Version: 2, Members: []quorum.Member{{Name: "a", DiskID: 1}}}
 	h.self.Disk = false
 	m.Tick()
@@ -156,9 +156,9 @@
 func TestFormation(t *testing.T) {
 	h, m := newManager(3)
 	h.firstStart = true
-	h.self.Name, h.self.Empty, h.self.DiskID = "d", true, 4
-	m.peers.Record(wire.Peer{Name: "e", Zone: "mid", Disk: true, DiskID: 5, Empty: true}, h.nowMs)
-	m.peers.Record(wire.Peer{Name: "f", Zone: "west", Disk: true, DiskID: 6, Empty: true}, h.nowMs)
+	h.self.Name, h.self.EmptyDisk, h.self.DiskID = "d", true, 4
+	m.peers.Record(wire.Peer{Name: "e", Zone: "mid", Disk: true, DiskID: 5, EmptyDisk: true}, h.nowMs)
+	m.peers.Record(wire.Peer{Name: "f", Zone: "west", Disk: true, DiskID: 6, EmptyDisk: true}, h.nowMs)
 	m.TickFormation()
 	must.SliceEmpty(t, h.sent) // they must be seen for a while
 	h.nowMs += formStableMs
@@ -174,7 +174,7 @@
 	must.Zero(t, h.set.Version)
 	m.OnFormResponse("f", &wire.FormResponse{Cluster: set.Cluster, OK: true})
 	must.Eq(t, set, h.set)
-	must.Eq(t, set, h.store.Set())
+	must.Eq(t, set, h.store.CoreSet())
 }
 
 // A formation that one member voted against frees the others.
--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -349,7 +349,7 @@
 func (a *account) report(tenant string, nowMs int64) wire.ShareAccount {
 	shareAccount := wire.ShareAccount{Tenant: tenant, Keep: a.held, Used: a.used}
 	if !a.tight {
-		shareAccount.Ahead = larger(a.usedAndReserved(nowMs).Plus(a.ahead).Minus(a.held), resource.Amount{})
+		shareAccount.Prefetch = larger(a.usedAndReserved(nowMs).Plus(a.ahead).Minus(a.held), resource.Amount{})
 	}
 	for _, c := range a.claims {
 		shareClaim := c.ShareClaim
@@ -373,11 +373,11 @@
 	}
 	for _, s := range m.Shares {
 		a := b.account(s.Tenant)
-		if s.Tight && !a.tight {
+		if s.NearLimit && !a.tight {
 			b.reportDue = true
 		}
-		a.tight, a.reusesReleased = s.Tight, !s.GiveBack
-		if s.GiveBack && a.reducedSinceReport {
+		a.tight, a.reusesReleased = s.NearLimit, !s.ReturnFreed
+		if s.ReturnFreed && a.reducedSinceReport {
 			continue // the amount includes a part that was given up since the report
 		}
 		if next := larger(a.held, s.Amount); next != a.held {
--- a/internal/quota/counter.go
+++ b/internal/quota/counter.go
@@ -90,7 +90,7 @@
 	}
 	for _, a := range m.Accounts {
 		l.loans[a.Tenant] = &tenantLoan{
-			amount: larger(a.Keep, a.Used), used: a.Used, ahead: a.Ahead, claims: slices.Clone(a.Claims),
+			amount: larger(a.Keep, a.Used), used: a.Used, ahead: a.Prefetch, claims: slices.Clone(a.Claims),
 			giveBack: true, // until Lend has compared the sum of all shards with the limit
 		}
 	}
@@ -259,7 +259,7 @@
 		for _, tenant := range slices.Sorted(maps.Keys(l.loans)) {
 			loan := l.loans[tenant]
 			m.Shares = append(m.Shares, wire.TenantShare{
-				Tenant: tenant, Amount: loan.amount, Tight: loan.tight, GiveBack: loan.giveBack,
+				Tenant: tenant, Amount: loan.amount, NearLimit: loan.tight, ReturnFreed: loan.giveBack,
 			})
 		}
 		grants = append(grants, Grant{To: l.owner, Message: m})
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -115,8 +115,8 @@
 			must.True(t, c.OnReport("n3", report("c", 1, 1, 0, tt.c)))
 			grants := c.Lend(p)
 			must.Len(t, 3, grants)
-			must.Eq(t, []wire.TenantShare{{Tenant: "t", Amount: cpu(tt.toB), Tight: tt.tight, GiveBack: tt.giveBack}}, grants[1].Message.Shares)
-			must.Eq(t, []wire.TenantShare{{Tenant: "t", Amount: cpu(tt.toC), Tight: tt.tight, GiveBack: tt.giveBack}}, grants[2].Message.Shares)
+			must.Eq(t, []wire.TenantShare{{Tenant: "t", Amount: cpu(tt.toB), NearLimit: tt.tight, ReturnFreed: tt.giveBack}}, grants[1].Message.Shares)
+			must.Eq(t, []wire.TenantShare{{Tenant: "t", Amount: cpu(tt.toC), NearLimit: tt.tight, ReturnFreed: tt.giveBack}}, grants[2].Message.Shares)
 			must.SliceEmpty(t, c.Lend(p)) // no changes, no grants
 		})
 	}
@@ -137,7 +137,7 @@
 			p := CounterConfig{Shards: []string{"a", "b"}, Limits: limitsOf(1, Limit{CPU: 20})}
 			c.OnReport("n2", report("b", 1, 1, tt.heldByB))
 			ahead := report("a", 1, 1, 0)
-			ahead.Accounts[0].Ahead = cpu(tt.ahead)
+			ahead.Accounts[0].Prefetch = cpu(tt.ahead)
 			c.OnReport("n1", ahead)
 			must.Eq(t, cpu(tt.to), c.Lend(p)[0].Message.Shares[0].Amount)
 		})
@@ -171,7 +171,7 @@
 	limits.Adopt(2, 1, map[string]Limit{"t": {CPU: 10}})
 	c.OnReport("n1", report("a", 2, 2, 0, claimOf("1", 0, 0, 2, 2)))
 	for _, grant := range c.Lend(p) {
-		must.Eq(t, wire.TenantShare{Tenant: "t", Tight: true, GiveBack: true}, grant.Message.Shares[0])
+		must.Eq(t, wire.TenantShare{Tenant: "t", NearLimit: true, ReturnFreed: true}, grant.Message.Shares[0])
 	}
 	c.OnReport("n2", report("b", 2, 2, 8))
 	c.Lend(p)
@@ -290,7 +290,7 @@
 	must.Eq(t, int64(minReportIntervalMs+claimReportIntervalMs), m.Accounts[0].Claims[0].WaitedMs)
 	b.OnGrant(&wire.ShareGrant{
 		Counter: "a", CounterEpoch: 1, Shard: "b", ShardEpoch: 1, Seq: m.Seq, ConfigVersion: 1,
-		Shares: []wire.TenantShare{{Tenant: "t", Amount: cpu(8), Tight: true}},
+		Shares: []wire.TenantShare{{Tenant: "t", Amount: cpu(8), NearLimit: true}},
 	}, 0, 1)
 	must.Eq(t, cpu(4), next(minReportIntervalMs).Accounts[0].Keep)
 }
@@ -308,11 +308,11 @@
 	must.Eq(t, cpu(6), used)
 	grant := &wire.ShareGrant{
 		Counter: "a", CounterEpoch: 1, Shard: "b", ShardEpoch: 2, Seq: m.Seq, ConfigVersion: 1,
-		Shares: []wire.TenantShare{{Tenant: "t", Amount: cpu(8), GiveBack: true}},
+		Shares: []wire.TenantShare{{Tenant: "t", Amount: cpu(8), ReturnFreed: true}},
 	}
 	must.SliceEmpty(t, b.OnGrant(grant, 0, 1))
 	must.False(t, b.Fits("t", cpu(1), Limit{CPU: 10}, 100))
-	grant.Shares[0].GiveBack = false
+	grant.Shares[0].ReturnFreed = false
 	must.Eq(t, []string{"t"}, b.OnGrant(grant, 0, 1))
 	must.True(t, b.Fits("t", cpu(2), Limit{CPU: 10}, 100))
 	b.Release("t", cpu(2))
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -17,11 +17,11 @@
 // The kinds, and which of a Field's bounds they go by.
 const (
 	Any       Kind = iota
-	Text           // a string of Min to Max bytes; Max 0 for no bound
+	String         // a string of Min to Max bytes; Max 0 for no bound
 	Name           // 1 to 128 letters, digits, '-', '_', '.' or ':'
-	Count          // a whole number of Min to Max; Max 0 for no bound
+	Integer        // a whole number of Min to Max; Max 0 for no bound
 	Number         // a number of 0 or more
-	Flag           // true or false
+	Bool           // true or false
 	Resources      // a Count of 1 or more, or an object of cpu, memory and accelerators
 	Labels         // an object of names to strings
 	Choices        // an object of label names to lists of one or more strings
@@ -92,11 +92,11 @@
 func init() { // they call each other
 	kinds = map[Kind]func(c *checker, v gjson.Result, path string, f Field){
 		Any:       func(*checker, gjson.Result, string, Field) {},
-		Text:      (*checker).text,
+		String:    (*checker).text,
 		Name:      (*checker).name,
-		Count:     (*checker).count,
+		Integer:   (*checker).count,
 		Number:    (*checker).number,
-		Flag:      (*checker).flag,
+		Bool:      (*checker).flag,
 		Resources: (*checker).resources,
 		Labels:    (*checker).labels,
 		Choices:   (*checker).choices,
@@ -148,7 +148,7 @@
 
 func (c *checker) resources(v gjson.Result, path string, _ Field) {
 	if !v.IsObject() {
-		c.check(v, path, Field{Kind: Count, Min: 1, Max: maxAmount})
+		c.check(v, path, Field{Kind: Integer, Min: 1, Max: maxAmount})
 		return
 	}
 	some := false
--- a/internal/statestore/copy.go
+++ b/internal/statestore/copy.go
@@ -73,10 +73,10 @@
 	if s.cluster != 0 {
 		formed := s.formed
 		formed.Cluster = s.cluster
-		out = append(out, Entry{Kind: EntryForm, Value: formed.Encode()})
+		out = append(out, Entry{Kind: EntryFormationVote, Value: formed.Encode()})
 	}
 	if s.set.Version != 0 {
-		out = append(out, Entry{Kind: EntrySet, Value: s.set.Encode()})
+		out = append(out, Entry{Kind: EntryCoreSet, Value: s.set.Encode()})
 	}
 	for _, name := range s.RegisterNames() {
 		r := s.registers[name]
--- a/internal/statestore/entry.go
+++ b/internal/statestore/entry.go
@@ -13,25 +13,25 @@
 
 // Kinds of entries, and which fields each of them uses beside Kind.
 const (
-	EntryForm        EntryKind = iota + 1 // a vote for a formation: Value is its quorum.Set
-	EntryPromise                          // a register's promise: Name, Ballot
-	EntryAccept                           // a register's accepted value: Name, Ballot, Value
-	EntrySeal                             // a shard takes no writes of lower epochs: Name, Epoch
-	EntryRecord                           // a job's record: Name of the shard, Record
-	EntrySet                              // the core set: Value is a quorum.Set
-	EntryDrop                             // finished records done before a time go: Name of the shard, Epoch in ms
-	EntryConfirmed                        // a quorum holds a finished record: Name of the shard, Record.ID
-	EntryChunk                            // a chunk of finished records, in copies and snapshots: Name of the shard, Value
-	EntryUnconfirmed                      // a quorum may not hold one of those: Name of the shard, Record.ID
-	EntryServed                           // all live records are committed under an epoch: Name of the shard, Epoch
-	EntryRefused                          // a vote against a formation, for good: Epoch is its cluster
-	EntryPatch                            // the next version of a live record: Name of the shard, Value is its Patch
+	EntryFormationVote    EntryKind = iota + 1 // a vote for a formation: Value is its quorum.Set
+	EntryPromise                               // a register's promise: Name, Ballot
+	EntryAccept                                // a register's accepted value: Name, Ballot, Value
+	EntrySeal                                  // a shard takes no writes of lower epochs: Name, Epoch
+	EntryRecord                                // a job's record: Name of the shard, Record
+	EntryCoreSet                               // the core set: Value is a quorum.Set
+	EntryExpire                                // finished records done before a time go: Name of the shard, Epoch in ms
+	EntryConfirmed                             // a quorum holds a finished record: Name of the shard, Record.ID
+	EntryChunk                                 // a chunk of finished records, in copies and snapshots: Name of the shard, Value
+	EntryUnconfirmed                           // a quorum may not hold one of those: Name of the shard, Record.ID
+	EntryServed                                // all live records are committed under an epoch: Name of the shard, Epoch
+	EntryFormationRefused                      // a vote against a formation, for good: Epoch is its cluster
+	EntryPatch                                 // the next version of a live record: Name of the shard, Value is its Patch
 )
 
 var entryKindNames = map[EntryKind]string{
-	EntryForm: "form", EntryPromise: "promise", EntryAccept: "accept", EntrySeal: "seal",
-	EntryRecord: "record", EntrySet: "set", EntryDrop: "drop", EntryConfirmed: "confirmed", EntryChunk: "chunk",
-	EntryUnconfirmed: "unconfirmed", EntryServed: "served", EntryRefused: "refused", EntryPatch: "patch",
+	EntryFormationVote: "form", EntryPromise: "promise", EntryAccept: "accept", EntrySeal: "seal",
+	EntryRecord: "record", EntryCoreSet: "set", EntryExpire: "drop", EntryConfirmed: "confirmed", EntryChunk: "chunk",
+	EntryUnconfirmed: "unconfirmed", EntryServed: "served", EntryFormationRefused: "refused", EntryPatch: "patch",
 }
 
 // String names the kind for logs and test failures.
--- a/internal/statestore/patch.go
+++ b/internal/statestore/patch.go
@@ -30,19 +30,19 @@
 
 // Splice replaces Remove bytes from an offset of the old value on.
 type Splice struct {
-	At     int32
+	Offset int32
 	Remove int32
 	Insert []byte
 }
 
 // Patch makes a live record's version out of the version Base, of the same epoch.
 type Patch struct {
-	ID      string
-	Epoch   uint64
-	Base    int64
-	Version int64
-	Splices []Splice // by their offsets in the old value, apart from each other
-	Sum     uint64   // CRC-32 of the new value
+	ID       string
+	Epoch    uint64
+	Base     int64
+	Version  int64
+	Splices  []Splice // by their offsets in the old value, apart from each other
+	Checksum uint64   // CRC-32 of the new value
 }
 
 // spliceOverhead is about what a splice takes beside its bytes.
@@ -90,22 +90,22 @@
 		tail++
 	}
 	return Splice{
-		At: int32(at + head), Remove: int32(len(before) - head - tail),
+		Offset: int32(at + head), Remove: int32(len(before) - head - tail),
 		Insert: bytes.Clone(after[head : len(after)-tail]),
 	}
 }
 
-// Sum is the checksum of a value, as a Patch carries it.
+// Checksum is the checksum of a value, as a Patch carries it.
 //
 // Example: patch.Sum = statestore.Sum(value)
-func Sum(value []byte) uint64 { return uint64(crc32.ChecksumIEEE(value)) }
+func Checksum(value []byte) uint64 { return uint64(crc32.ChecksumIEEE(value)) }
 
 // apply returns the value that the patch makes; false where it doesn't fit the old one.
 func (p Patch) apply(old []byte) (value []byte, ok bool) {
 	value = make([]byte, 0, len(old)+p.Size())
 	from := 0
 	for _, s := range p.Splices {
-		at, remove := int(s.At), int(s.Remove)
+		at, remove := int(s.Offset), int(s.Remove)
 		if at < from || remove < 0 || remove > len(old)-at {
 			return nil, false
 		}
@@ -114,7 +114,7 @@
 		from = at + remove
 	}
 	value = append(value, old[from:]...)
-	return value, Sum(value) == p.Sum
+	return value, Checksum(value) == p.Checksum
 }
 
 // Patched returns the record that a patch makes here; false where the version that it
--- a/internal/statestore/patch_test.go
+++ b/internal/statestore/patch_test.go
@@ -47,7 +47,7 @@
 		if len(older.Ends) == 0 {
 			continue
 		}
-		p := Patch{ID: "j", Epoch: 3, Base: 1, Version: 2, Splices: splices, Sum: Sum(newer.Value)}
+		p := Patch{ID: "j", Epoch: 3, Base: 1, Version: 2, Splices: splices, Checksum: Checksum(newer.Value)}
 		got, ok := p.apply(older.Value)
 		must.True(t, ok, must.Sprint(seed))
 		must.True(t, bytes.Equal(newer.Value, got), must.Sprint(seed))
@@ -72,8 +72,8 @@
 func TestPatchedNeedsItsBase(t *testing.T) {
 	base := Record{ID: "j", Epoch: 3, Version: 5, Live: true, Value: []byte("one two")}
 	good := Patch{
-		ID: "j", Epoch: 3, Base: 5, Version: 6, Splices: []Splice{{At: 4, Remove: 3, Insert: []byte("three")}},
-		Sum: Sum([]byte("one three")),
+		ID: "j", Epoch: 3, Base: 5, Version: 6, Splices: []Splice{{Offset: 4, Remove: 3, Insert: []byte("three")}},
+		Checksum: Checksum([]byte("one three")),
 	}
 	for name, c := range map[string]struct {
 		record Record
@@ -87,10 +87,10 @@
 		"other epoch":   {base, func(p *Patch) { p.Epoch = 4 }, false},
 		"no step":       {base, func(p *Patch) { p.Version = 5 }, false},
 		"other value":   {Record{ID: "j", Epoch: 3, Version: 5, Live: true, Value: []byte("ane two")}, func(*Patch) {}, false},
-		"beyond":        {base, func(p *Patch) { p.Splices = []Splice{{At: 6, Remove: 3}} }, false},
-		"before":        {base, func(p *Patch) { p.Splices = []Splice{{At: -1, Remove: 1}} }, false},
-		"negative":      {base, func(p *Patch) { p.Splices = []Splice{{At: 2, Remove: -1}} }, false},
-		"backwards":     {base, func(p *Patch) { p.Splices = []Splice{{At: 3}, {At: 1}} }, false},
+		"beyond":        {base, func(p *Patch) { p.Splices = []Splice{{Offset: 6, Remove: 3}} }, false},
+		"before":        {base, func(p *Patch) { p.Splices = []Splice{{Offset: -1, Remove: 1}} }, false},
+		"negative":      {base, func(p *Patch) { p.Splices = []Splice{{Offset: 2, Remove: -1}} }, false},
+		"backwards":     {base, func(p *Patch) { p.Splices = []Splice{{Offset: 3}, {Offset: 1}} }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := New()
@@ -123,7 +123,7 @@
 			splices, _ := Diff(value, newer)
 			whole.Apply(Entry{Kind: EntryRecord, Name: "east", Record: Record{ID: "j", Epoch: 1, Version: version, Live: true, Value: newer.Value}})
 			entries = append(entries, PatchEntry("east", Patch{
-				ID: "j", Epoch: 1, Base: version - 1, Version: version, Splices: splices, Sum: Sum(newer.Value)}))
+				ID: "j", Epoch: 1, Base: version - 1, Version: version, Splices: splices, Checksum: Checksum(newer.Value)}))
 			value = newer
 		}
 		for _, e := range entries {
--- a/internal/statestore/shard.go
+++ b/internal/statestore/shard.go
@@ -18,12 +18,12 @@
 	return &Shard{live: map[string]Record{}, unconfirmed: map[string]bool{}, archive: newArchive()}
 }
 
-// Sealed is the newest epoch that an owner sealed here: writes of lower ones are fenced off.
-func (s *Shard) Sealed() uint64 { return s.sealed }
+// SealedEpoch is the newest epoch that an owner sealed here: writes of lower ones are fenced off.
+func (s *Shard) SealedEpoch() uint64 { return s.sealed }
 
-// Served is the epoch of the last owner known to have all live records committed
+// ServedEpoch is the epoch of the last owner known to have all live records committed
 // under it: live records of older epochs are void.
-func (s *Shard) Served() uint64 { return s.served }
+func (s *Shard) ServedEpoch() uint64 { return s.served }
 
 // Get returns a record by its job's id, live or finished.
 func (s *Shard) Get(id string) (Record, bool) {
@@ -75,7 +75,7 @@
 // they expire, and begins anew with each life of the process.
 func (s *Shard) FirstChunk() uint64 { return s.archive.first }
 
-// Expired tells whether an EntryDrop with this wall time, in ms, would let go of anything.
+// Expired tells whether an EntryExpire with this wall time, in ms, would let go of anything.
 func (s *Shard) Expired(cutMs int64) bool { return s.archive.expired(cutMs) }
 
 // put takes a record unless a newer version is here, or it is live and void.
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -40,11 +40,11 @@
 // Cluster is the cluster that this disk belongs to or has voted for; 0 for none.
 func (s *Store) Cluster() uint64 { return s.cluster }
 
-// Set is the newest chosen core set that this disk knows; version 0 for none.
-func (s *Store) Set() quorum.Set { return s.set }
+// CoreSet is the newest chosen core set that this disk knows; version 0 for none.
+func (s *Store) CoreSet() quorum.Set { return s.set }
 
-// Formed is the formation that this disk voted for; without members if none.
-func (s *Store) Formed() quorum.Set { return s.formed }
+// Formation is the formation that this disk voted for; without members if none.
+func (s *Store) Formation() quorum.Set { return s.formed }
 
 // Refused tells whether this disk voted against a formation, or knows that it failed.
 func (s *Store) Refused(cluster uint64) bool { return s.refused[cluster] }
@@ -113,19 +113,19 @@
 }
 
 var appliers = map[EntryKind]func(*Store, Entry){
-	EntryForm:        (*Store).applyForm,
-	EntryRefused:     (*Store).applyRefused,
-	EntrySet:         (*Store).applySet,
-	EntryPromise:     (*Store).applyPromise,
-	EntryAccept:      (*Store).applyAccept,
-	EntrySeal:        (*Store).applySeal,
-	EntryRecord:      func(s *Store, e Entry) { s.Shard(e.Name).put(e.Record) },
-	EntryDrop:        func(s *Store, e Entry) { s.Shard(e.Name).drop(int64(e.Epoch)) },
-	EntryConfirmed:   func(s *Store, e Entry) { delete(s.Shard(e.Name).unconfirmed, e.Record.ID) },
-	EntryChunk:       func(s *Store, e Entry) { s.Shard(e.Name).putChunk(e.Value) },
-	EntryUnconfirmed: func(s *Store, e Entry) { s.Shard(e.Name).markUnconfirmed(e.Record.ID) },
-	EntryServed:      func(s *Store, e Entry) { s.Shard(e.Name).serve(e.Epoch) },
-	EntryPatch:       (*Store).applyPatch,
+	EntryFormationVote:    (*Store).applyForm,
+	EntryFormationRefused: (*Store).applyRefused,
+	EntryCoreSet:          (*Store).applySet,
+	EntryPromise:          (*Store).applyPromise,
+	EntryAccept:           (*Store).applyAccept,
+	EntrySeal:             (*Store).applySeal,
+	EntryRecord:           func(s *Store, e Entry) { s.Shard(e.Name).put(e.Record) },
+	EntryExpire:           func(s *Store, e Entry) { s.Shard(e.Name).drop(int64(e.Epoch)) },
+	EntryConfirmed:        func(s *Store, e Entry) { delete(s.Shard(e.Name).unconfirmed, e.Record.ID) },
+	EntryChunk:            func(s *Store, e Entry) { s.Shard(e.Name).putChunk(e.Value) },
+	EntryUnconfirmed:      func(s *Store, e Entry) { s.Shard(e.Name).markUnconfirmed(e.Record.ID) },
+	EntryServed:           func(s *Store, e Entry) { s.Shard(e.Name).serve(e.Epoch) },
+	EntryPatch:            (*Store).applyPatch,
 }
 
 func (s *Store) applyForm(e Entry) {
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -29,7 +29,7 @@
 		plain[e.Record.ID] = e.Record
 		st.Apply(e)
 		if i%7000 == 6999 {
-			st.Apply(Entry{Kind: EntryDrop, Name: "east", Epoch: uint64(doneMs - 900_000)})
+			st.Apply(Entry{Kind: EntryExpire, Name: "east", Epoch: uint64(doneMs - 900_000)})
 		}
 	}
 	must.Greater(t, 3, len(st.Shard("east").archive.chunks))
@@ -82,15 +82,15 @@
 		entries []Entry
 		holds   func(*Store) bool
 	}{
-		{"a vote binds to its cluster", []Entry{{Kind: EntryForm, Value: set.Encode()}}, func(s *Store) bool { return s.Cluster() == 7 && s.Formed().Version == 3 }},
-		{"a refused formation frees", []Entry{{Kind: EntryForm, Value: set.Encode()}, {Kind: EntryRefused, Epoch: 7}}, func(s *Store) bool { return s.Cluster() == 0 && s.Refused(7) }},
-		{"a chosen set stays", []Entry{{Kind: EntrySet, Value: set.Encode()}, {Kind: EntryRefused, Epoch: 7}}, func(s *Store) bool { return s.Cluster() == 7 && s.Set().Version == 3 }},
-		{"an older set changes nothing", []Entry{{Kind: EntrySet, Value: set.Encode()}, {Kind: EntrySet, Value: quorum.Set{Cluster: 7, Version: 2}.Encode()}},
-			func(s *Store) bool { return s.Set().Version == 3 }},
+		{"a vote binds to its cluster", []Entry{{Kind: EntryFormationVote, Value: set.Encode()}}, func(s *Store) bool { return s.Cluster() == 7 && s.Formation().Version == 3 }},
+		{"a refused formation frees", []Entry{{Kind: EntryFormationVote, Value: set.Encode()}, {Kind: EntryFormationRefused, Epoch: 7}}, func(s *Store) bool { return s.Cluster() == 0 && s.Refused(7) }},
+		{"a chosen set stays", []Entry{{Kind: EntryCoreSet, Value: set.Encode()}, {Kind: EntryFormationRefused, Epoch: 7}}, func(s *Store) bool { return s.Cluster() == 7 && s.CoreSet().Version == 3 }},
+		{"an older set changes nothing", []Entry{{Kind: EntryCoreSet, Value: set.Encode()}, {Kind: EntryCoreSet, Value: quorum.Set{Cluster: 7, Version: 2}.Encode()}},
+			func(s *Store) bool { return s.CoreSet().Version == 3 }},
 		{"an accepted value", []Entry{{Kind: EntryAccept, Name: "r", Ballot: ballot, Value: []byte("v")}},
 			func(s *Store) bool { return string(s.RegisterValue("r")) == "v" && s.RegisterValue("other") == nil }},
 		{"the highest epoch seals", []Entry{{Kind: EntrySeal, Name: "east", Epoch: 5}, {Kind: EntrySeal, Name: "east", Epoch: 4}},
-			func(s *Store) bool { return s.Shard("east").Sealed() == 5 }},
+			func(s *Store) bool { return s.Shard("east").SealedEpoch() == 5 }},
 		{"the newest version stands", []Entry{liveEntry("j", 2, 1), liveEntry("j", 1, 9)},
 			func(s *Store) bool { r, _ := s.Shard("east").Get("j"); return r.Epoch == 2 }},
 		{"served epochs void older live records", []Entry{liveEntry("old", 1, 1), liveEntry("new", 2, 1), {Kind: EntryServed, Name: "east", Epoch: 2}, liveEntry("late", 1, 1)},
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -47,7 +47,7 @@
 
 func newLog(f folder, events EventLog) *Log {
 	return &Log{
-		folder: f, events: events, listener: ignore{}, retry: RetryFirst,
+		folder: f, events: events, listener: ignore{}, retry: MinRetryDelay,
 		wake: make(chan struct{}, 1), ended: make(chan struct{}),
 	}
 }
--- a/internal/storage/patch_test.go
+++ b/internal/storage/patch_test.go
@@ -27,7 +27,7 @@
 	splices, _ := statestore.Diff(versionValue(version-1), versionValue(version))
 	return statestore.PatchEntry("east", statestore.Patch{
 		ID: "j", Epoch: 1, Base: int64(version - 1), Version: int64(version),
-		Splices: splices, Sum: statestore.Sum(versionValue(version).Value),
+		Splices: splices, Checksum: statestore.Checksum(versionValue(version).Value),
 	})
 }
 
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -27,7 +27,7 @@
 func (l *Log) recover(cause error) bool {
 	l.listener.Failed(cause)
 	lost := false
-	for wait := l.retry; ; wait = min(2*wait, RetryMax) {
+	for wait := l.retry; ; wait = min(2*wait, MaxRetryDelay) {
 		if l.closedWithin(wait) {
 			return false
 		}
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -88,8 +88,8 @@
 	// quarantineBytes bounds what is kept of a damaged disk's files, until the next
 	// snapshot; a disk may hold 128 MB in all.
 	quarantineBytes = 8 << 20
-	// RetryFirst is the wait before a failed disk is tried again, doubled each time.
-	RetryFirst = 100 * time.Millisecond
-	// RetryMax is the longest such wait: the member is missed meanwhile.
-	RetryMax = time.Second
+	// MinRetryDelay is the wait before a failed disk is tried again, doubled each time.
+	MinRetryDelay = 100 * time.Millisecond
+	// MaxRetryDelay is the longest such wait: the member is missed meanwhile.
+	MaxRetryDelay = time.Second
 )
--- a/internal/wire/cluster.go
+++ b/internal/wire/cluster.go
@@ -17,24 +17,24 @@
 	Incarnation uint64
 	Heartbeat   uint64
 	Addr        string // for daemons
-	HTTP        string // for callers, workers, operators
+	HTTPAddr    string // for callers, workers, operators
 	Zone        string
 	Disk        bool
 	DiskID      uint64
-	Empty       bool // has a disk with no cluster on it
+	EmptyDisk   bool // has a disk with no cluster on it
 	Leaving     bool
 	Colocated   bool // stands beside a worker, and takes no role of the fleet's
 	// What the machine has: thousandths of a core, and Mbit/s; 0 where nobody said.
 	MilliCores int64
 	LinkMbps   int64
-	Strained   bool // its control thread runs late
+	Overloaded bool // its control thread runs late
 }
 
 // Gossip tells the whole table of peers: to a daemon that hears nobody yet, at a
 // seed's address, and of entries that a Digest showed to be unknown.
 type Gossip struct {
 	Self           Peer
-	Table          []Peer
+	Peers          []Peer
 	Core           quorum.Set
 	ReplyRequested bool // an answer is wanted
 }
@@ -57,10 +57,10 @@
 
 // DigestReply answers a Digest with what differs here.
 type DigestReply struct {
-	SetVersion int64
-	Heartbeats []Heartbeat // that are higher here
-	Table      []Peer      // daemons as they are known here and not there
-	Unknown    []uint64    // hashes that nobody here has
+	SetVersion    int64
+	Heartbeats    []Heartbeat // that are higher here
+	Peers         []Peer      // daemons as they are known here and not there
+	UnknownHashes []uint64    // hashes that nobody here has
 }
 
 // LeaseRequest asks for, or renews, the lease of one role.
@@ -83,7 +83,7 @@
 	WallMs      int64 // the sender's wall clock
 	// HoldersHash is that of the holders the member told last, see HashHolders; 0 for none.
 	HoldersHash uint64
-	Wanted      []LeaseRequest
+	Leases      []LeaseRequest
 	Releases    []LeaseRelease
 }
 
@@ -104,12 +104,12 @@
 	Granted    []bool
 	Epochs     []uint64 // of what was granted: the last epoch that this member knows
 	Holders    []RoleHolder
-	// HoldersSame says that the holders are those of the request's hash, and left out.
-	HoldersSame bool
-	Config      register.Ballot
-	GuardMs     int64 // so long this member grants nothing yet
-	FleetMs     int64 // the fleet's time; 0 while too few clocks are heard
-	SyncMs      int64 // ms of the last sync
+	// HoldersUnchanged says that the holders are those of the request's hash, and left out.
+	HoldersUnchanged bool
+	Config           register.Ballot
+	GracePeriodMs    int64 // so long this member grants nothing yet
+	ClusterTimeMs    int64 // the fleet's time; 0 while too few clocks are heard
+	DiskSyncMs       int64 // ms of the last sync
 }
 
 // FormRequest asks a disk for its vote on a formation, or tells that it failed.
@@ -128,15 +128,15 @@
 type CopyRequest struct {
 	SetVersion int64
 	Op         uint64
-	At         statestore.Cursor
+	Cursor     statestore.Cursor
 }
 
 // CopyResponse brings one part of a store.
 type CopyResponse struct {
-	Op       uint64
-	At, Next statestore.Cursor
-	Finished string // to oneself: the member whose copy is synced to its end
-	Entries  []statestore.Entry
+	Op             uint64
+	Cursor, Next   statestore.Cursor
+	FinishedMember string // to oneself: the member whose copy is synced to its end
+	Entries        []statestore.Entry
 }
 
 // HashHolders is a hash of who holds what; never 0.
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -96,12 +96,12 @@
 func KindOf(msg any) uint8 { return messageKinds[reflect.TypeOf(msg).Elem()] }
 
 const (
-	// FormVersion rises with each change of how frames or messages are encoded.
+	// FormatVersion rises with each change of how frames or messages are encoded.
 	// Daemons of two forms don't hear each other.
-	FormVersion = 10
+	FormatVersion = 10
 	// magic tells frames of this form from all others: "otw" and the form. Up to
 	// the third form a frame began with eight bytes "otterchu" and a version.
-	magic int32 = 0x6f747700 | FormVersion
+	magic int32 = 0x6f747700 | FormatVersion
 
 	checksumBytes = 4
 	magicBytes    = 4
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -80,7 +80,7 @@
 }
 
 func FuzzFrame(f *testing.F) {
-	for _, m := range []any{&PollRequest{Wanted: []LeaseRequest{{Name: "a"}}}, &Gossip{Table: []Peer{{Name: "x"}}},
+	for _, m := range []any{&PollRequest{Leases: []LeaseRequest{{Name: "a"}}}, &Gossip{Peers: []Peer{{Name: "x"}}},
 		&AgentReport{Attempts: []AttemptStatus{{}}}, &WriteRequest{Records: []statestore.Record{{ID: "j"}}}} {
 		f.Add(EncodeFrame(Header{From: "d01"}, m))
 	}
--- a/internal/wire/scheduling.go
+++ b/internal/wire/scheduling.go
@@ -14,25 +14,25 @@
 // Forward hands a request of a caller, worker or operator to the daemon that can
 // answer it.
 type Forward struct {
-	ID     uint64
-	Origin string
-	Hops   int32
-	WaitMs int64
-	Op     string
-	Key    string
-	Body   []byte
-	Queue  string // the queue whose address the caller used; "" when it used none
-	Expect int64  // the version that a configuration builds on
-	Digest []byte // of an operator's order, where it isn't that of the body
-	Tenant string // whose key the caller showed; "" for a call that needs none
+	ID              uint64
+	Origin          string
+	Hops            int32
+	WaitMs          int64
+	Op              string
+	Key             string
+	Body            []byte
+	Queue           string // the queue whose address the caller used; "" when it used none
+	ExpectedVersion int64  // the version that a configuration builds on
+	Digest          []byte // of an operator's order, where it isn't that of the body
+	Tenant          string // whose key the caller showed; "" for a call that needs none
 }
 
-// ForwardReply is the answer to a Forward: an HTTP status and body.
+// ForwardReply is the answer to a Forward: an HTTPAddr status and body.
 type ForwardReply struct {
-	ID      uint64
-	Status  int32
-	RetryMs int64
-	Body    []byte
+	ID           uint64
+	Status       int32
+	RetryAfterMs int64
+	Body         []byte
 }
 
 // AttemptKey names one attempt to run a task. Task is the task's number in its job,
@@ -48,23 +48,23 @@
 
 // TaskSpec is what an agent must know of a task to queue, guard and run it.
 type TaskSpec struct {
-	Key         AttemptKey
-	Shard       string
-	Queue       string
-	Name        string
-	Class       TaskClass
-	Resources   resource.Amount
-	Needs       []Label
-	SubmittedMs int64
-	EstimateMs  int64
-	LimitMs     int64
-	Payload     []byte
-	Saved       string
-	Gang        bool
-	Lasting     bool
-	Saves       bool
-	// PerWorker bounds the tasks of its step and round on one worker; 0 for none.
-	PerWorker int32
+	Key            AttemptKey
+	Shard          string
+	Queue          string
+	Name           string
+	Class          TaskClass
+	Resources      resource.Amount
+	RequiredLabels []Label
+	SubmittedMs    int64
+	EstimateMs     int64
+	LimitMs        int64
+	Payload        []byte
+	Checkpoint     string
+	Gang           bool
+	LongRunning    bool
+	Checkpointing  bool
+	// MaxPerWorker bounds the tasks of its step and round on one worker; 0 for none.
+	MaxPerWorker int32
 	// Tenant is whose task it is, and LimitVersion the configuration by whose limit it was placed:
 	// where a later one has lowered that, an unstarted task goes back to its owner.
 	Tenant       string
@@ -74,35 +74,35 @@
 
 // Placement sends a task to its worker's agent.
 type Placement struct {
-	Worker     string
-	AgentEpoch uint64
-	ShardEpoch uint64
-	EchoMs     int64 // the agent's clock, from its last sync
-	Spec       TaskSpec
+	Worker       string
+	AgentEpoch   uint64
+	ShardEpoch   uint64
+	AgentClockMs int64 // the agent's clock, from its last sync
+	Spec         TaskSpec
 }
 
 // AttemptStatus is what an agent tells of one attempt.
 type AttemptStatus struct {
-	Key        AttemptKey
-	Class      TaskClass
-	State      AttemptState
-	Result     AttemptResult
-	Resources  resource.Amount
-	RanMs      int64
-	EstimateMs int64
-	Queue      string
-	Name       string
-	Saved      string
-	Unknown    bool // found running by an agent that was not told what it is
-	Late       bool // its owner may have given it up: whether it counted must be said
+	Key         AttemptKey
+	Class       TaskClass
+	State       AttemptState
+	Result      AttemptResult
+	Resources   resource.Amount
+	RanMs       int64
+	EstimateMs  int64
+	Queue       string
+	Name        string
+	Checkpoint  string
+	SpecMissing bool // found running by an agent that was not told what it is
+	EndedLate   bool // its owner may have given it up: whether it counted must be said
 	// QueueMs is how long it waited at the agent, and StartMs from the order until the
 	// worker listed it.
 	QueueMs int64
 	StartMs int64
 }
 
-// QueueUse is what tasks of one queue take.
-type QueueUse struct {
+// QueueUsage is what tasks of one queue take.
+type QueueUsage struct {
 	Queue     string
 	Resources resource.Amount
 }
@@ -110,36 +110,36 @@
 // AgentReport is an agent's regular word to a shard owner, on its attempts, or to the
 // central scheduler, on its worker's resources.
 type AgentReport struct {
-	Worker     string
-	Agent      string
-	Epoch      uint64
-	SentMs     int64
-	Shard      string // "" when meant for the central scheduler
-	Rebuilt    bool
-	Fresh      bool // the worker's word is fresh
-	SilentMs   int64
-	Zone       string
-	Labels     []Label
-	Leaving    bool
-	Rack       string
-	Free       resource.Amount
-	Capacity   resource.Amount
-	Others     resource.Amount // room of all it holds, queued ones too, that are not this shard's
-	Suspect    bool            // tasks stand still there, or fail far more often than elsewhere
-	Doubtful   bool            // some failures speak against the worker
-	Probation  bool            // it was suspect lately, and gets work again
-	Colocated  bool            // the agent stands beside its worker, and holds end by themselves
-	RankMs     int64
-	QueuedMs   int64
-	Queued     int64
-	Succeeded  int64
-	Failed     int64
-	Spare      resource.Amount // capacity without what is held and no batch's
-	Waiting    int64           // unstarted tasks that are no batch's
-	Batch      []QueueUse      // room of the batches it holds that are not this shard's
-	LagPercent int64           // run time against the estimate, in percent, smoothed
-	Urgent     resource.Amount // room of all it holds of the most urgent queues, queued too
-	Ends       []QueueEnds     // how runs ended lately, by queue: for the central scheduler
+	Worker            string
+	Agent             string
+	Epoch             uint64
+	SentMs            int64
+	Shard             string // "" when meant for the central scheduler
+	Rebuilt           bool
+	WorkerReportFresh bool // the worker's word is fresh
+	SilentMs          int64
+	Zone              string
+	Labels            []Label
+	Leaving           bool
+	Rack              string
+	Free              resource.Amount
+	Capacity          resource.Amount
+	OtherShards       resource.Amount // room of all it holds, queued ones too, that are not this shard's
+	Suspect           bool            // tasks stand still there, or fail far more often than elsewhere
+	RecentFailures    bool            // some failures speak against the worker
+	Probation         bool            // it was suspect lately, and gets work again
+	Colocated         bool            // the agent stands beside its worker, and holds end by themselves
+	RankMs            int64
+	QueuedMs          int64
+	Queued            int64
+	Succeeded         int64
+	Failed            int64
+	SpareCapacity     resource.Amount // capacity without what is held and no batch's
+	WaitingTasks      int64           // unstarted tasks that are no batch's
+	BatchUsage        []QueueUsage    // room of the batches it holds that are not this shard's
+	LagPercent        int64           // run time against the estimate, in percent, smoothed
+	Urgent            resource.Amount // room of all it holds of the most urgent queues, queued too
+	Outcomes          []QueueOutcomes // how runs ended lately, by queue: for the central scheduler
 	// Partial tells that Attempts are only those that wait or have ended: what isn't
 	// listed goes on as before. The central scheduler is only ever told of guaranteed
 	// attempts, and of queueable ones that it may promote.
@@ -147,8 +147,8 @@
 	Attempts []AttemptStatus
 }
 
-// QueueEnds counts how runs of a queue's tasks ended at a worker lately, in hundredths.
-type QueueEnds struct {
+// QueueOutcomes counts how runs of a queue's tasks ended at a worker lately, in hundredths.
+type QueueOutcomes struct {
 	Queue             string
 	Succeeded, Failed int64
 }
@@ -180,24 +180,24 @@
 // step that are alike: all of them or none where they are a gang, else as many as
 // there are resources for.
 type AllocationRequest struct {
-	Shard       string
-	Job         string
-	Tasks       []RequestedTask
-	Queue       string
-	Resources   resource.Amount
-	Needs       []Label
-	SubmittedMs int64
-	Avoid       []string // workers where these tasks just failed
-	Doubted     []string // workers that they should go to only if they don't start elsewhere
-	Gang        bool
-	SameRack    bool
-	Near        string
-	PerWorker   int32
-	Used        []WorkerUse // where others of the step are
-	EstimateMs  int64       // how long a run is expected to take
-	Excess      bool        // its tenant sends more than its weight: it goes after all others
-	Tenant      string
-	TenantUsed  resource.Amount // what the tenant's tasks take in this shard, queued ones too
+	Shard          string
+	Job            string
+	Tasks          []RequestedTask
+	Queue          string
+	Resources      resource.Amount
+	RequiredLabels []Label
+	SubmittedMs    int64
+	Avoid          []string // workers where these tasks just failed
+	Suspect        []string // workers that they should go to only if they don't start elsewhere
+	Gang           bool
+	SameRack       bool
+	DataRack       string
+	MaxPerWorker   int32
+	StepWorkers    []WorkerTaskCount // where others of the step are
+	EstimateMs     int64             // how long a run is expected to take
+	Excess         bool              // its tenant sends more than its weight: it goes after all others
+	Tenant         string
+	TenantUsed     resource.Amount // what the tenant's tasks take in this shard, queued ones too
 }
 
 // RequestedTask is one task of an AllocationRequest.
@@ -206,8 +206,8 @@
 	Attempt int32 // of the placement to come
 }
 
-// WorkerUse counts tasks of a step that are placed on a worker.
-type WorkerUse struct {
+// WorkerTaskCount counts tasks of a step that are placed on a worker.
+type WorkerTaskCount struct {
 	Worker string
 	Count  int32
 }
@@ -237,16 +237,16 @@
 
 // Ranks is one round of the coordinator: ranks and the target delay (paper, section 4.2).
 type Ranks struct {
-	Epoch        uint64
-	Round        int64
-	TargetMs     int64
-	WaitsForRoom bool // firm work waits for room
-	Idle         bool // most of all room is free, in every dimension
-	// UrgentPercent is the share of each worker, by dimension, that queues below the most
+	Epoch             uint64
+	Round             int64
+	TargetDelayMs     int64
+	GuaranteedWaiting bool // firm work waits for room
+	Idle              bool // most of all room is free, in every dimension
+	// HeadroomPercent is the share of each worker, by dimension, that queues below the most
 	// urgent ones leave to those.
-	UrgentPercent resource.Amount
-	FailRates     []QueueFailRate
-	Ranks         []WorkerRank
+	HeadroomPercent resource.Amount
+	FailRates       []QueueFailRate
+	Ranks           []WorkerRank
 }
 
 // Promotion makes a running queueable task guaranteed, if its resources are sure.
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -18,12 +18,12 @@
 // SealResponse brings a shard's live and unconfirmed records; OK is false where a
 // higher epoch was sealed.
 type SealResponse struct {
-	Shard      string
-	Epoch      uint64
-	OK         bool
-	Served     uint64 // the last epoch under which all live jobs were committed, as far as known
-	Records    []statestore.Record
-	SetVersion int64 // under which the member said so
+	Shard       string
+	Epoch       uint64
+	OK          bool
+	ServedEpoch uint64 // the last epoch under which all live jobs were committed, as far as known
+	Records     []statestore.Record
+	SetVersion  int64 // under which the member said so
 }
 
 // WriteRequest has a core member keep records of a shard.
@@ -42,12 +42,12 @@
 // epoch was fenced off. Where Lacking is true nothing was kept: the member lacks a version
 // that a patch builds on, and needs the records whole.
 type WriteResponse struct {
-	Shard      string
-	Epoch      uint64
-	Seq        uint64
-	OK         bool
-	Lacking    bool
-	SetVersion int64 // under which the member said so
+	Shard       string
+	Epoch       uint64
+	Seq         uint64
+	OK          bool
+	BaseMissing bool
+	SetVersion  int64 // under which the member said so
 }
 
 // FetchRequest asks for records by their ids, live or finished.
--- a/internal/wire/tenancy.go
+++ b/internal/wire/tenancy.go
@@ -19,11 +19,11 @@
 
 // ShareAccount is one tenant's part of a ShareReport.
 type ShareAccount struct {
-	Tenant string
-	Keep   resource.Amount // the owner starts nothing beyond this until a grant comes
-	Used   resource.Amount // of that: what tasks take that run or may run
-	Ahead  resource.Amount // what it would like to hold beyond that, so that starts need not wait
-	Claims []ShareClaim    // what waits only for a share, the most urgent first
+	Tenant   string
+	Keep     resource.Amount // the owner starts nothing beyond this until a grant comes
+	Used     resource.Amount // of that: what tasks take that run or may run
+	Prefetch resource.Amount // what it would like to hold beyond that, so that starts need not wait
+	Claims   []ShareClaim    // what waits only for a share, the most urgent first
 }
 
 // ShareClaim is what tasks of one step lack: Count units, of which each is granted whole or not
@@ -52,10 +52,10 @@
 
 // TenantShare is what a shard's owner may have running of one tenant.
 type TenantShare struct {
-	Tenant string
-	Amount resource.Amount
-	Tight  bool // the tenant is near its limit: what isn't used is to be given back at once
-	// GiveBack: what ends is to be given back, too, and not replaced. More may be lent than the
+	Tenant    string
+	Amount    resource.Amount
+	NearLimit bool // the tenant is near its limit: what isn't used is to be given back at once
+	// ReturnFreed: what ends is to be given back, too, and not replaced. More may be lent than the
 	// limit admits, or a larger unit waits for it.
-	GiveBack bool
+	ReturnFreed bool
 }
--- a/internal/wire/transport.go
+++ b/internal/wire/transport.go
@@ -20,9 +20,9 @@
 	dialTimeout = 350 * time.Millisecond
 	// redialAfter is how long nothing is sent after a failed attempt.
 	redialAfter = dialTimeout / 4
-	// UnackedMs bounds how long, in ms, sent bytes may stay unacknowledged before the
+	// UserTimeoutMs bounds how long, in ms, sent bytes may stay unacknowledged before the
 	// system ends the connection.
-	UnackedMs = 1500
+	UserTimeoutMs = 1500
 	// probeInterval is the pace at which a quiet connection is probed; after two
 	// lost probes it is given up. The system takes whole seconds.
 	probeInterval = time.Second
@@ -78,12 +78,12 @@
 // power or behind a partition says nothing.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: 2}
 
-// setUserTimeout sets UnackedMs on a socket. Accepted connections take it from
+// setUserTimeout sets UserTimeoutMs on a socket. Accepted connections take it from
 // their listener.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	var failed error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, UnackedMs)
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, UserTimeoutMs)
 	})
 	if err != nil {
 		return err
--- a/internal/wire/transport_test.go
+++ b/internal/wire/transport_test.go
@@ -58,7 +58,7 @@
 	b.mu.Lock()
 	for c := range b.inbound {
 		unacked, idle, every, probes := socketOptions(t, c)
-		must.Eq(t, []int{UnackedMs, 1, 1, 2}, []int{unacked, idle, every, probes})
+		must.Eq(t, []int{UserTimeoutMs, 1, 1, 2}, []int{unacked, idle, every, probes})
 	}
 	must.MapLen(t, 1, b.inbound)
 	b.mu.Unlock()
@@ -81,7 +81,7 @@
 	must.True(t, o.dial())
 	defer o.hangUp()
 	unacked, idle, every, probes := socketOptions(t, o.conn)
-	must.Eq(t, []int{UnackedMs, 1, 1, 2}, []int{unacked, idle, every, probes})
+	must.Eq(t, []int{UserTimeoutMs, 1, 1, 2}, []int{unacked, idle, every, probes})
 }
 
 // Waiting frames are taken together; those that waited for long are left.
