--- a/cmd/otterchute-standin/downstream.go
+++ b/cmd/otterchute-standin/downstream.go
@@ -107,14 +107,14 @@
 	n := 0
 	send := func() {
 		n++
-		id, job := fmt.Sprintf("%s-%d", prefix, n), r.dep.Draw(rng)
+		id, job := fmt.Sprintf("%s-%d", prefix, n), r.dep.RandomJob(rng)
 		cancel := r.cancel > 0 && n%r.cancel == 0
 		following.Go(func() { r.follow(id, job, limit, cancel) })
 		if r.night == nil || n%r.batches != 0 || !r.night.takes(time.Now()) {
 			return
 		}
 		n++
-		batchID, batch := fmt.Sprintf("%s-%d", prefix, n), r.dep.Draw(rng)
+		batchID, batch := fmt.Sprintf("%s-%d", prefix, n), r.dep.RandomJob(rng)
 		batch.Queue = nightQueue
 		r.night.send(batchID)
 		following.Go(func() { r.follow(batchID, batch, time.Now().Add(r.night.finishBy()+10*time.Second), false) })
@@ -143,15 +143,15 @@
 func (r *callersRun) any() string { return r.daemons[rand.IntN(len(r.daemons))] }
 
 func (r *callersRun) declare() error {
-	setup := r.dep.SetupOf()
+	setup := r.dep.InitialConfiguration()
 	if r.night != nil {
 		setup = r.night.with(setup)
 	}
-	r.note(historycheck.Event{Kind: historycheck.SetupSent, Version: 1, Setup: &setup})
+	r.note(historycheck.Event{Kind: historycheck.ConfigurationSent, Version: 1, Configuration: &setup})
 	for range 60 {
 		status, _, b := request(r.http, "PUT", "http://"+r.any()+"/v1/setups/1", mustJSON(setup))
 		if status == 200 {
-			r.note(historycheck.Event{Kind: historycheck.SetupAcked, Version: 1, Setup: &setup})
+			r.note(historycheck.Event{Kind: historycheck.ConfigurationAcked, Version: 1, Configuration: &setup})
 			return nil
 		}
 		if status == 400 || status == 409 {
@@ -177,7 +177,7 @@
 		r.mu.Lock()
 		r.rejected[status]++
 		r.mu.Unlock()
-		r.note(historycheck.Event{Kind: historycheck.NoEntry, Job: id})
+		r.note(historycheck.Event{Kind: historycheck.SubmissionFailed, Job: id})
 		if status == 400 || status == 409 || time.Now().After(limit) {
 			return
 		}
@@ -198,10 +198,10 @@
 		if status == 404 {
 			state = "unknown"
 		} else if status != 200 {
-			r.note(historycheck.Event{Kind: historycheck.NoState, Job: id})
+			r.note(historycheck.Event{Kind: historycheck.StateUnavailable, Job: id})
 			continue
 		}
-		r.note(historycheck.Event{Kind: historycheck.JobState, Job: id, Text: state, AskedMs: asked})
+		r.note(historycheck.Event{Kind: historycheck.JobState, Job: id, Text: state, RequestedMs: asked})
 		r.state(id, state)
 		if r.night != nil {
 			r.night.shown(id, state, string(b))
@@ -251,7 +251,7 @@
 		count[s]++
 	}
 	unended := sent - count["complete"] - count["failed"] - count["cancelled"]
-	stateMs, entryMs := historycheck.Dark(r.history)
+	stateMs, entryMs := historycheck.LongestOutages(r.history)
 	runs, starting := startsByClass(history, sentMs)
 	out := map[string]any{
 		"deployment": r.deployment, "sent": sent, "states": count, "unended": unended, "bounces": r.rejected,
--- a/cmd/otterchute-standin/night.go
+++ b/cmd/otterchute-standin/night.go
@@ -36,7 +36,7 @@
 // job that must start in dear hours.
 func (n *night) finishBy() time.Duration { return 7 * time.Minute }
 
-func (n *night) with(s historycheck.Setup) historycheck.Setup {
+func (n *night) with(s historycheck.Configuration) historycheck.Configuration {
 	hours := historycheck.Hours{From: n.opens.Format("15:04"), To: n.closes.Format("15:04"), Price: 0.04}
 	s.Contracts = []historycheck.Contract{{Name: "night", Price: 0.12, Hours: []historycheck.Hours{hours}}}
 	if n.closes.Format("15:04") == "00:00" {
--- a/cmd/otterchute-standin/night_test.go
+++ b/cmd/otterchute-standin/night_test.go
@@ -13,7 +13,7 @@
 func TestNightJudge(t *testing.T) {
 	n := newNight(time.Date(2027, 1, 4, 23, 57, 40, 0, time.UTC))
 	must.Eq(t, "23:59", n.opens.Format("15:04"))
-	s := n.with(historycheck.Setup{Queues: []historycheck.Queue{{Name: "confirm"}}})
+	s := n.with(historycheck.Configuration{Queues: []historycheck.Queue{{Name: "confirm"}}})
 	must.Eq(t, "00:01", s.Contracts[0].Hours[0].To)
 	must.Len(t, 2, s.Queues)
 	must.True(t, n.takes(n.opens.Add(89*time.Second)))
--- a/cmd/otterchute-standin/worker.go
+++ b/cmd/otterchute-standin/worker.go
@@ -108,7 +108,7 @@
 	mux.HandleFunc("POST /stop", w.stopRun)
 	go func() { _ = http.Serve(ln, mux) }()
 	w.readJournal()
-	w.note(historycheck.Event{Kind: historycheck.WorkerRoom, Room: c.room, Labels: w.labels, Zone: c.zone})
+	w.note(historycheck.Event{Kind: historycheck.WorkerCapacity, Capacity: c.room, Labels: w.labels, Zone: c.zone})
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1)
 	var vanish <-chan time.Time
@@ -284,7 +284,7 @@
 		delete(w.ended, id.Str)
 	}
 	if leaving {
-		w.note(historycheck.Event{Kind: historycheck.WorkerLeaves})
+		w.note(historycheck.Event{Kind: historycheck.WorkerLeaving})
 	}
 	return true
 }
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -11,7 +11,7 @@
 )
 
 func manyQueues(count int) []byte {
-	s := historycheck.Deployments["ikenna"].SetupOf()
+	s := historycheck.Deployments["ikenna"].InitialConfiguration()
 	for i := range count {
 		s.Queues = append(s.Queues, historycheck.Queue{Name: fmt.Sprintf("guild-%d", i), Selector: map[string][]string{"tier": {"fast"}, "site": {"east", "mid"}}, Urgency: 1})
 	}
--- a/internal/daemon/brief_test.go
+++ b/internal/daemon/brief_test.go
@@ -100,9 +100,9 @@
 	}, 30_000}
 
 	scenarios["a silent worker, with and without trust in its run limit"] = scenario{"hakata", func(t *testing.T, w *world) {
-		s := w.dep.SetupOf()
+		s := w.dep.InitialConfiguration()
 		s.Queues = append([]historycheck.Queue{}, s.Queues...)
-		s.Queues[1].Trust = true
+		s.Queues[1].TrustRunLimit = true
 		accepted := 0
 		w.putSetup(2, s, func(status int) { accepted = status })
 		w.run(3000)
@@ -167,7 +167,7 @@
 		w.traffic(30_000)
 		w.run(12_000)
 		usual := w.endedIn(w.nowMs()-10_000, w.nowMs())
-		s := w.dep.SetupOf()
+		s := w.dep.InitialConfiguration()
 		for i := range 5000 {
 			s.Queues = append(s.Queues, historycheck.Queue{Name: fmt.Sprintf("guild-%d", i), Selector: map[string][]string{"tier": {"fast"}}, Urgency: int64(i % 7)})
 		}
@@ -238,7 +238,7 @@
 				}
 			}
 			if how == "emptied" || how == "all" {
-				set := w.dep.SetupOf()
+				set := w.dep.InitialConfiguration()
 				set.EmptyZones = []string{s.zone}
 				w.putSetup(w.setupVersion()+1, set, nil)
 			}
@@ -449,13 +449,13 @@
 		{"siblings unreachable", func(w *world) { w.nodes["d10"].kill(false) }, 6000},
 		{"clock spread", func(w *world) { w.nodes["d11"].skewMs = 60_000 }, 3000},
 		{"unmatched queues", func(w *world) {
-			s := w.dep.SetupOf()
+			s := w.dep.InitialConfiguration()
 			s.Queues = append(s.Queues, historycheck.Queue{Name: "lone", Selector: map[string][]string{"tier": {"none"}}})
 			w.putSetup(2, s, nil)
 		}, 4000},
 		{"no setup", nil, 3000},
 		{"sites empty", func(w *world) {
-			s := w.dep.SetupOf()
+			s := w.dep.InitialConfiguration()
 			s.EmptyZones = []string{"mid"}
 			w.putSetup(2, s, nil)
 		}, 4000},
@@ -478,7 +478,7 @@
 			must.True(t, w.until(20_000, func() bool { return w.holderOf("central") != nil }))
 			w.run(4000)
 			if c.do != nil {
-				w.putSetup(1, w.dep.SetupOf(), nil)
+				w.putSetup(1, w.dep.InitialConfiguration(), nil)
 				w.run(4000)
 				c.do(w)
 			}
--- a/internal/daemon/campaign_faults_test.go
+++ b/internal/daemon/campaign_faults_test.go
@@ -65,8 +65,8 @@
 	for _, name := range sortedKeys(w.nodes) {
 		undo = append(undo, killed(w, w.nodes[name], power))
 	}
-	w.note(historycheck.Event{Kind: historycheck.Unreachable})
-	undo = append(undo, func() { w.note(historycheck.Event{Kind: historycheck.Reachable}) })
+	w.note(historycheck.Event{Kind: historycheck.WorkerUnreachable})
+	undo = append(undo, func() { w.note(historycheck.Event{Kind: historycheck.WorkerReachable}) })
 	return allOf(undo)
 }
 
@@ -256,7 +256,7 @@
 			}
 		}
 		if w.rng.IntN(2) == 0 {
-			set := w.dep.SetupOf()
+			set := w.dep.InitialConfiguration()
 			set.EmptyZones = []string{s.zone}
 			w.putSetup(w.setupVersion()+1, set, nil)
 			undo = append(undo, w.restoreSetup)
@@ -302,7 +302,7 @@
 		return func() { over, w.onNote = true, nil; undo() }
 	},
 	"storm": func(w *world) func() { // quick bursts by two operators, with many queues
-		s := w.dep.SetupOf()
+		s := w.dep.InitialConfiguration()
 		for i := range 300 {
 			s.Queues = append(s.Queues, historycheck.Queue{Name: fmt.Sprint("guild-", i), Selector: map[string][]string{"tier": {"fast"}}, Urgency: int64(i % 5)})
 		}
@@ -345,16 +345,16 @@
 	"wave_large":  func(w *world) func() { return w.wave(2, 10+w.rng.IntN(10)) },
 	"hopeless": func(w *world) func() {
 		for range 5 {
-			j := w.dep.Kinds[0].Make(w.rng)
+			j := w.dep.JobKinds[0].Make(w.rng)
 			j.Steps[0].Tasks[0].Payload = historycheck.Work{Ms: 100, FailPct: 100}
 			w.submit(j)
 		}
 		return func() {}
 	},
 	"standing": func(w *world) func() {
-		j := w.dep.Kinds[0].Make(w.rng)
+		j := w.dep.JobKinds[0].Make(w.rng)
 		j.Steps[0].Tasks[0].Payload = historycheck.Work{Stall: true}
-		j.Steps[0].Tasks[0].LimitMs, j.Steps[0].Tasks[0].Allowed = 2000, 2
+		j.Steps[0].Tasks[0].LimitMs, j.Steps[0].Tasks[0].AllowedFailures = 2000, 2
 		w.submit(j)
 		return func() {}
 	},
@@ -370,21 +370,21 @@
 		return func() {}
 	},
 	"empty_site": func(w *world) func() {
-		s := w.dep.SetupOf()
+		s := w.dep.InitialConfiguration()
 		s.EmptyZones = []string{w.some(historycheck.Zones)}
 		w.putSetup(w.setupVersion()+1, s, nil)
 		return w.restoreSetup
 	},
 	"race": func(w *world) func() { // operators racing, in a quick burst
 		for i := range 4 {
-			s := w.dep.SetupOf()
+			s := w.dep.InitialConfiguration()
 			s.Note = fmt.Sprint("operator ", i, w.rng.IntN(1000))
 			w.putSetup(w.setupVersion()+1+int64(i/3), s, nil)
 		}
 		return func() {}
 	},
 	"regroup": func(w *world) func() { // the first queue's group shrinks to some tier
-		s := w.dep.SetupOf()
+		s := w.dep.InitialConfiguration()
 		s.Queues = slices.Clone(s.Queues)
 		s.Queues[0].Selector = map[string][]string{"tier": {w.some([]string{"fast", "bulk"})}}
 		w.putSetup(w.setupVersion()+1, s, nil)
@@ -407,9 +407,9 @@
 func (w *world) wave(kind, count int) func() {
 	for range count {
 		if kind < 0 {
-			w.submit(w.dep.Draw(w.rng))
+			w.submit(w.dep.RandomJob(w.rng))
 		} else {
-			w.submit(w.dep.Kinds[kind].Make(w.rng))
+			w.submit(w.dep.JobKinds[kind].Make(w.rng))
 		}
 	}
 	return func() {}
@@ -490,12 +490,12 @@
 // goes on until work must be back.
 func (w *world) finalFault(name string) {
 	w.run(20_000)
-	w.note(historycheck.Event{Kind: historycheck.HardLoss})
+	w.note(historycheck.Event{Kind: historycheck.MachinesLost})
 	undo := finalFaults[name](w)
 	w.run(1000 + w.rng.Int64N(9000))
 	undo()
 	w.note(historycheck.Event{Kind: historycheck.MachinesBack})
-	w.run(historycheck.DefaultBounds.Back + 14_000)
+	w.run(historycheck.DefaultBounds.RecoveryMs + 14_000)
 	w.note(historycheck.Event{Kind: historycheck.TrafficEnds})
 	w.trafficEnds = true
 }
--- a/internal/daemon/campaign_test.go
+++ b/internal/daemon/campaign_test.go
@@ -25,7 +25,7 @@
 
 // restoreSetup declares the usual setup again, until it is accepted.
 func (w *world) restoreSetup() {
-	w.putSetup(w.setupVersion()+1, w.dep.SetupOf(), func(status int) {
+	w.putSetup(w.setupVersion()+1, w.dep.InitialConfiguration(), func(status int) {
 		if status == 409 {
 			w.after(400_000, w.restoreSetup)
 		}
@@ -50,7 +50,7 @@
 	var next func()
 	next = func() {
 		if !w.trafficEnds {
-			w.submit(spice(w, w.dep.Draw(w.rng)))
+			w.submit(spice(w, w.dep.RandomJob(w.rng)))
 			w.after(int64(w.rng.ExpFloat64()*1e6/w.dep.JobsPerSec), next)
 		}
 	}
@@ -62,7 +62,7 @@
 	asked := w.nowMs()
 	w.ask("operator", w.someNode(), "setup.get", "", nil, 2000, func(status int, _ int64, b []byte) {
 		if status == 200 {
-			w.note(historycheck.Event{Kind: historycheck.SetupShown, Version: gjson.GetBytes(b, "version").Int(), AskedMs: asked})
+			w.note(historycheck.Event{Kind: historycheck.ConfigurationShown, Version: gjson.GetBytes(b, "version").Int(), RequestedMs: asked})
 		}
 	})
 	w.after(1_000_000, w.watchSetups)
@@ -76,7 +76,7 @@
 	if !w.until(20_000, func() bool { return w.holderOf("central") != nil }) {
 		return []string{"the fleet never formed"}, w, nil
 	}
-	w.putSetup(1, w.dep.SetupOf(), nil)
+	w.putSetup(1, w.dep.InitialConfiguration(), nil)
 	w.run(3000)
 	w.stray = 400
 	w.watchSetups()
@@ -137,7 +137,7 @@
 				t.Error(b)
 			}
 			for _, r := range historycheck.Recoveries(w.history, historycheck.DefaultBounds) {
-				stateMs, entryMs := historycheck.Dark(w.history)
+				stateMs, entryMs := historycheck.LongestOutages(w.history)
 				t.Logf("%s, %s: share %.2f at worst; dark: states %d ms, entry %d ms", dep, told[len(told)-1], r.Share, stateMs, entryMs)
 			}
 			if len(bad) > 0 {
--- a/internal/daemon/cold_test.go
+++ b/internal/daemon/cold_test.go
@@ -22,7 +22,7 @@
 			duties := append([]string{"central", "slice/east", "slice/mid", "slice/west"}, agentRoles(w)...)
 			if what != "first start" {
 				w.until(20_000, func() bool { return w.holderOf("central") != nil })
-				w.putSetup(1, w.dep.SetupOf(), nil)
+				w.putSetup(1, w.dep.InitialConfiguration(), nil)
 				w.traffic(60_000)
 				w.run(15_000)
 				if what == "power of all" {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -410,7 +410,7 @@
 	}
 	a := s.adapter
 	lc.Append(fx.Hook{OnStart: func(context.Context) error {
-		a.OnChange(func(p platform.Identity) {
+		a.OnChange(func(p platform.DaemonSettings) {
 			l.post(func(s *executor) { s.event(evSeeds{Seeds: p.Seeds}) })
 		})
 		go func() {
--- a/internal/daemon/entering_test.go
+++ b/internal/daemon/entering_test.go
@@ -16,7 +16,7 @@
 	w := formed(t, 1, "hakata")
 	w.run(3000)
 	_, owner := frontAndOwner(t, w)
-	id, queue := idOwnedBy(w, owner, "job"), w.dep.SetupOf().Queues[0].Name
+	id, queue := idOwnedBy(w, owner, "job"), w.dep.InitialConfiguration().Queues[0].Name
 	w.detain = func(_, _ string, msg any) int64 {
 		if _, ok := msg.(*wire.FetchResponse); ok {
 			return 100_000 // so long the owner looks
@@ -53,7 +53,7 @@
 	w := formed(t, 1, "hakata")
 	w.run(3000)
 	_, owner := frontAndOwner(t, w)
-	id, queue := idOwnedBy(w, owner, "job"), w.dep.SetupOf().Queues[0].Name
+	id, queue := idOwnedBy(w, owner, "job"), w.dep.InitialConfiguration().Queues[0].Name
 	w.detain = func(_, _ string, msg any) int64 {
 		if _, ok := msg.(*wire.FetchResponse); ok {
 			return 100_000
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -56,21 +56,21 @@
 func (u *unrest) declare(dep historycheck.Deployment, empty []string) {
 	u.version++
 	for i := range 2 {
-		s := dep.SetupOf()
+		s := dep.InitialConfiguration()
 		s.Note, s.EmptyZones = fmt.Sprint("operator ", i, " version ", u.version), empty
-		u.note(historycheck.Event{Kind: historycheck.SetupSent, Version: u.version, Setup: &s})
+		u.note(historycheck.Event{Kind: historycheck.ConfigurationSent, Version: u.version, Configuration: &s})
 		for range 40 {
 			status, b, err := u.call("PUT", fmt.Sprint("/v1/setups/", u.version), string(mustJSON(s)))
 			if err != nil || status == 503 || status == 429 {
 				continue // each try takes its own time
 			}
-			kind := historycheck.SetupRejected
+			kind := historycheck.ConfigurationRejected
 			if status == 200 {
-				kind = historycheck.SetupAcked
+				kind = historycheck.ConfigurationAcked
 			} else {
 				u.version = max(u.version, gjson.GetBytes(b, "current").Int())
 			}
-			u.note(historycheck.Event{Kind: kind, Version: u.version, Setup: &s})
+			u.note(historycheck.Event{Kind: kind, Version: u.version, Configuration: &s})
 			break
 		}
 	}
--- a/internal/daemon/http_server.go
+++ b/internal/daemon/http_server.go
@@ -135,9 +135,9 @@
 }
 
 // servePlatform answers the platform's calls.
-func (d *httpServer) servePlatform(ctx context.Context, c platform.Call) platform.Answer {
+func (d *httpServer) servePlatform(ctx context.Context, c platform.Call) platform.Response {
 	if len(c.Body) > bodyMaxBytes && c.Op != "setup.put" && c.Op != "worker.beat" {
-		return platform.Answer{
+		return platform.Response{
 			Status: 400,
 			Body:   faultsJSON([]schema.Fault{{Path: "", Reason: fmt.Sprintf("is larger than %d bytes", bodyMaxBytes)}}),
 		}
@@ -145,11 +145,11 @@
 	r := d.request(
 		ctx,
 		evRequest{
-			Op: c.Op, Key: c.Key, Host: c.Host, Path: c.Path, Base: c.Expect, Digest: c.Digest, Body: c.Body,
+			Op: c.Op, Key: c.Key, Host: c.Host, Path: c.Path, Base: c.BaseVersion, Digest: c.Digest, Body: c.Body,
 			Credential: c.Credential,
 		},
 	)
-	return platform.Answer{Status: r.Status, RetryMs: r.RetryMs, Body: r.Body}
+	return platform.Response{Status: r.Status, RetryAfterMs: r.RetryMs, Body: r.Body}
 }
 
 func (d *httpServer) serve(c *gin.Context, op, key string) {
--- a/internal/daemon/identity_test.go
+++ b/internal/daemon/identity_test.go
@@ -55,7 +55,7 @@
 	w := formed(t, 1, "hakata")
 	w.run(3000)
 	front, owner := frontAndOwner(t, w)
-	queue := w.dep.SetupOf().Queues[0].Name
+	queue := w.dep.InitialConfiguration().Queues[0].Name
 	first, second := idOwnedBy(w, owner, "first"), idOwnedBy(w, owner, "second")
 	handed, withheld := false, 0
 	w.detain = func(from, to string, msg any) int64 {
--- a/internal/daemon/measure_test.go
+++ b/internal/daemon/measure_test.go
@@ -39,14 +39,14 @@
 		change(&w.nodes[name].nodeConfig)
 	}
 	w.until(20_000, func() bool { return w.holderOf("central") != nil })
-	w.putSetup(1, d.SetupOf(), nil)
+	w.putSetup(1, d.InitialConfiguration(), nil)
 	w.run(5000)
 	jobs := rand.New(rand.NewPCG(seed, 99))
 	end := w.nowMs() + 60_000
 	var next func()
 	next = func() {
 		if w.nowMs() < end {
-			w.submit(d.Draw(jobs))
+			w.submit(d.RandomJob(jobs))
 			w.after(int64(jobs.ExpFloat64()*1e6/(d.JobsPerSec*rate)), next)
 		}
 	}
@@ -104,7 +104,7 @@
 	plain, quietly := func(*nodeConfig) {}, func(*world) {}
 	wave := func(w *world) {
 		for range 300 {
-			w.submit(w.dep.Draw(w.rng))
+			w.submit(w.dep.RandomJob(w.rng))
 		}
 	}
 	type row struct {
--- a/internal/daemon/path_test.go
+++ b/internal/daemon/path_test.go
@@ -17,7 +17,7 @@
 	w.keepLog = true
 	must.True(t, w.until(20_000, func() bool { return w.holderOf("central") != nil }), must.Sprint("the fleet never formed"))
 	status := 0
-	w.putSetup(1, w.dep.SetupOf(), func(s int) { status = s })
+	w.putSetup(1, w.dep.InitialConfiguration(), func(s int) { status = s })
 	must.True(t, w.until(10_000, func() bool { return status != 0 }))
 	must.Eq(t, 200, status)
 	return w
--- a/internal/daemon/product_test.go
+++ b/internal/daemon/product_test.go
@@ -30,7 +30,7 @@
 	must.Eq(t, "the control thread is behind", reason)
 	go l.run()
 	for _, c := range []platform.Call{{Op: "queue.submit", Host: "h", Path: "/a/1", Body: []byte("{}")}, {Op: "queue.state", Host: "h", Path: "/a/1"},
-		{Op: "setup.put", Key: "4", Expect: 0, Body: []byte(`{"queues":[]}`)}, {Op: "setup.get"}, {Op: "site.empty", Key: "east"}} {
+		{Op: "setup.put", Key: "4", BaseVersion: 0, Body: []byte(`{"queues":[]}`)}, {Op: "setup.get"}, {Op: "site.empty", Key: "east"}} {
 		status, _ = call(c)
 		must.Eq(t, 503, status, must.Sprint(c.Op))
 	}
--- a/internal/daemon/scenario_helpers_test.go
+++ b/internal/daemon/scenario_helpers_test.go
@@ -35,8 +35,8 @@
 // that it presses alike at both sizes.
 func (w *world) oneTask(queue string, ms, room, limitMs int64, allowed int) historycheck.Job {
 	room = room * w.dep.Cores / 16
-	return historycheck.Job{Queue: w.sameQueue(queue), Steps: []historycheck.Step{{Name: "s", Tasks: []historycheck.Task{{Name: fmt.Sprint("t", ms), Room: room, LimitMs: limitMs,
-		Allowed: allowed, Payload: historycheck.Work{Ms: ms}}}}}}
+	return historycheck.Job{Queue: w.sameQueue(queue), Steps: []historycheck.Step{{Name: "s", Tasks: []historycheck.Task{{Name: fmt.Sprint("t", ms), Cores: room, LimitMs: limitMs,
+		AllowedFailures: allowed, Payload: historycheck.Work{Ms: ms}}}}}}
 }
 
 // endedIn counts the task ends of a stretch of simulated time.
--- a/internal/daemon/scenario_run_test.go
+++ b/internal/daemon/scenario_run_test.go
@@ -66,7 +66,7 @@
 					s.do(t, w)
 					allDone(t, w, s.waitMs)
 					verdictOf(t, w)
-					stateMs, entryMs := historycheck.Dark(w.history)
+					stateMs, entryMs := historycheck.LongestOutages(w.history)
 					t.Logf("dark: states %d ms, entry %d ms", stateMs, entryMs)
 					if t.Failed() {
 						t.Log(w.counts())
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -127,7 +127,7 @@
 	}, 40_000},
 	"disk wiped right after a setup": {"ikenna", func(t *testing.T, w *world) {
 		for v := int64(2); v <= 7; v++ {
-			s, done := w.dep.SetupOf(), 0
+			s, done := w.dep.InitialConfiguration(), 0
 			s.Note = fmt.Sprint("version ", v)
 			w.putSetup(v, s, func(status int) { done = status })
 			must.True(t, w.until(5000, func() bool { return done != 0 }))
@@ -141,7 +141,7 @@
 		for v := int64(2); v <= 11; v++ {
 			var got []int
 			for i := range 3 {
-				s := w.dep.SetupOf()
+				s := w.dep.InitialConfiguration()
 				s.Note = fmt.Sprint("operator ", i)
 				w.putSetup(v, s, func(status int) { got = append(got, status) })
 			}
@@ -156,7 +156,7 @@
 		}
 	}, 1000},
 	"huge setup": {"ikenna", func(t *testing.T, w *world) {
-		s := w.dep.SetupOf()
+		s := w.dep.InitialConfiguration()
 		for i := range 5000 {
 			s.Queues = append(s.Queues, historycheck.Queue{Name: fmt.Sprintf("guild-%d", i), Selector: map[string][]string{"tier": {"fast"}}, Urgency: 1})
 		}
@@ -231,7 +231,7 @@
 	"site emptied": {"hakata", func(t *testing.T, w *world) {
 		w.traffic(25_000)
 		w.run(8000)
-		s := w.dep.SetupOf()
+		s := w.dep.InitialConfiguration()
 		s.EmptyZones = []string{"mid"}
 		w.putSetup(2, s, nil)
 		w.run(17_000)
@@ -253,7 +253,7 @@
 	}, 10_000},
 	"wave": {"ikenna", func(t *testing.T, w *world) {
 		for range 500 {
-			w.submit(w.dep.Draw(w.rng))
+			w.submit(w.dep.RandomJob(w.rng))
 		}
 		w.traffic(10_000)
 		w.run(5000)
@@ -328,14 +328,14 @@
 	}, 60_000}
 	scenarios["site emptied with full queues"] = scenario{"ikenna", func(t *testing.T, w *world) {
 		w.queuesFull()
-		s := w.dep.SetupOf()
+		s := w.dep.InitialConfiguration()
 		s.EmptyZones = []string{"mid"}
 		w.putSetup(2, s, nil)
 		w.run(15_000)
 	}, 60_000}
 	scenarios["group shrinks with full queues"] = scenario{"ikenna", func(t *testing.T, w *world) {
 		w.queuesFull()
-		s := historycheck.Setup{Queues: []historycheck.Queue{{Name: w.sameQueue("logbook"), Selector: map[string][]string{"tier": {"fast"}}, Urgency: 1}}}
+		s := historycheck.Configuration{Queues: []historycheck.Queue{{Name: w.sameQueue("logbook"), Selector: map[string][]string{"tier": {"fast"}}, Urgency: 1}}}
 		w.putSetup(2, s, nil)
 		w.run(15_000)
 	}, 90_000}
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -200,7 +200,7 @@
 		return s, errors.Wrapf(errSettings, "platform: %v", err)
 	case a != nil:
 		s.adapter = a
-		s.take(a.Identity())
+		s.take(a.DaemonSettings())
 	}
 	if f.file != "" {
 		doc, err := os.ReadFile(f.file)
@@ -259,14 +259,14 @@
 
 // take fills in what the platform says of this process. What it leaves out
 // stays as it is by default.
-func (s *settings) take(p platform.Identity) {
-	s.Name, s.Addr, s.HTTP, s.Zone, s.Data, s.Seeds = p.Name, p.Addr, p.HTTP, p.Zone, p.Data, p.Seeds
+func (s *settings) take(p platform.DaemonSettings) {
+	s.Name, s.Addr, s.HTTP, s.Zone, s.Data, s.Seeds = p.Name, p.Addr, p.HTTP, p.Zone, p.DataDirectory, p.Seeds
 	s.FirstStart, s.MemoryMb = p.FirstStart, p.MemoryMb
 	s.MilliCores, s.LinkMbps = p.MilliCores, p.LinkMbps
 	s.CoreSize = cmp.Or(int64(p.CoreSize), s.CoreSize)
-	s.Colocated = p.Beside
-	s.MaxHoldMs, s.GangWaitMs = cmp.Or(p.HoldMostMs, s.MaxHoldMs), cmp.Or(p.GangWaitMs, s.GangWaitMs)
-	s.SaveMs, s.RestoreMs = cmp.Or(p.SaveMs, s.SaveMs), cmp.Or(p.RestoreMs, s.RestoreMs)
+	s.Colocated = p.Colocated
+	s.MaxHoldMs, s.GangWaitMs = cmp.Or(p.MaxHoldMs, s.MaxHoldMs), cmp.Or(p.GangWaitMs, s.GangWaitMs)
+	s.SaveMs, s.RestoreMs = cmp.Or(p.CheckpointIntervalMs, s.SaveMs), cmp.Or(p.RestoreMs, s.RestoreMs)
 	if p.SpreadFactor > 0 {
 		s.SpreadFactor = p.SpreadFactor
 	}
--- a/internal/daemon/world_callers_test.go
+++ b/internal/daemon/world_callers_test.go
@@ -91,7 +91,7 @@
 		case j.tries > 200:
 			j.gaveUp = true
 		default:
-			w.note(historycheck.Event{Kind: historycheck.NoEntry, Job: j.id})
+			w.note(historycheck.Event{Kind: historycheck.SubmissionFailed, Job: j.id})
 			w.after(max(retryMs, 500)*1000, func() { w.put(j) })
 		}
 	})
@@ -107,9 +107,9 @@
 		}
 		if state != "" {
 			j.state = state
-			w.note(historycheck.Event{Kind: historycheck.JobState, Job: j.id, Text: state, AskedMs: asked})
+			w.note(historycheck.Event{Kind: historycheck.JobState, Job: j.id, Text: state, RequestedMs: asked})
 		} else {
-			w.note(historycheck.Event{Kind: historycheck.NoState, Job: j.id})
+			w.note(historycheck.Event{Kind: historycheck.StateUnavailable, Job: j.id})
 		}
 		if state == "complete" || state == "failed" || state == "cancelled" {
 			w.doneAt = append(w.doneAt, w.nowMs())
@@ -133,18 +133,18 @@
 }
 
 // putSetup sends a setup version until it is finally answered.
-func (w *world) putSetup(version int64, s historycheck.Setup, done func(status int)) {
+func (w *world) putSetup(version int64, s historycheck.Configuration, done func(status int)) {
 	body, _ := json.Marshal(s)
 	kept := &s
-	w.note(historycheck.Event{Kind: historycheck.SetupSent, Version: version, Setup: kept})
+	w.note(historycheck.Event{Kind: historycheck.ConfigurationSent, Version: version, Configuration: kept})
 	var try func()
 	try = func() {
 		w.ask("operator", w.anyNode(w.rng.IntN(1000)), "setup.put", fmt.Sprint(version), body, 4000, func(status int, _ int64, b []byte) {
 			switch status {
 			case 200:
-				w.note(historycheck.Event{Kind: historycheck.SetupAcked, Version: version, Setup: kept})
+				w.note(historycheck.Event{Kind: historycheck.ConfigurationAcked, Version: version, Configuration: kept})
 			case 400, 409:
-				w.note(historycheck.Event{Kind: historycheck.SetupRejected, Version: version, Setup: kept})
+				w.note(historycheck.Event{Kind: historycheck.ConfigurationRejected, Version: version, Configuration: kept})
 			default:
 				w.after(500_000, try)
 				return
@@ -165,7 +165,7 @@
 		if w.nowMs() >= end {
 			return
 		}
-		w.submit(w.dep.Draw(w.rng))
+		w.submit(w.dep.RandomJob(w.rng))
 		w.after(int64(w.rng.ExpFloat64()*1e6/w.dep.JobsPerSec), next)
 	}
 	next()
--- a/internal/daemon/world_test.go
+++ b/internal/daemon/world_test.go
@@ -240,7 +240,7 @@
 
 func (w *world) cutHost(host string) {
 	if w.workers[host] != nil {
-		w.note(historycheck.Event{Kind: historycheck.Unreachable, Worker: host})
+		w.note(historycheck.Event{Kind: historycheck.WorkerUnreachable, Worker: host})
 	}
 	for _, b := range w.hosts() {
 		if b != host {
@@ -252,7 +252,7 @@
 func (w *world) heal() {
 	w.cuts = map[[2]string]bool{}
 	for _, name := range sortedKeys(w.workers) {
-		w.note(historycheck.Event{Kind: historycheck.Reachable, Worker: name})
+		w.note(historycheck.Event{Kind: historycheck.WorkerReachable, Worker: name})
 	}
 }
 
--- a/internal/daemon/world_worker_test.go
+++ b/internal/daemon/world_worker_test.go
@@ -51,7 +51,7 @@
 	s.up, s.seq, s.token, s.busy, s.leaving = true, 0, "", false, false
 	s.gen++
 	s.inc++
-	s.w.note(historycheck.Event{Kind: historycheck.WorkerRoom, Worker: s.name, Room: s.capacity, Labels: s.labels, Zone: s.zone})
+	s.w.note(historycheck.Event{Kind: historycheck.WorkerCapacity, Worker: s.name, Capacity: s.capacity, Labels: s.labels, Zone: s.zone})
 	gen := s.gen
 	var tick func()
 	tick = func() {
@@ -159,7 +159,7 @@
 				delete(s.ended, a.Str)
 			}
 			if leaving {
-				s.w.note(historycheck.Event{Kind: historycheck.WorkerLeaves, Worker: s.name})
+				s.w.note(historycheck.Event{Kind: historycheck.WorkerLeaving, Worker: s.name})
 			}
 		} else {
 			s.use++
--- a/internal/historycheck/after.go
+++ b/internal/historycheck/after.go
@@ -12,9 +12,9 @@
 
 // Recovery is the worst span of work after a hard loss.
 type Recovery struct {
-	BackMs, AtMs int64
-	Ended        int
-	Usual, Share float64
+	BackMs, AtMs    int64
+	Completed       int
+	Baseline, Share float64
 }
 
 // Recoveries gives for each hard loss the span with the least work, from
@@ -35,11 +35,11 @@
 	lossMs, backMs := int64(-1), int64(-1)
 	judge := func(until int64) {
 		usual := float64(ended(lossMs-usualSpanMs, lossMs)) * recoverySpanMs / usualSpanMs
-		worst := Recovery{BackMs: backMs, Usual: usual, Share: -1}
-		for at := backMs + bounds.Back; at+recoverySpanMs <= until && usual >= usualLeast; at += 500 {
+		worst := Recovery{BackMs: backMs, Baseline: usual, Share: -1}
+		for at := backMs + bounds.RecoveryMs; at+recoverySpanMs <= until && usual >= usualLeast; at += 500 {
 			n := ended(at, at+recoverySpanMs)
 			if share := float64(n) / usual; worst.Share < 0 || share < worst.Share {
-				worst.AtMs, worst.Ended, worst.Share = at, n, share
+				worst.AtMs, worst.Completed, worst.Share = at, n, share
 			}
 		}
 		if worst.Share >= 0 {
@@ -48,7 +48,7 @@
 	}
 	for i := range ordered {
 		switch e := &ordered[i]; e.Kind {
-		case HardLoss, TrafficEnds:
+		case MachinesLost, TrafficEnds:
 			if backMs >= 0 {
 				judge(e.AtMs)
 			}
@@ -60,11 +60,11 @@
 	return out
 }
 
-// Dark gives the longest time, in ms, that an accepted job's state was asked
+// LongestOutages gives the longest time, in ms, that an accepted job's state was asked
 // for in vain, and that a job was handed in in vain.
 //
 // Example: stateMs, entryMs := historycheck.Dark(events)
-func Dark(ordered []Event) (stateMs, entryMs int64) {
+func LongestOutages(ordered []Event) (stateMs, entryMs int64) {
 	since := map[[2]string]int64{}
 	begin := func(kind string, e *Event) {
 		if _, ok := since[[2]string{kind, e.Job}]; !ok {
@@ -79,12 +79,12 @@
 	}
 	for i := range ordered {
 		switch e := &ordered[i]; e.Kind {
-		case NoState, NoEntry:
+		case StateUnavailable, SubmissionFailed:
 			begin(e.Kind, e)
 		case JobState:
-			end(NoState, e, &stateMs)
+			end(StateUnavailable, e, &stateMs)
 		case JobAcked:
-			end(NoEntry, e, &entryMs)
+			end(SubmissionFailed, e, &entryMs)
 		}
 	}
 	return stateMs, entryMs
--- a/internal/historycheck/historycheck.go
+++ b/internal/historycheck/historycheck.go
@@ -14,43 +14,43 @@
 
 // Kinds of events.
 const (
-	JobSent       = "job_sent"  // a caller sent a job for the first time
-	JobAcked      = "job_acked" // accepted
-	CancelAcked   = "cancel_acked"
-	JobState      = "job_state"     // a state shown to a caller; Text is the state, "unknown" for a 404
-	Start         = "start"         // a worker began a run
-	End           = "end"           // a worker ended a run; Text is ok, failed, stopped or crash
-	WorkerRoom    = "worker_room"   // a worker's word: Room, Labels, Zone
-	WorkerLeaves  = "worker_leaves" // acknowledged word that it is leaving
-	SetupSent     = "setup_sent"
-	SetupAcked    = "setup_acked"
-	SetupRejected = "setup_bounced" // finally refused
-	SetupShown    = "setup_shown"   // version shown to an operator as current; AskedMs is when it was asked for
-	NoState       = "no_state"      // a job's state was asked for in vain
-	NoEntry       = "no_entry"      // a job was handed in in vain
-	Unreachable   = "unreachable"   // nobody can reach a worker, or with Worker "" any
-	Reachable     = "reachable"
-	HardLoss      = "hard_loss"     // machines go down at once
-	MachinesBack  = "machines_back" // and all of them stand again
-	TrafficEnds   = "traffic_ends"  // callers send nothing new from here on
+	JobSent               = "job_sent"  // a caller sent a job for the first time
+	JobAcked              = "job_acked" // accepted
+	CancelAcked           = "cancel_acked"
+	JobState              = "job_state"     // a state shown to a caller; Text is the state, "unknown" for a 404
+	Start                 = "start"         // a worker began a run
+	End                   = "end"           // a worker ended a run; Text is ok, failed, stopped or crash
+	WorkerCapacity        = "worker_room"   // a worker's word: Room, Labels, Zone
+	WorkerLeaving         = "worker_leaves" // acknowledged word that it is leaving
+	ConfigurationSent     = "setup_sent"
+	ConfigurationAcked    = "setup_acked"
+	ConfigurationRejected = "setup_bounced" // finally refused
+	ConfigurationShown    = "setup_shown"   // version shown to an operator as current; RequestedMs is when it was asked for
+	StateUnavailable      = "no_state"      // a job's state was asked for in vain
+	SubmissionFailed      = "no_entry"      // a job was handed in in vain
+	WorkerUnreachable     = "unreachable"   // nobody can reach a worker, or with Worker "" any
+	WorkerReachable       = "reachable"
+	MachinesLost          = "hard_loss"     // machines go down at once
+	MachinesBack          = "machines_back" // and all of them stand again
+	TrafficEnds           = "traffic_ends"  // callers send nothing new from here on
 )
 
 // Event is one line of a history.
 type Event struct {
-	AtMs    int64             `json:"at_ms"`
-	Kind    string            `json:"kind"`
-	Job     string            `json:"job,omitempty"`
-	Task    int               `json:"task,omitempty"`
-	Worker  string            `json:"worker,omitempty"`
-	Run     string            `json:"run,omitempty"` // identity of one run at one worker process
-	Text    string            `json:"text,omitempty"`
-	Room    int64             `json:"room,omitempty"`
-	Labels  map[string]string `json:"labels,omitempty"`
-	Zone    string            `json:"site,omitempty"`
-	Version int64             `json:"version,omitempty"`
-	AskedMs int64             `json:"asked_ms,omitempty"`
-	Spec    *Job              `json:"spec,omitempty"`
-	Setup   *Setup            `json:"setup,omitempty"`
+	AtMs          int64             `json:"at_ms"`
+	Kind          string            `json:"kind"`
+	Job           string            `json:"job,omitempty"`
+	Task          int               `json:"task,omitempty"`
+	Worker        string            `json:"worker,omitempty"`
+	Run           string            `json:"run,omitempty"` // identity of one run at one worker process
+	Text          string            `json:"text,omitempty"`
+	Capacity      int64             `json:"room,omitempty"`
+	Labels        map[string]string `json:"labels,omitempty"`
+	Zone          string            `json:"site,omitempty"`
+	Version       int64             `json:"version,omitempty"`
+	RequestedMs   int64             `json:"asked_ms,omitempty"`
+	Spec          *Job              `json:"spec,omitempty"`
+	Configuration *Configuration    `json:"setup,omitempty"`
 }
 
 // Job is a job as its caller sent it.
@@ -70,17 +70,17 @@
 
 // Task is a task of a step.
 type Task struct {
-	Name    string            `json:"name"`
-	Room    int64             `json:"room"`
-	Labels  map[string]string `json:"labels,omitempty"`
-	LimitMs int64             `json:"limit_ms,omitempty"`
-	HintMs  int64             `json:"estimate_ms,omitempty"`
-	Allowed int               `json:"allowed_failures"`
-	Payload any               `json:"payload,omitempty"`
+	Name            string            `json:"name"`
+	Cores           int64             `json:"room"`
+	Labels          map[string]string `json:"labels,omitempty"`
+	LimitMs         int64             `json:"limit_ms,omitempty"`
+	EstimateMs      int64             `json:"estimate_ms,omitempty"`
+	AllowedFailures int               `json:"allowed_failures"`
+	Payload         any               `json:"payload,omitempty"`
 }
 
-// Setup is the part of an operator's configuration that bears on the rules.
-type Setup struct {
+// ConfigurationEffectMs is the part of an operator's configuration that bears on the rules.
+type Configuration struct {
 	Queues     []Queue    `json:"queues"`
 	Contracts  []Contract `json:"contracts,omitempty"`
 	EmptyZones []string   `json:"empty_sites,omitempty"`
@@ -89,10 +89,10 @@
 
 // Contract is what an hour of a core costs.
 type Contract struct {
-	Name          string  `json:"name"`
-	OffsetMinutes int64   `json:"utc_offset_minutes"`
-	Price         float64 `json:"price"`
-	Hours         []Hours `json:"hours,omitempty"`
+	Name             string  `json:"name"`
+	UTCOffsetMinutes int64   `json:"utc_offset_minutes"`
+	Price            float64 `json:"price"`
+	Hours            []Hours `json:"hours,omitempty"`
 }
 
 // Hours are a part of each day with a price of its own.
@@ -111,31 +111,31 @@
 
 // Queue ties a name to a group of workers.
 type Queue struct {
-	Name     string              `json:"name"`
-	Selector map[string][]string `json:"selector,omitempty"`
-	Urgency  int64               `json:"urgency"`
-	Trust    bool                `json:"trust_run_limit,omitempty"`
-	Batch    Batch               `json:"batch,omitzero"`
+	Name          string              `json:"name"`
+	Selector      map[string][]string `json:"selector,omitempty"`
+	Urgency       int64               `json:"urgency"`
+	TrustRunLimit bool                `json:"trust_run_limit,omitempty"`
+	Batch         Batch               `json:"batch,omitzero"`
 }
 
-// Breach is one broken rule.
-type Breach struct {
-	Rule string
-	AtMs int64
-	What string
+// Violation is one broken rule.
+type Violation struct {
+	Rule   string
+	AtMs   int64
+	Detail string
 }
 
-func (b Breach) String() string { return fmt.Sprintf("%s at %d ms: %s", b.Rule, b.AtMs, b.What) }
+func (b Violation) String() string { return fmt.Sprintf("%s at %d ms: %s", b.Rule, b.AtMs, b.Detail) }
 
 // Bounds are the times of the rules, in ms.
 type Bounds struct {
-	CancelStart, CancelRun, Leave, Empty, Setup, Known, Back int64
+	StartAfterCancelMs, RunAfterCancelMs, StartAfterLeavingMs, StartAfterEvacuationMs, ConfigurationEffectMs, JobVisibleMs, RecoveryMs int64
 }
 
 // DefaultBounds are the bounds that the users named. A run may go on after a cancel
-// for CancelRun.
+// for RunAfterCancelMs.
 var DefaultBounds = Bounds{
-	CancelStart: 3000, CancelRun: 10_000, Leave: 2000, Empty: 5000, Setup: 2000, Known: 3000, Back: 12_000,
+	StartAfterCancelMs: 3000, RunAfterCancelMs: 10_000, StartAfterLeavingMs: 2000, StartAfterEvacuationMs: 5000, ConfigurationEffectMs: 2000, JobVisibleMs: 3000, RecoveryMs: 12_000,
 }
 
 // TaskAt gives the step and task of a flat task number.
@@ -151,10 +151,10 @@
 	return nil, nil
 }
 
-// Size is how many tasks a job has.
+// TaskCount is how many tasks a job has.
 //
 // Example: for i := range job.Size() { ... }
-func (j *Job) Size() int {
+func (j *Job) TaskCount() int {
 	n := 0
 	for _, s := range j.Steps {
 		n += len(s.Tasks)
@@ -194,9 +194,9 @@
 	open    map[string]*run // by worker and run id
 	workers map[string]*workerSeen
 	setups  []setupSeen
-	sent    map[int64][]*Setup
+	sent    map[int64][]*Configuration
 	away    map[string][][2]int64 // when a worker could not be reached
-	out     []Breach
+	out     []Violation
 }
 
 type jobSeen struct {
@@ -219,17 +219,17 @@
 
 type setupSeen struct {
 	version, atMs int64
-	setup         *Setup
+	setup         *Configuration
 }
 
 // Check gives every breach in a history. Events are put in order of time first.
 //
 // Example: if b := historycheck.Check(events, historycheck.Usual); len(b) > 0 { ... }
-func Check(events []Event, bounds Bounds) []Breach {
+func Check(events []Event, bounds Bounds) []Violation {
 	ordered := slices.Clone(events)
 	slices.SortStableFunc(ordered, func(a, b Event) int { return cmp.Compare(a.AtMs, b.AtMs) })
 	j := &judge{bounds: bounds, jobs: map[string]*jobSeen{}, runs: map[taskKey][]*run{}, open: map[string]*run{},
-		workers: map[string]*workerSeen{}, sent: map[int64][]*Setup{}, away: map[string][][2]int64{}}
+		workers: map[string]*workerSeen{}, sent: map[int64][]*Configuration{}, away: map[string][][2]int64{}}
 	last := int64(0)
 	for i := range ordered {
 		last = ordered[i].AtMs
@@ -241,7 +241,7 @@
 	for _, r := range Recoveries(ordered, bounds) {
 		if r.Share < leastShare {
 			j.breach("slow_after_loss", r.AtMs, "%d tasks ended well in %d ms, %.0f were usual; machines back at %d ms",
-				r.Ended, int64(recoverySpanMs), r.Usual, r.BackMs)
+				r.Completed, int64(recoverySpanMs), r.Baseline, r.BackMs)
 		}
 	}
 	return j.out
@@ -263,8 +263,8 @@
 			s.cancelled, s.cancelMs = true, e.AtMs
 		}
 	},
-	Unreachable: func(j *judge, e *Event) { j.away[e.Worker] = append(j.away[e.Worker], [2]int64{e.AtMs, 1 << 62}) },
-	Reachable: func(j *judge, e *Event) {
+	WorkerUnreachable: func(j *judge, e *Event) { j.away[e.Worker] = append(j.away[e.Worker], [2]int64{e.AtMs, 1 << 62}) },
+	WorkerReachable: func(j *judge, e *Event) {
 		if a := j.away[e.Worker]; len(a) > 0 {
 			a[len(a)-1][1] = min(a[len(a)-1][1], e.AtMs)
 		}
@@ -281,46 +281,46 @@
 			}
 		}
 	},
-	WorkerRoom: func(j *judge, e *Event) {
+	WorkerCapacity: func(j *judge, e *Event) {
 		w := j.workers[e.Worker]
 		if w == nil {
 			w = &workerSeen{}
 			j.workers[e.Worker] = w
 		}
-		w.room, w.labels, w.zone, w.leaves = e.Room, e.Labels, e.Zone, false
+		w.room, w.labels, w.zone, w.leaves = e.Capacity, e.Labels, e.Zone, false
 	},
-	WorkerLeaves: func(j *judge, e *Event) {
+	WorkerLeaving: func(j *judge, e *Event) {
 		if w := j.workers[e.Worker]; w != nil && !w.leaves {
 			w.leaves, w.leaveMs = true, e.AtMs
 		}
 	},
-	SetupSent: func(j *judge, e *Event) { j.sent[e.Version] = append(j.sent[e.Version], e.Setup) },
-	SetupAcked: func(j *judge, e *Event) {
+	ConfigurationSent: func(j *judge, e *Event) { j.sent[e.Version] = append(j.sent[e.Version], e.Configuration) },
+	ConfigurationAcked: func(j *judge, e *Event) {
 		for _, s := range j.setups {
-			if s.version == e.Version && !sameSetup(s.setup, e.Setup) {
+			if s.version == e.Version && !sameSetup(s.setup, e.Configuration) {
 				j.breach("setup_acked_twice", e.AtMs, "version %d", e.Version)
 			}
 		}
-		j.setups = append(j.setups, setupSeen{e.Version, e.AtMs, e.Setup})
+		j.setups = append(j.setups, setupSeen{e.Version, e.AtMs, e.Configuration})
 	},
-	SetupRejected: func(j *judge, e *Event) {
-		j.sent[e.Version] = slices.DeleteFunc(j.sent[e.Version], func(s *Setup) bool { return s == e.Setup })
+	ConfigurationRejected: func(j *judge, e *Event) {
+		j.sent[e.Version] = slices.DeleteFunc(j.sent[e.Version], func(s *Configuration) bool { return s == e.Configuration })
 	},
-	SetupShown: func(j *judge, e *Event) {
+	ConfigurationShown: func(j *judge, e *Event) {
 		for _, s := range j.setups {
-			if s.atMs+j.bounds.Setup < e.AskedMs && s.version > e.Version {
+			if s.atMs+j.bounds.ConfigurationEffectMs < e.RequestedMs && s.version > e.Version {
 				j.breach("setup_lost", e.AtMs, "version %d shown, %d was acknowledged", e.Version, s.version)
 			}
 		}
 	},
 }
 
-func sameSetup(a, b *Setup) bool {
+func sameSetup(a, b *Configuration) bool {
 	return a == b || a != nil && b != nil && fmt.Sprint(*a) == fmt.Sprint(*b)
 }
 
 func (j *judge) breach(rule string, atMs int64, format string, args ...any) {
-	j.out = append(j.out, Breach{rule, atMs, fmt.Sprintf(format, args...)})
+	j.out = append(j.out, Violation{rule, atMs, fmt.Sprintf(format, args...)})
 }
 
 // failures counts how often a task failed: by its own word, or stopped when
@@ -357,10 +357,10 @@
 	if due := max(seen.spec.DueMs, seen.sentMs+seen.spec.DelayMs); e.AtMs < due {
 		j.breach("before_due", e.AtMs, "%s due at %d ms", what, due)
 	}
-	if seen.cancelled && e.AtMs > seen.cancelMs+j.bounds.CancelStart {
+	if seen.cancelled && e.AtMs > seen.cancelMs+j.bounds.StartAfterCancelMs {
 		j.breach("after_cancel", e.AtMs, "%s cancelled at %d ms", what, seen.cancelMs)
 	}
-	r := &run{start: e.AtMs, worker: e.Worker, room: task.Room}
+	r := &run{start: e.AtMs, worker: e.Worker, room: task.Cores}
 	j.runs[key] = append(j.runs[key], r)
 	j.open[e.Worker+"/"+e.Run] = r
 	if w := j.workers[e.Worker]; w != nil {
@@ -379,8 +379,8 @@
 			j.breach("again_after_well", e.AtMs, "%s, ended well at %s at %d ms", what, r.worker, r.end)
 		}
 	}
-	if f := j.failures(key, task); f >= max(task.Allowed, 1) {
-		j.breach("past_failures", e.AtMs, "%s after %d failures of %d", what, f, task.Allowed)
+	if f := j.failures(key, task); f >= max(task.AllowedFailures, 1) {
+		j.breach("past_failures", e.AtMs, "%s after %d failures of %d", what, f, task.AllowedFailures)
 	}
 }
 
@@ -401,7 +401,7 @@
 
 // startAtWorker checks a start against what its worker said of itself.
 func (j *judge) startAtWorker(e *Event, task *Task, w *workerSeen, what string) {
-	if w.used += task.Room; w.used > w.room {
+	if w.used += task.Cores; w.used > w.room {
 		j.breach("over_room", e.AtMs, "%s makes %d of %d", what, w.used, w.room)
 	}
 	for _, k := range sortedKeys(task.Labels) {
@@ -409,7 +409,7 @@
 			j.breach("lacks_label", e.AtMs, "%s needs %s=%s", what, k, task.Labels[k])
 		}
 	}
-	if w.leaves && e.AtMs > w.leaveMs+j.bounds.Leave {
+	if w.leaves && e.AtMs > w.leaveMs+j.bounds.StartAfterLeavingMs {
 		j.breach("leaving_worker", e.AtMs, "%s said so at %d ms", what, w.leaveMs)
 	}
 }
@@ -419,7 +419,7 @@
 func (j *judge) startUnderSetup(e *Event, queue string, w *workerSeen, what string) {
 	floor := int64(0)
 	for _, s := range j.setups {
-		if s.atMs+j.bounds.Setup < e.AtMs {
+		if s.atMs+j.bounds.ConfigurationEffectMs < e.AtMs {
 			floor = max(floor, s.version)
 		}
 	}
@@ -456,12 +456,12 @@
 			}
 		}
 	}
-	if emptied && !maybeOpen && e.AtMs > emptyFrom+j.bounds.Empty {
+	if emptied && !maybeOpen && e.AtMs > emptyFrom+j.bounds.StartAfterEvacuationMs {
 		j.breach("emptied_site", e.AtMs, "%s emptied at %d ms", what, emptyFrom)
 	}
 }
 
-func (s *Setup) inGroup(queue string, w *workerSeen) bool {
+func (s *Configuration) inGroup(queue string, w *workerSeen) bool {
 	for _, q := range s.Queues {
 		if q.Name != queue {
 			continue
@@ -486,20 +486,20 @@
 	}
 	switch e.Text {
 	case "unknown":
-		if seen.acked && e.AskedMs > seen.ackedMs+j.bounds.Known {
+		if seen.acked && e.RequestedMs > seen.ackedMs+j.bounds.JobVisibleMs {
 			j.breach("job_forgotten", e.AtMs, "%s accepted at %d ms", e.Job, seen.ackedMs)
 		}
 	case "complete":
-		for i := range seen.spec.Size() {
+		for i := range seen.spec.TaskCount() {
 			if !j.endedWell(taskKey{e.Job, i}) {
 				j.breach("complete_too_early", e.AtMs, "%s task %d", e.Job, i)
 			}
 		}
 	case "failed":
 		cause := false
-		for i := range seen.spec.Size() {
+		for i := range seen.spec.TaskCount() {
 			_, t := seen.spec.TaskAt(i)
-			cause = cause || j.failures(taskKey{e.Job, i}, t) >= max(t.Allowed, 1)
+			cause = cause || j.failures(taskKey{e.Job, i}, t) >= max(t.AllowedFailures, 1)
 		}
 		if !cause {
 			j.breach("failed_without_cause", e.AtMs, "%s", e.Job)
@@ -519,7 +519,7 @@
 			if end == 0 {
 				end = last
 			}
-			bound := s.cancelMs + j.bounds.CancelRun
+			bound := s.cancelMs + j.bounds.RunAfterCancelMs
 			for _, a := range append(slices.Clone(j.away[r.worker]), j.away[""]...) { // nobody could stop it then
 				bound += max(0, min(end, a[1])-max(s.cancelMs, a[0]))
 			}
--- a/internal/historycheck/mix.go
+++ b/internal/historycheck/mix.go
@@ -12,12 +12,12 @@
 	Workers    int
 	Cores      int64
 	JobsPerSec float64
-	Kinds      []Kind
+	JobKinds   []JobKind
 	Queues     []Queue
 }
 
-// Kind is one kind of job in a deployment's mix.
-type Kind struct {
+// JobKind is one kind of job in a deployment's mix.
+type JobKind struct {
 	Queue  string
 	Weight int
 	Make   func(r *rand.Rand) Job
@@ -35,7 +35,7 @@
 func tasks(r *rand.Rand, n int, name string, room, lo, hi, limit int64) []Task {
 	var out []Task
 	for i := range n {
-		out = append(out, Task{Name: fmt.Sprintf("%s-%d", name, i), Room: some(r, 1, room), LimitMs: limit, Allowed: 3,
+		out = append(out, Task{Name: fmt.Sprintf("%s-%d", name, i), Cores: some(r, 1, room), LimitMs: limit, AllowedFailures: 3,
 			Payload: Work{Ms: some(r, lo, hi)}})
 	}
 	return out
@@ -51,7 +51,7 @@
 			{Name: "verify", Selector: tiers, Urgency: 50},
 			{Name: "refresh", Selector: map[string][]string{"tier": {"bulk"}}, Urgency: 10},
 		},
-		Kinds: []Kind{
+		JobKinds: []JobKind{
 			{"confirm", 8, func(r *rand.Rand) Job {
 				return Job{Queue: "confirm", Steps: []Step{
 					{Name: "hold", Tasks: tasks(r, 1, "hold", 1, 80, 200, 20_000)},
@@ -75,7 +75,7 @@
 			{Name: "logbook", Selector: tiers, Urgency: 40},
 			{Name: "certify", Selector: map[string][]string{"tier": {"bulk"}}, Urgency: 20},
 		},
-		Kinds: []Kind{
+		JobKinds: []JobKind{
 			{"signoff", 8, func(r *rand.Rand) Job {
 				return Job{Queue: "signoff", Steps: []Step{
 					{Name: "check", Tasks: tasks(r, 2, "check", 1, 80, 300, 20_000)},
@@ -95,16 +95,16 @@
 		}},
 }
 
-// Draw gives the next job of a deployment's mix.
+// RandomJob gives the next job of a deployment's mix.
 //
 // Example: job := historycheck.Deployments["hakata"].Draw(rng)
-func (d Deployment) Draw(r *rand.Rand) Job {
+func (d Deployment) RandomJob(r *rand.Rand) Job {
 	sum := 0
-	for _, k := range d.Kinds {
+	for _, k := range d.JobKinds {
 		sum += k.Weight
 	}
 	at := r.IntN(sum)
-	for _, k := range d.Kinds {
+	for _, k := range d.JobKinds {
 		if at -= k.Weight; at < 0 {
 			return k.Make(r)
 		}
@@ -129,7 +129,7 @@
 // Zones are the three zones of both users.
 var Zones = []string{"east", "mid", "west"}
 
-// SetupOf is a deployment's first configuration.
+// InitialConfiguration is a deployment's first configuration.
 //
-// Example: setup := historycheck.Deployments["ikenna"].SetupOf()
-func (d Deployment) SetupOf() Setup { return Setup{Queues: d.Queues} }
+// Example: setup := historycheck.Deployments["ikenna"].InitialConfiguration()
+func (d Deployment) InitialConfiguration() Configuration { return Configuration{Queues: d.Queues} }
