--- a/guards.sh
+++ b/guards.sh
@@ -29,7 +29,7 @@
 a median of all clocks|internal/daemon/core_member.go|return n.granter.ClusterTime(n.now, n.peers.AliveCount())|return n.wall
 due time|internal/daemon/job_schedule.go|due != 0 && pass.wall < due+dueMarginMs|due != 0 && false
 group at the agent|internal/daemon/agent_dispatch.go|if q == nil \|\| lack \|\| !q.Matches(agent.labels, agent.zone) \|\||if q == nil \|\| false && lack \|\|
-allowed failures|internal/daemon/attempt_result.go|case t.Failures >= t.maxFailures() && !step.Lasting:|case t.Failures > t.maxFailures() && !step.Lasting:
+allowed failures|internal/daemon/attempt_result.go|case t.Failures >= t.maxFailures() && !step.LongRunning:|case t.Failures > t.maxFailures() && !step.LongRunning:
 cancel reaches the agent|internal/daemon/reconcile.go|if job.State != jobRunning \|\| job.Steps[t.Step].Gang|if job.Steps[t.Step].Gang
 leaving and emptied|internal/daemon/agent_dispatch.go|if agent.leaving \|\| n.config.current.EmptyZones[agent.zone] {|if false {
 acknowledged only when durable|internal/daemon/job_request.go|if w.version > job.committed {|if false {
--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -75,7 +75,7 @@
 					schema.Fault{Path: fmt.Sprintf("steps.%d.gang", i), Reason: "can't be in a batch queue: it needs a firm place"},
 				)
 			}
-			if s.Lasting {
+			if s.LongRunning {
 				out = append(
 					out,
 					schema.Fault{Path: fmt.Sprintf("steps.%d.lasting", i), Reason: "can't be in a batch queue: it never finishes"},
--- a/internal/daemon/agent_dispatch.go
+++ b/internal/daemon/agent_dispatch.go
@@ -133,13 +133,13 @@
 func (n *node) startRoom(
 	agent *workerAgent, attempt *agentAttempt, q *configuration.Queue, avail resource.Amount,
 ) resource.Amount {
-	if attempt.spec.Class == wire.ClassGuaranteed || n.mayUseUrgentRoom(q, attempt.spec.Excess) || !agent.colocated {
+	if attempt.spec.Class == wire.ClassGuaranteed || n.mayUseUrgentHeadroom(q, attempt.spec.Excess) || !agent.colocated {
 		return avail
 	}
 	if n.fleetIdle() && n.now-attempt.queuedMs > backfillAfterMs && n.Policies.On(scheduler.Backfill) {
 		return avail // no room is kept back from what waited this long while most of it is free
 	}
-	return avail.Minus(n.urgentRoom(agent.capacity, agent.urgentUse(n, wire.AttemptOrdered, wire.AttemptRunning)))
+	return avail.Minus(n.urgentHeadroom(agent.capacity, agent.urgentUse(n, wire.AttemptOrdered, wire.AttemptRunning)))
 }
 
 // startedOfStep counts the started tasks here that share a task's job, round and step.
--- a/internal/daemon/allocate.go
+++ b/internal/daemon/allocate.go
@@ -170,7 +170,7 @@
 ) *scheduler.Assignment {
 	search := &scheduler.Assignment{
 		Group: n.groupOf(request), TaskCounts: map[string]int32{}, Reserved: reserved,
-		Urgent: n.mayUseUrgentRoom(q, request.Excess), HeadroomPercent: n.central.urgentShare.Percent(),
+		Urgent: n.mayUseUrgentHeadroom(q, request.Excess), HeadroomPercent: n.central.headroom.Percent(),
 		WaitsForRack: n.waitsForRack(request, n.rackWaitMs(request)),
 	}
 	for _, u := range request.StepWorkers {
--- a/internal/daemon/allocation_request.go
+++ b/internal/daemon/allocation_request.go
@@ -29,19 +29,19 @@
 		Job:            job.ID,
 		Queue:          job.Queue,
 		Resources:      t.Resources,
-		RequiredLabels: t.Needs,
+		RequiredLabels: t.RequiredLabels,
 		SubmittedMs:    job.SubmitMs,
 		Gang:           step.Gang,
 		SameRack:       step.SameRack,
-		DataRack:       step.Near,
-		MaxPerWorker:   step.PerWorker,
+		DataRack:       step.DataRack,
+		MaxPerWorker:   step.MaxPerWorker,
 		EstimateMs:     n.estimateMs(job, t),
 		Excess:         job.excess,
 	}
 	if n.limits.HasTenants() {
 		m.Tenant, m.TenantUsed = job.Tenant, shard.tenantUsed[job.Tenant]
 	}
-	if step.PerWorker > 0 {
+	if step.MaxPerWorker > 0 {
 		used := job.stepTasksByWorker(i)
 		for _, w := range sortedKeys(used) {
 			m.StepWorkers = append(m.StepWorkers, wire.WorkerTaskCount{Worker: w, Count: used[w]})
@@ -130,7 +130,7 @@
 	}
 	if last {
 		for worker, w := range n.workers {
-			if w.doubtful {
+			if w.recentFailures {
 				doubts[worker] = true
 			}
 		}
@@ -170,7 +170,7 @@
 	}
 	t := &job.Tasks[i]
 	return i, t.State == taskPending && p.Attempt > t.Attempt && t.ChangedVersion <= job.committed &&
-		n.workerAllowed(w, q, t.Needs, t.Resources)
+		n.workerAllowed(w, q, t.RequiredLabels, t.Resources)
 }
 
 // acceptsGang tells whether places for a gang are for all its members and within its tenant's share;
@@ -197,7 +197,7 @@
 // allow that.
 func (n *node) applyPlace(shard *ownedShard, job *liveJob, i int, p wire.AllocatedTask) bool {
 	step := &job.Steps[job.Tasks[i].Step]
-	if step.PerWorker > 0 && job.stepTasksByWorker(i)[p.Worker] >= step.PerWorker {
+	if step.MaxPerWorker > 0 && job.stepTasksByWorker(i)[p.Worker] >= step.MaxPerWorker {
 		return false
 	}
 	if !step.Gang && !n.hasReservedShare(shard, job, i, job.Tasks[i].Resources) {
--- a/internal/daemon/attempt_result.go
+++ b/internal/daemon/attempt_result.go
@@ -23,14 +23,14 @@
 	n.meterBatch(job, t, ranMs)
 	n.count("ends_" + result.String())
 	if rt.saved != "" {
-		t.Saved = rt.saved
+		t.Checkpoint = rt.saved
 	}
 	*rt = taskRuntime{}
 	defer shard.updatePlacedIndex(job, i)
 	switch result {
 	case wire.ResultOK:
 		n.recordRunTime(job, t, ranMs)
-		if step.Lasting {
+		if step.LongRunning {
 			rt.retryAtMs = n.now + backoffBaseMs/2
 			break
 		}
@@ -47,18 +47,18 @@
 		}
 		rt.retryAtMs = n.now + n.backoffMs(step, t)
 	case wire.ResultPreempted:
-		t.Preempts++
+		t.Preemptions++
 		rt.retryAtMs = n.batchRetryAtMs(job)
 	case wire.ResultStalled, wire.ResultLost:
 		t.LastFailedWorker = t.Worker
 	case wire.ResultShed, wire.ResultRejected:
 		rt.retryAtMs = n.now + 20 + n.rand().Int64N(100)
 	}
-	if step.Gang && job.Steps[t.Step].Saves {
+	if step.Gang && job.Steps[t.Step].Checkpointing {
 		n.shareSaved(job, i)
 	}
 	switch {
-	case t.Failures >= t.maxFailures() && !step.Lasting:
+	case t.Failures >= t.maxFailures() && !step.LongRunning:
 		t.State = taskFailed
 		if job.State == jobRunning {
 			job.State = jobFailed
@@ -110,7 +110,7 @@
 func (j *liveJob) awaitsOthers(i int, result wire.AttemptResult) bool {
 	t := &j.Tasks[i]
 	step := &j.Steps[t.Step]
-	if result != wire.ResultOK || step.Gang || step.Lasting || j.State != jobRunning {
+	if result != wire.ResultOK || step.Gang || step.LongRunning || j.State != jobRunning {
 		return false
 	}
 	from, to := j.gangRange(i)
@@ -158,8 +158,8 @@
 // they must go on from the same.
 func (n *node) shareSaved(job *liveJob, i int) {
 	from, to := job.gangRange(i)
-	saved := job.Tasks[i].Saved
+	saved := job.Tasks[i].Checkpoint
 	for k := from; k < to; k++ {
-		job.Tasks[k].Saved = saved
+		job.Tasks[k].Checkpoint = saved
 	}
 }
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -88,7 +88,7 @@
 // queue may have had before it took batches, run as they did.
 func (n *node) batchRules(j *jobRecord) *configuration.BatchRules {
 	q := n.config.current.Queues[j.Queue]
-	if q == nil || q.Batch == nil || slices.ContainsFunc(j.Steps, func(s jobStep) bool { return s.Gang || s.Lasting }) {
+	if q == nil || q.Batch == nil || slices.ContainsFunc(j.Steps, func(s jobStep) bool { return s.Gang || s.LongRunning }) {
 		return nil
 	}
 	return q.Batch
@@ -319,14 +319,14 @@
 	t := &job.Tasks[i]
 	step, q := &job.Steps[t.Step], n.config.current.Queues[job.Queue]
 	var used map[string]int32
-	if step.PerWorker > 0 {
+	if step.MaxPerWorker > 0 {
 		used = job.stepTasksByWorker(i)
 	}
 	best, least, bestWeight := "", 0.0, uint64(0)
 	for _, name := range sortedKeys(n.workers) {
 		w := n.workers[name]
-		if !n.workerAllowed(w, q, t.Needs, t.Resources) || w.suspect || w.unstarted > 0 || n.ranks.ejected(name) ||
-			step.PerWorker > 0 && used[name] >= step.PerWorker {
+		if !n.workerAllowed(w, q, t.RequiredLabels, t.Resources) || w.suspect || w.unstarted > 0 || n.ranks.ejected(name) ||
+			step.MaxPerWorker > 0 && used[name] >= step.MaxPerWorker {
 			continue
 		}
 		part, fits := n.batchFraction(shard, job, t, name, q.Batch.SharePercent)
--- a/internal/daemon/central.go
+++ b/internal/daemon/central.go
@@ -32,7 +32,7 @@
 	pending     map[allocationKey]*pendingAllocation
 	nextRoundMs int64
 	round       int64
-	urgentShare scheduler.HeadroomEstimator
+	headroom    scheduler.HeadroomEstimator
 
 	nextAllocationMs int64 // before this requests wait for the next pass
 }
@@ -101,17 +101,17 @@
 
 // rankState is what this daemon last heard from the coordinator.
 type rankState struct {
-	epoch         uint64
-	round         int64
-	receivedMs    int64
-	targetMs      int64
-	roomShort     bool
-	idle          bool            // most of all room was free
-	urgentPercent resource.Amount // percent by dimension that is kept for the most urgent queues
-	ranks         map[string]int64
-	unhealthy     map[string]int8
-	failRates     map[string]float64 // by queue
-	added         map[string]int64   // estimates of what was placed from here since the round
+	epoch           uint64
+	round           int64
+	receivedMs      int64
+	targetMs        int64
+	roomShort       bool
+	idle            bool            // most of all room was free
+	headroomPercent resource.Amount // percent by dimension that is kept for the most urgent queues
+	ranks           map[string]int64
+	unhealthy       map[string]int8
+	failRates       map[string]float64 // by queue
+	added           map[string]int64   // estimates of what was placed from here since the round
 }
 
 // rank gives a worker's rank: the coordinator's, and what this daemon itself has
@@ -269,7 +269,7 @@
 	c.round++
 	n.updateHealth(c)
 	m := &wire.Ranks{
-		Epoch: c.epoch, Round: c.round, GuaranteedWaiting: n.allocationsWait(c), HeadroomPercent: c.urgentShare.Percent(),
+		Epoch: c.epoch, Round: c.round, GuaranteedWaiting: n.allocationsWait(c), HeadroomPercent: c.headroom.Percent(),
 		Idle: scheduler.IdleInAllDimensions(n.candidateWorkers(c), busyPercent), FailRates: c.failRates(),
 	}
 	n.rankWorkers(c, m)
@@ -324,7 +324,7 @@
 			used, all = used.Plus(w.Urgent), all.Plus(w.Capacity)
 		}
 	}
-	c.urgentShare.Observe(used, all)
+	c.headroom.Observe(used, all)
 }
 
 // updateHealth finds workers that lag far more than their peers. A worker judged unhealthy is
@@ -355,16 +355,16 @@
 		return
 	}
 	*r = rankState{
-		epoch:         m.Epoch,
-		round:         m.Round,
-		receivedMs:    n.now,
-		targetMs:      m.TargetDelayMs,
-		roomShort:     m.GuaranteedWaiting,
-		idle:          m.Idle,
-		urgentPercent: m.HeadroomPercent,
-		ranks:         map[string]int64{},
-		unhealthy:     map[string]int8{},
-		failRates:     map[string]float64{},
+		epoch:           m.Epoch,
+		round:           m.Round,
+		receivedMs:      n.now,
+		targetMs:        m.TargetDelayMs,
+		roomShort:       m.GuaranteedWaiting,
+		idle:            m.Idle,
+		headroomPercent: m.HeadroomPercent,
+		ranks:           map[string]int64{},
+		unhealthy:       map[string]int8{},
+		failRates:       map[string]float64{},
 	}
 	for _, rate := range m.FailRates {
 		r.failRates[rate.Queue] = float64(rate.PerMille) / perMille
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -51,7 +51,7 @@
 	n := h.node
 	self := wire.Peer{Name: n.Name, Incarnation: n.Incarnation, Addr: n.Addr, HTTPAddr: n.HTTP, Zone: n.Zone,
 		Disk: n.Disk && n.diskFailed == "", Leaving: n.leavingSinceMs != 0, Colocated: n.Colocated,
-		MilliCores: n.MilliCores, LinkMbps: n.LinkMbps, Overloaded: n.strain.strained}
+		MilliCores: n.MilliCores, LinkMbps: n.LinkMbps, Overloaded: n.overload.overloaded}
 	if n.store != nil {
 		self.DiskID, self.EmptyDisk = n.DiskID, n.store.Cluster() == 0 && n.FirstStart
 	}
--- a/internal/daemon/job.go
+++ b/internal/daemon/job.go
@@ -21,7 +21,7 @@
 	Step, IndexInStep int32
 	Name              string
 	Resources         resource.Amount
-	Needs             []wire.Label
+	RequiredLabels    []wire.Label
 	LimitMs           int64
 	EstimateHintMs    int64
 	AllowedFailures   int32
@@ -34,13 +34,13 @@
 	Agent            string // the daemon that tends the worker
 	AgentEpoch       uint64
 	Failures         int32
-	Preempts         int32
+	Preemptions      int32
 	RanMs            int64
 	ChangedVersion   int64  // record version of the last change of state
 	LastFailedWorker string // the worker of the last failure, avoided next time
 	Cause            string
 	FailedAttempt    int32  // the last run counted as a failure
-	Saved            string // the newest text it can go on from
+	Checkpoint       string // the newest text it can go on from
 }
 
 type jobStep struct {
@@ -50,17 +50,17 @@
 	// A step of Size alike tasks is held as one specification.
 	Uniform          bool
 	Resources        resource.Amount
-	Needs            []wire.Label
+	RequiredLabels   []wire.Label
 	LimitMs          int64
 	EstimateHintMs   int64
 	AllowedFailures  int32
 	Gang             bool // its tasks work only together
 	SameRack         bool
-	Near             string // the rack that holds its data
-	PerWorker        int32  // at most so many of its tasks on one worker; 0 for any
+	DataRack         string // the rack that holds its data
+	MaxPerWorker     int32  // at most so many of its tasks on one worker; 0 for any
 	AllowsDuplicates bool   // two runs of a task may stand side by side
-	Lasting          bool   // its tasks run until the job is cancelled
-	Saves            bool   // its tasks tell texts that they can go on from
+	LongRunning      bool   // its tasks run until the job is cancelled
+	Checkpointing    bool   // its tasks tell texts that they can go on from
 }
 
 type jobRecord struct {
@@ -201,7 +201,7 @@
 			continue
 		}
 		if s := &j.Steps[t.Step]; s.Uniform {
-			t.Name, t.Resources, t.Needs, t.Payload = s.Name, s.Resources, s.Needs, j.Payload
+			t.Name, t.Resources, t.RequiredLabels, t.Payload = s.Name, s.Resources, s.RequiredLabels, j.Payload
 			t.LimitMs, t.EstimateHintMs, t.AllowedFailures = s.LimitMs, s.EstimateHintMs, s.AllowedFailures
 		}
 	}
@@ -305,7 +305,7 @@
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
 		m := map[string]any{"name": t.Name, "state": t.State.String(), "attempt": t.Attempt, "class": t.Class.String(),
-			"worker": t.Worker, "failures": t.Failures, "preemptions": t.Preempts, "ran_ms": t.RanMs}
+			"worker": t.Worker, "failures": t.Failures, "preemptions": t.Preemptions, "ran_ms": t.RanMs}
 		if t.Cause != "" {
 			m["cause"] = t.Cause
 		}
--- a/internal/daemon/job_encode.go
+++ b/internal/daemon/job_encode.go
@@ -54,7 +54,7 @@
 		c.Size = int32(len(j.Tasks))
 		c.Tasks = slices.Clone(j.Tasks)
 		for i := range c.Tasks {
-			c.Tasks[i].Payload, c.Tasks[i].Needs = nil, nil
+			c.Tasks[i].Payload, c.Tasks[i].RequiredLabels = nil, nil
 		}
 		c.Payload = nil
 		if j.State == jobComplete {
@@ -64,7 +64,7 @@
 		c.Tasks = slices.Clone(j.Tasks)
 		for i := range c.Tasks {
 			t := &c.Tasks[i]
-			t.Name, t.Resources, t.Needs, t.LimitMs, t.EstimateHintMs, t.AllowedFailures, t.Payload = "", resource.Amount{},
+			t.Name, t.Resources, t.RequiredLabels, t.LimitMs, t.EstimateHintMs, t.AllowedFailures, t.Payload = "", resource.Amount{},
 				nil, 0, 0, 0, nil
 		}
 	}
--- a/internal/daemon/job_explain.go
+++ b/internal/daemon/job_explain.go
@@ -51,7 +51,7 @@
 	q, best := n.config.current.Queues[job.Queue], len(reasons)-1
 	for _, name := range sortedKeys(n.workers) {
 		w, at := n.workers[name], 0
-		_, lack := configuration.MissingLabel(w.labels, t.Needs)
+		_, lack := configuration.MissingLabel(w.labels, t.RequiredLabels)
 		switch {
 		case lack || !q.Matches(w.labels, w.zone):
 			at = 4
--- a/internal/daemon/job_parse.go
+++ b/internal/daemon/job_parse.go
@@ -183,7 +183,7 @@
 		}
 		p.job.Tasks = append(p.job.Tasks, task{
 			Step: int32(step), IndexInStep: int32(k), Name: name, Resources: resource.Parse(t.Get("room")),
-			Needs: labelsOf(t.Get("labels")), LimitMs: t.Get("limit_ms").Int(), EstimateHintMs: t.Get("estimate_ms").Int(),
+			RequiredLabels: labelsOf(t.Get("labels")), LimitMs: t.Get("limit_ms").Int(), EstimateHintMs: t.Get("estimate_ms").Int(),
 			AllowedFailures: allowed, Payload: []byte(t.Get("payload").Raw),
 		})
 	}
@@ -220,7 +220,7 @@
 
 // alike reads the specification that all tasks of a step share.
 func (step *jobStep) alike(s gjson.Result) {
-	step.Uniform, step.Size, step.Resources, step.Needs = true, int32(
+	step.Uniform, step.Size, step.Resources, step.RequiredLabels = true, int32(
 		s.Get("count").Int(),
 	), resource.Parse(
 		s.Get("room"),
@@ -231,7 +231,7 @@
 	if a := s.Get("allowed_failures"); a.Exists() {
 		step.AllowedFailures = int32(a.Int())
 	}
-	step.Gang, step.SameRack, step.Near, step.PerWorker = s.Get("gang").Bool() &&
+	step.Gang, step.SameRack, step.DataRack, step.MaxPerWorker = s.Get("gang").Bool() &&
 		step.Size > 1, s.Get(
 		"same_rack",
 	).Bool(), s.Get(
@@ -239,7 +239,7 @@
 	).Str, int32(
 		s.Get("per_worker").Int(),
 	)
-	step.AllowsDuplicates, step.Lasting, step.Saves = s.Get("copies").Bool(), s.Get("lasting").Bool(),
+	step.AllowsDuplicates, step.LongRunning, step.Checkpointing = s.Get("copies").Bool(), s.Get("lasting").Bool(),
 		s.Get("saves").Bool()
 }
 
--- a/internal/daemon/job_schedule.go
+++ b/internal/daemon/job_schedule.go
@@ -277,8 +277,8 @@
 func (n *node) explainClass(job *liveJob, t *task) (class wire.TaskClass, reason string) {
 	step := &job.Steps[t.Step]
 	guaranteed, reason := scheduler.IsGuaranteed(scheduler.TaskFacts{
-		Batch: n.batchRules(&job.jobRecord) != nil, Gang: step.Gang, Lasting: step.Lasting,
-		Preemptions: int64(t.Preempts), EstimateMs: n.knownRunMs(job, t),
+		Batch: n.batchRules(&job.jobRecord) != nil, Gang: step.Gang, Lasting: step.LongRunning,
+		Preemptions: int64(t.Preemptions), EstimateMs: n.knownRunMs(job, t),
 	}, n.ThresholdMs)
 	if guaranteed {
 		return wire.ClassGuaranteed, reason
--- a/internal/daemon/platformworld_test.go
+++ b/internal/daemon/platformworld_test.go
@@ -526,7 +526,7 @@
 func (b *platformWorld) tellAgents(n *node, id string, tell func(format string, args ...any)) {
 	for _, worker := range sortedKeys(n.agents) {
 		agent := n.agents[worker]
-		kept := n.urgentRoom(agent.capacity, agent.urgentUse(n, wire.AttemptOrdered, wire.AttemptRunning))
+		kept := n.urgentHeadroom(agent.capacity, agent.urgentUse(n, wire.AttemptOrdered, wire.AttemptRunning))
 		for _, key := range agent.keys() {
 			if attempt := agent.attempts[key]; key.Job == id {
 				tell("agent %s of %s holds task %d attempt %d, %s since %d ms, confirmed %d ms ago, stop %d, kept room %v",
--- a/internal/daemon/reconcile.go
+++ b/internal/daemon/reconcile.go
@@ -67,7 +67,7 @@
 			rebuilt: m.Rebuilt, reportFresh: m.WorkerReportFresh, free: m.Free, capacity: m.Capacity, queued: m.Queued, rankMs: m.RankMs,
 			silentMs: m.SilentMs, usedByOthers: others, batchUse: batchUse, unstarted: m.WaitingTasks,
 			spare: w.spare.observe(n.now, m.SpareCapacity),
-			rack:  m.Rack, suspect: m.Suspect, doubtful: m.RecentFailures, colocated: m.Colocated, urgentUse: m.Urgent,
+			rack:  m.Rack, suspect: m.Suspect, recentFailures: m.RecentFailures, colocated: m.Colocated, urgentUse: m.Urgent,
 		}
 	}
 	if m.Epoch == w.epoch && m.Shard != "" {
@@ -300,7 +300,7 @@
 	if q == nil || !n.Policies.On(scheduler.Recall) {
 		return false
 	}
-	perWorker, used := job.Steps[t.Step].PerWorker, map[string]int32(nil)
+	perWorker, used := job.Steps[t.Step].MaxPerWorker, map[string]int32(nil)
 	if perWorker > 0 {
 		used = job.stepTasksByWorker(i)
 	}
@@ -309,7 +309,7 @@
 			continue
 		}
 		healthy := !w.suspect && !n.ranks.ejected(name) || n.fleetIdle()
-		if name != t.Worker && healthy && n.workerAllowed(w, q, t.Needs, t.Resources) &&
+		if name != t.Worker && healthy && n.workerAllowed(w, q, t.RequiredLabels, t.Resources) &&
 			t.Resources.Fits(n.availableRoom(shard, q, job.excess, name, w)) {
 			return true
 		}
--- a/internal/daemon/reduce.go
+++ b/internal/daemon/reduce.go
@@ -192,7 +192,7 @@
 
 	diskFailed string
 	diskSyncMs int64
-	strain     strainMeter
+	overload   overloadMeter
 }
 
 func newNode(p nodeConfig, st *statestore.Store) *node {
@@ -325,7 +325,7 @@
 }
 
 func (n *node) onTick(evTick) {
-	n.strain.onTick(n.now)
+	n.overload.onTick(n.now)
 	for _, do := range tickParts {
 		do(n)
 	}
--- a/internal/daemon/shard.go
+++ b/internal/daemon/shard.go
@@ -179,29 +179,29 @@
 
 // workerView is what this daemon was last told of a worker by its agent.
 type workerView struct {
-	agent        string
-	epoch        uint64
-	echoMs       int64
-	receivedMs   int64
-	zone         string
-	labels       []wire.Label
-	leaving      bool
-	rebuilt      bool
-	reportFresh  bool
-	free         resource.Amount
-	capacity     resource.Amount
-	usedByOthers map[string]resource.Amount   // shard -> room there of what isn't this shard's
-	batchUse     map[string][]wire.QueueUsage // shard -> of that, the batches'
-	unstarted    int64                        // unstarted tasks that are no batch's
-	spare        spareWindow                  // the least room lately that batches didn't have to leave
-	rack         string
-	urgentUse    resource.Amount // room there of the most urgent queues
-	suspect      bool
-	doubtful     bool
-	colocated    bool
-	queued       int64
-	rankMs       int64
-	silentMs     int64
+	agent          string
+	epoch          uint64
+	echoMs         int64
+	receivedMs     int64
+	zone           string
+	labels         []wire.Label
+	leaving        bool
+	rebuilt        bool
+	reportFresh    bool
+	free           resource.Amount
+	capacity       resource.Amount
+	usedByOthers   map[string]resource.Amount   // shard -> room there of what isn't this shard's
+	batchUse       map[string][]wire.QueueUsage // shard -> of that, the batches'
+	unstarted      int64                        // unstarted tasks that are no batch's
+	spare          spareWindow                  // the least room lately that batches didn't have to leave
+	rack           string
+	urgentUse      resource.Amount // room there of the most urgent queues
+	suspect        bool
+	recentFailures bool
+	colocated      bool
+	queued         int64
+	rankMs         int64
+	silentMs       int64
 }
 
 var jobOps map[string]func(*node, *ownedShard, *request)
--- a/internal/daemon/strain.go
+++ b/internal/daemon/strain.go
@@ -13,17 +13,17 @@
 	strainWeight = 0.05
 )
 
-// strainMeter observes how late a daemon's own control thread runs. Ticks are due each
+// overloadMeter observes how late a daemon's own control thread runs. Ticks are due each
 // tickMs; what waits before a tick delays it.
-type strainMeter struct {
-	lastMs   int64
-	lateMs   float64 // mean of how late the last ticks came
-	sinceMs  int64   // when it was last above strainLateMs
-	strained bool
+type overloadMeter struct {
+	lastMs     int64
+	lateMs     float64 // mean of how late the last ticks came
+	sinceMs    int64   // when it was last above strainLateMs
+	overloaded bool
 }
 
 // onTick takes a tick at a time. One long stop is a freeze, not strain.
-func (s *strainMeter) onTick(nowMs int64) {
+func (s *overloadMeter) onTick(nowMs int64) {
 	late := nowMs - s.lastMs - tickMs
 	first := s.lastMs == 0
 	s.lastMs = nowMs
@@ -33,8 +33,8 @@
 	s.lateMs += strainWeight * (float64(max(late, 0)) - s.lateMs)
 	switch {
 	case s.lateMs > strainLateMs:
-		s.strained, s.sinceMs = true, nowMs
-	case s.strained && s.lateMs < strainEndMs && nowMs-s.sinceMs > strainHoldMs:
-		s.strained = false
+		s.overloaded, s.sinceMs = true, nowMs
+	case s.overloaded && s.lateMs < strainEndMs && nowMs-s.sinceMs > strainHoldMs:
+		s.overloaded = false
 	}
 }
--- a/internal/daemon/strain_test.go
+++ b/internal/daemon/strain_test.go
@@ -9,7 +9,7 @@
 // A control thread that falls behind for seconds is strained, and stays so for a while; a
 // freeze, a single late tick and small lateness are not strain.
 func TestStrain(t *testing.T) {
-	s := &strainMeter{}
+	s := &overloadMeter{}
 	now := int64(1000)
 	ticks := func(count int, lateMs int64) {
 		for range count {
@@ -18,15 +18,15 @@
 		}
 	}
 	ticks(100, 20)
-	must.False(t, s.strained)
+	must.False(t, s.overloaded)
 	ticks(1, 5000)
-	must.False(t, s.strained)
+	must.False(t, s.overloaded)
 	ticks(1, 600)
-	must.False(t, s.strained)
+	must.False(t, s.overloaded)
 	ticks(60, 200)
-	must.True(t, s.strained)
+	must.True(t, s.overloaded)
 	ticks(60, 0) // it has caught up, but not for long
-	must.True(t, s.strained)
+	must.True(t, s.overloaded)
 	ticks(60, 0)
-	must.False(t, s.strained)
+	must.False(t, s.overloaded)
 }
--- a/internal/daemon/tenant_shares.go
+++ b/internal/daemon/tenant_shares.go
@@ -157,7 +157,7 @@
 	}
 	t := &job.Tasks[i]
 	for _, w := range n.workers { // some worker: the order does not matter
-		_, lacks := configuration.MissingLabel(w.labels, t.Needs)
+		_, lacks := configuration.MissingLabel(w.labels, t.RequiredLabels)
 		if t.Resources.Fits(w.capacity) && !lacks && q.Matches(w.labels, w.zone) {
 			return true
 		}
--- a/internal/daemon/tenant_weight.go
+++ b/internal/daemon/tenant_weight.go
@@ -38,8 +38,8 @@
 	return scheduler.Precedence(n.config.current.Urgency(queue), excess)
 }
 
-// mayUseUrgentRoom tells whether tasks of a queue may take the room kept for the most urgent ones.
-func (n *node) mayUseUrgentRoom(q *configuration.Queue, excess bool) bool {
+// mayUseUrgentHeadroom tells whether tasks of a queue may take the room kept for the most urgent ones.
+func (n *node) mayUseUrgentHeadroom(q *configuration.Queue, excess bool) bool {
 	return !excess && n.isUrgent(q)
 }
 
--- a/internal/daemon/urgent_room.go
+++ b/internal/daemon/urgent_room.go
@@ -19,14 +19,14 @@
 // fleetIdle tells whether most of all room was free when the coordinator last told.
 func (n *node) fleetIdle() bool { return n.ranks.idle && n.now-n.ranks.receivedMs <= rankStaleMs }
 
-// urgentRoom is the room of a worker that queueable tasks of other queues leave free. While the
+// urgentHeadroom is the room of a worker that queueable tasks of other queues leave free. While the
 // coordinator's word is stale nothing is kept.
-func (n *node) urgentRoom(capacity, urgentUsed resource.Amount) resource.Amount {
+func (n *node) urgentHeadroom(capacity, urgentUsed resource.Amount) resource.Amount {
 	stale := n.now-n.ranks.receivedMs > rankStaleMs
-	if stale || n.ranks.urgentPercent == (resource.Amount{}) || !n.Policies.On(scheduler.UrgentRoom) {
+	if stale || n.ranks.headroomPercent == (resource.Amount{}) || !n.Policies.On(scheduler.UrgentRoom) {
 		return resource.Amount{}
 	}
-	return scheduler.UrgentHeadroom(capacity, urgentUsed, n.ranks.urgentPercent)
+	return scheduler.UrgentHeadroom(capacity, urgentUsed, n.ranks.headroomPercent)
 }
 
 // availableRoom is the room of a worker that a queueable task of a queue may take, as far as a
@@ -35,10 +35,10 @@
 	shard *ownedShard, q *configuration.Queue, excess bool, name string, w *workerView,
 ) resource.Amount {
 	free := n.freeResources(shard, name, w)
-	if n.mayUseUrgentRoom(q, excess) {
+	if n.mayUseUrgentHeadroom(q, excess) {
 		return free
 	}
-	return free.Minus(n.urgentRoom(w.capacity, w.urgentUse))
+	return free.Minus(n.urgentHeadroom(w.capacity, w.urgentUse))
 }
 
 // urgentUse is the room of the attempts of the most urgent queues at a worker that have
@@ -46,7 +46,7 @@
 func (a *workerAgent) urgentUse(n *node, states ...wire.AttemptState) (held resource.Amount) {
 	for _, attempt := range a.attempts { // a sum: the order does not matter
 		q := n.config.current.Queues[attempt.spec.Queue]
-		if q == nil || !n.mayUseUrgentRoom(q, attempt.spec.Excess) {
+		if q == nil || !n.mayUseUrgentHeadroom(q, attempt.spec.Excess) {
 			continue
 		}
 		for _, state := range states {
--- a/internal/daemon/urgent_room_test.go
+++ b/internal/daemon/urgent_room_test.go
@@ -19,7 +19,7 @@
 	set, faults := configuration.Compile(1, []byte(`{"queues":[{"name":"fast","urgency":100},{"name":"slow","urgency":10}]}`))
 	must.SliceEmpty(t, faults)
 	n.config.current, n.now = set, 50_000
-	n.ranks.receivedMs, n.ranks.urgentPercent = n.now, resource.Amount{CPU: 25}
+	n.ranks.receivedMs, n.ranks.headroomPercent = n.now, resource.Amount{CPU: 25}
 	return n
 }
 
@@ -81,14 +81,14 @@
 			receivedMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 1000}, colocated: true,
 		}
 	}
-	job := &liveJob{jobRecord: jobRecord{Queue: "slow", Steps: []jobStep{{Size: 2, PerWorker: 1}}, Tasks: []task{
+	job := &liveJob{jobRecord: jobRecord{Queue: "slow", Steps: []jobStep{{Size: 2, MaxPerWorker: 1}}, Tasks: []task{
 		{State: taskPlaced, Worker: "w1", Resources: resource.Amount{CPU: 600}},
 		{State: taskPlaced, Worker: "w2", Resources: resource.Amount{CPU: 600}, IndexInStep: 1},
 	}}}
 	must.True(t, n.fitsElsewhere(shard, job, 0))
 	n.workers["w3"].leaving = true // w2 holds one already
 	must.False(t, n.fitsElsewhere(shard, job, 0))
-	job.Steps[0].PerWorker = 2
+	job.Steps[0].MaxPerWorker = 2
 	must.True(t, n.fitsElsewhere(shard, job, 0))
 }
 
@@ -126,7 +126,7 @@
 		}}
 	}
 	n.observeUrgent(c)
-	must.Eq(t, 29, c.urgentShare.Percent().CPU) // a fifth is used; a quarter of that and a slack are added
+	must.Eq(t, 29, c.headroom.Percent().CPU) // a fifth is used; a quarter of that and a slack are added
 	r := &scheduler.Candidate{Name: "w1", Capacity: resource.Amount{CPU: 1000}, FreeAfterPreemption: resource.Amount{CPU: 450}}
 	may := func(queue string, cpu int64) bool {
 		request := &pendingAllocation{AllocationRequest: wire.AllocationRequest{Queue: queue, Resources: resource.Amount{CPU: cpu}}}
--- a/internal/daemon/worker_choice.go
+++ b/internal/daemon/worker_choice.go
@@ -64,7 +64,7 @@
 	}
 	if t.onLastAttempt() {
 		for at, w := range c.views {
-			if w.doubtful {
+			if w.recentFailures {
 				workers[at].Penalties |= scheduler.PenaltySuspect
 			}
 		}
@@ -77,16 +77,16 @@
 	t := &job.Tasks[i]
 	step := &job.Steps[t.Step]
 	c := &workerChoice{
-		shard: shard, queue: q, job: job, step: t.Step, round: t.Round, resources: t.Resources, needs: t.Needs,
-		near: step.Near, perWorker: step.PerWorker, loadChanges: shard.loadChanges,
+		shard: shard, queue: q, job: job, step: t.Step, round: t.Round, resources: t.Resources, needs: t.RequiredLabels,
+		near: step.DataRack, perWorker: step.MaxPerWorker, loadChanges: shard.loadChanges,
 	}
-	if step.PerWorker > 0 {
+	if step.MaxPerWorker > 0 {
 		c.used = job.stepTasksByWorker(i)
 	}
 	suspects := 0
 	for _, name := range sortedKeys(n.workers) {
 		w := n.workers[name]
-		if n.workerAllowed(w, q, t.Needs, t.Resources) && (step.PerWorker == 0 || c.used[name] < step.PerWorker) {
+		if n.workerAllowed(w, q, t.RequiredLabels, t.Resources) && (step.MaxPerWorker == 0 || c.used[name] < step.MaxPerWorker) {
 			c.views = append(c.views, w)
 			c.workers = append(c.workers, scheduler.QueueCandidate{Name: name})
 			c.pinned = c.pinned || w.colocated
@@ -147,7 +147,7 @@
 // isValidFor tells whether what was gathered holds for a task.
 func (c *workerChoice) isValidFor(shard *ownedShard, job *liveJob, t *task) bool {
 	return c != nil && c.shard == shard && c.job == job && c.step == t.Step && c.round == t.Round &&
-		c.resources == t.Resources && slices.Equal(c.needs, t.Needs) && c.loadChanges == shard.loadChanges
+		c.resources == t.Resources && slices.Equal(c.needs, t.RequiredLabels) && c.loadChanges == shard.loadChanges
 }
 
 // find gives a worker's position.
