--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -14,7 +14,7 @@
 	claimReportIntervalMs   = 250  // a report with claims is repeated, since either message may be lost
 	idleReportIntervalMs    = 1000 // repetition of a report without claims
 	usageWindowMs           = 2000 // starts and usage of this period determine what to hold
-	aheadDivisor            = 4    // a quarter of the starts of a window is held in advance
+	prefetchDivisor         = 4    // a quarter of the starts of a window is held in advance
 	reservationYieldAfterMs = 2000 // a reservation without starts yields to other tasks after this time
 	yieldDurationMs         = 1000 // how long it yields
 	maxClaims               = 16   // per tenant in a report, the most urgent ones
@@ -38,11 +38,11 @@
 
 // account holds the state of one tenant.
 type account struct {
-	held     resource.Amount
-	used     resource.Amount
-	reserved map[string]reservation // by job and step, for starts whose placement was requested
-	claims   []*claim
-	tight    bool
+	held      resource.Amount
+	used      resource.Amount
+	reserved  map[string]reservation // by job and step, for starts whose placement was requested
+	claims    []*claim
+	nearLimit bool
 	// reusesReleased means that resources of finished tasks may be used for other starts: a counter
 	// has confirmed that the sum of all loans is within the limit. Before that, other shards may
 	// use as much already.
@@ -51,7 +51,7 @@
 
 	windowStartMs int64
 	started       resource.Amount // since windowStartMs
-	ahead         resource.Amount // to hold in advance, by the starts of the previous window
+	prefetch      resource.Amount // to hold in advance, by the starts of the previous window
 	peak          resource.Amount // maximum of used since windowStartMs
 	lastPeak      resource.Amount // peak of the previous window
 }
@@ -113,7 +113,7 @@
 	if !a.reusesReleased {
 		a.held, a.reducedSinceReport = larger(a.held.Minus(amount), a.used), true
 	}
-	if a.tight || !a.reusesReleased {
+	if a.nearLimit || !a.reusesReleased {
 		b.reportDue = true
 	}
 }
@@ -172,7 +172,7 @@
 	if !ok || r.untilMs <= nowMs {
 		return false
 	}
-	if !r.yielded && a.tight && nowMs-r.sinceMs >= reservationYieldAfterMs {
+	if !r.yielded && a.nearLimit && nowMs-r.sinceMs >= reservationYieldAfterMs {
 		r = reservation{untilMs: nowMs + yieldDurationMs, yielded: true}
 		a.reserved[key], b.reportDue = r, true
 	}
@@ -322,8 +322,8 @@
 	if nowMs-a.windowStartMs < usageWindowMs {
 		return
 	}
-	quarter := func(v int64) int64 { return (v + aheadDivisor - 1) / aheadDivisor }
-	a.ahead = resource.Amount{
+	quarter := func(v int64) int64 { return (v + prefetchDivisor - 1) / prefetchDivisor }
+	a.prefetch = resource.Amount{
 		CPU: quarter(a.started.CPU), Memory: quarter(a.started.Memory), GPU: quarter(a.started.GPU),
 	}
 	a.windowStartMs, a.started = nowMs, resource.Amount{}
@@ -335,21 +335,21 @@
 func (a *account) trim(nowMs int64) {
 	a.rollWindow(nowMs)
 	keep := a.usedAndReserved(nowMs)
-	if !a.tight {
-		keep = larger(keep, larger(a.peak, a.lastPeak)).Plus(a.ahead)
+	if !a.nearLimit {
+		keep = larger(keep, larger(a.peak, a.lastPeak)).Plus(a.prefetch)
 	}
 	a.held = larger(smaller(a.held, keep), a.used)
 }
 
 func (a *account) isEmpty() bool {
 	zero := resource.Amount{}
-	return a.held == zero && a.used == zero && a.ahead == zero && len(a.claims) == 0 && len(a.reserved) == 0
+	return a.held == zero && a.used == zero && a.prefetch == zero && len(a.claims) == 0 && len(a.reserved) == 0
 }
 
 func (a *account) report(tenant string, nowMs int64) wire.ShareAccount {
 	shareAccount := wire.ShareAccount{Tenant: tenant, Keep: a.held, Used: a.used}
-	if !a.tight {
-		shareAccount.Prefetch = larger(a.usedAndReserved(nowMs).Plus(a.ahead).Minus(a.held), resource.Amount{})
+	if !a.nearLimit {
+		shareAccount.Prefetch = larger(a.usedAndReserved(nowMs).Plus(a.prefetch).Minus(a.held), resource.Amount{})
 	}
 	for _, c := range a.claims {
 		shareClaim := c.ShareClaim
@@ -373,10 +373,10 @@
 	}
 	for _, s := range m.Shares {
 		a := b.account(s.Tenant)
-		if s.NearLimit && !a.tight {
+		if s.NearLimit && !a.nearLimit {
 			b.reportDue = true
 		}
-		a.tight, a.reusesReleased = s.NearLimit, !s.ReturnFreed
+		a.nearLimit, a.reusesReleased = s.NearLimit, !s.ReturnFreed
 		if s.ReturnFreed && a.reducedSinceReport {
 			continue // the amount includes a part that was given up since the report
 		}
--- a/internal/quota/counter.go
+++ b/internal/quota/counter.go
@@ -18,10 +18,10 @@
 	holdBackAfterMs = 1000
 	holdBackMs      = 2000
 	holdBackPercent = 50
-	// maxAheadPercent is the part of a limit that may be lent before it is needed. If more than
-	// tightPercent is lent, owners return what they don't use at once.
-	maxAheadPercent = 50
-	tightPercent    = 75
+	// maxPrefetchPercent is the part of a limit that may be lent before it is needed. If more than
+	// nearLimitPercent is lent, owners return what they don't use at once.
+	maxPrefetchPercent = 50
+	nearLimitPercent   = 75
 )
 
 // CounterConfig is the configuration that a counter applies.
@@ -51,13 +51,13 @@
 
 // tenantLoan holds what is lent to one shard for one tenant.
 type tenantLoan struct {
-	amount resource.Amount
-	used   resource.Amount
-	ahead  resource.Amount // requested before it is needed
-	claims []wire.ShareClaim
-	tight  bool
-	// giveBack tells the owner to return the resources of finished tasks, too.
-	giveBack bool
+	amount    resource.Amount
+	used      resource.Amount
+	prefetch  resource.Amount // requested before it is needed
+	claims    []wire.ShareClaim
+	nearLimit bool
+	// returnFreed tells the owner to return the resources of finished tasks, too.
+	returnFreed bool
 }
 
 // Grant is a grant message and the owner to send it to.
@@ -90,8 +90,8 @@
 	}
 	for _, a := range m.Accounts {
 		l.loans[a.Tenant] = &tenantLoan{
-			amount: larger(a.Keep, a.Used), used: a.Used, ahead: a.Prefetch, claims: slices.Clone(a.Claims),
-			giveBack: true, // until Lend has compared the sum of all shards with the limit
+			amount: larger(a.Keep, a.Used), used: a.Used, prefetch: a.Prefetch, claims: slices.Clone(a.Claims),
+			returnFreed: true, // until Lend has compared the sum of all shards with the limit
 		}
 	}
 	c.shards[m.Shard] = l
@@ -181,7 +181,8 @@
 	return sum
 }
 
-// lendToTenant grants the claims for one tenant in order, and then lends ahead if all are satisfied.
+// lendToTenant grants the claims for one tenant in order, and then the requested prefetch if all are
+// satisfied.
 func (c *Counter) lendToTenant(tenant string, limits *Limits) {
 	limit := limits.Of(tenant)
 	sum, unsatisfied, heldBack := c.Lent(tenant), false, false
@@ -202,9 +203,9 @@
 		unsatisfied = true
 	}
 	if !unsatisfied {
-		sum = c.lendAhead(tenant, limits, sum)
+		sum = c.lendPrefetch(tenant, limits, sum)
 	}
-	c.setFlags(tenant, unsatisfied || !limit.scaled(tightPercent).Admits(sum), heldBack || !limit.Admits(sum))
+	c.setFlags(tenant, unsatisfied || !limit.scaled(nearLimitPercent).Admits(sum), heldBack || !limit.Admits(sum))
 }
 
 // holdsBack reports whether a unit that has waited this long keeps free capacity from later claims.
@@ -215,31 +216,31 @@
 	return waitedMs%(holdBackAfterMs+holdBackMs) >= holdBackAfterMs
 }
 
-// lendAhead lends what owners request in advance, as long as at most maxAheadPercent of the limit
+// lendPrefetch lends what owners request in advance, as long as at most maxPrefetchPercent of the limit
 // is lent in total.
-func (c *Counter) lendAhead(tenant string, limits *Limits, sum resource.Amount) resource.Amount {
-	aheadLimit := limits.Of(tenant).scaled(maxAheadPercent)
+func (c *Counter) lendPrefetch(tenant string, limits *Limits, sum resource.Amount) resource.Amount {
+	prefetchLimit := limits.Of(tenant).scaled(maxPrefetchPercent)
 	for _, shard := range slices.Sorted(maps.Keys(c.shards)) {
 		l := c.shards[shard]
 		loan := l.loans[tenant]
-		if loan == nil || loan.ahead == (resource.Amount{}) || l.version > limits.Version() {
+		if loan == nil || loan.prefetch == (resource.Amount{}) || l.version > limits.Version() {
 			continue
 		}
-		if next := sum.Plus(loan.ahead); aheadLimit.Admits(next) {
-			loan.amount, sum = loan.amount.Plus(loan.ahead), next
-			loan.ahead = resource.Amount{}
+		if next := sum.Plus(loan.prefetch); prefetchLimit.Admits(next) {
+			loan.amount, sum = loan.amount.Plus(loan.prefetch), next
+			loan.prefetch = resource.Amount{}
 			l.grantDue = true
 		}
 	}
 	return sum
 }
 
-// setFlags sets the tight and giveBack flags of a tenant in all shards.
-func (c *Counter) setFlags(tenant string, tight, giveBack bool) {
+// setFlags sets the nearLimit and returnFreed flags of a tenant in all shards.
+func (c *Counter) setFlags(tenant string, nearLimit, returnFreed bool) {
 	for _, l := range c.shards {
 		loan := l.loans[tenant]
-		if loan != nil && (loan.tight != tight || loan.giveBack != giveBack) {
-			loan.tight, loan.giveBack, l.grantDue = tight, giveBack, true
+		if loan != nil && (loan.nearLimit != nearLimit || loan.returnFreed != returnFreed) {
+			loan.nearLimit, loan.returnFreed, l.grantDue = nearLimit, returnFreed, true
 		}
 	}
 }
@@ -259,7 +260,7 @@
 		for _, tenant := range slices.Sorted(maps.Keys(l.loans)) {
 			loan := l.loans[tenant]
 			m.Shares = append(m.Shares, wire.TenantShare{
-				Tenant: tenant, Amount: loan.amount, NearLimit: loan.tight, ReturnFreed: loan.giveBack,
+				Tenant: tenant, Amount: loan.amount, NearLimit: loan.nearLimit, ReturnFreed: loan.returnFreed,
 			})
 		}
 		grants = append(grants, Grant{To: l.owner, Message: m})
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -69,41 +69,60 @@
 // Claims of shards b and c are granted in order, next to what shard a holds. Each unit is granted
 // whole or not at all.
 func TestLendInOrder(t *testing.T) {
-	const tight, giveBack = true, true
+	const nearLimit, returnFreed = true, true
 	for _, tt := range []struct {
-		name     string
-		limit    Limit
-		heldByA  int64
-		b, c     wire.ShareClaim
-		toB, toC int64
-		tight    bool
-		giveBack bool
+		name        string
+		limit       Limit
+		heldByA     int64
+		b, c        wire.ShareClaim
+		toB, toC    int64
+		nearLimit   bool
+		returnFreed bool
 	}{
 		{"all fit", Limit{CPU: 20}, 0, claimOf("1", 0, 0, 2, 3), claimOf("2", 0, 0, 2, 1), 6, 2, false, false},
-		{"near the limit", Limit{CPU: 20}, 10, claimOf("1", 0, 0, 2, 2), claimOf("2", 0, 0, 2, 1), 4, 2, tight, false},
-		{"the more urgent claim first", Limit{CPU: 10}, 6, claimOf("1", 0, 0, 2, 2), claimOf("2", 1, 9, 2, 2), 0, 4, tight, false},
-		{"the older claim first", Limit{CPU: 10}, 6, claimOf("1", 0, 9, 2, 2), claimOf("2", 0, 0, 2, 1), 2, 2, tight, false},
-		{"whole units only", Limit{CPU: 10}, 5, claimOf("1", 0, 0, 4, 2), claimOf("2", 0, 1, 6, 1), 4, 0, tight, false},
-		{"a smaller unit overtakes", Limit{CPU: 10}, 5, claimOf("1", 0, 0, 6, 1), claimOf("2", 0, 1, 2, 1), 0, 2, tight, false},
+		{"near the limit", Limit{CPU: 20}, 10, claimOf("1", 0, 0, 2, 2), claimOf("2", 0, 0, 2, 1), 4, 2, nearLimit, false},
+		{
+			"the more urgent claim first", Limit{CPU: 10}, 6, claimOf("1", 0, 0, 2, 2), claimOf("2", 1, 9, 2, 2), 0, 4,
+			nearLimit, false,
+		},
+		{
+			"the older claim first", Limit{CPU: 10}, 6, claimOf("1", 0, 9, 2, 2), claimOf("2", 0, 0, 2, 1), 2, 2,
+			nearLimit, false,
+		},
+		{"whole units only", Limit{CPU: 10}, 5, claimOf("1", 0, 0, 4, 2), claimOf("2", 0, 1, 6, 1), 4, 0, nearLimit, false},
+		{
+			"a smaller unit overtakes", Limit{CPU: 10}, 5, claimOf("1", 0, 0, 6, 1), claimOf("2", 0, 1, 2, 1), 0, 2,
+			nearLimit, false,
+		},
 		{
 			"capacity is held back for a unit that has waited", Limit{CPU: 10}, 5,
-			withWaitMs(claimOf("1", 0, 0, 6, 1), holdBackAfterMs), claimOf("2", 0, 1, 2, 1), 0, 0, tight, giveBack,
+			withWaitMs(claimOf("1", 0, 0, 6, 1), holdBackAfterMs), claimOf("2", 0, 1, 2, 1), 0, 0, nearLimit, returnFreed,
 		},
 		{
-			"held back in alternation while little is lent", Limit{CPU: 10}, 2,
-			withWaitMs(claimOf("1", 0, 0, 9, 1), holdBackAfterMs+holdBackMs), claimOf("2", 0, 1, 2, 1), 0, 2, tight, false,
+			"not held back after holdBackMs while little is lent", Limit{CPU: 10}, 2,
+			withWaitMs(claimOf("1", 0, 0, 9, 1), holdBackAfterMs+holdBackMs), claimOf("2", 0, 1, 2, 1), 0, 2, nearLimit, false,
 		},
 		{
 			"held back until it fits while much is lent", Limit{CPU: 10}, 6,
-			withWaitMs(claimOf("1", 0, 0, 6, 1), holdBackAfterMs+holdBackMs), claimOf("2", 0, 1, 2, 1), 0, 0, tight, giveBack,
+			withWaitMs(claimOf("1", 0, 0, 6, 1), holdBackAfterMs+holdBackMs), claimOf("2", 0, 1, 2, 1), 0, 0, nearLimit,
+			returnFreed,
 		},
 		{
 			"nothing held back for a unit that never fits", Limit{CPU: 10}, 0,
 			withWaitMs(claimOf("1", 0, 0, 20, 1), holdBackAfterMs), claimOf("2", 0, 1, 2, 1), 0, 2, false, false,
 		},
-		{"the last task may exceed the limit", Limit{CPU: 10}, 0, claimOf("1", 0, 0, 11, 1), claimOf("2", 0, 1, 2, 1), 11, 0, tight, giveBack},
-		{"the last task may not exceed the limit beside others", Limit{CPU: 10}, 1, claimOf("1", 0, 0, 11, 1), claimOf("2", 0, 1, 2, 1), 0, 2, tight, false},
-		{"more than the limit is held", Limit{CPU: 10}, 11, claimOf("1", 0, 0, 2, 1), claimOf("2", 0, 1, 2, 1), 0, 0, tight, giveBack},
+		{
+			"the last task may exceed the limit", Limit{CPU: 10}, 0, claimOf("1", 0, 0, 11, 1), claimOf("2", 0, 1, 2, 1),
+			11, 0, nearLimit, returnFreed,
+		},
+		{
+			"the last task may not exceed the limit beside others", Limit{CPU: 10}, 1, claimOf("1", 0, 0, 11, 1),
+			claimOf("2", 0, 1, 2, 1), 0, 2, nearLimit, false,
+		},
+		{
+			"more than the limit is held", Limit{CPU: 10}, 11, claimOf("1", 0, 0, 2, 1), claimOf("2", 0, 1, 2, 1), 0, 0,
+			nearLimit, returnFreed,
+		},
 		{"another dimension", Limit{Memory: 10}, 90, claimOf("1", 0, 0, 9, 1), claimOf("2", 0, 1, 9, 1), 9, 9, false, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -115,18 +134,22 @@
 			must.True(t, c.OnReport("n3", report("c", 1, 1, 0, tt.c)))
 			grants := c.Lend(p)
 			must.Len(t, 3, grants)
-			must.Eq(t, []wire.TenantShare{{Tenant: "t", Amount: cpu(tt.toB), NearLimit: tt.tight, ReturnFreed: tt.giveBack}}, grants[1].Message.Shares)
-			must.Eq(t, []wire.TenantShare{{Tenant: "t", Amount: cpu(tt.toC), NearLimit: tt.tight, ReturnFreed: tt.giveBack}}, grants[2].Message.Shares)
+			must.Eq(t, []wire.TenantShare{
+				{Tenant: "t", Amount: cpu(tt.toB), NearLimit: tt.nearLimit, ReturnFreed: tt.returnFreed},
+			}, grants[1].Message.Shares)
+			must.Eq(t, []wire.TenantShare{
+				{Tenant: "t", Amount: cpu(tt.toC), NearLimit: tt.nearLimit, ReturnFreed: tt.returnFreed},
+			}, grants[2].Message.Shares)
 			must.SliceEmpty(t, c.Lend(p)) // no changes, no grants
 		})
 	}
 }
 
 // Owners get what they request in advance only while most of the limit is free.
-func TestLendAhead(t *testing.T) {
+func TestLendPrefetch(t *testing.T) {
 	for _, tt := range []struct {
-		name               string
-		heldByB, ahead, to int64
+		name                  string
+		heldByB, prefetch, to int64
 	}{
 		{"free", 4, 6, 6},
 		{"half is lent", 4, 7, 0},
@@ -136,9 +159,9 @@
 			c := NewCounter("a", 1)
 			p := CounterConfig{Shards: []string{"a", "b"}, Limits: limitsOf(1, Limit{CPU: 20})}
 			c.OnReport("n2", report("b", 1, 1, tt.heldByB))
-			ahead := report("a", 1, 1, 0)
-			ahead.Accounts[0].Prefetch = cpu(tt.ahead)
-			c.OnReport("n1", ahead)
+			prefetch := report("a", 1, 1, 0)
+			prefetch.Accounts[0].Prefetch = cpu(tt.prefetch)
+			c.OnReport("n1", prefetch)
 			must.Eq(t, cpu(tt.to), c.Lend(p)[0].Message.Shares[0].Amount)
 		})
 	}
@@ -245,7 +268,7 @@
 	}
 	must.False(t, b.YieldReservation("t", "y", 0))
 	must.False(t, b.YieldReservation("u", "x", 0))
-	b.account("t").tight = true
+	b.account("t").nearLimit = true
 	must.True(t, b.YieldReservation("t", "x", 2*reservationYieldAfterMs))
 	must.Eq(t, cpu(0), b.Reserved("t", "x", 2*reservationYieldAfterMs))
 	must.True(t, b.Fits("t", cpu(8), Limit{CPU: 10}, 2*reservationYieldAfterMs))
@@ -351,7 +374,7 @@
 	must.Eq(t, []string{"low"}, l.Adopt(4, 3, map[string]Limit{"low": {CPU: 4}, "none": {}})) // version 3 was not seen
 	must.Eq(t, nil, l.Adopt(5, 4, map[string]Limit{"low": {CPU: 5}, "none": {}}))
 	must.Eq(t, []string{"none"}, l.Adopt(6, 5, map[string]Limit{"low": {CPU: 5, GPU: 0}, "none": {GPU: 1}}))
-	must.Eq(t, []string{"low", "none"}, l.Adopt(8, 7, map[string]Limit{"low": {CPU: 9}})) // version 7 may have had higher limits
+	must.Eq(t, []string{"low", "none"}, l.Adopt(8, 7, map[string]Limit{"low": {CPU: 9}})) // skipped 7 may have been higher
 	must.Eq(t, Limit{GPU: 1}, l.Of("none"))                                               // keeps its last limit
 	must.True(t, l.Declared("none"))
 	must.False(t, l.Declared("other"))
--- a/internal/scheduler/assignment_test.go
+++ b/internal/scheduler/assignment_test.go
@@ -15,7 +15,8 @@
 	for i, cpu := range availableCPU {
 		available := resource.Amount{CPU: cpu}
 		candidates = append(candidates, &Candidate{
-			Name: fmt.Sprint("w", i), Rack: fmt.Sprint("r", i/3), Capacity: resource.Amount{CPU: 4000}, FreeAfterPreemption: available, Free: available,
+			Name: fmt.Sprint("w", i), Rack: fmt.Sprint("r", i/3), Capacity: resource.Amount{CPU: 4000},
+			FreeAfterPreemption: available, Free: available,
 		})
 	}
 	return candidates
@@ -37,36 +38,47 @@
 		want       []string
 	}{
 		"the emptiest worker first, then the next": {
-			Assignment{Group: Group{Resources: cores(1), Size: 3}}, 3, candidatesByRack(2000, 3500, 3000), []string{"w1", "w2", "w1"},
+			Assignment{Group: Group{Resources: cores(1), Size: 3}}, 3, candidatesByRack(2000, 3500, 3000),
+			[]string{"w1", "w2", "w1"},
 		},
 		"as many tasks as fit": {
 			Assignment{Group: Group{Resources: cores(2), Size: 3}}, 3, candidatesByRack(2000, 1000, 2500), []string{"w2", "w0"},
 		},
 		"near its data": {
-			Assignment{Group: Group{Resources: cores(1), Size: 1, DataRack: "r1"}}, 1, candidatesByRack(4000, 4000, 4000, 1500), []string{"w3"},
+			Assignment{Group: Group{Resources: cores(1), Size: 1, DataRack: "r1"}}, 1,
+			candidatesByRack(4000, 4000, 4000, 1500), []string{"w3"},
 		},
 		"a worker where it just failed last": {
-			Assignment{Group: Group{Resources: cores(2), Size: 2, Avoid: map[string]bool{"w0": true}}}, 2, candidatesByRack(4000, 2000), []string{"w1", "w0"},
+			Assignment{Group: Group{Resources: cores(2), Size: 2, Avoid: map[string]bool{"w0": true}}}, 2,
+			candidatesByRack(4000, 2000), []string{"w1", "w0"},
 		},
 		"a suspect worker only if no other is free": {
 			Assignment{Group: Group{Resources: cores(2), Size: 2, Suspect: map[string]bool{"w0": true}}}, 2,
-			[]*Candidate{candidatesByRack(4000)[0], {Name: "w1", Capacity: cores(4), FreeAfterPreemption: cores(4), Free: cores(2)}}, []string{"w1", "w0"},
+			[]*Candidate{
+				candidatesByRack(4000)[0],
+				{Name: "w1", Capacity: cores(4), FreeAfterPreemption: cores(4), Free: cores(2)},
+			},
+			[]string{"w1", "w0"},
 		},
 		"a maximum per worker": {
 			Assignment{Group: Group{Resources: cores(1), Size: 3, MaxPerWorker: 1}, TaskCounts: map[string]int32{"w2": 1}},
 			3, candidatesByRack(4000, 4000, 4000), []string{"w0", "w1"},
 		},
 		"not on reserved workers": {
-			Assignment{Group: Group{Resources: cores(1), Size: 1}, Reserved: map[string]bool{"w0": true}}, 1, candidatesByRack(4000, 1000), []string{"w1"},
+			Assignment{Group: Group{Resources: cores(1), Size: 1}, Reserved: map[string]bool{"w0": true}}, 1,
+			candidatesByRack(4000, 1000), []string{"w1"},
 		},
 		"not in the headroom for urgent tasks": {
-			Assignment{Group: Group{Resources: cores(1), Size: 2}, HeadroomPercent: resource.Amount{CPU: 25}}, 2, candidatesByRack(1500, 2000), []string{"w1"},
+			Assignment{Group: Group{Resources: cores(1), Size: 2}, HeadroomPercent: resource.Amount{CPU: 25}}, 2,
+			candidatesByRack(1500, 2000), []string{"w1"},
 		},
 		"urgent tasks use the headroom": {
-			Assignment{Group: Group{Resources: cores(1), Size: 2}, HeadroomPercent: resource.Amount{CPU: 25}, Urgent: true}, 2, candidatesByRack(1500, 1900), []string{"w1", "w0"},
+			Assignment{Group: Group{Resources: cores(1), Size: 2}, HeadroomPercent: resource.Amount{CPU: 25}, Urgent: true},
+			2, candidatesByRack(1500, 1900), []string{"w1", "w0"},
 		},
 		"a task that does not fit beside the headroom uses it": {
-			Assignment{Group: Group{Resources: resource.Amount{CPU: 3500}, Size: 1}, HeadroomPercent: resource.Amount{CPU: 25}}, 1, candidatesByRack(3500), []string{"w0"},
+			Assignment{Group: Group{Resources: resource.Amount{CPU: 3500}, Size: 1}, HeadroomPercent: resource.Amount{CPU: 25}},
+			1, candidatesByRack(3500), []string{"w0"},
 		},
 		"a whole gang or nothing": {
 			Assignment{Group: Group{Resources: cores(2), Size: 3, Gang: true}}, 3, candidatesByRack(2000, 2000, 1000), nil,
@@ -133,7 +145,8 @@
 		random := rand.New(rand.NewPCG(seed, 1))
 		group := Group{
 			Resources:    resource.Amount{CPU: 1 + random.Int64N(900), Memory: random.Int64N(300)},
-			MaxPerWorker: int32(random.IntN(4)), DataRack: fmt.Sprint("r", random.IntN(6)), Avoid: map[string]bool{fmt.Sprint("w", random.IntN(30)): true},
+			MaxPerWorker: int32(random.IntN(4)), DataRack: fmt.Sprint("r", random.IntN(6)),
+			Avoid:   map[string]bool{fmt.Sprint("w", random.IntN(30)): true},
 			Suspect: map[string]bool{fmt.Sprint("w", random.IntN(30)): true},
 		}
 		generate := func() []*Candidate {
@@ -143,7 +156,10 @@
 				capacity := resource.Amount{CPU: 1000 + random.Int64N(3000), Memory: 1000}
 				available := resource.Amount{CPU: random.Int64N(capacity.CPU), Memory: random.Int64N(1000)}
 				free := resource.Amount{CPU: random.Int64N(available.CPU + 1), Memory: available.Memory}
-				out = append(out, &Candidate{Name: fmt.Sprint("w", i), Rack: fmt.Sprint("r", i/4), Capacity: capacity, FreeAfterPreemption: available, Free: free})
+				out = append(out, &Candidate{
+					Name: fmt.Sprint("w", i), Rack: fmt.Sprint("r", i/4), Capacity: capacity,
+					FreeAfterPreemption: available, Free: free,
+				})
 			}
 			return out
 		}
@@ -164,7 +180,8 @@
 	group := Group{Resources: resource.Amount{CPU: 1000}, Size: 6}
 	candidates := candidatesByRack(1000, 1000, 0, 3000, 0, 0)
 	must.Eq(t, []string{"w3", "w4", "w5"}, namesOf(group.LikeliestRack(candidates, nil)))
-	must.Eq(t, []string{"w0", "w1", "w2"}, namesOf(group.LikeliestRack(candidates, map[string]bool{"w3": true, "w4": true})))
+	must.Eq(t, []string{"w0", "w1", "w2"},
+		namesOf(group.LikeliestRack(candidates, map[string]bool{"w3": true, "w4": true})))
 	group.MaxPerWorker = 1 // no rack can hold six tasks
 	must.Nil(t, group.LikeliestRack(candidates, nil))
 }
--- a/internal/scheduler/choice.go
+++ b/internal/scheduler/choice.go
@@ -13,7 +13,7 @@
 	drawnDivisor = 4
 )
 
-// Penalties is a set of penalties of a worker. The task goes to a worker with fewer penalties if
+// Penalty is a set of penalties of a worker. The task goes to a worker with fewer penalties if
 // there is one. A higher bit outweighs all lower bits together.
 type Penalty uint8
 
--- a/internal/scheduler/choice_test.go
+++ b/internal/scheduler/choice_test.go
@@ -14,11 +14,22 @@
 		workers []QueueCandidate
 		want    []int
 	}{
-		"none":                        {nil, nil},
-		"all alike":                   {[]QueueCandidate{{}, {}}, []int{0, 1}},
-		"a heavier penalty decides":   {[]QueueCandidate{{Penalties: PenaltyUnhealthy}, {Penalties: PenaltyFarFromData | PenaltyFull | PenaltyHeadroomOnly}}, []int{1}},
-		"fewer penalties decide":      {[]QueueCandidate{{Penalties: PenaltyHeadroomOnly | PenaltyFarFromData}, {Penalties: PenaltyHeadroomOnly}, {Penalties: PenaltyHeadroomOnly}}, []int{1, 2}},
-		"all unhealthy":               {[]QueueCandidate{{Penalties: PenaltyUnhealthy}, {Penalties: PenaltyUnhealthy | PenaltyLastFailed}}, []int{0}},
+		"none":      {nil, nil},
+		"all alike": {[]QueueCandidate{{}, {}}, []int{0, 1}},
+		"a heavier penalty decides": {
+			[]QueueCandidate{{Penalties: PenaltyUnhealthy}, {Penalties: PenaltyFarFromData | PenaltyFull | PenaltyHeadroomOnly}},
+			[]int{1},
+		},
+		"fewer penalties decide": {
+			[]QueueCandidate{
+				{Penalties: PenaltyHeadroomOnly | PenaltyFarFromData}, {Penalties: PenaltyHeadroomOnly},
+				{Penalties: PenaltyHeadroomOnly},
+			},
+			[]int{1, 2},
+		},
+		"all unhealthy": {
+			[]QueueCandidate{{Penalties: PenaltyUnhealthy}, {Penalties: PenaltyUnhealthy | PenaltyLastFailed}}, []int{0},
+		},
 		"queues are bounded":          {[]QueueCandidate{{QueueFull: true}, {}}, []int{1}},
 		"even without an alternative": {[]QueueCandidate{{QueueFull: true}, {Penalties: PenaltyLastFailed}}, nil},
 	} {
--- a/internal/scheduler/fairorder_test.go
+++ b/internal/scheduler/fairorder_test.go
@@ -36,23 +36,34 @@
 		requests []FairRequest
 		order    []int
 	}{
-		"none":              {nil, []int{}},
-		"no tenants: age":   {[]FairRequest{request("", 0, 1, 3), request("", 0, 1, 1), request("", 0, 1, 2)}, []int{1, 2, 0}},
+		"none": {nil, []int{}},
+		"no tenants: age": {
+			[]FairRequest{request("", 0, 1, 3), request("", 0, 1, 1), request("", 0, 1, 2)}, []int{1, 2, 0},
+		},
 		"least share first": {[]FairRequest{request("a", 0.5, 0.1, 1), request("b", 0.2, 0.1, 2)}, []int{1, 0}},
 		"equal shares: age": {[]FairRequest{request("a", 0.2, 0.1, 2), request("b", 0.2, 0.1, 1)}, []int{1, 0}},
 		"alternating while shares grow": {
-			[]FairRequest{request("a", 0, 0.1, 1), request("a", 0, 0.1, 2), request("a", 0, 0.1, 3), request("b", 0, 0.1, 4), request("b", 0, 0.1, 5)},
+			[]FairRequest{
+				request("a", 0, 0.1, 1), request("a", 0, 0.1, 2), request("a", 0, 0.1, 3),
+				request("b", 0, 0.1, 4), request("b", 0, 0.1, 5),
+			},
 			[]int{0, 3, 1, 4, 2},
 		},
 		"a large request counts for several": {
-			[]FairRequest{request("a", 0, 0.3, 1), request("a", 0, 0.3, 2), request("b", 0, 0.1, 3), request("b", 0, 0.1, 4), request("b", 0, 0.1, 5)},
+			[]FairRequest{
+				request("a", 0, 0.3, 1), request("a", 0, 0.3, 2), request("b", 0, 0.1, 3),
+				request("b", 0, 0.1, 4), request("b", 0, 0.1, 5),
+			},
 			[]int{0, 2, 3, 4, 1},
 		},
 		"precedence before shares": {
 			[]FairRequest{{Precedence: 1, Tenant: "a"}, {Precedence: 9, Tenant: "b", Share: 5}}, []int{1, 0},
 		},
 		"requests of a higher precedence add to the share": {
-			[]FairRequest{{Precedence: 9, Tenant: "a", AddedShare: 1}, {Precedence: 1, Tenant: "a"}, {Precedence: 1, Tenant: "b", Share: 0.5, SubmittedMs: 1}},
+			[]FairRequest{
+				{Precedence: 9, Tenant: "a", AddedShare: 1}, {Precedence: 1, Tenant: "a"},
+				{Precedence: 1, Tenant: "b", Share: 0.5, SubmittedMs: 1},
+			},
 			[]int{0, 2, 1},
 		},
 	} {
@@ -68,7 +79,8 @@
 		var requests []FairRequest
 		for i := range rng.IntN(60) {
 			requests = append(requests, FairRequest{
-				Precedence: rng.Int64N(2), Tenant: fmt.Sprint("t", rng.IntN(4)), AddedShare: float64(rng.IntN(3)), SubmittedMs: rng.Int64N(50), Step: int64(i),
+				Precedence: rng.Int64N(2), Tenant: fmt.Sprint("t", rng.IntN(4)), AddedShare: float64(rng.IntN(3)),
+				SubmittedMs: rng.Int64N(50), Step: int64(i),
 			})
 		}
 		seen, last := map[int]bool{}, map[string]int64{}
--- a/internal/scheduler/health_test.go
+++ b/internal/scheduler/health_test.go
@@ -25,9 +25,15 @@
 		"five failures of six":                 {evidenceOf(0.05, true, true, true, false, true, true), true},
 		"three in a row, where few tasks fail": {evidenceOf(0.02, true, true, true), true},
 		"two in a row":                         {evidenceOf(0.02, true, true), false},
-		"two of ten":                           {evidenceOf(0.05, true, false, false, false, false, true, false, false, false, false), false},
-		"all fail, as on other workers":        {evidenceOf(0.95, true, true, true, true, true, true, true, true, true, true), false},
-		"old successes don't protect":          {evidenceOf(0.05, append(make([]bool, 1000), true, true, true, true, true)...), true},
+		"two of ten": {
+			evidenceOf(0.05, true, false, false, false, false, true, false, false, false, false), false,
+		},
+		"all fail, as on other workers": {
+			evidenceOf(0.95, true, true, true, true, true, true, true, true, true, true), false,
+		},
+		"old successes don't protect": {
+			evidenceOf(0.05, append(make([]bool, 1000), true, true, true, true, true)...), true,
+		},
 	} {
 		t.Run(name, func(t *testing.T) { must.Eq(t, c.conclusive, c.evidence.Conclusive()) })
 	}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -36,7 +36,9 @@
 	all := resource.Amount{CPU: 100_000, Memory: 400_000}
 	s := &HeadroomEstimator{}
 	s.Observe(resource.Amount{CPU: 1}, resource.Amount{}) // no workers yet
-	must.Eq(t, resource.Amount{CPU: DefaultHeadroomPercent, Memory: DefaultHeadroomPercent, GPU: DefaultHeadroomPercent}, s.Percent())
+	must.Eq(t, resource.Amount{
+		CPU: DefaultHeadroomPercent, Memory: DefaultHeadroomPercent, GPU: DefaultHeadroomPercent,
+	}, s.Percent())
 	observe := func(times int, used resource.Amount) {
 		for range times {
 			s.Observe(used, all)
