--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -97,7 +97,7 @@
 	b.counterDaemon, b.counterEpoch, b.reportDue, b.answered = name, epoch, true, true
 }
 
-// Use records the start of a task, by this owner or a former one.
+// Use records the placement of a task, by this owner or a former one.
 func (b *Borrower) Use(tenant string, amount resource.Amount) {
 	a := b.account(tenant)
 	a.used = a.used.Plus(amount)
@@ -187,7 +187,7 @@
 	return resource.Amount{}
 }
 
-// Unreserve releases a part of a reservation when one of its tasks is started.
+// Unreserve releases a part of a reservation when one of its tasks is placed.
 func (b *Borrower) Unreserve(tenant, key string, amount resource.Amount) {
 	a := b.account(tenant)
 	r, ok := a.reserved[key]
--- a/internal/scheduler/assignment.go
+++ b/internal/scheduler/assignment.go
@@ -80,7 +80,7 @@
 // reserves that capacity. It assigns all tasks of a gang or none, in a single rack if the
 // gang requests that and one has the capacity.
 //
-// Example: workers := search.Find(len(open), candidates)
+// Example: workers := assignment.Find(len(open), candidates)
 func (a *Assignment) Find(open int, candidates []*Candidate) []*Candidate {
 	if !a.Group.Gang {
 		return a.fill(open, candidates)
@@ -155,7 +155,7 @@
 // necessary. Queues that are not urgent leave the headroom to urgent ones, unless the task
 // would not fit beside the headroom even on an empty worker.
 //
-// Example: if search.CanPlace(candidate) { … }
+// Example: if assignment.CanPlace(candidate) { … }
 func (a *Assignment) CanPlace(c *Candidate) bool {
 	if a.Reserved[c.Name] || a.Group.MaxPerWorker > 0 && a.TaskCounts[c.Name] >= a.Group.MaxPerWorker {
 		return false
--- a/internal/scheduler/tenantweight.go
+++ b/internal/scheduler/tenantweight.go
@@ -16,9 +16,10 @@
 	buckets map[string]*tokenBucket
 }
 
+// tokenBucket limits the job rate of one tenant.
 type tokenBucket struct {
-	tokens    float64 // that may come at once
-	updatedMs int64   // when that was so
+	tokens    float64 // available tokens, one per job
+	updatedMs int64   // when tokens was last updated
 }
 
 // CountJob counts one job of a tenant that may submit perSecond jobs a second, and reports whether
