--- a/internal/scheduler/assignment.go
+++ b/internal/scheduler/assignment.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// fullShare is all of a worker's room, in the thousandths that a score counts in.
-	fullShare = 1000
-	// What a score adds for a worker where the task starts without a stop, and for one near
-	// its data. Each outweighs all that stands below it.
-	scoreFree = 1 << 40
-	scoreNear = 1 << 30
-	// scoreDoubted is taken off a worker that anything speaks against: it comes after others where
-	// the task starts without a stop, and before those where it doesn't.
-	scoreDoubted = 1 << 35
-	// scoreAvoided is taken off a worker where the task just failed: it comes last.
-	scoreAvoided = 1 << 50
+	// perMille is the unit of the free capacity in a score; a fully free worker scores 1000.
+	perMille = 1000
+	// The bonuses of a worker where the task starts without preempting others, and of one near
+	// its data. Each outweighs the sum of all smaller parts of a score.
+	scoreNoPreemption = 1 << 40
+	scoreNearData     = 1 << 30
+	// suspectPenalty ranks a suspect worker after all others where the task starts without
+	// preemption, but before those where it doesn't.
+	suspectPenalty = 1 << 35
+	// avoidedPenalty ranks a worker where the task just failed last.
+	avoidedPenalty = 1 << 50
 )
 
 // Candidate is a worker as the central scheduler sees it while it assigns tasks.
@@ -28,59 +28,59 @@
 	Name     string
 	Rack     string
 	Capacity resource.Amount
-	// FreeAfterPreemption is the room that no guaranteed task holds. What queueable tasks hold counts as
-	// room, since it can be freed.
+	// FreeAfterPreemption is the capacity that no guaranteed task occupies. It includes the capacity of
+	// queueable tasks, since they can be preempted.
 	FreeAfterPreemption resource.Amount
-	// Free is the room that nothing holds.
+	// Free is the unoccupied capacity.
 	Free resource.Amount
 }
 
-// take has a candidate hold so much more; a negative amount gives room back.
-func (c *Candidate) take(room resource.Amount) {
-	c.FreeAfterPreemption, c.Free = c.FreeAfterPreemption.Minus(room), c.Free.Minus(room)
+// reserve subtracts an amount from the free capacity; a negative amount returns it.
+func (c *Candidate) reserve(amount resource.Amount) {
+	c.FreeAfterPreemption, c.Free = c.FreeAfterPreemption.Minus(amount), c.Free.Minus(amount)
 }
 
-// freeShare is the part of a worker that is free, in thousandths, in its scarcer dimension.
-func (c *Candidate) freeShare() int64 {
-	share := c.Free.CPU * fullShare / max(c.Capacity.CPU, 1)
+// freePerMille returns the free share of a worker in thousandths, the lower of CPU and memory.
+func (c *Candidate) freePerMille() int64 {
+	free := c.Free.CPU * perMille / max(c.Capacity.CPU, 1)
 	if c.Capacity.Memory > 0 {
-		share = min(share, c.Free.Memory*fullShare/c.Capacity.Memory)
+		free = min(free, c.Free.Memory*perMille/c.Capacity.Memory)
 	}
-	return share
+	return free
 }
 
-// Group is what tasks that are alike ask of workers.
+// Group describes identical tasks and their requirements for workers.
 type Group struct {
 	Resources    resource.Amount // of each task
-	Size         int             // tasks in all, placed or not
-	MaxPerWorker int32           // most of them on one worker; 0 for any number
-	Gang         bool            // they start together or not at all
-	SameRack     bool            // a gang that runs longer over several racks
-	DataRack     string          // the rack that holds their data; "" for none
-	Avoid        map[string]bool // workers where some of them just failed
-	Suspect      map[string]bool // workers that anything speaks against
+	Size         int             // total number of tasks, placed or not
+	MaxPerWorker int32           // maximum on one worker; 0 for no limit
+	Gang         bool            // all tasks start together or none does
+	SameRack     bool            // the gang runs longer when spread over several racks
+	DataRack     string          // the rack that holds the data; "" for none
+	Avoid        map[string]bool // workers where tasks of the group just failed
+	Suspect      map[string]bool // workers with some evidence against them
 }
 
-// Assignment searches sure room for the tasks of a group.
+// Assignment assigns workers to the tasks of a group.
 type Assignment struct {
 	Group Group
-	// TaskCounts counts the tasks of the group on each worker. Find adds what it assigns.
+	// TaskCounts is the number of tasks of the group on each worker. Find adds the assigned ones.
 	TaskCounts map[string]int32
-	// Reserved are workers kept for others.
+	// Reserved lists workers that are reserved for other tasks.
 	Reserved map[string]bool
-	// Urgent is work of the most urgent queues: nothing is kept back from it.
+	// Urgent marks tasks of the most urgent queues, which may use the headroom.
 	Urgent bool
-	// HeadroomPercent is the share of each worker, in percent, that other work leaves to urgent work.
+	// HeadroomPercent is the headroom for urgent tasks on each worker, in percent by dimension.
 	HeadroomPercent resource.Amount
-	// WaitsForRack has a gang that asks for one rack take no more, if one could ever hold it.
+	// WaitsForRack makes a gang that requests a single rack wait if some rack could ever hold it.
 	WaitsForRack bool
 }
 
-// Find assigns a worker to each of some open tasks in turn, as far as there is sure room,
-// and takes that room. Of a gang it assigns all or none, in one rack where the gang asks for
-// that and one has the room.
+// Find assigns workers to open tasks one by one while capacity is free or preemptible, and
+// reserves that capacity. It assigns all tasks of a gang or none, in a single rack if the
+// gang requests that and one has the capacity.
 //
-// Example: workers := search.Find(len(open), candidates)
+// Example: workers := assignment.Find(len(open), candidates)
 func (a *Assignment) Find(open int, candidates []*Candidate) []*Candidate {
 	if !a.Group.Gang {
 		return a.fill(open, candidates)
@@ -89,72 +89,73 @@
 		return nil
 	}
 	if a.Group.SameRack {
-		found, able := a.findInOneRack(open, candidates)
-		if found != nil || able && a.WaitsForRack {
+		found, feasible := a.findInOneRack(open, candidates)
+		if found != nil || feasible && a.WaitsForRack {
 			return found
 		}
 	}
-	return a.fillWhole(open, candidates)
+	return a.fillAllOrNone(open, candidates)
 }
 
-// findInOneRack tries each rack, the one near the data first. It tells whether some rack
-// could hold the gang once nothing else is there.
-func (a *Assignment) findInOneRack(open int, candidates []*Candidate) (found []*Candidate, able bool) {
+// findInOneRack tries each rack, the one near the data first. It also reports whether some
+// rack could hold the gang if it were otherwise empty.
+func (a *Assignment) findInOneRack(open int, candidates []*Candidate) (found []*Candidate, feasible bool) {
 	racks := byRack(candidates)
 	names := slices.Sorted(maps.Keys(racks))
 	slices.SortStableFunc(names, func(x, y string) int { return cmp.Compare(a.nearness(y), a.nearness(x)) })
 	for _, name := range names {
-		if found = a.fillWhole(open, racks[name]); found != nil {
+		if found = a.fillAllOrNone(open, racks[name]); found != nil {
 			return found, true
 		}
-		able = able || a.Group.wholeIn(racks[name])
+		feasible = feasible || a.Group.couldHoldAll(racks[name])
 	}
-	return nil, able
+	return nil, feasible
 }
 
-// fillWhole assigns all tasks, or gives all room back.
-func (a *Assignment) fillWhole(open int, candidates []*Candidate) []*Candidate {
+// fillAllOrNone assigns all tasks, or returns the reserved capacity and assigns none.
+func (a *Assignment) fillAllOrNone(open int, candidates []*Candidate) []*Candidate {
 	found := a.fill(open, candidates)
 	if len(found) == open {
 		return found
 	}
 	for _, c := range found {
-		c.take(resource.Amount{}.Minus(a.Group.Resources))
+		c.reserve(resource.Amount{}.Minus(a.Group.Resources))
 		a.TaskCounts[c.Name]--
 	}
 	return nil
 }
 
-// fill takes the best worker for each task in turn, and stops at the first task that has
-// none. An assignment changes the score of its own worker alone, so a heap of scores finds the
-// next one without looking at all workers again.
+// fill assigns the worker with the best score to each task in turn and stops when none is
+// left. An assignment changes only the score of its own worker, so a heap finds the next best
+// worker without a scan of all workers.
 func (a *Assignment) fill(open int, candidates []*Candidate) (found []*Candidate) {
-	best := make(scoreHeap, 0, len(candidates))
+	scores := make(scoreHeap, 0, len(candidates))
 	for i, c := range candidates {
 		if a.CanPlace(c) {
-			best = append(best, scored{a.score(c), i})
+			scores = append(scores, scored{a.score(c), i})
 		}
 	}
-	heap.Init(&best)
-	for len(found) < open && len(best) > 0 {
-		c := candidates[best[0].index]
-		c.take(a.Group.Resources)
+	heap.Init(&scores)
+	for len(found) < open && len(scores) > 0 {
+		c := candidates[scores[0].index]
+		c.reserve(a.Group.Resources)
 		a.TaskCounts[c.Name]++
 		found = append(found, c)
 		if a.CanPlace(c) {
-			best[0].score = a.score(c)
-			heap.Fix(&best, 0)
+			scores[0].score = a.score(c)
+			heap.Fix(&scores, 0)
 		} else {
-			heap.Pop(&best)
+			heap.Pop(&scores)
 		}
 	}
 	return found
 }
 
-// CanPlace tells whether a worker's sure room holds one more. Queues below the most urgent ones
-// leave a part of each worker to those, where they can do without it.
+// CanPlace reports whether a worker can take one more task, preempting queueable tasks if
+// necessary. Queues that are not urgent leave the headroom to urgent ones, unless the task
+// would not fit beside the headroom even on an empty worker.
 //
-// Example: if search.May(candidate) { … }
+// Example: if assignment.CanPlace(candidate) { … }
 func (a *Assignment) CanPlace(c *Candidate) bool {
 	if a.Reserved[c.Name] || a.Group.MaxPerWorker > 0 && a.TaskCounts[c.Name] >= a.Group.MaxPerWorker {
 		return false
@@ -165,26 +166,26 @@
 	if a.Urgent {
 		return true
 	}
-	kept := UrgentHeadroom(c.Capacity, resource.Amount{}, a.HeadroomPercent)
-	needsAll := !a.Group.Resources.Fits(c.Capacity.Minus(kept))
-	return needsAll || a.Group.Resources.Fits(c.FreeAfterPreemption.Minus(kept))
+	headroom := UrgentHeadroom(c.Capacity, resource.Amount{}, a.HeadroomPercent)
+	needsHeadroom := !a.Group.Resources.Fits(c.Capacity.Minus(headroom))
+	return needsHeadroom || a.Group.Resources.Fits(c.FreeAfterPreemption.Minus(headroom))
 }
 
-// score prefers a worker that is free without a stop, then one near the data, then the
-// emptiest; one that just failed the task comes last.
+// score prefers workers where the task starts without preemption, then workers near its data,
+// then the one with the most free capacity. A worker where the task just failed comes last.
 func (a *Assignment) score(c *Candidate) int64 {
-	score := c.freeShare()
+	score := c.freePerMille()
 	if a.Group.Resources.Fits(c.Free) {
-		score += scoreFree
+		score += scoreNoPreemption
 	}
 	if a.nearness(c.Rack) > 0 {
-		score += scoreNear
+		score += scoreNearData
 	}
 	if a.Group.Suspect[c.Name] {
-		score -= scoreDoubted
+		score -= suspectPenalty
 	}
 	if a.Group.Avoid[c.Name] {
-		score -= scoreAvoided
+		score -= avoidedPenalty
 	}
 	return score
 }
@@ -196,64 +197,66 @@
 	return 0
 }
 
-// LikeliestRack gives the workers of the rack that has sure room for most of a gang already,
-// of those racks that could hold all of it and are not reserved; nil for none.
+// LikeliestRack returns the workers of the rack that can hold the most tasks of a gang now,
+// among the racks whose unreserved workers could hold all of it if they were otherwise empty;
+// nil if there is no such rack.
 //
 // Example: likely := group.LikeliestRack(candidates, reserved)
 func (g *Group) LikeliestRack(candidates []*Candidate, reserved map[string]bool) (best []*Candidate) {
 	isReserved := func(c *Candidate) bool { return reserved[c.Name] }
 	racks := byRack(slices.DeleteFunc(slices.Clone(candidates), isReserved))
-	mostHeld := int64(-1)
+	mostPlaceable := int64(-1)
 	for _, name := range slices.Sorted(maps.Keys(racks)) {
-		if !g.wholeIn(racks[name]) {
+		if !g.couldHoldAll(racks[name]) {
 			continue
 		}
-		held := int64(0)
+		placeable := int64(0)
 		for _, c := range racks[name] {
-			held += g.timesAt(c.FreeAfterPreemption)
+			placeable += g.tasksFitting(c.FreeAfterPreemption)
 		}
-		if held > mostHeld {
-			best, mostHeld = racks[name], held
+		if placeable > mostPlaceable {
+			best, mostPlaceable = racks[name], placeable
 		}
 	}
 	return best
 }
 
-// wholeIn tells whether workers hold all tasks of a group once nothing else is there.
-func (g *Group) wholeIn(candidates []*Candidate) bool {
-	times := int64(0)
+// couldHoldAll reports whether the workers could hold all tasks of a group if they were empty.
+func (g *Group) couldHoldAll(candidates []*Candidate) bool {
+	count := int64(0)
 	for _, c := range candidates {
-		times += g.timesAt(c.Capacity)
+		count += g.tasksFitting(c.Capacity)
 	}
-	return times >= int64(g.Size)
+	return count >= int64(g.Size)
 }
 
-// timesAt is how many tasks of a group some room of one worker holds.
-func (g *Group) timesAt(room resource.Amount) int64 {
-	times := FitCount(g.Resources, room)
+// tasksFitting returns how many tasks of a group fit into some capacity of one worker.
+func (g *Group) tasksFitting(capacity resource.Amount) int64 {
+	count := FitCount(g.Resources, capacity)
 	if g.MaxPerWorker > 0 {
-		times = min(times, int64(g.MaxPerWorker))
+		count = min(count, int64(g.MaxPerWorker))
 	}
-	return times
+	return count
 }
 
-// manyTimes stands for any number: what needs no room fits as often.
-const manyTimes = 1 << 20
+// unlimitedFit is the result of FitCount for an empty amount.
+const unlimitedFit = 1 << 20
 
-// FitCount is how often some room fits into another.
+// FitCount returns how many times a unit fits into some capacity.
 //
 // Example: FitCount(resource.Amount{CPU: 2}, resource.Amount{CPU: 5}) is 2
-func FitCount(room, in resource.Amount) int64 {
-	times, wanted, had := int64(manyTimes), parts(room), parts(in)
-	for i := range wanted {
-		if wanted[i] > 0 {
-			times = min(times, had[i]/wanted[i])
+func FitCount(unit, capacity resource.Amount) int64 {
+	count, needed, available := int64(unlimitedFit), components(unit), components(capacity)
+	for i := range needed {
+		if needed[i] > 0 {
+			count = min(count, available[i]/needed[i])
 		}
 	}
-	return times
+	return count
 }
 
-// IdleInSomeDimension tells whether, in some dimension, no more than a share of all room is in use.
+// IdleInSomeDimension reports whether, in some dimension, less than busyPercent of the total
+// capacity is in use.
 //
 // Example: idle := scheduler.IdleInSomeDimension(candidates, 55)
 func IdleInSomeDimension(candidates []*Candidate, busyPercent int64) bool {
@@ -265,8 +268,8 @@
 	return free.CPU > idle.CPU || free.Memory > idle.Memory || free.GPU > idle.GPU
 }
 
-// IdleInAllDimensions tells whether, in every dimension that workers have, no more than a share of
-// all room is in use: then even room that is kept for others may go.
+// IdleInAllDimensions reports whether, in every dimension, at most busyPercent of the total
+// capacity is in use. Then even capacity that is reserved for others may be used.
 //
 // Example: idle := scheduler.IdleInAllDimensions(candidates, 55)
 func IdleInAllDimensions(candidates []*Candidate, busyPercent int64) bool {
@@ -277,7 +280,7 @@
 	return len(candidates) > 0 && all.Share(100-busyPercent).Fits(free)
 }
 
-// byRack groups workers by the rack they are in.
+// byRack groups workers by rack.
 func byRack(candidates []*Candidate) map[string][]*Candidate {
 	racks := map[string][]*Candidate{}
 	for _, c := range candidates {
@@ -286,13 +289,13 @@
 	return racks
 }
 
-// scored is a candidate by its position, with its score.
+// scored is the index of a candidate and its score.
 type scored struct {
 	score int64
 	index int
 }
 
-// scoreHeap has the best score on top; of equal ones the first candidate.
+// scoreHeap is a max-heap by score; of equal scores the lowest index comes first.
 type scoreHeap []scored
 
 func (h scoreHeap) Len() int      { return len(h) }
@@ -301,10 +304,10 @@
 	return h[i].score > h[j].score || h[i].score == h[j].score && h[i].index < h[j].index
 }
 
-// Push is part of heap.Interface; nothing is ever pushed.
+// Push implements heap.Interface; it is never called.
 func (h *scoreHeap) Push(x any) { *h = append(*h, x.(scored)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (h *scoreHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
--- a/internal/scheduler/choice.go
+++ b/internal/scheduler/choice.go
@@ -6,71 +6,72 @@
 )
 
 const (
-	// kMost is the design's k: the most workers a queueable task is drawn among.
-	kMost = 50
-	// kLeast is the fewest; between them a quarter of the allowed ones. Source: docs/rounds.md.
-	kLeast   = 3
-	kQuarter = 4
+	// A queueable task is assigned to a random one of k workers: a quarter of the allowed ones,
+	// at least minDrawn and at most maxDrawn. Source: docs/rounds.md.
+	maxDrawn     = 50
+	minDrawn     = 3
+	drawnDivisor = 4
 )
 
-// Penalties is a set of reasons to give a task to another worker, as long as there is one. A higher
-// bit counts for more than all lower ones together.
+// Penalty is a set of penalties of a worker. The task goes to a worker with fewer penalties if
+// there is one. A higher bit outweighs all lower bits together.
 type Penalty uint8
 
-// The reasons, the weightiest last.
+// The penalties, in ascending order of weight.
 const (
-	PenaltyFarFromData  Penalty = 1 << iota // it is not in the rack that holds the task's data
-	PenaltyJobFailed                        // other tasks of the job failed there lately
-	PenaltySuspect                          // some failures speak against it, and the task may fail no more
-	PenaltyFull                             // the task would wait there, even if batches made room
-	PenaltyHeadroomOnly                     // it has no room now that the task's queue may take
+	PenaltyFarFromData  Penalty = 1 << iota // not in the rack that holds the task's data
+	PenaltyJobFailed                        // other tasks of the job failed there recently
+	PenaltySuspect                          // some failures count against the worker, and the task is on its last attempt
+	PenaltyFull                             // the task would have to wait there, even if batch tasks were preempted
+	PenaltyHeadroomOnly                     // no free capacity outside the headroom that the task's queue must not use
 	PenaltyLastFailed                       // the task last failed there
-	PenaltySilent                           // nothing was heard of it just now
-	PenaltyUnhealthy                        // it fails or lags
+	PenaltySilent                           // no recent heartbeat
+	PenaltyUnhealthy                        // it fails or lags far more than others
 )
 
-// QueueCandidate is a worker that a queueable task may go to, as its local scheduler sees it.
+// QueueCandidate is a candidate worker for a queueable task, as the local scheduler sees it.
 type QueueCandidate struct {
 	Name      string
 	RankMs    int64
 	Penalties Penalty
-	// QueueFull says that as many tasks wait there as a scheduler may send.
+	// QueueFull means that the worker's queue holds as many tasks as a scheduler may send.
 	QueueFull bool
 }
 
-// ChooseWorker draws a worker for a queueable task: at random among the k of lowest rank, of those
-// that there is least reason to shun. It gives its position, -1 for none, and how many it
-// drew among. Where k is 0 it is a quarter of the workers, within bounds; a k below 0 draws
-// among all. Workers stand in the order of their names, which decides between equal ranks.
+// ChooseWorker draws a worker for a queueable task at random among the k of lowest rank,
+// considering only the workers with the least penalty. It returns the index of the worker, or
+// -1 if there is none, and the number of workers it drew among. If k is 0, a quarter of the
+// workers is used, within bounds; if k is negative, all are. Workers must be sorted by name;
+// equal ranks are ordered by name.
 //
-// Example: at, among := scheduler.Choose(workers, 0, random.IntN)
-func ChooseWorker(workers []QueueCandidate, k int, intN func(int) int) (at, among int) {
-	list := leastShunned(workers)
-	if len(list) == 0 {
+// Example: index, drawnAmong := scheduler.ChooseWorker(workers, 0, random.IntN)
+func ChooseWorker(workers []QueueCandidate, k int, intN func(int) int) (index, drawnAmong int) {
+	positions := leastPenalized(workers)
+	if len(positions) == 0 {
 		return -1, 0
 	}
-	slices.SortStableFunc(list, func(a, b int) int { return cmp.Compare(workers[a].RankMs, workers[b].RankMs) })
+	slices.SortStableFunc(positions, func(a, b int) int { return cmp.Compare(workers[a].RankMs, workers[b].RankMs) })
 	switch {
 	case k < 0:
-		k = len(list)
+		k = len(positions)
 	case k == 0:
-		k = min(max(len(list)/kQuarter, kLeast), kMost)
+		k = min(max(len(positions)/drawnDivisor, minDrawn), maxDrawn)
 	}
-	list = list[:min(k, len(list))]
-	return list[intN(len(list))], len(list)
+	positions = positions[:min(k, len(positions))]
+	return positions[intN(len(positions))], len(positions)
 }
 
-// leastShunned gives the positions of the workers that there is least reason to shun. Of those,
-// the ones whose queue is full are left out: queues are bounded, and so is what is sent to them.
-func leastShunned(workers []QueueCandidate) (list []int) {
+// leastPenalized returns the indices of the workers with the least penalty, without those whose
+// queue is full: it doesn't fall back to more penalized workers then, so that queues stay bounded.
+func leastPenalized(workers []QueueCandidate) (positions []int) {
 	least := Penalty(0)
 	for i, w := range workers {
 		switch {
 		case i == 0 || w.Penalties < least:
-			least, list = w.Penalties, append(list[:0], i)
+			least, positions = w.Penalties, append(positions[:0], i)
 		case w.Penalties == least:
-			list = append(list, i)
+			positions = append(positions, i)
 		}
 	}
-	return slices.DeleteFunc(list, func(i int) bool { return workers[i].QueueFull })
+	return slices.DeleteFunc(positions, func(i int) bool { return workers[i].QueueFull })
 }
--- a/internal/scheduler/estimate_test.go
+++ b/internal/scheduler/estimate_test.go
@@ -21,8 +21,8 @@
 	must.InDelta(t, 200, mean, 1)
 }
 
-// What was seen here lately counts more than what others tell, for so long.
-func TestEstimatesAdopt(t *testing.T) {
+// A value from another daemon replaces a local one only after the local one is old enough.
+func TestEstimatesMergeRemote(t *testing.T) {
 	var e Estimates
 	e.MergeRemote("q/t", 50, 1000, 500)
 	mean, _ := e.Mean("q/t")
@@ -37,14 +37,14 @@
 	must.Eq(t, 900.0, mean)
 }
 
-// Each is told once, some at a time; what others told isn't told again.
-func TestEstimatesUnshared(t *testing.T) {
+// Each change is shared once, in limited batches; values from other daemons are not shared again.
+func TestEstimatesTakeUnshared(t *testing.T) {
 	var e Estimates
 	e.MergeRemote("told", 1, 1000, 10)
-	for i := range estimatesShared + 3 {
+	for i := range maxSharedPerRound + 3 {
 		e.Learn(fmt.Sprintf("name-%04d", i), 1, 1)
 	}
-	must.Len(t, estimatesShared, e.TakeUnshared())
+	must.Len(t, maxSharedPerRound, e.TakeUnshared())
 	must.Len(t, 3, e.TakeUnshared())
 	must.SliceEmpty(t, e.TakeUnshared())
 	e.Learn("name-0000", 2, 2)
@@ -53,10 +53,10 @@
 
 func TestEstimatesAreBounded(t *testing.T) {
 	var e Estimates
-	for i := range estimatesMost + 5 {
+	for i := range maxEstimates + 5 {
 		e.Learn(fmt.Sprint(i), 1, int64(i+1))
 	}
-	must.Eq(t, estimatesMost, e.Len())
+	must.Eq(t, maxEstimates, e.Len())
 	_, known := e.Mean("4")
 	must.False(t, known)
 	_, known = e.Mean("5")
--- a/internal/scheduler/tenantweight.go
+++ b/internal/scheduler/tenantweight.go
@@ -1,54 +1,54 @@
 package scheduler
 
 const (
-	// weightBurstMs is how much of its rate a tenant may save up: jobs come in clusters, and a
-	// short one is not an excess.
-	weightBurstMs = 1000
-	// weightBurstLeast is what the smallest tenant may save up, in jobs.
-	weightBurstLeast = 5
-	// excessDemotion is above any queue's urgency.
+	// burstWindowMs is the time at a tenant's rate that fills its token bucket: jobs arrive in
+	// clusters, and a short cluster is not an excess.
+	burstWindowMs = 1000
+	// minBurstJobs is the minimum size of a token bucket.
+	minBurstJobs = 5
+	// excessDemotion is larger than any queue's urgency.
 	excessDemotion = 1 << 32
 )
 
-// JobRates tells which jobs of tenants come beyond the tenants' rates. Each tenant has a token
-// bucket, which is full at first. The zero value is ready.
+// JobRates detects jobs that exceed the rates of their tenants. Each tenant has a token bucket,
+// which is full at first. The zero value is ready to use.
 type JobRates struct {
-	buckets map[string]*jobBucket
+	buckets map[string]*tokenBucket
 }
 
-type jobBucket struct {
-	jobs float64 // that may come at once
-	atMs int64   // when that was so
+// tokenBucket limits the job rate of one tenant.
+type tokenBucket struct {
+	tokens    float64 // available tokens, one per job
+	updatedMs int64   // when tokens was last updated
 }
 
-// CountJob counts one job of a tenant that may send perSecond jobs a second, and tells whether it
-// is beyond that. A job that is beyond takes nothing from those that follow. A tenant whose rate
-// is 0 has none.
+// CountJob counts one job of a tenant that may submit perSecond jobs a second, and reports whether
+// the job exceeds that rate. Such a job takes no token. With a rate of 0 no job is in excess.
 //
 // Example: excess := rates.CountJob("kaje80", weight/shards, nowMs)
 func (r *JobRates) CountJob(tenant string, perSecond float64, nowMs int64) bool {
 	if perSecond <= 0 {
 		return false
 	}
-	burst := max(perSecond*weightBurstMs/1000, weightBurstLeast)
+	burst := max(perSecond*burstWindowMs/1000, minBurstJobs)
 	b := r.buckets[tenant]
 	if b == nil {
 		if r.buckets == nil {
-			r.buckets = map[string]*jobBucket{}
+			r.buckets = map[string]*tokenBucket{}
 		}
-		b = &jobBucket{jobs: burst, atMs: nowMs}
+		b = &tokenBucket{tokens: burst, updatedMs: nowMs}
 		r.buckets[tenant] = b
 	}
-	b.jobs = min(b.jobs+perSecond*float64(max(nowMs-b.atMs, 0))/1000, burst)
-	b.atMs = max(b.atMs, nowMs)
-	if b.jobs < 1 {
+	b.tokens = min(b.tokens+perSecond*float64(max(nowMs-b.updatedMs, 0))/1000, burst)
+	b.updatedMs = max(b.updatedMs, nowMs)
+	if b.tokens < 1 {
 		return true
 	}
-	b.jobs--
+	b.tokens--
 	return false
 }
 
-// Precedence ranks tasks by their queue's urgency, but those of excess jobs below all others.
+// Precedence ranks tasks by the urgency of their queue, with tasks of excess jobs below all others.
 //
 // Example: slices.SortFunc(tasks, func(a, b task) int { return cmp.Compare(rank(b), rank(a)) })
 func Precedence(urgency int64, excess bool) int64 {
--- a/internal/scheduler/urgentroom.go
+++ b/internal/scheduler/urgentroom.go
@@ -3,74 +3,81 @@
 import "otterchute/internal/resource"
 
 const (
-	// DefaultHeadroomPercent is the share of each worker that is kept for the most urgent queues
-	// while nobody has seen what they use.
+	// DefaultHeadroomPercent is the headroom on each worker for the most urgent queues before
+	// their usage has been observed.
 	DefaultHeadroomPercent = 12
-	// urgentLeast and urgentMost bound what is kept, in percent: a queue that rests still
-	// finds room for a few tasks, and one that floods the fleet leaves others most of it.
-	urgentLeast = 6
-	urgentMost  = 40
-	// urgentMargin, in percent of what is used, and urgentSlack, in percent of all room, stand
-	// for what arrivals vary by and how unevenly they meet workers.
-	urgentMargin = 25
-	urgentSlack  = 4
-	// The mean follows a rise of use within about two seconds and a fall within four, at ten
-	// observations a second: a wave finds room, and does not keep it for long from others.
-	urgentRise = 0.05
-	urgentFall = 0.025
+	// The bounds of the headroom: an inactive queue can still start a few tasks at once, and one
+	// that floods the fleet leaves most of it to others.
+	minHeadroomPercent = 6
+	maxHeadroomPercent = 40
+	// The margin, relative to the observed usage, and the slack, in percent of the total capacity,
+	// cover variations of the arrivals and their uneven distribution over workers.
+	headroomMarginPercent = 25
+	headroomSlackPercent  = 4
+	// With ten observations a second, the mean follows a rise of usage within about two seconds
+	// and a fall within four: a surge finds capacity and doesn't withhold it from others for long.
+	riseWeight = 0.05
+	fallWeight = 0.025
 )
 
-// HeadroomEstimator follows how much of all room the most urgent queues use and says how much of
-// each worker is kept for them, by dimension. Its zero value keeps DefaultHeadroomPercent.
+// HeadroomEstimator tracks the share of the total capacity that the most urgent queues use, and
+// derives the headroom to keep for them on each worker, by dimension. The zero value returns
+// DefaultHeadroomPercent.
 type HeadroomEstimator struct {
-	used  [dimensions]float64 // mean share of all room, in percent
-	known bool
+	used     [dimensionCount]float64 // moving average, in percent of the total capacity
+	observed bool
 }
 
-// dimensions of an amount: processor, memory, accelerators.
-const dimensions = 3
+// dimensionCount is the number of dimensions of an amount: CPU, memory, GPU.
+const dimensionCount = 3
 
-func parts(a resource.Amount) [dimensions]int64 { return [dimensions]int64{a.CPU, a.Memory, a.GPU} }
+func components(a resource.Amount) [dimensionCount]int64 {
+	return [dimensionCount]int64{a.CPU, a.Memory, a.GPU}
+}
 
-// Observe takes what the urgent queues hold, or wait for, of all room, ten times a second.
+// Observe adds the capacity that tasks of urgent queues use or wait for, and the total capacity.
+// It must be called ten times a second.
 func (s *HeadroomEstimator) Observe(used, all resource.Amount) {
-	u, a := parts(used), parts(all)
+	usedParts, allParts := components(used), components(all)
 	for i := range s.used {
-		if a[i] <= 0 {
+		if allParts[i] <= 0 {
 			continue
 		}
-		share, weight := 100*float64(u[i])/float64(a[i]), urgentFall
+		share, weight := 100*float64(usedParts[i])/float64(allParts[i]), fallWeight
 		switch {
-		case !s.known:
+		case !s.observed:
 			weight = 1
 		case share > s.used[i]:
-			weight = urgentRise
+			weight = riseWeight
 		}
 		s.used[i] += weight * (share - s.used[i])
 	}
-	s.known = s.known || all != (resource.Amount{})
+	s.observed = s.observed || all != (resource.Amount{})
 }
 
-// Percent is the share of each dimension of a worker to keep.
+// Percent returns the headroom to keep on each worker, in percent by dimension.
 func (s *HeadroomEstimator) Percent() resource.Amount {
-	if !s.known {
+	if !s.observed {
 		return resource.Amount{CPU: DefaultHeadroomPercent, Memory: DefaultHeadroomPercent, GPU: DefaultHeadroomPercent}
 	}
-	keep := func(i int) int64 {
-		return min(max(int64(s.used[i]*(100+urgentMargin)/100+urgentSlack), urgentLeast), urgentMost)
+	percent := func(i int) int64 {
+		return min(
+			max(int64(s.used[i]*(100+headroomMarginPercent)/100+headroomSlackPercent), minHeadroomPercent),
+			maxHeadroomPercent,
+		)
 	}
-	return resource.Amount{CPU: keep(0), Memory: keep(1), GPU: keep(2)}
+	return resource.Amount{CPU: percent(0), Memory: percent(1), GPU: percent(2)}
 }
 
-// UrgentHeadroom is the room of a worker that other queues leave to the urgent ones: the kept
-// share, in percent by dimension, without what the urgent ones use there already.
+// UrgentHeadroom returns the capacity of a worker that other queues must leave to the urgent ones:
+// the given percentage of each dimension, less what the urgent ones already use there.
 //
-// Example: free = free.Minus(scheduler.UrgentHeadroom(capacity, urgent, percent))
+// Example: free = free.Minus(scheduler.UrgentHeadroom(capacity, urgentUsed, percent))
 func UrgentHeadroom(capacity, urgentUsed, percent resource.Amount) resource.Amount {
-	keep := func(all, used, share int64) int64 { return max(all*share/100-used, 0) }
+	unusedShare := func(all, used, share int64) int64 { return max(all*share/100-used, 0) }
 	return resource.Amount{
-		CPU:    keep(capacity.CPU, urgentUsed.CPU, percent.CPU),
-		Memory: keep(capacity.Memory, urgentUsed.Memory, percent.Memory),
-		GPU:    keep(capacity.GPU, urgentUsed.GPU, percent.GPU),
+		CPU:    unusedShare(capacity.CPU, urgentUsed.CPU, percent.CPU),
+		Memory: unusedShare(capacity.Memory, urgentUsed.Memory, percent.Memory),
+		GPU:    unusedShare(capacity.GPU, urgentUsed.GPU, percent.GPU),
 	}
 }
