--- a/internal/daemon/job_request.go
+++ b/internal/daemon/job_request.go
@@ -36,7 +36,7 @@
 }
 
 // handleSubmit handles the submission of a job. Repeated submissions of the same job are idempotent: they get its
-// state. An ID that isn't known here is first looked up in the core, since its job may have ended long ago.
+// state. An ID that isn't in memory is first looked up in the core, since its job may have ended long ago.
 func (n *node) handleSubmit(shard *ownedShard, req *request) {
 	if job := shard.jobs[req.key]; job != nil {
 		parsed, faults := parseJob(req.key, req.queue, req.body)
@@ -198,8 +198,8 @@
 	job.waiters = kept
 }
 
-// handleGet responds with a job's description, once its record is committed for the first time. A job that isn't known
-// here is read from the core.
+// handleGet responds with a job's description, once its record is committed for the first time. A job that isn't in
+// memory is read from the core.
 func (n *node) handleGet(shard *ownedShard, req *request) {
 	if job := shard.jobs[req.key]; job != nil {
 		if n.respondIfHidden(req, &job.jobRecord) {
@@ -241,7 +241,7 @@
 	n.whenCommitted(job, waiter{version: version, request: req, status: 200})
 }
 
-// state returns the job's state for API responses: pending until one of its tasks has run.
+// state returns the job's state for API responses: pending until one of its tasks is reported as running or ended.
 func (j *liveJob) state() string {
 	if j.State != jobRunning {
 		return j.State.String()
@@ -285,7 +285,7 @@
 	n.whenCommitted(job, waiter{version: job.Version, request: req, status: 200})
 }
 
-// cancelTasks cancels the pending tasks of a job, and tells the agents of the placed ones to drop their attempts.
+// cancelTasks cancels the pending tasks of a job, and sends the agents of the placed ones decisions to drop them.
 func (n *node) cancelTasks(shard *ownedShard, job *liveJob) {
 	n.markDirty(shard, job)
 	for i := range job.Tasks {
--- a/internal/daemon/reconcile.go
+++ b/internal/daemon/reconcile.go
@@ -11,7 +11,7 @@
 
 const (
 	recallAfterMs      = 150  // a task queued this long at its worker is recalled if another worker could start it at once
-	gangStartTimeoutMs = 2000 // a gang that hasn't started completely by then is restarted
+	gangStartTimeoutMs = 2000 // a gang not fully running by then is restarted, so that no member idles for long
 )
 
 // onAgentReport reconciles a shard's tasks with an agent's report: it records the ends of attempts, decides which of
--- a/internal/daemon/shard.go
+++ b/internal/daemon/shard.go
@@ -17,7 +17,7 @@
 	finishedMax        = 5000     // finished jobs an owner keeps in memory
 	shardJobsMax       = 4000     // live jobs a shard may have; see urgentSharePercent
 	urgentSharePercent = 25       // percent of a shard's jobs kept for queues above the lowest urgency
-	shardBytesMax      = 24 << 20 // encoded size of a shard's live jobs; a seal response must fit into a frame
+	shardBytesMax      = 24 << 20 // encoded bytes of a shard's live jobs; a seal response must fit into a frame
 )
 
 // ownedShard is a shard of the jobs whose lease this daemon holds. Only the owner changes the
@@ -31,7 +31,7 @@
 	// The state of a takeover.
 	sealedRecords  map[string]map[string]statestore.Record // core member -> its live records
 	sealSentMs     int64
-	missingRecords map[string]map[string]bool // members that have not responded to a fetch of records they lacked
+	missingRecords map[string]map[string]bool // members with a pending fetch of records missing from their seals
 	missingFetches map[uint64]string          // operation ID of such a fetch -> member
 	mergedRecords  map[string]statestore.Record
 	// lastCompleteEpoch is the epoch of the last owner that had committed all live jobs under its epoch.
@@ -258,7 +258,7 @@
 }
 
 // endShard drops a shard whose lease has ended. Requests that wait for a commit are rejected with an unknown outcome;
-// requests that wait for a read of the core changed nothing and are retried as plain reads.
+// requests that wait for a read of the core changed nothing: plain reads go to the core again, others are rejected.
 func (n *node) endShard(name string) {
 	shard := n.shards[name]
 	if shard == nil {
--- a/internal/daemon/shard_write.go
+++ b/internal/daemon/shard_write.go
@@ -81,13 +81,13 @@
 }
 
 // add puts a job's current record into the batch, and a patch if the members are expected to have the version before.
-func (batch *writeBatch) add(epoch uint64, job *liveJob) {
+func (b *writeBatch) add(epoch uint64, job *liveJob) {
 	record := statestore.Record{ID: job.ID, Epoch: epoch, Version: job.Version, Live: job.DoneMs == 0, DoneMs: job.DoneMs}
 	value := job.encodeSegmented()
 	record.Value = value.Value
-	batch.records = append(batch.records, record)
+	b.records = append(b.records, record)
 	if splices, ok := statestore.Diff(job.sent, value); ok && record.Live && job.sentVersion != 0 {
-		batch.patches[job.ID] = statestore.Patch{
+		b.patches[job.ID] = statestore.Patch{
 			ID: job.ID, Epoch: epoch, Base: job.sentVersion, Version: job.Version,
 			Splices: splices, Checksum: statestore.Checksum(value.Value),
 		}
