--- a/internal/daemon/job.go
+++ b/internal/daemon/job.go
@@ -213,7 +213,7 @@
 
 func (t *task) isTerminal() bool { return t.State >= taskEnded }
 
-// stepReady tells for each step of each round held whether all it waits on
+// readySteps tells for each step of each round held whether all it waits on
 // ended well, and durably: at (round - Begun) x steps + step.
 func (j *jobRecord) readySteps(committed int64) []bool {
 	rounds := max(int(j.RoundsOpened-j.FirstOpenRound), 1)
@@ -239,7 +239,7 @@
 	return ready
 }
 
-// stepIndex is where a task's step and round stand in stepReady.
+// stepIndex is where a task's step and round stand in readySteps.
 func (j *jobRecord) stepIndex(t *task) int {
 	return int(t.Round-j.FirstOpenRound)*len(j.Steps) + int(t.Step)
 }
