--- a/guards.sh
+++ b/guards.sh
@@ -43,20 +43,20 @@
 overtaken polls change nothing|internal/lease/granter.go|p.incarnation == m.Incarnation && m.Seq < p.seq|p.incarnation == m.Incarnation && false
 passed epochs are not renewed|internal/lease/granter.go|if r.Epoch != 0 && r.Epoch < last.Epoch {|if false {
 leases end with their incarnation|internal/daemon/host.go|n.leases.Lose(role, "incarnation_raised")|_ = role
-a start takes no older set|internal/daemon/core_set.go|c.Version < n.store.CoreSet().Version {|false {
+a start takes no older set|internal/daemon/core_set.go|set.Version < n.store.CoreSet().Version {|false {
 reads by a later poll|internal/daemon/config_state.go|return n.config.confirmedPoll > req.pollsBefore|return n.config.confirmedMs >= req.receivedMs
 reads are checked after a freeze|internal/daemon/config_state.go|confirmedPoll > req.pollsBefore && n.configFresh()|confirmedPoll > req.pollsBefore
 copied before joining|internal/membership/learner.go|if len(l.copied) >= need {|if true {
 a copy begins again after a restart|internal/membership/learner.go|if at.Instance != instance {|if at.Shard == "" {
 a job ends at a known time|internal/daemon/job_schedule.go|return // how long the job is kept|wall = 1 // how long the job is kept
 finished jobs go by the time of a majority|internal/daemon/core_member.go|if n.leases.Clock().Readings() < n.core.Majority() {|if false {
-a told end is not taken back|internal/daemon/request.go|if !n.answeredByFullSet(r) {|if false {
+a told end is not taken back|internal/daemon/request.go|if !n.answeredByFullSet(read) {|if false {
 copied from a majority|internal/membership/learner.go|if len(l.copied) >= need {|if len(l.copied) >= 1 {
-an acknowledgement belongs to its set|internal/daemon/core_set.go|b.acked, b.sentMs = map[string]bool{}, 0|b.sentMs = 0
+an acknowledgement belongs to its set|internal/daemon/core_set.go|write.acked, write.sentMs = map[string]bool{}, 0|write.sentMs = 0
 unknown queues by a newer setup|internal/daemon/request_address.go|case !ok && n.configConfirmedSince(req):|case !ok:
 one vote for a disk|internal/membership/formation.go|case store.Cluster() != 0 \|\| core != 0: // bound to another|case false:
-a response belongs to its instance|internal/daemon/identity.go|if head.To == n.Instance {|if true {
-a request belongs to its addressee|internal/daemon/identity.go|case head.To == addressOf(n.Name), |case true, 
+a response belongs to its instance|internal/daemon/identity.go|if header.To == n.Instance {|if true {
+a request belongs to its addressee|internal/daemon/identity.go|case header.To == addresseeID(n.Name), |case true, 
 not taken only when surely so|internal/daemon/request.go|r.queue == "" \|\| !r.maybeApplied|true
 an answer belongs to its try|internal/register/proposer.go|o.phase != preparing \|\| m.Ballot != o.Ballot|o.phase != preparing
 an acceptance belongs to its try|internal/register/proposer.go|o.phase != accepting \|\| m.Ballot != o.Ballot|o.phase != accepting
@@ -67,9 +67,9 @@
 the highest accepted value goes on|internal/register/proposer.go|if o.accepted.Less(m.Accepted) {|if o.accepted.IsZero() {
 acceptors answer for their set|internal/register/acceptor.go|m.SetVersion != setVersion {|false {
 what is kept stands at a majority|internal/register/proposer.go|if !o.split {|if true {
-an answer leaves after its write is synced|internal/daemon/registers.go|n.persist([]statestore.Entry{entry}, n.sendEffect(to, answer))|n.persist([]statestore.Entry{entry})\n\tn.send(to, answer)
+an answer leaves after its write is synced|internal/daemon/registers.go|n.persist([]statestore.Entry{entry}, n.sendEffect(to, response))|n.persist([]statestore.Entry{entry})\n\tn.send(to, response)
 an order is known again|internal/configuration/history.go|found = o == id|found = false
-an order that was forgotten is not refused|internal/daemon/config_change.go|if !cur.AcceptedChanges.Covers(o.changeID) {|if false {
+an order that was forgotten is not refused|internal/daemon/config_change.go|if !record.AcceptedChanges.Covers(change.changeID) {|if false {
 orders have the base in their identity|internal/configuration/history.go|id := ChangeID{Version: base + int64(rise), Base: base}|id := ChangeID{Version: base + int64(rise)}
 a refusal is written back|internal/register/proposer.go|\t\to.atEnd = Refused\n|\t\to.outcome = Refused\n\t\treturn nil\n
 a leaving member waits for its successor|internal/daemon/roles.go|if n.leavingSinceMs == 0 \|\| n.members.AwaitsSuccessor() {|if n.leavingSinceMs == 0 {
@@ -80,8 +80,8 @@
 a member that restarts keeps its slot|internal/membership/slots.go|unresponsive && silentMs > UnresponsiveMs|(unresponsive \|\| true) && silentMs > cluster.RoundMs
 a former member starts over|internal/membership/learner.go|if m.host.Store().CoreSet().Has(m.name, self.DiskID) {|if false {
 a failed disk stops voting|internal/daemon/core_set.go|n.store != nil && n.diskFailed == "" && n.store.Cluster()|n.store != nil && n.store.Cluster()
-a newcomer grants no lease before its set is full|internal/daemon/core_set.go|(!was \|\| fillsUp)|(!was \|\| fillsUp && false)
-a member's silence counts since it joined|internal/daemon/core_set.go|\tn.leases.OnCoreSet(before, c)|\t_ = before
+a newcomer grants no lease before its set is full|internal/daemon/core_set.go|(!wasMember \|\| completesSet)|(!wasMember \|\| completesSet && false)
+a member's silence counts since it joined|internal/daemon/core_set.go|\tn.leases.OnCoreSet(previous, set)|\t_ = previous
 a change begins anew under another set|internal/daemon/core_set.go|	n.restartChanges()|
 void live records are not loaded|internal/daemon/shard_takeover.go|if r.Live && r.Epoch < shard.lastCompleteEpoch {|if r.Live && false {
 void live records are not finished jobs|internal/daemon/shard_read.go|if f.newest.Live {|if false {
@@ -117,7 +117,7 @@
 tasks placed by a higher limit are not started|internal/daemon/agent_dispatch.go|if n.limits.Outdated(attempt.spec.Tenant, attempt.spec.LimitVersion) {|if false {
 an owner counts what is placed|internal/daemon/shard.go|\t\ts.shares.use(job.Tenant, t.Resources)\n|
 a tenant that is not known yet waits|internal/daemon/job_schedule.go|!n.knowsLimit(job)|false
-unknown keys are refused|internal/daemon/request_address.go|return "", c.Queues[queue].Open|return "", true
+unknown keys are refused|internal/daemon/request_address.go|return "", config.Queues[queue].Open|return "", true
 a call without a key is nobody's|internal/daemon/request_address.go|if credential != "" {|if true {
 no key is refused by an old configuration|internal/daemon/request_address.go|case n.configConfirmedSince(req):\n\t\tn.count("calls_unauthenticated")|case true:\n\t\tn.count("calls_unauthenticated")
 tenants see their own jobs|internal/daemon/request_address.go|case j.Tenant == "" \|\| j.Tenant == req.tenant:|case true:
--- a/internal/daemon/ballot_test.go
+++ b/internal/daemon/ballot_test.go
@@ -45,7 +45,7 @@
 // The message is addressed to the present life, whichever it was meant for: ballots
 // must be safe without the check of addressees.
 func sentBy(n *node, from string, msg any) []effSend {
-	head := wire.Header{From: from, Cluster: 9, To: addressOf(n.Name)}
+	head := wire.Header{From: from, Cluster: 9, To: addresseeID(n.Name)}
 	if responses[reflect.TypeOf(msg)] {
 		head.To = n.Instance
 	}
@@ -69,9 +69,9 @@
 // what is sent for it.
 func propose(n *node, queue string) (*registerChange, map[string]any) {
 	n.effects = nil
-	o := n.startChange("setup", "setup", queueSetup(queue, ""), 0)
-	o.changeID = configuration.ChangeID{Version: 1}
-	return o, byMember(n.effects)
+	change := n.startChange("setup", "setup", queueSetup(queue, ""), 0)
+	change.changeID = configuration.ChangeID{Version: 1}
+	return change, byMember(n.effects)
 }
 
 func byMember(effects []effect) map[string]any {
@@ -137,13 +137,13 @@
 	seen := map[register.Ballot]bool{}
 	for range 3 {
 		for _, queue := range []string{"left", "right"} {
-			o, _ := propose(n, queue)
-			must.MapNotContainsKey(t, seen, o.Ballot)
-			seen[o.Ballot] = true
+			change, _ := propose(n, queue)
+			must.MapNotContainsKey(t, seen, change.Ballot)
+			seen[change.Ballot] = true
 			n.now += changeTiming.ResponseTimeoutMs + 1
 			n.tickChanges()
-			must.MapNotContainsKey(t, seen, o.Ballot)
-			seen[o.Ballot] = true
+			must.MapNotContainsKey(t, seen, change.Ballot)
+			seen[change.Ballot] = true
 		}
 	}
 }
@@ -155,7 +155,7 @@
 	for _, ask := range []any{&register.Prepare{Op: 1, SetVersion: 1, Register: "setup", Ballot: b},
 		&register.Accept{Op: 1, SetVersion: 1, Register: "setup", Ballot: b, Value: []byte("v")}} {
 		n := q.members["a"]
-		effects := reduce(n, event{NowMs: n.now + 1, Seed: 1, Body: evMsg{Head: wire.Header{From: "p", Cluster: 9, To: addressOf("a")}, Msg: ask}})
+		effects := reduce(n, event{NowMs: n.now + 1, Seed: 1, Body: evMsg{Head: wire.Header{From: "p", Cluster: 9, To: addresseeID("a")}, Msg: ask}})
 		must.Len(t, 1, effects)
 		kept, ok := effects[0].(effAppend)
 		must.True(t, ok)
--- a/internal/daemon/catchup.go
+++ b/internal/daemon/catchup.go
@@ -26,9 +26,9 @@
 		lag = &replicaLag{missed: map[string]int64{}}
 		s.replicaLags[member] = lag
 	}
-	for _, r := range records {
-		if _, known := lag.missed[r.ID]; known || len(lag.missed) < finishedMax {
-			lag.missed[r.ID] = max(lag.missed[r.ID], r.Version)
+	for _, record := range records {
+		if _, known := lag.missed[record.ID]; known || len(lag.missed) < finishedMax {
+			lag.missed[record.ID] = max(lag.missed[record.ID], record.Version)
 		}
 	}
 }
@@ -50,7 +50,7 @@
 func (n *node) sendCatchUp(shard *ownedShard, member string, lag *replicaLag) {
 	shard.writeSeq++
 	lag.seq, lag.sentMs, lag.inFlight = shard.writeSeq, n.now, map[string]int64{}
-	w := &wire.WriteRequest{SetVersion: n.core.Version, Shard: shard.name, Epoch: shard.epoch, Seq: lag.seq}
+	write := &wire.WriteRequest{SetVersion: n.core.Version, Shard: shard.name, Epoch: shard.epoch, Seq: lag.seq}
 	size := 0
 	for _, id := range sortedKeys(lag.missed) {
 		if size > statestore.ChunkBytes {
@@ -59,21 +59,21 @@
 		if shard.isDirty(id) {
 			continue // its next version is on its way
 		}
-		r, known := shard.recordOf(id)
+		record, known := shard.recordOf(id)
 		if !known { // it is finished for so long that only the core knows it
 			delete(lag.missed, id)
 			continue
 		}
 		lag.inFlight[id] = lag.missed[id]
-		w.Records = append(w.Records, r)
-		size += r.Size()
+		write.Records = append(write.Records, record)
+		size += record.Size()
 	}
-	if len(w.Records) == 0 {
+	if len(write.Records) == 0 {
 		lag.inFlight = nil
 		return
 	}
 	n.count("catch_up_parts")
-	n.send(member, w)
+	n.send(member, write)
 }
 
 // recordOf gives a job's record as the owner has it.
@@ -88,8 +88,8 @@
 			Value:   job.encode(),
 		}, true
 	}
-	j := s.finished[id]
-	if j == nil {
+	record := s.finished[id]
+	if record == nil {
 		return statestore.Record{}, false
 	}
 	// A finished record never changes again.
@@ -97,10 +97,10 @@
 		ID:        id,
 		Epoch:     s.epoch,
 		Version:   finishedVersion,
-		Live:      j.DoneMs == 0,
+		Live:      record.DoneMs == 0,
 		Confirmed: true,
-		DoneMs:    j.DoneMs,
-		Value:     j.encode(),
+		DoneMs:    record.DoneMs,
+		Value:     record.encode(),
 	}, true
 }
 
@@ -129,8 +129,8 @@
 	if !n.inCore() || !m.Complete {
 		return
 	}
-	r := n.store.Register(m.Register)
-	if r.Accepted.Less(m.Ballot) && !m.Ballot.Less(r.Promised) {
+	register := n.store.Register(m.Register)
+	if register.Accepted.Less(m.Ballot) && !m.Ballot.Less(register.Promised) {
 		n.count("registers_caught_up")
 		n.persist([]statestore.Entry{{Kind: statestore.EntryAccept, Name: m.Register, Ballot: m.Ballot, Value: m.Value}})
 	}
--- a/internal/daemon/catchup_test.go
+++ b/internal/daemon/catchup_test.go
@@ -160,7 +160,7 @@
 	members := n.core.Names()
 	read := func(answers ...statestore.Record) string {
 		n.forwarded, n.effects = map[uint64]*forwardedRequest{}, nil
-		r := &quorumRead{request: &request{id: 1, op: "job.get", key: "j"}, answers: map[string]statestore.Record{}, limitMs: n.now + quorumReadMs}
+		r := &quorumRead{request: &request{id: 1, op: "job.get", key: "j"}, responses: map[string]statestore.Record{}, deadlineMs: n.now + quorumReadTimeoutMs}
 		n.quorumReads[7] = r
 		for i, a := range answers {
 			n.onQuorumRead(r, 7, members[i], []statestore.Record{a})
--- a/internal/daemon/config_change.go
+++ b/internal/daemon/config_change.go
@@ -10,75 +10,75 @@
 	"otterchute/internal/schema"
 )
 
-// changeConfig takes an order that builds on what stands. One that was taken
+// decideConfig takes an order that builds on what stands. One that was taken
 // before leaves it as it is, whatever came since.
-func changeConfig(n *node, o *registerChange, current []byte) (register.Decision, []byte) {
-	var cur configuration.Record
+func decideConfig(n *node, change *registerChange, current []byte) (register.Decision, []byte) {
+	var record configuration.Record
 	switch {
-	case len(current) > 0 && codec.Unmarshal(current, &cur) != nil:
+	case len(current) > 0 && codec.Unmarshal(current, &record) != nil:
 		return register.Fail, nil
-	case cur.AcceptedChanges.Contains(o.changeID):
+	case record.AcceptedChanges.Contains(change.changeID):
 		return register.Keep, nil
-	case cur.Version != o.changeID.Base:
+	case record.Version != change.changeID.Base:
 		return register.Refuse, nil
 	}
-	return register.Replace, codec.Append(nil, cur.Next(o.changeID, o.arg, n.fleetTime()))
+	return register.Replace, codec.Append(nil, record.Next(change.changeID, change.argument, n.fleetTime()))
 }
 
-// changeEmptiedZones empties a zone beside the document, or takes that back. It
+// decideEmptiedZones empties a zone beside the document, or takes that back. It
 // builds on no version: whatever stands, the zone's word is added to it.
-func changeEmptiedZones(_ *node, o *registerChange, current []byte) (register.Decision, []byte) {
-	var cur configuration.Record
-	if len(current) > 0 && codec.Unmarshal(current, &cur) != nil {
+func decideEmptiedZones(_ *node, change *registerChange, current []byte) (register.Decision, []byte) {
+	var record configuration.Record
+	if len(current) > 0 && codec.Unmarshal(current, &record) != nil {
 		return register.Fail, nil
 	}
-	zone := string(o.arg)
-	zones := slices.DeleteFunc(slices.Clone(cur.EmptiedZones), func(s string) bool { return s == zone })
-	if o.kind == "empty" {
+	zone := string(change.argument)
+	zones := slices.DeleteFunc(slices.Clone(record.EmptiedZones), func(s string) bool { return s == zone })
+	if change.kind == "empty" {
 		zones = append(zones, zone)
 		slices.Sort(zones)
 	}
-	cur.EmptiedZones = zones
-	return register.Replace, codec.Append(nil, cur)
+	record.EmptiedZones = zones
+	return register.Replace, codec.Append(nil, record)
 }
 
-func (n *node) zonesChanged(o *registerChange, outcome register.Outcome) {
-	if o.request == nil {
+func (n *node) onZonesChange(change *registerChange, outcome register.Outcome) {
+	if change.request == nil {
 		return
 	}
 	if outcome != register.Done {
-		n.reject(o.request, "outcome unknown: send it again")
+		n.reject(change.request, "outcome unknown: send it again")
 		return
 	}
-	var next configuration.Record
-	if codec.Unmarshal(o.Value(), &next) == nil && n.config.ballot.Less(o.ValueBallot()) {
-		n.adoptConfig(o.ValueBallot(), next)
+	var record configuration.Record
+	if codec.Unmarshal(change.Value(), &record) == nil && n.config.ballot.Less(change.ValueBallot()) {
+		n.adoptConfig(change.ValueBallot(), record)
 	}
-	n.log("zones_accepted", "emptied", next.EmptiedZones)
-	n.respond(o.request, 200, 0, mustJSON(map[string]any{"emptied": append([]string{}, next.EmptiedZones...)}))
+	n.log("zones_accepted", "emptied", record.EmptiedZones)
+	n.respond(change.request, 200, 0, mustJSON(map[string]any{"emptied": append([]string{}, record.EmptiedZones...)}))
 }
 
-func (n *node) configChanged(o *registerChange, outcome register.Outcome) {
-	var cur configuration.Record
-	if o.request == nil || len(o.Value()) > 0 && codec.Unmarshal(o.Value(), &cur) != nil {
+func (n *node) onConfigChange(change *registerChange, outcome register.Outcome) {
+	var record configuration.Record
+	if change.request == nil || len(change.Value()) > 0 && codec.Unmarshal(change.Value(), &record) != nil {
 		return
 	}
 	switch outcome {
 	case register.Done:
 		// A newer document, where the order was taken before, comes by the polls,
 		// compiled on another thread.
-		if cur.Version == o.changeID.Version && n.config.ballot.Less(o.ValueBallot()) {
-			n.precompiled = o.request.config
-			n.adoptConfig(o.ValueBallot(), cur)
+		if record.Version == change.changeID.Version && n.config.ballot.Less(change.ValueBallot()) {
+			n.precompiled = change.request.config
+			n.adoptConfig(change.ValueBallot(), record)
 			n.precompiled = nil
 		}
-		n.log("config_accepted", "version", o.changeID.Version, "current", cur.Version)
-		n.respondAccepted(o)
+		n.log("config_accepted", "version", change.changeID.Version, "current", record.Version)
+		n.respondAccepted(change)
 	case register.Refused:
-		n.respondRefused(o, &cur)
+		n.respondRefused(change, &record)
 	default:
 		n.respond(
-			o.request,
+			change.request,
 			503,
 			1000,
 			mustJSON(map[string]any{"error": "outcome unknown: read the current setup, then send the same version again"}),
@@ -127,50 +127,50 @@
 	if n.forwardToCore(req) {
 		return
 	}
-	o := n.startChange("setup", "taken", nil, 0)
-	o.changeID, o.request = id, req
+	change := n.startChange("setup", "taken", nil, 0)
+	change.changeID, change.request = id, req
 }
 
-// findChangeDecision leaves the configuration as it stands. What isn't taken, and can't be any
+// decideFindChange leaves the configuration as it stands. What isn't taken, and can't be any
 // more, is refused: only then is no try of it left that may yet take effect.
-func findChangeDecision(_ *node, o *registerChange, current []byte) (register.Decision, []byte) {
-	var cur configuration.Record
+func decideFindChange(_ *node, change *registerChange, current []byte) (register.Decision, []byte) {
+	var record configuration.Record
 	switch {
-	case len(current) > 0 && codec.Unmarshal(current, &cur) != nil:
+	case len(current) > 0 && codec.Unmarshal(current, &record) != nil:
 		return register.Fail, nil
-	case cur.AcceptedChanges.Contains(o.changeID) || cur.Version == o.changeID.Base:
+	case record.AcceptedChanges.Contains(change.changeID) || record.Version == change.changeID.Base:
 		return register.Keep, nil
 	}
 	return register.Refuse, nil
 }
 
-// changeFound answers handleFindChange.
-func (n *node) changeFound(o *registerChange, outcome register.Outcome) {
-	var cur configuration.Record
+// onFindChange answers handleFindChange.
+func (n *node) onFindChange(change *registerChange, outcome register.Outcome) {
+	var record configuration.Record
 	switch {
-	case outcome == register.Unknown || len(o.Value()) > 0 && codec.Unmarshal(o.Value(), &cur) != nil:
-		n.reject(o.request, "outcome unknown: send it again")
+	case outcome == register.Unknown || len(change.Value()) > 0 && codec.Unmarshal(change.Value(), &record) != nil:
+		n.reject(change.request, "outcome unknown: send it again")
 	case outcome == register.Refused:
-		n.respondRefused(o, &cur)
-	case cur.AcceptedChanges.Contains(o.changeID):
-		n.respondAccepted(o)
+		n.respondRefused(change, &record)
+	case record.AcceptedChanges.Contains(change.changeID):
+		n.respondAccepted(change)
 	default:
-		n.reject(o.request, "not accepted yet, and its base is current: send it again")
+		n.reject(change.request, "not accepted yet, and its base is current: send it again")
 	}
 }
 
 // respondAccepted acknowledges an order, whatever was accepted since.
-func (n *node) respondAccepted(o *registerChange) {
-	n.respond(o.request, 200, 0, mustJSON(map[string]any{"version": o.changeID.Version}))
+func (n *node) respondAccepted(change *registerChange) {
+	n.respond(change.request, 200, 0, mustJSON(map[string]any{"version": change.changeID.Version}))
 }
 
 // respondRefused says that another version stands: only of an order that surely
 // was not accepted, else its outcome is unknown.
-func (n *node) respondRefused(o *registerChange, cur *configuration.Record) {
-	if !cur.AcceptedChanges.Covers(o.changeID) {
+func (n *node) respondRefused(change *registerChange, record *configuration.Record) {
+	if !record.AcceptedChanges.Covers(change.changeID) {
 		n.count("changes_forgotten")
-		n.reject(o.request, "outcome unknown: too many versions were accepted since")
+		n.reject(change.request, "outcome unknown: too many versions were accepted since")
 		return
 	}
-	n.respond(o.request, 409, 0, mustJSON(map[string]any{"error": "another version stands", "current": cur.Version}))
+	n.respond(change.request, 409, 0, mustJSON(map[string]any{"error": "another version stands", "current": record.Version}))
 }
--- a/internal/daemon/config_request.go
+++ b/internal/daemon/config_request.go
@@ -31,40 +31,40 @@
 	if n.forwardToCore(req) {
 		return
 	}
-	o := n.startChange("setup", "setup", req.body, 0)
-	o.changeID, o.request = id, req
+	change := n.startChange("setup", "setup", req.body, 0)
+	change.changeID, change.request = id, req
 }
 
 // forwardToCore passes a change of the configuration on to a core member that answers
 // polls, the own zone's first: a machine without a disk may have a thin line,
 // and a change takes the whole document to and from each member.
 func (n *node) forwardToCore(req *request) bool {
-	best := n.nearestMember()
-	if best == "" || req.hops > 0 {
+	member := n.forwardMember()
+	if member == "" || req.hops > 0 {
 		return false
 	}
-	n.forward(req, best)
+	n.forward(req, member)
 	return true
 }
 
-// nearestMember gives a core member that answers polls, the own zone's first; none
+// forwardMember gives a core member that answers polls, the own zone's first; none
 // where this daemon is one itself.
-func (n *node) nearestMember() (best string) {
+func (n *node) forwardMember() (nearest string) {
 	if n.inCore() {
 		return ""
 	}
-	for _, m := range n.core.Names() {
-		if n.peers.Alive(m) && n.now-n.leases.LastResponseMs(m) < 2*lease.ColocatedPollIntervalMs &&
-			(best == "" || n.peers.Zone(m) == n.Zone && n.peers.Zone(best) != n.Zone) {
-			best = m
+	for _, member := range n.core.Names() {
+		if n.peers.Alive(member) && n.now-n.leases.LastResponseMs(member) < 2*lease.ColocatedPollIntervalMs &&
+			(nearest == "" || n.peers.Zone(member) == n.Zone && n.peers.Zone(nearest) != n.Zone) {
+			nearest = member
 		}
 	}
-	return best
+	return nearest
 }
 
 // handleLocateConfig names the machine that a configuration is best read from, where it is another.
 func (n *node) handleLocateConfig(req *request) {
-	host, _, _ := net.SplitHostPort(n.peers.Addr(n.nearestMember()))
+	host, _, _ := net.SplitHostPort(n.peers.Addr(n.forwardMember()))
 	n.respond(req, 200, 0, mustJSON(map[string]any{"host": host}))
 }
 
@@ -91,27 +91,27 @@
 		return
 	}
 	past := make([]map[string]any, 0, len(n.config.record.PastVersions))
-	for _, p := range n.config.record.PastVersions {
+	for _, version := range n.config.record.PastVersions {
 		past = append(
 			past,
-			map[string]any{"version": p.Version, "digest": p.Digest, "queues": p.Queues, "bytes": p.Bytes, "at_ms": p.AtMs},
+			map[string]any{"version": version.Version, "digest": version.Digest, "queues": version.Queues, "bytes": version.Bytes, "at_ms": version.AtMs},
 		)
 	}
 	emptied := n.config.record.EmptiedZones
 	if emptied == nil {
 		emptied = []string{}
 	}
-	plain, _ := configuration.Inflate(n.config.record.Document)
-	doc := string(plain)
-	if doc == "" {
-		doc = "null"
+	document, _ := configuration.Inflate(n.config.record.Document)
+	setup := string(document)
+	if setup == "" {
+		setup = "null"
 	}
 	n.respond(
 		req,
 		200,
 		0,
 		mustJSON(
-			map[string]any{"version": n.config.record.Version, "setup": rawJSON(doc), "emptied": emptied, "history": past},
+			map[string]any{"version": n.config.record.Version, "setup": rawJSON(setup), "emptied": emptied, "history": past},
 		),
 	)
 }
--- a/internal/daemon/config_state.go
+++ b/internal/daemon/config_state.go
@@ -18,7 +18,7 @@
 	newestBallot  register.Ballot // the highest that any member has accepted
 	confirmedMs   int64
 	confirmedPoll uint64 // the newest poll that confirmed it
-	requestedMs   int64
+	readSentMs    int64
 	nextRepairMs  int64
 	readerCopy    configuration.ReaderValueCache
 	awaiting      []*request // requests that name a queue not known here, until a newer confirmation
@@ -42,29 +42,29 @@
 // confirmConfig takes a round of answers: where a majority holds the same
 // accepted ballot, that value is chosen, and if it is ours it is confirmed as
 // of the time the round was sent.
-func (n *node) confirmConfig(r *lease.Round) {
+func (n *node) confirmConfig(round *lease.Round) {
 	votes := map[register.Ballot]int{}
-	for _, a := range r.Responses {
-		votes[a.Config]++
+	for _, response := range round.Responses {
+		votes[response.Config]++
 	}
-	for _, from := range sortedKeys(r.Responses) {
-		b := r.Responses[from].Config
-		if n.config.newestBallot.Less(b) {
-			n.config.newestBallot = b
+	for _, from := range sortedKeys(round.Responses) {
+		ballot := round.Responses[from].Config
+		if n.config.newestBallot.Less(ballot) {
+			n.config.newestBallot = ballot
 		}
-		if votes[b] < n.core.Majority() {
+		if votes[ballot] < n.core.Majority() {
 			continue
 		}
-		if b == n.config.ballot {
-			n.config.confirmedMs, n.config.confirmedPoll = max(n.config.confirmedMs, r.SentMs),
-				max(n.config.confirmedPoll, r.Seq)
-		} else if n.config.ballot.Less(b) && n.now-n.config.requestedMs > 300 {
-			n.config.requestedMs = n.now
-			n.send(n.nearestWith(r, b), &wire.RegisterRead{SetVersion: n.core.Version, Register: "setup"})
+		if ballot == n.config.ballot {
+			n.config.confirmedMs, n.config.confirmedPoll = max(n.config.confirmedMs, round.SentMs),
+				max(n.config.confirmedPoll, round.Seq)
+		} else if n.config.ballot.Less(ballot) && n.now-n.config.readSentMs > 300 {
+			n.config.readSentMs = n.now
+			n.send(n.nearestMemberWithBallot(round, ballot), &wire.RegisterRead{SetVersion: n.core.Version, Register: "setup"})
 		}
 		return
 	}
-	if len(r.Responses) == len(n.core.Members) ||
+	if len(round.Responses) == len(n.core.Members) ||
 		n.now-max(n.config.confirmedMs, n.leases.FirstPollMs()) > lease.ColocatedPollIntervalMs*2 {
 		// The members differ: somebody's change stopped half way. Any daemon
 		// may finish it; core members do, at random, so that few compete. One
@@ -76,23 +76,23 @@
 	}
 }
 
-// nearestWith picks whom to read a value from: of the members that hold it one in
+// nearestMemberWithBallot picks whom to read a value from: of the members that hold it one in
 // the own zone, or else any, so that not all daemons ask the same.
-func (n *node) nearestWith(r *lease.Round, b register.Ballot) string {
-	var near, all []string
-	for _, from := range sortedKeys(r.Responses) {
-		if r.Responses[from].Config != b {
+func (n *node) nearestMemberWithBallot(round *lease.Round, ballot register.Ballot) string {
+	var sameZone, candidates []string
+	for _, from := range sortedKeys(round.Responses) {
+		if round.Responses[from].Config != ballot {
 			continue
 		}
-		all = append(all, from)
+		candidates = append(candidates, from)
 		if n.peers.Zone(from) == n.Zone {
-			near = append(near, from)
+			sameZone = append(sameZone, from)
 		}
 	}
-	if len(near) > 0 {
-		all = near
+	if len(sameZone) > 0 {
+		candidates = sameZone
 	}
-	return all[n.rand().IntN(len(all))]
+	return candidates[n.rand().IntN(len(candidates))]
 }
 
 func (n *node) onRegisterValue(_ string, m *wire.RegisterValue) {
@@ -100,56 +100,56 @@
 	if m.Register != "setup" || !n.config.ballot.Less(m.Ballot) {
 		return
 	}
-	var d configuration.Record
-	if len(m.Value) > 0 && codec.Unmarshal(m.Value, &d) != nil {
+	var record configuration.Record
+	if len(m.Value) > 0 && codec.Unmarshal(m.Value, &record) != nil {
 		return
 	}
-	n.adoptConfig(m.Ballot, d)
+	n.adoptConfig(m.Ballot, record)
 }
 
 // adoptConfig compiles a value; it counts only once a poll confirms its ballot.
-func (n *node) adoptConfig(b register.Ballot, d configuration.Record) {
-	n.config.requestedMs = 0                    // what was asked for has come: a newer one may be asked for at once
-	d.AcceptedChanges = configuration.History{} // only a change of the register needs it
-	if d.SameDocument(&n.config.record) {
-		n.config.ballot = b
-		if !slices.Equal(d.EmptiedZones, n.config.record.EmptiedZones) {
-			n.config.current, n.config.record = n.config.current.WithEmptiedZones(d.EmptiedZones), d
+func (n *node) adoptConfig(ballot register.Ballot, record configuration.Record) {
+	n.config.readSentMs = 0                          // what was asked for has come: a newer one may be asked for at once
+	record.AcceptedChanges = configuration.History{} // only a change of the register needs it
+	if record.SameDocument(&n.config.record) {
+		n.config.ballot = ballot
+		if !slices.Equal(record.EmptiedZones, n.config.record.EmptiedZones) {
+			n.config.current, n.config.record = n.config.current.WithEmptiedZones(record.EmptiedZones), record
 			n.config.confirmedMs, n.config.confirmedPoll = -1<<40, 0
-			n.log("zones_adopted", "emptied", d.EmptiedZones)
+			n.log("zones_adopted", "emptied", record.EmptiedZones)
 			n.leases.PollSoon()
 		}
 		return
 	}
-	c := n.precompiled
-	if c == nil || c.Version != d.Version {
+	compiled := n.precompiled
+	if compiled == nil || compiled.Version != record.Version {
 		var faults []schema.Fault
-		if c, faults = d.Compile(); len(faults) > 0 {
-			n.log("config_unreadable", "version", d.Version, "path", faults[0].Path, "reason", faults[0].Reason)
+		if compiled, faults = record.Compile(); len(faults) > 0 {
+			n.log("config_unreadable", "version", record.Version, "path", faults[0].Path, "reason", faults[0].Reason)
 			return
 		}
 	}
-	n.config.current, n.config.record, n.config.ballot = c.WithEmptiedZones(d.EmptiedZones), d, b
+	n.config.current, n.config.record, n.config.ballot = compiled.WithEmptiedZones(record.EmptiedZones), record, ballot
 	n.adoptLimits()
 	n.config.confirmedMs, n.config.confirmedPoll = -1<<40, 0
-	n.log("config_adopted", "version", d.Version, "queues", len(c.Queues))
+	n.log("config_adopted", "version", record.Version, "queues", len(compiled.Queues))
 	n.leases.PollSoon()
 }
 
 func (n *node) tickConfig() {
-	kept, again := n.config.awaiting[:0:0], []*request{}
+	waiting, confirmed := n.config.awaiting[:0:0], []*request{}
 	for _, req := range n.config.awaiting {
 		switch {
 		case n.configConfirmedSince(req):
-			again = append(again, req)
+			confirmed = append(confirmed, req)
 		case n.leases.CutOff() || n.now-req.receivedMs > forwardMs*2/3:
 			n.reject(req, "the setup is not confirmed here")
 		default:
-			kept = append(kept, req)
+			waiting = append(waiting, req)
 		}
 	}
-	n.config.awaiting = kept
-	for _, req := range again {
+	n.config.awaiting = waiting
+	for _, req := range confirmed {
 		n.handleRequest(req)
 	}
 }
--- a/internal/daemon/core_member.go
+++ b/internal/daemon/core_member.go
@@ -14,11 +14,11 @@
 	snapshotMinBytes = 8 << 20 // bytes of log before a snapshot is worth its writing
 )
 
-// persistSet keeps a newer set on this disk, but not one that lacks it: a former
+// persistCoreSet keeps a newer set on this disk, but not one that lacks it: a former
 // member must know after a restart, too, that it was one.
-func (n *node) persistSet(c quorum.Set) {
-	if s := n.store.CoreSet(); c.Version > s.Version && (c.Has(n.Name, n.DiskID) || !s.Has(n.Name, n.DiskID)) {
-		n.persist([]statestore.Entry{{Kind: statestore.EntryCoreSet, Value: codec.Append(nil, c)}})
+func (n *node) persistCoreSet(set quorum.Set) {
+	if stored := n.store.CoreSet(); set.Version > stored.Version && (set.Has(n.Name, n.DiskID) || !stored.Has(n.Name, n.DiskID)) {
+		n.persist([]statestore.Entry{{Kind: statestore.EntryCoreSet, Value: codec.Append(nil, set)}})
 	}
 }
 
@@ -31,22 +31,22 @@
 }
 
 // servesSet tells whether this member may answer a request made under a core set.
-func (n *node) servesSet(coreVer int64) bool {
-	return n.inCore() && coreVer == n.core.Version
+func (n *node) servesSet(setVersion int64) bool {
+	return n.inCore() && setVersion == n.core.Version
 }
 
 func (n *node) onRegisterRead(from string, m *wire.RegisterRead) {
 	if !n.servesSet(m.SetVersion) {
 		return
 	}
-	r := n.store.Register(m.Register)
-	value, whole := r.Value, true
+	register := n.store.Register(m.Register)
+	value, complete := register.Value, true
 	if m.Register == "setup" && !n.core.HasName(from) {
-		value, whole = n.config.readerCopy.Value(r), false
+		value, complete = n.config.readerCopy.Value(register), false
 	}
 	n.persist(
 		nil,
-		n.sendEffect(from, &wire.RegisterValue{Register: m.Register, Ballot: r.Accepted, Value: value, Complete: whole}),
+		n.sendEffect(from, &wire.RegisterValue{Register: m.Register, Ballot: register.Accepted, Value: value, Complete: complete}),
 	)
 }
 
@@ -59,10 +59,10 @@
 		n.send(from, &wire.SealResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch})
 		return
 	}
-	a := &wire.SealResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch, OK: true, ServedEpoch: replica.ServedEpoch()}
-	a.Records = append(a.Records, replica.Live()...)
-	a.Records = append(a.Records, replica.Unconfirmed()...)
-	n.persist([]statestore.Entry{{Kind: statestore.EntrySeal, Name: m.Shard, Epoch: m.Epoch}}, n.sendEffect(from, a))
+	response := &wire.SealResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch, OK: true, ServedEpoch: replica.ServedEpoch()}
+	response.Records = append(response.Records, replica.Live()...)
+	response.Records = append(response.Records, replica.Unconfirmed()...)
+	n.persist([]statestore.Entry{{Kind: statestore.EntrySeal, Name: m.Shard, Epoch: m.Epoch}}, n.sendEffect(from, response))
 }
 
 func (n *node) onWriteRequest(from string, m *wire.WriteRequest) {
@@ -126,13 +126,13 @@
 	if !n.servesSet(m.SetVersion) {
 		return
 	}
-	a := &wire.FetchResponse{Op: m.Op}
+	response := &wire.FetchResponse{Op: m.Op}
 	for _, id := range m.IDs {
 		if r, ok := n.store.Shard(m.Shard).Get(id); ok {
-			a.Records = append(a.Records, r)
+			response.Records = append(response.Records, r)
 		}
 	}
-	n.persist(nil, n.sendEffect(from, a))
+	n.persist(nil, n.sendEffect(from, response))
 }
 
 // onPollRequest grants leases and tells what every daemon must know.
@@ -145,41 +145,41 @@
 		return
 	}
 	n.granter.ObserveClock(from, m.WallMs, n.now)
-	a := &wire.PollResponse{
+	response := &wire.PollResponse{
 		Seq:           m.Seq,
 		SetVersion:    n.core.Version,
 		GracePeriodMs: n.granter.GrantDelayLeftMs(n.now),
-		ClusterTimeMs: n.fleetTimeHeard(),
+		ClusterTimeMs: n.measuredClusterTime(),
 		DiskSyncMs:    n.diskSyncMs,
 	}
 	process := lease.Process{Name: from, Incarnation: m.Incarnation, Addr: n.peers.Addr(from)}
 	n.granter.Release(process, m.Releases, n.now)
 	ended := func(p lease.Process) bool { return n.peers.IncarnationEnded(p.Name, p.Incarnation, p.Addr) }
-	for _, r := range m.Leases {
-		last := n.lastHolder(r.Name)
-		a.Granted = append(a.Granted, n.granter.Grant(r, process, last, n.now, ended))
-		a.Epochs = append(a.Epochs, last.Epoch)
+	for _, request := range m.Leases {
+		last := n.lastHolder(request.Name)
+		response.Granted = append(response.Granted, n.granter.Grant(request, process, last, n.now, ended))
+		response.Epochs = append(response.Epochs, last.Epoch)
 	}
-	a.Holders = n.granter.Holders(n.now)
-	if m.HoldersHash != 0 && m.HoldersHash == wire.HashHolders(a.Holders) {
-		a.Holders, a.HoldersUnchanged = nil, true
+	response.Holders = n.granter.Holders(n.now)
+	if m.HoldersHash != 0 && m.HoldersHash == wire.HashHolders(response.Holders) {
+		response.Holders, response.HoldersUnchanged = nil, true
 	}
-	a.Config = n.store.Register(configuration.RegisterName).Accepted
-	n.persist(nil, n.sendEffect(from, a))
+	response.Config = n.store.Register(configuration.RegisterName).Accepted
+	n.persist(nil, n.sendEffect(from, response))
 }
 
 // lastHolder is who took a role last, as far as this disk knows. Of any majority
 // one member at least knows the newest.
-func (n *node) lastHolder(name string) (v wire.RoleHolder) {
+func (n *node) lastHolder(name string) (holder wire.RoleHolder) {
 	if value := n.store.RegisterValue(lease.RegisterName(name)); value != nil {
-		_ = codec.Unmarshal(value, &v) // a value that can't be read is nobody's
+		_ = codec.Unmarshal(value, &holder) // a value that can't be read is nobody's
 	}
-	return v
+	return holder
 }
 
-// fleetTimeHeard is the fleet's time by the clocks that this core member hears; 0
+// measuredClusterTime is the fleet's time by the clocks that this core member hears; 0
 // right after a freeze, until what waited here for long is replaced.
-func (n *node) fleetTimeHeard() int64 {
+func (n *node) measuredClusterTime() int64 {
 	if n.now-n.wokeMs < 2*lease.ColocatedPollIntervalMs {
 		return 0
 	}
@@ -192,10 +192,10 @@
 	if n.leases.Clock().Readings() < n.core.Majority() {
 		return
 	}
-	cutMs := n.fleetTime() - n.FinishedKeepMs
+	cutoffMs := n.fleetTime() - n.FinishedKeepMs
 	for _, name := range n.store.ShardNames() {
-		if n.store.Shard(name).Expired(cutMs) {
-			n.persist([]statestore.Entry{{Kind: statestore.EntryExpire, Name: name, Epoch: uint64(cutMs)}})
+		if n.store.Shard(name).Expired(cutoffMs) {
+			n.persist([]statestore.Entry{{Kind: statestore.EntryExpire, Name: name, Epoch: uint64(cutoffMs)}})
 		}
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -48,9 +48,9 @@
 func (s *steadyClock) nowMs() int64 { return bootMs() - s.base }
 
 func newSeed() uint64 {
-	var b [8]byte
-	_, _ = rand.Read(b[:])
-	return binary.BigEndian.Uint64(b[:])
+	var bytes [8]byte
+	_, _ = rand.Read(bytes[:])
+	return binary.BigEndian.Uint64(bytes[:])
 }
 
 // logfmtSink writes one key=value line per event.
@@ -74,22 +74,22 @@
 func (l *logfmtSink) write(level, msg string, kv []any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := logfmt.NewEncoder(l.out)
-	all := append(
+	encoder := logfmt.NewEncoder(l.out)
+	fields := append(
 		[]any{"at", time.Now().UTC().Format(time.RFC3339Nano), "level", level, "event", msg},
 		append(l.pairs, kv...)...)
-	for i := 0; i+1 < len(all); i += 2 {
-		if e.EncodeKeyval(all[i], all[i+1]) != nil {
-			_ = e.EncodeKeyval(all[i], mustJSON(all[i+1]))
+	for i := 0; i+1 < len(fields); i += 2 {
+		if encoder.EncodeKeyval(fields[i], fields[i+1]) != nil {
+			_ = encoder.EncodeKeyval(fields[i], mustJSON(fields[i+1]))
 		}
 	}
-	_ = e.EndRecord()
+	_ = encoder.EndRecord()
 }
 
 func (l *logfmtSink) WithValues(kv ...any) logr.LogSink {
-	c := *l
-	c.pairs = append(append([]any{}, l.pairs...), kv...)
-	return &c
+	sink := *l
+	sink.pairs = append(append([]any{}, l.pairs...), kv...)
+	return &sink
 }
 func (l *logfmtSink) WithName(string) logr.LogSink { return l }
 
@@ -113,7 +113,7 @@
 	clock        *steadyClock
 	queue        chan func(*executor)
 	quit         chan struct{}
-	ended        chan struct{}
+	done         chan struct{}
 	executor     *executor
 	selfMessages []func(*executor) // messages to ourselves, in order, after the event that sent them
 	ready        atomic.Pointer[readiness]
@@ -126,8 +126,8 @@
 	reason string // why it isn't ready; "" if it is
 }
 
-// notReady says why this daemon should get no callers; "" if it should.
-func (l *controlLoop) notReady() string {
+// notReadyReason says why this daemon should get no callers; "" if it should.
+func (l *controlLoop) notReadyReason() string {
 	r := l.ready.Load()
 	if r == nil || l.clock.nowMs()-r.atMs > freezeThresholdMs {
 		return "the control thread is behind"
@@ -140,19 +140,19 @@
 		clock: clock,
 		queue: make(chan func(*executor), loopQueueMax),
 		quit:  make(chan struct{}),
-		ended: make(chan struct{}),
+		done:  make(chan struct{}),
 	}
 }
 
-func (l *controlLoop) post(do func(*executor)) {
+func (l *controlLoop) post(event func(*executor)) {
 	select {
-	case l.queue <- do:
+	case l.queue <- event:
 	case <-l.quit:
 	}
 }
 
 func (l *controlLoop) run() {
-	defer close(l.ended)
+	defer close(l.done)
 	tick := time.NewTicker(tickMs * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -174,29 +174,29 @@
 }
 
 // event stamps something with the clocks and a seed, and reduces it.
-func (s *executor) event(body any) {
-	p := s.ports.(*processPorts)
-	s.step(event{NowMs: p.loop.clock.nowMs(), WallMs: time.Now().UnixMilli(), Seed: newSeed(), Body: body})
+func (exec *executor) event(body any) {
+	p := exec.ports.(*processPorts)
+	exec.step(event{NowMs: p.loop.clock.nowMs(), WallMs: time.Now().UnixMilli(), Seed: newSeed(), Body: body})
 }
 
 // processPorts carry effects out on the real machine.
 type processPorts struct {
-	loop      *controlLoop
-	transport *wire.Transport
-	disk      *storage.Log
-	orders    *orderSender
-	log       logr.Logger
-	waiting   map[uint64]chan effReply // only the control thread touches it
-	exit      func()
-	self      string
+	loop           *controlLoop
+	transport      *wire.Transport
+	disk           *storage.Log
+	orders         *orderSender
+	log            logr.Logger
+	pendingReplies map[uint64]chan effReply // only the control thread touches it
+	exit           func()
+	selfAddr       string
 }
 
 func (p *processPorts) Send(head wire.Header, to, addr string, msg any) {
 	frame := wire.EncodeFrame(head, msg)
-	if addr == p.self { // our own words go through the same form, not the network
-		h, m, err := wire.DecodeFrame(frame)
+	if addr == p.selfAddr { // our own words go through the same form, not the network
+		header, message, err := wire.DecodeFrame(frame)
 		if err == nil {
-			p.loop.selfMessages = append(p.loop.selfMessages, func(s *executor) { s.event(evMsg{Head: h, Msg: m}) })
+			p.loop.selfMessages = append(p.loop.selfMessages, func(exec *executor) { exec.event(evMsg{Head: header, Msg: message}) })
 		}
 		return
 	}
@@ -215,8 +215,8 @@
 func (p *processPorts) Wipe(id uint64) { p.disk.Wipe(id) }
 
 func (p *processPorts) Reply(e effReply) {
-	if ch := p.waiting[e.ID]; ch != nil {
-		delete(p.waiting, e.ID)
+	if ch := p.pendingReplies[e.ID]; ch != nil {
+		delete(p.pendingReplies, e.ID)
 		ch <- e
 	}
 }
@@ -224,8 +224,8 @@
 func (p *processPorts) Order(e effOrder) {
 	go func() {
 		outcome := p.orders.deliver(e)
-		p.loop.post(func(s *executor) {
-			s.event(evOrder{Worker: e.Worker, Key: e.Key, Stop: e.Stop, Outcome: outcome})
+		p.loop.post(func(exec *executor) {
+			exec.event(evOrder{Worker: e.Worker, Key: e.Key, Stop: e.Stop, Outcome: outcome})
 		})
 	}()
 }
@@ -262,10 +262,10 @@
 
 // Committed lets go what waited for entries to be durable.
 func (d diskListener) Committed(entries int, took time.Duration, done []func()) {
-	d.post(func(s *executor) {
+	d.post(func(exec *executor) {
 		if entries > 0 {
-			s.node.diskSyncMs = took.Milliseconds()
-			s.node.count("syncs")
+			exec.node.diskSyncMs = took.Milliseconds()
+			exec.node.count("syncs")
 		}
 		for _, do := range done {
 			do()
@@ -275,26 +275,28 @@
 
 // Failed has the daemon stop counting itself to the core's quorum.
 func (d diskListener) Failed(cause error) {
-	d.post(func(s *executor) { s.event(evDisk{Failed: cause.Error()}) })
+	d.post(func(exec *executor) { exec.event(evDisk{Failed: cause.Error()}) })
 }
 
 // Lost has the daemon start over with an empty disk.
-func (d diskListener) Lost() { d.post(func(s *executor) { s.event(evDisk{Lost: true}) }) }
+func (d diskListener) Lost() { d.post(func(exec *executor) { exec.event(evDisk{Lost: true}) }) }
 
 // Recovered has the daemon count itself again.
-func (d diskListener) Recovered() { d.post(func(s *executor) { s.event(evDisk{Recovered: true}) }) }
+func (d diskListener) Recovered() {
+	d.post(func(exec *executor) { exec.event(evDisk{Recovered: true}) })
+}
 
 func provideDisk(lc fx.Lifecycle, s settings, l *controlLoop, log logr.Logger) (diskHandles, error) {
 	if s.Data == "" {
 		return diskHandles{}, nil
 	}
-	d, st, err := storage.Open(s.Data, newSeed()|1, func(e string, kv ...any) { log.Info(e, kv...) })
+	disk, store, err := storage.Open(s.Data, newSeed()|1, func(e string, kv ...any) { log.Info(e, kv...) })
 	if err != nil {
 		return diskHandles{}, err
 	}
-	lc.Append(fx.Hook{OnStart: func(context.Context) error { go d.Run(diskListener{l.post}); return nil },
-		OnStop: func(context.Context) error { d.Close(); return nil }})
-	return diskHandles{d, st}, nil
+	lc.Append(fx.Hook{OnStart: func(context.Context) error { go disk.Run(diskListener{l.post}); return nil },
+		OnStop: func(context.Context) error { disk.Close(); return nil }})
+	return diskHandles{disk, store}, nil
 }
 
 func provideWire(
@@ -306,9 +308,9 @@
 	compiler := &configuration.Precompiler{}
 	receive := func(h wire.Header, msg any) {
 		ready := compiler.Compile(msg)
-		l.post(func(s *executor) { s.event(evMsg{Head: h, Msg: msg, Precompiled: ready}) })
+		l.post(func(exec *executor) { exec.event(evMsg{Head: h, Msg: msg, Precompiled: ready}) })
 	}
-	w, err := wire.NewTransport(
+	transport, err := wire.NewTransport(
 		wire.Options{
 			Addr:    s.Addr,
 			Receive: receive,
@@ -318,21 +320,21 @@
 	if err != nil {
 		return nil, errors.Wrapf(errSettings, "addr: %v", err)
 	}
-	lc.Append(fx.Hook{OnStart: func(context.Context) error { go w.Serve(); return nil },
-		OnStop: func(context.Context) error { w.Close(); return nil }})
-	return w, nil
+	lc.Append(fx.Hook{OnStart: func(context.Context) error { go transport.Serve(); return nil },
+		OnStop: func(context.Context) error { transport.Close(); return nil }})
+	return transport, nil
 }
 
 func provideExecutor(
 	s settings,
 	l *controlLoop,
-	w *wire.Transport,
-	d diskHandles,
-	c *orderSender,
+	transport *wire.Transport,
+	disk diskHandles,
+	orders *orderSender,
 	log logr.Logger,
-	down fx.Shutdowner,
+	shutdowner fx.Shutdowner,
 ) *executor {
-	p := nodeConfig{
+	config := nodeConfig{
 		Name:           s.Name,
 		Incarnation:    uint64(time.Now().UnixNano()),
 		Instance:       newInstanceID(),
@@ -340,7 +342,7 @@
 		HTTP:           s.HTTP,
 		Zone:           s.Zone,
 		Seeds:          s.Seeds,
-		Disk:           d.disk != nil,
+		Disk:           disk.disk != nil,
 		FinishedKeepMs: s.KeepHours * msPerHour,
 		SnapshotBytes:  snapshotMinBytes,
 		ThresholdMs:    s.ThresholdMs,
@@ -360,20 +362,20 @@
 		LinkMbps:     s.LinkMbps,
 		Policies:     s.Policies,
 	}
-	if d.disk != nil {
-		p.DiskID = d.disk.ID()
+	if disk.disk != nil {
+		config.DiskID = disk.disk.ID()
 	}
 	ports := &processPorts{
-		loop:      l,
-		transport: w,
-		disk:      d.disk,
-		orders:    c,
-		log:       log,
-		waiting:   map[uint64]chan effReply{},
-		self:      s.Addr,
-		exit:      sync.OnceFunc(func() { go func() { _ = down.Shutdown() }() }),
+		loop:           l,
+		transport:      transport,
+		disk:           disk.disk,
+		orders:         orders,
+		log:            log,
+		pendingReplies: map[uint64]chan effReply{},
+		selfAddr:       s.Addr,
+		exit:           sync.OnceFunc(func() { go func() { _ = shutdowner.Shutdown() }() }),
 	}
-	l.executor = &executor{node: newNode(p, d.store), ports: ports}
+	l.executor = &executor{node: newNode(config, disk.store), ports: ports}
 	return l.executor
 }
 
@@ -385,14 +387,14 @@
 		signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 		go func() {
 			<-signals
-			l.post(func(s *executor) { s.event(evStop{}) })
+			l.post(func(exec *executor) { exec.event(evStop{}) })
 			<-signals // a second signal does not wait
 			os.Exit(1)
 		}()
 		return nil
 	}, OnStop: func(context.Context) error {
 		close(l.quit)
-		<-l.ended
+		<-l.done
 		log.Info("stopped")
 		return nil
 	}})
@@ -401,29 +403,29 @@
 // runPlatform serves the platform's addresses, if there is a platform. It
 // begins at once: what can't be done yet is answered so. At a stop the roles
 // are handed over first; then every call that was read gets its answer.
-func runPlatform(lc fx.Lifecycle, s settings, d *httpServer, l *controlLoop, log logr.Logger, down fx.Shutdowner) {
+func runPlatform(lc fx.Lifecycle, s settings, server *httpServer, l *controlLoop, log logr.Logger, shutdowner fx.Shutdowner) {
 	if s.adapter == nil {
 		return
 	}
 	if s.MemoryMb > 0 {
 		debug.SetMemoryLimit(s.MemoryMb << 20 / 4 * 3)
 	}
-	a := s.adapter
+	adapter := s.adapter
 	lc.Append(fx.Hook{OnStart: func(context.Context) error {
-		a.OnChange(func(p platform.DaemonSettings) {
-			l.post(func(s *executor) { s.event(evSeeds{Seeds: p.Seeds}) })
+		adapter.OnChange(func(p platform.DaemonSettings) {
+			l.post(func(exec *executor) { exec.event(evSeeds{Seeds: p.Seeds}) })
 		})
 		go func() {
-			if err := a.Serve(d.servePlatform); err != nil {
+			if err := adapter.Serve(server.servePlatform); err != nil {
 				log.Error(err, "platform_failed")
-				_ = down.Shutdown(fx.ExitCode(int(exitFound)))
+				_ = shutdowner.Shutdown(fx.ExitCode(int(exitFound)))
 			}
 		}()
 		return nil
 	}, OnStop: func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, shutdownTimeoutMs*time.Millisecond)
 		defer cancel()
-		a.Close(ctx)
+		adapter.Close(ctx)
 		return nil
 	}})
 }
--- a/internal/daemon/executor.go
+++ b/internal/daemon/executor.go
@@ -28,42 +28,42 @@
 	ports effectPorts
 }
 
-func (s *executor) step(ev event) {
-	for _, e := range reduce(s.node, ev) {
-		s.execute(e)
+func (exec *executor) step(ev event) {
+	for _, e := range reduce(exec.node, ev) {
+		exec.execute(e)
 	}
 }
 
 var effectHandlers map[reflect.Type]func(*executor, effect)
 
 func onEffect[E any](f func(*executor, E)) {
-	effectHandlers[reflect.TypeFor[E]()] = func(s *executor, e effect) { f(s, e.(E)) }
+	effectHandlers[reflect.TypeFor[E]()] = func(exec *executor, e effect) { f(exec, e.(E)) }
 }
 
 func init() {
 	effectHandlers = map[reflect.Type]func(*executor, effect){}
-	onEffect(func(s *executor, e effSend) {
-		head := s.node.headOf()
+	onEffect(func(exec *executor, e effSend) {
+		head := exec.node.frameHeader()
 		head.To = e.Dest
-		s.ports.Send(head, e.To, e.Addr, e.Msg)
+		exec.ports.Send(head, e.To, e.Addr, e.Msg)
 	})
-	onEffect(func(s *executor, e effAppend) {
-		s.ports.Append(e.Entries, func() {
+	onEffect(func(exec *executor, e effAppend) {
+		exec.ports.Append(e.Entries, func() {
 			for _, then := range e.Then {
-				s.execute(then)
+				exec.execute(then)
 			}
 		})
 	})
-	onEffect(func(s *executor, e effSnapshot) { s.ports.Snapshot(e.Entries) })
-	onEffect(func(s *executor, e effWipe) { s.ports.Wipe(e.DiskID) })
-	onEffect(func(s *executor, e effReply) { s.ports.Reply(e) })
-	onEffect(func(s *executor, e effOrder) { s.ports.Order(e) })
-	onEffect(func(s *executor, e effLog) { s.ports.Log(e.Event, e.Pairs) })
-	onEffect(func(s *executor, _ effExit) { s.ports.Exit() })
+	onEffect(func(exec *executor, e effSnapshot) { exec.ports.Snapshot(e.Entries) })
+	onEffect(func(exec *executor, e effWipe) { exec.ports.Wipe(e.DiskID) })
+	onEffect(func(exec *executor, e effReply) { exec.ports.Reply(e) })
+	onEffect(func(exec *executor, e effOrder) { exec.ports.Order(e) })
+	onEffect(func(exec *executor, e effLog) { exec.ports.Log(e.Event, e.Pairs) })
+	onEffect(func(exec *executor, _ effExit) { exec.ports.Exit() })
 }
 
-func (s *executor) execute(e effect) {
+func (exec *executor) execute(e effect) {
 	if h, ok := effectHandlers[reflect.TypeOf(e)]; ok {
-		h(s, e)
+		h(exec, e)
 	}
 }
--- a/internal/daemon/fence_test.go
+++ b/internal/daemon/fence_test.go
@@ -25,7 +25,7 @@
 				}
 			}
 		}
-		for _, e := range reduce(n, event{NowMs: n.now, WallMs: n.wall, Seed: 1, Body: evMsg{Head: wire.Header{From: from, Cluster: n.core.Cluster, To: addressOf(n.Name)}, Msg: msg}}) {
+		for _, e := range reduce(n, event{NowMs: n.now, WallMs: n.wall, Seed: 1, Body: evMsg{Head: wire.Header{From: from, Cluster: n.core.Cluster, To: addresseeID(n.Name)}, Msg: msg}}) {
 			if a, ok := e.(effAppend); ok {
 				look(a.Then)
 			} else {
--- a/internal/daemon/formation_test.go
+++ b/internal/daemon/formation_test.go
@@ -300,12 +300,12 @@
 	w := served(t, 4800)
 	n := w.nodes["d00"].sh.node
 	n.effects = nil
-	o := n.startChange("setup", "setup", queueSetup("a", ""), 0)
-	o.changeID = configuration.ChangeID{Version: 1}
-	first := o.Ballot
+	change := n.startChange("setup", "setup", queueSetup("a", ""), 0)
+	change.changeID = configuration.ChangeID{Version: 1}
+	first := change.Ballot
 	n.now += changeTiming.ResponseTimeoutMs + 1
 	n.tickChanges()
-	must.True(t, first.Less(o.Ballot))
+	must.True(t, first.Less(change.Ballot))
 	accepts := func() int {
 		return len(slices.DeleteFunc(slices.Clone(n.effects), func(e effect) bool {
 			s, ok := e.(effSend)
@@ -317,18 +317,18 @@
 		}))
 	}
 	for _, from := range n.core.Names() {
-		n.onPromise(from, &register.Promise{Op: o.ID, OK: true, Ballot: first})
+		n.onPromise(from, &register.Promise{Op: change.ID, OK: true, Ballot: first})
 	}
 	must.Zero(t, accepts())
 	for _, from := range n.core.Names() {
-		n.onPromise(from, &register.Promise{Op: o.ID, OK: true, Ballot: o.Ballot})
+		n.onPromise(from, &register.Promise{Op: change.ID, OK: true, Ballot: change.Ballot})
 	}
 	must.Eq(t, len(n.core.Members), accepts())
 	for _, from := range n.core.Names() {
-		n.onAccepted(from, &register.Accepted{Op: o.ID, OK: true, Ballot: first})
+		n.onAccepted(from, &register.Accepted{Op: change.ID, OK: true, Ballot: first})
 	}
-	must.NotNil(t, n.changes[o.ID])
-	must.Eq(t, register.Pending, o.Outcome())
+	must.NotNil(t, n.changes[change.ID])
+	must.Eq(t, register.Pending, change.Outcome())
 }
 
 // Acknowledgements of members under different core sets don't add up to a
@@ -383,7 +383,7 @@
 	n := newNode(nodeConfig{Name: "b", DiskID: 2, Disk: true, FirstStart: true}, statestore.New())
 	say := func(m *wire.FormRequest) *wire.FormResponse {
 		var got *wire.FormResponse
-		for _, e := range reduce(n, event{NowMs: 1000, WallMs: 1000, Body: evMsg{Head: wire.Header{From: "a", To: addressOf("b")}, Msg: m}}) {
+		for _, e := range reduce(n, event{NowMs: 1000, WallMs: 1000, Body: evMsg{Head: wire.Header{From: "a", To: addresseeID("b")}, Msg: m}}) {
 			if a, ok := e.(effAppend); ok {
 				for _, then := range a.Then {
 					if s, ok := then.(effSend); ok && s.To == "a" {
--- a/internal/daemon/history_test.go
+++ b/internal/daemon/history_test.go
@@ -276,14 +276,14 @@
 		status int
 	}{{configuration.ChangeID{Version: 5000, Base: 4999}, 503}, {configuration.ChangeID{Version: 8999, Base: 5000}, 409}, {configuration.ChangeID{Version: 9000, Base: 5000}, 200}} {
 		n.effects, n.changes = nil, map[uint64]*registerChange{}
-		o := n.startChange("setup", "taken", nil, 0)
-		o.changeID, o.request = c.id, &request{id: 5}
+		change := n.startChange("setup", "taken", nil, 0)
+		change.changeID, change.request = c.id, &request{id: 5}
 		for _, m := range n.core.Names()[:2] {
-			n.onPromise(m, &register.Promise{Op: o.ID, OK: true, Ballot: o.Ballot, Accepted: register.Ballot{Round: 1}, Value: codec.Append(nil, value)})
+			n.onPromise(m, &register.Promise{Op: change.ID, OK: true, Ballot: change.Ballot, Accepted: register.Ballot{Round: 1}, Value: codec.Append(nil, value)})
 		}
 		n.effects = slices.DeleteFunc(n.effects, func(e effect) bool { _, isSend := e.(effSend); return isSend })
 		for _, m := range n.core.Names()[:2] {
-			n.onAccepted(m, &register.Accepted{Op: o.ID, OK: true, Ballot: o.Ballot})
+			n.onAccepted(m, &register.Accepted{Op: change.ID, OK: true, Ballot: change.Ballot})
 		}
 		must.Len(t, 1, n.effects)
 		must.Eq(t, c.status, n.effects[0].(effReply).Status, must.Sprint(c.id.Version))
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -34,7 +34,7 @@
 // SendAt sends a message to whoever is at an address, or to the daemon of that name there.
 func (h host) SendAt(to, addr string, msg any) {
 	if to == "" {
-		h.emit(effSend{Addr: addr, Dest: toAnyone, Msg: msg})
+		h.emit(effSend{Addr: addr, Dest: anyProcess, Msg: msg})
 		return
 	}
 	h.sendAt(to, addr, msg)
--- a/internal/daemon/http_server.go
+++ b/internal/daemon/http_server.go
@@ -26,8 +26,8 @@
 )
 
 const (
-	replyMs     = 4000            // the control thread answers long before; this guards against a fault in it
-	stageMetric = "stage_seconds" // the histogram of where the time of jobs goes
+	replyTimeoutMs  = 4000            // the control thread answers long before; this guards against a fault in it
+	stageMetricName = "stage_seconds" // the histogram of where the time of jobs goes
 )
 
 // httpServer is the HTTP side: it turns calls into requests for the control thread
@@ -42,17 +42,17 @@
 
 func newHTTPServer(s settings, l *controlLoop, _ *executor) (*httpServer, error) {
 	gin.SetMode(gin.ReleaseMode)
-	d := &httpServer{loop: l}
+	h := &httpServer{loop: l}
 	if s.HTTP != "" {
 		ln, err := net.Listen("tcp", s.HTTP)
 		if err != nil {
 			return nil, errors.Wrapf(errSettings, "http: %v", err)
 		}
-		d.ln = ln
+		h.ln = ln
 	}
-	r := gin.New()
-	r.Use(gin.Recovery())
-	for _, m := range []struct{ method, path, op, param string }{
+	router := gin.New()
+	router.Use(gin.Recovery())
+	for _, route := range []struct{ method, path, op, param string }{
 		{"PUT", "/v1/jobs/:id", "job.put", "id"}, {"GET", "/v1/jobs/:id", "job.get", "id"},
 		{"POST", "/v1/jobs/:id/cancel", "job.cancel", "id"}, {"GET", "/v1/jobs/:id/explain", "job.explain", "id"},
 		{"PUT", "/v1/setups/:id", "setup.put", "id"}, {"GET", "/v1/setups/current", "setup.get", ""},
@@ -61,37 +61,37 @@
 		{"PUT", "/v1/sites/:id/empty", "site.empty", "id"}, {"DELETE", "/v1/sites/:id/empty", "site.open", "id"},
 		{"GET", "/v1/ready", "ready", ""},
 	} {
-		r.Handle(m.method, m.path, func(c *gin.Context) { d.serve(c, m.op, c.Param(m.param)) })
+		router.Handle(route.method, route.path, func(c *gin.Context) { h.serve(c, route.op, c.Param(route.param)) })
 	}
-	r.POST("/v1/workers/:id/lost", d.serveWorkerLost)
-	r.GET("/v1/tenants", d.serveTenants)
-	reg := prometheus.NewRegistry()
-	reg.MustRegister(d)
-	r.GET("/metrics", gin.WrapH(promhttp.HandlerFor(reg, promhttp.HandlerOpts{})))
-	r.NoRoute(func(c *gin.Context) { c.JSON(404, gin.H{"error": "no such path"}) })
-	d.server = &http.Server{
-		Handler:           r,
+	router.POST("/v1/workers/:id/lost", h.serveWorkerLost)
+	router.GET("/v1/tenants", h.serveTenants)
+	registry := prometheus.NewRegistry()
+	registry.MustRegister(h)
+	router.GET("/metrics", gin.WrapH(promhttp.HandlerFor(registry, promhttp.HandlerOpts{})))
+	router.NoRoute(func(c *gin.Context) { c.JSON(404, gin.H{"error": "no such path"}) })
+	h.server = &http.Server{
+		Handler:           router,
 		ReadHeaderTimeout: 5 * time.Second,
 		ReadTimeout:       20 * time.Second,
 		IdleTimeout:       time.Minute,
 	}
-	return d, nil
+	return h, nil
 }
 
-func runHTTPServer(lc fx.Lifecycle, d *httpServer) {
-	if d.ln == nil {
+func runHTTPServer(lc fx.Lifecycle, h *httpServer) {
+	if h.ln == nil {
 		return
 	}
-	lc.Append(fx.Hook{OnStart: func(context.Context) error { go func() { _ = d.server.Serve(d.ln) }(); return nil },
+	lc.Append(fx.Hook{OnStart: func(context.Context) error { go func() { _ = h.server.Serve(h.ln) }(); return nil },
 		OnStop: func(ctx context.Context) error {
 			ctx, cancel := context.WithTimeout(ctx, time.Second)
 			defer cancel()
-			return d.server.Shutdown(ctx)
+			return h.server.Shutdown(ctx)
 		}})
 }
 
 // request posts one request and waits for its reply.
-func (d *httpServer) request(ctx context.Context, e evRequest) effReply {
+func (h *httpServer) request(ctx context.Context, e evRequest) effReply {
 	switch e.Op {
 	case "setup.put": // checked here, since thousands of queues would hold the control thread up
 		var faults []schema.Fault
@@ -99,34 +99,34 @@
 			return effReply{Status: 400, Body: faultsJSON(faults)}
 		}
 	case "ready":
-		if reason := d.loop.notReady(); reason != "" {
+		if reason := h.loop.notReadyReason(); reason != "" {
 			return effReply{Status: 503, RetryMs: 1000, Body: mustJSON(map[string]any{"error": reason})}
 		}
 		return effReply{Status: 200, Body: []byte(`{"ready":true}`)}
 	}
 	ch := make(chan effReply, 1)
-	d.mu.Lock()
-	d.seq++
-	e.ID = d.seq
-	d.mu.Unlock()
+	h.mu.Lock()
+	h.seq++
+	e.ID = h.seq
+	h.mu.Unlock()
 	select {
-	case d.loop.queue <- func(s *executor) {
-		s.ports.(*processPorts).waiting[e.ID] = ch
-		s.event(e)
+	case h.loop.queue <- func(exec *executor) {
+		exec.ports.(*processPorts).pendingReplies[e.ID] = ch
+		exec.event(e)
 	}:
 	default: // the control thread is far behind: say so at once
 		return effReply{Status: 429, RetryMs: 1000, Body: []byte(`{"error":"this daemon is too busy"}`)}
 	}
-	limit := time.NewTimer(replyMs * time.Millisecond)
+	limit := time.NewTimer(replyTimeoutMs * time.Millisecond)
 	defer limit.Stop()
 	select {
 	case r := <-ch:
 		return r
 	case <-ctx.Done():
 	case <-limit.C:
-	case <-d.loop.quit:
+	case <-h.loop.quit:
 	}
-	d.loop.post(func(s *executor) { delete(s.ports.(*processPorts).waiting, e.ID) })
+	h.loop.post(func(exec *executor) { delete(exec.ports.(*processPorts).pendingReplies, e.ID) })
 	status := 503
 	if e.Op == "queue.submit" || e.Op == "queue.cancel" { // it may be done all the same
 		status = 504
@@ -135,14 +135,14 @@
 }
 
 // servePlatform answers the platform's calls.
-func (d *httpServer) servePlatform(ctx context.Context, c platform.Call) platform.Response {
+func (h *httpServer) servePlatform(ctx context.Context, c platform.Call) platform.Response {
 	if len(c.Body) > bodyMaxBytes && c.Op != "setup.put" && c.Op != "worker.beat" {
 		return platform.Response{
 			Status: 400,
 			Body:   faultsJSON([]schema.Fault{{Path: "", Reason: fmt.Sprintf("is larger than %d bytes", bodyMaxBytes)}}),
 		}
 	}
-	r := d.request(
+	r := h.request(
 		ctx,
 		evRequest{
 			Op: c.Op, Key: c.Key, Host: c.Host, Path: c.Path, Base: c.BaseVersion, Digest: c.Digest, Body: c.Body,
@@ -152,7 +152,7 @@
 	return platform.Response{Status: r.Status, RetryAfterMs: r.RetryMs, Body: r.Body}
 }
 
-func (d *httpServer) serve(c *gin.Context, op, key string) {
+func (h *httpServer) serve(c *gin.Context, op, key string) {
 	limit := int64(bodyMaxBytes + 1)
 	if op == "setup.put" || op == "worker.report" {
 		limit = configuration.MaxBytes + 1
@@ -187,7 +187,7 @@
 			return
 		}
 	}
-	writeReply(c, d.request(c.Request.Context(), e))
+	writeReply(c, h.request(c.Request.Context(), e))
 }
 
 func writeReply(c *gin.Context, r effReply) {
@@ -198,12 +198,12 @@
 }
 
 // serveWorkerLost tells every shard's owner that a worker is gone for good.
-func (d *httpServer) serveWorkerLost(c *gin.Context) {
+func (h *httpServer) serveWorkerLost(c *gin.Context) {
 	ctx := c.Request.Context()
 	tasks := int64(0)
-	members := d.request(ctx, evRequest{Op: "members", Base: -1})
+	members := h.request(ctx, evRequest{Op: "members", Base: -1})
 	for _, s := range gjson.GetBytes(members.Body, "slices").Array() {
-		r := d.request(ctx, evRequest{Op: "worker.lost", Key: s.Str + "/" + c.Param("id"), Base: -1})
+		r := h.request(ctx, evRequest{Op: "worker.lost", Key: s.Str + "/" + c.Param("id"), Base: -1})
 		if r.Status != 200 {
 			writeReply(c, r)
 			return
@@ -215,30 +215,30 @@
 
 // Describe names nothing beforehand: to do so it would have to ask a control
 // thread that has not begun. The collector lets such counts come and go.
-func (d *httpServer) Describe(chan<- *prometheus.Desc) {}
+func (h *httpServer) Describe(chan<- *prometheus.Desc) {}
 
 // Collect reads the counts once.
-func (d *httpServer) Collect(ch chan<- prometheus.Metric) {
-	got := make(chan struct{})
+func (h *httpServer) Collect(ch chan<- prometheus.Metric) {
+	collected := make(chan struct{})
 	counts, gauges, meter := map[string]int64{}, map[string]float64{}, map[meterKey]float64{}
 	var stages map[jobtrace.Key]jobtrace.Histogram
 	var tenants map[string]tenantGauges
-	d.loop.post(func(s *executor) {
-		for k, v := range s.node.counts {
+	h.loop.post(func(exec *executor) {
+		for k, v := range exec.node.counts {
 			counts[k] = v
 		}
-		s.node.gauges(gauges)
-		for k, v := range s.node.batchMeter {
+		exec.node.gauges(gauges)
+		for k, v := range exec.node.batchMeter {
 			meter[k] = v
 		}
-		stages, tenants = s.node.stages.Snapshot(), s.node.tenantMetrics()
-		close(got)
+		stages, tenants = exec.node.stages.Snapshot(), exec.node.tenantMetrics()
+		close(collected)
 	})
 	select {
-	case <-got:
-	case <-time.After(replyMs * time.Millisecond):
+	case <-collected:
+	case <-time.After(replyTimeoutMs * time.Millisecond):
 		return
-	case <-d.loop.quit:
+	case <-h.loop.quit:
 		return
 	}
 	for _, k := range sortedKeys(counts) {
@@ -261,7 +261,7 @@
 
 // collectStages gives the histograms of where the time of jobs went.
 func collectStages(ch chan<- prometheus.Metric, stages map[jobtrace.Key]jobtrace.Histogram) {
-	desc := prometheus.NewDesc("otterchute_"+stageMetric,
+	desc := prometheus.NewDesc("otterchute_"+stageMetricName,
 		"How long tasks and jobs of the shards owned here were in a stage.", []string{"queue", "class", "stage"}, nil)
 	for key, h := range stages { // the registry sorts them
 		ch <- prometheus.MustNewConstHistogram(desc, h.Count(), h.SumSeconds(), h.Buckets(),
--- a/internal/daemon/http_server_test.go
+++ b/internal/daemon/http_server_test.go
@@ -13,7 +13,7 @@
 // plays: each posted job is run when the test says so.
 func serverTaken() (*httpServer, *processPorts, func()) {
 	l := newControlLoop(newSteadyClock())
-	ports := &processPorts{loop: l, waiting: map[uint64]chan effReply{}}
+	ports := &processPorts{loop: l, pendingReplies: map[uint64]chan effReply{}}
 	l.executor = &executor{node: newNode(nodeConfig{Name: "a"}, nil), ports: ports}
 	l.executor.node.wokeMs = 1 << 40 // its first polls are under way: calls are held, not turned away
 	return &httpServer{loop: l}, ports, func() { (<-l.queue)(l.executor) }
@@ -26,33 +26,33 @@
 		op     string
 		status int
 	}{{"queue.submit", 504}, {"queue.cancel", 504}, {"queue.state", 503}} {
-		d, ports, run := serverTaken()
-		l := d.loop
+		h, ports, run := serverTaken()
+		l := h.loop
 		l.executor.node.config.current.Version = 1 // calls wait for a newer confirmation of the setup
 		ctx, giveUp := context.WithCancel(context.Background())
 		first, second := make(chan effReply, 1), make(chan effReply, 1)
-		go func() { first <- d.request(ctx, evRequest{Op: c.op, Host: "h", Path: "/first"}) }()
+		go func() { first <- h.request(ctx, evRequest{Op: c.op, Host: "h", Path: "/first"}) }()
 		run()
-		must.MapContainsKey(t, ports.waiting, 1)
+		must.MapContainsKey(t, ports.pendingReplies, 1)
 		giveUp()
 		must.Eq(t, c.status, (<-first).Status)
-		go func() { second <- d.request(context.Background(), evRequest{Op: c.op, Host: "h", Path: "/second"}) }()
+		go func() { second <- h.request(context.Background(), evRequest{Op: c.op, Host: "h", Path: "/second"}) }()
 		run() // the first is given up on
-		must.MapNotContainsKey(t, ports.waiting, 1)
+		must.MapNotContainsKey(t, ports.pendingReplies, 1)
 		ports.Reply(effReply{ID: 1, Status: 200, Body: []byte("first")})
 		run()
 		ports.Reply(effReply{ID: 1, Status: 200, Body: []byte("first, again")})
 		ports.Reply(effReply{ID: 2, Status: 200, Body: []byte("second")})
 		ports.Reply(effReply{ID: 2, Status: 500, Body: []byte("second, again")})
 		must.Eq(t, "second", string((<-second).Body))
-		must.MapEmpty(t, ports.waiting)
+		must.MapEmpty(t, ports.pendingReplies)
 	}
 }
 
 // Calls at once, answered in any order and some of them given up on, each get their own reply.
 func TestServerManyAtOnce(t *testing.T) {
-	d, ports, _ := serverTaken()
-	d.loop.executor.node.config.current.Version = 1
+	h, ports, _ := serverTaken()
+	h.loop.executor.node.config.current.Version = 1
 	const calls = 200
 	var wg sync.WaitGroup
 	for i := range calls {
@@ -62,7 +62,7 @@
 			if i%5 == 0 {
 				cancel()
 			}
-			r := d.request(ctx, evRequest{Op: "queue.state", Host: "h", Path: fmt.Sprint("/", i)})
+			r := h.request(ctx, evRequest{Op: "queue.state", Host: "h", Path: fmt.Sprint("/", i)})
 			if body := string(r.Body); body != fmt.Sprint("/", i) && (i%5 != 0 || r.Status != 503) {
 				t.Errorf("call %d got %d %s", i, r.Status, body)
 			}
@@ -70,15 +70,15 @@
 	}
 	ended := make(chan struct{})
 	go func() { wg.Wait(); close(ended) }()
-	held := &d.loop.executor.node.config.awaiting
+	held := &h.loop.executor.node.config.awaiting
 	for {
 		select {
 		case <-ended:
 			return
-		case job := <-d.loop.queue:
-			job(d.loop.executor)
+		case job := <-h.loop.queue:
+			job(h.loop.executor)
 			for _, req := range *held {
-				if req.id%3 != 0 || len(d.loop.queue) == 0 { // some wait for others that came later
+				if req.id%3 != 0 || len(h.loop.queue) == 0 { // some wait for others that came later
 					ports.Reply(effReply{ID: req.id, Status: 200, Body: []byte(req.path)})
 				}
 			}
--- a/internal/daemon/identity.go
+++ b/internal/daemon/identity.go
@@ -29,8 +29,8 @@
 // don't hear each other: each serves while it has a majority of the core, as
 // across a cut of the network, so core members are restarted one by one.
 
-// toAnyone addresses whoever listens at an address.
-const toAnyone uint64 = 0
+// anyProcess addresses whoever listens at an address.
+const anyProcess uint64 = 0
 
 // peerInstance is one process of a daemon.
 type peerInstance struct {
@@ -53,29 +53,29 @@
 	reflect.TypeFor[*wire.DigestReply]():   true,
 }
 
-// greetings are the messages that may go to an address without a name.
-var greetings = map[reflect.Type]bool{reflect.TypeFor[*wire.Gossip](): true, reflect.TypeFor[*wire.Digest](): true}
+// addressOnlyMessages are the messages that may go to an address without a name.
+var addressOnlyMessages = map[reflect.Type]bool{reflect.TypeFor[*wire.Gossip](): true, reflect.TypeFor[*wire.Digest](): true}
 
 func newInstanceID() uint64 { return newSeed() | 1 }
 
-// addressOf is a name as frames bear it, never toAnyone.
-func addressOf(name string) uint64 {
+// addresseeID is a name as frames bear it, never anyProcess.
+func addresseeID(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name))
 	return h.Sum64() | 1
 }
 
 // acceptsFrame tells whether a message is meant for this process. It counts what isn't.
-func (n *node) acceptsFrame(head wire.Header, msg any) bool {
+func (n *node) acceptsFrame(header wire.Header, msg any) bool {
 	kind := reflect.TypeOf(msg)
 	switch {
 	case responses[kind]:
-		if head.To == n.Instance {
+		if header.To == n.Instance {
 			return true
 		}
 		n.count("late_responses")
 		return false
-	case head.To == addressOf(n.Name), head.To == toAnyone && greetings[kind]:
+	case header.To == addresseeID(n.Name), header.To == anyProcess && addressOnlyMessages[kind]:
 		return true
 	}
 	n.count("messages_misaddressed")
@@ -87,13 +87,13 @@
 func (n *node) destination(to string, msg any) uint64 {
 	switch {
 	case !responses[reflect.TypeOf(msg)]:
-		return addressOf(to)
+		return addresseeID(to)
 	case to == n.Name:
 		return n.Instance
 	case to == n.sender.name:
 		return n.sender.instance
 	}
-	return toAnyone // nobody takes a response that answers no request
+	return anyProcess // nobody takes a response that answers no request
 }
 
 // respondTo answers a request that was kept for a while.
--- a/internal/daemon/identity_test.go
+++ b/internal/daemon/identity_test.go
@@ -112,11 +112,11 @@
 	for _, kind := range wire.Kinds() {
 		typ := messageType(kind)
 		msg := reflect.New(typ).Interface()
-		response, greeting := responses[reflectPtr(typ)], greetings[reflectPtr(typ)]
-		must.Eq(t, !response, addressedTo(n, addressOf("a"), msg), must.Sprint(typ))
+		response, greeting := responses[reflectPtr(typ)], addressOnlyMessages[reflectPtr(typ)]
+		must.Eq(t, !response, addressedTo(n, addresseeID("a"), msg), must.Sprint(typ))
 		must.Eq(t, response, addressedTo(n, 1234, msg), must.Sprint(typ))
-		must.Eq(t, greeting, addressedTo(n, toAnyone, msg), must.Sprint(typ))
-		must.False(t, addressedTo(n, addressOf("b"), msg), must.Sprint(typ))
+		must.Eq(t, greeting, addressedTo(n, anyProcess, msg), must.Sprint(typ))
+		must.False(t, addressedTo(n, addresseeID("b"), msg), must.Sprint(typ))
 		must.False(t, addressedTo(n, 1235, msg), must.Sprint(typ))
 	}
 	n.Incarnation = 99 // is raised within a life; the life is not
@@ -143,7 +143,7 @@
 		&wire.WriteRequest{SetVersion: n.core.Version, Shard: "x", Epoch: 3}, &wire.FetchRequest{SetVersion: n.core.Version, Shard: "x"}, &wire.RegisterRead{SetVersion: n.core.Version, Register: "x"},
 		&wire.CopyRequest{SetVersion: n.core.Version}, &wire.Digest{Self: wire.Peer{Name: "b"}}, &wire.Forward{Op: "members"}} {
 		before := len(dest)
-		for _, e := range reduce(n, event{NowMs: n.now, WallMs: n.wall, Seed: 1, Body: evMsg{Head: wire.Header{From: "b", Instance: 4321, To: addressOf(n.Name)}, Msg: msg}}) {
+		for _, e := range reduce(n, event{NowMs: n.now, WallMs: n.wall, Seed: 1, Body: evMsg{Head: wire.Header{From: "b", Instance: 4321, To: addresseeID(n.Name)}, Msg: msg}}) {
 			if a, ok := e.(effAppend); ok {
 				look(a.Then)
 			} else {
--- a/internal/daemon/lease_test.go
+++ b/internal/daemon/lease_test.go
@@ -31,8 +31,8 @@
 
 // countsEpoch tells whether a daemon is counting a role's epoch up.
 func (n *node) countsEpoch(role string) bool {
-	for _, o := range n.changes {
-		if o.kind == "duty" && string(o.arg) == role {
+	for _, change := range n.changes {
+		if change.kind == "duty" && string(change.argument) == role {
 			return true
 		}
 	}
@@ -113,8 +113,8 @@
 // accepts tells whether a change of a register is in its second round.
 func (n *node) accepts(reg string) bool {
 	for _, id := range sortedKeys(n.changes) {
-		if o := n.changes[id]; o.Register == reg {
-			return o.ValueBallot() == o.Ballot
+		if change := n.changes[id]; change.Register == reg {
+			return change.ValueBallot() == change.Ballot
 		}
 	}
 	return false
--- a/internal/daemon/membership_test.go
+++ b/internal/daemon/membership_test.go
@@ -528,16 +528,16 @@
 	larger := quorum.Set{Cluster: 9, Version: 2, Members: []quorum.Member{{Name: "a", DiskID: 1}, {Name: "b", DiskID: 2}, {Name: "c", DiskID: 3}, {Name: "d", DiskID: 4}}}
 	n.adoptCoreSet(larger)
 	must.False(t, n.leases.Unresponsive("a", membership.UnresponsiveMs))
-	o := n.startChange("setup", "setup", nil, 0)
-	former := o.Ballot
+	change := n.startChange("setup", "setup", nil, 0)
+	former := change.Ballot
 	n.now += 400
 	n.granter = lease.NewGranter()
 	n.adoptCoreSet(larger.Without(2))
-	must.True(t, former.Less(o.Ballot))
+	must.True(t, former.Less(change.Ballot))
 	var versions []int64
 	for _, e := range n.effects {
 		if s, ok := e.(effSend); ok {
-			if m, ok := s.Msg.(*register.Prepare); ok && m.Ballot == o.Ballot {
+			if m, ok := s.Msg.(*register.Prepare); ok && m.Ballot == change.Ballot {
 				versions = append(versions, m.SetVersion)
 			}
 		}
--- a/internal/daemon/product_test.go
+++ b/internal/daemon/product_test.go
@@ -18,11 +18,11 @@
 // to it and not answered is not called refused.
 func TestProductBeforeTheCore(t *testing.T) {
 	l := newControlLoop(newSteadyClock())
-	ports := &processPorts{loop: l, log: logr.Discard(), waiting: map[uint64]chan effReply{}, self: "127.0.0.1:7000", exit: func() {}}
+	ports := &processPorts{loop: l, log: logr.Discard(), pendingReplies: map[uint64]chan effReply{}, selfAddr: "127.0.0.1:7000", exit: func() {}}
 	l.executor = &executor{node: newNode(nodeConfig{Name: "d1", Addr: "127.0.0.1:7000", Zone: "east"}, nil), ports: ports}
-	d := &httpServer{loop: l}
+	h := &httpServer{loop: l}
 	call := func(c platform.Call) (int, string) {
-		a := d.servePlatform(context.Background(), c)
+		a := h.servePlatform(context.Background(), c)
 		return a.Status, gjson.GetBytes(a.Body, "error").Str
 	}
 	status, reason := call(platform.Call{Op: "ready"})
@@ -50,7 +50,7 @@
 	}
 	must.Eq(t, "no cluster yet", reason)
 	close(l.quit)
-	<-l.ended
+	<-l.done
 	status, _ = call(platform.Call{Op: "queue.submit", Host: "h", Path: "/a/1"})
 	must.Eq(t, 504, status)
 	status, _ = call(platform.Call{Op: "queue.state", Host: "h", Path: "/a/1"})
--- a/internal/daemon/reduce.go
+++ b/internal/daemon/reduce.go
@@ -195,14 +195,14 @@
 	overload   overloadMeter
 }
 
-func newNode(p nodeConfig, st *statestore.Store) *node {
+func newNode(config nodeConfig, store *statestore.Store) *node {
 	n := &node{
-		nodeConfig:   p,
-		store:        st,
+		nodeConfig:   config,
+		store:        store,
 		granter:      lease.NewGranter(),
 		counts:       map[string]int64{},
 		changes:      map[uint64]*registerChange{},
-		proposer:     register.Proposer{Name: p.Name, Instance: p.Instance, Timing: changeTiming},
+		proposer:     register.Proposer{Name: config.Name, Instance: config.Instance, Timing: changeTiming},
 		forwarded:    map[uint64]*forwardedRequest{},
 		quorumReads:  map[uint64]*quorumRead{},
 		shards:       map[string]*ownedShard{},
@@ -212,10 +212,10 @@
 		workers:      map[string]*workerView{},
 		config:       newConfigState(),
 	}
-	n.peers = cluster.New(host{n}, p.Name, p.Seeds)
+	n.peers = cluster.New(host{n}, config.Name, config.Seeds)
 	n.leases = lease.NewManager(host{n}, n.peers)
-	n.leases.IgnoreStrength(!p.Policies.On(scheduler.StrongRoles))
-	n.members = membership.NewManager(host{n}, p.Name, p.CoreSize, n.peers, n.leases)
+	n.leases.IgnoreStrength(!config.Policies.On(scheduler.StrongRoles))
+	n.members = membership.NewManager(host{n}, config.Name, config.CoreSize, n.peers, n.leases)
 	return n
 }
 
@@ -224,17 +224,17 @@
 //
 // Example: effects := reduce(n, event{NowMs: 100, WallMs: wall, Body: evTick{}})
 func reduce(n *node, ev event) []effect {
-	stoodMs, began := ev.NowMs-n.now, n.now == 0
-	if stoodMs > freezeThresholdMs {
+	elapsedMs, firstEvent := ev.NowMs-n.now, n.now == 0
+	if elapsedMs > freezeThresholdMs {
 		n.wokeMs = ev.NowMs
 	}
 	n.now = max(n.now, ev.NowMs)
 	n.wall, n.seed, n.rng, n.effects = ev.WallMs, ev.Seed, nil, nil
-	if stoodMs > freezeThresholdMs && !began {
-		n.log("stood_still", "ms", stoodMs)
+	if elapsedMs > freezeThresholdMs && !firstEvent {
+		n.log("stood_still", "ms", elapsedMs)
 	}
-	if h, ok := eventHandlers[reflect.TypeOf(ev.Body)]; ok {
-		h(n, ev.Body)
+	if handler, ok := eventHandlers[reflect.TypeOf(ev.Body)]; ok {
+		handler(n, ev.Body)
 	}
 	n.flushShares()
 	n.flushWrites()
@@ -300,11 +300,11 @@
 	message(onMessage((*node).onRegisterValue))
 }
 
-// tickParts are what a tick does, in order.
-var tickParts []func(*node)
+// tickHandlers are what a tick does, in order.
+var tickHandlers []func(*node)
 
 func init() {
-	tickParts = []func(*node){
+	tickHandlers = []func(*node){
 		(*node).tickGossip,
 		(*node).tickFormation,
 		(*node).tickLearner,
@@ -326,8 +326,8 @@
 
 func (n *node) onTick(evTick) {
 	n.overload.onTick(n.now)
-	for _, do := range tickParts {
-		do(n)
+	for _, handle := range tickHandlers {
+		handle(n)
 	}
 }
 
@@ -344,15 +344,15 @@
 	n.count("messages_in")
 	n.precompiled, n.sender = e.Precompiled, peerInstance{e.Head.From, e.Head.Instance}
 	defer func() { n.precompiled, n.sender = nil, peerInstance{} }()
-	if h, ok := messageHandlers[reflect.TypeOf(e.Msg)]; ok {
-		h(n, e.Head.From, e.Msg)
+	if handler, ok := messageHandlers[reflect.TypeOf(e.Msg)]; ok {
+		handler(n, e.Head.From, e.Msg)
 	}
 }
 
 func (n *node) emit(e effect)               { n.effects = append(n.effects, e) }
 func (n *node) count(name string)           { n.counts[name]++ }
 func (n *node) log(event string, kv ...any) { n.emit(effLog{Event: event, Pairs: kv}) }
-func (n *node) headOf() wire.Header {
+func (n *node) frameHeader() wire.Header {
 	return wire.Header{Cluster: n.core.Cluster, From: n.Name, Instance: n.Instance}
 }
 func (n *node) reply(id uint64, a wire.ForwardReply) {
--- a/internal/daemon/registers.go
+++ b/internal/daemon/registers.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	changeMs      = 2500 // a register change that has not ended by then is given up on
-	changeRetryMs = 150  // base of the jittered wait between two attempts of a change
+	changeTimeoutMs = 2500 // a register change that has not ended by then is given up on
+	changeRetryMs   = 150  // base of the jittered wait between two attempts of a change
 )
 
 // registerChange is one change of a register by this daemon.
 type registerChange struct {
 	*register.Operation
-	kind     string // names what is computed and what follows, see changeKinds
-	arg      []byte // the wanted value or its part
-	expect   int64  // the version the value must have, where the kind asks
-	changeID configuration.ChangeID
-	request  *request
+	kind            string // names what is computed and what follows, see changeKinds
+	argument        []byte // the wanted value or its part
+	expectedVersion int64  // the version the value must have, where the kind asks
+	changeID        configuration.ChangeID
+	request         *request
 }
 
 // changeKind computes the next value from the current one, and says what follows.
 type changeKind struct {
 	decide func(*node, *registerChange, []byte) (register.Decision, []byte)
-	done   func(*node, *registerChange, register.Outcome)
+	finish func(*node, *registerChange, register.Outcome)
 }
 
 var changeKinds map[string]changeKind
@@ -36,28 +36,28 @@
 func init() {
 	changeKinds = map[string]changeKind{
 		"read": {decide: func(*node, *registerChange, []byte) (register.Decision, []byte) { return register.Keep, nil },
-			done: func(*node, *registerChange, register.Outcome) {}},
-		"core":  {decide: changeCoreSet, done: (*node).coreChanged},
-		"duty":  {decide: decideEpoch, done: (*node).epochChanged},
-		"setup": {decide: changeConfig, done: (*node).configChanged},
-		"taken": {decide: findChangeDecision, done: (*node).changeFound},
-		"empty": {decide: changeEmptiedZones, done: (*node).zonesChanged},
-		"open":  {decide: changeEmptiedZones, done: (*node).zonesChanged},
+			finish: func(*node, *registerChange, register.Outcome) {}},
+		"core":  {decide: decideCoreSet, finish: (*node).onCoreSetChange},
+		"duty":  {decide: decideEpoch, finish: (*node).onEpochChange},
+		"setup": {decide: decideConfig, finish: (*node).onConfigChange},
+		"taken": {decide: decideFindChange, finish: (*node).onFindChange},
+		"empty": {decide: decideEmptiedZones, finish: (*node).onZonesChange},
+		"open":  {decide: decideEmptiedZones, finish: (*node).onZonesChange},
 	}
 }
 
-var changeTiming = register.Timing{DeadlineMs: changeMs, ResponseTimeoutMs: changeMs / 4, RetryBaseMs: changeRetryMs}
+var changeTiming = register.Timing{DeadlineMs: changeTimeoutMs, ResponseTimeoutMs: changeTimeoutMs / 4, RetryBaseMs: changeRetryMs}
 
-func (n *node) startChange(reg, kind string, arg []byte, expect int64) *registerChange {
+func (n *node) startChange(registerName, kind string, arg []byte, expect int64) *registerChange {
 	n.opSeq++
-	o := &registerChange{kind: kind, arg: arg, expect: expect}
-	change := func(current []byte) (register.Decision, []byte) { return changeKinds[kind].decide(n, o, current) }
+	change := &registerChange{kind: kind, argument: arg, expectedVersion: expect}
+	decide := func(current []byte) (register.Decision, []byte) { return changeKinds[kind].decide(n, change, current) }
 	n.proposer.Observe(n.config.newestBallot.Round)
 	var out []register.Envelope
-	o.Operation, out = n.proposer.Begin(n.opSeq, reg, change, n.core.RegisterSet(), n.now)
-	n.changes[o.ID] = o
+	change.Operation, out = n.proposer.Begin(n.opSeq, registerName, decide, n.core.RegisterSet(), n.now)
+	n.changes[change.ID] = change
 	n.sendAll(out)
-	return o
+	return change
 }
 
 func (n *node) sendAll(envelopes []register.Envelope) {
@@ -67,24 +67,24 @@
 }
 
 // endChange carries on once an operation has an outcome.
-func (n *node) endChange(o *registerChange) {
-	if outcome := o.Outcome(); outcome != register.Pending {
-		delete(n.changes, o.ID)
-		changeKinds[o.kind].done(n, o, outcome)
+func (n *node) endChange(change *registerChange) {
+	if outcome := change.Outcome(); outcome != register.Pending {
+		delete(n.changes, change.ID)
+		changeKinds[change.kind].finish(n, change, outcome)
 	}
 }
 
 func (n *node) onPromise(from string, m *register.Promise) {
-	if o := n.changes[m.Op]; o != nil {
-		n.sendAll(o.OnPromise(from, m, n.now, n.jitter))
-		n.endChange(o)
+	if change := n.changes[m.Op]; change != nil {
+		n.sendAll(change.OnPromise(from, m, n.now, n.jitter))
+		n.endChange(change)
 	}
 }
 
 func (n *node) onAccepted(from string, m *register.Accepted) {
-	if o := n.changes[m.Op]; o != nil {
-		o.OnAccepted(from, m, n.now, n.jitter)
-		n.endChange(o)
+	if change := n.changes[m.Op]; change != nil {
+		change.OnAccepted(from, m, n.now, n.jitter)
+		n.endChange(change)
 	}
 }
 
@@ -93,13 +93,13 @@
 
 func (n *node) tickChanges() {
 	for _, id := range sortedKeys(n.changes) {
-		o := n.changes[id]
-		if o.request != nil && n.leases.CutOff() {
-			o.Abandon()
+		change := n.changes[id]
+		if change.request != nil && n.leases.CutOff() {
+			change.Abandon()
 		}
 		n.proposer.Observe(n.config.newestBallot.Round)
-		n.sendAll(o.Tick(n.core.RegisterSet(), n.now))
-		n.endChange(o)
+		n.sendAll(change.Tick(n.core.RegisterSet(), n.now))
+		n.endChange(change)
 	}
 }
 
@@ -107,9 +107,9 @@
 	if !n.inCore() {
 		return
 	}
-	answer, write := n.store.Register(m.Register).OnPrepare(n.core.Version, m)
-	if answer != nil {
-		n.answerProposer(from, m.Register, answer, write)
+	response, write := n.store.Register(m.Register).OnPrepare(n.core.Version, m)
+	if response != nil {
+		n.answerProposer(from, m.Register, response, write)
 	}
 }
 
@@ -117,40 +117,40 @@
 	if !n.inCore() {
 		return
 	}
-	answer, write := n.store.Register(m.Register).OnAccept(n.core.Version, m)
-	if answer != nil {
-		n.answerProposer(from, m.Register, answer, write)
+	response, write := n.store.Register(m.Register).OnAccept(n.core.Version, m)
+	if response != nil {
+		n.answerProposer(from, m.Register, response, write)
 	}
 }
 
 // answerProposer lets an acceptor's answer go once its write is synced.
-func (n *node) answerProposer(to, reg string, answer any, write *register.Write) {
+func (n *node) answerProposer(to, registerName string, response any, write *register.Write) {
 	if write == nil {
-		n.send(to, answer)
+		n.send(to, response)
 		return
 	}
-	entry := statestore.Entry{Kind: statestore.EntryPromise, Name: reg, Ballot: write.Ballot, Value: write.Value}
+	entry := statestore.Entry{Kind: statestore.EntryPromise, Name: registerName, Ballot: write.Ballot, Value: write.Value}
 	if write.Accept {
 		entry.Kind = statestore.EntryAccept
 	}
-	n.persist([]statestore.Entry{entry}, n.sendEffect(to, answer))
+	n.persist([]statestore.Entry{entry}, n.sendEffect(to, response))
 }
 
-// changeCoreSet changes the core set by one member from the expected version.
-func changeCoreSet(_ *node, o *registerChange, current []byte) (register.Decision, []byte) {
-	var cur quorum.Set
-	if len(current) > 0 && codec.Unmarshal(current, &cur) != nil {
+// decideCoreSet changes the core set by one member from the expected version.
+func decideCoreSet(_ *node, change *registerChange, current []byte) (register.Decision, []byte) {
+	var set quorum.Set
+	if len(current) > 0 && codec.Unmarshal(current, &set) != nil {
 		return register.Fail, nil
 	}
-	if bytes.Equal(cur.Encode(), o.arg) || cur.Version > o.expect { // ours, or what stands must be learned
+	if bytes.Equal(set.Encode(), change.argument) || set.Version > change.expectedVersion { // ours, or what stands must be learned
 		return register.Keep, nil
 	}
-	return register.Replace, o.arg
+	return register.Replace, change.argument
 }
 
-func (n *node) coreChanged(o *registerChange, outcome register.Outcome) {
+func (n *node) onCoreSetChange(change *registerChange, outcome register.Outcome) {
 	var set quorum.Set
-	if outcome == register.Done && codec.Unmarshal(o.Value(), &set) == nil {
+	if outcome == register.Done && codec.Unmarshal(change.Value(), &set) == nil {
 		n.adoptCoreSet(set)
 		for _, name := range n.peers.AliveNames() {
 			if name != n.Name {
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	configForwardMs  = 2400 // the same for a change of the configuration, which a core member tries for changeMs
-	forwardMs        = 1200 // a request forwarded without an answer is given up on
-	quorumReadMs     = 500  // a state read from the core that takes longer is given up on
-	forwardsMax      = 2    // a request is forwarded at most this often
-	requestsMax      = 4000 // requests in flight through one daemon before it rejects
-	requestsPerRetry = 5    // every so many requests allow one to be forwarded again: a crowd costs a fifth more at most
-	retriesPerTick   = 1    // and so many a tick, that few requests need not wait
-	readsPerTick     = 10   // states read from the core a tick: 100 a second for each daemon
-	retryBudgetMax   = 100  // what either budget saves up for a burst
+	configForwardTimeoutMs = 2400 // the same for a change of the configuration, which a core member tries for changeTimeoutMs
+	forwardMs              = 1200 // a request forwarded without an answer is given up on
+	quorumReadTimeoutMs    = 500  // a state read from the core that takes longer is given up on
+	forwardsMax            = 2    // a request is forwarded at most this often
+	requestsMax            = 4000 // requests in flight through one daemon before it rejects
+	requestsPerRetry       = 5    // every so many requests allow one to be forwarded again: a crowd costs a fifth more at most
+	retriesPerTick         = 1    // and so many a tick, that few requests need not wait
+	readsPerTick           = 10   // states read from the core a tick: 100 a second for each daemon
+	retryBudgetMax         = 100  // what either budget saves up for a burst
 )
 
 // request is one thing a caller, worker or operator wants, at the daemon that got
@@ -53,9 +53,9 @@
 }
 
 type forwardedRequest struct {
-	request *request
-	to      string
-	limitMs int64
+	request    *request
+	to         string
+	deadlineMs int64
 }
 
 var requestHandlers map[string]func(*node, *request)
@@ -167,12 +167,12 @@
 }
 
 func (n *node) handleRequest(req *request) {
-	op, ok := requestHandlers[req.op]
+	handle, ok := requestHandlers[req.op]
 	if !ok {
 		n.respond(req, 404, 0, mustJSON(map[string]any{"error": "no such ask"}))
 		return
 	}
-	op(n, req)
+	handle(n, req)
 }
 
 func (n *node) respond(req *request, status int, retryMs int64, body []byte) {
@@ -185,12 +185,12 @@
 	if req.byAddress && req.origin == "" && status == 404 && req.queue != "" {
 		status, body = 410, mustJSON(map[string]any{"missing": "job", "error": "no such job"})
 	}
-	m := wire.ForwardReply{ID: req.id, Status: int32(status), RetryAfterMs: retryMs, Body: body}
+	reply := wire.ForwardReply{ID: req.id, Status: int32(status), RetryAfterMs: retryMs, Body: body}
 	if req.origin == "" {
-		n.reply(req.id, m)
+		n.reply(req.id, reply)
 		return
 	}
-	n.respondTo(peerInstance{req.origin, req.originInstance}, &m)
+	n.respondTo(peerInstance{req.origin, req.originInstance}, &reply)
 }
 
 // outcomeUnknown tells that a refusal can't be passed on as it is: an earlier try
@@ -238,9 +238,9 @@
 	n.forwardSeq++
 	limitMs, body := n.now+forwardMs, req.body
 	if operatorRequests[req.op] {
-		limitMs, body = n.now+configForwardMs, configuration.Deflate(req.body)
+		limitMs, body = n.now+configForwardTimeoutMs, configuration.Deflate(req.body)
 	}
-	n.forwarded[n.forwardSeq] = &forwardedRequest{request: req, to: to, limitMs: limitMs}
+	n.forwarded[n.forwardSeq] = &forwardedRequest{request: req, to: to, deadlineMs: limitMs}
 	n.count("requests_forwarded")
 	n.send(
 		to,
@@ -261,23 +261,23 @@
 }
 
 func (n *node) onForwardReply(from string, m *wire.ForwardReply) {
-	p := n.forwarded[m.ID]
-	if p == nil || p.to != from { // given up on, or handed to another since
+	forwarded := n.forwarded[m.ID]
+	if forwarded == nil || forwarded.to != from { // given up on, or handed to another since
 		n.count("late_responses")
 		return
 	}
 	delete(n.forwarded, m.ID)
-	n.respond(p.request, int(m.Status), m.RetryAfterMs, m.Body)
+	n.respond(forwarded.request, int(m.Status), m.RetryAfterMs, m.Body)
 }
 
 // retryForwarded routes anew what waits for a daemon that has lost its role.
 func (n *node) retryForwarded(to string) {
 	for _, id := range sortedKeys(n.forwarded) {
-		if p := n.forwarded[id]; p.to == to && to != "" && n.Policies.On(scheduler.ForwardRetry) && n.retries.take() {
+		if forwarded := n.forwarded[id]; forwarded.to == to && to != "" && n.Policies.On(scheduler.ForwardRetry) && n.retries.take() {
 			delete(n.forwarded, id)
-			p.request.maybeApplied = true
+			forwarded.request.maybeApplied = true
 			n.count("requests_retried")
-			n.handleRequest(p.request)
+			n.handleRequest(forwarded.request)
 		}
 	}
 }
@@ -286,16 +286,16 @@
 	n.retries.add(retriesPerTick * requestsPerRetry)
 	n.coreReads.add(readsPerTick * requestsPerRetry)
 	for _, id := range sortedKeys(n.forwarded) {
-		if p := n.forwarded[id]; n.forwardTimedOut(p) {
+		if forwarded := n.forwarded[id]; n.forwardTimedOut(forwarded) {
 			delete(n.forwarded, id)
-			p.request.maybeApplied = true
-			n.readFromCore(p.request, "the daemon that settles this did not answer")
+			forwarded.request.maybeApplied = true
+			n.readFromCore(forwarded.request, "the daemon that settles this did not answer")
 		}
 	}
 	for _, id := range sortedKeys(n.quorumReads) {
-		if r := n.quorumReads[id]; n.now >= r.limitMs || n.leases.CutOff() {
+		if read := n.quorumReads[id]; n.now >= read.deadlineMs || n.leases.CutOff() {
 			delete(n.quorumReads, id)
-			n.reject(r.request, "neither the owner nor the core answered")
+			n.reject(read.request, "neither the owner nor the core answered")
 		}
 	}
 }
@@ -309,8 +309,8 @@
 		return
 	}
 	n.opSeq++
-	n.quorumReads[n.opSeq] = &quorumRead{request: req, answers: map[string]statestore.Record{},
-		limitMs: n.now + quorumReadMs}
+	n.quorumReads[n.opSeq] = &quorumRead{request: req, responses: map[string]statestore.Record{},
+		deadlineMs: n.now + quorumReadTimeoutMs}
 	for _, m := range n.core.Members {
 		n.send(
 			m.Name,
@@ -321,9 +321,9 @@
 
 // quorumRead is a job's state on its way from the core, while no owner tells it.
 type quorumRead struct {
-	request *request
-	answers map[string]statestore.Record
-	limitMs int64
+	request    *request
+	responses  map[string]statestore.Record
+	deadlineMs int64
 }
 
 // onQuorumRead answers with a state that a majority holds. Where two members differ, the
@@ -331,64 +331,64 @@
 // was away: only the others' word tells, for an end that was told already mustn't
 // be taken back. Absence it does not tell: only an owner can say that a job is
 // unknown.
-func (n *node) onQuorumRead(r *quorumRead, op uint64, from string, records []statestore.Record) {
-	var rec statestore.Record
+func (n *node) onQuorumRead(read *quorumRead, op uint64, from string, records []statestore.Record) {
+	var record statestore.Record
 	if len(records) == 1 {
-		rec = records[0]
+		record = records[0]
 	}
-	r.answers[from] = rec
-	need := n.core.Majority()
-	if len(r.answers) < need {
+	read.responses[from] = record
+	majority := n.core.Majority()
+	if len(read.responses) < majority {
 		return
 	}
-	all := make([]statestore.Record, 0, len(r.answers))
-	for _, rec := range r.answers {
-		all = append(all, rec)
+	newestFirst := make([]statestore.Record, 0, len(read.responses))
+	for _, record := range read.responses {
+		newestFirst = append(newestFirst, record)
 	}
-	slices.SortFunc(all, func(a, b statestore.Record) int {
+	slices.SortFunc(newestFirst, func(a, b statestore.Record) int {
 		return cmp.Or(cmp.Compare(b.Epoch, a.Epoch), cmp.Compare(b.Version, a.Version))
 	})
-	at := need - 1
-	for at < len(all) && !bytes.Equal(all[at-need+1].Value, all[at].Value) {
-		at++
+	agreed := majority - 1
+	for agreed < len(newestFirst) && !bytes.Equal(newestFirst[agreed-majority+1].Value, newestFirst[agreed].Value) {
+		agreed++
 	}
-	if at == len(all) { // no majority agrees
-		if !n.answeredByFullSet(r) {
+	if agreed == len(newestFirst) { // no majority agrees
+		if !n.answeredByFullSet(read) {
 			return
 		}
-		at = need - 1
+		agreed = majority - 1
 	}
-	if j, ok := decodeJob(all[at]); ok {
+	if j, ok := decodeJob(newestFirst[agreed]); ok {
 		delete(n.quorumReads, op)
 		n.count("states_from_core")
-		if n.respondIfHidden(r.request, j) {
+		if n.respondIfHidden(read.request, j) {
 			return
 		}
-		if r.request.op == "job.state" {
+		if read.request.op == "job.state" {
 			n.respond(
-				r.request,
+				read.request,
 				200,
 				0,
 				mustJSON(map[string]any{"state": (&liveJob{jobRecord: *j, runtime: make([]taskRuntime, len(j.Tasks))}).state()}),
 			)
 			return
 		}
-		n.respond(r.request, 200, 0, mustJSON(j.describe(func(t *task) string {
+		n.respond(read.request, 200, 0, mustJSON(j.describe(func(t *task) string {
 			if t.State == taskPending || t.State == taskPlaced {
 				return "its slice is being taken over"
 			}
 			return ""
 		})))
-	} else if len(r.answers) == len(n.core.Members) {
+	} else if len(read.responses) == len(n.core.Members) {
 		delete(n.quorumReads, op)
-		n.reject(r.request, "no owner settles this now, and a majority of the core does not know it")
+		n.reject(read.request, "no owner settles this now, and a majority of the core does not know it")
 	}
 }
 
 // answeredByFullSet tells whether all of a full set have answered a read. In a set that is
 // larger or smaller, what a majority of the one before it held may be at fewer.
-func (n *node) answeredByFullSet(r *quorumRead) bool {
-	return len(r.answers) == len(n.core.Members) && len(r.answers) == n.members.Size()
+func (n *node) answeredByFullSet(read *quorumRead) bool {
+	return len(read.responses) == len(n.core.Members) && len(read.responses) == n.members.Size()
 }
 
 // shardOf decides which shard owns a job: callers never name one.
@@ -414,12 +414,12 @@
 			n.readFromCore(req, "the slice is being taken over")
 			return
 		}
-		op := jobOps[req.op]
-		if op == nil {
+		handle := jobOps[req.op]
+		if handle == nil {
 			n.respond(req, 404, 0, mustJSON(map[string]any{"error": "no such ask"}))
 			return
 		}
-		op(n, shard, req)
+		handle(n, shard, req)
 		return
 	}
 	to, _ := n.leases.Holder(lease.ShardRole(name))
@@ -427,12 +427,12 @@
 }
 
 func (n *node) routeWorkerLost(req *request) {
-	slice, _, ok := strings.Cut(req.key, "/")
+	shard, _, ok := strings.Cut(req.key, "/")
 	if !ok {
 		n.respond(req, 404, 0, mustJSON(map[string]any{"error": "no such slice"}))
 		return
 	}
-	n.routeToShard(req, slice)
+	n.routeToShard(req, shard)
 }
 
 type rawJSON string
@@ -442,7 +442,7 @@
 // forwardTimedOut tells whether to stop waiting for the daemon that a call was handed
 // to: at the call's limit, where this daemon is cut off, and for an operator's
 // order where the core member that has it answers no polls.
-func (n *node) forwardTimedOut(p *forwardedRequest) bool {
-	return n.now >= p.limitMs || n.leases.CutOff() ||
-		operatorRequests[p.request.op] && n.now-n.leases.LastResponseMs(p.to) > lease.HeldMs
+func (n *node) forwardTimedOut(forwarded *forwardedRequest) bool {
+	return n.now >= forwarded.deadlineMs || n.leases.CutOff() ||
+		operatorRequests[forwarded.request.op] && n.now-n.leases.LastResponseMs(forwarded.to) > lease.HeldMs
 }
--- a/internal/daemon/request_address.go
+++ b/internal/daemon/request_address.go
@@ -5,19 +5,19 @@
 	"otterchute/internal/schema"
 )
 
-// addressOps are what calls at a queue's address ask of a job's owner.
-var addressOps = map[string]string{"queue.submit": "job.put", "queue.state": "job.state", "queue.cancel": "job.cancel"}
+// ownerOps are what calls at a queue's address ask of a job's owner.
+var ownerOps = map[string]string{"queue.submit": "job.put", "queue.state": "job.state", "queue.cancel": "job.cancel"}
 
 // resolveAddress finds the queue that an address belongs to, by the configuration that a
 // majority confirmed lately. That an address belongs to none is only said by
 // a configuration confirmed after the call came.
 func (n *node) resolveAddress(req *request) {
-	c := n.config.current
-	if c.Version == 0 {
+	config := n.config.current
+	if config.Version == 0 {
 		n.reject(req, "no setup yet")
 		return
 	}
-	queue, id, ok := c.Resolve(req.host, req.path)
+	queue, id, ok := config.Resolve(req.host, req.path)
 	switch {
 	case !ok && n.configConfirmedSince(req):
 		n.respond(req, 404, 0, mustJSON(map[string]any{"missing": "queue", "error": "no queue has this address"}))
@@ -26,7 +26,7 @@
 		n.awaitConfirmation(req, "the setup is not confirmed here")
 		return
 	}
-	switch tenant, known := authenticate(c, queue, req.credential); {
+	switch tenant, known := authenticate(config, queue, req.credential); {
 	case known:
 		req.tenant, req.credential = tenant, ""
 	case n.configConfirmedSince(req):
@@ -44,7 +44,7 @@
 	case !schema.ValidName(id):
 		n.respond(req, 404, 0, nil)
 	default:
-		req.op = addressOps[req.op]
+		req.op = ownerOps[req.op]
 		n.handleRequest(req)
 	}
 }
@@ -52,16 +52,16 @@
 // authenticate gives the tenant whose key a call shows; "" where none is needed. It gives false
 // where one is needed and nobody has it. A call without a key is nobody's, whatever the digests of
 // the configuration are.
-func authenticate(c *configuration.Configuration, queue, credential string) (tenant string, known bool) {
-	if !c.RequiresKey() {
+func authenticate(config *configuration.Configuration, queue, credential string) (tenant string, known bool) {
+	if !config.RequiresKey() {
 		return "", true
 	}
 	if credential != "" {
-		if t := c.TenantOfKey(configuration.DigestOfKey(credential)); t != nil {
+		if t := config.TenantOfKey(configuration.DigestOfKey(credential)); t != nil {
 			return t.Name, true
 		}
 	}
-	return "", c.Queues[queue].Open
+	return "", config.Queues[queue].Open
 }
 
 // jobVisible tells whether a job is there for a call: one at an address sees the jobs of its queue,
@@ -79,12 +79,12 @@
 	case req.tenant == "" && req.op != "job.cancel":
 		return true
 	}
-	return n.surelyUndeclared(j.Tenant)
+	return n.tenantUndeclared(j.Tenant)
 }
 
-// surelyUndeclared tells whether a confirmed configuration has no such tenant: one that isn't
+// tenantUndeclared tells whether a confirmed configuration has no such tenant: one that isn't
 // confirmed may be from before the tenant was declared.
-func (n *node) surelyUndeclared(tenant string) bool {
+func (n *node) tenantUndeclared(tenant string) bool {
 	return n.configFresh() && n.config.current.Tenants[tenant] == nil
 }
 
--- a/internal/daemon/roles.go
+++ b/internal/daemon/roles.go
@@ -47,12 +47,12 @@
 func (h host) RoundAnswered(r *lease.Round) { h.confirmConfig(r) }
 
 // decideEpoch counts a role's epoch up, as the change of its register.
-func decideEpoch(n *node, o *registerChange, current []byte) (register.Decision, []byte) {
-	return n.leases.NextEpoch(string(o.arg), current)
+func decideEpoch(n *node, change *registerChange, current []byte) (register.Decision, []byte) {
+	return n.leases.NextEpoch(string(change.argument), current)
 }
 
-func (n *node) epochChanged(o *registerChange, outcome register.Outcome) {
-	n.leases.OnEpochOutcome(string(o.arg), outcome, o.Value())
+func (n *node) onEpochChange(change *registerChange, outcome register.Outcome) {
+	n.leases.OnEpochOutcome(string(change.argument), outcome, change.Value())
 }
 
 func (n *node) onPollResponse(from string, m *wire.PollResponse) { n.leases.OnResponse(from, m) }
@@ -77,8 +77,8 @@
 	}
 	for _, role := range n.leases.Roles() {
 		successor := ""
-		if c := n.leases.Candidates(role, n.zoneOfRole(role)); len(c) > 0 {
-			successor = c[0]
+		if candidates := n.leases.Candidates(role, n.preferredZone(role)); len(candidates) > 0 {
+			successor = candidates[0]
 		}
 		if n.leases.Serves(role) {
 			n.leases.HandOff(role, successor)
@@ -86,8 +86,8 @@
 	}
 }
 
-// zoneOfRole is the zone whose daemons are to have a role first; "" for any.
-func (n *node) zoneOfRole(role string) string {
+// preferredZone is the zone whose daemons are to have a role first; "" for any.
+func (n *node) preferredZone(role string) string {
 	kind, subject := lease.SplitRole(role)
 	if agent := n.agents[subject]; kind == lease.KindAgent && agent != nil {
 		return agent.zone
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -17,7 +17,7 @@
 	began := time.Now()
 	app := fx.New(daemonModules(s))
 	must.NoError(t, app.Err())
-	must.Less(t, replyMs/2*time.Millisecond, time.Since(began))
+	must.Less(t, replyTimeoutMs/2*time.Millisecond, time.Since(began))
 	must.NoError(t, app.Start(t.Context()))
 	must.NoError(t, app.Stop(t.Context()))
 }
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -9,7 +9,7 @@
 // Status requests tell what this daemon knows of the fleet: whether it is ready,
 // the daemons and leases, the workers, and the common faults.
 
-// notReady says why this daemon should get no callers; "" if it should.
+// notReadyReason says why this daemon should get no callers; "" if it should.
 func (n *node) notReady() string {
 	switch {
 	case n.core.Cluster == 0:
--- a/internal/daemon/tenant_keys_test.go
+++ b/internal/daemon/tenant_keys_test.go
@@ -181,17 +181,17 @@
 	l := newControlLoop(newSteadyClock())
 	n := newNode(nodeConfig{Name: "d1", Addr: "127.0.0.1:7000", Zone: "east"}, nil)
 	n.config.current, n.config.confirmedMs, n.config.confirmedPoll = c, 1<<40, 1<<60
-	l.executor = &executor{node: n, ports: &processPorts{loop: l, log: logr.Discard(), waiting: map[uint64]chan effReply{}, exit: func() {}}}
+	l.executor = &executor{node: n, ports: &processPorts{loop: l, log: logr.Discard(), pendingReplies: map[uint64]chan effReply{}, exit: func() {}}}
 	go l.run()
-	d := &httpServer{loop: l}
+	h := &httpServer{loop: l}
 	for key, status := range map[string]int{"": 401, "nobody": 401, "key-a1": 503} { // nobody owns a shard yet
 		for _, op := range []string{"queue.submit", "queue.state", "queue.cancel"} {
 			call := platform.Call{Op: op, Host: "h", Path: "/seats/j", Credential: key, Body: tenantJob("x", 1)}
-			must.Eq(t, status, d.servePlatform(context.Background(), call).Status, must.Sprint(op, key))
+			must.Eq(t, status, h.servePlatform(context.Background(), call).Status, must.Sprint(op, key))
 		}
 	}
 	close(l.quit)
-	<-l.ended
+	<-l.done
 }
 
 // Guards against a 401 by a configuration older than the one that has just brought the key.
--- a/internal/daemon/tenant_overview.go
+++ b/internal/daemon/tenant_overview.go
@@ -92,8 +92,8 @@
 }
 
 // serveTenants puts together what each shard's owner tells of tenants.
-func (d *httpServer) serveTenants(c *gin.Context) {
-	writeReply(c, gatherTenants(c.Request.Context(), d.request))
+func (h *httpServer) serveTenants(c *gin.Context) {
+	writeReply(c, gatherTenants(c.Request.Context(), h.request))
 }
 
 // gatherTenants requests each shard's word on tenants. Without that of one the sums would be
--- a/internal/daemon/world_node_test.go
+++ b/internal/daemon/world_node_test.go
@@ -44,7 +44,7 @@
 	n.bootUs = n.w.nowUs - 1_000_000 - n.w.rng.Int64N(3_000_000_000)
 	p := n.nodeConfig
 	p.Incarnation = n.incs<<32 | uint64(n.w.nowMs())&0xffffffff
-	p.Instance = addressOf(fmt.Sprintf("%s life %d", n.Name, n.gen)) // draws nothing, so that a seed's run stays as it was
+	p.Instance = addresseeID(fmt.Sprintf("%s life %d", n.Name, n.gen)) // draws nothing, so that a seed's run stays as it was
 	var st *statestore.Store
 	if p.Disk {
 		st = n.disk.load()
