--- a/internal/daemon/catchup.go
+++ b/internal/daemon/catchup.go
@@ -7,19 +7,20 @@
 	"otterchute/internal/wire"
 )
 
-// replicaLag is what one core member lacks of a shard's records that a majority
-// holds: it was away, or a message to it was lost. The owner sends these again in
-// bounded parts, each once the one before is synced there, so that the member
-// holds all again soon after its return and counts for the next loss.
+// replicaLag tracks the records of a shard that a majority holds but one core
+// member lacks, because it was away or a message to it was lost. The owner sends
+// these again in bounded parts, each after the member has synced the previous one.
+// The member thus becomes a full replica again soon after its return, so that the
+// shard can tolerate the next loss.
 type replicaLag struct {
-	missed   map[string]int64 // record -> the newest version that the member lacks
-	inFlight map[string]int64 // of those, what is on its way
-	seq      uint64           // of the write that brings the part
+	missed   map[string]int64 // record ID -> newest version that the member lacks
+	inFlight map[string]int64 // the part of missed that has been sent but not acknowledged; nil if none
+	seq      uint64           // sequence number of the write request that carries inFlight
 	sentMs   int64
 }
 
-// recordMissed remembers by name what a member did not acknowledge, so that one
-// that is gone for long costs little.
+// recordMissed notes which records a member did not acknowledge. Only IDs and
+// versions are kept, so that a member that stays away for long costs little memory.
 func (s *ownedShard) recordMissed(member string, records []statestore.Record) {
 	lag := s.replicaLags[member]
 	if lag == nil {
@@ -33,7 +34,8 @@
 	}
 }
 
-// tickCatchUp sends a part to each member that lacks records, or sends it again.
+// tickCatchUp sends the next part to each member that lacks records, or retries
+// the part that was not acknowledged in time.
 func (n *node) tickCatchUp(shard *ownedShard) {
 	for _, member := range sortedKeys(shard.replicaLags) {
 		lag := shard.replicaLags[member]
@@ -46,7 +48,7 @@
 	}
 }
 
-// sendCatchUp sends the next part of what a member lacks.
+// sendCatchUp sends the next part of the records that a member lacks.
 func (n *node) sendCatchUp(shard *ownedShard, member string, lag *replicaLag) {
 	shard.writeSeq++
 	lag.seq, lag.sentMs, lag.inFlight = shard.writeSeq, n.now, map[string]int64{}
@@ -57,10 +59,10 @@
 			break
 		}
 		if shard.isDirty(id) {
-			continue // its next version is on its way
+			continue // a newer version is about to be written
 		}
 		record, known := shard.recordOf(id)
-		if !known { // it is finished for so long that only the core knows it
+		if !known { // the job finished so long ago that the owner no longer keeps it in memory
 			delete(lag.missed, id)
 			continue
 		}
@@ -76,7 +78,7 @@
 	n.send(member, write)
 }
 
-// recordOf gives a job's record as the owner has it.
+// recordOf returns the record of a live or finished job as the owner has it.
 func (s *ownedShard) recordOf(id string) (statestore.Record, bool) {
 	if job := s.jobs[id]; job != nil {
 		return statestore.Record{
@@ -104,9 +106,9 @@
 	}, true
 }
 
-const finishedVersion = 1 << 60 // above that of any live record
+const finishedVersion = 1 << 60 // higher than the version of any live record
 
-// onCaughtUp takes a member's word that a part is synced there, and sends the next.
+// onCaughtUp handles a member's acknowledgement of a part and sends the next one.
 func (n *node) onCaughtUp(shard *ownedShard, member string, seq uint64) {
 	lag := shard.replicaLags[member]
 	if lag == nil || lag.inFlight == nil || lag.seq != seq {
@@ -122,9 +124,10 @@
 	}
 }
 
-// acceptMissedValue keeps a register's value that another member has accepted and this
-// one has not: the same as the proposer's own message, come late. Until then one
-// of the others would have to be asked whenever the third is away.
+// acceptMissedValue accepts a register value that another member has accepted and
+// this one has not. It has the same effect as a late accept message of the proposer.
+// Without it, a majority that includes this member lacks the value whenever a member
+// that holds it is away.
 func (n *node) acceptMissedValue(m *wire.RegisterValue) {
 	if !n.inCore() || !m.Complete {
 		return
--- a/internal/daemon/config_change.go
+++ b/internal/daemon/config_change.go
@@ -10,8 +10,9 @@
 	"otterchute/internal/schema"
 )
 
-// decideConfig takes an order that builds on what stands. One that was taken
-// before leaves it as it is, whatever came since.
+// decideConfig replaces the configuration if the change builds on the current
+// version. A change that was accepted before leaves the register as it is, even if
+// later versions have been accepted since.
 func decideConfig(n *node, change *registerChange, current []byte) (register.Decision, []byte) {
 	var record configuration.Record
 	switch {
@@ -25,8 +26,9 @@
 	return register.Replace, codec.Append(nil, record.Next(change.changeID, change.argument, n.fleetTime()))
 }
 
-// decideEmptiedZones empties a zone beside the document, or takes that back. It
-// builds on no version: whatever stands, the zone's word is added to it.
+// decideEmptiedZones adds a zone to the emptied zones or removes it from them,
+// without changing the configuration document. The change has no base version: it
+// applies to whichever version is current.
 func decideEmptiedZones(_ *node, change *registerChange, current []byte) (register.Decision, []byte) {
 	var record configuration.Record
 	if len(current) > 0 && codec.Unmarshal(current, &record) != nil {
@@ -42,6 +44,7 @@
 	return register.Replace, codec.Append(nil, record)
 }
 
+// onZonesChange answers handleSetZone.
 func (n *node) onZonesChange(change *registerChange, outcome register.Outcome) {
 	if change.request == nil {
 		return
@@ -58,6 +61,7 @@
 	n.respond(change.request, 200, 0, mustJSON(map[string]any{"emptied": append([]string{}, record.EmptiedZones...)}))
 }
 
+// onConfigChange answers handlePutConfig.
 func (n *node) onConfigChange(change *registerChange, outcome register.Outcome) {
 	var record configuration.Record
 	if change.request == nil || len(change.Value()) > 0 && codec.Unmarshal(change.Value(), &record) != nil {
@@ -65,8 +69,8 @@
 	}
 	switch outcome {
 	case register.Done:
-		// A newer document, where the order was taken before, comes by the polls,
-		// compiled on another thread.
+		// If the change was accepted before and the current document is newer, that
+		// document arrives after a poll and is compiled on another thread.
 		if record.Version == change.changeID.Version && n.config.ballot.Less(change.ValueBallot()) {
 			n.precompiled = change.request.config
 			n.adoptConfig(change.ValueBallot(), record)
@@ -86,7 +90,8 @@
 	}
 }
 
-// changeIDOf gives the identity of the order in a request, and what is wrong with it.
+// changeIDOf returns the identity of the configuration change in a request, or the
+// faults of the request.
 func changeIDOf(req *request) (configuration.ChangeID, []schema.Fault) {
 	version, faults := configuration.ParseVersion(req.key)
 	if len(faults) > 0 {
@@ -111,9 +116,10 @@
 	return id, nil
 }
 
-// handleFindChange tells whether an order was accepted, for one whose document is not
-// at hand any more: a change by items that built on a version long passed. The
-// register itself is asked, and what it says stands at a majority then.
+// handleFindChange reports whether a configuration change was accepted, to a client
+// that no longer has the document: a change of single items whose base version is
+// long outdated. It runs a change of the register, so the value that it reports is
+// held by a majority.
 func (n *node) handleFindChange(req *request) {
 	if !n.leases.InContact() {
 		n.reject(req, "the core can't be reached from here")
@@ -131,8 +137,8 @@
 	change.changeID, change.request = id, req
 }
 
-// decideFindChange leaves the configuration as it stands. What isn't taken, and can't be any
-// more, is refused: only then is no try of it left that may yet take effect.
+// decideFindChange keeps the configuration. It refuses a change that was not accepted
+// and can't be accepted any more, since no earlier attempt of it can take effect then.
 func decideFindChange(_ *node, change *registerChange, current []byte) (register.Decision, []byte) {
 	var record configuration.Record
 	switch {
@@ -159,13 +165,14 @@
 	}
 }
 
-// respondAccepted acknowledges an order, whatever was accepted since.
+// respondAccepted acknowledges a change, even if later versions have been accepted since.
 func (n *node) respondAccepted(change *registerChange) {
 	n.respond(change.request, 200, 0, mustJSON(map[string]any{"version": change.changeID.Version}))
 }
 
-// respondRefused says that another version stands: only of an order that surely
-// was not accepted, else its outcome is unknown.
+// respondRefused reports that another version is current. If the history no longer
+// reaches back far enough to show that the change was not accepted, it reports an
+// unknown outcome instead.
 func (n *node) respondRefused(change *registerChange, record *configuration.Record) {
 	if !record.AcceptedChanges.Covers(change.changeID) {
 		n.count("changes_forgotten")
--- a/internal/daemon/config_request.go
+++ b/internal/daemon/config_request.go
@@ -9,8 +9,8 @@
 	"otterchute/internal/schema"
 )
 
-// handlePutConfig has a whole configuration accepted. Only the register can say whether it was
-// accepted before, or lost: what this daemon itself knows may be old.
+// handlePutConfig proposes a whole configuration. Only the register can decide whether
+// it was accepted before or superseded, since this daemon's own copy may be outdated.
 func (n *node) handlePutConfig(req *request) {
 	if !n.leases.InContact() {
 		n.reject(req, "the core can't be reached from here")
@@ -35,9 +35,9 @@
 	change.changeID, change.request = id, req
 }
 
-// forwardToCore passes a change of the configuration on to a core member that answers
-// polls, the own zone's first: a machine without a disk may have a thin line,
-// and a change takes the whole document to and from each member.
+// forwardToCore forwards a change of the configuration to a core member and reports
+// whether it did. A machine outside the core may have a slow link, and a change moves
+// the whole document to and from each member.
 func (n *node) forwardToCore(req *request) bool {
 	member := n.forwardMember()
 	if member == "" || req.hops > 0 {
@@ -47,8 +47,8 @@
 	return true
 }
 
-// forwardMember gives a core member that answers polls, the own zone's first; none
-// where this daemon is one itself.
+// forwardMember returns a core member that answers polls, preferably one of this
+// daemon's zone. It returns "" if there is none or this daemon is a member itself.
 func (n *node) forwardMember() (nearest string) {
 	if n.inCore() {
 		return ""
@@ -62,13 +62,14 @@
 	return nearest
 }
 
-// handleLocateConfig names the machine that a configuration is best read from, where it is another.
+// handleLocateConfig returns the host of the core member that a configuration should
+// be read from, or "" if it should be read from this daemon.
 func (n *node) handleLocateConfig(req *request) {
 	host, _, _ := net.SplitHostPort(n.peers.Addr(n.forwardMember()))
 	n.respond(req, 200, 0, mustJSON(map[string]any{"host": host}))
 }
 
-// handleSetZone empties a zone or opens it again, beside the document.
+// handleSetZone adds a zone to the emptied zones or removes it from them.
 func (n *node) handleSetZone(req *request) {
 	if !schema.ValidName(req.key) {
 		n.rejectFaults(req, 400, 0, []schema.Fault{{Path: "site", Reason: "must be a name"}})
@@ -83,8 +84,9 @@
 	}
 }
 
-// handleGetConfig tells a configuration that was confirmed after it was asked for, so that
-// nobody reads an older one than was acknowledged before.
+// handleGetConfig returns the configuration once it has been confirmed by a poll sent
+// after the request arrived. No client thus reads a version older than one that was
+// acknowledged before its request.
 func (n *node) handleGetConfig(req *request) {
 	if !n.configConfirmedSince(req) {
 		n.awaitConfirmation(req, "the setup is not confirmed here")
--- a/internal/daemon/config_state.go
+++ b/internal/daemon/config_state.go
@@ -11,37 +11,40 @@
 	"otterchute/internal/wire"
 )
 
+// configState holds this daemon's copy of the configuration and how recently a
+// majority of the core confirmed it.
 type configState struct {
 	current       *configuration.Configuration
 	record        configuration.Record
 	ballot        register.Ballot
 	newestBallot  register.Ballot // the highest that any member has accepted
-	confirmedMs   int64
-	confirmedPoll uint64 // the newest poll that confirmed it
-	readSentMs    int64
-	nextRepairMs  int64
+	confirmedMs   int64           // when the newest poll that confirmed it was sent
+	confirmedPoll uint64          // the newest poll that confirmed it
+	readSentMs    int64           // when a newer value was last requested; 0 if it has arrived
+	nextRepairMs  int64           // the earliest time for another repair of the register
 	readerCopy    configuration.ReaderValueCache
-	awaiting      []*request // requests that name a queue not known here, until a newer confirmation
+	awaiting      []*request // requests that wait for a newer confirmation
 }
 
 func newConfigState() configState {
 	return configState{current: configuration.Empty(), confirmedMs: -1 << 40}
 }
 
-// configFresh tells whether the configuration was confirmed at a majority lately.
+// configFresh reports whether a majority confirmed the configuration within configFreshMs.
 func (n *node) configFresh() bool { return n.now-n.config.confirmedMs <= configFreshMs }
 
-// configConfirmedSince tells whether the configuration was confirmed by a poll that was sent
-// after a call came: then no version acknowledged before the call is newer. Polls
-// are counted for this, since times within one millisecond are in no order. After
-// a freeze what was confirmed before it is old, though the call is older still.
+// configConfirmedSince reports whether the configuration was confirmed by a poll sent
+// after a request arrived. If so, no version that was acknowledged before the request is
+// newer. Polls are compared by number, since times within one millisecond have no order.
+// After a freeze, a confirmation from before it is outdated even for a request that is
+// older still, hence the check of freshness.
 func (n *node) configConfirmedSince(req *request) bool {
 	return n.config.confirmedPoll > req.pollsBefore && n.configFresh()
 }
 
-// confirmConfig takes a round of answers: where a majority holds the same
-// accepted ballot, that value is chosen, and if it is ours it is confirmed as
-// of the time the round was sent.
+// confirmConfig evaluates a round of poll responses. If a majority has accepted the
+// same ballot, the value of that ballot is chosen. If this daemon holds that value, it
+// is confirmed as of the time when the round was sent; otherwise it is requested.
 func (n *node) confirmConfig(round *lease.Round) {
 	votes := map[register.Ballot]int{}
 	for _, response := range round.Responses {
@@ -66,9 +69,10 @@
 	}
 	if len(round.Responses) == len(n.core.Members) ||
 		n.now-max(n.config.confirmedMs, n.leases.FirstPollMs()) > lease.ColocatedPollIntervalMs*2 {
-		// The members differ: somebody's change stopped half way. Any daemon
-		// may finish it; core members do, at random, so that few compete. One
-		// that was away hears all first: it may be the only one that differs.
+		// The members differ because a change was interrupted. Any daemon may finish
+		// it; only core members do, after a random delay, so that few compete. A member
+		// that was away waits for the responses of all members first, since it may be
+		// the only one that differs.
 		if n.inCore() && n.now >= n.config.nextRepairMs {
 			n.config.nextRepairMs = n.now + 200 + n.rand().Int64N(600)
 			n.startChange("setup", "read", nil, 0)
@@ -76,8 +80,8 @@
 	}
 }
 
-// nearestMemberWithBallot picks whom to read a value from: of the members that hold it one in
-// the own zone, or else any, so that not all daemons ask the same.
+// nearestMemberWithBallot picks a member to read the value of a ballot from: a random one
+// in this daemon's zone if possible, else a random one of all, to spread the load.
 func (n *node) nearestMemberWithBallot(round *lease.Round, ballot register.Ballot) string {
 	var sameZone, candidates []string
 	for _, from := range sortedKeys(round.Responses) {
@@ -107,10 +111,11 @@
 	n.adoptConfig(m.Ballot, record)
 }
 
-// adoptConfig compiles a value; it counts only once a poll confirms its ballot.
+// adoptConfig compiles a value and makes it the current one. It is not confirmed until
+// a poll confirms its ballot.
 func (n *node) adoptConfig(ballot register.Ballot, record configuration.Record) {
-	n.config.readSentMs = 0                          // what was asked for has come: a newer one may be asked for at once
-	record.AcceptedChanges = configuration.History{} // only a change of the register needs it
+	n.config.readSentMs = 0                          // the value has arrived, so a newer one may be requested at once
+	record.AcceptedChanges = configuration.History{} // needed only to change the register
 	if record.SameDocument(&n.config.record) {
 		n.config.ballot = ballot
 		if !slices.Equal(record.EmptiedZones, n.config.record.EmptiedZones) {
@@ -136,6 +141,8 @@
 	n.leases.PollSoon()
 }
 
+// tickConfig handles the requests that waited for a confirmation which has arrived, and
+// rejects those that have waited too long.
 func (n *node) tickConfig() {
 	waiting, confirmed := n.config.awaiting[:0:0], []*request{}
 	for _, req := range n.config.awaiting {
--- a/internal/daemon/core_member.go
+++ b/internal/daemon/core_member.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	snapshotMinBytes = 8 << 20 // bytes of log before a snapshot is worth its writing
+	snapshotMinBytes = 8 << 20 // a snapshot of a smaller log is not worth its writes
 )
 
-// persistCoreSet keeps a newer set on this disk, but not one that lacks it: a former
-// member must know after a restart, too, that it was one.
+// persistCoreSet stores a newer core set on the disk. A former member doesn't store a
+// set without itself, so that it knows after a restart that it was a member.
 func (n *node) persistCoreSet(set quorum.Set) {
 	if stored := n.store.CoreSet(); set.Version > stored.Version && (set.Has(n.Name, n.DiskID) || !stored.Has(n.Name, n.DiskID)) {
 		n.persist([]statestore.Entry{{Kind: statestore.EntryCoreSet, Value: codec.Append(nil, set)}})
 	}
 }
 
-// persist applies entries and syncs them, then lets the effects go.
+// persist applies entries to the store and emits the effects after the disk has synced
+// the entries.
 func (n *node) persist(entries []statestore.Entry, then ...effect) {
 	for _, e := range entries {
 		n.store.Apply(e)
@@ -30,7 +31,8 @@
 	n.emit(effAppend{Entries: entries, Then: then})
 }
 
-// servesSet tells whether this member may answer a request made under a core set.
+// servesSet reports whether this daemon may answer a request made under a version of
+// the core set: it must be a member, and the version must be the current one.
 func (n *node) servesSet(setVersion int64) bool {
 	return n.inCore() && setVersion == n.core.Version
 }
@@ -71,7 +73,7 @@
 	}
 	replica := n.store.Shard(m.Shard)
 	if m.Epoch != replica.SealedEpoch() {
-		if m.Epoch > replica.SealedEpoch() { // a member that missed the seal learns it with the write
+		if m.Epoch > replica.SealedEpoch() { // this member missed the seal, and the write implies it
 			n.persist([]statestore.Entry{{Kind: statestore.EntrySeal, Name: m.Shard, Epoch: m.Epoch}})
 		} else {
 			n.count("writes_rejected")
@@ -111,8 +113,9 @@
 	)
 }
 
-// patchesApply tells whether all patches build on what a shard has. One of a version that is here
-// already, or an older one, came before: it fits, and changes nothing.
+// patchesApply reports whether the replica has the base version of each patch. A patch to
+// a version that the replica already has, or to an older one, is a repetition: it applies
+// and changes nothing.
 func patchesApply(replica *statestore.Shard, patches []statestore.Patch) bool {
 	for _, p := range patches {
 		if _, ok := replica.Patched(p); !ok && !replica.HasVersion(p.ID, p.Epoch, p.Version) {
@@ -135,7 +138,8 @@
 	n.persist(nil, n.sendEffect(from, response))
 }
 
-// onPollRequest grants leases and tells what every daemon must know.
+// onPollRequest grants leases, and returns the lease holders, the cluster time and the
+// ballot of the configuration, which every daemon needs.
 func (n *node) onPollRequest(from string, m *wire.PollRequest) {
 	if !n.servesSet(m.SetVersion) {
 		return
@@ -168,17 +172,18 @@
 	n.persist(nil, n.sendEffect(from, response))
 }
 
-// lastHolder is who took a role last, as far as this disk knows. Of any majority
-// one member at least knows the newest.
+// lastHolder returns the most recent holder of a role that this member's store has.
+// At least one member of any majority has the newest.
 func (n *node) lastHolder(name string) (holder wire.RoleHolder) {
 	if value := n.store.RegisterValue(lease.RegisterName(name)); value != nil {
-		_ = codec.Unmarshal(value, &holder) // a value that can't be read is nobody's
+		_ = codec.Unmarshal(value, &holder) // an unreadable value means no holder
 	}
 	return holder
 }
 
-// measuredClusterTime is the fleet's time by the clocks that this core member hears; 0
-// right after a freeze, until what waited here for long is replaced.
+// measuredClusterTime returns the cluster time by the clocks that were reported to this
+// core member. It returns 0 right after a freeze, until new reports have replaced those
+// that were delayed by it.
 func (n *node) measuredClusterTime() int64 {
 	if n.now-n.wokeMs < 2*lease.ColocatedPollIntervalMs {
 		return 0
@@ -186,8 +191,9 @@
 	return n.granter.ClusterTime(n.now, n.peers.AliveCount())
 }
 
-// dropExpired lets go of finished records past their keeping. Where less than a
-// majority of the core has told its time here, one wrong clock might be all there is.
+// dropExpired removes finished records whose retention time has passed. It does nothing
+// while less than a majority of the core has reported its clock to this daemon, since the
+// cluster time might then rest on a single wrong clock.
 func (n *node) dropExpired() {
 	if n.leases.Clock().Readings() < n.core.Majority() {
 		return
@@ -200,6 +206,7 @@
 	}
 }
 
+// tickStore removes expired records and takes a snapshot when the log has grown enough.
 func (n *node) tickStore() {
 	if !n.inCore() || n.fleetTime() == 0 {
 		return
@@ -207,8 +214,8 @@
 	if n.now%10_000 < tickMs {
 		n.dropExpired()
 	}
-	// Members take their snapshots at different lengths of the log, so that
-	// they don't all write one at the same time.
+	// Each member takes its snapshots at a different length of the log, so that the
+	// members don't all write one at the same time.
 	if st := n.store; st.LoggedBytes() > n.SnapshotBytes+int64(
 		rendezvous.Weight("snapshot", n.Name)%uint64(n.SnapshotBytes),
 	) &&
