--- a/internal/daemon/catchup_test.go
+++ b/internal/daemon/catchup_test.go
@@ -158,11 +158,11 @@
 		return statestore.Record{ID: "j", Epoch: 4, Version: version, Live: true, Value: j.encode()}
 	}
 	members := n.core.Names()
-	read := func(answers ...statestore.Record) string {
+	read := func(responses ...statestore.Record) string {
 		n.forwarded, n.effects = map[uint64]*forwardedRequest{}, nil
 		r := &quorumRead{request: &request{id: 1, op: "job.get", key: "j"}, responses: map[string]statestore.Record{}, deadlineMs: n.now + quorumReadTimeoutMs}
 		n.quorumReads[7] = r
-		for i, a := range answers {
+		for i, a := range responses {
 			n.onQuorumRead(r, 7, members[i], []statestore.Record{a})
 		}
 		for _, e := range n.effects {
--- a/internal/daemon/config_state.go
+++ b/internal/daemon/config_state.go
@@ -51,19 +51,19 @@
 		votes[response.Config]++
 	}
 	for _, from := range sortedKeys(round.Responses) {
-		ballot := round.Responses[from].Config
-		if n.config.newestBallot.Less(ballot) {
-			n.config.newestBallot = ballot
+		accepted := round.Responses[from].Config
+		if n.config.newestBallot.Less(accepted) {
+			n.config.newestBallot = accepted
 		}
-		if votes[ballot] < n.core.Majority() {
+		if votes[accepted] < n.core.Majority() {
 			continue
 		}
-		if ballot == n.config.ballot {
+		if accepted == n.config.ballot {
 			n.config.confirmedMs, n.config.confirmedPoll = max(n.config.confirmedMs, round.SentMs),
 				max(n.config.confirmedPoll, round.Seq)
-		} else if n.config.ballot.Less(ballot) && n.now-n.config.readSentMs > 300 {
+		} else if n.config.ballot.Less(accepted) && n.now-n.config.readSentMs > 300 {
 			n.config.readSentMs = n.now
-			n.send(n.nearestMemberWithBallot(round, ballot), &wire.RegisterRead{SetVersion: n.core.Version, Register: "setup"})
+			n.send(n.nearestMemberWithBallot(round, accepted), &wire.RegisterRead{SetVersion: n.core.Version, Register: "setup"})
 		}
 		return
 	}
@@ -113,31 +113,31 @@
 
 // adoptConfig compiles a value and makes it the current one. It is not confirmed until
 // a poll confirms its ballot.
-func (n *node) adoptConfig(ballot register.Ballot, record configuration.Record) {
-	n.config.readSentMs = 0                          // the value has arrived, so a newer one may be requested at once
-	record.AcceptedChanges = configuration.History{} // needed only to change the register
-	if record.SameDocument(&n.config.record) {
-		n.config.ballot = ballot
-		if !slices.Equal(record.EmptiedZones, n.config.record.EmptiedZones) {
-			n.config.current, n.config.record = n.config.current.WithEmptiedZones(record.EmptiedZones), record
+func (n *node) adoptConfig(newBallot register.Ballot, newRecord configuration.Record) {
+	n.config.readSentMs = 0                             // the value has arrived, so a newer one may be requested at once
+	newRecord.AcceptedChanges = configuration.History{} // needed only to change the register
+	if newRecord.SameDocument(&n.config.record) {
+		n.config.ballot = newBallot
+		if !slices.Equal(newRecord.EmptiedZones, n.config.record.EmptiedZones) {
+			n.config.current, n.config.record = n.config.current.WithEmptiedZones(newRecord.EmptiedZones), newRecord
 			n.config.confirmedMs, n.config.confirmedPoll = -1<<40, 0
-			n.log("zones_adopted", "emptied", record.EmptiedZones)
+			n.log("zones_adopted", "emptied", newRecord.EmptiedZones)
 			n.leases.PollSoon()
 		}
 		return
 	}
 	compiled := n.precompiled
-	if compiled == nil || compiled.Version != record.Version {
+	if compiled == nil || compiled.Version != newRecord.Version {
 		var faults []schema.Fault
-		if compiled, faults = record.Compile(); len(faults) > 0 {
-			n.log("config_unreadable", "version", record.Version, "path", faults[0].Path, "reason", faults[0].Reason)
+		if compiled, faults = newRecord.Compile(); len(faults) > 0 {
+			n.log("config_unreadable", "version", newRecord.Version, "path", faults[0].Path, "reason", faults[0].Reason)
 			return
 		}
 	}
-	n.config.current, n.config.record, n.config.ballot = compiled.WithEmptiedZones(record.EmptiedZones), record, ballot
+	n.config.current, n.config.record, n.config.ballot = compiled.WithEmptiedZones(newRecord.EmptiedZones), newRecord, newBallot
 	n.adoptLimits()
 	n.config.confirmedMs, n.config.confirmedPoll = -1<<40, 0
-	n.log("config_adopted", "version", record.Version, "queues", len(compiled.Queues))
+	n.log("config_adopted", "version", newRecord.Version, "queues", len(compiled.Queues))
 	n.leases.PollSoon()
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -328,13 +328,13 @@
 func provideExecutor(
 	s settings,
 	l *controlLoop,
-	transport *wire.Transport,
-	disk diskHandles,
-	orders *orderSender,
+	w *wire.Transport,
+	handles diskHandles,
+	sender *orderSender,
 	log logr.Logger,
 	shutdowner fx.Shutdowner,
 ) *executor {
-	config := nodeConfig{
+	cfg := nodeConfig{
 		Name:           s.Name,
 		Incarnation:    uint64(time.Now().UnixNano()),
 		Instance:       newInstanceID(),
@@ -342,7 +342,7 @@
 		HTTP:           s.HTTP,
 		Zone:           s.Zone,
 		Seeds:          s.Seeds,
-		Disk:           disk.disk != nil,
+		Disk:           handles.disk != nil,
 		FinishedKeepMs: s.KeepHours * msPerHour,
 		SnapshotBytes:  snapshotMinBytes,
 		ThresholdMs:    s.ThresholdMs,
@@ -362,20 +362,20 @@
 		LinkMbps:     s.LinkMbps,
 		Policies:     s.Policies,
 	}
-	if disk.disk != nil {
-		config.DiskID = disk.disk.ID()
+	if handles.disk != nil {
+		cfg.DiskID = handles.disk.ID()
 	}
 	ports := &processPorts{
 		loop:           l,
-		transport:      transport,
-		disk:           disk.disk,
-		orders:         orders,
+		transport:      w,
+		disk:           handles.disk,
+		orders:         sender,
 		log:            log,
 		pendingReplies: map[uint64]chan effReply{},
 		selfAddr:       s.Addr,
 		exit:           sync.OnceFunc(func() { go func() { _ = shutdowner.Shutdown() }() }),
 	}
-	l.executor = &executor{node: newNode(config, disk.store), ports: ports}
+	l.executor = &executor{node: newNode(cfg, handles.store), ports: ports}
 	return l.executor
 }
 
--- a/internal/daemon/reduce.go
+++ b/internal/daemon/reduce.go
@@ -195,14 +195,14 @@
 	overload   overloadMeter
 }
 
-func newNode(config nodeConfig, store *statestore.Store) *node {
+func newNode(cfg nodeConfig, state *statestore.Store) *node {
 	n := &node{
-		nodeConfig:   config,
-		store:        store,
+		nodeConfig:   cfg,
+		store:        state,
 		granter:      lease.NewGranter(),
 		counts:       map[string]int64{},
 		changes:      map[uint64]*registerChange{},
-		proposer:     register.Proposer{Name: config.Name, Instance: config.Instance, Timing: changeTiming},
+		proposer:     register.Proposer{Name: cfg.Name, Instance: cfg.Instance, Timing: changeTiming},
 		forwarded:    map[uint64]*forwardedRequest{},
 		quorumReads:  map[uint64]*quorumRead{},
 		shards:       map[string]*ownedShard{},
@@ -212,10 +212,10 @@
 		workers:      map[string]*workerView{},
 		config:       newConfigState(),
 	}
-	n.peers = cluster.New(host{n}, config.Name, config.Seeds)
+	n.peers = cluster.New(host{n}, cfg.Name, cfg.Seeds)
 	n.leases = lease.NewManager(host{n}, n.peers)
-	n.leases.IgnoreStrength(!config.Policies.On(scheduler.StrongRoles))
-	n.members = membership.NewManager(host{n}, config.Name, config.CoreSize, n.peers, n.leases)
+	n.leases.IgnoreStrength(!cfg.Policies.On(scheduler.StrongRoles))
+	n.members = membership.NewManager(host{n}, cfg.Name, cfg.CoreSize, n.peers, n.leases)
 	return n
 }
 
--- a/internal/daemon/registers.go
+++ b/internal/daemon/registers.go
@@ -48,13 +48,13 @@
 
 var changeTiming = register.Timing{DeadlineMs: changeTimeoutMs, ResponseTimeoutMs: changeTimeoutMs / 4, RetryBaseMs: changeRetryMs}
 
-func (n *node) startChange(registerName, kind string, arg []byte, expect int64) *registerChange {
+func (n *node) startChange(registerName, kind string, argument []byte, expectedVersion int64) *registerChange {
 	n.opSeq++
-	change := &registerChange{kind: kind, argument: arg, expectedVersion: expect}
-	decide := func(current []byte) (register.Decision, []byte) { return changeKinds[kind].decide(n, change, current) }
+	change := &registerChange{kind: kind, argument: argument, expectedVersion: expectedVersion}
+	next := func(current []byte) (register.Decision, []byte) { return changeKinds[kind].decide(n, change, current) }
 	n.proposer.Observe(n.config.newestBallot.Round)
 	var out []register.Envelope
-	change.Operation, out = n.proposer.Begin(n.opSeq, registerName, decide, n.core.RegisterSet(), n.now)
+	change.Operation, out = n.proposer.Begin(n.opSeq, registerName, next, n.core.RegisterSet(), n.now)
 	n.changes[change.ID] = change
 	n.sendAll(out)
 	return change
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -185,12 +185,12 @@
 	if req.byAddress && req.origin == "" && status == 404 && req.queue != "" {
 		status, body = 410, mustJSON(map[string]any{"missing": "job", "error": "no such job"})
 	}
-	reply := wire.ForwardReply{ID: req.id, Status: int32(status), RetryAfterMs: retryMs, Body: body}
+	forwardReply := wire.ForwardReply{ID: req.id, Status: int32(status), RetryAfterMs: retryMs, Body: body}
 	if req.origin == "" {
-		n.reply(req.id, reply)
+		n.reply(req.id, forwardReply)
 		return
 	}
-	n.respondTo(peerInstance{req.origin, req.originInstance}, &reply)
+	n.respondTo(peerInstance{req.origin, req.originInstance}, &forwardReply)
 }
 
 // outcomeUnknown tells that a refusal can't be passed on as it is: an earlier try
@@ -236,11 +236,11 @@
 		n.count("requests_retried")
 	}
 	n.forwardSeq++
-	limitMs, body := n.now+forwardMs, req.body
+	deadlineMs, body := n.now+forwardMs, req.body
 	if operatorRequests[req.op] {
-		limitMs, body = n.now+configForwardTimeoutMs, configuration.Deflate(req.body)
+		deadlineMs, body = n.now+configForwardTimeoutMs, configuration.Deflate(req.body)
 	}
-	n.forwarded[n.forwardSeq] = &forwardedRequest{request: req, to: to, deadlineMs: limitMs}
+	n.forwarded[n.forwardSeq] = &forwardedRequest{request: req, to: to, deadlineMs: deadlineMs}
 	n.count("requests_forwarded")
 	n.send(
 		to,
@@ -261,23 +261,23 @@
 }
 
 func (n *node) onForwardReply(from string, m *wire.ForwardReply) {
-	forwarded := n.forwarded[m.ID]
-	if forwarded == nil || forwarded.to != from { // given up on, or handed to another since
+	pending := n.forwarded[m.ID]
+	if pending == nil || pending.to != from { // given up on, or handed to another since
 		n.count("late_responses")
 		return
 	}
 	delete(n.forwarded, m.ID)
-	n.respond(forwarded.request, int(m.Status), m.RetryAfterMs, m.Body)
+	n.respond(pending.request, int(m.Status), m.RetryAfterMs, m.Body)
 }
 
 // retryForwarded routes anew what waits for a daemon that has lost its role.
 func (n *node) retryForwarded(to string) {
 	for _, id := range sortedKeys(n.forwarded) {
-		if forwarded := n.forwarded[id]; forwarded.to == to && to != "" && n.Policies.On(scheduler.ForwardRetry) && n.retries.take() {
+		if pending := n.forwarded[id]; pending.to == to && to != "" && n.Policies.On(scheduler.ForwardRetry) && n.retries.take() {
 			delete(n.forwarded, id)
-			forwarded.request.maybeApplied = true
+			pending.request.maybeApplied = true
 			n.count("requests_retried")
-			n.handleRequest(forwarded.request)
+			n.handleRequest(pending.request)
 		}
 	}
 }
@@ -286,10 +286,10 @@
 	n.retries.add(retriesPerTick * requestsPerRetry)
 	n.coreReads.add(readsPerTick * requestsPerRetry)
 	for _, id := range sortedKeys(n.forwarded) {
-		if forwarded := n.forwarded[id]; n.forwardTimedOut(forwarded) {
+		if pending := n.forwarded[id]; n.forwardTimedOut(pending) {
 			delete(n.forwarded, id)
-			forwarded.request.maybeApplied = true
-			n.readFromCore(forwarded.request, "the daemon that settles this did not answer")
+			pending.request.maybeApplied = true
+			n.readFromCore(pending.request, "the daemon that settles this did not answer")
 		}
 	}
 	for _, id := range sortedKeys(n.quorumReads) {
--- a/internal/daemon/request_address.go
+++ b/internal/daemon/request_address.go
@@ -12,12 +12,12 @@
 // majority confirmed lately. That an address belongs to none is only said by
 // a configuration confirmed after the call came.
 func (n *node) resolveAddress(req *request) {
-	config := n.config.current
-	if config.Version == 0 {
+	cfg := n.config.current
+	if cfg.Version == 0 {
 		n.reject(req, "no setup yet")
 		return
 	}
-	queue, id, ok := config.Resolve(req.host, req.path)
+	queue, id, ok := cfg.Resolve(req.host, req.path)
 	switch {
 	case !ok && n.configConfirmedSince(req):
 		n.respond(req, 404, 0, mustJSON(map[string]any{"missing": "queue", "error": "no queue has this address"}))
@@ -26,7 +26,7 @@
 		n.awaitConfirmation(req, "the setup is not confirmed here")
 		return
 	}
-	switch tenant, known := authenticate(config, queue, req.credential); {
+	switch tenant, known := authenticate(cfg, queue, req.credential); {
 	case known:
 		req.tenant, req.credential = tenant, ""
 	case n.configConfirmedSince(req):
