--- a/internal/daemon/config_change.go
+++ b/internal/daemon/config_change.go
@@ -179,5 +179,10 @@
 		n.reject(change.request, "outcome unknown: too many versions were accepted since")
 		return
 	}
-	n.respond(change.request, 409, 0, mustJSON(map[string]any{"error": "another version stands", "current": record.Version}))
+	n.respond(
+		change.request,
+		409,
+		0,
+		mustJSON(map[string]any{"error": "another version stands", "current": record.Version}),
+	)
 }
--- a/internal/daemon/config_request.go
+++ b/internal/daemon/config_request.go
@@ -96,7 +96,13 @@
 	for _, version := range n.config.record.PastVersions {
 		past = append(
 			past,
-			map[string]any{"version": version.Version, "digest": version.Digest, "queues": version.Queues, "bytes": version.Bytes, "at_ms": version.AtMs},
+			map[string]any{
+				"version": version.Version,
+				"digest":  version.Digest,
+				"queues":  version.Queues,
+				"bytes":   version.Bytes,
+				"at_ms":   version.AtMs,
+			},
 		)
 	}
 	emptied := n.config.record.EmptiedZones
--- a/internal/daemon/config_state.go
+++ b/internal/daemon/config_state.go
@@ -134,7 +134,8 @@
 			return
 		}
 	}
-	n.config.current, n.config.record, n.config.ballot = compiled.WithEmptiedZones(newRecord.EmptiedZones), newRecord, newBallot
+	n.config.current, n.config.record, n.config.ballot =
+		compiled.WithEmptiedZones(newRecord.EmptiedZones), newRecord, newBallot
 	n.adoptLimits()
 	n.config.confirmedMs, n.config.confirmedPoll = -1<<40, 0
 	n.log("config_adopted", "version", newRecord.Version, "queues", len(compiled.Queues))
--- a/internal/daemon/core_member.go
+++ b/internal/daemon/core_member.go
@@ -17,7 +17,8 @@
 // persistCoreSet stores a newer core set on the disk. A former member doesn't store a
 // set without itself, so that it knows after a restart that it was a member.
 func (n *node) persistCoreSet(set quorum.Set) {
-	if stored := n.store.CoreSet(); set.Version > stored.Version && (set.Has(n.Name, n.DiskID) || !stored.Has(n.Name, n.DiskID)) {
+	if stored := n.store.CoreSet(); set.Version > stored.Version &&
+		(set.Has(n.Name, n.DiskID) || !stored.Has(n.Name, n.DiskID)) {
 		n.persist([]statestore.Entry{{Kind: statestore.EntryCoreSet, Value: codec.Append(nil, set)}})
 	}
 }
@@ -48,7 +49,10 @@
 	}
 	n.persist(
 		nil,
-		n.sendEffect(from, &wire.RegisterValue{Register: m.Register, Ballot: register.Accepted, Value: value, Complete: complete}),
+		n.sendEffect(
+			from,
+			&wire.RegisterValue{Register: m.Register, Ballot: register.Accepted, Value: value, Complete: complete},
+		),
 	)
 }
 
@@ -61,10 +65,19 @@
 		n.send(from, &wire.SealResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch})
 		return
 	}
-	response := &wire.SealResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch, OK: true, ServedEpoch: replica.ServedEpoch()}
+	response := &wire.SealResponse{
+		SetVersion:  m.SetVersion,
+		Shard:       m.Shard,
+		Epoch:       m.Epoch,
+		OK:          true,
+		ServedEpoch: replica.ServedEpoch(),
+	}
 	response.Records = append(response.Records, replica.Live()...)
 	response.Records = append(response.Records, replica.Unconfirmed()...)
-	n.persist([]statestore.Entry{{Kind: statestore.EntrySeal, Name: m.Shard, Epoch: m.Epoch}}, n.sendEffect(from, response))
+	n.persist(
+		[]statestore.Entry{{Kind: statestore.EntrySeal, Name: m.Shard, Epoch: m.Epoch}},
+		n.sendEffect(from, response),
+	)
 }
 
 func (n *node) onWriteRequest(from string, m *wire.WriteRequest) {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -28,17 +28,17 @@
 )
 
 const (
-	loopQueueMax = 8192 // events waiting for the control thread before posters wait
+	loopQueueMax = 8192 // queued events of the control thread; beyond that, posting blocks
 )
 
-// steadyClock is the clock of leases and limits. Jumps of the wall time do not
-// move it, and it counts while the machine sleeps.
+// steadyClock is the monotonic clock of leases and timeouts. Changes of the wall
+// clock don't affect it, and it advances while the machine is suspended.
 type steadyClock struct{ base int64 }
 
 func bootMs() int64 {
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) != nil {
-		panic("no boot clock") // every Linux since 2.6.39 has it
+		panic("CLOCK_BOOTTIME is not available") // Linux has it since 2.6.39
 	}
 	return ts.Nano() / 1e6
 }
@@ -53,7 +53,7 @@
 	return binary.BigEndian.Uint64(bytes[:])
 }
 
-// logfmtSink writes one key=value line per event.
+// logfmtSink is a logr.LogSink that writes one logfmt line per event.
 type logfmtSink struct {
 	mu    *sync.Mutex
 	out   io.Writer
@@ -108,25 +108,28 @@
 	)
 }
 
-// controlLoop is the one thread of control state. Everything else posts to it.
+// controlLoop runs the control thread, the only goroutine that uses the executor and
+// its node. Other goroutines post functions to it.
 type controlLoop struct {
 	clock        *steadyClock
 	queue        chan func(*executor)
 	quit         chan struct{}
 	done         chan struct{}
 	executor     *executor
-	selfMessages []func(*executor) // messages to ourselves, in order, after the event that sent them
+	selfMessages []func(*executor) // messages of this daemon to itself, handled after the event that sent them
 	ready        atomic.Pointer[readiness]
 }
 
-// readiness is what the control thread last said of itself. It is read without
-// asking that thread: a check that comes each second must not wait in its queue.
+// readiness is the state that the control thread last published for readiness checks.
+// Checks come each second, so they read it directly and don't wait in the queue of the
+// control thread.
 type readiness struct {
 	atMs   int64
-	reason string // why it isn't ready; "" if it is
+	reason string // why the daemon isn't ready; "" if it is
 }
 
-// notReadyReason says why this daemon should get no callers; "" if it should.
+// notReadyReason returns why this daemon should receive no client traffic, or "" if it
+// should.
 func (l *controlLoop) notReadyReason() string {
 	r := l.ready.Load()
 	if r == nil || l.clock.nowMs()-r.atMs > freezeThresholdMs {
@@ -144,6 +147,7 @@
 	}
 }
 
+// post queues a function for the control thread. It blocks while the queue is full.
 func (l *controlLoop) post(event func(*executor)) {
 	select {
 	case l.queue <- event:
@@ -173,13 +177,13 @@
 	}
 }
 
-// event stamps something with the clocks and a seed, and reduces it.
+// event adds the clock readings and a random seed to an event body and processes it.
 func (exec *executor) event(body any) {
 	p := exec.ports.(*processPorts)
 	exec.step(event{NowMs: p.loop.clock.nowMs(), WallMs: time.Now().UnixMilli(), Seed: newSeed(), Body: body})
 }
 
-// processPorts carry effects out on the real machine.
+// processPorts carries out effects with the network, the disk and the log of the process.
 type processPorts struct {
 	loop           *controlLoop
 	transport      *wire.Transport
@@ -193,10 +197,12 @@
 
 func (p *processPorts) Send(head wire.Header, to, addr string, msg any) {
 	frame := wire.EncodeFrame(head, msg)
-	if addr == p.selfAddr { // our own words go through the same form, not the network
+	if addr == p.selfAddr { // messages to itself are encoded too, but don't use the network
 		header, message, err := wire.DecodeFrame(frame)
 		if err == nil {
-			p.loop.selfMessages = append(p.loop.selfMessages, func(exec *executor) { exec.event(evMsg{Head: header, Msg: message}) })
+			p.loop.selfMessages = append(p.loop.selfMessages, func(exec *executor) {
+				exec.event(evMsg{Head: header, Msg: message})
+			})
 		}
 		return
 	}
@@ -233,7 +239,7 @@
 func (p *processPorts) Log(event string, pairs []any) { p.log.Info(event, pairs...) }
 func (p *processPorts) Exit()                         { p.exit() }
 
-// daemonModules are the parts of `otterchute run`.
+// daemonModules returns the modules of `otterchute run`.
 func daemonModules(s settings) fx.Option {
 	return fx.Options(
 		fx.Supply(s),
@@ -248,19 +254,22 @@
 		})),
 		fx.Module("node", fx.Provide(provideExecutor), fx.Invoke(runExecutor)),
 		fx.Module("http", fx.Provide(newHTTPServer), fx.Invoke(runHTTPServer)),
-		fx.Module("platform", fx.Invoke(runPlatform)), // last, so that it ends first, while all it needs still works
+		// The platform comes last, so that it stops first, while what it needs still runs.
+		fx.Module("platform", fx.Invoke(runPlatform)),
 	)
 }
 
+// diskHandles holds the open log and the state read from it; both are nil without a
+// data directory.
 type diskHandles struct {
 	disk  *storage.Log
 	store *statestore.Store
 }
 
-// diskListener brings what the disk tells to the control thread.
+// diskListener posts the notifications of the disk to the control thread.
 type diskListener struct{ post func(func(*executor)) }
 
-// Committed lets go what waited for entries to be durable.
+// Committed runs the callbacks that waited for entries to be durable.
 func (d diskListener) Committed(entries int, took time.Duration, done []func()) {
 	d.post(func(exec *executor) {
 		if entries > 0 {
@@ -273,15 +282,15 @@
 	})
 }
 
-// Failed has the daemon stop counting itself to the core's quorum.
+// Failed makes the daemon stop acting as a core member.
 func (d diskListener) Failed(cause error) {
 	d.post(func(exec *executor) { exec.event(evDisk{Failed: cause.Error()}) })
 }
 
-// Lost has the daemon start over with an empty disk.
+// Lost makes the daemon start over with an empty disk, after synced entries were lost.
 func (d diskListener) Lost() { d.post(func(exec *executor) { exec.event(evDisk{Lost: true}) }) }
 
-// Recovered has the daemon count itself again.
+// Recovered makes the daemon act as a core member again.
 func (d diskListener) Recovered() {
 	d.post(func(exec *executor) { exec.event(evDisk{Recovered: true}) })
 }
@@ -379,6 +388,8 @@
 	return l.executor
 }
 
+// runExecutor starts the control thread and stops the daemon gracefully on the first
+// SIGTERM or SIGINT.
 func runExecutor(lc fx.Lifecycle, l *controlLoop, _ *executor, log logr.Logger) {
 	lc.Append(fx.Hook{OnStart: func(context.Context) error {
 		log.Info("started", "pid", os.Getpid())
@@ -388,7 +399,7 @@
 		go func() {
 			<-signals
 			l.post(func(exec *executor) { exec.event(evStop{}) })
-			<-signals // a second signal does not wait
+			<-signals // a second signal ends the process at once
 			os.Exit(1)
 		}()
 		return nil
@@ -400,10 +411,17 @@
 	}})
 }
 
-// runPlatform serves the platform's addresses, if there is a platform. It
-// begins at once: what can't be done yet is answered so. At a stop the roles
-// are handed over first; then every call that was read gets its answer.
-func runPlatform(lc fx.Lifecycle, s settings, server *httpServer, l *controlLoop, log logr.Logger, shutdowner fx.Shutdowner) {
+// runPlatform serves the addresses of the platform, if there is one. It starts to serve
+// at once; a call that can't be handled yet is rejected. On a stop, the roles are handed
+// over first; then every call that was read is answered.
+func runPlatform(
+	lc fx.Lifecycle,
+	s settings,
+	server *httpServer,
+	l *controlLoop,
+	log logr.Logger,
+	shutdowner fx.Shutdowner,
+) {
 	if s.adapter == nil {
 		return
 	}
--- a/internal/daemon/disk_state.go
+++ b/internal/daemon/disk_state.go
@@ -5,11 +5,12 @@
 	"otterchute/internal/statestore"
 )
 
-// onDisk follows the disk through a failure. While it is failed this daemon
-// counts itself to no majority (see inCore) and tells the others that it has no
-// disk. Its store stays as it is, ahead of the disk by what is held up: nothing
-// is answered from it until all of that is synced. Its leases stay too: they
-// were given in this life and never needed a disk, so no guard is due.
+// onDisk handles a failure of the disk and its recovery. While the disk is failed, this
+// daemon belongs to no majority (see inCore) and reports to the others that it has no
+// disk. Its store is kept, ahead of the disk by the entries that are not written yet; no
+// response is sent from it until they are synced. The leases that it granted are kept too:
+// they were granted by this process and never depended on the disk, so further grants need
+// no delay.
 func (n *node) onDisk(e evDisk) {
 	switch {
 	case e.Failed != "":
@@ -24,10 +25,10 @@
 		n.log("disk_recovered", "reason", n.diskFailed)
 		n.diskFailed = ""
 	}
-	n.peers.GossipSoon() // the others hear of it at once
+	n.peers.GossipSoon() // reports the new state of the disk at once
 }
 
-// resetDisk makes this daemon's disk a new, empty one.
+// resetDisk wipes this daemon's disk and gives it a new ID.
 func (n *node) resetDisk() {
 	n.DiskID, n.store, n.granter = n.rand().Uint64()|1, statestore.New(), lease.NewGranter()
 	n.members.OnDiskReset()
--- a/internal/daemon/executor.go
+++ b/internal/daemon/executor.go
@@ -7,11 +7,12 @@
 	"otterchute/internal/wire"
 )
 
-// effectPorts are what the executor carries effects out with. The product and the
-// simulator each bring their own; the reducer and the executor are the same.
+// effectPorts carries out effects on the outside world. The daemon process and the
+// simulator have implementations of their own; the reducer and the executor are the same.
 type effectPorts interface {
 	Send(head wire.Header, to, addr string, msg any)
-	// Append calls done once all entries so far are synced, at once if none wait.
+	// Append writes entries and calls done once all entries so far are synced, at once
+	// if none are outstanding.
 	Append(entries []statestore.Entry, done func())
 	Snapshot(entries []statestore.Entry)
 	Wipe(diskID uint64)
@@ -21,8 +22,8 @@
 	Exit()
 }
 
-// executor runs one daemon: it feeds events to the reducer and carries out what
-// comes back. Only one goroutine may use it.
+// executor runs one daemon: it passes events to the reducer and carries out the effects
+// that the reducer returns. Only one goroutine may use it.
 type executor struct {
 	node  *node
 	ports effectPorts
@@ -34,8 +35,10 @@
 	}
 }
 
+// effectHandlers has the function that carries out each type of effect.
 var effectHandlers map[reflect.Type]func(*executor, effect)
 
+// onEffect registers the handler of a type of effect.
 func onEffect[E any](f func(*executor, E)) {
 	effectHandlers[reflect.TypeFor[E]()] = func(exec *executor, e effect) { f(exec, e.(E)) }
 }
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -10,7 +10,8 @@
 	"otterchute/internal/wire"
 )
 
-// host is a daemon as its parts see it: see packages step, cluster, lease and membership.
+// host implements the interfaces through which the packages cluster, lease and membership
+// use this daemon.
 type host struct{ *node }
 
 var (
@@ -19,19 +20,20 @@
 	_ membership.Host = host{}
 )
 
-// NowMs is the steady clock of the event that is handled.
+// NowMs returns the time of the current event by the steady clock.
 func (h host) NowMs() int64 { return h.now }
 
-// WallMs is the wall clock of the event that is handled.
+// WallMs returns the time of the current event by the wall clock.
 func (h host) WallMs() int64 { return h.wall }
 
-// Rand is seeded by the event that is handled.
+// Rand returns a generator that is seeded by the current event.
 func (h host) Rand() *rand.Rand { return h.rand() }
 
-// Send sends a message to a daemon at the address it is known at.
+// Send sends a message to a daemon at its known address.
 func (h host) Send(to string, msg any) { h.send(to, msg) }
 
-// SendAt sends a message to whoever is at an address, or to the daemon of that name there.
+// SendAt sends a message to the daemon of a name at an address, or to any daemon there if
+// the name is empty.
 func (h host) SendAt(to, addr string, msg any) {
 	if to == "" {
 		h.emit(effSend{Addr: addr, Dest: anyProcess, Msg: msg})
@@ -40,13 +42,13 @@
 	h.sendAt(to, addr, msg)
 }
 
-// Log tells operators of an event.
+// Log writes an event to the operators' log.
 func (h host) Log(event string, keysAndValues ...any) { h.log(event, keysAndValues...) }
 
-// Count adds one to a counter.
+// Count increments a counter.
 func (h host) Count(counter string) { h.count(counter) }
 
-// Self is what this daemon says of itself, but for its heartbeat.
+// Self returns this daemon's own entry for the directory, without its heartbeat.
 func (h host) Self() wire.Peer {
 	n := h.node
 	self := wire.Peer{Name: n.Name, Incarnation: n.Incarnation, Addr: n.Addr, HTTPAddr: n.HTTP, Zone: n.Zone,
@@ -58,18 +60,19 @@
 	return self
 }
 
-// CoreSet is the newest core set that this daemon knows.
+// CoreSet returns the newest core set that this daemon knows.
 func (h host) CoreSet() quorum.Set { return h.core }
 
-// AdoptCoreSet takes a core set that another daemon told of.
+// AdoptCoreSet adopts a core set received from another daemon, if it is newer.
 func (h host) AdoptCoreSet(set quorum.Set) { h.adoptCoreSet(set) }
 
-// Forming tells whether this disk waits for the first cluster to be formed.
+// Forming reports whether this daemon has a disk and waits for the first cluster to be
+// formed.
 func (h host) Forming() bool { return h.core.Cluster == 0 && h.store != nil && h.node.FirstStart }
 
-// RaiseIncarnation goes on above another process of this name. To the core the old
-// incarnation has ended once it hears of the new one: so the leases taken under
-// the old number are let go of first.
+// RaiseIncarnation sets an incarnation above that of another process of the same name. The
+// core considers the old incarnation ended once it receives the new one, so the leases
+// acquired under the old incarnation are given up first.
 func (h host) RaiseIncarnation(above uint64) {
 	n := h.node
 	n.log("incarnation_raised", "from", n.Incarnation, "above", above)
@@ -77,12 +80,15 @@
 	for _, role := range n.leases.Roles() {
 		n.leases.Lose(role, "incarnation_raised")
 	}
-	for _, name := range sortedKeys(n.agents) { // those beside their workers: owners hear no lower epoch than before
+	// The epoch of an agent that runs beside its worker is the incarnation. Owners must
+	// not receive a lower epoch than before.
+	for _, name := range sortedKeys(n.agents) {
 		n.agents[name].epoch = n.Incarnation
 	}
 }
 
-// tickGossip gossips, and at the same pace forgets workers not heard of for long.
+// tickGossip sends gossip and, in the same interval, removes workers for which no report
+// has arrived for workerForgetMs.
 func (n *node) tickGossip() {
 	if !n.peers.Tick() {
 		return
--- a/internal/daemon/http_server.go
+++ b/internal/daemon/http_server.go
@@ -26,18 +26,18 @@
 )
 
 const (
-	replyTimeoutMs  = 4000            // the control thread answers long before; this guards against a fault in it
-	stageMetricName = "stage_seconds" // the histogram of where the time of jobs goes
+	replyTimeoutMs  = 4000            // normal replies take far less; guards against a fault in the control thread
+	stageMetricName = "stage_seconds" // histogram of the time that tasks and jobs spend in each stage
 )
 
-// httpServer is the HTTP side: it turns calls into requests for the control thread
-// and its replies into answers.
+// httpServer turns HTTP calls into requests to the control thread and its replies into
+// HTTP responses.
 type httpServer struct {
 	loop   *controlLoop
 	server *http.Server
 	ln     net.Listener
 	mu     sync.Mutex
-	seq    uint64
+	seq    uint64 // ID of the latest request
 }
 
 func newHTTPServer(s settings, l *controlLoop, _ *executor) (*httpServer, error) {
@@ -90,10 +90,10 @@
 		}})
 }
 
-// request posts one request and waits for its reply.
+// request posts a request to the control thread and waits for its reply.
 func (h *httpServer) request(ctx context.Context, e evRequest) effReply {
 	switch e.Op {
-	case "setup.put": // checked here, since thousands of queues would hold the control thread up
+	case "setup.put": // parsed here, since thousands of queues would block the control thread
 		var faults []schema.Fault
 		if e.Precompiled, faults = configuration.Parse(e.Key, e.Body); len(faults) > 0 {
 			return effReply{Status: 400, Body: faultsJSON(faults)}
@@ -114,7 +114,7 @@
 		exec.ports.(*processPorts).pendingReplies[e.ID] = ch
 		exec.event(e)
 	}:
-	default: // the control thread is far behind: say so at once
+	default: // the queue of the control thread is full: reject at once
 		return effReply{Status: 429, RetryMs: 1000, Body: []byte(`{"error":"this daemon is too busy"}`)}
 	}
 	limit := time.NewTimer(replyTimeoutMs * time.Millisecond)
@@ -128,13 +128,13 @@
 	}
 	h.loop.post(func(exec *executor) { delete(exec.ports.(*processPorts).pendingReplies, e.ID) })
 	status := 503
-	if e.Op == "queue.submit" || e.Op == "queue.cancel" { // it may be done all the same
+	if e.Op == "queue.submit" || e.Op == "queue.cancel" { // it may still take effect
 		status = 504
 	}
 	return effReply{Status: status, RetryMs: 1000, Body: []byte(`{"error":"this daemon gave no answer"}`)}
 }
 
-// servePlatform answers the platform's calls.
+// servePlatform handles a call that arrived through the platform.
 func (h *httpServer) servePlatform(ctx context.Context, c platform.Call) platform.Response {
 	if len(c.Body) > bodyMaxBytes && c.Op != "setup.put" && c.Op != "worker.beat" {
 		return platform.Response{
@@ -197,7 +197,7 @@
 	c.Data(r.Status, "application/json", r.Body)
 }
 
-// serveWorkerLost tells every shard's owner that a worker is gone for good.
+// serveWorkerLost reports to the owner of every shard that a worker is permanently lost.
 func (h *httpServer) serveWorkerLost(c *gin.Context) {
 	ctx := c.Request.Context()
 	tasks := int64(0)
@@ -213,11 +213,11 @@
 	c.JSON(200, gin.H{"tasks": tasks})
 }
 
-// Describe names nothing beforehand: to do so it would have to ask a control
-// thread that has not begun. The collector lets such counts come and go.
+// Describe sends no descriptors, which makes this an unchecked collector: the set of
+// counters is known only to the control thread, which has not started at registration.
 func (h *httpServer) Describe(chan<- *prometheus.Desc) {}
 
-// Collect reads the counts once.
+// Collect reads the counters and gauges on the control thread and sends them as metrics.
 func (h *httpServer) Collect(ch chan<- prometheus.Metric) {
 	collected := make(chan struct{})
 	counts, gauges, meter := map[string]int64{}, map[string]float64{}, map[meterKey]float64{}
@@ -259,7 +259,7 @@
 	collectTenants(ch, tenants)
 }
 
-// collectStages gives the histograms of where the time of jobs went.
+// collectStages sends the histograms of the time that tasks and jobs spent in each stage.
 func collectStages(ch chan<- prometheus.Metric, stages map[jobtrace.Key]jobtrace.Histogram) {
 	desc := prometheus.NewDesc("otterchute_"+stageMetricName,
 		"How long tasks and jobs of the shards owned here were in a stage.", []string{"queue", "class", "stage"}, nil)
@@ -269,7 +269,7 @@
 	}
 }
 
-// collectTenants gives what is lent, used and claimed of the limits of tenants counted here.
+// collectTenants sends how much of each limit that is counted here is lent, used and claimed.
 func collectTenants(ch chan<- prometheus.Metric, tenants map[string]tenantGauges) {
 	desc := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("otterchute_"+name, help, append([]string{"tenant"}, labels...), nil)
@@ -290,6 +290,7 @@
 	}
 }
 
+// gauges adds the current values of this daemon's gauges to a map.
 func (n *node) gauges(out map[string]float64) {
 	n.batchGauges(out)
 	out["roles_held"] = float64(len(n.leases.Roles()))
--- a/internal/daemon/identity.go
+++ b/internal/daemon/identity.go
@@ -8,37 +8,37 @@
 	"otterchute/internal/wire"
 )
 
-// Each frame names the process that sent it and the one it is meant for, since
-// names and addresses outlive processes: a daemon may be back within a second,
-// and another machine may get the address of one that is gone. Request numbers
-// count from 0 in each life, so a late response to an earlier life would
-// otherwise be taken for that to a present request of the same number.
+// Each frame identifies the process that sent it and its recipient, since names and
+// addresses outlive processes: a daemon may restart within a second, and another machine
+// may get the address of one that is gone. Each process numbers its requests from 0, so a
+// late response to a request of an earlier process could otherwise be mistaken for the
+// response to a current request of the same number.
 //
-// A life is a random number drawn at the start of a process. It doesn't depend
-// on any clock, and unlike the incarnation it never changes within a process.
+// An instance ID is a random number drawn at the start of a process. It doesn't depend on
+// any clock, and unlike the incarnation it never changes within a process.
 //
-//   - A request or an announcement names the addressee's name. Any life of it
-//     may take that: what must not outlive a process carries an epoch of its own.
-//   - A response names the life that asked. No other takes it, so within a
-//     life's numbers each response finds its own request or none.
-//   - Only greetings may go to whoever listens at a seed's address, whose name
-//     isn't known yet. They tell versioned facts that hold for any reader.
+//   - A request or an announcement is addressed to a daemon by name. Any process of that
+//     name may accept it; what must not outlive a process carries an epoch of its own.
+//   - A response is addressed to the instance that sent the request. No other accepts it,
+//     so each response is matched to its own request or dropped.
+//   - Only gossip and digests may be sent to any process at an address, because the name of
+//     a seed isn't known yet. They carry versioned facts that are valid for any recipient.
 //
-// Frames of earlier forms begin with another magic and are refused, as ours are
-// by daemons of that time. In a rolling restart across the change the two kinds
-// don't hear each other: each serves while it has a majority of the core, as
-// across a cut of the network, so core members are restarted one by one.
+// Frames of earlier formats begin with another magic number and are rejected, as frames of
+// this format are by daemons of earlier versions. During a rolling restart across the change
+// of the format, the two versions can't communicate. As in a network partition, a version
+// serves only while it has a majority of the core, so core members are restarted one by one.
 
-// anyProcess addresses whoever listens at an address.
+// anyProcess addresses any process that listens at an address.
 const anyProcess uint64 = 0
 
-// peerInstance is one process of a daemon.
+// peerInstance identifies one process of a daemon.
 type peerInstance struct {
 	name     string
 	instance uint64
 }
 
-// responses are the messages that answer one request of one process.
+// responses are the types of messages that answer a request of one process.
 var responses = map[reflect.Type]bool{
 	reflect.TypeFor[*wire.PollResponse]():  true,
 	reflect.TypeFor[*register.Promise]():   true,
@@ -53,19 +53,24 @@
 	reflect.TypeFor[*wire.DigestReply]():   true,
 }
 
-// addressOnlyMessages are the messages that may go to an address without a name.
-var addressOnlyMessages = map[reflect.Type]bool{reflect.TypeFor[*wire.Gossip](): true, reflect.TypeFor[*wire.Digest](): true}
+// addressOnlyMessages are the types of messages that may be sent to an address without a name.
+var addressOnlyMessages = map[reflect.Type]bool{
+	reflect.TypeFor[*wire.Gossip](): true,
+	reflect.TypeFor[*wire.Digest](): true,
+}
 
 func newInstanceID() uint64 { return newSeed() | 1 }
 
-// addresseeID is a name as frames bear it, never anyProcess.
+// addresseeID returns the hash of a name by which frames address a daemon. It is never
+// anyProcess.
 func addresseeID(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name))
 	return h.Sum64() | 1
 }
 
-// acceptsFrame tells whether a message is meant for this process. It counts what isn't.
+// acceptsFrame reports whether a message is addressed to this process, and counts those
+// that aren't.
 func (n *node) acceptsFrame(header wire.Header, msg any) bool {
 	kind := reflect.TypeOf(msg)
 	switch {
@@ -82,8 +87,8 @@
 	return false
 }
 
-// destination is what a message to a daemon bears: its name, or in a response
-// the life whose request is being handled.
+// destination returns the address in the frame of a message to a daemon: the hash of its
+// name, or for a response the instance whose request is being handled.
 func (n *node) destination(to string, msg any) uint64 {
 	switch {
 	case !responses[reflect.TypeOf(msg)]:
@@ -93,17 +98,17 @@
 	case to == n.sender.name:
 		return n.sender.instance
 	}
-	return anyProcess // nobody takes a response that answers no request
+	return anyProcess // a response without a request is accepted by no process
 }
 
-// respondTo answers a request that was kept for a while.
+// respondTo answers a request of an instance, also after its message was handled.
 func (n *node) respondTo(to peerInstance, msg any) {
 	e := n.sendEffect(to.name, msg).(effSend)
 	e.Dest = to.instance
 	n.emit(e)
 }
 
-// sendAt sends to a daemon at the address that it has just given as its own.
+// sendAt sends a message to a daemon at the address that the daemon itself has just reported.
 func (n *node) sendAt(to, addr string, msg any) {
 	n.emit(effSend{To: to, Addr: addr, Dest: n.destination(to, msg), Msg: msg})
 }
--- a/internal/daemon/json.go
+++ b/internal/daemon/json.go
@@ -4,10 +4,11 @@
 	"encoding/json"
 )
 
+// mustJSON encodes a value of a type that always can be encoded.
 func mustJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // only our own types come here
+		panic(err) // all callers pass types that can be encoded
 	}
 	return b
 }
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -8,33 +8,33 @@
 	"otterchute/internal/wire"
 )
 
-// What membership needs of this daemon, and what it gives to its parts.
+// This file connects package membership to the daemon.
 
-// InCore tells whether this daemon is a member whose disk works.
+// InCore reports whether this daemon is a core member whose disk works.
 func (h host) InCore() bool { return h.inCore() }
 
-// DiskWorks tells whether this daemon has a disk, and that takes writes.
+// DiskWorks reports whether this daemon has a disk that accepts writes.
 func (h host) DiskWorks() bool { return h.store != nil && h.diskFailed == "" }
 
-// Store is the state on the disk; nil without one.
+// Store returns the state on the disk, or nil without a disk.
 func (h host) Store() *statestore.Store { return h.store }
 
-// Instance names this process.
+// Instance returns the instance ID of this process.
 func (h host) Instance() uint64 { return h.nodeConfig.Instance }
 
-// FirstStart tells whether the whole fleet starts for the first time.
+// FirstStart reports whether the whole cluster starts for the first time.
 func (h host) FirstStart() bool { return h.nodeConfig.FirstStart }
 
-// LeavingSinceMs is when this daemon was asked to stop; 0 if it wasn't.
+// LeavingSinceMs returns when this daemon was requested to stop, or 0 if it wasn't.
 func (h host) LeavingSinceMs() int64 { return h.leavingSinceMs }
 
-// NextOp numbers a request.
+// NextOp returns a new number for a request.
 func (h host) NextOp() uint64 {
 	h.opSeq++
 	return h.opSeq
 }
 
-// Persist applies entries, and sends messages once they are durable.
+// Persist applies entries and sends messages once the entries are durable.
 func (h host) Persist(entries []statestore.Entry, then ...step.Message) {
 	effects := make([]effect, 0, len(then))
 	for _, m := range then {
@@ -43,22 +43,22 @@
 	h.persist(entries, effects...)
 }
 
-// RestoreCoreSet takes up the set that the disk knows, after a start.
+// RestoreCoreSet makes the set stored on the disk the current one, after a start.
 func (h host) RestoreCoreSet(set quorum.Set) {
 	h.core = set
 	h.granter.DelayGrants(h.now)
 	h.log("core_set", "version", set.Version, "members", set.Names())
 }
 
-// BeginCluster takes up the first set of a cluster that was just formed.
+// BeginCluster makes the first set of a newly formed cluster the current one.
 func (h host) BeginCluster(set quorum.Set) { h.core = set }
 
-// ChangeCoreSet proposes the set after the one that is known.
+// ChangeCoreSet proposes the successor of the current set.
 func (h host) ChangeCoreSet(next quorum.Set) {
 	h.startChange(membership.RegisterName, "core", next.Encode(), h.core.Version)
 }
 
-// ResetDisk makes the disk a new, empty one.
+// ResetDisk wipes the disk and gives it a new ID.
 func (h host) ResetDisk() { h.resetDisk() }
 
 func (n *node) tickFormation() { n.members.TickFormation() }
--- a/internal/daemon/reduce.go
+++ b/internal/daemon/reduce.go
@@ -20,12 +20,12 @@
 	"otterchute/internal/wire"
 )
 
-// nodeConfig is what a daemon learns from its settings and its start.
+// nodeConfig holds the settings of a daemon and what it determines at its start.
 type nodeConfig struct {
 	Name        string
 	Incarnation uint64
-	// Instance names this process among all that ever ran, see identity.go: unlike
-	// Incarnation it comes from no clock and never changes.
+	// Instance distinguishes this process from all others, see identity.go. Unlike
+	// Incarnation it doesn't depend on a clock and never changes.
 	Instance       uint64
 	Addr           string
 	HTTP           string
@@ -34,25 +34,25 @@
 	Disk           bool
 	DiskID         uint64
 	FinishedKeepMs int64
-	SnapshotBytes  int64 // of log, before a snapshot
+	SnapshotBytes  int64 // length of the log at which a snapshot is taken
 	ThresholdMs    int64
 	KLowest        int
 	TargetSigma    float64
-	Colocated      bool // it stands beside a worker: no role of the fleet's
+	Colocated      bool // runs beside a worker and takes no role of the cluster
 	MilliCores     int64
 	LinkMbps       int64
-	CoreSize       int  // disks that hold the state; 0 for membership.DefaultSize
-	FirstStart     bool // the whole fleet starts for the first time: empty disks may form a core
+	CoreSize       int  // number of core members; 0 for membership.DefaultSize
+	FirstStart     bool // the whole cluster starts for the first time: empty disks may form a core
 	MaxHoldMs      int64
 	GangWaitMs     int64
 	SaveMs         int64
 	RestoreMs      int64
 	SpreadFactor   float64
-	Policies       scheduler.Set // those switched off, for trials
+	Policies       scheduler.Set // the policies that are switched off, for experiments
 }
 
-// event is all that a daemon ever learns: what happened, when by its own
-// steady clock and by its wall clock, and the seed for choices made now.
+// event is the only input of a daemon: what happened, the time by its steady clock and by
+// its wall clock, and the seed for random choices.
 type event struct {
 	NowMs  int64
 	WallMs int64
@@ -65,51 +65,51 @@
 	evMsg  struct {
 		Head        wire.Header
 		Msg         any
-		Precompiled *configuration.Configuration // of the configuration in it, where a traffic thread compiled that already
+		Precompiled *configuration.Configuration // the configuration in Msg, if a network goroutine compiled it already
 	}
-	// evRequest is a caller's, worker's or operator's request at this daemon.
+	// evRequest is a request of a client, worker or operator to this daemon.
 	evRequest struct {
 		ID         uint64
 		Op         string
 		Key        string
-		Host, Path string // where the call came in with the address of a queue
-		Base       int64  // the version a configuration builds on; -1 for one less than its own
-		Digest     []byte // SHA-256 of an operator's order, where it isn't that of the body
-		Credential string // the key that the caller showed
+		Host, Path string // the address of the queue, for calls that name a queue by address
+		Base       int64  // the version that a configuration builds on; -1 for one less than its own
+		Digest     []byte // SHA-256 of an operator's change, if it isn't that of the body
+		Credential string // the API key in the call
 		Body       []byte
-		// Precompiled is the configuration in Body, where a traffic thread compiled it already.
+		// Precompiled is the configuration in Body, if a network goroutine compiled it already.
 		Precompiled *configuration.Configuration
 	}
-	// evOrder tells how an order to a worker went.
+	// evOrder is the outcome of an order to a worker.
 	evOrder struct {
 		Worker  string
 		Key     wire.AttemptKey
 		Stop    bool
 		Outcome string // see orderOutcomes
 	}
-	// evDisk tells what became of the disk: it failed, it works again with
-	// all that was held up written, or it lost entries that were synced.
+	// evDisk is a change of the disk's state: it failed, it recovered and all outstanding
+	// entries are written, or it lost entries that had been synced.
 	evDisk struct {
 		Failed    string
 		Recovered bool
 		Lost      bool
 	}
 	evStop struct{}
-	// evSeeds brings other addresses to find the fleet by.
+	// evSeeds replaces the addresses by which the daemon finds the cluster.
 	evSeeds struct{ Seeds []string }
 )
 
-// effect is a thing the executor is to do, as data.
+// effect is an action for the executor, described as data.
 type effect any
 
 type (
 	effSend struct {
 		To   string // peer name, or "" for a bare address
 		Addr string
-		Dest uint64 // see frameHeader.To
+		Dest uint64 // see wire.Header.To
 		Msg  any
 	}
-	// effAppend syncs entries, and only then carries out what waits on them.
+	// effAppend writes and syncs entries, and then carries out further effects.
 	effAppend struct {
 		Entries []statestore.Entry
 		Then    []effect
@@ -122,7 +122,7 @@
 		RetryMs int64
 		Body    []byte
 	}
-	// effOrder is an order to a worker, void once the steady clock passes NotAfterMs.
+	// effOrder is an order to a worker, which expires at NotAfterMs of the steady clock.
 	effOrder struct {
 		Worker     string
 		Addr       string
@@ -142,7 +142,7 @@
 type node struct {
 	nodeConfig
 	now, wall int64
-	wokeMs    int64 // when this daemon last woke from a freeze, or began
+	wokeMs    int64 // when this daemon last resumed after a freeze, or started
 	seed      uint64
 	rng       *rand.Rand
 	effects   []effect
@@ -153,7 +153,7 @@
 	leavingSinceMs int64
 
 	store    *statestore.Store
-	granter  *lease.Granter // of a core member
+	granter  *lease.Granter // grants leases as a core member
 	members  *membership.Manager
 	changes  map[uint64]*registerChange
 	opSeq    uint64
@@ -162,19 +162,19 @@
 	leases *lease.Manager
 
 	config      configState
-	precompiled *configuration.Configuration // came with this event
+	precompiled *configuration.Configuration // of the current event
 
 	sender peerInstance // of the message that is being handled
 
 	forwarded   map[uint64]*forwardedRequest
 	quorumReads map[uint64]*quorumRead
-	retries     retryBudget // for handing a request over a second time
-	coreReads   retryBudget // for reading states from the core
+	retries     retryBudget // for forwarding a request again
+	coreReads   retryBudget // for reading job states from the core
 	forwardSeq  uint64
 
 	shards   map[string]*ownedShard
 	counters map[string]*quota.Counter // of tenants, by the shard whose owner counts them
-	// When a counter here last heard from each shard's owner.
+	// When each counter here last received a report from the owner of each shard.
 	shareReports    map[string]map[string]int64
 	limits          quota.Limits
 	agents          map[string]*workerAgent
@@ -183,14 +183,14 @@
 	workers         map[string]*workerView
 	estimates       scheduler.Estimates
 	nextEstimatesMs int64
-	// What owners told of each shard's queues, and when this daemon tells next.
+	// The counts that owners reported of each shard's queues, and when this daemon reports next.
 	queueCounts       map[string]*queueCounts
 	nextQueueCountsMs int64
 
-	batchMeter map[meterKey]float64 // core seconds of batches
-	stages     jobtrace.Recorder    // where the time of the jobs owned here went
+	batchMeter map[meterKey]float64 // core seconds used by batches
+	stages     jobtrace.Recorder    // the time that the jobs owned here spent in each stage
 
-	diskFailed string
+	diskFailed string // why the disk failed; "" while it works
 	diskSyncMs int64
 	overload   overloadMeter
 }
@@ -219,8 +219,8 @@
 	return n
 }
 
-// reduce applies one event to the state and gives the effects. It reads no
-// clock, draws no randomness of its own and does no I/O.
+// reduce applies one event to the state and returns the effects. It reads no clock, uses
+// no randomness but the seed of the event, and does no I/O.
 //
 // Example: effects := reduce(n, event{NowMs: 100, WallMs: wall, Body: evTick{}})
 func reduce(n *node, ev event) []effect {
@@ -300,7 +300,7 @@
 	message(onMessage((*node).onRegisterValue))
 }
 
-// tickHandlers are what a tick does, in order.
+// tickHandlers are the steps of a tick, in order.
 var tickHandlers []func(*node)
 
 func init() {
@@ -373,5 +373,6 @@
 	return n.rng
 }
 
-// sortedKeys gives a map's keys in order, so that nothing depends on map order.
+// sortedKeys returns the keys of a map in order, so that behavior doesn't depend on the
+// iteration order of maps.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/internal/daemon/registers.go
+++ b/internal/daemon/registers.go
@@ -11,26 +11,28 @@
 )
 
 const (
-	changeTimeoutMs = 2500 // a register change that has not ended by then is given up on
-	changeRetryMs   = 150  // base of the jittered wait between two attempts of a change
+	changeTimeoutMs = 2500 // after this a change of a register has an unknown outcome
+	changeRetryMs   = 150  // base of the jittered backoff between attempts of a change
 )
 
-// registerChange is one change of a register by this daemon.
+// registerChange is a change of a register that this daemon has proposed.
 type registerChange struct {
 	*register.Operation
-	kind            string // names what is computed and what follows, see changeKinds
-	argument        []byte // the wanted value or its part
-	expectedVersion int64  // the version the value must have, where the kind asks
+	kind            string // key of changeKinds
+	argument        []byte // the new value or a part of it, depending on the kind
+	expectedVersion int64  // the version that the current value must have, if the kind checks it
 	changeID        configuration.ChangeID
-	request         *request
+	request         *request // the request to answer; nil if none
 }
 
-// changeKind computes the next value from the current one, and says what follows.
+// changeKind defines how a change computes the next value from the current one, and how
+// its outcome is handled.
 type changeKind struct {
 	decide func(*node, *registerChange, []byte) (register.Decision, []byte)
 	finish func(*node, *registerChange, register.Outcome)
 }
 
+// changeKinds is filled in init, since the handlers refer to it.
 var changeKinds map[string]changeKind
 
 func init() {
@@ -46,8 +48,13 @@
 	}
 }
 
-var changeTiming = register.Timing{DeadlineMs: changeTimeoutMs, ResponseTimeoutMs: changeTimeoutMs / 4, RetryBaseMs: changeRetryMs}
+var changeTiming = register.Timing{
+	DeadlineMs:        changeTimeoutMs,
+	ResponseTimeoutMs: changeTimeoutMs / 4,
+	RetryBaseMs:       changeRetryMs,
+}
 
+// startChange proposes a change of a register; its kind handles the outcome.
 func (n *node) startChange(registerName, kind string, argument []byte, expectedVersion int64) *registerChange {
 	n.opSeq++
 	change := &registerChange{kind: kind, argument: argument, expectedVersion: expectedVersion}
@@ -66,7 +73,7 @@
 	}
 }
 
-// endChange carries on once an operation has an outcome.
+// endChange handles the outcome of a change, if it has one.
 func (n *node) endChange(change *registerChange) {
 	if outcome := change.Outcome(); outcome != register.Pending {
 		delete(n.changes, change.ID)
@@ -88,7 +95,7 @@
 	}
 }
 
-// jitter draws a wait below a bound.
+// jitter returns a random duration below a bound.
 func (n *node) jitter(below int64) int64 { return n.rand().Int64N(below) }
 
 func (n *node) tickChanges() {
@@ -123,7 +130,7 @@
 	}
 }
 
-// answerProposer lets an acceptor's answer go once its write is synced.
+// answerProposer sends an acceptor's response once its write is synced.
 func (n *node) answerProposer(to, registerName string, response any, write *register.Write) {
 	if write == nil {
 		n.send(to, response)
@@ -136,18 +143,20 @@
 	n.persist([]statestore.Entry{entry}, n.sendEffect(to, response))
 }
 
-// decideCoreSet changes the core set by one member from the expected version.
+// decideCoreSet replaces the core set, unless it has changed since the expected version.
 func decideCoreSet(_ *node, change *registerChange, current []byte) (register.Decision, []byte) {
 	var set quorum.Set
 	if len(current) > 0 && codec.Unmarshal(current, &set) != nil {
 		return register.Fail, nil
 	}
-	if bytes.Equal(set.Encode(), change.argument) || set.Version > change.expectedVersion { // ours, or what stands must be learned
+	// Either the set was accepted before, or this daemon needs to adopt a newer one.
+	if bytes.Equal(set.Encode(), change.argument) || set.Version > change.expectedVersion {
 		return register.Keep, nil
 	}
 	return register.Replace, change.argument
 }
 
+// onCoreSetChange adopts the core set that the register holds and sends it to all daemons.
 func (n *node) onCoreSetChange(change *registerChange, outcome register.Outcome) {
 	var set quorum.Set
 	if outcome == register.Done && codec.Unmarshal(change.Value(), &set) == nil {
@@ -160,8 +169,8 @@
 	}
 }
 
-// restartChanges begins changes of registers anew under another set: what members
-// of the former one answered counts for nothing.
+// restartChanges restarts the changes of registers under a new core set. Responses given
+// under the previous set don't count.
 func (n *node) restartChanges() {
 	for _, id := range sortedKeys(n.changes) {
 		n.sendAll(n.changes[id].Tick(n.core.RegisterSet(), n.now))
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -16,48 +16,52 @@
 )
 
 const (
-	configForwardTimeoutMs = 2400 // the same for a change of the configuration, which a core member tries for changeTimeoutMs
-	forwardMs              = 1200 // a request forwarded without an answer is given up on
-	quorumReadTimeoutMs    = 500  // a state read from the core that takes longer is given up on
-	forwardsMax            = 2    // a request is forwarded at most this often
-	requestsMax            = 4000 // requests in flight through one daemon before it rejects
-	requestsPerRetry       = 5    // every so many requests allow one to be forwarded again: a crowd costs a fifth more at most
-	retriesPerTick         = 1    // and so many a tick, that few requests need not wait
-	readsPerTick           = 10   // states read from the core a tick: 100 a second for each daemon
-	retryBudgetMax         = 100  // what either budget saves up for a burst
+	configForwardTimeoutMs = 2400 // for a change of the configuration, which a core member tries for changeTimeoutMs
+	forwardMs              = 1200 // timeout of other forwarded requests
+	quorumReadTimeoutMs    = 500  // timeout of reading a job's state from the core
+	forwardsMax            = 2    // number of times that a request is forwarded at most
+	requestsMax            = 4000 // forwarded requests in flight; more are rejected
+	requestsPerRetry       = 5    // each of these requests adds to the budget for one retry: at most 20% more load
+	retriesPerTick         = 1    // retries added to the budget per tick, so that they work under low traffic too
+	readsPerTick           = 10   // reads from the core added per tick: 100 per second and daemon
+	retryBudgetMax         = 100  // retries or reads that a budget saves up for a burst
 )
 
-// request is one thing a caller, worker or operator wants, at the daemon that got
-// it or forwarded to the one that can answer it.
+// request is a request of a client, worker or operator. It is handled by the daemon that
+// received it or forwarded to the one that can answer it.
 type request struct {
 	id             uint64
-	origin         string // "" when it came by HTTP here
-	originInstance uint64 // of the origin's process: no later one is answered
+	origin         string // the daemon that forwarded it; "" if it was received here
+	originInstance uint64 // the process of the origin; a later process gets no response
 	hops           int32
 	op             string
 	key            string
 	body           []byte
 	receivedMs     int64
-	// pollsBefore were sent here before it came: only a later one confirms a configuration for it.
+	// pollsBefore is the latest poll sent before the request arrived. Only a later poll
+	// confirms a configuration for it.
 	pollsBefore  uint64
-	config       *configuration.Configuration // of the body, where it is known to be sound
-	host         string                       // with path, the address a caller used
+	config       *configuration.Configuration // the configuration in the body, if it was parsed and is valid
+	host         string                       // with path, the address of the queue that the client used
 	path         string
-	base         int64  // the version a configuration builds on; -1 for one less than its own
-	digest       []byte // SHA-256 of an operator's order as it was sent, where that isn't the configuration itself
+	base         int64  // the version that a configuration builds on; -1 for one less than its own
+	digest       []byte // SHA-256 of an operator's change as it was sent, if that isn't the configuration itself
 	queue        string // the queue that the address belongs to
-	maybeApplied bool   // it may have been done: handed over and not answered, or under way here
-	byAddress    bool   // it came with an address: an unknown job is told apart from an unknown queue
-	credential   string // the key that the caller showed here
-	tenant       string // whose key that is; "" where none is needed
+	maybeApplied bool   // it may have taken effect: forwarded without a reply, or in progress here
+	byAddress    bool   // it names a queue by address: an unknown job is distinguished from an unknown queue
+	credential   string // the API key in the call
+	tenant       string // the tenant of that key; "" if no key is needed
 }
 
+// forwardedRequest is a request that waits for the reply of the daemon it was forwarded to.
 type forwardedRequest struct {
 	request    *request
 	to         string
 	deadlineMs int64
 }
 
+// requestHandlers has the handler of each operation. It is filled in init, since the
+// handlers refer to it.
 var requestHandlers map[string]func(*node, *request)
 
 func init() {
@@ -88,17 +92,18 @@
 	}
 }
 
-// operatorRequests are the calls of operators, who turn to another daemon after a second.
+// operatorRequests are the operations of operators. Their client tries another daemon after
+// a second.
 var operatorRequests = map[string]bool{"setup.put": true, "setup.taken": true, "site.empty": true, "site.open": true}
 
-// retryBudget bounds what this daemon does beyond the first attempt, for all requests
-// together: under a crowd that sends again and again the fleet's own work must
-// not grow with what it gives up on.
+// retryBudget limits the additional work beyond the first attempt, for all requests
+// together. If many clients retry, the load between daemons must not grow with the number
+// of requests that time out.
 type retryBudget struct{ tokens int64 }
 
 func (b *retryBudget) add(v int64) { b.tokens = min(b.tokens+v, retryBudgetMax*requestsPerRetry) }
 
-// take takes one try, if one is left.
+// take uses up one retry and reports whether one was left.
 func (b *retryBudget) take() bool {
 	if b.tokens < requestsPerRetry {
 		return false
@@ -175,6 +180,8 @@
 	handle(n, req)
 }
 
+// respond answers a request, here or at the daemon that forwarded it. It turns a rejection
+// into an unknown outcome if the request may have taken effect.
 func (n *node) respond(req *request, status int, retryMs int64, body []byte) {
 	if status >= 400 {
 		n.count("requests_rejected")
@@ -193,9 +200,10 @@
 	n.respondTo(peerInstance{req.origin, req.originInstance}, &forwardReply)
 }
 
-// outcomeUnknown tells that a refusal can't be passed on as it is: an earlier try
-// of this call may have been done all the same. "Not taken" is only said when
-// it is surely so. That another job has the id stands, whoever says so.
+// outcomeUnknown reports whether a rejection must not be passed on, because an earlier
+// attempt of the request may have taken effect. A client may only be told that its job was
+// not accepted if that is certain. A conflict with another job of the same ID is certain,
+// so its status is passed on.
 func (r *request) outcomeUnknown(status int) bool {
 	if r.queue == "" || !r.maybeApplied {
 		return false
@@ -209,6 +217,7 @@
 	return false
 }
 
+// reject answers that the request can't be handled now and may be retried after a second.
 func (n *node) reject(req *request, reason string) {
 	n.respond(req, 503, 1000, mustJSON(map[string]any{"error": reason}))
 }
@@ -221,14 +230,16 @@
 	return mustJSON(map[string]any{"error": faults[0].Path + " " + faults[0].Reason, "faults": faults})
 }
 
-// forward passes a request on, once per daemon and at most forwardsMax times; an
-// answer that does not come is given up on long before the caller's limit.
+// forward forwards a request, at most forwardsMax times in total. Its timeout is far shorter
+// than that of the client.
 func (n *node) forward(req *request, to string) {
 	if req.hops >= forwardsMax || to == n.Name || to == "" || !n.peers.Alive(to) {
 		n.readFromCore(req, "nobody surely settles this now")
 		return
 	}
-	if req.hops > 0 && req.op != "worker.report" { // a second time; reports are few and feed everything
+	// A request that was forwarded before needs a retry of the budget, except for workers'
+	// reports, which are few and which everything else depends on.
+	if req.hops > 0 && req.op != "worker.report" {
 		if !n.Policies.On(scheduler.ForwardRetry) || !n.retries.take() {
 			n.reject(req, "nobody surely settles this now")
 			return
@@ -262,7 +273,7 @@
 
 func (n *node) onForwardReply(from string, m *wire.ForwardReply) {
 	pending := n.forwarded[m.ID]
-	if pending == nil || pending.to != from { // given up on, or handed to another since
+	if pending == nil || pending.to != from { // timed out, or forwarded to another daemon since
 		n.count("late_responses")
 		return
 	}
@@ -270,10 +281,11 @@
 	n.respond(pending.request, int(m.Status), m.RetryAfterMs, m.Body)
 }
 
-// retryForwarded routes anew what waits for a daemon that has lost its role.
+// retryForwarded routes the requests again that wait for a daemon which has lost a role.
 func (n *node) retryForwarded(to string) {
 	for _, id := range sortedKeys(n.forwarded) {
-		if pending := n.forwarded[id]; pending.to == to && to != "" && n.Policies.On(scheduler.ForwardRetry) && n.retries.take() {
+		if pending := n.forwarded[id]; pending.to == to && to != "" &&
+			n.Policies.On(scheduler.ForwardRetry) && n.retries.take() {
 			delete(n.forwarded, id)
 			pending.request.maybeApplied = true
 			n.count("requests_retried")
@@ -282,6 +294,7 @@
 	}
 }
 
+// tickRequests refills the retry budgets and handles requests that have timed out.
 func (n *node) tickRequests() {
 	n.retries.add(retriesPerTick * requestsPerRetry)
 	n.coreReads.add(readsPerTick * requestsPerRetry)
@@ -300,8 +313,8 @@
 	}
 }
 
-// readFromCore is for requests that no owner answers now: a job's state can still be
-// had from the core, anything else is rejected.
+// readFromCore handles a request that no owner can answer now. It reads a job's state from
+// the core members and rejects any other request.
 func (n *node) readFromCore(req *request, reason string) {
 	if req.op != "job.get" && req.op != "job.state" || len(n.core.Members) == 0 || n.leases.CutOff() ||
 		!n.coreReads.take() {
@@ -319,18 +332,18 @@
 	}
 }
 
-// quorumRead is a job's state on its way from the core, while no owner tells it.
+// quorumRead is a read of a job's state from the core, while no owner can answer.
 type quorumRead struct {
 	request    *request
 	responses  map[string]statestore.Record
 	deadlineMs int64
 }
 
-// onQuorumRead answers with a state that a majority holds. Where two members differ, the
-// later one may yet be lost and the earlier one be long past, at a member that
-// was away: only the others' word tells, for an end that was told already mustn't
-// be taken back. Absence it does not tell: only an owner can say that a job is
-// unknown.
+// onQuorumRead answers with the newest state that a majority holds. If two members differ,
+// the newer state may still be lost, and the older one may be outdated because its member
+// was away, so the responses of further members decide. Otherwise the end of a job could be
+// reported and later revoked. A job without a record is never reported as unknown: only an
+// owner can decide that.
 func (n *node) onQuorumRead(read *quorumRead, op uint64, from string, records []statestore.Record) {
 	var record statestore.Record
 	if len(records) == 1 {
@@ -385,13 +398,14 @@
 	}
 }
 
-// answeredByFullSet tells whether all of a full set have answered a read. In a set that is
-// larger or smaller, what a majority of the one before it held may be at fewer.
+// answeredByFullSet reports whether the core set has its full size and all members have
+// answered a read. In a set that is larger or smaller, a state held by a majority of the
+// previous set may be held by less than a majority.
 func (n *node) answeredByFullSet(read *quorumRead) bool {
 	return len(read.responses) == len(n.core.Members) && len(read.responses) == n.members.Size()
 }
 
-// shardOf decides which shard owns a job: callers never name one.
+// shardOf returns the shard that a job belongs to, by rendezvous hashing of its ID.
 func (n *node) shardOf(id string) string {
 	if len(n.core.Shards) == 0 {
 		return ""
@@ -408,6 +422,8 @@
 	n.routeToShard(req, name)
 }
 
+// routeToShard handles a request for a shard that is owned here, and forwards others to
+// the owner.
 func (n *node) routeToShard(req *request, name string) {
 	if shard := n.shards[name]; shard != nil && n.leases.Holds(lease.ShardRole(name)) {
 		if !shard.serving {
@@ -435,13 +451,14 @@
 	n.routeToShard(req, shard)
 }
 
+// rawJSON is a string that is already JSON.
 type rawJSON string
 
 func (r rawJSON) MarshalJSON() ([]byte, error) { return []byte(r), nil }
 
-// forwardTimedOut tells whether to stop waiting for the daemon that a call was handed
-// to: at the call's limit, where this daemon is cut off, and for an operator's
-// order where the core member that has it answers no polls.
+// forwardTimedOut reports whether to stop waiting for the reply to a forwarded request: at
+// its deadline, if this daemon has lost contact with the core, and for an operator's change
+// also if the core member that it was forwarded to answers no polls.
 func (n *node) forwardTimedOut(forwarded *forwardedRequest) bool {
 	return n.now >= forwarded.deadlineMs || n.leases.CutOff() ||
 		operatorRequests[forwarded.request.op] && n.now-n.leases.LastResponseMs(forwarded.to) > lease.HeldMs
--- a/internal/daemon/request_address.go
+++ b/internal/daemon/request_address.go
@@ -5,12 +5,12 @@
 	"otterchute/internal/schema"
 )
 
-// ownerOps are what calls at a queue's address ask of a job's owner.
+// ownerOps maps the operations at a queue's address to those of a job's owner.
 var ownerOps = map[string]string{"queue.submit": "job.put", "queue.state": "job.state", "queue.cancel": "job.cancel"}
 
-// resolveAddress finds the queue that an address belongs to, by the configuration that a
-// majority confirmed lately. That an address belongs to none is only said by
-// a configuration confirmed after the call came.
+// resolveAddress determines the queue of an address, using a configuration that a majority
+// confirmed recently. A call is rejected for an unknown address or key only if the
+// configuration was confirmed after the call arrived.
 func (n *node) resolveAddress(req *request) {
 	cfg := n.config.current
 	if cfg.Version == 0 {
@@ -33,7 +33,7 @@
 		n.count("calls_unauthenticated")
 		n.respond(req, 401, 0, mustJSON(map[string]any{"error": "no tenant has this key"}))
 		return
-	default: // a version acknowledged just now may have it
+	default: // a version that was just acknowledged may have the key
 		n.awaitConfirmation(req, "the setup is not confirmed here")
 		return
 	}
@@ -49,9 +49,9 @@
 	}
 }
 
-// authenticate gives the tenant whose key a call shows; "" where none is needed. It gives false
-// where one is needed and nobody has it. A call without a key is nobody's, whatever the digests of
-// the configuration are.
+// authenticate returns the tenant of the API key in a call, or "" if no key is needed. It
+// returns false if a key is needed and no tenant has it. A call without a key belongs to no
+// tenant, whatever digests the configuration contains.
 func authenticate(config *configuration.Configuration, queue, credential string) (tenant string, known bool) {
 	if !config.RequiresKey() {
 		return "", true
@@ -64,16 +64,17 @@
 	return "", config.Queues[queue].Open
 }
 
-// jobVisible tells whether a job is there for a call: one at an address sees the jobs of its queue,
-// and with a key those of the key's tenant. Jobs without a tenant, and those of a tenant that is
-// no longer declared, are there for all who may call. Without a key, at an open queue, any job may
-// be looked at, since its tenant's key may be one that was taken away; but not cancelled.
+// jobVisible reports whether a request may see a job. A call at an address sees the jobs of
+// its queue, and with a key only those of the key's tenant. Jobs without a tenant, and those
+// of a tenant that is no longer declared, are visible to every permitted client. At an open
+// queue, a call without a key may read every job, since the key of the job's tenant may have
+// been removed; but it may not cancel jobs of a tenant.
 func (n *node) jobVisible(req *request, j *jobRecord) bool {
 	switch {
 	case req.queue == "":
 		return true
 	case j.Queue != req.queue && (req.op != "job.put" || n.config.current.Queues[j.Queue] != nil):
-		return false // one that is handed in again stays known after its queue was renamed
+		return false // a job that is submitted again is still found after its queue was renamed
 	case j.Tenant == "" || j.Tenant == req.tenant:
 		return true
 	case req.tenant == "" && req.op != "job.cancel":
@@ -82,25 +83,25 @@
 	return n.tenantUndeclared(j.Tenant)
 }
 
-// tenantUndeclared tells whether a confirmed configuration has no such tenant: one that isn't
-// confirmed may be from before the tenant was declared.
+// tenantUndeclared reports whether a recently confirmed configuration lacks a tenant. One
+// that isn't confirmed may be older than the declaration of the tenant.
 func (n *node) tenantUndeclared(tenant string) bool {
 	return n.configFresh() && n.config.current.Tenants[tenant] == nil
 }
 
-// respondIfHidden answers a call that a job isn't there for, and tells whether it isn't. That a job is
-// another tenant's is only said by a configuration confirmed after the call came: an older one
-// may know the callers' tenant by its former name.
+// respondIfHidden answers a request that may not see a job, and reports whether it did. It
+// treats the job as another tenant's only if the configuration was confirmed after the request
+// arrived: an older one may have the client's tenant under its previous name.
 func (n *node) respondIfHidden(req *request, j *jobRecord) bool {
 	switch {
 	case n.jobVisible(req, j):
 		return false
 	case (j.Queue == req.queue || req.op == "job.put") && !n.configConfirmedSince(req):
-		req.maybeApplied = true // it may be the very job that is handed in again
+		req.maybeApplied = true // the job may have been submitted by this very client before
 		n.awaitConfirmation(req, "the setup is not confirmed here")
 	case req.tenant != "" && n.config.current.Tenants[req.tenant] == nil,
 		req.op == "job.put" && n.config.current.Queues[req.queue] == nil:
-		req.maybeApplied = true // who found them goes by a version before a renaming
+		req.maybeApplied = true // the daemon that resolved them used a version from before a renaming
 		n.reject(req, "the queue or the tenant is not in the newest setup")
 	case req.op == "job.put":
 		n.respond(req, 409, 0, mustJSON(map[string]any{"error": "another job has this id"}))
@@ -110,13 +111,13 @@
 	return true
 }
 
-// awaitConfirmation keeps a request until a newer confirmation of the configuration, for a while,
-// where one may still come.
+// awaitConfirmation holds a request back until a newer confirmation of the configuration. It
+// rejects the request if none can be expected or too many are waiting.
 func (n *node) awaitConfirmation(req *request, reason string) {
 	if n.leases.CutOff() || len(n.config.awaiting) >= requestsMax {
 		n.reject(req, reason)
 		return
 	}
 	n.config.awaiting = append(n.config.awaiting, req)
-	n.leases.PollNextTick(tickMs) // at the next tick, if none is on its way
+	n.leases.PollNextTick(tickMs) // unless a poll is in flight
 }
--- a/internal/daemon/roles.go
+++ b/internal/daemon/roles.go
@@ -6,17 +6,18 @@
 	"otterchute/internal/wire"
 )
 
-// What the roles of this daemon are for: see package lease for who holds them.
+// This file starts and ends the work of each role of this daemon. Package lease decides
+// which daemon holds a role.
 
-// IncrementEpoch begins to count a role's epoch up.
+// IncrementEpoch starts to increment a role's epoch in its register.
 func (h host) IncrementEpoch(role string) {
 	h.startChange(lease.RegisterName(role), "duty", []byte(role), 0)
 }
 
-// WokeMs is when this daemon last woke from a freeze, or began.
+// WokeMs returns when this daemon last resumed after a freeze, or started.
 func (h host) WokeMs() int64 { return h.wokeMs }
 
-// RoleTaken begins to serve a role.
+// RoleTaken starts to serve a role under an epoch.
 func (h host) RoleTaken(role string, epoch uint64) {
 	switch kind, subject := lease.SplitRole(role); kind {
 	case lease.KindShard:
@@ -40,13 +41,13 @@
 	}
 }
 
-// HolderLost sends again what was forwarded to a daemon that has lost a role.
+// HolderLost routes the requests again that were forwarded to a daemon which has lost a role.
 func (h host) HolderLost(holder string) { h.retryForwarded(holder) }
 
-// RoundAnswered confirms the configuration.
+// RoundAnswered uses the responses of a poll round to confirm the configuration.
 func (h host) RoundAnswered(r *lease.Round) { h.confirmConfig(r) }
 
-// decideEpoch counts a role's epoch up, as the change of its register.
+// decideEpoch increments a role's epoch in its register.
 func decideEpoch(n *node, change *registerChange, current []byte) (register.Decision, []byte) {
 	return n.leases.NextEpoch(string(change.argument), current)
 }
@@ -60,12 +61,13 @@
 func (n *node) tickPoll()  { n.leases.Tick() }
 func (n *node) tickRoles() { n.leases.TickRoles() }
 
-// fleetTime is the fleet's time at the least, in ms; 0 while it is unknown.
+// fleetTime returns a lower bound of the cluster time in ms, or 0 while it is unknown.
 func (n *node) fleetTime() int64 { return n.leases.Clock().Earliest(n.core, n.now) }
 
-// latestFleetTime is the fleet's time at the most.
+// latestFleetTime returns an upper bound of the cluster time in ms.
 func (n *node) latestFleetTime() int64 { return n.leases.Clock().Latest(n.core, n.now) }
 
+// onStop begins a graceful stop: it hands each role over to its next candidate.
 func (n *node) onStop(evStop) {
 	if n.leavingSinceMs != 0 {
 		return
@@ -86,7 +88,7 @@
 	}
 }
 
-// preferredZone is the zone whose daemons are to have a role first; "" for any.
+// preferredZone returns the zone whose daemons are preferred for a role, or "" for none.
 func (n *node) preferredZone(role string) string {
 	kind, subject := lease.SplitRole(role)
 	if agent := n.agents[subject]; kind == lease.KindAgent && agent != nil {
@@ -98,6 +100,8 @@
 	return ""
 }
 
+// tickShutdown ends the process once all roles are handed over, or after
+// shutdownTimeoutMs. A core member first waits for a successor.
 func (n *node) tickShutdown() {
 	if n.leavingSinceMs == 0 || n.members.AwaitsSuccessor() {
 		return
