--- a/guards.sh
+++ b/guards.sh
@@ -120,7 +120,7 @@
 unknown keys are refused|internal/daemon/request_address.go|return "", config.Queues[queue].Open|return "", true
 a call without a key is nobody's|internal/daemon/request_address.go|if credential != "" {|if true {
 no key is refused by an old configuration|internal/daemon/request_address.go|case n.configConfirmedSince(req):\n\t\tn.count("calls_unauthenticated")|case true:\n\t\tn.count("calls_unauthenticated")
-tenants see their own jobs|internal/daemon/request_address.go|case j.Tenant == "" \|\| j.Tenant == req.tenant:|case true:
+tenants see their own jobs|internal/daemon/request_address.go|case job.Tenant == "" \|\| job.Tenant == req.tenant:|case true:
 nobody cancels a tenant's job without its key|internal/daemon/request_address.go|case req.tenant == "" && req.op != "job.cancel":|case req.tenant == "":
 a tenant is gone by a confirmed configuration only|internal/daemon/request_address.go|return n.configFresh() && n.config.current.Tenants[tenant] == nil|return n.config.current.Tenants[tenant] == nil
 the tenant travels with a forwarded call|internal/daemon/request.go|tenant:         m.Tenant,|tenant:         "",
--- a/internal/daemon/catchup.go
+++ b/internal/daemon/catchup.go
@@ -61,8 +61,8 @@
 		if shard.isDirty(id) {
 			continue // a newer version is about to be written
 		}
-		record, known := shard.recordOf(id)
-		if !known { // the job finished so long ago that the owner no longer keeps it in memory
+		record, found := shard.recordOf(id)
+		if !found { // the job finished so long ago that the owner no longer keeps it in memory
 			delete(lag.missed, id)
 			continue
 		}
@@ -126,8 +126,8 @@
 
 // acceptMissedValue accepts a register value that another member has accepted and
 // this one has not. It has the same effect as a late accept message of the proposer.
-// Without it, a majority that includes this member lacks the value whenever a member
-// that holds it is away.
+// Until then, only the members that accepted the value can form a majority for it, so
+// a read can't confirm it while one of them is away.
 func (n *node) acceptMissedValue(m *wire.RegisterValue) {
 	if !n.inCore() || !m.Complete {
 		return
--- a/internal/daemon/config_change.go
+++ b/internal/daemon/config_change.go
@@ -137,8 +137,9 @@
 	change.changeID, change.request = id, req
 }
 
-// decideFindChange keeps the configuration. It refuses a change that was not accepted
-// and can't be accepted any more, since no earlier attempt of it can take effect then.
+// decideFindChange keeps the configuration. It refuses the change only if it was not
+// accepted and can't be accepted any more; otherwise an earlier attempt of it may still
+// take effect.
 func decideFindChange(_ *node, change *registerChange, current []byte) (register.Decision, []byte) {
 	var record configuration.Record
 	switch {
--- a/internal/daemon/config_request.go
+++ b/internal/daemon/config_request.go
@@ -39,7 +39,7 @@
 // whether it did. A machine outside the core may have a slow link, and a change moves
 // the whole document to and from each member.
 func (n *node) forwardToCore(req *request) bool {
-	member := n.forwardMember()
+	member := n.nearestCoreMember()
 	if member == "" || req.hops > 0 {
 		return false
 	}
@@ -47,9 +47,9 @@
 	return true
 }
 
-// forwardMember returns a core member that answers polls, preferably one of this
+// nearestCoreMember returns a core member that answers polls, preferably one of this
 // daemon's zone. It returns "" if there is none or this daemon is a member itself.
-func (n *node) forwardMember() (nearest string) {
+func (n *node) nearestCoreMember() (nearest string) {
 	if n.inCore() {
 		return ""
 	}
@@ -65,7 +65,7 @@
 // handleLocateConfig returns the host of the core member that a configuration should
 // be read from, or "" if it should be read from this daemon.
 func (n *node) handleLocateConfig(req *request) {
-	host, _, _ := net.SplitHostPort(n.peers.Addr(n.forwardMember()))
+	host, _, _ := net.SplitHostPort(n.peers.Addr(n.nearestCoreMember()))
 	n.respond(req, 200, 0, mustJSON(map[string]any{"host": host}))
 }
 
@@ -92,10 +92,10 @@
 		n.awaitConfirmation(req, "the setup is not confirmed here")
 		return
 	}
-	past := make([]map[string]any, 0, len(n.config.record.PastVersions))
+	history := make([]map[string]any, 0, len(n.config.record.PastVersions))
 	for _, version := range n.config.record.PastVersions {
-		past = append(
-			past,
+		history = append(
+			history,
 			map[string]any{
 				"version": version.Version,
 				"digest":  version.Digest,
@@ -119,7 +119,7 @@
 		200,
 		0,
 		mustJSON(
-			map[string]any{"version": n.config.record.Version, "setup": rawJSON(setup), "emptied": emptied, "history": past},
+			map[string]any{"version": n.config.record.Version, "setup": rawJSON(setup), "emptied": emptied, "history": history},
 		),
 	)
 }
--- a/internal/daemon/core_member.go
+++ b/internal/daemon/core_member.go
@@ -144,8 +144,8 @@
 	}
 	response := &wire.FetchResponse{Op: m.Op}
 	for _, id := range m.IDs {
-		if r, ok := n.store.Shard(m.Shard).Get(id); ok {
-			response.Records = append(response.Records, r)
+		if record, ok := n.store.Shard(m.Shard).Get(id); ok {
+			response.Records = append(response.Records, record)
 		}
 	}
 	n.persist(nil, n.sendEffect(from, response))
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -157,18 +157,18 @@
 
 func (l *controlLoop) run() {
 	defer close(l.done)
-	tick := time.NewTicker(tickMs * time.Millisecond)
-	defer tick.Stop()
+	ticker := time.NewTicker(tickMs * time.Millisecond)
+	defer ticker.Stop()
 	for {
 		for len(l.selfMessages) > 0 {
-			do := l.selfMessages[0]
+			handle := l.selfMessages[0]
 			l.selfMessages = l.selfMessages[1:]
-			do(l.executor)
+			handle(l.executor)
 		}
 		select {
-		case do := <-l.queue:
-			do(l.executor)
-		case <-tick.C:
+		case handle := <-l.queue:
+			handle(l.executor)
+		case <-ticker.C:
 			l.executor.event(evTick{})
 			l.ready.Store(&readiness{l.clock.nowMs(), l.executor.node.notReady()})
 		case <-l.quit:
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -71,8 +71,8 @@
 func (h host) Forming() bool { return h.core.Cluster == 0 && h.store != nil && h.node.FirstStart }
 
 // RaiseIncarnation sets an incarnation above that of another process of the same name. The
-// core considers the old incarnation ended once it receives the new one, so the leases
-// acquired under the old incarnation are given up first.
+// core regards the old incarnation as ended once it receives the new one, so the leases
+// held under the old incarnation are released first.
 func (h host) RaiseIncarnation(above uint64) {
 	n := h.node
 	n.log("incarnation_raised", "from", n.Incarnation, "above", above)
--- a/internal/daemon/http_server.go
+++ b/internal/daemon/http_server.go
@@ -117,13 +117,13 @@
 	default: // the queue of the control thread is full: reject at once
 		return effReply{Status: 429, RetryMs: 1000, Body: []byte(`{"error":"this daemon is too busy"}`)}
 	}
-	limit := time.NewTimer(replyTimeoutMs * time.Millisecond)
-	defer limit.Stop()
+	timeout := time.NewTimer(replyTimeoutMs * time.Millisecond)
+	defer timeout.Stop()
 	select {
 	case r := <-ch:
 		return r
 	case <-ctx.Done():
-	case <-limit.C:
+	case <-timeout.C:
 	case <-h.loop.quit:
 	}
 	h.loop.post(func(exec *executor) { delete(exec.ports.(*processPorts).pendingReplies, e.ID) })
@@ -153,21 +153,21 @@
 }
 
 func (h *httpServer) serve(c *gin.Context, op, key string) {
-	limit := int64(bodyMaxBytes + 1)
+	maxBytes := int64(bodyMaxBytes + 1)
 	if op == "setup.put" || op == "worker.report" {
-		limit = configuration.MaxBytes + 1
+		maxBytes = configuration.MaxBytes + 1
 	}
-	body, err := io.ReadAll(io.LimitReader(c.Request.Body, limit))
+	body, err := io.ReadAll(io.LimitReader(c.Request.Body, maxBytes))
 	if err != nil {
 		c.JSON(400, gin.H{"error": "the body could not be read"})
 		return
 	}
-	if int64(len(body)) >= limit {
+	if int64(len(body)) >= maxBytes {
 		c.JSON(
 			400,
 			gin.H{
 				"error":  "the body is too large",
-				"faults": []schema.Fault{{Path: "", Reason: fmt.Sprintf("is larger than %d bytes", limit-1)}},
+				"faults": []schema.Fault{{Path: "", Reason: fmt.Sprintf("is larger than %d bytes", maxBytes-1)}},
 			},
 		)
 		return
--- a/internal/daemon/reduce.go
+++ b/internal/daemon/reduce.go
@@ -34,7 +34,7 @@
 	Disk           bool
 	DiskID         uint64
 	FinishedKeepMs int64
-	SnapshotBytes  int64 // length of the log at which a snapshot is taken
+	SnapshotBytes  int64 // minimum length of the log before a snapshot is taken
 	ThresholdMs    int64
 	KLowest        int
 	TargetSigma    float64
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -20,9 +20,9 @@
 	forwardMs              = 1200 // timeout of other forwarded requests
 	quorumReadTimeoutMs    = 500  // timeout of reading a job's state from the core
 	forwardsMax            = 2    // number of times that a request is forwarded at most
-	requestsMax            = 4000 // forwarded requests in flight; more are rejected
-	requestsPerRetry       = 5    // each of these requests adds to the budget for one retry: at most 20% more load
-	retriesPerTick         = 1    // retries added to the budget per tick, so that they work under low traffic too
+	requestsMax            = 4000 // requests in flight through one daemon; more are rejected
+	requestsPerRetry       = 5    // requests that add one retry to the budget: retries add at most 20% to the load
+	retriesPerTick         = 1    // retries added to the budget per tick, so that low traffic allows retries too
 	readsPerTick           = 10   // reads from the core added per tick: 100 per second and daemon
 	retryBudgetMax         = 100  // retries or reads that a budget saves up for a burst
 )
@@ -230,8 +230,8 @@
 	return mustJSON(map[string]any{"error": faults[0].Path + " " + faults[0].Reason, "faults": faults})
 }
 
-// forward forwards a request, at most forwardsMax times in total. Its timeout is far shorter
-// than that of the client.
+// forward forwards a request, once per daemon and at most forwardsMax times in total. Its
+// timeout is far shorter than that of the client.
 func (n *node) forward(req *request, to string) {
 	if req.hops >= forwardsMax || to == n.Name || to == "" || !n.peers.Alive(to) {
 		n.readFromCore(req, "nobody surely settles this now")
@@ -371,10 +371,10 @@
 		}
 		agreed = majority - 1
 	}
-	if j, ok := decodeJob(newestFirst[agreed]); ok {
+	if job, ok := decodeJob(newestFirst[agreed]); ok {
 		delete(n.quorumReads, op)
 		n.count("states_from_core")
-		if n.respondIfHidden(read.request, j) {
+		if n.respondIfHidden(read.request, job) {
 			return
 		}
 		if read.request.op == "job.state" {
@@ -382,11 +382,11 @@
 				read.request,
 				200,
 				0,
-				mustJSON(map[string]any{"state": (&liveJob{jobRecord: *j, runtime: make([]taskRuntime, len(j.Tasks))}).state()}),
+				mustJSON(map[string]any{"state": (&liveJob{jobRecord: *job, runtime: make([]taskRuntime, len(job.Tasks))}).state()}),
 			)
 			return
 		}
-		n.respond(read.request, 200, 0, mustJSON(j.describe(func(t *task) string {
+		n.respond(read.request, 200, 0, mustJSON(job.describe(func(t *task) string {
 			if t.State == taskPending || t.State == taskPlaced {
 				return "its slice is being taken over"
 			}
--- a/internal/daemon/request_address.go
+++ b/internal/daemon/request_address.go
@@ -69,18 +69,18 @@
 // of a tenant that is no longer declared, are visible to every permitted client. At an open
 // queue, a call without a key may read every job, since the key of the job's tenant may have
 // been removed; but it may not cancel jobs of a tenant.
-func (n *node) jobVisible(req *request, j *jobRecord) bool {
+func (n *node) jobVisible(req *request, job *jobRecord) bool {
 	switch {
 	case req.queue == "":
 		return true
-	case j.Queue != req.queue && (req.op != "job.put" || n.config.current.Queues[j.Queue] != nil):
+	case job.Queue != req.queue && (req.op != "job.put" || n.config.current.Queues[job.Queue] != nil):
 		return false // a job that is submitted again is still found after its queue was renamed
-	case j.Tenant == "" || j.Tenant == req.tenant:
+	case job.Tenant == "" || job.Tenant == req.tenant:
 		return true
 	case req.tenant == "" && req.op != "job.cancel":
 		return true
 	}
-	return n.tenantUndeclared(j.Tenant)
+	return n.tenantUndeclared(job.Tenant)
 }
 
 // tenantUndeclared reports whether a recently confirmed configuration lacks a tenant. One
@@ -92,12 +92,12 @@
 // respondIfHidden answers a request that may not see a job, and reports whether it did. It
 // treats the job as another tenant's only if the configuration was confirmed after the request
 // arrived: an older one may have the client's tenant under its previous name.
-func (n *node) respondIfHidden(req *request, j *jobRecord) bool {
+func (n *node) respondIfHidden(req *request, job *jobRecord) bool {
 	switch {
-	case n.jobVisible(req, j):
+	case n.jobVisible(req, job):
 		return false
-	case (j.Queue == req.queue || req.op == "job.put") && !n.configConfirmedSince(req):
-		req.maybeApplied = true // the job may have been submitted by this very client before
+	case (job.Queue == req.queue || req.op == "job.put") && !n.configConfirmedSince(req):
+		req.maybeApplied = true // it may be the same job, submitted again
 		n.awaitConfirmation(req, "the setup is not confirmed here")
 	case req.tenant != "" && n.config.current.Tenants[req.tenant] == nil,
 		req.op == "job.put" && n.config.current.Queues[req.queue] == nil:
