--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -382,7 +382,9 @@
 				read.request,
 				200,
 				0,
-				mustJSON(map[string]any{"state": (&liveJob{jobRecord: *job, runtime: make([]taskRuntime, len(job.Tasks))}).state()}),
+				mustJSON(map[string]any{
+					"state": (&liveJob{jobRecord: *job, runtime: make([]taskRuntime, len(job.Tasks))}).state(),
+				}),
 			)
 			return
 		}
