--- a/internal/daemon/config_request.go
+++ b/internal/daemon/config_request.go
@@ -9,8 +9,8 @@
 	"otterchute/internal/schema"
 )
 
-// handlePutConfig has a whole configuration accepted. Only the register can say whether it was
-// accepted before, or lost: what this daemon itself knows may be old.
+// handlePutConfig proposes a whole configuration. Only the register can decide whether
+// it was accepted before or superseded, since this daemon's own copy may be outdated.
 func (n *node) handlePutConfig(req *request) {
 	if !n.leases.InContact() {
 		n.reject(req, "the core can't be reached from here")
@@ -31,44 +31,45 @@
 	if n.forwardToCore(req) {
 		return
 	}
-	o := n.startChange("setup", "setup", req.body, 0)
-	o.changeID, o.request = id, req
+	change := n.startChange("setup", "setup", req.body, 0)
+	change.changeID, change.request = id, req
 }
 
-// forwardToCore passes a change of the configuration on to a core member that answers
-// polls, the own zone's first: a machine without a disk may have a thin line,
-// and a change takes the whole document to and from each member.
+// forwardToCore forwards a change of the configuration to a core member and reports
+// whether it did. A machine outside the core may have a slow link, and a change moves
+// the whole document to and from each member.
 func (n *node) forwardToCore(req *request) bool {
-	best := n.nearestMember()
-	if best == "" || req.hops > 0 {
+	member := n.nearestCoreMember()
+	if member == "" || req.hops > 0 {
 		return false
 	}
-	n.forward(req, best)
+	n.forward(req, member)
 	return true
 }
 
-// nearestMember gives a core member that answers polls, the own zone's first; none
-// where this daemon is one itself.
-func (n *node) nearestMember() (best string) {
+// nearestCoreMember returns a core member that answers polls, preferably one of this
+// daemon's zone. It returns "" if there is none or this daemon is a member itself.
+func (n *node) nearestCoreMember() (nearest string) {
 	if n.inCore() {
 		return ""
 	}
-	for _, m := range n.core.Names() {
-		if n.peers.Alive(m) && n.now-n.leases.LastResponseMs(m) < 2*lease.ColocatedPollIntervalMs &&
-			(best == "" || n.peers.Zone(m) == n.Zone && n.peers.Zone(best) != n.Zone) {
-			best = m
+	for _, member := range n.core.Names() {
+		if n.peers.Alive(member) && n.now-n.leases.LastResponseMs(member) < 2*lease.ColocatedPollIntervalMs &&
+			(nearest == "" || n.peers.Zone(member) == n.Zone && n.peers.Zone(nearest) != n.Zone) {
+			nearest = member
 		}
 	}
-	return best
+	return nearest
 }
 
-// handleLocateConfig names the machine that a configuration is best read from, where it is another.
+// handleLocateConfig returns the host of the core member that a configuration should
+// be read from, or "" if it should be read from this daemon.
 func (n *node) handleLocateConfig(req *request) {
-	host, _, _ := net.SplitHostPort(n.peers.Addr(n.nearestMember()))
+	host, _, _ := net.SplitHostPort(n.peers.Addr(n.nearestCoreMember()))
 	n.respond(req, 200, 0, mustJSON(map[string]any{"host": host}))
 }
 
-// handleSetZone empties a zone or opens it again, beside the document.
+// handleSetZone adds a zone to the emptied zones or removes it from them.
 func (n *node) handleSetZone(req *request) {
 	if !schema.ValidName(req.key) {
 		n.rejectFaults(req, 400, 0, []schema.Fault{{Path: "site", Reason: "must be a name"}})
@@ -83,35 +84,42 @@
 	}
 }
 
-// handleGetConfig tells a configuration that was confirmed after it was asked for, so that
-// nobody reads an older one than was acknowledged before.
+// handleGetConfig returns the configuration once it has been confirmed by a poll sent
+// after the request arrived. No client thus reads a version older than one that was
+// acknowledged before its request.
 func (n *node) handleGetConfig(req *request) {
 	if !n.configConfirmedSince(req) {
 		n.awaitConfirmation(req, "the setup is not confirmed here")
 		return
 	}
-	past := make([]map[string]any, 0, len(n.config.record.PastVersions))
-	for _, p := range n.config.record.PastVersions {
-		past = append(
-			past,
-			map[string]any{"version": p.Version, "digest": p.Digest, "queues": p.Queues, "bytes": p.Bytes, "at_ms": p.AtMs},
+	history := make([]map[string]any, 0, len(n.config.record.PastVersions))
+	for _, version := range n.config.record.PastVersions {
+		history = append(
+			history,
+			map[string]any{
+				"version": version.Version,
+				"digest":  version.Digest,
+				"queues":  version.Queues,
+				"bytes":   version.Bytes,
+				"at_ms":   version.AtMs,
+			},
 		)
 	}
 	emptied := n.config.record.EmptiedZones
 	if emptied == nil {
 		emptied = []string{}
 	}
-	plain, _ := configuration.Inflate(n.config.record.Document)
-	doc := string(plain)
-	if doc == "" {
-		doc = "null"
+	document, _ := configuration.Inflate(n.config.record.Document)
+	setup := string(document)
+	if setup == "" {
+		setup = "null"
 	}
 	n.respond(
 		req,
 		200,
 		0,
 		mustJSON(
-			map[string]any{"version": n.config.record.Version, "setup": rawJSON(doc), "emptied": emptied, "history": past},
+			map[string]any{"version": n.config.record.Version, "setup": rawJSON(setup), "emptied": emptied, "history": history},
 		),
 	)
 }
--- a/internal/daemon/config_state.go
+++ b/internal/daemon/config_state.go
@@ -11,64 +11,68 @@
 	"otterchute/internal/wire"
 )
 
+// configState holds this daemon's copy of the configuration and how recently a
+// majority of the core confirmed it.
 type configState struct {
 	current       *configuration.Configuration
 	record        configuration.Record
 	ballot        register.Ballot
 	newestBallot  register.Ballot // the highest that any member has accepted
-	confirmedMs   int64
-	confirmedPoll uint64 // the newest poll that confirmed it
-	requestedMs   int64
-	nextRepairMs  int64
+	confirmedMs   int64           // when the newest poll that confirmed it was sent
+	confirmedPoll uint64          // the newest poll that confirmed it
+	readSentMs    int64           // when a newer value was last requested; 0 if it has arrived
+	nextRepairMs  int64           // the earliest time for another repair of the register
 	readerCopy    configuration.ReaderValueCache
-	awaiting      []*request // requests that name a queue not known here, until a newer confirmation
+	awaiting      []*request // requests that wait for a newer confirmation
 }
 
 func newConfigState() configState {
 	return configState{current: configuration.Empty(), confirmedMs: -1 << 40}
 }
 
-// configFresh tells whether the configuration was confirmed at a majority lately.
+// configFresh reports whether a majority confirmed the configuration within configFreshMs.
 func (n *node) configFresh() bool { return n.now-n.config.confirmedMs <= configFreshMs }
 
-// configConfirmedSince tells whether the configuration was confirmed by a poll that was sent
-// after a call came: then no version acknowledged before the call is newer. Polls
-// are counted for this, since times within one millisecond are in no order. After
-// a freeze what was confirmed before it is old, though the call is older still.
+// configConfirmedSince reports whether the configuration was confirmed by a poll sent
+// after a request arrived. If so, no version that was acknowledged before the request is
+// newer. Polls are compared by number, since times within one millisecond have no order.
+// After a freeze, a confirmation from before it is outdated even for a request that is
+// older still, hence the check of freshness.
 func (n *node) configConfirmedSince(req *request) bool {
 	return n.config.confirmedPoll > req.pollsBefore && n.configFresh()
 }
 
-// confirmConfig takes a round of answers: where a majority holds the same
-// accepted ballot, that value is chosen, and if it is ours it is confirmed as
-// of the time the round was sent.
-func (n *node) confirmConfig(r *lease.Round) {
+// confirmConfig evaluates a round of poll responses. If a majority has accepted the
+// same ballot, the value of that ballot is chosen. If this daemon holds that value, it
+// is confirmed as of the time when the round was sent; otherwise it is requested.
+func (n *node) confirmConfig(round *lease.Round) {
 	votes := map[register.Ballot]int{}
-	for _, a := range r.Responses {
-		votes[a.Config]++
+	for _, response := range round.Responses {
+		votes[response.Config]++
 	}
-	for _, from := range sortedKeys(r.Responses) {
-		b := r.Responses[from].Config
-		if n.config.newestBallot.Less(b) {
-			n.config.newestBallot = b
+	for _, from := range sortedKeys(round.Responses) {
+		accepted := round.Responses[from].Config
+		if n.config.newestBallot.Less(accepted) {
+			n.config.newestBallot = accepted
 		}
-		if votes[b] < n.core.Majority() {
+		if votes[accepted] < n.core.Majority() {
 			continue
 		}
-		if b == n.config.ballot {
-			n.config.confirmedMs, n.config.confirmedPoll = max(n.config.confirmedMs, r.SentMs),
-				max(n.config.confirmedPoll, r.Seq)
-		} else if n.config.ballot.Less(b) && n.now-n.config.requestedMs > 300 {
-			n.config.requestedMs = n.now
-			n.send(n.nearestWith(r, b), &wire.RegisterRead{SetVersion: n.core.Version, Register: "setup"})
+		if accepted == n.config.ballot {
+			n.config.confirmedMs, n.config.confirmedPoll = max(n.config.confirmedMs, round.SentMs),
+				max(n.config.confirmedPoll, round.Seq)
+		} else if n.config.ballot.Less(accepted) && n.now-n.config.readSentMs > 300 {
+			n.config.readSentMs = n.now
+			n.send(n.nearestMemberWithBallot(round, accepted), &wire.RegisterRead{SetVersion: n.core.Version, Register: "setup"})
 		}
 		return
 	}
-	if len(r.Responses) == len(n.core.Members) ||
+	if len(round.Responses) == len(n.core.Members) ||
 		n.now-max(n.config.confirmedMs, n.leases.FirstPollMs()) > lease.ColocatedPollIntervalMs*2 {
-		// The members differ: somebody's change stopped half way. Any daemon
-		// may finish it; core members do, at random, so that few compete. One
-		// that was away hears all first: it may be the only one that differs.
+		// The members differ because a change was interrupted. Any daemon may finish
+		// it; only core members do, after a random delay, so that few compete. A member
+		// that was away waits for the responses of all members first, since it may be
+		// the only one that differs.
 		if n.inCore() && n.now >= n.config.nextRepairMs {
 			n.config.nextRepairMs = n.now + 200 + n.rand().Int64N(600)
 			n.startChange("setup", "read", nil, 0)
@@ -76,23 +80,23 @@
 	}
 }
 
-// nearestWith picks whom to read a value from: of the members that hold it one in
-// the own zone, or else any, so that not all daemons ask the same.
-func (n *node) nearestWith(r *lease.Round, b register.Ballot) string {
-	var near, all []string
-	for _, from := range sortedKeys(r.Responses) {
-		if r.Responses[from].Config != b {
+// nearestMemberWithBallot picks a member to read the value of a ballot from: a random one
+// in this daemon's zone if possible, else a random one of all, to spread the load.
+func (n *node) nearestMemberWithBallot(round *lease.Round, ballot register.Ballot) string {
+	var sameZone, candidates []string
+	for _, from := range sortedKeys(round.Responses) {
+		if round.Responses[from].Config != ballot {
 			continue
 		}
-		all = append(all, from)
+		candidates = append(candidates, from)
 		if n.peers.Zone(from) == n.Zone {
-			near = append(near, from)
+			sameZone = append(sameZone, from)
 		}
 	}
-	if len(near) > 0 {
-		all = near
+	if len(sameZone) > 0 {
+		candidates = sameZone
 	}
-	return all[n.rand().IntN(len(all))]
+	return candidates[n.rand().IntN(len(candidates))]
 }
 
 func (n *node) onRegisterValue(_ string, m *wire.RegisterValue) {
@@ -100,56 +104,60 @@
 	if m.Register != "setup" || !n.config.ballot.Less(m.Ballot) {
 		return
 	}
-	var d configuration.Record
-	if len(m.Value) > 0 && codec.Unmarshal(m.Value, &d) != nil {
+	var record configuration.Record
+	if len(m.Value) > 0 && codec.Unmarshal(m.Value, &record) != nil {
 		return
 	}
-	n.adoptConfig(m.Ballot, d)
+	n.adoptConfig(m.Ballot, record)
 }
 
-// adoptConfig compiles a value; it counts only once a poll confirms its ballot.
-func (n *node) adoptConfig(b register.Ballot, d configuration.Record) {
-	n.config.requestedMs = 0                    // what was asked for has come: a newer one may be asked for at once
-	d.AcceptedChanges = configuration.History{} // only a change of the register needs it
-	if d.SameDocument(&n.config.record) {
-		n.config.ballot = b
-		if !slices.Equal(d.EmptiedZones, n.config.record.EmptiedZones) {
-			n.config.current, n.config.record = n.config.current.WithEmptiedZones(d.EmptiedZones), d
+// adoptConfig compiles a value and makes it the current one. It is not confirmed until
+// a poll confirms its ballot.
+func (n *node) adoptConfig(newBallot register.Ballot, newRecord configuration.Record) {
+	n.config.readSentMs = 0                             // the value has arrived, so a newer one may be requested at once
+	newRecord.AcceptedChanges = configuration.History{} // needed only to change the register
+	if newRecord.SameDocument(&n.config.record) {
+		n.config.ballot = newBallot
+		if !slices.Equal(newRecord.EmptiedZones, n.config.record.EmptiedZones) {
+			n.config.current, n.config.record = n.config.current.WithEmptiedZones(newRecord.EmptiedZones), newRecord
 			n.config.confirmedMs, n.config.confirmedPoll = -1<<40, 0
-			n.log("zones_adopted", "emptied", d.EmptiedZones)
+			n.log("zones_adopted", "emptied", newRecord.EmptiedZones)
 			n.leases.PollSoon()
 		}
 		return
 	}
-	c := n.precompiled
-	if c == nil || c.Version != d.Version {
+	compiled := n.precompiled
+	if compiled == nil || compiled.Version != newRecord.Version {
 		var faults []schema.Fault
-		if c, faults = d.Compile(); len(faults) > 0 {
-			n.log("config_unreadable", "version", d.Version, "path", faults[0].Path, "reason", faults[0].Reason)
+		if compiled, faults = newRecord.Compile(); len(faults) > 0 {
+			n.log("config_unreadable", "version", newRecord.Version, "path", faults[0].Path, "reason", faults[0].Reason)
 			return
 		}
 	}
-	n.config.current, n.config.record, n.config.ballot = c.WithEmptiedZones(d.EmptiedZones), d, b
+	n.config.current, n.config.record, n.config.ballot =
+		compiled.WithEmptiedZones(newRecord.EmptiedZones), newRecord, newBallot
 	n.adoptLimits()
 	n.config.confirmedMs, n.config.confirmedPoll = -1<<40, 0
-	n.log("config_adopted", "version", d.Version, "queues", len(c.Queues))
+	n.log("config_adopted", "version", newRecord.Version, "queues", len(compiled.Queues))
 	n.leases.PollSoon()
 }
 
+// tickConfig handles the requests that waited for a confirmation which has arrived, and
+// rejects those that have waited too long.
 func (n *node) tickConfig() {
-	kept, again := n.config.awaiting[:0:0], []*request{}
+	waiting, confirmed := n.config.awaiting[:0:0], []*request{}
 	for _, req := range n.config.awaiting {
 		switch {
 		case n.configConfirmedSince(req):
-			again = append(again, req)
+			confirmed = append(confirmed, req)
 		case n.leases.CutOff() || n.now-req.receivedMs > forwardMs*2/3:
 			n.reject(req, "the setup is not confirmed here")
 		default:
-			kept = append(kept, req)
+			waiting = append(waiting, req)
 		}
 	}
-	n.config.awaiting = kept
-	for _, req := range again {
+	n.config.awaiting = waiting
+	for _, req := range confirmed {
 		n.handleRequest(req)
 	}
 }
--- a/internal/daemon/core_member.go
+++ b/internal/daemon/core_member.go
@@ -11,18 +11,20 @@
 )
 
 const (
-	snapshotMinBytes = 8 << 20 // bytes of log before a snapshot is worth its writing
+	snapshotMinBytes = 8 << 20 // a snapshot of a smaller log is not worth its writes
 )
 
-// persistSet keeps a newer set on this disk, but not one that lacks it: a former
-// member must know after a restart, too, that it was one.
-func (n *node) persistSet(c quorum.Set) {
-	if s := n.store.CoreSet(); c.Version > s.Version && (c.Has(n.Name, n.DiskID) || !s.Has(n.Name, n.DiskID)) {
-		n.persist([]statestore.Entry{{Kind: statestore.EntryCoreSet, Value: codec.Append(nil, c)}})
+// persistCoreSet stores a newer core set on the disk. A former member doesn't store a
+// set without itself, so that it knows after a restart that it was a member.
+func (n *node) persistCoreSet(set quorum.Set) {
+	if stored := n.store.CoreSet(); set.Version > stored.Version &&
+		(set.Has(n.Name, n.DiskID) || !stored.Has(n.Name, n.DiskID)) {
+		n.persist([]statestore.Entry{{Kind: statestore.EntryCoreSet, Value: codec.Append(nil, set)}})
 	}
 }
 
-// persist applies entries and syncs them, then lets the effects go.
+// persist applies entries to the store and emits the effects after the disk has synced
+// the entries.
 func (n *node) persist(entries []statestore.Entry, then ...effect) {
 	for _, e := range entries {
 		n.store.Apply(e)
@@ -30,23 +32,27 @@
 	n.emit(effAppend{Entries: entries, Then: then})
 }
 
-// servesSet tells whether this member may answer a request made under a core set.
-func (n *node) servesSet(coreVer int64) bool {
-	return n.inCore() && coreVer == n.core.Version
+// servesSet reports whether this daemon may answer a request made under a version of
+// the core set: it must be a member, and the version must be the current one.
+func (n *node) servesSet(setVersion int64) bool {
+	return n.inCore() && setVersion == n.core.Version
 }
 
 func (n *node) onRegisterRead(from string, m *wire.RegisterRead) {
 	if !n.servesSet(m.SetVersion) {
 		return
 	}
-	r := n.store.Register(m.Register)
-	value, whole := r.Value, true
+	register := n.store.Register(m.Register)
+	value, complete := register.Value, true
 	if m.Register == "setup" && !n.core.HasName(from) {
-		value, whole = n.config.readerCopy.Value(r), false
+		value, complete = n.config.readerCopy.Value(register), false
 	}
 	n.persist(
 		nil,
-		n.sendEffect(from, &wire.RegisterValue{Register: m.Register, Ballot: r.Accepted, Value: value, Complete: whole}),
+		n.sendEffect(
+			from,
+			&wire.RegisterValue{Register: m.Register, Ballot: register.Accepted, Value: value, Complete: complete},
+		),
 	)
 }
 
@@ -59,10 +65,19 @@
 		n.send(from, &wire.SealResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch})
 		return
 	}
-	a := &wire.SealResponse{SetVersion: m.SetVersion, Shard: m.Shard, Epoch: m.Epoch, OK: true, ServedEpoch: replica.ServedEpoch()}
-	a.Records = append(a.Records, replica.Live()...)
-	a.Records = append(a.Records, replica.Unconfirmed()...)
-	n.persist([]statestore.Entry{{Kind: statestore.EntrySeal, Name: m.Shard, Epoch: m.Epoch}}, n.sendEffect(from, a))
+	response := &wire.SealResponse{
+		SetVersion:  m.SetVersion,
+		Shard:       m.Shard,
+		Epoch:       m.Epoch,
+		OK:          true,
+		ServedEpoch: replica.ServedEpoch(),
+	}
+	response.Records = append(response.Records, replica.Live()...)
+	response.Records = append(response.Records, replica.Unconfirmed()...)
+	n.persist(
+		[]statestore.Entry{{Kind: statestore.EntrySeal, Name: m.Shard, Epoch: m.Epoch}},
+		n.sendEffect(from, response),
+	)
 }
 
 func (n *node) onWriteRequest(from string, m *wire.WriteRequest) {
@@ -71,7 +86,7 @@
 	}
 	replica := n.store.Shard(m.Shard)
 	if m.Epoch != replica.SealedEpoch() {
-		if m.Epoch > replica.SealedEpoch() { // a member that missed the seal learns it with the write
+		if m.Epoch > replica.SealedEpoch() { // this member missed the seal, and the write implies it
 			n.persist([]statestore.Entry{{Kind: statestore.EntrySeal, Name: m.Shard, Epoch: m.Epoch}})
 		} else {
 			n.count("writes_rejected")
@@ -111,8 +126,9 @@
 	)
 }
 
-// patchesApply tells whether all patches build on what a shard has. One of a version that is here
-// already, or an older one, came before: it fits, and changes nothing.
+// patchesApply reports whether the replica has the base version of each patch. A patch to
+// a version that the replica already has, or to an older one, is a repetition: it applies
+// and changes nothing.
 func patchesApply(replica *statestore.Shard, patches []statestore.Patch) bool {
 	for _, p := range patches {
 		if _, ok := replica.Patched(p); !ok && !replica.HasVersion(p.ID, p.Epoch, p.Version) {
@@ -126,16 +142,17 @@
 	if !n.servesSet(m.SetVersion) {
 		return
 	}
-	a := &wire.FetchResponse{Op: m.Op}
+	response := &wire.FetchResponse{Op: m.Op}
 	for _, id := range m.IDs {
-		if r, ok := n.store.Shard(m.Shard).Get(id); ok {
-			a.Records = append(a.Records, r)
+		if record, ok := n.store.Shard(m.Shard).Get(id); ok {
+			response.Records = append(response.Records, record)
 		}
 	}
-	n.persist(nil, n.sendEffect(from, a))
+	n.persist(nil, n.sendEffect(from, response))
 }
 
-// onPollRequest grants leases and tells what every daemon must know.
+// onPollRequest grants leases, and returns the lease holders, the cluster time and the
+// ballot of the configuration, which every daemon needs.
 func (n *node) onPollRequest(from string, m *wire.PollRequest) {
 	if !n.servesSet(m.SetVersion) {
 		return
@@ -145,61 +162,64 @@
 		return
 	}
 	n.granter.ObserveClock(from, m.WallMs, n.now)
-	a := &wire.PollResponse{
+	response := &wire.PollResponse{
 		Seq:           m.Seq,
 		SetVersion:    n.core.Version,
 		GracePeriodMs: n.granter.GrantDelayLeftMs(n.now),
-		ClusterTimeMs: n.fleetTimeHeard(),
+		ClusterTimeMs: n.measuredClusterTime(),
 		DiskSyncMs:    n.diskSyncMs,
 	}
 	process := lease.Process{Name: from, Incarnation: m.Incarnation, Addr: n.peers.Addr(from)}
 	n.granter.Release(process, m.Releases, n.now)
 	ended := func(p lease.Process) bool { return n.peers.IncarnationEnded(p.Name, p.Incarnation, p.Addr) }
-	for _, r := range m.Leases {
-		last := n.lastHolder(r.Name)
-		a.Granted = append(a.Granted, n.granter.Grant(r, process, last, n.now, ended))
-		a.Epochs = append(a.Epochs, last.Epoch)
+	for _, request := range m.Leases {
+		last := n.lastHolder(request.Name)
+		response.Granted = append(response.Granted, n.granter.Grant(request, process, last, n.now, ended))
+		response.Epochs = append(response.Epochs, last.Epoch)
 	}
-	a.Holders = n.granter.Holders(n.now)
-	if m.HoldersHash != 0 && m.HoldersHash == wire.HashHolders(a.Holders) {
-		a.Holders, a.HoldersUnchanged = nil, true
+	response.Holders = n.granter.Holders(n.now)
+	if m.HoldersHash != 0 && m.HoldersHash == wire.HashHolders(response.Holders) {
+		response.Holders, response.HoldersUnchanged = nil, true
 	}
-	a.Config = n.store.Register(configuration.RegisterName).Accepted
-	n.persist(nil, n.sendEffect(from, a))
+	response.Config = n.store.Register(configuration.RegisterName).Accepted
+	n.persist(nil, n.sendEffect(from, response))
 }
 
-// lastHolder is who took a role last, as far as this disk knows. Of any majority
-// one member at least knows the newest.
-func (n *node) lastHolder(name string) (v wire.RoleHolder) {
+// lastHolder returns the most recent holder of a role that this member's store has.
+// At least one member of any majority has the newest.
+func (n *node) lastHolder(name string) (holder wire.RoleHolder) {
 	if value := n.store.RegisterValue(lease.RegisterName(name)); value != nil {
-		_ = codec.Unmarshal(value, &v) // a value that can't be read is nobody's
+		_ = codec.Unmarshal(value, &holder) // an unreadable value means no holder
 	}
-	return v
+	return holder
 }
 
-// fleetTimeHeard is the fleet's time by the clocks that this core member hears; 0
-// right after a freeze, until what waited here for long is replaced.
-func (n *node) fleetTimeHeard() int64 {
+// measuredClusterTime returns the cluster time by the clocks that were reported to this
+// core member. It returns 0 right after a freeze, until new reports have replaced those
+// that were delayed by it.
+func (n *node) measuredClusterTime() int64 {
 	if n.now-n.wokeMs < 2*lease.ColocatedPollIntervalMs {
 		return 0
 	}
 	return n.granter.ClusterTime(n.now, n.peers.AliveCount())
 }
 
-// dropExpired lets go of finished records past their keeping. Where less than a
-// majority of the core has told its time here, one wrong clock might be all there is.
+// dropExpired removes finished records whose retention time has passed. It does nothing
+// while less than a majority of the core has reported its clock to this daemon, since the
+// cluster time might then rest on a single wrong clock.
 func (n *node) dropExpired() {
 	if n.leases.Clock().Readings() < n.core.Majority() {
 		return
 	}
-	cutMs := n.fleetTime() - n.FinishedKeepMs
+	cutoffMs := n.fleetTime() - n.FinishedKeepMs
 	for _, name := range n.store.ShardNames() {
-		if n.store.Shard(name).Expired(cutMs) {
-			n.persist([]statestore.Entry{{Kind: statestore.EntryExpire, Name: name, Epoch: uint64(cutMs)}})
+		if n.store.Shard(name).Expired(cutoffMs) {
+			n.persist([]statestore.Entry{{Kind: statestore.EntryExpire, Name: name, Epoch: uint64(cutoffMs)}})
 		}
 	}
 }
 
+// tickStore removes expired records and takes a snapshot when the log has grown enough.
 func (n *node) tickStore() {
 	if !n.inCore() || n.fleetTime() == 0 {
 		return
@@ -207,8 +227,8 @@
 	if n.now%10_000 < tickMs {
 		n.dropExpired()
 	}
-	// Members take their snapshots at different lengths of the log, so that
-	// they don't all write one at the same time.
+	// Each member takes its snapshots at a different length of the log, so that the
+	// members don't all write one at the same time.
 	if st := n.store; st.LoggedBytes() > n.SnapshotBytes+int64(
 		rendezvous.Weight("snapshot", n.Name)%uint64(n.SnapshotBytes),
 	) &&
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -28,17 +28,17 @@
 )
 
 const (
-	loopQueueMax = 8192 // events waiting for the control thread before posters wait
+	loopQueueMax = 8192 // queued events of the control thread; beyond that, posting blocks
 )
 
-// steadyClock is the clock of leases and limits. Jumps of the wall time do not
-// move it, and it counts while the machine sleeps.
+// steadyClock is the monotonic clock of leases and timeouts. Changes of the wall
+// clock don't affect it, and it advances while the machine is suspended.
 type steadyClock struct{ base int64 }
 
 func bootMs() int64 {
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) != nil {
-		panic("no boot clock") // every Linux since 2.6.39 has it
+		panic("CLOCK_BOOTTIME is not available") // Linux has it since 2.6.39
 	}
 	return ts.Nano() / 1e6
 }
@@ -48,12 +48,12 @@
 func (s *steadyClock) nowMs() int64 { return bootMs() - s.base }
 
 func newSeed() uint64 {
-	var b [8]byte
-	_, _ = rand.Read(b[:])
-	return binary.BigEndian.Uint64(b[:])
+	var bytes [8]byte
+	_, _ = rand.Read(bytes[:])
+	return binary.BigEndian.Uint64(bytes[:])
 }
 
-// logfmtSink writes one key=value line per event.
+// logfmtSink is a logr.LogSink that writes one logfmt line per event.
 type logfmtSink struct {
 	mu    *sync.Mutex
 	out   io.Writer
@@ -74,22 +74,22 @@
 func (l *logfmtSink) write(level, msg string, kv []any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := logfmt.NewEncoder(l.out)
-	all := append(
+	encoder := logfmt.NewEncoder(l.out)
+	fields := append(
 		[]any{"at", time.Now().UTC().Format(time.RFC3339Nano), "level", level, "event", msg},
 		append(l.pairs, kv...)...)
-	for i := 0; i+1 < len(all); i += 2 {
-		if e.EncodeKeyval(all[i], all[i+1]) != nil {
-			_ = e.EncodeKeyval(all[i], mustJSON(all[i+1]))
+	for i := 0; i+1 < len(fields); i += 2 {
+		if encoder.EncodeKeyval(fields[i], fields[i+1]) != nil {
+			_ = encoder.EncodeKeyval(fields[i], mustJSON(fields[i+1]))
 		}
 	}
-	_ = e.EndRecord()
+	_ = encoder.EndRecord()
 }
 
 func (l *logfmtSink) WithValues(kv ...any) logr.LogSink {
-	c := *l
-	c.pairs = append(append([]any{}, l.pairs...), kv...)
-	return &c
+	sink := *l
+	sink.pairs = append(append([]any{}, l.pairs...), kv...)
+	return &sink
 }
 func (l *logfmtSink) WithName(string) logr.LogSink { return l }
 
@@ -108,26 +108,29 @@
 	)
 }
 
-// controlLoop is the one thread of control state. Everything else posts to it.
+// controlLoop runs the control thread, the only goroutine that uses the executor and
+// its node. Other goroutines post functions to it.
 type controlLoop struct {
 	clock        *steadyClock
 	queue        chan func(*executor)
 	quit         chan struct{}
-	ended        chan struct{}
+	done         chan struct{}
 	executor     *executor
-	selfMessages []func(*executor) // messages to ourselves, in order, after the event that sent them
+	selfMessages []func(*executor) // messages of this daemon to itself, handled after the event that sent them
 	ready        atomic.Pointer[readiness]
 }
 
-// readiness is what the control thread last said of itself. It is read without
-// asking that thread: a check that comes each second must not wait in its queue.
+// readiness is the state that the control thread last published for readiness checks.
+// Checks come each second, so they read it directly and don't wait in the queue of the
+// control thread.
 type readiness struct {
 	atMs   int64
-	reason string // why it isn't ready; "" if it is
+	reason string // why the daemon isn't ready; "" if it is
 }
 
-// notReady says why this daemon should get no callers; "" if it should.
-func (l *controlLoop) notReady() string {
+// notReadyReason returns why this daemon should receive no client traffic, or "" if it
+// should.
+func (l *controlLoop) notReadyReason() string {
 	r := l.ready.Load()
 	if r == nil || l.clock.nowMs()-r.atMs > freezeThresholdMs {
 		return "the control thread is behind"
@@ -140,31 +143,32 @@
 		clock: clock,
 		queue: make(chan func(*executor), loopQueueMax),
 		quit:  make(chan struct{}),
-		ended: make(chan struct{}),
+		done:  make(chan struct{}),
 	}
 }
 
-func (l *controlLoop) post(do func(*executor)) {
+// post queues a function for the control thread. It blocks while the queue is full.
+func (l *controlLoop) post(event func(*executor)) {
 	select {
-	case l.queue <- do:
+	case l.queue <- event:
 	case <-l.quit:
 	}
 }
 
 func (l *controlLoop) run() {
-	defer close(l.ended)
-	tick := time.NewTicker(tickMs * time.Millisecond)
-	defer tick.Stop()
+	defer close(l.done)
+	ticker := time.NewTicker(tickMs * time.Millisecond)
+	defer ticker.Stop()
 	for {
 		for len(l.selfMessages) > 0 {
-			do := l.selfMessages[0]
+			handle := l.selfMessages[0]
 			l.selfMessages = l.selfMessages[1:]
-			do(l.executor)
+			handle(l.executor)
 		}
 		select {
-		case do := <-l.queue:
-			do(l.executor)
-		case <-tick.C:
+		case handle := <-l.queue:
+			handle(l.executor)
+		case <-ticker.C:
 			l.executor.event(evTick{})
 			l.ready.Store(&readiness{l.clock.nowMs(), l.executor.node.notReady()})
 		case <-l.quit:
@@ -173,30 +177,32 @@
 	}
 }
 
-// event stamps something with the clocks and a seed, and reduces it.
-func (s *executor) event(body any) {
-	p := s.ports.(*processPorts)
-	s.step(event{NowMs: p.loop.clock.nowMs(), WallMs: time.Now().UnixMilli(), Seed: newSeed(), Body: body})
+// event adds the clock readings and a random seed to an event body and processes it.
+func (exec *executor) event(body any) {
+	p := exec.ports.(*processPorts)
+	exec.step(event{NowMs: p.loop.clock.nowMs(), WallMs: time.Now().UnixMilli(), Seed: newSeed(), Body: body})
 }
 
-// processPorts carry effects out on the real machine.
+// processPorts carries out effects with the network, the disk and the log of the process.
 type processPorts struct {
-	loop      *controlLoop
-	transport *wire.Transport
-	disk      *storage.Log
-	orders    *orderSender
-	log       logr.Logger
-	waiting   map[uint64]chan effReply // only the control thread touches it
-	exit      func()
-	self      string
+	loop           *controlLoop
+	transport      *wire.Transport
+	disk           *storage.Log
+	orders         *orderSender
+	log            logr.Logger
+	pendingReplies map[uint64]chan effReply // only the control thread touches it
+	exit           func()
+	selfAddr       string
 }
 
 func (p *processPorts) Send(head wire.Header, to, addr string, msg any) {
 	frame := wire.EncodeFrame(head, msg)
-	if addr == p.self { // our own words go through the same form, not the network
-		h, m, err := wire.DecodeFrame(frame)
+	if addr == p.selfAddr { // messages to itself are encoded too, but don't use the network
+		header, message, err := wire.DecodeFrame(frame)
 		if err == nil {
-			p.loop.selfMessages = append(p.loop.selfMessages, func(s *executor) { s.event(evMsg{Head: h, Msg: m}) })
+			p.loop.selfMessages = append(p.loop.selfMessages, func(exec *executor) {
+				exec.event(evMsg{Head: header, Msg: message})
+			})
 		}
 		return
 	}
@@ -215,8 +221,8 @@
 func (p *processPorts) Wipe(id uint64) { p.disk.Wipe(id) }
 
 func (p *processPorts) Reply(e effReply) {
-	if ch := p.waiting[e.ID]; ch != nil {
-		delete(p.waiting, e.ID)
+	if ch := p.pendingReplies[e.ID]; ch != nil {
+		delete(p.pendingReplies, e.ID)
 		ch <- e
 	}
 }
@@ -224,8 +230,8 @@
 func (p *processPorts) Order(e effOrder) {
 	go func() {
 		outcome := p.orders.deliver(e)
-		p.loop.post(func(s *executor) {
-			s.event(evOrder{Worker: e.Worker, Key: e.Key, Stop: e.Stop, Outcome: outcome})
+		p.loop.post(func(exec *executor) {
+			exec.event(evOrder{Worker: e.Worker, Key: e.Key, Stop: e.Stop, Outcome: outcome})
 		})
 	}()
 }
@@ -233,7 +239,7 @@
 func (p *processPorts) Log(event string, pairs []any) { p.log.Info(event, pairs...) }
 func (p *processPorts) Exit()                         { p.exit() }
 
-// daemonModules are the parts of `otterchute run`.
+// daemonModules returns the modules of `otterchute run`.
 func daemonModules(s settings) fx.Option {
 	return fx.Options(
 		fx.Supply(s),
@@ -248,24 +254,27 @@
 		})),
 		fx.Module("node", fx.Provide(provideExecutor), fx.Invoke(runExecutor)),
 		fx.Module("http", fx.Provide(newHTTPServer), fx.Invoke(runHTTPServer)),
-		fx.Module("platform", fx.Invoke(runPlatform)), // last, so that it ends first, while all it needs still works
+		// The platform comes last, so that it stops first, while what it needs still runs.
+		fx.Module("platform", fx.Invoke(runPlatform)),
 	)
 }
 
+// diskHandles holds the open log and the state read from it; both are nil without a
+// data directory.
 type diskHandles struct {
 	disk  *storage.Log
 	store *statestore.Store
 }
 
-// diskListener brings what the disk tells to the control thread.
+// diskListener posts the notifications of the disk to the control thread.
 type diskListener struct{ post func(func(*executor)) }
 
-// Committed lets go what waited for entries to be durable.
+// Committed runs the callbacks that waited for entries to be durable.
 func (d diskListener) Committed(entries int, took time.Duration, done []func()) {
-	d.post(func(s *executor) {
+	d.post(func(exec *executor) {
 		if entries > 0 {
-			s.node.diskSyncMs = took.Milliseconds()
-			s.node.count("syncs")
+			exec.node.diskSyncMs = took.Milliseconds()
+			exec.node.count("syncs")
 		}
 		for _, do := range done {
 			do()
@@ -273,28 +282,30 @@
 	})
 }
 
-// Failed has the daemon stop counting itself to the core's quorum.
+// Failed makes the daemon stop acting as a core member.
 func (d diskListener) Failed(cause error) {
-	d.post(func(s *executor) { s.event(evDisk{Failed: cause.Error()}) })
+	d.post(func(exec *executor) { exec.event(evDisk{Failed: cause.Error()}) })
 }
 
-// Lost has the daemon start over with an empty disk.
-func (d diskListener) Lost() { d.post(func(s *executor) { s.event(evDisk{Lost: true}) }) }
+// Lost makes the daemon start over with an empty disk, after synced entries were lost.
+func (d diskListener) Lost() { d.post(func(exec *executor) { exec.event(evDisk{Lost: true}) }) }
 
-// Recovered has the daemon count itself again.
-func (d diskListener) Recovered() { d.post(func(s *executor) { s.event(evDisk{Recovered: true}) }) }
+// Recovered makes the daemon act as a core member again.
+func (d diskListener) Recovered() {
+	d.post(func(exec *executor) { exec.event(evDisk{Recovered: true}) })
+}
 
 func provideDisk(lc fx.Lifecycle, s settings, l *controlLoop, log logr.Logger) (diskHandles, error) {
 	if s.Data == "" {
 		return diskHandles{}, nil
 	}
-	d, st, err := storage.Open(s.Data, newSeed()|1, func(e string, kv ...any) { log.Info(e, kv...) })
+	disk, store, err := storage.Open(s.Data, newSeed()|1, func(e string, kv ...any) { log.Info(e, kv...) })
 	if err != nil {
 		return diskHandles{}, err
 	}
-	lc.Append(fx.Hook{OnStart: func(context.Context) error { go d.Run(diskListener{l.post}); return nil },
-		OnStop: func(context.Context) error { d.Close(); return nil }})
-	return diskHandles{d, st}, nil
+	lc.Append(fx.Hook{OnStart: func(context.Context) error { go disk.Run(diskListener{l.post}); return nil },
+		OnStop: func(context.Context) error { disk.Close(); return nil }})
+	return diskHandles{disk, store}, nil
 }
 
 func provideWire(
@@ -306,9 +317,9 @@
 	compiler := &configuration.Precompiler{}
 	receive := func(h wire.Header, msg any) {
 		ready := compiler.Compile(msg)
-		l.post(func(s *executor) { s.event(evMsg{Head: h, Msg: msg, Precompiled: ready}) })
+		l.post(func(exec *executor) { exec.event(evMsg{Head: h, Msg: msg, Precompiled: ready}) })
 	}
-	w, err := wire.NewTransport(
+	transport, err := wire.NewTransport(
 		wire.Options{
 			Addr:    s.Addr,
 			Receive: receive,
@@ -318,21 +329,21 @@
 	if err != nil {
 		return nil, errors.Wrapf(errSettings, "addr: %v", err)
 	}
-	lc.Append(fx.Hook{OnStart: func(context.Context) error { go w.Serve(); return nil },
-		OnStop: func(context.Context) error { w.Close(); return nil }})
-	return w, nil
+	lc.Append(fx.Hook{OnStart: func(context.Context) error { go transport.Serve(); return nil },
+		OnStop: func(context.Context) error { transport.Close(); return nil }})
+	return transport, nil
 }
 
 func provideExecutor(
 	s settings,
 	l *controlLoop,
 	w *wire.Transport,
-	d diskHandles,
-	c *orderSender,
+	handles diskHandles,
+	sender *orderSender,
 	log logr.Logger,
-	down fx.Shutdowner,
+	shutdowner fx.Shutdowner,
 ) *executor {
-	p := nodeConfig{
+	cfg := nodeConfig{
 		Name:           s.Name,
 		Incarnation:    uint64(time.Now().UnixNano()),
 		Instance:       newInstanceID(),
@@ -340,7 +351,7 @@
 		HTTP:           s.HTTP,
 		Zone:           s.Zone,
 		Seeds:          s.Seeds,
-		Disk:           d.disk != nil,
+		Disk:           handles.disk != nil,
 		FinishedKeepMs: s.KeepHours * msPerHour,
 		SnapshotBytes:  snapshotMinBytes,
 		ThresholdMs:    s.ThresholdMs,
@@ -360,23 +371,25 @@
 		LinkMbps:     s.LinkMbps,
 		Policies:     s.Policies,
 	}
-	if d.disk != nil {
-		p.DiskID = d.disk.ID()
+	if handles.disk != nil {
+		cfg.DiskID = handles.disk.ID()
 	}
 	ports := &processPorts{
-		loop:      l,
-		transport: w,
-		disk:      d.disk,
-		orders:    c,
-		log:       log,
-		waiting:   map[uint64]chan effReply{},
-		self:      s.Addr,
-		exit:      sync.OnceFunc(func() { go func() { _ = down.Shutdown() }() }),
+		loop:           l,
+		transport:      w,
+		disk:           handles.disk,
+		orders:         sender,
+		log:            log,
+		pendingReplies: map[uint64]chan effReply{},
+		selfAddr:       s.Addr,
+		exit:           sync.OnceFunc(func() { go func() { _ = shutdowner.Shutdown() }() }),
 	}
-	l.executor = &executor{node: newNode(p, d.store), ports: ports}
+	l.executor = &executor{node: newNode(cfg, handles.store), ports: ports}
 	return l.executor
 }
 
+// runExecutor starts the control thread and stops the daemon gracefully on the first
+// SIGTERM or SIGINT.
 func runExecutor(lc fx.Lifecycle, l *controlLoop, _ *executor, log logr.Logger) {
 	lc.Append(fx.Hook{OnStart: func(context.Context) error {
 		log.Info("started", "pid", os.Getpid())
@@ -385,45 +398,52 @@
 		signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 		go func() {
 			<-signals
-			l.post(func(s *executor) { s.event(evStop{}) })
-			<-signals // a second signal does not wait
+			l.post(func(exec *executor) { exec.event(evStop{}) })
+			<-signals // a second signal ends the process at once
 			os.Exit(1)
 		}()
 		return nil
 	}, OnStop: func(context.Context) error {
 		close(l.quit)
-		<-l.ended
+		<-l.done
 		log.Info("stopped")
 		return nil
 	}})
 }
 
-// runPlatform serves the platform's addresses, if there is a platform. It
-// begins at once: what can't be done yet is answered so. At a stop the roles
-// are handed over first; then every call that was read gets its answer.
-func runPlatform(lc fx.Lifecycle, s settings, d *httpServer, l *controlLoop, log logr.Logger, down fx.Shutdowner) {
+// runPlatform serves the addresses of the platform, if there is one. It starts to serve
+// at once; a call that can't be handled yet is rejected. On a stop, the roles are handed
+// over first; then every call that was read is answered.
+func runPlatform(
+	lc fx.Lifecycle,
+	s settings,
+	server *httpServer,
+	l *controlLoop,
+	log logr.Logger,
+	shutdowner fx.Shutdowner,
+) {
 	if s.adapter == nil {
 		return
 	}
 	if s.MemoryMb > 0 {
 		debug.SetMemoryLimit(s.MemoryMb << 20 / 4 * 3)
 	}
-	a := s.adapter
+	adapter := s.adapter
 	lc.Append(fx.Hook{OnStart: func(context.Context) error {
-		a.OnChange(func(p platform.DaemonSettings) {
-			l.post(func(s *executor) { s.event(evSeeds{Seeds: p.Seeds}) })
+		adapter.OnChange(func(p platform.DaemonSettings) {
+			l.post(func(exec *executor) { exec.event(evSeeds{Seeds: p.Seeds}) })
 		})
 		go func() {
-			if err := a.Serve(d.servePlatform); err != nil {
+			if err := adapter.Serve(server.servePlatform); err != nil {
 				log.Error(err, "platform_failed")
-				_ = down.Shutdown(fx.ExitCode(int(exitFound)))
+				_ = shutdowner.Shutdown(fx.ExitCode(int(exitFound)))
 			}
 		}()
 		return nil
 	}, OnStop: func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, shutdownTimeoutMs*time.Millisecond)
 		defer cancel()
-		a.Close(ctx)
+		adapter.Close(ctx)
 		return nil
 	}})
 }
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -16,48 +16,52 @@
 )
 
 const (
-	configForwardMs  = 2400 // the same for a change of the configuration, which a core member tries for changeMs
-	forwardMs        = 1200 // a request forwarded without an answer is given up on
-	quorumReadMs     = 500  // a state read from the core that takes longer is given up on
-	forwardsMax      = 2    // a request is forwarded at most this often
-	requestsMax      = 4000 // requests in flight through one daemon before it rejects
-	requestsPerRetry = 5    // every so many requests allow one to be forwarded again: a crowd costs a fifth more at most
-	retriesPerTick   = 1    // and so many a tick, that few requests need not wait
-	readsPerTick     = 10   // states read from the core a tick: 100 a second for each daemon
-	retryBudgetMax   = 100  // what either budget saves up for a burst
+	configForwardTimeoutMs = 2400 // for a change of the configuration, which a core member tries for changeTimeoutMs
+	forwardMs              = 1200 // timeout of other forwarded requests
+	quorumReadTimeoutMs    = 500  // timeout of reading a job's state from the core
+	forwardsMax            = 2    // number of times that a request is forwarded at most
+	requestsMax            = 4000 // requests in flight through one daemon; more are rejected
+	requestsPerRetry       = 5    // requests that add one retry to the budget: retries add at most 20% to the load
+	retriesPerTick         = 1    // retries added to the budget per tick, so that low traffic allows retries too
+	readsPerTick           = 10   // reads from the core added per tick: 100 per second and daemon
+	retryBudgetMax         = 100  // retries or reads that a budget saves up for a burst
 )
 
-// request is one thing a caller, worker or operator wants, at the daemon that got
-// it or forwarded to the one that can answer it.
+// request is a request of a client, worker or operator. It is handled by the daemon that
+// received it or forwarded to the one that can answer it.
 type request struct {
 	id             uint64
-	origin         string // "" when it came by HTTP here
-	originInstance uint64 // of the origin's process: no later one is answered
+	origin         string // the daemon that forwarded it; "" if it was received here
+	originInstance uint64 // the process of the origin; a later process gets no response
 	hops           int32
 	op             string
 	key            string
 	body           []byte
 	receivedMs     int64
-	// pollsBefore were sent here before it came: only a later one confirms a configuration for it.
+	// pollsBefore is the latest poll sent before the request arrived. Only a later poll
+	// confirms a configuration for it.
 	pollsBefore  uint64
-	config       *configuration.Configuration // of the body, where it is known to be sound
-	host         string                       // with path, the address a caller used
+	config       *configuration.Configuration // the configuration in the body, if it was parsed and is valid
+	host         string                       // with path, the address of the queue that the client used
 	path         string
-	base         int64  // the version a configuration builds on; -1 for one less than its own
-	digest       []byte // SHA-256 of an operator's order as it was sent, where that isn't the configuration itself
+	base         int64  // the version that a configuration builds on; -1 for one less than its own
+	digest       []byte // SHA-256 of an operator's change as it was sent, if that isn't the configuration itself
 	queue        string // the queue that the address belongs to
-	maybeApplied bool   // it may have been done: handed over and not answered, or under way here
-	byAddress    bool   // it came with an address: an unknown job is told apart from an unknown queue
-	credential   string // the key that the caller showed here
-	tenant       string // whose key that is; "" where none is needed
+	maybeApplied bool   // it may have taken effect: forwarded without a reply, or in progress here
+	byAddress    bool   // it names a queue by address: an unknown job is distinguished from an unknown queue
+	credential   string // the API key in the call
+	tenant       string // the tenant of that key; "" if no key is needed
 }
 
+// forwardedRequest is a request that waits for the reply of the daemon it was forwarded to.
 type forwardedRequest struct {
-	request *request
-	to      string
-	limitMs int64
+	request    *request
+	to         string
+	deadlineMs int64
 }
 
+// requestHandlers has the handler of each operation. It is filled in init, since the
+// handlers refer to it.
 var requestHandlers map[string]func(*node, *request)
 
 func init() {
@@ -88,17 +92,18 @@
 	}
 }
 
-// operatorRequests are the calls of operators, who turn to another daemon after a second.
+// operatorRequests are the operations of operators. Their client tries another daemon after
+// a second.
 var operatorRequests = map[string]bool{"setup.put": true, "setup.taken": true, "site.empty": true, "site.open": true}
 
-// retryBudget bounds what this daemon does beyond the first attempt, for all requests
-// together: under a crowd that sends again and again the fleet's own work must
-// not grow with what it gives up on.
+// retryBudget limits the additional work beyond the first attempt, for all requests
+// together. If many clients retry, the load between daemons must not grow with the number
+// of requests that time out.
 type retryBudget struct{ tokens int64 }
 
 func (b *retryBudget) add(v int64) { b.tokens = min(b.tokens+v, retryBudgetMax*requestsPerRetry) }
 
-// take takes one try, if one is left.
+// take uses up one retry and reports whether one was left.
 func (b *retryBudget) take() bool {
 	if b.tokens < requestsPerRetry {
 		return false
@@ -167,14 +172,16 @@
 }
 
 func (n *node) handleRequest(req *request) {
-	op, ok := requestHandlers[req.op]
+	handle, ok := requestHandlers[req.op]
 	if !ok {
 		n.respond(req, 404, 0, mustJSON(map[string]any{"error": "no such ask"}))
 		return
 	}
-	op(n, req)
+	handle(n, req)
 }
 
+// respond answers a request, here or at the daemon that forwarded it. It turns a rejection
+// into an unknown outcome if the request may have taken effect.
 func (n *node) respond(req *request, status int, retryMs int64, body []byte) {
 	if status >= 400 {
 		n.count("requests_rejected")
@@ -185,17 +192,18 @@
 	if req.byAddress && req.origin == "" && status == 404 && req.queue != "" {
 		status, body = 410, mustJSON(map[string]any{"missing": "job", "error": "no such job"})
 	}
-	m := wire.ForwardReply{ID: req.id, Status: int32(status), RetryAfterMs: retryMs, Body: body}
+	forwardReply := wire.ForwardReply{ID: req.id, Status: int32(status), RetryAfterMs: retryMs, Body: body}
 	if req.origin == "" {
-		n.reply(req.id, m)
+		n.reply(req.id, forwardReply)
 		return
 	}
-	n.respondTo(peerInstance{req.origin, req.originInstance}, &m)
+	n.respondTo(peerInstance{req.origin, req.originInstance}, &forwardReply)
 }
 
-// outcomeUnknown tells that a refusal can't be passed on as it is: an earlier try
-// of this call may have been done all the same. "Not taken" is only said when
-// it is surely so. That another job has the id stands, whoever says so.
+// outcomeUnknown reports whether a rejection must not be passed on, because an earlier
+// attempt of the request may have taken effect. A client may only be told that its job was
+// not accepted if that is certain. A conflict with another job of the same ID is certain,
+// so its status is passed on.
 func (r *request) outcomeUnknown(status int) bool {
 	if r.queue == "" || !r.maybeApplied {
 		return false
@@ -209,6 +217,7 @@
 	return false
 }
 
+// reject answers that the request can't be handled now and may be retried after a second.
 func (n *node) reject(req *request, reason string) {
 	n.respond(req, 503, 1000, mustJSON(map[string]any{"error": reason}))
 }
@@ -221,14 +230,16 @@
 	return mustJSON(map[string]any{"error": faults[0].Path + " " + faults[0].Reason, "faults": faults})
 }
 
-// forward passes a request on, once per daemon and at most forwardsMax times; an
-// answer that does not come is given up on long before the caller's limit.
+// forward forwards a request, once per daemon and at most forwardsMax times in total. Its
+// timeout is far shorter than that of the client.
 func (n *node) forward(req *request, to string) {
 	if req.hops >= forwardsMax || to == n.Name || to == "" || !n.peers.Alive(to) {
 		n.readFromCore(req, "nobody surely settles this now")
 		return
 	}
-	if req.hops > 0 && req.op != "worker.report" { // a second time; reports are few and feed everything
+	// A request that was forwarded before needs a retry of the budget, except for workers'
+	// reports, which are few and which everything else depends on.
+	if req.hops > 0 && req.op != "worker.report" {
 		if !n.Policies.On(scheduler.ForwardRetry) || !n.retries.take() {
 			n.reject(req, "nobody surely settles this now")
 			return
@@ -236,11 +247,11 @@
 		n.count("requests_retried")
 	}
 	n.forwardSeq++
-	limitMs, body := n.now+forwardMs, req.body
+	deadlineMs, body := n.now+forwardMs, req.body
 	if operatorRequests[req.op] {
-		limitMs, body = n.now+configForwardMs, configuration.Deflate(req.body)
+		deadlineMs, body = n.now+configForwardTimeoutMs, configuration.Deflate(req.body)
 	}
-	n.forwarded[n.forwardSeq] = &forwardedRequest{request: req, to: to, limitMs: limitMs}
+	n.forwarded[n.forwardSeq] = &forwardedRequest{request: req, to: to, deadlineMs: deadlineMs}
 	n.count("requests_forwarded")
 	n.send(
 		to,
@@ -261,47 +272,49 @@
 }
 
 func (n *node) onForwardReply(from string, m *wire.ForwardReply) {
-	p := n.forwarded[m.ID]
-	if p == nil || p.to != from { // given up on, or handed to another since
+	pending := n.forwarded[m.ID]
+	if pending == nil || pending.to != from { // timed out, or forwarded to another daemon since
 		n.count("late_responses")
 		return
 	}
 	delete(n.forwarded, m.ID)
-	n.respond(p.request, int(m.Status), m.RetryAfterMs, m.Body)
+	n.respond(pending.request, int(m.Status), m.RetryAfterMs, m.Body)
 }
 
-// retryForwarded routes anew what waits for a daemon that has lost its role.
+// retryForwarded routes the requests again that wait for a daemon which has lost a role.
 func (n *node) retryForwarded(to string) {
 	for _, id := range sortedKeys(n.forwarded) {
-		if p := n.forwarded[id]; p.to == to && to != "" && n.Policies.On(scheduler.ForwardRetry) && n.retries.take() {
+		if pending := n.forwarded[id]; pending.to == to && to != "" &&
+			n.Policies.On(scheduler.ForwardRetry) && n.retries.take() {
 			delete(n.forwarded, id)
-			p.request.maybeApplied = true
+			pending.request.maybeApplied = true
 			n.count("requests_retried")
-			n.handleRequest(p.request)
+			n.handleRequest(pending.request)
 		}
 	}
 }
 
+// tickRequests refills the retry budgets and handles requests that have timed out.
 func (n *node) tickRequests() {
 	n.retries.add(retriesPerTick * requestsPerRetry)
 	n.coreReads.add(readsPerTick * requestsPerRetry)
 	for _, id := range sortedKeys(n.forwarded) {
-		if p := n.forwarded[id]; n.forwardTimedOut(p) {
+		if pending := n.forwarded[id]; n.forwardTimedOut(pending) {
 			delete(n.forwarded, id)
-			p.request.maybeApplied = true
-			n.readFromCore(p.request, "the daemon that settles this did not answer")
+			pending.request.maybeApplied = true
+			n.readFromCore(pending.request, "the daemon that settles this did not answer")
 		}
 	}
 	for _, id := range sortedKeys(n.quorumReads) {
-		if r := n.quorumReads[id]; n.now >= r.limitMs || n.leases.CutOff() {
+		if read := n.quorumReads[id]; n.now >= read.deadlineMs || n.leases.CutOff() {
 			delete(n.quorumReads, id)
-			n.reject(r.request, "neither the owner nor the core answered")
+			n.reject(read.request, "neither the owner nor the core answered")
 		}
 	}
 }
 
-// readFromCore is for requests that no owner answers now: a job's state can still be
-// had from the core, anything else is rejected.
+// readFromCore handles a request that no owner can answer now. It reads a job's state from
+// the core members and rejects any other request.
 func (n *node) readFromCore(req *request, reason string) {
 	if req.op != "job.get" && req.op != "job.state" || len(n.core.Members) == 0 || n.leases.CutOff() ||
 		!n.coreReads.take() {
@@ -309,8 +322,8 @@
 		return
 	}
 	n.opSeq++
-	n.quorumReads[n.opSeq] = &quorumRead{request: req, answers: map[string]statestore.Record{},
-		limitMs: n.now + quorumReadMs}
+	n.quorumReads[n.opSeq] = &quorumRead{request: req, responses: map[string]statestore.Record{},
+		deadlineMs: n.now + quorumReadTimeoutMs}
 	for _, m := range n.core.Members {
 		n.send(
 			m.Name,
@@ -319,79 +332,82 @@
 	}
 }
 
-// quorumRead is a job's state on its way from the core, while no owner tells it.
+// quorumRead is a read of a job's state from the core, while no owner can answer.
 type quorumRead struct {
-	request *request
-	answers map[string]statestore.Record
-	limitMs int64
+	request    *request
+	responses  map[string]statestore.Record
+	deadlineMs int64
 }
 
-// onQuorumRead answers with a state that a majority holds. Where two members differ, the
-// later one may yet be lost and the earlier one be long past, at a member that
-// was away: only the others' word tells, for an end that was told already mustn't
-// be taken back. Absence it does not tell: only an owner can say that a job is
-// unknown.
-func (n *node) onQuorumRead(r *quorumRead, op uint64, from string, records []statestore.Record) {
-	var rec statestore.Record
+// onQuorumRead answers with the newest state that a majority holds. If two members differ,
+// the newer state may still be lost, and the older one may be outdated because its member
+// was away, so the responses of further members decide. Otherwise the end of a job could be
+// reported and later revoked. A job without a record is never reported as unknown: only an
+// owner can decide that.
+func (n *node) onQuorumRead(read *quorumRead, op uint64, from string, records []statestore.Record) {
+	var record statestore.Record
 	if len(records) == 1 {
-		rec = records[0]
+		record = records[0]
 	}
-	r.answers[from] = rec
-	need := n.core.Majority()
-	if len(r.answers) < need {
+	read.responses[from] = record
+	majority := n.core.Majority()
+	if len(read.responses) < majority {
 		return
 	}
-	all := make([]statestore.Record, 0, len(r.answers))
-	for _, rec := range r.answers {
-		all = append(all, rec)
+	newestFirst := make([]statestore.Record, 0, len(read.responses))
+	for _, record := range read.responses {
+		newestFirst = append(newestFirst, record)
 	}
-	slices.SortFunc(all, func(a, b statestore.Record) int {
+	slices.SortFunc(newestFirst, func(a, b statestore.Record) int {
 		return cmp.Or(cmp.Compare(b.Epoch, a.Epoch), cmp.Compare(b.Version, a.Version))
 	})
-	at := need - 1
-	for at < len(all) && !bytes.Equal(all[at-need+1].Value, all[at].Value) {
-		at++
+	agreed := majority - 1
+	for agreed < len(newestFirst) && !bytes.Equal(newestFirst[agreed-majority+1].Value, newestFirst[agreed].Value) {
+		agreed++
 	}
-	if at == len(all) { // no majority agrees
-		if !n.answeredByFullSet(r) {
+	if agreed == len(newestFirst) { // no majority agrees
+		if !n.answeredByFullSet(read) {
 			return
 		}
-		at = need - 1
+		agreed = majority - 1
 	}
-	if j, ok := decodeJob(all[at]); ok {
+	if job, ok := decodeJob(newestFirst[agreed]); ok {
 		delete(n.quorumReads, op)
 		n.count("states_from_core")
-		if n.respondIfHidden(r.request, j) {
+		if n.respondIfHidden(read.request, job) {
 			return
 		}
-		if r.request.op == "job.state" {
+		if read.request.op == "job.state" {
 			n.respond(
-				r.request,
+				read.request,
 				200,
 				0,
-				mustJSON(map[string]any{"state": (&liveJob{jobRecord: *j, runtime: make([]taskRuntime, len(j.Tasks))}).state()}),
+				mustJSON(map[string]any{
+					"state": (&liveJob{jobRecord: *job, runtime: make([]taskRuntime, len(job.Tasks))}).state(),
+				}),
 			)
 			return
 		}
-		n.respond(r.request, 200, 0, mustJSON(j.describe(func(t *task) string {
+		n.respond(read.request, 200, 0, mustJSON(job.describe(func(t *task) string {
 			if t.State == taskPending || t.State == taskPlaced {
 				return "its slice is being taken over"
 			}
 			return ""
 		})))
-	} else if len(r.answers) == len(n.core.Members) {
+	} else if len(read.responses) == len(n.core.Members) {
 		delete(n.quorumReads, op)
-		n.reject(r.request, "no owner settles this now, and a majority of the core does not know it")
+		n.reject(read.request, "no owner settles this now, and a majority of the core does not know it")
 	}
 }
 
-// answeredByFullSet tells whether all of a full set have answered a read. In a set that is
-// larger or smaller, what a majority of the one before it held may be at fewer.
-func (n *node) answeredByFullSet(r *quorumRead) bool {
-	return len(r.answers) == len(n.core.Members) && len(r.answers) == n.members.Size()
+// answeredByFullSet reports whether the core set has its full size and all members have
+// answered a read. In a set that is larger or smaller, a state held by a majority of the
+// previous set may be held by less than a majority.
+func (n *node) answeredByFullSet(read *quorumRead) bool {
+	return len(read.responses) == len(n.core.Members) && len(read.responses) == n.members.Size()
 }
 
-// shardOf decides which shard owns a job: callers never name one.
+// shardOf returns the shard that a job belongs to, by rendezvous hashing of its ID.
 func (n *node) shardOf(id string) string {
 	if len(n.core.Shards) == 0 {
 		return ""
@@ -408,18 +424,20 @@
 	n.routeToShard(req, name)
 }
 
+// routeToShard handles a request for a shard that is owned here, and forwards others to
+// the owner.
 func (n *node) routeToShard(req *request, name string) {
 	if shard := n.shards[name]; shard != nil && n.leases.Holds(lease.ShardRole(name)) {
 		if !shard.serving {
 			n.readFromCore(req, "the slice is being taken over")
 			return
 		}
-		op := jobOps[req.op]
-		if op == nil {
+		handle := jobOps[req.op]
+		if handle == nil {
 			n.respond(req, 404, 0, mustJSON(map[string]any{"error": "no such ask"}))
 			return
 		}
-		op(n, shard, req)
+		handle(n, shard, req)
 		return
 	}
 	to, _ := n.leases.Holder(lease.ShardRole(name))
@@ -427,22 +445,23 @@
 }
 
 func (n *node) routeWorkerLost(req *request) {
-	slice, _, ok := strings.Cut(req.key, "/")
+	shard, _, ok := strings.Cut(req.key, "/")
 	if !ok {
 		n.respond(req, 404, 0, mustJSON(map[string]any{"error": "no such slice"}))
 		return
 	}
-	n.routeToShard(req, slice)
+	n.routeToShard(req, shard)
 }
 
+// rawJSON is a string that is already JSON.
 type rawJSON string
 
 func (r rawJSON) MarshalJSON() ([]byte, error) { return []byte(r), nil }
 
-// forwardTimedOut tells whether to stop waiting for the daemon that a call was handed
-// to: at the call's limit, where this daemon is cut off, and for an operator's
-// order where the core member that has it answers no polls.
-func (n *node) forwardTimedOut(p *forwardedRequest) bool {
-	return n.now >= p.limitMs || n.leases.CutOff() ||
-		operatorRequests[p.request.op] && n.now-n.leases.LastResponseMs(p.to) > lease.HeldMs
+// forwardTimedOut reports whether to stop waiting for the reply to a forwarded request: at
+// its deadline, if this daemon has lost contact with the core, and for an operator's change
+// also if the core member that it was forwarded to answers no polls.
+func (n *node) forwardTimedOut(forwarded *forwardedRequest) bool {
+	return n.now >= forwarded.deadlineMs || n.leases.CutOff() ||
+		operatorRequests[forwarded.request.op] && n.now-n.leases.LastResponseMs(forwarded.to) > lease.HeldMs
 }
