--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -13,43 +13,43 @@
 )
 
 const (
-	batchPlanMs  = 2000 // batches are planned anew at this pace; far below batchMarginMs
-	batchLearnMs = 2500 // a new owner hears all agents first, or the room would look small and all jobs late
-	// percent of the time a batch needs that is kept for it: it is pushed out, runs off its guess,
-	// finds half the room
+	batchPlanMs = 2000 // interval between plans of a shard's batch jobs; far below batchMarginMs
+	// A new owner waits this long for the reports of all agents before it plans. With the capacity of only a few
+	// agents, all jobs would seem late.
+	batchLearnMs = 2500
+	// Percent of a batch job's estimated time that is reserved for it, for preemptions, wrong estimates and the case
+	// that only half the capacity is available.
 	batchSlackPercent    = 200
-	batchMarginMs        = 60_000 // and beside that: a lost worker, a takeover and another attempt
+	batchMarginMs        = 60_000 // added to that time, for a lost worker, a change of owner and a retry
 	batchHeadroomPercent = 25     // percent of a worker that stays free when a batch task starts there
-	spareWindowMs        = 3000   // batches count on room that was left for so long at the least
-	batchStartsTick      = 4      // batch tasks a shard places in one tick
-	batchTriesTick       = 64     // and those it looks for a place for
-	batchRecheckMs       = 400    // a task that found no place is looked at again after this, about
-	batchPauseMs         = 1500   // so long after a more urgent task found no place none is placed
-	batchPauseShare      = 4      // nor while something waits at one in so many workers
-	batchReturnMs        = 300    // a batch task that can't start at its worker by then goes back
-	batchRetryMs         = 1500   // and one that was pushed out waits this long, up to twice
-	batchRecordsPercent  = 50     // percent of a shard's records that may be full when a batch is taken
+	spareWindowMs        = 3000   // batch tasks use only capacity that was spare for at least this long
+	batchStartsTick      = 4      // batch tasks that a shard places in one tick
+	batchTriesTick       = 64     // batch tasks that a shard searches a worker for in one tick
+	batchRecheckMs       = 400    // mean delay before the next search for a task that no worker could take
+	batchPauseMs         = 1500   // pause of batch placement after a more urgent task found no worker
+	batchPauseShare      = 4      // placement also pauses while tasks wait at one in this many workers
+	batchReturnMs        = 300    // a batch task that hasn't started at its worker after this returns to its owner
+	batchRetryMs         = 1500   // shortest delay before a preempted batch task is retried; the longest is twice this
+	batchRecordsPercent  = 50     // a shard accepts batch jobs while at most this percent of its records is in use
 )
 
-// Batch queues: work that may wait for the cheapest hours of a contract, and
-// that never takes room from anything more urgent. All that is decided here is
-// a function of the job's record, the configuration in force, the fleet's time and what
-// agents last told; a new owner comes to the same.
+// Jobs of batch queues may wait for the cheapest hours of a contract, and never take capacity from more urgent work.
+// All decisions here depend only on the job's record, the configuration in force, cluster time and the latest reports
+// of the agents, so a new owner reaches the same decisions.
 
-// batchPlan is when a job's tasks may start, by the fleet's time.
+// batchPlan states when a job's tasks may start, in cluster time.
 type batchPlan struct {
 	StartMs    int64
-	CloseMs    int64 // the end of the window that it starts in
-	OpenMs     int64 // and its beginning
+	CloseMs    int64 // end of the price window that the job starts in
+	OpenMs     int64 // start of that window
 	Price      float64
 	DeadlineMs int64
-	AtAnyPrice bool // it starts at any price now, to be complete in time
+	AtAnyPrice bool // the job starts now at any price, to complete before its deadline
 }
 
-// planBatch decides when a job may start that came, or was due, at some time and
-// needs some time. It takes the cheapest window that leaves that time before
-// the deadline, the first of several; starts are spread over the first half of
-// it, or of what of it the job can use, each at a point of its own.
+// planBatch decides when a job may start that was submitted or due at fromMs and needs needMs to complete.
+// It picks the cheapest price window that leaves needMs before the deadline, and the earliest of equally cheap ones.
+// Starts are spread over the first half of the usable part of the window, at a point derived from the job's id.
 func planBatch(r *configuration.BatchRules, id string, fromMs, nowMs, needMs int64) batchPlan {
 	p := batchPlan{DeadlineMs: fromMs + r.FinishByMs}
 	latest := p.DeadlineMs - needMs
@@ -68,15 +68,14 @@
 	p.OpenMs, p.CloseMs, p.Price = max(best.FromMs, fromMs), best.ToMs, best.Price
 	p.StartMs = p.OpenMs
 	if spread := min(best.ToMs-p.OpenMs, latest-p.OpenMs) / 2; best.FromMs >= fromMs && spread > 0 {
-		p.StartMs += int64(
-			float64(rendezvous.Weight(id, "start")>>11) / (1 << 53) * float64(spread),
-		) // what the job needs may be learned anew: its point moves little
+		// The point is derived from the id, so the start moves little when needMs changes.
+		p.StartMs += int64(float64(rendezvous.Weight(id, "start")>>11) / (1 << 53) * float64(spread))
 	}
 	return p
 }
 
-// mayStart tells whether a task that takes about so long may start now: within
-// the window, and not so late that most of it would lie behind its end.
+// mayStart reports whether a task with the given estimate may start now: inside the window, and early enough to
+// end inside it. A task whose estimate exceeds the whole window may start at any point of it.
 func (p *batchPlan) mayStart(wallMs, estMs int64) bool {
 	if p.AtAnyPrice {
 		return wallMs >= p.StartMs
@@ -84,17 +83,18 @@
 	return wallMs >= p.StartMs && wallMs < p.CloseMs && (wallMs+estMs <= p.CloseMs || estMs > p.CloseMs-p.OpenMs)
 }
 
-// batchRules gives the rules that a job is held by. Gangs and lasting tasks, which a
-// queue may have had before it took batches, run as they did.
+// batchRules returns the batch rules that apply to a job, or nil. Jobs with gangs or long-running tasks are exempt:
+// they may date from before the queue became a batch queue.
 func (n *node) batchRules(j *jobRecord) *configuration.BatchRules {
 	q := n.config.current.Queues[j.Queue]
-	if q == nil || q.Batch == nil || slices.ContainsFunc(j.Steps, func(s jobStep) bool { return s.Gang || s.LongRunning }) {
+	if q == nil || q.Batch == nil ||
+		slices.ContainsFunc(j.Steps, func(s jobStep) bool { return s.Gang || s.LongRunning }) {
 		return nil
 	}
 	return q.Batch
 }
 
-// batchRulesOfSpec gives the rules for a task at a worker, if it is a batch's.
+// batchRulesOfSpec returns the batch rules that apply to a task at a worker, or nil if it is no batch task.
 func (n *node) batchRulesOfSpec(s *wire.TaskSpec) *configuration.BatchRules {
 	if q := n.config.current.Queues[s.Queue]; q != nil && s.Class == wire.ClassQueueable {
 		return q.Batch
@@ -102,7 +102,8 @@
 	return nil
 }
 
-// batchFromMs is when the time that a job has to finish began.
+// batchFromMs returns the time from which the job's deadline is counted: when it was submitted, or when its first
+// unfinished round is due if that is later.
 func (j *jobRecord) batchFromMs() int64 {
 	for i := range j.Tasks {
 		if t := &j.Tasks[i]; !t.isTerminal() {
@@ -112,14 +113,14 @@
 	return max(j.SubmitMs, j.DueMs)
 }
 
+// tickBatches resets a shard's per-tick batch state and plans its batch jobs when that is due.
 func (n *node) tickBatches(shard *ownedShard) {
 	shard.batchStartsInTick, shard.batchTriesInTick, shard.batchUseByWorker = 0, 0, map[queueOnWorker]resource.Amount{}
 	n.planBatches(shard)
 }
 
-// planBatches plans all batch jobs of a shard anew, those that must finish first
-// first: each needs the time of its longest chain, and that of all the work that
-// must be done before it in the room that batches may have.
+// planBatches plans all batch jobs of a shard in the order of their deadlines. Each job needs the time of its
+// longest chain of steps, and the time that all work with earlier deadlines takes in the capacity open to batches.
 func (n *node) planBatches(shard *ownedShard) {
 	wall := n.fleetTime()
 	if wall == 0 || !n.configFresh() || n.now-shard.startMs < batchLearnMs ||
@@ -154,7 +155,7 @@
 			room[e.job.Queue] = all
 		}
 		chain, work := n.batchRemaining(e.job, all)
-		ahead += work * float64(max(1, len(n.core.Shards))) // the other shards hold as much
+		ahead += work * float64(max(1, len(n.core.Shards))) // assumes that the other shards have as much
 		need := (int64(ahead)+chain)*batchSlackPercent/100 + batchMarginMs
 		p := planBatch(e.r, e.job.ID, e.from, wall, need)
 		if p.AtAnyPrice && (e.job.plan == nil || !e.job.plan.AtAnyPrice) {
@@ -165,7 +166,7 @@
 	}
 }
 
-// batchCapacity is all the room that a queue's batches may have at once.
+// batchCapacity returns the capacity that the batch tasks of a queue may use in total.
 func (n *node) batchCapacity(queue string, r *configuration.BatchRules) (all resource.Amount) {
 	q := n.config.current.Queues[queue]
 	for _, w := range n.workers {
@@ -177,8 +178,8 @@
 	return all
 }
 
-// batchRemaining is what a job still needs, in ms: along its longest chain of steps, and
-// of all the room that batches may have.
+// batchRemaining returns the time that a job still needs along its longest chain of steps, and the time that its
+// remaining work takes if it has all the capacity open to batches.
 func (n *node) batchRemaining(job *liveJob, room resource.Amount) (chainMs int64, workMs float64) {
 	longest := make([]int64, len(job.Steps))
 	for i := range job.Tasks {
@@ -197,7 +198,7 @@
 		}
 		workMs += part * float64(est)
 	}
-	done := make([]int64, len(job.Steps)) // steps may stand in any order: as many passes as there are settle all
+	done := make([]int64, len(job.Steps)) // steps are in any order, so one pass per step is needed
 	for range job.Steps {
 		for i, s := range job.Steps {
 			from := int64(0)
@@ -211,13 +212,13 @@
 	return chainMs, workMs
 }
 
-// batchMayStart tells whether a pending task of a batch job may start by its hours.
+// batchMayStart reports whether the plan of a batch job allows one of its pending tasks to start now.
 func (n *node) batchMayStart(job *liveJob, t *task, wall int64) bool {
 	return job.plan != nil && job.plan.mayStart(wall, n.estimateMs(job, t))
 }
 
-// shortOfRoom tells whether more urgent work waits: of this shard for a place, of
-// any shard for a firm one, or at many of the workers.
+// shortOfRoom reports whether more urgent work waits: for a worker in this shard, for a guaranteed allocation in
+// any shard, or for its start at many of the workers.
 func (n *node) shortOfRoom(shard *ownedShard) bool {
 	if shard.starvedMs != 0 && n.now-shard.starvedMs < batchPauseMs ||
 		n.ranks.roomShort && n.now-n.ranks.receivedMs < rankStaleMs {
@@ -235,11 +236,12 @@
 	return waits > 0 && waits*batchPauseShare >= all
 }
 
-// queueOnWorker names a queue's part of a worker.
+// queueOnWorker is the key of the resources that a queue's batch tasks use at a worker; an empty queue stands for
+// all queues.
 type queueOnWorker struct{ queue, worker string }
 
-// batchLoad is the room that a queue's batches, or all queues', take at a worker,
-// as far as known; it is summed up once in a tick.
+// batchLoad returns the resources that the batch tasks of a queue, or of all queues if it is empty, are known to use
+// at a worker. The sum is cached for the tick.
 func (n *node) batchLoad(shard *ownedShard, queue, worker string) (sum resource.Amount) {
 	if sum, ok := shard.batchUseByWorker[queueOnWorker{queue, worker}]; ok {
 		return sum
@@ -264,9 +266,9 @@
 	return sum
 }
 
-// batchFraction tells whether a batch task fits at a worker within the batches' share and beside
-// what is kept for more urgent work, and what part of the worker its queue's batches hold: the
-// worker with the least of that is chosen.
+// batchFraction reports whether a batch task fits at a worker, within the share open to batches and beside the
+// headroom for more urgent work. It also returns the fraction of the worker that batch tasks of the queue use; the
+// worker with the lowest fraction is chosen.
 func (n *node) batchFraction(
 	shard *ownedShard,
 	job *liveJob,
@@ -293,20 +295,19 @@
 	if w.capacity.Memory > 0 {
 		part = max(part, float64(load.Memory)/float64(w.capacity.Memory))
 	}
-	if job.plan.AtAnyPrice { // where most is free: there it is pushed out the least
+	if job.plan.AtAnyPrice { // prefers the most free resources, where a preemption is least likely
 		free := n.freeResources(shard, worker, w)
 		part = 1 - float64(free.CPU)/float64(max(w.capacity.CPU, 1))
 	}
 	if worker == t.LastFailedWorker {
-		part++ // it failed there: anywhere else first
+		part++ // the last attempt failed there: any other worker is better
 	}
 	return part, true
 }
 
-// selectBatchWorker is the local scheduler of batches: the allowed worker with the
-// least of them, by its size, where nothing more urgent waits and enough room for
-// that stays free, counting on what was left over lately. A job that must start now
-// takes the worker with the most room, and may take the last of it.
+// selectBatchWorker selects a worker for a batch task, or returns "". It selects the allowed worker with the lowest
+// fraction of batch tasks, where nothing more urgent waits and the recently spare capacity leaves the headroom free.
+// For a job that starts at any price it selects the worker with the most free resources, headroom included.
 func (n *node) selectBatchWorker(shard *ownedShard, job *liveJob, i int) string {
 	if shard.batchStartsInTick >= batchStartsTick || shard.batchTriesInTick >= batchTriesTick {
 		return ""
@@ -325,8 +326,8 @@
 	best, least, bestWeight := "", 0.0, uint64(0)
 	for _, name := range sortedKeys(n.workers) {
 		w := n.workers[name]
-		if !n.workerAllowed(w, q, t.RequiredLabels, t.Resources) || w.suspect || w.unstarted > 0 || n.ranks.ejected(name) ||
-			step.MaxPerWorker > 0 && used[name] >= step.MaxPerWorker {
+		if !n.workerAllowed(w, q, t.RequiredLabels, t.Resources) || w.suspect || w.unstarted > 0 ||
+			n.ranks.ejected(name) || step.MaxPerWorker > 0 && used[name] >= step.MaxPerWorker {
 			continue
 		}
 		part, fits := n.batchFraction(shard, job, t, name, q.Batch.SharePercent)
@@ -347,7 +348,7 @@
 	return best
 }
 
-// explainHeld tells why a task of a batch has not started, and until when.
+// explainHeld describes why a batch task has not started, and until when it is held; "" for a task of no batch job.
 func (n *node) explainHeld(job *liveJob, t *task) string {
 	r, p, wall := n.batchRules(&job.jobRecord), job.plan, n.fleetTime()
 	if r == nil {
@@ -378,12 +379,15 @@
 		return "held while more urgent work waits for room" + by
 	}
 	if !t.Resources.Fits(n.largestBatchShare(job.Queue, r)) {
-		return fmt.Sprintf("no worker can hold it within the %d percent that batches of this queue may take", r.SharePercent)
+		return fmt.Sprintf(
+			"no worker can hold it within the %d percent that batches of this queue may take",
+			r.SharePercent,
+		)
 	}
 	return "waiting for its share of the workers' room" + by
 }
 
-// shortOfRoomAnywhere is shortOfRoom for any shard owned here.
+// shortOfRoomAnywhere reports whether shortOfRoom holds for any shard owned here.
 func (n *node) shortOfRoomAnywhere() bool {
 	for _, shard := range n.shards {
 		if n.shortOfRoom(shard) {
@@ -393,7 +397,7 @@
 	return false
 }
 
-// largestBatchShare is the largest share that one worker has for a queue's batches.
+// largestBatchShare returns, for each resource, the most that one worker offers to the batch tasks of a queue.
 func (n *node) largestBatchShare(queue string, r *configuration.BatchRules) (most resource.Amount) {
 	q := n.config.current.Queues[queue]
 	for _, w := range n.workers {
@@ -404,14 +408,14 @@
 	return most
 }
 
-// clockText tells a time as the contract's clock shows it.
+// clockText formats a time in the contract's time zone.
 func clockText(c *configuration.Contract, ms int64) string {
 	return time.UnixMilli(ms).In(c.Location()).Format("Mon 2006-01-02 15:04 -07:00")
 }
 
 func priceText(p float64) string { return fmt.Sprintf("%g", p) }
 
-// batchRetryAtMs lets a batch task that was pushed out wait before its next try.
+// batchRetryAtMs returns when a preempted task of a batch job may be retried, with jitter; 0 for other jobs.
 func (n *node) batchRetryAtMs(job *liveJob) int64 {
 	if n.batchRules(&job.jobRecord) == nil {
 		return 0
@@ -419,14 +423,13 @@
 	return n.now + batchRetryMs + n.rand().Int64N(batchRetryMs)
 }
 
-// meterKey names what core seconds are counted by.
+// meterKey is what core seconds of batch tasks are counted by.
 type meterKey struct {
 	Contract string
 	Price    float64
 }
 
-// meterBatch counts the core seconds of a run that just ended, at what each
-// part of it cost.
+// meterBatch counts the core seconds of an attempt that has just ended, by the price at the time they were used.
 func (n *node) meterBatch(job *liveJob, t *task, ranMs int64) {
 	r, wall := n.batchRules(&job.jobRecord), n.fleetTime()
 	if r == nil || wall == 0 || ranMs <= 0 {
@@ -442,7 +445,7 @@
 	}
 }
 
-// recordBatchEnd notes a batch job that is complete, and whether it is late.
+// recordBatchEnd counts a batch job that is complete, and logs it if it missed its deadline.
 func (n *node) recordBatchEnd(job *liveJob) {
 	if n.batchRules(&job.jobRecord) == nil || job.State != jobComplete || job.plan == nil {
 		return
@@ -454,8 +457,8 @@
 	}
 }
 
-// batchGauges counts the batch jobs that are held, by their hours or for room,
-// and those that must finish at any price.
+// batchGauges counts the batch jobs that are held, for their hours or for capacity, and those that run at any price
+// to meet their deadlines.
 func (n *node) batchGauges(out map[string]float64) {
 	for _, name := range []string{"batches_held", "batches_at_risk"} {
 		out[name] = 0
@@ -475,7 +478,8 @@
 	}
 }
 
-// batchUse is the room that each queue's batches take at a worker.
+// batchUse returns the resources that batch tasks use at the agent's worker, by queue. It leaves out the tasks of the
+// shard named by but, unless that is empty.
 func (a *workerAgent) batchUse(n *node, but string) (out []wire.QueueUsage) {
 	sum := map[string]resource.Amount{}
 	for _, attempt := range a.attempts {
@@ -490,8 +494,8 @@
 	return out
 }
 
-// loadWithoutBatches gives the unstarted tasks at a worker that are no batch's, and the
-// room that those and the running ones leave.
+// loadWithoutBatches returns how many tasks other than batch tasks wait for their start at the agent's worker, and
+// the resources that remain beside these and the running ones.
 func (a *workerAgent) loadWithoutBatches(n *node) (waiting int64, spare resource.Amount) {
 	spare = a.capacity
 	for _, attempt := range a.attempts {
@@ -506,13 +510,14 @@
 	return waiting, spare
 }
 
-// spareWindow keeps the least of some room over the last one to two spans of spareWindowMs.
+// spareWindow tracks the minimum of a worker's spare resources over the last one to two windows of spareWindowMs.
 type spareWindow struct {
-	current, previous resource.Amount
-	windows           int // spans seen
-	atMs              int64
+	current, previous resource.Amount // minimum in each window
+	windows           int             // windows begun so far
+	atMs              int64           // start of the current window
 }
 
+// observe returns the window with one more observation.
 func (l spareWindow) observe(nowMs int64, room resource.Amount) spareWindow {
 	if l.windows == 0 || nowMs-l.atMs >= spareWindowMs {
 		l = spareWindow{current: room, previous: l.current, windows: l.windows + 1, atMs: nowMs}
@@ -525,7 +530,7 @@
 	return l
 }
 
-// least gives nothing until a whole span was seen.
+// least returns the minimum, or nothing until a whole window has been observed.
 func (l spareWindow) least() resource.Amount {
 	if l.windows < 2 {
 		return resource.Amount{}
@@ -537,7 +542,7 @@
 	}
 }
 
-// allocationsWait tells whether firm work has waited for room some time.
+// allocationsWait reports whether an allocation request has waited for resources longer than batchPauseMs.
 func (n *node) allocationsWait(c *centralScheduler) bool {
 	for _, request := range c.pending {
 		if n.now-request.firstMs > batchPauseMs && request.hasOpen() {
@@ -547,8 +552,8 @@
 	return false
 }
 
-// mayStartBatch guards a worker's room once more when a batch task would start:
-// nothing more urgent waits there, and its queue stays within its share.
+// mayStartBatch reports whether a batch task may start at the agent's worker. It checks once more, at the worker,
+// that nothing more urgent waits there and that the queue stays within its share.
 func (n *node) mayStartBatch(agent *workerAgent, attempt *agentAttempt, r *configuration.BatchRules) bool {
 	if waiting, _ := agent.loadWithoutBatches(n); waiting > 0 {
 		return false
@@ -564,8 +569,8 @@
 	return sum.Fits(agent.capacity.Share(r.SharePercent))
 }
 
-// returnBatches gives back batch tasks that could not start here at once, and
-// leaves the others in the queue: batches never wait at a worker.
+// returnBatches ends batch tasks that could not start here within batchReturnMs, so that their owner places them
+// again, and returns the rest of the queue: batch tasks don't wait at a worker.
 func (n *node) returnBatches(agent *workerAgent, queue []*agentAttempt) []*agentAttempt {
 	some := false
 	queue = slices.DeleteFunc(queue, func(attempt *agentAttempt) bool {
--- a/internal/daemon/job.go
+++ b/internal/daemon/job.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	bodyMaxBytes  = 1 << 20 // bytes of a job's body
+	bodyMaxBytes  = 1 << 20 // size of a job's request body
 	stepsMax      = 64      // steps of a job
-	roundTasksMax = 2000    // tasks of the rounds of a job that are open at once
+	roundTasksMax = 2000    // tasks in all open rounds of a job
 )
 
-// task and jobRecord are kept as they stand in the shard's record.
+// task is one task of a jobRecord, in the form in which the shard's record stores it. The fields up to Payload are
+// its specification, the others its state.
 type task struct {
 	Round             int32
 	Step, IndexInStep int32
@@ -31,72 +32,76 @@
 	Class            wire.TaskClass
 	Attempt          int32
 	Worker           string
-	Agent            string // the daemon that tends the worker
+	Agent            string // the daemon whose agent manages the worker
 	AgentEpoch       uint64
 	Failures         int32
 	Preemptions      int32
 	RanMs            int64
-	ChangedVersion   int64  // record version of the last change of state
-	LastFailedWorker string // the worker of the last failure, avoided next time
+	ChangedVersion   int64  // version of the job's record at the last change of state
+	LastFailedWorker string // worker of the last failure, avoided by the next attempt
 	Cause            string
-	FailedAttempt    int32  // the last run counted as a failure
-	Checkpoint       string // the newest text it can go on from
+	FailedAttempt    int32  // the last attempt that was counted as a failure
+	Checkpoint       string // the newest checkpoint that an attempt can resume from
 }
 
+// jobStep is a group of tasks that start when all tasks of the steps in After have completed.
 type jobStep struct {
 	Name  string
-	After []int32
-	Size  int32 // tasks of a round
-	// A step of Size alike tasks is held as one specification.
+	After []int32 // indexes of other steps
+	Size  int32   // tasks in each round
+	// Uniform marks a step whose Size tasks share one specification, which is stored here once.
 	Uniform          bool
 	Resources        resource.Amount
 	RequiredLabels   []wire.Label
 	LimitMs          int64
 	EstimateHintMs   int64
 	AllowedFailures  int32
-	Gang             bool // its tasks work only together
+	Gang             bool // its tasks start together or not at all
 	SameRack         bool
 	DataRack         string // the rack that holds its data
-	MaxPerWorker     int32  // at most so many of its tasks on one worker; 0 for any
-	AllowsDuplicates bool   // two runs of a task may stand side by side
+	MaxPerWorker     int32  // most of its tasks on one worker; 0 for no limit
+	AllowsDuplicates bool   // two attempts of a task may run at the same time
 	LongRunning      bool   // its tasks run until the job is cancelled
-	Checkpointing    bool   // its tasks tell texts that they can go on from
+	Checkpointing    bool   // its tasks report checkpoints that they can resume from
 }
 
+// jobRecord is a job as its shard's record stores it, with all its tasks.
 type jobRecord struct {
 	ID       string
 	Queue    string
-	Digest   []byte
+	Digest   []byte // of the request body, see bodyDigest
 	SubmitMs int64
 	DueMs    int64
 	DelayMs  int64
 	State    jobStatus
 	DoneMs   int64
 	Version  int64
-	Size     int32 // tasks, when finished
+	Size     int32 // tasks in the record when the job finished
 	Payload  []byte
-	// A timed job runs its steps Rounds times, the one numbered K from FirstMs + K x PeriodMs on.
+	// A periodic job runs its steps Rounds times; round K may start at FirstMs + K x PeriodMs. 0 for other jobs.
 	Rounds         int32
 	FirstMs        int64
 	PeriodMs       int64
-	FirstOpenRound int32 // the first round that Tasks still holds
-	RoundsOpened   int32 // rounds opened so far; Tasks holds those from Begun on
+	FirstOpenRound int32 // the first round whose tasks are still in Tasks
+	RoundsOpened   int32 // rounds opened so far; Tasks holds those from FirstOpenRound on
 	Steps          []jobStep
 	Tasks          []task
-	// runs whose worker was silent for too long: an end of theirs that comes later doesn't count
+	// Abandoned are attempts whose worker was silent for too long. If they are reported as ended later, that doesn't
+	// count.
 	Abandoned []abandonedRun
-	// Tenant is whose key the job came with. It stands last, and a record leaves it out where it
-	// is empty: records from before there were tenants have the same form.
+	// Tenant is the tenant whose key the job was submitted with. It is the last field, and a record omits it if it
+	// is empty: records from before tenants existed have the same form.
 	Tenant string
 }
 
+// abandonedRun identifies an attempt of a task whose worker was silent for too long.
 type abandonedRun struct {
 	Task    int64
 	Attempt int32
 }
 
-// Tasks of jobs with steps of alike tasks are named by their place, so that a
-// worker's word on a run is understood without the job.
+// In jobs with a uniform step, a task's id encodes its round, step and index in the step, so that a worker's report on
+// an attempt can be interpreted without the job's record.
 const (
 	uniformTaskBit = 1 << 60
 	roundShift     = 32
@@ -105,11 +110,12 @@
 	indexMask      = 1<<stepShift - 1
 )
 
+// uniformTaskID returns the id of a task in a job with a uniform step.
 func uniformTaskID(round, step, index int32) int64 {
 	return uniformTaskBit | int64(round)<<roundShift | int64(step)<<stepShift | int64(index)
 }
 
-// parseUniformTaskID is the opposite of uniformTaskID.
+// parseUniformTaskID is the inverse of uniformTaskID; ok is false for an id that is a plain position.
 func parseUniformTaskID(id int64) (round, step, index int32, ok bool) {
 	if id < uniformTaskBit {
 		return 0, 0, 0, false
@@ -121,7 +127,7 @@
 	return slices.ContainsFunc(j.Steps, func(s jobStep) bool { return s.Uniform })
 }
 
-// taskID names the task at a position.
+// taskID returns the id of the task at a position of Tasks.
 func (j *jobRecord) taskID(pos int) int64 {
 	t := &j.Tasks[pos]
 	if j.Steps[t.Step].Uniform || j.hasUniformStep() {
@@ -130,8 +136,8 @@
 	return int64(pos)
 }
 
-// position finds a task by its name. A task of a round that is over has none:
-// past tells that.
+// position returns the position of a task in Tasks by its id. A task of a completed round has none: then past is
+// true.
 func (j *jobRecord) position(id int64) (pos int, past, ok bool) {
 	round, st, index, byPlace := parseUniformTaskID(id)
 	if !byPlace {
@@ -150,6 +156,7 @@
 	return int(at), false, true
 }
 
+// roundSize returns how many tasks a round has.
 func (j *jobRecord) roundSize() (size int32) {
 	for i := range j.Steps {
 		size += j.Steps[i].Size
@@ -157,6 +164,7 @@
 	return size
 }
 
+// stepStart returns the position of a step's first task in its round.
 func (j *jobRecord) stepStart(st int32) (at int32) {
 	for i := range j.Steps[:st] {
 		at += j.Steps[i].Size
@@ -164,17 +172,17 @@
 	return at
 }
 
-// gangRange gives the positions of all tasks of a task's step in its round.
+// gangRange returns the range of positions, to excluded, of all tasks in the same step and round as the given task.
 func (j *jobRecord) gangRange(pos int) (from, to int) {
 	t := &j.Tasks[pos]
 	from = pos - int(t.IndexInStep)
 	return from, from + int(j.Steps[t.Step].Size)
 }
 
-// roundCount is how often the steps run in all.
+// roundCount returns how many rounds the job runs in total.
 func (j *jobRecord) roundCount() int32 { return max(j.Rounds, 1) }
 
-// openRound adds the tasks of the next round of alike steps.
+// openRound adds the tasks of the next round; all steps must be uniform.
 func (j *jobRecord) openRound() {
 	for s := range j.Steps {
 		for i := range j.Steps[s].Size {
@@ -185,7 +193,7 @@
 	j.fillFromSteps()
 }
 
-// roundDueMs is when a round may start; 0 for at once.
+// roundDueMs returns when a round may start; 0 means at once.
 func (j *jobRecord) roundDueMs(round int32) int64 {
 	if j.Rounds > 0 {
 		return j.FirstMs + int64(round)*j.PeriodMs
@@ -193,7 +201,7 @@
 	return j.DueMs
 }
 
-// fillFromSteps gives tasks of alike steps what their step says.
+// fillFromSteps copies the specification of each uniform step to its tasks.
 func (j *jobRecord) fillFromSteps() {
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
@@ -207,14 +215,15 @@
 	}
 }
 
-// maxFailures is how often a task may fail in all: a task whose allowed
-// failures are used up is never started again, and every task starts once.
+// maxFailures returns the number of failures after which a task is not retried. It is at least 1, since every task
+// gets one attempt.
 func (t *task) maxFailures() int32 { return max(t.AllowedFailures, 1) }
 
+// isTerminal reports whether the task has reached a final state.
 func (t *task) isTerminal() bool { return t.State >= taskEnded }
 
-// readySteps tells for each step of each round held whether all it waits on
-// ended well, and durably: at (round - Begun) x steps + step.
+// readySteps reports, for each step of each open round, whether all tasks that it depends on succeeded and the
+// record of that is committed. The index is that of stepIndex.
 func (j *jobRecord) readySteps(committed int64) []bool {
 	rounds := max(int(j.RoundsOpened-j.FirstOpenRound), 1)
 	done := make([]bool, rounds*len(j.Steps))
@@ -239,12 +248,13 @@
 	return ready
 }
 
-// stepIndex is where a task's step and round stand in readySteps.
+// stepIndex returns the index of a task's step and round in the result of readySteps.
 func (j *jobRecord) stepIndex(t *task) int {
 	return int(t.Round-j.FirstOpenRound)*len(j.Steps) + int(t.Step)
 }
 
-// dropCompleteRounds lets go of rounds whose tasks have all ended well, durably.
+// dropCompleteRounds removes leading rounds whose tasks have all succeeded in the committed record, and reports
+// whether there were any. The last open round stays.
 func (j *jobRecord) dropCompleteRounds(committed int64) (some bool) {
 	for size := int(j.roundSize()); j.Rounds > 0 && len(j.Tasks) > size; some = true {
 		for i := range j.Tasks[:size] {
@@ -258,7 +268,7 @@
 	return some
 }
 
-// outcome derives a job's state from its tasks, where it has one.
+// outcome derives a job's state from its tasks, and reports whether that state is final.
 func (j *jobRecord) outcome() (jobStatus, bool) {
 	all := true
 	if j.State == jobRunning && j.RoundsOpened < j.roundCount() {
@@ -276,7 +286,7 @@
 	return j.State, true
 }
 
-// decodeJob reads the job in a record.
+// decodeJob decodes the job in a record; it also accepts the form without a tenant.
 func decodeJob(r statestore.Record) (*jobRecord, bool) {
 	if r.ID == "" {
 		return nil, false
@@ -293,6 +303,7 @@
 	return j, true
 }
 
+// describe returns the job as replies show it. why returns the reason for which a task waits, or "".
 func (j *jobRecord) describe(why func(*task) string) map[string]any {
 	steps := make([]map[string]any, len(j.Steps))
 	for i, s := range j.Steps {
--- a/internal/daemon/job_encode.go
+++ b/internal/daemon/job_encode.go
@@ -9,19 +9,19 @@
 	"otterchute/internal/statestore"
 )
 
-// recordCountBytes is the count that codec puts before a slice.
+// recordCountBytes is the size of the count that codec writes before the elements of a slice.
 const recordCountBytes = 4
 
-// abandonedRuns is the end of the form of a job without a tenant.
+// abandonedRuns is the last part of the encoding of a job without a tenant.
 type abandonedRuns struct{ Runs []abandonedRun }
 
-// noTenant is the form of an empty Tenant, which records leave out.
+// noTenant is the encoding of an empty Tenant, which records omit.
 var noTenant = codec.Append(nil, struct{ Tenant string }{})
 
-// encode is the form of a job in its record, whose id it does not repeat.
+// encode returns the value of the job's record. It leaves out the job's id, which is the record's id.
 func (j *jobRecord) encode() []byte { return j.encodeSegmented().Value }
 
-// encodeSegmented is encode with each task a segment of its own.
+// encodeSegmented returns the same value as encode, with each task as a segment of its own.
 func (j *jobRecord) encodeSegmented() statestore.Segmented {
 	c := j.recorded()
 	tasks := c.Tasks
@@ -44,8 +44,8 @@
 	return statestore.Segmented{Value: value, Ends: append(ends, len(value))}
 }
 
-// recorded is what a job's record keeps of it. Of a complete one no task is needed any
-// more: the core keeps some hundred thousand of them a day.
+// recorded returns the job without the parts that its record doesn't need. A complete job is stored without steps and
+// tasks, since the core set stores about a hundred thousand complete jobs a day.
 func (j *jobRecord) recorded() *jobRecord {
 	c := *j
 	c.ID = ""
@@ -60,12 +60,12 @@
 		if j.State == jobComplete {
 			c.Steps, c.Tasks = nil, nil
 		}
-	case j.hasUniformStep(): // the step says what its tasks share
+	case j.hasUniformStep(): // the step stores what its tasks share
 		c.Tasks = slices.Clone(j.Tasks)
 		for i := range c.Tasks {
 			t := &c.Tasks[i]
-			t.Name, t.Resources, t.RequiredLabels, t.LimitMs, t.EstimateHintMs, t.AllowedFailures, t.Payload = "", resource.Amount{},
-				nil, 0, 0, 0, nil
+			t.Name, t.Resources, t.RequiredLabels, t.LimitMs, t.EstimateHintMs, t.AllowedFailures, t.Payload =
+				"", resource.Amount{}, nil, 0, 0, 0, nil
 		}
 	}
 	return &c
--- a/internal/daemon/job_parse.go
+++ b/internal/daemon/job_parse.go
@@ -13,7 +13,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// jobFields is what a job's body may hold.
+// jobFields is the schema of a job's request body.
 var jobFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"queue":     {Kind: schema.Name},
 	"payload":   {Kind: schema.Any},
@@ -77,8 +77,8 @@
 	},
 }}
 
-// parseJob checks a job's body and gives the job, or all faults by path. The
-// queue is the one that the caller's address stands for, or else the body's.
+// parseJob checks the request body of a job and returns the job, or all faults by path. The queue is the one that
+// belongs to the address of the request; if that is empty, it is taken from the body.
 //
 // Example: j, faults := parseJob("order-7", "checks", body)
 func parseJob(id, queue string, body []byte) (*jobRecord, []schema.Fault) {
@@ -113,7 +113,8 @@
 	return p.job, nil
 }
 
-// bodyDigest tells bodies apart that differ in more than blanks: half of a SHA-256 does it well enough.
+// bodyDigest returns a digest of the body without insignificant whitespace. Half of a SHA-256 is enough to distinguish
+// the bodies of one job id.
 func bodyDigest(body []byte) []byte {
 	var flat bytes.Buffer
 	_ = json.Compact(&flat, body)
@@ -121,10 +122,10 @@
 	return sum[:16]
 }
 
-// jobParser fills a job from its body and collects what is wrong with it.
+// jobParser fills a job from its request body and collects the faults.
 type jobParser struct {
 	job    *jobRecord
-	index  map[string]int32 // of the steps, by name
+	index  map[string]int32 // indexes of the steps by name
 	faults []schema.Fault
 }
 
@@ -132,6 +133,7 @@
 	p.faults = append(p.faults, schema.Fault{Path: path, Reason: reason})
 }
 
+// parseSteps reads all steps and checks that their names are unique.
 func (p *jobParser) parseSteps(steps []gjson.Result) {
 	for i, s := range steps {
 		name := s.Get("name").Str
@@ -145,6 +147,7 @@
 	}
 }
 
+// parseStep reads one step and its tasks.
 func (p *jobParser) parseStep(i int, s gjson.Result) {
 	st := jobStep{Name: s.Get("name").Str}
 	for k, a := range s.Get("after").Array() {
@@ -183,14 +186,14 @@
 		}
 		p.job.Tasks = append(p.job.Tasks, task{
 			Step: int32(step), IndexInStep: int32(k), Name: name, Resources: resource.Parse(t.Get("room")),
-			RequiredLabels: labelsOf(t.Get("labels")), LimitMs: t.Get("limit_ms").Int(), EstimateHintMs: t.Get("estimate_ms").Int(),
-			AllowedFailures: allowed, Payload: []byte(t.Get("payload").Raw),
+			RequiredLabels: labelsOf(t.Get("labels")), LimitMs: t.Get("limit_ms").Int(),
+			EstimateHintMs: t.Get("estimate_ms").Int(), AllowedFailures: allowed, Payload: []byte(t.Get("payload").Raw),
 		})
 	}
 }
 
-// openFirstRound opens the only round of a job that has no rounds, and checks that a job
-// either lists its tasks or counts them.
+// openFirstRound opens the only round of a job that is not periodic. It also checks that either all steps list their
+// tasks or all have a count.
 func (p *jobParser) openFirstRound() {
 	j := p.job
 	if !j.hasUniformStep() {
@@ -209,6 +212,7 @@
 	}
 }
 
+// checkSteps checks the number of tasks, and that no step depends on itself.
 func (p *jobParser) checkSteps() {
 	if len(p.job.Tasks) > configuration.MaxTasks || p.job.roundSize() > configuration.MaxTasks {
 		p.fault("steps", fmt.Sprintf("have more than %d tasks together", configuration.MaxTasks))
@@ -218,34 +222,24 @@
 	}
 }
 
-// alike reads the specification that all tasks of a step share.
+// alike reads the specification of a uniform step, which all its tasks share.
 func (step *jobStep) alike(s gjson.Result) {
-	step.Uniform, step.Size, step.Resources, step.RequiredLabels = true, int32(
-		s.Get("count").Int(),
-	), resource.Parse(
-		s.Get("room"),
-	), labelsOf(
-		s.Get("labels"),
-	)
+	step.Uniform, step.Size, step.Resources, step.RequiredLabels =
+		true, int32(s.Get("count").Int()), resource.Parse(s.Get("room")), labelsOf(s.Get("labels"))
 	step.LimitMs, step.EstimateHintMs, step.AllowedFailures = s.Get("limit_ms").Int(), s.Get("estimate_ms").Int(), -1
 	if a := s.Get("allowed_failures"); a.Exists() {
 		step.AllowedFailures = int32(a.Int())
 	}
-	step.Gang, step.SameRack, step.DataRack, step.MaxPerWorker = s.Get("gang").Bool() &&
-		step.Size > 1, s.Get(
-		"same_rack",
-	).Bool(), s.Get(
-		"near",
-	).Str, int32(
-		s.Get("per_worker").Int(),
-	)
-	step.AllowsDuplicates, step.LongRunning, step.Checkpointing = s.Get("copies").Bool(), s.Get("lasting").Bool(),
-		s.Get("saves").Bool()
+	step.Gang, step.SameRack, step.DataRack, step.MaxPerWorker =
+		s.Get("gang").Bool() && step.Size > 1, s.Get("same_rack").Bool(), s.Get("near").Str,
+		int32(s.Get("per_worker").Int())
+	step.AllowsDuplicates, step.LongRunning, step.Checkpointing =
+		s.Get("copies").Bool(), s.Get("lasting").Bool(), s.Get("saves").Bool()
 }
 
-// cycle gives a step that waits on itself through others.
+// cycle returns the index of a step that depends on itself, directly or through other steps, and whether there is one.
 func cycle(steps []jobStep) (int, bool) {
-	state := make([]int8, len(steps)) // 1 being visited, 2 done
+	state := make([]int8, len(steps)) // 0 not visited, 1 being visited, 2 done
 	var visit func(int) bool
 	visit = func(i int) bool {
 		if state[i] != 0 {
--- a/internal/daemon/job_trace.go
+++ b/internal/daemon/job_trace.go
@@ -7,21 +7,22 @@
 	"otterchute/internal/wire"
 )
 
-// An owner follows each of its jobs through its stages: see package jobtrace. What came
-// about at a former owner it doesn't know, and says so.
+// An owner traces each of its jobs through its stages, see package jobtrace. It doesn't know the stages that passed
+// under a previous owner, and the trace says so.
 
-// endedAttempt is an end that a report told and that is not committed yet.
+// endedAttempt is an attempt whose end was reported and is not committed yet.
 type endedAttempt struct {
 	status     wire.AttemptStatus
-	version    int64 // of the job's record that has the end
+	version    int64 // version of the job's record that first contains the end
 	heardMs    int64
-	sentMs     int64 // by the agent's clock, when it told
+	sentMs     int64 // when the agent sent the report, by its clock
 	agent      string
 	worker     string
 	agentEpoch uint64
 }
 
-// awaitCommit has an end acknowledged to its agent once a version of the record is at a quorum.
+// awaitCommit keeps an attempt's end, to acknowledge it to its agent when the given version of the record is at a
+// quorum.
 func (j *liveJob) awaitCommit(m *wire.AgentReport, end wire.AttemptStatus, version, nowMs int64) {
 	if slices.ContainsFunc(j.ended, func(e endedAttempt) bool { return e.status.Key == end.Key }) {
 		return
@@ -32,12 +33,12 @@
 	})
 }
 
-// observeStage counts how long a task or job was in a stage.
+// observeStage records how long a task or job was in a stage.
 func (n *node) observeStage(job *liveJob, class wire.TaskClass, stage jobtrace.Stage, ms int64) {
 	n.stages.Observe(jobtrace.Key{Queue: job.Queue, Class: class.String(), Stage: stage}, ms)
 }
 
-// jobClass is the class that stages of whole jobs are counted under: that of the first task.
+// jobClass returns the class under which stages of the whole job are recorded: that of the first task.
 func (j *liveJob) jobClass() wire.TaskClass {
 	if len(j.Tasks) == 0 {
 		return wire.ClassQueueable
@@ -45,7 +46,7 @@
 	return j.Tasks[0].Class
 }
 
-// traceAdmitted begins to follow a job that arrived at a time and was let in now.
+// traceAdmitted begins the trace of a job that arrived at arrivedMs and is admitted now.
 func (n *node) traceAdmitted(shard *ownedShard, job *liveJob, arrivedMs int64) {
 	job.trace = jobtrace.NewJob(len(job.Tasks), shard.epoch)
 	job.trace.AcceptedMs, job.trace.AdmittedMs = arrivedMs, n.now
@@ -56,21 +57,21 @@
 	n.observeStage(job, class, jobtrace.Admit, n.now-arrivedMs)
 }
 
-// tracePlaced notes that a task was placed among so many candidates.
+// tracePlaced records that a task was placed, and how many candidates there were.
 func (n *node) tracePlaced(job *liveJob, i, candidates int) {
 	tookMs := job.trace.Task(i).Placed(n.now, candidates)
 	n.observeStage(job, job.Tasks[i].Class, jobtrace.Place, tookMs)
 }
 
-// traceSent notes that a placement was sent.
+// traceSent records that a placement was sent to the agent.
 func (n *node) traceSent(job *liveJob, i int) {
 	if tookMs, first := job.trace.Task(i).Sent(n.now); first {
 		n.observeStage(job, job.Tasks[i].Class, jobtrace.CommitPlacement, tookMs)
 	}
 }
 
-// traceEnded notes that a report tells the end of an attempt; the job's record has it
-// with its next version.
+// traceEnded records the stages of an attempt whose end was reported. The end is part of the next version of the
+// job's record.
 func (n *node) traceEnded(job *liveJob, i int, status wire.AttemptStatus) {
 	class := job.Tasks[i].Class
 	if transitMs, known := job.trace.Task(i).Ended(n.now, status.QueueMs, status.StartMs, status.RanMs); known {
@@ -81,8 +82,8 @@
 	n.observeStage(job, class, jobtrace.Run, status.RanMs)
 }
 
-// traceCommitted notes that a version of a job's record is at a quorum, and gives the ends
-// that it has.
+// traceCommitted records that a version of a job's record is at a quorum, and returns the ended attempts that it
+// contains and earlier ones did not.
 func (n *node) traceCommitted(job *liveJob, version int64) (committed []endedAttempt) {
 	if job.committed == 0 && job.trace != nil && job.trace.AdmittedMs != 0 {
 		job.trace.CommittedMs = n.now
@@ -101,7 +102,7 @@
 	return committed
 }
 
-// traceOutcome keeps the trace of a job whose outcome is at a quorum.
+// traceOutcome completes the trace of a job whose outcome is at a quorum, and keeps it with those of finished jobs.
 func (n *node) traceOutcome(shard *ownedShard, job *liveJob) {
 	trace := job.trace
 	if trace == nil {
@@ -117,7 +118,7 @@
 	shard.finishedTraces.Add(job.ID, trace)
 }
 
-// shiftTrace keeps the trace in line with the tasks that are held.
+// shiftTrace adapts the trace to the job's tasks after the given number was dropped from their front.
 func (j *liveJob) shiftTrace(dropped int) {
 	if j.trace != nil {
 		j.trace.Shift(dropped, len(j.Tasks))
--- a/internal/daemon/tenant_overview.go
+++ b/internal/daemon/tenant_overview.go
@@ -12,12 +12,12 @@
 	"github.com/tidwall/gjson"
 )
 
-// tenantOverview is what `otterchute tenants` shows: all shards' word on tenants, put together.
+// tenantOverview is what `otterchute tenants` shows: the merged reports of all shards.
 type tenantOverview struct {
 	Tenants []tenantSummary `json:"tenants"`
 	Total   tenantTotal     `json:"total"`
-	// Incomplete are the counting shards that have not heard from all others: their tenants get
-	// nothing beyond what they hold.
+	// Incomplete lists the counting shards without a report from each of the others. Until they have all reports,
+	// their tenants get no further shares.
 	Incomplete []string `json:"incomplete"`
 	Omitted    int      `json:"omitted,omitempty"`
 }
@@ -26,13 +26,13 @@
 type tenantSummary struct {
 	countedTenant
 
-	Shard    string                `json:"slice"` // whose owner counts it
+	Shard    string                `json:"slice"` // the shard whose owner counts the tenant
 	Complete bool                  `json:"complete"`
 	Silent   []string              `json:"silent,omitempty"`
 	Jobs     int                   `json:"jobs"`
 	Excess   int64                 `json:"excess"`
 	Refused  int64                 `json:"refused"`
-	Shares   map[string]shardShare `json:"shares"` // by the shard that holds them
+	Shares   map[string]shardShare `json:"shares"` // by shard
 }
 
 // shardShare is what one shard holds and uses of a tenant's limit.
@@ -41,7 +41,7 @@
 	Used resource.Amount `json:"used"`
 }
 
-// tenantTotal sums what is told of all tenants.
+// tenantTotal is the sum over all tenants.
 type tenantTotal struct {
 	Tenants int             `json:"tenants"`
 	Lent    resource.Amount `json:"lent"`
@@ -52,7 +52,7 @@
 	Refused int64           `json:"refused"`
 }
 
-// mergeTenants puts together what shards' owners told.
+// mergeTenants merges the reports of all shards' owners.
 func mergeTenants(reports []shardTenants) tenantOverview {
 	out, byName := tenantOverview{Tenants: []tenantSummary{}, Incomplete: []string{}}, map[string]*tenantSummary{}
 	of := func(name string) *tenantSummary {
@@ -91,13 +91,13 @@
 	sum.Excess, sum.Refused = sum.Excess+t.Excess, sum.Refused+t.Refused
 }
 
-// serveTenants puts together what each shard's owner tells of tenants.
+// serveTenants replies with the merged reports of all shards' owners.
 func (d *httpServer) serveTenants(c *gin.Context) {
 	writeReply(c, gatherTenants(c.Request.Context(), d.request))
 }
 
-// gatherTenants requests each shard's word on tenants. Without that of one the sums would be
-// false: then its refusal is the answer.
+// gatherTenants requests the report of each shard's owner and merges them. If a request fails, its reply is the
+// result, since the sums would be wrong without that shard.
 func gatherTenants(ctx context.Context, send func(context.Context, evRequest) effReply) effReply {
 	members := send(ctx, evRequest{Op: "members", Base: -1})
 	if members.Status != 200 {
--- a/internal/daemon/tenant_shares.go
+++ b/internal/daemon/tenant_shares.go
@@ -13,31 +13,35 @@
 	"otterchute/internal/wire"
 )
 
-// tenantShares is what the owner of a shard may have running of each tenant, see package quota.
+// tenantShares tracks how much of each tenant's limit the owner of a shard may use, see package quota.
 type tenantShares struct {
 	shardNames []string
 	borrowers  map[string]*quota.Borrower // by counting shard
-	byTenant   map[string]*quota.Borrower // of those, the one whose counter counts a tenant
+	byTenant   map[string]*quota.Borrower // cache of borrowerFor
 	loggedMs   int64                      // when delays were last logged
 }
 
-// shareLogMs is how long a task waits for a share before that is logged, and how often it is.
+// shareLogMs is how long a task waits for a share before the delay is logged, and the interval between logs.
 const shareLogMs = 2000
 
 func newTenantShares(shard string, epoch uint64, shards []string) tenantShares {
-	s := tenantShares{shardNames: shards, borrowers: map[string]*quota.Borrower{}, byTenant: map[string]*quota.Borrower{}}
+	s := tenantShares{
+		shardNames: shards,
+		borrowers:  map[string]*quota.Borrower{},
+		byTenant:   map[string]*quota.Borrower{},
+	}
 	for _, counter := range shards {
 		s.borrowers[counter] = quota.NewBorrower(shard, epoch, counter)
 	}
 	return s
 }
 
-// countingShard is the shard whose owner counts a tenant.
+// countingShard returns the shard whose owner counts a tenant's usage.
 func countingShard(tenant string, shards []string) string {
 	return rendezvous.Order("tenant/"+tenant, shards)[0]
 }
 
-// borrowerFor is the account of a tenant; nil where nothing is counted.
+// borrowerFor returns the borrower that tracks a tenant's share, or nil if nothing is counted.
 func (s *tenantShares) borrowerFor(tenant string) *quota.Borrower {
 	if tenant == "" || len(s.shardNames) == 0 {
 		return nil
@@ -50,54 +54,61 @@
 	return b
 }
 
+// use counts an amount as used by a tenant.
 func (s *tenantShares) use(tenant string, amount resource.Amount) {
 	if b := s.borrowerFor(tenant); b != nil {
 		b.Use(tenant, amount)
 	}
 }
 
+// release is the inverse of use.
 func (s *tenantShares) release(tenant string, amount resource.Amount) {
 	if b := s.borrowerFor(tenant); b != nil {
 		b.Release(tenant, amount)
 	}
 }
 
+// beginClaims begins a round of claims. Claims that are not repeated before endClaims are dropped.
 func (s *tenantShares) beginClaims() {
 	for _, b := range s.borrowers {
 		b.BeginClaims()
 	}
 }
 
+// endClaims ends the round of claims.
 func (s *tenantShares) endClaims() {
 	for _, b := range s.borrowers {
 		b.EndClaims()
 	}
 }
 
-// shareKey names a task's step and round among all jobs.
+// shareKey identifies a task's step and round across all jobs.
 func shareKey(job *liveJob, i int) string {
 	return job.ID + "/" + job.roundAndStep(i)
 }
 
+// reserve reserves a share for a task's step until a time.
 func (s *tenantShares) reserve(job *liveJob, i int, amount resource.Amount, nowMs, untilMs int64) {
 	if b := s.borrowerFor(job.Tenant); b != nil {
 		b.Reserve(job.Tenant, shareKey(job, i), amount, nowMs, untilMs)
 	}
 }
 
-// yields tells whether a task's step is to leave what was reserved for it to other tasks.
+// yields reports whether a task's step must give up its reservation, which it kept for long, to the tenant's other
+// tasks.
 func (s *tenantShares) yields(job *liveJob, i int, nowMs int64) bool {
 	b := s.borrowerFor(job.Tenant)
 	return b != nil && b.YieldReservation(job.Tenant, shareKey(job, i), nowMs)
 }
 
+// unreserve reduces the reservation of a task's step, because the task is started.
 func (s *tenantShares) unreserve(job *liveJob, i int, amount resource.Amount) {
 	if b := s.borrowerFor(job.Tenant); b != nil {
 		b.Unreserve(job.Tenant, shareKey(job, i), amount)
 	}
 }
 
-// reservedFor is what is reserved for a task's step.
+// reservedFor returns the amount that is reserved for a task's step.
 func (s *tenantShares) reservedFor(job *liveJob, i int, nowMs int64) resource.Amount {
 	if b := s.borrowerFor(job.Tenant); b != nil {
 		return b.Reserved(job.Tenant, shareKey(job, i), nowMs)
@@ -105,13 +116,13 @@
 	return resource.Amount{}
 }
 
-// roundAndStep names a task's round and step in its job.
+// roundAndStep identifies a task's round and step within its job.
 func (j *liveJob) roundAndStep(i int) string {
 	t := &j.Tasks[i]
 	return strconv.Itoa(int(t.Round)) + "." + strconv.Itoa(int(t.Step))
 }
 
-// allocationUnit is what starts together with a task: all its gang, or it alone.
+// allocationUnit returns the resources of all tasks that start together with a task: its gang, or the task alone.
 func (j *liveJob) allocationUnit(i int) (sum resource.Amount) {
 	if !j.Steps[j.Tasks[i].Step].Gang {
 		return j.Tasks[i].Resources
@@ -123,8 +134,8 @@
 	return sum
 }
 
-// adoptLimits follows the configuration: where a tenant's limit may be lower now, what was lent
-// by the higher one is given up, but for what runs.
+// adoptLimits takes the tenants' limits from the configuration. If a tenant's limit may have been lowered, the share
+// that was granted under the higher limit is given up, except for what is in use.
 func (n *node) adoptLimits() {
 	var limits map[string]quota.Limit
 	if c := n.config.current; c.RequiresKey() {
@@ -142,21 +153,21 @@
 	}
 }
 
-// knowsLimit tells whether a job's tenant is counted by its limit here. A tenant that this daemon
-// doesn't know yet was declared by a version that is on its way; one that it doesn't know by a
-// configuration that was confirmed since the job came here is declared no more.
+// knowsLimit reports whether this daemon knows the limit of a job's tenant, or knows that the tenant was removed.
+// A tenant that the configuration here doesn't declare may be declared by a newer version that hasn't arrived yet.
+// If the configuration was confirmed after the job arrived and doesn't declare the tenant, the tenant was removed.
 func (n *node) knowsLimit(job *liveJob) bool {
 	return job.Tenant == "" || n.limits.Declared(job.Tenant) || n.config.confirmedMs > job.enteredMs
 }
 
-// mayTakeShare tells whether a task may claim and reserve a share of its tenant's limit: one that
-// fits no worker of its queue's group would keep the share from tasks that can run.
+// mayTakeShare reports whether a task may claim and reserve a share of its tenant's limit. A task that fits no worker
+// of its queue may not: it would keep the share from tasks that can run.
 func (n *node) mayTakeShare(job *liveJob, i int, q *configuration.Queue) bool {
 	if n.limits.Of(job.Tenant).Unlimited() {
 		return true
 	}
 	t := &job.Tasks[i]
-	for _, w := range n.workers { // some worker: the order does not matter
+	for _, w := range n.workers { // any worker will do: the order does not matter
 		_, lacks := configuration.MissingLabel(w.labels, t.RequiredLabels)
 		if t.Resources.Fits(w.capacity) && !lacks && q.Matches(w.labels, w.zone) {
 			return true
@@ -165,21 +176,21 @@
 	return false
 }
 
-// hasShare tells whether a task, or more, may be placed beside all that is placed and arranged.
+// hasShare reports whether the given amount fits into the tenant's share beside everything that is used or reserved.
 func (n *node) hasShare(shard *ownedShard, job *liveJob, amount resource.Amount) bool {
 	b := shard.shares.borrowerFor(job.Tenant)
 	return b == nil || b.Fits(job.Tenant, amount, n.limits.Of(job.Tenant), n.now)
 }
 
-// hasReservedShare tells the same for tasks that a share may be reserved for.
+// hasReservedShare is like hasShare, but also counts the share that is reserved for the task's own step.
 func (n *node) hasReservedShare(shard *ownedShard, job *liveJob, i int, amount resource.Amount) bool {
 	b := shard.shares.borrowerFor(job.Tenant)
 	limit, task := n.limits.Of(job.Tenant), job.Tasks[i].Resources
 	return b == nil || b.FitsReserved(job.Tenant, shareKey(job, i), amount, task, limit, n.now)
 }
 
-// mayRequest tells whether guaranteed places may be requested for a task, beside those that its
-// step has requested already.
+// mayRequest reports whether the tenant's share allows a guaranteed allocation to be requested for a task, beside
+// those that its step has requested already.
 func (n *node) mayRequest(shard *ownedShard, job *liveJob, i int) bool {
 	amount := job.allocationUnit(i)
 	if !job.Steps[job.Tasks[i].Step].Gang {
@@ -188,13 +199,13 @@
 	return n.hasReservedShare(shard, job, i, amount)
 }
 
-// shareWait counts the units of a step that wait only for a share.
+// shareWait counts the allocation units of a step that wait only for a share.
 type shareWait struct {
-	task  int // one of the tasks
+	task  int // position of one of the tasks
 	count int32
 }
 
-// addShareWait notes that a task waits only for a share of its tenant's limit.
+// addShareWait records that a task waits only for a share of its tenant's limit.
 func (p *schedulePass) addShareWait(job *liveJob, i int) {
 	if p.shareWaits == nil {
 		p.shareWaits = map[int]shareWait{}
@@ -207,7 +218,7 @@
 	p.shareWaits[at] = shareWait{i, count}
 }
 
-// claimShares asks for what a job lacks.
+// claimShares claims the shares that a job's tasks wait for.
 func (n *node) claimShares(shard *ownedShard, job *liveJob, pass *schedulePass) {
 	job.waitsForShare = len(pass.shareWaits) > 0
 	b := shard.shares.borrowerFor(job.Tenant)
@@ -217,7 +228,7 @@
 	for _, at := range sortedKeys(pass.shareWaits) {
 		lack := pass.shareWaits[at]
 		if !n.limits.Of(job.Tenant).AdmitsAlone(job.allocationUnit(lack.task), job.Tasks[lack.task].Resources) {
-			continue // it waits for a higher limit, and leaves the few claims to others
+			continue // only a higher limit helps; the limited number of claims is left to others
 		}
 		b.Claim(job.Tenant, shareKey(job, lack.task), wire.ShareClaim{
 			Job: job.ID, Urgency: n.precedence(job.Queue, job.excess), SubmittedMs: job.SubmitMs,
@@ -226,7 +237,7 @@
 	}
 }
 
-// flushShares sends the reports that are due to those who count.
+// flushShares sends the due share reports of the shards owned here to their counters.
 func (n *node) flushShares() {
 	if !n.limits.HasTenants() {
 		return
@@ -249,7 +260,7 @@
 	}
 }
 
-// logShareDelays tells operators now and then which tenants wait for a share, and where.
+// logShareDelays logs which tenants wait for a share and the state of their share, at most every shareLogMs.
 func (n *node) logShareDelays(shard *ownedShard) {
 	if n.now < shard.shares.loggedMs+shareLogMs {
 		return
@@ -265,7 +276,7 @@
 	}
 }
 
-// tickCounters finds who counts, and lends what has become free.
+// tickCounters updates which daemons hold the counters, and grants shares that have become free.
 func (n *node) tickCounters() {
 	if !n.limits.HasTenants() {
 		return
@@ -280,7 +291,8 @@
 	}
 }
 
-// lendShares tells owners what they may use, while this daemon surely counts and knows the limits.
+// lendShares sends grants to the owners of shards. It does so only while this daemon holds the lease of the counting
+// shard and has a fresh configuration.
 func (n *node) lendShares(counter string) {
 	c := n.counters[counter]
 	if c == nil || !n.leases.Holds(lease.ShardRole(counter)) || !n.configFresh() {
@@ -295,6 +307,7 @@
 	}
 }
 
+// onShareReport passes a share report to its counter and sends the grants that result.
 func (n *node) onShareReport(from string, m *wire.ShareReport) {
 	if c := n.counters[m.Counter]; c != nil && c.OnReport(from, m) {
 		n.noteShareReport(m.Counter, m.Shard)
@@ -302,7 +315,7 @@
 	}
 }
 
-// onShareGrant places at once what waited for the share.
+// onShareGrant records a grant, and immediately schedules the jobs that waited for it.
 func (n *node) onShareGrant(_ string, m *wire.ShareGrant) {
 	shard := n.shards[m.Shard]
 	if shard == nil || !shard.serving || !n.leases.Holds(lease.ShardRole(m.Shard)) {
@@ -337,17 +350,19 @@
 	}
 }
 
-// unlistedMs is how long a run's end may stay unlisted: by then its worker's hold is over.
+// unlistedMs is how long an attempt may stay unlisted. After this its worker has stopped it, for lack of contact with
+// the owner.
 const unlistedMs = ownerTimeoutMs*(100+driftPercent)/100 + lapseMarginMs
 
-// unlistedRun is a run that has ended though its worker hasn't said so yet.
+// unlistedRun is an attempt that has ended for its owner while its worker hasn't reported the end yet.
 type unlistedRun struct {
 	tenant  string
 	amount  resource.Amount
-	untilMs int64
+	untilMs int64 // when its share is released without a report
 }
 
-// holdUntilListed keeps the share of a task that ended with another member of its gang.
+// holdUntilListed keeps the share of a task that was ended because another task of its gang ended, until its worker
+// reports the end.
 func (s *ownedShard) holdUntilListed(job *liveJob, i int, nowMs int64) {
 	if s.shares.borrowerFor(job.Tenant) == nil {
 		return
@@ -361,7 +376,7 @@
 	s.shares.use(job.Tenant, t.Resources)
 }
 
-// releaseListed releases the shares of runs that a report tells the end of, or no longer lists.
+// releaseListed releases the shares of unlisted attempts that a report shows as ended, or no longer contains.
 func (s *ownedShard) releaseListed(m *wire.AgentReport) {
 	runs := s.unlisted[m.Worker]
 	if len(runs) == 0 {
@@ -376,17 +391,17 @@
 	})
 }
 
-// releaseLapsed releases the shares of runs whose workers said nothing for longer than they may
-// run without a word.
+// releaseLapsed releases the shares of unlisted attempts whose workers were silent for longer than an attempt may run
+// without contact with its owner.
 func (s *ownedShard) releaseLapsed(nowMs int64) {
 	for _, worker := range sortedKeys(s.unlisted) {
 		s.releaseRuns(worker, func(_ wire.AttemptKey, run unlistedRun) bool { return nowMs > run.untilMs })
 	}
 }
 
-// releaseRuns releases the shares of those unlisted runs at a worker that are over.
+// releaseRuns releases the shares of those unlisted attempts at a worker for which over returns true.
 func (s *ownedShard) releaseRuns(worker string, over func(wire.AttemptKey, unlistedRun) bool) {
-	for key, run := range s.unlisted[worker] { // sums: the order does not matter
+	for key, run := range s.unlisted[worker] { // a sum: the order does not matter
 		if over(key, run) {
 			s.shares.release(run.tenant, run.amount)
 			delete(s.unlisted[worker], key)
--- a/internal/daemon/tenant_status.go
+++ b/internal/daemon/tenant_status.go
@@ -7,53 +7,53 @@
 	"otterchute/internal/resource"
 )
 
-// What operators see of tenants: each shard's owner tells of the tenants that it counts, and of
-// what its shard holds of any tenant. Keys and their digests are told nowhere.
+// The status of tenants for operators: each shard's owner reports on the tenants that it counts, and on the share that
+// its shard holds of any tenant. Keys and their digests are never shown.
 
 const (
-	reportSilentMs   = 5000 // without a report for this long an owner counts as silent; it sends one a second
-	shareStuckMs     = 3000 // a unit that has waited for a share for this long is worth a look
-	tenantsListedMax = 1000 // tenants that a shard's owner lists, of each kind
-	tenantLabelsMax  = 32   // tenants that have metrics of their own, the others are summed
+	reportSilentMs   = 5000 // an owner is silent after this time without a report; it sends one each second
+	shareStuckMs     = 3000 // doctor shows units that have waited for a share for longer than this
+	tenantsListedMax = 1000 // counted tenants, and likewise held tenants, that a shard's owner lists
+	tenantLabelsMax  = 32   // tenants with metrics of their own; the others are summed as otherTenants
 	otherTenants     = "other"
 )
 
-// countedTenant is what the owner of a tenant's counting shard knows of it.
+// countedTenant is the usage of a tenant as counted by the owner of its counting shard.
 type countedTenant struct {
 	Name     string          `json:"name"`
 	Weight   float64         `json:"weight"`
 	Limit    resource.Amount `json:"limit"`
 	Lent     resource.Amount `json:"lent"`
 	Used     resource.Amount `json:"used"`
-	Waiting  int             `json:"waiting"` // units that wait for a share
+	Waiting  int             `json:"waiting"` // allocation units that wait for a share
 	WaitedMs int64           `json:"waited_ms"`
 }
 
-// heldTenant is what the owner of a shard has of a tenant there.
+// heldTenant is a tenant's share and jobs in one shard, as the shard's owner has them.
 type heldTenant struct {
 	Name    string          `json:"name"`
 	Held    resource.Amount `json:"held"`
 	Used    resource.Amount `json:"used"`
 	Jobs    int             `json:"jobs"`
-	Excess  int64           `json:"excess"`  // jobs beyond its weight, since the owner took the shard
-	Refused int64           `json:"refused"` // jobs refused with a time to come back, likewise
+	Excess  int64           `json:"excess"`  // jobs beyond its weight since the owner acquired the shard
+	Refused int64           `json:"refused"` // jobs rejected with a retry time since then
 }
 
-// shardTenants is what one shard's owner tells of tenants.
+// shardTenants is the report of one shard's owner on tenants.
 type shardTenants struct {
 	Shard    string          `json:"slice"`
 	Owner    string          `json:"owner"`
-	Complete bool            `json:"complete"` // each shard has reported: only then anything is lent
+	Complete bool            `json:"complete"` // each shard has reported; nothing is granted before that
 	Silent   []string        `json:"silent"`   // shards that haven't reported for reportSilentMs
 	Counted  []countedTenant `json:"counted"`
 	Held     []heldTenant    `json:"held"`
 	Omitted  int             `json:"omitted"` // tenants beyond tenantsListedMax
 }
 
-// admissionCounts are a tenant's at a shard, since its owner took it.
+// admissionCounts counts a tenant's jobs at a shard since the owner acquired it.
 type admissionCounts struct{ excess, refused int64 }
 
-// countAdmission notes how a new job of a tenant fared.
+// countAdmission counts a new job of a tenant that was in excess of its weight or refused.
 func (s *ownedShard) countAdmission(tenant string, excess, refused bool) {
 	if tenant == "" || !excess && !refused {
 		return
@@ -71,7 +71,7 @@
 	s.admissions[tenant] = counts
 }
 
-// routeTenants hands a question about tenants to the owner of the shard that is its key.
+// routeTenants routes a request for the tenants of a shard, named by the request's key, to the shard's owner.
 func (n *node) routeTenants(req *request) {
 	if !slices.Contains(n.core.Shards, req.key) {
 		n.respond(req, 404, 0, mustJSON(map[string]any{"error": "no such slice"}))
@@ -80,10 +80,12 @@
 	n.routeToShard(req, req.key)
 }
 
+// handleTenants replies with the tenants of a shard owned here.
 func (n *node) handleTenants(shard *ownedShard, req *request) {
 	n.respond(req, 200, 0, mustJSON(n.tenantsOf(shard)))
 }
 
+// tenantsOf returns the report on the tenants of a shard owned here.
 func (n *node) tenantsOf(shard *ownedShard) shardTenants {
 	out := shardTenants{
 		Shard: shard.name, Owner: n.Name, Silent: n.silentShards(shard), Counted: n.countedTenants(shard),
@@ -101,8 +103,8 @@
 	return out
 }
 
-// countedTenants gives the declared tenants that a shard's owner counts, and those that are
-// declared no more and still have something; in the order of their names.
+// countedTenants returns the tenants that a shard's owner counts, by name: those that the configuration declares, and
+// those that it no longer declares and that still have a share.
 func (n *node) countedTenants(shard *ownedShard) []countedTenant {
 	byName := map[string]countedTenant{}
 	for name, t := range n.config.current.Tenants {
@@ -125,7 +127,7 @@
 	return tenants
 }
 
-// heldTenants gives the tenants that have something at a shard, in the order of their names.
+// heldTenants returns the tenants that have jobs or counts of admission at a shard, by name.
 func (n *node) heldTenants(shard *ownedShard) []heldTenant {
 	byName := map[string]*heldTenant{}
 	of := func(name string) *heldTenant {
@@ -153,7 +155,7 @@
 	return tenants
 }
 
-// noteShareReport notes that a shard's owner has reported to a counter here.
+// noteShareReport records the time at which a shard's owner reported to a counter here.
 func (n *node) noteShareReport(counter, shard string) {
 	if n.shareReports[counter] == nil {
 		n.shareReports[counter] = map[string]int64{}
@@ -161,7 +163,7 @@
 	n.shareReports[counter][shard] = n.now
 }
 
-// silentShards gives the shards that have not reported for a while to the counter of a shard.
+// silentShards returns the shards whose owners have not reported to the counter of a shard for reportSilentMs.
 func (n *node) silentShards(shard *ownedShard) []string {
 	silent := []string{}
 	if !n.limits.HasTenants() {
@@ -175,8 +177,8 @@
 	return silent
 }
 
-// counterHealth tells doctor of the shards owned here which others don't report to their counter,
-// and which tenants have stood at their limit for a while with tasks waiting.
+// counterHealth returns, for each shard owned here whose counter has a problem, the shards that don't report to it and
+// the tenants whose tasks have waited at the limit for longer than shareStuckMs. It is part of what doctor shows.
 func (n *node) counterHealth() map[string]any {
 	health := map[string]any{}
 	for _, name := range sortedKeys(n.shards) {
@@ -195,14 +197,14 @@
 	return health
 }
 
-// tenantGauges are the metrics of one tenant, or of all that have none of their own.
+// tenantGauges are the metrics of one tenant, or the sum of all tenants without metrics of their own.
 type tenantGauges struct {
 	lent, used resource.Amount
 	claims     int
 }
 
-// tenantMetrics gives the metrics of the tenants counted here: of the first tenantLabelsMax by
-// weight and name one by one, of the others together.
+// tenantMetrics returns the metrics of the tenants counted here by label: separate ones for the first tenantLabelsMax
+// tenants by weight and name, and one sum for the others.
 func (n *node) tenantMetrics() map[string]tenantGauges {
 	labels, metrics := n.tenantLabels(), map[string]tenantGauges{}
 	for _, name := range sortedKeys(n.counters) {
@@ -219,7 +221,7 @@
 	return metrics
 }
 
-// tenantLabels gives the tenants that have metrics of their own, the same at all daemons.
+// tenantLabels returns the tenants that have metrics of their own. The result is the same at all daemons.
 func (n *node) tenantLabels() map[string]bool {
 	tenants := n.config.current.Tenants
 	names := sortedKeys(tenants)
@@ -239,7 +241,7 @@
 	return labels
 }
 
-// explainShare says that a task waits for its tenant's limit; "" where it doesn't.
+// explainShare describes how a task waits for its tenant's limit; "" if it doesn't.
 func (n *node) explainShare(job *liveJob, i int) string {
 	shard := n.shards[n.shardOf(job.ID)]
 	if shard == nil || !job.waitsForShare || n.hasReservedShare(shard, job, i, job.allocationUnit(i)) {
@@ -261,5 +263,5 @@
 	return why
 }
 
-// amountText is an amount as operators write it.
+// amountText formats an amount as JSON, as operators write it.
 func amountText(amount resource.Amount) string { return string(mustJSON(amount)) }
--- a/internal/daemon/tenant_weight.go
+++ b/internal/daemon/tenant_weight.go
@@ -7,19 +7,19 @@
 	"otterchute/internal/schema"
 )
 
-// A tenant's weight is how many jobs a second count as its own. The owner of each shard finds the
-// jobs beyond it when it admits them: they keep their class, but all tasks of others go first, and
-// where there is no room they are refused. Whether a job is one of them is kept in no record: a
-// shard's next owner treats it like any other.
+// A tenant's weight is the number of jobs per second that it may submit. A job beyond that rate is an excess job; the
+// owner of each shard detects it at admission. Excess jobs keep their class, but yield to the tasks of all other jobs,
+// and are rejected if capacity is short. No record stores whether a job is an excess job, so the shard's next owner
+// treats it like any other.
 
 const (
-	excessRecordsPercent = 50     // percent of a queue's or shard's live jobs that may be there when one is let in
-	excessWaitingMax     = 32     // excess jobs of a tenant in a shard that wait while room is short
-	excessRetryMinMs     = 1000   // when a refused job may come back, at the earliest
-	excessRetryMaxMs     = 10_000 // and at the latest
+	excessRecordsPercent = 50     // percent of a queue's or shard's limits on live jobs up to which excess jobs are admitted
+	excessWaitingMax     = 32     // excess jobs of a tenant that may wait in a shard while capacity is short
+	excessRetryMinMs     = 1000   // shortest retry time of a rejected excess job
+	excessRetryMaxMs     = 10_000 // longest retry time of a rejected excess job
 )
 
-// shardWeight is how many jobs a second a tenant may send to each shard: jobs are spread evenly.
+// shardWeight returns the part of a tenant's weight that each shard has, since jobs are spread evenly over shards.
 func (n *node) shardWeight(tenant string) float64 {
 	t := n.config.current.Tenants[tenant]
 	if t == nil || len(n.core.Shards) == 0 {
@@ -28,23 +28,23 @@
 	return t.Weight / float64(len(n.core.Shards))
 }
 
-// isExcess counts a new job, and tells whether it is beyond its tenant's weight.
+// isExcess counts a new job and reports whether it is beyond its tenant's weight.
 func (n *node) isExcess(shard *ownedShard, tenant string) bool {
 	return n.Policies.On(scheduler.TenantWeight) && shard.jobRates.CountJob(tenant, n.shardWeight(tenant), n.now)
 }
 
-// precedence ranks the tasks of a queue, see scheduler.Precedence.
+// precedence returns the rank of a queue's tasks, see scheduler.Precedence.
 func (n *node) precedence(queue string, excess bool) int64 {
 	return scheduler.Precedence(n.config.current.Urgency(queue), excess)
 }
 
-// mayUseUrgentHeadroom tells whether tasks of a queue may take the room kept for the most urgent ones.
+// mayUseUrgentHeadroom reports whether tasks of a queue may use the headroom kept for the most urgent queues.
 func (n *node) mayUseUrgentHeadroom(q *configuration.Queue, excess bool) bool {
 	return !excess && n.isUrgent(q)
 }
 
-// rejectExcess refuses an excess job while many of its tenant wait for room, or for a share of
-// its limit. It may come back when about as many could have been started.
+// rejectExcess rejects an excess job while many of its tenant's excess jobs wait for capacity or for a share of its
+// limit. The retry time is about the time in which the tenant's weight admits as many jobs as wait.
 func (n *node) rejectExcess(shard *ownedShard, tenant string) *rejection {
 	waiting, lacking := 0, false
 	for _, job := range shard.jobs {
@@ -65,7 +65,8 @@
 	}
 }
 
-// addTenantShares tells of requests what their tenants have of all room, and what the requests add.
+// addTenantShares sets on each request its tenant's weighted share of the whole capacity, and what the request would
+// add to it.
 func (n *node) addTenantShares(c *centralScheduler, keys []allocationKey, requests []scheduler.FairRequest) {
 	var all resource.Amount
 	for _, w := range c.workers { // a sum: the order does not matter
@@ -87,8 +88,8 @@
 	}
 }
 
-// usedByTenants gives what tenants with requests have in all shards: the newest that their owners
-// told, and for shards that requested nothing the mean of the others, since jobs are spread evenly.
+// usedByTenants returns what tenants with pending requests use over all shards. It sums the latest values that the
+// shards' owners sent. Shards without a request count with the mean of the others, since jobs are spread evenly.
 func (c *centralScheduler) usedByTenants(shards int) map[string]resource.Amount {
 	newest := map[string]map[string]*pendingAllocation{} // by tenant and shard
 	for _, request := range c.pending {
