--- a/guards.sh
+++ b/guards.sh
@@ -86,12 +86,12 @@
 void live records are not loaded|internal/daemon/shard_takeover.go|if r.Live && r.Epoch < shard.lastCompleteEpoch {|if r.Live && false {
 void live records are not finished jobs|internal/daemon/shard_read.go|if f.newest.Live {|if false {
 setup is fresh|internal/daemon/config_state.go|n.now-n.config.confirmedMs <= configFreshMs|true
-complete needs all well|internal/daemon/job.go|all = all && j.Tasks[i].State == taskEnded|all = true
+complete needs all well|internal/daemon/job.go|allSucceeded = allSucceeded && j.Tasks[i].State == taskEnded|allSucceeded = true
 clock read at writing|internal/daemon/world_node_test.go|if n.steadyMs() > e.NotAfterMs|if false
 takeover merges a majority|internal/daemon/shard_takeover.go|if len(shard.seals) < n.core.Majority() {|if len(shard.seals) < 1 {
 a resend finds the finished job|internal/daemon/shard_read.go|if old == nil && f.job != nil|if f.job != nil
-batches wait for their hours|internal/daemon/batch.go|return wallMs >= p.StartMs && wallMs < p.CloseMs|return wallMs > 0
-batches keep to their share|internal/daemon/batch.go|return sum.Fits(agent.capacity.Share(r.SharePercent))|return true
+batches wait for their hours|internal/daemon/batch.go|return clusterTimeMs >= p.StartMs && clusterTimeMs < p.CloseMs|return clusterTimeMs > 0
+batches keep to their share|internal/daemon/batch.go|return sum.Fits(agent.capacity.Share(rules.SharePercent))|return true
 batches are below all others|internal/configuration/queue.go|q.Urgency -= batchUrgencyOffset|q.Urgency -= 0
 batches make room at once|internal/daemon/agent_dispatch.go|n.now-pending.queuedMs <= urgentWaitMs && n.batchRulesOfSpec(&run.spec) == nil|n.now-pending.queuedMs <= urgentWaitMs
 batches are never firm|internal/daemon/agent_sync.go|attempt.spec.Class != wire.ClassQueueable \|\|\n\t\tn.batchRulesOfSpec(&attempt.spec) != nil {\n\t\treturn|attempt.spec.Class != wire.ClassQueueable {\n\t\treturn
@@ -124,7 +124,7 @@
 nobody cancels a tenant's job without its key|internal/daemon/request_address.go|case req.tenant == "" && req.op != "job.cancel":|case req.tenant == "":
 a tenant is gone by a confirmed configuration only|internal/daemon/request_address.go|return n.configFresh() && n.config.current.Tenants[tenant] == nil|return n.config.current.Tenants[tenant] == nil
 the tenant travels with a forwarded call|internal/daemon/request.go|tenant:         m.Tenant,|tenant:         "",
-the tenant stays in the record|internal/daemon/job_encode.go|if c.Tenant == "" {|if true {
+the tenant stays in the record|internal/daemon/job_encode.go|if stored.Tenant == "" {|if true {
 an owner knows the tenant first|internal/daemon/job_request.go|c.Queues[j.Queue] == nil \|\| req.tenant != "" && c.Tenants[req.tenant] == nil {|c.Queues[j.Queue] == nil {
 the key reaches the node|internal/daemon/http_server.go|Credential: c.Credential,|Credential: "",
 tenants' jobs of one ID are judged apart|internal/daemon/job_request.go|case req.tenant == f.job.Tenant:|case true:
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	batchPlanMs = 2000 // interval between plans of a shard's batch jobs; far below batchMarginMs
+	batchPlanIntervalMs = 2000 // interval between plans of a shard's batch jobs; far below batchMarginMs
 	// A new owner waits this long for the reports of all agents before it plans. With the capacity of only a few
 	// agents, all jobs would seem late.
-	batchLearnMs = 2500
+	batchWarmupMs = 2500
 	// Percent of a batch job's estimated time that is reserved for it, for preemptions, wrong estimates and the case
 	// that only half the capacity is available.
-	batchSlackPercent    = 200
-	batchMarginMs        = 60_000 // added to that time, for a lost worker, a change of owner and a retry
-	batchHeadroomPercent = 25     // percent of a worker that stays free when a batch task starts there
-	spareWindowMs        = 3000   // batch tasks use only capacity that was spare for at least this long
-	batchStartsTick      = 4      // batch tasks that a shard places in one tick
-	batchTriesTick       = 64     // batch tasks that a shard searches a worker for in one tick
-	batchRecheckMs       = 400    // mean delay before the next search for a task that no worker could take
-	batchPauseMs         = 1500   // pause of batch placement after a more urgent task found no worker
-	batchPauseShare      = 4      // placement also pauses while tasks wait at one in this many workers
-	batchReturnMs        = 300    // a batch task that hasn't started at its worker after this returns to its owner
-	batchRetryMs         = 1500   // shortest delay before a preempted batch task is retried; the longest is twice this
-	batchRecordsPercent  = 50     // a shard accepts batch jobs while at most this percent of its records is in use
+	batchSlackPercent     = 200
+	batchMarginMs         = 60_000 // added to that time, for a lost worker, a change of owner and a retry
+	batchHeadroomPercent  = 25     // percent of a worker that stays free when a batch task starts there
+	spareWindowMs         = 3000   // batch tasks use only capacity that was spare for at least this long
+	batchStartsPerTick    = 4      // batch tasks that a shard places in one tick
+	batchTriesPerTick     = 64     // batch tasks that a shard searches a worker for in one tick
+	batchRecheckMs        = 400    // mean delay before the next search for a task that no worker could take
+	batchPauseMs          = 1500   // pause of batch placement after a more urgent task found no worker
+	batchPauseWorkerRatio = 4      // placement also pauses while tasks wait at one in this many workers
+	batchReturnMs         = 300    // a batch task that hasn't started at its worker after this returns to its owner
+	batchRetryMs          = 1500   // shortest delay before a preempted batch task is retried; the longest is twice this
+	batchRecordsPercent   = 50     // a shard accepts batch jobs while at most this percent of its records is in use
 )
 
 // Jobs of batch queues may wait for the cheapest hours of a contract, and never take capacity from more urgent work.
@@ -50,61 +50,62 @@
 // planBatch decides when a job may start that was submitted or due at fromMs and needs needMs to complete.
 // It picks the cheapest price window that leaves needMs before the deadline, and the earliest of equally cheap ones.
 // Starts are spread over the first half of the usable part of the window, at a point derived from the job's id.
-func planBatch(r *configuration.BatchRules, id string, fromMs, nowMs, needMs int64) batchPlan {
-	p := batchPlan{DeadlineMs: fromMs + r.FinishByMs}
-	latest := p.DeadlineMs - needMs
+func planBatch(rules *configuration.BatchRules, id string, fromMs, nowMs, needMs int64) batchPlan {
+	plan := batchPlan{DeadlineMs: fromMs + rules.FinishByMs}
+	latest := plan.DeadlineMs - needMs
 	if nowMs >= latest {
-		p.StartMs, p.OpenMs, p.CloseMs, p.AtAnyPrice = max(fromMs, latest), nowMs, p.DeadlineMs, true
-		p.Price = r.Contract.PriceWindows(nowMs, nowMs)[0].Price
-		return p
-	}
-	all := r.Contract.PriceWindows(max(nowMs, fromMs), max(latest, fromMs))
-	best := all[0]
-	for _, w := range all {
-		if w.Price < best.Price {
-			best = w
+		plan.StartMs, plan.OpenMs, plan.CloseMs, plan.AtAnyPrice = max(fromMs, latest), nowMs, plan.DeadlineMs, true
+		plan.Price = rules.Contract.PriceWindows(nowMs, nowMs)[0].Price
+		return plan
+	}
+	windows := rules.Contract.PriceWindows(max(nowMs, fromMs), max(latest, fromMs))
+	cheapest := windows[0]
+	for _, w := range windows {
+		if w.Price < cheapest.Price {
+			cheapest = w
 		}
 	}
-	p.OpenMs, p.CloseMs, p.Price = max(best.FromMs, fromMs), best.ToMs, best.Price
-	p.StartMs = p.OpenMs
-	if spread := min(best.ToMs-p.OpenMs, latest-p.OpenMs) / 2; best.FromMs >= fromMs && spread > 0 {
+	plan.OpenMs, plan.CloseMs, plan.Price = max(cheapest.FromMs, fromMs), cheapest.ToMs, cheapest.Price
+	plan.StartMs = plan.OpenMs
+	if spread := min(cheapest.ToMs-plan.OpenMs, latest-plan.OpenMs) / 2; cheapest.FromMs >= fromMs && spread > 0 {
 		// The point is derived from the id, so the start moves little when needMs changes.
-		p.StartMs += int64(float64(rendezvous.Weight(id, "start")>>11) / (1 << 53) * float64(spread))
+		plan.StartMs += int64(float64(rendezvous.Weight(id, "start")>>11) / (1 << 53) * float64(spread))
 	}
-	return p
+	return plan
 }
 
 // mayStart reports whether a task with the given estimate may start now: inside the window, and early enough to
 // end inside it. A task whose estimate exceeds the whole window may start at any point of it.
-func (p *batchPlan) mayStart(wallMs, estMs int64) bool {
+func (p *batchPlan) mayStart(clusterTimeMs, estimateMs int64) bool {
 	if p.AtAnyPrice {
-		return wallMs >= p.StartMs
+		return clusterTimeMs >= p.StartMs
 	}
-	return wallMs >= p.StartMs && wallMs < p.CloseMs && (wallMs+estMs <= p.CloseMs || estMs > p.CloseMs-p.OpenMs)
+	return clusterTimeMs >= p.StartMs && clusterTimeMs < p.CloseMs &&
+		(clusterTimeMs+estimateMs <= p.CloseMs || estimateMs > p.CloseMs-p.OpenMs)
 }
 
 // batchRules returns the batch rules that apply to a job, or nil. Jobs with gangs or long-running tasks are exempt:
 // they may date from before the queue became a batch queue.
 func (n *node) batchRules(j *jobRecord) *configuration.BatchRules {
-	q := n.config.current.Queues[j.Queue]
-	if q == nil || q.Batch == nil ||
+	queue := n.config.current.Queues[j.Queue]
+	if queue == nil || queue.Batch == nil ||
 		slices.ContainsFunc(j.Steps, func(s jobStep) bool { return s.Gang || s.LongRunning }) {
 		return nil
 	}
-	return q.Batch
+	return queue.Batch
 }
 
 // batchRulesOfSpec returns the batch rules that apply to a task at a worker, or nil if it is no batch task.
-func (n *node) batchRulesOfSpec(s *wire.TaskSpec) *configuration.BatchRules {
-	if q := n.config.current.Queues[s.Queue]; q != nil && s.Class == wire.ClassQueueable {
-		return q.Batch
+func (n *node) batchRulesOfSpec(spec *wire.TaskSpec) *configuration.BatchRules {
+	if queue := n.config.current.Queues[spec.Queue]; queue != nil && spec.Class == wire.ClassQueueable {
+		return queue.Batch
 	}
 	return nil
 }
 
-// batchFromMs returns the time from which the job's deadline is counted: when it was submitted, or when its first
+// deadlineFromMs returns the time from which the job's deadline is counted: when it was submitted, or when its first
 // unfinished round is due if that is later.
-func (j *jobRecord) batchFromMs() int64 {
+func (j *jobRecord) deadlineFromMs() int64 {
 	for i := range j.Tasks {
 		if t := &j.Tasks[i]; !t.isTerminal() {
 			return max(j.SubmitMs, j.roundDueMs(t.Round))
@@ -122,118 +123,120 @@
 // planBatches plans all batch jobs of a shard in the order of their deadlines. Each job needs the time of its
 // longest chain of steps, and the time that all work with earlier deadlines takes in the capacity open to batches.
 func (n *node) planBatches(shard *ownedShard) {
-	wall := n.fleetTime()
-	if wall == 0 || !n.configFresh() || n.now-shard.startMs < batchLearnMs ||
+	clusterTimeMs := n.fleetTime()
+	if clusterTimeMs == 0 || !n.configFresh() || n.now-shard.startMs < batchWarmupMs ||
 		n.now < shard.nextBatchPlanMs && shard.batchPlanVersion == n.config.current.Version {
 		return
 	}
-	shard.nextBatchPlanMs, shard.batchPlanVersion = n.now+batchPlanMs, n.config.current.Version
-	type due struct {
-		job     *liveJob
-		r       *configuration.BatchRules
-		from, d int64
+	shard.nextBatchPlanMs, shard.batchPlanVersion = n.now+batchPlanIntervalMs, n.config.current.Version
+	type batchJob struct {
+		job                *liveJob
+		rules              *configuration.BatchRules
+		fromMs, deadlineMs int64
 	}
-	var list []due
+	var batches []batchJob
 	for _, id := range sortedKeys(shard.jobs) {
 		job := shard.jobs[id]
-		if r := n.batchRules(&job.jobRecord); r == nil || job.DoneMs != 0 {
+		if rules := n.batchRules(&job.jobRecord); rules == nil || job.DoneMs != 0 {
 			job.plan = nil
 		} else {
-			from := job.batchFromMs()
-			list = append(list, due{job, r, from, from + r.FinishByMs})
+			fromMs := job.deadlineFromMs()
+			batches = append(batches, batchJob{job, rules, fromMs, fromMs + rules.FinishByMs})
 		}
 	}
-	if len(list) == 0 {
+	if len(batches) == 0 {
 		return
 	}
-	slices.SortStableFunc(list, func(a, b due) int { return cmp.Compare(a.d, b.d) })
-	room, ahead := map[string]resource.Amount{}, 0.0
-	for _, e := range list {
-		all, known := room[e.job.Queue]
+	slices.SortStableFunc(batches, func(a, b batchJob) int { return cmp.Compare(a.deadlineMs, b.deadlineMs) })
+	capacities, workAheadMs := map[string]resource.Amount{}, 0.0
+	for _, batch := range batches {
+		capacity, known := capacities[batch.job.Queue]
 		if !known {
-			all = n.batchCapacity(e.job.Queue, e.r)
-			room[e.job.Queue] = all
+			capacity = n.batchCapacity(batch.job.Queue, batch.rules)
+			capacities[batch.job.Queue] = capacity
 		}
-		chain, work := n.batchRemaining(e.job, all)
-		ahead += work * float64(max(1, len(n.core.Shards))) // assumes that the other shards have as much
-		need := (int64(ahead)+chain)*batchSlackPercent/100 + batchMarginMs
-		p := planBatch(e.r, e.job.ID, e.from, wall, need)
-		if p.AtAnyPrice && (e.job.plan == nil || !e.job.plan.AtAnyPrice) {
+		chainMs, workMs := n.batchRemaining(batch.job, capacity)
+		workAheadMs += workMs * float64(max(1, len(n.core.Shards))) // assumes that the other shards have as much
+		needMs := (int64(workAheadMs)+chainMs)*batchSlackPercent/100 + batchMarginMs
+		plan := planBatch(batch.rules, batch.job.ID, batch.fromMs, clusterTimeMs, needMs)
+		if plan.AtAnyPrice && (batch.job.plan == nil || !batch.job.plan.AtAnyPrice) {
 			n.count("batches_at_any_price")
-			n.log("batch_at_any_price", "job", e.job.ID, "queue", e.job.Queue, "need_ms", need, "price", p.Price)
+			n.log("batch_at_any_price", "job", batch.job.ID, "queue", batch.job.Queue, "need_ms", needMs, "price", plan.Price)
 		}
-		e.job.plan = &p
+		batch.job.plan = &plan
 	}
 }
 
 // batchCapacity returns the capacity that the batch tasks of a queue may use in total.
-func (n *node) batchCapacity(queue string, r *configuration.BatchRules) (all resource.Amount) {
+func (n *node) batchCapacity(queue string, rules *configuration.BatchRules) (total resource.Amount) {
 	q := n.config.current.Queues[queue]
 	for _, w := range n.workers {
 		if n.now-w.receivedMs < workerSilentMs && !w.leaving && !n.config.current.EmptyZones[w.zone] &&
 			q.Matches(w.labels, w.zone) {
-			all = all.Plus(w.capacity.Share(r.SharePercent))
+			total = total.Plus(w.capacity.Share(rules.SharePercent))
 		}
 	}
-	return all
+	return total
 }
 
 // batchRemaining returns the time that a job still needs along its longest chain of steps, and the time that its
 // remaining work takes if it has all the capacity open to batches.
-func (n *node) batchRemaining(job *liveJob, room resource.Amount) (chainMs int64, workMs float64) {
-	longest := make([]int64, len(job.Steps))
+func (n *node) batchRemaining(job *liveJob, capacity resource.Amount) (chainMs int64, workMs float64) {
+	longestMs := make([]int64, len(job.Steps))
 	for i := range job.Tasks {
 		t := &job.Tasks[i]
 		if t.isTerminal() {
 			continue
 		}
-		est := n.estimateMs(job, t)
-		longest[t.Step] = max(longest[t.Step], est)
-		part := 0.0
+		estimateMs := n.estimateMs(job, t)
+		longestMs[t.Step] = max(longestMs[t.Step], estimateMs)
+		fraction := 0.0
 		need := t.Resources
-		for _, d := range [][2]int64{{need.CPU, room.CPU}, {need.Memory, room.Memory}, {need.GPU, room.GPU}} {
-			if d[1] > 0 {
-				part = max(part, float64(d[0])/float64(d[1]))
+		for _, amounts := range [][2]int64{
+			{need.CPU, capacity.CPU}, {need.Memory, capacity.Memory}, {need.GPU, capacity.GPU},
+		} {
+			if amounts[1] > 0 {
+				fraction = max(fraction, float64(amounts[0])/float64(amounts[1]))
 			}
 		}
-		workMs += part * float64(est)
+		workMs += fraction * float64(estimateMs)
 	}
-	done := make([]int64, len(job.Steps)) // steps are in any order, so one pass per step is needed
+	stepEndMs := make([]int64, len(job.Steps)) // steps are in any order, so one pass per step is needed
 	for range job.Steps {
 		for i, s := range job.Steps {
-			from := int64(0)
-			for _, a := range s.After {
-				from = max(from, done[a])
+			stepStartMs := int64(0)
+			for _, dependency := range s.After {
+				stepStartMs = max(stepStartMs, stepEndMs[dependency])
 			}
-			done[i] = from + longest[i]
-			chainMs = max(chainMs, done[i])
+			stepEndMs[i] = stepStartMs + longestMs[i]
+			chainMs = max(chainMs, stepEndMs[i])
 		}
 	}
 	return chainMs, workMs
 }
 
 // batchMayStart reports whether the plan of a batch job allows one of its pending tasks to start now.
-func (n *node) batchMayStart(job *liveJob, t *task, wall int64) bool {
-	return job.plan != nil && job.plan.mayStart(wall, n.estimateMs(job, t))
+func (n *node) batchMayStart(job *liveJob, t *task, clusterTimeMs int64) bool {
+	return job.plan != nil && job.plan.mayStart(clusterTimeMs, n.estimateMs(job, t))
 }
 
-// shortOfRoom reports whether more urgent work waits: for a worker in this shard, for a guaranteed allocation in
+// urgentWorkWaits reports whether more urgent work waits: for a worker in this shard, for a guaranteed allocation in
 // any shard, or for its start at many of the workers.
-func (n *node) shortOfRoom(shard *ownedShard) bool {
+func (n *node) urgentWorkWaits(shard *ownedShard) bool {
 	if shard.starvedMs != 0 && n.now-shard.starvedMs < batchPauseMs ||
 		n.ranks.roomShort && n.now-n.ranks.receivedMs < rankStaleMs {
 		return true
 	}
-	waits, all := 0, 0
+	waitingWorkers, liveWorkers := 0, 0
 	for _, w := range n.workers {
 		if n.now-w.receivedMs < ownerContactMs {
-			all++
+			liveWorkers++
 			if w.unstarted > 0 {
-				waits++
+				waitingWorkers++
 			}
 		}
 	}
-	return waits > 0 && waits*batchPauseShare >= all
+	return waitingWorkers > 0 && waitingWorkers*batchPauseWorkerRatio >= liveWorkers
 }
 
 // queueOnWorker is the key of the resources that a queue's batch tasks use at a worker; an empty queue stands for
@@ -251,9 +254,9 @@
 			shard.batchUseByWorker[queueOnWorker{queue, worker}] = sum
 		}
 	}()
-	for ref, room := range shard.placedByWorker[worker] {
+	for ref, amount := range shard.placedByWorker[worker] {
 		if job := shard.jobs[ref.jobID]; job != nil && job.plan != nil && (job.Queue == queue || queue == "") {
-			sum = sum.Plus(room)
+			sum = sum.Plus(amount)
 		}
 	}
 	if w := n.workers[worker]; w != nil {
@@ -270,72 +273,69 @@
 // headroom for more urgent work. It also returns the fraction of the worker that batch tasks of the queue use; the
 // worker with the lowest fraction is chosen.
 func (n *node) batchFraction(
-	shard *ownedShard,
-	job *liveJob,
-	t *task,
-	worker string,
-	sharePercent int64,
-) (part float64, fits bool) {
+	shard *ownedShard, job *liveJob, t *task, worker string, sharePercent int64,
+) (fraction float64, fits bool) {
 	w := n.workers[worker]
-	kept := w.capacity.Share(batchHeadroomPercent)
+	headroom := w.capacity.Share(batchHeadroomPercent)
 	if job.plan.AtAnyPrice {
-		kept = resource.Amount{}
+		headroom = resource.Amount{}
 	}
-	if !t.Resources.Plus(kept).Fits(n.freeResources(shard, worker, w)) {
+	if !t.Resources.Plus(headroom).Fits(n.freeResources(shard, worker, w)) {
 		return 0, false
 	}
-	if !job.plan.AtAnyPrice && !n.batchLoad(shard, "", worker).Plus(t.Resources).Plus(kept).Fits(w.spare.least()) {
+	if !job.plan.AtAnyPrice && !n.batchLoad(shard, "", worker).Plus(t.Resources).Plus(headroom).Fits(w.spare.minimum()) {
 		return 0, false
 	}
 	load := n.batchLoad(shard, job.Queue, worker)
 	if !load.Plus(t.Resources).Fits(w.capacity.Share(sharePercent)) {
 		return 0, false
 	}
-	part = float64(load.CPU) / float64(max(w.capacity.CPU, 1))
+	fraction = float64(load.CPU) / float64(max(w.capacity.CPU, 1))
 	if w.capacity.Memory > 0 {
-		part = max(part, float64(load.Memory)/float64(w.capacity.Memory))
+		fraction = max(fraction, float64(load.Memory)/float64(w.capacity.Memory))
 	}
 	if job.plan.AtAnyPrice { // prefers the most free resources, where a preemption is least likely
 		free := n.freeResources(shard, worker, w)
-		part = 1 - float64(free.CPU)/float64(max(w.capacity.CPU, 1))
+		fraction = 1 - float64(free.CPU)/float64(max(w.capacity.CPU, 1))
 	}
 	if worker == t.LastFailedWorker {
-		part++ // the last attempt failed there: any other worker is better
+		fraction++ // the last attempt failed there: any other worker is better
 	}
-	return part, true
+	return fraction, true
 }
 
 // selectBatchWorker selects a worker for a batch task, or returns "". It selects the allowed worker with the lowest
 // fraction of batch tasks, where nothing more urgent waits and the recently spare capacity leaves the headroom free.
 // For a job that starts at any price it selects the worker with the most free resources, headroom included.
 func (n *node) selectBatchWorker(shard *ownedShard, job *liveJob, i int) string {
-	if shard.batchStartsInTick >= batchStartsTick || shard.batchTriesInTick >= batchTriesTick {
+	if shard.batchStartsInTick >= batchStartsPerTick || shard.batchTriesInTick >= batchTriesPerTick {
 		return ""
 	}
 	shard.batchTriesInTick++
 	job.runtime[i].retryAtMs = n.now + batchRecheckMs/2 + n.rand().Int64N(batchRecheckMs)
-	if !job.plan.AtAnyPrice && n.shortOfRoom(shard) {
+	if !job.plan.AtAnyPrice && n.urgentWorkWaits(shard) {
 		return ""
 	}
 	t := &job.Tasks[i]
-	step, q := &job.Steps[t.Step], n.config.current.Queues[job.Queue]
+	step, queue := &job.Steps[t.Step], n.config.current.Queues[job.Queue]
 	var used map[string]int32
 	if step.MaxPerWorker > 0 {
 		used = job.stepTasksByWorker(i)
 	}
-	best, least, bestWeight := "", 0.0, uint64(0)
+	best, leastFraction, bestWeight := "", 0.0, uint64(0)
 	for _, name := range sortedKeys(n.workers) {
 		w := n.workers[name]
-		if !n.workerAllowed(w, q, t.RequiredLabels, t.Resources) || w.suspect || w.unstarted > 0 ||
+		if !n.workerAllowed(w, queue, t.RequiredLabels, t.Resources) || w.suspect || w.unstarted > 0 ||
 			n.ranks.ejected(name) || step.MaxPerWorker > 0 && used[name] >= step.MaxPerWorker {
 			continue
 		}
-		part, fits := n.batchFraction(shard, job, t, name, q.Batch.SharePercent)
+		fraction, fits := n.batchFraction(shard, job, t, name, queue.Batch.SharePercent)
 		if !fits {
 			continue
 		}
-		if own := rendezvous.Weight(job.ID, name); best == "" || part < least || part == least && own > bestWeight {
-			best, least, bestWeight = name, part, own
+		if weight := rendezvous.Weight(job.ID, name); best == "" || fraction < leastFraction ||
+			fraction == leastFraction && weight > bestWeight {
+			best, leastFraction, bestWeight = name, fraction, weight
 		}
 	}
 	if best != "" {
@@ -350,47 +350,39 @@
 
 // explainHeld describes why a batch task has not started, and until when it is held; "" for a task of no batch job.
 func (n *node) explainHeld(job *liveJob, t *task) string {
-	r, p, wall := n.batchRules(&job.jobRecord), job.plan, n.fleetTime()
-	if r == nil {
+	rules, plan, clusterTimeMs := n.batchRules(&job.jobRecord), job.plan, n.fleetTime()
+	if rules == nil {
 		return ""
 	}
-	if p == nil {
+	if plan == nil {
 		return "held: its hours are being planned"
 	}
-	by := "; it is to be complete by " + clockText(r.Contract, p.DeadlineMs)
-	if !p.mayStart(wall, n.estimateMs(job, t)) {
-		if p.StartMs <= wall {
-			return "held until the next window: this one ends at " + clockText(r.Contract, p.CloseMs) + by
+	deadline := "; it is to be complete by " + clockText(rules.Contract, plan.DeadlineMs)
+	if !plan.mayStart(clusterTimeMs, n.estimateMs(job, t)) {
+		if plan.StartMs <= clusterTimeMs {
+			return "held until the next window: this one ends at " + clockText(rules.Contract, plan.CloseMs) + deadline
 		}
-		what := "the cheapest contracted hours"
-		if p.Price > r.Contract.Cheapest {
-			what = "the cheapest contracted hours that leave it time"
+		hours := "the cheapest contracted hours"
+		if plan.Price > rules.Contract.Cheapest {
+			hours = "the cheapest contracted hours that leave it time"
 		}
-		return fmt.Sprintf(
-			"held until %s, %s: %s, %s a core hour%s",
-			clockText(r.Contract, p.StartMs),
-			what,
-			r.Contract.Name,
-			priceText(p.Price),
-			by,
-		)
+		return fmt.Sprintf("held until %s, %s: %s, %s a core hour%s",
+			clockText(rules.Contract, plan.StartMs), hours, rules.Contract.Name, priceText(plan.Price), deadline)
 	}
-	if !p.AtAnyPrice && n.shortOfRoomAnywhere() {
-		return "held while more urgent work waits for room" + by
+	if !plan.AtAnyPrice && n.urgentWorkWaitsAnywhere() {
+		return "held while more urgent work waits for room" + deadline
 	}
-	if !t.Resources.Fits(n.largestBatchShare(job.Queue, r)) {
-		return fmt.Sprintf(
-			"no worker can hold it within the %d percent that batches of this queue may take",
-			r.SharePercent,
-		)
+	if !t.Resources.Fits(n.largestBatchShare(job.Queue, rules)) {
+		return fmt.Sprintf("no worker can hold it within the %d percent that batches of this queue may take",
+			rules.SharePercent)
 	}
-	return "waiting for its share of the workers' room" + by
+	return "waiting for its share of the workers' room" + deadline
 }
 
-// shortOfRoomAnywhere reports whether shortOfRoom holds for any shard owned here.
-func (n *node) shortOfRoomAnywhere() bool {
+// urgentWorkWaitsAnywhere reports whether urgentWorkWaits holds for any shard owned here.
+func (n *node) urgentWorkWaitsAnywhere() bool {
 	for _, shard := range n.shards {
-		if n.shortOfRoom(shard) {
+		if n.urgentWorkWaits(shard) {
 			return true
 		}
 	}
@@ -398,21 +390,26 @@
 }
 
 // largestBatchShare returns, for each resource, the most that one worker offers to the batch tasks of a queue.
-func (n *node) largestBatchShare(queue string, r *configuration.BatchRules) (most resource.Amount) {
+func (n *node) largestBatchShare(queue string, rules *configuration.BatchRules) (largest resource.Amount) {
 	q := n.config.current.Queues[queue]
 	for _, w := range n.workers {
-		if s := w.capacity.Share(r.SharePercent); n.workerAllowed(w, q, nil, resource.Amount{}) {
-			most = resource.Amount{CPU: max(most.CPU, s.CPU), Memory: max(most.Memory, s.Memory), GPU: max(most.GPU, s.GPU)}
+		if share := w.capacity.Share(rules.SharePercent); n.workerAllowed(w, q, nil, resource.Amount{}) {
+			largest = resource.Amount{
+				CPU:    max(largest.CPU, share.CPU),
+				Memory: max(largest.Memory, share.Memory),
+				GPU:    max(largest.GPU, share.GPU),
+			}
 		}
 	}
-	return most
+	return largest
 }
 
 // clockText formats a time in the contract's time zone.
-func clockText(c *configuration.Contract, ms int64) string {
-	return time.UnixMilli(ms).In(c.Location()).Format("Mon 2006-01-02 15:04 -07:00")
+func clockText(contract *configuration.Contract, atMs int64) string {
+	return time.UnixMilli(atMs).In(contract.Location()).Format("Mon 2006-01-02 15:04 -07:00")
 }
 
+// priceText formats a price without trailing zeros.
 func priceText(p float64) string { return fmt.Sprintf("%g", p) }
 
 // batchRetryAtMs returns when a preempted task of a batch job may be retried, with jitter; 0 for other jobs.
@@ -431,16 +428,16 @@
 
 // meterBatch counts the core seconds of an attempt that has just ended, by the price at the time they were used.
 func (n *node) meterBatch(job *liveJob, t *task, ranMs int64) {
-	r, wall := n.batchRules(&job.jobRecord), n.fleetTime()
-	if r == nil || wall == 0 || ranMs <= 0 {
+	rules, clusterTimeMs := n.batchRules(&job.jobRecord), n.fleetTime()
+	if rules == nil || clusterTimeMs == 0 || ranMs <= 0 {
 		return
 	}
 	if n.batchMeter == nil {
 		n.batchMeter = map[meterKey]float64{}
 	}
-	for _, w := range r.Contract.PriceWindows(wall-ranMs, wall) {
-		if ms := min(w.ToMs, wall) - max(w.FromMs, wall-ranMs); ms > 0 {
-			n.batchMeter[meterKey{r.Contract.Name, w.Price}] += float64(ms) / 1000 * float64(t.Resources.CPU)
+	for _, w := range rules.Contract.PriceWindows(clusterTimeMs-ranMs, clusterTimeMs) {
+		if ms := min(w.ToMs, clusterTimeMs) - max(w.FromMs, clusterTimeMs-ranMs); ms > 0 {
+			n.batchMeter[meterKey{rules.Contract.Name, w.Price}] += float64(ms) / 1000 * float64(t.Resources.CPU)
 		}
 	}
 }
@@ -480,16 +477,16 @@
 
 // batchUse returns the resources that batch tasks use at the agent's worker, by queue. It leaves out the tasks of the
 // shard named by but, unless that is empty.
-func (a *workerAgent) batchUse(n *node, but string) (out []wire.QueueUsage) {
+func (a *workerAgent) batchUse(n *node, exceptShard string) (out []wire.QueueUsage) {
 	sum := map[string]resource.Amount{}
 	for _, attempt := range a.attempts {
-		if attempt.state != wire.AttemptEnded && (but == "" || attempt.spec.Shard != but) &&
+		if attempt.state != wire.AttemptEnded && (exceptShard == "" || attempt.spec.Shard != exceptShard) &&
 			n.batchRulesOfSpec(&attempt.spec) != nil {
 			sum[attempt.spec.Queue] = sum[attempt.spec.Queue].Plus(attempt.spec.Resources)
 		}
 	}
-	for _, q := range sortedKeys(sum) {
-		out = append(out, wire.QueueUsage{Queue: q, Resources: sum[q]})
+	for _, queue := range sortedKeys(sum) {
+		out = append(out, wire.QueueUsage{Queue: queue, Resources: sum[queue]})
 	}
 	return out
 }
@@ -518,27 +515,27 @@
 }
 
 // observe returns the window with one more observation.
-func (l spareWindow) observe(nowMs int64, room resource.Amount) spareWindow {
-	if l.windows == 0 || nowMs-l.atMs >= spareWindowMs {
-		l = spareWindow{current: room, previous: l.current, windows: l.windows + 1, atMs: nowMs}
+func (w spareWindow) observe(nowMs int64, amount resource.Amount) spareWindow {
+	if w.windows == 0 || nowMs-w.atMs >= spareWindowMs {
+		w = spareWindow{current: amount, previous: w.current, windows: w.windows + 1, atMs: nowMs}
 	}
-	l.current = resource.Amount{
-		CPU:    min(l.current.CPU, room.CPU),
-		Memory: min(l.current.Memory, room.Memory),
-		GPU:    min(l.current.GPU, room.GPU),
+	w.current = resource.Amount{
+		CPU:    min(w.current.CPU, amount.CPU),
+		Memory: min(w.current.Memory, amount.Memory),
+		GPU:    min(w.current.GPU, amount.GPU),
 	}
-	return l
+	return w
 }
 
-// least returns the minimum, or nothing until a whole window has been observed.
-func (l spareWindow) least() resource.Amount {
-	if l.windows < 2 {
+// minimum returns the minimum, or nothing until a whole window has been observed.
+func (w spareWindow) minimum() resource.Amount {
+	if w.windows < 2 {
 		return resource.Amount{}
 	}
 	return resource.Amount{
-		CPU:    min(l.current.CPU, l.previous.CPU),
-		Memory: min(l.current.Memory, l.previous.Memory),
-		GPU:    min(l.current.GPU, l.previous.GPU),
+		CPU:    min(w.current.CPU, w.previous.CPU),
+		Memory: min(w.current.Memory, w.previous.Memory),
+		GPU:    min(w.current.GPU, w.previous.GPU),
 	}
 }
 
@@ -554,34 +551,34 @@
 
 // mayStartBatch reports whether a batch task may start at the agent's worker. It checks once more, at the worker,
 // that nothing more urgent waits there and that the queue stays within its share.
-func (n *node) mayStartBatch(agent *workerAgent, attempt *agentAttempt, r *configuration.BatchRules) bool {
+func (n *node) mayStartBatch(agent *workerAgent, attempt *agentAttempt, rules *configuration.BatchRules) bool {
 	if waiting, _ := agent.loadWithoutBatches(n); waiting > 0 {
 		return false
 	}
 	sum := attempt.spec.Resources
-	for _, o := range agent.attempts {
-		if o != attempt && o.spec.Queue == attempt.spec.Queue &&
-			(o.state == wire.AttemptOrdered || o.state == wire.AttemptRunning) &&
-			n.batchRulesOfSpec(&o.spec) != nil {
-			sum = sum.Plus(o.spec.Resources)
+	for _, other := range agent.attempts {
+		if other != attempt && other.spec.Queue == attempt.spec.Queue &&
+			(other.state == wire.AttemptOrdered || other.state == wire.AttemptRunning) &&
+			n.batchRulesOfSpec(&other.spec) != nil {
+			sum = sum.Plus(other.spec.Resources)
 		}
 	}
-	return sum.Fits(agent.capacity.Share(r.SharePercent))
+	return sum.Fits(agent.capacity.Share(rules.SharePercent))
 }
 
 // returnBatches ends batch tasks that could not start here within batchReturnMs, so that their owner places them
 // again, and returns the rest of the queue: batch tasks don't wait at a worker.
 func (n *node) returnBatches(agent *workerAgent, queue []*agentAttempt) []*agentAttempt {
-	some := false
+	returned := false
 	queue = slices.DeleteFunc(queue, func(attempt *agentAttempt) bool {
 		if n.batchRulesOfSpec(&attempt.spec) == nil || n.now-attempt.queuedMs <= batchReturnMs {
 			return false
 		}
-		attempt.state, attempt.result, some = wire.AttemptEnded, wire.ResultShed, true
+		attempt.state, attempt.result, returned = wire.AttemptEnded, wire.ResultShed, true
 		n.count("batches_returned")
 		return true
 	})
-	if some {
+	if returned {
 		n.reportAgent(agent)
 	}
 	return queue
--- a/internal/daemon/batch_test.go
+++ b/internal/daemon/batch_test.go
@@ -254,12 +254,12 @@
 	must.Eq(t, "", choose())
 	n.ranks.receivedMs = n.now - rankStaleMs
 	must.Eq(t, "w2", choose())
-	shard.batchStartsInTick = batchStartsTick
+	shard.batchStartsInTick = batchStartsPerTick
 	must.Eq(t, "", n.selectBatchWorker(shard, job, 0))
 
 	low := spareWindow{}.observe(0, resource.Amount{CPU: 9}).observe(100, resource.Amount{CPU: 4}).observe(spareWindowMs, resource.Amount{CPU: 7})
-	must.Eq(t, int64(4), low.least().CPU)
-	must.Eq(t, int64(7), low.observe(2*spareWindowMs, resource.Amount{CPU: 8}).least().CPU)
+	must.Eq(t, int64(4), low.minimum().CPU)
+	must.Eq(t, int64(7), low.observe(2*spareWindowMs, resource.Amount{CPU: 8}).minimum().CPU)
 }
 
 // Work that many jobs need together before a deadline makes each start earlier
@@ -292,7 +292,7 @@
 	must.Eq(t, 0.04, all[0].plan.Price)
 	must.Eq(t, 0.12, all[59].plan.Price)
 	late := n.batchJob(t, shard, "late", oneBatch(1, 4000), 20*msPerHour-30_000)
-	n.now += batchPlanMs
+	n.now += batchPlanIntervalMs
 	n.config.confirmedMs = n.now
 	for _, w := range n.workers {
 		w.receivedMs = n.now
@@ -321,7 +321,7 @@
 	other.planBatches(osl)
 	must.Nil(t, osl.jobs["b00"].plan)
 	must.Eq(t, "held: its hours are being planned", other.explainHeld(osl.jobs["b00"], &osl.jobs["b00"].Tasks[0]))
-	osl.startMs -= batchLearnMs
+	osl.startMs -= batchWarmupMs
 	other.planBatches(osl)
 	for _, job := range all {
 		must.Eq(t, job.plan, osl.jobs[job.ID].plan)
--- a/internal/daemon/job.go
+++ b/internal/daemon/job.go
@@ -138,18 +138,18 @@
 
 // position returns the position of a task in Tasks by its id. A task of a completed round has none: then past is
 // true.
-func (j *jobRecord) position(id int64) (pos int, past, ok bool) {
-	round, st, index, byPlace := parseUniformTaskID(id)
-	if !byPlace {
+func (j *jobRecord) position(id int64) (pos int, completed, ok bool) {
+	round, step, index, uniform := parseUniformTaskID(id)
+	if !uniform {
 		return int(id), false, id >= 0 && id < int64(len(j.Tasks)) && !j.hasUniformStep()
 	}
-	if int(st) >= len(j.Steps) || index >= j.Steps[st].Size {
+	if int(step) >= len(j.Steps) || index >= j.Steps[step].Size {
 		return 0, false, false
 	}
 	if round < j.FirstOpenRound {
 		return 0, true, false
 	}
-	at := int64(round-j.FirstOpenRound)*int64(j.roundSize()) + int64(j.stepStart(st)+index)
+	at := int64(round-j.FirstOpenRound)*int64(j.roundSize()) + int64(j.stepStart(step)+index)
 	if at >= int64(len(j.Tasks)) {
 		return 0, false, false
 	}
@@ -165,8 +165,8 @@
 }
 
 // stepStart returns the position of a step's first task in its round.
-func (j *jobRecord) stepStart(st int32) (at int32) {
-	for i := range j.Steps[:st] {
+func (j *jobRecord) stepStart(step int32) (at int32) {
+	for i := range j.Steps[:step] {
 		at += j.Steps[i].Size
 	}
 	return at
@@ -184,9 +184,9 @@
 
 // openRound adds the tasks of the next round; all steps must be uniform.
 func (j *jobRecord) openRound() {
-	for s := range j.Steps {
-		for i := range j.Steps[s].Size {
-			j.Tasks = append(j.Tasks, task{Round: j.RoundsOpened, Step: int32(s), IndexInStep: i})
+	for step := range j.Steps {
+		for i := range j.Steps[step].Size {
+			j.Tasks = append(j.Tasks, task{Round: j.RoundsOpened, Step: int32(step), IndexInStep: i})
 		}
 	}
 	j.RoundsOpened++
@@ -226,22 +226,22 @@
 // record of that is committed. The index is that of stepIndex.
 func (j *jobRecord) readySteps(committed int64) []bool {
 	rounds := max(int(j.RoundsOpened-j.FirstOpenRound), 1)
-	done := make([]bool, rounds*len(j.Steps))
-	for i := range done {
-		done[i] = true
+	succeeded := make([]bool, rounds*len(j.Steps))
+	for i := range succeeded {
+		succeeded[i] = true
 	}
 	for i := range j.Tasks {
 		if t := &j.Tasks[i]; t.State != taskEnded || t.ChangedVersion > committed {
-			done[j.stepIndex(t)] = false
+			succeeded[j.stepIndex(t)] = false
 		}
 	}
-	ready := make([]bool, len(done))
-	for r := range rounds {
+	ready := make([]bool, len(succeeded))
+	for round := range rounds {
 		for i, s := range j.Steps {
-			at := r*len(j.Steps) + i
+			at := round*len(j.Steps) + i
 			ready[at] = true
-			for _, a := range s.After {
-				ready[at] = ready[at] && done[r*len(j.Steps)+int(a)]
+			for _, dependency := range s.After {
+				ready[at] = ready[at] && succeeded[round*len(j.Steps)+int(dependency)]
 			}
 		}
 	}
@@ -255,22 +255,22 @@
 
 // dropCompleteRounds removes leading rounds whose tasks have all succeeded in the committed record, and reports
 // whether there were any. The last open round stays.
-func (j *jobRecord) dropCompleteRounds(committed int64) (some bool) {
-	for size := int(j.roundSize()); j.Rounds > 0 && len(j.Tasks) > size; some = true {
+func (j *jobRecord) dropCompleteRounds(committed int64) (dropped bool) {
+	for size := int(j.roundSize()); j.Rounds > 0 && len(j.Tasks) > size; dropped = true {
 		for i := range j.Tasks[:size] {
 			if t := &j.Tasks[i]; t.State != taskEnded || t.ChangedVersion > committed {
-				return some
+				return dropped
 			}
 		}
 		j.Tasks = slices.Clone(j.Tasks[size:])
 		j.FirstOpenRound++
 	}
-	return some
+	return dropped
 }
 
 // outcome derives a job's state from its tasks, and reports whether that state is final.
 func (j *jobRecord) outcome() (jobStatus, bool) {
-	all := true
+	allSucceeded := true
 	if j.State == jobRunning && j.RoundsOpened < j.roundCount() {
 		return j.State, false
 	}
@@ -278,9 +278,9 @@
 		if !j.Tasks[i].isTerminal() {
 			return j.State, false
 		}
-		all = all && j.Tasks[i].State == taskEnded
+		allSucceeded = allSucceeded && j.Tasks[i].State == taskEnded
 	}
-	if all && j.RoundsOpened >= j.roundCount() {
+	if allSucceeded && j.RoundsOpened >= j.roundCount() {
 		return jobComplete, true
 	}
 	return j.State, true
@@ -304,29 +304,29 @@
 }
 
 // describe returns the job as replies show it. why returns the reason for which a task waits, or "".
-func (j *jobRecord) describe(why func(*task) string) map[string]any {
+func (j *jobRecord) describe(waitReason func(*task) string) map[string]any {
 	steps := make([]map[string]any, len(j.Steps))
 	for i, s := range j.Steps {
 		after := []string{}
-		for _, a := range s.After {
-			after = append(after, j.Steps[a].Name)
+		for _, dependency := range s.After {
+			after = append(after, j.Steps[dependency].Name)
 		}
 		steps[i] = map[string]any{"name": s.Name, "after": after, "tasks": []map[string]any{}}
 	}
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
-		m := map[string]any{"name": t.Name, "state": t.State.String(), "attempt": t.Attempt, "class": t.Class.String(),
+		view := map[string]any{"name": t.Name, "state": t.State.String(), "attempt": t.Attempt, "class": t.Class.String(),
 			"worker": t.Worker, "failures": t.Failures, "preemptions": t.Preemptions, "ran_ms": t.RanMs}
 		if t.Cause != "" {
-			m["cause"] = t.Cause
+			view["cause"] = t.Cause
 		}
-		if w := why(t); w != "" {
-			m["waits"] = w
+		if reason := waitReason(t); reason != "" {
+			view["waits"] = reason
 		}
 		if j.Rounds > 0 {
-			m["round"] = t.Round
+			view["round"] = t.Round
 		}
-		steps[t.Step]["tasks"] = append(steps[t.Step]["tasks"].([]map[string]any), m)
+		steps[t.Step]["tasks"] = append(steps[t.Step]["tasks"].([]map[string]any), view)
 	}
 	state := j.State.String()
 	if j.DoneMs == 0 && j.State > jobComplete {
--- a/internal/daemon/job_encode.go
+++ b/internal/daemon/job_encode.go
@@ -12,8 +12,8 @@
 // recordCountBytes is the size of the count that codec writes before the elements of a slice.
 const recordCountBytes = 4
 
-// abandonedRuns is the last part of the encoding of a job without a tenant.
-type abandonedRuns struct{ Runs []abandonedRun }
+// abandonedAttempts is the last part of the encoding of a job without a tenant.
+type abandonedAttempts struct{ Attempts []abandonedRun }
 
 // noTenant is the encoding of an empty Tenant, which records omit.
 var noTenant = codec.Append(nil, struct{ Tenant string }{})
@@ -23,14 +23,14 @@
 
 // encodeSegmented returns the same value as encode, with each task as a segment of its own.
 func (j *jobRecord) encodeSegmented() statestore.Segmented {
-	c := j.recorded()
-	tasks := c.Tasks
-	c.Tasks = nil
-	value := codec.Append(nil, c)
-	tail := codec.Append(nil, abandonedRuns{c.Abandoned})
-	tail = codec.Append(tail, struct{ Tenant string }{c.Tenant})
+	stored := j.storedForm()
+	tasks := stored.Tasks
+	stored.Tasks = nil
+	value := codec.Append(nil, stored)
+	tail := codec.Append(nil, abandonedAttempts{stored.Abandoned})
+	tail = codec.Append(tail, struct{ Tenant string }{stored.Tenant})
 	head := len(value) - len(tail) - recordCountBytes
-	if c.Tenant == "" {
+	if stored.Tenant == "" {
 		tail = tail[:len(tail)-len(noTenant)]
 	}
 	value = binary.BigEndian.AppendUint32(value[:head], uint32(len(tasks)))
@@ -44,29 +44,29 @@
 	return statestore.Segmented{Value: value, Ends: append(ends, len(value))}
 }
 
-// recorded returns the job without the parts that its record doesn't need. A complete job is stored without steps and
+// storedForm returns the job without the parts that its record doesn't need. A complete job is stored without steps and
 // tasks, since the core set stores about a hundred thousand complete jobs a day.
-func (j *jobRecord) recorded() *jobRecord {
-	c := *j
-	c.ID = ""
+func (j *jobRecord) storedForm() *jobRecord {
+	stored := *j
+	stored.ID = ""
 	switch {
 	case j.DoneMs != 0:
-		c.Size = int32(len(j.Tasks))
-		c.Tasks = slices.Clone(j.Tasks)
-		for i := range c.Tasks {
-			c.Tasks[i].Payload, c.Tasks[i].RequiredLabels = nil, nil
+		stored.Size = int32(len(j.Tasks))
+		stored.Tasks = slices.Clone(j.Tasks)
+		for i := range stored.Tasks {
+			stored.Tasks[i].Payload, stored.Tasks[i].RequiredLabels = nil, nil
 		}
-		c.Payload = nil
+		stored.Payload = nil
 		if j.State == jobComplete {
-			c.Steps, c.Tasks = nil, nil
+			stored.Steps, stored.Tasks = nil, nil
 		}
 	case j.hasUniformStep(): // the step stores what its tasks share
-		c.Tasks = slices.Clone(j.Tasks)
-		for i := range c.Tasks {
-			t := &c.Tasks[i]
+		stored.Tasks = slices.Clone(j.Tasks)
+		for i := range stored.Tasks {
+			t := &stored.Tasks[i]
 			t.Name, t.Resources, t.RequiredLabels, t.LimitMs, t.EstimateHintMs, t.AllowedFailures, t.Payload =
 				"", resource.Amount{}, nil, 0, 0, 0, nil
 		}
 	}
-	return &c
+	return &stored
 }
--- a/internal/daemon/job_encode_test.go
+++ b/internal/daemon/job_encode_test.go
@@ -25,7 +25,7 @@
 			j.Steps[i].Uniform = c.alike
 		}
 		got := j.encodeSegmented()
-		kept := j.recorded()
+		kept := j.storedForm()
 		must.Eq(t, codec.Append(nil, kept), got.Value)
 		must.Eq(t, len(kept.Tasks)+2, len(got.Ends))
 		must.Eq(t, len(got.Value), got.Ends[len(got.Ends)-1])
--- a/internal/daemon/job_parse.go
+++ b/internal/daemon/job_parse.go
@@ -116,9 +116,9 @@
 // bodyDigest returns a digest of the body without insignificant whitespace. Half of a SHA-256 is enough to distinguish
 // the bodies of one job id.
 func bodyDigest(body []byte) []byte {
-	var flat bytes.Buffer
-	_ = json.Compact(&flat, body)
-	sum := sha256.Sum256(flat.Bytes())
+	var compact bytes.Buffer
+	_ = json.Compact(&compact, body)
+	sum := sha256.Sum256(compact.Bytes())
 	return sum[:16]
 }
 
@@ -148,27 +148,27 @@
 }
 
 // parseStep reads one step and its tasks.
-func (p *jobParser) parseStep(i int, s gjson.Result) {
-	st := jobStep{Name: s.Get("name").Str}
-	for k, a := range s.Get("after").Array() {
-		at, ok := p.index[a.Str]
+func (p *jobParser) parseStep(i int, body gjson.Result) {
+	step := jobStep{Name: body.Get("name").Str}
+	for k, dependency := range body.Get("after").Array() {
+		at, ok := p.index[dependency.Str]
 		if !ok {
 			p.fault(fmt.Sprintf("steps.%d.after.%d", i, k), "names no step")
 			continue
 		}
-		st.After = append(st.After, at)
+		step.After = append(step.After, at)
 	}
-	list, count := s.Get("tasks"), s.Get("count")
-	if list.Exists() == count.Exists() {
+	tasks, count := body.Get("tasks"), body.Get("count")
+	if tasks.Exists() == count.Exists() {
 		p.fault(fmt.Sprintf("steps.%d", i), "has either tasks or a count")
 		return
 	}
-	st.Size = int32(len(list.Array()))
+	step.Size = int32(len(tasks.Array()))
 	if count.Exists() {
-		st.alike(s)
+		step.parseUniform(body)
 	}
-	p.job.Steps = append(p.job.Steps, st)
-	p.parseTasks(i, list.Array())
+	p.job.Steps = append(p.job.Steps, step)
+	p.parseTasks(i, tasks.Array())
 }
 
 // parseTasks reads the tasks of a step that lists them.
@@ -217,28 +217,28 @@
 	if len(p.job.Tasks) > configuration.MaxTasks || p.job.roundSize() > configuration.MaxTasks {
 		p.fault("steps", fmt.Sprintf("have more than %d tasks together", configuration.MaxTasks))
 	}
-	if at, ok := cycle(p.job.Steps); ok {
-		p.fault(fmt.Sprintf("steps.%d.after", at), "waits in a circle")
+	if step, ok := findCycle(p.job.Steps); ok {
+		p.fault(fmt.Sprintf("steps.%d.after", step), "waits in a circle")
 	}
 }
 
-// alike reads the specification of a uniform step, which all its tasks share.
-func (step *jobStep) alike(s gjson.Result) {
+// parseUniform reads the specification of a uniform step, which all its tasks share.
+func (step *jobStep) parseUniform(body gjson.Result) {
 	step.Uniform, step.Size, step.Resources, step.RequiredLabels =
-		true, int32(s.Get("count").Int()), resource.Parse(s.Get("room")), labelsOf(s.Get("labels"))
-	step.LimitMs, step.EstimateHintMs, step.AllowedFailures = s.Get("limit_ms").Int(), s.Get("estimate_ms").Int(), -1
-	if a := s.Get("allowed_failures"); a.Exists() {
+		true, int32(body.Get("count").Int()), resource.Parse(body.Get("room")), labelsOf(body.Get("labels"))
+	step.LimitMs, step.EstimateHintMs, step.AllowedFailures = body.Get("limit_ms").Int(), body.Get("estimate_ms").Int(), -1
+	if a := body.Get("allowed_failures"); a.Exists() {
 		step.AllowedFailures = int32(a.Int())
 	}
 	step.Gang, step.SameRack, step.DataRack, step.MaxPerWorker =
-		s.Get("gang").Bool() && step.Size > 1, s.Get("same_rack").Bool(), s.Get("near").Str,
-		int32(s.Get("per_worker").Int())
+		body.Get("gang").Bool() && step.Size > 1, body.Get("same_rack").Bool(), body.Get("near").Str,
+		int32(body.Get("per_worker").Int())
 	step.AllowsDuplicates, step.LongRunning, step.Checkpointing =
-		s.Get("copies").Bool(), s.Get("lasting").Bool(), s.Get("saves").Bool()
+		body.Get("copies").Bool(), body.Get("lasting").Bool(), body.Get("saves").Bool()
 }
 
-// cycle returns the index of a step that depends on itself, directly or through other steps, and whether there is one.
-func cycle(steps []jobStep) (int, bool) {
+// findCycle returns the index of a step that depends on itself, directly or through others, and whether there is one.
+func findCycle(steps []jobStep) (int, bool) {
 	state := make([]int8, len(steps)) // 0 not visited, 1 being visited, 2 done
 	var visit func(int) bool
 	visit = func(i int) bool {
--- a/internal/daemon/job_trace.go
+++ b/internal/daemon/job_trace.go
@@ -14,7 +14,7 @@
 type endedAttempt struct {
 	status     wire.AttemptStatus
 	version    int64 // version of the job's record that first contains the end
-	heardMs    int64
+	receivedMs int64
 	sentMs     int64 // when the agent sent the report, by its clock
 	agent      string
 	worker     string
@@ -28,7 +28,7 @@
 		return
 	}
 	j.ended = append(j.ended, endedAttempt{
-		status: end, version: version, heardMs: nowMs, sentMs: m.SentMs,
+		status: end, version: version, receivedMs: nowMs, sentMs: m.SentMs,
 		agent: m.Agent, worker: m.Worker, agentEpoch: m.Epoch,
 	})
 }
@@ -95,7 +95,7 @@
 			kept = append(kept, e)
 			continue
 		}
-		n.observeStage(job, e.status.Class, jobtrace.CommitEnd, n.now-e.heardMs)
+		n.observeStage(job, e.status.Class, jobtrace.CommitEnd, n.now-e.receivedMs)
 		committed = append(committed, e)
 	}
 	job.ended = kept
--- a/internal/daemon/tenant_overview.go
+++ b/internal/daemon/tenant_overview.go
@@ -55,24 +55,24 @@
 // mergeTenants merges the reports of all shards' owners.
 func mergeTenants(reports []shardTenants) tenantOverview {
 	out, byName := tenantOverview{Tenants: []tenantSummary{}, Incomplete: []string{}}, map[string]*tenantSummary{}
-	of := func(name string) *tenantSummary {
+	summaryOf := func(name string) *tenantSummary {
 		if byName[name] == nil {
 			byName[name] = &tenantSummary{countedTenant: countedTenant{Name: name}, Shares: map[string]shardShare{}}
 		}
 		return byName[name]
 	}
-	for _, w := range reports {
-		out.Omitted += w.Omitted
-		if !w.Complete && len(w.Counted) > 0 {
-			out.Incomplete = append(out.Incomplete, w.Shard)
+	for _, report := range reports {
+		out.Omitted += report.Omitted
+		if !report.Complete && len(report.Counted) > 0 {
+			out.Incomplete = append(out.Incomplete, report.Shard)
 		}
-		for _, counted := range w.Counted {
-			t := of(counted.Name)
-			t.countedTenant, t.Shard, t.Complete, t.Silent = counted, w.Shard, w.Complete, w.Silent
+		for _, counted := range report.Counted {
+			t := summaryOf(counted.Name)
+			t.countedTenant, t.Shard, t.Complete, t.Silent = counted, report.Shard, report.Complete, report.Silent
 		}
-		for _, held := range w.Held {
-			t := of(held.Name)
-			t.Shares[w.Shard] = shardShare{held.Held, held.Used}
+		for _, held := range report.Held {
+			t := summaryOf(held.Name)
+			t.Shares[report.Shard] = shardShare{held.Held, held.Used}
 			t.Jobs, t.Excess, t.Refused = t.Jobs+held.Jobs, t.Excess+held.Excess, t.Refused+held.Refused
 		}
 	}
@@ -105,12 +105,12 @@
 	}
 	var reports []shardTenants
 	for _, shard := range gjson.GetBytes(members.Body, "slices").Array() {
-		r := send(ctx, evRequest{Op: "tenants", Key: shard.Str, Base: -1})
-		if r.Status != 200 {
-			return r
+		reply := send(ctx, evRequest{Op: "tenants", Key: shard.Str, Base: -1})
+		if reply.Status != 200 {
+			return reply
 		}
 		var report shardTenants
-		if json.Unmarshal(r.Body, &report) != nil {
+		if json.Unmarshal(reply.Body, &report) != nil {
 			reason := "slice " + shard.Str + " gave no readable answer"
 			return effReply{Status: 503, RetryMs: 1000, Body: mustJSON(map[string]any{"error": reason})}
 		}
--- a/internal/daemon/tenant_shares.go
+++ b/internal/daemon/tenant_shares.go
@@ -226,13 +226,13 @@
 		return
 	}
 	for _, at := range sortedKeys(pass.shareWaits) {
-		lack := pass.shareWaits[at]
-		if !n.limits.Of(job.Tenant).AdmitsAlone(job.allocationUnit(lack.task), job.Tasks[lack.task].Resources) {
+		wait := pass.shareWaits[at]
+		if !n.limits.Of(job.Tenant).AdmitsAlone(job.allocationUnit(wait.task), job.Tasks[wait.task].Resources) {
 			continue // only a higher limit helps; the limited number of claims is left to others
 		}
-		b.Claim(job.Tenant, shareKey(job, lack.task), wire.ShareClaim{
+		b.Claim(job.Tenant, shareKey(job, wait.task), wire.ShareClaim{
 			Job: job.ID, Urgency: n.precedence(job.Queue, job.excess), SubmittedMs: job.SubmitMs,
-			Unit: job.allocationUnit(lack.task), Task: job.Tasks[lack.task].Resources, Count: lack.count,
+			Unit: job.allocationUnit(wait.task), Task: job.Tasks[wait.task].Resources, Count: wait.count,
 		}, n.now)
 	}
 }
@@ -248,13 +248,13 @@
 			continue
 		}
 		for _, counter := range shard.shares.shardNames {
-			to, m := shard.shares.borrowers[counter].NextReport(n.now, n.config.current.Version)
+			to, report := shard.shares.borrowers[counter].NextReport(n.now, n.config.current.Version)
 			switch {
-			case m == nil:
+			case report == nil:
 			case to == n.Name:
-				n.onShareReport(n.Name, m)
+				n.onShareReport(n.Name, report)
 			default:
-				n.send(to, m)
+				n.send(to, report)
 			}
 		}
 	}
@@ -310,7 +310,7 @@
 // onShareReport passes a share report to its counter and sends the grants that result.
 func (n *node) onShareReport(from string, m *wire.ShareReport) {
 	if c := n.counters[m.Counter]; c != nil && c.OnReport(from, m) {
-		n.noteShareReport(m.Counter, m.Shard)
+		n.recordShareReport(m.Counter, m.Shard)
 		n.lendShares(m.Counter)
 	}
 }
@@ -382,12 +382,12 @@
 	if len(runs) == 0 {
 		return
 	}
-	atWork, ended := map[wire.AttemptKey]bool{}, map[wire.AttemptKey]bool{}
+	live, ended := map[wire.AttemptKey]bool{}, map[wire.AttemptKey]bool{}
 	for _, status := range m.Attempts {
-		atWork[status.Key], ended[status.Key] = status.State != wire.AttemptEnded, status.State == wire.AttemptEnded
+		live[status.Key], ended[status.Key] = status.State != wire.AttemptEnded, status.State == wire.AttemptEnded
 	}
-	s.releaseRuns(m.Worker, func(key wire.AttemptKey, _ unlistedRun) bool {
-		return ended[key] || !m.Partial && m.Rebuilt && !atWork[key]
+	s.releaseUnlisted(m.Worker, func(key wire.AttemptKey, _ unlistedRun) bool {
+		return ended[key] || !m.Partial && m.Rebuilt && !live[key]
 	})
 }
 
@@ -395,12 +395,12 @@
 // without contact with its owner.
 func (s *ownedShard) releaseLapsed(nowMs int64) {
 	for _, worker := range sortedKeys(s.unlisted) {
-		s.releaseRuns(worker, func(_ wire.AttemptKey, run unlistedRun) bool { return nowMs > run.untilMs })
+		s.releaseUnlisted(worker, func(_ wire.AttemptKey, run unlistedRun) bool { return nowMs > run.untilMs })
 	}
 }
 
-// releaseRuns releases the shares of those unlisted attempts at a worker for which over returns true.
-func (s *ownedShard) releaseRuns(worker string, over func(wire.AttemptKey, unlistedRun) bool) {
+// releaseUnlisted releases the shares of those unlisted attempts at a worker for which over returns true.
+func (s *ownedShard) releaseUnlisted(worker string, over func(wire.AttemptKey, unlistedRun) bool) {
 	for key, run := range s.unlisted[worker] { // a sum: the order does not matter
 		if over(key, run) {
 			s.shares.release(run.tenant, run.amount)
--- a/internal/daemon/tenant_status.go
+++ b/internal/daemon/tenant_status.go
@@ -130,7 +130,7 @@
 // heldTenants returns the tenants that have jobs or counts of admission at a shard, by name.
 func (n *node) heldTenants(shard *ownedShard) []heldTenant {
 	byName := map[string]*heldTenant{}
-	of := func(name string) *heldTenant {
+	tenantOf := func(name string) *heldTenant {
 		if byName[name] == nil {
 			byName[name] = &heldTenant{Name: name}
 			if b := shard.shares.borrowerFor(name); b != nil {
@@ -141,11 +141,11 @@
 	}
 	for _, job := range shard.jobs {
 		if job.Tenant != "" {
-			of(job.Tenant).Jobs++
+			tenantOf(job.Tenant).Jobs++
 		}
 	}
 	for name, counts := range shard.admissions {
-		t := of(name)
+		t := tenantOf(name)
 		t.Excess, t.Refused = counts.excess, counts.refused
 	}
 	tenants := make([]heldTenant, 0, len(byName))
@@ -155,8 +155,8 @@
 	return tenants
 }
 
-// noteShareReport records the time at which a shard's owner reported to a counter here.
-func (n *node) noteShareReport(counter, shard string) {
+// recordShareReport records the time at which a shard's owner reported to a counter here.
+func (n *node) recordShareReport(counter, shard string) {
 	if n.shareReports[counter] == nil {
 		n.shareReports[counter] = map[string]int64{}
 	}
@@ -249,18 +249,18 @@
 	}
 	limit := resource.Amount(n.limits.Of(job.Tenant))
 	held, used := shard.shares.borrowerFor(job.Tenant).Held(job.Tenant)
-	why := "waiting for the limit of tenant " + job.Tenant + ", " + amountText(limit) + ": here it uses " +
+	text := "waiting for the limit of tenant " + job.Tenant + ", " + amountText(limit) + ": here it uses " +
 		amountText(used) + " of " + amountText(held) + " that this slice may use"
 	counter := n.counters[countingShard(job.Tenant, n.core.Shards)]
 	if counter == nil {
-		return why
+		return text
 	}
 	for _, usage := range counter.Usages() {
 		if usage.Tenant == job.Tenant {
-			why += "; over all slices it uses " + amountText(usage.Used) + " of " + amountText(usage.Lent)
+			text += "; over all slices it uses " + amountText(usage.Used) + " of " + amountText(usage.Lent)
 		}
 	}
-	return why
+	return text
 }
 
 // amountText formats an amount as JSON, as operators write it.
--- a/internal/daemon/tenant_weight.go
+++ b/internal/daemon/tenant_weight.go
@@ -13,7 +13,7 @@
 // treats it like any other.
 
 const (
-	excessRecordsPercent = 50     // percent of a queue's or shard's limits on live jobs up to which excess jobs are admitted
+	excessRecordsPercent = 50     // percent of a queue's or shard's limits on live jobs that excess jobs may fill
 	excessWaitingMax     = 32     // excess jobs of a tenant that may wait in a shard while capacity is short
 	excessRetryMinMs     = 1000   // shortest retry time of a rejected excess job
 	excessRetryMaxMs     = 10_000 // longest retry time of a rejected excess job
@@ -46,14 +46,14 @@
 // rejectExcess rejects an excess job while many of its tenant's excess jobs wait for capacity or for a share of its
 // limit. The retry time is about the time in which the tenant's weight admits as many jobs as wait.
 func (n *node) rejectExcess(shard *ownedShard, tenant string) *rejection {
-	waiting, lacking := 0, false
+	waiting, waitsForShare := 0, false
 	for _, job := range shard.jobs {
 		if job.excess && job.Tenant == tenant && job.state() == "pending" && job.roundDueMs(0) <= n.fleetTime() {
 			waiting++
-			lacking = lacking || job.waitsForShare
+			waitsForShare = waitsForShare || job.waitsForShare
 		}
 	}
-	if waiting < excessWaitingMax || !lacking && !n.shortOfRoom(shard) {
+	if waiting < excessWaitingMax || !waitsForShare && !n.urgentWorkWaits(shard) {
 		return nil
 	}
 	n.count("jobs_rejected_excess")
@@ -68,23 +68,23 @@
 // addTenantShares sets on each request its tenant's weighted share of the whole capacity, and what the request would
 // add to it.
 func (n *node) addTenantShares(c *centralScheduler, keys []allocationKey, requests []scheduler.FairRequest) {
-	var all resource.Amount
+	var capacity resource.Amount
 	for _, w := range c.workers { // a sum: the order does not matter
-		all = all.Plus(w.Capacity)
+		capacity = capacity.Plus(w.Capacity)
 	}
 	used := c.usedByTenants(len(n.core.Shards))
-	for i, k := range keys {
-		request, weight := c.pending[k], float64(0)
+	for i, key := range keys {
+		request, weight := c.pending[key], float64(0)
 		if t := n.config.current.Tenants[request.Tenant]; t != nil {
 			weight = t.Weight
 		}
-		adds := resource.Amount{}
+		added := resource.Amount{}
 		for range request.open() {
-			adds = adds.Plus(request.Resources)
+			added = added.Plus(request.Resources)
 		}
 		requests[i].Tenant = request.Tenant
-		requests[i].Share = scheduler.WeightedShare(used[request.Tenant], all, weight)
-		requests[i].AddedShare = scheduler.WeightedShare(adds, all, weight)
+		requests[i].Share = scheduler.WeightedShare(used[request.Tenant], capacity, weight)
+		requests[i].AddedShare = scheduler.WeightedShare(added, capacity, weight)
 	}
 }
 
@@ -109,9 +109,9 @@
 		for _, request := range byShard { // a sum: the order does not matter
 			sum = sum.Plus(request.TenantUsed)
 		}
-		known, all := int64(len(byShard)), int64(max(shards, len(byShard)))
-		inAll := func(v int64) int64 { return v * all / known }
-		used[tenant] = resource.Amount{CPU: inAll(sum.CPU), Memory: inAll(sum.Memory), GPU: inAll(sum.GPU)}
+		knownShards, allShards := int64(len(byShard)), int64(max(shards, len(byShard)))
+		scale := func(v int64) int64 { return v * allShards / knownShards }
+		used[tenant] = resource.Amount{CPU: scale(sum.CPU), Memory: scale(sum.Memory), GPU: scale(sum.GPU)}
 	}
 	return used
 }
