--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -158,12 +158,12 @@
 		chainMs, workMs := n.batchRemaining(batch.job, capacity)
 		workAheadMs += workMs * float64(max(1, len(n.core.Shards))) // assumes that the other shards have as much
 		needMs := (int64(workAheadMs)+chainMs)*batchSlackPercent/100 + batchMarginMs
-		plan := planBatch(batch.rules, batch.job.ID, batch.fromMs, clusterTimeMs, needMs)
-		if plan.AtAnyPrice && (batch.job.plan == nil || !batch.job.plan.AtAnyPrice) {
+		newPlan := planBatch(batch.rules, batch.job.ID, batch.fromMs, clusterTimeMs, needMs)
+		if newPlan.AtAnyPrice && (batch.job.plan == nil || !batch.job.plan.AtAnyPrice) {
 			n.count("batches_at_any_price")
-			n.log("batch_at_any_price", "job", batch.job.ID, "queue", batch.job.Queue, "need_ms", needMs, "price", plan.Price)
+			n.log("batch_at_any_price", "job", batch.job.ID, "queue", batch.job.Queue, "need_ms", needMs, "price", newPlan.Price)
 		}
-		batch.job.plan = &plan
+		batch.job.plan = &newPlan
 	}
 }
 
@@ -188,8 +188,8 @@
 		if t.isTerminal() {
 			continue
 		}
-		estimateMs := n.estimateMs(job, t)
-		longestMs[t.Step] = max(longestMs[t.Step], estimateMs)
+		taskMs := n.estimateMs(job, t)
+		longestMs[t.Step] = max(longestMs[t.Step], taskMs)
 		fraction := 0.0
 		need := t.Resources
 		for _, amounts := range [][2]int64{
@@ -199,7 +199,7 @@
 				fraction = max(fraction, float64(amounts[0])/float64(amounts[1]))
 			}
 		}
-		workMs += fraction * float64(estimateMs)
+		workMs += fraction * float64(taskMs)
 	}
 	stepEndMs := make([]int64, len(job.Steps)) // steps are in any order, so one pass per step is needed
 	for range job.Steps {
@@ -340,9 +340,9 @@
 	}
 	if best != "" {
 		shard.batchStartsInTick++
-		for _, queue := range []string{job.Queue, ""} {
-			load := n.batchLoad(shard, queue, best).Plus(t.Resources)
-			shard.batchUseByWorker[queueOnWorker{queue, best}] = load
+		for _, queueName := range []string{job.Queue, ""} {
+			load := n.batchLoad(shard, queueName, best).Plus(t.Resources)
+			shard.batchUseByWorker[queueOnWorker{queueName, best}] = load
 		}
 	}
 	return best
@@ -350,26 +350,26 @@
 
 // explainHeld describes why a batch task has not started, and until when it is held; "" for a task of no batch job.
 func (n *node) explainHeld(job *liveJob, t *task) string {
-	rules, plan, clusterTimeMs := n.batchRules(&job.jobRecord), job.plan, n.fleetTime()
+	rules, p, clusterTimeMs := n.batchRules(&job.jobRecord), job.plan, n.fleetTime()
 	if rules == nil {
 		return ""
 	}
-	if plan == nil {
+	if p == nil {
 		return "held: its hours are being planned"
 	}
-	deadline := "; it is to be complete by " + clockText(rules.Contract, plan.DeadlineMs)
-	if !plan.mayStart(clusterTimeMs, n.estimateMs(job, t)) {
-		if plan.StartMs <= clusterTimeMs {
-			return "held until the next window: this one ends at " + clockText(rules.Contract, plan.CloseMs) + deadline
+	deadline := "; it is to be complete by " + clockText(rules.Contract, p.DeadlineMs)
+	if !p.mayStart(clusterTimeMs, n.estimateMs(job, t)) {
+		if p.StartMs <= clusterTimeMs {
+			return "held until the next window: this one ends at " + clockText(rules.Contract, p.CloseMs) + deadline
 		}
 		hours := "the cheapest contracted hours"
-		if plan.Price > rules.Contract.Cheapest {
+		if p.Price > rules.Contract.Cheapest {
 			hours = "the cheapest contracted hours that leave it time"
 		}
 		return fmt.Sprintf("held until %s, %s: %s, %s a core hour%s",
-			clockText(rules.Contract, plan.StartMs), hours, rules.Contract.Name, priceText(plan.Price), deadline)
+			clockText(rules.Contract, p.StartMs), hours, rules.Contract.Name, priceText(p.Price), deadline)
 	}
-	if !plan.AtAnyPrice && n.urgentWorkWaitsAnywhere() {
+	if !p.AtAnyPrice && n.urgentWorkWaitsAnywhere() {
 		return "held while more urgent work waits for room" + deadline
 	}
 	if !t.Resources.Fits(n.largestBatchShare(job.Queue, rules)) {
--- a/internal/daemon/tenant_weight.go
+++ b/internal/daemon/tenant_weight.go
@@ -46,14 +46,14 @@
 // rejectExcess rejects an excess job while many of its tenant's excess jobs wait for capacity or for a share of its
 // limit. The retry time is about the time in which the tenant's weight admits as many jobs as wait.
 func (n *node) rejectExcess(shard *ownedShard, tenant string) *rejection {
-	waiting, waitsForShare := 0, false
+	waiting, lacksShare := 0, false
 	for _, job := range shard.jobs {
 		if job.excess && job.Tenant == tenant && job.state() == "pending" && job.roundDueMs(0) <= n.fleetTime() {
 			waiting++
-			waitsForShare = waitsForShare || job.waitsForShare
+			lacksShare = lacksShare || job.waitsForShare
 		}
 	}
-	if waiting < excessWaitingMax || !waitsForShare && !n.urgentWorkWaits(shard) {
+	if waiting < excessWaitingMax || !lacksShare && !n.urgentWorkWaits(shard) {
 		return nil
 	}
 	n.count("jobs_rejected_excess")
