--- a/internal/daemon/job.go
+++ b/internal/daemon/job.go
@@ -86,8 +86,7 @@
 	RoundsOpened   int32 // rounds opened so far; Tasks holds those from FirstOpenRound on
 	Steps          []jobStep
 	Tasks          []task
-	// Abandoned are attempts whose worker was silent for too long. If they are reported as ended later, that doesn't
-	// count.
+	// Abandoned lists attempts whose worker was silent for too long. A later report of their end is ignored.
 	Abandoned []abandonedRun
 	// Tenant is the tenant whose key the job was submitted with. It is the last field, and a record omits it if it
 	// is empty: records from before tenants existed have the same form.
@@ -136,8 +135,8 @@
 	return int64(pos)
 }
 
-// position returns the position of a task in Tasks by its id. A task of a completed round has none: then past is
-// true.
+// position returns the position of a task in Tasks by its id. A task of a completed round has no
+// position: then completed is true.
 func (j *jobRecord) position(id int64) (pos int, completed, ok bool) {
 	round, step, index, uniform := parseUniformTaskID(id)
 	if !uniform {
