--- a/internal/daemon/job.go
+++ b/internal/daemon/job.go
@@ -86,7 +86,8 @@
 	RoundsOpened   int32 // rounds opened so far; Tasks holds those from FirstOpenRound on
 	Steps          []jobStep
 	Tasks          []task
-	// Abandoned lists attempts whose worker was silent for too long. A later report of their end is ignored.
+	// Abandoned lists attempts whose worker was silent for too long. Their end, if reported later, doesn't count,
+	// except when no other attempt was started in the meantime; then the entry is removed.
 	Abandoned []abandonedRun
 	// Tenant is the tenant whose key the job was submitted with. It is the last field, and a record omits it if it
 	// is empty: records from before tenants existed have the same form.
