--- a/cmd/otterchute/main.go
+++ b/cmd/otterchute/main.go
@@ -1,4 +1,4 @@
-// Program otterchute is the daemon of every machine and the operators' command line.
+// Command otterchute is the daemon that runs on every machine and the operators' command line.
 package main
 
 import "otterchute/internal/daemon"
--- a/internal/daemon/brief_test.go
+++ b/internal/daemon/brief_test.go
@@ -490,7 +490,7 @@
 				}
 			}
 			var found []string
-			for _, f := range examine(words) {
+			for _, f := range runHealthChecks(words) {
 				found = append(found, f.Check)
 			}
 			if c.check == "" {
--- a/internal/daemon/client.go
+++ b/internal/daemon/client.go
@@ -24,27 +24,33 @@
 	"github.com/tidwall/gjson"
 )
 
-// client asks any daemon of a list, the next one after silence or a 503.
+// client sends requests to the first daemon of a list that answers: after an error, a 503 or
+// a 429 it tries the next one.
 type client struct {
-	at   []string
-	http http.Client
+	addresses []string
+	http      http.Client
 }
 
+// response is a daemon's HTTP response, read whole.
 type response struct {
 	status int
 	body   []byte
 }
 
-func newClient(at string) *client {
-	return &client{at: strings.Split(at, ","), http: http.Client{Timeout: 6 * time.Second}}
+// newClient returns a client for a comma-separated list of HTTP addresses.
+//
+// Example: c := newClient("127.0.0.1:8000,127.0.0.2:8000")
+func newClient(addresses string) *client {
+	return &client{addresses: strings.Split(addresses, ","), http: http.Client{Timeout: 6 * time.Second}}
 }
 
-// request sends one request until it is finally answered, at most a few times.
+// request sends a request and retries it with backoff a few times while daemons fail, are
+// unavailable (503) or overloaded (429). It returns the last response or error.
 //
-// Example: t, err := newClient("127.0.0.1:8000").request(ctx, "GET", "/v1/members", nil)
+// Example: resp, err := newClient("127.0.0.1:8000").request(ctx, "GET", "/v1/members", nil)
 func (c *client) request(ctx context.Context, method, path string, body []byte) (response, error) {
-	try := 0
-	isTemporary := func(t response, err error) bool { return err != nil || t.status == 503 || t.status == 429 }
+	attempts := 0
+	isTemporary := func(resp response, err error) bool { return err != nil || resp.status == 503 || resp.status == 429 }
 	policy := retrypolicy.NewBuilder[response]().
 		WithMaxRetries(6).
 		WithBackoff(300*time.Millisecond, 2*time.Second).
@@ -52,139 +58,145 @@
 		HandleIf(isTemporary).
 		ReturnLastFailure().
 		Build()
-	t, err := failsafe.With[response](policy).WithContext(ctx).Get(func() (response, error) {
-		at := c.at[try%len(c.at)]
-		try++
-		req, err := http.NewRequestWithContext(ctx, method, "http://"+at+path, bytes.NewReader(body))
+	resp, err := failsafe.With[response](policy).WithContext(ctx).Get(func() (response, error) {
+		address := c.addresses[attempts%len(c.addresses)]
+		attempts++
+		req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 		if err != nil {
 			return response{}, err
 		}
-		resp, err := c.http.Do(req)
+		httpResponse, err := c.http.Do(req)
 		if err != nil {
 			return response{}, err
 		}
-		defer func() { _ = resp.Body.Close() }() // what was read is kept, an error would change nothing
-		b, err := io.ReadAll(io.LimitReader(resp.Body, wire.MaxFrame))
-		return response{resp.StatusCode, b}, err
+		defer func() { _ = httpResponse.Body.Close() }() // the body is read already
+		content, err := io.ReadAll(io.LimitReader(httpResponse.Body, wire.MaxFrame))
+		return response{httpResponse.StatusCode, content}, err
 	})
 	if err != nil {
-		return t, errors.Wrap(errClient, err.Error())
+		return resp, errors.Wrap(errClient, err.Error())
 	}
-	return t, nil
+	return resp, nil
 }
 
-func pretty(b []byte) string {
+// indentJSON returns a JSON document with indentation, and any other text unchanged.
+func indentJSON(doc []byte) string {
 	var out bytes.Buffer
-	if json.Indent(&out, b, "", "  ") != nil {
-		return string(b)
+	if json.Indent(&out, doc, "", "  ") != nil {
+		return string(doc)
 	}
 	return out.String()
 }
 
-// show prints an answer and gives the exit code for it.
-func show(t response, err error) subcommands.ExitStatus {
+// printResponse prints a response or an error and returns the exit code for it.
+func printResponse(resp response, err error) subcommands.ExitStatus {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "otterchute:", err)
 		return exitUnreachable
 	}
-	if t.status >= 400 {
-		fmt.Fprintln(os.Stderr, pretty(t.body))
-		if t.status == 503 || t.status == 429 {
+	if resp.status >= 400 {
+		fmt.Fprintln(os.Stderr, indentJSON(resp.body))
+		if resp.status == 503 || resp.status == 429 {
 			return exitUnreachable
 		}
 		return exitFound
 	}
-	fmt.Println(pretty(t.body))
+	fmt.Println(indentJSON(resp.body))
 	return exitOK
 }
 
-func usage(words string) subcommands.ExitStatus {
-	fmt.Fprintln(os.Stderr, "otterchute: usage: otterchute", words)
+// printUsage prints the correct form of a command to standard error.
+func printUsage(commandLine string) subcommands.ExitStatus {
+	fmt.Fprintln(os.Stderr, "otterchute: usage: otterchute", commandLine)
 	return exitUsage
 }
 
-func readDoc(path string) ([]byte, error) {
+// readFileOrStdin reads a file, or standard input for "-".
+func readFileOrStdin(path string) ([]byte, error) {
 	if path == "-" {
 		return io.ReadAll(os.Stdin)
 	}
 	return os.ReadFile(path)
 }
 
-type verb func(context.Context, *client, []string) subcommands.ExitStatus
+// actionFunc runs one action of a command, such as "show" of "job show ID", on its operands.
+type actionFunc func(context.Context, *client, []string) subcommands.ExitStatus
 
-// verbs makes a command of a table of second words.
-func verbs(name, args, about string, table map[string]verb) *command {
-	at := new(string)
-	return &command{name: name, args: args, about: about,
-		bind: func(fs *flag.FlagSet) {
+// actionCommand returns a command whose first operand selects one of the actions; the action
+// "" runs when none matches.
+func actionCommand(name, argsUsage, synopsis string, actions map[string]actionFunc) *command {
+	addressList := new(string)
+	return &command{name: name, argsUsage: argsUsage, synopsis: synopsis,
+		bindFlags: func(fs *flag.FlagSet) {
 			fs.StringVar(
-				at,
+				addressList,
 				"at",
 				"127.0.0.1:8000",
-				"HTTP addresses of daemons, parted by commas; the next is tried after silence",
+				"HTTP addresses of daemons, separated by commas; the next one is tried if one does not answer",
 			)
 		},
-		do: func(ctx context.Context, fs *flag.FlagSet) subcommands.ExitStatus {
-			words := fs.Args()
-			do, ok := table[""]
-			if len(words) > 0 && table[words[0]] != nil {
-				do, ok = table[words[0]], true
-				words = words[1:]
+		run: func(ctx context.Context, fs *flag.FlagSet) subcommands.ExitStatus {
+			operands := fs.Args()
+			run, ok := actions[""]
+			if len(operands) > 0 && actions[operands[0]] != nil {
+				run, ok = actions[operands[0]], true
+				operands = operands[1:]
 			}
 			if !ok {
-				return usage(name + " " + args)
+				return printUsage(name + " " + argsUsage)
 			}
-			return do(ctx, newClient(*at), words)
+			return run(ctx, newClient(*addressList), operands)
 		}}
 }
 
+// operatorCommands returns the subcommands that operators run against daemons or files.
 func operatorCommands() []*command {
-	get := func(path string) verb {
+	get := func(path string) actionFunc {
 		return func(ctx context.Context, c *client, _ []string) subcommands.ExitStatus {
-			return show(c.request(ctx, "GET", path, nil))
+			return printResponse(c.request(ctx, "GET", path, nil))
 		}
 	}
-	one := func(words, method, path string) verb {
-		return func(ctx context.Context, c *client, w []string) subcommands.ExitStatus {
-			if len(w) != 1 || !schema.ValidName(w[0]) {
-				return usage(words)
+	withName := func(commandLine, method, path string) actionFunc {
+		return func(ctx context.Context, c *client, args []string) subcommands.ExitStatus {
+			if len(args) != 1 || !schema.ValidName(args[0]) {
+				return printUsage(commandLine)
 			}
-			return show(c.request(ctx, method, strings.ReplaceAll(path, "ID", w[0]), nil))
+			return printResponse(c.request(ctx, method, strings.ReplaceAll(path, "ID", args[0]), nil))
 		}
 	}
 	return []*command{
-		verbs(
+		actionCommand(
 			"setup",
 			"[-at LIST] apply FILE [N] | check FILE | show | history",
 			"declare the whole setup as its next version, check it offline, or read it",
-			map[string]verb{
-				"apply": applyConfig, "check": checkConfigFile, "show": get("/v1/setups/current"), "history": showHistory},
+			map[string]actionFunc{
+				"apply": applyConfig, "check": checkConfigFile, "show": get("/v1/setups/current"), "history": printConfigHistory},
 		),
-		verbs(
+		actionCommand(
 			"job",
 			"[-at LIST] submit ID FILE | show ID | explain ID | cancel ID",
-			"hand in a job, read its state, see where its time went, or cancel it",
-			map[string]verb{
+			"submit a job, show its state, explain where its time went, or cancel it",
+			map[string]actionFunc{
 				"submit":  submitJob,
-				"show":    one("job show ID", "GET", "/v1/jobs/ID"),
-				"explain": one("job explain ID", "GET", "/v1/jobs/ID/explain"),
-				"cancel":  one("job cancel ID", "POST", "/v1/jobs/ID/cancel"),
+				"show":    withName("job show ID", "GET", "/v1/jobs/ID"),
+				"explain": withName("job explain ID", "GET", "/v1/jobs/ID/explain"),
+				"cancel":  withName("job cancel ID", "POST", "/v1/jobs/ID/cancel"),
 			},
 		),
-		verbs("workers", "[-at LIST] [lost NAME]", "list the workers, or declare a silent one gone for good", map[string]verb{
-			"": get("/v1/workers"), "lost": one("workers lost NAME", "POST", "/v1/workers/ID/lost")}),
-		verbs(
+		actionCommand("workers", "[-at LIST] [lost NAME]", "list the workers, or declare a silent one lost for good", map[string]actionFunc{
+			"": get("/v1/workers"), "lost": withName("workers lost NAME", "POST", "/v1/workers/ID/lost")}),
+		actionCommand(
 			"members",
 			"[-at LIST]",
-			"list daemons, core members and who holds which duty",
-			map[string]verb{"": get("/v1/members")},
+			"list daemons, core members and the holder of each duty",
+			map[string]actionFunc{"": get("/v1/members")},
 		),
-		verbs("empty", "[-at LIST] SITE | undo SITE", "give a site no new work, by the next setup version", map[string]verb{
-			"": func(ctx context.Context, c *client, w []string) subcommands.ExitStatus {
-				return emptyZone(ctx, c, w, true)
+		actionCommand("empty", "[-at LIST] SITE | undo SITE", "stop giving a site new work, in the next setup version", map[string]actionFunc{
+			"": func(ctx context.Context, c *client, args []string) subcommands.ExitStatus {
+				return emptyZone(ctx, c, args, true)
 			},
-			"undo": func(ctx context.Context, c *client, w []string) subcommands.ExitStatus {
-				return emptyZone(ctx, c, w, false)
+			"undo": func(ctx context.Context, c *client, args []string) subcommands.ExitStatus {
+				return emptyZone(ctx, c, args, false)
 			}}),
 		tenantsCommand(get),
 		doctorCommand(),
@@ -192,128 +204,132 @@
 	}
 }
 
-func submitJob(ctx context.Context, c *client, w []string) subcommands.ExitStatus {
-	if len(w) != 2 || !schema.ValidName(w[0]) {
-		return usage("job submit ID FILE")
+func submitJob(ctx context.Context, c *client, args []string) subcommands.ExitStatus {
+	if len(args) != 2 || !schema.ValidName(args[0]) {
+		return printUsage("job submit ID FILE")
 	}
-	doc, err := readDoc(w[1])
+	doc, err := readFileOrStdin(args[1])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "otterchute:", err)
 		return exitUsage
 	}
-	return show(c.request(ctx, "PUT", "/v1/jobs/"+w[0], doc))
+	return printResponse(c.request(ctx, "PUT", "/v1/jobs/"+args[0], doc))
 }
 
-func applyConfig(ctx context.Context, c *client, w []string) subcommands.ExitStatus {
-	if len(w) < 1 || len(w) > 2 {
-		return usage("setup apply FILE [N]")
+// applyConfig declares a configuration under the given version, by default the one after the
+// current version.
+func applyConfig(ctx context.Context, c *client, args []string) subcommands.ExitStatus {
+	if len(args) < 1 || len(args) > 2 {
+		return printUsage("setup apply FILE [N]")
 	}
-	doc, err := readDoc(w[0])
+	doc, err := readFileOrStdin(args[0])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "otterchute:", err)
 		return exitUsage
 	}
-	var n int64
-	if len(w) == 2 {
-		if n, err = strconv.ParseInt(w[1], 10, 64); err != nil {
-			return usage("setup apply FILE [N]")
+	var version int64
+	if len(args) == 2 {
+		if version, err = strconv.ParseInt(args[1], 10, 64); err != nil {
+			return printUsage("setup apply FILE [N]")
 		}
 	} else {
-		t, err := c.request(ctx, "GET", "/v1/setups/current", nil)
-		if err != nil || t.status != 200 {
-			return show(t, err)
+		current, err := c.request(ctx, "GET", "/v1/setups/current", nil)
+		if err != nil || current.status != 200 {
+			return printResponse(current, err)
 		}
-		n = gjson.GetBytes(t.body, "version").Int() + 1
+		version = gjson.GetBytes(current.body, "version").Int() + 1
 	}
-	return show(c.request(ctx, "PUT", "/v1/setups/"+strconv.FormatInt(n, 10), doc))
+	return printResponse(c.request(ctx, "PUT", "/v1/setups/"+strconv.FormatInt(version, 10), doc))
 }
 
-// checkConfigFile makes the checks of a configuration without asking anybody.
-func checkConfigFile(_ context.Context, _ *client, w []string) subcommands.ExitStatus {
-	if len(w) != 1 {
-		return usage("setup check FILE")
+// checkConfigFile validates a configuration offline and prints each fault, or a summary.
+func checkConfigFile(_ context.Context, _ *client, args []string) subcommands.ExitStatus {
+	if len(args) != 1 {
+		return printUsage("setup check FILE")
 	}
-	doc, err := readDoc(w[0])
+	doc, err := readFileOrStdin(args[0])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "otterchute:", err)
 		return exitUsage
 	}
-	c, faults := configuration.Compile(1, doc)
-	for _, f := range faults {
-		fmt.Fprintf(os.Stderr, "%s: %s %s\n", w[0], orText(f.Path, "the document"), f.Reason)
+	config, faults := configuration.Compile(1, doc)
+	for _, fault := range faults {
+		fmt.Fprintf(os.Stderr, "%s: %s %s\n", args[0], orText(fault.Path, "the document"), fault.Reason)
 	}
 	if len(faults) > 0 {
 		return exitFound
 	}
-	fmt.Printf("sound: %d queues, %d sites to empty", len(c.Queues), len(c.EmptyZones))
-	if c.RequiresKey() {
-		fmt.Printf(", %d tenants", len(c.Tenants))
+	fmt.Printf("sound: %d queues, %d sites to empty", len(config.Queues), len(config.EmptyZones))
+	if config.RequiresKey() {
+		fmt.Printf(", %d tenants", len(config.Tenants))
 	}
 	fmt.Println()
-	for _, line := range c.ExplainContracts() {
+	for _, line := range config.ExplainContracts() {
 		fmt.Println(line)
 	}
 	return exitOK
 }
 
-func showHistory(ctx context.Context, c *client, _ []string) subcommands.ExitStatus {
-	t, err := c.request(ctx, "GET", "/v1/setups/current", nil)
-	if err != nil || t.status != 200 {
-		return show(t, err)
+// printConfigHistory prints the versions of the configuration that daemons still list.
+func printConfigHistory(ctx context.Context, c *client, _ []string) subcommands.ExitStatus {
+	resp, err := c.request(ctx, "GET", "/v1/setups/current", nil)
+	if err != nil || resp.status != 200 {
+		return printResponse(resp, err)
 	}
-	for _, p := range gjson.GetBytes(t.body, "history").Array() {
+	for _, entry := range gjson.GetBytes(resp.body, "history").Array() {
 		fmt.Printf(
 			"version=%d at=%s queues=%d bytes=%d digest=%016x\n",
-			p.Get("version").Int(),
+			entry.Get("version").Int(),
 			time.UnixMilli(
-				p.Get("at_ms").Int(),
+				entry.Get("at_ms").Int(),
 			).UTC().Format(
 				time.RFC3339,
 			),
-			p.Get("queues").Int(),
-			p.Get("bytes").Int(),
-			p.Get("digest").Uint(),
+			entry.Get("queues").Int(),
+			entry.Get("bytes").Int(),
+			entry.Get("digest").Uint(),
 		)
 	}
 	return exitOK
 }
 
-// emptyZone reads the configuration, changes its list of zones to empty and declares
-// that as the next version; where another operator was first it begins again.
-func emptyZone(ctx context.Context, c *client, w []string, empty bool) subcommands.ExitStatus {
-	if len(w) != 1 || !schema.ValidName(w[0]) {
-		return usage("empty SITE | empty undo SITE")
+// emptyZone adds a zone to the configuration's list of zones to empty, or removes it, and
+// declares the result as the next version. If another operator declared that version first,
+// it starts again.
+func emptyZone(ctx context.Context, c *client, args []string, empty bool) subcommands.ExitStatus {
+	if len(args) != 1 || !schema.ValidName(args[0]) {
+		return printUsage("empty SITE | empty undo SITE")
 	}
 	for range 5 {
-		t, err := c.request(ctx, "GET", "/v1/setups/current", nil)
-		if err != nil || t.status != 200 {
-			return show(t, err)
+		resp, err := c.request(ctx, "GET", "/v1/setups/current", nil)
+		if err != nil || resp.status != 200 {
+			return printResponse(resp, err)
 		}
 		var doc map[string]json.RawMessage
-		if json.Unmarshal([]byte(gjson.GetBytes(t.body, "setup").Raw), &doc) != nil || doc == nil {
+		if json.Unmarshal([]byte(gjson.GetBytes(resp.body, "setup").Raw), &doc) != nil || doc == nil {
 			fmt.Fprintln(os.Stderr, "otterchute: there is no setup yet")
 			return exitFound
 		}
 		zones := []string{}
-		for _, s := range gjson.GetBytes(t.body, "setup.empty_sites").Array() {
-			if s.Str != w[0] {
-				zones = append(zones, s.Str)
+		for _, zone := range gjson.GetBytes(resp.body, "setup.empty_sites").Array() {
+			if zone.Str != args[0] {
+				zones = append(zones, zone.Str)
 			}
 		}
 		if empty {
-			zones = append(zones, w[0])
+			zones = append(zones, args[0])
 		}
 		doc["empty_sites"] = mustJSON(zones)
-		t, err = c.request(
+		resp, err = c.request(
 			ctx,
 			"PUT",
-			"/v1/setups/"+strconv.FormatInt(gjson.GetBytes(t.body, "version").Int()+1, 10),
+			"/v1/setups/"+strconv.FormatInt(gjson.GetBytes(resp.body, "version").Int()+1, 10),
 			mustJSON(doc),
 		)
-		if err != nil || t.status != 409 {
-			return show(t, err)
+		if err != nil || resp.status != 409 {
+			return printResponse(resp, err)
 		}
 	}
-	fmt.Fprintln(os.Stderr, "otterchute: other operators were faster each time; try again")
+	fmt.Fprintln(os.Stderr, "otterchute: other operators changed the setup at the same time; try again")
 	return exitFound
 }
--- a/internal/daemon/doctor.go
+++ b/internal/daemon/doctor.go
@@ -15,69 +15,70 @@
 )
 
 const (
-	visitAgainMs = 2000 // doctor's second look; every bound on a passing state is shorter
-	spreadMs     = 1000 // a clock this far off is wrong, whatever the network
-	slowSyncMs   = 200  // a sync this slow sets the pace of every change
+	recheckDelayMs   = 2000 // before the second check; states that pass by themselves last less
+	maxClockOffsetMs = 1000 // no network delay explains an offset beyond this
+	maxSyncMs        = 200  // a slower disk sync slows every change
 )
 
-// finding is one fault that doctor sees, with what to do about it.
+// finding is a fault that doctor found at a daemon, with its remedy.
 type finding struct {
-	Check string `json:"check"`
-	Where string `json:"where"`
-	What  string `json:"what"`
-	Do    string `json:"do"`
+	Check   string `json:"check"`
+	Daemon  string `json:"where"`
+	Problem string `json:"what"`
+	Remedy  string `json:"do"`
 }
 
-// check looks at one daemon's health and tells what is wrong.
-type check struct {
-	name, do string
-	look     func(gjson.Result) []string
+// healthCheck is a check for one fault in a daemon's health report; detect returns a description
+// of each occurrence.
+type healthCheck struct {
+	name, remedy string
+	detect       func(gjson.Result) []string
 }
 
-var checks = []check{
+var healthChecks = []healthCheck{
 	{
 		"core below majority",
-		"bring back core machines; with fewer than a majority nothing is accepted or moved",
-		func(s gjson.Result) []string {
-			size, live := s.Get("core_size").Int(), s.Get("core_live").Int()
+		"restart core machines: without a majority no job is accepted and no duty moves",
+		func(report gjson.Result) []string {
+			size, live := report.Get("core_size").Int(), report.Get("core_live").Int()
 			if size == 0 {
-				return []string{"no core set is known: the fleet has not formed"}
+				return []string{"no core set is known: the cluster has not formed"}
 			}
 			if live <= size/2 {
-				return []string{fmt.Sprintf("%d of %d core members are heard", live, size)}
+				return []string{fmt.Sprintf("%d of %d core members are reachable", live, size)}
 			}
 			return nil
 		},
 	},
 	{
 		"core member missing",
-		"restart it, or start an empty daemon with a data folder: it takes the place by itself",
-		func(s gjson.Result) []string {
-			size, live := s.Get("core_size").Int(), s.Get("core_live").Int()
+		"restart it, or start another daemon with an empty data folder: it joins the core by itself",
+		func(report gjson.Result) []string {
+			size, live := report.Get("core_size").Int(), report.Get("core_live").Int()
 			if size > 0 && (live < size || size < membership.DefaultSize) && live > size/2 {
-				return []string{fmt.Sprintf("%d of %d core members are heard", live, membership.DefaultSize)}
+				return []string{fmt.Sprintf("%d of %d core members are reachable", live, membership.DefaultSize)}
 			}
 			return nil
 		},
 	},
-	{"core out of reach", "look at the network between this daemon and the core members", func(s gjson.Result) []string {
-		if ms := s.Get("core_contact_ms").Int(); s.Get("core_size").Int() > 0 && ms > ownerContactMs {
+	{"core out of reach", "check the network between this daemon and the core members", func(report gjson.Result) []string {
+		if ms := report.Get("core_contact_ms").Int(); report.Get("core_size").Int() > 0 && ms > ownerContactMs {
 			return []string{fmt.Sprintf("no majority answered for %d ms", ms)}
 		}
 		return nil
 	}},
-	{"siblings unreachable", "see whether their machines run and their site is cut off", func(s gjson.Result) []string {
-		if lost := s.Get("siblings_lost").Array(); len(lost) > 0 {
-			return []string{s.Get("siblings_lost").Raw}
+	{"siblings unreachable", "check whether their machines run and whether their site is cut off", func(report gjson.Result) []string {
+		if lost := report.Get("siblings_lost").Array(); len(lost) > 0 {
+			return []string{report.Get("siblings_lost").Raw}
 		}
 		return nil
 	}},
 	{
 		"clock spread",
-		"set the clock of the named machine; due times follow the median of all, so a minority of wrong ones does no harm",
-		func(s gjson.Result) (out []string) {
-			s.Get("clock_spread_ms").ForEach(func(k, v gjson.Result) bool {
-				if v.Int() > spreadMs || v.Int() < -spreadMs {
+		"correct the clock of the named machine; due times follow the median, so a minority of wrong clocks does no harm",
+		func(report gjson.Result) (out []string) {
+			report.Get("clock_spread_ms").ForEach(func(k, v gjson.Result) bool {
+				if v.Int() > maxClockOffsetMs || v.Int() < -maxClockOffsetMs {
 					out = append(out, fmt.Sprintf("%s is %d ms off the median", k.Str, v.Int()))
 				}
 				return true
@@ -85,33 +86,33 @@
 			return out
 		},
 	},
-	{"slow sync", "look at the disk of the named core machine", func(s gjson.Result) (out []string) {
-		s.Get("sync_ms").ForEach(func(k, v gjson.Result) bool {
-			if v.Int() > slowSyncMs {
+	{"slow sync", "check the disk of the named core machine", func(report gjson.Result) (out []string) {
+		report.Get("sync_ms").ForEach(func(k, v gjson.Result) bool {
+			if v.Int() > maxSyncMs {
 				out = append(out, fmt.Sprintf("%s took %d ms for its last sync", k.Str, v.Int()))
 			}
 			return true
 		})
 		return out
 	}},
-	{"disk failed", "replace the disk and restart the daemon with an empty data folder", func(s gjson.Result) []string {
-		if f := s.Get("disk_failed").Str; f != "" {
+	{"disk failed", "replace the disk and restart the daemon with an empty data folder", func(report gjson.Result) []string {
+		if f := report.Get("disk_failed").Str; f != "" {
 			return []string{f}
 		}
 		return nil
 	}},
 	{
 		"setup not confirmed",
-		"until the core confirms the setup here this daemon starts no work",
-		func(s gjson.Result) []string {
-			if s.Get("core_size").Int() > 0 && !s.Get("setup_confirmed").Bool() {
-				return []string{fmt.Sprintf("version %d is not confirmed", s.Get("setup_version").Int())}
+		"this daemon starts no work until the core confirms the setup",
+		func(report gjson.Result) []string {
+			if report.Get("core_size").Int() > 0 && !report.Get("setup_confirmed").Bool() {
+				return []string{fmt.Sprintf("version %d is not confirmed", report.Get("setup_version").Int())}
 			}
 			return nil
 		},
 	},
-	{"no setup", "declare one with `otterchute setup apply`", func(s gjson.Result) []string {
-		if s.Get("setup_confirmed").Bool() && s.Get("setup_version").Int() == 0 {
+	{"no setup", "declare one with `otterchute setup apply`", func(report gjson.Result) []string {
+		if report.Get("setup_confirmed").Bool() && report.Get("setup_version").Int() == 0 {
 			return []string{"no setup has been declared"}
 		}
 		return nil
@@ -119,19 +120,19 @@
 	{
 		"unmatched queues",
 		"no worker's labels match: correct the selector, or start such workers",
-		func(s gjson.Result) []string {
-			if q := s.Get("unmatched_queues").Array(); len(q) > 0 {
-				return []string{fmt.Sprintf("%d: %.200s", len(q), s.Get("unmatched_queues").Raw)}
+		func(report gjson.Result) []string {
+			if q := report.Get("unmatched_queues").Array(); len(q) > 0 {
+				return []string{fmt.Sprintf("%d: %.200s", len(q), report.Get("unmatched_queues").Raw)}
 			}
 			return nil
 		},
 	},
 	{
 		"unsettled tasks",
-		"if the worker is gone for good say so with `otterchute workers lost NAME`; " +
-			"if its runs surely end at their limit, `trust_run_limit` in the queue settles them",
-		func(s gjson.Result) (out []string) {
-			s.Get("slices").ForEach(func(slice, v gjson.Result) bool {
+		"if the worker is lost for good, declare it with `otterchute workers lost NAME`; " +
+			"if its runs always end at their limit, `trust_run_limit` in the queue settles them",
+		func(report gjson.Result) (out []string) {
+			report.Get("slices").ForEach(func(slice, v gjson.Result) bool {
 				v.Get("unsettled").ForEach(func(worker, u gjson.Result) bool {
 					out = append(
 						out,
@@ -146,26 +147,26 @@
 	},
 	{
 		"unsound workers",
-		"look at the machine: its tasks fail or lag far more than others'; it gets work only where nothing else will do",
-		func(s gjson.Result) []string {
-			if w := s.Get("unsound_workers").Array(); len(w) > 0 {
-				return []string{s.Get("unsound_workers").Raw}
+		"check the machine: its tasks fail or lag far more than others'; it gets work only if no other worker can take it",
+		func(report gjson.Result) []string {
+			if w := report.Get("unsound_workers").Array(); len(w) > 0 {
+				return []string{report.Get("unsound_workers").Raw}
 			}
 			return nil
 		},
 	},
-	{"sites empty", "nothing, if they are meant to be; else `otterchute empty undo SITE`", func(s gjson.Result) []string {
-		if e := s.Get("empty_sites").Array(); len(e) > 0 && s.Get("slices.@keys.0").Exists() {
-			return []string{s.Get("empty_sites").Raw}
+	{"sites empty", "nothing, if this is intended; otherwise `otterchute empty undo SITE`", func(report gjson.Result) []string {
+		if e := report.Get("empty_sites").Array(); len(e) > 0 && report.Get("slices.@keys.0").Exists() {
+			return []string{report.Get("empty_sites").Raw}
 		}
 		return nil
 	}},
 	{
 		"tenant not counted",
-		"see whether the named slices are owned and their owners reach this one; until they report, tenants counted here " +
-			"get nothing beyond what is lent already",
-		func(s gjson.Result) (out []string) {
-			s.Get("counters").ForEach(func(slice, v gjson.Result) bool {
+		"check that the named slices are owned and their owners reach this daemon; until they report, tenants counted " +
+			"here get nothing beyond what is lent already",
+		func(report gjson.Result) (out []string) {
+			report.Get("counters").ForEach(func(slice, v gjson.Result) bool {
 				if silent := v.Get("silent"); len(silent.Array()) > 0 {
 					out = append(out, fmt.Sprintf("no report of %s to the counter of slice %s", silent.Raw, slice.Str))
 				}
@@ -176,10 +177,10 @@
 	},
 	{
 		"tenant at its limit",
-		"nothing, if the limit is meant so; else raise it by the next version of the setup: " +
+		"nothing, if the limit is intended; otherwise raise it in the next version of the setup: " +
 			"`otterchute tenants` shows limits and use",
-		func(s gjson.Result) (out []string) {
-			s.Get("counters").ForEach(func(_, v gjson.Result) bool {
+		func(report gjson.Result) (out []string) {
+			report.Get("counters").ForEach(func(_, v gjson.Result) bool {
 				v.Get("waiting").ForEach(func(tenant, units gjson.Result) bool {
 					out = append(out, fmt.Sprintf("%d tasks or gangs of %s wait for its limit", units.Int(), tenant.Str))
 					return true
@@ -189,85 +190,87 @@
 			return out
 		},
 	},
-	{"duties without holder", "wait some seconds; if it stays, see the core", func(s gjson.Result) []string {
-		if d := s.Get("without_holder").Array(); len(d) > 0 {
-			return []string{s.Get("without_holder").Raw}
+	{"duties without holder", "wait some seconds; if it persists, check the core", func(report gjson.Result) []string {
+		if d := report.Get("without_holder").Array(); len(d) > 0 {
+			return []string{report.Get("without_holder").Raw}
 		}
 		return nil
 	}},
 }
 
-// examine runs all checks over daemons' words.
-func examine(words map[string][]byte) []finding {
-	out := []finding{}
-	for _, name := range sortedKeys(words) {
-		s := gjson.ParseBytes(words[name])
-		for _, c := range checks {
-			for _, what := range c.look(s) {
-				out = append(out, finding{c.name, name, what, c.do})
+// runHealthChecks runs all checks on the health reports of daemons, by the daemon's name.
+func runHealthChecks(reports map[string][]byte) []finding {
+	findings := []finding{}
+	for _, name := range sortedKeys(reports) {
+		report := gjson.ParseBytes(reports[name])
+		for _, check := range healthChecks {
+			for _, problem := range check.detect(report) {
+				findings = append(findings, finding{check.name, name, problem, check.remedy})
 			}
 		}
 	}
-	return out
+	return findings
 }
 
-// visitAll asks every live daemon once.
-func visitAll(ctx context.Context, at string) (out []finding, asked int, t response, err error) {
-	t, err = newClient(at).request(ctx, "GET", "/v1/members", nil)
-	if err != nil || t.status != 200 {
-		return nil, 0, t, err
+// checkAllDaemons fetches the health report of every live daemon once and checks it. It also
+// returns how many daemons answered, and the response to the request for their list.
+func checkAllDaemons(ctx context.Context, addresses string) (findings []finding, answered int, resp response, err error) {
+	resp, err = newClient(addresses).request(ctx, "GET", "/v1/members", nil)
+	if err != nil || resp.status != 200 {
+		return nil, 0, resp, err
 	}
-	words, out := map[string][]byte{}, []finding{}
-	for _, m := range gjson.GetBytes(t.body, "members").Array() {
-		name := m.Get("name").Str
-		if !m.Get("live").Bool() {
-			continue // its peers say so
+	reports, findings := map[string][]byte{}, []finding{}
+	for _, member := range gjson.GetBytes(resp.body, "members").Array() {
+		name := member.Get("name").Str
+		if !member.Get("live").Bool() {
+			continue // its peers report it as unreachable
 		}
-		c := newClient(m.Get("http").Str)
-		if a, err := c.request(ctx, "GET", "/v1/soundness", nil); err == nil && a.status == 200 {
-			words[name] = a.body
+		c := newClient(member.Get("http").Str)
+		if health, err := c.request(ctx, "GET", "/v1/soundness", nil); err == nil && health.status == 200 {
+			reports[name] = health.body
 		} else {
-			out = append(
-				out,
-				finding{"daemon silent", name, "its HTTP address " + c.at[0] + " does not answer", "see its log and its machine"},
+			findings = append(
+				findings,
+				finding{"daemon silent", name, "its HTTP address " + c.addresses[0] + " does not answer", "check its log and its machine"},
 			)
 		}
 	}
-	return append(out, examine(words)...), len(words), t, nil
+	return append(findings, runHealthChecks(reports)...), len(reports), resp, nil
 }
 
+// doctorCommand returns the command that checks all daemons for common faults.
 func doctorCommand() *command {
-	at, asJSON := new(string), new(bool)
-	return &command{name: "doctor", args: "[-at LIST] [-json]", about: "look for common faults; exit 1 if any is found",
-		bind: func(fs *flag.FlagSet) {
-			fs.StringVar(at, "at", "127.0.0.1:8000", "HTTP addresses of daemons, parted by commas")
+	addressList, asJSON := new(string), new(bool)
+	return &command{name: "doctor", argsUsage: "[-at LIST] [-json]", synopsis: "look for common faults; exit 1 if any is found",
+		bindFlags: func(fs *flag.FlagSet) {
+			fs.StringVar(addressList, "at", "127.0.0.1:8000", "HTTP addresses of daemons, separated by commas")
 			fs.BoolVar(asJSON, "json", false, "print findings as JSON")
 		},
-		do: func(ctx context.Context, _ *flag.FlagSet) subcommands.ExitStatus {
-			out, asked, t, err := visitAll(ctx, *at)
-			if err == nil && t.status == 200 && len(out) > 0 {
-				// What passes by itself, such as a configuration declared just now,
-				// is no fault: only what a second look finds too.
-				time.Sleep(visitAgainMs * time.Millisecond)
-				var again []finding
-				if again, asked, t, err = visitAll(ctx, *at); err == nil && t.status == 200 {
-					out = slices.DeleteFunc(again, func(f finding) bool {
-						return !slices.ContainsFunc(out, func(o finding) bool { return o.Check == f.Check && o.Where == f.Where })
+		run: func(ctx context.Context, _ *flag.FlagSet) subcommands.ExitStatus {
+			findings, answered, resp, err := checkAllDaemons(ctx, *addressList)
+			if err == nil && resp.status == 200 && len(findings) > 0 {
+				// A state that passes by itself, such as a configuration declared just
+				// now, is no fault: only findings of both checks are reported.
+				time.Sleep(recheckDelayMs * time.Millisecond)
+				var second []finding
+				if second, answered, resp, err = checkAllDaemons(ctx, *addressList); err == nil && resp.status == 200 {
+					findings = slices.DeleteFunc(second, func(f finding) bool {
+						return !slices.ContainsFunc(findings, func(first finding) bool { return first.Check == f.Check && first.Daemon == f.Daemon })
 					})
 				}
 			}
-			if err != nil || t.status != 200 {
-				return show(t, err)
+			if err != nil || resp.status != 200 {
+				return printResponse(resp, err)
 			}
 			if *asJSON {
-				fmt.Println(pretty(mustJSON(out)))
+				fmt.Println(indentJSON(mustJSON(findings)))
 			} else {
-				for _, f := range out {
-					fmt.Printf("%s at %s: %s\n  do: %s\n", f.Check, f.Where, f.What, f.Do)
+				for _, f := range findings {
+					fmt.Printf("%s at %s: %s\n  do: %s\n", f.Check, f.Daemon, f.Problem, f.Remedy)
 				}
-				fmt.Fprintf(os.Stderr, "%d daemons asked, %d findings\n", asked, len(out))
+				fmt.Fprintf(os.Stderr, "%d daemons checked, %d findings\n", answered, len(findings))
 			}
-			if len(out) > 0 {
+			if len(findings) > 0 {
 				return exitFound
 			}
 			return exitOK
--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -310,7 +310,7 @@
 // What programs and operators write by hand keeps its names.
 func TestFixtureNames(t *testing.T) {
 	var out bytes.Buffer
-	for _, key := range sortedKeys(settingsFields.Fields) {
+	for _, key := range sortedKeys(settingsSchema.Fields) {
 		fmt.Fprintln(&out, "setting", key)
 	}
 	for _, key := range sortedKeys(configuration.DocumentSchema.Fields) {
--- a/internal/daemon/forms_test.go
+++ b/internal/daemon/forms_test.go
@@ -20,7 +20,7 @@
 	good := []string{"-name", "d1", "-addr", "127.0.0.1:7000", "-http", "127.0.0.1:8000", "-site", "east", "-seeds", "127.0.0.1:7001,127.0.0.1:7002,127.0.0.1:7003"}
 	load := func(args ...string) error {
 		f, fs := &settingsFlags{}, flag.NewFlagSet("run", flag.ContinueOnError)
-		f.bind(fs)
+		f.bindFlags(fs)
 		must.NoError(t, fs.Parse(args))
 		_, err := f.load(fs)
 		return err
@@ -67,7 +67,7 @@
 
 func TestDoctorFinds(t *testing.T) {
 	sound := `{"core_size":3,"core_live":3,"core_contact_ms":100,"setup_confirmed":true,"setup_version":2}`
-	must.SliceEmpty(t, examine(map[string][]byte{"d1": []byte(sound)}))
+	must.SliceEmpty(t, runHealthChecks(map[string][]byte{"d1": []byte(sound)}))
 	for check, word := range map[string]string{
 		"core below majority":   `{"core_size":3,"core_live":1,"setup_confirmed":true,"setup_version":1}`,
 		"core member missing":   `{"core_size":3,"core_live":2,"setup_confirmed":true,"setup_version":1}`,
@@ -82,10 +82,10 @@
 		"unsettled tasks":       `{"core_size":3,"core_live":3,"slices":{"east":{"unsettled":{"w3":2}}},"setup_confirmed":true,"setup_version":1}`,
 		"duties without holder": `{"core_size":3,"core_live":3,"without_holder":["central"],"setup_confirmed":true,"setup_version":1}`,
 	} {
-		got := examine(map[string][]byte{"d1": []byte(word)})
+		got := runHealthChecks(map[string][]byte{"d1": []byte(word)})
 		must.Len(t, 1, got, must.Sprint(check))
 		must.Eq(t, check, got[0].Check)
-		must.NotEq(t, "", got[0].Do)
+		must.NotEq(t, "", got[0].Remedy)
 	}
 }
 
@@ -94,7 +94,7 @@
 	page, err := os.ReadFile("../../docs/settings.md")
 	must.NoError(t, err)
 	f, fs := &settingsFlags{}, flag.NewFlagSet("run", flag.ContinueOnError)
-	f.bind(fs)
+	f.bindFlags(fs)
 	listed := map[string]bool{}
 	for _, line := range strings.Split(string(page), "\n") {
 		cells := strings.Split(line, "|")
@@ -103,7 +103,7 @@
 		}
 		key, name := strings.Trim(cells[1], " `"), strings.Trim(cells[2], " `-")
 		listed[key] = true
-		_, known := settingsFields.Fields[key]
+		_, known := settingsSchema.Fields[key]
 		must.True(t, known, must.Sprint(key))
 		fl := fs.Lookup(name)
 		must.NotNil(t, fl, must.Sprint(name))
@@ -111,7 +111,7 @@
 			must.Eq(t, fl.DefValue, def, must.Sprint(key))
 		}
 	}
-	for key := range settingsFields.Fields {
+	for key := range settingsSchema.Fields {
 		must.True(t, listed[key], must.Sprint(key, " is not on the page"))
 	}
 }
@@ -135,17 +135,17 @@
 // An upstream becomes a queue, what is not carried over is listed by line, and
 // a broken file gives one line that names where.
 func TestImport(t *testing.T) {
-	d, err := draftOf("worker_processes 4;\nhttp {\n upstream seats { server 10.0.0.1; queue 100; }\n server {\n  location / { proxy_pass http://seats/x; proxy_read_timeout 5s; proxy_next_upstream_tries 3; gzip on; }\n }\n}\n")
+	d, err := draftFromNginx("worker_processes 4;\nhttp {\n upstream seats { server 10.0.0.1; queue 100; }\n server {\n  location / { proxy_pass http://seats/x; proxy_read_timeout 5s; proxy_next_upstream_tries 3; gzip on; }\n }\n}\n")
 	must.NoError(t, err)
 	must.Eq(t, []*draftQueue{{Name: "seats", Selector: map[string][]string{"upstream": {"seats"}}, Urgency: 1, LiveJobs: 100, LimitMs: 5000, Failures: 3}}, d.queues)
-	must.Len(t, 3, d.dropped)
-	must.StrHasPrefix(t, "line 1: worker_processes", d.dropped[0])
-	must.StrHasPrefix(t, "line 5: gzip", d.dropped[2])
+	must.Len(t, 3, d.skipped)
+	must.StrHasPrefix(t, "line 1: worker_processes", d.skipped[0])
+	must.StrHasPrefix(t, "line 5: gzip", d.skipped[2])
 	_, faults := configuration.Compile(1, mustJSON(map[string]any{"queues": d.queues}))
 	must.SliceEmpty(t, faults)
 	for _, bad := range []string{"", "http {", "a \"b", "upstream \"x y\" { }", "upstream a { }\nupstream a { }", "http {\n upstream a { server x }\n}",
 		"upstream a { }\nhttp { server { location / { proxy_pass http://a; proxy_read_timeout x; } } }"} {
-		_, err := draftOf(bad)
+		_, err := draftFromNginx(bad)
 		must.ErrorIs(t, err, errDraft, must.Sprint(bad))
 		must.RegexMatch(t, regexp.MustCompile(`^line \d+: [^\n]+$`), err.Error())
 	}
--- a/internal/daemon/heartbeat_test.go
+++ b/internal/daemon/heartbeat_test.go
@@ -13,7 +13,7 @@
 
 // pinned gives a daemon that a worker beats to, and a way to beat.
 func pinned(t *testing.T) (*node, func(afterMs int64, lists string) heartbeatReply) {
-	n := newNode(nodeConfig{Name: "side-1", Incarnation: 7, Zone: "east", MaxHoldMs: holdMostMs}, nil)
+	n := newNode(nodeConfig{Name: "side-1", Incarnation: 7, Zone: "east", MaxHoldMs: defaultMaxHoldMs}, nil)
 	n.core = quorum.Set{Cluster: 1, Version: 1, Members: []quorum.Member{{Name: "d00", DiskID: 1}}, Shards: []string{"east"}}
 	seq := int64(0)
 	return n, func(afterMs int64, lists string) heartbeatReply {
--- a/internal/daemon/job_explain.go
+++ b/internal/daemon/job_explain.go
@@ -7,7 +7,7 @@
 	"otterchute/internal/wire"
 )
 
-// explainWait tells an operator why a task has not started.
+// explainWait returns why a task has not started, or "" for a task that has started or ended.
 func (n *node) explainWait(job *liveJob, t *task) string {
 	i := slices.IndexFunc(
 		job.Tasks,
@@ -31,38 +31,38 @@
 	case n.config.current.Queues[job.Queue] == nil:
 		return "its queue is not in the setup"
 	}
-	if why := n.explainNoWorker(job, t); why != "" {
-		return why
+	if reason := n.explainNoWorker(job, t); reason != "" {
+		return reason
 	}
-	if why := n.explainHeld(job, t); why != "" {
-		return why
+	if reason := n.explainHeld(job, t); reason != "" {
+		return reason
 	}
-	if why := n.explainShare(job, i); why != "" {
-		return why
+	if reason := n.explainShare(job, i); reason != "" {
+		return reason
 	}
 	return "waiting for room"
 }
 
-// explainNoWorker says why no worker may have a task, however free: the reason of
-// the worker that comes nearest.
+// explainNoWorker returns why no worker may run a task even if all were idle, or "" if one may.
+// It is the obstacle at the worker that comes nearest to running it.
 func (n *node) explainNoWorker(job *liveJob, t *task) string {
 	reasons := []string{"", "all allowed workers are leaving or in emptied sites", "all allowed workers are silent",
 		"no allowed worker has so much room", "no worker of its queue's group has the labels it needs"}
-	q, best := n.config.current.Queues[job.Queue], len(reasons)-1
+	queue, nearest := n.config.current.Queues[job.Queue], len(reasons)-1
 	for _, name := range sortedKeys(n.workers) {
-		w, at := n.workers[name], 0
-		_, lack := configuration.MissingLabel(w.labels, t.RequiredLabels)
+		worker, obstacle := n.workers[name], 0
+		_, lacksLabel := configuration.MissingLabel(worker.labels, t.RequiredLabels)
 		switch {
-		case lack || !q.Matches(w.labels, w.zone):
-			at = 4
-		case !t.Resources.Fits(w.capacity):
-			at = 3
-		case n.now-w.receivedMs > workerSilentMs || w.silentMs > workerSilentMs:
-			at = 2
-		case w.leaving || n.config.current.EmptyZones[w.zone]:
-			at = 1
+		case lacksLabel || !queue.Matches(worker.labels, worker.zone):
+			obstacle = 4
+		case !t.Resources.Fits(worker.capacity):
+			obstacle = 3
+		case n.now-worker.receivedMs > workerSilentMs || worker.silentMs > workerSilentMs:
+			obstacle = 2
+		case worker.leaving || n.config.current.EmptyZones[worker.zone]:
+			obstacle = 1
 		}
-		best = min(best, at)
+		nearest = min(nearest, obstacle)
 	}
-	return reasons[best]
+	return reasons[nearest]
 }
--- a/internal/daemon/job_timeline.go
+++ b/internal/daemon/job_timeline.go
@@ -5,113 +5,115 @@
 	"otterchute/internal/wire"
 )
 
-// jobTimeline answers `otterchute job explain`: where a job's time went, as far as its
-// owner saw it.
+// jobTimeline is the reply to `otterchute job explain`: the time that a job spent in each stage,
+// as far as its current owner observed it.
 type jobTimeline struct {
-	ID      string           `json:"id"`
-	Queue   string           `json:"queue"`
-	State   string           `json:"state"`
-	Shard   string           `json:"slice"`
-	Owner   string           `json:"owner"`
-	Epoch   uint64           `json:"epoch"`
-	Since   string           `json:"since"` // from when on the stages are known
-	StageMs map[string]int64 `json:"stages_ms"`
-	Tasks   []taskTimeline   `json:"tasks"`
+	ID         string           `json:"id"`
+	Queue      string           `json:"queue"`
+	State      string           `json:"state"`
+	Shard      string           `json:"slice"`
+	Owner      string           `json:"owner"`
+	Epoch      uint64           `json:"epoch"`
+	KnownSince string           `json:"since"` // how much of the job the owner observed: a constant below
+	StageMs    map[string]int64 `json:"stages_ms"`
+	Tasks      []taskTimeline   `json:"tasks"`
 }
 
-// taskTimeline is the way of one task's last attempt.
+// taskTimeline is the time that a task's last attempt spent in each stage.
 type taskTimeline struct {
-	Step       string           `json:"step"`
-	Index      int32            `json:"index"`
-	Round      int32            `json:"round"`
-	State      string           `json:"state"`
-	Attempt    int32            `json:"attempt"`
-	Class      string           `json:"class"`
-	ClassWhy   string           `json:"class_why,omitempty"`
-	Worker     string           `json:"worker,omitempty"`
-	Candidates int32            `json:"candidates,omitempty"`
-	Waits      string           `json:"waits,omitempty"`
-	StageMs    map[string]int64 `json:"stages_ms"`
+	Step        string           `json:"step"`
+	Index       int32            `json:"index"`
+	Round       int32            `json:"round"`
+	State       string           `json:"state"`
+	Attempt     int32            `json:"attempt"`
+	Class       string           `json:"class"`
+	ClassReason string           `json:"class_why,omitempty"`
+	Worker      string           `json:"worker,omitempty"`
+	Candidates  int32            `json:"candidates,omitempty"`
+	WaitReason  string           `json:"waits,omitempty"`
+	StageMs     map[string]int64 `json:"stages_ms"`
 }
 
-// What a timeline says of how much of a job its owner saw.
+// Values of jobTimeline.KnownSince: how much of the job its owner observed.
 const (
-	seenWhole    = "it came to this owner, all stages are known"
-	seenTakeover = "this owner took the shard over meanwhile: what came before is not known"
-	seenNothing  = "it is over and its stages are not kept any more, or ended at a former owner"
+	sinceAccepted = "it came to this owner, all stages are known"
+	sinceTakeover = "this owner took the shard over meanwhile: what came before is not known"
+	sinceUnknown  = "it is over and its stages are not kept any more, or ended at a former owner"
 )
 
-// handleExplain tells where a job's time went. A job whose record alone is left has no
-// stages any more, and the answer says so.
+// handleExplain replies with a job's timeline. If only the record of a finished job is left, its
+// stages are not known any more, and the reply states that.
 func (n *node) handleExplain(shard *ownedShard, req *request) {
 	job := shard.jobs[req.key]
 	if job == nil {
-		if j := shard.finished[req.key]; j != nil {
-			job = &liveJob{jobRecord: *j, runtime: make([]taskRuntime, len(j.Tasks)), trace: shard.finishedTraces.Get(req.key)}
+		if record := shard.finished[req.key]; record != nil {
+			job = &liveJob{jobRecord: *record, runtime: make([]taskRuntime, len(record.Tasks)), trace: shard.finishedTraces.Get(req.key)}
 		}
 	}
 	if job == nil {
-		n.handleGet(shard, req) // unknown, or known from its record alone
+		n.handleGet(shard, req) // replies that the job is unknown, or from its record
 		return
 	}
 	n.respond(req, 200, 0, mustJSON(n.timelineOf(shard, job)))
 }
 
+// timelineOf returns the timeline of a job in a shard that this daemon owns.
 func (n *node) timelineOf(shard *ownedShard, job *liveJob) jobTimeline {
-	out := jobTimeline{
+	timeline := jobTimeline{
 		ID: job.ID, Queue: job.Queue, State: job.state(), Shard: shard.name, Owner: n.Name, Epoch: shard.epoch,
-		Since: seenNothing, StageMs: map[string]int64{}, Tasks: []taskTimeline{},
+		KnownSince: sinceUnknown, StageMs: map[string]int64{}, Tasks: []taskTimeline{},
 	}
 	if trace := job.trace; trace != nil {
-		out.Epoch, out.Since = trace.Epoch, seenWhole
+		timeline.Epoch, timeline.KnownSince = trace.Epoch, sinceAccepted
 		if trace.LoadedMs != 0 {
-			out.Since = seenTakeover
+			timeline.KnownSince = sinceTakeover
 		}
-		putStage(out.StageMs, jobtrace.Admit, trace.AcceptedMs, trace.AdmittedMs)
-		putStage(out.StageMs, jobtrace.Commit, trace.AdmittedMs, trace.CommittedMs)
-		putStage(out.StageMs, jobtrace.Conclude, trace.LastEndMs, trace.ConcludedMs)
-		putStage(out.StageMs, jobtrace.Total, trace.AcceptedMs, trace.ConcludedMs)
+		recordStage(timeline.StageMs, jobtrace.Admit, trace.AcceptedMs, trace.AdmittedMs)
+		recordStage(timeline.StageMs, jobtrace.Commit, trace.AdmittedMs, trace.CommittedMs)
+		recordStage(timeline.StageMs, jobtrace.Conclude, trace.LastEndMs, trace.ConcludedMs)
+		recordStage(timeline.StageMs, jobtrace.Total, trace.AcceptedMs, trace.ConcludedMs)
 	}
 	for i := range job.Tasks {
-		out.Tasks = append(out.Tasks, n.taskTimelineOf(job, i))
+		timeline.Tasks = append(timeline.Tasks, n.taskTimelineOf(job, i))
 	}
-	return out
+	return timeline
 }
 
+// taskTimelineOf returns the timeline of a job's i-th task.
 func (n *node) taskTimelineOf(job *liveJob, i int) taskTimeline {
 	t, trace := &job.Tasks[i], job.trace.Task(i)
-	out := taskTimeline{
+	timeline := taskTimeline{
 		Step: job.Steps[t.Step].Name, Index: t.IndexInStep, Round: t.Round, State: t.State.String(), Attempt: t.Attempt,
 		Class: t.Class.String(), Worker: t.Worker, Candidates: trace.Candidates, StageMs: map[string]int64{},
 	}
 	if job.DoneMs == 0 {
 		var class wire.TaskClass
-		class, out.ClassWhy = n.explainClass(job, t)
+		class, timeline.ClassReason = n.explainClass(job, t)
 		if t.State == taskPending {
-			out.Class = class.String()
+			timeline.Class = class.String()
 		}
-		out.Waits = n.explainWait(job, t)
+		timeline.WaitReason = n.explainWait(job, t)
 	}
 	placedMs := trace.PlacedMs
-	if t.State == taskPending && trace.ReadyMs != 0 { // it waits to be placed, for the first time or again
+	if t.State == taskPending && trace.ReadyMs != 0 { // waits for a placement, also after a failed attempt
 		placedMs = n.now
 	}
-	putStage(out.StageMs, jobtrace.Place, trace.ReadyMs, placedMs)
-	putStage(out.StageMs, jobtrace.CommitPlacement, trace.PlacedMs, trace.SentMs)
+	recordStage(timeline.StageMs, jobtrace.Place, trace.ReadyMs, placedMs)
+	recordStage(timeline.StageMs, jobtrace.CommitPlacement, trace.PlacedMs, trace.SentMs)
 	if trace.EndedMs != 0 {
-		out.StageMs[jobtrace.Queue.String()] = trace.QueueMs
-		out.StageMs[jobtrace.Start.String()] = trace.StartMs
-		out.StageMs[jobtrace.Run.String()] = trace.RunMs
+		timeline.StageMs[jobtrace.Queue.String()] = trace.QueueMs
+		timeline.StageMs[jobtrace.Start.String()] = trace.StartMs
+		timeline.StageMs[jobtrace.Run.String()] = trace.RunMs
 		if trace.SentMs != 0 {
-			out.StageMs[jobtrace.Transit.String()] = max(
+			timeline.StageMs[jobtrace.Transit.String()] = max(
 				trace.EndedMs-trace.SentMs-trace.QueueMs-trace.StartMs-trace.RunMs, 0)
 		}
 	}
-	return out
+	return timeline
 }
 
-// putStage puts in how long a stage took, where its beginning and its end are known.
-func putStage(stages map[string]int64, stage jobtrace.Stage, fromMs, toMs int64) {
+// recordStage records the duration of a stage whose start and end are known.
+func recordStage(stages map[string]int64, stage jobtrace.Stage, fromMs, toMs int64) {
 	if fromMs != 0 && toMs >= fromMs {
 		stages[stage.String()] = toMs - fromMs
 	}
--- a/internal/daemon/job_timeline_test.go
+++ b/internal/daemon/job_timeline_test.go
@@ -32,7 +32,7 @@
 		}
 		got, status := b.explain(t, id)
 		must.Eq(t, 200, status)
-		if got.Since != seenWhole || got.State != "complete" {
+		if got.KnownSince != sinceAccepted || got.State != "complete" {
 			continue // the last ones alone are kept
 		}
 		explained++
@@ -76,7 +76,7 @@
 	b.run(4000)
 	before, status := b.explain(t, lasting.id)
 	must.Eq(t, 200, status)
-	must.Eq(t, seenWhole, before.Since)
+	must.Eq(t, sinceAccepted, before.KnownSince)
 	owner := b.holderOf("slice/" + before.Shard)
 	must.Eq(t, before.Owner, owner.Name)
 	b.kill(owner.Name, false)
@@ -86,7 +86,7 @@
 	}))
 	after, status := b.explain(t, lasting.id)
 	must.Eq(t, 200, status)
-	must.Eq(t, seenTakeover, after.Since)
+	must.Eq(t, sinceTakeover, after.KnownSince)
 	must.Greater(t, before.Epoch, after.Epoch)
 	must.Eq(t, len(before.Tasks), len(after.Tasks))
 	_, status = b.explain(t, "no-such-job")
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -1,4 +1,4 @@
-// Package daemon is otterchute's daemon and its operators' command line.
+// Package daemon implements otterchute's daemon and the operators' command line.
 package daemon
 
 import (
@@ -14,36 +14,36 @@
 	"go.uber.org/fx"
 )
 
-// version is told by `otterchute version`; the wire form has its own number.
+// version is the program's version. The wire format is numbered separately.
 const version = "0.1.0"
 
-// exit codes, the same for every command
+// Exit codes of all commands.
 const (
 	exitOK          = subcommands.ExitSuccess
-	exitFound       = subcommands.ExitFailure    // 1: refused, or doctor found something
-	exitUsage       = subcommands.ExitUsageError // 2: words, settings
-	exitUnreachable = subcommands.ExitStatus(3)  // nobody answered
+	exitFound       = subcommands.ExitFailure    // 1: request rejected, or doctor found a fault
+	exitUsage       = subcommands.ExitUsageError // 2: invalid arguments or settings
+	exitUnreachable = subcommands.ExitStatus(3)  // no daemon answered
 )
 
-// command is one subcommand as data.
+// command implements subcommands.Command with plain fields.
 type command struct {
-	name, args, about string
-	bind              func(*flag.FlagSet)
-	do                func(context.Context, *flag.FlagSet) subcommands.ExitStatus
+	name, argsUsage, synopsis string
+	bindFlags                 func(*flag.FlagSet)
+	run                       func(context.Context, *flag.FlagSet) subcommands.ExitStatus
 }
 
 func (c *command) Name() string     { return c.name }
-func (c *command) Synopsis() string { return c.about }
+func (c *command) Synopsis() string { return c.synopsis }
 func (c *command) Usage() string {
-	return fmt.Sprintf("otterchute %s %s\n  %s\n", c.name, c.args, c.about)
+	return fmt.Sprintf("otterchute %s %s\n  %s\n", c.name, c.argsUsage, c.synopsis)
 }
 func (c *command) SetFlags(fs *flag.FlagSet) {
-	if c.bind != nil {
-		c.bind(fs)
+	if c.bindFlags != nil {
+		c.bindFlags(fs)
 	}
 }
 func (c *command) Execute(ctx context.Context, fs *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	return c.do(ctx, fs)
+	return c.run(ctx, fs)
 }
 
 // Main runs the program: it parses the command line, runs one subcommand and
@@ -51,38 +51,39 @@
 //
 // Example: func main() { daemon.Main() }
 func Main() {
-	cmd := subcommands.NewCommander(flag.CommandLine, "otterchute")
-	cmd.Register(cmd.HelpCommand(), "help")
-	cmd.Register(cmd.FlagsCommand(), "help")
-	cmd.Register(runCommand(), "daemon")
+	commander := subcommands.NewCommander(flag.CommandLine, "otterchute")
+	commander.Register(commander.HelpCommand(), "help")
+	commander.Register(commander.FlagsCommand(), "help")
+	commander.Register(runCommand(), "daemon")
 	for _, c := range operatorCommands() {
-		cmd.Register(c, "operators")
+		commander.Register(c, "operators")
 	}
-	cmd.Register(
-		&command{name: "version", about: "tell the version", do: func(context.Context, *flag.FlagSet) subcommands.ExitStatus {
+	commander.Register(
+		&command{name: "version", synopsis: "print the version", run: func(context.Context, *flag.FlagSet) subcommands.ExitStatus {
 			fmt.Printf("otterchute %s, wire %d\n", version, wire.FormatVersion)
 			return exitOK
 		}},
 		"help",
 	)
 	flag.Parse()
-	os.Exit(int(cmd.Execute(context.Background())))
+	os.Exit(int(commander.Execute(context.Background())))
 }
 
+// runCommand returns the command that runs a daemon until it is stopped.
 func runCommand() *command {
-	f := &settingsFlags{}
+	flags := &settingsFlags{}
 	return &command{
-		name:  "run",
-		args:  "[-settings FILE] [flags]",
-		about: "run a daemon until it is told to stop",
-		bind:  f.bind,
-		do: func(ctx context.Context, fs *flag.FlagSet) subcommands.ExitStatus {
-			s, err := f.load(fs)
+		name:      "run",
+		argsUsage: "[-settings FILE] [flags]",
+		synopsis:  "run a daemon until it is stopped",
+		bindFlags: flags.bindFlags,
+		run: func(ctx context.Context, fs *flag.FlagSet) subcommands.ExitStatus {
+			config, err := flags.load(fs)
 			if err != nil {
 				fmt.Fprintln(os.Stderr, "otterchute:", err)
 				return exitUsage
 			}
-			app := fx.New(daemonModules(s))
+			app := fx.New(daemonModules(config))
 			if err := app.Err(); err != nil {
 				fmt.Fprintln(os.Stderr, "otterchute:", dig.RootCause(err))
 				return exitUsage
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	keepHoursDef = 24     // hours a finished job is kept; callers check states within a day
-	holdMostMs   = 10_000 // defaults of what a platform bounds: see docs/settings.md
-	gangWaitMs   = 3000
-	saveMs       = 1000
-	restoreMs    = 250
+	defaultKeepHours            = 24     // callers check the state of a finished job within a day
+	defaultMaxHoldMs            = 10_000 // this and the next three: see docs/settings.md; a platform may set them
+	defaultGangWaitMs           = 3000
+	defaultCheckpointIntervalMs = 1000
+	defaultRestoreMs            = 250
 )
 
-// settings are a daemon's place and its few choices, from a JSON file, from
-// flags, or both; a flag wins.
+// settings are a daemon's addresses, location and tuning, from the platform's configuration or
+// a JSON file, and from flags. A flag overrides the other sources.
 type settings struct {
 	Name        string
 	Addr        string
@@ -50,16 +50,17 @@
 	RestoreMs    int64
 	SpreadFactor float64
 
-	// From the platform alone; 0 where it says nothing.
+	// Set by the platform alone; 0 if it gives no value.
 	MemoryMb   int64
 	MilliCores int64
 	LinkMbps   int64
 
-	Policies scheduler.Set     // those switched off
+	Policies scheduler.Set     // the policies that are switched off
 	adapter  *platform.Adapter // nil without a platform
 }
 
-var settingsFields = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
+// settingsSchema is the schema of the settings file.
+var settingsSchema = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
 	"name": {
 		Kind: schema.Name,
 	},
@@ -97,22 +98,22 @@
 
 func defaultSettings() settings {
 	return settings{
-		KeepHours:    keepHoursDef,
+		KeepHours:    defaultKeepHours,
 		ThresholdMs:  thresholdMs,
 		TargetSigma:  2,
 		LogLevel:     "info",
 		CoreSize:     membership.DefaultSize,
 		FirstStart:   true,
-		MaxHoldMs:    holdMostMs,
-		GangWaitMs:   gangWaitMs,
-		SaveMs:       saveMs,
-		RestoreMs:    restoreMs,
+		MaxHoldMs:    defaultMaxHoldMs,
+		GangWaitMs:   defaultGangWaitMs,
+		SaveMs:       defaultCheckpointIntervalMs,
+		RestoreMs:    defaultRestoreMs,
 		SpreadFactor: 1.5,
 	}
 }
 
-// settingReaders puts each known key of the file into its place.
-var settingReaders = map[string]func(*settings, gjson.Result){
+// settingSetters holds, by key of the settings file, how its value is stored.
+var settingSetters = map[string]func(*settings, gjson.Result){
 	"name": func(s *settings, v gjson.Result) { s.Name = v.Str },
 	"addr": func(s *settings, v gjson.Result) { s.Addr = v.Str },
 	"http": func(s *settings, v gjson.Result) { s.HTTP = v.Str },
@@ -140,116 +141,118 @@
 	"spread_factor": func(s *settings, v gjson.Result) { s.SpreadFactor = v.Num },
 }
 
-// settingsFlags binds the flags of `otterchute run`.
+// settingsFlags holds the values of the flags of `otterchute run`.
 type settingsFlags struct {
-	off                                              string
-	file, name, addr, http, zone, seeds, data, level string
-	keep, threshold, k                               int64
-	sigma                                            float64
-	beside                                           bool
-	core, hold, gang, save, restore                  int64
-	first                                            bool
-	spread                                           float64
+	disabledPolicies                                                 string
+	file, name, addr, http, zone, seeds, data, logLevel              string
+	keepHours, thresholdMs, kLowest                                  int64
+	targetSigma                                                      float64
+	colocated                                                        bool
+	coreSize, maxHoldMs, gangWaitMs, checkpointIntervalMs, restoreMs int64
+	firstStart                                                       bool
+	spreadFactor                                                     float64
 }
 
-func (f *settingsFlags) bind(fs *flag.FlagSet) {
-	d := defaultSettings()
-	fs.StringVar(&f.file, "settings", "", "JSON settings file; flags win over it")
-	fs.StringVar(&f.name, "name", "", "this daemon's name, unique in the fleet")
+// bindFlags defines the flags.
+func (f *settingsFlags) bindFlags(fs *flag.FlagSet) {
+	defaults := defaultSettings()
+	fs.StringVar(&f.file, "settings", "", "JSON settings file; flags override it")
+	fs.StringVar(&f.name, "name", "", "this daemon's name, unique in the cluster")
 	fs.StringVar(&f.addr, "addr", "", "IP:port for other daemons")
 	fs.StringVar(&f.http, "http", "", "IP:port for callers, workers and operators")
-	fs.StringVar(&f.zone, "site", "", "site (zone) this daemon stands in")
-	fs.StringVar(&f.seeds, "seeds", "", "addresses of three other daemons, parted by commas")
-	fs.StringVar(&f.data, "data", "", "data folder; only for machines that hold the state")
-	fs.StringVar(&f.level, "log-level", d.LogLevel, "info or debug")
-	fs.Int64Var(&f.keep, "keep-hours", d.KeepHours, "hours a finished job is kept")
+	fs.StringVar(&f.zone, "site", "", "site (zone) this daemon runs in")
+	fs.StringVar(&f.seeds, "seeds", "", "addresses of three other daemons, separated by commas")
+	fs.StringVar(&f.data, "data", "", "data folder; only for machines that store the state")
+	fs.StringVar(&f.logLevel, "log-level", defaults.LogLevel, "info or debug")
+	fs.Int64Var(&f.keepHours, "keep-hours", defaults.KeepHours, "hours a finished job is kept")
 	fs.Int64Var(
-		&f.threshold,
+		&f.thresholdMs,
 		"threshold-ms",
-		d.ThresholdMs,
+		defaults.ThresholdMs,
 		"learned run times below this are queueable; 0 makes all guaranteed, -1 all queueable",
 	)
 	fs.Int64Var(
-		&f.k,
+		&f.kLowest,
 		"k-lowest",
-		d.KLowest,
-		"how many lowest-ranked workers a queueable task is drawn among; 0 for a quarter of the allowed ones, 3 to 50",
+		defaults.KLowest,
+		"a queueable task goes to one of this many lowest-ranked workers; 0 for a quarter of the allowed ones, 3 to 50",
 	)
-	fs.Float64Var(&f.sigma, "target-sigma", d.TargetSigma, "the delay target is the mean rank plus this many deviations")
-	fs.Int64Var(&f.core, "core-size", d.CoreSize, "disks that hold the state; an even number counts as the odd one below")
+	fs.Float64Var(&f.targetSigma, "target-sigma", defaults.TargetSigma, "the delay target is the mean rank plus this many standard deviations")
+	fs.Int64Var(&f.coreSize, "core-size", defaults.CoreSize, "disks that store the state; an even number counts as the next lower odd one")
 	fs.BoolVar(
-		&f.first,
+		&f.firstStart,
 		"first-start",
-		d.FirstStart,
-		"the whole fleet starts for the first time: empty disks may form a core",
+		defaults.FirstStart,
+		"the whole cluster starts for the first time: empty disks may form a core",
 	)
-	fs.BoolVar(&f.beside, "beside", false, "this machine stands beside a worker: it takes no duty of the fleet's")
-	fs.Int64Var(&f.hold, "hold-most-ms", d.MaxHoldMs, "the longest a worker holds its runs after one answer to its beat")
-	fs.Int64Var(&f.gang, "gang-wait-ms", d.GangWaitMs, "how long a member of a gang waits for the others")
-	fs.Int64Var(&f.save, "save-ms", d.SaveMs, "a run that saves does so after this much work")
-	fs.Int64Var(&f.restore, "restore-ms", d.RestoreMs, "what a start from a saved state takes longer")
-	fs.Float64Var(&f.spread, "spread-factor", d.SpreadFactor, "how much longer work takes away from its rack")
-	fs.StringVar(&f.off, "disable-policy", "", "for trials: scheduling policies to switch off, parted by commas")
+	fs.BoolVar(&f.colocated, "beside", false, "this daemon runs beside a worker: it takes no role in the cluster")
+	fs.Int64Var(&f.maxHoldMs, "hold-most-ms", defaults.MaxHoldMs, "the longest time a worker holds its runs after one heartbeat reply")
+	fs.Int64Var(&f.gangWaitMs, "gang-wait-ms", defaults.GangWaitMs, "how long a gang member waits for the others")
+	fs.Int64Var(&f.checkpointIntervalMs, "save-ms", defaults.SaveMs, "work between two checkpoints of a run that makes them")
+	fs.Int64Var(&f.restoreMs, "restore-ms", defaults.RestoreMs, "extra time that a start from a checkpoint takes")
+	fs.Float64Var(&f.spreadFactor, "spread-factor", defaults.SpreadFactor, "factor by which work takes longer outside its rack")
+	fs.StringVar(&f.disabledPolicies, "disable-policy", "", "for experiments: scheduling policies to switch off, separated by commas")
 }
 
-// load reads the file, lays the given flags over it and checks all.
+// load returns the settings of the platform or of the file, overridden by the given flags and
+// validated.
 func (f *settingsFlags) load(fs *flag.FlagSet) (settings, error) {
 	s := defaultSettings()
-	switch a, err := loadPlatform(f.file); {
+	switch detected, err := loadPlatform(f.file); {
 	case err != nil:
 		return s, errors.Wrapf(errSettings, "platform: %v", err)
-	case a != nil:
-		s.adapter = a
-		s.take(a.DaemonSettings())
+	case detected != nil:
+		s.adapter = detected
+		s.applyPlatform(detected.DaemonSettings())
 	}
 	if f.file != "" {
 		doc, err := os.ReadFile(f.file)
 		if err != nil {
 			return s, errors.Wrapf(errSettings, "settings: %v", err)
 		}
-		if faults := schema.Check(doc, settingsFields); len(faults) > 0 {
+		if faults := schema.Check(doc, settingsSchema); len(faults) > 0 {
 			return s, errors.Wrapf(errSettings, "%s: %s", orText(faults[0].Path, f.file), faults[0].Reason)
 		}
 		gjson.ParseBytes(doc).ForEach(func(k, v gjson.Result) bool {
-			settingReaders[k.Str](&s, v)
+			settingSetters[k.Str](&s, v)
 			return true
 		})
 	}
-	over := map[string]func(){
+	setters := map[string]func(){
 		"name":          func() { s.Name = f.name },
 		"addr":          func() { s.Addr = f.addr },
 		"http":          func() { s.HTTP = f.http },
 		"site":          func() { s.Zone = f.zone },
 		"seeds":         func() { s.Seeds = strings.Split(f.seeds, ",") },
 		"data":          func() { s.Data = f.data },
-		"log-level":     func() { s.LogLevel = f.level },
-		"keep-hours":    func() { s.KeepHours = f.keep },
-		"threshold-ms":  func() { s.ThresholdMs = f.threshold },
-		"k-lowest":      func() { s.KLowest = f.k },
-		"target-sigma":  func() { s.TargetSigma = f.sigma },
-		"core-size":     func() { s.CoreSize = f.core },
-		"first-start":   func() { s.FirstStart = f.first },
-		"beside":        func() { s.Colocated = f.beside },
-		"hold-most-ms":  func() { s.MaxHoldMs = f.hold },
-		"gang-wait-ms":  func() { s.GangWaitMs = f.gang },
-		"save-ms":       func() { s.SaveMs = f.save },
-		"restore-ms":    func() { s.RestoreMs = f.restore },
-		"spread-factor": func() { s.SpreadFactor = f.spread },
+		"log-level":     func() { s.LogLevel = f.logLevel },
+		"keep-hours":    func() { s.KeepHours = f.keepHours },
+		"threshold-ms":  func() { s.ThresholdMs = f.thresholdMs },
+		"k-lowest":      func() { s.KLowest = f.kLowest },
+		"target-sigma":  func() { s.TargetSigma = f.targetSigma },
+		"core-size":     func() { s.CoreSize = f.coreSize },
+		"first-start":   func() { s.FirstStart = f.firstStart },
+		"beside":        func() { s.Colocated = f.colocated },
+		"hold-most-ms":  func() { s.MaxHoldMs = f.maxHoldMs },
+		"gang-wait-ms":  func() { s.GangWaitMs = f.gangWaitMs },
+		"save-ms":       func() { s.SaveMs = f.checkpointIntervalMs },
+		"restore-ms":    func() { s.RestoreMs = f.restoreMs },
+		"spread-factor": func() { s.SpreadFactor = f.spreadFactor },
 	}
 	fs.Visit(func(fl *flag.Flag) {
-		if set, ok := over[fl.Name]; ok {
+		if set, ok := setters[fl.Name]; ok {
 			set()
 		}
 	})
 	var err error
-	if s.Policies, err = scheduler.ParseSet(f.off); err != nil {
-		return s, badSetting("disable-policy", err.Error())
+	if s.Policies, err = scheduler.ParseSet(f.disabledPolicies); err != nil {
+		return s, invalidSetting("disable-policy", err.Error())
 	}
 	return s, s.check()
 }
 
-// loadPlatform finds the platform that this process runs on, if no settings
-// file says otherwise.
+// loadPlatform returns the adapter of the platform that this process runs on, or nil without
+// one. A settings file takes the platform's place.
 func loadPlatform(file string) (*platform.Adapter, error) {
 	if file != "" {
 		return nil, nil
@@ -257,9 +260,9 @@
 	return platform.Load()
 }
 
-// take fills in what the platform says of this process. What it leaves out
-// stays as it is by default.
-func (s *settings) take(p platform.DaemonSettings) {
+// applyPlatform takes over the platform's settings for this process. Tuning that the platform
+// leaves at zero keeps its default.
+func (s *settings) applyPlatform(p platform.DaemonSettings) {
 	s.Name, s.Addr, s.HTTP, s.Zone, s.Data, s.Seeds = p.Name, p.Addr, p.HTTP, p.Zone, p.DataDirectory, p.Seeds
 	s.FirstStart, s.MemoryMb = p.FirstStart, p.MemoryMb
 	s.MilliCores, s.LinkMbps = p.MilliCores, p.LinkMbps
@@ -272,6 +275,7 @@
 	}
 }
 
+// orText returns a, or b if a is empty.
 func orText(a, b string) string {
 	if a == "" {
 		return b
@@ -279,48 +283,50 @@
 	return a
 }
 
-// check finds the first setting that is missing or out of its bounds; the error names its key.
+// check returns an error for the first setting that is missing or out of bounds; it names the key.
 func (s *settings) check() error {
-	for _, part := range []func() error{s.checkNames, s.checkAddresses, s.checkNumbers, s.checkData} {
-		if err := part(); err != nil {
+	for _, checkPart := range []func() error{s.checkNames, s.checkAddresses, s.checkNumbers, s.checkData} {
+		if err := checkPart(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// badSetting says what is wrong with the setting of a key.
-func badSetting(key, reason string) error { return errors.Wrapf(errSettings, "%s: %s", key, reason) }
+// invalidSetting returns the error for an invalid value of a key.
+func invalidSetting(key, reason string) error {
+	return errors.Wrapf(errSettings, "%s: %s", key, reason)
+}
 
 func (s *settings) checkNames() error {
 	const notAName = "must be a name of letters, digits, '-', '_', '.' or ':'"
 	if !schema.ValidName(s.Name) {
-		return badSetting("name", notAName)
+		return invalidSetting("name", notAName)
 	}
 	if !schema.ValidName(s.Zone) {
-		return badSetting("site", notAName)
+		return invalidSetting("site", notAName)
 	}
 	return nil
 }
 
 func (s *settings) checkAddresses() error {
-	for _, a := range []struct{ key, value string }{{"addr", s.Addr}, {"http", s.HTTP}} {
-		if s.adapter != nil && a.key == "http" && a.value == "" { // the platform's addresses may be all there is
+	for _, address := range []struct{ key, value string }{{"addr", s.Addr}, {"http", s.HTTP}} {
+		if s.adapter != nil && address.key == "http" && address.value == "" { // the platform may supply the addresses
 			continue
 		}
-		if reason := badAddr(a.value); reason != "" {
-			return badSetting(a.key, reason)
+		if reason := addressFault(address.value); reason != "" {
+			return invalidSetting(address.key, reason)
 		}
 	}
 	if s.Addr == s.HTTP {
-		return badSetting("http", "is the same as addr")
+		return invalidSetting("http", "is the same as addr")
 	}
 	if len(s.Seeds) == 0 && s.adapter == nil {
-		return badSetting("seeds", "none is given; name three other daemons")
+		return invalidSetting("seeds", "none is given; list three other daemons")
 	}
-	for _, a := range s.Seeds {
-		if reason := badAddr(a); reason != "" {
-			return badSetting("seeds", a+" "+reason)
+	for _, address := range s.Seeds {
+		if reason := addressFault(address); reason != "" {
+			return invalidSetting("seeds", address+" "+reason)
 		}
 	}
 	return nil
@@ -328,13 +334,13 @@
 
 func (s *settings) checkNumbers() error {
 	if s.LogLevel != "info" && s.LogLevel != "debug" {
-		return badSetting("log_level", "must be info or debug")
+		return invalidSetting("log_level", "must be info or debug")
 	}
 	if s.KeepHours < 1 || s.KLowest < 0 || s.TargetSigma < 0 || s.ThresholdMs < -1 {
-		return badSetting("keep_hours, k_lowest, target_sigma, threshold_ms", "must be at least 1, 0, 0 and -1")
+		return invalidSetting("keep_hours, k_lowest, target_sigma, threshold_ms", "must be at least 1, 0, 0 and -1")
 	}
 	if s.CoreSize < 1 || s.MaxHoldMs < 1 || s.GangWaitMs < 1 || s.SaveMs < 1 || s.RestoreMs < 0 || s.SpreadFactor < 1 {
-		return badSetting(
+		return invalidSetting(
 			"core_size, hold_most_ms, gang_wait_ms, save_ms, restore_ms, spread_factor",
 			"must be at least 1, 1, 1, 1, 0 and 1",
 		)
@@ -342,35 +348,36 @@
 	return nil
 }
 
-// checkData makes the data folder and tries to write there.
+// checkData creates the data folder and checks that it is writable.
 func (s *settings) checkData() error {
 	if s.Data == "" {
 		return nil
 	}
 	if err := os.MkdirAll(s.Data, 0o755); err != nil {
-		return badSetting("data", err.Error())
+		return invalidSetting("data", err.Error())
 	}
 	probe := filepath.Join(s.Data, ".writable")
 	if err := os.WriteFile(probe, []byte("x"), 0o600); err != nil {
-		return badSetting("data", "can't be written: "+err.Error())
+		return invalidSetting("data", "is not writable: "+err.Error())
 	}
 	_ = os.Remove(probe)
 	return nil
 }
 
-func badAddr(a string) string {
-	host, port, err := net.SplitHostPort(a)
+// addressFault returns why an address is not IP:port, or "" if it is.
+func addressFault(address string) string {
+	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return "must be IP:port"
 	}
 	if net.ParseIP(host) == nil {
-		return "must begin with an IP number"
+		return "must start with an IP address"
 	}
 	if port == "" || port == "0" {
-		return "must name a port"
+		return "must include a port"
 	}
-	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 { // a look-up by name may wait for a resolver
-		return "must name a port"
+	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 { // net.LookupPort could block on a resolver
+		return "must include a port"
 	}
 	return ""
 }
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -6,10 +6,10 @@
 	"otterchute/internal/wire"
 )
 
-// Status requests tell what this daemon knows of the fleet: whether it is ready,
-// the daemons and leases, the workers, and the common faults.
+// Handlers of status requests: whether this daemon is ready, and what it knows of the other
+// daemons, the leases, the workers and common faults.
 
-// notReady says why this daemon should get no callers; "" if it should.
+// notReady returns why this daemon should get no callers, or "" if it is ready.
 func (n *node) notReady() string {
 	switch {
 	case n.core.Cluster == 0:
@@ -23,14 +23,15 @@
 	case !n.configFresh():
 		return "the setup is not confirmed here"
 	}
-	for _, s := range n.core.Shards {
-		if h, _ := n.leases.Holder(lease.ShardRole(s)); h == "" {
-			return "slice " + s + " has no holder"
+	for _, shard := range n.core.Shards {
+		if holder, _ := n.leases.Holder(lease.ShardRole(shard)); holder == "" {
+			return "slice " + shard + " has no holder"
 		}
 	}
 	return ""
 }
 
+// handleGetReady replies to the readiness probe.
 func (n *node) handleGetReady(req *request) {
 	if reason := n.notReady(); reason != "" {
 		n.reject(req, reason)
@@ -39,68 +40,71 @@
 	n.respond(req, 200, 0, mustJSON(map[string]any{"ready": true}))
 }
 
+// handleGetMembers replies with the daemons, the core set and the holder of each role.
 func (n *node) handleGetMembers(req *request) {
-	var list []map[string]any
+	var members []map[string]any
 	for _, name := range append([]string{n.Name}, n.peers.Names()...) {
-		s := n.peers.Describe(name)
-		ago, _ := n.peers.SilentMs(name) // 0 for ourselves
-		list = append(list, map[string]any{"name": s.Name, "site": s.Zone, "addr": s.Addr, "http": s.HTTPAddr, "disk": s.Disk,
-			"live": n.peers.Alive(name), "heard_ms": ago, "core": n.core.Has(s.Name, s.DiskID)})
+		member := n.peers.Describe(name)
+		silentMs, _ := n.peers.SilentMs(name) // 0 for this daemon itself
+		members = append(members, map[string]any{"name": member.Name, "site": member.Zone, "addr": member.Addr, "http": member.HTTPAddr, "disk": member.Disk,
+			"live": n.peers.Alive(name), "heard_ms": silentMs, "core": n.core.Has(member.Name, member.DiskID)})
 	}
 	roles := []map[string]any{}
-	for _, v := range n.leases.Holders() {
-		roles = append(roles, map[string]any{"duty": v.Name, "holder": v.Holder, "epoch": v.Epoch})
+	for _, role := range n.leases.Holders() {
+		roles = append(roles, map[string]any{"duty": role.Name, "holder": role.Holder, "epoch": role.Epoch})
 	}
 	n.respond(
 		req,
 		200,
 		0,
 		mustJSON(map[string]any{"cluster": n.core.Cluster, "core_version": n.core.Version, "core": n.core.Names(),
-			"slices": n.core.Shards, "members": list, "duties": roles}),
+			"slices": n.core.Shards, "members": members, "duties": roles}),
 	)
 }
 
-// handleGetWorkers is settled where all workers are known: at the central scheduler.
+// handleGetWorkers replies with all workers. Only the central scheduler knows them all, so other
+// daemons forward the request to it.
 func (n *node) handleGetWorkers(req *request) {
 	if !n.leases.Holds(lease.Central) {
-		to, _ := n.leases.Holder(lease.Central)
-		n.forward(req, to)
+		holder, _ := n.leases.Holder(lease.Central)
+		n.forward(req, holder)
 		return
 	}
-	list := []map[string]any{}
+	entries := []map[string]any{}
 	for _, name := range sortedKeys(n.workers) {
-		w := n.workers[name]
-		list = append(
-			list,
-			map[string]any{"name": name, "site": w.zone, "labels": labelMap(w.labels), "free": w.free, "capacity": w.capacity,
-				"leaving": w.leaving, "agent": w.agent, "epoch": w.epoch, "heard_ms": n.now - w.receivedMs, "silent_ms": w.silentMs,
-				"queued": w.queued, "rank_ms": w.rankMs, "unsound": n.ranks.unhealthy[name], "rebuilt": w.rebuilt},
+		worker := n.workers[name]
+		entries = append(
+			entries,
+			map[string]any{"name": name, "site": worker.zone, "labels": labelMap(worker.labels), "free": worker.free, "capacity": worker.capacity,
+				"leaving": worker.leaving, "agent": worker.agent, "epoch": worker.epoch, "heard_ms": n.now - worker.receivedMs, "silent_ms": worker.silentMs,
+				"queued": worker.queued, "rank_ms": worker.rankMs, "unsound": n.ranks.unhealthy[name], "rebuilt": worker.rebuilt},
 		)
 	}
-	n.respond(req, 200, 0, mustJSON(map[string]any{"workers": list}))
+	n.respond(req, 200, 0, mustJSON(map[string]any{"workers": entries}))
 }
 
-func labelMap(ls []wire.Label) map[string]string {
-	m := map[string]string{}
-	for _, l := range ls {
-		m[l.Key] = l.Value
+// labelMap returns labels as the map that JSON replies use.
+func labelMap(labels []wire.Label) map[string]string {
+	values := map[string]string{}
+	for _, l := range labels {
+		values[l.Key] = l.Value
 	}
-	return m
+	return values
 }
 
-// handleGetHealth is what doctor reads: this daemon's view of the common faults.
+// handleGetHealth replies with this daemon's health report, which doctor checks for faults.
 func (n *node) handleGetHealth(req *request) {
-	slow := map[string]int64{}
-	for m, ms := range n.leases.MemberSyncMs() {
-		slow[m] = ms
+	syncMs := map[string]int64{}
+	for member, ms := range n.leases.MemberSyncMs() {
+		syncMs[member] = ms
 	}
-	unsound := []string{}
+	unhealthyWorkers := []string{}
 	if n.central != nil {
-		unsound = append(unsound, sortedKeys(n.ranks.unhealthy)...)
+		unhealthyWorkers = append(unhealthyWorkers, sortedKeys(n.ranks.unhealthy)...)
 	}
 	coreLive := 0
-	for _, m := range n.core.Members {
-		if n.peers.Alive(m.Name) {
+	for _, member := range n.core.Members {
+		if n.peers.Alive(member.Name) {
 			coreLive++
 		}
 	}
@@ -117,23 +121,23 @@
 			"core_live":        coreLive,
 			"core_contact_ms":  n.now - n.leases.LastContactMs(),
 			"clock_spread_ms":  n.clockOffsets(),
-			"sync_ms":          slow,
+			"sync_ms":          syncMs,
 			"disk_failed":      n.diskFailed,
 			"setup_version":    n.config.record.Version,
 			"setup_confirmed":  n.configFresh(),
 			"unmatched_queues": n.unmatchedQueues(),
 			"without_holder":   n.leasesWithoutHolder(),
-			"unsound_workers":  unsound,
+			"unsound_workers":  unhealthyWorkers,
 			"counters":         n.counterHealth(),
 			"empty_sites":      sortedKeys(n.config.current.EmptyZones),
-			"slices":           n.ownedShards(),
+			"slices":           n.shardHealth(),
 			"workers":          len(n.workers),
 			"asks_open":        len(n.forwarded),
 		}),
 	)
 }
 
-// lostPeers names the daemons that were known and aren't heard any more.
+// lostPeers returns the names of known daemons that are no longer alive.
 func (n *node) lostPeers() []string {
 	lost := []string{}
 	for _, name := range n.peers.Names() {
@@ -144,33 +148,35 @@
 	return lost
 }
 
-// clockOffsets is how far wall clocks are from the median, at a core member.
+// clockOffsets returns the offsets of the wall clocks from their median. Only core members know
+// them; elsewhere the result is empty.
 func (n *node) clockOffsets() map[string]int64 {
 	offsets := map[string]int64{}
 	if !n.inCore() {
 		return offsets
 	}
-	if med := n.fleetTime(); med != 0 {
-		return n.granter.ClockOffsets(med, n.now)
+	if median := n.fleetTime(); median != 0 {
+		return n.granter.ClockOffsets(median, n.now)
 	}
 	return offsets
 }
 
+// leasesWithoutHolder returns the roles whose lease nobody holds.
 func (n *node) leasesWithoutHolder() []string {
-	free := []string{}
-	for _, s := range n.core.Shards {
-		if h, _ := n.leases.Holder(lease.ShardRole(s)); h == "" {
-			free = append(free, lease.ShardRole(s))
+	vacant := []string{}
+	for _, shard := range n.core.Shards {
+		if holder, _ := n.leases.Holder(lease.ShardRole(shard)); holder == "" {
+			vacant = append(vacant, lease.ShardRole(shard))
 		}
 	}
-	if h, _ := n.leases.Holder(lease.Central); h == "" {
-		free = append(free, lease.Central)
+	if holder, _ := n.leases.Holder(lease.Central); holder == "" {
+		vacant = append(vacant, lease.Central)
 	}
-	return free
+	return vacant
 }
 
-// unmatchedQueues names the queues that no worker may run, at the central
-// scheduler: only there all workers are known.
+// unmatchedQueues returns the queues that no live worker matches. Only the central scheduler
+// knows all workers; elsewhere the result is empty.
 func (n *node) unmatchedQueues() []string {
 	unmatched := []string{}
 	if len(n.workers) == 0 || n.central == nil {
@@ -188,13 +194,13 @@
 	return unmatched
 }
 
-// ownedShards tells of each shard held here what waits in it.
-func (n *node) ownedShards() map[string]any {
-	owned := map[string]any{}
+// shardHealth returns the state and the open work of each shard that this daemon owns.
+func (n *node) shardHealth() map[string]any {
+	health := map[string]any{}
 	for _, name := range sortedKeys(n.shards) {
 		shard := n.shards[name]
-		unsettled, waiting := n.openTasks(shard)
-		owned[name] = map[string]any{
+		unsettled, waiting := n.countOpenTasks(shard)
+		health[name] = map[string]any{
 			"serving":     shard.serving,
 			"epoch":       shard.epoch,
 			"jobs":        len(shard.jobs),
@@ -203,18 +209,19 @@
 			"writes_open": len(shard.writes),
 		}
 	}
-	return owned
+	return health
 }
 
-// openTasks counts a shard's tasks at silent workers, by worker, and those without a place.
-func (n *node) openTasks(shard *ownedShard) (unsettled map[string]int, waiting int) {
+// countOpenTasks counts a shard's tasks that are placed on silent workers, by worker, and those
+// that wait for a placement.
+func (n *node) countOpenTasks(shard *ownedShard) (unsettled map[string]int, waiting int) {
 	unsettled = map[string]int{}
 	for _, job := range shard.jobs {
 		for i := range job.Tasks {
 			t := &job.Tasks[i]
-			w := n.workers[t.Worker]
+			worker := n.workers[t.Worker]
 			switch {
-			case t.State == taskPlaced && (w == nil || n.now-w.receivedMs > workerSilentMs || w.silentMs > workerSilentMs):
+			case t.State == taskPlaced && (worker == nil || n.now-worker.receivedMs > workerSilentMs || worker.silentMs > workerSilentMs):
 				unsettled[t.Worker]++
 			case t.State == taskPending:
 				waiting++
--- a/internal/daemon/tenant_status_test.go
+++ b/internal/daemon/tenant_status_test.go
@@ -96,9 +96,9 @@
 	for _, n := range l.nodesInOrder() {
 		words[n.Name] = []byte(l.settle(n, evRequest{Op: "soundness", Base: -1}, 3000).body)
 	}
-	found := examine(words)
+	found := runHealthChecks(words)
 	must.SliceContainsFunc(t, found, "tenant at its limit", func(f finding, check string) bool {
-		return f.Check == check && strings.Contains(f.What, "of tight wait")
+		return f.Check == check && strings.Contains(f.Problem, "of tight wait")
 	})
 	for _, f := range found {
 		must.NotEq(t, "tenant not counted", f.Check, must.Sprint(f))
@@ -118,9 +118,9 @@
 	n := owner.sh.node
 	must.MapEmpty(t, n.counterHealth())
 	n.shareReports["east"]["west"] = n.now - reportSilentMs - 1
-	found := examine(map[string][]byte{"d": mustJSON(map[string]any{"counters": n.counterHealth()})})
+	found := runHealthChecks(map[string][]byte{"d": mustJSON(map[string]any{"counters": n.counterHealth()})})
 	must.SliceContainsFunc(t, found, `no report of ["west"] to the counter of slice east`, func(f finding, what string) bool {
-		return f.Check == "tenant not counted" && f.What == what
+		return f.Check == "tenant not counted" && f.Problem == what
 	})
 }
 
--- a/internal/daemon/tenants_command.go
+++ b/internal/daemon/tenants_command.go
@@ -1,11 +1,11 @@
 package daemon
 
-// tenantsCommand shows operators what tenants use of their limits, and what waits or was refused.
-func tenantsCommand(get func(path string) verb) *command {
-	return verbs(
+// tenantsCommand returns the command that lists the tenants' limits, use and waiting work.
+func tenantsCommand(get func(path string) actionFunc) *command {
+	return actionCommand(
 		"tenants",
 		"[-at LIST]",
-		"list the tenants: limit, what is lent and used, what waits, and what was beyond its weight",
-		map[string]verb{"": get("/v1/tenants")},
+		"list the tenants: limit, resources lent and used, waiting work, and jobs beyond their weight",
+		map[string]actionFunc{"": get("/v1/tenants")},
 	)
 }
--- a/internal/daemon/world_test.go
+++ b/internal/daemon/world_test.go
@@ -99,7 +99,7 @@
 	for i := range dep.Daemons {
 		name := fmt.Sprintf("d%02d", i)
 		n := &simNode{w: w, disk: &simDisk{w: w, host: name}, nodeConfig: nodeConfig{Name: name, Addr: fmt.Sprintf("10.0.0.%d:7000", i), HTTP: fmt.Sprintf("10.0.0.%d:8000", i),
-			Zone: historycheck.Zones[i%3], Seeds: seeds, Disk: i < membership.DefaultSize, FinishedKeepMs: keepHoursDef * msPerHour, SnapshotBytes: 1 << 20, ThresholdMs: thresholdMs, TargetSigma: 2, FirstStart: true}}
+			Zone: historycheck.Zones[i%3], Seeds: seeds, Disk: i < membership.DefaultSize, FinishedKeepMs: defaultKeepHours * msPerHour, SnapshotBytes: 1 << 20, ThresholdMs: thresholdMs, TargetSigma: 2, FirstStart: true}}
 		if n.Disk {
 			n.DiskID = w.rng.Uint64() | 1
 		}
