--- a/internal/daemon/client.go
+++ b/internal/daemon/client.go
@@ -165,16 +165,16 @@
 		}
 	}
 	return []*command{
-		actionCommand(
-			"setup",
-			"[-at LIST] apply FILE [N] | check FILE | show | history",
+		actionCommand("setup", "[-at LIST] apply FILE [N] | check FILE | show | history",
 			"declare the whole setup as its next version, check it offline, or read it",
 			map[string]actionFunc{
-				"apply": applyConfig, "check": checkConfigFile, "show": get("/v1/setups/current"), "history": printConfigHistory},
+				"apply":   applyConfig,
+				"check":   checkConfigFile,
+				"show":    get("/v1/setups/current"),
+				"history": printConfigHistory,
+			},
 		),
-		actionCommand(
-			"job",
-			"[-at LIST] submit ID FILE | show ID | explain ID | cancel ID",
+		actionCommand("job", "[-at LIST] submit ID FILE | show ID | explain ID | cancel ID",
 			"submit a job, show its state, explain where its time went, or cancel it",
 			map[string]actionFunc{
 				"submit":  submitJob,
@@ -183,21 +183,28 @@
 				"cancel":  withName("job cancel ID", "POST", "/v1/jobs/ID/cancel"),
 			},
 		),
-		actionCommand("workers", "[-at LIST] [lost NAME]", "list the workers, or declare a silent one lost for good", map[string]actionFunc{
-			"": get("/v1/workers"), "lost": withName("workers lost NAME", "POST", "/v1/workers/ID/lost")}),
-		actionCommand(
-			"members",
-			"[-at LIST]",
+		actionCommand("workers", "[-at LIST] [lost NAME]",
+			"list the workers, or declare a silent one lost for good",
+			map[string]actionFunc{
+				"":     get("/v1/workers"),
+				"lost": withName("workers lost NAME", "POST", "/v1/workers/ID/lost"),
+			},
+		),
+		actionCommand("members", "[-at LIST]",
 			"list daemons, core members and the holder of each duty",
 			map[string]actionFunc{"": get("/v1/members")},
 		),
-		actionCommand("empty", "[-at LIST] SITE | undo SITE", "stop giving a site new work, in the next setup version", map[string]actionFunc{
-			"": func(ctx context.Context, c *client, args []string) subcommands.ExitStatus {
-				return emptyZone(ctx, c, args, true)
+		actionCommand("empty", "[-at LIST] SITE | undo SITE",
+			"stop giving a site new work, in the next setup version",
+			map[string]actionFunc{
+				"": func(ctx context.Context, c *client, args []string) subcommands.ExitStatus {
+					return emptyZone(ctx, c, args, true)
+				},
+				"undo": func(ctx context.Context, c *client, args []string) subcommands.ExitStatus {
+					return emptyZone(ctx, c, args, false)
+				},
 			},
-			"undo": func(ctx context.Context, c *client, args []string) subcommands.ExitStatus {
-				return emptyZone(ctx, c, args, false)
-			}}),
+		),
 		tenantsCommand(get),
 		doctorCommand(),
 		importCommand(),
@@ -280,11 +287,7 @@
 		fmt.Printf(
 			"version=%d at=%s queues=%d bytes=%d digest=%016x\n",
 			entry.Get("version").Int(),
-			time.UnixMilli(
-				entry.Get("at_ms").Int(),
-			).UTC().Format(
-				time.RFC3339,
-			),
+			time.UnixMilli(entry.Get("at_ms").Int()).UTC().Format(time.RFC3339),
 			entry.Get("queues").Int(),
 			entry.Get("bytes").Int(),
 			entry.Get("digest").Uint(),
--- a/internal/daemon/doctor.go
+++ b/internal/daemon/doctor.go
@@ -61,18 +61,26 @@
 			return nil
 		},
 	},
-	{"core out of reach", "check the network between this daemon and the core members", func(report gjson.Result) []string {
-		if ms := report.Get("core_contact_ms").Int(); report.Get("core_size").Int() > 0 && ms > ownerContactMs {
-			return []string{fmt.Sprintf("no majority answered for %d ms", ms)}
-		}
-		return nil
-	}},
-	{"siblings unreachable", "check whether their machines run and whether their site is cut off", func(report gjson.Result) []string {
-		if lost := report.Get("siblings_lost").Array(); len(lost) > 0 {
-			return []string{report.Get("siblings_lost").Raw}
-		}
-		return nil
-	}},
+	{
+		"core out of reach",
+		"check the network between this daemon and the core members",
+		func(report gjson.Result) []string {
+			if ms := report.Get("core_contact_ms").Int(); report.Get("core_size").Int() > 0 && ms > ownerContactMs {
+				return []string{fmt.Sprintf("no majority answered for %d ms", ms)}
+			}
+			return nil
+		},
+	},
+	{
+		"siblings unreachable",
+		"check whether their machines run and whether their site is cut off",
+		func(report gjson.Result) []string {
+			if lost := report.Get("siblings_lost").Array(); len(lost) > 0 {
+				return []string{report.Get("siblings_lost").Raw}
+			}
+			return nil
+		},
+	},
 	{
 		"clock spread",
 		"correct the clock of the named machine; due times follow the median, so a minority of wrong clocks does no harm",
@@ -86,21 +94,29 @@
 			return out
 		},
 	},
-	{"slow sync", "check the disk of the named core machine", func(report gjson.Result) (out []string) {
-		report.Get("sync_ms").ForEach(func(k, v gjson.Result) bool {
-			if v.Int() > maxSyncMs {
-				out = append(out, fmt.Sprintf("%s took %d ms for its last sync", k.Str, v.Int()))
+	{
+		"slow sync",
+		"check the disk of the named core machine",
+		func(report gjson.Result) (out []string) {
+			report.Get("sync_ms").ForEach(func(k, v gjson.Result) bool {
+				if v.Int() > maxSyncMs {
+					out = append(out, fmt.Sprintf("%s took %d ms for its last sync", k.Str, v.Int()))
+				}
+				return true
+			})
+			return out
+		},
+	},
+	{
+		"disk failed",
+		"replace the disk and restart the daemon with an empty data folder",
+		func(report gjson.Result) []string {
+			if f := report.Get("disk_failed").Str; f != "" {
+				return []string{f}
 			}
-			return true
-		})
-		return out
-	}},
-	{"disk failed", "replace the disk and restart the daemon with an empty data folder", func(report gjson.Result) []string {
-		if f := report.Get("disk_failed").Str; f != "" {
-			return []string{f}
-		}
-		return nil
-	}},
+			return nil
+		},
+	},
 	{
 		"setup not confirmed",
 		"this daemon starts no work until the core confirms the setup",
@@ -111,12 +127,16 @@
 			return nil
 		},
 	},
-	{"no setup", "declare one with `otterchute setup apply`", func(report gjson.Result) []string {
-		if report.Get("setup_confirmed").Bool() && report.Get("setup_version").Int() == 0 {
-			return []string{"no setup has been declared"}
-		}
-		return nil
-	}},
+	{
+		"no setup",
+		"declare one with `otterchute setup apply`",
+		func(report gjson.Result) []string {
+			if report.Get("setup_confirmed").Bool() && report.Get("setup_version").Int() == 0 {
+				return []string{"no setup has been declared"}
+			}
+			return nil
+		},
+	},
 	{
 		"unmatched queues",
 		"no worker's labels match: correct the selector, or start such workers",
@@ -155,12 +175,16 @@
 			return nil
 		},
 	},
-	{"sites empty", "nothing, if this is intended; otherwise `otterchute empty undo SITE`", func(report gjson.Result) []string {
-		if e := report.Get("empty_sites").Array(); len(e) > 0 && report.Get("slices.@keys.0").Exists() {
-			return []string{report.Get("empty_sites").Raw}
-		}
-		return nil
-	}},
+	{
+		"sites empty",
+		"nothing, if this is intended; otherwise `otterchute empty undo SITE`",
+		func(report gjson.Result) []string {
+			if e := report.Get("empty_sites").Array(); len(e) > 0 && report.Get("slices.@keys.0").Exists() {
+				return []string{report.Get("empty_sites").Raw}
+			}
+			return nil
+		},
+	},
 	{
 		"tenant not counted",
 		"check that the named slices are owned and their owners reach this daemon; until they report, tenants counted " +
@@ -190,12 +214,16 @@
 			return out
 		},
 	},
-	{"duties without holder", "wait some seconds; if it persists, check the core", func(report gjson.Result) []string {
-		if d := report.Get("without_holder").Array(); len(d) > 0 {
-			return []string{report.Get("without_holder").Raw}
-		}
-		return nil
-	}},
+	{
+		"duties without holder",
+		"wait some seconds; if it persists, check the core",
+		func(report gjson.Result) []string {
+			if d := report.Get("without_holder").Array(); len(d) > 0 {
+				return []string{report.Get("without_holder").Raw}
+			}
+			return nil
+		},
+	},
 }
 
 // runHealthChecks runs all checks on the health reports of daemons, by the daemon's name.
@@ -214,7 +242,9 @@
 
 // checkAllDaemons fetches the health report of every live daemon once and checks it. It also
 // returns how many daemons answered, and the response to the request for their list.
-func checkAllDaemons(ctx context.Context, addresses string) (findings []finding, answered int, resp response, err error) {
+func checkAllDaemons(
+	ctx context.Context, addresses string,
+) (findings []finding, answered int, resp response, err error) {
 	resp, err = newClient(addresses).request(ctx, "GET", "/v1/members", nil)
 	if err != nil || resp.status != 200 {
 		return nil, 0, resp, err
@@ -229,10 +259,12 @@
 		if health, err := c.request(ctx, "GET", "/v1/soundness", nil); err == nil && health.status == 200 {
 			reports[name] = health.body
 		} else {
-			findings = append(
-				findings,
-				finding{"daemon silent", name, "its HTTP address " + c.addresses[0] + " does not answer", "check its log and its machine"},
-			)
+			findings = append(findings, finding{
+				"daemon silent",
+				name,
+				"its HTTP address " + c.addresses[0] + " does not answer",
+				"check its log and its machine",
+			})
 		}
 	}
 	return append(findings, runHealthChecks(reports)...), len(reports), resp, nil
@@ -241,7 +273,10 @@
 // doctorCommand returns the command that checks all daemons for common faults.
 func doctorCommand() *command {
 	addressList, asJSON := new(string), new(bool)
-	return &command{name: "doctor", argsUsage: "[-at LIST] [-json]", synopsis: "look for common faults; exit 1 if any is found",
+	return &command{
+		name:      "doctor",
+		argsUsage: "[-at LIST] [-json]",
+		synopsis:  "look for common faults; exit 1 if any is found",
 		bindFlags: func(fs *flag.FlagSet) {
 			fs.StringVar(addressList, "at", "127.0.0.1:8000", "HTTP addresses of daemons, separated by commas")
 			fs.BoolVar(asJSON, "json", false, "print findings as JSON")
@@ -255,7 +290,9 @@
 				var second []finding
 				if second, answered, resp, err = checkAllDaemons(ctx, *addressList); err == nil && resp.status == 200 {
 					findings = slices.DeleteFunc(second, func(f finding) bool {
-						return !slices.ContainsFunc(findings, func(first finding) bool { return first.Check == f.Check && first.Daemon == f.Daemon })
+						return !slices.ContainsFunc(findings, func(first finding) bool {
+							return first.Check == f.Check && first.Daemon == f.Daemon
+						})
 					})
 				}
 			}
@@ -274,5 +311,6 @@
 				return exitFound
 			}
 			return exitOK
-		}}
+		},
+	}
 }
--- a/internal/daemon/job_timeline.go
+++ b/internal/daemon/job_timeline.go
@@ -25,12 +25,12 @@
 	Index       int32            `json:"index"`
 	Round       int32            `json:"round"`
 	State       string           `json:"state"`
-	Attempt     int32            `json:"attempt"`
+	Attempt     int32            `json:"attempt"` // number of the task's last attempt
 	Class       string           `json:"class"`
 	ClassReason string           `json:"class_why,omitempty"`
 	Worker      string           `json:"worker,omitempty"`
-	Candidates  int32            `json:"candidates,omitempty"`
-	WaitReason  string           `json:"waits,omitempty"`
+	Candidates  int32            `json:"candidates,omitempty"` // workers to choose among at the placement
+	WaitReason  string           `json:"waits,omitempty"`      // why it does not run yet
 	StageMs     map[string]int64 `json:"stages_ms"`
 }
 
@@ -47,7 +47,11 @@
 	job := shard.jobs[req.key]
 	if job == nil {
 		if record := shard.finished[req.key]; record != nil {
-			job = &liveJob{jobRecord: *record, runtime: make([]taskRuntime, len(record.Tasks)), trace: shard.finishedTraces.Get(req.key)}
+			job = &liveJob{
+				jobRecord: *record,
+				runtime:   make([]taskRuntime, len(record.Tasks)),
+				trace:     shard.finishedTraces.Get(req.key),
+			}
 		}
 	}
 	if job == nil {
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -59,10 +59,14 @@
 		commander.Register(c, "operators")
 	}
 	commander.Register(
-		&command{name: "version", synopsis: "print the version", run: func(context.Context, *flag.FlagSet) subcommands.ExitStatus {
-			fmt.Printf("otterchute %s, wire %d\n", version, wire.FormatVersion)
-			return exitOK
-		}},
+		&command{
+			name:     "version",
+			synopsis: "print the version",
+			run: func(context.Context, *flag.FlagSet) subcommands.ExitStatus {
+				fmt.Printf("otterchute %s, wire %d\n", version, wire.FormatVersion)
+				return exitOK
+			},
+		},
 		"help",
 	)
 	flag.Parse()
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -30,25 +30,25 @@
 // a JSON file, and from flags. A flag overrides the other sources.
 type settings struct {
 	Name        string
-	Addr        string
-	HTTP        string
+	Addr        string // IP:port for other daemons
+	HTTP        string // IP:port for callers, workers and operators
 	Zone        string
-	Seeds       []string
-	Data        string
+	Seeds       []string // addresses of other daemons to join the cluster by
+	Data        string   // folder for the replicated state; empty on machines that store none
 	KeepHours   int64
-	ThresholdMs int64
-	KLowest     int64
-	TargetSigma float64
+	ThresholdMs int64   // learned run times below it are queueable
+	KLowest     int64   // lowest-ranked workers that a queueable task may go to; 0 for a share
+	TargetSigma float64 // standard deviations above the mean rank in the delay target
 	LogLevel    string
 
-	CoreSize     int64
-	FirstStart   bool
-	Colocated    bool
-	MaxHoldMs    int64
+	CoreSize     int64 // disks that store the state
+	FirstStart   bool  // empty disks may form a core
+	Colocated    bool  // this daemon runs beside a worker and takes no role
+	MaxHoldMs    int64 // the longest time a worker holds its runs after a heartbeat reply
 	GangWaitMs   int64
-	SaveMs       int64
-	RestoreMs    int64
-	SpreadFactor float64
+	SaveMs       int64   // work between two checkpoints of a run
+	RestoreMs    int64   // extra time that a start from a checkpoint takes
+	SpreadFactor float64 // by which work takes longer outside its rack
 
 	// Set by the platform alone; 0 if it gives no value.
 	MemoryMb   int64
@@ -61,37 +61,23 @@
 
 // settingsSchema is the schema of the settings file.
 var settingsSchema = schema.Field{Kind: schema.Object, Fields: map[string]schema.Field{
-	"name": {
-		Kind: schema.Name,
-	},
-	"addr":         {Kind: schema.String, Min: 1, Max: 100},
-	"http":         {Kind: schema.String, Min: 1, Max: 100},
-	"site":         {Kind: schema.Name},
-	"seeds":        {Kind: schema.List, Min: 1, Max: 16, Elem: &schema.Field{Kind: schema.String, Min: 1, Max: 100}},
-	"data":         {Kind: schema.String, Max: 4096},
-	"keep_hours":   {Kind: schema.Integer, Min: 1, Max: 24 * 366},
-	"threshold_ms": {Kind: schema.Integer, Min: -1, Max: msPerHour},
-	"k_lowest": {
-		Kind: schema.Integer,
-		Min:  0,
-		Max:  10_000,
-	},
-	"target_sigma": {Kind: schema.Number},
-	"log_level":    {Kind: schema.Name},
-	"beside":       {Kind: schema.Bool},
-	"core_size":    {Kind: schema.Integer, Min: 1, Max: 99},
-	"first_start":  {Kind: schema.Bool},
-	"hold_most_ms": {
-		Kind: schema.Integer,
-		Min:  1,
-		Max:  msPerHour,
-	},
-	"gang_wait_ms": {Kind: schema.Integer, Min: 1, Max: msPerHour},
-	"save_ms": {
-		Kind: schema.Integer,
-		Min:  1,
-		Max:  msPerHour,
-	},
+	"name":          {Kind: schema.Name},
+	"addr":          {Kind: schema.String, Min: 1, Max: 100},
+	"http":          {Kind: schema.String, Min: 1, Max: 100},
+	"site":          {Kind: schema.Name},
+	"seeds":         {Kind: schema.List, Min: 1, Max: 16, Elem: &schema.Field{Kind: schema.String, Min: 1, Max: 100}},
+	"data":          {Kind: schema.String, Max: 4096},
+	"keep_hours":    {Kind: schema.Integer, Min: 1, Max: 24 * 366},
+	"threshold_ms":  {Kind: schema.Integer, Min: -1, Max: msPerHour},
+	"k_lowest":      {Kind: schema.Integer, Min: 0, Max: 10_000},
+	"target_sigma":  {Kind: schema.Number},
+	"log_level":     {Kind: schema.Name},
+	"beside":        {Kind: schema.Bool},
+	"core_size":     {Kind: schema.Integer, Min: 1, Max: 99},
+	"first_start":   {Kind: schema.Bool},
+	"hold_most_ms":  {Kind: schema.Integer, Min: 1, Max: msPerHour},
+	"gang_wait_ms":  {Kind: schema.Integer, Min: 1, Max: msPerHour},
+	"save_ms":       {Kind: schema.Integer, Min: 1, Max: msPerHour},
 	"restore_ms":    {Kind: schema.Integer, Min: 0, Max: msPerHour},
 	"spread_factor": {Kind: schema.Number},
 }}
@@ -165,33 +151,30 @@
 	fs.StringVar(&f.data, "data", "", "data folder; only for machines that store the state")
 	fs.StringVar(&f.logLevel, "log-level", defaults.LogLevel, "info or debug")
 	fs.Int64Var(&f.keepHours, "keep-hours", defaults.KeepHours, "hours a finished job is kept")
-	fs.Int64Var(
-		&f.thresholdMs,
-		"threshold-ms",
-		defaults.ThresholdMs,
-		"learned run times below this are queueable; 0 makes all guaranteed, -1 all queueable",
-	)
-	fs.Int64Var(
-		&f.kLowest,
-		"k-lowest",
-		defaults.KLowest,
-		"a queueable task goes to one of this many lowest-ranked workers; 0 for a quarter of the allowed ones, 3 to 50",
-	)
-	fs.Float64Var(&f.targetSigma, "target-sigma", defaults.TargetSigma, "the delay target is the mean rank plus this many standard deviations")
-	fs.Int64Var(&f.coreSize, "core-size", defaults.CoreSize, "disks that store the state; an even number counts as the next lower odd one")
-	fs.BoolVar(
-		&f.firstStart,
-		"first-start",
-		defaults.FirstStart,
-		"the whole cluster starts for the first time: empty disks may form a core",
-	)
-	fs.BoolVar(&f.colocated, "beside", false, "this daemon runs beside a worker: it takes no role in the cluster")
-	fs.Int64Var(&f.maxHoldMs, "hold-most-ms", defaults.MaxHoldMs, "the longest time a worker holds its runs after one heartbeat reply")
-	fs.Int64Var(&f.gangWaitMs, "gang-wait-ms", defaults.GangWaitMs, "how long a gang member waits for the others")
-	fs.Int64Var(&f.checkpointIntervalMs, "save-ms", defaults.SaveMs, "work between two checkpoints of a run that makes them")
-	fs.Int64Var(&f.restoreMs, "restore-ms", defaults.RestoreMs, "extra time that a start from a checkpoint takes")
-	fs.Float64Var(&f.spreadFactor, "spread-factor", defaults.SpreadFactor, "factor by which work takes longer outside its rack")
-	fs.StringVar(&f.disabledPolicies, "disable-policy", "", "for experiments: scheduling policies to switch off, separated by commas")
+	fs.Int64Var(&f.thresholdMs, "threshold-ms", defaults.ThresholdMs,
+		"learned run times below this are queueable; 0 makes all guaranteed, -1 all queueable")
+	fs.Int64Var(&f.kLowest, "k-lowest", defaults.KLowest,
+		"a queueable task goes to one of this many lowest-ranked workers; 0 for a quarter of the allowed ones, 3 to 50")
+	fs.Float64Var(&f.targetSigma, "target-sigma", defaults.TargetSigma,
+		"the delay target is the mean rank plus this many standard deviations")
+	fs.Int64Var(&f.coreSize, "core-size", defaults.CoreSize,
+		"disks that store the state; an even number counts as the next lower odd one")
+	fs.BoolVar(&f.firstStart, "first-start", defaults.FirstStart,
+		"the whole cluster starts for the first time: empty disks may form a core")
+	fs.BoolVar(&f.colocated, "beside", false,
+		"this daemon runs beside a worker: it takes no role in the cluster")
+	fs.Int64Var(&f.maxHoldMs, "hold-most-ms", defaults.MaxHoldMs,
+		"the longest time a worker holds its runs after one heartbeat reply")
+	fs.Int64Var(&f.gangWaitMs, "gang-wait-ms", defaults.GangWaitMs,
+		"how long a gang member waits for the others")
+	fs.Int64Var(&f.checkpointIntervalMs, "save-ms", defaults.SaveMs,
+		"work between two checkpoints of a run that makes them")
+	fs.Int64Var(&f.restoreMs, "restore-ms", defaults.RestoreMs,
+		"extra time that a start from a checkpoint takes")
+	fs.Float64Var(&f.spreadFactor, "spread-factor", defaults.SpreadFactor,
+		"factor by which work takes longer outside its rack")
+	fs.StringVar(&f.disabledPolicies, "disable-policy", "",
+		"for experiments: scheduling policies to switch off, separated by commas")
 }
 
 // load returns the settings of the platform or of the file, overridden by the given flags and
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -46,20 +46,29 @@
 	for _, name := range append([]string{n.Name}, n.peers.Names()...) {
 		member := n.peers.Describe(name)
 		silentMs, _ := n.peers.SilentMs(name) // 0 for this daemon itself
-		members = append(members, map[string]any{"name": member.Name, "site": member.Zone, "addr": member.Addr, "http": member.HTTPAddr, "disk": member.Disk,
-			"live": n.peers.Alive(name), "heard_ms": silentMs, "core": n.core.Has(member.Name, member.DiskID)})
+		members = append(members, map[string]any{
+			"name":     member.Name,
+			"site":     member.Zone,
+			"addr":     member.Addr,
+			"http":     member.HTTPAddr,
+			"disk":     member.Disk,
+			"live":     n.peers.Alive(name),
+			"heard_ms": silentMs,
+			"core":     n.core.Has(member.Name, member.DiskID),
+		})
 	}
 	roles := []map[string]any{}
 	for _, role := range n.leases.Holders() {
 		roles = append(roles, map[string]any{"duty": role.Name, "holder": role.Holder, "epoch": role.Epoch})
 	}
-	n.respond(
-		req,
-		200,
-		0,
-		mustJSON(map[string]any{"cluster": n.core.Cluster, "core_version": n.core.Version, "core": n.core.Names(),
-			"slices": n.core.Shards, "members": members, "duties": roles}),
-	)
+	n.respond(req, 200, 0, mustJSON(map[string]any{
+		"cluster":      n.core.Cluster,
+		"core_version": n.core.Version,
+		"core":         n.core.Names(),
+		"slices":       n.core.Shards,
+		"members":      members,
+		"duties":       roles,
+	}))
 }
 
 // handleGetWorkers replies with all workers. Only the central scheduler knows them all, so other
@@ -73,12 +82,22 @@
 	entries := []map[string]any{}
 	for _, name := range sortedKeys(n.workers) {
 		worker := n.workers[name]
-		entries = append(
-			entries,
-			map[string]any{"name": name, "site": worker.zone, "labels": labelMap(worker.labels), "free": worker.free, "capacity": worker.capacity,
-				"leaving": worker.leaving, "agent": worker.agent, "epoch": worker.epoch, "heard_ms": n.now - worker.receivedMs, "silent_ms": worker.silentMs,
-				"queued": worker.queued, "rank_ms": worker.rankMs, "unsound": n.ranks.unhealthy[name], "rebuilt": worker.rebuilt},
-		)
+		entries = append(entries, map[string]any{
+			"name":      name,
+			"site":      worker.zone,
+			"labels":    labelMap(worker.labels),
+			"free":      worker.free,
+			"capacity":  worker.capacity,
+			"leaving":   worker.leaving,
+			"agent":     worker.agent,
+			"epoch":     worker.epoch,
+			"heard_ms":  n.now - worker.receivedMs,
+			"silent_ms": worker.silentMs,
+			"queued":    worker.queued,
+			"rank_ms":   worker.rankMs,
+			"unsound":   n.ranks.unhealthy[name],
+			"rebuilt":   worker.rebuilt,
+		})
 	}
 	n.respond(req, 200, 0, mustJSON(map[string]any{"workers": entries}))
 }
@@ -221,7 +240,8 @@
 			t := &job.Tasks[i]
 			worker := n.workers[t.Worker]
 			switch {
-			case t.State == taskPlaced && (worker == nil || n.now-worker.receivedMs > workerSilentMs || worker.silentMs > workerSilentMs):
+			case t.State == taskPlaced &&
+				(worker == nil || n.now-worker.receivedMs > workerSilentMs || worker.silentMs > workerSilentMs):
 				unsettled[t.Worker]++
 			case t.State == taskPending:
 				waiting++
