--- a/internal/configuration/contract.go
+++ b/internal/configuration/contract.go
@@ -48,10 +48,10 @@
 
 // Contract is the price of a core hour, by a repeating weekly schedule.
 type Contract struct {
-	Name          string
-	OffsetMinutes int64 // of its clock from UTC, all year: there is no daylight saving time
-	Cheapest      float64
-	spans         []priceSpan // cover the week in order; adjacent ones have different prices
+	Name             string
+	UTCOffsetMinutes int64 // of its clock from UTC, all year: there is no daylight saving time
+	Cheapest         float64
+	spans            []priceSpan // cover the week in order; adjacent ones have different prices
 }
 
 // priceSpan is a part of the week, in minutes from Monday 00:00 on the contract's clock.
@@ -106,7 +106,7 @@
 		return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.index, b.index))
 	})
 	c.checkOverlaps(path, declared)
-	contract := &Contract{Name: doc.Get("name").Str, OffsetMinutes: doc.Get("utc_offset_minutes").Int()}
+	contract := &Contract{Name: doc.Get("name").Str, UTCOffsetMinutes: doc.Get("utc_offset_minutes").Int()}
 	contract.fillWeek(declared, doc.Get("price").Num)
 	return contract
 }
@@ -226,7 +226,7 @@
 	if len(k.spans) == 1 {
 		return []PriceWindow{{math.MinInt64 / 2, math.MaxInt64 / 2, k.spans[0].Price}}
 	}
-	minute := fromMs/msPerMinute + k.OffsetMinutes + epochWeekday*minutesPerDay
+	minute := fromMs/msPerMinute + k.UTCOffsetMinutes + epochWeekday*minutesPerDay
 	week := (fromMs/msPerMinute - minute%minutesPerWeek) * msPerMinute // the start of this week
 	last := len(k.spans) - 1
 	maxSpans := 2 * len(k.spans) * (MaxFinishHours/(7*24) + 2) // spans in twice the longest possible time
@@ -255,7 +255,7 @@
 
 // Location returns the time zone of the contract.
 func (k *Contract) Location() *time.Location {
-	return time.FixedZone("", int(k.OffsetMinutes)*60)
+	return time.FixedZone("", int(k.UTCOffsetMinutes)*60)
 }
 
 // ExplainContracts describes the contracts and batch rules of a configuration to an operator, line
--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -23,9 +23,9 @@
 
 // rejection is the response to a job that was not admitted.
 type rejection struct {
-	status  int32
-	retryMs int64
-	faults  []schema.Fault
+	status       int32
+	retryAfterMs int64
+	faults       []schema.Fault
 }
 
 // admissionRules implements each kind of admission rule. A rule may fill in defaults of the job; it returns nil if
@@ -108,9 +108,9 @@
 		}
 		if int64(a.queueLive) >= value || a.shardLive >= maxJobs || a.bytes > maxBytes {
 			return &rejection{
-				status:  429,
-				retryMs: 2000,
-				faults:  []schema.Fault{{Path: "queue", Reason: "has as many live jobs as it may"}},
+				status:       429,
+				retryAfterMs: 2000,
+				faults:       []schema.Fault{{Path: "queue", Reason: "has as many live jobs as it may"}},
 			}
 		}
 		return nil
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -15,8 +15,8 @@
 	agentQueueMax = 400     // queued attempts beyond which an agent rejects placements
 	bypassMs      = 3000    // queued tasks may overtake a larger one at the head of the queue for this long
 	// healthDecayMs is the interval at which the counts of a worker's outcomes and suspicions decay.
-	healthDecayMs = 10_000
-	agentSyncMs   = 300 // interval of a leased agent's full reports
+	healthDecayMs  = 10_000
+	leasedReportMs = 300 // interval of a leased agent's full reports
 	// workerReportMaxAgeMs bounds the age of the worker report that orders are based on: a worker that
 	// is leaving must get no new work after 2 s.
 	workerReportMaxAgeMs = 1500
--- a/internal/daemon/agent_sync.go
+++ b/internal/daemon/agent_sync.go
@@ -137,7 +137,7 @@
 
 // reportAgent sends a full report to each shard's owner and to the central scheduler.
 func (n *node) reportAgent(agent *workerAgent) {
-	agent.nextFullReportMs = n.now + agentSyncMs
+	agent.nextFullReportMs = n.now + leasedReportMs
 	if agent.colocated {
 		agent.nextFullReportMs = n.now + fullReportMs
 	}
--- a/internal/daemon/allocation_request.go
+++ b/internal/daemon/allocation_request.go
@@ -123,7 +123,7 @@
 			lastAttempt = lastAttempt || t.onLastAttempt()
 		}
 	}
-	for worker := range job.failedAt {
+	for worker := range job.lastFailureMs {
 		if job.failedRecentlyAt(worker, n.now) {
 			suspects[worker] = true
 		}
--- a/internal/daemon/attempt_result.go
+++ b/internal/daemon/attempt_result.go
@@ -23,8 +23,8 @@
 	t.ChangedVersion, t.RanMs = job.Version, ranMs
 	n.meterBatch(job, t, ranMs)
 	n.count("ends_" + result.String())
-	if rt.saved != "" {
-		t.Checkpoint = rt.saved
+	if rt.checkpoint != "" {
+		t.Checkpoint = rt.checkpoint
 	}
 	*rt = taskRuntime{}
 	defer shard.updatePlacedIndex(job, i)
@@ -78,15 +78,15 @@
 
 // recordFailureAt records the worker where a task of the job failed.
 func (j *liveJob) recordFailureAt(worker string, nowMs int64) {
-	if j.failedAt == nil {
-		j.failedAt = map[string]int64{}
+	if j.lastFailureMs == nil {
+		j.lastFailureMs = map[string]int64{}
 	}
-	j.failedAt[worker] = nowMs
+	j.lastFailureMs[worker] = nowMs
 }
 
 // failedRecentlyAt reports whether a task of the job failed at a worker within jobAvoidMs.
 func (j *liveJob) failedRecentlyAt(worker string, nowMs int64) bool {
-	atMs, failed := j.failedAt[worker]
+	atMs, failed := j.lastFailureMs[worker]
 	return failed && nowMs-atMs <= jobAvoidMs
 }
 
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -123,7 +123,7 @@
 // planBatches plans all batch jobs of a shard in the order of their deadlines. Each job needs the time of its
 // longest chain of steps, and the time that all work with earlier deadlines takes in the capacity open to batches.
 func (n *node) planBatches(shard *ownedShard) {
-	clusterTimeMs := n.fleetTime()
+	clusterTimeMs := n.clusterTime()
 	if clusterTimeMs == 0 || !n.configFresh() || n.now-shard.startMs < batchWarmupMs ||
 		n.now < shard.nextBatchPlanMs && shard.batchPlanVersion == n.config.current.Version {
 		return
@@ -224,7 +224,7 @@
 // any shard, or for its start at many of the workers.
 func (n *node) urgentWorkWaits(shard *ownedShard) bool {
 	if shard.starvedMs != 0 && n.now-shard.starvedMs < batchPauseMs ||
-		n.ranks.roomShort && n.now-n.ranks.receivedMs < rankStaleMs {
+		n.ranks.guaranteedWaiting && n.now-n.ranks.receivedMs < rankStaleMs {
 		return true
 	}
 	waitingWorkers, liveWorkers := 0, 0
@@ -350,7 +350,7 @@
 
 // explainHeld describes why a batch task has not started, and until when it is held; "" for a task of no batch job.
 func (n *node) explainHeld(job *liveJob, t *task) string {
-	rules, p, clusterTimeMs := n.batchRules(&job.jobRecord), job.plan, n.fleetTime()
+	rules, p, clusterTimeMs := n.batchRules(&job.jobRecord), job.plan, n.clusterTime()
 	if rules == nil {
 		return ""
 	}
@@ -428,7 +428,7 @@
 
 // meterBatch counts the core seconds of an attempt that has just ended, by the price at the time they were used.
 func (n *node) meterBatch(job *liveJob, t *task, ranMs int64) {
-	rules, clusterTimeMs := n.batchRules(&job.jobRecord), n.fleetTime()
+	rules, clusterTimeMs := n.batchRules(&job.jobRecord), n.clusterTime()
 	if rules == nil || clusterTimeMs == 0 || ranMs <= 0 {
 		return
 	}
--- a/internal/daemon/batch_test.go
+++ b/internal/daemon/batch_test.go
@@ -131,7 +131,7 @@
 	for i := range j.Tasks {
 		j.Tasks[i].LimitMs = 600_000
 	}
-	j.SubmitMs = n.fleetTime() - agoMs
+	j.SubmitMs = n.clusterTime() - agoMs
 	job := &liveJob{jobRecord: *j, runtime: make([]taskRuntime, len(j.Tasks)), committed: 1}
 	shard.jobs[id] = job
 	return job
@@ -250,7 +250,7 @@
 	must.Eq(t, "", choose())
 	shard.starvedMs = 0
 	must.Eq(t, "w2", choose())
-	n.ranks.roomShort, n.ranks.receivedMs = true, n.now
+	n.ranks.guaranteedWaiting, n.ranks.receivedMs = true, n.now
 	must.Eq(t, "", choose())
 	n.ranks.receivedMs = n.now - rankStaleMs
 	must.Eq(t, "w2", choose())
--- a/internal/daemon/catchup.go
+++ b/internal/daemon/catchup.go
@@ -108,8 +108,8 @@
 
 const finishedVersion = 1 << 60 // higher than the version of any live record
 
-// onCaughtUp handles a member's acknowledgement of a part and sends the next one.
-func (n *node) onCaughtUp(shard *ownedShard, member string, seq uint64) {
+// onCatchUpAcknowledged handles a member's acknowledgement of a part and sends the next one.
+func (n *node) onCatchUpAcknowledged(shard *ownedShard, member string, seq uint64) {
 	lag := shard.replicaLags[member]
 	if lag == nil || lag.inFlight == nil || lag.seq != seq {
 		return
--- a/internal/daemon/central.go
+++ b/internal/daemon/central.go
@@ -20,7 +20,7 @@
 	centralRebuildMs  = 500
 	unhealthyMs       = 10_000 // a slow worker gets no work for twice this long, doubled each time
 	unhealthyTimesMax = 5      // the duration is not doubled further after this many times
-	allocateNowMax    = 64     // up to this many pending requests each event runs a pass; beyond, only ticks do
+	allocateAtOnceMax = 64     // up to this many pending requests each event runs a pass; beyond, only ticks do
 )
 
 // centralScheduler is the central scheduler, including the coordinator that computes ranks. It stores
@@ -106,17 +106,17 @@
 
 // rankState is the coordinator's last round of ranks as received by this daemon.
 type rankState struct {
-	epoch           uint64
-	round           int64
-	receivedMs      int64
-	targetMs        int64
-	roomShort       bool            // requests for guaranteed resources were waiting
-	idle            bool            // most of the fleet's resources were free
-	headroomPercent resource.Amount // percent of each dimension kept free for the most urgent queues
-	ranks           map[string]int64
-	unhealthy       map[string]int8
-	failRates       map[string]float64 // queue -> fraction of attempts that fail
-	addedMs         map[string]int64   // worker -> estimated run time placed there by this daemon since the round
+	epoch             uint64
+	round             int64
+	receivedMs        int64
+	targetMs          int64
+	guaranteedWaiting bool            // requests for guaranteed resources were waiting
+	idle              bool            // most of the fleet's resources were free
+	headroomPercent   resource.Amount // percent of each dimension kept free for the most urgent queues
+	ranks             map[string]int64
+	unhealthy         map[string]int8
+	failRates         map[string]float64 // queue -> fraction of attempts that fail
+	addedMs           map[string]int64   // worker -> estimated run time placed there by this daemon since the round
 }
 
 // rank returns a worker's rank: the coordinator's rank plus the estimates of what this daemon has placed
@@ -187,7 +187,7 @@
 		}
 	}
 	n.promote(c, w)
-	if len(c.pending) <= allocateNowMax {
+	if len(c.pending) <= allocateAtOnceMax {
 		n.allocateSoon(c)
 	}
 }
@@ -210,7 +210,7 @@
 			delete(request.granted, t.Task)
 		}
 	}
-	if len(c.pending) <= allocateNowMax {
+	if len(c.pending) <= allocateAtOnceMax {
 		n.allocateSoon(c)
 	}
 }
@@ -368,16 +368,16 @@
 		return
 	}
 	*r = rankState{
-		epoch:           m.Epoch,
-		round:           m.Round,
-		receivedMs:      n.now,
-		targetMs:        m.TargetDelayMs,
-		roomShort:       m.GuaranteedWaiting,
-		idle:            m.Idle,
-		headroomPercent: m.HeadroomPercent,
-		ranks:           map[string]int64{},
-		unhealthy:       map[string]int8{},
-		failRates:       map[string]float64{},
+		epoch:             m.Epoch,
+		round:             m.Round,
+		receivedMs:        n.now,
+		targetMs:          m.TargetDelayMs,
+		guaranteedWaiting: m.GuaranteedWaiting,
+		idle:              m.Idle,
+		headroomPercent:   m.HeadroomPercent,
+		ranks:             map[string]int64{},
+		unhealthy:         map[string]int8{},
+		failRates:         map[string]float64{},
 	}
 	for _, rate := range m.FailRates {
 		r.failRates[rate.Queue] = float64(rate.PerMille) / perMille
--- a/internal/daemon/client.go
+++ b/internal/daemon/client.go
@@ -99,7 +99,7 @@
 		if resp.status == 503 || resp.status == 429 {
 			return exitUnreachable
 		}
-		return exitFound
+		return exitFailure
 	}
 	fmt.Println(indentJSON(resp.body))
 	return exitOK
@@ -261,10 +261,10 @@
 	}
 	config, faults := configuration.Compile(1, doc)
 	for _, fault := range faults {
-		fmt.Fprintf(os.Stderr, "%s: %s %s\n", args[0], orText(fault.Path, "the document"), fault.Reason)
+		fmt.Fprintf(os.Stderr, "%s: %s %s\n", args[0], firstNonEmpty(fault.Path, "the document"), fault.Reason)
 	}
 	if len(faults) > 0 {
-		return exitFound
+		return exitFailure
 	}
 	fmt.Printf("sound: %d queues, %d sites to empty", len(config.Queues), len(config.EmptyZones))
 	if config.RequiresKey() {
@@ -311,7 +311,7 @@
 		var doc map[string]json.RawMessage
 		if json.Unmarshal([]byte(gjson.GetBytes(resp.body, "setup").Raw), &doc) != nil || doc == nil {
 			fmt.Fprintln(os.Stderr, "otterchute: there is no setup yet")
-			return exitFound
+			return exitFailure
 		}
 		zones := []string{}
 		for _, zone := range gjson.GetBytes(resp.body, "setup.empty_sites").Array() {
@@ -334,5 +334,5 @@
 		}
 	}
 	fmt.Fprintln(os.Stderr, "otterchute: other operators changed the setup at the same time; try again")
-	return exitFound
+	return exitFailure
 }
--- a/internal/daemon/config_change.go
+++ b/internal/daemon/config_change.go
@@ -23,7 +23,7 @@
 	case record.Version != change.changeID.Base:
 		return register.Refuse, nil
 	}
-	return register.Replace, codec.Append(nil, record.Next(change.changeID, change.argument, n.fleetTime()))
+	return register.Replace, codec.Append(nil, record.Next(change.changeID, change.argument, n.clusterTime()))
 }
 
 // decideEmptiedZones adds a zone to the emptied zones or removes it from them,
--- a/internal/daemon/config_state.go
+++ b/internal/daemon/config_state.go
@@ -150,7 +150,7 @@
 		switch {
 		case n.configConfirmedSince(req):
 			confirmed = append(confirmed, req)
-		case n.leases.CutOff() || n.now-req.receivedMs > forwardMs*2/3:
+		case n.leases.CutOff() || n.now-req.receivedMs > forwardTimeoutMs*2/3:
 			n.reject(req, "the setup is not confirmed here")
 		default:
 			waiting = append(waiting, req)
--- a/internal/daemon/core_member.go
+++ b/internal/daemon/core_member.go
@@ -165,7 +165,7 @@
 	response := &wire.PollResponse{
 		Seq:           m.Seq,
 		SetVersion:    n.core.Version,
-		GracePeriodMs: n.granter.GrantDelayLeftMs(n.now),
+		GrantDelayMs:  n.granter.GrantDelayLeftMs(n.now),
 		ClusterTimeMs: n.measuredClusterTime(),
 		DiskSyncMs:    n.diskSyncMs,
 	}
@@ -211,7 +211,7 @@
 	if n.leases.Clock().Readings() < n.core.Majority() {
 		return
 	}
-	cutoffMs := n.fleetTime() - n.FinishedKeepMs
+	cutoffMs := n.clusterTime() - n.FinishedKeepMs
 	for _, name := range n.store.ShardNames() {
 		if n.store.Shard(name).Expired(cutoffMs) {
 			n.persist([]statestore.Entry{{Kind: statestore.EntryExpire, Name: name, Epoch: uint64(cutoffMs)}})
@@ -221,7 +221,7 @@
 
 // tickStore removes expired records and takes a snapshot when the log has grown enough.
 func (n *node) tickStore() {
-	if !n.inCore() || n.fleetTime() == 0 {
+	if !n.inCore() || n.clusterTime() == 0 {
 		return
 	}
 	if n.now%10_000 < tickMs {
--- a/internal/daemon/core_set.go
+++ b/internal/daemon/core_set.go
@@ -47,7 +47,7 @@
 			shard.sealSentMs = 0
 		}
 		for _, write := range shard.writes {
-			if !write.done {
+			if !write.committed {
 				write.acked, write.sentMs = map[string]bool{}, 0
 			}
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -170,7 +170,7 @@
 			handle(l.executor)
 		case <-ticker.C:
 			l.executor.event(evTick{})
-			l.ready.Store(&readiness{l.clock.nowMs(), l.executor.node.notReady()})
+			l.ready.Store(&readiness{l.clock.nowMs(), l.executor.node.notReadyReason()})
 		case <-l.quit:
 			return
 		}
@@ -360,16 +360,16 @@
 		CoreSize: int(
 			s.CoreSize,
 		),
-		FirstStart:   s.FirstStart,
-		Colocated:    s.Colocated,
-		MaxHoldMs:    s.MaxHoldMs,
-		GangWaitMs:   s.GangWaitMs,
-		SaveMs:       s.SaveMs,
-		RestoreMs:    s.RestoreMs,
-		SpreadFactor: s.SpreadFactor,
-		MilliCores:   s.MilliCores,
-		LinkMbps:     s.LinkMbps,
-		Policies:     s.Policies,
+		FirstStart:           s.FirstStart,
+		Colocated:            s.Colocated,
+		MaxHoldMs:            s.MaxHoldMs,
+		GangWaitMs:           s.GangWaitMs,
+		CheckpointIntervalMs: s.CheckpointIntervalMs,
+		RestoreMs:            s.RestoreMs,
+		SpreadFactor:         s.SpreadFactor,
+		MilliCores:           s.MilliCores,
+		LinkMbps:             s.LinkMbps,
+		Policies:             s.Policies,
 	}
 	if handles.disk != nil {
 		cfg.DiskID = handles.disk.ID()
@@ -436,7 +436,7 @@
 		go func() {
 			if err := adapter.Serve(server.servePlatform); err != nil {
 				log.Error(err, "platform_failed")
-				_ = shutdowner.Shutdown(fx.ExitCode(int(exitFound)))
+				_ = shutdowner.Shutdown(fx.ExitCode(int(exitFailure)))
 			}
 		}()
 		return nil
--- a/internal/daemon/doctor.go
+++ b/internal/daemon/doctor.go
@@ -308,7 +308,7 @@
 				fmt.Fprintf(os.Stderr, "%d daemons checked, %d findings\n", answered, len(findings))
 			}
 			if len(findings) > 0 {
-				return exitFound
+				return exitFailure
 			}
 			return exitOK
 		},
--- a/internal/daemon/draft.go
+++ b/internal/daemon/draft.go
@@ -193,12 +193,12 @@
 			d, err := draftFromNginx(string(text))
 			if err != nil {
 				fmt.Fprintf(os.Stderr, "otterchute: %s: %v\n", fs.Arg(0), err)
-				return exitFound
+				return exitFailure
 			}
 			doc := mustJSON(map[string]any{"note": "draft made of " + fs.Arg(0), "queues": d.queues})
 			if _, faults := configuration.Compile(1, doc); len(faults) > 0 {
 				fmt.Fprintf(os.Stderr, "otterchute: %s: line 1: %s %s\n", fs.Arg(0), faults[0].Path, faults[0].Reason)
-				return exitFound
+				return exitFailure
 			}
 			for _, s := range d.skipped {
 				fmt.Fprintf(os.Stderr, "%s: %s\n", fs.Arg(0), s)
--- a/internal/daemon/formation_test.go
+++ b/internal/daemon/formation_test.go
@@ -345,10 +345,10 @@
 	must.MapEmpty(t, shard.writes[99].acked)
 	n.onWriteResponse("d01", &wire.WriteResponse{SetVersion: old, Shard: "east", Epoch: shard.epoch, Seq: 99, OK: true})
 	n.onWriteResponse("d02", &wire.WriteResponse{SetVersion: old, Shard: "east", Epoch: shard.epoch, Seq: 99, OK: true})
-	must.False(t, shard.writes[99].done)
+	must.False(t, shard.writes[99].committed)
 	n.onWriteResponse("d01", &wire.WriteResponse{SetVersion: next.Version, Shard: "east", Epoch: shard.epoch, Seq: 99, OK: true})
 	n.onWriteResponse("d02", &wire.WriteResponse{SetVersion: next.Version, Shard: "east", Epoch: shard.epoch, Seq: 99, OK: true})
-	must.True(t, shard.writes[99].done)
+	must.True(t, shard.writes[99].committed)
 }
 
 // A job that was handed over and not answered may be kept: its caller is not
--- a/internal/daemon/incident_test.go
+++ b/internal/daemon/incident_test.go
@@ -90,7 +90,7 @@
 		return slices.ContainsFunc(b.events, func(e platformEvent) bool { return e.kind == bStarted && e.job == gang.id })
 	}
 	must.True(t, b.until(3000, started))
-	must.Less(t, 2*agentSyncMs+300, b.nowMs()-heldMs)
+	must.Less(t, 2*leasedReportMs+300, b.nowMs()-heldMs)
 	undo()
 	b.finish(30_000)
 	verdictOfPlatform(t, b)
--- a/internal/daemon/job.go
+++ b/internal/daemon/job.go
@@ -88,14 +88,14 @@
 	Tasks          []task
 	// Abandoned lists attempts whose worker was silent for too long. Their end, if reported later, doesn't count,
 	// except when no other attempt was started in the meantime; then the entry is removed.
-	Abandoned []abandonedRun
+	Abandoned []abandonedAttempt
 	// Tenant is the tenant whose key the job was submitted with. It is the last field, and a record omits it if it
 	// is empty: records from before tenants existed have the same form.
 	Tenant string
 }
 
-// abandonedRun identifies an attempt of a task whose worker was silent for too long.
-type abandonedRun struct {
+// abandonedAttempt identifies an attempt of a task whose worker was silent for too long.
+type abandonedAttempt struct {
 	Task    int64
 	Attempt int32
 }
--- a/internal/daemon/job_encode.go
+++ b/internal/daemon/job_encode.go
@@ -13,7 +13,7 @@
 const recordCountBytes = 4
 
 // abandonedAttempts is the last part of the encoding of a job without a tenant.
-type abandonedAttempts struct{ Attempts []abandonedRun }
+type abandonedAttempts struct{ Attempts []abandonedAttempt }
 
 // noTenant is the encoding of an empty Tenant, which records omit.
 var noTenant = codec.Append(nil, struct{ Tenant string }{})
--- a/internal/daemon/job_explain.go
+++ b/internal/daemon/job_explain.go
@@ -22,7 +22,7 @@
 		return "queued at its worker"
 	case t.State != taskPending:
 		return ""
-	case job.roundDueMs(t.Round) > n.fleetTime():
+	case job.roundDueMs(t.Round) > n.clusterTime():
 		return "not due yet"
 	case !job.readySteps(job.committed)[job.stepIndex(t)]:
 		return "steps before it have not all ended well"
--- a/internal/daemon/job_parse.go
+++ b/internal/daemon/job_parse.go
@@ -93,7 +93,7 @@
 	}
 	root := gjson.ParseBytes(body)
 	p := &jobParser{index: map[string]int32{}, job: &jobRecord{
-		ID: id, Queue: orText(queue, root.Get("queue").Str), Digest: bodyDigest(body),
+		ID: id, Queue: firstNonEmpty(queue, root.Get("queue").Str), Digest: bodyDigest(body),
 		DueMs: root.Get("due_ms").Int(), DelayMs: root.Get("delay_ms").Int(),
 		Payload: []byte(root.Get("payload").Raw), Rounds: int32(root.Get("rounds").Int()),
 		FirstMs: root.Get("first_ms").Int(), PeriodMs: root.Get("period_ms").Int(),
--- a/internal/daemon/job_request.go
+++ b/internal/daemon/job_request.go
@@ -98,7 +98,7 @@
 func (n *node) admitJob(shard *ownedShard, fetch *fetchOp) {
 	record, req := fetch.job, fetch.requests[0]
 	queue := n.config.current.Queues[record.Queue]
-	clusterTimeMs := n.fleetTime()
+	clusterTimeMs := n.clusterTime()
 	if queue == nil || clusterTimeMs == 0 || !n.configFresh() {
 		n.rejectAdmission(shard, fetch, func(req *request) {
 			n.reject(req, "the setup or the core's time is not confirmed here")
@@ -124,13 +124,13 @@
 	if rejected != nil {
 		n.count("jobs_rejected")
 		n.rejectAdmission(shard, fetch, func(req *request) {
-			n.rejectFaults(req, int(rejected.status), rejected.retryMs, rejected.faults)
+			n.rejectFaults(req, int(rejected.status), rejected.retryAfterMs, rejected.faults)
 		})
 		return
 	}
 	record.SubmitMs = clusterTimeMs
 	if record.DelayMs > 0 {
-		record.DueMs = n.latestFleetTime() + record.DelayMs
+		record.DueMs = n.latestClusterTime() + record.DelayMs
 	}
 	job := &liveJob{
 		jobRecord: *record, runtime: make([]taskRuntime, len(record.Tasks)), recordBytes: size, enteredMs: n.now,
--- a/internal/daemon/job_schedule.go
+++ b/internal/daemon/job_schedule.go
@@ -49,7 +49,7 @@
 
 // finishJob sets a job's final state and end time in its record.
 func (n *node) finishJob(shard *ownedShard, job *liveJob, state jobStatus) {
-	clusterTimeMs := n.fleetTime()
+	clusterTimeMs := n.clusterTime()
 	if clusterTimeMs == 0 {
 		return // how long the job is kept counts from its end, which needs the cluster time
 	}
@@ -75,7 +75,7 @@
 
 // newSchedulePass starts a scheduling pass over a job's tasks.
 func (n *node) newSchedulePass(job *liveJob) *schedulePass {
-	pass := &schedulePass{clusterTimeMs: n.fleetTime(), queue: n.config.current.Queues[job.Queue],
+	pass := &schedulePass{clusterTimeMs: n.clusterTime(), queue: n.config.current.Queues[job.Queue],
 		batch: n.batchRules(&job.jobRecord) != nil}
 	for i := range job.Tasks {
 		if t := &job.Tasks[i]; t.State == taskPlaced && t.Class == wire.ClassQueueable {
@@ -162,7 +162,7 @@
 
 // advanceRounds adds the tasks of rounds that are due soon to the job's record, and drops completed rounds from it.
 func (n *node) advanceRounds(shard *ownedShard, job *liveJob) {
-	clusterTimeMs := n.fleetTime()
+	clusterTimeMs := n.clusterTime()
 	if job.Rounds == 0 || job.State != jobRunning || clusterTimeMs == 0 {
 		return
 	}
@@ -225,7 +225,7 @@
 		n.now-receivedMs > ownerTimeoutMs*(100+driftPercent)/100+lapseMarginMs &&
 		n.now-n.wokeMs > freezeThresholdMs {
 		n.count("lapses_resolved")
-		job.Abandoned = append(job.Abandoned, abandonedRun{job.taskID(i), t.Attempt})
+		job.Abandoned = append(job.Abandoned, abandonedAttempt{job.taskID(i), t.Attempt})
 		n.resolveAttempt(shard, job, i, wire.ResultLost, 0)
 		return
 	}
@@ -279,7 +279,7 @@
 func (n *node) explainClass(job *liveJob, t *task) (class wire.TaskClass, reason string) {
 	step := &job.Steps[t.Step]
 	guaranteed, reason := scheduler.IsGuaranteed(scheduler.TaskFacts{
-		Batch: n.batchRules(&job.jobRecord) != nil, Gang: step.Gang, Lasting: step.LongRunning,
+		Batch: n.batchRules(&job.jobRecord) != nil, Gang: step.Gang, LongRunning: step.LongRunning,
 		Preemptions: int64(t.Preemptions), EstimateMs: n.knownRunMs(job, t),
 	}, n.ThresholdMs)
 	if guaranteed {
--- a/internal/daemon/job_trace.go
+++ b/internal/daemon/job_trace.go
@@ -24,10 +24,10 @@
 // awaitCommit keeps an attempt's end, to acknowledge it to its agent when the given version of the record is at a
 // quorum.
 func (j *liveJob) awaitCommit(m *wire.AgentReport, end wire.AttemptStatus, version, nowMs int64) {
-	if slices.ContainsFunc(j.ended, func(e endedAttempt) bool { return e.status.Key == end.Key }) {
+	if slices.ContainsFunc(j.uncommittedEnds, func(e endedAttempt) bool { return e.status.Key == end.Key }) {
 		return
 	}
-	j.ended = append(j.ended, endedAttempt{
+	j.uncommittedEnds = append(j.uncommittedEnds, endedAttempt{
 		status: end, version: version, receivedMs: nowMs, sentMs: m.SentMs,
 		agent: m.Agent, worker: m.Worker, agentEpoch: m.Epoch,
 	})
@@ -89,8 +89,8 @@
 		job.trace.CommittedMs = n.now
 		n.observeStage(job, job.jobClass(), jobtrace.Commit, n.now-job.trace.AdmittedMs)
 	}
-	kept := job.ended[:0]
-	for _, e := range job.ended {
+	kept := job.uncommittedEnds[:0]
+	for _, e := range job.uncommittedEnds {
 		if e.version > version {
 			kept = append(kept, e)
 			continue
@@ -98,7 +98,7 @@
 		n.observeStage(job, e.status.Class, jobtrace.CommitEnd, n.now-e.receivedMs)
 		committed = append(committed, e)
 	}
-	job.ended = kept
+	job.uncommittedEnds = kept
 	return committed
 }
 
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -20,7 +20,7 @@
 // Exit codes of all commands.
 const (
 	exitOK          = subcommands.ExitSuccess
-	exitFound       = subcommands.ExitFailure    // 1: request rejected, or doctor found a fault
+	exitFailure     = subcommands.ExitFailure    // 1: request rejected, or doctor found a fault
 	exitUsage       = subcommands.ExitUsageError // 2: invalid arguments or settings
 	exitUnreachable = subcommands.ExitStatus(3)  // no daemon answered
 )
@@ -94,14 +94,14 @@
 			}
 			if err := app.Start(ctx); err != nil {
 				fmt.Fprintln(os.Stderr, "otterchute:", dig.RootCause(err))
-				return exitFound
+				return exitFailure
 			}
 			<-app.Wait()
 			stop, cancel := context.WithTimeout(context.Background(), 5*shutdownTimeoutMs*1e6)
 			defer cancel()
 			if err := app.Stop(stop); err != nil {
 				fmt.Fprintln(os.Stderr, "otterchute:", err)
-				return exitFound
+				return exitFailure
 			}
 			return exitOK
 		},
--- a/internal/daemon/platformscenario_test.go
+++ b/internal/daemon/platformscenario_test.go
@@ -13,7 +13,7 @@
 func placePlatformNode(p *nodeConfig, site platformDeployment, side bool) {
 	p.Colocated, p.MaxHoldMs, p.GangWaitMs = side, site.holdMaxMs, site.gangWaitMs
 	p.CoreSize = site.coreSize
-	p.SaveMs, p.RestoreMs, p.SpreadFactor = int64(site.saveMs), site.restoreMs, site.spread
+	p.CheckpointIntervalMs, p.RestoreMs, p.SpreadFactor = int64(site.saveMs), site.restoreMs, site.spread
 }
 
 // eventOf is a call as a daemon gets it.
--- a/internal/daemon/reconcile.go
+++ b/internal/daemon/reconcile.go
@@ -123,7 +123,7 @@
 		if n.now-shard.startMs > 2*ownerContactMs && m.SentMs-job.runtime[i].agentClockMs > 2*ownerContactMs {
 			n.resolveAttempt(shard, job, i, wire.ResultRejected, 0)
 		}
-	case m.Epoch == t.AgentEpoch && n.now-job.runtime[i].sentMs > 2*agentSyncMs:
+	case m.Epoch == t.AgentEpoch && n.now-job.runtime[i].sentMs > 2*leasedReportMs:
 		n.sendPlacement(shard, job, i)
 	}
 }
@@ -168,7 +168,7 @@
 		if late { // abandoned, but not restarted since: the result counts
 			job.Abandoned = slices.DeleteFunc(
 				job.Abandoned,
-				func(g abandonedRun) bool { return g == abandonedRun{status.Key.Task, status.Key.Attempt} },
+				func(g abandonedAttempt) bool { return g == abandonedAttempt{status.Key.Task, status.Key.Attempt} },
 			)
 		}
 		n.traceEnded(job, i, status)
@@ -235,7 +235,7 @@
 	}
 	rt.state = status.State
 	if status.Checkpoint != "" {
-		rt.saved = status.Checkpoint
+		rt.checkpoint = status.Checkpoint
 	}
 }
 
@@ -273,7 +273,7 @@
 
 // isAbandoned reports whether an attempt was abandoned because its worker was silent.
 func (j *jobRecord) isAbandoned(key wire.AttemptKey) bool {
-	return slices.Contains(j.Abandoned, abandonedRun{key.Task, key.Attempt})
+	return slices.Contains(j.Abandoned, abandonedAttempt{key.Task, key.Attempt})
 }
 
 // decideLateEnd decides, for the late end of an attempt whose job is finished, whether the attempt was superseded. It
@@ -284,7 +284,7 @@
 		return wire.DecisionAcknowledged
 	case record != nil || shard.knownAbsent[key.Job]:
 		return wire.DecisionCounted
-	case n.now-shard.lateReadMs[key.Job] > forwardMs && len(shard.fetches) < allocateNowMax:
+	case n.now-shard.lateReadMs[key.Job] > forwardTimeoutMs && len(shard.fetches) < allocateAtOnceMax:
 		shard.lateReadMs[key.Job] = n.now
 		n.fetchRecord(shard, &fetchOp{id: key.Job})
 	}
@@ -308,7 +308,7 @@
 		}
 		healthy := !w.suspect && !n.ranks.ejected(name) || n.fleetIdle()
 		if name != t.Worker && healthy && n.workerAllowed(w, queue, t.RequiredLabels, t.Resources) &&
-			t.Resources.Fits(n.availableRoom(shard, queue, job.excess, name, w)) {
+			t.Resources.Fits(n.availableResources(shard, queue, job.excess, name, w)) {
 			return true
 		}
 	}
--- a/internal/daemon/reduce.go
+++ b/internal/daemon/reduce.go
@@ -26,29 +26,29 @@
 	Incarnation uint64
 	// Instance distinguishes this process from all others, see identity.go. Unlike
 	// Incarnation it doesn't depend on a clock and never changes.
-	Instance       uint64
-	Addr           string
-	HTTP           string
-	Zone           string
-	Seeds          []string
-	Disk           bool
-	DiskID         uint64
-	FinishedKeepMs int64
-	SnapshotBytes  int64 // minimum length of the log before a snapshot is taken
-	ThresholdMs    int64
-	KLowest        int
-	TargetSigma    float64
-	Colocated      bool // runs beside a worker and takes no role of the cluster
-	MilliCores     int64
-	LinkMbps       int64
-	CoreSize       int  // number of core members; 0 for membership.DefaultSize
-	FirstStart     bool // the whole cluster starts for the first time: empty disks may form a core
-	MaxHoldMs      int64
-	GangWaitMs     int64
-	SaveMs         int64
-	RestoreMs      int64
-	SpreadFactor   float64
-	Policies       scheduler.Set // the policies that are switched off, for experiments
+	Instance             uint64
+	Addr                 string
+	HTTP                 string
+	Zone                 string
+	Seeds                []string
+	Disk                 bool
+	DiskID               uint64
+	FinishedKeepMs       int64
+	SnapshotBytes        int64 // minimum length of the log before a snapshot is taken
+	ThresholdMs          int64
+	KLowest              int
+	TargetSigma          float64
+	Colocated            bool // runs beside a worker and takes no role of the cluster
+	MilliCores           int64
+	LinkMbps             int64
+	CoreSize             int  // number of core members; 0 for membership.DefaultSize
+	FirstStart           bool // the whole cluster starts for the first time: empty disks may form a core
+	MaxHoldMs            int64
+	GangWaitMs           int64
+	CheckpointIntervalMs int64
+	RestoreMs            int64
+	SpreadFactor         float64
+	Policies             scheduler.Set // the policies that are switched off, for experiments
 }
 
 // event is the only input of a daemon: what happened, the time by its steady clock and by
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -17,7 +17,7 @@
 
 const (
 	configForwardTimeoutMs = 2400 // for a change of the configuration, which a core member tries for changeTimeoutMs
-	forwardMs              = 1200 // timeout of other forwarded requests
+	forwardTimeoutMs       = 1200 // timeout of other forwarded requests
 	quorumReadTimeoutMs    = 500  // timeout of reading a job's state from the core
 	forwardsMax            = 2    // number of times that a request is forwarded at most
 	requestsMax            = 4000 // requests in flight through one daemon; more are rejected
@@ -164,7 +164,7 @@
 			key:            m.Key,
 			body:           body,
 			queue:          m.Queue,
-			base:           m.ExpectedVersion,
+			base:           m.BaseVersion,
 			digest:         m.Digest,
 			tenant:         m.Tenant,
 		},
@@ -247,7 +247,7 @@
 		n.count("requests_retried")
 	}
 	n.forwardSeq++
-	deadlineMs, body := n.now+forwardMs, req.body
+	deadlineMs, body := n.now+forwardTimeoutMs, req.body
 	if operatorRequests[req.op] {
 		deadlineMs, body = n.now+configForwardTimeoutMs, configuration.Deflate(req.body)
 	}
@@ -256,17 +256,17 @@
 	n.send(
 		to,
 		&wire.Forward{
-			ID:              n.forwardSeq,
-			Origin:          n.Name,
-			Hops:            req.hops + 1,
-			WaitMs:          forwardMs,
-			Op:              req.op,
-			Key:             req.key,
-			Body:            body,
-			Queue:           req.queue,
-			ExpectedVersion: req.base,
-			Digest:          req.digest,
-			Tenant:          req.tenant,
+			ID:          n.forwardSeq,
+			Origin:      n.Name,
+			Hops:        req.hops + 1,
+			WaitMs:      forwardTimeoutMs,
+			Op:          req.op,
+			Key:         req.key,
+			Body:        body,
+			Queue:       req.queue,
+			BaseVersion: req.base,
+			Digest:      req.digest,
+			Tenant:      req.tenant,
 		},
 	)
 }
--- a/internal/daemon/roles.go
+++ b/internal/daemon/roles.go
@@ -61,11 +61,11 @@
 func (n *node) tickPoll()  { n.leases.Tick() }
 func (n *node) tickRoles() { n.leases.TickRoles() }
 
-// fleetTime returns a lower bound of the cluster time in ms, or 0 while it is unknown.
-func (n *node) fleetTime() int64 { return n.leases.Clock().Earliest(n.core, n.now) }
+// clusterTime returns a lower bound of the cluster time in ms, or 0 while it is unknown.
+func (n *node) clusterTime() int64 { return n.leases.Clock().Earliest(n.core, n.now) }
 
-// latestFleetTime returns an upper bound of the cluster time in ms.
-func (n *node) latestFleetTime() int64 { return n.leases.Clock().Latest(n.core, n.now) }
+// latestClusterTime returns an upper bound of the cluster time in ms.
+func (n *node) latestClusterTime() int64 { return n.leases.Clock().Latest(n.core, n.now) }
 
 // onStop begins a graceful stop: it hands each role over to its next candidate.
 func (n *node) onStop(evStop) {
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -41,14 +41,14 @@
 	TargetSigma float64 // standard deviations above the mean rank in the delay target
 	LogLevel    string
 
-	CoreSize     int64 // disks that store the state
-	FirstStart   bool  // empty disks may form a core
-	Colocated    bool  // this daemon runs beside a worker and takes no role
-	MaxHoldMs    int64 // the longest time a worker holds its runs after a heartbeat reply
-	GangWaitMs   int64
-	SaveMs       int64   // work between two checkpoints of a run
-	RestoreMs    int64   // extra time that a start from a checkpoint takes
-	SpreadFactor float64 // by which work takes longer outside its rack
+	CoreSize             int64 // disks that store the state
+	FirstStart           bool  // empty disks may form a core
+	Colocated            bool  // this daemon runs beside a worker and takes no role
+	MaxHoldMs            int64 // the longest time a worker holds its runs after a heartbeat reply
+	GangWaitMs           int64
+	CheckpointIntervalMs int64   // work between two checkpoints of a run
+	RestoreMs            int64   // extra time that a start from a checkpoint takes
+	SpreadFactor         float64 // by which work takes longer outside its rack
 
 	// Set by the platform alone; 0 if it gives no value.
 	MemoryMb   int64
@@ -84,17 +84,17 @@
 
 func defaultSettings() settings {
 	return settings{
-		KeepHours:    defaultKeepHours,
-		ThresholdMs:  thresholdMs,
-		TargetSigma:  2,
-		LogLevel:     "info",
-		CoreSize:     membership.DefaultSize,
-		FirstStart:   true,
-		MaxHoldMs:    defaultMaxHoldMs,
-		GangWaitMs:   defaultGangWaitMs,
-		SaveMs:       defaultCheckpointIntervalMs,
-		RestoreMs:    defaultRestoreMs,
-		SpreadFactor: 1.5,
+		KeepHours:            defaultKeepHours,
+		ThresholdMs:          thresholdMs,
+		TargetSigma:          2,
+		LogLevel:             "info",
+		CoreSize:             membership.DefaultSize,
+		FirstStart:           true,
+		MaxHoldMs:            defaultMaxHoldMs,
+		GangWaitMs:           defaultGangWaitMs,
+		CheckpointIntervalMs: defaultCheckpointIntervalMs,
+		RestoreMs:            defaultRestoreMs,
+		SpreadFactor:         1.5,
 	}
 }
 
@@ -122,7 +122,7 @@
 	"beside":        func(s *settings, v gjson.Result) { s.Colocated = v.Bool() },
 	"hold_most_ms":  func(s *settings, v gjson.Result) { s.MaxHoldMs = v.Int() },
 	"gang_wait_ms":  func(s *settings, v gjson.Result) { s.GangWaitMs = v.Int() },
-	"save_ms":       func(s *settings, v gjson.Result) { s.SaveMs = v.Int() },
+	"save_ms":       func(s *settings, v gjson.Result) { s.CheckpointIntervalMs = v.Int() },
 	"restore_ms":    func(s *settings, v gjson.Result) { s.RestoreMs = v.Int() },
 	"spread_factor": func(s *settings, v gjson.Result) { s.SpreadFactor = v.Num },
 }
@@ -167,7 +167,7 @@
 		"the longest time a worker holds its runs after one heartbeat reply")
 	fs.Int64Var(&f.gangWaitMs, "gang-wait-ms", defaults.GangWaitMs,
 		"how long a gang member waits for the others")
-	fs.Int64Var(&f.checkpointIntervalMs, "save-ms", defaults.SaveMs,
+	fs.Int64Var(&f.checkpointIntervalMs, "save-ms", defaults.CheckpointIntervalMs,
 		"work between two checkpoints of a run that makes them")
 	fs.Int64Var(&f.restoreMs, "restore-ms", defaults.RestoreMs,
 		"extra time that a start from a checkpoint takes")
@@ -194,7 +194,7 @@
 			return s, errors.Wrapf(errSettings, "settings: %v", err)
 		}
 		if faults := schema.Check(doc, settingsSchema); len(faults) > 0 {
-			return s, errors.Wrapf(errSettings, "%s: %s", orText(faults[0].Path, f.file), faults[0].Reason)
+			return s, errors.Wrapf(errSettings, "%s: %s", firstNonEmpty(faults[0].Path, f.file), faults[0].Reason)
 		}
 		gjson.ParseBytes(doc).ForEach(func(k, v gjson.Result) bool {
 			settingSetters[k.Str](&s, v)
@@ -218,7 +218,7 @@
 		"beside":        func() { s.Colocated = f.colocated },
 		"hold-most-ms":  func() { s.MaxHoldMs = f.maxHoldMs },
 		"gang-wait-ms":  func() { s.GangWaitMs = f.gangWaitMs },
-		"save-ms":       func() { s.SaveMs = f.checkpointIntervalMs },
+		"save-ms":       func() { s.CheckpointIntervalMs = f.checkpointIntervalMs },
 		"restore-ms":    func() { s.RestoreMs = f.restoreMs },
 		"spread-factor": func() { s.SpreadFactor = f.spreadFactor },
 	}
@@ -252,14 +252,14 @@
 	s.CoreSize = cmp.Or(int64(p.CoreSize), s.CoreSize)
 	s.Colocated = p.Colocated
 	s.MaxHoldMs, s.GangWaitMs = cmp.Or(p.MaxHoldMs, s.MaxHoldMs), cmp.Or(p.GangWaitMs, s.GangWaitMs)
-	s.SaveMs, s.RestoreMs = cmp.Or(p.CheckpointIntervalMs, s.SaveMs), cmp.Or(p.RestoreMs, s.RestoreMs)
+	s.CheckpointIntervalMs, s.RestoreMs = cmp.Or(p.CheckpointIntervalMs, s.CheckpointIntervalMs), cmp.Or(p.RestoreMs, s.RestoreMs)
 	if p.SpreadFactor > 0 {
 		s.SpreadFactor = p.SpreadFactor
 	}
 }
 
-// orText returns a, or b if a is empty.
-func orText(a, b string) string {
+// firstNonEmpty returns a, or b if a is empty.
+func firstNonEmpty(a, b string) string {
 	if a == "" {
 		return b
 	}
@@ -322,7 +322,7 @@
 	if s.KeepHours < 1 || s.KLowest < 0 || s.TargetSigma < 0 || s.ThresholdMs < -1 {
 		return invalidSetting("keep_hours, k_lowest, target_sigma, threshold_ms", "must be at least 1, 0, 0 and -1")
 	}
-	if s.CoreSize < 1 || s.MaxHoldMs < 1 || s.GangWaitMs < 1 || s.SaveMs < 1 || s.RestoreMs < 0 || s.SpreadFactor < 1 {
+	if s.CoreSize < 1 || s.MaxHoldMs < 1 || s.GangWaitMs < 1 || s.CheckpointIntervalMs < 1 || s.RestoreMs < 0 || s.SpreadFactor < 1 {
 		return invalidSetting(
 			"core_size, hold_most_ms, gang_wait_ms, save_ms, restore_ms, spread_factor",
 			"must be at least 1, 1, 1, 1, 0 and 1",
--- a/internal/daemon/shard.go
+++ b/internal/daemon/shard.go
@@ -72,9 +72,9 @@
 	starvedMs         int64 // when a task that isn't a batch task last found no worker
 
 	shares tenantShares
-	// unlisted holds, by worker, attempts of gangs that ended with another member. They use their tenants'
+	// unlistedAttempts holds, by worker, attempts of gangs that ended with another member. They use their tenants'
 	// shares until their workers have reported the ends.
-	unlisted map[string]map[wire.AttemptKey]unlistedRun
+	unlistedAttempts map[string]map[wire.AttemptKey]unlistedAttempt
 
 	tenantUsed map[string]resource.Amount // tenant -> resources of its placed tasks
 	jobRates   scheduler.JobRates         // by tenant
@@ -142,17 +142,17 @@
 // liveJob is a job that has not finished, with the state that only its owner keeps.
 type liveJob struct {
 	jobRecord
-	committed     int64 // the newest record version that a majority of the core holds
-	recordBytes   int   // size of its record when it was added to the shard
-	waiters       []waiter
-	runtime       []taskRuntime    // by the index of the task
-	plan          *batchPlan       // of a batch job, once it is planned
-	trace         *jobtrace.Job    // nil if the job isn't traced, as in some tests
-	ended         []endedAttempt   // ends whose record version is not committed yet
-	failedAt      map[string]int64 // worker -> when a task of this job last failed there
-	enteredMs     int64            // when it was admitted or loaded here
-	waitsForShare bool             // some task waits only for a share of its tenant's limit
-	excess        bool             // it was admitted beyond its tenant's weight
+	committed       int64 // the newest record version that a majority of the core holds
+	recordBytes     int   // size of its record when it was added to the shard
+	waiters         []waiter
+	runtime         []taskRuntime    // by the index of the task
+	plan            *batchPlan       // of a batch job, once it is planned
+	trace           *jobtrace.Job    // nil if the job isn't traced, as in some tests
+	uncommittedEnds []endedAttempt   // ends whose record version is not committed yet
+	lastFailureMs   map[string]int64 // worker -> when a task of this job last failed there
+	enteredMs       int64            // when it was admitted or loaded here
+	waitsForShare   bool             // some task waits only for a share of its tenant's limit
+	excess          bool             // it was admitted beyond its tenant's weight
 	// The version and value of the record that was last sent to the core, as the base of the next
 	// patch; version 0 if none was sent under this epoch.
 	sentVersion int64
@@ -167,7 +167,7 @@
 	agentClockMs        int64             // the agent's clock as sent with the last placement
 	silentSinceMs       int64             // since when its worker has been silent; 0 if it isn't
 	state               wire.AttemptState // as last reported
-	saved               string            // the newest reported checkpoint
+	checkpoint          string            // the newest reported checkpoint
 	restartGang         bool              // its gang is being restarted
 	runningSinceMs      int64             // when it was first reported as running
 	// limitVersion is the version of the configuration whose limits it was placed by. It is 0 if a
@@ -228,29 +228,29 @@
 // startShard begins the takeover of a shard whose lease this daemon has obtained.
 func (n *node) startShard(name string, epoch uint64) {
 	n.shards[name] = &ownedShard{
-		name:           name,
-		epoch:          epoch,
-		startMs:        n.now,
-		sealedRecords:  map[string]map[string]statestore.Record{},
-		missingRecords: map[string]map[string]bool{},
-		missingFetches: map[uint64]string{},
-		mergedRecords:  map[string]statestore.Record{},
-		jobs:           map[string]*liveJob{},
-		finished:       map[string]*jobRecord{},
-		dirty:          map[string]bool{},
-		deferred:       map[string]int64{},
-		loading:        map[string]bool{},
-		writes:         map[uint64]*writeBatch{},
-		replicaLags:    map[string]*replicaLag{},
-		fetches:        map[uint64]*fetchOp{},
-		admitting:      map[string]*fetchOp{},
-		knownAbsent:    map[string]bool{},
-		lateReadMs:     map[string]int64{},
-		liveByQueue:    map[string]int{},
-		placedByWorker: map[string]map[taskRef]resource.Amount{},
-		loadByWorker:   map[string]resource.Amount{},
-		shares:         newTenantShares(name, epoch, n.core.Shards),
-		unlisted:       map[string]map[wire.AttemptKey]unlistedRun{},
+		name:             name,
+		epoch:            epoch,
+		startMs:          n.now,
+		sealedRecords:    map[string]map[string]statestore.Record{},
+		missingRecords:   map[string]map[string]bool{},
+		missingFetches:   map[uint64]string{},
+		mergedRecords:    map[string]statestore.Record{},
+		jobs:             map[string]*liveJob{},
+		finished:         map[string]*jobRecord{},
+		dirty:            map[string]bool{},
+		deferred:         map[string]int64{},
+		loading:          map[string]bool{},
+		writes:           map[uint64]*writeBatch{},
+		replicaLags:      map[string]*replicaLag{},
+		fetches:          map[uint64]*fetchOp{},
+		admitting:        map[string]*fetchOp{},
+		knownAbsent:      map[string]bool{},
+		lateReadMs:       map[string]int64{},
+		liveByQueue:      map[string]int{},
+		placedByWorker:   map[string]map[taskRef]resource.Amount{},
+		loadByWorker:     map[string]resource.Amount{},
+		shares:           newTenantShares(name, epoch, n.core.Shards),
+		unlistedAttempts: map[string]map[wire.AttemptKey]unlistedAttempt{},
 	}
 	n.counters[name] = quota.NewCounter(name, epoch)
 	delete(n.shareReports, name)
@@ -325,7 +325,7 @@
 		shard.writesThisTick, shard.writesLastTick = 0, shard.writesThisTick
 		n.tickWrites(shard)
 		for _, op := range sortedKeys(shard.fetches) {
-			if fetch := shard.fetches[op]; n.now-fetch.startMs > forwardMs*2/3 {
+			if fetch := shard.fetches[op]; n.now-fetch.startMs > forwardTimeoutMs*2/3 {
 				delete(shard.fetches, op)
 				delete(shard.admitting, fetch.id)
 				for _, req := range fetch.requests {
--- a/internal/daemon/shard_write.go
+++ b/internal/daemon/shard_write.go
@@ -26,7 +26,7 @@
 	patches      map[string]statestore.Patch // by job ID, for those records that have one
 	confirmedIDs []string                    // finished jobs whose ends are committed
 	acked        map[string]bool
-	done         bool // a majority has acknowledged it
+	committed    bool // a majority has acknowledged it
 	sentMs       int64
 	firstMs      int64 // when it was first sent
 }
@@ -34,7 +34,7 @@
 // holdsNextWrite reports whether the next batch waits for the one before it.
 func (s *ownedShard) holdsNextWrite(nowMs int64) bool {
 	batch := s.newestWrite
-	return batch != nil && !batch.done && nowMs-batch.firstMs < commitHoldMs
+	return batch != nil && !batch.committed && nowMs-batch.firstMs < commitHoldMs
 }
 
 // flushDeferred moves deferred changes that are due to the next batch.
@@ -138,7 +138,7 @@
 	}
 	if batch == nil {
 		if !m.BaseMissing {
-			n.onCaughtUp(shard, from, m.Seq)
+			n.onCatchUpAcknowledged(shard, from, m.Seq)
 		}
 		return
 	}
@@ -147,8 +147,8 @@
 		return
 	}
 	batch.acked[from] = true
-	if len(batch.acked) >= n.core.Majority() && !batch.done {
-		batch.done = true
+	if len(batch.acked) >= n.core.Majority() && !batch.committed {
+		batch.committed = true
 		n.count("commits")
 		acknowledged := endReplies{}
 		for _, r := range batch.records {
@@ -179,7 +179,7 @@
 			continue
 		}
 		batch.sentMs = n.now
-		if !batch.done {
+		if !batch.committed {
 			n.sendBatch(shard, seq, batch, true)
 			continue
 		}
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -9,8 +9,8 @@
 // Handlers of status requests: whether this daemon is ready, and what it knows of the other
 // daemons, the leases, the workers and common faults.
 
-// notReady returns why this daemon should get no callers, or "" if it is ready.
-func (n *node) notReady() string {
+// notReadyReason returns why this daemon should get no callers, or "" if it is ready.
+func (n *node) notReadyReason() string {
 	switch {
 	case n.core.Cluster == 0:
 		return "no cluster yet"
@@ -33,7 +33,7 @@
 
 // handleGetReady replies to the readiness probe.
 func (n *node) handleGetReady(req *request) {
-	if reason := n.notReady(); reason != "" {
+	if reason := n.notReadyReason(); reason != "" {
 		n.reject(req, reason)
 		return
 	}
@@ -174,7 +174,7 @@
 	if !n.inCore() {
 		return offsets
 	}
-	if median := n.fleetTime(); median != 0 {
+	if median := n.clusterTime(); median != 0 {
 		return n.granter.ClockOffsets(median, n.now)
 	}
 	return offsets
--- a/internal/daemon/tenant_keys_test.go
+++ b/internal/daemon/tenant_keys_test.go
@@ -438,7 +438,7 @@
 
 // Guards against another form of records without a tenant, and of records that are cut short.
 func TestTenantInTheRecord(t *testing.T) {
-	j := &jobRecord{ID: "j", Queue: "seats", Steps: []jobStep{{}}, Tasks: []task{{Worker: "w", Attempt: 3}}, Abandoned: []abandonedRun{{}}}
+	j := &jobRecord{ID: "j", Queue: "seats", Steps: []jobStep{{}}, Tasks: []task{{Worker: "w", Attempt: 3}}, Abandoned: []abandonedAttempt{{}}}
 	old := j.encode()
 	j.Tenant = "kaje80"
 	form := j.encode()
--- a/internal/daemon/tenant_shares.go
+++ b/internal/daemon/tenant_shares.go
@@ -354,8 +354,8 @@
 // the owner.
 const unlistedMs = ownerTimeoutMs*(100+driftPercent)/100 + lapseMarginMs
 
-// unlistedRun is an attempt that has ended for its owner while its worker hasn't reported the end yet.
-type unlistedRun struct {
+// unlistedAttempt is an attempt that has ended for its owner while its worker hasn't reported the end yet.
+type unlistedAttempt struct {
 	tenant  string
 	amount  resource.Amount
 	untilMs int64 // when its share is released without a report
@@ -368,17 +368,17 @@
 		return
 	}
 	t := &job.Tasks[i]
-	if s.unlisted[t.Worker] == nil {
-		s.unlisted[t.Worker] = map[wire.AttemptKey]unlistedRun{}
+	if s.unlistedAttempts[t.Worker] == nil {
+		s.unlistedAttempts[t.Worker] = map[wire.AttemptKey]unlistedAttempt{}
 	}
 	key := wire.AttemptKey{Job: job.ID, Task: job.taskID(i), Attempt: t.Attempt}
-	s.unlisted[t.Worker][key] = unlistedRun{job.Tenant, t.Resources, nowMs + unlistedMs}
+	s.unlistedAttempts[t.Worker][key] = unlistedAttempt{job.Tenant, t.Resources, nowMs + unlistedMs}
 	s.shares.use(job.Tenant, t.Resources)
 }
 
 // releaseListed releases the shares of unlisted attempts that a report shows as ended, or no longer contains.
 func (s *ownedShard) releaseListed(m *wire.AgentReport) {
-	runs := s.unlisted[m.Worker]
+	runs := s.unlistedAttempts[m.Worker]
 	if len(runs) == 0 {
 		return
 	}
@@ -386,7 +386,7 @@
 	for _, status := range m.Attempts {
 		live[status.Key], ended[status.Key] = status.State != wire.AttemptEnded, status.State == wire.AttemptEnded
 	}
-	s.releaseUnlisted(m.Worker, func(key wire.AttemptKey, _ unlistedRun) bool {
+	s.releaseUnlisted(m.Worker, func(key wire.AttemptKey, _ unlistedAttempt) bool {
 		return ended[key] || !m.Partial && m.Rebuilt && !live[key]
 	})
 }
@@ -394,20 +394,20 @@
 // releaseLapsed releases the shares of unlisted attempts whose workers were silent for longer than an attempt may run
 // without contact with its owner.
 func (s *ownedShard) releaseLapsed(nowMs int64) {
-	for _, worker := range sortedKeys(s.unlisted) {
-		s.releaseUnlisted(worker, func(_ wire.AttemptKey, run unlistedRun) bool { return nowMs > run.untilMs })
+	for _, worker := range sortedKeys(s.unlistedAttempts) {
+		s.releaseUnlisted(worker, func(_ wire.AttemptKey, run unlistedAttempt) bool { return nowMs > run.untilMs })
 	}
 }
 
 // releaseUnlisted releases the shares of those unlisted attempts at a worker for which over returns true.
-func (s *ownedShard) releaseUnlisted(worker string, over func(wire.AttemptKey, unlistedRun) bool) {
-	for key, run := range s.unlisted[worker] { // a sum: the order does not matter
+func (s *ownedShard) releaseUnlisted(worker string, over func(wire.AttemptKey, unlistedAttempt) bool) {
+	for key, run := range s.unlistedAttempts[worker] { // a sum: the order does not matter
 		if over(key, run) {
 			s.shares.release(run.tenant, run.amount)
-			delete(s.unlisted[worker], key)
+			delete(s.unlistedAttempts[worker], key)
 		}
 	}
-	if len(s.unlisted[worker]) == 0 {
-		delete(s.unlisted, worker)
+	if len(s.unlistedAttempts[worker]) == 0 {
+		delete(s.unlistedAttempts, worker)
 	}
 }
--- a/internal/daemon/tenant_status_test.go
+++ b/internal/daemon/tenant_status_test.go
@@ -221,6 +221,6 @@
 		"a negative weight": tenants(`{"name":"a","weight":-1}`),
 		"a negative limit":  tenants(`{"name":"a","limit":{"cpu":-1}}`),
 	} {
-		must.Eq(t, exitFound, check(doc), must.Sprint(name))
+		must.Eq(t, exitFailure, check(doc), must.Sprint(name))
 	}
 }
--- a/internal/daemon/tenant_weight.go
+++ b/internal/daemon/tenant_weight.go
@@ -48,7 +48,7 @@
 func (n *node) rejectExcess(shard *ownedShard, tenant string) *rejection {
 	waiting, lacksShare := 0, false
 	for _, job := range shard.jobs {
-		if job.excess && job.Tenant == tenant && job.state() == "pending" && job.roundDueMs(0) <= n.fleetTime() {
+		if job.excess && job.Tenant == tenant && job.state() == "pending" && job.roundDueMs(0) <= n.clusterTime() {
 			waiting++
 			lacksShare = lacksShare || job.waitsForShare
 		}
@@ -59,9 +59,9 @@
 	n.count("jobs_rejected_excess")
 	retryMs := int64(float64(waiting) * 1000 / n.shardWeight(tenant))
 	return &rejection{
-		status:  429,
-		retryMs: min(max(retryMs, excessRetryMinMs), excessRetryMaxMs),
-		faults:  []schema.Fault{{Path: "queue", Reason: "has no room for more than the tenant's weight"}},
+		status:       429,
+		retryAfterMs: min(max(retryMs, excessRetryMinMs), excessRetryMaxMs),
+		faults:       []schema.Fault{{Path: "queue", Reason: "has no room for more than the tenant's weight"}},
 	}
 }
 
--- a/internal/daemon/tenant_weight_test.go
+++ b/internal/daemon/tenant_weight_test.go
@@ -292,7 +292,7 @@
 	n := twoUrgencies(t)
 	shard := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{"w": {CPU: 700}}}
 	w := &workerView{capacity: resource.Amount{CPU: 1000, Memory: 100}, urgentUse: resource.Amount{CPU: 100}}
-	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, n.availableRoom(shard, n.config.current.Queues["fast"], true, "w", w))
+	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, n.availableResources(shard, n.config.current.Queues["fast"], true, "w", w))
 	running := attemptOf("fast", 500, wire.AttemptRunning)
 	running.spec.Excess = true
 	agent := &workerAgent{attempts: map[wire.AttemptKey]*agentAttempt{{Job: "a"}: running, {Job: "b"}: attemptOf("fast", 50, wire.AttemptRunning)}}
@@ -319,7 +319,7 @@
 	shard.starvedMs = n.now
 	must.Nil(t, n.rejectExcess(shard, "hot"))
 	fill("hot", excessWaitingMax, true)
-	must.Eq(t, &rejection{status: 429, retryMs: excessRetryMaxMs, faults: n.rejectExcess(shard, "hot").faults}, n.rejectExcess(shard, "hot"))
+	must.Eq(t, &rejection{status: 429, retryAfterMs: excessRetryMaxMs, faults: n.rejectExcess(shard, "hot").faults}, n.rejectExcess(shard, "hot"))
 	shard.starvedMs = 0
 	must.Nil(t, n.rejectExcess(shard, "hot"))
 	shard.jobs["hot0"].waitsForShare = true // its tenant is at its limit
--- a/internal/daemon/tenantshares_test.go
+++ b/internal/daemon/tenantshares_test.go
@@ -115,7 +115,7 @@
 	must.Eq(t, int64(1), used())
 	shard.releaseLapsed(n.now + unlistedMs + 1)
 	must.Eq(t, int64(0), used())
-	must.MapEmpty(t, shard.unlisted)
+	must.MapEmpty(t, shard.unlistedAttempts)
 	held, _ := shard.shares.borrowerFor("full").Held("full")
 	must.Eq(t, resource.Amount{}, held, must.Sprint("no counter has told that what ends may be replaced"))
 }
--- a/internal/daemon/urgent_room.go
+++ b/internal/daemon/urgent_room.go
@@ -30,9 +30,9 @@
 	return scheduler.UrgentHeadroom(capacity, urgentUsed, n.ranks.headroomPercent)
 }
 
-// availableRoom returns the resources of a worker that a queueable task of a queue may take, from the view
+// availableResources returns the resources of a worker that a queueable task of a queue may take, from the view
 // of a shard's owner.
-func (n *node) availableRoom(
+func (n *node) availableResources(
 	shard *ownedShard, queue *configuration.Queue, excess bool, name string, w *workerView,
 ) resource.Amount {
 	free := n.freeResources(shard, name, w)
--- a/internal/daemon/urgent_room_test.go
+++ b/internal/daemon/urgent_room_test.go
@@ -67,8 +67,8 @@
 	n := twoUrgencies(t)
 	shard := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{"w": {CPU: 700}}}
 	w := &workerView{capacity: resource.Amount{CPU: 1000, Memory: 100}, urgentUse: resource.Amount{CPU: 100}}
-	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, n.availableRoom(shard, n.config.current.Queues["slow"], false, "w", w))
-	must.Eq(t, resource.Amount{CPU: 300, Memory: 100}, n.availableRoom(shard, n.config.current.Queues["fast"], false, "w", w))
+	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, n.availableResources(shard, n.config.current.Queues["slow"], false, "w", w))
+	must.Eq(t, resource.Amount{CPU: 300, Memory: 100}, n.availableResources(shard, n.config.current.Queues["fast"], false, "w", w))
 }
 
 // A task of a step that spreads over workers is called back too, to a worker that holds
--- a/internal/daemon/worker_choice.go
+++ b/internal/daemon/worker_choice.go
@@ -121,7 +121,7 @@
 	if enabled(scheduler.AvoidSilent) && w.colocated && isQuiet(n.now-w.receivedMs, w.silentMs) {
 		penalties |= scheduler.PenaltySilent
 	}
-	if c.anyColocated && !c.resources.Fits(n.availableRoom(c.shard, c.queue, c.job.excess, name, w)) {
+	if c.anyColocated && !c.resources.Fits(n.availableResources(c.shard, c.queue, c.job.excess, name, w)) {
 		penalties |= scheduler.PenaltyHeadroomOnly
 		if !c.resources.Fits(n.freeResources(c.shard, name, w).Plus(n.batchLoad(c.shard, "", name))) {
 			penalties |= scheduler.PenaltyFull
--- a/internal/lease/poll.go
+++ b/internal/lease/poll.go
@@ -156,7 +156,7 @@
 func (m *Manager) pollAfterGracePeriod(round *Round) {
 	var gracePeriods []int64
 	for _, response := range round.Responses {
-		gracePeriods = append(gracePeriods, response.GracePeriodMs)
+		gracePeriods = append(gracePeriods, response.GrantDelayMs)
 	}
 	slices.Sort(gracePeriods)
 	if gracePeriod := gracePeriods[m.host.CoreSet().Majority()-1]; gracePeriod > 0 {
--- a/internal/scheduler/class.go
+++ b/internal/scheduler/class.go
@@ -4,7 +4,7 @@
 type TaskFacts struct {
 	Batch       bool
 	Gang        bool
-	Lasting     bool  // runs until it is cancelled
+	LongRunning bool  // runs until it is cancelled
 	Preemptions int64 // number of preemptions so far
 	// EstimateMs is the expected run time; 0 if unknown.
 	EstimateMs int64
@@ -26,7 +26,7 @@
 		return false, "threshold_ms is below 0: all tasks are queueable"
 	case t.Gang:
 		return true, "a gang starts whole"
-	case t.Lasting:
+	case t.LongRunning:
 		return true, "it lasts until it is cancelled"
 	case t.Preemptions >= maxPreemptions:
 		return true, "it was preempted as often as a task may be"
--- a/internal/scheduler/class_test.go
+++ b/internal/scheduler/class_test.go
@@ -16,7 +16,7 @@
 		"long":                  {TaskFacts{EstimateMs: 2500}, 2500, true},
 		"unknown run time":      {TaskFacts{}, 2500, true},
 		"gang":                  {TaskFacts{Gang: true, EstimateMs: 1}, 2500, true},
-		"lasting":               {TaskFacts{Lasting: true, EstimateMs: 1}, 2500, true},
+		"lasting":               {TaskFacts{LongRunning: true, EstimateMs: 1}, 2500, true},
 		"preempted once":        {TaskFacts{Preemptions: 1, EstimateMs: 1}, 2500, false},
 		"preempted twice":       {TaskFacts{Preemptions: 2, EstimateMs: 1}, 2500, true},
 		"a batch, however long": {TaskFacts{Batch: true, Gang: true, EstimateMs: 9000}, 2500, false},
--- a/internal/wire/cluster.go
+++ b/internal/wire/cluster.go
@@ -109,7 +109,7 @@
 	// HoldersUnchanged is set if the holders match the request's hash; Holders is empty then.
 	HoldersUnchanged bool
 	Config           register.Ballot
-	GracePeriodMs    int64 // remaining time during which this member grants no leases
+	GrantDelayMs     int64 // remaining time during which this member grants no leases
 	ClusterTimeMs    int64 // the cluster's time; 0 while too few clocks were reported
 	DiskSyncMs       int64 // duration of the last disk sync
 }
--- a/internal/wire/scheduling.go
+++ b/internal/wire/scheduling.go
@@ -14,17 +14,17 @@
 // Forward passes a request of a caller, worker or operator to the daemon that can
 // answer it.
 type Forward struct {
-	ID              uint64
-	Origin          string
-	Hops            int32
-	WaitMs          int64
-	Op              string
-	Key             string
-	Body            []byte
-	Queue           string // the queue whose address the caller used; "" for any other address
-	ExpectedVersion int64  // the version that a configuration change is based on
-	Digest          []byte // of an operator's command, if it differs from the body's digest
-	Tenant          string // the tenant of the caller's key; "" for a call that needs no key
+	ID          uint64
+	Origin      string
+	Hops        int32
+	WaitMs      int64
+	Op          string
+	Key         string
+	Body        []byte
+	Queue       string // the queue whose address the caller used; "" for any other address
+	BaseVersion int64  // the version that a configuration change is based on
+	Digest      []byte // of an operator's command, if it differs from the body's digest
+	Tenant      string // the tenant of the caller's key; "" for a call that needs no key
 }
 
 // ForwardReply answers a Forward with an HTTPAddr status and body.
