--- a/cmd/otterchute-standin/downstream.go
+++ b/cmd/otterchute-standin/downstream.go
@@ -73,7 +73,7 @@
 func (c *callersCommand) Execute(_ context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	deployment, ok := historycheck.Deployments[c.deploymentName]
 	if !ok {
-		return fail(2, fmt.Errorf("no deployment %q", c.deploymentName))
+		return fail(2, fmt.Errorf("unknown deployment %q", c.deploymentName))
 	}
 	if c.rate > 0 {
 		deployment.JobsPerSec = c.rate
@@ -84,7 +84,7 @@
 	}
 	if c.batchEvery > 0 {
 		if !c.declareConfiguration {
-			return fail(2, fmt.Errorf("-batches needs -setup"))
+			return fail(2, fmt.Errorf("-batches requires -setup"))
 		}
 		r.batchWindow = newBatchWindow(time.Now())
 	}
@@ -306,7 +306,7 @@
 	return sentMs
 }
 
-// withoutForeignJobs removes the runs of jobs that another execution submitted.
+// withoutForeignJobs removes the events of jobs that another execution of the command submitted.
 func withoutForeignJobs(history []historycheck.Event, sentMs map[string]int64) []historycheck.Event {
 	prefix, _, _ := strings.Cut(anyKey(sentMs), "-")
 	return slices.DeleteFunc(history, func(e historycheck.Event) bool {
--- a/cmd/otterchute-standin/main.go
+++ b/cmd/otterchute-standin/main.go
@@ -1,6 +1,6 @@
-// Program otterchute-standin simulates workers and callers for tests of a cluster. The workers run
-// every order they get, the callers submit the job mix of a deployment, and the combined history
-// is checked against the safety rules.
+// Program otterchute-standin simulates workers and callers for tests of a cluster. The workers
+// carry out every order that they receive, the callers submit the job mix of a deployment, and the
+// combined history is checked against the safety rules.
 package main
 
 import (
--- a/cmd/otterchute-standin/worker.go
+++ b/cmd/otterchute-standin/worker.go
@@ -24,8 +24,9 @@
 	"github.com/tidwall/gjson"
 )
 
-// workerCommand simulates a worker. It runs every order it gets, without checks of capacity or
-// of duplicates, and records each start and end, so that faults of the daemons show in the record.
+// workerCommand simulates a worker. It carries out every order that it receives, without checks of
+// capacity or of duplicates, and records each start and end, so that the record shows faults of the
+// daemons.
 type workerCommand struct {
 	name, zone, labels, listen, daemons, recordFile string
 	journalFile                                     string
--- a/internal/cluster/directory.go
+++ b/internal/cluster/directory.go
@@ -32,15 +32,15 @@
 	colocatedGossipIntervalMs = 2000
 	// One in roundsPerFullDigest digests also includes the colocated daemons.
 	roundsPerFullDigest = 4
-	// formingGossipIntervalMs is the interval of a disk that knows no cluster, until the first one
-	// is formed.
+	// formingGossipIntervalMs is the interval of a daemon that waits for the first cluster to be
+	// formed.
 	formingGossipIntervalMs = 200
 	// Fanout is how many peers a daemon gossips with: log2 of current cluster sizes.
 	Fanout = 4
 	// colocatedFanout is the fanout of a colocated daemon.
 	colocatedFanout = 2
 	// peerExpiryMs is how long a silent peer is kept: a zone that was cut off for hours must still
-	// know the addresses of the others.
+	// have the addresses of the others.
 	peerExpiryMs = 48 * 3600 * 1000
 	// MaxPeers bounds the table; the peer that has been silent longest is removed first.
 	MaxPeers = 1000
@@ -56,7 +56,7 @@
 	step.Context
 	// Self describes the daemon to its peers; the Directory adds the heartbeat.
 	Self() wire.Peer
-	// CoreSet is the newest core set that the daemon knows.
+	// CoreSet is the newest core set that the daemon has received.
 	CoreSet() quorum.Set
 	// AdoptCoreSet adopts a core set received by gossip, if it is newer.
 	AdoptCoreSet(set quorum.Set)
@@ -240,8 +240,8 @@
 		newer := p.Incarnation > self.Incarnation
 		same := p.Incarnation == self.Incarnation
 		if newer || same && (p.Heartbeat > self.Heartbeat || p.Addr != self.Addr) {
-			// An earlier process of this name started by a later clock, or another daemon uses the
-			// name. Peers only accept a higher incarnation.
+			// An earlier process of this name started with its clock ahead, or another daemon uses
+			// the name. Peers only accept a higher incarnation.
 			d.host.RaiseIncarnation(p.Incarnation)
 			d.GossipSoon()
 		}
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -28,7 +28,7 @@
 }
 
 // gossipWithSeeds occasionally sends a round to a seed, so that daemons find each other even if the
-// seeds through which they joined were all replaced. A daemon that knows no live peer sends to all
+// seeds through which they joined were all replaced. A daemon without live peers sends to all
 // seeds.
 func (d *Directory) gossipWithSeeds(round *wire.Digest) {
 	own := d.host.Self().Addr
@@ -191,7 +191,7 @@
 		d.recordHeartbeat(h, name)
 	}
 	if p := d.peers[from]; p != nil && p.Incarnation > m.Self.Incarnation {
-		reply.Peers = append(reply.Peers, p.Peer) // an earlier process of its name started by a later clock
+		reply.Peers = append(reply.Peers, p.Peer) // an earlier process of its name started with its clock ahead
 	}
 	d.addDifferences(reply, reported, ownHash, m.Partial)
 	d.host.SendAt(from, m.Self.Addr, reply)
@@ -234,7 +234,7 @@
 	for _, h := range m.Heartbeats {
 		if name, known := d.findByHash(h.Hash, ownHash); known {
 			d.recordHeartbeat(h, name)
-		} // else it is new here, and follows in full with a digest
+		} // else the peer is unknown here; its entry is requested when a digest lists it
 	}
 	set, self := d.host.CoreSet(), d.Self()
 	missing := &wire.Gossip{Self: self}
--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -72,7 +72,7 @@
 	case reflect.Float64:
 		return binary.BigEndian.AppendUint64(dst, math.Float64bits(v.Float()))
 	}
-	panic("codec: no binary form for " + v.Type().String())
+	panic("codec: no encoding for type " + v.Type().String())
 }
 
 func appendSlice(dst []byte, v reflect.Value) []byte {
--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -55,11 +55,11 @@
 	Queues         map[string]*Queue
 	EmptyZones     map[string]bool // declared in the document, or emptied separately
 	Contracts      map[string]*Contract
-	LowestUrgency  int64 // urgency, of the queues without batches
+	LowestUrgency  int64 // of the queues without batch rules
 	HighestUrgency int64
 	Tenants        map[string]*Tenant // by name; nil if the document declares none
 
-	digest             [sha256.Size]byte // of the document; zero if it was not sent by an operator
+	digest             [sha256.Size]byte // of the document; zero if it was compiled from a Record
 	declaredEmptyZones []string          // those of EmptyZones that the document declares
 	prefixesByHost     map[string]*hostPrefixes
 
--- a/internal/configuration/contract.go
+++ b/internal/configuration/contract.go
@@ -49,7 +49,7 @@
 // Contract is the price of a core hour, by a repeating weekly schedule.
 type Contract struct {
 	Name             string
-	UTCOffsetMinutes int64 // of its clock from UTC, all year: there is no daylight saving time
+	UTCOffsetMinutes int64 // offset of its clock from UTC, all year: there is no daylight saving time
 	Cheapest         float64
 	spans            []priceSpan // cover the week in order; adjacent ones have different prices
 }
@@ -221,7 +221,7 @@
 }
 
 // PriceWindows returns the periods of one price between two times, in order. The first may start
-// before, the last may end after.
+// before fromMs, and the last may end after toMs.
 func (k *Contract) PriceWindows(fromMs, toMs int64) (out []PriceWindow) {
 	if len(k.spans) == 1 {
 		return []PriceWindow{{math.MinInt64 / 2, math.MaxInt64 / 2, k.spans[0].Price}}
--- a/internal/configuration/history.go
+++ b/internal/configuration/history.go
@@ -18,10 +18,10 @@
 }
 
 // History holds the identities of the last accepted changes. Each is based on the one before it, so
-// a base is not stored separately: a change takes its digest and the increment of the version, 33
-// bytes or little more.
+// a base is not stored separately: each change is stored as its digest and the increment of the
+// version, in 33 bytes or slightly more.
 type History struct {
-	Base   int64 // base of the oldest change held; earlier changes are not known any more
+	Base   int64 // base of the oldest change held; earlier changes have been dropped
 	Count  int64
 	Packed []byte // for each change: the version minus its base as a uvarint, then the digest
 }
@@ -55,8 +55,8 @@
 	return found
 }
 
-// Covers reports whether the history can tell if a change was accepted. It can't for changes older
-// than those it holds.
+// Covers reports whether Contains gives a definite answer for a change. It doesn't for changes
+// older than those that the history holds.
 func (h *History) Covers(id ChangeID) bool { return id.Base >= h.Base }
 
 // With returns the history with one more change, which is based on the last one.
--- a/internal/configuration/queue.go
+++ b/internal/configuration/queue.go
@@ -45,14 +45,14 @@
 // Queue is one queue of a Configuration.
 type Queue struct {
 	Name          string
-	Urgency       int64              // higher goes first; negative for batch queues
+	Urgency       int64              // higher ones are scheduled first; negative for batch queues
 	Quota         int64              // queueable tasks that one job may have outstanding
-	TrustRunLimit bool               // its workers always end a run at its limit, even while cut off
+	TrustRunLimit bool               // its workers always end a run at the run limit, even while cut off
 	Selector      []LabelRequirement // its worker group
 	Admission     []Rule             // rules that a new job must pass, in order
 	Addresses     []Address
-	LatencyMs     int64       // target for a job's time
-	Stretch       float64     // target for the ratio of a job's time to its execution time alone
+	LatencyMs     int64       // declared latency target of a job; not used for scheduling
+	Stretch       float64     // declared target for latency relative to execution time; not used for scheduling
 	Batch         *BatchRules // nil if its jobs don't wait for cheap hours
 	Open          bool        // callers need no key
 }
@@ -112,11 +112,11 @@
 const (
 	RuleNoGangs         RuleOp = "noGangs"         // rejects gangs and long-running tasks
 	RuleDefaultLimit    RuleOp = "defaultLimit"    // sets a run limit of N ms if the job has none
-	RuleDefaultFailures RuleOp = "defaultFailures" // allows N failures if the job doesn't specify it
-	RuleMaxTasks        RuleOp = "maxTasks"        // rejects more than N tasks, 0 for any
-	RuleMaxResources    RuleOp = "maxResources"    // rejects a task that needs more than N processor, 0 for any
-	RuleMaxLimit        RuleOp = "maxLimit"        // rejects a run limit above N ms, 0 for any
-	RuleAdmit           RuleOp = "admit"           // rejects if N jobs of the queue are live
+	RuleDefaultFailures RuleOp = "defaultFailures" // allows N failures if the job doesn't specify a number
+	RuleMaxTasks        RuleOp = "maxTasks"        // rejects a job of more than N tasks; 0 for no limit
+	RuleMaxResources    RuleOp = "maxResources"    // rejects a task that requests more than N of CPU; 0 for no limit
+	RuleMaxLimit        RuleOp = "maxLimit"        // rejects a run limit above N ms; 0 for no limit
+	RuleAdmit           RuleOp = "admit"           // rejects a job if N jobs of the queue are live
 )
 
 // Rule is one admission rule for new jobs.
--- a/internal/configuration/record.go
+++ b/internal/configuration/record.go
@@ -87,7 +87,7 @@
 	return r.Version == other.Version && bytes.Equal(r.Document, other.Document)
 }
 
-// Deflate compresses a document for the wire and the disk: the entries of queues are much alike,
+// Deflate compresses a document for the wire and the disk: the entries of queues are very similar,
 // and machines with slow links receive each version too.
 //
 // Example: packed := configuration.Deflate([]byte(`{"queues":[]}`))
--- a/internal/configuration/tenant.go
+++ b/internal/configuration/tenant.go
@@ -40,7 +40,7 @@
 // cluster is full.
 type Tenant struct {
 	Name   string
-	Weight float64         // jobs per second that count as its own; also its share of a full cluster
+	Weight float64         // jobs per second that don't count as excess; also its share of a full cluster
 	Limit  resource.Amount // over all workers; 0 in a dimension means no limit
 	Keys   []KeyDigest
 }
@@ -54,7 +54,7 @@
 // Example: tenant := config.TenantOfKey(configuration.DigestOfKey(key))
 func DigestOfKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// RequiresKey reports whether calls need a key, except at open queues: whether the document
+// RequiresKey reports whether calls need a key, except at open queues. They do if the document
 // declares tenants.
 func (c *Configuration) RequiresKey() bool { return c.Tenants != nil }
 
@@ -62,8 +62,8 @@
 // same time for any key, since only digests are compared.
 func (c *Configuration) TenantOfKey(digest KeyDigest) *Tenant { return c.tenantsByKey[digest] }
 
-// addTenants compiles the tenants of a document. A key that two tenants hold would make the owner
-// of a job ambiguous: it is a fault, which names both tenants and not the key.
+// addTenants compiles the tenants of a document. A key that two tenants hold would leave the tenant
+// of a job ambiguous, so it is reported as a fault, which names both tenants but not the key.
 func (c *compiler) addTenants(path string, docs []gjson.Result) {
 	c.config.Tenants, c.config.tenantsByKey = map[string]*Tenant{}, map[KeyDigest]*Tenant{}
 	for i, doc := range docs {
--- a/internal/historycheck/after.go
+++ b/internal/historycheck/after.go
@@ -7,7 +7,7 @@
 	minRecoveryShare = 0.25   // share of the baseline required from Bounds.RecoveryMs after the machines' return
 	recoveryWindowMs = 4000   // throughput is measured over this time; at usual rates some hundred tasks complete in it
 	baselineWindowMs = 10_000 // the baseline is measured over this time before the loss
-	minBaselineRuns  = 20     // with fewer completed runs in the baseline a comparison says nothing
+	minBaselineRuns  = 20     // with fewer completed runs in the baseline, the comparison is skipped as too unreliable
 )
 
 // Recovery is the time window with the lowest throughput after a loss of machines.
--- a/internal/historycheck/historycheck.go
+++ b/internal/historycheck/historycheck.go
@@ -130,10 +130,10 @@
 // Bounds are the time limits of the rules, in ms.
 type Bounds struct {
 	StartAfterCancelMs     int64 // how long after a cancel runs may still start
-	RunAfterCancelMs       int64 // how long runs may go on after a cancel
+	RunAfterCancelMs       int64 // how long runs may continue after a cancel
 	StartAfterLeavingMs    int64 // how long runs may still start at a leaving worker
 	StartAfterEvacuationMs int64 // how long runs may still start in an evacuated zone
-	ConfigurationEffectMs  int64 // how long an acknowledged configuration takes to come into effect
+	ConfigurationEffectMs  int64 // how long an acknowledged configuration may take to come into effect
 	JobVisibleMs           int64 // how long after its acceptance queries may still return unknown
 	RecoveryMs             int64 // how long after the return of lost machines throughput may be low
 }
@@ -144,8 +144,8 @@
 	ConfigurationEffectMs: 2000, JobVisibleMs: 3000, RecoveryMs: 12_000,
 }
 
-// TaskAt returns the step and task of a task number that counts through all steps,
-// or nil if there is no such task.
+// TaskAt returns the task with a number, and its step; nil if there is no such task. Tasks are
+// numbered from 0 through all steps.
 //
 // Example: step, task := job.TaskAt(3)
 func (j *Job) TaskAt(i int) (*Step, *Task) {
@@ -399,7 +399,7 @@
 	}
 }
 
-// checkPrecedingSteps checks that the steps that a task's step waits for have completed.
+// checkPrecedingSteps checks at a task's start that the steps before its step have completed.
 func (c *checker) checkPrecedingSteps(e *Event, job *jobRecord, spec *Step, subject string) {
 	for _, name := range spec.After {
 		i := 0
@@ -523,7 +523,7 @@
 	}
 }
 
-// checkRunsAfterCancel finds runs that went on too long after an acknowledged cancel.
+// checkRunsAfterCancel reports runs that continued too long after an acknowledged cancel.
 func (c *checker) checkRunsAfterCancel(last int64) {
 	for k, runs := range c.runs {
 		s := c.jobs[k.job]
--- a/internal/lease/acquire.go
+++ b/internal/lease/acquire.go
@@ -134,7 +134,8 @@
 	return names
 }
 
-// shardOwnersLast moves daemons to the end that hold a shard or are its first candidate.
+// shardOwnersLast moves the daemons that hold a shard, or are the first candidate for a free one,
+// to the end.
 func (m *Manager) shardOwnersLast(names []string) []string {
 	owners := map[string]bool{}
 	for _, shard := range m.host.CoreSet().Shards {
@@ -154,12 +155,12 @@
 const (
 	tierStrong     tier = iota // comparable to the strongest machine
 	tierOverloaded             // can't keep up with its current load
-	tierWeak                   // far less processor or link than the strongest
-	tierColocated              // reserved for its worker
+	tierWeak                   // far less CPU or network bandwidth than the strongest
+	tierColocated              // runs on a worker's machine, whose capacity is for the worker
 )
 
-// A machine is weak if it has less than half of the strongest machine's processor, or less than a
-// quarter of its link: a role needs more than most of what a weak machine has.
+// A machine is weak if it has less than half of the strongest machine's CPU, or less than a quarter
+// of its network bandwidth: a role would use most of such a machine's capacity, or more.
 const (
 	weakCoreShare = 2
 	weakLinkShare = 4
@@ -185,8 +186,7 @@
 // strength is what a machine has: thousandths of a core, and Mbit/s.
 type strength struct{ milliCores, linkMbps int64 }
 
-// strongest returns the highest processor and link capacity of all live machines that may hold
-// roles.
+// strongest returns the highest CPU and network capacity of all live machines that may hold roles.
 func (m *Manager) strongest() (best strength) {
 	for _, name := range m.peers.AliveNames() {
 		if p := m.peers.Describe(name); !p.Colocated {
--- a/internal/lease/clock.go
+++ b/internal/lease/clock.go
@@ -18,7 +18,7 @@
 	medianIntervalMs = 100
 )
 
-// Clock is the cluster's time as one daemon knows it: the median of what the core members report,
+// Clock is one daemon's estimate of the cluster's time: the median of what the core members report,
 // advanced by the daemon's own monotonic clock. Each core member in turn reports the median of all
 // clocks it observes, so a minority of wrong clocks has no effect.
 type Clock struct {
@@ -74,7 +74,7 @@
 }
 
 // Latest returns an upper bound on the cluster's time, in ms. Delays are counted from it, so that a
-// later owner with a more accurate reading doesn't consider a job due too early.
+// later owner with a more accurate reading doesn't start a job before it is due.
 func (c *Clock) Latest(set quorum.Set, nowMs int64) int64 {
 	all := c.bounds(set, func(b clockBounds) int64 { return b.upper })
 	if len(all) == 0 {
--- a/internal/lease/granter.go
+++ b/internal/lease/granter.go
@@ -156,7 +156,7 @@
 	if nowMs < g.gracePeriodUntilMs && last.Holder != "" && !ended(lastHolder) {
 		return false
 	}
-	if r.Epoch != 0 && r.Epoch < last.Epoch { // the process has lost the role and doesn't know it yet
+	if r.Epoch != 0 && r.Epoch < last.Epoch { // the process has lost the role, but has not detected it yet
 		return false
 	}
 	g.grants[r.Name] = &grant{holder: to, epoch: r.Epoch, untilMs: nowMs + DurationMs}
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -38,7 +38,7 @@
 	step.Context
 	// Self describes the daemon to its peers.
 	Self() wire.Peer
-	// CoreSet is the newest core set that the daemon knows.
+	// CoreSet is the newest core set that the daemon has received.
 	CoreSet() quorum.Set
 	// WokeMs is when the daemon last resumed after a freeze, or started.
 	WokeMs() int64
@@ -253,7 +253,8 @@
 	}
 	self := m.host.Self()
 	if h.Epoch > l.majorityEpoch && (h.Holder != self.Name || h.Incarnation != self.Incarnation) {
-		return register.Refuse, nil // taken by another daemon since the lease was granted by members that have restarted
+		// Another daemon took the role: members had lost its lease in a restart when they granted this one.
+		return register.Refuse, nil
 	}
 	return register.Replace, codec.Append(nil, wire.RoleHolder{
 		Name: role, Holder: self.Name, Incarnation: self.Incarnation, Addr: self.Addr, Epoch: h.Epoch + 1,
--- a/internal/lease/poll.go
+++ b/internal/lease/poll.go
@@ -40,8 +40,8 @@
 // A round counts from when it was sent, and only once a majority has answered it. So a daemon that
 // receives messages but can't send them is out of contact like one that receives nothing.
 // Operations that need a majority are checked on their own: a lease by its end, a configuration by
-// its confirmation, a change of a register by its two rounds. InContact only decides how soon a
-// caller is told that they are unavailable here.
+// its confirmation, a change of a register by its two rounds. InContact only determines how soon a
+// caller receives the error that they are unavailable here.
 func (m *Manager) InContact() bool {
 	return m.host.CoreSet().Cluster != 0 && m.host.NowMs()-m.lastContactMs <= HeldMs
 }
--- a/internal/membership/formation.go
+++ b/internal/membership/formation.go
@@ -17,8 +17,8 @@
 // complete it if the proposer is gone, and all reach the same result. A disk votes for a formation
 // only while it has no vote for another that may still succeed: of two formations that share a
 // member, at most one succeeds. The members are the lowest names of each zone, so two proposers
-// with different views of the cluster still share a member, unless neither knows any disk that the
-// other selects.
+// with different views of the cluster still share a member, unless neither has discovered any disk
+// that the other selects.
 
 // formation is a formation that this disk voted for.
 type formation struct {
--- a/internal/membership/manager.go
+++ b/internal/membership/manager.go
@@ -31,10 +31,10 @@
 	replaceAfterMs  = 10_000 // how long a member is missing before a spare may replace it
 	spareStaggerMs  = 1500   // additional wait of each later spare before it claims a slot
 	copyRetryMs     = 2000   // resend a request for a part of a copy
-	changeRetryMs   = 2500   // minimum time between proposals, by when the previous change has ended
+	changeRetryMs   = 2500   // minimum time between proposals; the previous change has ended after it
 
 	formationStableMs  = 700  // the same empty disks must be visible this long before they form a core
-	formationStaggerMs = 1500 // additional wait of each later member before it drives a formation
+	formationStaggerMs = 1500 // additional wait of each later member before it requests the votes on a formation
 	formationRetryMs   = 300  // resend a request for a vote
 )
 
@@ -43,7 +43,7 @@
 	step.Context
 	// Self describes the daemon to its peers.
 	Self() wire.Peer
-	// CoreSet is the newest core set that the daemon knows.
+	// CoreSet is the newest core set that the daemon has received.
 	CoreSet() quorum.Set
 	// InCore reports whether the daemon is a member with a working disk.
 	InCore() bool
@@ -110,12 +110,13 @@
 // OnCoreSet handles the adoption of a core set: no formation is needed any more.
 func (m *Manager) OnCoreSet() { m.forming = nil }
 
-// OnDiskReset handles the replacement of the disk's state by a new, empty one. If its slot was
-// taken, the cluster has one machine more than before, which was added to replace a member.
+// OnDiskReset handles the replacement of the disk's state by a new, empty one. The disk counts as a
+// newcomer from now on: if its slot was taken, the cluster has one machine more than before, which
+// was added to replace a member.
 func (m *Manager) OnDiskReset() { m.learner, m.forming, m.newcomer = nil, nil, true }
 
-// CompletesSet reports whether a change brings the set back to full size with this daemon as its
-// newest member. The daemon then doesn't know the leases that the others granted before.
+// CompletesSet reports whether a change reduces an oversized set to full size, with this daemon as
+// its newest member. The daemon then has no record of the leases that the others granted before.
 func (m *Manager) CompletesSet(before, after quorum.Set) bool {
 	full := len(after.Members) == m.size && len(before.Members) > m.size
 	return full && after.Members[len(after.Members)-1].Name == m.name
@@ -131,7 +132,7 @@
 	return members > m.size || members == m.size && len(m.spares()) > 0
 }
 
-// NotifySpares tells the spares at once that this member leaves.
+// NotifySpares notifies the spares at once that this member is leaving.
 func (m *Manager) NotifySpares() {
 	var names []string
 	for _, p := range m.spares() {
--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -10,9 +10,9 @@
 
 const (
 	minReportIntervalMs     = 10   // between two reports to one counter
-	answerTimeoutMs         = 250  // the next report waits for the answer to the last one, but no longer
+	answerTimeoutMs         = 250  // how long the next report waits for the answer to the last one
 	claimReportIntervalMs   = 250  // a report with claims is repeated, since either message may be lost
-	idleReportIntervalMs    = 1000 // repetition of a report without claims
+	idleReportIntervalMs    = 1000 // a report without claims is repeated
 	usageWindowMs           = 2000 // starts and usage of this period determine what to hold
 	prefetchDivisor         = 4    // a quarter of the starts of a window is held in advance
 	reservationYieldAfterMs = 2000 // a reservation without starts yields to other tasks after this time
@@ -32,7 +32,7 @@
 	reportDue     bool
 
 	answered   bool  // the newest report was answered, see answerTimeoutMs
-	answeredMs int64 // when the newest report at that time was last answered
+	answeredMs int64 // when a grant last answered the report that was then the newest
 	accounts   map[string]*account
 }
 
@@ -262,7 +262,8 @@
 }
 
 // OnLimitLowered gives up what is held for a tenant beyond its usage, since it was lent under a
-// higher limit. Grants in flight may be, too, so grants for earlier reports are rejected from now on.
+// higher limit. Grants in flight may be based on the higher limit as well, so grants for earlier
+// reports are rejected from now on.
 func (b *Borrower) OnLimitLowered(tenant string) {
 	a := b.account(tenant)
 	a.held, a.reserved, a.reusesReleased = a.used, map[string]reservation{}, false
@@ -270,8 +271,8 @@
 	b.reportDue, b.answered = true, true
 }
 
-// NextReport returns the next report and the daemon to send it to; nil if none is due. After it, no
-// more than the amounts in the report is used until a grant answers it.
+// NextReport returns the next report and the daemon to send it to; nil if none is due. From then
+// on, the owner uses no more than the reported amounts until a grant answers the report.
 func (b *Borrower) NextReport(nowMs, version int64) (counterDaemon string, m *wire.ShareReport) {
 	if b.counterDaemon == "" || nowMs-b.reportedMs < minReportIntervalMs {
 		return "", nil
@@ -360,7 +361,7 @@
 }
 
 // OnGrant applies a grant if it answers the newest report, and returns the tenants for which more
-// is held now. It ignores a grant by an older configuration than the owner's, which may have
+// is held now. It ignores a grant under an older configuration than the owner's, which may have
 // higher limits; the counter sends another one when it adopts the newer configuration.
 func (b *Borrower) OnGrant(m *wire.ShareGrant, nowMs, version int64) (increased []string) {
 	if m.Counter != b.counterShard || m.CounterEpoch != b.counterEpoch || m.Shard != b.shard || m.ShardEpoch != b.epoch ||
@@ -406,7 +407,7 @@
 	Job          string          // of that claim
 	WaitedMs     int64           // of that claim
 	Counter      string          // the daemon that runs the counter, as far as known
-	UnansweredMs int64           // time since a grant last answered the newest report of its time
+	UnansweredMs int64           // time since a grant last answered the report that was then the newest
 }
 
 // Delays returns the tenants with a claim that has waited longer than forMs.
--- a/internal/quota/counter.go
+++ b/internal/quota/counter.go
@@ -45,7 +45,7 @@
 	seq             uint64 // of the newest report
 	version         int64  // configuration version of the owner
 	loans           map[string]*tenantLoan
-	grantDue        bool  // a loan changed since the last grant, or a new report came
+	grantDue        bool  // a loan changed since the last grant, or a new report arrived
 	answeredVersion int64 // configuration version of the last grant
 }
 
@@ -56,7 +56,7 @@
 	prefetch  resource.Amount // requested before it is needed
 	claims    []wire.ShareClaim
 	nearLimit bool
-	// returnFreed tells the owner to return the resources of finished tasks, too.
+	// returnFreed makes the owner return the resources of finished tasks, too.
 	returnFreed bool
 }
 
@@ -123,9 +123,9 @@
 	return c.pendingGrants(p.Limits.Version())
 }
 
-// allReportedAt reports whether every shard has reported by the given version or a later one.
-// Before that, an owner may hold more than it reported: by an earlier version the tenant may have
-// been unlimited.
+// allReportedAt reports whether every shard has reported under the given version or a later one.
+// Before that, an owner may hold more than it reported: under an earlier version the tenant may
+// have been unlimited.
 func (c *Counter) allReportedAt(shards []string, version int64) bool {
 	for _, shard := range shards {
 		if l := c.shards[shard]; l != nil && l.version < version {
@@ -154,7 +154,8 @@
 }
 
 // claims returns the claims of all shards for a tenant, the most urgent and then the oldest first.
-// Claims by a later version than the counter's are left out: that version may have a lower limit.
+// Claims made under a later version than the counter's are left out: that version may have a lower
+// limit.
 func (c *Counter) claims(tenant string, version int64) (claims []shardClaim) {
 	for _, shard := range slices.Sorted(maps.Keys(c.shards)) {
 		loan := c.shards[shard].loans[tenant]
@@ -195,8 +196,8 @@
 		if claim.Count == 0 || !limit.AdmitsAlone(claim.Unit, claim.Task) {
 			continue // a unit that exceeds the whole limit doesn't delay others
 		}
-		takesTurns := limit.scaled(holdBackPercent).Admits(sum)
-		if heldBack = (!unsatisfied || !takesTurns) && limit.holdsBack(sum, claim.WaitedMs); heldBack {
+		phasesAlternate := limit.scaled(holdBackPercent).Admits(sum)
+		if heldBack = (!unsatisfied || !phasesAlternate) && limit.holdsBack(sum, claim.WaitedMs); heldBack {
 			unsatisfied = true
 			break
 		}
@@ -245,8 +246,8 @@
 	}
 }
 
-// pendingGrants returns a grant for each owner that has changed loans, an unanswered report, or
-// a last grant by another configuration version.
+// pendingGrants returns a grant for each owner that has changed loans, an unanswered report, or a
+// last grant under another configuration version.
 func (c *Counter) pendingGrants(version int64) (grants []Grant) {
 	for _, shard := range slices.Sorted(maps.Keys(c.shards)) {
 		l := c.shards[shard]
@@ -268,7 +269,7 @@
 	return grants
 }
 
-// Usage holds what a counter knows about one tenant.
+// Usage is what is lent to one tenant, used by its tasks, and claimed for them.
 type Usage struct {
 	Tenant  string
 	Lent    resource.Amount
--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -60,10 +60,11 @@
 }
 
 // LoweredIn returns the last version known to this daemon that may have lowered the limit of a
-// tenant; 0 if there is none. Decisions by an earlier version may have used a higher limit.
+// tenant; 0 if there is none. Decisions made under an earlier version may have used a higher limit.
 func (l *Limits) LoweredIn(tenant string) int64 { return l.loweredIn[tenant] }
 
-// Outdated reports whether a decision by a version may exceed the current limit of a tenant.
+// Outdated reports whether a decision made under a version may exceed the current limit of a
+// tenant.
 func (l *Limits) Outdated(tenant string, version int64) bool {
 	return !l.Of(tenant).Unlimited() && version < l.LoweredIn(tenant)
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -12,18 +12,19 @@
 // Otherwise a task larger than the limit would never run.
 //
 // Nothing is stored here. The usage of a shard follows from the records of its jobs, which are
-// replicated to a quorum. So a new owner of a shard starts with holding what the shard uses, and a
-// new Counter lends nothing until every shard has reported what it holds. A report is binding: after
-// it, the owner uses no more than the reported amount until it receives the grant that answers
-// exactly this report. An owner reports only to counters of increasing epochs, and a counter accepts
-// only reports of increasing epochs of a shard. So no two counters lend the same part of a limit,
-// even if messages are lost, delayed or duplicated, and even if a superseded counter still runs.
+// replicated to a quorum. So a new owner of a shard starts by holding what the shard uses, and a
+// new Counter lends nothing until every shard has reported what it holds. A report is binding:
+// after it, the owner uses no more than the reported amount until it receives the grant that
+// answers exactly this report. An owner reports only to counters of increasing epochs, and a
+// counter accepts only reports of increasing epochs of a shard. So no two counters lend the same
+// part of a limit, even if messages are lost, delayed or duplicated, and even if a superseded
+// counter still runs.
 //
 // Limits may change at any time. A daemon that adopts a configuration version that lowers a limit,
 // or that may have skipped a version with a higher limit, gives up what it holds beyond its usage
-// and rejects grants that are in flight. A counter grants nothing to a report by a later version
-// than its own. After a limit was lowered, it lends only once every shard has reported by that
-// version.
+// and rejects grants that are in flight. A counter grants nothing for a report made under a later
+// version than its own. After a limit was lowered, it lends only once every shard has reported
+// under that version.
 //
 // Released resources may be used for another start only after the counter has confirmed that the
 // sum is within the limit. The sum may be above the limit after the limit was lowered, and after a
--- a/internal/register/proposer.go
+++ b/internal/register/proposer.go
@@ -13,7 +13,7 @@
 	Keep    Decision = iota // nothing to change, or the change was made before
 	Replace                 // replace it by the returned value
 	Refuse                  // the change is impossible on this value
-	Fail                    // the value can't be decoded
+	Fail                    // the next value can't be computed, for example if this one can't be decoded
 )
 
 // Change computes the next value from the current one, nil if there is none. It may be called again
@@ -34,7 +34,7 @@
 // Timing bounds an operation, in milliseconds of the clock that the caller passes in.
 type Timing struct {
 	DeadlineMs        int64 // from the operation's start; after it the outcome is Unknown
-	ResponseTimeoutMs int64 // an attempt without enough responses by then is repeated
+	ResponseTimeoutMs int64 // after this time, an attempt without enough responses is repeated
 	RetryBaseMs       int64 // base of the backoff after a refused attempt
 }
 
--- a/internal/scheduler/assignment.go
+++ b/internal/scheduler/assignment.go
@@ -19,7 +19,7 @@
 	// suspectPenalty ranks a suspect worker after all others where the task starts without
 	// preemption, but before those where it doesn't.
 	suspectPenalty = 1 << 35
-	// avoidedPenalty ranks a worker where the task just failed last.
+	// avoidedPenalty ranks a worker after all others if the task just failed there.
 	avoidedPenalty = 1 << 50
 )
 
@@ -58,7 +58,7 @@
 	SameRack     bool            // the gang runs longer when spread over several racks
 	DataRack     string          // the rack that holds the data; "" for none
 	Avoid        map[string]bool // workers where tasks of the group just failed
-	Suspect      map[string]bool // workers with some evidence against them
+	Suspect      map[string]bool // workers with failures that count against them
 }
 
 // Assignment assigns workers to the tasks of a group.
@@ -152,8 +152,8 @@
 }
 
 // CanPlace reports whether a worker can take one more task, preempting queueable tasks if
-// necessary. Queues that are not urgent leave the headroom to urgent ones, unless the task
-// would not fit beside the headroom even on an empty worker.
+// necessary. Queues that are not urgent leave the headroom to urgent ones, unless the task would
+// not fit next to the headroom even on an empty worker.
 //
 // Example: if assignment.CanPlace(candidate) { … }
 func (a *Assignment) CanPlace(c *Candidate) bool {
--- a/internal/scheduler/choice.go
+++ b/internal/scheduler/choice.go
@@ -19,14 +19,16 @@
 
 // The penalties, in ascending order of weight.
 const (
-	PenaltyFarFromData  Penalty = 1 << iota // not in the rack that holds the task's data
-	PenaltyJobFailed                        // other tasks of the job failed there recently
-	PenaltySuspect                          // some failures count against the worker, and the task is on its last attempt
-	PenaltyFull                             // the task would have to wait there, even if batch tasks were preempted
-	PenaltyHeadroomOnly                     // no free capacity outside the headroom that the task's queue must not use
-	PenaltyLastFailed                       // the task last failed there
-	PenaltySilent                           // no recent heartbeat
-	PenaltyUnhealthy                        // it fails or lags far more than others
+	PenaltyFarFromData Penalty = 1 << iota // not in the rack that holds the task's data
+	PenaltyJobFailed                       // other tasks of the job failed there recently
+	// PenaltySuspect means that failures count against the worker and the task is on its last attempt,
+	// or that the worker is ejected but most of the fleet is free.
+	PenaltySuspect
+	PenaltyFull         // the task would have to wait there, even if batch tasks were preempted
+	PenaltyHeadroomOnly // no free capacity outside the headroom that the task's queue must not use
+	PenaltyLastFailed   // the task last failed there
+	PenaltySilent       // no recent heartbeat
+	PenaltyUnhealthy    // the worker fails or lags far more than others
 )
 
 // QueueCandidate is a candidate worker for a queueable task, as the local scheduler sees it.
--- a/internal/scheduler/fairorder.go
+++ b/internal/scheduler/fairorder.go
@@ -12,7 +12,7 @@
 type FairRequest struct {
 	Precedence  int64 // higher ones come first
 	Tenant      string
-	Share       float64 // current share of the tenant, see WeightedShare; equal in all its requests
+	Share       float64 // current share of the tenant, see WeightedShare; the same in all requests of the tenant
 	AddedShare  float64 // increase of the share if the request is granted
 	SubmittedMs int64
 	Job         string
--- a/internal/scheduler/health.go
+++ b/internal/scheduler/health.go
@@ -21,10 +21,10 @@
 	probationFraction = 0.5
 )
 
-// Evidence is a sequential test of whether a worker fails its tasks, compared with the usual
-// failure rate of each task's queue. It is a CUSUM: a cumulative sum of log likelihood ratios that
-// never drops below 0. If the tasks of a queue fail on all workers, their failures don't count
-// against any of them. The zero value has no evidence.
+// Evidence is a sequential test of whether a worker fails its tasks more often than is usual for
+// the queue of each task. It is a CUSUM: a cumulative sum of log likelihood ratios that never drops
+// below 0. If the tasks of a queue fail on all workers, their failures don't count against any of
+// them. The zero value has no evidence.
 type Evidence struct{ score float64 }
 
 // Observe adds the outcome of one task whose queue has a usual failure rate from 0 to 1.
--- a/internal/scheduler/policy.go
+++ b/internal/scheduler/policy.go
@@ -32,7 +32,7 @@
 	EjectUnhealthy Policy = "eject_unhealthy"
 	// AvoidSilent prefers workers with a recent heartbeat for new work.
 	AvoidSilent Policy = "shun_quiet"
-	// LearnedEstimates corrects callers' run time estimates by the outcome of earlier ones.
+	// LearnedEstimates corrects callers' run time estimates by the mean error of earlier estimates.
 	LearnedEstimates Policy = "learned_estimates"
 	// Recall takes back tasks that are queued at a worker while another has free capacity.
 	Recall Policy = "recall"
@@ -50,7 +50,8 @@
 	ForwardRetry Policy = "forward_retry"
 	// RankedChoice draws among the workers of lowest rank instead of among all allowed ones.
 	RankedChoice Policy = "ranked_choice"
-	// DelayTarget sheds unstarted tasks above the coordinator's target.
+	// DelayTarget returns queued tasks to their owners while their worker's rank exceeds the
+	// coordinator's target delay.
 	DelayTarget Policy = "delay_target"
 	// TenantWeight ranks jobs that a tenant submits beyond its weight below the jobs of all others.
 	TenantWeight Policy = "tenant_weight"
@@ -78,7 +79,7 @@
 // ErrPolicy means that a policy is unknown or can't be disabled.
 var ErrPolicy = errors.New("policy")
 
-// Set is a set of enabled policies. In the zero value all are enabled.
+// Set records which policies are disabled. In the zero value all are enabled.
 type Set struct{ off []Policy }
 
 // ParseSet parses a comma-separated list of policies to disable.
--- a/internal/scheduler/tenantweight.go
+++ b/internal/scheduler/tenantweight.go
@@ -50,7 +50,7 @@
 
 // Precedence ranks tasks by the urgency of their queue, with tasks of excess jobs below all others.
 //
-// Example: slices.SortFunc(tasks, func(a, b task) int { return cmp.Compare(rank(b), rank(a)) })
+// Example: request.Precedence = scheduler.Precedence(queue.Urgency, job.excess)
 func Precedence(urgency int64, excess bool) int64 {
 	if excess {
 		return urgency - excessDemotion
--- a/internal/statestore/archive.go
+++ b/internal/statestore/archive.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// chunksFrom returns chunks of about so many bytes in total, beginning at a number, and
-// the number to continue at; 0 at the end.
+// chunksFrom returns chunks of about the given total size, beginning with the chunk of this number,
+// and the number of the chunk to continue with; 0 at the end.
 func (a *archive) chunksFrom(number uint64, bytes int) (out []*chunk, next uint64) {
 	size := 0
 	for i := max(number, a.firstNumber) - a.firstNumber; i < uint64(len(a.chunks)); i++ {
--- a/internal/statestore/copy.go
+++ b/internal/statestore/copy.go
@@ -6,10 +6,9 @@
 	"slices"
 )
 
-// Cursor is a position in the entries of a store: the zero value at the beginning, else
-// in a shard's live records (Chunk 0) behind the id After, or in its finished records at
-// a chunk. Each process numbers chunks anew, so a cursor is only valid in the process
-// that returned it.
+// Cursor is a position in the entries of a store: the zero value at the beginning, else in a
+// shard's live records (Chunk 0) after the id in After, or in its finished records at a chunk. Each
+// process numbers chunks anew, so a cursor is only valid in the process that returned it.
 type Cursor struct {
 	Shard    string
 	Chunk    uint64
@@ -34,9 +33,9 @@
 	}
 }
 
-// CopyPart returns the entries at a cursor, of about so many bytes in total, and the
-// cursor to continue at. A shard's live records precede its finished ones, so that a
-// record that finishes between two parts is not missed.
+// CopyPart returns the entries at a cursor, of about the given total size, and the cursor to
+// continue at. A shard's live records precede its finished ones, so that a record that finishes
+// between two parts is not missed.
 func (s *Store) CopyPart(cursor Cursor, bytes int) (out []Entry, next Cursor) {
 	if cursor.Shard == "" {
 		return s.commonPart(), s.shardAfter("")
@@ -88,9 +87,9 @@
 	return out
 }
 
-// livePart returns a part of a shard's live records in the order of their ids. A record
-// that is added behind the cursor during a copy is not copied: its acknowledgement does
-// not depend on the copy.
+// livePart returns a part of a shard's live records in the order of their ids. A record added
+// during a copy, with an id that the cursor has passed, is not copied: its acknowledgement does not
+// depend on the copy.
 func (s *Shard) livePart(cursor Cursor, bytes int) (out []Entry, next Cursor) {
 	if cursor.After == "" {
 		out = append(out,
--- a/internal/statestore/patch.go
+++ b/internal/statestore/patch.go
@@ -136,8 +136,8 @@
 	return Entry{Kind: EntryPatch, Name: shard, Value: codec.Append(nil, p)}
 }
 
-// applyPatch applies a logged patch. A patch is checked before it is logged; if it does
-// not fit here, its entry is applied a second time and the version is present already.
+// applyPatch applies a logged patch. A patch is checked before it is logged. If it does not fit
+// here, the entry was applied before and the shard already holds the version.
 func (s *Store) applyPatch(e Entry) {
 	var p Patch
 	if codec.Unmarshal(e.Value, &p) != nil {
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -45,7 +45,7 @@
 // CoreSet returns the newest chosen core set that is stored; version 0 for none.
 func (s *Store) CoreSet() quorum.Set { return s.coreSet }
 
-// Formation returns the formation that this disk voted for; without members for none.
+// Formation returns the formation that this disk voted for; a set without members if there is none.
 func (s *Store) Formation() quorum.Set { return s.formation }
 
 // Refused reports whether this disk voted against a formation, or was informed that it
--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -1,8 +1,8 @@
-// Package step defines the interface through which the components of a daemon use the
-// time, random numbers and effects while the daemon handles one event. A component is a
-// struct with unexported state that receives a Context when it is created; only the control
-// goroutine calls it. Components do no I/O and read no clock, so that the same events
-// cause the same effects, in the simulator as on a machine.
+// Package step defines the interface through which the components of a daemon use the time, random
+// numbers and effects while the daemon handles one event. A component is a struct with unexported
+// state that receives a Context when it is created; only the control goroutine calls it. Components
+// do no I/O and read no clock, so that the same events cause the same effects, both in the
+// simulator and on a real machine.
 package step
 
 import "math/rand/v2"
--- a/internal/storage/format.go
+++ b/internal/storage/format.go
@@ -16,10 +16,9 @@
 //
 //	length u32 | checksum u32 | batch u64 | flags u8 | entry
 //
-// The flags hold the format of the entry and whether it is the last one of its batch. A
-// batch is written and synced before the next one begins. So a bad record with a later
-// batch behind it was damaged after it had been synced; without a later batch it is the
-// torn end of the last write.
+// The flags hold the format of the entry and whether it is the last one of its batch. A batch is
+// written and synced before the next one begins. So a bad record that is followed by a later batch
+// was damaged after it had been synced; otherwise it is the torn end of the last write.
 const (
 	checksumOffset = 4
 	batchOffset    = checksumOffset + 4
@@ -95,11 +94,11 @@
 	return r
 }
 
-// readSegment applies the entries of a segment's complete batches and returns where they
-// end. An incomplete batch at the end is ignored, since it was never synced. Damage
-// with a later batch behind it gives ErrDamaged; a torn end does not.
+// readSegment applies the entries of a segment's complete batches and returns where they end. An
+// incomplete batch at the end is ignored, since it was never synced. Damage that is followed by a
+// later batch results in ErrDamaged; a torn end does not.
 func readSegment(b []byte, batch uint64, apply func(statestore.Entry)) (validBytes int, lastBatch uint64, err error) {
-	var openBatch []statestore.Entry // a batch whose last record was not read yet
+	var openBatch []statestore.Entry // the batch whose last record has not been read yet
 	for offset := 0; offset < len(b); {
 		r := readRecord(b[offset:])
 		if r.size == 0 || len(openBatch) > 0 && r.batch != batch+1 {
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -63,8 +63,8 @@
 // ID returns the disk's id. Call it before Run: a wipe changes the id.
 func (l *Log) ID() uint64 { return l.id }
 
-// Append enqueues entries. Once they and all earlier ones are synced, done is passed to
-// the Listener. Without entries, that is once all earlier entries are synced.
+// Append enqueues entries. Once they and all earlier ones are synced, done is passed to the
+// Listener. Without entries, done is passed once all earlier entries are synced.
 func (l *Log) Append(entries []statestore.Entry, done func()) {
 	l.enqueue(operation{entries: entries, done: done})
 }
@@ -76,7 +76,7 @@
 	l.enqueue(operation{entries: entries, snapshot: true})
 }
 
-// Wipe enqueues that the disk is emptied and gets a new id.
+// Wipe enqueues a wipe, which empties the disk and gives it a new id.
 func (l *Log) Wipe(id uint64) { l.enqueue(operation{newDiskID: id}) }
 
 func (l *Log) enqueue(op operation) {
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -13,13 +13,12 @@
 // continues. Until then the Listener is informed that the disk failed, and no pending
 // entry is acknowledged.
 //
-// After a failed sync, reads do not show what is on the disk: the kernel may have dropped
-// the pages and marked them clean. So the log continues behind the data that earlier syncs
-// covered: the segment is read again up to there, verified, truncated and synced. Then all
-// pending entries, including the failed batch, are written again to the next segment. Once
-// that is synced, the disk holds all that the store in memory holds. If the segment is
-// shorter than its synced size or damaged, the disk lost acknowledged data and begins again
-// as a new, empty one.
+// After a failed sync, reads do not show what is on the disk: the kernel may have dropped the pages
+// and marked them clean. So the log continues after the data that earlier syncs covered: the
+// segment is read again up to the end of that data, verified, truncated and synced. Then all
+// pending entries, including the failed batch, are written again to the next segment. Once that is
+// synced, the disk holds all that the store in memory holds. If the segment is shorter than its
+// synced size or damaged, the disk lost acknowledged data and begins again as a new, empty one.
 
 // retryUntilRecovered retries until the disk works again. It returns false if the log was
 // closed before that.
@@ -56,8 +55,7 @@
 	}
 }
 
-// operationsFromWipe drops the operations before the first wipe: the data that they add to
-// is lost.
+// operationsFromWipe drops the operations before the first wipe: they extend data that is lost.
 func operationsFromWipe(operations []operation) []operation {
 	for i, op := range operations {
 		if op.newDiskID != 0 {
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -70,8 +70,8 @@
 	Committed(entries int, took time.Duration, done []func())
 	// Failed is called when a write or sync fails. It is retried until Recovered or Lost.
 	Failed(cause error)
-	// Lost is called when the disk lacks data that was acknowledged. It accepts nothing
-	// until it is wiped.
+	// Lost is called when the disk lacks data that was acknowledged. The disk accepts nothing until
+	// it is wiped.
 	Lost()
 	// Recovered is called once all pending entries are synced.
 	Recovered()
--- a/internal/wire/cluster.go
+++ b/internal/wire/cluster.go
@@ -56,7 +56,7 @@
 	Heartbeats []Heartbeat
 }
 
-// DigestReply answers a Digest with the differences to the replying daemon's state.
+// DigestReply answers a Digest with the differences from the replying daemon's state.
 type DigestReply struct {
 	SetVersion    int64
 	Heartbeats    []Heartbeat // higher at the replying daemon
@@ -104,7 +104,7 @@
 	Seq        uint64
 	SetVersion int64
 	Granted    []bool
-	Epochs     []uint64 // the last known epoch of each granted lease
+	Epochs     []uint64 // for each requested role, the newest epoch that the member has recorded
 	Holders    []RoleHolder
 	// HoldersUnchanged is set if the holders match the request's hash; Holders is empty then.
 	HoldersUnchanged bool
--- a/internal/wire/enums.go
+++ b/internal/wire/enums.go
@@ -51,7 +51,7 @@
 	ResultOK AttemptResult = iota + 1
 	ResultFailed
 	ResultOverrun    // stopped at its run limit
-	ResultPreempted  // stopped in favour of more urgent work
+	ResultPreempted  // stopped to free resources for more urgent work
 	ResultShed       // returned to its owner before it started
 	ResultRejected   // rejected by the agent or the worker; never started
 	ResultLost       // certain not to run at its worker any more
@@ -78,7 +78,7 @@
 	DecisionKeep         Decision = iota + 1 // continue the attempt
 	DecisionDrop                             // stop the attempt, or forget it
 	DecisionAcknowledged                     // the end is recorded; the agent may forget the attempt
-	DecisionCounted                          // acknowledged, and no other run replaced it while its worker was silent
+	DecisionCounted                          // acknowledged, and the attempt was not replaced while its worker was silent
 	DecisionRecall                           // return it if it has not started: another worker has free resources
 )
 
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -27,7 +27,7 @@
 	ErrMalformed = errors.New("frame damaged")
 	// ErrForeign means that a frame is in another format: from another release, or
 	// not from otterchute.
-	ErrForeign = errors.New("frame of another cluster or version")
+	ErrForeign = errors.New("frame in another format")
 )
 
 // messageTypes numbers the kinds of messages. The numbers are part of the wire format.
--- a/internal/wire/outbound.go
+++ b/internal/wire/outbound.go
@@ -47,10 +47,10 @@
 }
 
 // nextBatch waits for a frame and returns it with the other queued frames, up to about
-// maxBatchBytes, so that they are written with one system call. Frames that waited longer
-// than maxFrameAge, as behind a dead connection, are dropped: their senders have
-// repeated them. It returns no frames after idleTimeout, and open is false once the
-// queue is closed.
+// maxBatchBytes, so that they are written with one system call. Frames that waited longer than
+// maxFrameAge, for example while a write to a dead connection blocks, are dropped: their senders
+// have repeated them. It returns no frames after idleTimeout, and open is false once the queue is
+// closed.
 func (o *outbound) nextBatch(idle *time.Timer) (frames [][]byte, open bool) {
 	idle.Reset(idleTimeout)
 	size := 0
--- a/internal/wire/scheduling.go
+++ b/internal/wire/scheduling.go
@@ -27,7 +27,7 @@
 	Tenant      string // the tenant of the caller's key; "" for a call that needs no key
 }
 
-// ForwardReply answers a Forward with an HTTPAddr status and body.
+// ForwardReply answers a Forward with an HTTP status and body.
 type ForwardReply struct {
 	ID           uint64
 	Status       int32
@@ -65,8 +65,8 @@
 	// MaxPerWorker bounds the tasks of its step and round on one worker; 0 means no bound.
 	MaxPerWorker int32
 	Tenant       string
-	// LimitVersion is the configuration version by whose tenant limit the task was placed.
-	// If a later configuration lowered the limit, an unstarted task returns to its owner.
+	// LimitVersion is the configuration version whose tenant limit was applied when the task was
+	// placed. If a later configuration lowered the limit, an unstarted task returns to its owner.
 	LimitVersion int64
 	Excess       bool // its tenant submits more than its weight: scheduled after all others
 }
@@ -92,7 +92,7 @@
 	Queue       string
 	Name        string
 	Checkpoint  string
-	SpecMissing bool  // found running by an agent that has no TaskSpec of it
+	SpecMissing bool  // the agent found it running and has no TaskSpec for it
 	EndedLate   bool  // its owner may have replaced it: the reply must say whether this end counts
 	QueueMs     int64 // the wait at the agent
 	StartMs     int64 // from the start order until the worker listed it
@@ -123,20 +123,22 @@
 	Capacity          resource.Amount
 	OtherShards       resource.Amount // taken by attempts of other shards, queued ones included
 	Suspect           bool            // tasks stall there, or fail far more often than elsewhere
-	RecentFailures    bool            // some recent failures point to the worker
+	RecentFailures    bool            // some recent failures count against the worker
 	Probation         bool            // it was suspect recently and receives work again
-	Colocated         bool            // the agent runs on its worker's machine; holds expire by themselves
-	RankMs            int64
-	QueuedMs          int64
-	Queued            int64
-	Succeeded         int64
-	Failed            int64
-	SpareCapacity     resource.Amount // capacity not taken by attempts other than those of batches
-	WaitingTasks      int64           // unstarted tasks, without those of batches
-	BatchUsage        []QueueUsage    // taken by batch attempts of other shards
-	LagPercent        int64           // run time relative to the estimate, in percent, smoothed
-	Urgent            resource.Amount // taken by attempts of the most urgent queues, queued ones included
-	Outcomes          []QueueOutcomes // recent outcomes by queue, for the central scheduler
+	// Colocated is set if the agent runs on its worker's machine. Such a worker ends its attempts
+	// when its hold lapses.
+	Colocated     bool
+	RankMs        int64
+	QueuedMs      int64
+	Queued        int64
+	Succeeded     int64
+	Failed        int64
+	SpareCapacity resource.Amount // capacity not taken by attempts other than those of batches
+	WaitingTasks  int64           // unstarted tasks, without those of batches
+	BatchUsage    []QueueUsage    // taken by batch attempts of other shards
+	LagPercent    int64           // run time relative to the estimate, in percent, smoothed
+	Urgent        resource.Amount // taken by attempts of the most urgent queues, queued ones included
+	Outcomes      []QueueOutcomes // recent outcomes by queue, for the central scheduler
 	// Partial is set if Attempts lists only those that are queued or have ended; the others
 	// are unchanged. Reports to the central scheduler only list guaranteed attempts and
 	// queueable ones that it may promote.
@@ -170,11 +172,11 @@
 	ShardEpoch uint64
 	SentMs     int64
 	Decisions  []AttemptDecision
-	Specs      []TaskSpec // of runs that the agent found and has no TaskSpec of
+	Specs      []TaskSpec // of attempts that the agent found running and has no TaskSpec for
 }
 
-// AllocationRequest requests guaranteed places from the central scheduler for similar
-// tasks of one step: for a gang all or none, else as many as there are resources for.
+// AllocationRequest requests workers from the central scheduler for similar guaranteed tasks of one
+// step: for a gang, for all of them or none; otherwise for as many as there are resources for.
 type AllocationRequest struct {
 	Shard          string
 	Job            string
@@ -244,7 +246,8 @@
 	Ranks           []WorkerRank
 }
 
-// Promotion makes a running queueable task guaranteed if its resources are reserved.
+// Promotion makes a running queueable task guaranteed, if all guaranteed tasks then still fit on
+// its worker.
 type Promotion struct {
 	Worker string
 	Epoch  uint64 // of the agent
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -75,5 +75,5 @@
 	Register string
 	Ballot   register.Ballot
 	Value    []byte
-	Complete bool // false for a configuration without the history of its changes, as readers get it
+	Complete bool // false for a configuration without the history of its changes, the form sent to readers
 }
--- a/internal/wire/tenancy.go
+++ b/internal/wire/tenancy.go
@@ -2,7 +2,8 @@
 
 import "otterchute/internal/resource"
 
-// Messages between shard owners and the node that counts a tenant's resources, see package quota.
+// Messages between shard owners and the daemon whose counter lends a tenant's limit, see package
+// quota.
 
 // ShareReport reports to a tenant counter how much one shard's owner holds of the limits of all
 // tenants that are counted there. A tenant that is not listed has nothing in that shard.
