--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -73,8 +73,8 @@
 	return &Configuration{Queues: map[string]*Queue{}, EmptyZones: map[string]bool{}}
 }
 
-// hostPrefixes finds the longest of a host's prefixes that a path begins with, with one lookup for
-// each distinct length.
+// hostPrefixes holds the address prefixes of one host. The longest one that a path begins with is
+// found with one lookup for each distinct length.
 type hostPrefixes struct {
 	lengths []int // longest first
 	queues  map[string]string
--- a/internal/configuration/queue.go
+++ b/internal/configuration/queue.go
@@ -48,7 +48,7 @@
 	Urgency       int64              // higher ones are scheduled first; negative for batch queues
 	Quota         int64              // queueable tasks that one job may have outstanding
 	TrustRunLimit bool               // its workers always end a run at the run limit, even while cut off
-	Selector      []LabelRequirement // its worker group
+	Selector      []LabelRequirement // labels that a worker needs to run its tasks
 	Admission     []Rule             // rules that a new job must pass, in order
 	Addresses     []Address
 	LatencyMs     int64       // declared latency target of a job; not used for scheduling
--- a/internal/lease/acquire.go
+++ b/internal/lease/acquire.go
@@ -21,7 +21,8 @@
 	if m.freeSince == nil {
 		m.freeSince = map[string]int64{}
 	}
-	for _, role := range slices.Sorted(maps.Keys(m.holders)) { // this daemon is the successor that the last holder named
+	// A successor that the last holder named requests the role without a wait.
+	for _, role := range slices.Sorted(maps.Keys(m.holders)) {
 		if h := m.holders[role]; h.Holder == "" && h.Successor == self.Name {
 			m.Acquire(role)
 		}
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -201,7 +201,7 @@
 	}
 }
 
-// Assume records a role as held until the given time without a grant. It sets up tests.
+// Assume records a role as held until the given time without a grant. It is used only by tests.
 func (m *Manager) Assume(role string, epoch uint64, untilMs int64) {
 	m.leases[role] = &lease{role: role, epoch: epoch, phase: held, untilMs: untilMs}
 }
--- a/internal/membership/learner.go
+++ b/internal/membership/learner.go
@@ -7,7 +7,7 @@
 	"otterchute/internal/wire"
 )
 
-// learner is the state of a spare on its way into the core. The newest member of an oversized set
+// learner is the state of a spare that is joining the core. The newest member of an oversized set
 // uses it as well, for its second copy.
 type learner struct {
 	setVersion   int64                        // of the core set being copied; copies made under another set don't count
@@ -19,7 +19,8 @@
 	nextChangeMs int64
 }
 
-// currentLearner returns the learner for the current core set. A change of the set starts it anew.
+// currentLearner returns the learner for the current core set. A change of the set replaces it by a
+// new one.
 func (m *Manager) currentLearner(vacantSince map[string]int64) *learner {
 	version := m.host.CoreSet().Version
 	if m.learner == nil || m.learner.setVersion != version {
--- a/internal/membership/slots.go
+++ b/internal/membership/slots.go
@@ -23,10 +23,10 @@
 // members includes every such write. With the copy, the write is on f+1 of 2f+1 again. A write
 // acknowledged while the set has 2f members is on f+1 of them, which is a majority of the full set
 // afterwards, with or without the copy. The set of 2f tolerates f-1 losses, as many as the full one
-// with one member gone, so the removal costs no tolerance. It does discard what the removed member
-// still stores, should it return. So the spare first proves that it can take the slot, by a
-// complete copy under the full set (except for a wiped member, which stores nothing). A spare that
-// then stalls leaves a majority of 2f, which doesn't need the spare.
+// with one member gone, so the removal costs no tolerance. But what the removed member still stores
+// no longer counts, even if that member returns. So the spare first proves that it can take the
+// slot, by a complete copy under the full set (except for a wiped member, which stores nothing). A
+// spare that then stalls leaves a majority of 2f, which doesn't need the spare.
 //
 // If the slot's member responds but leaves: copy, add, copy, remove. The set of 2f+2 has majorities
 // of f+2, so it tolerates f losses like the full one, at any moment, including the spare and the
--- a/internal/scheduler/tenantweight.go
+++ b/internal/scheduler/tenantweight.go
@@ -2,7 +2,7 @@
 
 const (
 	// burstWindowMs is the time at a tenant's rate that fills its token bucket: jobs arrive in
-	// clusters, and a short cluster is not an excess.
+	// bursts, and a short burst is not an excess.
 	burstWindowMs = 1000
 	// minBurstJobs is the minimum size of a token bucket.
 	minBurstJobs = 5
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -38,15 +38,15 @@
 	Elem     *Field           // for a List
 }
 
-// Fault describes one invalid value of a document. The path is such as "queues.0.name", or
-// "" for the whole document.
+// Fault describes one invalid value of a document. The path has the form "queues.0.name", or is ""
+// for the whole document.
 type Fault struct {
 	Path   string `json:"path"`
 	Reason string `json:"reason"`
 }
 
 const (
-	maxFaults     = 100     // an object with more faults is not checked to its end
+	maxFaults     = 100     // the check of an object stops after this many faults
 	maxNameBytes  = 128     // the length of a Name
 	maxLabelBytes = 256     // the length of a label's value
 	maxAmount     = 1 << 40 // the amount of a resource
