--- a/internal/daemon/batch_test.go
+++ b/internal/daemon/batch_test.go
@@ -14,7 +14,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// nightContract is cheap from 22:00 to 06:00, dearer around it at work days.
+// nightContract is cheapest from 22:00 to 06:00, and cheap on work days until 08:00.
 const nightContract = `{"name":"night","utc_offset_minutes":120,"price":0.12,"hours":[
 	{"from":"22:00","to":"06:00","price":0.04},{"from":"06:00","to":"08:00","days":["mon","tue","wed","thu","fri"],"price":0.08}]}`
 
@@ -47,13 +47,13 @@
 	must.Eq(t, at(1, 10), p.DeadlineMs)
 	must.False(t, p.mayStart(at(0, 21), 1000))
 	must.True(t, p.mayStart(at(1, 3), 1000))
-	must.False(t, p.mayStart(at(1, 6)-500, 1000))                     // it would end in dear hours
-	must.True(t, p.mayStart(at(1, 3), 10*msPerHour))                  // no window holds it
-	must.False(t, p.mayStart(at(1, 6), 10*msPerHour))                 // but it starts in one
-	must.Eq(t, p, planBatch(night, "j1", came, at(0, 20), msPerHour)) // whoever plans, whenever
+	must.False(t, p.mayStart(at(1, 6)-500, 1000))                     // it would end in expensive hours
+	must.True(t, p.mayStart(at(1, 3), 10*msPerHour))                  // longer than any window
+	must.False(t, p.mayStart(at(1, 6), 10*msPerHour))                 // but it must start in one
+	must.Eq(t, p, planBatch(night, "j1", came, at(0, 20), msPerHour)) // the same at any later time
 	must.Eq(t, p.StartMs, planBatch(night, "j1", came, at(0, 23), msPerHour).StartMs)
 
-	// starts are spread over the first half of the window, none before it
+	// starts are spread over the first half of the window
 	var per [4]int
 	for i := range 4000 {
 		s := planBatch(night, fmt.Sprint("job-", i), came, came, msPerHour).StartMs - at(0, 22)
@@ -64,10 +64,10 @@
 		must.Between(t, 900, count, 1100)
 	}
 
-	// it came while the window is open: it starts at once
+	// submitted while the window is open: it starts at once
 	must.Eq(t, at(0, 23), planBatch(night, "j1", at(0, 23), at(0, 23), msPerHour).StartMs)
 
-	// the cheap hours come too late: those that are cheapest until then
+	// the cheapest hours come after the deadline: the cheapest before it are taken
 	morning := &configuration.BatchRules{Contract: night.Contract, FinishByMs: 4 * msPerHour, SharePercent: 30}
 	p = planBatch(morning, "j2", at(1, 5), at(1, 7), msPerHour)
 	must.Eq(t, 0.08, p.Price)
@@ -76,9 +76,9 @@
 	must.Eq(t, 0.12, p.Price)
 	must.Eq(t, at(1, 9), p.StartMs)
 
-	// the window can't hold it in time: it starts as early as it must
+	// the window is too late or too short: the job starts early enough to meet its deadline
 	p = planBatch(night, "j3", at(0, 1), at(0, 1), 3*msPerHour)
-	must.Eq(t, at(0, 1), p.StartMs) // it came in the night
+	must.Eq(t, at(0, 1), p.StartMs) // submitted during the window
 	p = planBatch(night, "j3", at(0, 7), at(0, 7), 6*msPerHour)
 	must.Eq(t, at(0, 7), p.StartMs) // 0.08 is the least before 21:00
 	p = planBatch(night, "j3", at(0, 7), at(0, 21), 6*msPerHour)
@@ -86,24 +86,24 @@
 	must.True(t, p.mayStart(at(0, 21), 1000))
 	must.Eq(t, 0.12, p.Price)
 
-	// due later: its time counts from then
+	// due later: its deadline is counted from the due time
 	p = planBatch(night, "j4", at(1, 12), at(0, 12), msPerHour)
 	must.Eq(t, at(1, 22), p.OpenMs)
 	must.Eq(t, at(2, 8), p.DeadlineMs)
 
-	// a clock that goes back holds it again, one that jumps on makes it start
+	// the plan follows the clock, back and forth
 	p = planBatch(night, "j1", came, at(0, 21), msPerHour)
 	must.False(t, p.mayStart(at(0, 21), 1000))
 	must.True(t, planBatch(night, "j1", came, at(2, 0), msPerHour).AtAnyPrice)
 
-	// an offset of its own: 22:00 there is another time
+	// a contract with another UTC offset
 	west := mustContract(t, strings.Replace(nightContract, "120", "-480", 1))
 	there := &configuration.BatchRules{Contract: west, FinishByMs: 20 * msPerHour}
 	must.Eq(t, came, planBatch(there, "j1", came, came, msPerHour).StartMs) // 04:00 there
 	must.Eq(t, at(1, 8), planBatch(there, "j1", at(0, 17), at(0, 17), msPerHour).OpenMs)
 }
 
-// batchNode gives a daemon by itself, at some time by the fleet's clock.
+// batchNode returns a single daemon at the given cluster time.
 func batchNode(t *testing.T, wallMs int64) *node {
 	t.Helper()
 	c, faults := configuration.Compile(1, []byte(`{"contracts":[`+nightContract+`],"queues":[{"name":"confirm","urgency":90},{"name":"import","urgency":0},
@@ -123,7 +123,7 @@
 	return shard
 }
 
-// batchJob puts a job into a slice that came some time before now.
+// batchJob adds a job to a shard that was submitted agoMs before now.
 func (n *node) batchJob(t *testing.T, shard *ownedShard, id, steps string, agoMs int64) *liveJob {
 	t.Helper()
 	j, faults := parseJob(id, "", []byte(`{"queue":"refresh","steps":`+steps+`}`))
@@ -141,8 +141,8 @@
 	return fmt.Sprintf(`[{"name":"a","tasks":[{"name":"t","room":%d,"estimate_ms":%d}]}]`, room, estimateMs)
 }
 
-// The agent guards a worker's room once more: the share, what waits there, and
-// that urgent work pushes batches out at once, and nothing else sooner.
+// The agent enforces the batch share of its worker, lets batch work wait behind more urgent work, and
+// preempts it at once for urgent work, other work only after urgentWaitMs.
 func TestBatchAtTheAgent(t *testing.T) {
 	n := batchNode(t, aMonday)
 	agent := &workerAgent{worker: "w", colocated: true, rebuilt: true, tokenMs: n.now, lastContactMs: n.now, lastSuccessMs: n.now, capacity: resource.Amount{CPU: 100}, free: resource.Amount{CPU: 100}, attempts: map[wire.AttemptKey]*agentAttempt{},
@@ -162,33 +162,33 @@
 
 	one, two := queued("b1", "refresh", wire.ClassQueueable, 20), queued("b2", "refresh", wire.ClassQueueable, 20)
 	pump()
-	must.Eq(t, []wire.AttemptState{wire.AttemptOrdered, wire.AttemptQueued}, []wire.AttemptState{one.state, two.state}) // a second would be above 30 percent
+	must.Eq(t, []wire.AttemptState{wire.AttemptOrdered, wire.AttemptQueued}, []wire.AttemptState{one.state, two.state}) // the second would exceed 30 percent
 	must.Eq(t, []wire.QueueUsage{{Queue: "refresh", Resources: resource.Amount{CPU: 40}}}, agent.batchUse(n, ""))
 	must.SliceEmpty(t, agent.batchUse(n, "east"))
 	n.now += batchReturnMs + 1
 	agent.tokenMs, n.config.confirmedMs = n.now, n.now
 	pump()
-	must.Eq(t, wire.ResultShed, two.result) // it goes back, and never waits here
+	must.Eq(t, wire.ResultShed, two.result) // returned to its owner instead of waiting here
 
 	running(one)
 	other := queued("i1", "import", wire.ClassQueueable, 60)
 	pump()
 	must.Eq(t, wire.AttemptOrdered, other.state)
 	running(other)
-	urgent := queued("c1", "confirm", wire.ClassQueueable, 40) // 20 are free
+	urgent := queued("c1", "confirm", wire.ClassQueueable, 40) // 20 free
 	pump()
 	must.Eq(t, wire.AttemptQueued, urgent.state)
-	must.Eq(t, wire.ResultPreempted, one.stopReason) // the batch makes room at once
+	must.Eq(t, wire.ResultPreempted, one.stopReason) // the batch task is preempted at once
 	must.Zero(t, other.stopMs)
 	three := queued("b3", "refresh", wire.ClassQueueable, 1)
 	pump()
-	must.Eq(t, wire.AttemptQueued, three.state) // something more urgent waits
+	must.Eq(t, wire.AttemptQueued, three.state) // more urgent work waits
 	one.state = wire.AttemptEnded
 	pump()
 	must.Eq(t, wire.AttemptOrdered, urgent.state)
 	running(urgent)
 
-	// what is no batch's is still left its time before it is pushed out
+	// other work is preempted only after urgentWaitMs
 	agent.attempts = map[wire.AttemptKey]*agentAttempt{}
 	low := queued("i2", "import", wire.ClassQueueable, 90)
 	pump()
@@ -201,7 +201,7 @@
 	pump()
 	must.Positive(t, low.stopMs)
 
-	// a batch's run never becomes firm, and weighs nothing in the worker's rank
+	// a batch attempt is never promoted, and doesn't count in the worker's rank
 	agent.attempts = map[wire.AttemptKey]*agentAttempt{}
 	batch := queued("b4", "refresh", wire.ClassQueueable, 10)
 	batch.spec.EstimateMs = 50_000
@@ -212,7 +212,7 @@
 	must.Less(t, 50_000, rank)
 }
 
-// The owner's choice: the least batches, with room that was left over lately.
+// The owner chooses the worker with the least batch work that had spare resources recently.
 func TestBatchChoosesAWorker(t *testing.T) {
 	n := batchNode(t, aMonday)
 	shard := n.batchSlice()
@@ -230,9 +230,9 @@
 	n.workers["w2"].batchUse["east"] = []wire.QueueUsage{{Queue: "refresh", Resources: resource.Amount{CPU: 5}}}
 	must.Eq(t, "w3", choose())
 	must.Greater(t, n.now, job.runtime[0].retryAtMs)
-	n.workers["w3"].unstarted = 1 // something more urgent waits there
-	must.Eq(t, "", choose())      // and at one worker of three that is a sign for all
-	job.plan.AtAnyPrice = true    // but a job that must start takes the emptiest of the others
+	n.workers["w3"].unstarted = 1 // more urgent work waits there
+	must.Eq(t, "", choose())      // one of three workers with waiting work stops all batches
+	job.plan.AtAnyPrice = true    // a job that must start takes the least loaded other worker
 	n.workers["w2"].usedByOthers["east"] = resource.Amount{CPU: 90}
 	must.Eq(t, "w1", choose())
 	n.workers["w1"].usedByOthers["east"] = resource.Amount{CPU: 91}
@@ -241,7 +241,7 @@
 	n.workers["w3"].unstarted = 0
 	n.workers["w3"].spare = spareWindow{}.observe(0, resource.Amount{CPU: 100}) // not seen long enough
 	must.Eq(t, "w2", choose())
-	n.workers["w2"].usedByOthers["east"] = resource.Amount{CPU: 70} // less than headroom would be left
+	n.workers["w2"].usedByOthers["east"] = resource.Amount{CPU: 70} // too little would be left free
 	must.Eq(t, "w1", choose())
 	n.workers["w1"].batchUse["east"] = []wire.QueueUsage{{Queue: "refresh", Resources: resource.Amount{CPU: 21}}} // above its share
 	must.Eq(t, "", choose())
@@ -262,8 +262,7 @@
 	must.Eq(t, int64(7), low.observe(2*spareWindowMs, resource.Amount{CPU: 8}).least().CPU)
 }
 
-// Work that many jobs need together before a deadline makes each start earlier
-// than it would have to by itself.
+// The total work of all jobs before a deadline makes each start earlier than it would have to alone.
 func TestBatchDemand(t *testing.T) {
 	at := func(day, hour int64) int64 { return aMonday + (day*24+hour-2)*msPerHour }
 	n := batchNode(t, at(0, 14))
@@ -271,7 +270,7 @@
 	for i := range 4 {
 		n.workers[fmt.Sprint("w", i)] = &workerView{receivedMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 100}}
 	}
-	// 120 units at once are batches'; 60 jobs of 30 units and an hour need 15 hours of that
+	// batches may use 120 units at once; 60 jobs of 30 units and an hour need that for 15 hours
 	var all []*liveJob
 	for i := range 60 {
 		all = append(all, n.batchJob(t, shard, fmt.Sprintf("b%02d", i), oneBatch(30, msPerHour), int64(60-i)*1000))
@@ -309,7 +308,7 @@
 	must.Eq(t, 60.0, gauges["batches_held"])
 	must.Between(t, 1, gauges["batches_at_risk"], float64(now))
 
-	// a new owner, with nothing but the records, plans the same once it has heard the agents
+	// a new owner, which has only the records, makes the same plan once the agents have reported
 	other := batchNode(t, at(0, 14))
 	other.now, other.config.confirmedMs = n.now, n.now
 	other.workers = n.workers
@@ -327,7 +326,7 @@
 		must.Eq(t, job.plan, osl.jobs[job.ID].plan)
 	}
 
-	// a queue that takes no batches any more lets its jobs go at once
+	// a queue that is no batch queue any more releases its jobs at once
 	c, _ := configuration.Compile(2, []byte(`{"queues":[{"name":"refresh"}]}`))
 	n.config.current = c
 	n.planBatches(shard)
@@ -335,8 +334,7 @@
 	must.Eq(t, "", n.explainHeld(all[0], &all[0].Tasks[0]))
 }
 
-// Core seconds are counted at the price of the hours that they were run in, and a
-// job that is complete too late is told of.
+// Core seconds are counted at the price of the hours in which they ran, and late jobs are counted.
 func TestBatchMeter(t *testing.T) {
 	at := func(day, hour int64) int64 { return aMonday + (day*24+hour-2)*msPerHour }
 	n := batchNode(t, at(1, 7))
@@ -354,8 +352,8 @@
 	must.Eq(t, int64(2), n.counts["batches_complete"])
 }
 
-// What can't wait, or can't be pushed out, is refused by its path; and held jobs
-// leave room in the records.
+// Steps that can't wait or be preempted are rejected with their path, and batch jobs may fill only a part
+// of the shard's records.
 func TestBatchEntry(t *testing.T) {
 	n := batchNode(t, aMonday)
 	q := n.config.current.Queues["refresh"]
--- a/internal/daemon/credential_test.go
+++ b/internal/daemon/credential_test.go
@@ -13,26 +13,26 @@
 	"github.com/shoenig/test/must"
 )
 
-// revokedWithinMs is when a key must be refused by every daemon after its removal was acknowledged:
-// the shortest time that the users' deployments give.
+// revokedWithinMs is the time after the acknowledged removal of a key within which every daemon must
+// refuse it: the shortest that the platform's deployments require.
 const revokedWithinMs = 2000
 
-// credentialWorld is a world whose queue needs a key, and an operator who changes the keys.
+// credentialWorld is a world with a queue that requires a key, and an operator who changes the keys.
 type credentialWorld struct {
 	*world
 	version int64
 	calls   []*credentialCall
 }
 
-// credentialCall is one call with a key.
+// credentialCall records a call with a key and its reply.
 type credentialCall struct {
 	host, key  string
 	sentMs     int64
-	status     int // 0 for silence
+	status     int // 0 without a reply
 	answeredMs int64
 }
 
-// admitted tells whether the key opened the queue: what the job's owner says then is another matter.
+// admitted reports whether the key was accepted, whatever the job's owner replied.
 func (c *credentialCall) admitted() bool { return c.status != 0 && c.status != 401 && c.status != 503 }
 
 func credentialsServed(t *testing.T, seed uint64, keys ...string) *credentialWorld {
@@ -48,7 +48,7 @@
 	return hex.EncodeToString(digest[:])
 }
 
-// change has one tenant hold just these keys, and returns as its operator has the acknowledgement.
+// change replaces the keys of the one tenant, and returns once the change is acknowledged.
 func (w *credentialWorld) change(t *testing.T, keys ...string) {
 	t.Helper()
 	digests := []string{}
@@ -71,10 +71,10 @@
 		}
 		must.Eq(t, 503, got.status, must.Sprint(got.body))
 	}
-	t.Fatal("a change of the keys was never acknowledged")
+	t.Fatal("the change of the keys was not acknowledged")
 }
 
-// callAll sends a call with a key to every daemon, now.
+// callAll sends a call with a key to every daemon at once.
 func (w *credentialWorld) callAll(key string) {
 	for _, host := range sortedKeys(w.nodes) {
 		c := &credentialCall{host: host, key: key, sentMs: w.nowMs()}
@@ -85,7 +85,7 @@
 	}
 }
 
-// callFor calls every daemon with these keys at a fixed pace.
+// callFor calls every daemon with these keys at a fixed interval.
 func (w *credentialWorld) callFor(ms int64, keys ...string) {
 	const paceMs = 40
 	for range ms / paceMs {
@@ -96,18 +96,18 @@
 	}
 }
 
-// credentialTroubles begin when keys change, and befall the last daemon, which has no disk.
+// credentialFaults are faults that begin as keys change. host is the last daemon, which has no disk.
 var credentialTroubles = map[string]struct {
 	begin func(w *credentialWorld, host string)
 	calm  bool
 }{
-	"calm":            {begin: func(*credentialWorld, string) {}, calm: true},
-	"cut off":         {begin: func(w *credentialWorld, host string) { w.cutFrom(host, w.members(), true, true) }},
-	"hears no member": {begin: func(w *credentialWorld, host string) { w.cutFrom(host, w.members(), false, true) }},
-	"frozen for 3 s":  {begin: func(w *credentialWorld, host string) { w.nodes[host].freeze(3000) }},
-	"member cut off":  {begin: func(w *credentialWorld, _ string) { w.cutHost("d02") }},
-	"late polls":      {begin: func(w *credentialWorld, host string) { w.holdPolls(host, 300) }},
-	"very late polls": {begin: func(w *credentialWorld, host string) { w.holdPolls(host, 1300) }},
+	"calm":                    {begin: func(*credentialWorld, string) {}, calm: true},
+	"cut off":                 {begin: func(w *credentialWorld, host string) { w.cutFrom(host, w.members(), true, true) }},
+	"receives from no member": {begin: func(w *credentialWorld, host string) { w.cutFrom(host, w.members(), false, true) }},
+	"frozen for 3 s":          {begin: func(w *credentialWorld, host string) { w.nodes[host].freeze(3000) }},
+	"member cut off":          {begin: func(w *credentialWorld, _ string) { w.cutHost("d02") }},
+	"late polls":              {begin: func(w *credentialWorld, host string) { w.holdPolls(host, 300) }},
+	"very late polls":         {begin: func(w *credentialWorld, host string) { w.holdPolls(host, 1300) }},
 	"late, then none": {begin: func(w *credentialWorld, host string) {
 		w.holdPolls(host, 1200)
 		w.after(200_000, func() { w.cutFrom(host, w.members(), true, true) })
@@ -118,7 +118,7 @@
 
 func (w *credentialWorld) members() []string { return []string{"d00", "d01", "d02"} }
 
-// holdPolls delays the members' answers to a daemon's polls.
+// holdPolls delays the core members' replies to a daemon's polls.
 func (w *credentialWorld) holdPolls(host string, ms int64) {
 	w.detain = func(_, to string, msg any) int64 {
 		if _, ok := msg.(*wire.PollResponse); ok && to == host {
@@ -128,7 +128,7 @@
 	}
 }
 
-// holdValues delays newer documents on their way to a daemon.
+// holdValues delays configuration documents on their way to a daemon.
 func (w *credentialWorld) holdValues(host string, ms int64) {
 	w.detain = func(_, to string, msg any) int64 {
 		if _, ok := msg.(*wire.RegisterValue); ok && to == host {
@@ -138,9 +138,9 @@
 	}
 }
 
-// Guards against a key that was acknowledged as added and is refused, by any daemon and however
-// late its polls are, and against a key that was acknowledged as removed and still opens the queue
-// after the bound. In a calm fleet every daemon refuses that one, and admits the other.
+// Guards against an added key that a daemon refuses after the acknowledgement, however late its polls
+// are, and against a removed key that is accepted after revokedWithinMs. Without faults every daemon
+// accepts the first and refuses the second.
 func TestKeysOnceAcknowledged(t *testing.T) {
 	for _, name := range sortedKeys(credentialTroubles) {
 		trouble := credentialTroubles[name]
@@ -171,9 +171,9 @@
 	}
 }
 
-// Guards against a 401 by a configuration that was confirmed before the call came: a version
-// acknowledged in between may have the key. Until a newer confirmation the call waits, and where
-// none comes its outcome stays open.
+// Guards against a 401 by a configuration that was confirmed before the call arrived: a version
+// acknowledged since may have the key. The call waits for a later confirmation; without one its
+// outcome stays unknown.
 func TestUnknownKeyIsRefusedByALaterConfirmation(t *testing.T) {
 	w := credentialsServed(t, 17, "kept")
 	host := sortedKeys(w.nodes)[len(w.nodes)-1]
@@ -206,8 +206,8 @@
 	}
 }
 
-// Guards against calls without a key, or with one that nobody has, that get past a queue that
-// needs one, for each kind of call, and against open queues and unknown addresses that need one.
+// Guards against calls with no key or an unknown one that are accepted at a queue that requires a key,
+// and against open queues and unknown addresses that require one.
 func TestWhichCallsNeedAKey(t *testing.T) {
 	w := credentialsServed(t, 23, "kept", "")
 	job := []byte(`{"steps":[{"name":"a","count":1,"room":1,"estimate_ms":50}]}`)
@@ -232,8 +232,8 @@
 	must.Eq(t, 200, at("queue.state", "/free/job-2", "kept"))
 }
 
-// Guards against keys that leak: what a caller shows stands in no log line, no message between
-// daemons, no entry on a disk, no answer and no name of a count, whether anyone has it or not.
+// Guards against leaked keys: a caller's key, known or not, must not appear in log lines, messages
+// between daemons, disk entries, replies or names of counts.
 func TestKeysStayWithTheDaemonThatGotThem(t *testing.T) {
 	w := &credentialWorld{world: served(t, 29)}
 	w.keepLog = true
@@ -243,7 +243,7 @@
 			digest := configuration.DigestOfKey(key)
 			for form, secret := range map[string][]byte{"key": []byte(key), "digest": digest[:], "digest in hex": []byte(digestOf(key))} {
 				if bytes.Contains(text, secret) {
-					leaks = append(leaks, fmt.Sprintf("the %s of %s in %s", form, key, where))
+					leaks = append(leaks, fmt.Sprintf("the %s of key %s in %s", form, key, where))
 				}
 			}
 		}
@@ -257,7 +257,7 @@
 			for _, op := range []string{"queue.submit", "queue.state", "queue.cancel"} {
 				got := w.settle(w.nodes[host], evRequest{Op: op, Host: "h.example", Path: "/p/job-" + host, Base: -1, Body: job, Credential: key}, 4000)
 				must.Eq(t, i == 1, got.status == 401, must.Sprint(host, " ", op, " ", got))
-				find("an answer", []byte(got.body))
+				find("a reply", []byte(got.body))
 			}
 		}
 	}
--- a/internal/daemon/durability_test.go
+++ b/internal/daemon/durability_test.go
@@ -12,7 +12,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// killCore ends all core members at once and gives what starts them again.
+// killCore kills all core members at once and returns the function that restarts them.
 func (b *platformWorld) killCore(power bool) (start func()) {
 	var undo []func()
 	for _, host := range b.disks() {
@@ -21,8 +21,8 @@
 	return allOf(undo)
 }
 
-// lookAtAll asks once more for the state of every accepted job, as callers may
-// for as long as finished jobs are kept.
+// lookAtAll reads the state of every accepted job once more, as callers may for as long as finished
+// jobs are kept.
 func (b *platformWorld) lookAtAll() {
 	for _, id := range sortedKeys(b.jobs) {
 		if j := b.jobs[id]; j.acked {
@@ -33,8 +33,9 @@
 	b.run(b.deployment.callerMs)
 }
 
-// A job whose last run is told right after the whole core came back ends only
-// once the fleet's time is known: how long it is kept is counted from then.
+// Guards against finished jobs that are dropped too early. A job whose last end is reported right after
+// the whole core restarted must end only once cluster time is known, as its retention is counted from
+// its end.
 func TestJobEndsWhileTimeIsUnknown(t *testing.T) {
 	for seed := range uint64(4) {
 		b := formPlatform(t, 7100+seed, chosenDeployments()[seed%2])
@@ -58,14 +59,14 @@
 		for _, host := range b.disks() {
 			for _, name := range b.nodes[host].sh.node.store.ShardNames() {
 				b.nodes[host].sh.node.store.Shard(name).EachFinished(func(r statestore.Record) {
-					must.Greater(t, int64(wallStart), r.DoneMs, must.Sprint(host, " keeps ", r.ID, " as done at ", r.DoneMs))
+					must.Greater(t, int64(wallStart), r.DoneMs, must.Sprint(host, " records ", r.ID, " as done at ", r.DoneMs))
 				})
 			}
 		}
-		b.run(12_000) // past the next look for what was kept long enough
+		b.run(12_000) // past the next check for expired jobs
 		b.lookAtAll()
 		for _, j := range jobs {
-			must.True(t, !j.acked || j.state == "complete", must.Sprintf("job %s is told as %s", j.id, j.state))
+			must.True(t, !j.acked || j.state == "complete", must.Sprintf("job %s is reported as %s", j.id, j.state))
 		}
 		verdictOfPlatform(t, b)
 	}
@@ -73,9 +74,8 @@
 
 const coreLossCISeeds = 4
 
-// TestCoreLossDays plays days on which the core loses power right after jobs were
-// accepted, its disks stall, it is killed again, and a member loses its disk.
-// With -seeds and -from on so many and those seeds.
+// Guards against the loss of accepted jobs when the core loses power right after it accepted them, its
+// disks stall, it is killed again and a member loses its disk. -seeds and -from choose the seeds.
 func TestCoreLossDays(t *testing.T) {
 	count := coreLossCISeeds
 	if *seedsFlag > 0 {
@@ -120,8 +120,8 @@
 	}
 }
 
-// A member that restarts while a new one copies it numbers its chunks anew: the
-// copy begins again there, so that it leaves nothing out.
+// Guards against an incomplete copy: a member that restarts numbers its chunks anew, so a new member
+// that is copying from it must begin the copy again.
 func TestCopyOutlivesARestart(t *testing.T) {
 	w := formed(t, 6, "ikenna")
 	const many, gone = 20_000, 8000
@@ -154,7 +154,7 @@
 		w.step()
 	}
 	must.Greater(t, firstChunk, asked())
-	source.disk.entries, source.disk.synced = nil, 0 // as after a snapshot
+	source.disk.entries, source.disk.synced = nil, 0 // as left by a snapshot
 	source.disk.plant(source.sh.node.store.Dump()...)
 	source.kill(false)
 	source.start()
@@ -163,8 +163,8 @@
 	must.Eq(t, kept, joiner.sh.node.store.Shard("mid").Finished())
 }
 
-// Finished jobs go only by a time that a majority of the core tells: a member that
-// is cut off and whose clock runs a week ahead drops nothing.
+// Guards against finished jobs that are dropped by a wrong clock: they expire by the time of a majority
+// of the core, so an isolated member whose clock is a week ahead must drop nothing.
 func TestKeepingNeedsTheTimeOfAMajority(t *testing.T) {
 	w := formed(t, 4, "ikenna")
 	w.run(3000)
@@ -188,7 +188,7 @@
 	for _, name := range []string{"d00", "d01"} {
 		must.Eq(t, 100, w.nodes[name].sh.node.store.Shard("mid").Finished(), must.Sprint(name))
 	}
-	for _, name := range sortedKeys(w.nodes) { // once a week has passed they go
+	for _, name := range sortedKeys(w.nodes) { // once a week has passed they are dropped
 		w.nodes[name].skewMs = week
 	}
 	w.run(30_000)
@@ -197,8 +197,8 @@
 	}
 }
 
-// A state from the core tells an end that was told before: where one member holds the
-// job as finished and another as live, only those who have not answered yet can say.
+// Guards against a job state read from the core that goes back behind an end that was already reported.
+// If one member has the job as finished and another as live, the remaining members must decide.
 func TestStateFromCoreDoesNotGoBack(t *testing.T) {
 	w := formed(t, 4, "ikenna")
 	n := w.nodes["d05"].sh.node
@@ -215,14 +215,14 @@
 	}{
 		{3, [][]statestore.Record{finished, live, finished}, "complete"},
 		{3, [][]statestore.Record{live, finished, finished}, "complete"},
-		{3, [][]statestore.Record{live, finished, live}, "running"}, // nobody can have been told of that end
+		{3, [][]statestore.Record{live, finished, live}, "running"}, // that end cannot have been reported
 		{3, [][]statestore.Record{live, live}, "running"},
 		{3, [][]statestore.Record{finished, finished}, "complete"},
 		{3, [][]statestore.Record{finished, live}, ""},
-		{2, [][]statestore.Record{finished, live}, ""}, // it may have been told by who left since, and this member
+		{2, [][]statestore.Record{finished, live}, ""}, // a member that left since and this one may have reported the end
 		{2, [][]statestore.Record{live, live}, "running"},
 		{4, [][]statestore.Record{live, finished, live}, ""},
-		{4, [][]statestore.Record{live, finished, finished, live}, ""}, // and here before the set grew
+		{4, [][]statestore.Record{live, finished, finished, live}, ""}, // here it may have been reported before the set grew
 		{4, [][]statestore.Record{finished, live, finished, finished}, "complete"},
 	} {
 		n.effects, n.core = nil, full
@@ -235,7 +235,7 @@
 		n.readFromCore(&request{id: 7, op: "job.get", key: "j", receivedMs: n.now}, "no owner")
 		op, state := n.opSeq, ""
 		for i, records := range c.answers {
-			must.Eq(t, "", state, must.Sprint("answered before ", i))
+			must.Eq(t, "", state, must.Sprint("replied before record set ", i))
 			head := wire.Header{From: fmt.Sprint("d0", i), To: n.Instance}
 			for _, e := range reduce(n, event{NowMs: n.now, WallMs: n.wall, Body: evMsg{Head: head, Msg: &wire.FetchResponse{Op: op, Records: records}}}) {
 				if r, ok := e.(effReply); ok {
@@ -243,7 +243,7 @@
 				}
 			}
 		}
-		must.Eq(t, c.want, state, must.Sprint(len(c.answers), " answers"))
+		must.Eq(t, c.want, state, must.Sprint(len(c.answers), " replies"))
 		delete(n.quorumReads, op)
 	}
 }
--- a/internal/daemon/heartbeat_test.go
+++ b/internal/daemon/heartbeat_test.go
@@ -11,7 +11,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// pinned gives a daemon that a worker beats to, and a way to beat.
+// agentOfWorker returns a daemon that is the agent of worker w1, and a function that sends the worker's
+// next heartbeat some time later and returns the reply.
 func pinned(t *testing.T) (*node, func(afterMs int64, lists string) heartbeatReply) {
 	n := newNode(nodeConfig{Name: "side-1", Incarnation: 7, Zone: "east", MaxHoldMs: holdMostMs}, nil)
 	n.core = quorum.Set{Cluster: 1, Version: 1, Members: []quorum.Member{{Name: "d00", DiskID: 1}}, Shards: []string{"east"}}
@@ -27,7 +28,7 @@
 				return a
 			}
 		}
-		t.Fatal("a beat was not answered")
+		t.Fatal("a heartbeat got no reply")
 		return heartbeatReply{}
 	}
 }
@@ -36,9 +37,8 @@
 	return fmt.Sprintf(`,"running":[{"job":"%s","round":0,"step":0,"index":%d,"run":%d,"saved":"","percent":%d}]`, job, index, run, percent)
 }
 
-// A gang ends for all its members at once: the fastest stands at its last
-// percent until the slowest is there, and must not be taken for one that stands still.
-// Any other work that doesn't move is stopped.
+// Guards against a gang that is stopped as stalled at its end: all members end together, so the fastest
+// stays at its last percent until the slowest has arrived. Other work without progress is stopped.
 func TestGangWaitsAtItsEnd(t *testing.T) {
 	for _, c := range []struct {
 		gang    bool
@@ -54,13 +54,13 @@
 	}
 }
 
-// What an answer ordered and the next beat doesn't list was never started; a run
-// that nobody confirms is held no longer than its owner's word is good.
+// An attempt that was ordered in a reply and is missing from the next heartbeat was never started. An
+// attempt without confirmation is held no longer than its owner's last reply is valid.
 func TestHoldEndsWithTheOwnersWord(t *testing.T) {
 	n, beat := pinned(t)
 	must.Eq(t, int64(holdMaxMs), beat(100, "").HoldMs)
 	a := beat(50, running("j1", 0, 1, 10))
-	must.Eq(t, int64(0), a.HoldMs) // found running, and no owner has spoken: what an earlier answer held must do
+	must.Eq(t, int64(0), a.HoldMs) // found running without a reply from its owner; the hold of an earlier reply applies
 	agent := n.agents["w1"]
 	attempt := agent.attempts[wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}]
 	attempt.specUnknown, attempt.confirmedMs = false, n.now
@@ -75,8 +75,8 @@
 	must.Eq(t, wire.ResultRejected, agent.attempts[wire.AttemptKey{Job: "j2", Task: uniformTaskID(0, 0, 1), Attempt: 3}].result)
 }
 
-// Another worker at the same place means that the former has crashed; an end is
-// taken note of only once its owner has it.
+// Another worker at the same address means that the former has crashed. An end is acknowledged to the
+// worker only once its owner has recorded it.
 func TestWorkerReplacedAtItsPlace(t *testing.T) {
 	n, beat := pinned(t)
 	beat(100, running("j1", 0, 1, 10))
@@ -96,23 +96,22 @@
 
 func jsonTo(b []byte, out any) error { return json.Unmarshal(b, out) }
 
-// An order leaves in one answer only, whether that answer arrived or not: not in
-// the answer to the same beat sent again, nor to an earlier one that comes late,
-// nor to later ones.
+// Guards against an order that is sent twice: it must be in one reply only, whether that reply arrived
+// or not, and not in replies to the same heartbeat resent, to a late earlier one or to later ones.
 func TestHeartbeatOrderIsGivenOnce(t *testing.T) {
 	key := wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}
 	for _, c := range []struct {
 		name  string
-		lists string // of the next beat
+		lists string // content of the next heartbeat
 		state wire.AttemptState
-	}{{"the answer arrived", running("j1", 0, 1, 0), wire.AttemptRunning}, {"the answer was lost", "", wire.AttemptEnded}} {
+	}{{"the reply arrived", running("j1", 0, 1, 0), wire.AttemptRunning}, {"the reply was lost", "", wire.AttemptEnded}} {
 		n, beat := pinned(t)
 		beat(100, "")
 		agent := n.agents["w1"]
 		attempt := &agentAttempt{state: wire.AttemptOrdered, orderSeq: agent.reportSeq + 1, confirmedMs: n.now + 60_000, spec: wire.TaskSpec{Key: key, Payload: []byte(`"text"`)}}
 		agent.attempts[key], agent.toStart = attempt, []*agentAttempt{attempt}
 		must.Len(t, 1, beat(50, "").Start, must.Sprint(c.name))
-		for seq := range int64(2) { // the same beat again and those before it, over other connections
+		for seq := range int64(2) { // the same heartbeat again and the one before it, over other connections
 			for _, e := range reduce(n, event{NowMs: n.now, WallMs: 1, Seed: 1, Body: evRequest{ID: 77, Op: "worker.beat", Key: "w1", Base: -1,
 				Body: fmt.Appendf(nil, `{"seq":%d,"site":"east","capacity":{"cpu":8000}}`, seq+1)}}) {
 				if r, ok := e.(effReply); ok {
--- a/internal/daemon/newrules_test.go
+++ b/internal/daemon/newrules_test.go
@@ -9,7 +9,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// Requirements of the platform that checkPlatformRun doesn't cover, each provoked in the simulator.
+// Requirements of the platform that the general check of platform worlds doesn't cover.
 
 // newRuleSeeds is the number of seeds per test in CI; -seeds runs more, beginning at -from.
 const newRuleSeeds = 3
--- a/internal/daemon/outcome_test.go
+++ b/internal/daemon/outcome_test.go
@@ -10,7 +10,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// A refusal is passed on only where no earlier try of the call can have been done.
+// A rejection is returned to the caller only if no earlier try of the call can have been applied.
 func TestRefusalIsSure(t *testing.T) {
 	for _, c := range []struct {
 		op, queue string
@@ -23,8 +23,8 @@
 		{"job.put", "q", true, 409, 409}, {"job.put", "q", true, 201, 201}, {"job.put", "q", true, 200, 200},
 		{"job.cancel", "q", true, 503, 504}, {"job.cancel", "q", true, 429, 504}, {"job.cancel", "q", false, 503, 503},
 		{"job.cancel", "q", true, 404, 404}, {"job.cancel", "q", true, 409, 409}, {"job.cancel", "q", true, 200, 200},
-		{"job.state", "q", true, 503, 503}, // nothing is done by it
-		{"job.put", "", true, 503, 503},    // the product's own interface: each call is safe to repeat
+		{"job.state", "q", true, 503, 503}, // it has no effect
+		{"job.put", "", true, 503, 503},    // otterchute's own interface: each call is safe to repeat
 	} {
 		n := newNode(nodeConfig{Name: "a"}, nil)
 		n.respond(&request{id: 1, op: c.op, queue: c.queue, maybeApplied: c.unsure}, c.status, 0, nil)
@@ -32,8 +32,8 @@
 	}
 }
 
-// addressedWorld gives a fleet with one queue at an address, a daemon that takes
-// the calls and another that owns slices.
+// addressedWorld returns a fleet with one queue at an address, a daemon that receives the calls and
+// another that owns shards.
 func addressedWorld(t *testing.T) (w *world, front, owner *simNode) {
 	t.Helper()
 	w = served(t, 11)
@@ -45,7 +45,7 @@
 	return w, front, owner
 }
 
-// startsNamed is how many runs of a job were begun at workers.
+// startsNamed returns the number of attempts of a job that workers started.
 func (w *world) startsNamed(job string) (starts int) {
 	for _, e := range w.history {
 		if e.Kind == historycheck.Start && e.Job == job {
@@ -55,7 +55,7 @@
 	return starts
 }
 
-// exchange is one message on its way in a call that is handed over.
+// exchange matches one message of a forwarded call.
 type exchange struct {
 	name string
 	is   func(msg any) bool
@@ -70,10 +70,11 @@
 	{"answer", func(m any) bool { _, ok := m.(*wire.ForwardReply); return ok }},
 }
 
-// faults are what happens when a message of an exchange is sent. Each gives
-// how long that message takes in us; lost is for messages that never arrive.
+// lost is the delay of a message that never arrives, in us.
 const lost = int64(1) << 50
 
+// exchangeFaults are the faults that are injected when a message of an exchange is sent. Each returns
+// the additional delay of that message in us.
 var exchangeFaults = []struct {
 	name string
 	do   func(w *world, front, owner *simNode) int64
@@ -102,11 +103,9 @@
 	}},
 }
 
-// At each message of a call that is handed over, that message is lost or late,
-// or one of the two daemons goes and comes back. The caller's word and the
-// owner's records are compared: "taken" is kept, "not taken" isn't there and
-// never ran, all else is told as unknown, and the same call sent again makes
-// the job once.
+// Guards against a submit whose reply contradicts the owner's records, with a fault at each message of
+// the forwarded call. An accepted job is kept, a rejected one is neither known nor started, any other
+// outcome is reported as unknown, and the same call repeated creates the job once.
 func TestForwardedCallsAtEachStep(t *testing.T) {
 	for _, step := range exchanges {
 		for _, fault := range exchangeFaults {
@@ -142,18 +141,18 @@
 				status, _ := known()
 				switch first {
 				case 200, 201:
-					must.Eq(t, 200, status, must.Sprint("taken, and not known"))
+					must.Eq(t, 200, status, must.Sprint("accepted, but not known"))
 				case 429, 503:
-					must.Eq(t, 410, status, must.Sprint("not taken, and known"))
-					must.Zero(t, w.startsNamed(id), must.Sprint("not taken, and started"))
-				case 504, 0: // the caller knows that it doesn't know
+					must.Eq(t, 410, status, must.Sprint("rejected, but known"))
+					must.Zero(t, w.startsNamed(id), must.Sprint("rejected, but started"))
+				case 504, 0: // reported as unknown
 				default:
-					t.Fatalf("answered %d", first)
+					t.Fatalf("status %d", first)
 				}
 				second := send(w.nodes["d01"])
-				t.Logf("first answered %d, then %d", first, second)
+				t.Logf("status %d first, then %d", first, second)
 				must.SliceContains(t, []int{200, 201}, second)
-				must.True(t, w.until(20_000, func() bool { return w.startsNamed(id) > 0 }), must.Sprint("it was taken and never runs"))
+				must.True(t, w.until(20_000, func() bool { return w.startsNamed(id) > 0 }), must.Sprint("the job was accepted and never runs"))
 				holders := 0
 				for _, n := range w.nodesInOrder() {
 					for _, shard := range n.sh.node.shards {
@@ -162,15 +161,15 @@
 						}
 					}
 				}
-				must.Eq(t, 1, holders, must.Sprint("the job stands more or less than once"))
+				must.Eq(t, 1, holders, must.Sprint("the job must be recorded exactly once"))
 				must.Eq(t, 1, w.startsNamed(id), must.Sprint("its task was started more than once"))
 			})
 		}
 	}
 }
 
-// The same for a cancel: "done" stands, and the same call sent again ends the
-// job, which never starts after that.
+// The same for a cancel: an accepted one is kept, and the same call repeated ends the job, which never
+// starts again.
 func TestForwardedCancelAtEachStep(t *testing.T) {
 	for _, step := range exchanges {
 		if step.name == "look" || step.name == "looked" {
@@ -211,13 +210,13 @@
 				case 200:
 					must.Eq(t, "cancelled", state())
 				case 429, 503:
-					must.Eq(t, "running", state(), must.Sprint("not done, and done"))
+					must.Eq(t, "running", state(), must.Sprint("rejected, but cancelled"))
 				case 504, 0:
 				default:
-					t.Fatalf("answered %d", first)
+					t.Fatalf("status %d", first)
 				}
 				second := call(w.nodes["d01"], "queue.cancel").status
-				t.Logf("first answered %d, then %d", first, second)
+				t.Logf("status %d first, then %d", first, second)
 				must.Eq(t, 200, second)
 				must.Eq(t, "cancelled", state())
 				starts := w.startsNamed(id)
