--- a/internal/daemon/archive_test.go
+++ b/internal/daemon/archive_test.go
@@ -17,7 +17,7 @@
 
 var dayFlag = flag.Int("day", 0, "finished jobs in TestMeasureDay; 0 to leave it out")
 
-// recordsIn counts what can be found of a shard.
+// recordsIn returns the number of live and finished jobs in a shard.
 func recordsIn(st *statestore.Store, shard string) int {
 	replica := st.Shard(shard)
 	return len(replica.Live()) + replica.Finished()
@@ -28,8 +28,8 @@
 	return statestore.Entry{Kind: statestore.EntryRecord, Name: slice, Record: statestore.Record{ID: j.ID, Epoch: 3, Version: 9, DoneMs: doneMs, Confirmed: true, Value: j.encode()}}
 }
 
-// A replaced member copies many finished jobs in parts: no message grows with
-// them, and each can be found there afterwards.
+// Guards against copy messages that grow with the number of finished jobs: a replaced member must copy
+// them in parts, and have every one of them afterwards.
 func TestCopyInParts(t *testing.T) {
 	w := formed(t, 6, "ikenna")
 	const many = 20_000
@@ -48,13 +48,13 @@
 	must.Less(t, 3*statestore.ChunkBytes, w.largest)
 }
 
-// A slice's live jobs are bounded in bytes too, since a new owner gets them in
-// one message: beyond that jobs are bounced, and a takeover still works.
+// Guards against live jobs of a shard that don't fit into the one message in which a new owner gets
+// them: beyond a bound in bytes jobs are rejected, and a takeover still works.
 func TestLargeLiveJobsAreBounded(t *testing.T) {
 	w := formed(t, 6, "hakata")
 	big := w.oneTask("refresh", 100, 1, 5000, 1)
 	big.DelayMs = 3_600_000
-	big.Steps[0].Tasks[0].Payload = map[string]string{"list": string(make([]byte, 100_000))} // six times that as JSON
+	big.Steps[0].Tasks[0].Payload = map[string]string{"list": string(make([]byte, 100_000))} // six times as large in JSON
 	for range 160 {
 		w.submit(big)
 		w.run(50)
@@ -76,7 +76,7 @@
 	must.Less(t, wire.MaxFrame, w.largest)
 }
 
-// What a day's jobs cost a core member, on this machine.
+// TestMeasureDay measures the memory and time that a day's jobs cost a core member.
 func TestMeasureDay(t *testing.T) {
 	if *dayFlag == 0 {
 		t.Skip("only with -day")
@@ -102,8 +102,8 @@
 		t.Logf("%s: %.1f ms", what, float64(time.Since(began).Microseconds())/1000)
 	}
 	var dump []statestore.Entry
-	took("dump for a snapshot, on the control thread", func() { dump = st.Dump() })
-	took("snapshot written beside it", func() {
+	took("dump for a snapshot, on the control loop", func() { dump = st.Dump() })
+	took("snapshot written concurrently", func() {
 		d.Snapshot(dump)
 		d.Close()
 	})
@@ -114,7 +114,7 @@
 	took("a part of a copy", func() {
 		n.onCopyRequest("d01", &wire.CopyRequest{SetVersion: 1, Cursor: statestore.Cursor{Shard: "mid", Chunk: 5, Instance: n.Instance}})
 	})
-	took("drop of an hour", func() {
+	took("expiry of an hour", func() {
 		for _, s := range slices {
 			st.Apply(statestore.Entry{Kind: statestore.EntryExpire, Name: s, Epoch: uint64(wallStart + 3_600_000)})
 		}
--- a/internal/daemon/batch_test.go
+++ b/internal/daemon/batch_test.go
@@ -91,7 +91,7 @@
 	must.Eq(t, at(1, 22), p.OpenMs)
 	must.Eq(t, at(2, 8), p.DeadlineMs)
 
-	// the plan follows the clock, back and forth
+	// a clock that goes back holds the job again, one that jumps ahead starts it
 	p = planBatch(night, "j1", came, at(0, 21), msPerHour)
 	must.False(t, p.mayStart(at(0, 21), 1000))
 	must.True(t, planBatch(night, "j1", came, at(2, 0), msPerHour).AtAnyPrice)
--- a/internal/daemon/central_test.go
+++ b/internal/daemon/central_test.go
@@ -30,13 +30,13 @@
 	return n
 }
 
-// occupy gives a worker firm work.
+// occupy sets the resources of a worker that guaranteed tasks use.
 func occupy(n *node, worker string, cpu int64) {
 	w := n.central.workers[worker]
 	w.guaranteed, w.occupied = resource.Amount{CPU: cpu}, resource.Amount{CPU: cpu}
 }
 
-// grantAfter lets time pass and grants; it gives the workers of a job's grants.
+// grantAfter advances time, allocates, and returns a job's number of granted tasks by worker.
 func grantAfter(n *node, ms int64, job string) map[string]int {
 	n.now += ms
 	n.config.confirmedMs = n.now
@@ -69,8 +69,8 @@
 	c.pending[allocationKeyOf(&request.AllocationRequest)] = request
 }
 
-// A gang that asks for one rack waits for one as long as that is worth more than
-// a run over several, and no longer.
+// A gang that prefers a single rack waits for one only as long as spreading over several racks would
+// cost more.
 func TestGangWaitsForOneRack(t *testing.T) {
 	for name, c := range map[string]struct {
 		spreadFactor  float64
@@ -87,7 +87,7 @@
 			gang := wantOf("gang", "mid", 3, 3000, c.estMs)
 			gang.Gang, gang.SameRack = true, true
 			n.central.add(n.now, gang)
-			for _, i := range []int{1, 2, 4, 5} { // queueable work, so that the fleet isn't idle
+			for _, i := range []int{1, 2, 4, 5} { // queueable work, so that the fleet is not idle
 				n.central.workers[fmt.Sprint("w", i)].occupied = resource.Amount{CPU: 3000}
 			}
 			must.MapEmpty(t, grantAfter(n, c.waitMs-100, "gang"))
@@ -96,22 +96,21 @@
 	}
 }
 
-// Room of one rack is kept for a gang that waits for it, whatever gets free
-// there: its own lesser queues' work goes to the other rack, or waits. Work of more
-// urgent queues does not.
+// Guards against a gang that never gets its rack because smaller tasks take each resource freed there.
+// Tasks of less urgent queues must use the other rack or wait; those of more urgent queues need not.
 func TestRackIsKeptForGang(t *testing.T) {
 	n := rackNode(t, 3)
 	for i := range 6 {
 		occupy(n, fmt.Sprint("w", i), 3000)
 	}
-	occupy(n, "w1", 0) // so the likeliest rack is r0
+	occupy(n, "w1", 0) // so r0 is the most likely rack
 	gang := wantOf("gang", "mid", 3, 3000, 20_000)
 	gang.Gang, gang.SameRack = true, true
 	n.central.add(n.now, gang)
 	n.central.add(n.now, wantOf("single", "low", 1, 3000, 3000))
 	n.central.add(n.now, wantOf("urgent", "high", 1, 400, 3000))
 	must.MapEmpty(t, grantAfter(n, 200, "gang"))
-	must.MapEmpty(t, grantAfter(n, 0, "single"), must.Sprint("it took the kept rack's room"))
+	must.MapEmpty(t, grantAfter(n, 0, "single"), must.Sprint("it took the resources reserved in the rack"))
 	must.MapLen(t, 1, grantAfter(n, 0, "urgent"))
 	occupy(n, "w4", 0)
 	must.Eq(t, map[string]int{"w4": 1}, grantAfter(n, 200, "single"))
@@ -121,8 +120,8 @@
 	must.Eq(t, map[string]int{"w0": 1, "w1": 1, "w2": 1}, grantAfter(n, 200, "gang"))
 }
 
-// While most room is free no gang waits for one rack for long: a job must not stand
-// still beside idle workers.
+// Guards against a job that waits beside idle workers: while most of the fleet is free, a gang must not
+// wait long for a single rack.
 func TestGangTakesSeveralRacksOfIdleFleet(t *testing.T) {
 	n := rackNode(t, 3)
 	occupy(n, "w0", 3000)
@@ -134,7 +133,7 @@
 	must.MapLen(t, 3, grantAfter(n, 100, "gang"))
 }
 
-// Where no rack could ever hold a gang, it doesn't wait for one.
+// A gang that no single rack can hold doesn't wait for one.
 func TestGangTooLargeForOneRack(t *testing.T) {
 	n := rackNode(t, 3)
 	gang := wantOf("gang", "mid", 5, 3000, 20_000)
--- a/internal/daemon/cold_test.go
+++ b/internal/daemon/cold_test.go
@@ -8,8 +8,8 @@
 	"otterchute/internal/lease"
 )
 
-// How long the fleet takes, in simulated ms, from the return of all machines
-// until each kind of duty is held, all of them are, and work starts again.
+// TestMeasureReturn measures, in simulated ms, how long after a fault the roles of each kind are held
+// again, and when the next task starts.
 func TestMeasureReturn(t *testing.T) {
 	if !*measureFlag {
 		t.Skip("only with -measure")
@@ -66,7 +66,7 @@
 				startMs = append(startMs, w.history[from+i].AtMs-at)
 			}
 		}
-		t.Logf("| %s | slices %d / %d | agents rebuilt %d / %d | central %d / %d | first start %d / %d |", what, pick(slicesMs, .5), pick(slicesMs, 1),
+		t.Logf("| %s | shards %d / %d | agents rebuilt %d / %d | central %d / %d | first start %d / %d |", what, pick(slicesMs, .5), pick(slicesMs, 1),
 			pick(agentsMs, .5), pick(agentsMs, 1), pick(centralMs, .5), pick(centralMs, 1), pick(startMs, .5), pick(startMs, 1))
 	}
 }
--- a/internal/daemon/entering_test.go
+++ b/internal/daemon/entering_test.go
@@ -9,9 +9,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// Calls about a job that come while its owner still looks whether it is known
-// wait for that, and each gets the answer to its own call: a job is cancelled
-// and its state told, not handed in once more.
+// Guards against mixed-up replies to calls that arrive while the owner looks up their job: each waits for
+// the lookup and gets the reply to its own operation. A cancel or a read must not act as a submit.
 func TestCallsThatWaitForAJob(t *testing.T) {
 	w := formed(t, 1, "hakata")
 	w.run(3000)
@@ -19,7 +18,7 @@
 	id, queue := idOwnedBy(w, owner, "job"), w.dep.InitialConfiguration().Queues[0].Name
 	w.detain = func(_, _ string, msg any) int64 {
 		if _, ok := msg.(*wire.FetchResponse); ok {
-			return 100_000 // so long the owner looks
+			return 100_000 // delays the lookup
 		}
 		return 0
 	}
@@ -39,7 +38,7 @@
 	must.True(t, w.until(2000, func() bool { return len(got) == 4 }))
 	must.Eq(t, 201, got["job.put"].status)
 	must.Eq(t, 200, got["job.state"].status, must.Sprint(string(got["job.state"].body)))
-	must.SliceContains(t, []string{"pending", "cancelled"}, gjson.GetBytes(got["job.state"].body, "state").Str) // both calls are under way
+	must.SliceContains(t, []string{"pending", "cancelled"}, gjson.GetBytes(got["job.state"].body, "state").Str) // the cancel is in progress
 	must.Eq(t, 200, got["job.get"].status, must.Sprint(string(got["job.get"].body)))
 	must.Eq(t, 200, got["job.cancel"].status, must.Sprint(string(got["job.cancel"].body)))
 	status, _, body, _ := w.asked("caller", owner, "job.state", id, nil)
@@ -47,8 +46,8 @@
 	must.Eq(t, "cancelled", gjson.GetBytes(body, "state").Str)
 }
 
-// Where the job is turned away in the end, so are only those who hand it in:
-// for the others there is no such job.
+// If the job is rejected in the end, only the submit gets the rejection. For other calls the job doesn't
+// exist.
 func TestCallsThatWaitForARejectedJob(t *testing.T) {
 	w := formed(t, 1, "hakata")
 	w.run(3000)
@@ -68,7 +67,7 @@
 	send("job.put", jobBody(queue))
 	send("job.state", nil)
 	send("job.cancel", nil)
-	owner.sh.node.config.confirmedMs = -1 << 40 // the setup isn't confirmed when the look has ended
+	owner.sh.node.config.confirmedMs = -1 << 40 // the configuration is unconfirmed when the lookup ends
 	w.detain = func(_, _ string, msg any) int64 {
 		if _, ok := msg.(*wire.PollResponse); ok {
 			return 2_000_000
--- a/internal/daemon/fence_test.go
+++ b/internal/daemon/fence_test.go
@@ -11,8 +11,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// coreMember gives a formed world's core member, to be spoken to directly, and
-// what it sends back.
+// coreMemberOf returns a core member of a formed world, and a function that passes it a message and
+// returns its reply.
 func coreMemberOf(t *testing.T) (*node, func(from string, msg any) any) {
 	w := formed(t, 4, "ikenna")
 	n := w.nodes["d01"].sh.node
@@ -36,7 +36,8 @@
 	}
 }
 
-// A write under an epoch that a newer owner has sealed is bounced, whole.
+// Guards against writes of a former owner: one under an epoch that a newer owner has sealed must be
+// rejected whole.
 func TestOldEpochIsFenced(t *testing.T) {
 	n, say := coreMemberOf(t)
 	v := n.core.Version
@@ -46,11 +47,11 @@
 	must.Zero(t, recordsIn(n.store, "fenced"))
 	must.False(t, say("d08", &wire.SealRequest{SetVersion: v, Shard: "fenced", Epoch: 6}).(*wire.SealResponse).OK)
 	must.True(t, say("d09", &wire.WriteRequest{SetVersion: v, Shard: "fenced", Epoch: 7, Seq: 1, Records: rec}).(*wire.WriteResponse).OK)
-	must.Nil(t, say("d09", &wire.WriteRequest{SetVersion: v - 1, Shard: "fenced", Epoch: 7, Seq: 2, Records: rec})) // asked under another core set
+	must.Nil(t, say("d09", &wire.WriteRequest{SetVersion: v - 1, Shard: "fenced", Epoch: 7, Seq: 2, Records: rec})) // sent under another core set
 }
 
-// A lease excludes others until it ends, and a member that has just started
-// grants none before one lease has passed.
+// Guards against two holders of a lease: it excludes others until it ends, and a member that has just
+// started grants none for the duration of a lease.
 func TestLeaseExcludes(t *testing.T) {
 	n, say := coreMemberOf(t)
 	poll := func(from string, inc uint64) bool {
@@ -59,7 +60,7 @@
 	must.True(t, poll("x08", 1))
 	must.True(t, poll("x08", 1))
 	must.False(t, poll("x09", 1))
-	must.False(t, poll("x08", 2)) // the same name started again is another holder
+	must.False(t, poll("x08", 2)) // a restarted daemon of the same name is another holder
 	n.now += lease.DurationMs + 1
 	must.True(t, poll("x09", 1))
 	n.now += lease.DurationMs + 1
@@ -70,9 +71,8 @@
 	must.True(t, poll("x09", 1))
 }
 
-// A lease need not be waited out where a later life of its holder is heard from
-// at the holder's own address: only one process can listen there. Under another
-// address the former may still run.
+// A lease ends early once a later incarnation of its holder is seen at the same address: only one process
+// can listen there. At another address the former incarnation may still run.
 func TestLeaseOfAnIncarnationThatEnded(t *testing.T) {
 	n, say := coreMemberOf(t)
 	poll := func(from string, inc uint64) *wire.PollResponse {
@@ -89,7 +89,7 @@
 	heard("x08", 2, "10.0.0.8:7000")
 	must.True(t, poll("x09", 1).Granted[0])
 
-	// After a start the grants are forgotten: what the register says of the last holder counts.
+	// After a restart the grants are lost: the last holder in the register counts.
 	n.granter = lease.NewGranter()
 	n.granter.DelayGrants(n.now)
 	n.store.Register("duty/slice/some").Value = codec.Append(nil, wire.RoleHolder{Name: "slice/some", Holder: "x07", Incarnation: 5, Addr: "10.0.0.7:7000", Epoch: 3})
@@ -102,9 +102,9 @@
 	must.Eq(t, uint64(3), a.Epochs[0])
 }
 
-// A finished record that only a minority may hold is told to a new owner until
-// a majority is known to hold it, and the new owner writes it back: else a later
-// owner could meet the job alive again.
+// Guards against a finished job that a later owner sees as live again. A finished record that only a
+// minority may hold must be returned to each new owner, which writes it back, until a majority is known
+// to hold it.
 func TestUnconfirmedFinishIsWrittenBack(t *testing.T) {
 	n, say := coreMemberOf(t)
 	v := n.core.Version
@@ -134,7 +134,7 @@
 				if m, ok := s.Msg.(*wire.WriteRequest); ok {
 					wrote = m.Records
 				}
-				if m, ok := s.Msg.(*wire.FetchRequest); ok { // the other member is asked for it by name
+				if m, ok := s.Msg.(*wire.FetchRequest); ok { // the other member is asked for the record
 					for _, e := range reduce(owner, event{NowMs: owner.now, WallMs: owner.wall, Body: evMsg{Head: wire.Header{From: s.To, To: owner.Instance}, Msg: &wire.FetchResponse{Op: m.Op}}}) {
 						if s, ok := e.(effSend); ok {
 							if m, ok := s.Msg.(*wire.WriteRequest); ok {
--- a/internal/daemon/grey_test.go
+++ b/internal/daemon/grey_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// failFor has workers fail a share of their tasks for so many ms, while they look well.
+// failFor makes workers fail a share of their tasks for some ms, while they appear healthy.
 func (b *platformWorld) failFor(workers []*platformWorker, share float64, ms int64) {
 	for _, s := range workers {
 		calm := b.workerTrouble("failing", s)
@@ -20,9 +20,9 @@
 	}
 }
 
-// greyDay is a day on which a tenth of the workers fails 80 percent of its tasks for some
-// seconds, and 40 percent for some more. It gives how many jobs that could be done were
-// failed, of how many, and how often workers were ejected that were well.
+// greyDay simulates a day on which a tenth of the workers fail 80 percent of their tasks for 7 s, then 40
+// percent for another 7 s. It returns how many jobs that could succeed failed, of how many, and how often
+// healthy workers were ejected.
 func greyDay(b *platformWorld) (failed, jobs int, falsely int64) {
 	b.traffic()
 	b.run(5000)
@@ -52,19 +52,19 @@
 	return failed, jobs, falsely
 }
 
-// Workers that fail their tasks while they look well cost hardly a job: their agents find them
-// by a few ends, and what failed goes elsewhere.
+// Guards against jobs lost to workers that fail their tasks while they appear healthy: agents must detect
+// them after a few failed attempts, and retries must go to other workers.
 func TestGreyWorkersCostFewJobs(t *testing.T) {
 	eachNewRuleSeed(t, []string{"hakata-grown", "ikenna-grown"}, func(t *testing.T, b *platformWorld) {
 		failed, jobs, falsely := greyDay(b)
-		t.Logf("%d of %d jobs failed; workers that were well ejected %d times", failed, jobs, falsely)
+		t.Logf("%d of %d jobs failed; healthy workers were ejected %d times", failed, jobs, falsely)
 		must.LessEq(t, jobs/100, failed, must.Sprintf("of %d jobs", jobs))
 		must.LessEq(t, 3, falsely)
 		verdictOfPlatform(t, b)
 	})
 }
 
-// Without the policy the same day costs many more: the test above sees what it is meant to see.
+// Without ejection the same day costs many more jobs, so the test above detects a missing policy.
 func TestGreyWorkersWithoutEjection(t *testing.T) {
 	b := formPlatform(t, 7300, "hakata-grown")
 	off, err := scheduler.ParseSet("eject_unhealthy,avoid_last")
--- a/internal/daemon/job_encode_test.go
+++ b/internal/daemon/job_encode_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// The form in segments is the form of the codec, so that records of earlier releases are
-// read, and each segment but the first and the last is a task.
+// The segmented encoding equals that of the codec, so that records of earlier releases can be read. Each
+// segment but the first and the last is a task.
 func TestJobIsEncodedInSegments(t *testing.T) {
 	sample, next := reflect.New(reflect.TypeFor[jobRecord]()), uint64(0)
 	sampleValue(sample.Elem(), &next)
--- a/internal/daemon/job_timeline_test.go
+++ b/internal/daemon/job_timeline_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// explain gives what `otterchute job explain` shows of a job, as any edge daemon tells it.
+// explain returns a job's timeline as `otterchute job explain` gets it from an edge daemon.
 func (b *platformWorld) explain(t *testing.T, id string) (timeline jobTimeline, status int) {
 	t.Helper()
 	got := b.settle(b.nodes[b.edgeHosts[len(b.edgeHosts)-1]], evRequest{Op: "job.explain", Key: id, Base: -1}, 3000)
@@ -19,8 +19,8 @@
 	return timeline, got.status
 }
 
-// Each stage of a job that ran through is told, and the stages of its tasks fit into the
-// whole; the histograms have all of them.
+// A completed job's timeline has its stages, whose times sum up to no more than the total, and the
+// histograms have every stage.
 func TestExplainTimeline(t *testing.T) {
 	b := formPlatform(t, 11, "ikenna")
 	b.traffic()
@@ -33,7 +33,7 @@
 		got, status := b.explain(t, id)
 		must.Eq(t, 200, status)
 		if got.Since != seenWhole || got.State != "complete" {
-			continue // the last ones alone are kept
+			continue // only the most recent timelines are kept
 		}
 		explained++
 		must.NotEq(t, "", got.Owner)
@@ -41,7 +41,7 @@
 		total := got.StageMs[jobtrace.Total.String()]
 		must.Positive(t, total)
 		for _, task := range got.Tasks {
-			if task.StageMs[jobtrace.Run.String()] > 0 { // it isn't known of a run that nobody saw begin
+			if task.StageMs[jobtrace.Run.String()] > 0 { // unknown for an attempt whose start was not observed
 				observed++
 			}
 			sum := int64(0)
@@ -68,7 +68,7 @@
 	}
 }
 
-// After a takeover the new owner tells what it saw, and that it didn't see the rest.
+// After a takeover the new owner reports what it saw, and that the timeline is incomplete.
 func TestExplainAfterTakeover(t *testing.T) {
 	b := formPlatform(t, 12, "hakata")
 	lasting := b.lastingJob()
--- a/internal/daemon/order_sender_test.go
+++ b/internal/daemon/order_sender_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Every way an order can go, over real connections.
+// Checks each outcome of an order over real connections.
 func TestOrderOutcomes(t *testing.T) {
 	hits, hang := atomic.Int64{}, make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -30,7 +30,7 @@
 	addr := strings.TrimPrefix(s.URL, "http://")
 	late, good := c.clock.nowMs()-1, c.clock.nowMs()+60_000
 	must.Eq(t, "not_sent", c.deliver(effOrder{Addr: addr, NotAfterMs: late, Body: []byte("{}")}))
-	must.Zero(t, hits.Load(), must.Sprint("a late order left"))
+	must.Zero(t, hits.Load(), must.Sprint("an expired order was sent"))
 	must.Eq(t, "started", c.deliver(effOrder{Addr: addr, NotAfterMs: good, Body: []byte("{}")}))
 	must.Eq(t, "turned_away", c.deliver(effOrder{Addr: addr, NotAfterMs: good, Stop: true, Body: []byte("{}")}))
 	must.Eq(t, "unknown", c.deliver(effOrder{Addr: addr, NotAfterMs: good, Body: []byte(`{"id":"never answered"}`)}))
--- a/internal/daemon/patch_test.go
+++ b/internal/daemon/patch_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A core member that missed a version says so at once and gets the records whole; what is
-// acknowledged is at a quorum all the same, and the members end up alike.
+// Guards against core members that differ after a lost write: a member that lacks a record's version
+// must reply so at once and get the whole record. Acknowledged writes are at a quorum all the same.
 func TestMemberThatLacksAVersionGetsItWhole(t *testing.T) {
 	for seed := range uint64(4) {
 		b := formPlatform(t, 7100+seed, "hakata")
@@ -28,7 +28,7 @@
 			}
 			if to == b.diskHosts[0] && len(w.Records) > 0 && lost < 5 {
 				lost++
-				return 300_000_000 // it never comes
+				return 300_000_000 // it never arrives
 			}
 			return 0
 		}
--- a/internal/daemon/quiet_test.go
+++ b/internal/daemon/quiet_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// placedAtWorker gives all tasks that owners have at a worker now.
+// placedAtWorker returns all tasks that owners have placed on a worker now.
 func (b *platformWorld) placedAtWorker(worker string) map[taskRef]bool {
 	placed := map[taskRef]bool{}
 	for _, n := range b.nodesInOrder() {
@@ -22,8 +22,8 @@
 	return placed
 }
 
-// A worker whose machine is cut off, or that falls silent itself, gets no new work soon
-// after, long before it is sure that it is gone; what waits there goes elsewhere.
+// Guards against tasks that are placed on a worker that is cut off or has crashed: placements must stop
+// soon after its last heartbeat, long before it is declared lost.
 func TestQuietWorkerGetsNoNewWork(t *testing.T) {
 	for seed := range uint64(4) {
 		b := formPlatform(t, 7400+seed, []string{"hakata", "ikenna"}[seed%2])
@@ -40,7 +40,7 @@
 		before := b.placedAtWorker(worker)
 		b.run(1500)
 		for ref := range b.placedAtWorker(worker) {
-			must.MapContainsKey(t, before, ref, must.Sprintf("seed %d: %v was placed at a quiet worker", seed, ref))
+			must.MapContainsKey(t, before, ref, must.Sprintf("seed %d: %v was placed on a silent worker", seed, ref))
 		}
 		b.finish(120_000)
 		verdictOfPlatform(t, b)
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -11,14 +11,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// How what a daemon sends and gets grows with the fleet, by kind of message. Counts come from the
-// simulated world, so they are the same on any machine; steps of the control thread are measured,
-// and printed alone.
+// Measures how a daemon's traffic grows with the fleet, by kind of message. The counts come from the
+// simulated world, so they are the same on any machine. The duration of the simulation is only printed.
 
 var largeFleet = flag.Bool("large-fleet", false, "count messages at 300 daemons too, and print all counts")
 
-// fleetOf gives the load of a large deployment's share, on a fifth of machines that take
-// callers and four fifths beside workers.
+// fleetOf returns a deployment with the load of a large one in proportion to its size. A fifth of its
+// daemons serve callers, four fifths are beside workers.
 func fleetOf(daemons int) platformDeployment {
 	deployment := platformDeploymentOf("hakata-grown")
 	deployment.name, deployment.edges = fmt.Sprint("fleet-", daemons), daemons/5
@@ -28,10 +27,10 @@
 	return deployment
 }
 
-// traffic counts what one role sends and gets, by kind of message.
+// traffic counts messages of one kind, sent and received by one role.
 type traffic struct{ messages, bytes int }
 
-// fleetCounts are the counts of one span, by role and kind of message.
+// fleetCounts holds the traffic of one time span by role and kind of message.
 type fleetCounts struct {
 	byKind  map[string]map[string]traffic
 	daemons map[string]int
@@ -44,11 +43,11 @@
 	countedSide  = "side"
 )
 
-// ownersWork is what grows with the fleet's work at owners and the central scheduler.
+// ownersWork lists the messages that grow with the load of owners and the central scheduler.
 var ownersWork = []string{"AgentReport", "OwnerReply", "Placement", "WriteRequest", "WriteResponse", "FetchRequest", "FetchResponse",
 	"Forward", "ForwardReply", "AllocationRequest", "Allocation", "Ranks", "Estimates", "QueueCounts", "PollRequest", "PollResponse"}
 
-// kibPerSecond is what one daemon of a role sends and gets, without some kinds.
+// kibPerSecond returns the traffic of one daemon of a role, without some kinds of message.
 func (c *fleetCounts) kibPerSecond(role string, without ...string) float64 {
 	sum := 0
 	for kind, t := range c.byKind[role] {
@@ -59,7 +58,7 @@
 	return float64(sum) / 1024 / float64(c.seconds) / float64(max(c.daemons[role], 1))
 }
 
-// print shows all counts, the largest role first.
+// print logs all counts by role.
 func (c *fleetCounts) print(t *testing.T, title string) {
 	for _, role := range []string{countedOwner, countedEdge, countedSide} {
 		t.Logf("%s, %d %s daemons: %.1f KiB/s each", title, c.daemons[role], role, c.kibPerSecond(role))
@@ -70,7 +69,7 @@
 	}
 }
 
-// countFleet lets a world go on and counts what its daemons send and get meanwhile.
+// countFleet runs a world for some ms and counts the traffic of its daemons.
 func countFleet(b *platformWorld, ms int64) *fleetCounts {
 	c := &fleetCounts{byKind: map[string]map[string]traffic{}, daemons: map[string]int{}, seconds: ms / 1000}
 	roles := map[string]string{}
@@ -105,8 +104,8 @@
 	return c
 }
 
-// sizeCounts plays a fleet of some size: quiet, under a wave of jobs, and while a tenth of its
-// daemons start again.
+// sizeCounts counts the traffic of a fleet while it is idle, under a wave of jobs, and while a tenth of
+// its daemons restart.
 func sizeCounts(t *testing.T, daemons int) (quiet, wave, restarts *fleetCounts) {
 	b := newPlatformWorldOf(1, fleetOf(daemons))
 	b.after(1_000_000, func() { b.putSetup(b.usualSetup(), 1, 0, func(int) {}) })
@@ -131,7 +130,7 @@
 	return quiet, wave, restarts
 }
 
-// What a daemon sends and gets for membership and leases hardly grows with the fleet.
+// Guards against traffic for membership and leases that grows with the size of the fleet.
 func TestTrafficBySize(t *testing.T) {
 	sizes := []int{30, 100}
 	if *largeFleet {
@@ -158,5 +157,5 @@
 	}
 }
 
-// weakLinkKiB is what the weakest machines' links of 2 Mbit/s carry in a second.
+// weakLinkKiB is the capacity of the weakest machines' links, 2 Mbit/s, in KiB/s.
 const weakLinkKiB = 2_000_000.0 / 8 / 1024
--- a/internal/daemon/strain_test.go
+++ b/internal/daemon/strain_test.go
@@ -6,8 +6,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A control thread that falls behind for seconds is strained, and stays so for a while; a
-// freeze, a single late tick and small lateness are not strain.
+// A control loop that is late for seconds counts as overloaded, and does so for a while after it has
+// caught up. A freeze, a single late tick and small delays don't count.
 func TestStrain(t *testing.T) {
 	s := &overloadMeter{}
 	now := int64(1000)
@@ -25,7 +25,7 @@
 	must.False(t, s.overloaded)
 	ticks(60, 200)
 	must.True(t, s.overloaded)
-	ticks(60, 0) // it has caught up, but not for long
+	ticks(60, 0) // it has caught up, but only recently
 	must.True(t, s.overloaded)
 	ticks(60, 0)
 	must.False(t, s.overloaded)
--- a/internal/daemon/urgent_room_test.go
+++ b/internal/daemon/urgent_room_test.go
@@ -11,8 +11,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// twoUrgencies gives a daemon whose configuration has an urgent queue and another one, and
-// that has heard to keep a quarter of each worker's processor.
+// twoUrgencies returns a daemon whose configuration has an urgent and a less urgent queue, and whose last
+// ranks reserve a quarter of each worker's CPU as headroom.
 func twoUrgencies(t *testing.T) *node {
 	t.Helper()
 	n := newNode(nodeConfig{Name: "d", Zone: "east"}, nil)
@@ -27,8 +27,8 @@
 	return &agentAttempt{spec: wire.TaskSpec{Queue: queue, Resources: resource.Amount{CPU: cpu}}, state: state}
 }
 
-// An agent starts queueable work of lesser queues only beside the kept room, which urgent
-// work that runs there uses up; the urgent queue and firm tasks have all of it.
+// An agent starts queueable tasks of less urgent queues only outside the headroom, which running urgent
+// work uses up. The urgent queue and guaranteed tasks may use all resources.
 func TestAgentKeepsUrgentRoom(t *testing.T) {
 	n := twoUrgencies(t)
 	agent := &workerAgent{worker: "w", colocated: true, capacity: resource.Amount{CPU: 1000, Memory: 100}, attempts: map[wire.AttemptKey]*agentAttempt{
@@ -42,27 +42,27 @@
 	}
 	slow, fast := attemptOf("slow", 200, wire.AttemptQueued), attemptOf("fast", 350, wire.AttemptQueued)
 	slow.spec.Class, fast.spec.Class = wire.ClassQueueable, wire.ClassQueueable
-	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, room(slow)) // 250 are kept, 50 of them are used
+	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, room(slow)) // headroom is 250, 50 of it in use
 	must.Eq(t, avail, room(fast))
 	slow.spec.Class = wire.ClassGuaranteed
 	must.Eq(t, avail, room(slow))
 	slow.spec.Class = wire.ClassQueueable
-	n.now += backfillAfterMs + 1 // it waited long
+	n.now += backfillAfterMs + 1 // it has waited long
 	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, room(slow))
 	n.ranks.idle = true
 	must.Eq(t, avail, room(slow))
 	n.Policies, _ = scheduler.ParseSet(string(scheduler.Backfill))
 	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, room(slow))
 	n.Policies = scheduler.Set{}
-	n.now += rankStaleMs + 1 // the coordinator's word is stale: nothing is kept by it
+	n.now += rankStaleMs + 1 // stale ranks reserve no headroom
 	must.Eq(t, avail, room(slow))
 	n.ranks.receivedMs = n.now
 	n.Policies, _ = scheduler.ParseSet(string(scheduler.UrgentRoom))
 	must.Eq(t, avail, room(slow))
 }
 
-// An owner places lesser work where it leaves the kept room, and calls a waiting task
-// back only to such a worker: else it would go to and fro.
+// An owner places less urgent work only outside the headroom, and recalls a waiting task only for such a
+// worker. Otherwise the task would move back and forth.
 func TestOwnerKeepsUrgentRoom(t *testing.T) {
 	n := twoUrgencies(t)
 	shard := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{"w": {CPU: 700}}}
@@ -71,8 +71,8 @@
 	must.Eq(t, resource.Amount{CPU: 300, Memory: 100}, n.availableRoom(shard, n.config.current.Queues["fast"], false, "w", w))
 }
 
-// A task of a step that spreads over workers is called back too, to a worker that holds
-// fewer of them: it must not wait for good beside a free one.
+// Guards against a task that waits forever beside a free worker: a task of a step with a maximum per
+// worker must be recalled too, for a worker below that maximum.
 func TestSpreadTasksAreCalledBack(t *testing.T) {
 	n := twoUrgencies(t)
 	shard := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{}}
@@ -86,14 +86,14 @@
 		{State: taskPlaced, Worker: "w2", Resources: resource.Amount{CPU: 600}, IndexInStep: 1},
 	}}}
 	must.True(t, n.fitsElsewhere(shard, job, 0))
-	n.workers["w3"].leaving = true // w2 holds one already
+	n.workers["w3"].leaving = true // w2 has one already
 	must.False(t, n.fitsElsewhere(shard, job, 0))
 	job.Steps[0].MaxPerWorker = 2
 	must.True(t, n.fitsElsewhere(shard, job, 0))
 }
 
-// A task waits for a healthy worker rather than going to an ejected one, but not while most of
-// the fleet is free: it must not stand still beside room.
+// A task waits for a healthy worker rather than use an ejected one, unless most of the fleet is free:
+// then it must not wait beside free resources.
 func TestEjectedWorkerBeforeStandingStill(t *testing.T) {
 	n := twoUrgencies(t)
 	shard := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{"full": {CPU: 900}}}
@@ -111,11 +111,12 @@
 	n.ranks.idle = true
 	must.Eq(t, "ejected", chosen())
 	must.True(t, n.fitsElsewhere(shard, job, 0))
-	shard.loadByWorker["full"] = resource.Amount{CPU: 100} // a healthy one with room goes first
+	shard.loadByWorker["full"] = resource.Amount{CPU: 100} // a healthy worker with free resources is preferred
 	must.Eq(t, "full", chosen())
 }
 
-// The central scheduler keeps what urgent work was seen to use from firm tasks of others.
+// The central scheduler keeps guaranteed tasks of other queues out of the headroom that urgent work was
+// observed to need.
 func TestCentralKeepsUrgentRoom(t *testing.T) {
 	n := twoUrgencies(t)
 	c := &centralScheduler{workers: map[string]*workerCapacity{}}
@@ -126,7 +127,7 @@
 		}}
 	}
 	n.observeUrgentUse(c)
-	must.Eq(t, 29, c.headroom.Percent().CPU) // a fifth is used; a quarter of that and a slack are added
+	must.Eq(t, 29, c.headroom.Percent().CPU) // a fifth is used; a quarter of that and a fixed margin are added
 	r := &scheduler.Candidate{Name: "w1", Capacity: resource.Amount{CPU: 1000}, FreeAfterPreemption: resource.Amount{CPU: 450}}
 	may := func(queue string, cpu int64) bool {
 		request := &pendingAllocation{AllocationRequest: wire.AllocationRequest{Queue: queue, Resources: resource.Amount{CPU: cpu}}}
@@ -135,5 +136,5 @@
 	must.True(t, may("slow", 160))
 	must.False(t, may("slow", 161))
 	must.True(t, may("fast", 450))
-	must.False(t, may("slow", 1000)) // it can never do without the kept room, but there isn't as much now
+	must.False(t, may("slow", 1000)) // it can only run inside the headroom, but not enough is free now
 }
--- a/internal/daemon/worker_kind_test.go
+++ b/internal/daemon/worker_kind_test.go
@@ -7,12 +7,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against tasks that start at a worker by the labels, or the service, of the one that
-// stood at its address before.
+// Guards against tasks that start at a worker by the labels or the service of the worker that had its
+// address before.
 func TestWorkerComesBackForAnotherService(t *testing.T) {
 	eachNewRuleSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
 		b.traffic()
-		for range 12 { // wide enough that each worker has some
+		for range 12 { // enough tasks for each worker to have some
 			b.submit(b.simple(1, 2*len(b.spots), amounts{b.deployment.capacity[0] / 4, 100}, 4000))
 		}
 		b.run(2000)
@@ -23,7 +23,7 @@
 			s.crash()
 			s.labels = maps.Clone(s.labels)
 			s.labels["service"] = "elsewhere"
-			if b.share(0.5) { // at once: nobody has missed it
+			if b.share(0.5) { // restarted at once, before its absence is noticed
 				s.start()
 			} else {
 				b.after(b.rng.Int64N(1_500_000), s.start)
@@ -32,7 +32,7 @@
 		b.run(6000)
 		for _, s := range others {
 			must.MapEmpty(t, s.runs, must.Sprint(s.id))
-			must.Eq(t, 0, s.endSeq, must.Sprint("nothing has ended there either"))
+			must.Eq(t, 0, s.endSeq, must.Sprint("no task has ended there either"))
 			s.crash()
 			s.labels = former[s]
 			s.start()
@@ -42,7 +42,7 @@
 		for _, s := range others {
 			used += len(s.runs) + int(s.endSeq)
 		}
-		must.Positive(t, used, must.Sprint("they serve the queues again"))
+		must.Positive(t, used, must.Sprint("the workers must serve the queues again"))
 		b.finish(120_000)
 		verdictOfPlatform(t, b)
 	})
