--- a/internal/daemon/tenant_keys_test.go
+++ b/internal/daemon/tenant_keys_test.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	tenantCallMs   = 2500 // a caller waits so long for an answer
+	tenantCallMs   = 2500 // a caller's timeout
 	takeoverMs     = 15_000
-	tenantTestJobs = 12 // enough that each shard has some
+	tenantTestJobs = 12 // enough for each shard to have some
 )
 
 // testTenant is a tenant as an operator declares it.
@@ -37,8 +37,8 @@
 	tenantB = testTenant{"lono466", []string{"key-b"}}
 )
 
-// keyedSetup declares the queues "seats" and "public", of which those named in open need no key.
-// No worker serves them, so that jobs stay as they are.
+// keyedSetup declares the queues "seats" and "public"; those named in open require no key. No worker
+// serves them, so their jobs stay pending.
 func keyedSetup(open []string, tenants ...testTenant) []byte {
 	queues, declared := []map[string]any{}, []map[string]any{}
 	for _, name := range []string{"seats", "public"} {
@@ -62,7 +62,7 @@
 	return hex.EncodeToString(digest[:])
 }
 
-// tenantWorld is a world whose queues need keys.
+// tenantWorld is a world whose queues require keys.
 type tenantWorld struct {
 	*world
 	t       *testing.T
@@ -77,7 +77,7 @@
 	return w
 }
 
-// declare has a configuration acknowledged.
+// declare puts a configuration and requires that it is accepted.
 func (w *tenantWorld) declare(document []byte) {
 	w.t.Helper()
 	w.version++
@@ -106,7 +106,7 @@
 	return w.at(daemon, "queue.cancel", path, key, nil).status
 }
 
-// submitSome hands in jobs of one tenant, some for each shard.
+// submitSome submits jobs of one tenant, some for each shard.
 func (w *tenantWorld) submitSome(key string) (paths []string) {
 	w.t.Helper()
 	for i := range tenantTestJobs {
@@ -117,7 +117,7 @@
 	return paths
 }
 
-// recordedTenant gives the tenant in the newest record of a job.
+// recordedTenant returns the tenant in the newest record of a job.
 func (w *tenantWorld) recordedTenant(id string) string {
 	w.t.Helper()
 	var newest statestore.Record
@@ -134,7 +134,7 @@
 	return j.Tenant
 }
 
-// Guards against calls that are run with a key that no tenant has, or with none, at any daemon.
+// Guards against calls with no key or an unknown one that any daemon accepts.
 func TestTenantKeysUnknownAreRefused(t *testing.T) {
 	w := newTenantWorld(t, 5300)
 	must.Eq(t, 201, w.submit("d00", "/seats/held", "key-a1"))
@@ -152,7 +152,7 @@
 			}
 			must.Eq(t, 410, w.state("d00", path, "key-a1"))
 		}
-		must.Eq(t, 404, w.state(daemon, "/elsewhere/x", "nobody"), must.Sprint("an unknown queue is told apart"))
+		must.Eq(t, 404, w.state(daemon, "/elsewhere/x", "nobody"), must.Sprint("an unknown queue is reported as such"))
 		must.Eq(t, 200, w.state(daemon, "/seats/held", "key-a2"))
 	}
 	must.Eq(t, 1, w.total("jobs_entered"))
@@ -160,12 +160,12 @@
 	must.Eq(t, `{"state":"pending"}`, stateOnly(w.at("d01", "queue.state", "/seats/held", "key-a1", nil)))
 }
 
-// stateOnly is an answer's state, whoever gave it.
+// stateOnly returns the state in a reply, without its other fields.
 func stateOnly(a answered) string {
 	return fmt.Sprintf(`{"state":%q}`, gjson.Get(a.body, "state").Str)
 }
 
-// Guards against an operator's own digest of nothing that would admit calls without a key.
+// Guards against calls without a key that a declared digest of the empty key would admit.
 func TestTenantKeysOfNothingAdmitNobody(t *testing.T) {
 	w := newTenantWorld(t, 5310)
 	w.declare(keyedSetup(nil, tenantA, testTenant{"lono466", []string{""}}))
@@ -174,7 +174,7 @@
 	must.Eq(t, 201, w.submit("d04", "/seats/j", "key-a1"))
 }
 
-// Guards against keys that are lost between the front and the node.
+// Guards against keys that are lost between the HTTP server and the node.
 func TestTenantKeysReachTheNode(t *testing.T) {
 	c, faults := configuration.Compile(1, keyedSetup(nil, tenantA))
 	must.SliceEmpty(t, faults)
@@ -184,7 +184,7 @@
 	l.executor = &executor{node: n, ports: &processPorts{loop: l, log: logr.Discard(), waiting: map[uint64]chan effReply{}, exit: func() {}}}
 	go l.run()
 	d := &httpServer{loop: l}
-	for key, status := range map[string]int{"": 401, "nobody": 401, "key-a1": 503} { // nobody owns a shard yet
+	for key, status := range map[string]int{"": 401, "nobody": 401, "key-a1": 503} { // no shard has an owner yet
 		for _, op := range []string{"queue.submit", "queue.state", "queue.cancel"} {
 			call := platform.Call{Op: op, Host: "h", Path: "/seats/j", Credential: key, Body: tenantJob("x", 1)}
 			must.Eq(t, status, d.servePlatform(context.Background(), call).Status, must.Sprint(op, key))
@@ -194,7 +194,7 @@
 	<-l.ended
 }
 
-// Guards against a 401 by a configuration older than the one that has just brought the key.
+// Guards against a 401 by a configuration older than the one that has just added the key.
 func TestTenantKeysAreRefusedByNoOldConfiguration(t *testing.T) {
 	for seed := range uint64(4) {
 		w := newTenantWorld(t, 5320+seed)
@@ -211,11 +211,11 @@
 		}
 		w.cutHost("d04")
 		w.run(100)
-		must.Eq(t, 503, w.state("d04", "/seats/x", "nobody"), must.Sprint("a daemon that is cut off can't know"))
+		must.Eq(t, 503, w.state("d04", "/seats/x", "nobody"), must.Sprint("a daemon that is cut off doesn't know all keys"))
 	}
 }
 
-// Guards against tenants that see, cancel or learn of each other's jobs, live or ended.
+// Guards against tenants that see, cancel or detect each other's jobs, live or ended.
 func TestTenantsSeeTheirOwnJobsOnly(t *testing.T) {
 	w := newTenantWorld(t, 5330)
 	check := func(daemon string) {
@@ -228,8 +228,8 @@
 		must.Eq(t, missing, w.at(daemon, "queue.state", "/seats/j", "key-b", nil))
 		must.Eq(t, w.at(daemon, "queue.cancel", "/seats/nobody", "key-b", nil), w.at(daemon, "queue.cancel", "/seats/j", "key-b", nil))
 		must.Eq(t, 200, w.state(daemon, "/seats/j", "key-a2"), must.Sprint("by another key of its tenant"))
-		must.Eq(t, 200, w.submit(daemon, "/seats/j", "key-a2"), must.Sprint("it stays one job"))
-		must.Eq(t, 410, w.state(daemon, "/public/j", "key-a1"), must.Sprint("it is of another queue"))
+		must.Eq(t, 200, w.submit(daemon, "/seats/j", "key-a2"), must.Sprint("it is the same job"))
+		must.Eq(t, 410, w.state(daemon, "/public/j", "key-a1"), must.Sprint("the job is in another queue"))
 		must.Eq(t, 200, w.settle(w.nodes[daemon], evRequest{Op: "job.get", Key: "j", Base: -1}, tenantCallMs).status, must.Sprint("operators see all"))
 	}
 	must.Eq(t, 201, w.submit("d00", "/seats/j", "key-a1"))
@@ -245,7 +245,8 @@
 	}
 }
 
-// Guards against two tenants' jobs under one id that are taken for one, or refused for each other's faults.
+// Guards against two tenants' jobs of one id, submitted at once, that are taken for the same job or
+// rejected for each other's faults.
 func TestTenantsHandInTheSameIDAtOnce(t *testing.T) {
 	for seed := range uint64(6) {
 		w := newTenantWorld(t, 5340+seed)
@@ -268,8 +269,8 @@
 	}
 }
 
-// Guards against jobs that lose their tenant when another daemon takes their shard over, and
-// against states told to others while nobody owns it.
+// Guards against jobs that lose their tenant when another daemon takes their shard over, and against
+// states that other tenants can read while the shard has no owner.
 func TestTenantsKeepTheirJobsOverATakeover(t *testing.T) {
 	for seed := range uint64(3) {
 		w := newTenantWorld(t, 5350+seed)
@@ -287,7 +288,7 @@
 					}
 					path := paths[w.rng.IntN(len(paths))]
 					if status := w.state(daemon, path, "key-b"); status == 200 {
-						t.Fatalf("%s told another tenant of %s", daemon, path)
+						t.Fatalf("%s showed another tenant %s", daemon, path)
 					}
 					if status := w.state(daemon, path, "key-a1"); status == 410 {
 						t.Fatalf("%s doesn't know %s", daemon, path)
@@ -300,7 +301,7 @@
 	}
 }
 
-// checkOwned tells that jobs are their tenant's and nobody else's, at all daemons.
+// checkOwned checks that jobs belong to tenant A only, calling the daemons in turn.
 func (w *tenantWorld) checkOwned(paths []string) {
 	w.t.Helper()
 	for i, path := range paths {
@@ -312,7 +313,7 @@
 	}
 }
 
-// Guards against jobs that lose their tenant when all daemons start again from their disks.
+// Guards against jobs that lose their tenant when all daemons restart from their disks.
 func TestTenantsKeepTheirJobsOverARestart(t *testing.T) {
 	w := newTenantWorld(t, 5360)
 	paths := w.submitSome("key-a1")
@@ -328,7 +329,7 @@
 	must.Eq(t, 401, w.state("d04", paths[0], "nobody"))
 }
 
-// Guards against an owner that takes a job of a tenant in whose limit it doesn't know yet.
+// Guards against an owner that accepts a job of a tenant whose limit it doesn't know yet.
 func TestTenantsAreKnownToTheOwnerFirst(t *testing.T) {
 	for i := range 20 {
 		id := fmt.Sprint("job", i)
@@ -340,16 +341,16 @@
 		withheld := true
 		w.detain = func(_, to string, msg any) int64 {
 			if _, ok := msg.(*wire.RegisterValue); ok && withheld && to == owner.Name {
-				return 300_000_000 // it never comes
+				return 300_000_000 // it never arrives
 			}
 			return 0
 		}
 		w.declare(keyedSetup(nil, tenantA, tenantB, testTenant{"late", []string{"key-late"}}))
-		if owner.sh.node.config.current.Version == w.version { // it took the change in itself
+		if owner.sh.node.config.current.Version == w.version { // it accepted the change itself
 			continue
 		}
 		must.Eq(t, 503, w.submit("d00", "/seats/"+id, "key-late"))
-		must.Eq(t, 201, w.submit("d00", "/seats/"+id+"-other", "key-a1"), must.Sprint("the shards go on"))
+		must.Eq(t, 201, w.submit("d00", "/seats/"+id+"-other", "key-a1"), must.Sprint("the shard goes on serving known tenants"))
 		withheld = false
 		w.run(2000)
 		must.Eq(t, 201, w.submit("d00", "/seats/"+id, "key-late"))
@@ -359,7 +360,8 @@
 	t.Fatal("no owner was behind")
 }
 
-// Guards against jobs that change hands, or are lost to their callers, while routes open and close.
+// Guards against jobs that change their tenant, or that their callers can't reach any more, when queues
+// are opened and closed to calls without a key.
 func TestTenantsWhileRoutesOpenAndClose(t *testing.T) {
 	w := newTenantWorld(t, 5380)
 	open := func(queues ...string) {
@@ -375,8 +377,8 @@
 	must.Eq(t, "", w.recordedTenant("unknown"))
 	must.Eq(t, tenantA.name, w.recordedTenant("a"))
 	for _, key := range []string{"", "key-taken-away"} {
-		must.Eq(t, 200, w.state("d03", "/public/a", key), must.Sprint("its own key may be gone"))
-		must.Eq(t, 410, w.cancel("d03", "/public/a", key), must.Sprint("nobody may cancel a tenant's job"))
+		must.Eq(t, 200, w.state("d03", "/public/a", key), must.Sprint("its key may have been removed"))
+		must.Eq(t, 410, w.cancel("d03", "/public/a", key), must.Sprint("a call without a tenant can't cancel a tenant's job"))
 	}
 	must.Eq(t, 410, w.state("d03", "/public/a", "key-b"))
 
@@ -394,8 +396,8 @@
 	must.Eq(t, 200, w.cancel("d01", "/public/a", "key-a2"))
 }
 
-// Guards against callers who lose their jobs when their tenant is renamed, and against the jobs
-// of a declared tenant that are shown to others by a configuration that isn't confirmed.
+// Guards against callers who can't reach their jobs after their tenant was renamed, and against jobs of a
+// declared tenant that an unconfirmed configuration shows to others.
 func TestTenantsThatAreRenamedKeepTheirJobs(t *testing.T) {
 	w := newTenantWorld(t, 5390)
 	must.Eq(t, 201, w.submit("d00", "/seats/j", "key-a1"))
@@ -414,7 +416,7 @@
 	must.False(t, n.jobVisible(req, theirs))
 }
 
-// Guards against keys that reach what operators and logs show.
+// Guards against keys in operators' replies, logs, disk entries and names of counts.
 func TestTenantKeysStaySecret(t *testing.T) {
 	w := newTenantWorld(t, 5400)
 	must.Eq(t, 201, w.submit("d03", "/seats/j", "key-a1"))
@@ -436,13 +438,14 @@
 	must.StrNotContains(t, shown, "key-nobody")
 }
 
-// Guards against another form of records without a tenant, and of records that are cut short.
+// Guards against a changed encoding of records without a tenant, and against truncated records that are
+// decoded.
 func TestTenantInTheRecord(t *testing.T) {
 	j := &jobRecord{ID: "j", Queue: "seats", Steps: []jobStep{{}}, Tasks: []task{{Worker: "w", Attempt: 3}}, Abandoned: []abandonedRun{{}}}
 	old := j.encode()
 	j.Tenant = "kaje80"
 	form := j.encode()
-	must.Eq(t, string(old), string(form[:len(old)]), must.Sprint("the tenant stands behind all that stood there before"))
+	must.Eq(t, string(old), string(form[:len(old)]), must.Sprint("the tenant must be appended to the earlier fields"))
 	must.Eq(t, codec.Append(nil, struct{ Tenant string }{"kaje80"}), form[len(old):])
 	for value, tenant := range map[string]string{string(old): "", string(form): "kaje80"} {
 		read, ok := decodeJob(statestore.Record{ID: "j", Value: []byte(value)})
@@ -458,7 +461,7 @@
 	}
 }
 
-// Guards against jobs of earlier releases that are not read, or are written in another form.
+// Guards against jobs of earlier releases that can't be read or are encoded differently.
 func TestTenantInNoEarlierRecord(t *testing.T) {
 	read := 0
 	for _, name := range fixtureMembers {
--- a/internal/daemon/tenant_rename_test.go
+++ b/internal/daemon/tenant_rename_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against a job that is told as unknown, or refused as another's, to callers whose tenant was
-// renamed, by an owner whose configuration is older or not confirmed yet.
+// Guards against a job that is reported as unknown, or refused as another tenant's, to callers whose
+// tenant was renamed, by an owner whose configuration is outdated or not confirmed yet.
 func TestJobsOfRenamedTenantsStayKnown(t *testing.T) {
 	for seed := range uint64(3) {
 		w := newTenantWorld(t, 5600+seed)
@@ -36,8 +36,8 @@
 	}
 }
 
-// A daemon that goes by the version before a renaming hands on the former name. The job of that very
-// key isn't told as another's then.
+// Guards against a job refused as another tenant's when a daemon with the version before a renaming
+// forwards the call under the tenant's former name.
 func TestJobHandedInAgainByAFormerName(t *testing.T) {
 	for _, op := range []string{"job.put", "job.state", "job.cancel"} {
 		n, shard := shareOwner(t)
@@ -53,8 +53,8 @@
 	}
 }
 
-// A job that is handed in again at its address is the same job after its queue was renamed, as it
-// was before there were tenants; it is no other job's id.
+// Guards against a 409 for a job that is submitted again at its address after its queue was renamed: it
+// is the same job.
 func TestJobHandedInAgainAtARenamedQueue(t *testing.T) {
 	for name, c := range map[string]struct {
 		jobOf, callOf string
--- a/internal/daemon/tenant_status_test.go
+++ b/internal/daemon/tenant_status_test.go
@@ -20,7 +20,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// limitedSetup gives two tenants, of which one has a limit of so many workers.
+// limitedSetup returns a configuration with two tenants, one of them limited to the CPU of some workers.
 func limitedSetup(t *testing.T, l *world, workers int64) []byte {
 	t.Helper()
 	var doc map[string]any
@@ -33,7 +33,7 @@
 	return mustJSON(doc)
 }
 
-// overview gives what `otterchute tenants` shows, by a daemon's answer.
+// overview returns what `otterchute tenants` shows, from a daemon's replies, and its JSON.
 func (l *tenantLoad) overview(t *testing.T, to *simNode) (overview tenantOverview, raw string) {
 	t.Helper()
 	r := gatherTenants(context.Background(), func(_ context.Context, e evRequest) effReply {
@@ -56,9 +56,9 @@
 	return tenantSummary{}
 }
 
-// Whichever daemon is called, operators see each tenant's limit, what is lent and used over all
-// shards and what waits; explain says what a task waits for, and doctor who stands at a limit.
-// Keys and digests stand nowhere.
+// From any daemon operators see each tenant's limit, what is lent and used over all shards, and what
+// waits. explain names what a task waits for, doctor the tenants at their limit. No reply contains keys
+// or digests.
 func TestOperatorsSeeTenantAtItsLimit(t *testing.T) {
 	l := newTenantLoad(t, 7400, spellWeights)
 	must.Eq(t, 200, l.settle(l.nodes["d00"], evRequest{Op: "setup.put", Key: "2", Base: 1, Body: limitedSetup(t, l.world, 2)}, 4000).status)
@@ -92,11 +92,11 @@
 		}
 		must.StrNotContains(t, raw, "digest")
 	}
-	words := map[string][]byte{}
+	statuses := map[string][]byte{}
 	for _, n := range l.nodesInOrder() {
-		words[n.Name] = []byte(l.settle(n, evRequest{Op: "soundness", Base: -1}, 3000).body)
+		statuses[n.Name] = []byte(l.settle(n, evRequest{Op: "soundness", Base: -1}, 3000).body)
 	}
-	found := examine(words)
+	found := examine(statuses)
 	must.SliceContainsFunc(t, found, "tenant at its limit", func(f finding, check string) bool {
 		return f.Check == check && strings.Contains(f.What, "of tight wait")
 	})
@@ -110,7 +110,7 @@
 	must.StrHasPrefix(t, fmt.Sprintf("waiting for the limit of tenant tight, %d: here it uses ", 2*l.dep.Cores), waits, must.Sprint(explained))
 }
 
-// A counter that doesn't hear from a shard for some seconds is found by doctor.
+// doctor reports a counter that has had no report from a shard for some seconds.
 func TestDoctorFindsSilentShard(t *testing.T) {
 	l := newTenantLoad(t, 7500, spellWeights)
 	owner := l.holderOf("slice/east")
@@ -124,7 +124,7 @@
 	})
 }
 
-// Without tenants no counter is silent, and none has anything to tell.
+// Without tenants counters report no fault and no metrics.
 func TestNoTenantsNothingToTell(t *testing.T) {
 	w := served(t, 7600)
 	w.run(8000)
@@ -161,7 +161,7 @@
 	must.Eq(t, []string{"east"}, b.Silent)
 }
 
-// Without one shard's word there is no overview: sums without it would be false.
+// If one shard doesn't reply there is no overview, as its sums would be wrong.
 func TestTenantsNeedAllShards(t *testing.T) {
 	r := gatherTenants(context.Background(), func(_ context.Context, e evRequest) effReply {
 		switch {
@@ -175,7 +175,8 @@
 	must.Eq(t, effReply{Status: 503, RetryMs: 700}, r)
 }
 
-// However many tenants there are, few have metrics of their own; the sums are whole.
+// Guards against metrics that grow with the number of tenants: few have metrics of their own, the others
+// are summed up.
 func TestTenantMetricsAreBounded(t *testing.T) {
 	n := newNode(nodeConfig{Name: "d"}, nil)
 	n.config.current = &configuration.Configuration{Tenants: map[string]*configuration.Tenant{}}
@@ -197,10 +198,10 @@
 
 	ch := make(chan prometheus.Metric, 10*tenants)
 	collectTenants(ch, metrics)
-	must.Eq(t, (tenantLabelsMax+1)*7, len(ch)) // three dimensions lent and used, and the claims
+	must.Eq(t, (tenantLabelsMax+1)*7, len(ch)) // lent and used in three dimensions, and the claims
 }
 
-// `setup check` finds the faults of tenants offline, and prints no key.
+// `setup check` finds faults in the declaration of tenants offline.
 func TestSetupCheckJudgesTenants(t *testing.T) {
 	check := func(doc string) subcommands.ExitStatus {
 		path := filepath.Join(t.TempDir(), "setup.json")
--- a/internal/daemon/tenant_weight_test.go
+++ b/internal/daemon/tenant_weight_test.go
@@ -15,7 +15,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// weightedSetup is a configuration of two queues and tenants of which each has its name as key.
+// weightedSetup returns a configuration with two queues and weighted tenants, each with its name as key.
 func weightedSetup(weights map[string]float64) []byte {
 	tenants := []map[string]any{}
 	for _, name := range sortedKeys(weights) {
@@ -29,7 +29,7 @@
 	return mustJSON(map[string]any{"queues": []any{queue("fast", 100), queue("slow", 10)}, "tenants": tenants})
 }
 
-// weightedJob is a job that a tenant has sent to a queue.
+// weightedJob records a job that a tenant sent to a queue.
 type weightedJob struct {
 	id            string
 	tenant        string
@@ -38,8 +38,7 @@
 	retryMs       int64
 }
 
-// tenantLoad sends jobs of tenants to a queue, each of one task that takes a whole worker for a
-// second.
+// tenantLoad sends tenants' jobs to queues. Each has one task that takes a whole worker for a second.
 type tenantLoad struct {
 	*world
 	sent []*weightedJob
@@ -54,14 +53,14 @@
 	}, 3000, func(status int, retryMs int64, _ []byte) { j.status, j.retryMs = status, retryMs })
 }
 
-// sendEvenly sends so many jobs a second for a time.
+// sendEvenly sends jobs at a constant rate.
 func (l *tenantLoad) sendEvenly(queue, tenant string, perSecond, forMs int64) {
 	for atMs := int64(0); atMs < forMs; atMs += 1000 / perSecond {
 		l.after(atMs*1000, func() { l.send(queue, tenant) })
 	}
 }
 
-// settleAll notes when each job's task ended.
+// settleAll records when each job's task ended.
 func (l *tenantLoad) settleAll() {
 	byID := map[string]*weightedJob{}
 	for _, j := range l.sent {
@@ -74,7 +73,7 @@
 	}
 }
 
-// tookMs gives how long the accepted jobs of a tenant took, in order.
+// tookMs returns the sorted latencies of a tenant's completed jobs.
 func (l *tenantLoad) tookMs(tenant string) (took []int64) {
 	for _, j := range l.sent {
 		if j.tenant == tenant && j.endMs != 0 {
@@ -85,7 +84,7 @@
 	return took
 }
 
-// newTenantLoad gives a cluster in whose configuration tenants have weights.
+// newTenantLoad returns a cluster with weighted tenants.
 func newTenantLoad(t *testing.T, seed uint64, weights map[string]float64) *tenantLoad {
 	t.Helper()
 	w := served(t, seed)
@@ -94,7 +93,8 @@
 	return &tenantLoad{world: w}
 }
 
-// hotSpell has one tenant send five times what the fleet can run, and two others little.
+// hotSpell has one tenant send five times what the fleet can run, and two others few jobs, and waits for
+// all accepted jobs to end.
 func (l *tenantLoad) hotSpell() {
 	l.sendEvenly("fast", "hot", 5*int64(l.dep.Workers), 10_000)
 	l.sendEvenly("slow", "calm", 2, 10_000)
@@ -106,12 +106,12 @@
 	})
 }
 
-// spellWeights let the fleet run all of what the tenants may send, with room to spare.
+// spellWeights add up to less than the fleet's capacity.
 var spellWeights = map[string]float64{"hot": 3, "calm": 3, "small": 2}
 
-// What a hot tenant sends beyond its weight waits behind all that others send, also in less urgent
-// queues; it is refused with a time to come back where too much of it waits, and whatever was
-// accepted ends.
+// Guards against a tenant that slows down others by sending more than its weight allows. Its excess jobs
+// must wait behind all other jobs, also those of less urgent queues. They are rejected with a retry time
+// where too many wait, and every accepted one ends.
 func TestHotTenantWaitsBehindOthers(t *testing.T) {
 	const mostMs = 10_000
 	for seed := range uint64(4) {
@@ -138,7 +138,7 @@
 	}
 }
 
-// The test above tells the policy from its absence: without it others wait for the hot tenant.
+// Without the policy others wait for the hot tenant, so the test above detects that it is missing.
 func TestOthersWaitWithoutTenantWeight(t *testing.T) {
 	l := newTenantLoad(t, 7100, spellWeights)
 	off, err := scheduler.ParseSet(string(scheduler.TenantWeight))
@@ -153,7 +153,7 @@
 	}
 }
 
-// A tenant without a weight has no excess, and neither has one of a fleet that isn't full.
+// Neither a tenant without a weight nor one that stays below its weight has excess jobs.
 func TestNoExcess(t *testing.T) {
 	l := newTenantLoad(t, 7200, map[string]float64{"free": 0, "steady": 6})
 	l.sendEvenly("fast", "free", 20, 3000)
@@ -165,7 +165,7 @@
 	}
 }
 
-// While there is room the excess of a tenant is let in and runs like all else.
+// While resources are free, a tenant's excess jobs are accepted and run like all others.
 func TestExcessRunsWhereThereIsRoom(t *testing.T) {
 	l := newTenantLoad(t, 7300, map[string]float64{"hot": 0.5})
 	l.sendEvenly("slow", "hot", 5, 8000)
@@ -178,8 +178,8 @@
 	}
 }
 
-// Requests of excess jobs come after all others at the central scheduler, by urgency and age
-// among themselves.
+// The central scheduler orders requests of excess jobs after all others, and by urgency and age among
+// themselves.
 func TestExcessComesLastAtCentralScheduler(t *testing.T) {
 	n := rackNode(t, 1)
 	add := func(job, queue string, submittedMs int64, excess bool) {
@@ -200,8 +200,8 @@
 	must.Eq(t, []string{"high", "low-old", "low", "excess-high-old", "excess-high", "excess-low"}, order)
 }
 
-// Among requests of equal urgency the tenant that has the least by its weight goes first at the
-// central scheduler, whatever shard it told from; without tenants the older one.
+// Among requests of equal urgency the central scheduler prefers the tenant that uses the least relative
+// to its weight, summed over all shards; without tenants the oldest request.
 func TestWeightedFairnessAtCentralScheduler(t *testing.T) {
 	n := rackNode(t, 1)
 	n.core.Shards = []string{"east", "west"}
@@ -210,9 +210,9 @@
 		request.SubmittedMs, request.Shard, request.Tenant, request.TenantUsed = submittedMs, shard, tenant, resource.Amount{CPU: usedCPU}
 		n.central.add(n.now, request)
 	}
-	add("large-1", "east", "large", 1, 4000) // 8000 of 24000, by 4: it has 1/12
+	add("large-1", "east", "large", 1, 4000) // uses 8000 of 24000 at weight 4: 1/12
 	add("large-2", "east", "large", 2, 4000)
-	add("small-1", "east", "small", 3, 1000) // 3000 of 24000, by 1: it has 1/8
+	add("small-1", "east", "small", 3, 1000) // uses 3000 of 24000 at weight 1: 1/8
 	add("small-2", "west", "small", 4, 2000)
 	add("calm", "west", "calm", 5, 0)
 	order := func() (jobs []string) {
@@ -232,7 +232,7 @@
 	must.Eq(t, byAge, order())
 }
 
-// What a tenant's placed tasks take in a shard is told with its requests.
+// A shard sums up the resources of each tenant's placed tasks, which its requests report.
 func TestTenantUsedOfShard(t *testing.T) {
 	shard := &ownedShard{placedByWorker: map[string]map[taskRef]resource.Amount{}, loadByWorker: map[string]resource.Amount{}}
 	job := &liveJob{jobRecord: jobRecord{ID: "j", Tenant: "a", Steps: []jobStep{{Size: 2}}, Tasks: []task{
@@ -250,8 +250,9 @@
 	must.MapEmpty(t, shard.tenantUsed)
 }
 
-// At an agent the tasks of excess jobs wait behind all others, may stop only runs of other excess
-// jobs of less urgent queues, and are stopped first; firm ones keep their rule within that.
+// At an agent the tasks of excess jobs wait behind all others and are preempted first. They may preempt
+// only other excess jobs: queueable ones those of less urgent queues, guaranteed ones also those of
+// their own queue.
 func TestExcessAtAgent(t *testing.T) {
 	n := twoUrgencies(t)
 	task := func(queue string, class wire.TaskClass, excess bool) *agentAttempt {
@@ -267,9 +268,9 @@
 		"urgent over excess of its queue":    {task("fast", queueable, false), task("fast", queueable, true), true},
 		"less urgent over an urgent excess":  {task("slow", queueable, false), task("fast", queueable, true), true},
 		"urgent excess over less urgent":     {task("fast", queueable, true), task("slow", queueable, false), false},
-		"firm excess over its queue":         {task("fast", firm, true), task("fast", queueable, false), false},
-		"firm excess over excess":            {task("fast", firm, true), task("fast", queueable, true), true},
-		"firm over excess":                   {task("slow", firm, false), task("fast", queueable, true), true},
+		"guaranteed excess over its queue":   {task("fast", firm, true), task("fast", queueable, false), false},
+		"guaranteed excess over excess":      {task("fast", firm, true), task("fast", queueable, true), true},
+		"guaranteed over excess":             {task("slow", firm, false), task("fast", queueable, true), true},
 		"urgent excess over slow excess":     {task("fast", queueable, true), task("slow", queueable, true), true},
 		"queueable excess over its equal":    {task("fast", queueable, true), task("fast", queueable, true), false},
 		"no excess: urgent over less urgent": {task("fast", queueable, false), task("slow", queueable, false), true},
@@ -287,7 +288,7 @@
 	must.Eq(t, []string{"fast false", "slow false", "fast true"}, order)
 }
 
-// Excess of the most urgent queue doesn't take the room kept for it, and doesn't add to what is kept.
+// Excess jobs of the most urgent queue may not use its headroom, and don't count as urgent use.
 func TestExcessLeavesUrgentRoom(t *testing.T) {
 	n := twoUrgencies(t)
 	shard := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{"w": {CPU: 700}}}
@@ -299,8 +300,8 @@
 	must.Eq(t, resource.Amount{CPU: 50}, agent.urgentUse(n, wire.AttemptRunning))
 }
 
-// An excess job is refused by what waits, only while there is no room, and takes at most a part of
-// a queue's records.
+// An excess job is rejected if too many of its tenant wait while resources are short or the tenant is at
+// its limit. Excess jobs may fill only a part of a shard's records.
 func TestExcessAdmission(t *testing.T) {
 	n := twoUrgencies(t)
 	set, faults := configuration.Compile(1, weightedSetup(map[string]float64{"hot": 4}))
@@ -322,7 +323,7 @@
 	must.Eq(t, &rejection{status: 429, retryMs: excessRetryMaxMs, faults: n.rejectExcess(shard, "hot").faults}, n.rejectExcess(shard, "hot"))
 	shard.starvedMs = 0
 	must.Nil(t, n.rejectExcess(shard, "hot"))
-	shard.jobs["hot0"].waitsForShare = true // its tenant is at its limit
+	shard.jobs["hot0"].waitsForShare = true // the tenant is at its limit
 	must.Eq(t, 429, n.rejectExcess(shard, "hot").status)
 
 	j, faults := parseJob("j", "", []byte(`{"queue":"fast","steps":[{"name":"s","tasks":[{"name":"t","room":1}]}]}`))
@@ -333,7 +334,7 @@
 	must.Nil(t, admit(&admission{job: j, queue: q, shardLive: shardJobsMax * excessRecordsPercent / 100}))
 }
 
-// The policy can be switched off for a trial: then nothing is beyond a weight.
+// With the policy switched off no job is excess.
 func TestTenantWeightOff(t *testing.T) {
 	n := twoUrgencies(t)
 	set, faults := configuration.Compile(1, weightedSetup(map[string]float64{"hot": 0.1}))
--- a/internal/daemon/tenantshares_test.go
+++ b/internal/daemon/tenantshares_test.go
@@ -12,8 +12,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// shareOwner gives a daemon that owns shard s and counts for it, with tenant "full", who is lent
-// nothing, and tenant "free" without a limit.
+// shareOwner returns a daemon that owns shard s and its counter, with tenant "full", which has a limit
+// but has been lent nothing, and tenant "free" without a limit.
 func shareOwner(t *testing.T) (*node, *ownedShard) {
 	t.Helper()
 	n := newNode(nodeConfig{Name: "d0", ThresholdMs: thresholdMs}, nil)
@@ -33,7 +33,7 @@
 	return n, n.shards["s"]
 }
 
-// jobOfTenant enters a job of one step, whose tasks are long, into a shard.
+// jobOfTenant adds a job of one step to a shard.
 func jobOfTenant(t *testing.T, shard *ownedShard, id, tenant, step string, count int) *liveJob {
 	t.Helper()
 	j, faults := parseJob(id, "q", []byte(`{"payload":"x","steps":[`+step+`]}`))
@@ -44,8 +44,8 @@
 	return job
 }
 
-// Tasks that wait only for a share don't use up what a shard may request in one tick: jobs of
-// other tenants behind them get their places.
+// Guards against tasks that wait for a share and use up the requests that a shard may make in one tick:
+// jobs of other tenants behind them must be requested.
 func TestTasksWithoutShareLeaveRequestsToOthers(t *testing.T) {
 	n, shard := shareOwner(t)
 	const long = `"estimate_ms":9000`
@@ -63,8 +63,8 @@
 	must.Eq(t, n.now, behind.runtime[0].allocationRequestMs, must.Sprint("the other tenant's task was not requested"))
 }
 
-// Tasks that no worker can hold kept a share of their tenant's limit for ever, and all its other
-// jobs stood still beside them.
+// Guards against tasks too large for any worker that reserve a share of their tenant's limit: they once
+// kept it forever, and all other jobs of the tenant waited.
 func TestTasksThatNoWorkerHoldsTakeNoShare(t *testing.T) {
 	n, shard := shareOwner(t)
 	for _, step := range []string{
@@ -88,8 +88,9 @@
 	must.True(t, small.waitsForShare)
 }
 
-// The members of a gang that ended by another one's end take their tenant's share until their
-// workers have listed their ends, or may run no more.
+// Guards against use above a tenant's limit when a gang ends: members that end because of another
+// member's end must keep their share until their workers report them ended or their attempts have
+// expired.
 func TestGangKeepsItsShareUntilEndsAreListed(t *testing.T) {
 	n, shard := shareOwner(t)
 	job := jobOfTenant(t, shard, "a", "full", `{"name":"s","count":3,"room":1,"gang":true}`, 3)
@@ -104,7 +105,7 @@
 	}
 	must.Eq(t, int64(3), used())
 	n.resolveAttempt(shard, job, 0, wire.ResultOK, 100)
-	must.Eq(t, int64(2), used(), must.Sprint("only the end at w0 is listed"))
+	must.Eq(t, int64(2), used(), must.Sprint("only the end at w0 is reported"))
 	status := wire.AttemptStatus{Key: wire.AttemptKey{Job: "a", Task: job.taskID(1), Attempt: 1}, State: wire.AttemptRunning}
 	shard.releaseListed(&wire.AgentReport{Worker: "w1", Rebuilt: true, Attempts: []wire.AttemptStatus{status}})
 	must.Eq(t, int64(2), used(), must.Sprint("w1 still runs it"))
@@ -117,10 +118,10 @@
 	must.Eq(t, int64(0), used())
 	must.MapEmpty(t, shard.unlisted)
 	held, _ := shard.shares.borrowerFor("full").Held("full")
-	must.Eq(t, resource.Amount{}, held, must.Sprint("no counter has told that what ends may be replaced"))
+	must.Eq(t, resource.Amount{}, held, must.Sprint("no counter has allowed reuse of what ended tasks held"))
 }
 
-// withLimit has a daemon go by another version, in which tenant "full" has a limit.
+// withLimit has a daemon adopt another configuration version, with a limit for tenant "full".
 func (n *node) withLimit(t *testing.T, version, limit int64) {
 	t.Helper()
 	current, faults := configuration.Compile(version, fmt.Appendf(nil,
@@ -134,8 +135,8 @@
 	n.adoptLimits()
 }
 
-// An agent sends a task back unstarted that was placed before its tenant's limit was lowered, also
-// where it has been raised since, and starts all others.
+// Guards against use above a lowered limit: an agent must return a queued task that was placed before its
+// tenant's limit was lowered, even if it was raised again since. It starts all others.
 func TestTenantTasksOfAHigherLimitGoBack(t *testing.T) {
 	n, _ := shareOwner(t)
 	n.withLimit(t, 2, 40)
@@ -164,12 +165,12 @@
 	}
 	must.Eq(t, wire.ResultShed, before.result)
 	must.Eq(t, wire.AttemptOrdered, since.state)
-	must.Eq(t, wire.ResultShed, former.result) // a former owner's: nobody knows by which limit
+	must.Eq(t, wire.ResultShed, former.result) // from an owner that sent no version: its limit is unknown
 	must.Eq(t, wire.AttemptOrdered, unlimited.state)
 	must.Eq(t, wire.AttemptOrdered, nobody.state)
 }
 
-// Placements carry the version by whose limit they were placed.
+// Placements carry the configuration version whose limit they were placed under.
 func TestTenantLimitOfPlacements(t *testing.T) {
 	n, shard := shareOwner(t)
 	n.withLimit(t, 2, 40)
@@ -185,7 +186,8 @@
 	must.Eq(t, resource.Amount{CPU: 2}, used)
 }
 
-// A lowered limit has the owners give up what they don't use, and a skipped version as well.
+// Owners give up unused shares when a limit is lowered, and when a version was skipped that may have
+// lowered it.
 func TestTenantLimitLowered(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -215,8 +217,8 @@
 	}
 }
 
-// Tasks of a tenant that no version here has declared wait until the configuration was confirmed
-// after their job came: the version that declares it may be on its way.
+// Tasks of a tenant that is not in the configuration wait until the configuration is confirmed after
+// their job's arrival: a newer version may declare the tenant.
 func TestTasksOfAnUnknownTenantWait(t *testing.T) {
 	n, shard := shareOwner(t)
 	job := jobOfTenant(t, shard, "a", "new", `{"name":"s","count":1,"room":1}`, 1)
@@ -229,7 +231,7 @@
 	must.False(t, mayStart())
 	n.now++
 	n.config.confirmedMs = n.now
-	must.True(t, mayStart()) // it is declared no more
+	must.True(t, mayStart()) // the tenant is not declared any more
 	job.enteredMs = n.now
 	must.False(t, mayStart())
 	job.Tenant = "full"
@@ -238,7 +240,7 @@
 	must.True(t, mayStart())
 }
 
-// Without tenants nobody reports or counts.
+// Without tenants no shares are reported or counted.
 func TestNoSharesWithoutTenants(t *testing.T) {
 	n, shard := shareOwner(t)
 	current, faults := configuration.Compile(2, []byte(`{"queues":[{"name":"q"}]}`))
@@ -257,7 +259,8 @@
 	must.Len(t, 1, n.counters["s"].Usages())
 }
 
-// Gangs that the whole limit is too low for don't keep the tenant's other tasks from claiming.
+// Guards against gangs larger than the whole limit that keep the tenant's other tasks from claiming a
+// share.
 func TestGangsBeyondTheLimitLeaveClaimsToOthers(t *testing.T) {
 	n, shard := shareOwner(t)
 	shard.shares.borrowerFor("full").SetCounter("d1", 1)
@@ -281,5 +284,5 @@
 	for _, c := range m.Accounts[0].Claims {
 		claimed[c.Job] = true
 	}
-	must.True(t, claimed["b"], must.Sprintf("of its tenant only %v claim", sortedKeys(claimed)))
+	must.True(t, claimed["b"], must.Sprintf("only jobs %v of the tenant claim", sortedKeys(claimed)))
 }
