--- a/internal/daemon/brief_test.go
+++ b/internal/daemon/brief_test.go
@@ -121,8 +121,8 @@
 		must.Eq(t, "running", plain.state)
 		must.StrContains(t, plain.last, at)
 		must.StrContains(t, plain.last, "otterchute workers lost")
-		for _, zone := range historycheck.Zones {
-			status, _, _, _ := w.asked("operator", w.nodes["d09"], "worker.lost", zone+"/"+at, nil)
+		for _, zoneName := range historycheck.Zones {
+			status, _, _, _ := w.asked("operator", w.nodes["d09"], "worker.lost", zoneName+"/"+at, nil)
 			must.Eq(t, 200, status)
 		}
 	}, 30_000}
@@ -334,7 +334,7 @@
 			w.run(400)
 			w.nodes[name].start()
 		}
-		must.True(t, w.until(40_000, func() bool { return w.coreWhole() != nil }), must.Sprint("the core is not complete"))
+		must.True(t, w.until(40_000, func() bool { return w.coreWhole() != nil }), must.Sprint("the core is not whole"))
 		other := w.nodes["d11"] // one that is not a core member
 		other.kill(true)
 		other.Addr, other.HTTP = "10.0.3.11:7000", "10.0.3.11:8000"
@@ -427,7 +427,7 @@
 	must.LessEq(t, int64(sent), handed-again, must.Sprintf("%d forwarded of %d sent", handed, sent))
 	most := int64(sent/requestsPerRetry + len(w.nodes)*(retryBudgetMax+(11_000/tickMs)*retriesPerTick))
 	must.LessEq(t, most, again+reads, must.Sprintf("%d retries", again+reads))
-	t.Log("sent", sent, "forwarded", handed, "accepted", entered, strings.TrimSpace(w.counts()))
+	t.Log("sent", sent, "forwarded to owners", handed, "entered", entered, strings.TrimSpace(w.counts()))
 }
 
 // doctor reports each fault that an operator can repair, and nothing in a healthy fleet.
--- a/internal/daemon/tenant_keys_test.go
+++ b/internal/daemon/tenant_keys_test.go
@@ -350,7 +350,7 @@
 			continue
 		}
 		must.Eq(t, 503, w.submit("d00", "/seats/"+id, "key-late"))
-		must.Eq(t, 201, w.submit("d00", "/seats/"+id+"-other", "key-a1"), must.Sprint("the shard goes on serving known tenants"))
+		must.Eq(t, 201, w.submit("d00", "/seats/"+id+"-other", "key-a1"), must.Sprint("jobs of known tenants must still be accepted"))
 		withheld = false
 		w.run(2000)
 		must.Eq(t, 201, w.submit("d00", "/seats/"+id, "key-late"))
