--- a/internal/daemon/batch_test.go
+++ b/internal/daemon/batch_test.go
@@ -29,17 +29,17 @@
 }
 
 // Monday 4 January 2027, 00:00 UTC.
-const aMonday = int64(1_799_020_800_000)
+const mondayMs = int64(1_799_020_800_000)
 
 func TestBatchClockText(t *testing.T) {
-	must.StrContains(t, clockText(mustContract(t, nightContract), aMonday+20*msPerHour), "Mon 2027-01-04 22:00 +02:00")
+	must.StrContains(t, clockText(mustContract(t, nightContract), mondayMs+20*msPerHour), "Mon 2027-01-04 22:00 +02:00")
 }
 
 func TestBatchPlan(t *testing.T) {
-	at := func(day, hour int64) int64 { return aMonday + (day*24+hour-2)*msPerHour }
+	at := func(day, hour int64) int64 { return mondayMs + (day*24+hour-2)*msPerHour }
 	night := &configuration.BatchRules{Contract: mustContract(t, nightContract), FinishByMs: 20 * msPerHour, SharePercent: 30}
-	came := at(0, 14)
-	p := planBatch(night, "j1", came, came, msPerHour)
+	submittedMs := at(0, 14)
+	p := planBatch(night, "j1", submittedMs, submittedMs, msPerHour)
 	must.False(t, p.AtAnyPrice)
 	must.Eq(t, 0.04, p.Price)
 	must.Eq(t, at(0, 22), p.OpenMs)
@@ -47,16 +47,16 @@
 	must.Eq(t, at(1, 10), p.DeadlineMs)
 	must.False(t, p.mayStart(at(0, 21), 1000))
 	must.True(t, p.mayStart(at(1, 3), 1000))
-	must.False(t, p.mayStart(at(1, 6)-500, 1000))                     // it would end in expensive hours
-	must.True(t, p.mayStart(at(1, 3), 10*msPerHour))                  // longer than any window
-	must.False(t, p.mayStart(at(1, 6), 10*msPerHour))                 // but it must start in one
-	must.Eq(t, p, planBatch(night, "j1", came, at(0, 20), msPerHour)) // the same at any later time
-	must.Eq(t, p.StartMs, planBatch(night, "j1", came, at(0, 23), msPerHour).StartMs)
+	must.False(t, p.mayStart(at(1, 6)-500, 1000))                            // it would end in expensive hours
+	must.True(t, p.mayStart(at(1, 3), 10*msPerHour))                         // longer than any window
+	must.False(t, p.mayStart(at(1, 6), 10*msPerHour))                        // but it must start in one
+	must.Eq(t, p, planBatch(night, "j1", submittedMs, at(0, 20), msPerHour)) // the same at any later time
+	must.Eq(t, p.StartMs, planBatch(night, "j1", submittedMs, at(0, 23), msPerHour).StartMs)
 
 	// starts are spread over the first half of the window
 	var per [4]int
 	for i := range 4000 {
-		s := planBatch(night, fmt.Sprint("job-", i), came, came, msPerHour).StartMs - at(0, 22)
+		s := planBatch(night, fmt.Sprint("job-", i), submittedMs, submittedMs, msPerHour).StartMs - at(0, 22)
 		must.Between(t, 0, s, 4*msPerHour-1)
 		per[s/msPerHour]++
 	}
@@ -92,15 +92,15 @@
 	must.Eq(t, at(2, 8), p.DeadlineMs)
 
 	// a clock that goes back holds the job again, one that jumps ahead starts it
-	p = planBatch(night, "j1", came, at(0, 21), msPerHour)
+	p = planBatch(night, "j1", submittedMs, at(0, 21), msPerHour)
 	must.False(t, p.mayStart(at(0, 21), 1000))
-	must.True(t, planBatch(night, "j1", came, at(2, 0), msPerHour).AtAnyPrice)
+	must.True(t, planBatch(night, "j1", submittedMs, at(2, 0), msPerHour).AtAnyPrice)
 
 	// a contract with another UTC offset
 	west := mustContract(t, strings.Replace(nightContract, "120", "-480", 1))
-	there := &configuration.BatchRules{Contract: west, FinishByMs: 20 * msPerHour}
-	must.Eq(t, came, planBatch(there, "j1", came, came, msPerHour).StartMs) // 04:00 there
-	must.Eq(t, at(1, 8), planBatch(there, "j1", at(0, 17), at(0, 17), msPerHour).OpenMs)
+	westRules := &configuration.BatchRules{Contract: west, FinishByMs: 20 * msPerHour}
+	must.Eq(t, submittedMs, planBatch(westRules, "j1", submittedMs, submittedMs, msPerHour).StartMs) // 04:00 there
+	must.Eq(t, at(1, 8), planBatch(westRules, "j1", at(0, 17), at(0, 17), msPerHour).OpenMs)
 }
 
 // batchNode returns a single daemon at the given cluster time.
@@ -117,7 +117,7 @@
 	return n
 }
 
-func (n *node) batchSlice() *ownedShard {
+func (n *node) addBatchShard() *ownedShard {
 	shard := &ownedShard{name: "east", serving: true, jobs: map[string]*liveJob{}, placedByWorker: map[string]map[taskRef]resource.Amount{}, loadByWorker: map[string]resource.Amount{}, batchUseByWorker: map[queueOnWorker]resource.Amount{}}
 	n.shards["east"] = shard
 	return shard
@@ -137,14 +137,14 @@
 	return job
 }
 
-func oneBatch(room, estimateMs int64) string {
-	return fmt.Sprintf(`[{"name":"a","tasks":[{"name":"t","room":%d,"estimate_ms":%d}]}]`, room, estimateMs)
+func oneTaskSteps(cpu, estimateMs int64) string {
+	return fmt.Sprintf(`[{"name":"a","tasks":[{"name":"t","room":%d,"estimate_ms":%d}]}]`, cpu, estimateMs)
 }
 
 // The agent enforces the batch share of its worker, lets batch work wait behind more urgent work, and
 // preempts it at once for urgent work, other work only after urgentWaitMs.
 func TestBatchAtTheAgent(t *testing.T) {
-	n := batchNode(t, aMonday)
+	n := batchNode(t, mondayMs)
 	agent := &workerAgent{worker: "w", colocated: true, rebuilt: true, tokenMs: n.now, lastContactMs: n.now, lastSuccessMs: n.now, capacity: resource.Amount{CPU: 100}, free: resource.Amount{CPU: 100}, attempts: map[wire.AttemptKey]*agentAttempt{},
 		tombstones: map[wire.AttemptKey]int64{}, ownerEpochs: map[string]uint64{}, ownerReplyMs: map[string]int64{}, endsByNumber: map[int64]wire.AttemptKey{}}
 	n.agents["w"] = agent
@@ -158,7 +158,7 @@
 		n.startPending(agent)
 		agent.replying = false
 	}
-	running := func(attempt *agentAttempt) { attempt.state, attempt.startedMs = wire.AttemptRunning, n.now }
+	markRunning := func(attempt *agentAttempt) { attempt.state, attempt.startedMs = wire.AttemptRunning, n.now }
 
 	one, two := queued("b1", "refresh", wire.ClassQueueable, 20), queued("b2", "refresh", wire.ClassQueueable, 20)
 	pump()
@@ -170,11 +170,11 @@
 	pump()
 	must.Eq(t, wire.ResultShed, two.result) // returned to its owner instead of waiting here
 
-	running(one)
+	markRunning(one)
 	other := queued("i1", "import", wire.ClassQueueable, 60)
 	pump()
 	must.Eq(t, wire.AttemptOrdered, other.state)
-	running(other)
+	markRunning(other)
 	urgent := queued("c1", "confirm", wire.ClassQueueable, 40) // 20 free
 	pump()
 	must.Eq(t, wire.AttemptQueued, urgent.state)
@@ -186,13 +186,13 @@
 	one.state = wire.AttemptEnded
 	pump()
 	must.Eq(t, wire.AttemptOrdered, urgent.state)
-	running(urgent)
+	markRunning(urgent)
 
 	// other work is preempted only after urgentWaitMs
 	agent.attempts = map[wire.AttemptKey]*agentAttempt{}
 	low := queued("i2", "import", wire.ClassQueueable, 90)
 	pump()
-	running(low)
+	markRunning(low)
 	urgent = queued("c2", "confirm", wire.ClassQueueable, 40)
 	pump()
 	must.Zero(t, low.stopMs)
@@ -205,7 +205,7 @@
 	agent.attempts = map[wire.AttemptKey]*agentAttempt{}
 	batch := queued("b4", "refresh", wire.ClassQueueable, 10)
 	batch.spec.EstimateMs = 50_000
-	running(batch)
+	markRunning(batch)
 	n.onPromotion("", &wire.Promotion{Worker: "w", Key: batch.spec.Key})
 	must.Eq(t, wire.ClassQueueable, batch.spec.Class)
 	rank, _, _ := agent.workerRank(n)
@@ -214,13 +214,13 @@
 
 // The owner chooses the worker with the least batch work that had spare resources recently.
 func TestBatchChoosesAWorker(t *testing.T) {
-	n := batchNode(t, aMonday)
-	shard := n.batchSlice()
-	roomy := spareWindow{}.observe(0, resource.Amount{CPU: 100}).observe(spareWindowMs, resource.Amount{CPU: 100})
+	n := batchNode(t, mondayMs)
+	shard := n.addBatchShard()
+	spareHistory := spareWindow{}.observe(0, resource.Amount{CPU: 100}).observe(spareWindowMs, resource.Amount{CPU: 100})
 	for _, name := range []string{"w1", "w2", "w3"} {
-		n.workers[name] = &workerView{receivedMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 100}, spare: roomy, usedByOthers: map[string]resource.Amount{}, batchUse: map[string][]wire.QueueUsage{}}
+		n.workers[name] = &workerView{receivedMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 100}, spare: spareHistory, usedByOthers: map[string]resource.Amount{}, batchUse: map[string][]wire.QueueUsage{}}
 	}
-	job := n.batchJob(t, shard, "b1", oneBatch(10, 1000), 0)
+	job := n.batchJob(t, shard, "b1", oneTaskSteps(10, 1000), 0)
 	job.plan = &batchPlan{}
 	choose := func() string {
 		shard.batchStartsInTick, shard.batchTriesInTick, shard.batchUseByWorker = 0, 0, map[queueOnWorker]resource.Amount{}
@@ -264,16 +264,16 @@
 
 // The total work of all jobs before a deadline makes each start earlier than it would have to alone.
 func TestBatchDemand(t *testing.T) {
-	at := func(day, hour int64) int64 { return aMonday + (day*24+hour-2)*msPerHour }
+	at := func(day, hour int64) int64 { return mondayMs + (day*24+hour-2)*msPerHour }
 	n := batchNode(t, at(0, 14))
-	shard := n.batchSlice()
+	shard := n.addBatchShard()
 	for i := range 4 {
 		n.workers[fmt.Sprint("w", i)] = &workerView{receivedMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 100}}
 	}
 	// batches may use 120 units at once; 60 jobs of 30 units and an hour need that for 15 hours
 	var all []*liveJob
 	for i := range 60 {
-		all = append(all, n.batchJob(t, shard, fmt.Sprintf("b%02d", i), oneBatch(30, msPerHour), int64(60-i)*1000))
+		all = append(all, n.batchJob(t, shard, fmt.Sprintf("b%02d", i), oneTaskSteps(30, msPerHour), int64(60-i)*1000))
 	}
 	n.planBatches(shard)
 	held, now := 0, 0
@@ -290,7 +290,7 @@
 	must.Positive(t, now) // twice 15 hours don't fit between 22:00 and 10:00
 	must.Eq(t, 0.04, all[0].plan.Price)
 	must.Eq(t, 0.12, all[59].plan.Price)
-	late := n.batchJob(t, shard, "late", oneBatch(1, 4000), 20*msPerHour-30_000)
+	late := n.batchJob(t, shard, "late", oneTaskSteps(1, 4000), 20*msPerHour-30_000)
 	n.now += batchPlanMs
 	n.config.confirmedMs = n.now
 	for _, w := range n.workers {
@@ -312,18 +312,18 @@
 	other := batchNode(t, at(0, 14))
 	other.now, other.config.confirmedMs = n.now, n.now
 	other.workers = n.workers
-	osl := other.batchSlice()
+	otherShard := other.addBatchShard()
 	for _, job := range all {
-		osl.jobs[job.ID] = &liveJob{jobRecord: job.jobRecord, runtime: make([]taskRuntime, 1), committed: 1}
+		otherShard.jobs[job.ID] = &liveJob{jobRecord: job.jobRecord, runtime: make([]taskRuntime, 1), committed: 1}
 	}
-	osl.startMs = other.now
-	other.planBatches(osl)
-	must.Nil(t, osl.jobs["b00"].plan)
-	must.Eq(t, "held: its hours are being planned", other.explainHeld(osl.jobs["b00"], &osl.jobs["b00"].Tasks[0]))
-	osl.startMs -= batchLearnMs
-	other.planBatches(osl)
+	otherShard.startMs = other.now
+	other.planBatches(otherShard)
+	must.Nil(t, otherShard.jobs["b00"].plan)
+	must.Eq(t, "held: its hours are being planned", other.explainHeld(otherShard.jobs["b00"], &otherShard.jobs["b00"].Tasks[0]))
+	otherShard.startMs -= batchLearnMs
+	other.planBatches(otherShard)
 	for _, job := range all {
-		must.Eq(t, job.plan, osl.jobs[job.ID].plan)
+		must.Eq(t, job.plan, otherShard.jobs[job.ID].plan)
 	}
 
 	// a queue that is no batch queue any more releases its jobs at once
@@ -336,10 +336,10 @@
 
 // Core seconds are counted at the price of the hours in which they ran, and late jobs are counted.
 func TestBatchMeter(t *testing.T) {
-	at := func(day, hour int64) int64 { return aMonday + (day*24+hour-2)*msPerHour }
+	at := func(day, hour int64) int64 { return mondayMs + (day*24+hour-2)*msPerHour }
 	n := batchNode(t, at(1, 7))
-	shard := n.batchSlice()
-	job := n.batchJob(t, shard, "b1", oneBatch(2, 1000), 0)
+	shard := n.addBatchShard()
+	job := n.batchJob(t, shard, "b1", oneTaskSteps(2, 1000), 0)
 	n.meterBatch(job, &job.Tasks[0], 3*msPerHour) // from 04:00 to 07:00
 	must.Eq(t, map[meterKey]float64{{"night", 0.04}: 2 * 2 * 3600, {"night", 0.08}: 2 * 3600}, n.batchMeter)
 	job.plan, job.State = &batchPlan{DeadlineMs: 10}, jobComplete
@@ -355,7 +355,7 @@
 // Steps that can't wait or be preempted are rejected with their path, and batch jobs may fill only a part
 // of the shard's records.
 func TestBatchEntry(t *testing.T) {
-	n := batchNode(t, aMonday)
+	n := batchNode(t, mondayMs)
 	q := n.config.current.Queues["refresh"]
 	j, faults := parseJob("j", "refresh", []byte(`{"steps":[{"name":"a","count":2,"room":1,"gang":true},{"name":"b","count":1,"room":1,"lasting":true}]}`))
 	must.SliceEmpty(t, faults)
--- a/internal/daemon/brief_test.go
+++ b/internal/daemon/brief_test.go
@@ -28,9 +28,9 @@
 	return 0
 }
 
-// stays requires that in each 4 s at least a quarter of the usual throughput is reached. usual is
+// requireThroughput requires that in each 4 s at least a quarter of the usual throughput is reached. usual is
 // the number of tasks that ended in 10 s before the fault.
-func (w *world) stays(t *testing.T, what string, fromMs, toMs int64, usual int) {
+func (w *world) requireThroughput(t *testing.T, what string, fromMs, toMs int64, usual int) {
 	t.Helper()
 	for at := fromMs; at+4000 <= toMs; at += 1000 {
 		must.GreaterEq(t, usual/10, w.endedIn(at, at+4000), must.Sprintf("%s: %d tasks ended in 10 s before, %d from %d to %d ms", what, usual, w.endedIn(at, at+4000), at, at+4000))
@@ -182,7 +182,7 @@
 		}
 		must.True(t, w.until(20_000, func() bool { return open == 0 }), must.Sprint("a configuration change got no reply"))
 		w.run(max(0, at+18_000-w.nowMs()))
-		w.stays(t, "storm", at+12_000, at+18_000, usual)
+		w.requireThroughput(t, "storm", at+12_000, at+18_000, usual)
 		for _, n := range w.nodesInOrder() {
 			n.start()
 		}
@@ -310,7 +310,7 @@
 				must.Less(t, 8000, w.nowMs()-at)
 			}
 			w.run(at + 9000 - w.nowMs())
-			w.stays(t, role, at+4500, w.nowMs(), usual)
+			w.requireThroughput(t, role, at+4500, w.nowMs(), usual)
 			w.heal()
 			w.run(7000)
 		}
@@ -391,10 +391,10 @@
 
 // Guards against a retry storm: callers that resend at once after each rejection must not cause more
 // forwarded retries than the retry budget allows, and an urgent job is still accepted and completes.
-func TestCrowdThatResends(t *testing.T) {
+func TestImmediateRetriesStayInBudget(t *testing.T) {
 	w := formed(t, 3, "ikenna")
 	w.run(3000)
-	stop, sent, entered := false, 0, 0
+	stop, sent, accepted := false, 0, 0
 	body, _ := json.Marshal(w.oneTask("certify", 5000, 16, 60_000, 1))
 	for i := range 3000 {
 		id := fmt.Sprint("crowd-", i)
@@ -406,7 +406,7 @@
 			sent++
 			w.ask("caller", w.anyNode(w.rng.IntN(1000)), "job.put", id, body, 2000, func(status int, _ int64, _ []byte) {
 				if status == 201 || status == 200 {
-					entered++
+					accepted++
 					return
 				}
 				w.after(20_000, again)
@@ -415,23 +415,23 @@
 		again()
 	}
 	w.killHolder("slice/mid") // a third of the jobs have no owner for a while
-	was := w.total("requests_forwarded")
+	forwardedBefore := w.total("requests_forwarded")
 	w.run(6000)
-	handed := w.total("requests_forwarded") - was
+	forwarded := w.total("requests_forwarded") - forwardedBefore
 	urgent := w.submit(w.oneTask("signoff", 100, 1, 10_000, 1))
 	w.run(5000)
 	stop = true
 	must.Eq(t, "complete", urgent.state)
-	must.Positive(t, entered)
+	must.Positive(t, accepted)
 	again, reads := w.total("requests_retried"), w.total("states_from_core")
-	must.LessEq(t, int64(sent), handed-again, must.Sprintf("%d forwarded of %d sent", handed, sent))
-	most := int64(sent/requestsPerRetry + len(w.nodes)*(retryBudgetMax+(11_000/tickMs)*retriesPerTick))
-	must.LessEq(t, most, again+reads, must.Sprintf("%d retries", again+reads))
-	t.Log("sent", sent, "forwarded to owners", handed, "entered", entered, strings.TrimSpace(w.counts()))
+	must.LessEq(t, int64(sent), forwarded-again, must.Sprintf("%d forwarded of %d sent", forwarded, sent))
+	maxRetries := int64(sent/requestsPerRetry + len(w.nodes)*(retryBudgetMax+(11_000/tickMs)*retriesPerTick))
+	must.LessEq(t, maxRetries, again+reads, must.Sprintf("%d retries", again+reads))
+	t.Log("sent", sent, "forwarded to owners", forwarded, "entered", accepted, strings.TrimSpace(w.counts()))
 }
 
 // doctor reports each fault that an operator can repair, and nothing in a healthy fleet.
-func TestDoctorInAFleet(t *testing.T) {
+func TestDoctorFindsFaults(t *testing.T) {
 	noFault := func(*world) {}
 	for _, c := range []struct {
 		check  string
--- a/internal/daemon/central_test.go
+++ b/internal/daemon/central_test.go
@@ -56,7 +56,7 @@
 	return placed
 }
 
-func wantOf(job, queue string, tasks int, cpu, estMs int64) *pendingAllocation {
+func allocationOf(job, queue string, tasks int, cpu, estMs int64) *pendingAllocation {
 	request := &pendingAllocation{granted: map[int64]grantedTask{}, AllocationRequest: wire.AllocationRequest{Shard: "s", Job: job, Queue: queue, Resources: resource.Amount{CPU: cpu}, EstimateMs: estMs}}
 	for i := range tasks {
 		request.Tasks = append(request.Tasks, wire.RequestedTask{Task: uniformTaskID(0, 0, int32(i)), Attempt: 1})
@@ -84,7 +84,7 @@
 			n := rackNode(t, c.spreadFactor)
 			occupy(n, "w0", 3000)
 			occupy(n, "w3", 3000)
-			gang := wantOf("gang", "mid", 3, 3000, c.estMs)
+			gang := allocationOf("gang", "mid", 3, 3000, c.estMs)
 			gang.Gang, gang.SameRack = true, true
 			n.central.add(n.now, gang)
 			for _, i := range []int{1, 2, 4, 5} { // queueable work, so that the fleet is not idle
@@ -104,11 +104,11 @@
 		occupy(n, fmt.Sprint("w", i), 3000)
 	}
 	occupy(n, "w1", 0) // so r0 is the most likely rack
-	gang := wantOf("gang", "mid", 3, 3000, 20_000)
+	gang := allocationOf("gang", "mid", 3, 3000, 20_000)
 	gang.Gang, gang.SameRack = true, true
 	n.central.add(n.now, gang)
-	n.central.add(n.now, wantOf("single", "low", 1, 3000, 3000))
-	n.central.add(n.now, wantOf("urgent", "high", 1, 400, 3000))
+	n.central.add(n.now, allocationOf("single", "low", 1, 3000, 3000))
+	n.central.add(n.now, allocationOf("urgent", "high", 1, 400, 3000))
 	must.MapEmpty(t, grantAfter(n, 200, "gang"))
 	must.MapEmpty(t, grantAfter(n, 0, "single"), must.Sprint("it took the resources reserved in the rack"))
 	must.MapLen(t, 1, grantAfter(n, 0, "urgent"))
@@ -126,7 +126,7 @@
 	n := rackNode(t, 3)
 	occupy(n, "w0", 3000)
 	occupy(n, "w3", 3000)
-	gang := wantOf("gang", "mid", 3, 3000, 20_000)
+	gang := allocationOf("gang", "mid", 3, 3000, 20_000)
 	gang.Gang, gang.SameRack = true, true
 	n.central.add(n.now, gang)
 	must.MapEmpty(t, grantAfter(n, backfillAfterMs, "gang"))
@@ -136,7 +136,7 @@
 // A gang that no single rack can hold doesn't wait for one.
 func TestGangTooLargeForOneRack(t *testing.T) {
 	n := rackNode(t, 3)
-	gang := wantOf("gang", "mid", 5, 3000, 20_000)
+	gang := allocationOf("gang", "mid", 5, 3000, 20_000)
 	gang.Gang, gang.SameRack = true, true
 	n.central.add(n.now, gang)
 	must.MapLen(t, 5, grantAfter(n, 100, "gang"))
--- a/internal/daemon/cold_test.go
+++ b/internal/daemon/cold_test.go
@@ -8,38 +8,38 @@
 	"otterchute/internal/lease"
 )
 
-// TestMeasureReturn measures, in simulated ms, how long after a fault the roles of each kind are held
+// TestMeasureRecovery measures, in simulated ms, how long after a fault the roles of each kind are held
 // again, and when the next task starts.
-func TestMeasureReturn(t *testing.T) {
+func TestMeasureRecovery(t *testing.T) {
 	if !*measureFlag {
 		t.Skip("only with -measure")
 	}
-	for _, what := range []string{"first start", "power of all", "owner killed", "agent killed", "central killed"} {
-		var slicesMs, agentsMs, centralMs, startMs []int64
+	for _, fault := range []string{"first start", "power of all", "owner killed", "agent killed", "central killed"} {
+		var shardsMs, agentsMs, centralMs, startMs []int64
 		for seed := range uint64(40) {
 			w := newWorld(500+seed, historycheck.Deployments[[]string{"hakata", "ikenna"}[seed%2]])
 			at := w.nowMs()
-			duties := append([]string{"central", "slice/east", "slice/mid", "slice/west"}, agentRoles(w)...)
-			if what != "first start" {
+			roles := append([]string{"central", "slice/east", "slice/mid", "slice/west"}, agentRoles(w)...)
+			if fault != "first start" {
 				w.until(20_000, func() bool { return w.holderOf("central") != nil })
 				w.putSetup(1, w.dep.InitialConfiguration(), nil)
 				w.traffic(60_000)
 				w.run(15_000)
-				if what == "power of all" {
+				if fault == "power of all" {
 					undo := w.killAll(true)
 					w.run(3000)
 					undo()
 				} else {
-					duty := map[string]string{"owner killed": "slice/east", "agent killed": "agent/w04", "central killed": "central"}[what]
-					duties = []string{duty}
-					w.killHolder(duty)
+					role := map[string]string{"owner killed": "slice/east", "agent killed": "agent/w04", "central killed": "central"}[fault]
+					roles = []string{role}
+					w.killHolder(role)
 				}
 				at = w.nowMs()
 			}
 			from := len(w.history)
 			done := map[string]int64{}
 			w.until(20_000, func() bool {
-				for _, d := range duties {
+				for _, d := range roles {
 					h := w.holderOf(d)
 					if _, ok := done[d]; ok || h == nil {
 						continue
@@ -50,7 +50,7 @@
 					}
 					done[d] = w.nowMs() - at
 				}
-				return len(done) == len(duties)
+				return len(done) == len(roles)
 			})
 			for d, ms := range done {
 				switch kind, _ := lease.SplitRole(d); kind {
@@ -59,14 +59,14 @@
 				case lease.KindCentral:
 					centralMs = append(centralMs, ms)
 				default:
-					slicesMs = append(slicesMs, ms)
+					shardsMs = append(shardsMs, ms)
 				}
 			}
 			if i := slices.IndexFunc(w.history[from:], func(e historycheck.Event) bool { return e.Kind == historycheck.Start }); i >= 0 {
 				startMs = append(startMs, w.history[from+i].AtMs-at)
 			}
 		}
-		t.Logf("| %s | shards %d / %d | agents rebuilt %d / %d | central %d / %d | first start %d / %d |", what, pick(slicesMs, .5), pick(slicesMs, 1),
+		t.Logf("| %s | shards %d / %d | agents rebuilt %d / %d | central %d / %d | first start %d / %d |", fault, pick(shardsMs, .5), pick(shardsMs, 1),
 			pick(agentsMs, .5), pick(agentsMs, 1), pick(centralMs, .5), pick(centralMs, 1), pick(startMs, .5), pick(startMs, 1))
 	}
 }
--- a/internal/daemon/credential_test.go
+++ b/internal/daemon/credential_test.go
@@ -35,7 +35,7 @@
 // admitted reports whether the key was accepted, whatever the job's owner replied.
 func (c *credentialCall) admitted() bool { return c.status != 0 && c.status != 401 && c.status != 503 }
 
-func credentialsServed(t *testing.T, seed uint64, keys ...string) *credentialWorld {
+func newCredentialWorld(t *testing.T, seed uint64, keys ...string) *credentialWorld {
 	t.Helper()
 	w := &credentialWorld{world: served(t, seed)}
 	w.change(t, keys...)
@@ -97,7 +97,7 @@
 }
 
 // credentialFaults are faults that begin as keys change. host is the last daemon, which has no disk.
-var credentialTroubles = map[string]struct {
+var credentialFaults = map[string]struct {
 	begin func(w *credentialWorld, host string)
 	calm  bool
 }{
@@ -106,20 +106,20 @@
 	"receives from no member": {begin: func(w *credentialWorld, host string) { w.cutFrom(host, w.members(), false, true) }},
 	"frozen for 3 s":          {begin: func(w *credentialWorld, host string) { w.nodes[host].freeze(3000) }},
 	"member cut off":          {begin: func(w *credentialWorld, _ string) { w.cutHost("d02") }},
-	"late polls":              {begin: func(w *credentialWorld, host string) { w.holdPolls(host, 300) }},
-	"very late polls":         {begin: func(w *credentialWorld, host string) { w.holdPolls(host, 1300) }},
+	"late polls":              {begin: func(w *credentialWorld, host string) { w.delayPolls(host, 300) }},
+	"very late polls":         {begin: func(w *credentialWorld, host string) { w.delayPolls(host, 1300) }},
 	"late, then none": {begin: func(w *credentialWorld, host string) {
-		w.holdPolls(host, 1200)
+		w.delayPolls(host, 1200)
 		w.after(200_000, func() { w.cutFrom(host, w.members(), true, true) })
 	}},
-	"late values":      {begin: func(w *credentialWorld, host string) { w.holdValues(host, 1000) }},
+	"late values":      {begin: func(w *credentialWorld, host string) { w.delayValues(host, 1000) }},
 	"restarted member": {begin: func(w *credentialWorld, _ string) { w.nodes["d01"].kill(true); w.after(400_000, w.nodes["d01"].start) }},
 }
 
 func (w *credentialWorld) members() []string { return []string{"d00", "d01", "d02"} }
 
-// holdPolls delays the core members' replies to a daemon's polls.
-func (w *credentialWorld) holdPolls(host string, ms int64) {
+// delayPolls delays the core members' replies to a daemon's polls.
+func (w *credentialWorld) delayPolls(host string, ms int64) {
 	w.detain = func(_, to string, msg any) int64 {
 		if _, ok := msg.(*wire.PollResponse); ok && to == host {
 			return ms * 1000
@@ -128,8 +128,8 @@
 	}
 }
 
-// holdValues delays configuration documents on their way to a daemon.
-func (w *credentialWorld) holdValues(host string, ms int64) {
+// delayValues delays configuration documents on their way to a daemon.
+func (w *credentialWorld) delayValues(host string, ms int64) {
 	w.detain = func(_, to string, msg any) int64 {
 		if _, ok := msg.(*wire.RegisterValue); ok && to == host {
 			return ms * 1000
@@ -142,13 +142,13 @@
 // are, and against a removed key that is accepted after revokedWithinMs. Without faults every daemon
 // accepts the first and refuses the second.
 func TestKeysOnceAcknowledged(t *testing.T) {
-	for _, name := range sortedKeys(credentialTroubles) {
-		trouble := credentialTroubles[name]
+	for _, name := range sortedKeys(credentialFaults) {
+		fault := credentialFaults[name]
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(3) {
-				w := credentialsServed(t, 400+seed, "kept", "old")
-				struck := sortedKeys(w.nodes)[len(w.nodes)-1]
-				trouble.begin(w, struck)
+				w := newCredentialWorld(t, 400+seed, "kept", "old")
+				faultyHost := sortedKeys(w.nodes)[len(w.nodes)-1]
+				fault.begin(w, faultyHost)
 				w.change(t, "kept", "new")
 				changedMs := w.nowMs()
 				w.callFor(3200, "kept", "new", "old")
@@ -156,14 +156,14 @@
 				w.detain = nil
 				w.run(5000)
 				for _, c := range w.calls {
-					about := must.Sprintf("seed %d: %s, key %s, %d ms after the acknowledgement: %d", seed, c.host, c.key, c.sentMs-changedMs, c.status)
+					details := must.Sprintf("seed %d: %s, key %s, %d ms after the acknowledgement: %d", seed, c.host, c.key, c.sentMs-changedMs, c.status)
 					switch {
 					case c.key != "old":
-						must.NotEq(t, 401, c.status, about)
-						must.True(t, c.admitted() || !trouble.calm, about)
+						must.NotEq(t, 401, c.status, details)
+						must.True(t, c.admitted() || !fault.calm, details)
 					case c.sentMs >= changedMs+revokedWithinMs:
-						must.False(t, c.admitted(), about)
-						must.True(t, c.status == 401 || !trouble.calm, about)
+						must.False(t, c.admitted(), details)
+						must.True(t, c.status == 401 || !fault.calm, details)
 					}
 				}
 			}
@@ -175,7 +175,7 @@
 // acknowledged since may have the key. The call waits for a later confirmation; without one its
 // outcome stays unknown.
 func TestUnknownKeyIsRefusedByALaterConfirmation(t *testing.T) {
-	w := credentialsServed(t, 17, "kept")
+	w := newCredentialWorld(t, 17, "kept")
 	host := sortedKeys(w.nodes)[len(w.nodes)-1]
 	n := w.nodes[host]
 	for range 40 {
@@ -209,32 +209,32 @@
 // Guards against calls with no key or an unknown one that are accepted at a queue that requires a key,
 // and against open queues and unknown addresses that require one.
 func TestWhichCallsNeedAKey(t *testing.T) {
-	w := credentialsServed(t, 23, "kept", "")
+	w := newCredentialWorld(t, 23, "kept", "")
 	job := []byte(`{"steps":[{"name":"a","count":1,"room":1,"estimate_ms":50}]}`)
-	at := func(op, path, key string) int {
+	callAt := func(op, path, key string) int {
 		return w.settle(w.nodes["d00"], evRequest{Op: op, Host: "h.example", Path: path, Base: -1, Body: job, Credential: key}, 4000).status
 	}
 	for _, key := range []string{"", "unknown", digestOf("kept"), "KEPT"} {
 		for _, op := range []string{"queue.submit", "queue.state", "queue.cancel"} {
-			must.Eq(t, 401, at(op, "/p/job-1", key), must.Sprint(op, " ", key))
-			must.Eq(t, 404, at(op, "/nowhere/job-1", key))
+			must.Eq(t, 401, callAt(op, "/p/job-1", key), must.Sprint(op, " ", key))
+			must.Eq(t, 404, callAt(op, "/nowhere/job-1", key))
 		}
-		must.Eq(t, 401, at("queue.state", "/p/", key))
-		must.Eq(t, 200, at("queue.state", "/free/", key))
+		must.Eq(t, 401, callAt("queue.state", "/p/", key))
+		must.Eq(t, 200, callAt("queue.state", "/free/", key))
 	}
-	must.Eq(t, 201, at("queue.submit", "/free/job-2", ""))
-	must.Eq(t, 201, at("queue.submit", "/p/job-1", "kept"))
-	must.Eq(t, 200, at("queue.state", "/p/job-1", "kept"))
-	must.Eq(t, 401, at("queue.state", "/p/job-1", "unknown"))
+	must.Eq(t, 201, callAt("queue.submit", "/free/job-2", ""))
+	must.Eq(t, 201, callAt("queue.submit", "/p/job-1", "kept"))
+	must.Eq(t, 200, callAt("queue.state", "/p/job-1", "kept"))
+	must.Eq(t, 401, callAt("queue.state", "/p/job-1", "unknown"))
 	w.change(t)
-	must.Eq(t, 401, at("queue.state", "/p/job-1", "kept"))
-	must.Eq(t, 401, at("queue.cancel", "/p/job-1", "kept"))
-	must.Eq(t, 200, at("queue.state", "/free/job-2", "kept"))
+	must.Eq(t, 401, callAt("queue.state", "/p/job-1", "kept"))
+	must.Eq(t, 401, callAt("queue.cancel", "/p/job-1", "kept"))
+	must.Eq(t, 200, callAt("queue.state", "/free/job-2", "kept"))
 }
 
 // Guards against leaked keys: a caller's key, known or not, must not appear in log lines, messages
 // between daemons, disk entries, replies or names of counts.
-func TestKeysStayWithTheDaemonThatGotThem(t *testing.T) {
+func TestKeysDoNotLeak(t *testing.T) {
 	w := &credentialWorld{world: served(t, 29)}
 	w.keepLog = true
 	var leaks []string
--- a/internal/daemon/cutoff_test.go
+++ b/internal/daemon/cutoff_test.go
@@ -15,13 +15,13 @@
 	"both ways":     func(w *world, at string) { w.cutHost(at) },
 	"sends lost":    func(w *world, at string) { w.cutFrom(at, sortedKeys(w.nodes), true, false) },
 	"receives lost": func(w *world, at string) { w.cutFrom(at, sortedKeys(w.nodes), false, true) },
-	"two members":   func(w *world, at string) { w.cutFrom(at, w.twoMembersBeside(at), true, true) },
+	"two members":   func(w *world, at string) { w.cutFrom(at, w.twoOtherMembers(at), true, true) },
 	"receives from two members lost": func(w *world, at string) {
-		w.cutFrom(at, w.twoMembersBeside(at), false, true)
+		w.cutFrom(at, w.twoOtherMembers(at), false, true)
 	},
 	"one way each": func(w *world, at string) {
-		w.cutFrom(at, w.twoMembersBeside(at)[:1], true, false)
-		w.cutFrom(at, w.twoMembersBeside(at)[1:], false, true)
+		w.cutFrom(at, w.twoOtherMembers(at)[:1], true, false)
+		w.cutFrom(at, w.twoOtherMembers(at)[1:], false, true)
 	},
 	"clock jumps": func(w *world, at string) {
 		w.cutHost(at)
@@ -52,7 +52,7 @@
 	}
 }
 
-func (w *world) twoMembersBeside(at string) []string {
+func (w *world) twoOtherMembers(at string) []string {
 	var out []string
 	for _, m := range w.nodes[at].sh.node.core.Names() {
 		if m != at && len(out) < 2 {
@@ -62,8 +62,8 @@
 	return out
 }
 
-// atQueue returns a call at the address of the tests' queue.
-func atQueue(op, id string) evRequest {
+// queueCall returns a call at the address of the tests' queue.
+func queueCall(op, id string) evRequest {
 	e := evRequest{Op: op, Host: "one.example", Path: "/a/" + id, Base: -1}
 	if op == "queue.submit" {
 		e.Body = []byte(`{"steps":[{"name":"s","tasks":[{"name":"t","room":1}]}]}`)
@@ -71,13 +71,13 @@
 	return e
 }
 
-const addressOfQueue = `,"addresses":[{"host":"one.example","prefix":"/a/"}]`
+const queueAddresses = `,"addresses":[{"host":"one.example","prefix":"/a/"}]`
 
 // putAnywhere puts a configuration version at the first daemon that accepts it.
 func (w *world) putAnywhere(t *testing.T, version, base int64) {
 	t.Helper()
 	for _, name := range []string{"d06", "d07", "d08", "d01"} {
-		e := evRequest{Op: "setup.put", Key: fmt.Sprint(version), Base: base, Body: queueSetup("a", fmt.Sprintf(`%s,"max_limit_ms":%d`, addressOfQueue, version))}
+		e := evRequest{Op: "setup.put", Key: fmt.Sprint(version), Base: base, Body: queueSetup("a", fmt.Sprintf(`%s,"max_limit_ms":%d`, queueAddresses, version))}
 		if w.settle(w.nodes[name], e, 4000).status == 200 {
 			return
 		}
@@ -90,28 +90,28 @@
 // unknown or complete. Once connected again it serves all calls within a second, by the newest
 // configuration.
 func TestCutOffAnswers(t *testing.T) {
-	for _, lastsMs := range []int64{20_000, 200_000} {
+	for _, durationMs := range []int64{20_000, 200_000} {
 		for _, kind := range sortedKeys(cutKinds) {
-			if lastsMs > 20_000 && kind != "both ways" && kind != "two members" && kind != "freezes" {
+			if durationMs > 20_000 && kind != "both ways" && kind != "two members" && kind != "freezes" {
 				continue // the others behave as after 20 s
 			}
 			for i, at := range []string{"d00", "d05"} {
-				t.Run(fmt.Sprint(lastsMs/1000, "s/", kind, "/", at), func(t *testing.T) {
-					cutOffAnswers(t, 7400+uint64(i), kind, at, lastsMs)
+				t.Run(fmt.Sprint(durationMs/1000, "s/", kind, "/", at), func(t *testing.T) {
+					checkCutOffReplies(t, 7400+uint64(i), kind, at, durationMs)
 				})
 			}
 		}
 	}
 }
 
-func cutOffAnswers(t *testing.T, seed uint64, kind, at string, lastsMs int64) {
+func checkCutOffReplies(t *testing.T, seed uint64, kind, at string, durationMs int64) {
 	w := served(t, seed)
 	n, version := w.nodes[at], int64(2)
 	w.putAnywhere(t, version, 0)
 	w.run(1000)
-	must.SliceContains(t, []int{200, 201}, w.settle(w.nodes["d07"], atQueue("queue.submit", "j1"), 3000).status)
+	must.SliceContains(t, []int{200, 201}, w.settle(w.nodes["d07"], queueCall("queue.submit", "j1"), 3000).status)
 	must.True(t, w.until(20_000, func() bool {
-		return gjson.Get(w.settle(w.nodes["d07"], atQueue("queue.state", "j1"), 3000).body, "state").Str == "complete"
+		return gjson.Get(w.settle(w.nodes["d07"], queueCall("queue.state", "j1"), 3000).body, "state").Str == "complete"
 	}))
 	w.run(1000)
 	cutKinds[kind](w, at)
@@ -121,36 +121,36 @@
 		"outdated order": {Op: "setup.put", Key: "1", Base: 0, Body: queueSetup("b", "")},
 		"empty a site":   {Op: "site.empty", Key: "west", Base: -1},
 		"ready":          {Op: "ready", Base: -1},
-		"known job":      atQueue("queue.state", "j1"),
-		"unknown job":    atQueue("queue.state", "never"),
+		"known job":      queueCall("queue.state", "j1"),
+		"unknown job":    queueCall("queue.state", "never"),
 		"unknown queue":  {Op: "queue.state", Host: "two.example", Path: "/b/x", Base: -1},
-		"cancel":         atQueue("queue.cancel", "never"),
-		"count":          atQueue("queue.state", ""),
+		"cancel":         queueCall("queue.cancel", "never"),
+		"count":          queueCall("queue.state", ""),
 	}
-	open, last := 0, ""
+	unanswered, lastReply := 0, ""
 	probe := func(name string, e evRequest) {
-		sent, awake := w.nowMs(), n.frozenTo
-		open++
+		sent, frozenToUs := w.nowMs(), n.frozenTo
+		unanswered++
 		w.call("caller", n, e, 15_000, func(status int, retryMs int64, b []byte) {
-			open--
-			from := max(sent, awake/1000, n.frozenTo/1000)
-			last = fmt.Sprintf("%s, sent %d ms after the cut, answered after %d ms: %d %s", name, sent-cutMs, w.nowMs()-from, status, b)
-			unsure := name == "submit" && status == 504
-			if sent > cutMs+lease.DurationMs && (status != 503 && !unsure || retryMs <= 0) {
-				t.Error(last)
+			unanswered--
+			from := max(sent, frozenToUs/1000, n.frozenTo/1000)
+			lastReply = fmt.Sprintf("%s, sent %d ms after the cut, answered after %d ms: %d %s", name, sent-cutMs, w.nowMs()-from, status, b)
+			outcomeUnknown := name == "submit" && status == 504
+			if sent > cutMs+lease.DurationMs && (status != 503 && !outcomeUnknown || retryMs <= 0) {
+				t.Error(lastReply)
 			}
 			if w.nowMs()-from > 1000 {
-				t.Error("late: ", last)
+				t.Error("late: ", lastReply)
 			}
 		})
 	}
-	for i := int64(0); w.nowMs() < cutMs+lastsMs; i++ {
+	for i := int64(0); w.nowMs() < cutMs+durationMs; i++ {
 		for _, name := range sortedKeys(probes) {
 			probe(name, probes[name])
 		}
-		probe("order", evRequest{Op: "setup.put", Key: fmt.Sprint(1000 + i), Base: version, Body: queueSetup("lost", addressOfQueue)})
-		probe("submit", atQueue("queue.submit", fmt.Sprint("k", i)))
-		w.run(lastsMs / 40)
+		probe("order", evRequest{Op: "setup.put", Key: fmt.Sprint(1000 + i), Base: version, Body: queueSetup("lost", queueAddresses)})
+		probe("submit", queueCall("queue.submit", fmt.Sprint("k", i)))
+		w.run(durationMs / 40)
 		if i%10 == 5 {
 			current := w.settle(w.nodes["d07"], evRequest{Op: "setup.get"}, 3000) // a command from before the lease ended may have taken effect
 			must.Eq(t, 200, current.status)
@@ -162,13 +162,13 @@
 		}
 	}
 	w.run(2000)
-	must.Zero(t, open, must.Sprint(last))
-	w.back(t, n, version)
+	must.Zero(t, unanswered, must.Sprint(lastReply))
+	w.requireServedAgain(t, n, version)
 }
 
-// back reconnects a daemon that was cut off, and requires that it serves each kind of call within a
+// requireServedAgain reconnects a daemon that was cut off, and requires that it serves each kind of call within a
 // second.
-func (w *world) back(t *testing.T, n *simNode, version int64) {
+func (w *world) requireServedAgain(t *testing.T, n *simNode, version int64) {
 	t.Helper()
 	w.heal()
 	healedMs, served := w.nowMs(), map[string]int64{}
@@ -190,11 +190,11 @@
 			return status == 200
 		})
 		try("order", evRequest{Op: "site.empty", Key: "east", Base: -1}, func(status int, _ string) bool { return status == 200 })
-		try("submit", atQueue("queue.submit", fmt.Sprint("m", i)), func(status int, _ string) bool { return status == 200 || status == 201 })
-		try("known job", atQueue("queue.state", "j1"), func(status int, body string) bool {
+		try("submit", queueCall("queue.submit", fmt.Sprint("m", i)), func(status int, _ string) bool { return status == 200 || status == 201 })
+		try("known job", queueCall("queue.state", "j1"), func(status int, body string) bool {
 			return status == 200 && gjson.Get(body, "state").Str == "complete"
 		})
-		try("put", evRequest{Op: "setup.put", Key: fmt.Sprint(version + 50), Base: version, Body: queueSetup("a", addressOfQueue)},
+		try("put", evRequest{Op: "setup.put", Key: fmt.Sprint(version + 50), Base: version, Body: queueSetup("a", queueAddresses)},
 			func(status int, _ string) bool { return status == 200 })
 		w.run(20)
 	}
@@ -243,7 +243,7 @@
 		w.run(1000)
 		owner := w.holderOf("slice/" + w.nodes["d00"].sh.node.shardOf("j9"))
 		var got []answered
-		w.call("caller", owner, atQueue("queue.state", "j9"), 20_000, func(status int, _ int64, b []byte) {
+		w.call("caller", owner, queueCall("queue.state", "j9"), 20_000, func(status int, _ int64, b []byte) {
 			got = append(got, answered{status, string(b)})
 		})
 		shard := owner.sh.node.shards[w.nodes["d00"].sh.node.shardOf("j9")]
@@ -251,7 +251,7 @@
 		owner.freeze(9000)
 		w.run(4000)
 		must.True(t, w.until(4000, func() bool {
-			status := w.settle(w.nodes["d07"], atQueue("queue.submit", "j9"), 1000).status
+			status := w.settle(w.nodes["d07"], queueCall("queue.submit", "j9"), 1000).status
 			return status == 200 || status == 201
 		}))
 		must.True(t, w.until(12_000, func() bool { return len(got) > 0 }))
--- a/internal/daemon/durability_test.go
+++ b/internal/daemon/durability_test.go
@@ -21,9 +21,9 @@
 	return allOf(undo)
 }
 
-// lookAtAll reads the state of every accepted job once more, as callers may for as long as finished
+// readAllJobs reads the state of every accepted job once more, as callers may for as long as finished
 // jobs are kept.
-func (b *platformWorld) lookAtAll() {
+func (b *platformWorld) readAllJobs() {
 	for _, id := range sortedKeys(b.jobs) {
 		if j := b.jobs[id]; j.acked {
 			b.look(j)
@@ -64,7 +64,7 @@
 			}
 		}
 		b.run(12_000) // past the next check for expired jobs
-		b.lookAtAll()
+		b.readAllJobs()
 		for _, j := range jobs {
 			must.True(t, !j.acked || j.state == "complete", must.Sprintf("job %s is reported as %s", j.id, j.state))
 		}
@@ -83,10 +83,10 @@
 	}
 	for i := range count {
 		seed := *fromFlag + uint64(i)
-		site := chosenDeployments()[seed%2]
-		t.Run(fmt.Sprintf("%s-%d", site, seed), func(t *testing.T) {
+		deploymentName := chosenDeployments()[seed%2]
+		t.Run(fmt.Sprintf("%s-%d", deploymentName, seed), func(t *testing.T) {
 			t.Parallel()
-			b := formPlatform(t, seed, site)
+			b := formPlatform(t, seed, deploymentName)
 			b.traffic()
 			accepted := 1 + b.rng.IntN(40)
 			b.onSee = func(e platformEvent) {
@@ -114,7 +114,7 @@
 			}
 			b.run(8000)
 			b.finish(120_000)
-			b.lookAtAll()
+			b.readAllJobs()
 			verdictOfPlatform(t, b)
 		})
 	}
@@ -124,36 +124,36 @@
 // that is copying from it must begin the copy again.
 func TestCopyOutlivesARestart(t *testing.T) {
 	w := formed(t, 6, "ikenna")
-	const many, gone = 20_000, 8000
+	const many, expired = 20_000, 8000
 	source := w.nodes["d00"]
 	for i := range many {
 		source.disk.plant(finishedEntry("mid", i, wallStart+int64(i)*1000))
 	}
-	keepFrom := int64(wallStart + gone*1000)
+	keepFrom := int64(wallStart + expired*1000)
 	source.disk.plant(statestore.Entry{Kind: statestore.EntryExpire, Name: "mid", Epoch: uint64(keepFrom)})
 	source.kill(false)
 	source.start()
-	past := source.sh.node.store.Shard("mid")
-	firstChunk := past.FirstChunk()
+	sourceShard := source.sh.node.store.Shard("mid")
+	firstChunk := sourceShard.FirstChunk()
 	must.Greater(t, 3, firstChunk)
-	kept := past.Finished()
-	must.Greater(t, many-gone-1, kept)
+	kept := sourceShard.Finished()
+	must.Greater(t, many-expired-1, kept)
 
 	joiner := w.nodes["d02"]
 	must.True(t, w.until(10_000, func() bool { return w.coreWhole() != nil }))
 	joiner.kill(true)
 	joiner.wipe()
 	joiner.start()
-	asked := func() uint64 {
+	copyChunk := func() uint64 {
 		if at := joiner.sh.node.members.CopyCursor("d00"); at.Shard == "mid" {
 			return at.Chunk
 		}
 		return 0
 	}
-	for end := w.nowMs() + 20_000; asked() < firstChunk+3 && w.nowMs() < end; {
+	for end := w.nowMs() + 20_000; copyChunk() < firstChunk+3 && w.nowMs() < end; {
 		w.step()
 	}
-	must.Greater(t, firstChunk, asked())
+	must.Greater(t, firstChunk, copyChunk())
 	source.disk.entries, source.disk.synced = nil, 0 // as left by a snapshot
 	source.disk.plant(source.sh.node.store.Dump()...)
 	source.kill(false)
@@ -165,7 +165,7 @@
 
 // Guards against finished jobs that are dropped by a wrong clock: they expire by the time of a majority
 // of the core, so an isolated member whose clock is a week ahead must drop nothing.
-func TestKeepingNeedsTheTimeOfAMajority(t *testing.T) {
+func TestRetentionUsesTheTimeOfAMajority(t *testing.T) {
 	w := formed(t, 4, "ikenna")
 	w.run(3000)
 	member := w.nodes["d01"]
--- a/internal/daemon/fence_test.go
+++ b/internal/daemon/fence_test.go
@@ -18,7 +18,7 @@
 	n := w.nodes["d01"].sh.node
 	return n, func(from string, msg any) any {
 		var back any
-		look := func(effects []effect) {
+		collect := func(effects []effect) {
 			for _, e := range effects {
 				if s, ok := e.(effSend); ok {
 					back = s.Msg
@@ -27,9 +27,9 @@
 		}
 		for _, e := range reduce(n, event{NowMs: n.now, WallMs: n.wall, Seed: 1, Body: evMsg{Head: wire.Header{From: from, Cluster: n.core.Cluster, To: addressOf(n.Name)}, Msg: msg}}) {
 			if a, ok := e.(effAppend); ok {
-				look(a.Then)
+				collect(a.Then)
 			} else {
-				look([]effect{e})
+				collect([]effect{e})
 			}
 		}
 		return back
@@ -39,23 +39,23 @@
 // Guards against writes of a former owner: one under an epoch that a newer owner has sealed must be
 // rejected whole.
 func TestOldEpochIsFenced(t *testing.T) {
-	n, say := coreMemberOf(t)
+	n, deliver := coreMemberOf(t)
 	v := n.core.Version
-	must.True(t, say("d09", &wire.SealRequest{SetVersion: v, Shard: "fenced", Epoch: 7}).(*wire.SealResponse).OK)
+	must.True(t, deliver("d09", &wire.SealRequest{SetVersion: v, Shard: "fenced", Epoch: 7}).(*wire.SealResponse).OK)
 	rec := []statestore.Record{{ID: "j", Epoch: 6, Version: 3, Live: true}}
-	must.False(t, say("d08", &wire.WriteRequest{SetVersion: v, Shard: "fenced", Epoch: 6, Seq: 1, Records: rec}).(*wire.WriteResponse).OK)
+	must.False(t, deliver("d08", &wire.WriteRequest{SetVersion: v, Shard: "fenced", Epoch: 6, Seq: 1, Records: rec}).(*wire.WriteResponse).OK)
 	must.Zero(t, recordsIn(n.store, "fenced"))
-	must.False(t, say("d08", &wire.SealRequest{SetVersion: v, Shard: "fenced", Epoch: 6}).(*wire.SealResponse).OK)
-	must.True(t, say("d09", &wire.WriteRequest{SetVersion: v, Shard: "fenced", Epoch: 7, Seq: 1, Records: rec}).(*wire.WriteResponse).OK)
-	must.Nil(t, say("d09", &wire.WriteRequest{SetVersion: v - 1, Shard: "fenced", Epoch: 7, Seq: 2, Records: rec})) // sent under another core set
+	must.False(t, deliver("d08", &wire.SealRequest{SetVersion: v, Shard: "fenced", Epoch: 6}).(*wire.SealResponse).OK)
+	must.True(t, deliver("d09", &wire.WriteRequest{SetVersion: v, Shard: "fenced", Epoch: 7, Seq: 1, Records: rec}).(*wire.WriteResponse).OK)
+	must.Nil(t, deliver("d09", &wire.WriteRequest{SetVersion: v - 1, Shard: "fenced", Epoch: 7, Seq: 2, Records: rec})) // sent under another core set
 }
 
 // Guards against two holders of a lease: it excludes others until it ends, and a member that has just
 // started grants none for the duration of a lease.
 func TestLeaseExcludes(t *testing.T) {
-	n, say := coreMemberOf(t)
+	n, deliver := coreMemberOf(t)
 	poll := func(from string, inc uint64) bool {
-		return say(from, &wire.PollRequest{Incarnation: inc, SetVersion: n.core.Version, Leases: []wire.LeaseRequest{{Name: "slice/some"}}}).(*wire.PollResponse).Granted[0]
+		return deliver(from, &wire.PollRequest{Incarnation: inc, SetVersion: n.core.Version, Leases: []wire.LeaseRequest{{Name: "slice/some"}}}).(*wire.PollResponse).Granted[0]
 	}
 	must.True(t, poll("x08", 1))
 	must.True(t, poll("x08", 1))
@@ -74,19 +74,19 @@
 // A lease ends early once a later incarnation of its holder is seen at the same address: only one process
 // can listen there. At another address the former incarnation may still run.
 func TestLeaseOfAnIncarnationThatEnded(t *testing.T) {
-	n, say := coreMemberOf(t)
+	n, deliver := coreMemberOf(t)
 	poll := func(from string, inc uint64) *wire.PollResponse {
-		return say(from, &wire.PollRequest{Incarnation: inc, SetVersion: n.core.Version, Leases: []wire.LeaseRequest{{Name: "slice/some"}}}).(*wire.PollResponse)
+		return deliver(from, &wire.PollRequest{Incarnation: inc, SetVersion: n.core.Version, Leases: []wire.LeaseRequest{{Name: "slice/some"}}}).(*wire.PollResponse)
 	}
-	heard := func(name string, inc uint64, addr string) {
+	recordPeer := func(name string, inc uint64, addr string) {
 		n.peers.Record(wire.Peer{Name: name, Incarnation: inc, Addr: addr}, n.now)
 	}
-	heard("x08", 1, "10.0.0.8:7000")
-	heard("x09", 1, "10.0.0.9:7000")
+	recordPeer("x08", 1, "10.0.0.8:7000")
+	recordPeer("x09", 1, "10.0.0.9:7000")
 	must.True(t, poll("x08", 1).Granted[0])
-	heard("x08", 2, "10.0.0.88:7000")
+	recordPeer("x08", 2, "10.0.0.88:7000")
 	must.False(t, poll("x09", 1).Granted[0])
-	heard("x08", 2, "10.0.0.8:7000")
+	recordPeer("x08", 2, "10.0.0.8:7000")
 	must.True(t, poll("x09", 1).Granted[0])
 
 	// After a restart the grants are lost: the last holder in the register counts.
@@ -94,9 +94,9 @@
 	n.granter.DelayGrants(n.now)
 	n.store.Register("duty/slice/some").Value = codec.Append(nil, wire.RoleHolder{Name: "slice/some", Holder: "x07", Incarnation: 5, Addr: "10.0.0.7:7000", Epoch: 3})
 	must.False(t, poll("x09", 1).Granted[0])
-	heard("x07", 6, "10.0.0.77:7000")
+	recordPeer("x07", 6, "10.0.0.77:7000")
 	must.False(t, poll("x09", 1).Granted[0])
-	heard("x07", 6, "10.0.0.7:7000")
+	recordPeer("x07", 6, "10.0.0.7:7000")
 	a := poll("x09", 1)
 	must.True(t, a.Granted[0])
 	must.Eq(t, uint64(3), a.Epochs[0])
@@ -106,16 +106,16 @@
 // minority may hold must be returned to each new owner, which writes it back, until a majority is known
 // to hold it.
 func TestUnconfirmedFinishIsWrittenBack(t *testing.T) {
-	n, say := coreMemberOf(t)
+	n, deliver := coreMemberOf(t)
 	v := n.core.Version
 	sealed := func(epoch uint64) []statestore.Record {
-		return say("d09", &wire.SealRequest{SetVersion: v, Shard: "s", Epoch: epoch}).(*wire.SealResponse).Records
+		return deliver("d09", &wire.SealRequest{SetVersion: v, Shard: "s", Epoch: epoch}).(*wire.SealResponse).Records
 	}
 	sealed(1)
 	finished := statestore.Record{ID: "j", Epoch: 1, Version: 4, DoneMs: 5, Value: (&jobRecord{ID: "j", Queue: "q", State: jobComplete, DoneMs: 5, Version: 4}).encode()}
-	say("d09", &wire.WriteRequest{SetVersion: v, Shard: "s", Epoch: 1, Seq: 1, Records: []statestore.Record{finished}})
+	deliver("d09", &wire.WriteRequest{SetVersion: v, Shard: "s", Epoch: 1, Seq: 1, Records: []statestore.Record{finished}})
 	must.Len(t, 1, sealed(2))
-	say("d09", &wire.WriteRequest{SetVersion: v, Shard: "s", Epoch: 2, Seq: 1, Confirmed: []string{"j"}})
+	deliver("d09", &wire.WriteRequest{SetVersion: v, Shard: "s", Epoch: 2, Seq: 1, Confirmed: []string{"j"}})
 	must.Len(t, 0, sealed(3))
 	again := statestore.New()
 	for _, e := range n.store.Dump() {
--- a/internal/daemon/grey_test.go
+++ b/internal/daemon/grey_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// failFor makes workers fail a share of their tasks for some ms, while they appear healthy.
-func (b *platformWorld) failFor(workers []*platformWorker, share float64, ms int64) {
+// failTasksOf makes workers fail a share of their tasks for some ms, while they appear healthy.
+func (b *platformWorld) failTasksOf(workers []*platformWorker, share float64, ms int64) {
 	for _, s := range workers {
 		calm := b.workerTrouble("failing", s)
 		s.failing = share
@@ -20,16 +20,16 @@
 	}
 }
 
-// greyDay simulates a day on which a tenth of the workers fail 80 percent of their tasks for 7 s, then 40
+// failingWorkersDay simulates a day on which a tenth of the workers fail 80 percent of their tasks for 7 s, then 40
 // percent for another 7 s. It returns how many jobs that could succeed failed, of how many, and how often
 // healthy workers were ejected.
-func greyDay(b *platformWorld) (failed, jobs int, falsely int64) {
+func failingWorkersDay(b *platformWorld) (failed, jobs int, falseEjections int64) {
 	b.traffic()
 	b.run(5000)
-	grey := b.someWorkers(0.1)
-	b.failFor(grey, 0.8, 7000)
+	failing := b.someWorkers(0.1)
+	b.failTasksOf(failing, 0.8, 7000)
 	b.run(7000)
-	b.failFor(grey, 0.4, 7000)
+	b.failTasksOf(failing, 0.4, 7000)
 	b.run(12_000)
 	b.finish(60_000)
 	for _, j := range b.jobs {
@@ -40,26 +40,26 @@
 			}
 		}
 	}
-	isGrey := map[string]bool{}
-	for _, s := range grey {
-		isGrey[s.node.Name] = true
+	isFailing := map[string]bool{}
+	for _, s := range failing {
+		isFailing[s.node.Name] = true
 	}
 	for _, host := range b.spots {
-		if n := b.nodes[host]; n.up && !isGrey[host] {
-			falsely += n.sh.node.counts["workers_ejected"]
+		if n := b.nodes[host]; n.up && !isFailing[host] {
+			falseEjections += n.sh.node.counts["workers_ejected"]
 		}
 	}
-	return failed, jobs, falsely
+	return failed, jobs, falseEjections
 }
 
 // Guards against jobs lost to workers that fail their tasks while they appear healthy: agents must detect
 // them after a few failed attempts, and retries must go to other workers.
 func TestGreyWorkersCostFewJobs(t *testing.T) {
-	eachNewRuleSeed(t, []string{"hakata-grown", "ikenna-grown"}, func(t *testing.T, b *platformWorld) {
-		failed, jobs, falsely := greyDay(b)
-		t.Logf("%d of %d jobs failed; healthy workers were ejected %d times", failed, jobs, falsely)
+	eachRequirementSeed(t, []string{"hakata-grown", "ikenna-grown"}, func(t *testing.T, b *platformWorld) {
+		failed, jobs, falseEjections := failingWorkersDay(b)
+		t.Logf("%d of %d jobs failed; healthy workers were ejected %d times", failed, jobs, falseEjections)
 		must.LessEq(t, jobs/100, failed, must.Sprintf("of %d jobs", jobs))
-		must.LessEq(t, 3, falsely)
+		must.LessEq(t, 3, falseEjections)
 		verdictOfPlatform(t, b)
 	})
 }
@@ -72,6 +72,6 @@
 	for _, n := range b.nodes {
 		n.sh.node.Policies = off
 	}
-	failed, jobs, _ := greyDay(b)
+	failed, jobs, _ := failingWorkersDay(b)
 	must.Greater(t, jobs/100, failed, must.Sprintf("of %d jobs", jobs))
 }
--- a/internal/daemon/newrules_test.go
+++ b/internal/daemon/newrules_test.go
@@ -11,12 +11,12 @@
 
 // Requirements of the platform that the general check of platform worlds doesn't cover.
 
-// newRuleSeeds is the number of seeds per test in CI; -seeds runs more, beginning at -from.
-const newRuleSeeds = 3
+// requirementSeeds is the number of seeds per test in CI; -seeds runs more, beginning at -from.
+const requirementSeeds = 3
 
-// eachNewRuleSeed runs a test with several seeds, alternating between deployments.
-func eachNewRuleSeed(t *testing.T, deployments []string, do func(t *testing.T, b *platformWorld)) {
-	from, count := uint64(7300), newRuleSeeds
+// eachRequirementSeed runs a test with several seeds, alternating between deployments.
+func eachRequirementSeed(t *testing.T, deployments []string, do func(t *testing.T, b *platformWorld)) {
+	from, count := uint64(7300), requirementSeeds
 	if *seedsFlag > 0 {
 		from, count = *fromFlag, *seedsFlag
 	}
@@ -33,24 +33,24 @@
 // Guards against the loss of acknowledged data when the largest tolerated number of disks is lost
 // while every other machine loses power: the remaining disks alone must hold it all.
 func TestDisksLostWhileAllOthersLosePower(t *testing.T) {
-	eachNewRuleSeed(t, dayDeployments, func(t *testing.T, b *platformWorld) {
+	eachRequirementSeed(t, dayDeployments, func(t *testing.T, b *platformWorld) {
 		b.traffic()
 		b.run(2000 + b.rng.Int64N(3000))
-		lasted := b.shuffled(b.diskHosts)
+		disks := b.shuffled(b.diskHosts)
 		if b.share(0.5) { // one disk is newer than the others
-			b.wipe(lasted[len(lasted)-1], false, 500)
+			b.wipe(disks[len(disks)-1], false, 500)
 			b.run(12_000)
 		}
-		when := []struck{struckSent, struckAcknowledged, struckTaken}[b.rng.IntN(3)]
+		moment := []struck{struckSent, struckAcknowledged, struckTaken}[b.rng.IntN(3)]
 		downMs := 800 + b.rng.Int64N(1200)
 		b.each(4, 700, func() { b.change(nil) })
-		b.strikeOnce(when, func(host string) {
-			first := slices.Index(lasted, host)
+		b.strikeOnce(moment, func(host string) {
+			first := slices.Index(disks, host)
 			if first > 0 && b.share(0.5) { // hit the daemon that acknowledged
-				lasted[0], lasted[first] = lasted[first], lasted[0]
+				disks[0], disks[first] = disks[first], disks[0]
 			}
 			b.see(platformEvent{kind: bLoss})
-			lost := lasted[:b.lossesAllowed()]
+			lost := disks[:b.lossesAllowed()]
 			for _, h := range lost {
 				b.wipe(h, false, downMs)
 			}
@@ -76,7 +76,7 @@
 // Guards against lost data and outdated configuration reads when a network partition splits the
 // machines with disks into two halves for some seconds.
 func TestCountedMachinesCutIntoHalves(t *testing.T) {
-	eachNewRuleSeed(t, []string{"hakata five", "ikenna"}, func(t *testing.T, b *platformWorld) {
+	eachRequirementSeed(t, []string{"hakata five", "ikenna"}, func(t *testing.T, b *platformWorld) {
 		b.traffic()
 		b.run(4000)
 		half := b.shuffled(b.diskHosts)
@@ -127,7 +127,7 @@
 // Guards against outdated configuration reads at machines that are cut off, frozen or just started:
 // they must reply 503 instead.
 func TestConfigReadAnywhereIsNotOld(t *testing.T) {
-	eachNewRuleSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
+	eachRequirementSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
 		b.each(30, 300, func() { b.change(nil) })
 		b.each(30, 310, func() { b.readAnywhere(t) })
 		for range 4 {
@@ -149,7 +149,7 @@
 // Without faults every end that a worker reports is acknowledged within 200 ms, 95 of 100 within
 // 100 ms.
 func TestEndsAreAcknowledgedSoon(t *testing.T) {
-	eachNewRuleSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
+	eachRequirementSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
 		b.traffic()
 		b.run(10_000)
 		listedMs, waits := map[string]map[int64]int64{}, []int64{}
@@ -181,7 +181,7 @@
 // Any daemon reports a queue's waiting jobs over all shards, or an error. The count is never less than
 // half of the accepted jobs that have not started, nor more than all jobs.
 func TestPendingCountsTheFleet(t *testing.T) {
-	eachNewRuleSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
+	eachRequirementSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
 		whole := b.deployment.capacity
 		var jobs []*platformJob
 		for range 3 * len(b.spots) { // each takes a whole worker, so that most wait
@@ -232,7 +232,7 @@
 // Guards against tasks that start at a worker by its former labels and capacity after it restarted
 // at the same address with others.
 func TestWorkerComesBackAsAnotherKind(t *testing.T) {
-	eachNewRuleSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
+	eachRequirementSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
 		b.traffic()
 		b.run(3000)
 		for range 4 {
@@ -251,7 +251,7 @@
 // Guards against long-running tasks that stay down in a full fleet: they must be restarted within 9 s
 // of their end although other work waits for all resources.
 func TestLastingTasksComeBackInAFullFleet(t *testing.T) {
-	eachNewRuleSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
+	eachRequirementSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
 		lasting := b.submit(b.lastingJob())
 		lasting.fates[taskName{0, 0, 0}].fails, lasting.fates[taskName{0, 0, 1}].fails = nil, nil
 		b.run(2000)
--- a/internal/daemon/outcome_test.go
+++ b/internal/daemon/outcome_test.go
@@ -11,7 +11,7 @@
 )
 
 // A rejection is returned to the caller only if no earlier try of the call can have been applied.
-func TestRefusalIsSure(t *testing.T) {
+func TestRejectionMeansNotApplied(t *testing.T) {
 	for _, c := range []struct {
 		op, queue string
 		unsure    bool
@@ -45,8 +45,8 @@
 	return w, front, owner
 }
 
-// startsNamed returns the number of attempts of a job that workers started.
-func (w *world) startsNamed(job string) (starts int) {
+// startsOfID returns the number of attempts of a job that workers started.
+func (w *world) startsOfID(job string) (starts int) {
 	for _, e := range w.history {
 		if e.Kind == historycheck.Start && e.Job == job {
 			starts++
@@ -55,13 +55,13 @@
 	return starts
 }
 
-// exchange matches one message of a forwarded call.
-type exchange struct {
+// forwardedMessage matches one message of a forwarded call.
+type forwardedMessage struct {
 	name string
 	is   func(msg any) bool
 }
 
-var exchanges = []exchange{
+var forwardedMessages = []forwardedMessage{
 	{"request", func(m any) bool { a, ok := m.(*wire.Forward); return ok && (a.Op == "job.put" || a.Op == "job.cancel") }},
 	{"look", func(m any) bool { _, ok := m.(*wire.FetchRequest); return ok }},
 	{"looked", func(m any) bool { _, ok := m.(*wire.FetchResponse); return ok }},
@@ -70,16 +70,16 @@
 	{"answer", func(m any) bool { _, ok := m.(*wire.ForwardReply); return ok }},
 }
 
-// lost is the delay of a message that never arrives, in us.
-const lost = int64(1) << 50
+// neverArrives is the delay of a message that never arrives, in us.
+const neverArrives = int64(1) << 50
 
-// exchangeFaults are the faults that are injected when a message of an exchange is sent. Each returns
+// messageFaults are the faults that are injected when a message of an exchange is sent. Each returns
 // the additional delay of that message in us.
-var exchangeFaults = []struct {
+var messageFaults = []struct {
 	name string
 	do   func(w *world, front, owner *simNode) int64
 }{
-	{"message lost", func(*world, *simNode, *simNode) int64 { return lost }},
+	{"message lost", func(*world, *simNode, *simNode) int64 { return neverArrives }},
 	{"message late", func(*world, *simNode, *simNode) int64 { return 2_500_000 }},
 	{"owner killed", func(w *world, _, owner *simNode) int64 {
 		w.after(1, func() { owner.kill(false); w.after(300_000, owner.start) })
@@ -107,17 +107,17 @@
 // the forwarded call. An accepted job is kept, a rejected one is neither known nor started, any other
 // outcome is reported as unknown, and the same call repeated creates the job once.
 func TestForwardedCallsAtEachStep(t *testing.T) {
-	for _, step := range exchanges {
-		for _, fault := range exchangeFaults {
+	for _, step := range forwardedMessages {
+		for _, fault := range messageFaults {
 			t.Run(step.name+"/"+fault.name, func(t *testing.T) {
 				w, front, owner := addressedWorld(t)
 				id := idOwnedBy(w, owner, "job")
-				struck := false
+				injected := false
 				w.detain = func(_, _ string, msg any) int64 {
-					if struck || !step.is(msg) {
+					if injected || !step.is(msg) {
 						return 0
 					}
-					struck = true
+					injected = true
 					return fault.do(w, front, owner)
 				}
 				send := func(to *simNode) int {
@@ -125,10 +125,10 @@
 						Body: []byte(`{"steps":[{"name":"a","count":1,"room":1,"estimate_ms":50}]}`)}, 4000).status
 				}
 				first := send(front)
-				must.True(t, struck, must.Sprint("no such message in this exchange"))
+				must.True(t, injected, must.Sprint("no such message in this exchange"))
 				w.run(6000)
 				w.detain = nil
-				known := func() (status int, state string) {
+				jobState := func() (status int, state string) {
 					for range 20 {
 						got := w.settle(w.nodes["d00"], evRequest{Op: "queue.state", Host: "h.example", Path: "/p/" + id, Base: -1}, 3000)
 						if got.status == 200 || got.status == 410 {
@@ -138,13 +138,13 @@
 					}
 					return 0, ""
 				}
-				status, _ := known()
+				status, _ := jobState()
 				switch first {
 				case 200, 201:
 					must.Eq(t, 200, status, must.Sprint("accepted, but not known"))
 				case 429, 503:
 					must.Eq(t, 410, status, must.Sprint("rejected, but known"))
-					must.Zero(t, w.startsNamed(id), must.Sprint("rejected, but started"))
+					must.Zero(t, w.startsOfID(id), must.Sprint("rejected, but started"))
 				case 504, 0: // reported as unknown
 				default:
 					t.Fatalf("status %d", first)
@@ -152,17 +152,17 @@
 				second := send(w.nodes["d01"])
 				t.Logf("status %d first, then %d", first, second)
 				must.SliceContains(t, []int{200, 201}, second)
-				must.True(t, w.until(20_000, func() bool { return w.startsNamed(id) > 0 }), must.Sprint("the job was accepted and never runs"))
-				holders := 0
+				must.True(t, w.until(20_000, func() bool { return w.startsOfID(id) > 0 }), must.Sprint("the job was accepted and never runs"))
+				records := 0
 				for _, n := range w.nodesInOrder() {
 					for _, shard := range n.sh.node.shards {
 						if shard.jobs[id] != nil || shard.finished[id] != nil {
-							holders++
+							records++
 						}
 					}
 				}
-				must.Eq(t, 1, holders, must.Sprint("the job must be recorded exactly once"))
-				must.Eq(t, 1, w.startsNamed(id), must.Sprint("its task was started more than once"))
+				must.Eq(t, 1, records, must.Sprint("the job must be recorded exactly once"))
+				must.Eq(t, 1, w.startsOfID(id), must.Sprint("its task was started more than once"))
 			})
 		}
 	}
@@ -171,11 +171,11 @@
 // The same for a cancel: an accepted one is kept, and the same call repeated ends the job, which never
 // starts again.
 func TestForwardedCancelAtEachStep(t *testing.T) {
-	for _, step := range exchanges {
+	for _, step := range forwardedMessages {
 		if step.name == "look" || step.name == "looked" {
 			continue // the owner holds the job
 		}
-		for _, fault := range exchangeFaults {
+		for _, fault := range messageFaults {
 			t.Run(step.name+"/"+fault.name, func(t *testing.T) {
 				w, front, owner := addressedWorld(t)
 				id := idOwnedBy(w, owner, "job")
@@ -184,17 +184,17 @@
 						Body: []byte(`{"steps":[{"name":"a","count":1,"room":1,"lasting":true}]}`)}, 4000)
 				}
 				must.Eq(t, 201, call(front, "queue.submit").status)
-				must.True(t, w.until(20_000, func() bool { return w.startsNamed(id) > 0 }))
-				struck := false
+				must.True(t, w.until(20_000, func() bool { return w.startsOfID(id) > 0 }))
+				injected := false
 				w.detain = func(_, _ string, msg any) int64 {
-					if struck || !step.is(msg) {
+					if injected || !step.is(msg) {
 						return 0
 					}
-					struck = true
+					injected = true
 					return fault.do(w, front, owner)
 				}
 				first := call(front, "queue.cancel").status
-				must.True(t, struck)
+				must.True(t, injected)
 				w.run(6000)
 				w.detain = nil
 				state := func() string {
@@ -219,9 +219,9 @@
 				t.Logf("status %d first, then %d", first, second)
 				must.Eq(t, 200, second)
 				must.Eq(t, "cancelled", state())
-				starts := w.startsNamed(id)
+				starts := w.startsOfID(id)
 				w.run(8000)
-				must.Eq(t, starts, w.startsNamed(id), must.Sprint("started after it was cancelled"))
+				must.Eq(t, starts, w.startsOfID(id), must.Sprint("started after it was cancelled"))
 			})
 		}
 	}
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -43,8 +43,8 @@
 	countedSide  = "side"
 )
 
-// ownersWork lists the messages that grow with the load of owners and the central scheduler.
-var ownersWork = []string{"AgentReport", "OwnerReply", "Placement", "WriteRequest", "WriteResponse", "FetchRequest", "FetchResponse",
+// ownerMessages lists the messages that grow with the load of owners and the central scheduler.
+var ownerMessages = []string{"AgentReport", "OwnerReply", "Placement", "WriteRequest", "WriteResponse", "FetchRequest", "FetchResponse",
 	"Forward", "ForwardReply", "AllocationRequest", "Allocation", "Ranks", "Estimates", "QueueCounts", "PollRequest", "PollResponse"}
 
 // kibPerSecond returns the traffic of one daemon of a role, without some kinds of message.
@@ -104,9 +104,9 @@
 	return c
 }
 
-// sizeCounts counts the traffic of a fleet while it is idle, under a wave of jobs, and while a tenth of
+// countBySize counts the traffic of a fleet while it is idle, under a wave of jobs, and while a tenth of
 // its daemons restart.
-func sizeCounts(t *testing.T, daemons int) (quiet, wave, restarts *fleetCounts) {
+func countBySize(t *testing.T, daemons int) (quiet, wave, restarts *fleetCounts) {
 	b := newPlatformWorldOf(1, fleetOf(daemons))
 	b.after(1_000_000, func() { b.putSetup(b.usualSetup(), 1, 0, func(int) {}) })
 	b.run(12_000)
@@ -138,7 +138,7 @@
 	}
 	var first *fleetCounts
 	for _, daemons := range sizes {
-		quiet, wave, restarts := sizeCounts(t, daemons)
+		quiet, wave, restarts := countBySize(t, daemons)
 		if *largeFleet {
 			quiet.print(t, fmt.Sprint(daemons, " quiet"))
 			wave.print(t, fmt.Sprint(daemons, " under a wave"))
@@ -148,10 +148,10 @@
 			first = quiet
 			continue
 		}
-		was, is := first.kibPerSecond(countedSide), quiet.kibPerSecond(countedSide)
-		must.LessEq(t, 1.3*was, is, must.Sprintf("a daemon beside a worker: %.2f KiB/s at 30 daemons, %.2f at %d", was, is, daemons))
-		must.LessEq(t, 10.0, is, must.Sprintf("KiB/s of a daemon beside a worker at %d", daemons))
-		gossip := quiet.kibPerSecond(countedEdge, ownersWork...)
+		small, large := first.kibPerSecond(countedSide), quiet.kibPerSecond(countedSide)
+		must.LessEq(t, 1.3*small, large, must.Sprintf("a daemon beside a worker: %.2f KiB/s at 30 daemons, %.2f at %d", small, large, daemons))
+		must.LessEq(t, 10.0, large, must.Sprintf("KiB/s of a daemon beside a worker at %d", daemons))
+		gossip := quiet.kibPerSecond(countedEdge, ownerMessages...)
 		must.LessEq(t, 0.25*weakLinkKiB, gossip, must.Sprintf("KiB/s of membership of a weak machine at %d", daemons))
 		must.LessEq(t, 0.5*weakLinkKiB, restarts.kibPerSecond(countedEdge), must.Sprintf("KiB/s of a weak machine at %d", daemons))
 	}
--- a/internal/daemon/strain_test.go
+++ b/internal/daemon/strain_test.go
@@ -8,7 +8,7 @@
 
 // A control loop that is late for seconds counts as overloaded, and does so for a while after it has
 // caught up. A freeze, a single late tick and small delays don't count.
-func TestStrain(t *testing.T) {
+func TestOverloadMeter(t *testing.T) {
 	s := &overloadMeter{}
 	now := int64(1000)
 	ticks := func(count int, lateMs int64) {
--- a/internal/daemon/tenant_keys_test.go
+++ b/internal/daemon/tenant_keys_test.go
@@ -247,7 +247,7 @@
 
 // Guards against two tenants' jobs of one id, submitted at once, that are taken for the same job or
 // rejected for each other's faults.
-func TestTenantsHandInTheSameIDAtOnce(t *testing.T) {
+func TestTenantsSubmitTheSameIDAtOnce(t *testing.T) {
 	for seed := range uint64(6) {
 		w := newTenantWorld(t, 5340+seed)
 		both := func(path string, tasksOfA int) (a, b int) {
--- a/internal/daemon/tenant_rename_test.go
+++ b/internal/daemon/tenant_rename_test.go
@@ -38,7 +38,7 @@
 
 // Guards against a job refused as another tenant's when a daemon with the version before a renaming
 // forwards the call under the tenant's former name.
-func TestJobHandedInAgainByAFormerName(t *testing.T) {
+func TestJobResubmittedByAFormerName(t *testing.T) {
 	for _, op := range []string{"job.put", "job.state", "job.cancel"} {
 		n, shard := shareOwner(t)
 		n.config.confirmedPoll = 1
@@ -55,7 +55,7 @@
 
 // Guards against a 409 for a job that is submitted again at its address after its queue was renamed: it
 // is the same job.
-func TestJobHandedInAgainAtARenamedQueue(t *testing.T) {
+func TestJobResubmittedAtARenamedQueue(t *testing.T) {
 	for name, c := range map[string]struct {
 		jobOf, callOf string
 		confirmed     uint64
--- a/internal/daemon/tenant_status_test.go
+++ b/internal/daemon/tenant_status_test.go
@@ -60,7 +60,7 @@
 // waits. explain names what a task waits for, doctor the tenants at their limit. No reply contains keys
 // or digests.
 func TestOperatorsSeeTenantAtItsLimit(t *testing.T) {
-	l := newTenantLoad(t, 7400, spellWeights)
+	l := newTenantLoad(t, 7400, fleetWeights)
 	must.Eq(t, 200, l.settle(l.nodes["d00"], evRequest{Op: "setup.put", Key: "2", Base: 1, Body: limitedSetup(t, l.world, 2)}, 4000).status)
 	l.run(4000)
 	l.sendEvenly("fast", "tight", 10, 4000)
@@ -112,7 +112,7 @@
 
 // doctor reports a counter that has had no report from a shard for some seconds.
 func TestDoctorFindsSilentShard(t *testing.T) {
-	l := newTenantLoad(t, 7500, spellWeights)
+	l := newTenantLoad(t, 7500, fleetWeights)
 	owner := l.holderOf("slice/east")
 	must.NotNil(t, owner)
 	n := owner.sh.node
@@ -125,7 +125,7 @@
 }
 
 // Without tenants counters report no fault and no metrics.
-func TestNoTenantsNothingToTell(t *testing.T) {
+func TestNoTenantsNoMetrics(t *testing.T) {
 	w := served(t, 7600)
 	w.run(8000)
 	for _, n := range w.nodesInOrder() {
@@ -202,7 +202,7 @@
 }
 
 // `setup check` finds faults in the declaration of tenants offline.
-func TestSetupCheckJudgesTenants(t *testing.T) {
+func TestSetupCheckFindsTenantFaults(t *testing.T) {
 	check := func(doc string) subcommands.ExitStatus {
 		path := filepath.Join(t.TempDir(), "setup.json")
 		must.NoError(t, os.WriteFile(path, []byte(doc), 0o600))
--- a/internal/daemon/tenant_weight_test.go
+++ b/internal/daemon/tenant_weight_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// settleAll records when each job's task ended.
-func (l *tenantLoad) settleAll() {
+// recordEnds records when each job's task ended.
+func (l *tenantLoad) recordEnds() {
 	byID := map[string]*weightedJob{}
 	for _, j := range l.sent {
 		byID[j.id] = j
@@ -93,30 +93,30 @@
 	return &tenantLoad{world: w}
 }
 
-// hotSpell has one tenant send five times what the fleet can run, and two others few jobs, and waits for
+// overloadByOneTenant has one tenant send five times what the fleet can run, and two others few jobs, and waits for
 // all accepted jobs to end.
-func (l *tenantLoad) hotSpell() {
+func (l *tenantLoad) overloadByOneTenant() {
 	l.sendEvenly("fast", "hot", 5*int64(l.dep.Workers), 10_000)
 	l.sendEvenly("slow", "calm", 2, 10_000)
 	l.sendEvenly("fast", "small", 1, 10_000)
 	l.run(10_000)
 	l.until(200_000, func() bool {
-		l.settleAll()
+		l.recordEnds()
 		return !slices.ContainsFunc(l.sent, func(j *weightedJob) bool { return j.status == 201 && j.endMs == 0 })
 	})
 }
 
-// spellWeights add up to less than the fleet's capacity.
-var spellWeights = map[string]float64{"hot": 3, "calm": 3, "small": 2}
+// fleetWeights add up to less than the fleet's capacity.
+var fleetWeights = map[string]float64{"hot": 3, "calm": 3, "small": 2}
 
 // Guards against a tenant that slows down others by sending more than its weight allows. Its excess jobs
 // must wait behind all other jobs, also those of less urgent queues. They are rejected with a retry time
 // where too many wait, and every accepted one ends.
 func TestHotTenantWaitsBehindOthers(t *testing.T) {
-	const mostMs = 10_000
+	const maxLatencyMs = 10_000
 	for seed := range uint64(4) {
-		l := newTenantLoad(t, 7100+seed, spellWeights)
-		l.hotSpell()
+		l := newTenantLoad(t, 7100+seed, fleetWeights)
+		l.overloadByOneTenant()
 		refused := 0
 		for _, j := range l.sent {
 			if j.status == 429 && j.tenant == "hot" {
@@ -133,20 +133,20 @@
 		must.Positive(t, l.total("jobs_excess"))
 		for _, tenant := range []string{"calm", "small"} {
 			took := l.tookMs(tenant)
-			must.Less(t, mostMs, took[len(took)-1], must.Sprint(tenant, took))
+			must.Less(t, maxLatencyMs, took[len(took)-1], must.Sprint(tenant, took))
 		}
 	}
 }
 
 // Without the policy others wait for the hot tenant, so the test above detects that it is missing.
 func TestOthersWaitWithoutTenantWeight(t *testing.T) {
-	l := newTenantLoad(t, 7100, spellWeights)
+	l := newTenantLoad(t, 7100, fleetWeights)
 	off, err := scheduler.ParseSet(string(scheduler.TenantWeight))
 	must.NoError(t, err)
 	for _, n := range l.nodesInOrder() {
 		n.sh.node.Policies = off
 	}
-	l.hotSpell()
+	l.overloadByOneTenant()
 	for _, tenant := range []string{"calm", "small"} {
 		took := l.tookMs(tenant)
 		must.Greater(t, 30_000, took[len(took)-1], must.Sprint(tenant, took))
@@ -170,7 +170,7 @@
 	l := newTenantLoad(t, 7300, map[string]float64{"hot": 0.5})
 	l.sendEvenly("slow", "hot", 5, 8000)
 	l.run(15_000)
-	l.settleAll()
+	l.recordEnds()
 	must.Positive(t, l.total("jobs_excess"))
 	for _, j := range l.sent {
 		must.Eq(t, 201, j.status, must.Sprint(j.id))
@@ -183,7 +183,7 @@
 func TestExcessComesLastAtCentralScheduler(t *testing.T) {
 	n := rackNode(t, 1)
 	add := func(job, queue string, submittedMs int64, excess bool) {
-		request := wantOf(job, queue, 1, 1000, 1000)
+		request := allocationOf(job, queue, 1, 1000, 1000)
 		request.SubmittedMs, request.Excess = submittedMs, excess
 		n.central.add(n.now, request)
 	}
@@ -206,7 +206,7 @@
 	n := rackNode(t, 1)
 	n.core.Shards = []string{"east", "west"}
 	add := func(job, shard, tenant string, submittedMs, usedCPU int64) {
-		request := wantOf(job, "mid", 2, 1000, 1000)
+		request := allocationOf(job, "mid", 2, 1000, 1000)
 		request.SubmittedMs, request.Shard, request.Tenant, request.TenantUsed = submittedMs, shard, tenant, resource.Amount{CPU: usedCPU}
 		n.central.add(n.now, request)
 	}
@@ -254,7 +254,7 @@
 // only other excess jobs: queueable ones those of less urgent queues, guaranteed ones also those of
 // their own queue.
 func TestExcessAtAgent(t *testing.T) {
-	n := twoUrgencies(t)
+	n := nodeWithHeadroom(t)
 	task := func(queue string, class wire.TaskClass, excess bool) *agentAttempt {
 		attempt := attemptOf(queue, 100, wire.AttemptQueued)
 		attempt.spec.Class, attempt.spec.Excess = class, excess
@@ -290,7 +290,7 @@
 
 // Excess jobs of the most urgent queue may not use its headroom, and don't count as urgent use.
 func TestExcessLeavesUrgentRoom(t *testing.T) {
-	n := twoUrgencies(t)
+	n := nodeWithHeadroom(t)
 	shard := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{"w": {CPU: 700}}}
 	w := &workerView{capacity: resource.Amount{CPU: 1000, Memory: 100}, urgentUse: resource.Amount{CPU: 100}}
 	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, n.availableRoom(shard, n.config.current.Queues["fast"], true, "w", w))
@@ -303,7 +303,7 @@
 // An excess job is rejected if too many of its tenant wait while resources are short or the tenant is at
 // its limit. Excess jobs may fill only a part of a shard's records.
 func TestExcessAdmission(t *testing.T) {
-	n := twoUrgencies(t)
+	n := nodeWithHeadroom(t)
 	set, faults := configuration.Compile(1, weightedSetup(map[string]float64{"hot": 4}))
 	must.SliceEmpty(t, faults)
 	n.config.current, n.core.Shards = set, []string{"east", "west"}
@@ -336,7 +336,7 @@
 
 // With the policy switched off no job is excess.
 func TestTenantWeightOff(t *testing.T) {
-	n := twoUrgencies(t)
+	n := nodeWithHeadroom(t)
 	set, faults := configuration.Compile(1, weightedSetup(map[string]float64{"hot": 0.1}))
 	must.SliceEmpty(t, faults)
 	n.config.current, n.core.Shards = set, []string{"east"}
--- a/internal/daemon/tenantshares_test.go
+++ b/internal/daemon/tenantshares_test.go
@@ -158,16 +158,16 @@
 		return attempt
 	}
 	before, since := queued("a", "full", 2), queued("b", "full", 3)
-	former, unlimited, nobody := queued("c", "full", 0), queued("d", "free", 0), queued("e", "", 0)
+	unversioned, unlimited, withoutTenant := queued("c", "full", 0), queued("d", "free", 0), queued("e", "", 0)
 	avail := agent.free
-	for _, attempt := range []*agentAttempt{before, since, former, unlimited, nobody} {
+	for _, attempt := range []*agentAttempt{before, since, unversioned, unlimited, withoutTenant} {
 		must.True(t, n.startOrSkip(agent, attempt, &avail))
 	}
 	must.Eq(t, wire.ResultShed, before.result)
 	must.Eq(t, wire.AttemptOrdered, since.state)
-	must.Eq(t, wire.ResultShed, former.result) // from an owner that sent no version: its limit is unknown
+	must.Eq(t, wire.ResultShed, unversioned.result) // from an owner that sent no version: its limit is unknown
 	must.Eq(t, wire.AttemptOrdered, unlimited.state)
-	must.Eq(t, wire.AttemptOrdered, nobody.state)
+	must.Eq(t, wire.AttemptOrdered, withoutTenant.state)
 }
 
 // Placements carry the configuration version whose limit they were placed under.
--- a/internal/daemon/urgent_room_test.go
+++ b/internal/daemon/urgent_room_test.go
@@ -11,9 +11,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// twoUrgencies returns a daemon whose configuration has an urgent and a less urgent queue, and whose last
+// nodeWithHeadroom returns a daemon whose configuration has an urgent and a less urgent queue, and whose last
 // ranks reserve a quarter of each worker's CPU as headroom.
-func twoUrgencies(t *testing.T) *node {
+func nodeWithHeadroom(t *testing.T) *node {
 	t.Helper()
 	n := newNode(nodeConfig{Name: "d", Zone: "east"}, nil)
 	set, faults := configuration.Compile(1, []byte(`{"queues":[{"name":"fast","urgency":100},{"name":"slow","urgency":10}]}`))
@@ -30,7 +30,7 @@
 // An agent starts queueable tasks of less urgent queues only outside the headroom, which running urgent
 // work uses up. The urgent queue and guaranteed tasks may use all resources.
 func TestAgentKeepsUrgentRoom(t *testing.T) {
-	n := twoUrgencies(t)
+	n := nodeWithHeadroom(t)
 	agent := &workerAgent{worker: "w", colocated: true, capacity: resource.Amount{CPU: 1000, Memory: 100}, attempts: map[wire.AttemptKey]*agentAttempt{
 		{Job: "a"}: attemptOf("slow", 600, wire.AttemptRunning),
 		{Job: "b"}: attemptOf("fast", 50, wire.AttemptRunning),
@@ -64,7 +64,7 @@
 // An owner places less urgent work only outside the headroom, and recalls a waiting task only for such a
 // worker. Otherwise the task would move back and forth.
 func TestOwnerKeepsUrgentRoom(t *testing.T) {
-	n := twoUrgencies(t)
+	n := nodeWithHeadroom(t)
 	shard := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{"w": {CPU: 700}}}
 	w := &workerView{capacity: resource.Amount{CPU: 1000, Memory: 100}, urgentUse: resource.Amount{CPU: 100}}
 	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, n.availableRoom(shard, n.config.current.Queues["slow"], false, "w", w))
@@ -74,7 +74,7 @@
 // Guards against a task that waits forever beside a free worker: a task of a step with a maximum per
 // worker must be recalled too, for a worker below that maximum.
 func TestSpreadTasksAreCalledBack(t *testing.T) {
-	n := twoUrgencies(t)
+	n := nodeWithHeadroom(t)
 	shard := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{}}
 	for _, name := range []string{"w1", "w2", "w3"} {
 		n.workers[name] = &workerView{
@@ -95,7 +95,7 @@
 // A task waits for a healthy worker rather than use an ejected one, unless most of the fleet is free:
 // then it must not wait beside free resources.
 func TestEjectedWorkerBeforeStandingStill(t *testing.T) {
-	n := twoUrgencies(t)
+	n := nodeWithHeadroom(t)
 	shard := &ownedShard{name: "east", loadByWorker: map[string]resource.Amount{"full": {CPU: 900}}}
 	for _, name := range []string{"full", "ejected", "small"} {
 		n.workers[name] = &workerView{receivedMs: n.now, rebuilt: true, reportFresh: true, capacity: resource.Amount{CPU: 1000}, colocated: true}
@@ -118,7 +118,7 @@
 // The central scheduler keeps guaranteed tasks of other queues out of the headroom that urgent work was
 // observed to need.
 func TestCentralKeepsUrgentRoom(t *testing.T) {
-	n := twoUrgencies(t)
+	n := nodeWithHeadroom(t)
 	c := &centralScheduler{workers: map[string]*workerCapacity{}}
 	n.central = c
 	for _, name := range []string{"w1", "w2"} {
--- a/internal/daemon/worker_kind_test.go
+++ b/internal/daemon/worker_kind_test.go
@@ -10,7 +10,7 @@
 // Guards against tasks that start at a worker by the labels or the service of the worker that had its
 // address before.
 func TestWorkerComesBackForAnotherService(t *testing.T) {
-	eachNewRuleSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
+	eachRequirementSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
 		b.traffic()
 		for range 12 { // enough tasks for each worker to have some
 			b.submit(b.simple(1, 2*len(b.spots), amounts{b.deployment.capacity[0] / 4, 100}, 4000))
