--- a/internal/daemon/archive_test.go
+++ b/internal/daemon/archive_test.go
@@ -60,13 +60,13 @@
 		w.run(50)
 	}
 	w.run(4000)
-	bounced := 0
+	rejected := 0
 	for _, j := range w.jobs {
 		if !j.acked {
-			bounced++
+			rejected++
 		}
 	}
-	must.Positive(t, bounced)
+	must.Positive(t, rejected)
 	n := w.holderOf("slice/east")
 	n.kill(false)
 	must.True(t, w.until(8000, func() bool {
--- a/internal/daemon/credential_test.go
+++ b/internal/daemon/credential_test.go
@@ -98,10 +98,10 @@
 
 // credentialFaults are faults that begin as keys change. host is the last daemon, which has no disk.
 var credentialFaults = map[string]struct {
-	begin func(w *credentialWorld, host string)
-	calm  bool
+	begin   func(w *credentialWorld, host string)
+	noFault bool
 }{
-	"calm":                    {begin: func(*credentialWorld, string) {}, calm: true},
+	"calm":                    {begin: func(*credentialWorld, string) {}, noFault: true},
 	"cut off":                 {begin: func(w *credentialWorld, host string) { w.cutFrom(host, w.members(), true, true) }},
 	"receives from no member": {begin: func(w *credentialWorld, host string) { w.cutFrom(host, w.members(), false, true) }},
 	"frozen for 3 s":          {begin: func(w *credentialWorld, host string) { w.nodes[host].freeze(3000) }},
@@ -160,10 +160,10 @@
 					switch {
 					case c.key != "old":
 						must.NotEq(t, 401, c.status, details)
-						must.True(t, c.admitted() || !fault.calm, details)
+						must.True(t, c.admitted() || !fault.noFault, details)
 					case c.sentMs >= changedMs+revokedWithinMs:
 						must.False(t, c.admitted(), details)
-						must.True(t, c.status == 401 || !fault.calm, details)
+						must.True(t, c.status == 401 || !fault.noFault, details)
 					}
 				}
 			}
--- a/internal/daemon/outcome_test.go
+++ b/internal/daemon/outcome_test.go
@@ -57,8 +57,8 @@
 
 // forwardedMessage matches one message of a forwarded call.
 type forwardedMessage struct {
-	name string
-	is   func(msg any) bool
+	name    string
+	matches func(msg any) bool
 }
 
 var forwardedMessages = []forwardedMessage{
@@ -76,8 +76,8 @@
 // messageFaults are the faults that are injected when a message of an exchange is sent. Each returns
 // the additional delay of that message in us.
 var messageFaults = []struct {
-	name string
-	do   func(w *world, front, owner *simNode) int64
+	name   string
+	inject func(w *world, front, owner *simNode) int64
 }{
 	{"message lost", func(*world, *simNode, *simNode) int64 { return neverArrives }},
 	{"message late", func(*world, *simNode, *simNode) int64 { return 2_500_000 }},
@@ -114,11 +114,11 @@
 				id := idOwnedBy(w, owner, "job")
 				injected := false
 				w.detain = func(_, _ string, msg any) int64 {
-					if injected || !step.is(msg) {
+					if injected || !step.matches(msg) {
 						return 0
 					}
 					injected = true
-					return fault.do(w, front, owner)
+					return fault.inject(w, front, owner)
 				}
 				send := func(to *simNode) int {
 					return w.settle(to, evRequest{Op: "queue.submit", Host: "h.example", Path: "/p/" + id, Base: -1,
@@ -187,11 +187,11 @@
 				must.True(t, w.until(20_000, func() bool { return w.startsOfID(id) > 0 }))
 				injected := false
 				w.detain = func(_, _ string, msg any) int64 {
-					if injected || !step.is(msg) {
+					if injected || !step.matches(msg) {
 						return 0
 					}
 					injected = true
-					return fault.do(w, front, owner)
+					return fault.inject(w, front, owner)
 				}
 				first := call(front, "queue.cancel").status
 				must.True(t, injected)
--- a/internal/daemon/urgent_room_test.go
+++ b/internal/daemon/urgent_room_test.go
@@ -37,28 +37,28 @@
 		{Job: "c"}: attemptOf("fast", 999, wire.AttemptEnded),
 	}}
 	avail := resource.Amount{CPU: 350, Memory: 100}
-	room := func(attempt *agentAttempt) resource.Amount {
+	startable := func(attempt *agentAttempt) resource.Amount {
 		return n.startableResources(agent, attempt, n.config.current.Queues[attempt.spec.Queue], avail)
 	}
 	slow, fast := attemptOf("slow", 200, wire.AttemptQueued), attemptOf("fast", 350, wire.AttemptQueued)
 	slow.spec.Class, fast.spec.Class = wire.ClassQueueable, wire.ClassQueueable
-	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, room(slow)) // headroom is 250, 50 of it in use
-	must.Eq(t, avail, room(fast))
+	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, startable(slow)) // headroom is 250, 50 of it in use
+	must.Eq(t, avail, startable(fast))
 	slow.spec.Class = wire.ClassGuaranteed
-	must.Eq(t, avail, room(slow))
+	must.Eq(t, avail, startable(slow))
 	slow.spec.Class = wire.ClassQueueable
 	n.now += backfillAfterMs + 1 // it has waited long
-	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, room(slow))
+	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, startable(slow))
 	n.ranks.idle = true
-	must.Eq(t, avail, room(slow))
+	must.Eq(t, avail, startable(slow))
 	n.Policies, _ = scheduler.ParseSet(string(scheduler.Backfill))
-	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, room(slow))
+	must.Eq(t, resource.Amount{CPU: 150, Memory: 100}, startable(slow))
 	n.Policies = scheduler.Set{}
 	n.now += rankStaleMs + 1 // stale ranks reserve no headroom
-	must.Eq(t, avail, room(slow))
+	must.Eq(t, avail, startable(slow))
 	n.ranks.receivedMs = n.now
 	n.Policies, _ = scheduler.ParseSet(string(scheduler.UrgentRoom))
-	must.Eq(t, avail, room(slow))
+	must.Eq(t, avail, startable(slow))
 }
 
 // An owner places less urgent work only outside the headroom, and recalls a waiting task only for such a
