--- a/internal/daemon/newrules_test.go
+++ b/internal/daemon/newrules_test.go
@@ -9,15 +9,14 @@
 	"github.com/tidwall/gjson"
 )
 
-// What the users' later pages ask beyond the rules that the judge of platform worlds
-// knows, each brought about in the simulator.
+// Requirements of the platform that the general check of platform worlds doesn't cover.
 
-// newRuleSeeds is how many seeds CI plays of each; -seeds plays more, from -from on.
-const newRuleSeeds = 3
+// requirementSeeds is the number of seeds per test in CI; -seeds runs more, beginning at -from.
+const requirementSeeds = 3
 
-// eachNewRuleSeed runs a test over seeds and sites.
-func eachNewRuleSeed(t *testing.T, deployments []string, do func(t *testing.T, b *platformWorld)) {
-	from, count := uint64(7300), newRuleSeeds
+// eachRequirementSeed runs a test with several seeds, alternating between deployments.
+func eachRequirementSeed(t *testing.T, deployments []string, do func(t *testing.T, b *platformWorld)) {
+	from, count := uint64(7300), requirementSeeds
 	if *seedsFlag > 0 {
 		from, count = *fromFlag, *seedsFlag
 	}
@@ -31,28 +30,27 @@
 	}
 }
 
-// At a day's end as many disks are lost as may be, those that lasted longest at times, and
-// all other machines lose power at that moment, counted or not: what was acknowledged
-// survives from the remaining disks alone.
+// Guards against the loss of acknowledged data when the largest tolerated number of disks is lost
+// while every other machine loses power: the remaining disks alone must hold it all.
 func TestDisksLostWhileAllOthersLosePower(t *testing.T) {
-	eachNewRuleSeed(t, dayDeployments, func(t *testing.T, b *platformWorld) {
+	eachRequirementSeed(t, dayDeployments, func(t *testing.T, b *platformWorld) {
 		b.traffic()
 		b.run(2000 + b.rng.Int64N(3000))
-		lasted := b.shuffled(b.diskHosts)
-		if b.share(0.5) { // one disk is younger than the others
-			b.wipe(lasted[len(lasted)-1], false, 500)
+		disks := b.shuffled(b.diskHosts)
+		if b.share(0.5) { // one disk is newer than the others
+			b.wipe(disks[len(disks)-1], false, 500)
 			b.run(12_000)
 		}
-		when := []struck{struckSent, struckAcknowledged, struckTaken}[b.rng.IntN(3)]
+		moment := []struck{struckSent, struckAcknowledged, struckTaken}[b.rng.IntN(3)]
 		downMs := 800 + b.rng.Int64N(1200)
 		b.each(4, 700, func() { b.change(nil) })
-		b.strikeOnce(when, func(host string) {
-			first := slices.Index(lasted, host)
-			if first > 0 && b.share(0.5) { // aimed at who acknowledged
-				lasted[0], lasted[first] = lasted[first], lasted[0]
+		b.strikeOnce(moment, func(host string) {
+			first := slices.Index(disks, host)
+			if first > 0 && b.share(0.5) { // hit the daemon that acknowledged
+				disks[0], disks[first] = disks[first], disks[0]
 			}
 			b.see(platformEvent{kind: bLoss})
-			lost := lasted[:b.lossesAllowed()]
+			lost := disks[:b.lossesAllowed()]
 			for _, h := range lost {
 				b.wipe(h, false, downMs)
 			}
@@ -75,11 +73,10 @@
 	})
 }
 
-// The counted machines are cut into two halves for some seconds, whatever may be lost:
-// nothing is lost by it, and reads of the configuration at any machine give none older
-// than was acknowledged.
+// Guards against lost data and outdated configuration reads when a network partition splits the
+// machines with disks into two halves for some seconds.
 func TestCountedMachinesCutIntoHalves(t *testing.T) {
-	eachNewRuleSeed(t, []string{"hakata five", "ikenna"}, func(t *testing.T, b *platformWorld) {
+	eachRequirementSeed(t, []string{"hakata five", "ikenna"}, func(t *testing.T, b *platformWorld) {
 		b.traffic()
 		b.run(4000)
 		half := b.shuffled(b.diskHosts)
@@ -109,28 +106,28 @@
 	})
 }
 
-// configApplyMs is the users' bound from an acknowledgement until a version is in force.
+// configApplyMs is the required bound from a version's acknowledgement until it is in effect.
 const configApplyMs = 2000
 
-// readAnywhere reads the configuration at each machine, in touch or not: it is never older
-// than what was acknowledged configApplyMs before.
+// readAnywhere reads the configuration at each machine, connected or not, and fails if it is older
+// than the version acknowledged configApplyMs before.
 func (b *platformWorld) readAnywhere(t *testing.T) {
 	acked, askedMs := b.version, b.nowMs()
 	for _, host := range b.edgeHosts {
 		b.after(configApplyMs*1000, func() {
 			b.call("operator", b.nodes[host], platformCall{op: "setup.get"}, 1000, func(status int, _ int64, body []byte) {
 				if got := gjson.GetBytes(body, "version").Int(); status == 200 && got < acked {
-					t.Errorf("%s told version %d at %d ms, %d was acknowledged by %d ms", host, got, b.nowMs(), acked, askedMs)
+					t.Errorf("%s returned version %d at %d ms, %d was acknowledged by %d ms", host, got, b.nowMs(), acked, askedMs)
 				}
 			})
 		})
 	}
 }
 
-// Machines that are cut off, frozen or just started tell no older configuration than was
-// acknowledged: they say 503 instead.
+// Guards against outdated configuration reads at machines that are cut off, frozen or just started:
+// they must reply 503 instead.
 func TestConfigReadAnywhereIsNotOld(t *testing.T) {
-	eachNewRuleSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
+	eachRequirementSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
 		b.each(30, 300, func() { b.change(nil) })
 		b.each(30, 310, func() { b.readAnywhere(t) })
 		for range 4 {
@@ -149,10 +146,10 @@
 	})
 }
 
-// Every end that a worker lists in a calm time is acknowledged to it soon, nearly all within
-// a tenth of a second.
+// Without faults every end that a worker reports is acknowledged within 200 ms, 95 of 100 within
+// 100 ms.
 func TestEndsAreAcknowledgedSoon(t *testing.T) {
-	eachNewRuleSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
+	eachRequirementSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
 		b.traffic()
 		b.run(10_000)
 		listedMs, waits := map[string]map[int64]int64{}, []int64{}
@@ -174,17 +171,17 @@
 		}
 		must.Greater(t, 100, len(waits))
 		slices.Sort(waits)
-		t.Logf("%d ends acknowledged after %d ms in the median, %d ms for 95 of 100, %d ms at the most",
+		t.Logf("%d ends acknowledged after %d ms in the median, %d ms at the 95th percentile, %d ms at most",
 			len(waits), waits[len(waits)/2], waits[len(waits)*95/100], waits[len(waits)-1])
 		must.LessEq(t, 100, waits[len(waits)*95/100])
 		must.LessEq(t, 200, waits[len(waits)-1])
 	})
 }
 
-// Any daemon tells how many jobs of a queue wait, over all shards, or that it doesn't know;
-// never under half of those that were accepted a while ago and have not begun.
+// Any daemon reports a queue's waiting jobs over all shards, or an error. The count is never less than
+// half of the accepted jobs that have not started, nor more than all jobs.
 func TestPendingCountsTheFleet(t *testing.T) {
-	eachNewRuleSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
+	eachRequirementSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
 		whole := b.deployment.capacity
 		var jobs []*platformJob
 		for range 3 * len(b.spots) { // each takes a whole worker, so that most wait
@@ -208,7 +205,7 @@
 					answers++
 					got := gjson.GetBytes(body, "waiting").Int()
 					if 2*got < int64(waiting) || got > int64(len(jobs)) {
-						t.Errorf("%s told %d waiting where %d of %d did", host, got, waiting, len(jobs))
+						t.Errorf("%s reported %d waiting jobs, but %d of %d wait", host, got, waiting, len(jobs))
 					}
 				})
 			}
@@ -220,7 +217,7 @@
 	})
 }
 
-// runsOf gives the workers that run a task of a job now.
+// runsOf returns the workers that run a task of a job now.
 func (b *platformWorld) runsOf(id string) (hosts []string) {
 	for _, host := range b.spots {
 		for k := range b.byHost[host].runs {
@@ -232,10 +229,10 @@
 	return hosts
 }
 
-// A worker that comes back may be of another kind, at the same address too: no task that
-// asks for the former kind starts there.
+// Guards against tasks that start at a worker by its former labels and capacity after it restarted
+// at the same address with others.
 func TestWorkerComesBackAsAnotherKind(t *testing.T) {
-	eachNewRuleSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
+	eachRequirementSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
 		b.traffic()
 		b.run(3000)
 		for range 4 {
@@ -251,10 +248,10 @@
 	})
 }
 
-// Tasks that last are started again within 9 s of their end, though other work waits for all
-// the room there is.
+// Guards against long-running tasks that stay down in a full fleet: they must be restarted within 9 s
+// of their end although other work waits for all resources.
 func TestLastingTasksComeBackInAFullFleet(t *testing.T) {
-	eachNewRuleSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
+	eachRequirementSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
 		lasting := b.submit(b.lastingJob())
 		lasting.fates[taskName{0, 0, 0}].fails, lasting.fates[taskName{0, 0, 1}].fails = nil, nil
 		b.run(2000)
@@ -267,6 +264,6 @@
 		must.SliceNotEmpty(t, hosts)
 		b.crashFor(b.byHost[hosts[0]], 500)
 		b.run(9000)
-		must.Eq(t, 2, len(b.runsOf(lasting.id)), must.Sprint("both tasks are at work"))
+		must.Eq(t, 2, len(b.runsOf(lasting.id)), must.Sprint("both tasks must run"))
 	})
 }
