--- a/internal/daemon/platformjudge_cases_test.go
+++ b/internal/daemon/platformjudge_cases_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// lawfulPlatform is a short history that breaks nothing: two tasks, then a gang
-// that goes on from a saved text, on two workers.
+// lawfulPlatform is a short history without breaches on two workers: two tasks, then
+// a gang that resumes from a checkpoint.
 func lawfulPlatform() []platformEvent {
 	q := &platformQueue{name: "q", host: "h", prefix: "/q/", attempts: 2, service: "s"}
 	job := &platformJob{id: "j", queue: q, payload: "spec", steps: []platformStep{{count: 2, room: amounts{2, 2}, perWorker: 1, labels: map[string]string{"kind": "a"}},
@@ -71,7 +71,7 @@
 	must.SliceEmpty(t, judgePlatform(lawfulPlatform(), usualPlatformBounds))
 }
 
-// Each breach planted into a lawful history is found, and found under its rule.
+// Each breach that is planted into a valid history must be found, under the rule that begins the name of the case.
 func TestPlatformJudgePlanted(t *testing.T) {
 	run := func(at int64, kind, worker string, step, index int, run int64) platformEvent {
 		return platformEvent{atMs: at, kind: kind, job: "j", task: taskName{0, step, index}, run: run, worker: worker, host: "on-" + worker, text: "spec"}
@@ -85,7 +85,7 @@
 		panic("no such event")
 	}
 	job := func(h []platformEvent) *platformJob { return h[4].spec }
-	// late moves all from the first start on, so that something can precede it by much.
+	// late shifts all events from the first start on, so that an event can come long before them.
 	late := func(h []platformEvent, ms int64) []platformEvent {
 		for i := range h {
 			if h[i].atMs >= 11_000 {
@@ -103,7 +103,7 @@
 	drop := func(h []platformEvent, gone func(platformEvent) bool) []platformEvent {
 		return slices.DeleteFunc(h, gone)
 	}
-	lone := func(h []platformEvent) []platformEvent { // its other member never comes
+	lone := func(h []platformEvent) []platformEvent { // its other member never starts
 		h = drop(h, func(e platformEvent) bool { return e.atMs > 12_300 })
 		return append(h, platformEvent{atMs: 15_300, kind: bEnded, job: "j", task: taskName{0, 1, 0}, run: 1, worker: "w1", host: "on-w1", text: "alone", n: 3})
 	}
@@ -297,7 +297,7 @@
 			}
 		})
 	}
-	// What the rules leave out is no breach.
+	// Histories that the rules allow have no breach.
 	pardons := map[string]func([]platformEvent) []platformEvent{
 		"copies at once": func(h []platformEvent) []platformEvent {
 			job(h).steps[0].copies, job(h).steps[0].perWorker = true, 0
@@ -345,7 +345,7 @@
 	}
 }
 
-// insertPlatform puts an event at its time, after all of the same moment.
+// insertPlatform inserts an event by its time, after all events of the same time.
 func insertPlatform(h []platformEvent, e platformEvent) []platformEvent {
 	at := 0
 	for at < len(h) && h[at].atMs <= e.atMs {
--- a/internal/daemon/platformjudge_setups_test.go
+++ b/internal/daemon/platformjudge_setups_test.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// setupTaken takes a daemon's word that it took a change, heard or not.
+// setupTaken handles a daemon's acknowledgement of a change, whether the operator received it or not.
 func (j *platformJudge) setupTaken(e *platformEvent) {
 	for _, s := range j.setups {
 		if s.setup == e.setup {
@@ -12,19 +12,19 @@
 				s.takenMs = e.atMs
 			}
 			if s.refused {
-				j.breach("CONFIG", e.atMs, "version %d on top of %d was refused, and taken later", s.version, s.base)
+				j.breach("CONFIG", e.atMs, "version %d on top of %d was refused and later accepted", s.version, s.base)
 			}
 		} else if s.takenMs >= 0 && (s.base == e.base || s.version == e.n) {
-			j.breach("CONFIG", e.atMs, "versions %d and %d, on top of %d and %d, were both taken", s.version, e.n, s.base, e.base)
+			j.breach("CONFIG", e.atMs, "versions %d and %d, on top of %d and %d, were both accepted", s.version, e.n, s.base, e.base)
 		}
 	}
 	if e.setup.invalid {
-		j.breach("CONFIG", e.atMs, "version %d is invalid and was taken", e.n)
+		j.breach("CONFIG", e.atMs, "version %d is invalid and was accepted", e.n)
 	}
 }
 
-// maybeShown tells whether the setup that is shown may be the one under its
-// number: what was taken, or else anything sent and not refused.
+// maybeShown reports whether the configuration that is shown may be the one with its
+// version: an accepted one, or, if none is known, one that was sent and not refused.
 func (j *platformJudge) maybeShown(e *platformEvent) bool {
 	var taken, sent []string
 	for _, s := range j.setups {
@@ -42,8 +42,8 @@
 	return slices.Contains(sent, e.text)
 }
 
-// chain finds the changes that were refused though a later one was taken on top
-// of them: some change of that number was in force.
+// chain finds refused changes on top of which a later change was accepted, which
+// shows that the refused version was in force.
 func (j *platformJudge) chain() {
 	for _, later := range j.setups {
 		if later.takenMs < 0 && later.ackedMs < 0 {
@@ -54,20 +54,20 @@
 			if s.version != later.base {
 				continue
 			}
-			if s.refused && s.takenMs < 0 && s.ackedMs < 0 { // the others are told of already
+			if s.refused && s.takenMs < 0 && s.ackedMs < 0 { // the other contradictions are reported elsewhere
 				refused = s
 			} else {
 				known = true
 			}
 		}
 		if !known && refused != nil {
-			j.breach("CONFIG", later.sentMs, "version %d was refused, and %d was taken on top of it", later.base, later.version)
+			j.breach("CONFIG", later.sentMs, "version %d was refused, and %d was accepted on top of it", later.base, later.version)
 		}
 	}
 }
 
-// recovered finds whether too little works again after the closing fault: calls
-// that are accepted, and tasks that end well.
+// recovered checks that enough calls are accepted and enough tasks end well again
+// after the loss at the end of the day.
 func (j *platformJudge) recovered() {
 	if j.lossMs == 0 || j.backMs == 0 {
 		return
@@ -87,7 +87,7 @@
 		}
 	}
 	if recoveryShare*accepted[0] >= sent[0] && recoveryShare*accepted[1] < sent[1] {
-		j.breach("RECOVER", from, "%d of %d calls are accepted from %d ms after the return on", accepted[1], sent[1], int64(recoveryMs))
+		j.breach("RECOVER", from, "only %d of %d calls are accepted later than %d ms after the machines are back", accepted[1], sent[1], int64(recoveryMs))
 	}
 	var ended [2]float64
 	for _, s := range j.jobs {
@@ -106,12 +106,12 @@
 	}
 	before, after := ended[0]/float64(max(1, j.lossMs-firstMs)), ended[1]/float64(max(1, lastMs-from))
 	if lastMs > from && recoveryShare*after < before {
-		j.breach("RECOVER", from, "%.1f tasks a second end well from %d ms after the return on, %.1f before", 1000*after, int64(recoveryMs), 1000*before)
+		j.breach("RECOVER", from, "only %.1f tasks a second end well later than %d ms after the machines are back, %.1f before the loss", 1000*after, int64(recoveryMs), 1000*before)
 	}
 }
 
-// maybeRoutes tells whether some setup that may be in force between two
-// moments has a queue's address, or with has false lacks it.
+// maybeRoutes reports whether some configuration that may be in force between two
+// times has the queue's address, or lacks it if has is false.
 func (j *platformJudge) maybeRoutes(q *platformQueue, askedMs, atMs int64, has bool) bool {
 	floor := int64(0)
 	for _, s := range j.setups {
@@ -120,7 +120,7 @@
 		}
 	}
 	if floor == 0 {
-		return true // none is surely in force
+		return true // none is certain to be in force
 	}
 	for _, s := range j.setups {
 		if s.version >= floor && !s.refused && s.sentMs <= atMs && s.setup.routes(q) == has {
@@ -130,6 +130,7 @@
 	return false
 }
 
+// shown checks a job's state that a caller was shown.
 func (j *platformJudge) shown(e *platformEvent) {
 	s := j.jobs[e.job]
 	switch e.text {
@@ -143,7 +144,7 @@
 		}
 		for name := range s.spec.names() {
 			if s.spec.steps[name.step].lasting || !s.well(name, e.order) {
-				j.breach("MIXED", e.atMs, "%s is shown as complete, task %v has not ended so", e.job, name)
+				j.breach("MIXED", e.atMs, "%s is shown as complete, but task %v has not ended well", e.job, name)
 				return
 			}
 		}
--- a/internal/daemon/platformjudge_tenants_cases_test.go
+++ b/internal/daemon/platformjudge_tenants_cases_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// tenantHistory is a short history of one tenant that breaks nothing: version 1 gives it key one
+// tenantHistory is a short history of one tenant without breaches: version 1 declares its key "one"
 // and a limit of 10 in either dimension, and its job of six tasks runs two at a time.
 func tenantHistory() []platformEvent {
 	q := &platformQueue{name: "q", host: "h", prefix: "/q/", attempts: 2, service: "s"}
@@ -30,7 +30,7 @@
 	return append(h, callWith("one", 200, 14_000))
 }
 
-// tenantSetup declares queue q, and tenant t with a limit and keys.
+// tenantSetup declares queue q and tenant t with a limit and keys.
 func tenantSetup(limit amounts, keys ...string) *platformSetup {
 	q := platformQueue{name: "q", host: "h", prefix: "/q/", attempts: 2, service: "s"}
 	return &platformSetup{queues: []platformQueue{q}, tenants: []platformTenant{{name: "t", keys: keys, limit: limit}}}
@@ -52,7 +52,7 @@
 	return e
 }
 
-// changeTo is a change on top of version 1 that is acknowledged at a time.
+// changeTo returns the events of a change on top of version 1 that is acknowledged.
 func changeTo(setup *platformSetup, sentMs, ackedMs int64) []platformEvent {
 	return []platformEvent{
 		{atMs: sentMs, kind: bSetupSent, n: 2, base: 1, setup: setup},
@@ -71,7 +71,7 @@
 	must.SliceEmpty(t, judgePlatform(tenantHistory(), usualPlatformBounds))
 }
 
-// Each breach of the rules on tenants is found, and found under its rule.
+// Each breach of the rules on tenants must be found, under the rule that begins the name of the case.
 func TestPlatformJudgeTenantsPlanted(t *testing.T) {
 	roomy, low, swapped := tenantSetup(amounts{1000, 1000}, "one"), tenantSetup(amounts{4, 10}, "one"), tenantSetup(amounts{10, 10}, "two")
 	plants := map[string]func([]platformEvent) []platformEvent{
@@ -135,7 +135,7 @@
 	}
 }
 
-// What the rules on tenants leave out is no breach.
+// Histories that the rules on tenants allow have no breach.
 func TestPlatformJudgeTenantsPardoned(t *testing.T) {
 	roomy, low, swapped := tenantSetup(amounts{1000, 1000}, "one"), tenantSetup(amounts{4, 10}, "one"), tenantSetup(amounts{10, 10}, "two")
 	pardons := map[string]func([]platformEvent) []platformEvent{
--- a/internal/daemon/platformjudge_tenants_test.go
+++ b/internal/daemon/platformjudge_tenants_test.go
@@ -1,16 +1,16 @@
 package daemon
 
-// The judge's rules on keys and limits of tenants.
+// These methods check the rules on keys and limits of tenants.
 
 const (
-	// The users' bound on what a tenant may have running beyond its limit, in percent, beside one task.
+	// The users' bound: a tenant may exceed its limit by this many percent plus one task.
 	quotaOverrunPercent = 10
 
 	statusUnauthorized = 401
 )
 
-// surelyInForce is the newest version that every machine in touch must know when a call or start
-// of a moment comes; 0 for none.
+// surelyInForce returns the newest version that every connected machine must have applied
+// at a time; 0 for none.
 func (j *platformJudge) surelyInForce(atMs int64) (version int64) {
 	for _, s := range j.setups {
 		if s.ackedMs >= 0 && s.ackedMs+j.bounds.config < atMs {
@@ -20,7 +20,7 @@
 	return version
 }
 
-// maybeInForce gives the setups that may be in force somewhere between two moments.
+// maybeInForce returns the configurations that may be in force on some machine between two times.
 func (j *platformJudge) maybeInForce(fromMs, toMs int64) (setups []*platformSetup) {
 	floor := j.surelyInForce(fromMs)
 	for _, s := range j.setups {
@@ -31,14 +31,14 @@
 	return setups
 }
 
-// called judges whether a call with its key could be answered so.
+// called checks whether a call's status is possible for its key.
 func (j *platformJudge) called(e *platformEvent) {
 	success := e.n >= 200 && e.n < 300
 	if !success && e.n != statusUnauthorized {
 		return
 	}
 	if success && !j.everAdmitted(e) {
-		j.breach("ROUTE", e.atMs, "a call of %s at %s succeeded with key %q, which no version held", e.job, e.host, e.key)
+		j.breach("ROUTE", e.atMs, "a call of %s at %s succeeded with key %q, which no version declared", e.job, e.host, e.key)
 		return
 	}
 	if !j.inTouch(e.host, e.atMs) || j.surelyInForce(e.askedMs) == 0 {
@@ -50,13 +50,13 @@
 		}
 	}
 	if success {
-		j.breach("CONFIG", e.atMs, "a call of %s at %s succeeded with key %q, which only older versions hold", e.job, e.host, e.key)
+		j.breach("CONFIG", e.atMs, "a call of %s at %s succeeded with key %q, which only older versions declare", e.job, e.host, e.key)
 	} else {
-		j.breach("CONFIG", e.atMs, "a call of %s at %s got 401, though key %q is there", e.job, e.host, e.key)
+		j.breach("CONFIG", e.atMs, "a call of %s at %s got 401 although key %q is valid", e.job, e.host, e.key)
 	}
 }
 
-// everAdmitted tells whether some version that was ever sent and not refused lets a call in.
+// everAdmitted reports whether some version that was sent and not refused admits the call.
 func (j *platformJudge) everAdmitted(e *platformEvent) bool {
 	if len(j.setups) == 0 {
 		return true
@@ -69,8 +69,8 @@
 	return false
 }
 
-// startRunning counts a start, which may take its tenant over the highest limit that may be in
-// force by a tenth and one task at most.
+// startRunning counts a start against its tenant's limit. The start may exceed the highest limit
+// that may be in force by a tenth plus one task.
 func (j *platformJudge) startRunning(e *platformEvent, r *seenRun, what string) {
 	spec := j.jobs[e.job].spec
 	if spec.tenant == "" {
@@ -85,13 +85,13 @@
 	}
 	for d, most := range limit {
 		if most > 0 && r.room[d] > 0 && before[d]*100 > most*(100+quotaOverrunPercent) {
-			j.breach("QUOTA", e.atMs, "%s of tenant %s makes %v, its limit is %v", what, r.tenant, j.running[r.tenant], limit)
+			j.breach("QUOTA", e.atMs, "%s of tenant %s makes its use %v, its limit is %v", what, r.tenant, j.running[r.tenant], limit)
 			return
 		}
 	}
 }
 
-// stopRunning counts runs as over that did count.
+// stopRunning stops counting runs against their tenants' limits.
 func (j *platformJudge) stopRunning(runs ...*seenRun) {
 	for _, r := range runs {
 		if r.tenant != "" {
@@ -101,8 +101,8 @@
 	}
 }
 
-// highestLimit is the highest that a tenant may have at a moment, dimension by dimension, where 0
-// is none; known tells whether any version that may be in force declares the tenant.
+// highestLimit returns the highest limit that a tenant may have at a time, per dimension, where 0
+// is no limit. known reports whether any version that may be in force declares the tenant.
 func (j *platformJudge) highestLimit(tenant string, atMs int64) (limit amounts, known bool) {
 	for _, s := range j.maybeInForce(atMs, atMs) {
 		t := s.tenant(tenant)
--- a/internal/daemon/platformjudge_test.go
+++ b/internal/daemon/platformjudge_test.go
@@ -6,46 +6,46 @@
 	"slices"
 )
 
-// The judge of the users' rules on jobs. It knows nothing of the daemons' own
-// state: only what callers and operators sent and were answered, what workers
-// were told and did, and which machines were in trouble.
+// This checker verifies the users' rules on jobs. It uses none of the daemons' own
+// state: only the requests and responses of callers and operators, the orders and
+// runs of workers, and which machines had faults.
 
-// Kinds of beatEvents.
+// Kinds of platformEvents.
 const (
-	bJobSent      = "job_sent"      // first send; spec, queue
-	bJobTried     = "job_tried"     // one try's answer; n is the status, 0 for silence
+	bJobSent      = "job_sent"      // first submission; spec, queue
+	bJobTried     = "job_tried"     // response to one submission; n is the status, 0 for none
 	bJobShown     = "job_shown"     // text is the state, "unknown" for a 410
 	bCancelSent   = "cancel_sent"   //
 	bCancelAcked  = "cancel_acked"  //
 	bWorkerUp     = "worker_up"     // facts
-	bWorkerDown   = "worker_down"   // it and all that ran there
-	bOrdered      = "ordered"       // a worker was told to start; text is the payload
-	bStarted      = "started"       // and did
-	bEnded        = "ended"         // n is the end's number there, text how
-	bListed       = "listed"        // a beat told of the ends up to n
-	bSeen         = "seen"          // an answer said that the ends up to n were taken note of
-	bLapsed       = "lapsed"        // a worker's hold ran out
-	bSaved        = "saved"         // a run made the text saved
-	bLeaving      = "leaving"       // a beat that said so was acknowledged
-	bEmptied      = "emptied"       // acknowledged; text is the site
-	bOpened       = "opened"        // sent, from now on perhaps in force
-	bSetupSent    = "setup_sent"    // n the version, base what it builds on
+	bWorkerDown   = "worker_down"   // the worker and all its runs ended
+	bOrdered      = "ordered"       // a worker received a start order; text is the payload
+	bStarted      = "started"       // the run started
+	bEnded        = "ended"         // n is the number of the end at this worker, text its outcome
+	bListed       = "listed"        // a heartbeat reported the ends up to n
+	bSeen         = "seen"          // a response acknowledged the ends up to n
+	bLapsed       = "lapsed"        // a worker's hold expired
+	bSaved        = "saved"         // a run saved a checkpoint; saved is its text
+	bLeaving      = "leaving"       // a heartbeat that announces the worker's departure was acknowledged
+	bEmptied      = "emptied"       // evacuation acknowledged; text is the zone
+	bOpened       = "opened"        // end of an evacuation sent; it may be in force from now on
+	bSetupSent    = "setup_sent"    // n is the version, base the version it replaces
 	bSetupAcked   = "setup_acked"   //
-	bSetupRefused = "setup_refused" // finally
-	bSetupTaken   = "setup_taken"   // a daemon's answer said so as it left; host
-	bSetupShown   = "setup_shown"   // n, -1 for no answer; text is its note
-	bJobTaken     = "job_taken"     // the same of a job
-	bLoss         = "loss"          // the day's closing fault
-	bBack         = "back"          // the machines that it took are back
-	bTrouble      = "trouble"       // of host, or of worker, or of all; text names it
-	bCalm         = "calm"          // the trouble of that text and place is over
-	bCore         = "core"          // a core machine was killed, started, frozen, thawed, cut or joined
-	bFinished     = "finished"      // the day's last look at a job; text is its state, "" for no answer
-	bCalled       = "called"        // a job's call was answered; key, queue, n is the status
-	bStuck        = "stuck"         // long after traffic a job has nothing running though it could
+	bSetupRefused = "setup_refused" // final
+	bSetupTaken   = "setup_taken"   // a daemon sent its acknowledgement, received or not; host
+	bSetupShown   = "setup_shown"   // n is the version, -1 for no response; text is its note
+	bJobTaken     = "job_taken"     // a daemon sent the acceptance of a job, received or not
+	bLoss         = "loss"          // the loss at the end of a day
+	bBack         = "back"          // the machines of that loss are back
+	bTrouble      = "trouble"       // a fault of host, of worker, or of all begins; text names it
+	bCalm         = "calm"          // the fault with that text and place ends
+	bCore         = "core"          // a core machine was killed, started, frozen, resumed, cut off or reconnected
+	bFinished     = "finished"      // last read of a job; text is its state, "" for no response
+	bCalled       = "called"        // response to a call of a job; key, queue, n is the status
+	bStuck        = "stuck"         // nothing of a job runs although resources are free
 )
 
-// judgePlatform gives every breach in a history.
+// judgePlatform returns all breaches in a history.
 func judgePlatform(events []platformEvent, bounds platformBounds) []platformBreach {
 	j := &platformJudge{bounds: bounds, running: map[string]amounts{}, jobs: map[string]*seenJob{}, workers: map[string]*seenWorker{}, troubles: map[string][]*spanSeen{}, emptied: map[string][]*spanSeen{}}
 	for i := range events {
@@ -174,7 +174,7 @@
 			}
 			s.refused = true
 			if taken := max(s.ackedMs, s.takenMs); taken >= 0 {
-				j.breach("CONFIG", e.atMs, "version %d on top of %d was taken at %d ms, came again and was refused", s.version, s.base, taken)
+				j.breach("CONFIG", e.atMs, "version %d on top of %d was accepted at %d ms, then refused when sent again", s.version, s.base, taken)
 			}
 		}
 	},
@@ -193,20 +193,20 @@
 				newest = max(newest, s.version)
 			}
 			if s.version == e.n && s.refused && !slices.ContainsFunc(j.setups, func(o *seenPlatformSetup) bool { return o.version == e.n && !o.refused }) {
-				j.breach("CONFIG", e.atMs, "version %d is shown, and was refused", e.n)
+				j.breach("CONFIG", e.atMs, "version %d is shown although it was refused", e.n)
 			}
 		}
 		switch {
 		case e.n < 0:
-			j.breach("CONFIG", e.atMs, "no setup is read back, %d was acknowledged", newest)
+			j.breach("CONFIG", e.atMs, "no configuration can be read back, %d was acknowledged", newest)
 		case e.n < newest:
 			j.breach("CONFIG", e.atMs, "version %d is shown, %d was acknowledged", e.n, newest)
 		case e.text != "" && !j.maybeShown(e):
-			j.breach("CONFIG", e.atMs, "version %d is shown as %q, which differs from what was taken under its number", e.n, e.text)
+			j.breach("CONFIG", e.atMs, "version %d is shown as %q, which differs from what was accepted under its number", e.n, e.text)
 		}
 	},
 	bTrouble: func(j *platformJudge, e *platformEvent) {
-		if e.text == "clock" && j.bounds.early < 5000 { // on days on which clocks jump, 5 s more
+		if e.text == "clock" && j.bounds.early < 5000 { // clocks that jump may start a job up to 5 s early
 			j.bounds.early += 5000
 		}
 		at := e.host
@@ -235,18 +235,18 @@
 		switch e.text {
 		case "complete", "failed", "cancelled":
 		case "":
-			j.breach("LOST", e.atMs, "%s is not answered for long after the end", e.job)
+			j.breach("LOST", e.atMs, "%s got no response long after the end", e.job)
 		default:
 			j.breach("LOST", e.atMs, "%s is still %s long after the end", e.job, e.text)
 		}
 	},
 	bStuck: func(j *platformJudge, e *platformEvent) {
-		j.breach("LOST", e.atMs, "%s stands still: %s", e.job, e.text)
+		j.breach("LOST", e.atMs, "%s makes no progress: %s", e.job, e.text)
 	},
 }
 
-// The users' bound on the return of work, and the share of the usual that it must reach.
 const (
+	// The users' bound: work resumes within this time, at 1/recoveryShare of its usual rate or more.
 	recoveryMs    = 12_000
 	recoveryShare = 4
 )
@@ -259,19 +259,19 @@
 		return
 	}
 	if e.text != s.spec.payload {
-		j.breach("UNASKED", e.atMs, "%s is told another payload", what)
+		j.breach("UNASKED", e.atMs, "%s was ordered with another payload", what)
 	}
 	gang := s.spec.steps[e.task.step].gang
 	if e.saved != "" {
 		of, ok := s.saved[e.saved]
 		if !ok || of != e.task && (!gang || of.round != e.task.round || of.step != e.task.step) {
-			j.breach("UNASKED", e.atMs, "%s is told a saved text that is not its own", what)
+			j.breach("UNASKED", e.atMs, "%s was ordered with a checkpoint of another task", what)
 		}
 	}
 	if gang {
 		key := [3]int64{int64(e.task.round), int64(e.task.step), e.run}
 		if other, ok := s.gangSaved[key]; ok && other != e.saved {
-			j.breach("UNASKED", e.atMs, "%s is told another saved text than the others of its gang", what)
+			j.breach("UNASKED", e.atMs, "%s was ordered with another checkpoint than the rest of its gang", what)
 		}
 		s.gangSaved[key] = e.saved
 	}
@@ -280,7 +280,7 @@
 func (j *platformJudge) started(e *platformEvent) {
 	s, w := j.jobs[e.job], j.workers[e.worker]
 	if s == nil || !s.spec.has(e.task) {
-		return // told already
+		return // reported by ordered
 	}
 	step := s.spec.steps[e.task.step]
 	what := fmt.Sprintf("%s %v run %d at %s on %s", e.job, e.task, e.run, e.worker, e.host)
@@ -289,7 +289,7 @@
 	if !step.copies {
 		for _, o := range s.runs[e.task] {
 			if o.end == 0 {
-				j.breach("TWICE", e.atMs, "%s, run %d is at %s since %d ms", what, o.run, o.worker, o.startMs)
+				j.breach("TWICE", e.atMs, "%s, run %d has been at %s since %d ms", what, o.run, o.worker, o.startMs)
 			}
 		}
 	}
@@ -313,11 +313,11 @@
 			}
 		}
 		if there > step.perWorker {
-			j.breach("ROUTE", e.atMs, "%s makes %d of its step there, %d may be", what, there, step.perWorker)
+			j.breach("ROUTE", e.atMs, "%s makes %d of its step there, the most is %d", what, there, step.perWorker)
 		}
 	}
 	if len(j.setups) > 0 && !slices.ContainsFunc(j.setups, func(o *seenPlatformSetup) bool { return o.setup.sends(s.queue.name, w.facts) }) {
-		j.breach("ROUTE", e.atMs, "%s: no setup sends queue %s there", what, s.queue.name)
+		j.breach("ROUTE", e.atMs, "%s: no configuration routes queue %s there", what, s.queue.name)
 	}
 	for _, a := range step.after {
 		for i := range s.spec.steps[a].count {
@@ -334,18 +334,18 @@
 		j.breach("UNASKED", e.atMs, "%s, cancelled at %d ms", what, s.cancelMs)
 	}
 	if w.leavingMs >= 0 && e.atMs > w.leavingMs+j.bounds.drain && touch {
-		j.breach("DRAIN", e.atMs, "%s, which is leaving since %d ms", what, w.leavingMs)
+		j.breach("DRAIN", e.atMs, "%s, which has been leaving since %d ms", what, w.leavingMs)
 	}
 	for _, m := range j.emptied[w.facts.site] {
 		if touch && e.atMs > m.from+j.bounds.evacuation && e.atMs < m.to {
-			j.breach("EVAC", e.atMs, "%s, site %s is emptied since %d ms", what, w.facts.site, m.from)
+			j.breach("EVAC", e.atMs, "%s, zone %s has been evacuated since %d ms", what, w.facts.site, m.from)
 		}
 	}
 	completeMs := s.completeMs
 	if completeMs >= 0 && e.atMs > completeMs+1000 && touch {
 		j.breach("TWICE", e.atMs, "%s, shown as complete at %d ms", what, completeMs)
 	}
-	// Whether an end is taken note of may be known only later.
+	// Whether an end is acknowledged may be known only later in the history.
 	j.starts = append(j.starts, func() {
 		for _, n := range s.group(e.task) {
 			for _, o := range s.runs[n] {
@@ -353,7 +353,7 @@
 					continue
 				}
 				if !step.copies || touch && e.atMs > o.notedMs+1000 {
-					j.breach("TWICE", e.atMs, "%s, run %d of %v ended well at %s at %d ms, noted at %d ms", what, o.run, o.name, o.worker, o.endMs, o.notedMs)
+					j.breach("TWICE", e.atMs, "%s, run %d of %v ended well at %s at %d ms, acknowledged at %d ms", what, o.run, o.name, o.worker, o.endMs, o.notedMs)
 				}
 			}
 		}
@@ -371,7 +371,7 @@
 			j.breach("BUDGET", e.atMs, "%s after %d failures", what, noted)
 		}
 		if !s.taken {
-			j.breach("REFUSED", e.atMs, "%s, and every try was turned away", what)
+			j.breach("REFUSED", e.atMs, "%s, and every submission was refused", what)
 		}
 	})
 }
@@ -380,7 +380,7 @@
 	s, w := j.jobs[e.job], j.workers[e.worker]
 	key := runName{e.job, e.task, e.run}
 	r := w.open[key]
-	if r == nil { // turned away
+	if r == nil { // rejected by the worker
 		return
 	}
 	delete(w.open, key)
@@ -393,13 +393,13 @@
 	if e.text == "alone" && (s.cancelMs < 0 && !s.cancelSent) && j.inTouch(e.host, e.atMs) && j.inTouch(e.host, r.startMs) {
 		j.starts = append(j.starts, func() {
 			if j.quiet(r.startMs, e.atMs, "config") {
-				j.breach("GANG", e.atMs, "%s %v run %d waited at %s since %d ms", e.job, e.task, e.run, e.worker, r.startMs)
+				j.breach("GANG", e.atMs, "%s %v run %d waited alone at %s since %d ms", e.job, e.task, e.run, e.worker, r.startMs)
 			}
 		})
 	}
 }
 
-// whole is judged of a job once all is known.
+// whole checks that a cancelled job stops in time; it needs the whole history.
 func (j *platformJudge) whole(s *seenJob) {
 	if s.cancelMs < 0 {
 		return
@@ -418,6 +418,7 @@
 	}
 }
 
+// sortedNames returns the tasks in order of round, step and index.
 func sortedNames[V any](m map[taskName]V) []taskName {
 	out := make([]taskName, 0, len(m))
 	for k := range m {
--- a/internal/daemon/platformworld_test.go
+++ b/internal/daemon/platformworld_test.go
@@ -13,17 +13,17 @@
 	"github.com/tidwall/gjson"
 )
 
-// The users' platform at the level of the product's own calls, inside the
-// simulator: workers that beat to the daemon on their own machine, callers and
-// operators. It stands in for their bench, so that every rule can be shown to
-// hold, or to be broken, without it.
+// These files simulate the users' platform at the level of the product's own calls:
+// workers that send heartbeats to the daemon on their machine, callers and operators.
+// The simulation stands in for the users' test bench, so that each of their rules can
+// be checked without it.
 
-// platformWorld is a world whose workers beat.
+// platformWorld is a simulated cluster with the users' workers, callers and operators.
 type platformWorld struct {
 	*world
 	deployment platformDeployment
 	byHost     map[string]*platformWorker
-	spots      []string // the side machines
+	spots      []string // machines that have a worker beside the daemon
 	events     []platformEvent
 	jobs       map[string]*platformJob
 	gangs      map[gangName]*platformEffort
@@ -31,36 +31,36 @@
 	textSeq    int
 	version    int64 // of the last setup acknowledged
 	setup      *platformSetup
-	closed     bool // callers send nothing more
+	closed     bool // callers submit no more jobs
 	lives      int
-	waste      map[string]float64 // core-seconds by how a run ended
+	waste      map[string]float64 // wasted core-seconds, by outcome of the run
 	turned     int
-	pace       float64        // of traffic
-	jobRng     *rand.Rand     // what is sent is drawn from it, if any, so that it stays the same whatever else moves
-	in         map[string]int // ready misses of each edge daemon
+	pace       float64        // multiplies the usual rate of traffic
+	jobRng     *rand.Rand     // if set, jobs are drawn from it, so that they don't depend on the other draws
+	in         map[string]int // failed readiness checks in a row, by edge daemon
 	answers    map[string]int
 	faults     []string
 	cutOff     map[string]bool
 	emptied    map[string]bool
-	// cutTogether: machines cut off in one site still reach each other.
+	// cutTogether lets machines of one zone that are cut off reach each other.
 	cutTogether      bool
 	coreLost         bool
 	onSee            func(platformEvent)
 	edgeHosts        []string
 	diskHosts        []string
-	cutOneWay        map[string]cutWay // of those cut off, which way, if one only
+	cutOneWay        map[string]cutWay // direction of the cut, for machines cut off in one direction only
 	newHosts         int
 	sentSetups       map[string]*sentSetup // by body
 	setupsSent       []*sentSetup
-	closing          bool             // no trouble begins any more
-	leftOut          int              // strikes of a day for which too many machines were lost
-	lastAcknowledger string           // of a change
-	replaced         map[string]bool  // machines whose replacement began
-	underWay         int              // changes not yet finally answered
-	troubled         map[string]int   // troubles under way, by machine
-	calmMs           map[string]int64 // when the last one ended, or a new machine started
-	tenants          []platformTenant // as the operator declares them now
-	onlyTenant       string           // whose jobs are drawn, where not by the weights
+	closing          bool             // no new fault begins
+	leftOut          int              // faults of a day skipped because too many machines were already lost
+	lastAcknowledger string           // host that last acknowledged a change
+	replaced         map[string]bool  // machines whose replacement has begun
+	underWay         int              // changes without a final response
+	troubled         map[string]int   // number of active faults, by machine
+	calmMs           map[string]int64 // when the machine's last fault ended, or the machine first started
+	tenants          []platformTenant // as the operator currently declares them
+	onlyTenant       string           // if set, all drawn jobs belong to it
 	keysMade         int
 	urgentChecks     []urgentCheck
 }
@@ -77,8 +77,8 @@
 	doneMs float64
 }
 
-// newPlatformWorld builds a deployment: edge daemons, of which three have disks,
-// and a side daemon beside each worker.
+// newPlatformWorld builds the named deployment: edge daemons, some of them with
+// disks, and a daemon beside each worker.
 func newPlatformWorld(seed uint64, name string) *platformWorld {
 	return newPlatformWorldOf(seed, platformDeploymentOf(name))
 }
@@ -114,7 +114,7 @@
 
 func (b *platformWorld) disks() []string { return slices.Clone(b.diskHosts) }
 
-// see notes one line of the history.
+// see appends an event to the history.
 func (b *platformWorld) see(e platformEvent) {
 	e.atMs = b.nowMs()
 	b.events = append(b.events, e)
@@ -123,7 +123,7 @@
 	}
 }
 
-// open gives the jobs that were accepted and have not ended as far as callers know.
+// open returns the accepted jobs whose callers have seen no final state.
 func (b *platformWorld) open() []string {
 	var out []string
 	for _, id := range sortedKeys(b.jobs) {
@@ -134,9 +134,7 @@
 	return out
 }
 
-// troubles
-
-// stuck tells of jobs that stand still though they could go on.
+// stuck records jobs of which nothing has run for 3 s although resources are free.
 func (b *platformWorld) stuck() {
 	var used, all amounts
 	var free []*platformWorker
@@ -166,12 +164,12 @@
 		if b.nowMs()-j.idleMs >= 3000 && !j.stuck {
 			j.stuck = true
 			b.tellCentral(id)
-			b.see(platformEvent{kind: bStuck, job: id, text: fmt.Sprintf("nothing runs since %d ms, though it could", j.idleMs)})
+			b.see(platformEvent{kind: bStuck, job: id, text: fmt.Sprintf("nothing has run since %d ms although resources are free", j.idleMs)})
 		}
 	}
 }
 
-// tellCentral logs what the central scheduler makes of a job and of all room.
+// tellCentral logs the central scheduler's view of a job and of all workers.
 func (b *platformWorld) tellCentral(id string) {
 	n := b.holderOf("central")
 	if n == nil || !b.keepLog {
@@ -183,11 +181,11 @@
 	c, now := n.sh.node.central, n.sh.node.now
 	for _, name := range sortedKeys(c.workers) {
 		w := c.workers[name]
-		tell("sees %s heard %d ms ago, rebuilt %v fresh %v leaving %v suspect %v bad for %d, capacity %v firm %v busy %v promised %v held %d", name, now-w.receivedMs, w.Rebuilt, w.WorkerReportFresh, w.Leaving,
+		tell("worker %s: last report %d ms ago, rebuilt %v fresh %v leaving %v suspect %v unhealthy for %d ms, capacity %v guaranteed %v occupied %v granted %v attempts %d", name, now-w.receivedMs, w.Rebuilt, w.WorkerReportFresh, w.Leaving,
 			w.Suspect, w.unhealthyUntilMs-now, w.Capacity, w.guaranteed, w.occupied, c.grantedResources()[name], len(w.Attempts))
 	}
 	for k, request := range c.pending {
-		tell("wants %s queue %s since %d ms, last %d ms ago, %d tasks of %v, open %d, gang %v needs %v", k.Job, request.Queue, now-request.firstMs, now-request.lastMs, len(request.Tasks), request.Resources, len(request.open()), request.Gang, request.RequiredLabels)
+		tell("pending %s queue %s for %d ms, last request %d ms ago, %d tasks of %v, open %d, gang %v labels %v", k.Job, request.Queue, now-request.firstMs, now-request.lastMs, len(request.Tasks), request.Resources, len(request.open()), request.Gang, request.RequiredLabels)
 	}
 	for _, name := range sortedKeys(b.nodes) {
 		if b.nodes[name].up {
@@ -203,7 +201,7 @@
 				o := b.nodes[name].sh.node
 				for i := range job.Tasks {
 					t, r := &job.Tasks[i], &job.runtime[i]
-					tell("owner %s task %d.%d.%d state %s attempt %d class %s failures %d at %s, retry in %d, wanted %d ms ago, committed %v", name, t.Round, t.Step, t.IndexInStep, t.State.String(), t.Attempt,
+					tell("owner %s task %d.%d.%d state %s attempt %d class %s failures %d at %s, retry in %d ms, requested %d ms ago, committed %v", name, t.Round, t.Step, t.IndexInStep, t.State.String(), t.Attempt,
 						t.Class.String(), t.Failures, t.Worker, r.retryAtMs-o.now, o.now-r.allocationRequestMs, t.ChangedVersion <= job.committed)
 				}
 			}
@@ -211,6 +209,7 @@
 	}
 }
 
+// couldGoOn reports whether a step of the job is ready and fits twice into the free workers.
 func (b *platformWorld) couldGoOn(j *platformJob, free []*platformWorker) bool {
 	done := func(k, i int) bool {
 		for t := range j.steps[i].count {
@@ -261,7 +260,7 @@
 	return false
 }
 
-// finish ends traffic and lets everything come to its end.
+// finish stops traffic, waits until all jobs have ended, and reads the configuration back.
 func (b *platformWorld) finish(waitMs int64) {
 	b.closed = true
 	for _, id := range sortedKeys(b.jobs) {
@@ -288,13 +287,13 @@
 	b.run(3000)
 }
 
-// platformSummary tells how well a run went, for the log.
+// platformSummary returns figures of a run for the log.
 func (b *platformWorld) platformSummary() string {
 	aims := b.inAim()
 	out := ""
 	for _, q := range sortedKeys(aims) {
 		a := aims[q]
-		out += fmt.Sprintf("%s %d of %d in aim (%.2f), %d done; ", q, a[1], a[0], float64(a[1])/float64(max(1, a[0])), a[2])
+		out += fmt.Sprintf("%s %d of %d within target (%.2f), %d done; ", q, a[1], a[0], float64(a[1])/float64(max(1, a[0])), a[2])
 	}
 	undone := 0
 	for _, id := range sortedKeys(b.jobs) {
@@ -311,8 +310,8 @@
 	return out + fmt.Sprintf("turned away %d; answers %v", b.turned, b.answers)
 }
 
-// scripted gives a world without daemons in which each worker's beats are
-// answered by a function.
+// scripted returns a world without daemons in which a function answers the
+// heartbeats of all workers.
 func scripted(t *testing.T, answer func(s *platformWorker, beat gjson.Result) map[string]any) *platformWorld {
 	b := newPlatformWorld(5, "ikenna")
 	b.queue = nil // no daemon starts
@@ -334,7 +333,7 @@
 	return b
 }
 
-// enter makes a job known without sending it.
+// enter registers a job without submitting it.
 func (b *platformWorld) enter(j *platformJob) *platformJob {
 	b.jobSeq++
 	j.id, j.payload = fmt.Sprintf("%016x", b.jobSeq), "spec"
@@ -343,6 +342,7 @@
 	return j
 }
 
+// howEnded lists the ends of a job's runs, with times rounded down to 100 ms.
 func (b *platformWorld) howEnded(j *platformJob) (out []string) {
 	for _, e := range b.events {
 		if e.kind == bEnded && e.job == j.id {
@@ -352,14 +352,15 @@
 	return
 }
 
-// scriptLine is an answer given at the first beat of a worker from a time on;
-// nil is silence.
+// scriptLine is the response to the first heartbeat that a worker sends at or
+// after a time; nil is no response.
 type scriptLine struct {
 	worker int
 	atMs   int64
 	answer map[string]any
 }
 
+// scriptOf answers heartbeats by the script; heartbeats without a line only renew the hold.
 func scriptOf(b **platformWorld, lines []scriptLine, holdMs int64) func(*platformWorker, gjson.Result) map[string]any {
 	given := map[int]bool{}
 	return func(s *platformWorker, beat gjson.Result) map[string]any {
@@ -422,7 +423,7 @@
 	}
 	start := func(orders ...map[string]any) map[string]any { return map[string]any{"start": orders} }
 
-	t.Run("runs and is told of until seen", func(t *testing.T) {
+	t.Run("an end is reported until acknowledged", func(t *testing.T) {
 		j, jobs := alone(1000, nil)
 		w := play(2000, []scriptLine{{0, 500, start(order(0, 1, ""))}, {0, 2000, map[string]any{"seen": 1}}}, 1900, jobs)
 		must.Eq(t, []string{"0.1 ok@1500"}, w.howEnded(j))
@@ -430,12 +431,12 @@
 		w.run(1000)
 		must.SliceEmpty(t, w.worker(0).ends)
 	})
-	t.Run("lapses without answers", func(t *testing.T) {
+	t.Run("runs end when the hold expires", func(t *testing.T) {
 		j, jobs := alone(10_000, nil)
 		w := play(1500, []scriptLine{{0, 500, start(order(0, 1, ""))}, {0, 700, nil}, {0, 800, nil}, {0, 900, nil}}, 6000, jobs)
 		must.Eq(t, []string{"0.1 lapsed@2100"}, w.howEnded(j))
 	})
-	t.Run("a stop, and what may not come after it", func(t *testing.T) {
+	t.Run("no start after a stop of the same run", func(t *testing.T) {
 		j, jobs := alone(10_000, nil)
 		w := play(3000, []scriptLine{{0, 500, start(order(0, 2, ""))}, {0, 1000, map[string]any{"stop": []map[string]any{order(0, 2, "")}}}, {0, 1500, start(order(0, 2, ""), order(0, 3, ""))},
 			{0, 2000, map[string]any{"stop": []map[string]any{order(1, 4, "")}}}, {0, 2500, start(order(1, 4, ""))}}, 5000, jobs)
@@ -443,7 +444,7 @@
 		must.Len(t, 1, w.howEnded(j))
 		must.MapContainsKey(t, w.worker(0).runs, runName{id, taskName{}, 3})
 	})
-	t.Run("saves and goes on", func(t *testing.T) {
+	t.Run("resumes from a checkpoint", func(t *testing.T) {
 		j, jobs := alone(5000, func(j *platformJob) { j.steps[0].saves = true })
 		w := play(3000, []scriptLine{{0, 500, start(order(0, 1, ""))}, {0, 3000, map[string]any{"stop": []map[string]any{order(0, 1, "")}}}}, 4000, jobs)
 		saved := w.worker(0).ends[0].saved
@@ -456,21 +457,21 @@
 		w.run(4000)
 		ended := w.howEnded(j)
 		must.Len(t, 2, ended)
-		must.StrContains(t, ended[1], "ok@7") // 2.5 s done before, 0.6 s of restoring, 2.5 s more
+		must.StrContains(t, ended[1], "ok@7") // 2.5 s done before, 0.6 s of restoring, 2.5 s remaining
 	})
 	t.Run("a gang ends together", func(t *testing.T) {
 		j, jobs := alone(2000, func(j *platformJob) { j.steps[0].gang, j.steps[0].sameRack = true, true })
 		w := play(3000, []scriptLine{{0, 500, start(order(0, 1, ""), order(1, 1, ""))}, {3, 2000, start(order(2, 1, ""))}}, 6500, jobs)
-		must.Eq(t, []string{"0.1 ok@5000", "1.1 ok@5000", "2.1 ok@5000"}, w.howEnded(j)) // half as long again over two racks
+		must.Eq(t, []string{"0.1 ok@5000", "1.1 ok@5000", "2.1 ok@5000"}, w.howEnded(j)) // takes 1.5 times as long over two racks
 	})
-	t.Run("a gang dies together", func(t *testing.T) {
+	t.Run("a gang breaks together", func(t *testing.T) {
 		j, jobs := alone(9000, func(j *platformJob) { j.steps[0].gang = true })
 		w := play(3000, []scriptLine{{0, 500, start(order(0, 1, ""), order(1, 1, ""))}, {3, 500, start(order(2, 1, ""))}}, 2000, jobs)
 		w.worker(3).crash()
 		w.run(1000)
 		must.Eq(t, []string{"0.1 broken@2000", "1.1 broken@2000"}, w.howEnded(j))
 	})
-	t.Run("a gang waits no longer than it may", func(t *testing.T) {
+	t.Run("an incomplete gang gives up", func(t *testing.T) {
 		j, jobs := alone(1000, func(j *platformJob) { j.steps[0].gang = true })
 		w := play(3000, []scriptLine{{0, 500, start(order(0, 1, ""), order(1, 1, ""))}, {1, 500, start(order(2, 2, ""))}}, 6000, jobs)
 		must.Len(t, 3, w.howEnded(j))
@@ -478,12 +479,12 @@
 			must.StrContains(t, how, "alone@35")
 		}
 	})
-	t.Run("fails by its own share", func(t *testing.T) {
+	t.Run("fails at its own point of work", func(t *testing.T) {
 		j, jobs := alone(1000, func(j *platformJob) { j.fates[taskName{0, 0, 0}].fails = []float64{0.5} })
 		w := play(3000, []scriptLine{{0, 500, start(order(0, 1, ""))}, {0, 2000, start(order(0, 2, ""))}}, 5000, jobs)
 		must.Eq(t, []string{"0.1 failed@1000", "0.2 ok@3000"}, w.howEnded(j))
 	})
-	t.Run("slow, then standing still, then sound", func(t *testing.T) {
+	t.Run("slow, then hanging, then normal", func(t *testing.T) {
 		j, jobs := alone(2000, nil)
 		w := play(3000, []scriptLine{{0, 500, start(order(0, 1, ""))}}, 600, jobs)
 		w.worker(0).setPace(5, false)
@@ -495,7 +496,7 @@
 		w.run(2000)
 		must.Eq(t, []string{"0.1 ok@5500"}, w.howEnded(j))
 	})
-	t.Run("a worker without guards takes all, one with them turns away", func(t *testing.T) {
+	t.Run("only a guarding worker rejects what exceeds its capacity", func(t *testing.T) {
 		_, jobs := alone(1000, func(j *platformJob) { j.steps[0].room = amounts{9000, 100} })
 		w := play(3000, []scriptLine{{0, 500, start(order(0, 1, ""), order(1, 1, ""))}}, 700, jobs)
 		must.MapLen(t, 2, w.worker(0).runs)
@@ -504,7 +505,7 @@
 		must.MapLen(t, 1, w.worker(1).runs)
 		must.Eq(t, 1, w.turned)
 	})
-	t.Run("leaves in order, or at short notice", func(t *testing.T) {
+	t.Run("leaves gracefully, or at short notice", func(t *testing.T) {
 		_, jobs := alone(9000, nil)
 		w := play(3000, []scriptLine{{0, 500, start(order(0, 1, ""))}}, 700, jobs)
 		w.leaves(w.worker(0), false)
@@ -522,14 +523,14 @@
 	})
 }
 
-// tellAgents tells what a daemon's agents hold of a job.
+// tellAgents logs the attempts of a job that a daemon's agents hold.
 func (b *platformWorld) tellAgents(n *node, id string, tell func(format string, args ...any)) {
 	for _, worker := range sortedKeys(n.agents) {
 		agent := n.agents[worker]
 		kept := n.urgentHeadroom(agent.capacity, agent.urgentUse(n, wire.AttemptOrdered, wire.AttemptRunning))
 		for _, key := range agent.keys() {
 			if attempt := agent.attempts[key]; key.Job == id {
-				tell("agent %s of %s holds task %d attempt %d, %s since %d ms, confirmed %d ms ago, stop %d, kept room %v",
+				tell("agent %s of %s holds task %d attempt %d, %s for %d ms, confirmed %d ms ago, stop %d, headroom %v",
 					n.Name, worker, key.Task, key.Attempt, attempt.state.String(), n.now-attempt.queuedMs, n.now-attempt.confirmedMs, attempt.stopMs, kept)
 			}
 		}
