--- a/internal/daemon/platformcampaign_test.go
+++ b/internal/daemon/platformcampaign_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// platformFaults are the users' troubles, for mixing them by chance. Each ends by itself.
+// platformFaults are faults and loads for random mixes. Each ends by itself.
 var platformFaults = map[string]func(b *platformWorld){
 	"crash": func(b *platformWorld) { b.crashFor(b.somePlatformWorker(), 500+b.rng.Int64N(5000)) },
 	"slow":  func(b *platformWorld) { b.paceFor(b.somePlatformWorker(), "slow", 2+5*b.rng.Float64(), false, 7000) },
@@ -90,7 +90,7 @@
 			b.calm("slow disk", d)
 		})
 	},
-	"after ack wipe": func(b *platformWorld) { // a daemon loses its disk, or power, right after it has acknowledged something
+	"after ack wipe": func(b *platformWorld) { // a daemon loses its disk or power right after it has acknowledged something
 		kind, wipe, armed := b.some([]string{bJobTried, bSetupAcked, bCancelAcked, bSeen, bEmptied}), b.share(0.6), true
 		b.onSee = func(e platformEvent) {
 			if !armed || e.kind != kind || kind == bJobTried && e.n >= 300 {
@@ -134,24 +134,24 @@
 			b.after(i*80_000, func() { b.change(nil) })
 		}
 	},
-	"quick cuts": func(b *platformWorld) { // a side machine comes and goes
+	"quick cuts": func(b *platformWorld) { // short cuts of one worker's machine
 		host := b.some(b.spots)
 		for i := range int64(3) {
 			b.after(i*1_500_000, func() { b.after(200_000+b.rng.Int64N(1_200_000), b.cut(host)) })
 		}
 	},
-	"cut and killed": func(b *platformWorld) { // and started into the cut
+	"cut and killed": func(b *platformWorld) { // the daemon restarts while it is cut off
 		host := b.some(b.spots)
 		heal := b.cut(host)
 		b.after(100_000+b.rng.Int64N(7_000_000), func() { b.after(100_000+b.rng.Int64N(500_000), b.kill(host, false)) })
 		b.after(2_000_000+b.rng.Int64N(8_000_000), heal)
 	},
-	"replaced": func(b *platformWorld) { // its worker crashes while the daemon is away
+	"replaced": func(b *platformWorld) { // a worker crashes while its daemon is cut off
 		host := b.some(b.spots)
 		b.after(500_000+b.rng.Int64N(3_000_000), b.cut(host))
 		b.crashFor(b.byHost[host], 100+b.rng.Int64N(2000))
 	},
-	"failing": func(b *platformWorld) { // many tasks fail, some while their agent is cut off
+	"failing": func(b *platformWorld) { // many tasks fail, some of them while their agent is cut off
 		for range 20 {
 			j := b.simple(b.rng.IntN(3), 1+b.rng.IntN(4), amounts{b.deployment.capacity[0] / 32, b.deployment.capacity[1] / 32}, 300+1500*b.rng.Float64())
 			for n := range j.names() {
@@ -174,7 +174,7 @@
 	},
 }
 
-// TestPlatformCampaign mixes troubles by chance on top of usual traffic.
+// TestPlatformCampaign checks the users' rules under random mixes of faults on top of usual traffic.
 func TestPlatformCampaign(t *testing.T) {
 	count := platformCISeeds
 	if *seedsFlag > 0 {
--- a/internal/daemon/platformdays_test.go
+++ b/internal/daemon/platformdays_test.go
@@ -12,17 +12,17 @@
 	"github.com/tidwall/gjson"
 )
 
-// Random bad days on the users' platform: 6 to 11 troubles of every kind on top
-// of usual traffic and an operator's changes, a closing loss, and the read-back of
-// all that was accepted. A day is drawn from its number alone.
+// Random days on the users' platform: 6 to 11 faults of all kinds on top of usual
+// traffic and an operator's changes, a loss of machines at the end, and a read of all
+// that was accepted. A day is drawn from its number alone.
 
 var (
-	daysFlag  = flag.Int("days", 0, "how many bad days to play, from -from on; 0 for CI's fixed ones")
-	themeFlag = flag.String("theme", "all", "what the bad days are made of: all, control, loss, changes, network")
+	daysFlag  = flag.Int("days", 0, "number of random days to run, from -from on; 0 for the fixed days of CI")
+	themeFlag = flag.String("theme", "all", "kinds of faults of the random days: all, control, loss, changes, network")
 )
 
-// fiveMemberDeployments have a core of five on eight machines with disks, two of which
-// may be lost at once, as on the users' grown deployments.
+// fiveMemberDeployments have five core members on eight machines with disks, two of
+// which may be lost at once, as on the users' grown deployments.
 var fiveMemberDeployments = map[string]platformDeployment{"hakata five": fiveMemberDeployment()}
 
 func fiveMemberDeployment() platformDeployment {
@@ -33,13 +33,14 @@
 
 var dayDeployments = []string{"hakata", "ikenna", "hakata five"}
 
-// The longest that a trouble waits until so many losses are allowed, and how often it looks.
 const (
+	// A fault is skipped if it would exceed the allowed losses for this long.
 	waitTurnMs = 20_000
-	lookMs     = 200
+	// How often a waiting fault checks the allowed losses.
+	lookMs = 200
 )
 
-// ordersMost is how many changes an operator has under way at once.
+// ordersMost is how many changes an operator sends at once without a final response.
 const ordersMost = 8
 
 var dayThemes = map[string][][]troubleKind{
@@ -50,8 +51,8 @@
 	"network": {networkTroubles, networkTroubles, controlTroubles},
 }
 
-// closings are the losses that a day ends with. Each strikes all at once and
-// brings the machines back after a while.
+// closings are the losses at the end of a day. Each hits all its machines at once and
+// brings them back after a while.
 var closings = map[string]func(b *platformWorld, downMs int64){
 	"power off all": func(b *platformWorld, downMs int64) { b.downAt(true, downMs) },
 	"kill all":      func(b *platformWorld, downMs int64) { b.downAt(false, downMs) },
@@ -64,7 +65,7 @@
 	"wipe after an acceptance": func(b *platformWorld, downMs int64) { b.wipeAt(struckTaken, true, downMs) },
 }
 
-// allDown takes all machines, and with their power the workers.
+// allDown stops all machines; a power loss takes their workers too.
 func (b *platformWorld) allDown(power bool, downMs int64) {
 	for _, host := range sortedKeys(b.nodes) {
 		if b.nodes[host].removed {
@@ -77,8 +78,8 @@
 	}
 }
 
-// wipeMost takes as many disks as may be lost; at times all other machines that
-// count lose power too.
+// wipeMost wipes as many disks as may be lost, and half of the time cuts the power of all
+// other machines with disks.
 func (b *platformWorld) wipeMost(first string, downMs int64) {
 	hosts := b.shuffled(b.diskHosts)
 	if i := slices.Index(hosts, first); i >= 0 {
@@ -92,7 +93,7 @@
 	}
 }
 
-// wipeAt is wipeMost at a moment around an order.
+// wipeAt is wipeMost at a given point of a change; if aimed, it wipes the machine that handles the change.
 func (b *platformWorld) wipeAt(when struck, aimed bool, downMs int64) {
 	b.strikeOnce(when, func(host string) {
 		if !aimed {
@@ -102,8 +103,8 @@
 	})
 }
 
-// downAt takes all machines once a change was acknowledged: when its operator has
-// heard so, or as the answer leaves.
+// downAt stops all machines once a change was acknowledged: after its operator received
+// the response, or as the response is sent.
 func (b *platformWorld) downAt(power bool, downMs int64) {
 	if b.share(0.5) {
 		b.settled()
@@ -113,7 +114,7 @@
 	b.strikeOnce(struckAcknowledged, func(string) { b.allDown(power, downMs) })
 }
 
-// strikeOnce is strike, done at last when nothing is acknowledged for long.
+// strikeOnce is strike, but runs do after 6 s if the awaited event doesn't happen.
 func (b *platformWorld) strikeOnce(when struck, do func(host string)) {
 	over := false
 	once := func(host string) {
@@ -127,7 +128,7 @@
 	once("")
 }
 
-// badDay is a day as its number draws it.
+// badDay is a random day, drawn from its number.
 type badDay struct {
 	number   uint64
 	site     string
@@ -144,7 +145,7 @@
 	return out + fmt.Sprintf("\n  closing: %s, down for %d ms", d.closing, d.downMs)
 }
 
-// trafficMs is how long a day is before its closing loss.
+// trafficMs is how long a day lasts before its final loss.
 const trafficMs = 30_000
 
 // drawDay draws a day from its number alone.
@@ -162,7 +163,7 @@
 	return d
 }
 
-// play plays a day to its end.
+// play runs a day to its end.
 func (d *badDay) play(t *testing.T) *platformWorld {
 	b := formPlatform(t, d.number, d.site)
 	b.replaced = map[string]bool{}
@@ -192,13 +193,13 @@
 	return b
 }
 
-// The most tries and the pause between them when something is read back.
+// Reads at the end of a day are retried this often, with this pause.
 const (
 	readTries   = 8
 	readPauseMs = 400
 )
 
-// readBack asks for the setup and for each accepted job, until answered.
+// readBack reads the configuration and each accepted job, with retries.
 func (b *platformWorld) readBack() {
 	b.readSetup(readTries)
 	for _, id := range sortedKeys(b.jobs) {
@@ -239,10 +240,10 @@
 	})
 }
 
-// ciDays are what CI plays: one of each theme, over all sites.
+// ciDays are the days that CI runs: one of each theme, over all deployments.
 var ciDays = map[string][]uint64{"all": {1}, "control": {2}, "loss": {3}, "changes": {4}, "network": {5}}
 
-// TestBadDays plays random bad days: with -days so many of a theme, from -from on.
+// TestBadDays checks the users' rules on random days with faults; -days, -theme and -from choose others.
 func TestBadDays(t *testing.T) {
 	plan := ciDays
 	if *daysFlag > 0 {
@@ -263,14 +264,15 @@
 					t.Log(d)
 				}
 				if b.leftOut > 0 {
-					t.Logf("%d strikes left out: too many machines were lost", b.leftOut)
+					t.Logf("%d faults skipped: too many machines were lost", b.leftOut)
 				}
 			})
 		}
 	}
 }
 
-// A number always draws the same day, and a day always plays the same way.
+// A day can be reproduced from its number only if the same number draws the same day
+// and the day runs the same way each time.
 func TestBadDayIsDrawnFromItsNumber(t *testing.T) {
 	for theme := range dayThemes {
 		must.Eq(t, drawDay(7, theme).String(), drawDay(7, theme).String())
--- a/internal/daemon/platformdays_troubles_test.go
+++ b/internal/daemon/platformdays_troubles_test.go
@@ -8,14 +8,14 @@
 	"otterchute/internal/historycheck"
 )
 
-// dayTrouble is one trouble of a day, with all that its number draws.
+// dayTrouble is one fault of a day, with its drawn parameters.
 type dayTrouble struct {
 	atMs int64
 	text string
 	play func(b *platformWorld)
 }
 
-// troubleKind draws the particulars of a trouble: what to call it, and what it does.
+// troubleKind draws the parameters of a fault, and returns its description and what it does.
 type troubleKind func(r *rand.Rand) (text string, play func(b *platformWorld))
 
 func choose[T any](r *rand.Rand, of ...T) T { return of[r.IntN(len(of))] }
@@ -23,7 +23,7 @@
 // between draws a time in ms.
 func between(r *rand.Rand, least, most int64) int64 { return least + r.Int64N(most-least+1) }
 
-// targets are whom a trouble of the core strikes.
+// targets choose the core machine that a fault hits.
 var targets = map[string]func(b *platformWorld) string{
 	"any":     func(b *platformWorld) string { return b.some(b.diskHosts) },
 	"leader":  func(b *platformWorld) string { return b.diskOr(b.lastAcknowledger) },
@@ -31,7 +31,7 @@
 	"owner":   func(b *platformWorld) string { return b.diskOr(b.holder(b.someSlice())) },
 }
 
-// diskOr gives a machine if it has a disk, or else any that has.
+// diskOr returns the machine if it has a disk, or else any that has.
 func (b *platformWorld) diskOr(host string) string {
 	if slices.Contains(b.diskHosts, host) {
 		return host
@@ -39,8 +39,8 @@
 	return b.some(b.diskHosts)
 }
 
-// whenAllowed does something to machines once so many may be lost; a trouble
-// whose turn doesn't come is left out.
+// whenAllowed runs a fault of some machines once so many may be lost. It is skipped
+// if that takes longer than waitTurnMs.
 func (b *platformWorld) whenAllowed(pick func() []string, do func(hosts []string)) {
 	end := b.nowMs() + waitTurnMs
 	var look func()
@@ -58,12 +58,12 @@
 	look()
 }
 
-// oneOfCore does something to a machine of the core once it may be lost.
+// oneOfCore runs a fault of one core machine once it may be lost.
 func (b *platformWorld) oneOfCore(target string, do func(host string)) {
 	b.whenAllowed(func() []string { return []string{targets[target](b)} }, func(hosts []string) { do(hosts[0]) })
 }
 
-// someOfCore is oneOfCore for as many as may be lost, at most count.
+// someOfCore is oneOfCore for as many machines as may be lost, at most count.
 func (b *platformWorld) someOfCore(count int, do func(host string)) {
 	count = min(count, b.lossesAllowed())
 	b.whenAllowed(func() []string { return b.shuffled(b.diskHosts)[:count] }, func(hosts []string) {
@@ -79,8 +79,8 @@
 	return list
 }
 
-// shareOf draws a share of all machines that stand, without those of the core
-// that may not be lost now.
+// shareOf draws a fraction of all machines, without those of the core that may not be
+// lost now.
 func (b *platformWorld) shareOf(share float64) []string {
 	var out []string
 	all := slices.DeleteFunc(sortedKeys(b.nodes), func(host string) bool { return b.nodes[host].removed })
@@ -92,8 +92,8 @@
 	return out
 }
 
-// meets are the changes an operator sends to one machine while it is away and as
-// it returns.
+// meets are the changes that an operator sends to one machine during its fault and when
+// it is back.
 var meets = map[string]func(b *platformWorld, host string){
 	"":     func(*platformWorld, string) {},
 	"meet": func(b *platformWorld, host string) { b.changeAt(host, 1) },
@@ -104,14 +104,14 @@
 	"hard": func(b *platformWorld, host string) { b.changeAt(host, 10) },
 }
 
-// changeAt sends a change to one machine first, so many times.
+// changeAt sends a change whose first tries go to one machine.
 func (b *platformWorld) changeAt(host string, tries int) {
 	if !b.closing && !b.nodes[host].removed {
 		b.putSetupAt(host, tries, b.usualSetup(), b.version+1+b.rng.Int64N(2), b.version, nil)
 	}
 }
 
-// met lets an operator meet a machine during a trouble and after it.
+// met sends changes to a machine halfway through its fault of ms, and just after it.
 func (b *platformWorld) met(how, host string, ms int64) {
 	b.after(ms*500, func() { meets[how](b, host) })
 	b.after(ms*1000+20_000, func() { meets[how](b, host) })
@@ -149,7 +149,7 @@
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		share, byMs, ms := choose(r, 0.2, 0.6), choose[int64](r, 900, 5000, 60_000)*choose[int64](r, -1, 1), between(r, 2000, 9000)
 		if byMs > 5000 || byMs < -5000 {
-			share = 0.2 // no system keeps due times where most clocks are wrong by more than the judge allows
+			share = 0.2 // due times can't be kept if most clocks are off by more than the checker allows
 		}
 		return fmt.Sprintf("clocks of %.1f step by %d ms for %d ms", share, byMs, ms), func(b *platformWorld) {
 			for _, host := range b.shuffled(sortedKeys(b.nodes))[:int(share*float64(len(b.nodes)))] {
@@ -168,8 +168,8 @@
 	},
 }
 
-// coreCut cuts a core machine off, with restarts inside or outside the cut, or
-// with new seeds that begin with it.
+// coreCut cuts a core machine off, with restarts of it or of others meanwhile, or with
+// new seed addresses that begin with it.
 func (b *platformWorld) coreCut(host, way, restart string, ms int64) {
 	var heal func()
 	if way == "both" {
@@ -192,7 +192,7 @@
 	}
 }
 
-// turnSeeds names other machines as seeds, in the settings and to what runs.
+// turnSeeds makes other machines the seeds, in the settings and in running daemons.
 func (b *platformWorld) turnSeeds(hosts []string) {
 	var seeds []string
 	for _, host := range hosts[:min(3, len(hosts))] {
@@ -210,8 +210,8 @@
 	}
 }
 
-// slowMachine lets all that a core machine says and hears take longer, so that
-// the core isn't settled.
+// slowMachine delays all messages to and from a core machine. Each second it records
+// that the core is unsettled.
 func (b *platformWorld) slowMachine(host string, times, ms int64) {
 	ways := [][2]string{}
 	for _, other := range b.hosts() {
@@ -321,7 +321,7 @@
 	},
 }
 
-// replace replaces a core machine, unless that is under way already.
+// replace replaces a core machine, unless its replacement has already begun.
 func (b *platformWorld) replace(host string, planned bool, gapMs int64) {
 	switch {
 	case b.replaced[host]:
@@ -334,11 +334,11 @@
 	b.replaced[host] = true
 }
 
-// onceSettled does something once no disk machine is lost.
+// onceSettled runs a fault once no machine with a disk is lost.
 func (b *platformWorld) onceSettled(do func()) {
 	b.whenAllowed(func() []string {
 		if slices.ContainsFunc(b.diskHosts, b.lost) {
-			return b.diskHosts // more than may be lost: wait
+			return b.diskHosts // more than may be lost, so that it waits
 		}
 		return nil
 	}, func([]string) { do() })
@@ -360,7 +360,7 @@
 	"idle": func(b *platformWorld) { b.bigChange(60) },
 }
 
-// bigChange declares many queues beside the usual ones, and takes them back.
+// bigChange declares many additional queues, and removes them 3 s later.
 func (b *platformWorld) bigChange(queues int) {
 	b.change(func(s *platformSetup) {
 		for i := range queues {
@@ -370,7 +370,7 @@
 	b.after(3_000_000, func() { b.change(nil) })
 }
 
-// storm sends a change at each gap, now and then without waiting for the one before.
+// storm sends changes at an interval; some don't wait for the one before.
 func (b *platformWorld) storm(ms, gapMs int64) {
 	end := b.nowMs() + ms
 	var next func()
@@ -386,14 +386,14 @@
 	next()
 }
 
-// racePair sends two changes on the same version, at times under one number.
+// racePair sends two changes that replace the same version, some of them with the same new version.
 func (b *platformWorld) racePair() {
 	base, first := b.version, b.version+1
 	b.putSetup(b.usualSetup(), first, base, nil)
 	b.putSetup(b.usualSetup(), first+b.rng.Int64N(2), base, nil)
 }
 
-// badChanges must be refused, each for its own reason.
+// badChanges are changes that must be refused.
 var badChanges = map[string]func(b *platformWorld){
 	"same place": func(b *platformWorld) {
 		s := b.usualSetup()
@@ -405,7 +405,7 @@
 	"stale match":  func(b *platformWorld) { b.putSetup(b.usualSetup(), b.version+1, b.version-1, nil) },
 }
 
-// sendAgain sends changes again that were acknowledged, whatever came after them.
+// sendAgain repeats acknowledged changes, also those with newer ones after them.
 func (b *platformWorld) sendAgain(count int) {
 	var acked []*sentSetup
 	for _, o := range b.setupsSent {
@@ -418,7 +418,7 @@
 	}
 }
 
-// each does something so many times, with a gap between.
+// each repeats something at an interval.
 func (b *platformWorld) each(count int, gapMs int64, do func()) {
 	for i := range int64(count) {
 		b.after(i*gapMs*1000, func() {
@@ -484,7 +484,7 @@
 	},
 }
 
-// roll restarts a share of all machines by SIGTERM, one after the other.
+// roll restarts a fraction of all machines by SIGTERM, one after the other.
 func (b *platformWorld) roll(share float64, gapMs int64) {
 	all := slices.DeleteFunc(sortedKeys(b.nodes), func(host string) bool { return b.nodes[host].removed })
 	for i, host := range b.shuffled(all)[:int(share*float64(len(all)))] {
--- a/internal/daemon/platformscenario_test.go
+++ b/internal/daemon/platformscenario_test.go
@@ -9,46 +9,46 @@
 	"github.com/shoenig/test/must"
 )
 
-// placePlatformNode gives a daemon of the users' platform its place.
+// placePlatformNode sets a daemon's settings by its deployment.
 func placePlatformNode(p *nodeConfig, site platformDeployment, side bool) {
 	p.Colocated, p.MaxHoldMs, p.GangWaitMs = side, site.holdMaxMs, site.gangWaitMs
 	p.CoreSize = site.coreSize
 	p.SaveMs, p.RestoreMs, p.SpreadFactor = int64(site.saveMs), site.restoreMs, site.spread
 }
 
-// eventOf is a call as a daemon gets it.
+// eventOf returns a call as a daemon receives it.
 func eventOf(c platformCall) evRequest {
 	return evRequest{Op: c.op, Key: c.key, Host: c.host, Path: c.path, Base: c.expect, Body: c.body, Credential: c.credential}
 }
 
-// formPlatform gives a world whose daemons have formed a fleet, with its setup
-// declared and its workers beating, at the moment when traffic begins.
+// formPlatform returns a world whose daemons have formed a cluster, with the usual
+// configuration applied and workers sending heartbeats, just before traffic begins.
 func formPlatform(t *testing.T, seed uint64, site string) *platformWorld {
 	b := newPlatformWorld(seed, site)
 	b.keepLog = *dumpFlag != ""
 	b.watchReady()
-	must.True(t, b.until(20_000, func() bool { return b.holderOf("central") != nil }), must.Sprint("the fleet never formed"))
+	must.True(t, b.until(20_000, func() bool { return b.holderOf("central") != nil }), must.Sprint("the cluster never formed"))
 	b.putSetup(b.usualSetup(), 1, 0, nil)
-	must.True(t, b.until(5000, func() bool { return b.version == 1 }), must.Sprint("the first setup was not taken"))
-	for _, n := range b.nodes { // from here on they start into a fleet
+	must.True(t, b.until(5000, func() bool { return b.version == 1 }), must.Sprint("the first configuration was not accepted"))
+	for _, n := range b.nodes { // from here on they join an existing cluster
 		n.FirstStart = false
 	}
 	b.run(max(0, 10_000-b.nowMs()))
 	return b
 }
 
-// platformScenario is a directed run at both sizes. After it everything must come
-// to its end, and no rule may be broken.
+// platformScenario is a fixed sequence of faults or loads. After it all jobs must end,
+// and no rule may be broken.
 type platformScenario func(t *testing.T, b *platformWorld)
 
-// day runs the usual traffic, with lasting jobs in it, for so many ms.
+// day starts the usual traffic and a lasting job, and runs for ms.
 func (b *platformWorld) day(ms int64) {
 	b.traffic()
 	b.submit(b.lastingJob())
 	b.run(ms)
 }
 
-// holder gives the machine that holds a duty, or some edge machine.
+// holder returns the machine that holds a role, or else any edge machine.
 func (b *platformWorld) holder(duty string) string {
 	if n := b.holderOf(duty); n != nil {
 		return n.Name
@@ -56,6 +56,7 @@
 	return b.edges()[b.rng.IntN(b.deployment.edges)]
 }
 
+// someSlice returns the role of a random shard's owner.
 func (b *platformWorld) someSlice() string {
 	return "slice/" + b.some(b.nodes["d00"].sh.node.core.Shards)
 }
@@ -396,7 +397,7 @@
 		b.run(1500)
 		hosts := b.spots[:6]
 		heal := b.cut(hosts...)
-		for i, host := range hosts { // the last answers hold their workers for longer than owners wait
+		for i, host := range hosts { // the last responses give workers a hold that lasts longer than owners wait
 			b.after(4_200_000+int64(i)*140_000, func() { b.after(5_000_000, b.kill(host, false)) })
 		}
 		b.run(11_000)
@@ -431,7 +432,7 @@
 		b.submit(gang)
 		b.run(6000)
 		for range 3 {
-			j := b.submit(b.simple(1, 1, amounts{b.deployment.capacity[0] / 5, b.deployment.capacity[1] / 5}, 3000)) // long, so it gets a firm place
+			j := b.submit(b.simple(1, 1, amounts{b.deployment.capacity[0] / 5, b.deployment.capacity[1] / 5}, 3000)) // its estimate is long, so it gets a guaranteed place
 			b.run(8000)
 			must.Eq(t, "complete", j.state)
 		}
@@ -466,7 +467,7 @@
 	},
 }
 
-var grownFlag = flag.Bool("grown", false, "run the users' platform at its grown sizes")
+var grownFlag = flag.Bool("grown", false, "simulate the users' platform at its grown sizes")
 
 func chosenDeployments() []string {
 	if *grownFlag {
@@ -475,7 +476,7 @@
 	return sortedKeys(platformDeployments)
 }
 
-// verdictOfPlatform judges a run and tells all that is needed to find the cause.
+// verdictOfPlatform reports the breaches of a run and logs what is needed to find their cause.
 func verdictOfPlatform(t *testing.T, b *platformWorld) {
 	for i, x := range judgePlatform(b.events, b.deployment.bounds) {
 		if i < 8 {
@@ -484,7 +485,7 @@
 	}
 	t.Log(b.platformSummary())
 	if len(b.faults) > 0 {
-		t.Error("jobs were found faulty: ", b.faults)
+		t.Error("jobs were rejected as malformed: ", b.faults)
 	}
 	if *dumpFlag == "" || !t.Failed() {
 		return
@@ -501,8 +502,8 @@
 	}
 }
 
-// TestPlatformScenarios runs each scenario at one of both sizes, by turns; with
-// -seeds and -from at both, and on those seeds.
+// TestPlatformScenarios runs each scenario on one of the two deployments in turn; with
+// -seeds and -from on both, with those seeds.
 func TestPlatformScenarios(t *testing.T) {
 	from, count := uint64(11), 1
 	if *seedsFlag > 0 {
--- a/internal/daemon/platformtenants_campaign_test.go
+++ b/internal/daemon/platformtenants_campaign_test.go
@@ -9,11 +9,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// Random days of the shared deployments: troubles of all kinds, and an operator's changes of
-// tenants, keys and limits in series that overlap, on top of the tenants' usual traffic. A day is
+// Random days on the shared deployments: faults of all kinds, and overlapping series of an
+// operator's changes of tenants, keys and limits, on top of the tenants' usual traffic. A day is
 // drawn from its number alone.
 
-// tenantOf draws a tenant, a large one as often as not.
+// tenantOf draws the index of a tenant, half of the time a large one.
 func tenantOf(r *rand.Rand) int {
 	if r.IntN(2) == 0 {
 		return r.IntN(len(largeShares))
@@ -21,7 +21,7 @@
 	return r.IntN(sharedTenants)
 }
 
-// series does something so often, with a gap between.
+// series repeats something at an interval.
 func (b *platformWorld) series(count int, gapMs int64, do func(i int)) {
 	for i := range count {
 		b.after(int64(i)*gapMs*1000, func() {
@@ -32,7 +32,7 @@
 	}
 }
 
-// counterTargets are the machines that a trouble of a tenant's counting strikes.
+// counterTargets choose the machine that a fault of a tenant's counting hits.
 var counterTargets = map[string]func(b *platformWorld, tenant string) string{
 	"counter": func(b *platformWorld, tenant string) string { return b.countingHost(tenant) },
 	"owner":   func(b *platformWorld, _ string) string { return b.holder(b.someSlice()) },
@@ -132,7 +132,7 @@
 	return b.simple(2, 1, amounts{b.deployment.capacity[0] / 64, b.deployment.capacity[1] / 64}, 300)
 }
 
-// strikeHost lets one machine be away for a while.
+// strikeHost stops, freezes or cuts off one machine for a while.
 func (b *platformWorld) strikeHost(host, how string, ms int64) {
 	switch how {
 	case "killed", "power":
@@ -144,7 +144,7 @@
 	}
 }
 
-// tenantDay draws a day of a shared deployment: half of its troubles are of tenants.
+// tenantDay draws a day on a shared deployment; half of its faults concern tenants.
 func tenantDay(number uint64) *badDay {
 	r := rand.New(rand.NewPCG(number, 37))
 	deployments := sortedKeys(sharedDeployments)
@@ -165,10 +165,10 @@
 	return d
 }
 
-// tenantCampaignSeeds is how many days CI plays.
+// tenantCampaignSeeds is how many days CI runs.
 const tenantCampaignSeeds = 6
 
-// TestTenantCampaign plays random days of tenants: with -seeds so many, from -from on.
+// TestTenantCampaign checks the users' rules on random days of tenants; -seeds and -from choose others.
 func TestTenantCampaign(t *testing.T) {
 	from, count := uint64(1), tenantCampaignSeeds
 	if *seedsFlag > 0 {
@@ -188,7 +188,7 @@
 	}
 }
 
-// A number always draws the same day of tenants.
+// A day can be reproduced from its number only if the same number draws the same day.
 func TestTenantDayIsDrawnFromItsNumber(t *testing.T) {
 	must.Eq(t, tenantDay(7).String(), tenantDay(7).String())
 	must.NotEq(t, tenantDay(7).String(), tenantDay(9).String())
--- a/internal/daemon/platformtenants_scenario_test.go
+++ b/internal/daemon/platformtenants_scenario_test.go
@@ -8,22 +8,22 @@
 	"github.com/shoenig/test/must"
 )
 
-// urgentStartMs is the longest that an urgent job's first start may take while service goes on,
-// as in the scenarios without tenants.
+// urgentStartMs is the longest that an urgent job's first start may take, as in the
+// scenarios without tenants.
 const urgentStartMs = 5000
 
-// urgentCheck is an urgent job of a tenant whose load is under its limit, and when it must have begun.
+// urgentCheck is an urgent job of a tenant below its limit, which must start within urgentStartMs.
 type urgentCheck struct {
 	job *platformJob
 	why string
 }
 
-// urgentOf sends a small urgent job of a tenant.
+// urgentOf submits a small urgent job of a tenant.
 func (b *platformWorld) urgentOf(tenant, why string) {
 	b.urgentChecks = append(b.urgentChecks, urgentCheck{b.submit(b.smallOf(tenant)), why})
 }
 
-// urgentOfAll sends one of each tenant but some.
+// urgentOfAll submits one job for each tenant except some.
 func (b *platformWorld) urgentOfAll(why string, but ...string) {
 	for _, t := range b.tenants {
 		if !slices.Contains(but, t.name) {
@@ -32,7 +32,7 @@
 	}
 }
 
-// checkUrgent tells of urgent jobs that began too late.
+// checkUrgent reports urgent jobs that started too late or never.
 func (b *platformWorld) checkUrgent(t *testing.T) {
 	firstMs := map[string]int64{}
 	for _, e := range b.events {
@@ -44,40 +44,40 @@
 	for _, c := range b.urgentChecks {
 		at, began := firstMs[c.job.id]
 		if !began {
-			t.Errorf("urgent job %s of %s, sent at %d ms (%s), never began", c.job.id, c.job.tenant, c.job.sentMs, c.why)
+			t.Errorf("urgent job %s of %s, sent at %d ms (%s), never started", c.job.id, c.job.tenant, c.job.sentMs, c.why)
 			continue
 		}
 		latest = max(latest, at-c.job.sentMs)
 		if at-c.job.sentMs > urgentStartMs {
-			t.Errorf("urgent job %s of %s, sent at %d ms (%s), began after %d ms", c.job.id, c.job.tenant, c.job.sentMs, c.why, at-c.job.sentMs)
+			t.Errorf("urgent job %s of %s, sent at %d ms (%s), started after %d ms", c.job.id, c.job.tenant, c.job.sentMs, c.why, at-c.job.sentMs)
 		}
 	}
-	t.Logf("%d urgent jobs, the slowest began after %d ms", len(b.urgentChecks), latest)
+	t.Logf("%d urgent jobs, the slowest started after %d ms", len(b.urgentChecks), latest)
 }
 
-// largest is the tenant with the largest load.
+// largest returns the tenant with the largest load.
 func (b *platformWorld) largest() string { return b.tenants[0].name }
 
-// smallest is one with a small load.
+// smallest returns a tenant with a small load.
 func (b *platformWorld) smallest() string { return b.tenants[len(largeShares)].name }
 
-// successorOf is the machine that counts a tenant once another one no longer does.
+// successorOf returns the machine that takes over a tenant's counter from the former one.
 func (b *platformWorld) successorOf(t *testing.T, tenant, former string) string {
 	role := "slice/" + b.countingShard(tenant)
-	must.True(t, b.until(15_000, func() bool { n := b.holderOf(role); return n != nil && n.Name != former }), must.Sprint("nobody took over"))
+	must.True(t, b.until(15_000, func() bool { n := b.holderOf(role); return n != nil && n.Name != former }), must.Sprint("no other machine took over"))
 	return b.holderOf(role).Name
 }
 
-// tenantScenarios are directed runs on the shared deployments. After each everything must come to
-// its end, no rule may be broken, and urgent jobs under their tenant's limit must begin soon.
+// tenantScenarios are fixed sequences of faults or loads on the shared deployments. After each all
+// jobs must end, no rule may be broken, and urgent jobs of tenants below their limit must start soon.
 var tenantScenarios = map[string]platformScenario{
-	// Guards against counting that changes what happens on a calm day.
+	// Guards against counting that delays jobs without any fault.
 	"calm": func(_ *testing.T, b *platformWorld) {
 		b.day(8000)
 		b.urgentOfAll("on a calm day")
 		b.run(8000)
 	},
-	// Guards against a limit that stands still, or is lent twice, when its counter dies.
+	// Guards against a limit that is unusable, or granted twice, when its counter fails.
 	"counter killed": func(_ *testing.T, b *platformWorld) {
 		b.hotTenant(b.largest(), 4, 20_000)
 		b.day(8000)
@@ -88,7 +88,7 @@
 		b.urgentOfAll("another one counts", b.largest())
 		b.run(5000)
 	},
-	// Guards against a counter that wakes up and lends by what it knew before.
+	// Guards against a counter that resumes after a freeze and grants by stale state.
 	"counter frozen": func(_ *testing.T, b *platformWorld) {
 		b.hotTenant(b.largest(), 4, 20_000)
 		b.day(8000)
@@ -99,7 +99,7 @@
 		b.freeze(b.countingHost(b.largest()), 1500)
 		b.run(9000)
 	},
-	// Guards against two counters that lend the same share on both sides of a cut.
+	// Guards against two counters that grant the same share on both sides of a cut.
 	"counter cut off": func(_ *testing.T, b *platformWorld) {
 		b.day(8000)
 		heal := b.cut(b.countingHost(b.largest()))
@@ -110,7 +110,7 @@
 		heal()
 		b.run(8000)
 	},
-	// Guards against a counter that comes back from its disk with old accounts.
+	// Guards against a counter that restores stale counts from its disk.
 	"counter without power": func(_ *testing.T, b *platformWorld) {
 		b.hotTenant(b.largest(), 4, 16_000)
 		b.day(8000)
@@ -119,7 +119,7 @@
 		b.urgentOfAll("the counter lost its power", b.largest())
 		b.run(10_000)
 	},
-	// Guards against a second takeover that lends before the first counter's loans are known.
+	// Guards against a second takeover that grants shares before the first counter's grants are known.
 	"counter and its successor": func(t *testing.T, b *platformWorld) {
 		b.day(8000)
 		b.hotTenant(b.largest(), 3, 12_000)
@@ -130,7 +130,7 @@
 		b.urgentOfAll("after both", b.largest())
 		b.run(6000)
 	},
-	// Guards against shares that die with a shard's owner, or that it and the next owner both use.
+	// Guards against shares that are lost with a shard's owner, or that it and the next owner both use.
 	"owners killed while they hold shares": func(_ *testing.T, b *platformWorld) {
 		b.hotTenant(b.largest(), 3, 16_000)
 		b.day(8000)
@@ -141,7 +141,7 @@
 		b.urgentOfAll("after owners were killed", b.largest())
 		b.run(6000)
 	},
-	// Guards against a zone that goes on by shares which the others have lent anew.
+	// Guards against a zone that keeps using shares which were granted again outside it.
 	"zone cut with load on both sides": func(_ *testing.T, b *platformWorld) {
 		b.day(8000)
 		b.hotTenant(b.largest(), 3, 14_000)
@@ -164,7 +164,7 @@
 		b.urgentOfAll("the disks work again", b.largest())
 		b.run(6000)
 	},
-	// Guards against reports and grants that are taken late, twice or out of order.
+	// Guards against reports and grants that are applied late, twice or out of order.
 	"links lose packets": func(_ *testing.T, b *platformWorld) {
 		b.hotTenant(b.largest(), 3, 14_000)
 		b.day(6000)
@@ -173,7 +173,7 @@
 		b.urgentOfAll("the links are sound again", b.largest())
 		b.run(6000)
 	},
-	// Guards against a machine that goes on letting a key in once it was taken away.
+	// Guards against a machine that accepts a key after it was revoked.
 	"key revoked under open traffic": func(_ *testing.T, b *platformWorld) {
 		b.day(5000)
 		for _, tenant := range []string{b.largest(), b.smallest()} {
@@ -181,7 +181,7 @@
 			b.addKey(tenant)
 			b.run(3000)
 			b.revokeKey(tenant)
-			b.each(40, 150, func() { // some callers have not heard of the new key
+			b.each(40, 150, func() { // some callers don't have the new key yet
 				j := b.smallOf(tenant)
 				j.key = old
 				b.submit(j)
@@ -193,8 +193,8 @@
 		b.urgentOfAll("keys were revoked")
 		b.run(6000)
 	},
-	// Guards against a key that is let in though no tenant was ever given it, and one that is not
-	// known yet where its version is in force.
+	// Guards against accepting a key that no tenant was ever given, and against rejecting one whose
+	// version is in force.
 	"unknown keys and new ones": func(_ *testing.T, b *platformWorld) {
 		b.day(4000)
 		for i := range 6 {
@@ -209,7 +209,7 @@
 		b.urgentOfAll("keys are new")
 		b.run(6000)
 	},
-	// Guards against a tenant that takes the others' room, or more than its limit, with ten times its load.
+	// Guards against a tenant with ten times its usual load that exceeds its limit or starves the others.
 	"hot tenant": func(_ *testing.T, b *platformWorld) {
 		b.day(5000)
 		b.hotTenant(b.largest(), 10, 8000)
@@ -217,7 +217,7 @@
 		b.urgentOfAll("a tenant is hot", b.largest())
 		b.run(12_000)
 	},
-	// Guards against shares that cancelled jobs go on holding.
+	// Guards against shares that cancelled jobs keep.
 	"many jobs are cancelled": func(_ *testing.T, b *platformWorld) {
 		b.day(5000)
 		b.hotTenant(b.largest(), 6, 6000)
@@ -233,7 +233,7 @@
 		b.urgentOfAll("many jobs were cancelled")
 		b.run(6000)
 	},
-	// Guards against starts by a limit that a newer version has lowered.
+	// Guards against starts by a limit that a newer configuration has lowered.
 	"limits lowered under load": func(_ *testing.T, b *platformWorld) {
 		b.hotTenant(b.largest(), 3, 18_000)
 		b.day(8000)
@@ -249,13 +249,13 @@
 		b.urgentOfAll("limits are as usual", b.largest())
 		b.run(5000)
 	},
-	// Guards against tasks that wait at full workers and start there by the limit that they were placed by.
+	// Guards against tasks that wait at full workers and start there by the limit at their placement.
 	"limit lowered while tasks wait at workers": func(_ *testing.T, b *platformWorld) {
 		tenant, room := b.largest(), amounts{b.deployment.capacity[0] / 5, b.deployment.capacity[1] / 5}
 		b.setLimit(tenant, 1000)
 		b.run(3000)
 		b.onlyTenant = tenant
-		for range 10 * len(b.spots) { // twice as many as there is room for
+		for range 10 * len(b.spots) { // twice as many as fit
 			j := b.simple(2, 1, room, 6000)
 			j.steps[0].estimateMs = 1500
 			b.submit(j)
@@ -267,7 +267,7 @@
 		b.restoreLimits()
 		b.run(6000)
 	},
-	// Guards against a start of the fleet that lends before all owners have told what runs.
+	// Guards against a restarted cluster that grants shares before all owners have reported what runs.
 	"all daemons killed, workers run on": func(_ *testing.T, b *platformWorld) {
 		b.hotTenant(b.largest(), 3, 18_000)
 		b.day(8000)
@@ -281,7 +281,7 @@
 		b.urgentOfAll("all daemons were killed", b.largest())
 		b.run(6000)
 	},
-	// Guards against gangs that wait for ever beside each other, each with a part of the limit.
+	// Guards against a deadlock of gangs that each hold a part of the limit.
 	"gangs of which the limit holds two": func(t *testing.T, b *platformWorld) {
 		b.day(4000)
 		tenant, limit := b.largest(), b.usualLimit(b.largest())
@@ -304,8 +304,8 @@
 	},
 }
 
-// TestTenantScenarios runs each at one of the shared deployments, by turns; with -seeds and
-// -from at both, and on those seeds.
+// TestTenantScenarios runs each scenario on one of the shared deployments in turn; with -seeds and
+// -from on both, with those seeds.
 func TestTenantScenarios(t *testing.T) {
 	from, count := uint64(31), 1
 	if *seedsFlag > 0 {
--- a/internal/daemon/platformtenants_test.go
+++ b/internal/daemon/platformtenants_test.go
@@ -8,30 +8,29 @@
 	"otterchute/internal/configuration"
 )
 
-// Tenants of the users' shared deployments: who sends jobs, with which key, and how much each
-// may have running.
+// This file simulates the tenants of the users' shared deployments: their jobs, keys and limits.
 
 // platformTenant is a tenant as an operator declares it.
 type platformTenant struct {
 	name   string
-	keys   []string // the callers use the last one
+	keys   []string // callers use the last one
 	weight float64
-	limit  amounts // 0: none
+	limit  amounts // 0: no limit
 }
 
 const (
 	sharedTenants = 20
-	// limitTimesMean is a tenant's limit, and its weight, against its usual load.
+	// limitTimesMean is the ratio of a tenant's limit, and of its weight, to its usual load.
 	limitTimesMean = 2.6
-	// A tenant's task takes a fifth of its limit at most, and a gang nearly half, so that two fit.
+	// A task takes at most a fifth of its tenant's limit, and a gang less than half, so that two fit.
 	tasksPerLimit    = 5
 	gangLimitPercent = 45
 )
 
-// largeShares are the parts of the load that a few large tenants send.
+// largeShares are the large tenants' fractions of the load.
 var largeShares = []float64{0.22, 0.16, 0.12}
 
-// sharedDeployments are the grown ones at a third of their size, with tenants.
+// sharedDeployments are the grown deployments at a third of their size, with tenants.
 var sharedDeployments = map[string]platformDeployment{
 	"hakata shared": sharedDeployment("hakata grown", "hakata shared"),
 	"ikenna shared": sharedDeployment("ikenna grown", "ikenna shared"),
@@ -53,7 +52,7 @@
 	return s
 }
 
-// tenantShareSizes are the tenants' parts of the load; they sum up to 1.
+// tenantShareSizes returns all tenants' fractions of the load; their sum is 1.
 func tenantShareSizes() []float64 {
 	shares, left := slices.Clone(largeShares), 1.0
 	for _, share := range largeShares {
@@ -70,7 +69,7 @@
 	return shares
 }
 
-// meanUse is what the usual traffic has running.
+// meanUse returns the mean cpu and memory in use under the usual traffic.
 func (s *platformDeployment) meanUse() (use [2]float64) {
 	sum := 0.0
 	for _, k := range s.kinds {
@@ -92,7 +91,7 @@
 	return out
 }
 
-// tenantDocuments are tenants as the product's configuration declares them.
+// tenantDocuments returns tenants in the form of the product's configuration.
 func tenantDocuments(tenants []platformTenant) []map[string]any {
 	docs := []map[string]any{}
 	for _, t := range tenants {
@@ -121,17 +120,17 @@
 	return nil
 }
 
-// holdsKey tells whether a tenant of the setup has a key.
+// holdsKey reports whether a tenant of the configuration has a key.
 func (s *platformSetup) holdsKey(key string) bool {
 	return slices.ContainsFunc(s.tenants, func(t platformTenant) bool { return slices.Contains(t.keys, key) })
 }
 
-// admits tells whether calls of a queue with a key are let in.
+// admits reports whether calls of a queue with a key are admitted.
 func (s *platformSetup) admits(queue, key string) bool {
 	return s.tenants == nil || slices.Contains(s.open, queue) || s.holdsKey(key)
 }
 
-// assignTenant draws whose job it is, by the tenants' weights.
+// assignTenant draws the job's tenant by weight.
 func (b *platformWorld) assignTenant(j *platformJob) {
 	if b.onlyTenant != "" {
 		b.sendAs(j, b.onlyTenant)
@@ -152,13 +151,13 @@
 	b.sendAs(j, b.tenants[i].name)
 }
 
-// sendAs makes a job one of a tenant, with the key that its callers use now.
+// sendAs assigns a job to a tenant, with the tenant's newest key.
 func (b *platformWorld) sendAs(j *platformJob, tenant string) *platformJob {
 	j.tenant, j.key = tenant, b.newestKey(tenant)
 	return j
 }
 
-// newestKey is the key that a tenant's callers use for new jobs.
+// newestKey returns the key that a tenant's callers use for new jobs.
 func (b *platformWorld) newestKey(tenant string) string {
 	if t := tenantNamed(b.tenants, tenant); t != nil && len(t.keys) > 0 {
 		return t.keys[len(t.keys)-1]
@@ -166,7 +165,7 @@
 	return ""
 }
 
-// usualLimit is the limit that a tenant has by its deployment.
+// usualLimit returns a tenant's limit in its deployment.
 func (b *platformWorld) usualLimit(tenant string) amounts {
 	if t := tenantNamed(b.deployment.tenants, tenant); t != nil {
 		return t.limit
@@ -174,7 +173,7 @@
 	return amounts{}
 }
 
-// fitTenant keeps a drawn step such that its tenant's limit holds it twice.
+// fitTenant shrinks a drawn step so that it fits twice into its tenant's limit.
 func (b *platformWorld) fitTenant(j *platformJob, s *platformStep) {
 	limit := b.usualLimit(j.tenant)
 	for d, most := range limit {
@@ -192,8 +191,8 @@
 	}
 }
 
-// callOfJob sends a call of a job's caller, with its key. A caller whose key is refused goes on
-// with its tenant's newest.
+// callOfJob sends a call of a job's caller, with its key. A caller whose key is refused switches
+// to its tenant's newest.
 func (b *platformWorld) callOfJob(to *simNode, op string, j *platformJob, body []byte, cb func(status int, retryMs int64, body []byte)) {
 	sentMs, key := b.nowMs(), j.key
 	call := platformCall{op: op, host: j.queue.host, path: j.queue.prefix + j.id, body: body, credential: key}
@@ -208,7 +207,7 @@
 	})
 }
 
-// tenantUse is what each tenant has running.
+// tenantUse returns the resources of each tenant's runs.
 func (b *platformWorld) tenantUse() map[string]amounts {
 	use := map[string]amounts{}
 	for _, host := range b.spots {
@@ -219,7 +218,7 @@
 	return use
 }
 
-// tenantsHalfUsed gives the tenants that have half of their limit running or more.
+// tenantsHalfUsed returns the tenants that use half of their limit or more.
 func (b *platformWorld) tenantsHalfUsed() map[string]bool {
 	half := map[string]bool{}
 	if b.setup == nil || b.tenants == nil {
@@ -236,7 +235,7 @@
 	return half
 }
 
-// countingHost is the machine that counts a tenant.
+// countingHost returns the machine that holds a tenant's counter.
 func (b *platformWorld) countingHost(tenant string) string {
 	return b.holder("slice/" + b.countingShard(tenant))
 }
@@ -245,7 +244,7 @@
 	return countingShard(tenant, b.someDaemon().core.Shards)
 }
 
-// someDaemon is one that runs.
+// someDaemon returns a daemon that is up.
 func (b *platformWorld) someDaemon() *node {
 	for _, host := range sortedKeys(b.nodes) {
 		if b.nodes[host].up {
@@ -255,7 +254,7 @@
 	return nil
 }
 
-// editTenant changes what the operator declares of a tenant, and sends that.
+// editTenant changes a tenant's declaration and sends the new configuration.
 func (b *platformWorld) editTenant(tenant string, edit func(t *platformTenant)) {
 	if t := tenantNamed(b.tenants, tenant); t != nil {
 		edit(t)
@@ -271,7 +270,7 @@
 	})
 }
 
-// revokeKey takes a tenant's oldest key away, unless it is its last.
+// revokeKey removes a tenant's oldest key, unless it is the only one.
 func (b *platformWorld) revokeKey(tenant string) {
 	b.editTenant(tenant, func(t *platformTenant) {
 		if len(t.keys) > 1 {
@@ -280,7 +279,7 @@
 	})
 }
 
-// setLimit declares a part of a tenant's usual limit.
+// setLimit declares a percentage of a tenant's usual limit.
 func (b *platformWorld) setLimit(tenant string, percent int64) {
 	usual := b.usualLimit(tenant)
 	b.editTenant(tenant, func(t *platformTenant) {
@@ -290,7 +289,7 @@
 	})
 }
 
-// restoreLimits declares all tenants' usual limits.
+// restoreLimits declares all tenants' usual limits again.
 func (b *platformWorld) restoreLimits() {
 	for i := range b.tenants {
 		b.tenants[i].limit = b.usualLimit(b.tenants[i].name)
@@ -298,7 +297,7 @@
 	b.change(nil)
 }
 
-// hotTenant lets a tenant send so many times its usual for a while.
+// hotTenant lets a tenant submit a multiple of its usual load for a while.
 func (b *platformWorld) hotTenant(tenant string, times float64, ms int64) {
 	end := b.nowMs() + ms
 	perSec := (times - 1) * tenantNamed(b.tenants, tenant).weight / limitTimesMean
@@ -318,8 +317,8 @@
 	next()
 }
 
-// lossyLinks lets a share of all messages of some machines come late, as those do whose packets
-// are sent again, and resets some connections.
+// lossyLinks delays a fraction of the messages of some machines, as retransmissions after packet
+// loss do, and resets some connections.
 func (b *platformWorld) lossyLinks(hosts []string, share float64, ms int64) {
 	const retransmitUs = 200_000
 	b.detain = func(from, to string, _ any) int64 {
--- a/internal/daemon/platformunit_test.go
+++ b/internal/daemon/platformunit_test.go
@@ -12,8 +12,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// What a queue says for tasks that name nothing of their own holds in all
-// rounds, and for whoever takes the job over from its record.
+// A queue's defaults must apply to tasks in all rounds, also after another owner has
+// decoded the job from its record.
 func TestQueueDefaultsOutliveTheRecord(t *testing.T) {
 	set, faults := configuration.Compile(1, []byte(`{"queues":[{"name":"q","default_failures":3,"default_limit_ms":7000}]}`))
 	must.SliceEmpty(t, faults)
@@ -32,8 +32,8 @@
 	}
 }
 
-// A timed job that is cancelled before its last round is opened is not complete,
-// though all tasks so far ended well, or there were none.
+// A job with rounds that is cancelled before its last round is opened must not count as
+// complete, even if all its tasks so far ended well or it has none yet.
 func TestCancelledBetweenRounds(t *testing.T) {
 	for _, opened := range []int{0, 1, 3} {
 		j, faults := parseJob("j", "q", []byte(`{"payload":"x","steps":[{"name":"a","count":2,"room":1}],"rounds":3,"first_ms":1000,"period_ms":1000}`))
@@ -55,8 +55,8 @@
 	}
 }
 
-// A gang's places are taken all or none, whichever of its workers is not to be
-// had any more when the grant comes.
+// A gang must not be placed in part when one of its workers has become unavailable
+// before the allocation arrives.
 func TestGangGrantIsWhole(t *testing.T) {
 	for gone := range 3 {
 		n := newNode(nodeConfig{Name: "d0"}, nil)
@@ -89,7 +89,7 @@
 	}
 }
 
-// What is placed at a worker that another has taken the place of comes back at once.
+// A placement at a worker that was replaced must be rejected at once.
 func TestReplacedWorkerRejectsPlaces(t *testing.T) {
 	n := newNode(nodeConfig{Name: "d0", Incarnation: 7}, nil)
 	n.now = 100_000
--- a/internal/daemon/platformworld_callers_test.go
+++ b/internal/daemon/platformworld_callers_test.go
@@ -7,7 +7,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// platformCall is one of the product's own calls.
+// platformCall is a call of the product's API.
 type platformCall struct {
 	op, host, path, key string
 	expect              int64
@@ -19,7 +19,7 @@
 	b.world.call(from, to, eventOf(c), waitMs, cb)
 }
 
-// ready is what the platform asks each edge daemon every second.
+// watchReady checks the readiness of each edge daemon every second.
 func (b *platformWorld) watchReady() {
 	b.in = map[string]int{}
 	for i, host := range b.edges() {
@@ -40,7 +40,7 @@
 	b.after(1_000_000, func() { b.checkReady(host) })
 }
 
-// edge gives a daemon for a new connection.
+// edge picks a daemon for a new connection: one that passes its readiness checks, or any if fewer than half do.
 func (b *platformWorld) edge() *simNode {
 	var in []string
 	for _, host := range b.edges() {
@@ -54,7 +54,7 @@
 	return b.nodes[in[b.rng.IntN(len(in))]]
 }
 
-// submit sends a job as its caller does: again after silence or a refusal.
+// submit sends a job as its caller does, and retries after no response or a refusal.
 func (b *platformWorld) submit(j *platformJob) *platformJob {
 	b.jobSeq++
 	if j.id == "" {
@@ -99,7 +99,7 @@
 	b.after(800_000+b.rng.Int64N(600_000), func() { b.poll(j) })
 }
 
-// look asks for a job's state once.
+// look reads a job's state once.
 func (b *platformWorld) look(j *platformJob) {
 	asked, to := b.nowMs(), b.edge()
 	b.callOfJob(to, "queue.state", j, nil, func(status int, _ int64, body []byte) {
@@ -146,7 +146,7 @@
 	})
 }
 
-// sentSetup is a change of the setup as its operator knows it.
+// sentSetup is a change of the configuration, as its operator sees it.
 type sentSetup struct {
 	setup         *platformSetup
 	version, base int64
@@ -154,12 +154,12 @@
 	acked         bool
 }
 
-// putSetup sends a setup on top of a version until it is finally answered.
+// putSetup sends a configuration that replaces a version, until it gets a final response.
 func (b *platformWorld) putSetup(s *platformSetup, version, base int64, done func(status int)) {
 	b.putSetupAt("", 0, s, version, base, done)
 }
 
-// putSetupAt is handlePutConfig with so many tries at one machine first.
+// putSetupAt is putSetup whose first tries go to one machine.
 func (b *platformWorld) putSetupAt(host string, tries int, s *platformSetup, version, base int64, done func(status int)) {
 	b.see(platformEvent{kind: bSetupSent, n: version, base: base, setup: s})
 	o := &sentSetup{setup: s, version: version, base: base, body: s.body()}
@@ -186,7 +186,7 @@
 	try()
 }
 
-// sendSetup sends a change once more, to some machine.
+// sendSetup sends a change once, to one machine.
 func (b *platformWorld) sendSetup(o *sentSetup, to *simNode, done func(status int, retryMs int64)) {
 	b.call("operator", to, platformCall{op: "setup.put", key: fmt.Sprint(o.version), expect: o.base, body: o.body}, 1000, func(status int, retryMs int64, _ []byte) {
 		b.answers[fmt.Sprint("setup ", status)]++
@@ -204,7 +204,7 @@
 	})
 }
 
-// noteTaken tells the judge what a daemon says it took, heard or not.
+// noteTaken records what a daemon acknowledges, whether the response arrives or not.
 func (b *platformWorld) noteTaken(a sentAnswer) (over bool) {
 	if !a.accepted() {
 		return false
@@ -220,7 +220,7 @@
 	return false
 }
 
-// usualSetup declares all queues of the site.
+// usualSetup returns a configuration with all queues of the deployment.
 func (b *platformWorld) usualSetup() *platformSetup {
 	s := &platformSetup{note: fmt.Sprint(b.rng.Uint32()), tenants: copyTenants(b.tenants)}
 	for _, k := range b.deployment.kinds {
@@ -229,7 +229,7 @@
 	return s
 }
 
-// change sends a newer setup, with a number some steps on.
+// change sends a newer configuration, with a version 1 to 3 higher.
 func (b *platformWorld) change(edit func(*platformSetup)) {
 	s := b.usualSetup()
 	if edit != nil {
--- a/internal/daemon/platformworld_faults_test.go
+++ b/internal/daemon/platformworld_faults_test.go
@@ -6,6 +6,7 @@
 
 func (b *platformWorld) isCore(host string) bool { return b.nodes[host].Disk }
 
+// trouble records that a fault of a machine begins; calm records its end.
 func (b *platformWorld) trouble(text, host string) {
 	b.see(platformEvent{kind: bTrouble, host: host, text: text})
 	b.troubled[host]++
@@ -19,13 +20,14 @@
 	b.coreMoved(host)
 }
 
+// workerTrouble records that a fault of a worker begins, and returns what records its end.
 func (b *platformWorld) workerTrouble(text string, s *platformWorker) func() {
 	id := s.id
 	b.see(platformEvent{kind: bTrouble, worker: id, text: text})
 	return func() { b.see(platformEvent{kind: bCalm, worker: id, text: text}) }
 }
 
-// coreMoved notes what a change at a machine means for the core.
+// coreMoved records a change at a core machine, and whether the core has lost or regained its majority.
 func (b *platformWorld) coreMoved(host string) {
 	if host == "" || !b.isCore(host) {
 		return
@@ -47,6 +49,7 @@
 	}
 }
 
+// kill ends a daemon, or cuts its machine's power, and returns what starts it again.
 func (b *platformWorld) kill(host string, power bool) func() {
 	n := b.nodes[host]
 	if n.up {
@@ -65,8 +68,8 @@
 	b.after(ms*1000+10, func() { b.calm("frozen", host) })
 }
 
-// cut cuts machines off from all others, though not from workers beside them
-// nor from callers.
+// cut cuts machines off from all others, but not from the workers beside them
+// or from callers, and returns what reconnects them.
 func (b *platformWorld) cut(hosts ...string) func() {
 	for _, h := range hosts {
 		b.cutOff[h] = true
@@ -87,6 +90,7 @@
 	}
 }
 
+// redraw applies the cuts to each pair of machines.
 func (b *platformWorld) redraw() {
 	b.cuts = map[[2]string]bool{}
 	for x := range b.cutOff {
@@ -100,7 +104,7 @@
 	b.release()
 }
 
-// stopNicely is what the platform does around planned work.
+// stopNicely stops a daemon as the platform does for planned maintenance, and starts it again.
 func (b *platformWorld) stopNicely(host string, downMs int64) {
 	n := b.nodes[host]
 	n.event(evStop{})
@@ -114,7 +118,7 @@
 	})
 }
 
-// wipe replaces a core machine by an empty one.
+// wipe replaces a core machine by one with an empty disk.
 func (b *platformWorld) wipe(host string, newAddr bool, downMs int64) {
 	n := b.nodes[host]
 	n.kill(true)
@@ -136,7 +140,7 @@
 	return b.worker(b.rng.IntN(len(b.spots)))
 }
 
-// crashFor ends a worker and lets a new one stand there after a while; 0 for never.
+// crashFor crashes a worker and starts a new one in its place after a while; 0 for never.
 func (b *platformWorld) crashFor(s *platformWorker, ms int64) {
 	calm := b.workerTrouble("crash", s)
 	s.crash()
@@ -146,6 +150,7 @@
 	}
 }
 
+// paceFor slows a worker down, or lets it hang, for a while.
 func (b *platformWorld) paceFor(s *platformWorker, text string, slow float64, hang bool, ms int64) {
 	calm := b.workerTrouble(text, s)
 	s.setPace(slow, hang)
@@ -155,7 +160,7 @@
 	})
 }
 
-// leaves lets a worker go, in order or at short notice, and a new one come.
+// leaves lets a worker leave, gracefully or at short notice, and starts a new one in its place.
 func (b *platformWorld) leaves(s *platformWorker, short bool) {
 	if !s.up {
 		return
--- a/internal/daemon/platformworld_jobs_test.go
+++ b/internal/daemon/platformworld_jobs_test.go
@@ -7,28 +7,29 @@
 	"slices"
 )
 
-// platformJob is a job as its caller knows it.
+// platformJob is a job as its caller sees it.
 type platformJob struct {
 	id               string
 	queue            *platformQueue
 	payload          string
 	steps            []platformStep
 	rounds           int
-	firstMs          int64 // in the world's time
+	firstMs          int64 // simulated time
 	periodMs         int64
-	sentMs, endMs    int64 // endMs once a final state was shown
+	sentMs, endMs    int64 // endMs is when a final state was first shown
 	acked, cancelled bool
 	gaveUp           bool
 	state            string
 	tries            int
 	fates            map[taskName]*platformFate
 	lastOKMs         map[int]int64      // by round
-	okTasks          map[taskName]int64 // the run that ended well first
+	okTasks          map[taskName]int64 // the first run that ended well
 	hurried, stuck   bool
-	idleMs           int64 // since when nothing runs though something could
+	idleMs           int64 // since when nothing runs although something could; 0 if something runs
 	tenant, key      string
 }
 
+// platformStep is a step of a job, as its caller declares it.
 type platformStep struct {
 	count      int
 	room       amounts
@@ -44,15 +45,15 @@
 	saves      bool
 }
 
-// platformFate is what a task does, wherever it runs: its work, and the points of
-// it at which it fails by its own fault, one run after the other.
+// platformFate is what a task does, wherever it runs: its amount of work, and for
+// each of its first runs the fraction of the work at which it fails by its own fault.
 type platformFate struct {
 	workMs float64
 	fails  []float64
 	failed int
 }
 
-// names gives all tasks of a job.
+// names iterates over all tasks of a job.
 func (j *platformJob) names() iter.Seq[taskName] {
 	return func(yield func(taskName) bool) {
 		for k := range max(j.rounds, 1) {
@@ -125,7 +126,7 @@
 	return false
 }
 
-// ok takes a good end of one of a job's tasks.
+// ok counts the successful end of a run.
 func (j *platformJob) ok(b *platformWorld, r *platformRun) {
 	n := r.name
 	if r.step.gang {
@@ -133,7 +134,7 @@
 	}
 	if run, ok := j.okTasks[n]; ok {
 		if r.step.gang && run == r.run {
-			return // with the others of its gang
+			return // counted with another member of the gang
 		}
 		b.waste["twice"] += float64(b.nowMs()-r.startMs) / 1000 * float64(r.step.room[0]) / 1000
 		return
@@ -145,7 +146,7 @@
 	}
 }
 
-// units is how many good ends the job needs.
+// units returns how many successful ends the job needs; a gang counts as one.
 func (j *platformJob) units() int {
 	sum := 0
 	for _, s := range j.steps {
@@ -158,14 +159,15 @@
 	return sum * max(j.rounds, 1)
 }
 
+// share returns true with probability p.
 func (b *platformWorld) share(p float64) bool { return b.rng.Float64() < p }
 
-// drawn gives a value about a mean, never over the most.
+// drawn draws from a log-normal distribution with a mean and an upper bound.
 func (b *platformWorld) drawn(of [2]float64, spread float64) float64 {
 	return min(of[1], of[0]*math.Exp(spread*b.rng.NormFloat64()-spread*spread/2))
 }
 
-// draw makes a job of a kind.
+// draw makes a random job of a kind.
 func (b *platformWorld) draw(k *platformKind) *platformJob {
 	j := &platformJob{queue: &k.queue, fates: map[taskName]*platformFate{}}
 	b.assignTenant(j)
@@ -207,7 +209,7 @@
 		for round := range max(j.rounds, 1) {
 			for t := range s.count {
 				f := &platformFate{workMs: max(20, mean*(0.7+0.6*b.rng.Float64()))}
-				if b.share(k.fails) && (!gang || t < 3) { // a gang is one piece of work
+				if b.share(k.fails) && (!gang || t < 3) { // a gang fails as a whole
 					f.fails = []float64{b.rng.Float64()}
 				}
 				j.fates[taskName{round, i, t}] = f
@@ -220,7 +222,7 @@
 	return j
 }
 
-// doom makes a job one that can't be done.
+// doom makes a task of a job fail more often than is allowed.
 func (b *platformWorld) doom(j *platformJob) {
 	f := j.fates[taskName{0, len(j.steps) - 1, 0}]
 	f.fails = nil
@@ -229,7 +231,7 @@
 	}
 }
 
-// simple makes a job of one step of alike tasks.
+// simple makes a job of one step with equal tasks.
 func (b *platformWorld) simple(kind, count int, room amounts, workMs float64) *platformJob {
 	j := &platformJob{queue: &b.deployment.kinds[kind].queue, fates: map[taskName]*platformFate{}, steps: []platformStep{{count: count, room: room, estimateMs: int64(workMs)}}}
 	for i := range count {
@@ -239,7 +241,7 @@
 	return j
 }
 
-// lastingJob keeps its tasks at work until it is cancelled; they fail at times.
+// lastingJob makes a job whose tasks run until it is cancelled; they fail now and then.
 func (b *platformWorld) lastingJob() *platformJob {
 	j := b.simple(1, 2, amounts{b.deployment.capacity[0] / 32, b.deployment.capacity[1] / 32}, 1000)
 	j.steps[0].lasting = true
@@ -249,7 +251,7 @@
 	return j
 }
 
-// drawing lets what is sent be drawn, and whom a fault strikes.
+// drawing draws jobs, and the targets of faults, from jobRng if there is one.
 func (b *platformWorld) drawing(do func()) {
 	if b.jobRng != nil {
 		b.rng, b.jobRng = b.jobRng, b.rng
@@ -258,7 +260,7 @@
 	do()
 }
 
-// traffic sends the site's mix until callers are told to stop.
+// traffic submits the deployment's mix of jobs until callers stop.
 func (b *platformWorld) traffic() {
 	var next, one func()
 	next = func() { b.drawing(one) }
@@ -272,7 +274,7 @@
 	next()
 }
 
-// kindByWeight draws one of the site's kinds of job.
+// kindByWeight draws one of the deployment's kinds of jobs.
 func (b *platformWorld) kindByWeight() int {
 	sum := 0.0
 	for i := range b.deployment.kinds {
@@ -299,8 +301,8 @@
 	return j
 }
 
-// aimMs is the users' aim for one round of a job: stretch times its longest
-// chain of work on sound workers near its data, and the queue's latency.
+// aimMs returns the users' target time for one round of a job: the stretch times its
+// longest chain of work on healthy workers near its data, plus the queue's latency.
 func (b *platformWorld) aimMs(j *platformJob, round int) int64 {
 	done := make([]float64, len(j.steps))
 	longest := 0.0
@@ -329,7 +331,7 @@
 	return int64(j.queue.stretch*longest) + j.queue.latencyMs
 }
 
-// inAim gives by queue how many jobs and rounds were owed, done in their aim, and done at all.
+// inAim returns by queue how many jobs or rounds were due, were done within their target, and were done at all.
 func (b *platformWorld) inAim() map[string][3]int {
 	out := map[string][3]int{}
 	for _, id := range sortedKeys(b.jobs) {
@@ -356,6 +358,7 @@
 	return out
 }
 
+// hopeless reports whether a task of the job fails more often than is allowed.
 func (j *platformJob) hopeless() bool {
 	sum := map[taskName]int{}
 	for n, f := range j.fates {
--- a/internal/daemon/platformworld_sites_test.go
+++ b/internal/daemon/platformworld_sites_test.go
@@ -6,40 +6,40 @@
 	"otterchute/internal/membership"
 )
 
-// platformDeployment is one of the users' deployments.
+// platformDeployment describes one of the users' deployments.
 type platformDeployment struct {
 	name         string
 	edges, sides int
-	disks        int // machines with one; 0 for membership.DefaultSize
+	disks        int // machines with a disk; 0 for membership.DefaultSize
 	capacity     amounts
-	speeds       []float64 // how much longer work takes there, by turns
+	speeds       []float64 // factor by which work takes longer, by worker in turn
 	holdMaxMs    int64
 	gangWaitMs   int64
 	saveMs       float64
 	restoreMs    int64
-	spread       float64 // times as long, away from the data or over several racks
+	spread       float64 // factor by which work takes longer away from its data or over several racks
 	perSec       float64
 	kinds        []platformKind
 	rackSize     int
 	service      string
 	beatMs       int64
 	tries        int
-	callerMs     int64 // a caller waits so long for an answer
+	callerMs     int64 // a caller waits this long for a response
 	againMs      int64
 	stopMs       int64
 	coreSize     int
 	bounds       platformBounds
-	tenants      []platformTenant // none: calls need no key
+	tenants      []platformTenant // empty: calls need no key
 }
 
-// platformKind is one kind of job, with the users' own figures: mean and most.
+// platformKind is one kind of job, with the users' own figures; pairs are mean and maximum.
 type platformKind struct {
 	queue                  platformQueue
 	weight                 float64
 	steps, width, cpu, mem [2]float64
 	workMs                 [2]float64
 	estOff                 float64
-	gang, sameRack, saves  float64 // shares
+	gang, sameRack, saves  float64 // fractions of the jobs or steps
 	labels, copies         float64
 	cancel, timed          float64
 	everyMs                int64
@@ -58,22 +58,24 @@
 	service      string
 }
 
-// platformSetup is a setup as an operator sends it.
+// platformSetup is a configuration as an operator sends it.
 type platformSetup struct {
 	queues  []platformQueue
 	note    string
 	invalid bool
 	tenants []platformTenant // nil: calls need no key
-	open    []string         // queues whose callers need no key all the same
-	// contracts, and by queue what its batches follow, as they are sent.
+	open    []string         // queues whose callers need no key although tenants are declared
+	// The contracts, and by queue the settings of its batches, as they are sent.
 	contracts []map[string]any
 	batches   map[string]map[string]any
 }
 
+// routes reports whether a queue's address is declared.
 func (s *platformSetup) routes(q *platformQueue) bool {
 	return slices.ContainsFunc(s.queues, func(o platformQueue) bool { return o.host == q.host && o.prefix == q.prefix })
 }
 
+// sends reports whether tasks of a queue may run at a worker.
 func (s *platformSetup) sends(queue string, f *workerFacts) bool {
 	return slices.ContainsFunc(s.queues, func(o platformQueue) bool { return o.name == queue && f.labels["service"] == o.service })
 }
@@ -89,7 +91,7 @@
 		queues = append(queues, queue)
 	}
 	if s.invalid {
-		queues = append(queues, queues[0]) // a name that stands twice
+		queues = append(queues, queues[0]) // the same name twice
 	}
 	doc := map[string]any{"queues": queues, "source": map[string]any{"note": s.note}}
 	if s.tenants != nil {
@@ -131,7 +133,7 @@
 		}},
 }
 
-// grownPlatformDeployments are the same users, some years on.
+// grownPlatformDeployments are the same deployments at the sizes that their users expect in some years.
 var grownPlatformDeployments = map[string]platformDeployment{
 	"hakata-grown": grownDeployment("hakata", 19, 74, amounts{64000, 262144}, 53.6, func(s *platformDeployment) {
 		s.speeds, s.saveMs, s.restoreMs = []float64{1}, 500, 600
--- a/internal/daemon/platformworld_workers_test.go
+++ b/internal/daemon/platformworld_workers_test.go
@@ -9,7 +9,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// platformRun is one run at a worker.
+// platformRun is one run of a task at a worker.
 type platformRun struct {
 	name     taskName
 	run      int64
@@ -24,7 +24,7 @@
 }
 
 // platformEffort is the work of a run, or of a whole gang, whose members begin
-// once all are there and end together.
+// once all have started and end together.
 type platformEffort struct {
 	b         *platformWorld
 	name      gangName
@@ -32,21 +32,21 @@
 	formed    bool
 	workMs    float64
 	doneMs    float64
-	savedMs   float64 // of it is saved
-	begunMs   float64 // done before this run
+	savedMs   float64 // the part of doneMs that is saved
+	begunMs   float64 // the part of doneMs from earlier runs
 	rate      float64
 	atUs      int64
-	readyUs   int64 // restored by then
+	readyUs   int64 // when the checkpoint is restored
 	failAtMs  float64
 	failing   *platformRun
-	byWorker  bool // it fails by its worker's fault
+	byWorker  bool // the failure is its worker's fault
 	gen       int
 	sinceMs   int64
 	dissolved bool
 }
 
-// platformWorker is a worker as the users' platform has them: it does what its
-// daemon tells it, and all of it ends when its hold runs out.
+// platformWorker is a worker of the users' platform: it follows its daemon's orders,
+// and ends all its runs when its hold expires.
 type platformWorker struct {
 	b        *platformWorld
 	node     *simNode
@@ -54,27 +54,27 @@
 	rack     string
 	labels   map[string]string
 	capacity amounts
-	factor   float64 // work takes that much longer here
+	factor   float64 // work takes longer here by this factor
 	slow     float64
 	hang     bool
-	failing  float64 // share of what begins there that fails by its fault
+	failing  float64 // fraction of the runs that fail by the worker's fault
 	guards   bool
 	up       bool
 	gen      int
 	seq      int64
 	leaving  bool
-	leavesMs int64 // world time, -1 for unknown
-	dies     bool  // it is settled when it dies
+	leavesMs int64 // simulated time; -1 if unknown
+	dies     bool  // its end is scheduled
 	bootUs   int64
-	drift    float64 // its clock is that much slow
-	holdUs   int64   // by its own clock
+	drift    float64 // its clock is slow by this fraction
+	holdUs   int64   // when the hold expires, by the worker's clock
 	holdGen  int
 	runs     map[runName]*platformRun
-	floor    map[runName]int64 // by task: the highest run that ended here
+	floor    map[runName]int64 // by task: the highest run that ended or was stopped here
 	ends     []platformEnd
 	endSeq   int64
-	out      bool // a beat is on its way
-	again    bool // something ended meanwhile
+	out      bool // a heartbeat has no response yet
+	again    bool // a run ended meanwhile
 	nextUs   int64
 	used     amounts
 	deliver  func(body []byte, cb func(status int, body []byte)) // instead of the network
@@ -103,12 +103,12 @@
 	s.heartbeatIn(b.rng.Int64N(50_000))
 }
 
-// clockUs is the worker's own steady clock.
+// clockUs returns the worker's own monotonic clock.
 func (s *platformWorker) clockUs() int64 {
 	return int64(float64(s.b.nowUs-s.bootUs) * (1 - s.drift))
 }
 
-// crash ends it and all that runs there, without a word.
+// crash ends the worker and all its runs without a report.
 func (s *platformWorker) crash() {
 	if !s.up {
 		return
@@ -125,8 +125,8 @@
 	}
 }
 
-// leave says that it is leaving; it dies leaveMs after that was acknowledged,
-// or with short notice that long from now whatever happens.
+// leave announces that the worker leaves. It ends some time after the acknowledgement,
+// or, at short notice, leaveMs from now in any case.
 func (s *platformWorker) leave(leaveMs int64, short bool) {
 	if !s.up || s.leaving {
 		return
@@ -143,7 +143,7 @@
 		})
 		return
 	}
-	b.after(7_000_000, func() { // with no acknowledgement it ends all the same
+	b.after(7_000_000, func() { // without an acknowledgement it ends after 7 s
 		if s.gen == gen && !s.dies {
 			s.crash()
 		}
@@ -162,7 +162,7 @@
 	return out
 }
 
-// heartbeatIn lets the next beat go out in so many us, or sooner if one is due.
+// heartbeatIn schedules the next heartbeat after us microseconds, unless one is due sooner.
 func (s *platformWorker) heartbeatIn(us int64) {
 	if s.out {
 		return
@@ -238,14 +238,14 @@
 		s.deliver(mustJSON(doc), done)
 		return
 	}
-	if !s.node.up { // nobody listens there
+	if !s.node.up { // the daemon is down
 		b.after(1000, func() { done(0, nil) })
 		return
 	}
 	b.call(s.node.Name, s.node, platformCall{op: "worker.beat", key: s.id, body: mustJSON(doc)}, 1000, func(status int, _ int64, body []byte) { done(status, body) })
 }
 
-// take does what an answer says.
+// take handles the response to a heartbeat.
 func (s *platformWorker) take(body []byte, sentUs int64, said bool) {
 	b, a := s.b, gjson.ParseBytes(body)
 	if said {
@@ -310,11 +310,11 @@
 	b.see(e)
 	job := b.jobs[k.job]
 	if job == nil || !job.has(k.name) {
-		return // the judge has it
+		return // the checker reports it
 	}
 	step := &job.steps[k.name.step]
 	if s.clockUs() >= s.holdUs || s.runs[k] != nil {
-		return // nothing is begun without a hold, and nothing twice
+		return // a start needs a hold, and a run starts only once
 	}
 	r := &platformRun{name: k.name, run: k.run, job: job, worker: s, step: step, startMs: b.nowMs(), saved: e.saved}
 	if k.run <= s.floor[s.taskKey(k)] || s.guards && !s.used.plus(step.room, 1).within(s.capacity) {
@@ -328,7 +328,7 @@
 	b.join(r)
 }
 
-// list adds an end that beats tell of until it is taken note of.
+// list adds an end, which heartbeats report until it is acknowledged.
 func (s *platformWorker) list(r *platformRun, how string) {
 	s.endSeq++
 	s.ends = append(s.ends, platformEnd{s.endSeq, r, how, r.saved})
@@ -339,7 +339,7 @@
 	}
 }
 
-// end ends a run here.
+// end ends a run with an outcome.
 func (s *platformWorker) end(r *platformRun, how string) {
 	k := runName{r.job.id, r.name, r.run}
 	if s.runs[k] != r {
@@ -365,7 +365,7 @@
 	r.effort.lost(r, how == "ok")
 }
 
-// watchHold ends everything once the hold is over.
+// watchHold ends all runs when the hold expires.
 func (s *platformWorker) watchHold() {
 	s.holdGen++
 	gen, life := s.holdGen, s.gen
@@ -383,7 +383,7 @@
 	})
 }
 
-// setPace changes how fast it works.
+// setPace changes how fast the worker works.
 func (s *platformWorker) setPace(slow float64, hang bool) {
 	for _, k := range s.runNames() {
 		s.runs[k].effort.settle()
@@ -394,7 +394,7 @@
 	}
 }
 
-// join brings a run into its effort: its own, or that of its gang.
+// join adds a run to its effort: its own, or that of its gang.
 func (b *platformWorld) join(r *platformRun) {
 	name := gangName{job: r.job.id, round: r.name.round, step: r.name.step, run: r.run}
 	var e *platformEffort
@@ -426,6 +426,7 @@
 	})
 }
 
+// begin starts the work, at the least progress that its members' checkpoints have.
 func (e *platformEffort) begin() {
 	e.formed, e.atUs, e.readyUs = true, e.b.nowUs, e.b.nowUs
 	first := e.members[0]
@@ -460,7 +461,7 @@
 	e.plan()
 }
 
-// speed is how much work is done a ms now.
+// speed returns the current rate of work, in ms of work per ms.
 func (e *platformEffort) speed() float64 {
 	if !e.formed || e.dissolved || e.b.nowUs < e.readyUs {
 		return 0
@@ -484,7 +485,7 @@
 	return rate
 }
 
-// settle brings what is done up to now.
+// settle updates the work done to the current time.
 func (e *platformEffort) settle() {
 	if !e.formed || e.dissolved {
 		return
@@ -493,7 +494,7 @@
 	e.atUs = e.b.nowUs
 }
 
-// plan finds what happens next: a save, a failure or the end.
+// plan schedules what happens next: a checkpoint, a failure or the end.
 func (e *platformEffort) plan() {
 	e.settle()
 	e.gen++
@@ -548,7 +549,7 @@
 	})
 }
 
-// save renews the text that a run can be continued from.
+// save writes a new checkpoint of a run.
 func (e *platformEffort) save(r *platformRun) {
 	if !e.formed {
 		return
@@ -560,8 +561,8 @@
 	e.b.see(platformEvent{kind: bSaved, job: r.job.id, task: r.name, run: r.run, worker: r.worker.id, host: r.worker.node.Name, saved: r.saved})
 }
 
-// serveWorkerLost takes a member out that has ended. The others of a gang that was at
-// work end too, unless all end well together.
+// lost removes a member whose run has ended. Unless it ended well, the other members
+// of a gang at work end soon after it.
 func (e *platformEffort) lost(r *platformRun, well bool) {
 	e.settle()
 	e.members = slices.DeleteFunc(e.members, func(o *platformRun) bool { return o == r })
@@ -580,7 +581,7 @@
 	}
 }
 
-// wasted counts the core-seconds of work that came to nothing.
+// wasted counts the core-seconds of a run whose work is lost; an accelerator counts as 8 cores.
 func (b *platformWorld) wasted(how string, r *platformRun) {
 	spent := float64(b.nowMs()-r.startMs) / 1000
 	if r.effort != nil && r.effort.formed {
