--- a/internal/daemon/platformcampaign_test.go
+++ b/internal/daemon/platformcampaign_test.go
@@ -59,7 +59,7 @@
 	"poison": func(b *platformWorld) {
 		for range 5 {
 			j := b.draw(&b.deployment.kinds[b.rng.IntN(3)])
-			b.doom(j)
+			b.makeHopeless(j)
 			b.submit(j)
 		}
 	},
@@ -80,7 +80,7 @@
 			}
 		}
 	},
-	"stop": func(b *platformWorld) { b.stopNicely(b.some(sortedKeys(b.nodes)), b.rng.Int64N(2000)) },
+	"stop": func(b *platformWorld) { b.stopGracefully(b.some(sortedKeys(b.nodes)), b.rng.Int64N(2000)) },
 	"slow disk": func(b *platformWorld) {
 		d := b.some(b.disks())
 		b.syncUs[d] = 20_000 + b.rng.Int64N(400_000)
@@ -91,7 +91,7 @@
 		})
 	},
 	"after ack wipe": func(b *platformWorld) { // a daemon loses its disk or power right after it has acknowledged something
-		kind, wipe, armed := b.some([]string{bJobTried, bSetupAcked, bCancelAcked, bSeen, bEmptied}), b.share(0.6), true
+		kind, wipe, armed := b.some([]string{bJobTried, eventSetupAcked, eventCancelAcked, bSeen, eventZoneEvacuated}), b.share(0.6), true
 		b.onSee = func(e platformEvent) {
 			if !armed || e.kind != kind || kind == bJobTried && e.n >= 300 {
 				return
@@ -110,7 +110,7 @@
 				}
 			})
 		}
-		if kind == bSetupAcked {
+		if kind == eventSetupAcked {
 			b.change(nil)
 		}
 	},
@@ -186,23 +186,23 @@
 	}
 	for i := range count {
 		seed := *fromFlag + uint64(i)
-		site := chosenDeployments()[seed%2]
-		t.Run(fmt.Sprintf("%s-%d", site, seed), func(t *testing.T) {
+		deployment := chosenDeployments()[seed%2]
+		t.Run(fmt.Sprintf("%s-%d", deployment, seed), func(t *testing.T) {
 			t.Parallel()
-			b := formPlatform(t, seed, site)
-			var told []string
+			b := formPlatform(t, seed, deployment)
+			var played []string
 			b.day(4000)
 			for end := b.nowMs() + 25_000; b.nowMs() < end; {
 				b.run(500 + b.rng.Int64N(4000))
 				name := b.some(names)
-				told = append(told, fmt.Sprintf("%d:%s", b.nowMs(), name))
+				played = append(played, fmt.Sprintf("%d:%s", b.nowMs(), name))
 				platformFaults[name](b)
 			}
 			b.run(12_000)
 			b.finish(120_000)
 			verdictOfPlatform(t, b)
 			if t.Failed() {
-				t.Log("faults:", told)
+				t.Log("faults:", played)
 			}
 		})
 	}
--- a/internal/daemon/platformdays_test.go
+++ b/internal/daemon/platformdays_test.go
@@ -35,27 +35,27 @@
 
 const (
 	// A fault is skipped if it would exceed the allowed losses for this long.
-	waitTurnMs = 20_000
+	maxLossWaitMs = 20_000
 	// How often a waiting fault checks the allowed losses.
-	lookMs = 200
+	lossCheckMs = 200
 )
 
-// ordersMost is how many changes an operator sends at once without a final response.
-const ordersMost = 8
+// maxOpenChanges is how many changes an operator sends at once without a final response.
+const maxOpenChanges = 8
 
-var dayThemes = map[string][][]troubleKind{
-	"all":     {controlTroubles, lossTroubles, changeTroubles, networkTroubles},
-	"control": {controlTroubles, controlTroubles, changeTroubles},
-	"loss":    {lossTroubles, lossTroubles, changeTroubles},
-	"changes": {changeTroubles, changeTroubles, lossTroubles},
-	"network": {networkTroubles, networkTroubles, controlTroubles},
+var dayThemes = map[string][][]faultKind{
+	"all":     {controlFaults, lossFaults, changeFaults, networkFaults},
+	"control": {controlFaults, controlFaults, changeFaults},
+	"loss":    {lossFaults, lossFaults, changeFaults},
+	"changes": {changeFaults, changeFaults, lossFaults},
+	"network": {networkFaults, networkFaults, controlFaults},
 }
 
-// closings are the losses at the end of a day. Each hits all its machines at once and
+// finalLosses are the losses at the end of a day. Each hits all its machines at once and
 // brings them back after a while.
-var closings = map[string]func(b *platformWorld, downMs int64){
-	"power off all": func(b *platformWorld, downMs int64) { b.downAt(true, downMs) },
-	"kill all":      func(b *platformWorld, downMs int64) { b.downAt(false, downMs) },
+var finalLosses = map[string]func(b *platformWorld, downMs int64){
+	"power off all": func(b *platformWorld, downMs int64) { b.stopAllAt(true, downMs) },
+	"kill all":      func(b *platformWorld, downMs int64) { b.stopAllAt(false, downMs) },
 	"wipe after an acknowledgement": func(b *platformWorld, downMs int64) {
 		b.settled()
 		b.wipeMost("", downMs)
@@ -65,8 +65,8 @@
 	"wipe after an acceptance": func(b *platformWorld, downMs int64) { b.wipeAt(struckTaken, true, downMs) },
 }
 
-// allDown stops all machines; a power loss takes their workers too.
-func (b *platformWorld) allDown(power bool, downMs int64) {
+// stopAll stops all machines; a power loss takes their workers too.
+func (b *platformWorld) stopAll(power bool, downMs int64) {
 	for _, host := range sortedKeys(b.nodes) {
 		if b.nodes[host].removed {
 			continue
@@ -103,15 +103,15 @@
 	})
 }
 
-// downAt stops all machines once a change was acknowledged: after its operator received
+// stopAllAt stops all machines once a change was acknowledged: after its operator received
 // the response, or as the response is sent.
-func (b *platformWorld) downAt(power bool, downMs int64) {
+func (b *platformWorld) stopAllAt(power bool, downMs int64) {
 	if b.share(0.5) {
 		b.settled()
-		b.allDown(power, downMs)
+		b.stopAll(power, downMs)
 		return
 	}
-	b.strikeOnce(struckAcknowledged, func(string) { b.allDown(power, downMs) })
+	b.strikeOnce(struckAcknowledged, func(string) { b.stopAll(power, downMs) })
 }
 
 // strikeOnce is strike, but runs do after 6 s if the awaited event doesn't happen.
@@ -128,44 +128,44 @@
 	once("")
 }
 
-// badDay is a random day, drawn from its number.
-type badDay struct {
-	number   uint64
-	site     string
-	troubles []dayTrouble
-	closing  string
-	downMs   int64
+// randomDay is a random day, drawn from its number.
+type randomDay struct {
+	number     uint64
+	deployment string
+	faults     []dayFault
+	finalLoss  string
+	downMs     int64
 }
 
-func (d *badDay) String() string {
-	out := fmt.Sprintf("day %d on %s", d.number, d.site)
-	for _, t := range d.troubles {
+func (d *randomDay) String() string {
+	out := fmt.Sprintf("day %d on %s", d.number, d.deployment)
+	for _, t := range d.faults {
 		out += fmt.Sprintf("\n  at %d ms %s", t.atMs, t.text)
 	}
-	return out + fmt.Sprintf("\n  closing: %s, down for %d ms", d.closing, d.downMs)
+	return out + fmt.Sprintf("\n  closing: %s, down for %d ms", d.finalLoss, d.downMs)
 }
 
 // trafficMs is how long a day lasts before its final loss.
 const trafficMs = 30_000
 
 // drawDay draws a day from its number alone.
-func drawDay(number uint64, theme string) *badDay {
+func drawDay(number uint64, theme string) *randomDay {
 	r := rand.New(rand.NewPCG(number, 31))
-	d := &badDay{number: number, site: dayDeployments[number%uint64(len(dayDeployments))]}
+	d := &randomDay{number: number, deployment: dayDeployments[number%uint64(len(dayDeployments))]}
 	for range 6 + r.IntN(6) {
 		kind := choose(r, choose(r, dayThemes[theme]...)...)
-		t := dayTrouble{atMs: between(r, 1000, trafficMs-2000)}
+		t := dayFault{atMs: between(r, 1000, trafficMs-2000)}
 		t.text, t.play = kind(r)
-		d.troubles = append(d.troubles, t)
+		d.faults = append(d.faults, t)
 	}
-	slices.SortStableFunc(d.troubles, func(a, b dayTrouble) int { return int(a.atMs - b.atMs) })
-	d.closing, d.downMs = choose(r, sortedKeys(closings)...), between(r, 800, 2000)
+	slices.SortStableFunc(d.faults, func(a, b dayFault) int { return int(a.atMs - b.atMs) })
+	d.finalLoss, d.downMs = choose(r, sortedKeys(finalLosses)...), between(r, 800, 2000)
 	return d
 }
 
 // play runs a day to its end.
-func (d *badDay) play(t *testing.T) *platformWorld {
-	b := formPlatform(t, d.number, d.site)
+func (d *randomDay) play(t *testing.T) *platformWorld {
+	b := formPlatform(t, d.number, d.deployment)
 	b.replaced = map[string]bool{}
 	b.whenAnswered(func(a sentAnswer) bool {
 		if a.call.Op == "setup.put" && a.accepted() {
@@ -173,18 +173,18 @@
 		}
 		return false
 	})
-	for _, trouble := range d.troubles {
-		b.after(trouble.atMs*1000, func() { trouble.play(b) })
+	for _, fault := range d.faults {
+		b.after(fault.atMs*1000, func() { fault.play(b) })
 	}
 	b.each(trafficMs/4000, 4000, func() { b.change(nil) })
 	b.day(trafficMs)
-	b.closing = true
+	b.noNewFaults = true
 	if b.tenants != nil {
 		b.restoreLimits()
 	}
-	b.until(2*waitTurnMs, func() bool { return !slices.ContainsFunc(b.diskHosts, b.lost) })
+	b.until(2*maxLossWaitMs, func() bool { return !slices.ContainsFunc(b.diskHosts, b.lost) })
 	b.see(platformEvent{kind: bLoss})
-	closings[d.closing](b, d.downMs)
+	finalLosses[d.finalLoss](b, d.downMs)
 	b.run(d.downMs + 20)
 	b.see(platformEvent{kind: bBack})
 	b.run(recoveryMs + 10_000)
@@ -215,9 +215,9 @@
 	b.call("operator", b.edge(), platformCall{op: "setup.get"}, 1000, func(status int, _ int64, body []byte) {
 		switch {
 		case status == 200:
-			b.see(platformEvent{kind: bSetupShown, n: gjson.GetBytes(body, "version").Int(), text: gjson.GetBytes(body, "setup.source.note").Str, askedMs: asked})
+			b.see(platformEvent{kind: eventSetupShown, n: gjson.GetBytes(body, "version").Int(), text: gjson.GetBytes(body, "setup.source.note").Str, sentMs: asked})
 		case tries == 1:
-			b.see(platformEvent{kind: bSetupShown, n: -1, askedMs: asked})
+			b.see(platformEvent{kind: eventSetupShown, n: -1, sentMs: asked})
 		default:
 			b.after(readPauseMs*1000, func() { b.readSetup(tries - 1) })
 		}
@@ -229,11 +229,11 @@
 	b.callOfJob(to, "queue.state", j, nil, func(status int, _ int64, body []byte) {
 		switch {
 		case status == 200:
-			b.see(platformEvent{kind: bJobShown, job: j.id, host: to.Name, text: gjson.GetBytes(body, "state").Str, askedMs: asked})
+			b.see(platformEvent{kind: eventStateShown, job: j.id, host: to.Name, text: gjson.GetBytes(body, "state").Str, sentMs: asked})
 		case status == 410:
-			b.see(platformEvent{kind: bJobShown, job: j.id, host: to.Name, text: "unknown", askedMs: asked})
+			b.see(platformEvent{kind: eventStateShown, job: j.id, host: to.Name, text: "unknown", sentMs: asked})
 		case tries == 1:
-			b.see(platformEvent{kind: bFinished, job: j.id})
+			b.see(platformEvent{kind: eventFinalState, job: j.id})
 		default:
 			b.after(readPauseMs*1000, func() { b.readJob(j, tries-1) })
 		}
@@ -263,8 +263,8 @@
 				if t.Failed() {
 					t.Log(d)
 				}
-				if b.leftOut > 0 {
-					t.Logf("%d faults skipped: too many machines were lost", b.leftOut)
+				if b.skippedFaults > 0 {
+					t.Logf("%d faults skipped: too many machines were lost", b.skippedFaults)
 				}
 			})
 		}
--- a/internal/daemon/platformdays_troubles_test.go
+++ b/internal/daemon/platformdays_troubles_test.go
@@ -8,65 +8,65 @@
 	"otterchute/internal/historycheck"
 )
 
-// dayTrouble is one fault of a day, with its drawn parameters.
-type dayTrouble struct {
+// dayFault is one fault of a day, with its drawn parameters.
+type dayFault struct {
 	atMs int64
 	text string
 	play func(b *platformWorld)
 }
 
-// troubleKind draws the parameters of a fault, and returns its description and what it does.
-type troubleKind func(r *rand.Rand) (text string, play func(b *platformWorld))
+// faultKind draws the parameters of a fault, and returns its description and what it does.
+type faultKind func(r *rand.Rand) (text string, play func(b *platformWorld))
 
 func choose[T any](r *rand.Rand, of ...T) T { return of[r.IntN(len(of))] }
 
 // between draws a time in ms.
 func between(r *rand.Rand, least, most int64) int64 { return least + r.Int64N(most-least+1) }
 
-// targets choose the core machine that a fault hits.
-var targets = map[string]func(b *platformWorld) string{
+// coreTargets choose the core machine that a fault hits.
+var coreTargets = map[string]func(b *platformWorld) string{
 	"any":     func(b *platformWorld) string { return b.some(b.diskHosts) },
-	"leader":  func(b *platformWorld) string { return b.diskOr(b.lastAcknowledger) },
-	"central": func(b *platformWorld) string { return b.diskOr(b.holder("central")) },
-	"owner":   func(b *platformWorld) string { return b.diskOr(b.holder(b.someSlice())) },
+	"leader":  func(b *platformWorld) string { return b.diskHostOr(b.lastAcknowledger) },
+	"central": func(b *platformWorld) string { return b.diskHostOr(b.holder("central")) },
+	"owner":   func(b *platformWorld) string { return b.diskHostOr(b.holder(b.someSlice())) },
 }
 
-// diskOr returns the machine if it has a disk, or else any that has.
-func (b *platformWorld) diskOr(host string) string {
+// diskHostOr returns the machine if it has a disk, or else any that has.
+func (b *platformWorld) diskHostOr(host string) string {
 	if slices.Contains(b.diskHosts, host) {
 		return host
 	}
 	return b.some(b.diskHosts)
 }
 
-// whenAllowed runs a fault of some machines once so many may be lost. It is skipped
-// if that takes longer than waitTurnMs.
-func (b *platformWorld) whenAllowed(pick func() []string, do func(hosts []string)) {
-	end := b.nowMs() + waitTurnMs
-	var look func()
-	look = func() {
+// whenLossAllowed runs a fault of some machines once so many may be lost. It is skipped
+// if that takes longer than maxLossWaitMs.
+func (b *platformWorld) whenLossAllowed(pick func() []string, do func(hosts []string)) {
+	end := b.nowMs() + maxLossWaitMs
+	var check func()
+	check = func() {
 		hosts := pick()
 		switch {
-		case b.closing || b.nowMs() > end:
-			b.leftOut++
+		case b.noNewFaults || b.nowMs() > end:
+			b.skippedFaults++
 		case b.mayLose(hosts...):
 			do(hosts)
 		default:
-			b.after(lookMs*1000, look)
+			b.after(lossCheckMs*1000, check)
 		}
 	}
-	look()
+	check()
 }
 
-// oneOfCore runs a fault of one core machine once it may be lost.
-func (b *platformWorld) oneOfCore(target string, do func(host string)) {
-	b.whenAllowed(func() []string { return []string{targets[target](b)} }, func(hosts []string) { do(hosts[0]) })
+// withCoreMember runs a fault of one core machine once it may be lost.
+func (b *platformWorld) withCoreMember(target string, do func(host string)) {
+	b.whenLossAllowed(func() []string { return []string{coreTargets[target](b)} }, func(hosts []string) { do(hosts[0]) })
 }
 
-// someOfCore is oneOfCore for as many machines as may be lost, at most count.
-func (b *platformWorld) someOfCore(count int, do func(host string)) {
+// withCoreMembers is withCoreMember for as many machines as may be lost, at most count.
+func (b *platformWorld) withCoreMembers(count int, do func(host string)) {
 	count = min(count, b.lossesAllowed())
-	b.whenAllowed(func() []string { return b.shuffled(b.diskHosts)[:count] }, func(hosts []string) {
+	b.whenLossAllowed(func() []string { return b.shuffled(b.diskHosts)[:count] }, func(hosts []string) {
 		for _, host := range hosts {
 			do(host)
 		}
@@ -79,9 +79,9 @@
 	return list
 }
 
-// shareOf draws a fraction of all machines, without those of the core that may not be
+// drawHosts draws a fraction of all machines, without those of the core that may not be
 // lost now.
-func (b *platformWorld) shareOf(share float64) []string {
+func (b *platformWorld) drawHosts(share float64) []string {
 	var out []string
 	all := slices.DeleteFunc(sortedKeys(b.nodes), func(host string) bool { return b.nodes[host].removed })
 	for _, host := range b.shuffled(all)[:max(1, int(share*float64(len(all))+0.5))] {
@@ -92,9 +92,9 @@
 	return out
 }
 
-// meets are the changes that an operator sends to one machine during its fault and when
+// changesDuringFault are the changes that an operator sends to one machine during its fault and when
 // it is back.
-var meets = map[string]func(b *platformWorld, host string){
+var changesDuringFault = map[string]func(b *platformWorld, host string){
 	"":     func(*platformWorld, string) {},
 	"meet": func(b *platformWorld, host string) { b.changeAt(host, 1) },
 	"race": func(b *platformWorld, host string) {
@@ -106,34 +106,34 @@
 
 // changeAt sends a change whose first tries go to one machine.
 func (b *platformWorld) changeAt(host string, tries int) {
-	if !b.closing && !b.nodes[host].removed {
+	if !b.noNewFaults && !b.nodes[host].removed {
 		b.putSetupAt(host, tries, b.usualSetup(), b.version+1+b.rng.Int64N(2), b.version, nil)
 	}
 }
 
-// met sends changes to a machine halfway through its fault of ms, and just after it.
-func (b *platformWorld) met(how, host string, ms int64) {
-	b.after(ms*500, func() { meets[how](b, host) })
-	b.after(ms*1000+20_000, func() { meets[how](b, host) })
+// sendChangesDuringFault sends changes to a machine halfway through its fault of ms, and just after it.
+func (b *platformWorld) sendChangesDuringFault(how, host string, ms int64) {
+	b.after(ms*500, func() { changesDuringFault[how](b, host) })
+	b.after(ms*1000+20_000, func() { changesDuringFault[how](b, host) })
 }
 
-var controlTroubles = []troubleKind{
+var controlFaults = []faultKind{
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		ms, target, meet := choose[int64](r, 3000, 8000, 20_000), choose(r, "any", "leader", "central", "owner"), choose(r, "", "meet", "race", "hard")
 		way, restart := choose(r, "both", "both", string(cutOutward), string(cutInward)), choose(r, "", "", "inside", "outside", "seeds")
 		return fmt.Sprintf("core cut %s of %s for %d ms %s, restarts %q", way, target, ms, meet, restart), func(b *platformWorld) {
-			b.oneOfCore(target, func(host string) {
-				b.coreCut(host, way, restart, ms)
-				b.met(meet, host, ms)
+			b.withCoreMember(target, func(host string) {
+				b.cutCoreMember(host, way, restart, ms)
+				b.sendChangesDuringFault(meet, host, ms)
 			})
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		ms, target, meet := choose[int64](r, 1000, 4000, 9000), choose(r, "any", "leader", "central", "owner"), choose(r, "", "meet", "race", "hard")
 		return fmt.Sprintf("core freeze of %s for %d ms %s", target, ms, meet), func(b *platformWorld) {
-			b.oneOfCore(target, func(host string) {
+			b.withCoreMember(target, func(host string) {
 				b.freeze(host, ms)
-				b.met(meet, host, ms)
+				b.sendChangesDuringFault(meet, host, ms)
 			})
 		}
 	},
@@ -158,19 +158,19 @@
 		}
 	},
 	func(*rand.Rand) (string, func(b *platformWorld)) {
-		return "seeds turn over", func(b *platformWorld) { b.turnSeeds(b.shuffled(b.standing())) }
+		return "seeds turn over", func(b *platformWorld) { b.replaceSeeds(b.shuffled(b.standing())) }
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		times, ms := choose[int64](r, 3, 8), between(r, 3000, 8000)
 		return fmt.Sprintf("a core machine %d times slower for %d ms", times, ms), func(b *platformWorld) {
-			b.oneOfCore("any", func(host string) { b.slowMachine(host, times, ms) })
+			b.withCoreMember("any", func(host string) { b.slowMachine(host, times, ms) })
 		}
 	},
 }
 
-// coreCut cuts a core machine off, with restarts of it or of others meanwhile, or with
+// cutCoreMember cuts a core machine off, with restarts of it or of others meanwhile, or with
 // new seed addresses that begin with it.
-func (b *platformWorld) coreCut(host, way, restart string, ms int64) {
+func (b *platformWorld) cutCoreMember(host, way, restart string, ms int64) {
 	var heal func()
 	if way == "both" {
 		heal = b.cut(host)
@@ -187,13 +187,13 @@
 			b.powerOf(b.shuffled(others)[:len(others)/2], false, 100)
 		})
 	case "seeds":
-		b.turnSeeds(append([]string{host}, b.shuffled(b.standing())...))
+		b.replaceSeeds(append([]string{host}, b.shuffled(b.standing())...))
 		b.powerOf(b.shuffled(b.spots)[:2], false, 100)
 	}
 }
 
-// turnSeeds makes other machines the seeds, in the settings and in running daemons.
-func (b *platformWorld) turnSeeds(hosts []string) {
+// replaceSeeds makes other machines the seeds, in the settings and in running daemons.
+func (b *platformWorld) replaceSeeds(hosts []string) {
 	var seeds []string
 	for _, host := range hosts[:min(3, len(hosts))] {
 		seeds = append(seeds, b.nodes[host].Addr)
@@ -232,22 +232,22 @@
 	}
 }
 
-var lossTroubles = []troubleKind{
+var lossFaults = []faultKind{
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		gap, planned, target := choose[int64](r, 500, 2000, 4000), r.IntN(2) == 0, choose(r, "any", "leader")
 		return fmt.Sprintf("core machine (%s) replaced, planned %v, gap %d ms", target, planned, gap), func(b *platformWorld) {
-			b.oneOfCore(target, func(host string) { b.replace(host, planned, gap) })
+			b.withCoreMember(target, func(host string) { b.replace(host, planned, gap) })
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		down, aimed := between(r, 1000, 4000), r.IntN(2) == 0
 		return fmt.Sprintf("wipe after an acknowledgement for %d ms, aimed %v", down, aimed), func(b *platformWorld) {
-			b.whenAllowed(func() []string { return b.diskHosts[:1] }, func([]string) {
+			b.whenLossAllowed(func() []string { return b.diskHosts[:1] }, func([]string) {
 				b.strike(struckAcknowledged, func(host string) {
 					if !aimed {
 						host = ""
 					}
-					if host = b.diskOr(host); b.mayLose(host) {
+					if host = b.diskHostOr(host); b.mayLose(host) {
 						b.wipe(host, false, down)
 					}
 				})
@@ -257,7 +257,7 @@
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		when, power, count, down := choose(r, struckAcknowledged, struckSent, struckTaken), r.IntN(3) > 0, choose(r, 1, 2), between(r, 500, 3000)
 		return fmt.Sprintf("%d lost when an order is %s, power %v, for %d ms", count, when, power, down), func(b *platformWorld) {
-			b.whenAllowed(func() []string { return b.diskHosts[:1] }, func([]string) {
+			b.whenLossAllowed(func() []string { return b.diskHosts[:1] }, func([]string) {
 				b.strike(when, func(host string) {
 					hit := []string{host}
 					for _, other := range b.shuffled(b.diskHosts) {
@@ -276,7 +276,7 @@
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		power, taken, down := r.IntN(2) == 0, r.IntN(3) == 0, between(r, 500, 2000)
 		return fmt.Sprintf("all core machines lost for %d ms, power %v, at an acceptance %v", down, power || taken, taken), func(b *platformWorld) {
-			b.onceSettled(func() {
+			b.whenNoneLost(func() {
 				if taken {
 					b.strike(struckTaken, func(string) { b.powerOf(b.disks(), true, down) })
 				} else {
@@ -288,35 +288,35 @@
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		down, power, target, meet := between(r, 500, 9000), r.IntN(2) == 0, choose(r, "any", "leader", "central", "owner"), choose(r, "", "meet", "race", "hard")
 		return fmt.Sprintf("core machine (%s) lost for %d ms, power %v %s", target, down, power, meet), func(b *platformWorld) {
-			b.oneOfCore(target, func(host string) {
+			b.withCoreMember(target, func(host string) {
 				b.powerOf([]string{host}, power, down)
-				b.met(meet, host, down)
+				b.sendChangesDuringFault(meet, host, down)
 			})
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		count, ms := choose(r, 1, 2), between(r, 3000, 8000)
 		return fmt.Sprintf("%d disks slow for %d ms", count, ms), func(b *platformWorld) {
-			b.someOfCore(count, func(host string) { b.diskSlow(host, 30, ms) })
+			b.withCoreMembers(count, func(host string) { b.diskSlow(host, 30, ms) })
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		target, ms := choose(r, "any", "leader"), between(r, 2000, 7000)
 		return fmt.Sprintf("disk of %s stalled for %d ms", target, ms), func(b *platformWorld) {
-			b.oneOfCore(target, func(host string) { b.diskStall(host, ms) })
+			b.withCoreMember(target, func(host string) { b.diskStall(host, ms) })
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		count, ms := choose(r, 1, 2), between(r, 2000, 8000)
 		return fmt.Sprintf("%d disks full for %d ms", count, ms), func(b *platformWorld) {
-			b.someOfCore(count, func(host string) { b.diskFull(host, ms) })
+			b.withCoreMembers(count, func(host string) { b.diskFull(host, ms) })
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		ms, at := between(r, 2000, 5000), r.IntN(3)
 		return fmt.Sprintf("zone %d lost for %d ms", at, ms), func(b *platformWorld) {
 			zone := historycheck.Zones[at]
-			b.whenAllowed(func() []string { return b.zoneHosts(zone) }, func([]string) { b.loseZone(zone, ms) })
+			b.whenLossAllowed(func() []string { return b.zoneHosts(zone) }, func([]string) { b.loseZone(zone, ms) })
 		}
 	},
 }
@@ -334,9 +334,9 @@
 	b.replaced[host] = true
 }
 
-// onceSettled runs a fault once no machine with a disk is lost.
-func (b *platformWorld) onceSettled(do func()) {
-	b.whenAllowed(func() []string {
+// whenNoneLost runs a fault once no machine with a disk is lost.
+func (b *platformWorld) whenNoneLost(do func()) {
+	b.whenLossAllowed(func() []string {
 		if slices.ContainsFunc(b.diskHosts, b.lost) {
 			return b.diskHosts // more than may be lost, so that it waits
 		}
@@ -370,15 +370,15 @@
 	b.after(3_000_000, func() { b.change(nil) })
 }
 
-// storm sends changes at an interval; some don't wait for the one before.
-func (b *platformWorld) storm(ms, gapMs int64) {
+// changeStorm sends changes at an interval; some don't wait for the one before.
+func (b *platformWorld) changeStorm(ms, gapMs int64) {
 	end := b.nowMs() + ms
 	var next func()
 	next = func() {
-		if b.nowMs() >= end || b.closing {
+		if b.nowMs() >= end || b.noNewFaults {
 			return
 		}
-		if b.underWay == 0 || b.underWay < ordersMost && b.share(0.1) {
+		if b.openChanges == 0 || b.openChanges < maxOpenChanges && b.share(0.1) {
 			b.change(nil)
 		}
 		b.after(gapMs*1000, next)
@@ -405,10 +405,10 @@
 	"stale match":  func(b *platformWorld) { b.putSetup(b.usualSetup(), b.version+1, b.version-1, nil) },
 }
 
-// sendAgain repeats acknowledged changes, also those with newer ones after them.
-func (b *platformWorld) sendAgain(count int) {
+// resendAcknowledged repeats acknowledged changes, also those with newer ones after them.
+func (b *platformWorld) resendAcknowledged(count int) {
 	var acked []*sentSetup
-	for _, o := range b.setupsSent {
+	for _, o := range b.sentSetupList {
 		if o.acked {
 			acked = append(acked, o)
 		}
@@ -422,17 +422,17 @@
 func (b *platformWorld) each(count int, gapMs int64, do func()) {
 	for i := range int64(count) {
 		b.after(i*gapMs*1000, func() {
-			if !b.closing {
+			if !b.noNewFaults {
 				do()
 			}
 		})
 	}
 }
 
-var changeTroubles = []troubleKind{
+var changeFaults = []faultKind{
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		ms, gap := between(r, 3000, 20_000), choose[int64](r, 60, 200, 500)
-		return fmt.Sprintf("storm of changes for %d ms, each %d ms", ms, gap), func(b *platformWorld) { b.storm(ms, gap) }
+		return fmt.Sprintf("storm of changes for %d ms, each %d ms", ms, gap), func(b *platformWorld) { b.changeStorm(ms, gap) }
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		count, gap := 2+r.IntN(11), between(r, 300, 1500)
@@ -454,10 +454,10 @@
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		share, gap := choose(r, 0.3, 1), between(r, 600, 1500)
-		return fmt.Sprintf("SIGTERM to %.1f each %d ms", share, gap), func(b *platformWorld) { b.roll(share, gap) }
+		return fmt.Sprintf("SIGTERM to %.1f each %d ms", share, gap), func(b *platformWorld) { b.rollingRestart(share, gap) }
 	},
 	func(*rand.Rand) (string, func(b *platformWorld)) {
-		return "seeds turn over", func(b *platformWorld) { b.turnSeeds(b.shuffled(b.standing())) }
+		return "seeds turn over", func(b *platformWorld) { b.replaceSeeds(b.shuffled(b.standing())) }
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		short := r.IntN(2) == 0
@@ -470,26 +470,26 @@
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		count, gap := 1+r.IntN(5), between(r, 100, 1000)
 		return fmt.Sprintf("%d acknowledged changes come again each %d ms", count, gap), func(b *platformWorld) {
-			b.each(count, gap, func() { b.sendAgain(1) })
+			b.each(count, gap, func() { b.resendAcknowledged(1) })
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		at := r.IntN(3)
 		return fmt.Sprintf("zone %d evacuated", at), func(b *platformWorld) {
 			zone := historycheck.Zones[at]
-			if len(b.emptied) == 0 {
+			if len(b.evacuatedZones) == 0 {
 				b.order("site.empty", zone, func() { b.after(7_000_000, func() { b.order("site.open", zone, nil) }) })
 			}
 		}
 	},
 }
 
-// roll restarts a fraction of all machines by SIGTERM, one after the other.
-func (b *platformWorld) roll(share float64, gapMs int64) {
+// rollingRestart restarts a fraction of all machines by SIGTERM, one after the other.
+func (b *platformWorld) rollingRestart(share float64, gapMs int64) {
 	all := slices.DeleteFunc(sortedKeys(b.nodes), func(host string) bool { return b.nodes[host].removed })
 	for i, host := range b.shuffled(all)[:int(share*float64(len(all)))] {
 		b.after(int64(i)*gapMs*1000, func() {
-			b.whenAllowed(func() []string { return []string{host} }, func([]string) { b.restart(host) })
+			b.whenLossAllowed(func() []string { return []string{host} }, func([]string) { b.restart(host) })
 		})
 	}
 }
@@ -509,7 +509,7 @@
 	})
 }
 
-var networkTroubles = []troubleKind{
+var networkFaults = []faultKind{
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		share, ms := choose(r, 0.2, 0.6), between(r, 2000, 7000)
 		return fmt.Sprintf("connections of %.1f reset for %d ms", share, ms), func(b *platformWorld) {
@@ -519,26 +519,26 @@
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		ms := between(r, 2000, 9000)
-		return fmt.Sprintf("machines cut off for %d ms", ms), func(b *platformWorld) { b.after(ms*1000, b.cut(b.shareOf(0.15)...)) }
+		return fmt.Sprintf("machines cut off for %d ms", ms), func(b *platformWorld) { b.after(ms*1000, b.cut(b.drawHosts(0.15)...)) }
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		ms, at := between(r, 2000, 9000), r.IntN(3)
 		return fmt.Sprintf("zone %d cut off for %d ms", at, ms), func(b *platformWorld) {
 			zone := historycheck.Zones[at]
-			b.whenAllowed(func() []string { return b.zoneHosts(zone) }, func([]string) { b.after(ms*1000, b.cutZone(zone)) })
+			b.whenLossAllowed(func() []string { return b.zoneHosts(zone) }, func([]string) { b.after(ms*1000, b.cutZone(zone)) })
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		ms := between(r, 1000, 5000)
 		return fmt.Sprintf("machines freeze for %d ms", ms), func(b *platformWorld) {
-			for _, host := range b.shareOf(0.2) {
+			for _, host := range b.drawHosts(0.2) {
 				b.freeze(host, ms)
 			}
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		ms, power := between(r, 500, 3000), r.IntN(2) == 0
-		return fmt.Sprintf("machines lost for %d ms, power %v", ms, power), func(b *platformWorld) { b.powerOf(b.shareOf(0.2), power, ms) }
+		return fmt.Sprintf("machines lost for %d ms, power %v", ms, power), func(b *platformWorld) { b.powerOf(b.drawHosts(0.2), power, ms) }
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		hang := r.IntN(2) == 0
--- a/internal/daemon/platformjudge_cases_test.go
+++ b/internal/daemon/platformjudge_cases_test.go
@@ -8,29 +8,29 @@
 	"github.com/shoenig/test/must"
 )
 
-// lawfulPlatform is a short history without breaches on two workers: two tasks, then
+// validPlatformHistory is a short history without violations on two workers: two tasks, then
 // a gang that resumes from a checkpoint.
-func lawfulPlatform() []platformEvent {
-	q := &platformQueue{name: "q", host: "h", prefix: "/q/", attempts: 2, service: "s"}
+func validPlatformHistory() []platformEvent {
+	q := &platformQueue{name: "q", host: "h", prefix: "/q/", allowedFailures: 2, service: "s"}
 	job := &platformJob{id: "j", queue: q, payload: "spec", steps: []platformStep{{count: 2, room: amounts{2, 2}, perWorker: 1, labels: map[string]string{"kind": "a"}},
 		{count: 2, room: amounts{2, 1, 1}, after: []int{0}, gang: true, saves: true}}}
-	facts := &workerFacts{capacity: amounts{4, 4, 1}, labels: map[string]string{"service": "s", "kind": "a"}, site: "east"}
+	facts := &workerFacts{capacity: amounts{4, 4, 1}, labels: map[string]string{"service": "s", "kind": "a"}, zone: "east"}
 	other := *facts
-	other.site = "mid"
+	other.zone = "mid"
 	setup := &platformSetup{queues: []platformQueue{*q}}
 	var h []platformEvent
 	add := func(at int64, e platformEvent) { e.atMs = at; h = append(h, e) }
 	run := func(at int64, kind string, worker string, step, index int, run int64) platformEvent {
 		return platformEvent{atMs: at, kind: kind, job: "j", task: taskName{0, step, index}, run: run, worker: worker, host: "on-" + worker, text: "spec"}
 	}
-	add(0, platformEvent{kind: bWorkerUp, worker: "w1", host: "on-w1", facts: facts})
-	add(0, platformEvent{kind: bWorkerUp, worker: "w2", host: "on-w2", facts: &other})
-	add(100, platformEvent{kind: bSetupSent, n: 1, base: 0, setup: setup})
-	add(200, platformEvent{kind: bSetupAcked, n: 1, base: 0, setup: setup})
-	add(10_000, platformEvent{kind: bJobSent, job: "j", spec: job, queue: q})
-	add(10_010, platformEvent{kind: bJobTried, job: "j", host: "e", n: 201, askedMs: 10_000})
+	add(0, platformEvent{kind: eventWorkerUp, worker: "w1", host: "on-w1", facts: facts})
+	add(0, platformEvent{kind: eventWorkerUp, worker: "w2", host: "on-w2", facts: &other})
+	add(100, platformEvent{kind: eventSetupSent, n: 1, base: 0, setup: setup})
+	add(200, platformEvent{kind: eventSetupAcked, n: 1, base: 0, setup: setup})
+	add(10_000, platformEvent{kind: eventJobSent, job: "j", spec: job, queue: q})
+	add(10_010, platformEvent{kind: bJobTried, job: "j", host: "e", n: 201, sentMs: 10_000})
 	begin := func(at int64, worker string, step, index int, n int64, saved string) {
-		e := run(at, bOrdered, worker, step, index, n)
+		e := run(at, eventOrdered, worker, step, index, n)
 		e.saved = saved
 		h = append(h, e, run(at, bStarted, worker, step, index, n))
 	}
@@ -51,7 +51,7 @@
 	add(12_200, platformEvent{kind: bSeen, worker: "w2", n: 1})
 	begin(12_300, "w1", 1, 0, 1, "")
 	begin(12_310, "w2", 1, 1, 1, "")
-	add(13_300, platformEvent{kind: bSaved, job: "j", task: taskName{0, 1, 0}, run: 1, worker: "w1", saved: "abc"})
+	add(13_300, platformEvent{kind: eventCheckpointSaved, job: "j", task: taskName{0, 1, 0}, run: 1, worker: "w1", saved: "abc"})
 	finish(13_400, "w1", 1, 0, 1, 3, "lapsed")
 	add(13_400, platformEvent{kind: bLapsed, worker: "w1"})
 	finish(13_410, "w2", 1, 1, 1, 2, "broken")
@@ -63,16 +63,16 @@
 	finish(14_500, "w2", 1, 1, 2, 3, "ok")
 	add(14_550, platformEvent{kind: bListed, worker: "w1", n: 4})
 	add(14_600, platformEvent{kind: bSeen, worker: "w1", n: 4})
-	add(14_700, platformEvent{kind: bJobShown, job: "j", host: "e", text: "complete", askedMs: 14_690})
+	add(14_700, platformEvent{kind: eventStateShown, job: "j", host: "e", text: "complete", sentMs: 14_690})
 	return h
 }
 
-func TestPlatformJudgeLawful(t *testing.T) {
-	must.SliceEmpty(t, judgePlatform(lawfulPlatform(), usualPlatformBounds))
+func TestPlatformCheckerAcceptsValidHistory(t *testing.T) {
+	must.SliceEmpty(t, checkPlatformHistory(validPlatformHistory(), usualPlatformBounds))
 }
 
 // Each breach that is planted into a valid history must be found, under the rule that begins the name of the case.
-func TestPlatformJudgePlanted(t *testing.T) {
+func TestPlatformCheckerFindsInjectedViolations(t *testing.T) {
 	run := func(at int64, kind, worker string, step, index int, run int64) platformEvent {
 		return platformEvent{atMs: at, kind: kind, job: "j", task: taskName{0, step, index}, run: run, worker: worker, host: "on-" + worker, text: "spec"}
 	}
@@ -103,12 +103,12 @@
 	drop := func(h []platformEvent, gone func(platformEvent) bool) []platformEvent {
 		return slices.DeleteFunc(h, gone)
 	}
-	lone := func(h []platformEvent) []platformEvent { // its other member never starts
+	loneGang := func(h []platformEvent) []platformEvent { // its other member never starts
 		h = drop(h, func(e platformEvent) bool { return e.atMs > 12_300 })
 		return append(h, platformEvent{atMs: 15_300, kind: bEnded, job: "j", task: taskName{0, 1, 0}, run: 1, worker: "w1", host: "on-w1", text: "alone", n: 3})
 	}
 	other := &platformSetup{queues: []platformQueue{{name: "q", host: "h", prefix: "/other/", service: "s"}}, note: "other"}
-	plants := map[string]func([]platformEvent) []platformEvent{
+	injections := map[string]func([]platformEvent) []platformEvent{
 		"LIMIT": func(h []platformEvent) []platformEvent { h[0].facts.capacity[0] = 1; return h },
 		"LIMIT in memory": func(h []platformEvent) []platformEvent {
 			h[0].facts.capacity[1] = 1
@@ -121,17 +121,17 @@
 		},
 		"TWICE at once": func(h []platformEvent) []platformEvent {
 			job(h).steps[0].perWorker = 0
-			return insertPlatform(roomy(h), run(11_200, bStarted, "w2", 0, 0, 3))
+			return insertEvent(roomy(h), run(11_200, bStarted, "w2", 0, 0, 3))
 		},
 		"TWICE after a good end": func(h []platformEvent) []platformEvent {
-			return insertPlatform(h, run(12_150, bStarted, "w2", 0, 0, 3))
+			return insertEvent(h, run(12_150, bStarted, "w2", 0, 0, 3))
 		},
 		"TWICE after another member's good end": func(h []platformEvent) []platformEvent {
-			return insertPlatform(roomy(h), run(14_620, bStarted, "w2", 1, 1, 3))
+			return insertEvent(roomy(h), run(14_620, bStarted, "w2", 1, 1, 3))
 		},
 		"TWICE of copies, over a second later": func(h []platformEvent) []platformEvent {
 			job(h).steps[0].copies = true
-			return insertPlatform(h, run(13_300, bStarted, "w2", 0, 0, 3))
+			return insertEvent(h, run(13_300, bStarted, "w2", 0, 0, 3))
 		},
 		"TWICE after it was shown as complete": func(h []platformEvent) []platformEvent {
 			job(h).steps[0].copies = true
@@ -154,143 +154,143 @@
 			return roomy(h)
 		},
 		"BUDGET": func(h []platformEvent) []platformEvent {
-			job(h).queue.attempts = 1
+			job(h).queue.allowedFailures = 1
 			return h
 		},
 		"BUDGET of a gang": func(h []platformEvent) []platformEvent {
-			job(h).queue.attempts = 1
+			job(h).queue.allowedFailures = 1
 			find(h, bEnded, "w1", 0, 0, 1).text = "ok"
 			h = drop(h, func(e platformEvent) bool { return e.task == taskName{0, 0, 0} && e.run == 2 })
 			find(h, bEnded, "w2", 1, 1, 1).text = "failed"
-			return insertPlatform(h, platformEvent{atMs: 13_460, kind: bSeen, worker: "w2", n: 2})
+			return insertEvent(h, platformEvent{atMs: 13_460, kind: bSeen, worker: "w2", n: 2})
 		},
-		"GANG": lone,
+		"GANG": loneGang,
 		"UNASKED": func(h []platformEvent) []platformEvent {
-			e := run(12_000, bOrdered, "w1", 0, 0, 1)
+			e := run(12_000, eventOrdered, "w1", 0, 0, 1)
 			e.job = "never"
-			return insertPlatform(h, e)
+			return insertEvent(h, e)
 		},
 		"UNASKED task": func(h []platformEvent) []platformEvent {
-			return insertPlatform(h, run(12_000, bOrdered, "w1", 0, 2, 1))
+			return insertEvent(h, run(12_000, eventOrdered, "w1", 0, 2, 1))
 		},
 		"UNASKED payload": func(h []platformEvent) []platformEvent {
-			find(h, bOrdered, "w1", 0, 0, 1).text = "other"
+			find(h, eventOrdered, "w1", 0, 0, 1).text = "other"
 			return h
 		},
 		"UNASKED saved": func(h []platformEvent) []platformEvent {
-			find(h, bOrdered, "w1", 0, 0, 2).saved = "abc"
+			find(h, eventOrdered, "w1", 0, 0, 2).saved = "abc"
 			return h
 		},
 		"UNASKED saved unlike the gang's": func(h []platformEvent) []platformEvent {
-			find(h, bOrdered, "w2", 1, 1, 2).saved = ""
+			find(h, eventOrdered, "w2", 1, 1, 2).saved = ""
 			return h
 		},
 		"UNASKED after cancel": func(h []platformEvent) []platformEvent {
-			return insertPlatform(h, platformEvent{atMs: 10_200, kind: bCancelAcked, job: "j"})
+			return insertEvent(h, platformEvent{atMs: 10_200, kind: eventCancelAcked, job: "j"})
 		},
 		"UNASKED still running": func(h []platformEvent) []platformEvent {
 			find(h, bEnded, "w2", 0, 1, 1).atMs = 15_000
-			return insertPlatform(h, platformEvent{atMs: 11_100, kind: bCancelAcked, job: "j"})
+			return insertEvent(h, platformEvent{atMs: 11_100, kind: eventCancelAcked, job: "j"})
 		},
 		"REFUSED": func(h []platformEvent) []platformEvent { h[5].n = 503; return h },
 		"DRAIN": func(h []platformEvent) []platformEvent {
-			return insertPlatform(h, platformEvent{atMs: 9500, kind: bLeaving, worker: "w1", host: "on-w1"})
+			return insertEvent(h, platformEvent{atMs: 9500, kind: eventLeaveAcked, worker: "w1", host: "on-w1"})
 		},
 		"EVAC": func(h []platformEvent) []platformEvent {
-			return insertPlatform(late(h, 3000), platformEvent{atMs: 8500, kind: bEmptied, text: "east"})
+			return insertEvent(late(h, 3000), platformEvent{atMs: 8500, kind: eventZoneEvacuated, text: "east"})
 		},
 		"MIXED": func(h []platformEvent) []platformEvent {
-			return insertPlatform(h, platformEvent{atMs: 14_400, kind: bJobShown, job: "j", host: "e", text: "complete", askedMs: 14_390})
+			return insertEvent(h, platformEvent{atMs: 14_400, kind: eventStateShown, job: "j", host: "e", text: "complete", sentMs: 14_390})
 		},
 		"LOST unknown": func(h []platformEvent) []platformEvent {
-			return insertPlatform(h, platformEvent{atMs: 13_200, kind: bJobShown, job: "j", host: "e", text: "unknown", askedMs: 13_100})
+			return insertEvent(h, platformEvent{atMs: 13_200, kind: eventStateShown, job: "j", host: "e", text: "unknown", sentMs: 13_100})
 		},
 		"LOST failed": func(h []platformEvent) []platformEvent {
-			return insertPlatform(h, platformEvent{atMs: 13_200, kind: bJobShown, job: "j", host: "e", text: "failed", askedMs: 13_100})
+			return insertEvent(h, platformEvent{atMs: 13_200, kind: eventStateShown, job: "j", host: "e", text: "failed", sentMs: 13_100})
 		},
 		"LOST cancelled": func(h []platformEvent) []platformEvent {
-			return insertPlatform(h, platformEvent{atMs: 13_200, kind: bJobShown, job: "j", host: "e", text: "cancelled", askedMs: 13_100})
+			return insertEvent(h, platformEvent{atMs: 13_200, kind: eventStateShown, job: "j", host: "e", text: "cancelled", sentMs: 13_100})
 		},
 		"LOST unfinished": func(h []platformEvent) []platformEvent {
-			return append(h, platformEvent{atMs: 60_000, kind: bFinished, job: "j", text: "running"})
+			return append(h, platformEvent{atMs: 60_000, kind: eventFinalState, job: "j", text: "running"})
 		},
 		"LOST unanswered": func(h []platformEvent) []platformEvent {
-			return append(h, platformEvent{atMs: 60_000, kind: bFinished, job: "j"})
+			return append(h, platformEvent{atMs: 60_000, kind: eventFinalState, job: "j"})
 		},
 		"LOST stands still": func(h []platformEvent) []platformEvent {
-			return append(h, platformEvent{atMs: 60_000, kind: bStuck, job: "j", text: "x"})
+			return append(h, platformEvent{atMs: 60_000, kind: eventJobStuck, job: "j", text: "x"})
 		},
 		"CONFIG both acknowledged": func(h []platformEvent) []platformEvent {
-			return append(h, platformEvent{atMs: 20_000, kind: bSetupSent, n: 2, base: 0, setup: other}, platformEvent{atMs: 20_001, kind: bSetupAcked, n: 2, base: 0, setup: other})
+			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 0, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupAcked, n: 2, base: 0, setup: other})
 		},
 		"CONFIG invalid": func(h []platformEvent) []platformEvent {
 			bad := &platformSetup{invalid: true}
-			return append(h, platformEvent{atMs: 20_000, kind: bSetupSent, n: 2, base: 1, setup: bad}, platformEvent{atMs: 20_001, kind: bSetupAcked, n: 2, base: 1, setup: bad})
+			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: bad}, platformEvent{atMs: 20_001, kind: eventSetupAcked, n: 2, base: 1, setup: bad})
 		},
 		"CONFIG goes back": func(h []platformEvent) []platformEvent {
-			return append(h, platformEvent{atMs: 20_000, kind: bSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: bSetupAcked, n: 2, base: 1, setup: other},
-				platformEvent{atMs: 30_000, kind: bSetupShown, n: 1, askedMs: 29_000})
+			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupAcked, n: 2, base: 1, setup: other},
+				platformEvent{atMs: 30_000, kind: eventSetupShown, n: 1, sentMs: 29_000})
 		},
 		"CONFIG refused is in force": func(h []platformEvent) []platformEvent {
-			return append(h, platformEvent{atMs: 20_000, kind: bSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: bSetupRefused, n: 2, base: 1, setup: other},
-				platformEvent{atMs: 30_000, kind: bSetupShown, n: 2, askedMs: 29_000})
+			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupRefused, n: 2, base: 1, setup: other},
+				platformEvent{atMs: 30_000, kind: eventSetupShown, n: 2, sentMs: 29_000})
 		},
 		"CONFIG taken and refused": func(h []platformEvent) []platformEvent {
-			return append(h, platformEvent{atMs: 20_000, kind: bSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: bSetupTaken, n: 2, base: 1, setup: other},
-				platformEvent{atMs: 22_001, kind: bSetupRefused, n: 2, base: 1, setup: other})
+			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupAccepted, n: 2, base: 1, setup: other},
+				platformEvent{atMs: 22_001, kind: eventSetupRefused, n: 2, base: 1, setup: other})
 		},
 		"CONFIG acknowledged, sent again and refused": func(h []platformEvent) []platformEvent {
-			return append(h, platformEvent{atMs: 20_000, kind: bSetupRefused, n: 1, base: 0, setup: h[2].setup})
+			return append(h, platformEvent{atMs: 20_000, kind: eventSetupRefused, n: 1, base: 0, setup: h[2].setup})
 		},
 		"CONFIG refused, then taken": func(h []platformEvent) []platformEvent {
-			return append(h, platformEvent{atMs: 20_000, kind: bSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: bSetupRefused, n: 2, base: 1, setup: other},
-				platformEvent{atMs: 22_001, kind: bSetupTaken, n: 2, base: 1, setup: other})
+			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupRefused, n: 2, base: 1, setup: other},
+				platformEvent{atMs: 22_001, kind: eventSetupAccepted, n: 2, base: 1, setup: other})
 		},
 		"CONFIG both taken": func(h []platformEvent) []platformEvent {
 			third := &platformSetup{queues: other.queues, note: "third"}
-			return append(h, platformEvent{atMs: 20_000, kind: bSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_000, kind: bSetupSent, n: 2, base: 1, setup: third},
-				platformEvent{atMs: 20_001, kind: bSetupTaken, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_002, kind: bSetupTaken, n: 2, base: 1, setup: third})
+			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: third},
+				platformEvent{atMs: 20_001, kind: eventSetupAccepted, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_002, kind: eventSetupAccepted, n: 2, base: 1, setup: third})
 		},
 		"CONFIG invalid is taken": func(h []platformEvent) []platformEvent {
 			bad := &platformSetup{invalid: true}
-			return append(h, platformEvent{atMs: 20_000, kind: bSetupSent, n: 2, base: 1, setup: bad}, platformEvent{atMs: 20_001, kind: bSetupTaken, n: 2, base: 1, setup: bad})
+			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: bad}, platformEvent{atMs: 20_001, kind: eventSetupAccepted, n: 2, base: 1, setup: bad})
 		},
 		"CONFIG refused, and built on": func(h []platformEvent) []platformEvent {
 			third := &platformSetup{queues: other.queues, note: "third"}
-			return append(h, platformEvent{atMs: 20_000, kind: bSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: bSetupRefused, n: 2, base: 1, setup: other},
-				platformEvent{atMs: 22_000, kind: bSetupSent, n: 3, base: 2, setup: third}, platformEvent{atMs: 22_001, kind: bSetupAcked, n: 3, base: 2, setup: third})
+			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupRefused, n: 2, base: 1, setup: other},
+				platformEvent{atMs: 22_000, kind: eventSetupSent, n: 3, base: 2, setup: third}, platformEvent{atMs: 22_001, kind: eventSetupAcked, n: 3, base: 2, setup: third})
 		},
 		"CONFIG is not read back": func(h []platformEvent) []platformEvent {
-			return append(h, platformEvent{atMs: 30_000, kind: bSetupShown, n: -1, askedMs: 29_000})
+			return append(h, platformEvent{atMs: 30_000, kind: eventSetupShown, n: -1, sentMs: 29_000})
 		},
 		"CONFIG differs from what was taken": func(h []platformEvent) []platformEvent {
-			return append(h, platformEvent{atMs: 20_000, kind: bSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: bSetupAcked, n: 2, base: 1, setup: other},
-				platformEvent{atMs: 30_000, kind: bSetupShown, n: 2, text: "another", askedMs: 29_000})
+			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupAcked, n: 2, base: 1, setup: other},
+				platformEvent{atMs: 30_000, kind: eventSetupShown, n: 2, text: "another", sentMs: 29_000})
 		},
 		"LOST came again and was refused": func(h []platformEvent) []platformEvent {
-			return append(h, platformEvent{atMs: 20_000, kind: bJobTaken, job: "j", n: 201}, platformEvent{atMs: 20_010, kind: bJobTried, job: "j", host: "e", n: 409, askedMs: 20_005})
+			return append(h, platformEvent{atMs: 20_000, kind: eventJobAccepted, job: "j", n: 201}, platformEvent{atMs: 20_010, kind: bJobTried, job: "j", host: "e", n: 409, sentMs: 20_005})
 		},
 		"RECOVER calls": func(h []platformEvent) []platformEvent {
 			h = append(h, platformEvent{atMs: 20_000, kind: bLoss}, platformEvent{atMs: 21_000, kind: bBack})
-			return append(h, platformEvent{atMs: 33_500, kind: bJobSent, job: "k", spec: h[4].spec, queue: h[4].queue})
+			return append(h, platformEvent{atMs: 33_500, kind: eventJobSent, job: "k", spec: h[4].spec, queue: h[4].queue})
 		},
 		"RECOVER tasks": func(h []platformEvent) []platformEvent {
 			h = append(h, platformEvent{atMs: 20_000, kind: bLoss}, platformEvent{atMs: 21_000, kind: bBack})
-			return append(h, platformEvent{atMs: 33_500, kind: bJobSent, job: "k", spec: h[4].spec, queue: h[4].queue},
-				platformEvent{atMs: 33_510, kind: bJobTried, job: "k", host: "e", n: 201, askedMs: 33_500})
+			return append(h, platformEvent{atMs: 33_500, kind: eventJobSent, job: "k", spec: h[4].spec, queue: h[4].queue},
+				platformEvent{atMs: 33_510, kind: bJobTried, job: "k", host: "e", n: 201, sentMs: 33_500})
 		},
 		"CONFIG no such queue": func(h []platformEvent) []platformEvent {
-			return append(h, platformEvent{atMs: 20_000, kind: bJobTried, job: "j", host: "e", n: 404, askedMs: 19_990})
+			return append(h, platformEvent{atMs: 20_000, kind: bJobTried, job: "j", host: "e", n: 404, sentMs: 19_990})
 		},
 		"CONFIG a dropped queue": func(h []platformEvent) []platformEvent {
-			h = append(h, platformEvent{atMs: 20_000, kind: bSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: bSetupAcked, n: 2, base: 1, setup: other})
-			return append(h, platformEvent{atMs: 23_000, kind: bJobSent, job: "k", spec: h[4].spec, queue: h[4].queue}, platformEvent{atMs: 23_010, kind: bJobTried, job: "k", host: "e", n: 201, askedMs: 23_000})
+			h = append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupAcked, n: 2, base: 1, setup: other})
+			return append(h, platformEvent{atMs: 23_000, kind: eventJobSent, job: "k", spec: h[4].spec, queue: h[4].queue}, platformEvent{atMs: 23_010, kind: bJobTried, job: "k", host: "e", n: 201, sentMs: 23_000})
 		},
 	}
-	for name, plant := range plants {
+	for name, inject := range injections {
 		t.Run(name, func(t *testing.T) {
 			rule, _, _ := strings.Cut(name, " ")
-			found := judgePlatform(plant(lawfulPlatform()), usualPlatformBounds)
+			found := checkPlatformHistory(inject(validPlatformHistory()), usualPlatformBounds)
 			must.SliceNotEmpty(t, found)
 			for _, b := range found {
 				must.Eq(t, rule, b.rule, must.Sprint(b))
@@ -298,55 +298,57 @@
 		})
 	}
 	// Histories that the rules allow have no breach.
-	pardons := map[string]func([]platformEvent) []platformEvent{
+	allowed := map[string]func([]platformEvent) []platformEvent{
 		"copies at once": func(h []platformEvent) []platformEvent {
 			job(h).steps[0].copies, job(h).steps[0].perWorker = true, 0
 			h[1].facts.capacity = amounts{64, 64, 8}
-			return insertPlatform(h, run(11_200, bStarted, "w2", 0, 0, 3))
+			return insertEvent(h, run(11_200, bStarted, "w2", 0, 0, 3))
 		},
 		"a good end that a lapse hid": func(h []platformEvent) []platformEvent {
 			h[1].facts.capacity, job(h).steps[0].perWorker = amounts{64, 64, 8}, 0
-			return insertPlatform(insertPlatform(h, platformEvent{atMs: 12_120, kind: bLapsed, worker: "w1"}), run(12_180, bStarted, "w2", 0, 0, 3))
+			return insertEvent(insertEvent(h, platformEvent{atMs: 12_120, kind: bLapsed, worker: "w1"}), run(12_180, bStarted, "w2", 0, 0, 3))
 		},
 		"a start at a worker that is leaving, by a machine out of touch": func(h []platformEvent) []platformEvent {
-			return insertPlatform(insertPlatform(insertPlatform(h, platformEvent{atMs: 5000, kind: bLeaving, worker: "w1", host: "on-w1"}), platformEvent{atMs: 9500, kind: bTrouble, host: "on-w1", text: "cut"}),
-				platformEvent{atMs: 16_000, kind: bCalm, host: "on-w1", text: "cut"})
+			return insertEvent(insertEvent(insertEvent(h, platformEvent{atMs: 5000, kind: eventLeaveAcked, worker: "w1", host: "on-w1"}), platformEvent{atMs: 9500, kind: eventFaultBegan, host: "on-w1", text: "cut"}),
+				platformEvent{atMs: 16_000, kind: eventFaultEnded, host: "on-w1", text: "cut"})
 		},
 		"alone near trouble": func(h []platformEvent) []platformEvent {
-			return insertPlatform(lone(h), platformEvent{atMs: 12_900, kind: bTrouble, worker: "w2", text: "crash"})
+			return insertEvent(loneGang(h), platformEvent{atMs: 12_900, kind: eventFaultBegan, worker: "w2", text: "crash"})
 		},
 		"alone once cancelled": func(h []platformEvent) []platformEvent {
-			return insertPlatform(lone(h), platformEvent{atMs: 12_900, kind: bCancelSent, job: "j"})
+			return insertEvent(loneGang(h), platformEvent{atMs: 12_900, kind: eventCancelSent, job: "j"})
 		},
 		"a lasting task after many failures": func(h []platformEvent) []platformEvent {
-			job(h).queue.attempts, job(h).steps[0].lasting = 1, true
-			return drop(h, func(e platformEvent) bool { return e.kind == bJobShown })
+			job(h).queue.allowedFailures, job(h).steps[0].lasting = 1, true
+			return drop(h, func(e platformEvent) bool { return e.kind == eventStateShown })
 		},
 		"unknown while the core is unsettled": func(h []platformEvent) []platformEvent {
-			return insertPlatform(insertPlatform(h, platformEvent{atMs: 13_200, kind: bJobShown, job: "j", host: "e", text: "unknown", askedMs: 13_100}), platformEvent{atMs: 11_300, kind: bCore, host: "d00"})
+			return insertEvent(insertEvent(h, platformEvent{atMs: 13_200, kind: eventStateShown, job: "j", host: "e", text: "unknown", sentMs: 13_100}), platformEvent{atMs: 11_300, kind: bCore, host: "d00"})
 		},
 		"a change whose answer was lost, acknowledged when it came again": func(h []platformEvent) []platformEvent {
-			return append(h, platformEvent{atMs: 20_000, kind: bSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: bSetupTaken, n: 2, base: 1, setup: other},
-				platformEvent{atMs: 22_000, kind: bSetupTaken, n: 2, base: 1, setup: other}, platformEvent{atMs: 22_001, kind: bSetupAcked, n: 2, base: 1, setup: other},
-				platformEvent{atMs: 30_000, kind: bSetupShown, n: 2, text: "other", askedMs: 29_000})
+			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupAccepted, n: 2, base: 1, setup: other},
+				platformEvent{atMs: 22_000, kind: eventSetupAccepted, n: 2, base: 1, setup: other}, platformEvent{atMs: 22_001, kind: eventSetupAcked, n: 2, base: 1, setup: other},
+				platformEvent{atMs: 30_000, kind: eventSetupShown, n: 2, text: "other", sentMs: 29_000})
 		},
 		"a race lost under the winner's number": func(h []platformEvent) []platformEvent {
 			third := &platformSetup{queues: other.queues, note: "third"}
-			return append(h, platformEvent{atMs: 20_000, kind: bSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_000, kind: bSetupSent, n: 2, base: 1, setup: third},
-				platformEvent{atMs: 20_001, kind: bSetupTaken, n: 2, base: 1, setup: third}, platformEvent{atMs: 20_002, kind: bSetupRefused, n: 2, base: 1, setup: other},
-				platformEvent{atMs: 30_000, kind: bSetupShown, n: 2, text: "third", askedMs: 29_000})
+			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: third},
+				platformEvent{atMs: 20_001, kind: eventSetupAccepted, n: 2, base: 1, setup: third}, platformEvent{atMs: 20_002, kind: eventSetupRefused, n: 2, base: 1, setup: other},
+				platformEvent{atMs: 30_000, kind: eventSetupShown, n: 2, text: "third", sentMs: 29_000})
 		},
 		"an emptied site that was opened": func(h []platformEvent) []platformEvent {
-			return insertPlatform(insertPlatform(late(h, 3000), platformEvent{atMs: 8500, kind: bEmptied, text: "east"}), platformEvent{atMs: 13_900, kind: bOpened, text: "east"})
+			return insertEvent(insertEvent(late(h, 3000), platformEvent{atMs: 8500, kind: eventZoneEvacuated, text: "east"}), platformEvent{atMs: 13_900, kind: eventZoneReopened, text: "east"})
 		},
 	}
-	for name, plant := range pardons {
-		t.Run(name, func(t *testing.T) { must.SliceEmpty(t, judgePlatform(plant(lawfulPlatform()), usualPlatformBounds)) })
+	for name, inject := range allowed {
+		t.Run(name, func(t *testing.T) {
+			must.SliceEmpty(t, checkPlatformHistory(inject(validPlatformHistory()), usualPlatformBounds))
+		})
 	}
 }
 
-// insertPlatform inserts an event by its time, after all events of the same time.
-func insertPlatform(h []platformEvent, e platformEvent) []platformEvent {
+// insertEvent inserts an event by its time, after all events of the same time.
+func insertEvent(h []platformEvent, e platformEvent) []platformEvent {
 	at := 0
 	for at < len(h) && h[at].atMs <= e.atMs {
 		at++
--- a/internal/daemon/platformjudge_setups_test.go
+++ b/internal/daemon/platformjudge_setups_test.go
@@ -4,33 +4,33 @@
 	"slices"
 )
 
-// setupTaken handles a daemon's acknowledgement of a change, whether the operator received it or not.
-func (j *platformJudge) setupTaken(e *platformEvent) {
+// checkSetupAcceptance handles a daemon's acknowledgement of a change, whether the operator received it or not.
+func (j *platformChecker) checkSetupAcceptance(e *platformEvent) {
 	for _, s := range j.setups {
 		if s.setup == e.setup {
-			if s.takenMs < 0 {
-				s.takenMs = e.atMs
+			if s.acceptedMs < 0 {
+				s.acceptedMs = e.atMs
 			}
 			if s.refused {
-				j.breach("CONFIG", e.atMs, "version %d on top of %d was refused and later accepted", s.version, s.base)
+				j.report("CONFIG", e.atMs, "version %d on top of %d was refused and later accepted", s.version, s.base)
 			}
-		} else if s.takenMs >= 0 && (s.base == e.base || s.version == e.n) {
-			j.breach("CONFIG", e.atMs, "versions %d and %d, on top of %d and %d, were both accepted", s.version, e.n, s.base, e.base)
+		} else if s.acceptedMs >= 0 && (s.base == e.base || s.version == e.n) {
+			j.report("CONFIG", e.atMs, "versions %d and %d, on top of %d and %d, were both accepted", s.version, e.n, s.base, e.base)
 		}
 	}
 	if e.setup.invalid {
-		j.breach("CONFIG", e.atMs, "version %d is invalid and was accepted", e.n)
+		j.report("CONFIG", e.atMs, "version %d is invalid and was accepted", e.n)
 	}
 }
 
-// maybeShown reports whether the configuration that is shown may be the one with its
+// mayBeShown reports whether the configuration that is shown may be the one with its
 // version: an accepted one, or, if none is known, one that was sent and not refused.
-func (j *platformJudge) maybeShown(e *platformEvent) bool {
+func (j *platformChecker) mayBeShown(e *platformEvent) bool {
 	var taken, sent []string
 	for _, s := range j.setups {
 		switch {
 		case s.version != e.n:
-		case s.takenMs >= 0 || s.ackedMs >= 0:
+		case s.acceptedMs >= 0 || s.ackedMs >= 0:
 			taken = append(taken, s.setup.note)
 		case !s.refused:
 			sent = append(sent, s.setup.note)
@@ -42,33 +42,33 @@
 	return slices.Contains(sent, e.text)
 }
 
-// chain finds refused changes on top of which a later change was accepted, which
+// checkRefusedBases finds refused changes on top of which a later change was accepted, which
 // shows that the refused version was in force.
-func (j *platformJudge) chain() {
+func (j *platformChecker) checkRefusedBases() {
 	for _, later := range j.setups {
-		if later.takenMs < 0 && later.ackedMs < 0 {
+		if later.acceptedMs < 0 && later.ackedMs < 0 {
 			continue
 		}
-		known, refused := false, (*seenPlatformSetup)(nil)
+		known, refused := false, (*observedSetup)(nil)
 		for _, s := range j.setups {
 			if s.version != later.base {
 				continue
 			}
-			if s.refused && s.takenMs < 0 && s.ackedMs < 0 { // the other contradictions are reported elsewhere
+			if s.refused && s.acceptedMs < 0 && s.ackedMs < 0 { // the other contradictions are reported elsewhere
 				refused = s
 			} else {
 				known = true
 			}
 		}
 		if !known && refused != nil {
-			j.breach("CONFIG", later.sentMs, "version %d was refused, and %d was accepted on top of it", later.base, later.version)
+			j.report("CONFIG", later.sentMs, "version %d was refused, and %d was accepted on top of it", later.base, later.version)
 		}
 	}
 }
 
-// recovered checks that enough calls are accepted and enough tasks end well again
+// checkRecovery checks that enough calls are accepted and enough tasks end well again
 // after the loss at the end of the day.
-func (j *platformJudge) recovered() {
+func (j *platformChecker) checkRecovery() {
 	if j.lossMs == 0 || j.backMs == 0 {
 		return
 	}
@@ -87,13 +87,13 @@
 		}
 	}
 	if recoveryShare*accepted[0] >= sent[0] && recoveryShare*accepted[1] < sent[1] {
-		j.breach("RECOVER", from, "only %d of %d calls are accepted later than %d ms after the machines are back", accepted[1], sent[1], int64(recoveryMs))
+		j.report("RECOVER", from, "only %d of %d calls are accepted later than %d ms after the machines are back", accepted[1], sent[1], int64(recoveryMs))
 	}
 	var ended [2]float64
 	for _, s := range j.jobs {
 		for _, runs := range s.runs {
 			for _, r := range runs {
-				if r.how != "ok" {
+				if r.outcome != "ok" {
 					continue
 				}
 				if r.endMs < j.lossMs {
@@ -106,13 +106,13 @@
 	}
 	before, after := ended[0]/float64(max(1, j.lossMs-firstMs)), ended[1]/float64(max(1, lastMs-from))
 	if lastMs > from && recoveryShare*after < before {
-		j.breach("RECOVER", from, "only %.1f tasks a second end well later than %d ms after the machines are back, %.1f before the loss", 1000*after, int64(recoveryMs), 1000*before)
+		j.report("RECOVER", from, "only %.1f tasks a second end well later than %d ms after the machines are back, %.1f before the loss", 1000*after, int64(recoveryMs), 1000*before)
 	}
 }
 
-// maybeRoutes reports whether some configuration that may be in force between two
+// mayRoute reports whether some configuration that may be in force between two
 // times has the queue's address, or lacks it if has is false.
-func (j *platformJudge) maybeRoutes(q *platformQueue, askedMs, atMs int64, has bool) bool {
+func (j *platformChecker) mayRoute(q *platformQueue, askedMs, atMs int64, has bool) bool {
 	floor := int64(0)
 	for _, s := range j.setups {
 		if s.ackedMs >= 0 && s.ackedMs+j.bounds.config < askedMs {
@@ -123,38 +123,38 @@
 		return true // none is certain to be in force
 	}
 	for _, s := range j.setups {
-		if s.version >= floor && !s.refused && s.sentMs <= atMs && s.setup.routes(q) == has {
+		if s.version >= floor && !s.refused && s.sentMs <= atMs && s.setup.hasAddress(q) == has {
 			return true
 		}
 	}
 	return false
 }
 
-// shown checks a job's state that a caller was shown.
-func (j *platformJudge) shown(e *platformEvent) {
+// checkShownState checks a job's state that a caller was shown.
+func (j *platformChecker) checkShownState(e *platformEvent) {
 	s := j.jobs[e.job]
 	switch e.text {
 	case "unknown":
-		if s.acked && e.askedMs > s.ackedMs+j.bounds.visible && j.inTouch(e.host, e.atMs) {
-			j.breach("LOST", e.atMs, "%s is unknown at %s, accepted at %d ms", e.job, e.host, s.ackedMs)
+		if s.acked && e.sentMs > s.ackedMs+j.bounds.visible && j.connected(e.host, e.atMs) {
+			j.report("LOST", e.atMs, "%s is unknown at %s, accepted at %d ms", e.job, e.host, s.ackedMs)
 		}
 	case "complete":
 		if s.completeMs < 0 {
 			s.completeMs = e.atMs
 		}
 		for name := range s.spec.names() {
-			if s.spec.steps[name.step].lasting || !s.well(name, e.order) {
-				j.breach("MIXED", e.atMs, "%s is shown as complete, but task %v has not ended well", e.job, name)
+			if s.spec.steps[name.step].lasting || !s.succeededBefore(name, e.order) {
+				j.report("MIXED", e.atMs, "%s is shown as complete, but task %v has not ended well", e.job, name)
 				return
 			}
 		}
 	case "failed":
 		if !s.mayFail() {
-			j.breach("LOST", e.atMs, "%s is shown as failed without a cause", e.job)
+			j.report("LOST", e.atMs, "%s is shown as failed without a cause", e.job)
 		}
 	case "cancelled":
 		if !s.cancelSent {
-			j.breach("LOST", e.atMs, "%s is shown as cancelled without a cause", e.job)
+			j.report("LOST", e.atMs, "%s is shown as cancelled without a cause", e.job)
 		}
 	}
 }
--- a/internal/daemon/platformjudge_tenants_cases_test.go
+++ b/internal/daemon/platformjudge_tenants_cases_test.go
@@ -7,20 +7,20 @@
 	"github.com/shoenig/test/must"
 )
 
-// tenantHistory is a short history of one tenant without breaches: version 1 declares its key "one"
+// tenantHistory is a short history of one tenant without violations: version 1 declares its key "one"
 // and a limit of 10 in either dimension, and its job of six tasks runs two at a time.
 func tenantHistory() []platformEvent {
-	q := &platformQueue{name: "q", host: "h", prefix: "/q/", attempts: 2, service: "s"}
+	q := &platformQueue{name: "q", host: "h", prefix: "/q/", allowedFailures: 2, service: "s"}
 	job := &platformJob{id: "j", queue: q, payload: "spec", tenant: "t", steps: []platformStep{{count: 6, room: amounts{5, 4}}}}
-	facts := &workerFacts{capacity: amounts{64, 64}, labels: map[string]string{"service": "s"}, site: "east"}
+	facts := &workerFacts{capacity: amounts{64, 64}, labels: map[string]string{"service": "s"}, zone: "east"}
 	setup := tenantSetup(amounts{10, 10}, "one")
 	h := []platformEvent{
-		{atMs: 0, kind: bWorkerUp, worker: "w1", host: "on-w1", facts: facts},
-		{atMs: 0, kind: bWorkerUp, worker: "w2", host: "on-w2", facts: facts},
-		{atMs: 100, kind: bSetupSent, n: 1, base: 0, setup: setup},
-		{atMs: 200, kind: bSetupAcked, n: 1, base: 0, setup: setup},
-		{atMs: 10_000, kind: bJobSent, job: "j", spec: job, queue: q},
-		{atMs: 10_010, kind: bJobTried, job: "j", host: "e", n: 201, askedMs: 10_000},
+		{atMs: 0, kind: eventWorkerUp, worker: "w1", host: "on-w1", facts: facts},
+		{atMs: 0, kind: eventWorkerUp, worker: "w2", host: "on-w2", facts: facts},
+		{atMs: 100, kind: eventSetupSent, n: 1, base: 0, setup: setup},
+		{atMs: 200, kind: eventSetupAcked, n: 1, base: 0, setup: setup},
+		{atMs: 10_000, kind: eventJobSent, job: "j", spec: job, queue: q},
+		{atMs: 10_010, kind: bJobTried, job: "j", host: "e", n: 201, sentMs: 10_000},
 		callWith("one", 201, 10_000),
 		tenantRun(11_000, bStarted, "w1", 0), tenantRun(11_000, bStarted, "w2", 1),
 		tenantEnd(12_000, "w1", 0, "ok", 1), {atMs: 12_050, kind: bListed, worker: "w1", n: 1},
@@ -32,14 +32,14 @@
 
 // tenantSetup declares queue q and tenant t with a limit and keys.
 func tenantSetup(limit amounts, keys ...string) *platformSetup {
-	q := platformQueue{name: "q", host: "h", prefix: "/q/", attempts: 2, service: "s"}
+	q := platformQueue{name: "q", host: "h", prefix: "/q/", allowedFailures: 2, service: "s"}
 	return &platformSetup{queues: []platformQueue{q}, tenants: []platformTenant{{name: "t", keys: keys, limit: limit}}}
 }
 
 // callWith is a call at machine e, answered 10 ms after it was sent.
 func callWith(key string, status, sentMs int64) platformEvent {
-	q := &platformQueue{name: "q", host: "h", prefix: "/q/", attempts: 2, service: "s"}
-	return platformEvent{atMs: sentMs + 10, kind: bCalled, job: "j", host: "e", queue: q, key: key, n: status, askedMs: sentMs}
+	q := &platformQueue{name: "q", host: "h", prefix: "/q/", allowedFailures: 2, service: "s"}
+	return platformEvent{atMs: sentMs + 10, kind: eventCallAnswered, job: "j", host: "e", queue: q, key: key, n: status, sentMs: sentMs}
 }
 
 func tenantRun(atMs int64, kind, worker string, index int) platformEvent {
@@ -55,26 +55,26 @@
 // changeTo returns the events of a change on top of version 1 that is acknowledged.
 func changeTo(setup *platformSetup, sentMs, ackedMs int64) []platformEvent {
 	return []platformEvent{
-		{atMs: sentMs, kind: bSetupSent, n: 2, base: 1, setup: setup},
-		{atMs: ackedMs, kind: bSetupAcked, n: 2, base: 1, setup: setup},
+		{atMs: sentMs, kind: eventSetupSent, n: 2, base: 1, setup: setup},
+		{atMs: ackedMs, kind: eventSetupAcked, n: 2, base: 1, setup: setup},
 	}
 }
 
 func insertAll(h []platformEvent, events ...platformEvent) []platformEvent {
 	for _, e := range events {
-		h = insertPlatform(h, e)
+		h = insertEvent(h, e)
 	}
 	return h
 }
 
-func TestPlatformJudgeTenantsLawful(t *testing.T) {
-	must.SliceEmpty(t, judgePlatform(tenantHistory(), usualPlatformBounds))
+func TestPlatformCheckerAcceptsValidTenantHistory(t *testing.T) {
+	must.SliceEmpty(t, checkPlatformHistory(tenantHistory(), usualPlatformBounds))
 }
 
 // Each breach of the rules on tenants must be found, under the rule that begins the name of the case.
-func TestPlatformJudgeTenantsPlanted(t *testing.T) {
+func TestPlatformCheckerFindsTenantViolations(t *testing.T) {
 	roomy, low, swapped := tenantSetup(amounts{1000, 1000}, "one"), tenantSetup(amounts{4, 10}, "one"), tenantSetup(amounts{10, 10}, "two")
-	plants := map[string]func([]platformEvent) []platformEvent{
+	injections := map[string]func([]platformEvent) []platformEvent{
 		"ROUTE by a key that nobody has": func(h []platformEvent) []platformEvent {
 			return insertAll(h, callWith("guessed", 200, 14_000))
 		},
@@ -82,17 +82,17 @@
 			return insertAll(h, callWith("", 201, 14_000))
 		},
 		"ROUTE by a machine out of touch": func(h []platformEvent) []platformEvent {
-			return insertAll(h, platformEvent{atMs: 13_900, kind: bTrouble, host: "e", text: "cut"}, callWith("guessed", 200, 14_000))
+			return insertAll(h, platformEvent{atMs: 13_900, kind: eventFaultBegan, host: "e", text: "cut"}, callWith("guessed", 200, 14_000))
 		},
 		"ROUTE by a key that only a refused version has": func(h []platformEvent) []platformEvent {
-			return insertAll(h, platformEvent{atMs: 13_500, kind: bSetupSent, n: 2, base: 1, setup: swapped},
-				platformEvent{atMs: 13_600, kind: bSetupRefused, n: 2, base: 1, setup: swapped}, callWith("two", 200, 14_000))
+			return insertAll(h, platformEvent{atMs: 13_500, kind: eventSetupSent, n: 2, base: 1, setup: swapped},
+				platformEvent{atMs: 13_600, kind: eventSetupRefused, n: 2, base: 1, setup: swapped}, callWith("two", 200, 14_000))
 		},
 		"CONFIG 401 though the key is there": func(h []platformEvent) []platformEvent {
 			return insertAll(h, callWith("one", 401, 14_000))
 		},
 		"CONFIG 401 at an open queue": func(h []platformEvent) []platformEvent {
-			h[2].setup.open = []string{"q"}
+			h[2].setup.openQueues = []string{"q"}
 			return insertAll(h, callWith("", 401, 14_000))
 		},
 		"CONFIG 401 late after a key was added": func(h []platformEvent) []platformEvent {
@@ -109,7 +109,7 @@
 			return insertAll(h, tenantRun(12_500, bStarted, "w1", 3))
 		},
 		"QUOTA by a machine out of touch": func(h []platformEvent) []platformEvent {
-			return insertAll(h, platformEvent{atMs: 12_400, kind: bTrouble, host: "on-w1", text: "cut"},
+			return insertAll(h, platformEvent{atMs: 12_400, kind: eventFaultBegan, host: "on-w1", text: "cut"},
 				tenantRun(12_500, bStarted, "w1", 3), tenantRun(12_600, bStarted, "w1", 4))
 		},
 		"QUOTA while an end isn't listed": func(h []platformEvent) []platformEvent {
@@ -123,10 +123,10 @@
 				tenantRun(14_410, bStarted, "w1", 4), tenantRun(14_420, bStarted, "w1", 5))
 		},
 	}
-	for name, plant := range plants {
+	for name, inject := range injections {
 		t.Run(name, func(t *testing.T) {
 			rule, _, _ := strings.Cut(name, " ")
-			found := judgePlatform(plant(tenantHistory()), usualPlatformBounds)
+			found := checkPlatformHistory(inject(tenantHistory()), usualPlatformBounds)
 			must.SliceNotEmpty(t, found)
 			for _, b := range found {
 				must.Eq(t, rule, b.rule, must.Sprint(b))
@@ -136,9 +136,9 @@
 }
 
 // Histories that the rules on tenants allow have no breach.
-func TestPlatformJudgeTenantsPardoned(t *testing.T) {
+func TestPlatformCheckerAllowsTenantExceptions(t *testing.T) {
 	roomy, low, swapped := tenantSetup(amounts{1000, 1000}, "one"), tenantSetup(amounts{4, 10}, "one"), tenantSetup(amounts{10, 10}, "two")
-	pardons := map[string]func([]platformEvent) []platformEvent{
+	allowed := map[string]func([]platformEvent) []platformEvent{
 		"one task beyond the limit": func(h []platformEvent) []platformEvent {
 			return insertAll(h, tenantRun(12_500, bStarted, "w1", 3))
 		},
@@ -149,10 +149,10 @@
 			return insertAll(append(h, changeTo(swapped, 20_000, 20_100)[:1]...), callWith("one", 401, 30_000), callWith("two", 200, 30_000), callWith("one", 200, 30_000))
 		},
 		"a revoked key at a machine out of touch": func(h []platformEvent) []platformEvent {
-			return insertAll(append(h, changeTo(swapped, 20_000, 20_100)...), platformEvent{atMs: 22_000, kind: bTrouble, host: "e", text: "cut"}, callWith("one", 200, 24_000))
+			return insertAll(append(h, changeTo(swapped, 20_000, 20_100)...), platformEvent{atMs: 22_000, kind: eventFaultBegan, host: "e", text: "cut"}, callWith("one", 200, 24_000))
 		},
 		"any key at an open queue": func(h []platformEvent) []platformEvent {
-			h[2].setup.open = []string{"q"}
+			h[2].setup.openQueues = []string{"q"}
 			return insertAll(h, callWith("", 200, 14_000), callWith("guessed", 201, 14_000))
 		},
 		"401 for a key that nobody has": func(h []platformEvent) []platformEvent {
@@ -169,7 +169,7 @@
 			return insertAll(h, tenantRun(13_060, bStarted, "w2", 3), tenantRun(13_070, bStarted, "w2", 4))
 		},
 		"a start after a crash": func(h []platformEvent) []platformEvent {
-			return insertAll(h, platformEvent{atMs: 12_400, kind: bWorkerDown, worker: "w1", host: "on-w1"},
+			return insertAll(h, platformEvent{atMs: 12_400, kind: eventWorkerDown, worker: "w1", host: "on-w1"},
 				tenantRun(12_500, bStarted, "w2", 3), tenantRun(12_600, bStarted, "w2", 4))
 		},
 		"a start after a lapse": func(h []platformEvent) []platformEvent {
@@ -181,9 +181,9 @@
 			return insertAll(h, tenantRun(12_500, bStarted, "w1", 3), tenantRun(12_600, bStarted, "w1", 4), tenantRun(12_700, bStarted, "w1", 5))
 		},
 	}
-	for name, plant := range pardons {
+	for name, change := range allowed {
 		t.Run(name, func(t *testing.T) {
-			must.SliceEmpty(t, judgePlatform(plant(tenantHistory()), usualPlatformBounds))
+			must.SliceEmpty(t, checkPlatformHistory(change(tenantHistory()), usualPlatformBounds))
 		})
 	}
 }
--- a/internal/daemon/platformjudge_tenants_test.go
+++ b/internal/daemon/platformjudge_tenants_test.go
@@ -9,9 +9,9 @@
 	statusUnauthorized = 401
 )
 
-// surelyInForce returns the newest version that every connected machine must have applied
+// newestCertainVersion returns the newest version that every connected machine must have applied
 // at a time; 0 for none.
-func (j *platformJudge) surelyInForce(atMs int64) (version int64) {
+func (j *platformChecker) newestCertainVersion(atMs int64) (version int64) {
 	for _, s := range j.setups {
 		if s.ackedMs >= 0 && s.ackedMs+j.bounds.config < atMs {
 			version = max(version, s.version)
@@ -20,9 +20,9 @@
 	return version
 }
 
-// maybeInForce returns the configurations that may be in force on some machine between two times.
-func (j *platformJudge) maybeInForce(fromMs, toMs int64) (setups []*platformSetup) {
-	floor := j.surelyInForce(fromMs)
+// possiblyInForce returns the configurations that may be in force on some machine between two times.
+func (j *platformChecker) possiblyInForce(fromMs, toMs int64) (setups []*platformSetup) {
+	floor := j.newestCertainVersion(fromMs)
 	for _, s := range j.setups {
 		if s.version >= floor && !s.refused && !s.setup.invalid && s.sentMs <= toMs {
 			setups = append(setups, s.setup)
@@ -31,33 +31,33 @@
 	return setups
 }
 
-// called checks whether a call's status is possible for its key.
-func (j *platformJudge) called(e *platformEvent) {
+// checkCall checks whether a call's status is possible for its key.
+func (j *platformChecker) checkCall(e *platformEvent) {
 	success := e.n >= 200 && e.n < 300
 	if !success && e.n != statusUnauthorized {
 		return
 	}
 	if success && !j.everAdmitted(e) {
-		j.breach("ROUTE", e.atMs, "a call of %s at %s succeeded with key %q, which no version declared", e.job, e.host, e.key)
+		j.report("ROUTE", e.atMs, "a call of %s at %s succeeded with key %q, which no version declared", e.job, e.host, e.key)
 		return
 	}
-	if !j.inTouch(e.host, e.atMs) || j.surelyInForce(e.askedMs) == 0 {
+	if !j.connected(e.host, e.atMs) || j.newestCertainVersion(e.sentMs) == 0 {
 		return
 	}
-	for _, s := range j.maybeInForce(e.askedMs, e.atMs) {
+	for _, s := range j.possiblyInForce(e.sentMs, e.atMs) {
 		if s.admits(e.queue.name, e.key) == success {
 			return
 		}
 	}
 	if success {
-		j.breach("CONFIG", e.atMs, "a call of %s at %s succeeded with key %q, which only older versions declare", e.job, e.host, e.key)
+		j.report("CONFIG", e.atMs, "a call of %s at %s succeeded with key %q, which only older versions declare", e.job, e.host, e.key)
 	} else {
-		j.breach("CONFIG", e.atMs, "a call of %s at %s got 401 although key %q is valid", e.job, e.host, e.key)
+		j.report("CONFIG", e.atMs, "a call of %s at %s got 401 although key %q is valid", e.job, e.host, e.key)
 	}
 }
 
 // everAdmitted reports whether some version that was sent and not refused admits the call.
-func (j *platformJudge) everAdmitted(e *platformEvent) bool {
+func (j *platformChecker) everAdmitted(e *platformEvent) bool {
 	if len(j.setups) == 0 {
 		return true
 	}
@@ -71,7 +71,7 @@
 
 // startRunning counts a start against its tenant's limit. The start may exceed the highest limit
 // that may be in force by a tenth plus one task.
-func (j *platformJudge) startRunning(e *platformEvent, r *seenRun, what string) {
+func (j *platformChecker) startRunning(e *platformEvent, r *observedRun, what string) {
 	spec := j.jobs[e.job].spec
 	if spec.tenant == "" {
 		return
@@ -85,14 +85,14 @@
 	}
 	for d, most := range limit {
 		if most > 0 && r.room[d] > 0 && before[d]*100 > most*(100+quotaOverrunPercent) {
-			j.breach("QUOTA", e.atMs, "%s of tenant %s makes its use %v, its limit is %v", what, r.tenant, j.running[r.tenant], limit)
+			j.report("QUOTA", e.atMs, "%s of tenant %s makes its use %v, its limit is %v", what, r.tenant, j.running[r.tenant], limit)
 			return
 		}
 	}
 }
 
 // stopRunning stops counting runs against their tenants' limits.
-func (j *platformJudge) stopRunning(runs ...*seenRun) {
+func (j *platformChecker) stopRunning(runs ...*observedRun) {
 	for _, r := range runs {
 		if r.tenant != "" {
 			j.running[r.tenant] = j.running[r.tenant].plus(r.room, -1)
@@ -103,8 +103,8 @@
 
 // highestLimit returns the highest limit that a tenant may have at a time, per dimension, where 0
 // is no limit. known reports whether any version that may be in force declares the tenant.
-func (j *platformJudge) highestLimit(tenant string, atMs int64) (limit amounts, known bool) {
-	for _, s := range j.maybeInForce(atMs, atMs) {
+func (j *platformChecker) highestLimit(tenant string, atMs int64) (limit amounts, known bool) {
+	for _, s := range j.possiblyInForce(atMs, atMs) {
 		t := s.tenant(tenant)
 		if t == nil {
 			continue
--- a/internal/daemon/platformscenario_test.go
+++ b/internal/daemon/platformscenario_test.go
@@ -9,22 +9,22 @@
 	"github.com/shoenig/test/must"
 )
 
-// placePlatformNode sets a daemon's settings by its deployment.
-func placePlatformNode(p *nodeConfig, site platformDeployment, side bool) {
-	p.Colocated, p.MaxHoldMs, p.GangWaitMs = side, site.holdMaxMs, site.gangWaitMs
-	p.CoreSize = site.coreSize
-	p.SaveMs, p.RestoreMs, p.SpreadFactor = int64(site.saveMs), site.restoreMs, site.spread
+// configurePlatformNode sets a daemon's settings by its deployment.
+func configurePlatformNode(p *nodeConfig, deployment platformDeployment, hasWorker bool) {
+	p.Colocated, p.MaxHoldMs, p.GangWaitMs = hasWorker, deployment.holdMaxMs, deployment.gangWaitMs
+	p.CoreSize = deployment.coreSize
+	p.SaveMs, p.RestoreMs, p.SpreadFactor = int64(deployment.saveMs), deployment.restoreMs, deployment.spread
 }
 
-// eventOf returns a call as a daemon receives it.
-func eventOf(c platformCall) evRequest {
+// requestOf returns a call as a daemon receives it.
+func requestOf(c platformCall) evRequest {
 	return evRequest{Op: c.op, Key: c.key, Host: c.host, Path: c.path, Base: c.expect, Body: c.body, Credential: c.credential}
 }
 
 // formPlatform returns a world whose daemons have formed a cluster, with the usual
 // configuration applied and workers sending heartbeats, just before traffic begins.
-func formPlatform(t *testing.T, seed uint64, site string) *platformWorld {
-	b := newPlatformWorld(seed, site)
+func formPlatform(t *testing.T, seed uint64, deployment string) *platformWorld {
+	b := newPlatformWorld(seed, deployment)
 	b.keepLog = *dumpFlag != ""
 	b.watchReady()
 	must.True(t, b.until(20_000, func() bool { return b.holderOf("central") != nil }), must.Sprint("the cluster never formed"))
@@ -49,8 +49,8 @@
 }
 
 // holder returns the machine that holds a role, or else any edge machine.
-func (b *platformWorld) holder(duty string) string {
-	if n := b.holderOf(duty); n != nil {
+func (b *platformWorld) holder(role string) string {
+	if n := b.holderOf(role); n != nil {
 		return n.Name
 	}
 	return b.edges()[b.rng.IntN(b.deployment.edges)]
@@ -247,7 +247,7 @@
 		b.day(6000)
 		for i := range 12 {
 			j := b.draw(&b.deployment.kinds[i%3])
-			b.doom(j)
+			b.makeHopeless(j)
 			b.submit(j)
 			b.run(200)
 		}
@@ -295,8 +295,8 @@
 	"daemons stopped in turn": func(t *testing.T, b *platformWorld) {
 		b.day(4000)
 		for i := range 5 {
-			b.stopNicely(b.edges()[(i*2+1)%b.deployment.edges], 0)
-			b.stopNicely(b.spots[i*2], 0)
+			b.stopGracefully(b.edges()[(i*2+1)%b.deployment.edges], 0)
+			b.stopGracefully(b.spots[i*2], 0)
 			b.run(1300)
 		}
 		b.run(14_000)
@@ -476,22 +476,22 @@
 	return sortedKeys(platformDeployments)
 }
 
-// verdictOfPlatform reports the breaches of a run and logs what is needed to find their cause.
+// verdictOfPlatform reports the violations of a run and logs what is needed to find their cause.
 func verdictOfPlatform(t *testing.T, b *platformWorld) {
-	for i, x := range judgePlatform(b.events, b.deployment.bounds) {
+	for i, x := range checkPlatformHistory(b.events, b.deployment.bounds) {
 		if i < 8 {
 			t.Error(x)
 		}
 	}
 	t.Log(b.platformSummary())
-	if len(b.faults) > 0 {
-		t.Error("jobs were rejected as malformed: ", b.faults)
+	if len(b.badRequestBodies) > 0 {
+		t.Error("jobs were rejected as malformed: ", b.badRequestBodies)
 	}
 	if *dumpFlag == "" || !t.Failed() {
 		return
 	}
 	for _, e := range b.events {
-		if e.job == *dumpFlag || e.worker == *dumpFlag || *dumpFlag == "trouble" && (e.kind == bTrouble || e.kind == bCalm) {
+		if e.job == *dumpFlag || e.worker == *dumpFlag || *dumpFlag == "trouble" && (e.kind == eventFaultBegan || e.kind == eventFaultEnded) {
 			t.Log(e.atMs, e.kind, e.job, e.task, e.worker, e.host, "run", e.run, "n", e.n, e.text, e.saved)
 		}
 	}
@@ -510,16 +510,16 @@
 		from, count = *fromFlag, *seedsFlag
 	}
 	for turn, name := range sortedKeys(platformScenarios) {
-		sites := chosenDeployments()
+		deployments := chosenDeployments()
 		if *seedsFlag == 0 {
-			sites = sites[turn%2:][:1]
+			deployments = deployments[turn%2:][:1]
 		}
-		for _, site := range sites {
+		for _, deployment := range deployments {
 			for i := range count {
 				seed := from + uint64(i)
-				t.Run(fmt.Sprintf("%s/%s-%d", name, site, seed), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s/%s-%d", name, deployment, seed), func(t *testing.T) {
 					t.Parallel()
-					b := formPlatform(t, seed, site)
+					b := formPlatform(t, seed, deployment)
 					platformScenarios[name](t, b)
 					b.finish(120_000)
 					verdictOfPlatform(t, b)
--- a/internal/daemon/platformtenants_campaign_test.go
+++ b/internal/daemon/platformtenants_campaign_test.go
@@ -13,19 +13,19 @@
 // operator's changes of tenants, keys and limits, on top of the tenants' usual traffic. A day is
 // drawn from its number alone.
 
-// tenantOf draws the index of a tenant, half of the time a large one.
-func tenantOf(r *rand.Rand) int {
+// drawTenant draws the index of a tenant, half of the time a large one.
+func drawTenant(r *rand.Rand) int {
 	if r.IntN(2) == 0 {
 		return r.IntN(len(largeShares))
 	}
 	return r.IntN(sharedTenants)
 }
 
-// series repeats something at an interval.
-func (b *platformWorld) series(count int, gapMs int64, do func(i int)) {
+// repeat repeats something at an interval.
+func (b *platformWorld) repeat(count int, gapMs int64, do func(i int)) {
 	for i := range count {
 		b.after(int64(i)*gapMs*1000, func() {
-			if !b.closing {
+			if !b.noNewFaults {
 				do(i)
 			}
 		})
@@ -34,28 +34,28 @@
 
 // counterTargets choose the machine that a fault of a tenant's counting hits.
 var counterTargets = map[string]func(b *platformWorld, tenant string) string{
-	"counter": func(b *platformWorld, tenant string) string { return b.countingHost(tenant) },
+	"counter": func(b *platformWorld, tenant string) string { return b.counterHost(tenant) },
 	"owner":   func(b *platformWorld, _ string) string { return b.holder(b.someSlice()) },
 }
 
-var tenantTroubles = []troubleKind{
+var tenantFaults = []faultKind{
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
-		i, times, ms := tenantOf(r), choose(r, 3.0, 10), between(r, 3000, 9000)
+		i, times, ms := drawTenant(r), choose(r, 3.0, 10), between(r, 3000, 9000)
 		return fmt.Sprintf("tenant %d sends %.0f times its usual for %d ms", i, times, ms), func(b *platformWorld) {
-			b.hotTenant(b.tenants[i].name, times, ms)
+			b.raiseTenantLoad(b.tenants[i].name, times, ms)
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
-		i, count, gap := tenantOf(r), 1+r.IntN(6), between(r, 100, 1500)
+		i, count, gap := drawTenant(r), 1+r.IntN(6), between(r, 100, 1500)
 		return fmt.Sprintf("limit of tenant %d changes %d times each %d ms", i, count, gap), func(b *platformWorld) {
 			percents := []int64{50, 10, 100, 25, 150, 100}
-			b.series(count, gap, func(k int) { b.setLimit(b.tenants[i].name, percents[k]) })
+			b.repeat(count, gap, func(k int) { b.setLimit(b.tenants[i].name, percents[k]) })
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
-		i, count, gap := tenantOf(r), 1+r.IntN(4), between(r, 300, 2500)
+		i, count, gap := drawTenant(r), 1+r.IntN(4), between(r, 300, 2500)
 		return fmt.Sprintf("keys of tenant %d turn over %d times each %d ms", i, count, gap), func(b *platformWorld) {
-			b.series(2*count, gap, func(k int) {
+			b.repeat(2*count, gap, func(k int) {
 				if k%2 == 0 {
 					b.addKey(b.tenants[i].name)
 				} else {
@@ -65,18 +65,18 @@
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
-		i, count := tenantOf(r), 20+r.IntN(40)
+		i, count := drawTenant(r), 20+r.IntN(40)
 		return fmt.Sprintf("%d calls by old and unknown keys of tenant %d", count, i), func(b *platformWorld) {
-			b.series(count, 100, func(k int) {
+			b.repeat(count, 100, func(k int) {
 				keys := []string{"", "never-given", fmt.Sprintf("key-0-of-%s", b.tenants[i].name), b.tenants[i].keys[0]}
-				j := b.smallOf(b.tenants[i].name)
+				j := b.smallJobOf(b.tenants[i].name)
 				j.key = keys[k%len(keys)]
 				b.submit(j)
 			})
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
-		i, share := tenantOf(r), choose(r, 0.3, 1)
+		i, share := drawTenant(r), choose(r, 0.3, 1)
 		return fmt.Sprintf("%.1f of tenant %d's jobs cancelled", share, i), func(b *platformWorld) {
 			for _, o := range b.open() {
 				if j := b.jobs[o[:16]]; j.tenant == b.tenants[i].name && !j.lasting() && b.share(share) {
@@ -86,30 +86,30 @@
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
-		i, target, how, ms := tenantOf(r), choose(r, "counter", "counter", "owner"), choose(r, "killed", "power", "frozen", "cut"), between(r, 1000, 8000)
+		i, target, how, ms := drawTenant(r), choose(r, "counter", "counter", "owner"), choose(r, "killed", "power", "frozen", "cut"), between(r, 1000, 8000)
 		return fmt.Sprintf("%s of tenant %d %s for %d ms", target, i, how, ms), func(b *platformWorld) {
 			pick := func() []string { return []string{counterTargets[target](b, b.tenants[i].name)} }
-			b.whenAllowed(pick, func(hosts []string) { b.strikeHost(hosts[0], how, ms) })
+			b.whenLossAllowed(pick, func(hosts []string) { b.failHost(hosts[0], how, ms) })
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
-		i, gap, ms := tenantOf(r), between(r, 200, 4000), between(r, 2000, 6000)
+		i, gap, ms := drawTenant(r), between(r, 200, 4000), between(r, 2000, 6000)
 		return fmt.Sprintf("counter of tenant %d lost, its successor %d ms later, for %d ms", i, gap, ms), func(b *platformWorld) {
-			pick := func() []string { return []string{b.countingHost(b.tenants[i].name)} }
-			b.whenAllowed(pick, func(hosts []string) {
-				b.strikeHost(hosts[0], "killed", ms)
-				b.after(gap*1000, func() { b.whenAllowed(pick, func(next []string) { b.strikeHost(next[0], "power", ms) }) })
+			pick := func() []string { return []string{b.counterHost(b.tenants[i].name)} }
+			b.whenLossAllowed(pick, func(hosts []string) {
+				b.failHost(hosts[0], "killed", ms)
+				b.after(gap*1000, func() { b.whenLossAllowed(pick, func(next []string) { b.failHost(next[0], "power", ms) }) })
 			})
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		share, loss, ms := choose(r, 0.2, 0.6), choose(r, 0.03, 0.15), between(r, 2000, 8000)
 		return fmt.Sprintf("links of %.1f lose %.2f for %d ms", share, loss, ms), func(b *platformWorld) {
-			b.lossyLinks(b.shareOf(share), loss, ms)
+			b.lossyLinks(b.drawHosts(share), loss, ms)
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
-		i, width := tenantOf(r), 2+r.IntN(5)
+		i, width := drawTenant(r), 2+r.IntN(5)
 		return fmt.Sprintf("gangs of %d of tenant %d, of which its limit holds two", width, i), func(b *platformWorld) {
 			limit := b.usualLimit(b.tenants[i].name)
 			for range 4 {
@@ -125,15 +125,15 @@
 	},
 }
 
-// smallOf makes a small urgent job of a tenant.
-func (b *platformWorld) smallOf(tenant string) *platformJob {
+// smallJobOf makes a small urgent job of a tenant.
+func (b *platformWorld) smallJobOf(tenant string) *platformJob {
 	b.onlyTenant = tenant
 	defer func() { b.onlyTenant = "" }()
 	return b.simple(2, 1, amounts{b.deployment.capacity[0] / 64, b.deployment.capacity[1] / 64}, 300)
 }
 
-// strikeHost stops, freezes or cuts off one machine for a while.
-func (b *platformWorld) strikeHost(host, how string, ms int64) {
+// failHost stops, freezes or cuts off one machine for a while.
+func (b *platformWorld) failHost(host, how string, ms int64) {
 	switch how {
 	case "killed", "power":
 		b.powerOf([]string{host}, how == "power", ms)
@@ -145,23 +145,23 @@
 }
 
 // tenantDay draws a day on a shared deployment; half of its faults concern tenants.
-func tenantDay(number uint64) *badDay {
+func tenantDay(number uint64) *randomDay {
 	r := rand.New(rand.NewPCG(number, 37))
 	deployments := sortedKeys(sharedDeployments)
-	d := &badDay{number: number, site: deployments[number%uint64(len(deployments))]}
-	others := [][]troubleKind{controlTroubles, lossTroubles, changeTroubles, networkTroubles}
+	d := &randomDay{number: number, deployment: deployments[number%uint64(len(deployments))]}
+	others := [][]faultKind{controlFaults, lossFaults, changeFaults, networkFaults}
 	for i := range 8 + r.IntN(5) {
-		kinds := tenantTroubles
+		kinds := tenantFaults
 		if i%2 == 1 {
 			kinds = choose(r, others...)
 		}
 		kind := choose(r, kinds...)
-		t := dayTrouble{atMs: between(r, 1000, trafficMs-2000)}
+		t := dayFault{atMs: between(r, 1000, trafficMs-2000)}
 		t.text, t.play = kind(r)
-		d.troubles = append(d.troubles, t)
+		d.faults = append(d.faults, t)
 	}
-	slices.SortStableFunc(d.troubles, func(a, b dayTrouble) int { return int(a.atMs - b.atMs) })
-	d.closing, d.downMs = choose(r, sortedKeys(closings)...), between(r, 800, 2000)
+	slices.SortStableFunc(d.faults, func(a, b dayFault) int { return int(a.atMs - b.atMs) })
+	d.finalLoss, d.downMs = choose(r, sortedKeys(finalLosses)...), between(r, 800, 2000)
 	return d
 }
 
--- a/internal/daemon/platformtenants_scenario_test.go
+++ b/internal/daemon/platformtenants_scenario_test.go
@@ -18,16 +18,16 @@
 	why string
 }
 
-// urgentOf submits a small urgent job of a tenant.
-func (b *platformWorld) urgentOf(tenant, why string) {
-	b.urgentChecks = append(b.urgentChecks, urgentCheck{b.submit(b.smallOf(tenant)), why})
+// submitUrgent submits a small urgent job of a tenant.
+func (b *platformWorld) submitUrgent(tenant, why string) {
+	b.urgentChecks = append(b.urgentChecks, urgentCheck{b.submit(b.smallJobOf(tenant)), why})
 }
 
-// urgentOfAll submits one job for each tenant except some.
-func (b *platformWorld) urgentOfAll(why string, but ...string) {
+// submitUrgentOfAll submits one job for each tenant except some.
+func (b *platformWorld) submitUrgentOfAll(why string, except ...string) {
 	for _, t := range b.tenants {
-		if !slices.Contains(but, t.name) {
-			b.urgentOf(t.name, why)
+		if !slices.Contains(except, t.name) {
+			b.submitUrgent(t.name, why)
 		}
 	}
 }
@@ -55,11 +55,11 @@
 	t.Logf("%d urgent jobs, the slowest started after %d ms", len(b.urgentChecks), latest)
 }
 
-// largest returns the tenant with the largest load.
-func (b *platformWorld) largest() string { return b.tenants[0].name }
+// largestTenant returns the tenant with the largest load.
+func (b *platformWorld) largestTenant() string { return b.tenants[0].name }
 
-// smallest returns a tenant with a small load.
-func (b *platformWorld) smallest() string { return b.tenants[len(largeShares)].name }
+// smallTenant returns a tenant with a small load.
+func (b *platformWorld) smallTenant() string { return b.tenants[len(largeShares)].name }
 
 // successorOf returns the machine that takes over a tenant's counter from the former one.
 func (b *platformWorld) successorOf(t *testing.T, tenant, former string) string {
@@ -74,115 +74,115 @@
 	// Guards against counting that delays jobs without any fault.
 	"calm": func(_ *testing.T, b *platformWorld) {
 		b.day(8000)
-		b.urgentOfAll("on a calm day")
+		b.submitUrgentOfAll("on a calm day")
 		b.run(8000)
 	},
 	// Guards against a limit that is unusable, or granted twice, when its counter fails.
 	"counter killed": func(_ *testing.T, b *platformWorld) {
-		b.hotTenant(b.largest(), 4, 20_000)
+		b.raiseTenantLoad(b.largestTenant(), 4, 20_000)
 		b.day(8000)
-		b.after(3_500_000, b.kill(b.countingHost(b.largest()), false))
+		b.after(3_500_000, b.kill(b.counterHost(b.largestTenant()), false))
 		b.run(500)
-		b.urgentOfAll("the counter was killed", b.largest())
+		b.submitUrgentOfAll("the counter was killed", b.largestTenant())
 		b.run(8000)
-		b.urgentOfAll("another one counts", b.largest())
+		b.submitUrgentOfAll("another one counts", b.largestTenant())
 		b.run(5000)
 	},
 	// Guards against a counter that resumes after a freeze and grants by stale state.
 	"counter frozen": func(_ *testing.T, b *platformWorld) {
-		b.hotTenant(b.largest(), 4, 20_000)
+		b.raiseTenantLoad(b.largestTenant(), 4, 20_000)
 		b.day(8000)
-		b.freeze(b.countingHost(b.largest()), 5000)
+		b.freeze(b.counterHost(b.largestTenant()), 5000)
 		b.run(500)
-		b.urgentOfAll("the counter is frozen", b.largest())
+		b.submitUrgentOfAll("the counter is frozen", b.largestTenant())
 		b.run(9000)
-		b.freeze(b.countingHost(b.largest()), 1500)
+		b.freeze(b.counterHost(b.largestTenant()), 1500)
 		b.run(9000)
 	},
 	// Guards against two counters that grant the same share on both sides of a cut.
 	"counter cut off": func(_ *testing.T, b *platformWorld) {
 		b.day(8000)
-		heal := b.cut(b.countingHost(b.largest()))
-		b.hotTenant(b.largest(), 3, 7000)
+		heal := b.cut(b.counterHost(b.largestTenant()))
+		b.raiseTenantLoad(b.largestTenant(), 3, 7000)
 		b.run(500)
-		b.urgentOfAll("the counter is cut off", b.largest())
+		b.submitUrgentOfAll("the counter is cut off", b.largestTenant())
 		b.run(7000)
 		heal()
 		b.run(8000)
 	},
 	// Guards against a counter that restores stale counts from its disk.
 	"counter without power": func(_ *testing.T, b *platformWorld) {
-		b.hotTenant(b.largest(), 4, 16_000)
+		b.raiseTenantLoad(b.largestTenant(), 4, 16_000)
 		b.day(8000)
-		b.after(3_000_000, b.kill(b.countingHost(b.largest()), true))
+		b.after(3_000_000, b.kill(b.counterHost(b.largestTenant()), true))
 		b.run(500)
-		b.urgentOfAll("the counter lost its power", b.largest())
+		b.submitUrgentOfAll("the counter lost its power", b.largestTenant())
 		b.run(10_000)
 	},
 	// Guards against a second takeover that grants shares before the first counter's grants are known.
 	"counter and its successor": func(t *testing.T, b *platformWorld) {
 		b.day(8000)
-		b.hotTenant(b.largest(), 3, 12_000)
-		former := b.countingHost(b.largest())
+		b.raiseTenantLoad(b.largestTenant(), 3, 12_000)
+		former := b.counterHost(b.largestTenant())
 		b.after(6_000_000, b.kill(former, false))
-		b.after(3_500_000, b.kill(b.successorOf(t, b.largest(), former), true))
+		b.after(3_500_000, b.kill(b.successorOf(t, b.largestTenant(), former), true))
 		b.run(12_000)
-		b.urgentOfAll("after both", b.largest())
+		b.submitUrgentOfAll("after both", b.largestTenant())
 		b.run(6000)
 	},
 	// Guards against shares that are lost with a shard's owner, or that it and the next owner both use.
 	"owners killed while they hold shares": func(_ *testing.T, b *platformWorld) {
-		b.hotTenant(b.largest(), 3, 16_000)
+		b.raiseTenantLoad(b.largestTenant(), 3, 16_000)
 		b.day(8000)
 		b.after(3_500_000, b.kill(b.holder(b.someSlice()), false))
 		b.run(3000)
 		b.after(2_500_000, b.kill(b.holder(b.someSlice()), true))
 		b.run(7000)
-		b.urgentOfAll("after owners were killed", b.largest())
+		b.submitUrgentOfAll("after owners were killed", b.largestTenant())
 		b.run(6000)
 	},
 	// Guards against a zone that keeps using shares which were granted again outside it.
 	"zone cut with load on both sides": func(_ *testing.T, b *platformWorld) {
 		b.day(8000)
-		b.hotTenant(b.largest(), 3, 14_000)
-		zone := b.nodes[b.countingHost(b.largest())].Zone
+		b.raiseTenantLoad(b.largestTenant(), 3, 14_000)
+		zone := b.nodes[b.counterHost(b.largestTenant())].Zone
 		heal := b.cutZone(zone)
 		b.run(15_000)
 		heal()
 		b.run(8000)
-		b.urgentOfAll("the zone is back")
+		b.submitUrgentOfAll("the zone is back")
 		b.run(5000)
 	},
 	// Guards against starts whose use of a share isn't durable yet when another owner takes over.
 	"disks stalled": func(_ *testing.T, b *platformWorld) {
-		b.hotTenant(b.largest(), 3, 14_000)
+		b.raiseTenantLoad(b.largestTenant(), 3, 14_000)
 		b.day(6000)
-		b.diskStall(b.diskOr(b.countingHost(b.largest())), 4000)
+		b.diskStall(b.diskHostOr(b.counterHost(b.largestTenant())), 4000)
 		b.run(1500)
 		b.diskStall(b.some(b.diskHosts), 3000)
 		b.run(9000)
-		b.urgentOfAll("the disks work again", b.largest())
+		b.submitUrgentOfAll("the disks work again", b.largestTenant())
 		b.run(6000)
 	},
 	// Guards against reports and grants that are applied late, twice or out of order.
 	"links lose packets": func(_ *testing.T, b *platformWorld) {
-		b.hotTenant(b.largest(), 3, 14_000)
+		b.raiseTenantLoad(b.largestTenant(), 3, 14_000)
 		b.day(6000)
 		b.lossyLinks(b.shuffled(sortedKeys(b.nodes))[:len(b.nodes)/2], 0.08, 8000)
 		b.run(10_000)
-		b.urgentOfAll("the links are sound again", b.largest())
+		b.submitUrgentOfAll("the links are sound again", b.largestTenant())
 		b.run(6000)
 	},
 	// Guards against a machine that accepts a key after it was revoked.
 	"key revoked under open traffic": func(_ *testing.T, b *platformWorld) {
 		b.day(5000)
-		for _, tenant := range []string{b.largest(), b.smallest()} {
+		for _, tenant := range []string{b.largestTenant(), b.smallTenant()} {
 			old := b.newestKey(tenant)
 			b.addKey(tenant)
 			b.run(3000)
 			b.revokeKey(tenant)
 			b.each(40, 150, func() { // some callers don't have the new key yet
-				j := b.smallOf(tenant)
+				j := b.smallJobOf(tenant)
 				j.key = old
 				b.submit(j)
 			})
@@ -190,7 +190,7 @@
 			b.after(1_500_000, b.cut(b.some(b.edges())))
 			b.run(5000)
 		}
-		b.urgentOfAll("keys were revoked")
+		b.submitUrgentOfAll("keys were revoked")
 		b.run(6000)
 	},
 	// Guards against accepting a key that no tenant was ever given, and against rejecting one whose
@@ -200,58 +200,58 @@
 		for i := range 6 {
 			b.addKey(b.tenants[i].name)
 			for _, key := range []string{"", "never-given", b.tenants[i].keys[0]} {
-				j := b.smallOf(b.tenants[i].name)
+				j := b.smallJobOf(b.tenants[i].name)
 				j.key = key
 				b.submit(j)
 			}
 			b.run(700)
 		}
-		b.urgentOfAll("keys are new")
+		b.submitUrgentOfAll("keys are new")
 		b.run(6000)
 	},
 	// Guards against a tenant with ten times its usual load that exceeds its limit or starves the others.
 	"hot tenant": func(_ *testing.T, b *platformWorld) {
 		b.day(5000)
-		b.hotTenant(b.largest(), 10, 8000)
+		b.raiseTenantLoad(b.largestTenant(), 10, 8000)
 		b.run(4000)
-		b.urgentOfAll("a tenant is hot", b.largest())
+		b.submitUrgentOfAll("a tenant is hot", b.largestTenant())
 		b.run(12_000)
 	},
 	// Guards against shares that cancelled jobs keep.
 	"many jobs are cancelled": func(_ *testing.T, b *platformWorld) {
 		b.day(5000)
-		b.hotTenant(b.largest(), 6, 6000)
+		b.raiseTenantLoad(b.largestTenant(), 6, 6000)
 		for range 3 {
 			b.run(3000)
 			for _, o := range b.open() {
-				if j := b.jobs[o[:16]]; j.tenant == b.largest() && !j.lasting() && b.share(0.8) {
+				if j := b.jobs[o[:16]]; j.tenant == b.largestTenant() && !j.lasting() && b.share(0.8) {
 					b.cancel(j)
 				}
 			}
 		}
 		b.run(5000)
-		b.urgentOfAll("many jobs were cancelled")
+		b.submitUrgentOfAll("many jobs were cancelled")
 		b.run(6000)
 	},
 	// Guards against starts by a limit that a newer configuration has lowered.
 	"limits lowered under load": func(_ *testing.T, b *platformWorld) {
-		b.hotTenant(b.largest(), 3, 18_000)
+		b.raiseTenantLoad(b.largestTenant(), 3, 18_000)
 		b.day(8000)
-		b.setLimit(b.largest(), 50)
+		b.setLimit(b.largestTenant(), 50)
 		b.run(5000)
-		b.setLimit(b.largest(), 10) // far below what runs
+		b.setLimit(b.largestTenant(), 10) // far below what runs
 		b.run(3000)
-		b.urgentOfAll("a limit is low", b.largest())
-		b.after(3_500_000, b.kill(b.countingHost(b.largest()), false))
+		b.submitUrgentOfAll("a limit is low", b.largestTenant())
+		b.after(3_500_000, b.kill(b.counterHost(b.largestTenant()), false))
 		b.run(6000)
 		b.restoreLimits()
 		b.run(6000)
-		b.urgentOfAll("limits are as usual", b.largest())
+		b.submitUrgentOfAll("limits are as usual", b.largestTenant())
 		b.run(5000)
 	},
 	// Guards against tasks that wait at full workers and start there by the limit at their placement.
 	"limit lowered while tasks wait at workers": func(_ *testing.T, b *platformWorld) {
-		tenant, room := b.largest(), amounts{b.deployment.capacity[0] / 5, b.deployment.capacity[1] / 5}
+		tenant, room := b.largestTenant(), amounts{b.deployment.capacity[0] / 5, b.deployment.capacity[1] / 5}
 		b.setLimit(tenant, 1000)
 		b.run(3000)
 		b.onlyTenant = tenant
@@ -269,7 +269,7 @@
 	},
 	// Guards against a restarted cluster that grants shares before all owners have reported what runs.
 	"all daemons killed, workers run on": func(_ *testing.T, b *platformWorld) {
-		b.hotTenant(b.largest(), 3, 18_000)
+		b.raiseTenantLoad(b.largestTenant(), 3, 18_000)
 		b.day(8000)
 		var undo []func()
 		for _, host := range sortedKeys(b.nodes) {
@@ -278,13 +278,13 @@
 		b.run(1400)
 		allOf(undo)()
 		b.run(12_000)
-		b.urgentOfAll("all daemons were killed", b.largest())
+		b.submitUrgentOfAll("all daemons were killed", b.largestTenant())
 		b.run(6000)
 	},
 	// Guards against a deadlock of gangs that each hold a part of the limit.
 	"gangs of which the limit holds two": func(t *testing.T, b *platformWorld) {
 		b.day(4000)
-		tenant, limit := b.largest(), b.usualLimit(b.largest())
+		tenant, limit := b.largestTenant(), b.usualLimit(b.largestTenant())
 		var gangs []*platformJob
 		for range 5 {
 			b.onlyTenant = tenant
@@ -295,9 +295,9 @@
 			b.run(150)
 		}
 		b.run(3000)
-		b.after(3_000_000, b.kill(b.countingHost(tenant), false))
+		b.after(3_000_000, b.kill(b.counterHost(tenant), false))
 		b.run(7000)
-		b.urgentOfAll("gangs wait", tenant)
+		b.submitUrgentOfAll("gangs wait", tenant)
 		must.True(t, b.until(60_000, func() bool {
 			return !slices.ContainsFunc(gangs, func(j *platformJob) bool { return len(j.okTasks) == 0 })
 		}), must.Sprint("a gang never ran"))
--- a/internal/daemon/platformtenants_test.go
+++ b/internal/daemon/platformtenants_test.go
@@ -127,13 +127,13 @@
 
 // admits reports whether calls of a queue with a key are admitted.
 func (s *platformSetup) admits(queue, key string) bool {
-	return s.tenants == nil || slices.Contains(s.open, queue) || s.holdsKey(key)
+	return s.tenants == nil || slices.Contains(s.openQueues, queue) || s.holdsKey(key)
 }
 
 // assignTenant draws the job's tenant by weight.
 func (b *platformWorld) assignTenant(j *platformJob) {
 	if b.onlyTenant != "" {
-		b.sendAs(j, b.onlyTenant)
+		b.assignTo(j, b.onlyTenant)
 		return
 	}
 	sum := 0.0
@@ -148,11 +148,11 @@
 		at -= b.tenants[i].weight
 		i++
 	}
-	b.sendAs(j, b.tenants[i].name)
+	b.assignTo(j, b.tenants[i].name)
 }
 
-// sendAs assigns a job to a tenant, with the tenant's newest key.
-func (b *platformWorld) sendAs(j *platformJob, tenant string) *platformJob {
+// assignTo assigns a job to a tenant, with the tenant's newest key.
+func (b *platformWorld) assignTo(j *platformJob, tenant string) *platformJob {
 	j.tenant, j.key = tenant, b.newestKey(tenant)
 	return j
 }
@@ -173,8 +173,8 @@
 	return amounts{}
 }
 
-// fitTenant shrinks a drawn step so that it fits twice into its tenant's limit.
-func (b *platformWorld) fitTenant(j *platformJob, s *platformStep) {
+// fitTenantLimit shrinks a drawn step so that it fits twice into its tenant's limit.
+func (b *platformWorld) fitTenantLimit(j *platformJob, s *platformStep) {
 	limit := b.usualLimit(j.tenant)
 	for d, most := range limit {
 		if most > 0 {
@@ -198,7 +198,7 @@
 	call := platformCall{op: op, host: j.queue.host, path: j.queue.prefix + j.id, body: body, credential: key}
 	b.call("caller", to, call, b.deployment.callerMs, func(status int, retryMs int64, answer []byte) {
 		if b.tenants != nil {
-			b.see(platformEvent{kind: bCalled, job: j.id, host: to.Name, queue: j.queue, key: key, n: int64(status), askedMs: sentMs})
+			b.see(platformEvent{kind: eventCallAnswered, job: j.id, host: to.Name, queue: j.queue, key: key, n: int64(status), sentMs: sentMs})
 		}
 		if status == 401 {
 			j.key = b.newestKey(j.tenant)
@@ -235,8 +235,8 @@
 	return half
 }
 
-// countingHost returns the machine that holds a tenant's counter.
-func (b *platformWorld) countingHost(tenant string) string {
+// counterHost returns the machine that holds a tenant's counter.
+func (b *platformWorld) counterHost(tenant string) string {
 	return b.holder("slice/" + b.countingShard(tenant))
 }
 
@@ -264,9 +264,9 @@
 
 // addKey gives a tenant a new key, which its callers use from now on.
 func (b *platformWorld) addKey(tenant string) {
-	b.keysMade++
+	b.createdKeys++
 	b.editTenant(tenant, func(t *platformTenant) {
-		t.keys = append(t.keys, fmt.Sprintf("key-%d-of-%s", b.keysMade, tenant))
+		t.keys = append(t.keys, fmt.Sprintf("key-%d-of-%s", b.createdKeys, tenant))
 	})
 }
 
@@ -297,8 +297,8 @@
 	b.change(nil)
 }
 
-// hotTenant lets a tenant submit a multiple of its usual load for a while.
-func (b *platformWorld) hotTenant(tenant string, times float64, ms int64) {
+// raiseTenantLoad lets a tenant submit a multiple of its usual load for a while.
+func (b *platformWorld) raiseTenantLoad(tenant string, times float64, ms int64) {
 	end := b.nowMs() + ms
 	perSec := (times - 1) * tenantNamed(b.tenants, tenant).weight / limitTimesMean
 	var next, one func()
--- a/internal/daemon/platformunit_test.go
+++ b/internal/daemon/platformunit_test.go
@@ -14,7 +14,7 @@
 
 // A queue's defaults must apply to tasks in all rounds, also after another owner has
 // decoded the job from its record.
-func TestQueueDefaultsOutliveTheRecord(t *testing.T) {
+func TestQueueDefaultsSurviveEncoding(t *testing.T) {
 	set, faults := configuration.Compile(1, []byte(`{"queues":[{"name":"q","default_failures":3,"default_limit_ms":7000}]}`))
 	must.SliceEmpty(t, faults)
 	for _, rounds := range []string{"", `,"rounds":3,"first_ms":1000,"period_ms":1000`} {
@@ -57,7 +57,7 @@
 
 // A gang must not be placed in part when one of its workers has become unavailable
 // before the allocation arrives.
-func TestGangGrantIsWhole(t *testing.T) {
+func TestGangAllocationIsAllOrNothing(t *testing.T) {
 	for gone := range 3 {
 		n := newNode(nodeConfig{Name: "d0"}, nil)
 		n.now = 100_000
@@ -93,12 +93,12 @@
 func TestReplacedWorkerRejectsPlaces(t *testing.T) {
 	n := newNode(nodeConfig{Name: "d0", Incarnation: 7}, nil)
 	n.now = 100_000
-	beat := func(id string) {
+	heartbeat := func(id string) {
 		n.now += 50
 		n.handleHeartbeat(&request{key: id, body: []byte(`{"seq":1,"site":"east","capacity":{"cpu":4},"running":[],"ended":[]}`)})
 	}
-	beat("w1")
-	beat("w2")
+	heartbeat("w1")
+	heartbeat("w2")
 	must.True(t, n.agents["w1"].replaced)
 	key := wire.AttemptKey{Job: "j", Task: uniformTaskID(0, 0, 1), Attempt: 1}
 	n.onPlacement("d1", &wire.Placement{Worker: "w1", AgentEpoch: 7, ShardEpoch: 1, AgentClockMs: n.now, Spec: wire.TaskSpec{Key: key, Shard: "s", Resources: resource.Amount{CPU: 1}}})
--- a/internal/daemon/platformworld_callers_test.go
+++ b/internal/daemon/platformworld_callers_test.go
@@ -16,12 +16,12 @@
 }
 
 func (b *platformWorld) call(from string, to *simNode, c platformCall, waitMs int64, cb func(status int, retryMs int64, body []byte)) {
-	b.world.call(from, to, eventOf(c), waitMs, cb)
+	b.world.call(from, to, requestOf(c), waitMs, cb)
 }
 
 // watchReady checks the readiness of each edge daemon every second.
 func (b *platformWorld) watchReady() {
-	b.in = map[string]int{}
+	b.missedReadiness = map[string]int{}
 	for i, host := range b.edges() {
 		b.after(int64(i)*90_000, func() { b.checkReady(host) })
 	}
@@ -33,8 +33,8 @@
 		return
 	}
 	b.call("caller", n, platformCall{op: "ready"}, 1000, func(status int, _ int64, _ []byte) {
-		if b.in[host]++; status == 200 {
-			b.in[host] = 0
+		if b.missedReadiness[host]++; status == 200 {
+			b.missedReadiness[host] = 0
 		}
 	})
 	b.after(1_000_000, func() { b.checkReady(host) })
@@ -44,7 +44,7 @@
 func (b *platformWorld) edge() *simNode {
 	var in []string
 	for _, host := range b.edges() {
-		if b.in[host] < 2 {
+		if b.missedReadiness[host] < 2 {
 			in = append(in, host)
 		}
 	}
@@ -65,7 +65,7 @@
 	}
 	j.sentMs, j.okTasks, j.lastOKMs = b.nowMs(), map[taskName]int64{}, map[int]int64{}
 	b.jobs[j.id] = j
-	b.see(platformEvent{kind: bJobSent, job: j.id, spec: j, queue: j.queue})
+	b.see(platformEvent{kind: eventJobSent, job: j.id, spec: j, queue: j.queue})
 	b.send(j)
 	return j
 }
@@ -74,16 +74,16 @@
 	j.tries++
 	asked, to := b.nowMs(), b.edge()
 	b.callOfJob(to, "queue.submit", j, j.body(), func(status int, retryMs int64, body []byte) {
-		b.answers[fmt.Sprint("submit ", status)]++
-		b.see(platformEvent{kind: bJobTried, job: j.id, host: to.Name, n: int64(status), askedMs: asked})
+		b.responseCounts[fmt.Sprint("submit ", status)]++
+		b.see(platformEvent{kind: bJobTried, job: j.id, host: to.Name, n: int64(status), sentMs: asked})
 		switch {
 		case status >= 200 && status < 300:
 			j.acked = true
 			b.after(600_000+b.rng.Int64N(600_000), func() { b.poll(j) })
 		case status == 404 || status == 400 || status == 409 || status == 401 || j.tries >= b.deployment.tries:
 			j.gaveUp = true
-			if status == 400 && len(b.faults) < 5 {
-				b.faults = append(b.faults, string(body))
+			if status == 400 && len(b.badRequestBodies) < 5 {
+				b.badRequestBodies = append(b.badRequestBodies, string(body))
 			}
 		default:
 			b.after(max(retryMs, b.deployment.againMs)*1000, func() { b.send(j) })
@@ -103,7 +103,7 @@
 func (b *platformWorld) look(j *platformJob) {
 	asked, to := b.nowMs(), b.edge()
 	b.callOfJob(to, "queue.state", j, nil, func(status int, _ int64, body []byte) {
-		b.answers[fmt.Sprint("state ", status)]++
+		b.responseCounts[fmt.Sprint("state ", status)]++
 		state := ""
 		switch status {
 		case 200:
@@ -114,15 +114,15 @@
 		if state == "" {
 			return
 		}
-		b.see(platformEvent{kind: bJobShown, job: j.id, host: to.Name, text: state, askedMs: asked})
+		b.see(platformEvent{kind: eventStateShown, job: j.id, host: to.Name, text: state, sentMs: asked})
 		if j.final() {
 			return
 		}
 		j.state = state
 		if j.final() {
 			j.endMs = b.nowMs()
-		} else if len(j.okTasks) == j.units() && !j.hurried {
-			j.hurried = true
+		} else if len(j.okTasks) == j.requiredSuccesses() && !j.finalReadSent {
+			j.finalReadSent = true
 			b.after(150_000, func() { b.look(j) })
 		}
 	})
@@ -132,13 +132,13 @@
 	if j.final() {
 		return
 	}
-	b.see(platformEvent{kind: bCancelSent, job: j.id})
+	b.see(platformEvent{kind: eventCancelSent, job: j.id})
 	b.callOfJob(b.edge(), "queue.cancel", j, nil, func(status int, retryMs int64, _ []byte) {
-		b.answers[fmt.Sprint("cancel ", status)]++
+		b.responseCounts[fmt.Sprint("cancel ", status)]++
 		switch status {
 		case 200:
 			j.cancelled = true
-			b.see(platformEvent{kind: bCancelAcked, job: j.id})
+			b.see(platformEvent{kind: eventCancelAcked, job: j.id})
 		case 404, 409, 410:
 		default:
 			b.after(max(retryMs, b.deployment.againMs)*1000, func() { b.cancel(j) })
@@ -161,11 +161,11 @@
 
 // putSetupAt is putSetup whose first tries go to one machine.
 func (b *platformWorld) putSetupAt(host string, tries int, s *platformSetup, version, base int64, done func(status int)) {
-	b.see(platformEvent{kind: bSetupSent, n: version, base: base, setup: s})
+	b.see(platformEvent{kind: eventSetupSent, n: version, base: base, setup: s})
 	o := &sentSetup{setup: s, version: version, base: base, body: s.body()}
 	b.sentSetups[string(o.body)] = o
-	b.setupsSent = append(b.setupsSent, o)
-	b.underWay++
+	b.sentSetupList = append(b.sentSetupList, o)
+	b.openChanges++
 	var try func()
 	try = func() {
 		to := b.edge()
@@ -177,7 +177,7 @@
 				b.after(max(retryMs, 100)*1000, try)
 				return
 			}
-			b.underWay--
+			b.openChanges--
 			if done != nil {
 				done(status)
 			}
@@ -189,33 +189,33 @@
 // sendSetup sends a change once, to one machine.
 func (b *platformWorld) sendSetup(o *sentSetup, to *simNode, done func(status int, retryMs int64)) {
 	b.call("operator", to, platformCall{op: "setup.put", key: fmt.Sprint(o.version), expect: o.base, body: o.body}, 1000, func(status int, retryMs int64, _ []byte) {
-		b.answers[fmt.Sprint("setup ", status)]++
+		b.responseCounts[fmt.Sprint("setup ", status)]++
 		switch status {
 		case 200:
 			o.acked = true
-			b.see(platformEvent{kind: bSetupAcked, n: o.version, base: o.base, setup: o.setup})
+			b.see(platformEvent{kind: eventSetupAcked, n: o.version, base: o.base, setup: o.setup})
 			if o.version > b.version {
 				b.version, b.setup = o.version, o.setup
 			}
 		case 400, 409:
-			b.see(platformEvent{kind: bSetupRefused, n: o.version, base: o.base, setup: o.setup})
+			b.see(platformEvent{kind: eventSetupRefused, n: o.version, base: o.base, setup: o.setup})
 		}
 		done(status, retryMs)
 	})
 }
 
-// noteTaken records what a daemon acknowledges, whether the response arrives or not.
-func (b *platformWorld) noteTaken(a sentAnswer) (over bool) {
+// recordAcceptance records what a daemon acknowledges, whether the response arrives or not.
+func (b *platformWorld) recordAcceptance(a sentAnswer) (over bool) {
 	if !a.accepted() {
 		return false
 	}
 	switch a.call.Op {
 	case "setup.put":
 		if o := b.sentSetups[string(a.call.Body)]; o != nil {
-			b.see(platformEvent{kind: bSetupTaken, n: o.version, base: o.base, setup: o.setup, host: a.from.Name})
+			b.see(platformEvent{kind: eventSetupAccepted, n: o.version, base: o.base, setup: o.setup, host: a.from.Name})
 		}
 	case "queue.submit":
-		b.see(platformEvent{kind: bJobTaken, job: a.call.Path[strings.LastIndex(a.call.Path, "/")+1:], host: a.from.Name})
+		b.see(platformEvent{kind: eventJobAccepted, job: a.call.Path[strings.LastIndex(a.call.Path, "/")+1:], host: a.from.Name})
 	}
 	return false
 }
@@ -239,24 +239,24 @@
 }
 
 // order sends site.empty or site.open until it is acknowledged.
-func (b *platformWorld) order(op, site string, then func()) {
+func (b *platformWorld) order(op, zone string, then func()) {
 	if op == "site.open" {
-		b.see(platformEvent{kind: bOpened, text: site})
+		b.see(platformEvent{kind: eventZoneReopened, text: zone})
 	} else {
-		b.emptied[site] = true
+		b.evacuatedZones[zone] = true
 	}
 	var try func()
 	try = func() {
-		b.call("operator", b.edge(), platformCall{op: op, key: site}, 1000, func(status int, retryMs int64, _ []byte) {
-			b.answers[fmt.Sprint(op, " ", status)]++
+		b.call("operator", b.edge(), platformCall{op: op, key: zone}, 1000, func(status int, retryMs int64, _ []byte) {
+			b.responseCounts[fmt.Sprint(op, " ", status)]++
 			if status != 200 {
 				b.after(max(retryMs, 100)*1000, try)
 				return
 			}
 			if op == "site.empty" {
-				b.see(platformEvent{kind: bEmptied, text: site})
+				b.see(platformEvent{kind: eventZoneEvacuated, text: zone})
 			} else {
-				delete(b.emptied, site)
+				delete(b.evacuatedZones, zone)
 			}
 			if then != nil {
 				then()
--- a/internal/daemon/platformworld_faults_test.go
+++ b/internal/daemon/platformworld_faults_test.go
@@ -6,44 +6,45 @@
 
 func (b *platformWorld) isCore(host string) bool { return b.nodes[host].Disk }
 
-// trouble records that a fault of a machine begins; calm records its end.
+// trouble records that a fault of a machine begins.
 func (b *platformWorld) trouble(text, host string) {
-	b.see(platformEvent{kind: bTrouble, host: host, text: text})
+	b.see(platformEvent{kind: eventFaultBegan, host: host, text: text})
 	b.troubled[host]++
-	b.coreMoved(host)
+	b.recordCoreChange(host)
 }
 
+// calm records that a fault of a machine ends.
 func (b *platformWorld) calm(text, host string) {
-	b.see(platformEvent{kind: bCalm, host: host, text: text})
+	b.see(platformEvent{kind: eventFaultEnded, host: host, text: text})
 	b.troubled[host]--
 	b.calmMs[host] = b.nowMs()
-	b.coreMoved(host)
+	b.recordCoreChange(host)
 }
 
 // workerTrouble records that a fault of a worker begins, and returns what records its end.
-func (b *platformWorld) workerTrouble(text string, s *platformWorker) func() {
-	id := s.id
-	b.see(platformEvent{kind: bTrouble, worker: id, text: text})
-	return func() { b.see(platformEvent{kind: bCalm, worker: id, text: text}) }
+func (b *platformWorld) workerTrouble(text string, worker *platformWorker) func() {
+	id := worker.id
+	b.see(platformEvent{kind: eventFaultBegan, worker: id, text: text})
+	return func() { b.see(platformEvent{kind: eventFaultEnded, worker: id, text: text}) }
 }
 
-// coreMoved records a change at a core machine, and whether the core has lost or regained its majority.
-func (b *platformWorld) coreMoved(host string) {
+// recordCoreChange records a change at a core machine, and whether the core has lost or regained its majority.
+func (b *platformWorld) recordCoreChange(host string) {
 	if host == "" || !b.isCore(host) {
 		return
 	}
 	b.see(platformEvent{kind: bCore, host: host})
-	stands := 0
+	healthy := 0
 	for _, h := range b.disks() {
 		if n := b.nodes[h]; n.up && b.nowUs >= n.frozenTo && !b.cutOff[h] {
-			stands++
+			healthy++
 		}
 	}
-	if lost := 2*stands <= b.deployment.disks; lost != b.coreLost {
+	if lost := 2*healthy <= b.deployment.disks; lost != b.coreLost {
 		b.coreLost = lost
-		kind := bCalm
+		kind := eventFaultEnded
 		if lost {
-			kind = bTrouble
+			kind = eventFaultBegan
 		}
 		b.see(platformEvent{kind: kind, text: "core"})
 	}
@@ -74,7 +75,7 @@
 	for _, h := range hosts {
 		b.cutOff[h] = true
 	}
-	b.redraw()
+	b.applyCuts()
 	for _, h := range hosts {
 		b.trouble("cut", h)
 	}
@@ -83,15 +84,15 @@
 			delete(b.cutOff, h)
 			delete(b.cutOneWay, h)
 		}
-		b.redraw()
+		b.applyCuts()
 		for _, h := range hosts {
 			b.calm("cut", h)
 		}
 	}
 }
 
-// redraw applies the cuts to each pair of machines.
-func (b *platformWorld) redraw() {
+// applyCuts applies the cuts to each pair of machines.
+func (b *platformWorld) applyCuts() {
 	b.cuts = map[[2]string]bool{}
 	for x := range b.cutOff {
 		for y := range b.nodes {
@@ -104,8 +105,8 @@
 	b.release()
 }
 
-// stopNicely stops a daemon as the platform does for planned maintenance, and starts it again.
-func (b *platformWorld) stopNicely(host string, downMs int64) {
+// stopGracefully stops a daemon as the platform does for planned maintenance, and starts it again.
+func (b *platformWorld) stopGracefully(host string, downMs int64) {
 	n := b.nodes[host]
 	n.event(evStop{})
 	b.trouble("stopped", host)
@@ -125,8 +126,8 @@
 	n.wipe()
 	b.trouble("wiped", host)
 	if newAddr {
-		n.Addr = "10.9.0." + fmt.Sprint(b.lives+b.textSeq%200) + ":7000"
-		b.lives++
+		n.Addr = "10.9.0." + fmt.Sprint(b.workerLives+b.savedPointSeq%200) + ":7000"
+		b.workerLives++
 	}
 	b.after(downMs*1000, func() {
 		n.start()
--- a/internal/daemon/platformworld_jobs_test.go
+++ b/internal/daemon/platformworld_jobs_test.go
@@ -9,24 +9,24 @@
 
 // platformJob is a job as its caller sees it.
 type platformJob struct {
-	id               string
-	queue            *platformQueue
-	payload          string
-	steps            []platformStep
-	rounds           int
-	firstMs          int64 // simulated time
-	periodMs         int64
-	sentMs, endMs    int64 // endMs is when a final state was first shown
-	acked, cancelled bool
-	gaveUp           bool
-	state            string
-	tries            int
-	fates            map[taskName]*platformFate
-	lastOKMs         map[int]int64      // by round
-	okTasks          map[taskName]int64 // the first run that ended well
-	hurried, stuck   bool
-	idleMs           int64 // since when nothing runs although something could; 0 if something runs
-	tenant, key      string
+	id                   string
+	queue                *platformQueue
+	payload              string
+	steps                []platformStep
+	rounds               int
+	firstMs              int64 // simulated time
+	periodMs             int64
+	sentMs, endMs        int64 // endMs is when a final state was first shown
+	acked, cancelled     bool
+	gaveUp               bool
+	state                string
+	tries                int
+	fates                map[taskName]*platformFate
+	lastOKMs             map[int]int64      // by round
+	okTasks              map[taskName]int64 // the first run that ended well
+	finalReadSent, stuck bool
+	idleSinceMs          int64 // since when nothing runs although something could; 0 if something runs
+	tenant, key          string
 }
 
 // platformStep is a step of a job, as its caller declares it.
@@ -68,7 +68,7 @@
 	}
 }
 
-func (j *platformJob) has(n taskName) bool {
+func (j *platformJob) hasTask(n taskName) bool {
 	return n.round >= 0 && n.round < max(j.rounds, 1) && n.step >= 0 && n.step < len(j.steps) && n.index >= 0 && n.index < j.steps[n.step].count
 }
 
@@ -126,8 +126,8 @@
 	return false
 }
 
-// ok counts the successful end of a run.
-func (j *platformJob) ok(b *platformWorld, r *platformRun) {
+// recordSuccess counts the successful end of a run.
+func (j *platformJob) recordSuccess(b *platformWorld, r *platformRun) {
 	n := r.name
 	if r.step.gang {
 		n.index = 0
@@ -136,18 +136,18 @@
 		if r.step.gang && run == r.run {
 			return // counted with another member of the gang
 		}
-		b.waste["twice"] += float64(b.nowMs()-r.startMs) / 1000 * float64(r.step.room[0]) / 1000
+		b.wastedCoreSeconds["twice"] += float64(b.nowMs()-r.startMs) / 1000 * float64(r.step.room[0]) / 1000
 		return
 	}
 	j.okTasks[n] = r.run
 	j.lastOKMs[r.name.round] = b.nowMs()
-	if len(j.okTasks) == j.units() {
+	if len(j.okTasks) == j.requiredSuccesses() {
 		b.after(20_000+b.rng.Int64N(80_000), func() { b.look(j) })
 	}
 }
 
-// units returns how many successful ends the job needs; a gang counts as one.
-func (j *platformJob) units() int {
+// requiredSuccesses returns how many successful ends the job needs; a gang counts as one.
+func (j *platformJob) requiredSuccesses() int {
 	sum := 0
 	for _, s := range j.steps {
 		if s.gang {
@@ -162,8 +162,8 @@
 // share returns true with probability p.
 func (b *platformWorld) share(p float64) bool { return b.rng.Float64() < p }
 
-// drawn draws from a log-normal distribution with a mean and an upper bound.
-func (b *platformWorld) drawn(of [2]float64, spread float64) float64 {
+// drawLogNormal draws from a log-normal distribution with a mean and an upper bound.
+func (b *platformWorld) drawLogNormal(of [2]float64, spread float64) float64 {
 	return min(of[1], of[0]*math.Exp(spread*b.rng.NormFloat64()-spread*spread/2))
 }
 
@@ -178,8 +178,8 @@
 	if b.share(k.timed) {
 		j.rounds, j.periodMs, j.firstMs = 2+b.rng.IntN(max(1, min(k.times, 4)-1)), k.everyMs, b.nowMs()+500+b.rng.Int64N(2500)
 	}
-	for i := range int(max(1, math.Round(b.drawn(k.steps, 0.4)))) {
-		s := platformStep{count: max(1, int(math.Round(b.drawn(k.width, 0.8)))), room: amounts{int64(max(100, b.drawn(k.cpu, 0.45))), int64(max(128, b.drawn(k.mem, 0.6)))},
+	for i := range int(max(1, math.Round(b.drawLogNormal(k.steps, 0.4)))) {
+		s := platformStep{count: max(1, int(math.Round(b.drawLogNormal(k.width, 0.8)))), room: amounts{int64(max(100, b.drawLogNormal(k.cpu, 0.45))), int64(max(128, b.drawLogNormal(k.mem, 0.6)))},
 			gang: gang, saves: b.share(k.saves), copies: !gang && b.share(k.copies)}
 		if label != "" {
 			s.labels = map[string]string{"kind": label}
@@ -202,8 +202,8 @@
 		if i > 0 {
 			s.after = []int{i - 1}
 		}
-		b.fitTenant(j, &s)
-		mean := b.drawn(k.workMs, 0.5)
+		b.fitTenantLimit(j, &s)
+		mean := b.drawLogNormal(k.workMs, 0.5)
 		s.estimateMs = int64(max(50, mean*(1+k.estOff*(2*b.rng.Float64()-1))))
 		j.steps = append(j.steps, s)
 		for round := range max(j.rounds, 1) {
@@ -217,16 +217,16 @@
 		}
 	}
 	if b.share(k.hopeless) {
-		b.doom(j)
+		b.makeHopeless(j)
 	}
 	return j
 }
 
-// doom makes a task of a job fail more often than is allowed.
-func (b *platformWorld) doom(j *platformJob) {
+// makeHopeless makes a task of a job fail more often than is allowed.
+func (b *platformWorld) makeHopeless(j *platformJob) {
 	f := j.fates[taskName{0, len(j.steps) - 1, 0}]
 	f.fails = nil
-	for range j.queue.attempts + 1 {
+	for range j.queue.allowedFailures + 1 {
 		f.fails = append(f.fails, 0.2+0.6*b.rng.Float64())
 	}
 }
@@ -365,7 +365,7 @@
 		if j.steps[n.step].gang {
 			n.index = 0
 		}
-		if sum[n] += len(f.fails); sum[n] >= j.queue.attempts && !j.lasting() {
+		if sum[n] += len(f.fails); sum[n] >= j.queue.allowedFailures && !j.lasting() {
 			return true
 		}
 	}
--- a/internal/daemon/platformworld_sites_test.go
+++ b/internal/daemon/platformworld_sites_test.go
@@ -49,34 +49,34 @@
 
 // platformQueue is a queue as an operator declares it.
 type platformQueue struct {
-	name         string
-	host, prefix string
-	urgency      int64
-	attempts     int
-	latencyMs    int64
-	stretch      float64
-	service      string
+	name            string
+	host, prefix    string
+	urgency         int64
+	allowedFailures int
+	latencyMs       int64
+	stretch         float64
+	service         string
 }
 
 // platformSetup is a configuration as an operator sends it.
 type platformSetup struct {
-	queues  []platformQueue
-	note    string
-	invalid bool
-	tenants []platformTenant // nil: calls need no key
-	open    []string         // queues whose callers need no key although tenants are declared
+	queues     []platformQueue
+	note       string
+	invalid    bool
+	tenants    []platformTenant // nil: calls need no key
+	openQueues []string         // queues whose callers need no key although tenants are declared
 	// The contracts, and by queue the settings of its batches, as they are sent.
 	contracts []map[string]any
 	batches   map[string]map[string]any
 }
 
-// routes reports whether a queue's address is declared.
-func (s *platformSetup) routes(q *platformQueue) bool {
+// hasAddress reports whether a queue's address is declared.
+func (s *platformSetup) hasAddress(q *platformQueue) bool {
 	return slices.ContainsFunc(s.queues, func(o platformQueue) bool { return o.host == q.host && o.prefix == q.prefix })
 }
 
-// sends reports whether tasks of a queue may run at a worker.
-func (s *platformSetup) sends(queue string, f *workerFacts) bool {
+// routesTo reports whether tasks of a queue may run at a worker.
+func (s *platformSetup) routesTo(queue string, f *workerFacts) bool {
 	return slices.ContainsFunc(s.queues, func(o platformQueue) bool { return o.name == queue && f.labels["service"] == o.service })
 }
 
@@ -84,8 +84,8 @@
 	queues := []map[string]any{}
 	for _, q := range s.queues {
 		queue := map[string]any{"name": q.name, "selector": map[string][]string{"service": {q.service}}, "urgency": q.urgency,
-			"default_failures": q.attempts, "addresses": []map[string]string{{"host": q.host, "prefix": q.prefix}}, "latency_ms": q.latencyMs, "stretch": q.stretch}
-		if slices.Contains(s.open, q.name) {
+			"default_failures": q.allowedFailures, "addresses": []map[string]string{{"host": q.host, "prefix": q.prefix}}, "latency_ms": q.latencyMs, "stretch": q.stretch}
+		if slices.Contains(s.openQueues, q.name) {
 			queue["open"] = true
 		}
 		queues = append(queues, queue)
@@ -137,9 +137,9 @@
 var grownPlatformDeployments = map[string]platformDeployment{
 	"hakata-grown": grownDeployment("hakata", 19, 74, amounts{64000, 262144}, 53.6, func(s *platformDeployment) {
 		s.speeds, s.saveMs, s.restoreMs = []float64{1}, 500, 600
-		s.kinds[0].width, s.kinds[0].mem, s.kinds[0].estOff, s.kinds[0].queue.attempts = [2]float64{20, 120}, [2]float64{42_000, 130_000}, 0.2, 3
+		s.kinds[0].width, s.kinds[0].mem, s.kinds[0].estOff, s.kinds[0].queue.allowedFailures = [2]float64{20, 120}, [2]float64{42_000, 130_000}, 0.2, 3
 		s.kinds[1].width, s.kinds[1].mem, s.kinds[1].workMs = [2]float64{25, 150}, [2]float64{9200, 28_000}, [2]float64{1800, 4500}
-		s.kinds[2].width, s.kinds[2].mem, s.kinds[2].workMs, s.kinds[2].fails, s.kinds[2].queue.attempts = [2]float64{3.2, 19}, [2]float64{9400, 28_000}, [2]float64{640, 1600}, 0.05, 3
+		s.kinds[2].width, s.kinds[2].mem, s.kinds[2].workMs, s.kinds[2].fails, s.kinds[2].queue.allowedFailures = [2]float64{3.2, 19}, [2]float64{9400, 28_000}, [2]float64{640, 1600}, 0.05, 3
 		s.kinds[0].weight, s.kinds[1].weight, s.kinds[2].weight = 0.959, 4.15, 48.5
 	}),
 	"ikenna-grown": grownDeployment("ikenna", 14, 58, amounts{16000, 65536}, 27.7, func(s *platformDeployment) {
--- a/internal/daemon/platformworld_test.go
+++ b/internal/daemon/platformworld_test.go
@@ -21,27 +21,27 @@
 // platformWorld is a simulated cluster with the users' workers, callers and operators.
 type platformWorld struct {
 	*world
-	deployment platformDeployment
-	byHost     map[string]*platformWorker
-	spots      []string // machines that have a worker beside the daemon
-	events     []platformEvent
-	jobs       map[string]*platformJob
-	gangs      map[gangName]*platformEffort
-	texts      map[string]savedPoint
-	textSeq    int
-	version    int64 // of the last setup acknowledged
-	setup      *platformSetup
-	closed     bool // callers submit no more jobs
-	lives      int
-	waste      map[string]float64 // wasted core-seconds, by outcome of the run
-	turned     int
-	pace       float64        // multiplies the usual rate of traffic
-	jobRng     *rand.Rand     // if set, jobs are drawn from it, so that they don't depend on the other draws
-	in         map[string]int // failed readiness checks in a row, by edge daemon
-	answers    map[string]int
-	faults     []string
-	cutOff     map[string]bool
-	emptied    map[string]bool
+	deployment        platformDeployment
+	byHost            map[string]*platformWorker
+	spots             []string // machines that have a worker beside the daemon
+	events            []platformEvent
+	jobs              map[string]*platformJob
+	gangs             map[gangName]*platformExecution
+	savedPoints       map[string]savedPoint
+	savedPointSeq     int
+	version           int64 // of the last configuration acknowledged
+	setup             *platformSetup
+	closed            bool // callers submit no more jobs
+	workerLives       int
+	wastedCoreSeconds map[string]float64 // wasted core-seconds, by outcome of the run
+	rejectedStarts    int
+	pace              float64        // multiplies the usual rate of traffic
+	jobRng            *rand.Rand     // if set, jobs are drawn from it, so that they don't depend on the other draws
+	missedReadiness   map[string]int // failed readiness checks in a row, by edge daemon
+	responseCounts    map[string]int
+	badRequestBodies  []string
+	cutOff            map[string]bool
+	evacuatedZones    map[string]bool
 	// cutTogether lets machines of one zone that are cut off reach each other.
 	cutTogether      bool
 	coreLost         bool
@@ -51,17 +51,17 @@
 	cutOneWay        map[string]cutWay // direction of the cut, for machines cut off in one direction only
 	newHosts         int
 	sentSetups       map[string]*sentSetup // by body
-	setupsSent       []*sentSetup
-	closing          bool             // no new fault begins
-	leftOut          int              // faults of a day skipped because too many machines were already lost
+	sentSetupList    []*sentSetup
+	noNewFaults      bool             // no new fault begins
+	skippedFaults    int              // faults of a day skipped because too many machines were already lost
 	lastAcknowledger string           // host that last acknowledged a change
 	replaced         map[string]bool  // machines whose replacement has begun
-	underWay         int              // changes without a final response
+	openChanges      int              // changes without a final response
 	troubled         map[string]int   // number of active faults, by machine
 	calmMs           map[string]int64 // when the machine's last fault ended, or the machine first started
 	tenants          []platformTenant // as the operator currently declares them
 	onlyTenant       string           // if set, all drawn jobs belong to it
-	keysMade         int
+	createdKeys      int
 	urgentChecks     []urgentCheck
 }
 
@@ -83,29 +83,29 @@
 	return newPlatformWorldOf(seed, platformDeploymentOf(name))
 }
 
-func newPlatformWorldOf(seed uint64, site platformDeployment) *platformWorld {
-	dep := historycheck.Deployment{Name: site.name, Daemons: site.edges + site.sides}
-	b := &platformWorld{world: newWorld(seed, dep), deployment: site, byHost: map[string]*platformWorker{}, jobs: map[string]*platformJob{}, gangs: map[gangName]*platformEffort{},
-		texts: map[string]savedPoint{}, waste: map[string]float64{}, answers: map[string]int{}, cutOff: map[string]bool{}, emptied: map[string]bool{}, pace: 1,
-		tenants: copyTenants(site.tenants), cutOneWay: map[string]cutWay{}, sentSetups: map[string]*sentSetup{}, troubled: map[string]int{}, calmMs: map[string]int64{}}
+func newPlatformWorldOf(seed uint64, deployment platformDeployment) *platformWorld {
+	dep := historycheck.Deployment{Name: deployment.name, Daemons: deployment.edges + deployment.sides}
+	b := &platformWorld{world: newWorld(seed, dep), deployment: deployment, byHost: map[string]*platformWorker{}, jobs: map[string]*platformJob{}, gangs: map[gangName]*platformExecution{},
+		savedPoints: map[string]savedPoint{}, wastedCoreSeconds: map[string]float64{}, responseCounts: map[string]int{}, cutOff: map[string]bool{}, evacuatedZones: map[string]bool{}, pace: 1,
+		tenants: copyTenants(deployment.tenants), cutOneWay: map[string]cutWay{}, sentSetups: map[string]*sentSetup{}, troubled: map[string]int{}, calmMs: map[string]int64{}}
 	b.holdUpMs = wire.UserTimeoutMs
-	b.whenAnswered(b.noteTaken)
-	b.edgeHosts, b.diskHosts = sortedKeys(b.nodes)[:site.edges], sortedKeys(b.nodes)[:site.disks]
+	b.whenAnswered(b.recordAcceptance)
+	b.edgeHosts, b.diskHosts = sortedKeys(b.nodes)[:deployment.edges], sortedKeys(b.nodes)[:deployment.disks]
 	for i, host := range sortedKeys(b.nodes) {
 		p := &b.nodes[host].nodeConfig
-		placePlatformNode(p, site, i >= site.edges)
-		if i < site.disks && !p.Disk {
+		configurePlatformNode(p, deployment, i >= deployment.edges)
+		if i < deployment.disks && !p.Disk {
 			p.Disk, p.DiskID = true, b.rng.Uint64()|1
 		}
-		if i < site.edges {
+		if i < deployment.edges {
 			continue
 		}
 		b.spots = append(b.spots, host)
-		k := i - site.edges
-		bw := &platformWorker{b: b, node: b.nodes[host], rack: fmt.Sprintf("r%d", k/site.rackSize), labels: map[string]string{"service": site.service, "kind": []string{"a", "b"}[k%2]},
-			capacity: site.capacity, factor: site.speeds[k%len(site.speeds)], slow: 1}
-		b.byHost[host] = bw
-		b.after(1_500_000+b.rng.Int64N(1_000_000), bw.start)
+		k := i - deployment.edges
+		worker := &platformWorker{b: b, node: b.nodes[host], rack: fmt.Sprintf("r%d", k/deployment.rackSize), labels: map[string]string{"service": deployment.service, "kind": []string{"a", "b"}[k%2]},
+			capacity: deployment.capacity, factor: deployment.speeds[k%len(deployment.speeds)], slow: 1}
+		b.byHost[host] = worker
+		b.after(1_500_000+b.rng.Int64N(1_000_000), worker.start)
 	}
 	return b
 }
@@ -134,8 +134,8 @@
 	return out
 }
 
-// stuck records jobs of which nothing has run for 3 s although resources are free.
-func (b *platformWorld) stuck() {
+// detectStuckJobs records jobs of which nothing has run for 3 s although resources are free.
+func (b *platformWorld) detectStuckJobs() {
 	var used, all amounts
 	var free []*platformWorker
 	for _, host := range b.spots {
@@ -154,42 +154,42 @@
 	limited := b.tenantsHalfUsed()
 	for _, id := range sortedKeys(b.jobs) {
 		j := b.jobs[id]
-		if !j.acked || j.final() || j.cancelled || running[id] || busy || limited[j.tenant] || !b.couldGoOn(j, free) {
-			j.idleMs = 0
+		if !j.acked || j.final() || j.cancelled || running[id] || busy || limited[j.tenant] || !b.canProceed(j, free) {
+			j.idleSinceMs = 0
 			continue
 		}
-		if j.idleMs == 0 {
-			j.idleMs = b.nowMs()
+		if j.idleSinceMs == 0 {
+			j.idleSinceMs = b.nowMs()
 		}
-		if b.nowMs()-j.idleMs >= 3000 && !j.stuck {
+		if b.nowMs()-j.idleSinceMs >= 3000 && !j.stuck {
 			j.stuck = true
-			b.tellCentral(id)
-			b.see(platformEvent{kind: bStuck, job: id, text: fmt.Sprintf("nothing has run since %d ms although resources are free", j.idleMs)})
+			b.logCentralState(id)
+			b.see(platformEvent{kind: eventJobStuck, job: id, text: fmt.Sprintf("nothing has run since %d ms although resources are free", j.idleSinceMs)})
 		}
 	}
 }
 
-// tellCentral logs the central scheduler's view of a job and of all workers.
-func (b *platformWorld) tellCentral(id string) {
+// logCentralState logs the central scheduler's view of a job and of all workers.
+func (b *platformWorld) logCentralState(id string) {
 	n := b.holderOf("central")
 	if n == nil || !b.keepLog {
 		return
 	}
-	tell := func(format string, args ...any) {
+	logf := func(format string, args ...any) {
 		b.logs = append(b.logs, fmt.Sprintf("%d %s %s ", b.nowMs(), n.Name, id)+fmt.Sprintf(format, args...))
 	}
 	c, now := n.sh.node.central, n.sh.node.now
 	for _, name := range sortedKeys(c.workers) {
 		w := c.workers[name]
-		tell("worker %s: last report %d ms ago, rebuilt %v fresh %v leaving %v suspect %v unhealthy for %d ms, capacity %v guaranteed %v occupied %v granted %v attempts %d", name, now-w.receivedMs, w.Rebuilt, w.WorkerReportFresh, w.Leaving,
+		logf("worker %s: last report %d ms ago, rebuilt %v fresh %v leaving %v suspect %v unhealthy for %d ms, capacity %v guaranteed %v occupied %v granted %v attempts %d", name, now-w.receivedMs, w.Rebuilt, w.WorkerReportFresh, w.Leaving,
 			w.Suspect, w.unhealthyUntilMs-now, w.Capacity, w.guaranteed, w.occupied, c.grantedResources()[name], len(w.Attempts))
 	}
 	for k, request := range c.pending {
-		tell("pending %s queue %s for %d ms, last request %d ms ago, %d tasks of %v, open %d, gang %v labels %v", k.Job, request.Queue, now-request.firstMs, now-request.lastMs, len(request.Tasks), request.Resources, len(request.open()), request.Gang, request.RequiredLabels)
+		logf("pending %s queue %s for %d ms, last request %d ms ago, %d tasks of %v, open %d, gang %v labels %v", k.Job, request.Queue, now-request.firstMs, now-request.lastMs, len(request.Tasks), request.Resources, len(request.open()), request.Gang, request.RequiredLabels)
 	}
 	for _, name := range sortedKeys(b.nodes) {
 		if b.nodes[name].up {
-			b.tellAgents(b.nodes[name].sh.node, id, tell)
+			b.logAgentState(b.nodes[name].sh.node, id, logf)
 		}
 	}
 	for _, name := range sortedKeys(b.nodes) {
@@ -201,7 +201,7 @@
 				o := b.nodes[name].sh.node
 				for i := range job.Tasks {
 					t, r := &job.Tasks[i], &job.runtime[i]
-					tell("owner %s task %d.%d.%d state %s attempt %d class %s failures %d at %s, retry in %d ms, requested %d ms ago, committed %v", name, t.Round, t.Step, t.IndexInStep, t.State.String(), t.Attempt,
+					logf("owner %s task %d.%d.%d state %s attempt %d class %s failures %d at %s, retry in %d ms, requested %d ms ago, committed %v", name, t.Round, t.Step, t.IndexInStep, t.State.String(), t.Attempt,
 						t.Class.String(), t.Failures, t.Worker, r.retryAtMs-o.now, o.now-r.allocationRequestMs, t.ChangedVersion <= job.committed)
 				}
 			}
@@ -209,8 +209,8 @@
 	}
 }
 
-// couldGoOn reports whether a step of the job is ready and fits twice into the free workers.
-func (b *platformWorld) couldGoOn(j *platformJob, free []*platformWorker) bool {
+// canProceed reports whether a step of the job is ready and fits twice into the free workers.
+func (b *platformWorld) canProceed(j *platformJob, free []*platformWorker) bool {
 	done := func(k, i int) bool {
 		for t := range j.steps[i].count {
 			n := taskName{k, i, t}
@@ -237,7 +237,7 @@
 				need = int64(2 * s.count)
 			}
 			for _, w := range free {
-				if b.emptied[w.node.Zone] || s.labels != nil && w.labels["kind"] != s.labels["kind"] {
+				if b.evacuatedZones[w.node.Zone] || s.labels != nil && w.labels["kind"] != s.labels["kind"] {
 					continue
 				}
 				left := w.capacity.plus(w.used, -1)
@@ -270,17 +270,17 @@
 	}
 	b.run(14_000)
 	for end := b.nowMs() + waitMs; b.nowMs() < end && len(b.open()) > 0; b.run(250) {
-		b.stuck()
+		b.detectStuckJobs()
 	}
 	for _, o := range b.open() {
 		j := b.jobs[o[:16]]
-		b.see(platformEvent{kind: bFinished, job: j.id, text: j.state})
+		b.see(platformEvent{kind: eventFinalState, job: j.id, text: j.state})
 	}
 	asked := b.nowMs()
 	for range 3 {
 		b.call("operator", b.edge(), platformCall{op: "setup.get"}, 1000, func(status int, _ int64, body []byte) {
 			if status == 200 {
-				b.see(platformEvent{kind: bSetupShown, n: gjson.GetBytes(body, "version").Int(), text: gjson.GetBytes(body, "setup.source.note").Str, askedMs: asked})
+				b.see(platformEvent{kind: eventSetupShown, n: gjson.GetBytes(body, "version").Int(), text: gjson.GetBytes(body, "setup.source.note").Str, sentMs: asked})
 			}
 		})
 	}
@@ -304,15 +304,15 @@
 		}
 	}
 	out += fmt.Sprintf("%d not done; ", undone)
-	for _, how := range sortedKeys(b.waste) {
-		out += fmt.Sprintf("%s %.0f core-s; ", how, b.waste[how])
+	for _, how := range sortedKeys(b.wastedCoreSeconds) {
+		out += fmt.Sprintf("%s %.0f core-s; ", how, b.wastedCoreSeconds[how])
 	}
-	return out + fmt.Sprintf("turned away %d; answers %v", b.turned, b.answers)
+	return out + fmt.Sprintf("turned away %d; answers %v", b.rejectedStarts, b.responseCounts)
 }
 
-// scripted returns a world without daemons in which a function answers the
+// newScriptedWorld returns a world without daemons in which a function answers the
 // heartbeats of all workers.
-func scripted(t *testing.T, answer func(s *platformWorker, beat gjson.Result) map[string]any) *platformWorld {
+func newScriptedWorld(t *testing.T, answer func(s *platformWorker, heartbeat gjson.Result) map[string]any) *platformWorld {
 	b := newPlatformWorld(5, "ikenna")
 	b.queue = nil // no daemon starts
 	for _, host := range b.spots {
@@ -333,8 +333,8 @@
 	return b
 }
 
-// enter registers a job without submitting it.
-func (b *platformWorld) enter(j *platformJob) *platformJob {
+// registerJob registers a job without submitting it.
+func (b *platformWorld) registerJob(j *platformJob) *platformJob {
 	b.jobSeq++
 	j.id, j.payload = fmt.Sprintf("%016x", b.jobSeq), "spec"
 	j.okTasks, j.lastOKMs, j.state = map[taskName]int64{}, map[int]int64{}, "complete"
@@ -342,8 +342,8 @@
 	return j
 }
 
-// howEnded lists the ends of a job's runs, with times rounded down to 100 ms.
-func (b *platformWorld) howEnded(j *platformJob) (out []string) {
+// runEnds lists the ends of a job's runs, with times rounded down to 100 ms.
+func (b *platformWorld) runEnds(j *platformJob) (out []string) {
 	for _, e := range b.events {
 		if e.kind == bEnded && e.job == j.id {
 			out = append(out, fmt.Sprintf("%d.%d %s@%d", e.task.index, e.run, e.text, e.atMs/100*100))
@@ -352,18 +352,18 @@
 	return
 }
 
-// scriptLine is the response to the first heartbeat that a worker sends at or
+// scriptedResponse is the response to the first heartbeat that a worker sends at or
 // after a time; nil is no response.
-type scriptLine struct {
+type scriptedResponse struct {
 	worker int
 	atMs   int64
 	answer map[string]any
 }
 
-// scriptOf answers heartbeats by the script; heartbeats without a line only renew the hold.
-func scriptOf(b **platformWorld, lines []scriptLine, holdMs int64) func(*platformWorker, gjson.Result) map[string]any {
+// respondByScript answers heartbeats by the script; heartbeats without a line only renew the hold.
+func respondByScript(b **platformWorld, lines []scriptedResponse, holdMs int64) func(*platformWorker, gjson.Result) map[string]any {
 	given := map[int]bool{}
-	return func(s *platformWorker, beat gjson.Result) map[string]any {
+	return func(s *platformWorker, heartbeat gjson.Result) map[string]any {
 		out := map[string]any{"hold_ms": holdMs, "again_ms": 100}
 		for i, l := range lines {
 			if !given[i] && (*b).worker(l.worker) == s && (*b).nowMs() >= l.atMs {
@@ -383,14 +383,14 @@
 
 func TestPlatformWorker(t *testing.T) {
 	var b *platformWorld
-	play := func(holdMs int64, lines []scriptLine, ms int64, jobs func() []*platformJob) *platformWorld {
-		b = scripted(t, func(*platformWorker, gjson.Result) map[string]any {
+	play := func(holdMs int64, lines []scriptedResponse, ms int64, jobs func() []*platformJob) *platformWorld {
+		b = newScriptedWorld(t, func(*platformWorker, gjson.Result) map[string]any {
 			return map[string]any{"hold_ms": holdMs, "again_ms": 100}
 		})
 		for _, j := range jobs() {
-			b.enter(j)
+			b.registerJob(j)
 		}
-		answer := scriptOf(&b, lines, holdMs)
+		answer := respondByScript(&b, lines, holdMs)
 		for _, host := range b.spots {
 			s := b.byHost[host]
 			s.deliver = func(body []byte, cb func(int, []byte)) {
@@ -425,28 +425,28 @@
 
 	t.Run("an end is reported until acknowledged", func(t *testing.T) {
 		j, jobs := alone(1000, nil)
-		w := play(2000, []scriptLine{{0, 500, start(order(0, 1, ""))}, {0, 2000, map[string]any{"seen": 1}}}, 1900, jobs)
-		must.Eq(t, []string{"0.1 ok@1500"}, w.howEnded(j))
+		w := play(2000, []scriptedResponse{{0, 500, start(order(0, 1, ""))}, {0, 2000, map[string]any{"seen": 1}}}, 1900, jobs)
+		must.Eq(t, []string{"0.1 ok@1500"}, w.runEnds(j))
 		must.Len(t, 1, w.worker(0).ends)
 		w.run(1000)
 		must.SliceEmpty(t, w.worker(0).ends)
 	})
 	t.Run("runs end when the hold expires", func(t *testing.T) {
 		j, jobs := alone(10_000, nil)
-		w := play(1500, []scriptLine{{0, 500, start(order(0, 1, ""))}, {0, 700, nil}, {0, 800, nil}, {0, 900, nil}}, 6000, jobs)
-		must.Eq(t, []string{"0.1 lapsed@2100"}, w.howEnded(j))
+		w := play(1500, []scriptedResponse{{0, 500, start(order(0, 1, ""))}, {0, 700, nil}, {0, 800, nil}, {0, 900, nil}}, 6000, jobs)
+		must.Eq(t, []string{"0.1 lapsed@2100"}, w.runEnds(j))
 	})
 	t.Run("no start after a stop of the same run", func(t *testing.T) {
 		j, jobs := alone(10_000, nil)
-		w := play(3000, []scriptLine{{0, 500, start(order(0, 2, ""))}, {0, 1000, map[string]any{"stop": []map[string]any{order(0, 2, "")}}}, {0, 1500, start(order(0, 2, ""), order(0, 3, ""))},
+		w := play(3000, []scriptedResponse{{0, 500, start(order(0, 2, ""))}, {0, 1000, map[string]any{"stop": []map[string]any{order(0, 2, "")}}}, {0, 1500, start(order(0, 2, ""), order(0, 3, ""))},
 			{0, 2000, map[string]any{"stop": []map[string]any{order(1, 4, "")}}}, {0, 2500, start(order(1, 4, ""))}}, 5000, jobs)
-		must.Eq(t, 2, w.turned)
-		must.Len(t, 1, w.howEnded(j))
+		must.Eq(t, 2, w.rejectedStarts)
+		must.Len(t, 1, w.runEnds(j))
 		must.MapContainsKey(t, w.worker(0).runs, runName{id, taskName{}, 3})
 	})
 	t.Run("resumes from a checkpoint", func(t *testing.T) {
 		j, jobs := alone(5000, func(j *platformJob) { j.steps[0].saves = true })
-		w := play(3000, []scriptLine{{0, 500, start(order(0, 1, ""))}, {0, 3000, map[string]any{"stop": []map[string]any{order(0, 1, "")}}}}, 4000, jobs)
+		w := play(3000, []scriptedResponse{{0, 500, start(order(0, 1, ""))}, {0, 3000, map[string]any{"stop": []map[string]any{order(0, 1, "")}}}}, 4000, jobs)
 		saved := w.worker(0).ends[0].saved
 		must.NotEq(t, "", saved)
 		w.worker(1).deliver = func(_ []byte, cb func(int, []byte)) {
@@ -455,59 +455,59 @@
 			})
 		}
 		w.run(4000)
-		ended := w.howEnded(j)
+		ended := w.runEnds(j)
 		must.Len(t, 2, ended)
 		must.StrContains(t, ended[1], "ok@7") // 2.5 s done before, 0.6 s of restoring, 2.5 s remaining
 	})
 	t.Run("a gang ends together", func(t *testing.T) {
 		j, jobs := alone(2000, func(j *platformJob) { j.steps[0].gang, j.steps[0].sameRack = true, true })
-		w := play(3000, []scriptLine{{0, 500, start(order(0, 1, ""), order(1, 1, ""))}, {3, 2000, start(order(2, 1, ""))}}, 6500, jobs)
-		must.Eq(t, []string{"0.1 ok@5000", "1.1 ok@5000", "2.1 ok@5000"}, w.howEnded(j)) // takes 1.5 times as long over two racks
+		w := play(3000, []scriptedResponse{{0, 500, start(order(0, 1, ""), order(1, 1, ""))}, {3, 2000, start(order(2, 1, ""))}}, 6500, jobs)
+		must.Eq(t, []string{"0.1 ok@5000", "1.1 ok@5000", "2.1 ok@5000"}, w.runEnds(j)) // takes 1.5 times as long over two racks
 	})
 	t.Run("a gang breaks together", func(t *testing.T) {
 		j, jobs := alone(9000, func(j *platformJob) { j.steps[0].gang = true })
-		w := play(3000, []scriptLine{{0, 500, start(order(0, 1, ""), order(1, 1, ""))}, {3, 500, start(order(2, 1, ""))}}, 2000, jobs)
+		w := play(3000, []scriptedResponse{{0, 500, start(order(0, 1, ""), order(1, 1, ""))}, {3, 500, start(order(2, 1, ""))}}, 2000, jobs)
 		w.worker(3).crash()
 		w.run(1000)
-		must.Eq(t, []string{"0.1 broken@2000", "1.1 broken@2000"}, w.howEnded(j))
+		must.Eq(t, []string{"0.1 broken@2000", "1.1 broken@2000"}, w.runEnds(j))
 	})
 	t.Run("an incomplete gang gives up", func(t *testing.T) {
 		j, jobs := alone(1000, func(j *platformJob) { j.steps[0].gang = true })
-		w := play(3000, []scriptLine{{0, 500, start(order(0, 1, ""), order(1, 1, ""))}, {1, 500, start(order(2, 2, ""))}}, 6000, jobs)
-		must.Len(t, 3, w.howEnded(j))
-		for _, how := range w.howEnded(j) {
+		w := play(3000, []scriptedResponse{{0, 500, start(order(0, 1, ""), order(1, 1, ""))}, {1, 500, start(order(2, 2, ""))}}, 6000, jobs)
+		must.Len(t, 3, w.runEnds(j))
+		for _, how := range w.runEnds(j) {
 			must.StrContains(t, how, "alone@35")
 		}
 	})
 	t.Run("fails at its own point of work", func(t *testing.T) {
 		j, jobs := alone(1000, func(j *platformJob) { j.fates[taskName{0, 0, 0}].fails = []float64{0.5} })
-		w := play(3000, []scriptLine{{0, 500, start(order(0, 1, ""))}, {0, 2000, start(order(0, 2, ""))}}, 5000, jobs)
-		must.Eq(t, []string{"0.1 failed@1000", "0.2 ok@3000"}, w.howEnded(j))
+		w := play(3000, []scriptedResponse{{0, 500, start(order(0, 1, ""))}, {0, 2000, start(order(0, 2, ""))}}, 5000, jobs)
+		must.Eq(t, []string{"0.1 failed@1000", "0.2 ok@3000"}, w.runEnds(j))
 	})
 	t.Run("slow, then hanging, then normal", func(t *testing.T) {
 		j, jobs := alone(2000, nil)
-		w := play(3000, []scriptLine{{0, 500, start(order(0, 1, ""))}}, 600, jobs)
+		w := play(3000, []scriptedResponse{{0, 500, start(order(0, 1, ""))}}, 600, jobs)
 		w.worker(0).setPace(5, false)
 		w.run(2500) // half a second of work
 		w.worker(0).setPace(1, true)
 		w.run(1000)
-		must.SliceEmpty(t, w.howEnded(j))
+		must.SliceEmpty(t, w.runEnds(j))
 		w.worker(0).setPace(1, false)
 		w.run(2000)
-		must.Eq(t, []string{"0.1 ok@5500"}, w.howEnded(j))
+		must.Eq(t, []string{"0.1 ok@5500"}, w.runEnds(j))
 	})
 	t.Run("only a guarding worker rejects what exceeds its capacity", func(t *testing.T) {
 		_, jobs := alone(1000, func(j *platformJob) { j.steps[0].room = amounts{9000, 100} })
-		w := play(3000, []scriptLine{{0, 500, start(order(0, 1, ""), order(1, 1, ""))}}, 700, jobs)
+		w := play(3000, []scriptedResponse{{0, 500, start(order(0, 1, ""), order(1, 1, ""))}}, 700, jobs)
 		must.MapLen(t, 2, w.worker(0).runs)
 		w.worker(1).guards = true
-		w.worker(1).take(mustJSON(map[string]any{"hold_ms": 1000, "start": []map[string]any{order(0, 2, ""), order(1, 2, "")}}), w.worker(1).clockUs(), false)
+		w.worker(1).handleResponse(mustJSON(map[string]any{"hold_ms": 1000, "start": []map[string]any{order(0, 2, ""), order(1, 2, "")}}), w.worker(1).clockUs(), false)
 		must.MapLen(t, 1, w.worker(1).runs)
-		must.Eq(t, 1, w.turned)
+		must.Eq(t, 1, w.rejectedStarts)
 	})
 	t.Run("leaves gracefully, or at short notice", func(t *testing.T) {
 		_, jobs := alone(9000, nil)
-		w := play(3000, []scriptLine{{0, 500, start(order(0, 1, ""))}}, 700, jobs)
+		w := play(3000, []scriptedResponse{{0, 500, start(order(0, 1, ""))}}, 700, jobs)
 		w.leaves(w.worker(0), false)
 		w.run(2200)
 		must.True(t, w.worker(0).up)
@@ -523,14 +523,14 @@
 	})
 }
 
-// tellAgents logs the attempts of a job that a daemon's agents hold.
-func (b *platformWorld) tellAgents(n *node, id string, tell func(format string, args ...any)) {
+// logAgentState logs the attempts of a job that a daemon's agents hold.
+func (b *platformWorld) logAgentState(n *node, id string, logf func(format string, args ...any)) {
 	for _, worker := range sortedKeys(n.agents) {
 		agent := n.agents[worker]
 		kept := n.urgentHeadroom(agent.capacity, agent.urgentUse(n, wire.AttemptOrdered, wire.AttemptRunning))
 		for _, key := range agent.keys() {
 			if attempt := agent.attempts[key]; key.Job == id {
-				tell("agent %s of %s holds task %d attempt %d, %s for %d ms, confirmed %d ms ago, stop %d, headroom %v",
+				logf("agent %s of %s holds task %d attempt %d, %s for %d ms, confirmed %d ms ago, stop %d, headroom %v",
 					n.Name, worker, key.Task, key.Attempt, attempt.state.String(), n.now-attempt.queuedMs, n.now-attempt.confirmedMs, attempt.stopMs, kept)
 			}
 		}
--- a/internal/daemon/platformworld_workers_test.go
+++ b/internal/daemon/platformworld_workers_test.go
@@ -11,80 +11,80 @@
 
 // platformRun is one run of a task at a worker.
 type platformRun struct {
-	name     taskName
-	run      int64
-	job      *platformJob
-	worker   *platformWorker
-	step     *platformStep
-	startMs  int64
-	saved    string
-	stopping bool
-	effort   *platformEffort
-	gone     bool
+	name      taskName
+	run       int64
+	job       *platformJob
+	worker    *platformWorker
+	step      *platformStep
+	startMs   int64
+	saved     string
+	stopping  bool
+	execution *platformExecution
+	gone      bool
 }
 
-// platformEffort is the work of a run, or of a whole gang, whose members begin
+// platformExecution is the work of a run, or of a whole gang, whose members begin
 // once all have started and end together.
-type platformEffort struct {
-	b         *platformWorld
-	name      gangName
-	members   []*platformRun
-	formed    bool
-	workMs    float64
-	doneMs    float64
-	savedMs   float64 // the part of doneMs that is saved
-	begunMs   float64 // the part of doneMs from earlier runs
-	rate      float64
-	atUs      int64
-	readyUs   int64 // when the checkpoint is restored
-	failAtMs  float64
-	failing   *platformRun
-	byWorker  bool // the failure is its worker's fault
-	gen       int
-	sinceMs   int64
-	dissolved bool
+type platformExecution struct {
+	b          *platformWorld
+	name       gangName
+	members    []*platformRun
+	formed     bool
+	workMs     float64
+	doneMs     float64
+	savedMs    float64 // the part of doneMs that is saved
+	resumedMs  float64 // the part of doneMs from earlier runs
+	rate       float64
+	atUs       int64
+	readyUs    int64 // when the checkpoint is restored
+	failAtMs   float64
+	failingRun *platformRun
+	byWorker   bool // the failure is its worker's fault
+	gen        int
+	sinceMs    int64
+	dissolved  bool
 }
 
 // platformWorker is a worker of the users' platform: it follows its daemon's orders,
 // and ends all its runs when its hold expires.
 type platformWorker struct {
-	b        *platformWorld
-	node     *simNode
-	id       string
-	rack     string
-	labels   map[string]string
-	capacity amounts
-	factor   float64 // work takes longer here by this factor
-	slow     float64
-	hang     bool
-	failing  float64 // fraction of the runs that fail by the worker's fault
-	guards   bool
-	up       bool
-	gen      int
-	seq      int64
-	leaving  bool
-	leavesMs int64 // simulated time; -1 if unknown
-	dies     bool  // its end is scheduled
-	bootUs   int64
-	drift    float64 // its clock is slow by this fraction
-	holdUs   int64   // when the hold expires, by the worker's clock
-	holdGen  int
-	runs     map[runName]*platformRun
-	floor    map[runName]int64 // by task: the highest run that ended or was stopped here
-	ends     []platformEnd
-	endSeq   int64
-	out      bool // a heartbeat has no response yet
-	again    bool // a run ended meanwhile
-	nextUs   int64
-	used     amounts
-	deliver  func(body []byte, cb func(status int, body []byte)) // instead of the network
+	b                *platformWorld
+	node             *simNode
+	id               string
+	rack             string
+	labels           map[string]string
+	capacity         amounts
+	factor           float64 // work takes longer here by this factor
+	slow             float64
+	hang             bool
+	failing          float64 // fraction of the runs that fail by the worker's fault
+	guards           bool
+	up               bool
+	gen              int
+	seq              int64
+	leaving          bool
+	leavesMs         int64 // simulated time; -1 if unknown
+	endScheduled     bool  // its end is scheduled
+	bootUs           int64
+	drift            float64 // its clock is slow by this fraction
+	holdUs           int64   // when the hold expires, by the worker's clock
+	holdGen          int
+	runs             map[runName]*platformRun
+	highestRun       map[runName]int64 // by task: the highest run that ended or was stopped here
+	ends             []platformEnd
+	endSeq           int64
+	heartbeatPending bool // a heartbeat has no response yet
+	heartbeatAgain   bool // a run ended meanwhile
+	nextHeartbeatUs  int64
+	used             amounts
+	deliver          func(body []byte, cb func(status int, body []byte)) // instead of the network
 }
 
 type platformEnd struct {
-	n     int64
-	run   *platformRun
-	how   string
-	saved string
+	n       int64
+	run     *platformRun
+	outcome string
+	saved   string
 }
 
 func (s *platformWorker) taskKey(r runName) runName { return runName{job: r.job, name: r.name} }
@@ -94,13 +94,13 @@
 		return
 	}
 	b := s.b
-	b.lives++
-	s.up, s.id, s.seq, s.endSeq, s.leaving, s.leavesMs, s.dies = true, fmt.Sprintf("i-%03d", b.lives), 0, 0, false, -1, false
+	b.workerLives++
+	s.up, s.id, s.seq, s.endSeq, s.leaving, s.leavesMs, s.endScheduled = true, fmt.Sprintf("i-%03d", b.workerLives), 0, 0, false, -1, false
 	s.gen++
-	s.bootUs, s.drift, s.holdUs, s.nextUs, s.out, s.again = b.nowUs-b.rng.Int64N(1_000_000_000), b.rng.Float64()*0.02, 0, 0, false, false
-	s.runs, s.floor, s.ends, s.used = map[runName]*platformRun{}, map[runName]int64{}, nil, amounts{}
-	b.see(platformEvent{kind: bWorkerUp, worker: s.id, host: s.node.Name, facts: &workerFacts{capacity: s.capacity, labels: s.labels, site: s.node.Zone, rack: s.rack, guards: s.guards}})
-	s.heartbeatIn(b.rng.Int64N(50_000))
+	s.bootUs, s.drift, s.holdUs, s.nextHeartbeatUs, s.heartbeatPending, s.heartbeatAgain = b.nowUs-b.rng.Int64N(1_000_000_000), b.rng.Float64()*0.02, 0, 0, false, false
+	s.runs, s.highestRun, s.ends, s.used = map[runName]*platformRun{}, map[runName]int64{}, nil, amounts{}
+	b.see(platformEvent{kind: eventWorkerUp, worker: s.id, host: s.node.Name, facts: &workerFacts{capacity: s.capacity, labels: s.labels, zone: s.node.Zone, rack: s.rack, guards: s.guards}})
+	s.scheduleHeartbeat(b.rng.Int64N(50_000))
 }
 
 // clockUs returns the worker's own monotonic clock.
@@ -115,13 +115,13 @@
 	}
 	s.up = false
 	s.gen++
-	s.b.see(platformEvent{kind: bWorkerDown, worker: s.id, host: s.node.Name})
+	s.b.see(platformEvent{kind: eventWorkerDown, worker: s.id, host: s.node.Name})
 	for _, k := range s.runNames() {
 		r := s.runs[k]
 		delete(s.runs, k)
 		r.gone = true
-		s.b.wasted("crash", r)
-		r.effort.lost(r, false)
+		s.b.recordWaste("crash", r)
+		r.execution.removeRun(r, false)
 	}
 }
 
@@ -133,9 +133,9 @@
 	}
 	b, gen := s.b, s.gen
 	s.leaving = true
-	s.heartbeatIn(1000)
+	s.scheduleHeartbeat(1000)
 	if short {
-		s.leavesMs, s.dies = b.nowMs()+leaveMs, true
+		s.leavesMs, s.endScheduled = b.nowMs()+leaveMs, true
 		b.after(leaveMs*1000, func() {
 			if s.gen == gen {
 				s.crash()
@@ -144,7 +144,7 @@
 		return
 	}
 	b.after(7_000_000, func() { // without an acknowledgement it ends after 7 s
-		if s.gen == gen && !s.dies {
+		if s.gen == gen && !s.endScheduled {
 			s.crash()
 		}
 	})
@@ -162,19 +162,19 @@
 	return out
 }
 
-// heartbeatIn schedules the next heartbeat after us microseconds, unless one is due sooner.
-func (s *platformWorker) heartbeatIn(us int64) {
-	if s.out {
+// scheduleHeartbeat schedules the next heartbeat after us microseconds, unless one is due sooner.
+func (s *platformWorker) scheduleHeartbeat(us int64) {
+	if s.heartbeatPending {
 		return
 	}
 	at := s.b.nowUs + us
-	if s.nextUs > s.b.nowUs && s.nextUs <= at {
+	if s.nextHeartbeatUs > s.b.nowUs && s.nextHeartbeatUs <= at {
 		return
 	}
-	s.nextUs = at
+	s.nextHeartbeatUs = at
 	gen := s.gen
 	s.b.after(us, func() {
-		if s.gen == gen && s.up && !s.out && s.nextUs == at {
+		if s.gen == gen && s.up && !s.heartbeatPending && s.nextHeartbeatUs == at {
 			s.sendHeartbeat()
 		}
 	})
@@ -182,7 +182,7 @@
 
 func (s *platformWorker) sendHeartbeat() {
 	b := s.b
-	s.out, s.again, s.nextUs = true, false, 0
+	s.heartbeatPending, s.heartbeatAgain, s.nextHeartbeatUs = true, false, 0
 	s.seq++
 	running, ended := []map[string]any{}, []map[string]any{}
 	entry := func(r *platformRun) map[string]any {
@@ -190,14 +190,14 @@
 	}
 	for _, k := range s.runNames() {
 		r := s.runs[k]
-		r.effort.settle()
+		r.execution.updateProgress()
 		m := entry(r)
-		m["saved"], m["percent"] = r.saved, int(100*r.effort.doneMs/max(r.effort.workMs, 1))
+		m["saved"], m["percent"] = r.saved, int(100*r.execution.doneMs/max(r.execution.workMs, 1))
 		running = append(running, m)
 	}
 	for _, e := range s.ends[:min(500, len(s.ends))] {
 		m := entry(e.run)
-		m["n"], m["outcome"], m["saved"] = e.n, e.how, e.saved
+		m["n"], m["outcome"], m["saved"] = e.n, e.outcome, e.saved
 		ended = append(ended, m)
 	}
 	doc := map[string]any{"seq": s.seq, "site": s.node.Zone, "labels": s.labels, "rack": s.rack, "leaving": s.leaving, "running": running, "ended": ended,
@@ -211,27 +211,27 @@
 	if len(ended) > 0 {
 		b.see(platformEvent{kind: bListed, worker: s.id, host: s.node.Name, n: s.ends[len(ended)-1].n})
 	}
-	gen, sentUs, said := s.gen, s.clockUs(), s.leaving
+	gen, sentUs, announcedLeaving := s.gen, s.clockUs(), s.leaving
 	done := func(status int, body []byte) {
 		if s.gen != gen {
 			return
 		}
-		s.out = false
+		s.heartbeatPending = false
 		if status == 200 {
-			s.take(body, sentUs, said)
+			s.handleResponse(body, sentUs, announcedLeaving)
 		}
 		switch {
-		case s.again:
-			s.heartbeatIn(50_000)
+		case s.heartbeatAgain:
+			s.scheduleHeartbeat(50_000)
 		case status != 200:
-			s.heartbeatIn(200_000)
+			s.scheduleHeartbeat(200_000)
 		default:
 			again := gjson.GetBytes(body, "again_ms")
 			wait := s.b.deployment.beatMs
 			if again.Exists() {
 				wait = again.Int()
 			}
-			s.heartbeatIn(max(wait, 5) * 1000)
+			s.scheduleHeartbeat(max(wait, 5) * 1000)
 		}
 	}
 	if s.deliver != nil {
@@ -245,13 +245,13 @@
 	b.call(s.node.Name, s.node, platformCall{op: "worker.beat", key: s.id, body: mustJSON(doc)}, 1000, func(status int, _ int64, body []byte) { done(status, body) })
 }
 
-// take handles the response to a heartbeat.
-func (s *platformWorker) take(body []byte, sentUs int64, said bool) {
+// handleResponse handles the response to a heartbeat.
+func (s *platformWorker) handleResponse(body []byte, sentUs int64, announcedLeaving bool) {
 	b, a := s.b, gjson.ParseBytes(body)
-	if said {
-		b.see(platformEvent{kind: bLeaving, worker: s.id, host: s.node.Name})
-		if !s.dies {
-			s.dies, s.leavesMs = true, b.nowMs()+2000
+	if announcedLeaving {
+		b.see(platformEvent{kind: eventLeaveAcked, worker: s.id, host: s.node.Name})
+		if !s.endScheduled {
+			s.endScheduled, s.leavesMs = true, b.nowMs()+2000
 			gen := s.gen
 			b.after(2_300_000, func() {
 				if s.gen != gen {
@@ -274,13 +274,13 @@
 		until := sentUs + min(hold, b.deployment.holdMaxMs)*1000
 		if until > s.holdUs {
 			s.holdUs = until
-			s.watchHold()
+			s.scheduleHoldExpiry()
 		}
 	}
 	for _, o := range a.Get("stop").Array() {
-		k := s.nameOf(o)
-		if s.floor[s.taskKey(k)] < k.run {
-			s.floor[s.taskKey(k)] = k.run
+		k := s.parseRunName(o)
+		if s.highestRun[s.taskKey(k)] < k.run {
+			s.highestRun[s.taskKey(k)] = k.run
 		}
 		if r := s.runs[k]; r != nil && !r.stopping {
 			r.stopping = true
@@ -297,19 +297,19 @@
 	}
 }
 
-func (s *platformWorker) nameOf(o gjson.Result) runName {
+func (s *platformWorker) parseRunName(o gjson.Result) runName {
 	return runName{o.Get("job").Str, taskName{int(o.Get("round").Int()), int(o.Get("step").Int()), int(o.Get("index").Int())}, o.Get("run").Int()}
 }
 
 func (s *platformWorker) startRun(o gjson.Result) {
-	b, k := s.b, s.nameOf(o)
-	e := platformEvent{kind: bOrdered, job: k.job, task: k.name, run: k.run, worker: s.id, host: s.node.Name, saved: o.Get("saved").Str, text: o.Get("payload").Str}
+	b, k := s.b, s.parseRunName(o)
+	e := platformEvent{kind: eventOrdered, job: k.job, task: k.name, run: k.run, worker: s.id, host: s.node.Name, saved: o.Get("saved").Str, text: o.Get("payload").Str}
 	if p := o.Get("payload"); p.Type != gjson.String {
 		e.text = p.Raw
 	}
 	b.see(e)
 	job := b.jobs[k.job]
-	if job == nil || !job.has(k.name) {
+	if job == nil || !job.hasTask(k.name) {
 		return // the checker reports it
 	}
 	step := &job.steps[k.name.step]
@@ -317,61 +317,61 @@
 		return // a start needs a hold, and a run starts only once
 	}
 	r := &platformRun{name: k.name, run: k.run, job: job, worker: s, step: step, startMs: b.nowMs(), saved: e.saved}
-	if k.run <= s.floor[s.taskKey(k)] || s.guards && !s.used.plus(step.room, 1).within(s.capacity) {
-		b.turned++
-		s.list(r, "turned_away")
+	if k.run <= s.highestRun[s.taskKey(k)] || s.guards && !s.used.plus(step.room, 1).within(s.capacity) {
+		b.rejectedStarts++
+		s.addEnd(r, "turned_away")
 		return
 	}
 	s.used = s.used.plus(step.room, 1)
 	s.runs[k] = r
 	b.see(platformEvent{kind: bStarted, job: k.job, task: k.name, run: k.run, worker: s.id, host: s.node.Name})
-	b.join(r)
+	b.joinExecution(r)
 }
 
-// list adds an end, which heartbeats report until it is acknowledged.
-func (s *platformWorker) list(r *platformRun, how string) {
+// addEnd adds an end, which heartbeats report until it is acknowledged.
+func (s *platformWorker) addEnd(r *platformRun, outcome string) {
 	s.endSeq++
-	s.ends = append(s.ends, platformEnd{s.endSeq, r, how, r.saved})
-	if s.out {
-		s.again = true
+	s.ends = append(s.ends, platformEnd{s.endSeq, r, outcome, r.saved})
+	if s.heartbeatPending {
+		s.heartbeatAgain = true
 	} else {
-		s.heartbeatIn(50_000)
+		s.scheduleHeartbeat(50_000)
 	}
 }
 
 // end ends a run with an outcome.
-func (s *platformWorker) end(r *platformRun, how string) {
+func (s *platformWorker) end(r *platformRun, outcome string) {
 	k := runName{r.job.id, r.name, r.run}
 	if s.runs[k] != r {
 		return
 	}
-	r.effort.settle()
-	if how == "stopped" && r.step.saves {
-		r.effort.save(r)
+	r.execution.updateProgress()
+	if outcome == "stopped" && r.step.saves {
+		r.execution.saveCheckpoint(r)
 	}
 	delete(s.runs, k)
 	r.gone = true
 	s.used = s.used.plus(r.step.room, -1)
-	if tk := s.taskKey(k); s.floor[tk] < r.run {
-		s.floor[tk] = r.run
+	if tk := s.taskKey(k); s.highestRun[tk] < r.run {
+		s.highestRun[tk] = r.run
 	}
-	s.b.see(platformEvent{kind: bEnded, job: r.job.id, task: r.name, run: r.run, worker: s.id, host: s.node.Name, text: how, n: s.endSeq + 1, saved: r.saved})
-	s.list(r, how)
-	if how == "ok" {
-		r.job.ok(s.b, r)
+	s.b.see(platformEvent{kind: bEnded, job: r.job.id, task: r.name, run: r.run, worker: s.id, host: s.node.Name, text: outcome, n: s.endSeq + 1, saved: r.saved})
+	s.addEnd(r, outcome)
+	if outcome == "ok" {
+		r.job.recordSuccess(s.b, r)
 	} else {
-		s.b.wasted(how, r)
+		s.b.recordWaste(outcome, r)
 	}
-	r.effort.lost(r, how == "ok")
+	r.execution.removeRun(r, outcome == "ok")
 }
 
-// watchHold ends all runs when the hold expires.
-func (s *platformWorker) watchHold() {
+// scheduleHoldExpiry ends all runs when the hold expires.
+func (s *platformWorker) scheduleHoldExpiry() {
 	s.holdGen++
-	gen, life := s.holdGen, s.gen
+	gen, workerGen := s.holdGen, s.gen
 	left := int64(math.Ceil(float64(s.holdUs-s.clockUs())/(1-s.drift))) + 1
 	s.b.after(left, func() {
-		if s.gen != life || s.holdGen != gen {
+		if s.gen != workerGen || s.holdGen != gen {
 			return
 		}
 		s.b.see(platformEvent{kind: bLapsed, worker: s.id, host: s.node.Name})
@@ -386,37 +386,37 @@
 // setPace changes how fast the worker works.
 func (s *platformWorker) setPace(slow float64, hang bool) {
 	for _, k := range s.runNames() {
-		s.runs[k].effort.settle()
+		s.runs[k].execution.updateProgress()
 	}
 	s.slow, s.hang = slow, hang
 	for _, k := range s.runNames() {
-		s.runs[k].effort.plan()
+		s.runs[k].execution.scheduleNext()
 	}
 }
 
-// join adds a run to its effort: its own, or that of its gang.
-func (b *platformWorld) join(r *platformRun) {
+// joinExecution adds a run to its execution: its own, or that of its gang.
+func (b *platformWorld) joinExecution(r *platformRun) {
 	name := gangName{job: r.job.id, round: r.name.round, step: r.name.step, run: r.run}
-	var e *platformEffort
+	var e *platformExecution
 	if r.step.gang {
 		if e = b.gangs[name]; e != nil && (e.dissolved || e.formed) {
 			e = nil
 		}
 	}
 	if e == nil {
-		e = &platformEffort{b: b, name: name, sinceMs: b.nowMs()}
+		e = &platformExecution{b: b, name: name, sinceMs: b.nowMs()}
 		if r.step.gang {
 			b.gangs[name] = e
 		}
 	}
-	r.effort = e
+	r.execution = e
 	e.members = append(e.members, r)
 	if !r.step.gang {
-		e.begin()
+		e.start()
 		return
 	}
 	if len(e.members) == r.step.count {
-		e.begin()
+		e.start()
 		return
 	}
 	b.after(b.deployment.gangWaitMs*1000, func() {
@@ -426,43 +426,43 @@
 	})
 }
 
-// begin starts the work, at the least progress that its members' checkpoints have.
-func (e *platformEffort) begin() {
+// start begins the work at the least progress that its members' checkpoints have.
+func (e *platformExecution) start() {
 	e.formed, e.atUs, e.readyUs = true, e.b.nowUs, e.b.nowUs
 	first := e.members[0]
 	for i, r := range e.members {
 		e.workMs = max(e.workMs, r.job.fates[r.name].workMs)
-		if p, ok := e.b.texts[r.saved]; ok && p.job == r.job.id && (i == 0 || p.doneMs < e.doneMs) {
+		if p, ok := e.b.savedPoints[r.saved]; ok && p.job == r.job.id && (i == 0 || p.doneMs < e.doneMs) {
 			e.doneMs = p.doneMs
 		}
 	}
 	if first.saved != "" {
 		e.readyUs += e.b.deployment.restoreMs * 1000
 	}
-	e.begunMs, e.savedMs = e.doneMs, e.doneMs
+	e.resumedMs, e.savedMs = e.doneMs, e.doneMs
 	if first.step.lasting {
 		e.workMs = 1e15
 	}
 	for _, r := range e.members {
 		f := r.job.fates[r.name]
 		if f.failed < len(f.fails) {
-			if at := f.fails[f.failed] * min(e.workMs, 20_000); e.failing == nil || at < e.failAtMs {
-				e.failing, e.failAtMs = r, at
+			if at := f.fails[f.failed] * min(e.workMs, 20_000); e.failingRun == nil || at < e.failAtMs {
+				e.failingRun, e.failAtMs = r, at
 			}
 		}
 	}
 	for _, r := range e.members {
 		if share := r.worker.failing; share > 0 && e.b.share(share) {
-			if at := e.b.rng.Float64() * min(e.workMs, 20_000); e.failing == nil || at < e.failAtMs {
-				e.failing, e.failAtMs, e.byWorker = r, at, true
+			if at := e.b.rng.Float64() * min(e.workMs, 20_000); e.failingRun == nil || at < e.failAtMs {
+				e.failingRun, e.failAtMs, e.byWorker = r, at, true
 			}
 		}
 	}
-	e.plan()
+	e.scheduleNext()
 }
 
-// speed returns the current rate of work, in ms of work per ms.
-func (e *platformEffort) speed() float64 {
+// currentRate returns the current rate of work, in ms of work per ms.
+func (e *platformExecution) currentRate() float64 {
 	if !e.formed || e.dissolved || e.b.nowUs < e.readyUs {
 		return 0
 	}
@@ -485,8 +485,8 @@
 	return rate
 }
 
-// settle updates the work done to the current time.
-func (e *platformEffort) settle() {
+// updateProgress updates the work done to the current time.
+func (e *platformExecution) updateProgress() {
 	if !e.formed || e.dissolved {
 		return
 	}
@@ -494,11 +494,11 @@
 	e.atUs = e.b.nowUs
 }
 
-// plan schedules what happens next: a checkpoint, a failure or the end.
-func (e *platformEffort) plan() {
-	e.settle()
+// scheduleNext schedules what happens next: a checkpoint, a failure or the end.
+func (e *platformExecution) scheduleNext() {
+	e.updateProgress()
 	e.gen++
-	e.rate = e.speed()
+	e.rate = e.currentRate()
 	if !e.formed || e.dissolved {
 		return
 	}
@@ -506,7 +506,7 @@
 	if e.b.nowUs < e.readyUs {
 		e.b.after(e.readyUs-e.b.nowUs, func() {
 			if e.gen == gen {
-				e.plan()
+				e.scheduleNext()
 			}
 		})
 		return
@@ -516,7 +516,7 @@
 	}
 	first := e.members[0]
 	next, what := e.workMs, "ok"
-	if e.failing != nil && max(e.failAtMs, e.doneMs+1) < next {
+	if e.failingRun != nil && max(e.failAtMs, e.doneMs+1) < next {
 		next, what = max(e.failAtMs, e.doneMs+1), "failed"
 	}
 	if save := e.savedMs + e.b.deployment.saveMs; first.step.saves && save < next && what != "saved" {
@@ -526,20 +526,20 @@
 		if e.gen != gen {
 			return
 		}
-		e.settle()
+		e.updateProgress()
 		e.doneMs = max(e.doneMs, next)
 		switch what {
 		case "saved":
 			e.savedMs = next
 			for _, r := range e.members {
-				e.save(r)
+				e.saveCheckpoint(r)
 			}
-			e.plan()
+			e.scheduleNext()
 		case "failed":
 			if !e.byWorker {
-				e.failing.job.fates[e.failing.name].failed++
+				e.failingRun.job.fates[e.failingRun.name].failed++
 			}
-			e.failing.worker.end(e.failing, "failed")
+			e.failingRun.worker.end(e.failingRun, "failed")
 		default:
 			e.gen++
 			for _, r := range slices.Clone(e.members) {
@@ -549,22 +549,22 @@
 	})
 }
 
-// save writes a new checkpoint of a run.
-func (e *platformEffort) save(r *platformRun) {
+// saveCheckpoint writes a new checkpoint of a run.
+func (e *platformExecution) saveCheckpoint(r *platformRun) {
 	if !e.formed {
 		return
 	}
-	e.b.textSeq++
-	r.saved = fmt.Sprintf("%08x%s", e.b.textSeq, r.job.id)
-	e.b.texts[r.saved] = savedPoint{r.job.id, r.name, e.doneMs}
+	e.b.savedPointSeq++
+	r.saved = fmt.Sprintf("%08x%s", e.b.savedPointSeq, r.job.id)
+	e.b.savedPoints[r.saved] = savedPoint{r.job.id, r.name, e.doneMs}
 	e.savedMs = e.doneMs
-	e.b.see(platformEvent{kind: bSaved, job: r.job.id, task: r.name, run: r.run, worker: r.worker.id, host: r.worker.node.Name, saved: r.saved})
+	e.b.see(platformEvent{kind: eventCheckpointSaved, job: r.job.id, task: r.name, run: r.run, worker: r.worker.id, host: r.worker.node.Name, saved: r.saved})
 }
 
-// lost removes a member whose run has ended. Unless it ended well, the other members
+// removeRun removes a member whose run has ended. Unless it ended well, the other members
 // of a gang at work end soon after it.
-func (e *platformEffort) lost(r *platformRun, well bool) {
-	e.settle()
+func (e *platformExecution) removeRun(r *platformRun, well bool) {
+	e.updateProgress()
 	e.members = slices.DeleteFunc(e.members, func(o *platformRun) bool { return o == r })
 	if well || !e.formed {
 		return
@@ -581,11 +581,11 @@
 	}
 }
 
-// wasted counts the core-seconds of a run whose work is lost; an accelerator counts as 8 cores.
-func (b *platformWorld) wasted(how string, r *platformRun) {
+// recordWaste counts the core-seconds of a run whose work is lost; an accelerator counts as 8 cores.
+func (b *platformWorld) recordWaste(outcome string, r *platformRun) {
 	spent := float64(b.nowMs()-r.startMs) / 1000
-	if r.effort != nil && r.effort.formed {
-		spent -= max(0, r.effort.savedMs-r.effort.begunMs) / 1000
+	if r.execution != nil && r.execution.formed {
+		spent -= max(0, r.execution.savedMs-r.execution.resumedMs) / 1000
 	}
-	b.waste[how] += max(0, spent) * (float64(r.step.room[0])/1000 + 8*float64(r.step.room[2]))
+	b.wastedCoreSeconds[outcome] += max(0, spent) * (float64(r.step.room[0])/1000 + 8*float64(r.step.room[2]))
 }
