--- a/internal/daemon/platformcampaign_test.go
+++ b/internal/daemon/platformcampaign_test.go
@@ -64,8 +64,8 @@
 		}
 	},
 	"evacuate": func(b *platformWorld) {
-		site := b.nodes[b.some(b.spots)].Zone
-		b.order("site.empty", site, func() { b.after(7_000_000, func() { b.order("site.open", site, nil) }) })
+		zone := b.nodes[b.some(b.spots)].Zone
+		b.order("site.empty", zone, func() { b.after(7_000_000, func() { b.order("site.open", zone, nil) }) })
 	},
 	"race": func(b *platformWorld) {
 		base, version := b.version, b.version
--- a/internal/daemon/platformdays_test.go
+++ b/internal/daemon/platformdays_test.go
@@ -215,9 +215,9 @@
 	b.call("operator", b.edge(), platformCall{op: "setup.get"}, 1000, func(status int, _ int64, body []byte) {
 		switch {
 		case status == 200:
-			b.see(platformEvent{kind: eventSetupShown, n: gjson.GetBytes(body, "version").Int(), text: gjson.GetBytes(body, "setup.source.note").Str, sentMs: asked})
+			b.see(platformEvent{kind: eventSetupShown, n: gjson.GetBytes(body, "version").Int(), text: gjson.GetBytes(body, "setup.source.note").Str, requestedMs: asked})
 		case tries == 1:
-			b.see(platformEvent{kind: eventSetupShown, n: -1, sentMs: asked})
+			b.see(platformEvent{kind: eventSetupShown, n: -1, requestedMs: asked})
 		default:
 			b.after(readPauseMs*1000, func() { b.readSetup(tries - 1) })
 		}
@@ -229,9 +229,9 @@
 	b.callOfJob(to, "queue.state", j, nil, func(status int, _ int64, body []byte) {
 		switch {
 		case status == 200:
-			b.see(platformEvent{kind: eventStateShown, job: j.id, host: to.Name, text: gjson.GetBytes(body, "state").Str, sentMs: asked})
+			b.see(platformEvent{kind: eventStateShown, job: j.id, host: to.Name, text: gjson.GetBytes(body, "state").Str, requestedMs: asked})
 		case status == 410:
-			b.see(platformEvent{kind: eventStateShown, job: j.id, host: to.Name, text: "unknown", sentMs: asked})
+			b.see(platformEvent{kind: eventStateShown, job: j.id, host: to.Name, text: "unknown", requestedMs: asked})
 		case tries == 1:
 			b.see(platformEvent{kind: eventFinalState, job: j.id})
 		default:
--- a/internal/daemon/platformjudge_cases_test.go
+++ b/internal/daemon/platformjudge_cases_test.go
@@ -28,7 +28,7 @@
 	add(100, platformEvent{kind: eventSetupSent, n: 1, base: 0, setup: setup})
 	add(200, platformEvent{kind: eventSetupAcked, n: 1, base: 0, setup: setup})
 	add(10_000, platformEvent{kind: eventJobSent, job: "j", spec: job, queue: q})
-	add(10_010, platformEvent{kind: bJobTried, job: "j", host: "e", n: 201, sentMs: 10_000})
+	add(10_010, platformEvent{kind: bJobTried, job: "j", host: "e", n: 201, requestedMs: 10_000})
 	begin := func(at int64, worker string, step, index int, n int64, saved string) {
 		e := run(at, eventOrdered, worker, step, index, n)
 		e.saved = saved
@@ -63,7 +63,7 @@
 	finish(14_500, "w2", 1, 1, 2, 3, "ok")
 	add(14_550, platformEvent{kind: bListed, worker: "w1", n: 4})
 	add(14_600, platformEvent{kind: bSeen, worker: "w1", n: 4})
-	add(14_700, platformEvent{kind: eventStateShown, job: "j", host: "e", text: "complete", sentMs: 14_690})
+	add(14_700, platformEvent{kind: eventStateShown, job: "j", host: "e", text: "complete", requestedMs: 14_690})
 	return h
 }
 
@@ -71,7 +71,7 @@
 	must.SliceEmpty(t, checkPlatformHistory(validPlatformHistory(), usualPlatformBounds))
 }
 
-// Each breach that is planted into a valid history must be found, under the rule that begins the name of the case.
+// Each violation that is inserted into a valid history must be found, under the rule that begins the name of the case.
 func TestPlatformCheckerFindsInjectedViolations(t *testing.T) {
 	run := func(at int64, kind, worker string, step, index int, run int64) platformEvent {
 		return platformEvent{atMs: at, kind: kind, job: "j", task: taskName{0, step, index}, run: run, worker: worker, host: "on-" + worker, text: "spec"}
@@ -200,16 +200,16 @@
 			return insertEvent(late(h, 3000), platformEvent{atMs: 8500, kind: eventZoneEvacuated, text: "east"})
 		},
 		"MIXED": func(h []platformEvent) []platformEvent {
-			return insertEvent(h, platformEvent{atMs: 14_400, kind: eventStateShown, job: "j", host: "e", text: "complete", sentMs: 14_390})
+			return insertEvent(h, platformEvent{atMs: 14_400, kind: eventStateShown, job: "j", host: "e", text: "complete", requestedMs: 14_390})
 		},
 		"LOST unknown": func(h []platformEvent) []platformEvent {
-			return insertEvent(h, platformEvent{atMs: 13_200, kind: eventStateShown, job: "j", host: "e", text: "unknown", sentMs: 13_100})
+			return insertEvent(h, platformEvent{atMs: 13_200, kind: eventStateShown, job: "j", host: "e", text: "unknown", requestedMs: 13_100})
 		},
 		"LOST failed": func(h []platformEvent) []platformEvent {
-			return insertEvent(h, platformEvent{atMs: 13_200, kind: eventStateShown, job: "j", host: "e", text: "failed", sentMs: 13_100})
+			return insertEvent(h, platformEvent{atMs: 13_200, kind: eventStateShown, job: "j", host: "e", text: "failed", requestedMs: 13_100})
 		},
 		"LOST cancelled": func(h []platformEvent) []platformEvent {
-			return insertEvent(h, platformEvent{atMs: 13_200, kind: eventStateShown, job: "j", host: "e", text: "cancelled", sentMs: 13_100})
+			return insertEvent(h, platformEvent{atMs: 13_200, kind: eventStateShown, job: "j", host: "e", text: "cancelled", requestedMs: 13_100})
 		},
 		"LOST unfinished": func(h []platformEvent) []platformEvent {
 			return append(h, platformEvent{atMs: 60_000, kind: eventFinalState, job: "j", text: "running"})
@@ -229,11 +229,11 @@
 		},
 		"CONFIG goes back": func(h []platformEvent) []platformEvent {
 			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupAcked, n: 2, base: 1, setup: other},
-				platformEvent{atMs: 30_000, kind: eventSetupShown, n: 1, sentMs: 29_000})
+				platformEvent{atMs: 30_000, kind: eventSetupShown, n: 1, requestedMs: 29_000})
 		},
 		"CONFIG refused is in force": func(h []platformEvent) []platformEvent {
 			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupRefused, n: 2, base: 1, setup: other},
-				platformEvent{atMs: 30_000, kind: eventSetupShown, n: 2, sentMs: 29_000})
+				platformEvent{atMs: 30_000, kind: eventSetupShown, n: 2, requestedMs: 29_000})
 		},
 		"CONFIG taken and refused": func(h []platformEvent) []platformEvent {
 			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupAccepted, n: 2, base: 1, setup: other},
@@ -261,14 +261,14 @@
 				platformEvent{atMs: 22_000, kind: eventSetupSent, n: 3, base: 2, setup: third}, platformEvent{atMs: 22_001, kind: eventSetupAcked, n: 3, base: 2, setup: third})
 		},
 		"CONFIG is not read back": func(h []platformEvent) []platformEvent {
-			return append(h, platformEvent{atMs: 30_000, kind: eventSetupShown, n: -1, sentMs: 29_000})
+			return append(h, platformEvent{atMs: 30_000, kind: eventSetupShown, n: -1, requestedMs: 29_000})
 		},
 		"CONFIG differs from what was taken": func(h []platformEvent) []platformEvent {
 			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupAcked, n: 2, base: 1, setup: other},
-				platformEvent{atMs: 30_000, kind: eventSetupShown, n: 2, text: "another", sentMs: 29_000})
+				platformEvent{atMs: 30_000, kind: eventSetupShown, n: 2, text: "another", requestedMs: 29_000})
 		},
 		"LOST came again and was refused": func(h []platformEvent) []platformEvent {
-			return append(h, platformEvent{atMs: 20_000, kind: eventJobAccepted, job: "j", n: 201}, platformEvent{atMs: 20_010, kind: bJobTried, job: "j", host: "e", n: 409, sentMs: 20_005})
+			return append(h, platformEvent{atMs: 20_000, kind: eventJobAccepted, job: "j", n: 201}, platformEvent{atMs: 20_010, kind: bJobTried, job: "j", host: "e", n: 409, requestedMs: 20_005})
 		},
 		"RECOVER calls": func(h []platformEvent) []platformEvent {
 			h = append(h, platformEvent{atMs: 20_000, kind: bLoss}, platformEvent{atMs: 21_000, kind: bBack})
@@ -277,14 +277,14 @@
 		"RECOVER tasks": func(h []platformEvent) []platformEvent {
 			h = append(h, platformEvent{atMs: 20_000, kind: bLoss}, platformEvent{atMs: 21_000, kind: bBack})
 			return append(h, platformEvent{atMs: 33_500, kind: eventJobSent, job: "k", spec: h[4].spec, queue: h[4].queue},
-				platformEvent{atMs: 33_510, kind: bJobTried, job: "k", host: "e", n: 201, sentMs: 33_500})
+				platformEvent{atMs: 33_510, kind: bJobTried, job: "k", host: "e", n: 201, requestedMs: 33_500})
 		},
 		"CONFIG no such queue": func(h []platformEvent) []platformEvent {
-			return append(h, platformEvent{atMs: 20_000, kind: bJobTried, job: "j", host: "e", n: 404, sentMs: 19_990})
+			return append(h, platformEvent{atMs: 20_000, kind: bJobTried, job: "j", host: "e", n: 404, requestedMs: 19_990})
 		},
 		"CONFIG a dropped queue": func(h []platformEvent) []platformEvent {
 			h = append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupAcked, n: 2, base: 1, setup: other})
-			return append(h, platformEvent{atMs: 23_000, kind: eventJobSent, job: "k", spec: h[4].spec, queue: h[4].queue}, platformEvent{atMs: 23_010, kind: bJobTried, job: "k", host: "e", n: 201, sentMs: 23_000})
+			return append(h, platformEvent{atMs: 23_000, kind: eventJobSent, job: "k", spec: h[4].spec, queue: h[4].queue}, platformEvent{atMs: 23_010, kind: bJobTried, job: "k", host: "e", n: 201, requestedMs: 23_000})
 		},
 	}
 	for name, inject := range injections {
@@ -297,7 +297,7 @@
 			}
 		})
 	}
-	// Histories that the rules allow have no breach.
+	// Histories that the rules allow have no violation.
 	allowed := map[string]func([]platformEvent) []platformEvent{
 		"copies at once": func(h []platformEvent) []platformEvent {
 			job(h).steps[0].copies, job(h).steps[0].perWorker = true, 0
@@ -323,18 +323,18 @@
 			return drop(h, func(e platformEvent) bool { return e.kind == eventStateShown })
 		},
 		"unknown while the core is unsettled": func(h []platformEvent) []platformEvent {
-			return insertEvent(insertEvent(h, platformEvent{atMs: 13_200, kind: eventStateShown, job: "j", host: "e", text: "unknown", sentMs: 13_100}), platformEvent{atMs: 11_300, kind: bCore, host: "d00"})
+			return insertEvent(insertEvent(h, platformEvent{atMs: 13_200, kind: eventStateShown, job: "j", host: "e", text: "unknown", requestedMs: 13_100}), platformEvent{atMs: 11_300, kind: bCore, host: "d00"})
 		},
 		"a change whose answer was lost, acknowledged when it came again": func(h []platformEvent) []platformEvent {
 			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupAccepted, n: 2, base: 1, setup: other},
 				platformEvent{atMs: 22_000, kind: eventSetupAccepted, n: 2, base: 1, setup: other}, platformEvent{atMs: 22_001, kind: eventSetupAcked, n: 2, base: 1, setup: other},
-				platformEvent{atMs: 30_000, kind: eventSetupShown, n: 2, text: "other", sentMs: 29_000})
+				platformEvent{atMs: 30_000, kind: eventSetupShown, n: 2, text: "other", requestedMs: 29_000})
 		},
 		"a race lost under the winner's number": func(h []platformEvent) []platformEvent {
 			third := &platformSetup{queues: other.queues, note: "third"}
 			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: third},
 				platformEvent{atMs: 20_001, kind: eventSetupAccepted, n: 2, base: 1, setup: third}, platformEvent{atMs: 20_002, kind: eventSetupRefused, n: 2, base: 1, setup: other},
-				platformEvent{atMs: 30_000, kind: eventSetupShown, n: 2, text: "third", sentMs: 29_000})
+				platformEvent{atMs: 30_000, kind: eventSetupShown, n: 2, text: "third", requestedMs: 29_000})
 		},
 		"an emptied site that was opened": func(h []platformEvent) []platformEvent {
 			return insertEvent(insertEvent(late(h, 3000), platformEvent{atMs: 8500, kind: eventZoneEvacuated, text: "east"}), platformEvent{atMs: 13_900, kind: eventZoneReopened, text: "east"})
--- a/internal/daemon/platformjudge_state_test.go
+++ b/internal/daemon/platformjudge_state_test.go
@@ -10,20 +10,20 @@
 
 // platformEvent is an entry of the history that the checker reads; which fields are set depends on its kind.
 type platformEvent struct {
-	atMs, sentMs int64
-	kind         string
-	job          string
-	task         taskName
-	host         string // the worker's machine, or the one that responded
-	worker       string // its ID, new after each restart
-	run, n, base int64
-	text, saved  string
-	queue        *platformQueue
-	spec         *platformJob
-	facts        *workerFacts
-	setup        *platformSetup
-	key          string // the credential of a call
-	order        int    // position in the history, from 1
+	atMs, requestedMs int64
+	kind              string
+	job               string
+	task              taskName
+	host              string // the worker's machine, or the one that responded
+	worker            string // its ID, new after each restart
+	run, n, base      int64
+	text, saved       string
+	queue             *platformQueue
+	spec              *platformJob
+	facts             *workerFacts
+	setup             *platformSetup
+	key               string // the credential of a call
+	order             int    // position in the history, from 1
 }
 
 // workerFacts holds the properties that a worker reports.
@@ -156,26 +156,26 @@
 
 // connected reports whether a machine had contact to the cluster at a time, without faults
 // shortly before it. It needs the history only up to that time.
-func (j *platformChecker) connected(host string, atMs int64) bool {
-	from := atMs - j.bounds.contact
+func (c *platformChecker) connected(host string, atMs int64) bool {
+	from := atMs - c.bounds.contact
 	for _, at := range []string{host, ""} {
-		for _, s := range j.faults[at] {
+		for _, s := range c.faults[at] {
 			if s.overlaps(from, atMs) {
 				return false
 			}
-			if at == "" && s.overlaps(from-j.bounds.contact, atMs) { // losing the core's majority counts twice as long
+			if at == "" && s.overlaps(from-c.bounds.contact, atMs) { // losing the core's majority counts twice as long
 				return false
 			}
 		}
 	}
-	return !slices.ContainsFunc(j.core, func(at int64) bool { return at >= from && at <= atMs })
+	return !slices.ContainsFunc(c.core, func(at int64) bool { return at >= from && at <= atMs })
 }
 
 // faultFree reports whether a period of time had no fault in or shortly before it, except those of some kinds.
-func (j *platformChecker) faultFree(from, to int64, except ...string) bool {
-	for _, list := range j.faults {
+func (c *platformChecker) faultFree(from, to int64, except ...string) bool {
+	for _, list := range c.faults {
 		for _, s := range list {
-			if s.overlaps(from-j.bounds.contact, to) && !slices.Contains(except, s.text) {
+			if s.overlaps(from-c.bounds.contact, to) && !slices.Contains(except, s.text) {
 				return false
 			}
 		}
@@ -184,25 +184,25 @@
 }
 
 // checkSubmission checks the response to a submission.
-func (j *platformChecker) checkSubmission(e *platformEvent) {
-	s := j.jobs[e.job]
+func (c *platformChecker) checkSubmission(e *platformEvent) {
+	s := c.jobs[e.job]
 	refused := e.n == 429 || e.n == 503 || e.n == 404 || e.n == 400 || e.n == 401
 	if !refused {
 		s.mayBeAccepted = true
 	}
-	first := e.sentMs == s.sentMs
+	first := e.requestedMs == s.sentMs
 	if s.accepted && (e.n == 409 || e.n == 400) {
-		j.report("LOST", e.atMs, "%s was accepted, then refused with %d at %s when sent again", e.job, e.n, e.host)
+		c.report("LOST", e.atMs, "%s was accepted, then refused with %d at %s when sent again", e.job, e.n, e.host)
 	}
 	if accepted := e.n >= 200 && e.n < 300; accepted {
 		if !s.acked {
 			s.acked, s.ackedMs = true, e.atMs
 		}
-		if first && !j.mayRoute(s.queue, e.sentMs, e.atMs, true) && j.connected(e.host, e.atMs) {
-			j.report("CONFIG", e.atMs, "%s was accepted at %s for queue %s, which was removed", e.job, e.host, s.queue.name)
+		if first && !c.mayRoute(s.queue, e.requestedMs, e.atMs, true) && c.connected(e.host, e.atMs) {
+			c.report("CONFIG", e.atMs, "%s was accepted at %s for queue %s, which was removed", e.job, e.host, s.queue.name)
 		}
-	} else if e.n == 404 && j.connected(e.host, e.atMs) && !j.mayRoute(s.queue, e.sentMs, e.atMs, false) {
-		j.report("CONFIG", e.atMs, "%s got 404 at %s although queue %s exists", e.job, e.host, s.queue.name)
+	} else if e.n == 404 && c.connected(e.host, e.atMs) && !c.mayRoute(s.queue, e.requestedMs, e.atMs, false) {
+		c.report("CONFIG", e.atMs, "%s got 404 at %s although queue %s exists", e.job, e.host, s.queue.name)
 	}
 }
 
--- a/internal/daemon/platformjudge_tenants_cases_test.go
+++ b/internal/daemon/platformjudge_tenants_cases_test.go
@@ -20,7 +20,7 @@
 		{atMs: 100, kind: eventSetupSent, n: 1, base: 0, setup: setup},
 		{atMs: 200, kind: eventSetupAcked, n: 1, base: 0, setup: setup},
 		{atMs: 10_000, kind: eventJobSent, job: "j", spec: job, queue: q},
-		{atMs: 10_010, kind: bJobTried, job: "j", host: "e", n: 201, sentMs: 10_000},
+		{atMs: 10_010, kind: bJobTried, job: "j", host: "e", n: 201, requestedMs: 10_000},
 		callWith("one", 201, 10_000),
 		tenantRun(11_000, bStarted, "w1", 0), tenantRun(11_000, bStarted, "w2", 1),
 		tenantEnd(12_000, "w1", 0, "ok", 1), {atMs: 12_050, kind: bListed, worker: "w1", n: 1},
@@ -39,7 +39,7 @@
 // callWith is a call at machine e, answered 10 ms after it was sent.
 func callWith(key string, status, sentMs int64) platformEvent {
 	q := &platformQueue{name: "q", host: "h", prefix: "/q/", allowedFailures: 2, service: "s"}
-	return platformEvent{atMs: sentMs + 10, kind: eventCallAnswered, job: "j", host: "e", queue: q, key: key, n: status, sentMs: sentMs}
+	return platformEvent{atMs: sentMs + 10, kind: eventCallAnswered, job: "j", host: "e", queue: q, key: key, n: status, requestedMs: sentMs}
 }
 
 func tenantRun(atMs int64, kind, worker string, index int) platformEvent {
@@ -71,7 +71,7 @@
 	must.SliceEmpty(t, checkPlatformHistory(tenantHistory(), usualPlatformBounds))
 }
 
-// Each breach of the rules on tenants must be found, under the rule that begins the name of the case.
+// Each violation of the rules on tenants must be found, under the rule that begins the name of the case.
 func TestPlatformCheckerFindsTenantViolations(t *testing.T) {
 	roomy, low, swapped := tenantSetup(amounts{1000, 1000}, "one"), tenantSetup(amounts{4, 10}, "one"), tenantSetup(amounts{10, 10}, "two")
 	injections := map[string]func([]platformEvent) []platformEvent{
@@ -135,7 +135,7 @@
 	}
 }
 
-// Histories that the rules on tenants allow have no breach.
+// Histories that the rules on tenants allow have no violation.
 func TestPlatformCheckerAllowsTenantExceptions(t *testing.T) {
 	roomy, low, swapped := tenantSetup(amounts{1000, 1000}, "one"), tenantSetup(amounts{4, 10}, "one"), tenantSetup(amounts{10, 10}, "two")
 	allowed := map[string]func([]platformEvent) []platformEvent{
--- a/internal/daemon/platformjudge_test.go
+++ b/internal/daemon/platformjudge_test.go
@@ -47,77 +47,77 @@
 
 // checkPlatformHistory returns all violations in a history.
 func checkPlatformHistory(events []platformEvent, bounds platformBounds) []platformViolation {
-	j := &platformChecker{bounds: bounds, running: map[string]amounts{}, jobs: map[string]*observedJob{}, workers: map[string]*observedWorker{}, faults: map[string][]*timeSpan{}, evacuations: map[string][]*timeSpan{}}
+	c := &platformChecker{bounds: bounds, running: map[string]amounts{}, jobs: map[string]*observedJob{}, workers: map[string]*observedWorker{}, faults: map[string][]*timeSpan{}, evacuations: map[string][]*timeSpan{}}
 	for i := range events {
 		e := events[i]
 		e.order = i + 1
-		j.lastMs = max(j.lastMs, e.atMs)
-		platformHandlers[e.kind](j, &e)
+		c.lastMs = max(c.lastMs, e.atMs)
+		platformHandlers[e.kind](c, &e)
 	}
-	for _, check := range j.deferredChecks {
+	for _, check := range c.deferredChecks {
 		check()
 	}
-	j.checkRefusedBases()
-	j.checkRecovery()
-	for _, id := range sortedKeys(j.jobs) {
-		j.checkStoppedAfterCancel(j.jobs[id])
+	c.checkRefusedBases()
+	c.checkRecovery()
+	for _, id := range sortedKeys(c.jobs) {
+		c.checkStoppedAfterCancel(c.jobs[id])
 	}
-	slices.SortStableFunc(j.violations, func(a, b platformViolation) int { return int(a.atMs - b.atMs) })
-	return j.violations
+	slices.SortStableFunc(c.violations, func(a, b platformViolation) int { return int(a.atMs - b.atMs) })
+	return c.violations
 }
 
-func (j *platformChecker) report(rule string, atMs int64, format string, args ...any) {
-	j.violations = append(j.violations, platformViolation{rule, atMs, fmt.Sprintf(format, args...)})
+func (c *platformChecker) report(rule string, atMs int64, format string, args ...any) {
+	c.violations = append(c.violations, platformViolation{rule, atMs, fmt.Sprintf(format, args...)})
 }
 
 var platformHandlers = map[string]func(*platformChecker, *platformEvent){
-	eventJobSent: func(j *platformChecker, e *platformEvent) {
-		j.jobs[e.job] = &observedJob{id: e.job, spec: e.spec, queue: e.queue, sentMs: e.atMs, cancelMs: -1, completeMs: -1, runs: map[taskName][]*observedRun{},
+	eventJobSent: func(c *platformChecker, e *platformEvent) {
+		c.jobs[e.job] = &observedJob{id: e.job, spec: e.spec, queue: e.queue, sentMs: e.atMs, cancelMs: -1, completeMs: -1, runs: map[taskName][]*observedRun{},
 			saved: map[string]taskName{}, gangSaved: map[[3]int64]string{}}
 	},
 	bJobTried:       (*platformChecker).checkSubmission,
 	eventStateShown: (*platformChecker).checkShownState,
-	eventCancelSent: func(j *platformChecker, e *platformEvent) {
-		if s := j.jobs[e.job]; s != nil && !s.cancelSent {
+	eventCancelSent: func(c *platformChecker, e *platformEvent) {
+		if s := c.jobs[e.job]; s != nil && !s.cancelSent {
 			s.cancelSent, s.cancelSentMs = true, e.atMs
 		}
 	},
-	eventCancelAcked: func(j *platformChecker, e *platformEvent) {
-		if s := j.jobs[e.job]; s != nil && s.cancelMs < 0 {
+	eventCancelAcked: func(c *platformChecker, e *platformEvent) {
+		if s := c.jobs[e.job]; s != nil && s.cancelMs < 0 {
 			s.cancelMs = e.atMs
 		}
 	},
-	eventWorkerUp: func(j *platformChecker, e *platformEvent) {
-		j.workers[e.worker] = &observedWorker{facts: e.facts, host: e.host, open: map[runName]*observedRun{}, leavingMs: -1}
+	eventWorkerUp: func(c *platformChecker, e *platformEvent) {
+		c.workers[e.worker] = &observedWorker{facts: e.facts, host: e.host, open: map[runName]*observedRun{}, leavingMs: -1}
 	},
-	eventWorkerDown: func(j *platformChecker, e *platformEvent) {
-		w := j.workers[e.worker]
+	eventWorkerDown: func(c *platformChecker, e *platformEvent) {
+		w := c.workers[e.worker]
 		w.down = true
 		for _, r := range w.open {
 			r.endOrder, r.endMs, r.outcome = e.order, e.atMs, "crash"
 		}
-		j.stopRunning(slices.Collect(maps.Values(w.open))...)
-		j.stopRunning(w.unlisted...)
+		c.stopRunning(slices.Collect(maps.Values(w.open))...)
+		c.stopRunning(w.unlisted...)
 		w.open, w.ends, w.unlisted = map[runName]*observedRun{}, nil, nil
 	},
 	eventOrdered: (*platformChecker).checkOrder,
 	bStarted:     (*platformChecker).checkStart,
 	bEnded:       (*platformChecker).checkEnd,
-	bListed: func(j *platformChecker, e *platformEvent) {
-		w := j.workers[e.worker]
+	bListed: func(c *platformChecker, e *platformEvent) {
+		w := c.workers[e.worker]
 		w.unlisted = slices.DeleteFunc(w.unlisted, func(r *observedRun) bool {
 			if r.endNumber > e.n {
 				return false
 			}
-			if s := j.jobs[r.job]; s != nil {
+			if s := c.jobs[r.job]; s != nil {
 				w.used = w.used.plus(s.spec.steps[r.name.step].room, -1)
 			}
-			j.stopRunning(r)
+			c.stopRunning(r)
 			return true
 		})
 	},
-	bSeen: func(j *platformChecker, e *platformEvent) {
-		w := j.workers[e.worker]
+	bSeen: func(c *platformChecker, e *platformEvent) {
+		w := c.workers[e.worker]
 		w.ends = slices.DeleteFunc(w.ends, func(r *observedRun) bool {
 			if r.endNumber <= e.n && !r.lapsed {
 				r.acknowledgedMs = e.atMs
@@ -125,123 +125,123 @@
 			return r.endNumber <= e.n
 		})
 	},
-	bLapsed: func(j *platformChecker, e *platformEvent) {
-		for _, r := range j.workers[e.worker].ends {
+	bLapsed: func(c *platformChecker, e *platformEvent) {
+		for _, r := range c.workers[e.worker].ends {
 			r.lapsed = true
 		}
-		j.stopRunning(j.workers[e.worker].unlisted...)
+		c.stopRunning(c.workers[e.worker].unlisted...)
 	},
-	eventCheckpointSaved: func(j *platformChecker, e *platformEvent) {
-		if s := j.jobs[e.job]; s != nil {
+	eventCheckpointSaved: func(c *platformChecker, e *platformEvent) {
+		if s := c.jobs[e.job]; s != nil {
 			s.saved[e.saved] = e.task
 		}
 	},
-	eventLeaveAcked: func(j *platformChecker, e *platformEvent) {
-		if w := j.workers[e.worker]; w.leavingMs < 0 && j.connected(e.host, e.atMs) {
+	eventLeaveAcked: func(c *platformChecker, e *platformEvent) {
+		if w := c.workers[e.worker]; w.leavingMs < 0 && c.connected(e.host, e.atMs) {
 			w.leavingMs = e.atMs
 		}
 	},
-	eventZoneEvacuated: func(j *platformChecker, e *platformEvent) {
-		j.evacuations[e.text] = append(j.evacuations[e.text], &timeSpan{from: e.atMs, to: 1 << 60})
+	eventZoneEvacuated: func(c *platformChecker, e *platformEvent) {
+		c.evacuations[e.text] = append(c.evacuations[e.text], &timeSpan{from: e.atMs, to: 1 << 60})
 	},
-	eventZoneReopened: func(j *platformChecker, e *platformEvent) {
-		for _, s := range j.evacuations[e.text] {
+	eventZoneReopened: func(c *platformChecker, e *platformEvent) {
+		for _, s := range c.evacuations[e.text] {
 			s.to = min(s.to, e.atMs)
 		}
 	},
 	eventCallAnswered: (*platformChecker).checkCall,
-	eventSetupSent: func(j *platformChecker, e *platformEvent) {
-		j.setups = append(j.setups, &observedSetup{version: e.n, base: e.base, sentMs: e.atMs, ackedMs: -1, acceptedMs: -1, setup: e.setup})
+	eventSetupSent: func(c *platformChecker, e *platformEvent) {
+		c.setups = append(c.setups, &observedSetup{version: e.n, base: e.base, sentMs: e.atMs, ackedMs: -1, acceptedMs: -1, setup: e.setup})
 	},
-	eventSetupAcked: func(j *platformChecker, e *platformEvent) {
-		for _, s := range j.setups {
+	eventSetupAcked: func(c *platformChecker, e *platformEvent) {
+		for _, s := range c.setups {
 			if s.setup == e.setup {
 				if s.ackedMs < 0 {
 					s.ackedMs = e.atMs
 				}
 			} else if s.ackedMs >= 0 && (s.base == e.base || s.version == e.n) {
-				j.report("CONFIG", e.atMs, "versions %d and %d, both on top of %d, were both acknowledged", s.version, e.n, e.base)
+				c.report("CONFIG", e.atMs, "versions %d and %d, both on top of %d, were both acknowledged", s.version, e.n, e.base)
 			}
 		}
 		if e.setup.invalid {
-			j.report("CONFIG", e.atMs, "version %d is invalid and was acknowledged", e.n)
+			c.report("CONFIG", e.atMs, "version %d is invalid and was acknowledged", e.n)
 		}
 	},
-	eventSetupRefused: func(j *platformChecker, e *platformEvent) {
-		for _, s := range j.setups {
+	eventSetupRefused: func(c *platformChecker, e *platformEvent) {
+		for _, s := range c.setups {
 			if s.setup != e.setup {
 				continue
 			}
 			s.refused = true
 			if taken := max(s.ackedMs, s.acceptedMs); taken >= 0 {
-				j.report("CONFIG", e.atMs, "version %d on top of %d was accepted at %d ms, then refused when sent again", s.version, s.base, taken)
+				c.report("CONFIG", e.atMs, "version %d on top of %d was accepted at %d ms, then refused when sent again", s.version, s.base, taken)
 			}
 		}
 	},
 	eventSetupAccepted: (*platformChecker).checkSetupAcceptance,
-	eventJobAccepted: func(j *platformChecker, e *platformEvent) {
-		if s := j.jobs[e.job]; s != nil {
+	eventJobAccepted: func(c *platformChecker, e *platformEvent) {
+		if s := c.jobs[e.job]; s != nil {
 			s.accepted = true
 		}
 	},
-	bLoss: func(j *platformChecker, e *platformEvent) { j.lossMs = e.atMs },
-	bBack: func(j *platformChecker, e *platformEvent) { j.backMs = e.atMs },
-	eventSetupShown: func(j *platformChecker, e *platformEvent) {
+	bLoss: func(c *platformChecker, e *platformEvent) { c.lossMs = e.atMs },
+	bBack: func(c *platformChecker, e *platformEvent) { c.backMs = e.atMs },
+	eventSetupShown: func(c *platformChecker, e *platformEvent) {
 		newest := int64(0)
-		for _, s := range j.setups {
-			if s.ackedMs >= 0 && s.ackedMs < e.sentMs {
+		for _, s := range c.setups {
+			if s.ackedMs >= 0 && s.ackedMs < e.requestedMs {
 				newest = max(newest, s.version)
 			}
-			if s.version == e.n && s.refused && !slices.ContainsFunc(j.setups, func(o *observedSetup) bool { return o.version == e.n && !o.refused }) {
-				j.report("CONFIG", e.atMs, "version %d is shown although it was refused", e.n)
+			if s.version == e.n && s.refused && !slices.ContainsFunc(c.setups, func(o *observedSetup) bool { return o.version == e.n && !o.refused }) {
+				c.report("CONFIG", e.atMs, "version %d is shown although it was refused", e.n)
 			}
 		}
 		switch {
 		case e.n < 0:
-			j.report("CONFIG", e.atMs, "no configuration can be read back, %d was acknowledged", newest)
+			c.report("CONFIG", e.atMs, "no configuration can be read back, %d was acknowledged", newest)
 		case e.n < newest:
-			j.report("CONFIG", e.atMs, "version %d is shown, %d was acknowledged", e.n, newest)
-		case e.text != "" && !j.mayBeShown(e):
-			j.report("CONFIG", e.atMs, "version %d is shown as %q, which differs from what was accepted under its number", e.n, e.text)
+			c.report("CONFIG", e.atMs, "version %d is shown, %d was acknowledged", e.n, newest)
+		case e.text != "" && !c.mayBeShown(e):
+			c.report("CONFIG", e.atMs, "version %d is shown as %q, which differs from what was accepted under its number", e.n, e.text)
 		}
 	},
-	eventFaultBegan: func(j *platformChecker, e *platformEvent) {
-		if e.text == "clock" && j.bounds.early < 5000 { // clocks that jump may start a job up to 5 s early
-			j.bounds.early += 5000
+	eventFaultBegan: func(c *platformChecker, e *platformEvent) {
+		if e.text == "clock" && c.bounds.early < 5000 { // clocks that jump may start a job up to 5 s early
+			c.bounds.early += 5000
 		}
 		at := e.host
 		if e.worker != "" {
 			at = "worker " + e.worker
 		}
-		j.faults[at] = append(j.faults[at], &timeSpan{from: e.atMs, to: 1 << 60, text: e.text})
+		c.faults[at] = append(c.faults[at], &timeSpan{from: e.atMs, to: 1 << 60, text: e.text})
 	},
-	eventFaultEnded: func(j *platformChecker, e *platformEvent) {
+	eventFaultEnded: func(c *platformChecker, e *platformEvent) {
 		at := e.host
 		if e.worker != "" {
 			at = "worker " + e.worker
 		}
-		for _, s := range j.faults[at] {
+		for _, s := range c.faults[at] {
 			if s.text == e.text && s.to == 1<<60 {
 				s.to = e.atMs
 			}
 		}
 	},
-	bCore: func(j *platformChecker, e *platformEvent) { j.core = append(j.core, e.atMs) },
-	eventFinalState: func(j *platformChecker, e *platformEvent) {
-		s := j.jobs[e.job]
+	bCore: func(c *platformChecker, e *platformEvent) { c.core = append(c.core, e.atMs) },
+	eventFinalState: func(c *platformChecker, e *platformEvent) {
+		s := c.jobs[e.job]
 		if s == nil || !s.acked {
 			return
 		}
 		switch e.text {
 		case "complete", "failed", "cancelled":
 		case "":
-			j.report("LOST", e.atMs, "%s got no response long after the end", e.job)
+			c.report("LOST", e.atMs, "%s got no response long after the end", e.job)
 		default:
-			j.report("LOST", e.atMs, "%s is still %s long after the end", e.job, e.text)
+			c.report("LOST", e.atMs, "%s is still %s long after the end", e.job, e.text)
 		}
 	},
-	eventJobStuck: func(j *platformChecker, e *platformEvent) {
-		j.report("LOST", e.atMs, "%s makes no progress: %s", e.job, e.text)
+	eventJobStuck: func(c *platformChecker, e *platformEvent) {
+		c.report("LOST", e.atMs, "%s makes no progress: %s", e.job, e.text)
 	},
 }
 
@@ -251,58 +251,58 @@
 	recoveryShare = 4
 )
 
-func (j *platformChecker) checkOrder(e *platformEvent) {
-	s := j.jobs[e.job]
+func (c *platformChecker) checkOrder(e *platformEvent) {
+	s := c.jobs[e.job]
 	what := fmt.Sprintf("%s %v run %d at %s", e.job, e.task, e.run, e.worker)
 	if s == nil || !s.spec.hasTask(e.task) {
-		j.report("UNASKED", e.atMs, "%s was never sent", what)
+		c.report("UNASKED", e.atMs, "%s was never sent", what)
 		return
 	}
 	if e.text != s.spec.payload {
-		j.report("UNASKED", e.atMs, "%s was ordered with another payload", what)
+		c.report("UNASKED", e.atMs, "%s was ordered with another payload", what)
 	}
 	gang := s.spec.steps[e.task.step].gang
 	if e.saved != "" {
 		of, ok := s.saved[e.saved]
 		if !ok || of != e.task && (!gang || of.round != e.task.round || of.step != e.task.step) {
-			j.report("UNASKED", e.atMs, "%s was ordered with a checkpoint of another task", what)
+			c.report("UNASKED", e.atMs, "%s was ordered with a checkpoint of another task", what)
 		}
 	}
 	if gang {
 		key := [3]int64{int64(e.task.round), int64(e.task.step), e.run}
 		if other, ok := s.gangSaved[key]; ok && other != e.saved {
-			j.report("UNASKED", e.atMs, "%s was ordered with another checkpoint than the rest of its gang", what)
+			c.report("UNASKED", e.atMs, "%s was ordered with another checkpoint than the rest of its gang", what)
 		}
 		s.gangSaved[key] = e.saved
 	}
 }
 
-func (j *platformChecker) checkStart(e *platformEvent) {
-	s, w := j.jobs[e.job], j.workers[e.worker]
+func (c *platformChecker) checkStart(e *platformEvent) {
+	s, w := c.jobs[e.job], c.workers[e.worker]
 	if s == nil || !s.spec.hasTask(e.task) {
 		return // reported by ordered
 	}
 	step := s.spec.steps[e.task.step]
 	what := fmt.Sprintf("%s %v run %d at %s on %s", e.job, e.task, e.run, e.worker, e.host)
 	r := &observedRun{name: e.task, job: e.job, run: e.run, startOrder: e.order, startMs: e.atMs, acknowledgedMs: -1, worker: e.worker, host: e.host}
-	touch := j.connected(e.host, e.atMs)
+	touch := c.connected(e.host, e.atMs)
 	if !step.copies {
 		for _, o := range s.runs[e.task] {
 			if o.endOrder == 0 {
-				j.report("TWICE", e.atMs, "%s, run %d has been at %s since %d ms", what, o.run, o.worker, o.startMs)
+				c.report("TWICE", e.atMs, "%s, run %d has been at %s since %d ms", what, o.run, o.worker, o.startMs)
 			}
 		}
 	}
 	s.runs[e.task] = append(s.runs[e.task], r)
 	w.open[runName{e.job, e.task, e.run}] = r
-	j.startRunning(e, r, what)
+	c.startRunning(e, r, what)
 
 	if w.used = w.used.plus(step.room, 1); !w.facts.guards && !w.used.within(w.facts.capacity) {
-		j.report("LIMIT", e.atMs, "%s makes %v of %v", what, w.used, w.facts.capacity)
+		c.report("LIMIT", e.atMs, "%s makes %v of %v", what, w.used, w.facts.capacity)
 	}
 	for _, k := range sortedKeys(step.labels) {
 		if w.facts.labels[k] != step.labels[k] {
-			j.report("ROUTE", e.atMs, "%s needs %s=%s", what, k, step.labels[k])
+			c.report("ROUTE", e.atMs, "%s needs %s=%s", what, k, step.labels[k])
 		}
 	}
 	if step.perWorker > 0 {
@@ -313,47 +313,47 @@
 			}
 		}
 		if there > step.perWorker {
-			j.report("ROUTE", e.atMs, "%s makes %d of its step there, the most is %d", what, there, step.perWorker)
+			c.report("ROUTE", e.atMs, "%s makes %d of its step there, the most is %d", what, there, step.perWorker)
 		}
 	}
-	if len(j.setups) > 0 && !slices.ContainsFunc(j.setups, func(o *observedSetup) bool { return o.setup.routesTo(s.queue.name, w.facts) }) {
-		j.report("ROUTE", e.atMs, "%s: no configuration routes queue %s there", what, s.queue.name)
+	if len(c.setups) > 0 && !slices.ContainsFunc(c.setups, func(o *observedSetup) bool { return o.setup.routesTo(s.queue.name, w.facts) }) {
+		c.report("ROUTE", e.atMs, "%s: no configuration routes queue %s there", what, s.queue.name)
 	}
 	for _, a := range step.after {
 		for i := range s.spec.steps[a].count {
 			if !s.succeededBefore(taskName{e.task.round, a, i}, e.order) {
-				j.report("ORDER", e.atMs, "%s before task %d of step %d ended well", what, i, a)
+				c.report("ORDER", e.atMs, "%s before task %d of step %d ended well", what, i, a)
 				break
 			}
 		}
 	}
-	if due := s.spec.dueMs(e.task.round); e.atMs < due-j.bounds.early {
-		j.report("ORDER", e.atMs, "%s is due at %d ms", what, due)
+	if due := s.spec.dueMs(e.task.round); e.atMs < due-c.bounds.early {
+		c.report("ORDER", e.atMs, "%s is due at %d ms", what, due)
 	}
-	if s.cancelMs >= 0 && e.atMs > s.cancelMs+j.bounds.cancel && touch {
-		j.report("UNASKED", e.atMs, "%s, cancelled at %d ms", what, s.cancelMs)
+	if s.cancelMs >= 0 && e.atMs > s.cancelMs+c.bounds.cancel && touch {
+		c.report("UNASKED", e.atMs, "%s, cancelled at %d ms", what, s.cancelMs)
 	}
-	if w.leavingMs >= 0 && e.atMs > w.leavingMs+j.bounds.drain && touch {
-		j.report("DRAIN", e.atMs, "%s, which has been leaving since %d ms", what, w.leavingMs)
+	if w.leavingMs >= 0 && e.atMs > w.leavingMs+c.bounds.drain && touch {
+		c.report("DRAIN", e.atMs, "%s, which has been leaving since %d ms", what, w.leavingMs)
 	}
-	for _, m := range j.evacuations[w.facts.zone] {
-		if touch && e.atMs > m.from+j.bounds.evacuation && e.atMs < m.to {
-			j.report("EVAC", e.atMs, "%s, zone %s has been evacuated since %d ms", what, w.facts.zone, m.from)
+	for _, m := range c.evacuations[w.facts.zone] {
+		if touch && e.atMs > m.from+c.bounds.evacuation && e.atMs < m.to {
+			c.report("EVAC", e.atMs, "%s, zone %s has been evacuated since %d ms", what, w.facts.zone, m.from)
 		}
 	}
 	completeMs := s.completeMs
 	if completeMs >= 0 && e.atMs > completeMs+1000 && touch {
-		j.report("TWICE", e.atMs, "%s, shown as complete at %d ms", what, completeMs)
+		c.report("TWICE", e.atMs, "%s, shown as complete at %d ms", what, completeMs)
 	}
 	// Whether an end is acknowledged may be known only later in the history.
-	j.deferredChecks = append(j.deferredChecks, func() {
+	c.deferredChecks = append(c.deferredChecks, func() {
 		for _, n := range s.completionGroup(e.task) {
 			for _, o := range s.runs[n] {
 				if o.outcome != "ok" || o.endOrder > e.order || o.acknowledgedMs < 0 {
 					continue
 				}
 				if !step.copies || touch && e.atMs > o.acknowledgedMs+1000 {
-					j.report("TWICE", e.atMs, "%s, run %d of %v ended well at %s at %d ms, acknowledged at %d ms", what, o.run, o.name, o.worker, o.endMs, o.acknowledgedMs)
+					c.report("TWICE", e.atMs, "%s, run %d of %v ended well at %s at %d ms, acknowledged at %d ms", what, o.run, o.name, o.worker, o.endMs, o.acknowledgedMs)
 				}
 			}
 		}
@@ -368,16 +368,16 @@
 			}
 		}
 		if noted >= s.queue.allowedFailures && (!step.copies || touch && e.atMs > lastMs+1000) {
-			j.report("BUDGET", e.atMs, "%s after %d failures", what, noted)
+			c.report("BUDGET", e.atMs, "%s after %d failures", what, noted)
 		}
 		if !s.mayBeAccepted {
-			j.report("REFUSED", e.atMs, "%s, and every submission was refused", what)
+			c.report("REFUSED", e.atMs, "%s, and every submission was refused", what)
 		}
 	})
 }
 
-func (j *platformChecker) checkEnd(e *platformEvent) {
-	s, w := j.jobs[e.job], j.workers[e.worker]
+func (c *platformChecker) checkEnd(e *platformEvent) {
+	s, w := c.jobs[e.job], c.workers[e.worker]
 	key := runName{e.job, e.task, e.run}
 	r := w.open[key]
 	if r == nil { // rejected by the worker
@@ -388,31 +388,31 @@
 	w.ends = append(w.ends, r)
 	w.unlisted = append(w.unlisted, r)
 	if r.outcome == "lapsed" {
-		j.stopRunning(r)
+		c.stopRunning(r)
 	}
-	if e.text == "alone" && (s.cancelMs < 0 && !s.cancelSent) && j.connected(e.host, e.atMs) && j.connected(e.host, r.startMs) {
-		j.deferredChecks = append(j.deferredChecks, func() {
-			if j.faultFree(r.startMs, e.atMs, "config") {
-				j.report("GANG", e.atMs, "%s %v run %d waited alone at %s since %d ms", e.job, e.task, e.run, e.worker, r.startMs)
+	if e.text == "alone" && (s.cancelMs < 0 && !s.cancelSent) && c.connected(e.host, e.atMs) && c.connected(e.host, r.startMs) {
+		c.deferredChecks = append(c.deferredChecks, func() {
+			if c.faultFree(r.startMs, e.atMs, "config") {
+				c.report("GANG", e.atMs, "%s %v run %d waited alone at %s since %d ms", e.job, e.task, e.run, e.worker, r.startMs)
 			}
 		})
 	}
 }
 
 // checkStoppedAfterCancel checks that a cancelled job stops in time; it needs the whole history.
-func (j *platformChecker) checkStoppedAfterCancel(s *observedJob) {
+func (c *platformChecker) checkStoppedAfterCancel(s *observedJob) {
 	if s.cancelMs < 0 {
 		return
 	}
-	bound := s.cancelMs + j.bounds.cancel + j.bounds.stop
+	bound := s.cancelMs + c.bounds.cancel + c.bounds.stop
 	for _, name := range sortedNames(s.runs) {
 		for _, r := range s.runs[name] {
 			endMs := r.endMs
 			if r.endOrder == 0 {
-				endMs = j.lastMs
+				endMs = c.lastMs
 			}
-			if r.startMs <= bound && endMs > bound && j.faultFree(s.cancelMs, bound, "config", "leaving", "emptied") {
-				j.report("UNASKED", bound, "%s %v run %d still runs at %s, cancelled at %d ms", s.id, name, r.run, r.worker, s.cancelMs)
+			if r.startMs <= bound && endMs > bound && c.faultFree(s.cancelMs, bound, "config", "leaving", "emptied") {
+				c.report("UNASKED", bound, "%s %v run %d still runs at %s, cancelled at %d ms", s.id, name, r.run, r.worker, s.cancelMs)
 			}
 		}
 	}
--- a/internal/daemon/platformscenario_test.go
+++ b/internal/daemon/platformscenario_test.go
@@ -255,10 +255,10 @@
 	},
 	"a site emptied and opened": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
-		site := b.nodes[b.spots[0]].Zone
-		b.order("site.empty", site, nil)
+		zone := b.nodes[b.spots[0]].Zone
+		b.order("site.empty", zone, nil)
 		b.run(9000)
-		b.order("site.open", site, nil)
+		b.order("site.open", zone, nil)
 		b.run(8000)
 	},
 	"operators race": func(t *testing.T, b *platformWorld) {
@@ -313,9 +313,9 @@
 	"a whole site lost": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
 		var undo []func()
-		site := b.nodes[b.spots[1]].Zone
+		zone := b.nodes[b.spots[1]].Zone
 		for _, host := range sortedKeys(b.nodes) {
-			if b.nodes[host].Zone == site {
+			if b.nodes[host].Zone == zone {
 				undo = append(undo, b.kill(host, true))
 				if s := b.byHost[host]; s != nil {
 					b.crashFor(s, 6000)
@@ -330,9 +330,9 @@
 		b.cutTogether = true
 		b.day(6000)
 		var hosts []string
-		site := b.nodes[b.spots[2]].Zone
+		zone := b.nodes[b.spots[2]].Zone
 		for _, host := range sortedKeys(b.nodes) {
-			if b.nodes[host].Zone == site {
+			if b.nodes[host].Zone == zone {
 				hosts = append(hosts, host)
 			}
 		}
--- a/internal/daemon/platformtenants_test.go
+++ b/internal/daemon/platformtenants_test.go
@@ -198,7 +198,7 @@
 	call := platformCall{op: op, host: j.queue.host, path: j.queue.prefix + j.id, body: body, credential: key}
 	b.call("caller", to, call, b.deployment.callerMs, func(status int, retryMs int64, answer []byte) {
 		if b.tenants != nil {
-			b.see(platformEvent{kind: eventCallAnswered, job: j.id, host: to.Name, queue: j.queue, key: key, n: int64(status), sentMs: sentMs})
+			b.see(platformEvent{kind: eventCallAnswered, job: j.id, host: to.Name, queue: j.queue, key: key, n: int64(status), requestedMs: sentMs})
 		}
 		if status == 401 {
 			j.key = b.newestKey(j.tenant)
--- a/internal/daemon/platformworld_callers_test.go
+++ b/internal/daemon/platformworld_callers_test.go
@@ -75,7 +75,7 @@
 	asked, to := b.nowMs(), b.edge()
 	b.callOfJob(to, "queue.submit", j, j.body(), func(status int, retryMs int64, body []byte) {
 		b.responseCounts[fmt.Sprint("submit ", status)]++
-		b.see(platformEvent{kind: bJobTried, job: j.id, host: to.Name, n: int64(status), sentMs: asked})
+		b.see(platformEvent{kind: bJobTried, job: j.id, host: to.Name, n: int64(status), requestedMs: asked})
 		switch {
 		case status >= 200 && status < 300:
 			j.acked = true
@@ -114,7 +114,7 @@
 		if state == "" {
 			return
 		}
-		b.see(platformEvent{kind: eventStateShown, job: j.id, host: to.Name, text: state, sentMs: asked})
+		b.see(platformEvent{kind: eventStateShown, job: j.id, host: to.Name, text: state, requestedMs: asked})
 		if j.final() {
 			return
 		}
@@ -238,7 +238,7 @@
 	b.putSetup(s, b.version+1+b.rng.Int64N(3), b.version, nil)
 }
 
-// order sends site.empty or site.open until it is acknowledged.
+// order sends site.empty or site.open for a zone until it is acknowledged.
 func (b *platformWorld) order(op, zone string, then func()) {
 	if op == "site.open" {
 		b.see(platformEvent{kind: eventZoneReopened, text: zone})
--- a/internal/daemon/platformworld_faults_test.go
+++ b/internal/daemon/platformworld_faults_test.go
@@ -22,8 +22,8 @@
 }
 
 // workerTrouble records that a fault of a worker begins, and returns what records its end.
-func (b *platformWorld) workerTrouble(text string, worker *platformWorker) func() {
-	id := worker.id
+func (b *platformWorld) workerTrouble(text string, target *platformWorker) func() {
+	id := target.id
 	b.see(platformEvent{kind: eventFaultBegan, worker: id, text: text})
 	return func() { b.see(platformEvent{kind: eventFaultEnded, worker: id, text: text}) }
 }
--- a/internal/daemon/platformworld_test.go
+++ b/internal/daemon/platformworld_test.go
@@ -280,7 +280,7 @@
 	for range 3 {
 		b.call("operator", b.edge(), platformCall{op: "setup.get"}, 1000, func(status int, _ int64, body []byte) {
 			if status == 200 {
-				b.see(platformEvent{kind: eventSetupShown, n: gjson.GetBytes(body, "version").Int(), text: gjson.GetBytes(body, "setup.source.note").Str, sentMs: asked})
+				b.see(platformEvent{kind: eventSetupShown, n: gjson.GetBytes(body, "version").Int(), text: gjson.GetBytes(body, "setup.source.note").Str, requestedMs: asked})
 			}
 		})
 	}
