--- a/internal/daemon/platformjudge_cases_test.go
+++ b/internal/daemon/platformjudge_cases_test.go
@@ -115,7 +115,7 @@
 			return h
 		},
 		"LIMIT in accelerators": func(h []platformEvent) []platformEvent { h[0].facts.capacity[2] = 0; return h },
-		"LIMIT while an end isn't listed": func(h []platformEvent) []platformEvent {
+		"LIMIT while an end isn't reported": func(h []platformEvent) []platformEvent {
 			h[0].facts.capacity = amounts{3, 3, 1}
 			return drop(h, func(e platformEvent) bool { return e.kind == bListed && e.worker == "w1" && e.n == 1 })
 		},
@@ -123,10 +123,10 @@
 			job(h).steps[0].perWorker = 0
 			return insertEvent(roomy(h), run(11_200, bStarted, "w2", 0, 0, 3))
 		},
-		"TWICE after a good end": func(h []platformEvent) []platformEvent {
+		"TWICE after a successful end": func(h []platformEvent) []platformEvent {
 			return insertEvent(h, run(12_150, bStarted, "w2", 0, 0, 3))
 		},
-		"TWICE after another member's good end": func(h []platformEvent) []platformEvent {
+		"TWICE after another member's successful end": func(h []platformEvent) []platformEvent {
 			return insertEvent(roomy(h), run(14_620, bStarted, "w2", 1, 1, 3))
 		},
 		"TWICE of copies, over a second later": func(h []platformEvent) []platformEvent {
@@ -177,11 +177,11 @@
 			find(h, eventOrdered, "w1", 0, 0, 1).text = "other"
 			return h
 		},
-		"UNASKED saved": func(h []platformEvent) []platformEvent {
+		"UNASKED checkpoint": func(h []platformEvent) []platformEvent {
 			find(h, eventOrdered, "w1", 0, 0, 2).saved = "abc"
 			return h
 		},
-		"UNASKED saved unlike the gang's": func(h []platformEvent) []platformEvent {
+		"UNASKED checkpoint unlike the gang's": func(h []platformEvent) []platformEvent {
 			find(h, eventOrdered, "w2", 1, 1, 2).saved = ""
 			return h
 		},
@@ -217,7 +217,7 @@
 		"LOST unanswered": func(h []platformEvent) []platformEvent {
 			return append(h, platformEvent{atMs: 60_000, kind: eventFinalState, job: "j"})
 		},
-		"LOST stands still": func(h []platformEvent) []platformEvent {
+		"LOST makes no progress": func(h []platformEvent) []platformEvent {
 			return append(h, platformEvent{atMs: 60_000, kind: eventJobStuck, job: "j", text: "x"})
 		},
 		"CONFIG both acknowledged": func(h []platformEvent) []platformEvent {
@@ -227,7 +227,7 @@
 			bad := &platformSetup{invalid: true}
 			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: bad}, platformEvent{atMs: 20_001, kind: eventSetupAcked, n: 2, base: 1, setup: bad})
 		},
-		"CONFIG goes back": func(h []platformEvent) []platformEvent {
+		"CONFIG shows an older version": func(h []platformEvent) []platformEvent {
 			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupAcked, n: 2, base: 1, setup: other},
 				platformEvent{atMs: 30_000, kind: eventSetupShown, n: 1, requestedMs: 29_000})
 		},
@@ -235,27 +235,27 @@
 			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupRefused, n: 2, base: 1, setup: other},
 				platformEvent{atMs: 30_000, kind: eventSetupShown, n: 2, requestedMs: 29_000})
 		},
-		"CONFIG taken and refused": func(h []platformEvent) []platformEvent {
+		"CONFIG accepted and refused": func(h []platformEvent) []platformEvent {
 			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupAccepted, n: 2, base: 1, setup: other},
 				platformEvent{atMs: 22_001, kind: eventSetupRefused, n: 2, base: 1, setup: other})
 		},
 		"CONFIG acknowledged, sent again and refused": func(h []platformEvent) []platformEvent {
 			return append(h, platformEvent{atMs: 20_000, kind: eventSetupRefused, n: 1, base: 0, setup: h[2].setup})
 		},
-		"CONFIG refused, then taken": func(h []platformEvent) []platformEvent {
+		"CONFIG refused, then accepted": func(h []platformEvent) []platformEvent {
 			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupRefused, n: 2, base: 1, setup: other},
 				platformEvent{atMs: 22_001, kind: eventSetupAccepted, n: 2, base: 1, setup: other})
 		},
-		"CONFIG both taken": func(h []platformEvent) []platformEvent {
+		"CONFIG both accepted": func(h []platformEvent) []platformEvent {
 			third := &platformSetup{queues: other.queues, note: "third"}
 			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: third},
 				platformEvent{atMs: 20_001, kind: eventSetupAccepted, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_002, kind: eventSetupAccepted, n: 2, base: 1, setup: third})
 		},
-		"CONFIG invalid is taken": func(h []platformEvent) []platformEvent {
+		"CONFIG invalid is accepted": func(h []platformEvent) []platformEvent {
 			bad := &platformSetup{invalid: true}
 			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: bad}, platformEvent{atMs: 20_001, kind: eventSetupAccepted, n: 2, base: 1, setup: bad})
 		},
-		"CONFIG refused, and built on": func(h []platformEvent) []platformEvent {
+		"CONFIG refused, then replaced by a later version": func(h []platformEvent) []platformEvent {
 			third := &platformSetup{queues: other.queues, note: "third"}
 			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupRefused, n: 2, base: 1, setup: other},
 				platformEvent{atMs: 22_000, kind: eventSetupSent, n: 3, base: 2, setup: third}, platformEvent{atMs: 22_001, kind: eventSetupAcked, n: 3, base: 2, setup: third})
@@ -263,11 +263,11 @@
 		"CONFIG is not read back": func(h []platformEvent) []platformEvent {
 			return append(h, platformEvent{atMs: 30_000, kind: eventSetupShown, n: -1, requestedMs: 29_000})
 		},
-		"CONFIG differs from what was taken": func(h []platformEvent) []platformEvent {
+		"CONFIG differs from what was accepted": func(h []platformEvent) []platformEvent {
 			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupAcked, n: 2, base: 1, setup: other},
 				platformEvent{atMs: 30_000, kind: eventSetupShown, n: 2, text: "another", requestedMs: 29_000})
 		},
-		"LOST came again and was refused": func(h []platformEvent) []platformEvent {
+		"LOST refused when sent again": func(h []platformEvent) []platformEvent {
 			return append(h, platformEvent{atMs: 20_000, kind: eventJobAccepted, job: "j", n: 201}, platformEvent{atMs: 20_010, kind: bJobTried, job: "j", host: "e", n: 409, requestedMs: 20_005})
 		},
 		"RECOVER calls": func(h []platformEvent) []platformEvent {
@@ -304,15 +304,15 @@
 			h[1].facts.capacity = amounts{64, 64, 8}
 			return insertEvent(h, run(11_200, bStarted, "w2", 0, 0, 3))
 		},
-		"a good end that a lapse hid": func(h []platformEvent) []platformEvent {
+		"a successful end hidden by an expired hold": func(h []platformEvent) []platformEvent {
 			h[1].facts.capacity, job(h).steps[0].perWorker = amounts{64, 64, 8}, 0
 			return insertEvent(insertEvent(h, platformEvent{atMs: 12_120, kind: bLapsed, worker: "w1"}), run(12_180, bStarted, "w2", 0, 0, 3))
 		},
-		"a start at a worker that is leaving, by a machine out of touch": func(h []platformEvent) []platformEvent {
+		"a start at a leaving worker by a machine without contact": func(h []platformEvent) []platformEvent {
 			return insertEvent(insertEvent(insertEvent(h, platformEvent{atMs: 5000, kind: eventLeaveAcked, worker: "w1", host: "on-w1"}), platformEvent{atMs: 9500, kind: eventFaultBegan, host: "on-w1", text: "cut"}),
 				platformEvent{atMs: 16_000, kind: eventFaultEnded, host: "on-w1", text: "cut"})
 		},
-		"alone near trouble": func(h []platformEvent) []platformEvent {
+		"alone near a fault": func(h []platformEvent) []platformEvent {
 			return insertEvent(loneGang(h), platformEvent{atMs: 12_900, kind: eventFaultBegan, worker: "w2", text: "crash"})
 		},
 		"alone once cancelled": func(h []platformEvent) []platformEvent {
@@ -325,18 +325,18 @@
 		"unknown while the core is unsettled": func(h []platformEvent) []platformEvent {
 			return insertEvent(insertEvent(h, platformEvent{atMs: 13_200, kind: eventStateShown, job: "j", host: "e", text: "unknown", requestedMs: 13_100}), platformEvent{atMs: 11_300, kind: bCore, host: "d00"})
 		},
-		"a change whose answer was lost, acknowledged when it came again": func(h []platformEvent) []platformEvent {
+		"a change whose response was lost, acknowledged when sent again": func(h []platformEvent) []platformEvent {
 			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupAccepted, n: 2, base: 1, setup: other},
 				platformEvent{atMs: 22_000, kind: eventSetupAccepted, n: 2, base: 1, setup: other}, platformEvent{atMs: 22_001, kind: eventSetupAcked, n: 2, base: 1, setup: other},
 				platformEvent{atMs: 30_000, kind: eventSetupShown, n: 2, text: "other", requestedMs: 29_000})
 		},
-		"a race lost under the winner's number": func(h []platformEvent) []platformEvent {
+		"a lost race with the winner's version": func(h []platformEvent) []platformEvent {
 			third := &platformSetup{queues: other.queues, note: "third"}
 			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: third},
 				platformEvent{atMs: 20_001, kind: eventSetupAccepted, n: 2, base: 1, setup: third}, platformEvent{atMs: 20_002, kind: eventSetupRefused, n: 2, base: 1, setup: other},
 				platformEvent{atMs: 30_000, kind: eventSetupShown, n: 2, text: "third", requestedMs: 29_000})
 		},
-		"an emptied site that was opened": func(h []platformEvent) []platformEvent {
+		"an evacuated zone that was reopened": func(h []platformEvent) []platformEvent {
 			return insertEvent(insertEvent(late(h, 3000), platformEvent{atMs: 8500, kind: eventZoneEvacuated, text: "east"}), platformEvent{atMs: 13_900, kind: eventZoneReopened, text: "east"})
 		},
 	}
--- a/internal/daemon/platformjudge_tenants_cases_test.go
+++ b/internal/daemon/platformjudge_tenants_cases_test.go
@@ -75,13 +75,13 @@
 func TestPlatformCheckerFindsTenantViolations(t *testing.T) {
 	roomy, low, swapped := tenantSetup(amounts{1000, 1000}, "one"), tenantSetup(amounts{4, 10}, "one"), tenantSetup(amounts{10, 10}, "two")
 	injections := map[string]func([]platformEvent) []platformEvent{
-		"ROUTE by a key that nobody has": func(h []platformEvent) []platformEvent {
+		"ROUTE by an unknown key": func(h []platformEvent) []platformEvent {
 			return insertAll(h, callWith("guessed", 200, 14_000))
 		},
 		"ROUTE without a key": func(h []platformEvent) []platformEvent {
 			return insertAll(h, callWith("", 201, 14_000))
 		},
-		"ROUTE by a machine out of touch": func(h []platformEvent) []platformEvent {
+		"ROUTE by a machine without contact": func(h []platformEvent) []platformEvent {
 			return insertAll(h, platformEvent{atMs: 13_900, kind: eventFaultBegan, host: "e", text: "cut"}, callWith("guessed", 200, 14_000))
 		},
 		"ROUTE by a key that only a refused version has": func(h []platformEvent) []platformEvent {
@@ -108,11 +108,11 @@
 			h[2].setup.tenants[0].limit = amounts{0, 7}
 			return insertAll(h, tenantRun(12_500, bStarted, "w1", 3))
 		},
-		"QUOTA by a machine out of touch": func(h []platformEvent) []platformEvent {
+		"QUOTA by a machine without contact": func(h []platformEvent) []platformEvent {
 			return insertAll(h, platformEvent{atMs: 12_400, kind: eventFaultBegan, host: "on-w1", text: "cut"},
 				tenantRun(12_500, bStarted, "w1", 3), tenantRun(12_600, bStarted, "w1", 4))
 		},
-		"QUOTA while an end isn't listed": func(h []platformEvent) []platformEvent {
+		"QUOTA while an end isn't reported": func(h []platformEvent) []platformEvent {
 			return insertAll(h, tenantRun(13_010, bStarted, "w2", 3), tenantRun(13_020, bStarted, "w2", 4))
 		},
 		"QUOTA over a limit that was lowered": func(h []platformEvent) []platformEvent {
@@ -148,14 +148,14 @@
 		"a key added but not acknowledged": func(h []platformEvent) []platformEvent {
 			return insertAll(append(h, changeTo(swapped, 20_000, 20_100)[:1]...), callWith("one", 401, 30_000), callWith("two", 200, 30_000), callWith("one", 200, 30_000))
 		},
-		"a revoked key at a machine out of touch": func(h []platformEvent) []platformEvent {
+		"a revoked key at a machine without contact": func(h []platformEvent) []platformEvent {
 			return insertAll(append(h, changeTo(swapped, 20_000, 20_100)...), platformEvent{atMs: 22_000, kind: eventFaultBegan, host: "e", text: "cut"}, callWith("one", 200, 24_000))
 		},
 		"any key at an open queue": func(h []platformEvent) []platformEvent {
 			h[2].setup.openQueues = []string{"q"}
 			return insertAll(h, callWith("", 200, 14_000), callWith("guessed", 201, 14_000))
 		},
-		"401 for a key that nobody has": func(h []platformEvent) []platformEvent {
+		"401 for an unknown key": func(h []platformEvent) []platformEvent {
 			return insertAll(h, callWith("guessed", 401, 14_000))
 		},
 		"a start under a limit that a sent version raises": func(h []platformEvent) []platformEvent {
@@ -165,14 +165,14 @@
 		"a start under a limit that was lowered just now": func(h []platformEvent) []platformEvent {
 			return insertAll(append(h, changeTo(low, 14_500, 14_600)...), tenantRun(16_500, bStarted, "w1", 3))
 		},
-		"starts after an end was listed": func(h []platformEvent) []platformEvent {
+		"starts after an end was reported": func(h []platformEvent) []platformEvent {
 			return insertAll(h, tenantRun(13_060, bStarted, "w2", 3), tenantRun(13_070, bStarted, "w2", 4))
 		},
 		"a start after a crash": func(h []platformEvent) []platformEvent {
 			return insertAll(h, platformEvent{atMs: 12_400, kind: eventWorkerDown, worker: "w1", host: "on-w1"},
 				tenantRun(12_500, bStarted, "w2", 3), tenantRun(12_600, bStarted, "w2", 4))
 		},
-		"a start after a lapse": func(h []platformEvent) []platformEvent {
+		"a start after a hold expired": func(h []platformEvent) []platformEvent {
 			return insertAll(h, platformEvent{atMs: 12_400, kind: bLapsed, worker: "w1", host: "on-w1"}, tenantEnd(12_400, "w1", 2, "lapsed", 2),
 				tenantRun(12_500, bStarted, "w2", 3), tenantRun(12_600, bStarted, "w2", 4))
 		},
--- a/internal/daemon/platformscenario_test.go
+++ b/internal/daemon/platformscenario_test.go
@@ -86,7 +86,7 @@
 		b.paceFor(b.worker(6), "slow", 4, false, 7000)
 		b.run(14_000)
 	},
-	"tasks stand still": func(t *testing.T, b *platformWorld) {
+	"tasks hang": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
 		b.paceFor(b.worker(3), "hang", 1, true, 5500)
 		b.run(2000)
@@ -224,7 +224,7 @@
 		allOf(undo)()
 		b.run(16_000)
 	},
-	"large jobs come at once": func(t *testing.T, b *platformWorld) {
+	"large jobs in a burst": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
 		for range 8 {
 			b.sendKind(0)
@@ -235,7 +235,7 @@
 		}
 		b.run(12_000)
 	},
-	"urgent jobs come at once": func(t *testing.T, b *platformWorld) {
+	"urgent jobs in a burst": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
 		for range 40 {
 			b.sendKind(2)
@@ -243,7 +243,7 @@
 		}
 		b.run(12_000)
 	},
-	"jobs that can't be done": func(t *testing.T, b *platformWorld) {
+	"jobs that can't succeed": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
 		for i := range 12 {
 			j := b.draw(&b.deployment.kinds[i%3])
@@ -261,7 +261,7 @@
 		b.order("site.open", zone, nil)
 		b.run(8000)
 	},
-	"operators race": func(t *testing.T, b *platformWorld) {
+	"operators change concurrently": func(t *testing.T, b *platformWorld) {
 		b.day(4000)
 		for range 4 {
 			base, version := b.version, b.version
@@ -279,7 +279,7 @@
 		b.putSetup(bad, b.version+1, b.version, nil)
 		b.run(10_000)
 	},
-	"queues come and go": func(t *testing.T, b *platformWorld) {
+	"queues removed and added": func(t *testing.T, b *platformWorld) {
 		b.day(4000)
 		b.change(func(s *platformSetup) { s.queues = s.queues[:2] })
 		b.run(4000)
@@ -301,7 +301,7 @@
 		}
 		b.run(14_000)
 	},
-	"a disk turns slow": func(t *testing.T, b *platformWorld) {
+	"a disk becomes slow": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
 		b.syncUs["d00"] = 300_000
 		b.trouble("slow disk", "d00")
@@ -310,7 +310,7 @@
 		b.calm("slow disk", "d00")
 		b.run(10_000)
 	},
-	"a whole site lost": func(t *testing.T, b *platformWorld) {
+	"a whole zone lost": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
 		var undo []func()
 		zone := b.nodes[b.spots[1]].Zone
@@ -326,7 +326,7 @@
 		allOf(undo)()
 		b.run(14_000)
 	},
-	"a whole site cut off": func(t *testing.T, b *platformWorld) {
+	"a whole zone cut off": func(t *testing.T, b *platformWorld) {
 		b.cutTogether = true
 		b.day(6000)
 		var hosts []string
@@ -341,7 +341,7 @@
 		heal()
 		b.run(14_000)
 	},
-	"accelerators are few": func(t *testing.T, b *platformWorld) {
+	"accelerators scarce": func(t *testing.T, b *platformWorld) {
 		for i := range 3 {
 			s := b.worker(i * 3)
 			s.crash()
@@ -357,7 +357,7 @@
 		}
 		b.run(10_000)
 	},
-	"side daemons killed while ends wait that were given up": func(t *testing.T, b *platformWorld) {
+	"side daemons killed while abandoned ends wait": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
 		for i := range 90 { // each task fails once
 			j := b.simple(i%3, 1, amounts{b.deployment.capacity[0] / 16, b.deployment.capacity[1] / 16}, 500+1000*b.rng.Float64())
@@ -404,7 +404,7 @@
 		heal()
 		b.run(8000)
 	},
-	"many ends behind one that was given up": func(t *testing.T, b *platformWorld) {
+	"many ends behind an abandoned one": func(t *testing.T, b *platformWorld) {
 		b.day(3000)
 		small := amounts{b.deployment.capacity[0] / 64, b.deployment.capacity[1] / 64}
 		for i := range 40 {
@@ -421,7 +421,7 @@
 		must.Positive(t, b.total("ends_waited"))
 		b.run(6000)
 	},
-	"small jobs beside a gang that waits for room": func(t *testing.T, b *platformWorld) {
+	"small jobs beside a gang that waits for resources": func(t *testing.T, b *platformWorld) {
 		whole := amounts{b.deployment.capacity[0] * 3 / 4, b.deployment.capacity[1] * 3 / 4}
 		for range 4 {
 			b.submit(b.simple(0, 1, whole, 45_000))
@@ -450,7 +450,7 @@
 		heal()
 		b.run(10_000)
 	},
-	"gangs, and an agent's end": func(t *testing.T, b *platformWorld) {
+	"gangs and a failed agent": func(t *testing.T, b *platformWorld) {
 		for i := range 10 {
 			j := b.simple(0, 5, amounts{b.deployment.capacity[0] / 8, b.deployment.capacity[1] / 8}, 3000)
 			j.steps[0].gang, j.steps[0].saves, j.steps[0].sameRack = true, true, i%2 == 0
--- a/internal/daemon/platformtenants_scenario_test.go
+++ b/internal/daemon/platformtenants_scenario_test.go
@@ -111,7 +111,7 @@
 		b.run(8000)
 	},
 	// Guards against a counter that restores stale counts from its disk.
-	"counter without power": func(_ *testing.T, b *platformWorld) {
+	"counter loses power": func(_ *testing.T, b *platformWorld) {
 		b.raiseTenantLoad(b.largestTenant(), 4, 16_000)
 		b.day(8000)
 		b.after(3_000_000, b.kill(b.counterHost(b.largestTenant()), true))
@@ -195,7 +195,7 @@
 	},
 	// Guards against accepting a key that no tenant was ever given, and against rejecting one whose
 	// version is in force.
-	"unknown keys and new ones": func(_ *testing.T, b *platformWorld) {
+	"unknown keys and new keys": func(_ *testing.T, b *platformWorld) {
 		b.day(4000)
 		for i := range 6 {
 			b.addKey(b.tenants[i].name)
@@ -282,7 +282,7 @@
 		b.run(6000)
 	},
 	// Guards against a deadlock of gangs that each hold a part of the limit.
-	"gangs of which the limit holds two": func(t *testing.T, b *platformWorld) {
+	"gangs of which two fit the limit": func(t *testing.T, b *platformWorld) {
 		b.day(4000)
 		tenant, limit := b.largestTenant(), b.usualLimit(b.largestTenant())
 		var gangs []*platformJob
--- a/internal/daemon/platformworld_faults_test.go
+++ b/internal/daemon/platformworld_faults_test.go
@@ -142,38 +142,38 @@
 }
 
 // crashFor crashes a worker and starts a new one in its place after a while; 0 for never.
-func (b *platformWorld) crashFor(s *platformWorker, ms int64) {
-	calm := b.workerTrouble("crash", s)
-	s.crash()
+func (b *platformWorld) crashFor(w *platformWorker, ms int64) {
+	calm := b.workerTrouble("crash", w)
+	w.crash()
 	b.after(1000, calm)
 	if ms > 0 {
-		b.after(ms*1000, s.start)
+		b.after(ms*1000, w.start)
 	}
 }
 
 // paceFor slows a worker down, or lets it hang, for a while.
-func (b *platformWorld) paceFor(s *platformWorker, text string, slow float64, hang bool, ms int64) {
-	calm := b.workerTrouble(text, s)
-	s.setPace(slow, hang)
+func (b *platformWorld) paceFor(w *platformWorker, text string, slow float64, hang bool, ms int64) {
+	calm := b.workerTrouble(text, w)
+	w.setPace(slow, hang)
 	b.after(ms*1000, func() {
-		s.setPace(1, false)
+		w.setPace(1, false)
 		calm()
 	})
 }
 
 // leaves lets a worker leave, gracefully or at short notice, and starts a new one in its place.
-func (b *platformWorld) leaves(s *platformWorker, short bool) {
-	if !s.up {
+func (b *platformWorld) leaves(w *platformWorker, short bool) {
+	if !w.up {
 		return
 	}
 	text := "leaving"
 	if short {
 		text = "short notice"
 	}
-	calm := b.workerTrouble(text, s)
-	s.leave(2000, short)
+	calm := b.workerTrouble(text, w)
+	w.leave(2000, short)
 	b.after(11_000_000, func() {
 		calm()
-		s.start()
+		w.start()
 	})
 }
--- a/internal/daemon/platformworld_test.go
+++ b/internal/daemon/platformworld_test.go
@@ -312,14 +312,14 @@
 
 // newScriptedWorld returns a world without daemons in which a function answers the
 // heartbeats of all workers.
-func newScriptedWorld(t *testing.T, answer func(s *platformWorker, heartbeat gjson.Result) map[string]any) *platformWorld {
+func newScriptedWorld(t *testing.T, answer func(w *platformWorker, heartbeat gjson.Result) map[string]any) *platformWorld {
 	b := newPlatformWorld(5, "ikenna")
 	b.queue = nil // no daemon starts
 	for _, host := range b.spots {
-		s := b.byHost[host]
-		s.factor = 1
-		s.deliver = func(body []byte, cb func(int, []byte)) {
-			a := answer(s, gjson.ParseBytes(body))
+		w := b.byHost[host]
+		w.factor = 1
+		w.deliver = func(body []byte, cb func(int, []byte)) {
+			a := answer(w, gjson.ParseBytes(body))
 			b.after(2000, func() {
 				if a == nil {
 					cb(0, nil)
@@ -328,7 +328,7 @@
 				}
 			})
 		}
-		s.start()
+		w.start()
 	}
 	return b
 }
@@ -363,10 +363,10 @@
 // respondByScript answers heartbeats by the script; heartbeats without a line only renew the hold.
 func respondByScript(b **platformWorld, lines []scriptedResponse, holdMs int64) func(*platformWorker, gjson.Result) map[string]any {
 	given := map[int]bool{}
-	return func(s *platformWorker, heartbeat gjson.Result) map[string]any {
+	return func(w *platformWorker, heartbeat gjson.Result) map[string]any {
 		out := map[string]any{"hold_ms": holdMs, "again_ms": 100}
 		for i, l := range lines {
-			if !given[i] && (*b).worker(l.worker) == s && (*b).nowMs() >= l.atMs {
+			if !given[i] && (*b).worker(l.worker) == w && (*b).nowMs() >= l.atMs {
 				given[i] = true
 				for k, v := range l.answer {
 					out[k] = v
--- a/internal/daemon/platformworld_workers_test.go
+++ b/internal/daemon/platformworld_workers_test.go
@@ -87,72 +87,72 @@
 	saved   string
 }
 
-func (s *platformWorker) taskKey(r runName) runName { return runName{job: r.job, name: r.name} }
+func (w *platformWorker) taskKey(r runName) runName { return runName{job: r.job, name: r.name} }
 
-func (s *platformWorker) start() {
-	if s.up {
+func (w *platformWorker) start() {
+	if w.up {
 		return
 	}
-	b := s.b
+	b := w.b
 	b.workerLives++
-	s.up, s.id, s.seq, s.endSeq, s.leaving, s.leavesMs, s.endScheduled = true, fmt.Sprintf("i-%03d", b.workerLives), 0, 0, false, -1, false
-	s.gen++
-	s.bootUs, s.drift, s.holdUs, s.nextHeartbeatUs, s.heartbeatPending, s.heartbeatAgain = b.nowUs-b.rng.Int64N(1_000_000_000), b.rng.Float64()*0.02, 0, 0, false, false
-	s.runs, s.highestRun, s.ends, s.used = map[runName]*platformRun{}, map[runName]int64{}, nil, amounts{}
-	b.see(platformEvent{kind: eventWorkerUp, worker: s.id, host: s.node.Name, facts: &workerFacts{capacity: s.capacity, labels: s.labels, zone: s.node.Zone, rack: s.rack, guards: s.guards}})
-	s.scheduleHeartbeat(b.rng.Int64N(50_000))
+	w.up, w.id, w.seq, w.endSeq, w.leaving, w.leavesMs, w.endScheduled = true, fmt.Sprintf("i-%03d", b.workerLives), 0, 0, false, -1, false
+	w.gen++
+	w.bootUs, w.drift, w.holdUs, w.nextHeartbeatUs, w.heartbeatPending, w.heartbeatAgain = b.nowUs-b.rng.Int64N(1_000_000_000), b.rng.Float64()*0.02, 0, 0, false, false
+	w.runs, w.highestRun, w.ends, w.used = map[runName]*platformRun{}, map[runName]int64{}, nil, amounts{}
+	b.see(platformEvent{kind: eventWorkerUp, worker: w.id, host: w.node.Name, facts: &workerFacts{capacity: w.capacity, labels: w.labels, zone: w.node.Zone, rack: w.rack, guards: w.guards}})
+	w.scheduleHeartbeat(b.rng.Int64N(50_000))
 }
 
 // clockUs returns the worker's own monotonic clock.
-func (s *platformWorker) clockUs() int64 {
-	return int64(float64(s.b.nowUs-s.bootUs) * (1 - s.drift))
+func (w *platformWorker) clockUs() int64 {
+	return int64(float64(w.b.nowUs-w.bootUs) * (1 - w.drift))
 }
 
 // crash ends the worker and all its runs without a report.
-func (s *platformWorker) crash() {
-	if !s.up {
+func (w *platformWorker) crash() {
+	if !w.up {
 		return
 	}
-	s.up = false
-	s.gen++
-	s.b.see(platformEvent{kind: eventWorkerDown, worker: s.id, host: s.node.Name})
-	for _, k := range s.runNames() {
-		r := s.runs[k]
-		delete(s.runs, k)
+	w.up = false
+	w.gen++
+	w.b.see(platformEvent{kind: eventWorkerDown, worker: w.id, host: w.node.Name})
+	for _, k := range w.runNames() {
+		r := w.runs[k]
+		delete(w.runs, k)
 		r.gone = true
-		s.b.recordWaste("crash", r)
+		w.b.recordWaste("crash", r)
 		r.execution.removeRun(r, false)
 	}
 }
 
 // leave announces that the worker leaves. It ends some time after the acknowledgement,
 // or, at short notice, leaveMs from now in any case.
-func (s *platformWorker) leave(leaveMs int64, short bool) {
-	if !s.up || s.leaving {
+func (w *platformWorker) leave(leaveMs int64, short bool) {
+	if !w.up || w.leaving {
 		return
 	}
-	b, gen := s.b, s.gen
-	s.leaving = true
-	s.scheduleHeartbeat(1000)
+	b, gen := w.b, w.gen
+	w.leaving = true
+	w.scheduleHeartbeat(1000)
 	if short {
-		s.leavesMs, s.endScheduled = b.nowMs()+leaveMs, true
+		w.leavesMs, w.endScheduled = b.nowMs()+leaveMs, true
 		b.after(leaveMs*1000, func() {
-			if s.gen == gen {
-				s.crash()
+			if w.gen == gen {
+				w.crash()
 			}
 		})
 		return
 	}
 	b.after(7_000_000, func() { // without an acknowledgement it ends after 7 s
-		if s.gen == gen && !s.endScheduled {
-			s.crash()
+		if w.gen == gen && !w.endScheduled {
+			w.crash()
 		}
 	})
 }
 
-func (s *platformWorker) runNames() []runName {
-	out := make([]runName, 0, len(s.runs))
-	for k := range s.runs {
+func (w *platformWorker) runNames() []runName {
+	out := make([]runName, 0, len(w.runs))
+	for k := range w.runs {
 		out = append(out, k)
 	}
 	slices.SortFunc(out, func(a, b runName) int {
@@ -163,147 +163,147 @@
 }
 
 // scheduleHeartbeat schedules the next heartbeat after us microseconds, unless one is due sooner.
-func (s *platformWorker) scheduleHeartbeat(us int64) {
-	if s.heartbeatPending {
+func (w *platformWorker) scheduleHeartbeat(us int64) {
+	if w.heartbeatPending {
 		return
 	}
-	at := s.b.nowUs + us
-	if s.nextHeartbeatUs > s.b.nowUs && s.nextHeartbeatUs <= at {
+	at := w.b.nowUs + us
+	if w.nextHeartbeatUs > w.b.nowUs && w.nextHeartbeatUs <= at {
 		return
 	}
-	s.nextHeartbeatUs = at
-	gen := s.gen
-	s.b.after(us, func() {
-		if s.gen == gen && s.up && !s.heartbeatPending && s.nextHeartbeatUs == at {
-			s.sendHeartbeat()
+	w.nextHeartbeatUs = at
+	gen := w.gen
+	w.b.after(us, func() {
+		if w.gen == gen && w.up && !w.heartbeatPending && w.nextHeartbeatUs == at {
+			w.sendHeartbeat()
 		}
 	})
 }
 
-func (s *platformWorker) sendHeartbeat() {
-	b := s.b
-	s.heartbeatPending, s.heartbeatAgain, s.nextHeartbeatUs = true, false, 0
-	s.seq++
+func (w *platformWorker) sendHeartbeat() {
+	b := w.b
+	w.heartbeatPending, w.heartbeatAgain, w.nextHeartbeatUs = true, false, 0
+	w.seq++
 	running, ended := []map[string]any{}, []map[string]any{}
 	entry := func(r *platformRun) map[string]any {
 		return map[string]any{"job": r.job.id, "round": r.name.round, "step": r.name.step, "index": r.name.index, "run": r.run}
 	}
-	for _, k := range s.runNames() {
-		r := s.runs[k]
+	for _, k := range w.runNames() {
+		r := w.runs[k]
 		r.execution.updateProgress()
 		m := entry(r)
 		m["saved"], m["percent"] = r.saved, int(100*r.execution.doneMs/max(r.execution.workMs, 1))
 		running = append(running, m)
 	}
-	for _, e := range s.ends[:min(500, len(s.ends))] {
+	for _, e := range w.ends[:min(500, len(w.ends))] {
 		m := entry(e.run)
 		m["n"], m["outcome"], m["saved"] = e.n, e.outcome, e.saved
 		ended = append(ended, m)
 	}
-	doc := map[string]any{"seq": s.seq, "site": s.node.Zone, "labels": s.labels, "rack": s.rack, "leaving": s.leaving, "running": running, "ended": ended,
-		"capacity": map[string]int64{"cpu": s.capacity[0], "memory": s.capacity[1], "accelerators": s.capacity[2]}}
-	if s.leaving {
+	doc := map[string]any{"seq": w.seq, "site": w.node.Zone, "labels": w.labels, "rack": w.rack, "leaving": w.leaving, "running": running, "ended": ended,
+		"capacity": map[string]int64{"cpu": w.capacity[0], "memory": w.capacity[1], "accelerators": w.capacity[2]}}
+	if w.leaving {
 		doc["leaves_ms"] = int64(2000)
-		if s.leavesMs >= 0 {
-			doc["leaves_ms"] = max(0, s.leavesMs-b.nowMs())
+		if w.leavesMs >= 0 {
+			doc["leaves_ms"] = max(0, w.leavesMs-b.nowMs())
 		}
 	}
 	if len(ended) > 0 {
-		b.see(platformEvent{kind: bListed, worker: s.id, host: s.node.Name, n: s.ends[len(ended)-1].n})
+		b.see(platformEvent{kind: bListed, worker: w.id, host: w.node.Name, n: w.ends[len(ended)-1].n})
 	}
-	gen, sentUs, announcedLeaving := s.gen, s.clockUs(), s.leaving
+	gen, sentUs, announcedLeaving := w.gen, w.clockUs(), w.leaving
 	done := func(status int, body []byte) {
-		if s.gen != gen {
+		if w.gen != gen {
 			return
 		}
-		s.heartbeatPending = false
+		w.heartbeatPending = false
 		if status == 200 {
-			s.handleResponse(body, sentUs, announcedLeaving)
+			w.handleResponse(body, sentUs, announcedLeaving)
 		}
 		switch {
-		case s.heartbeatAgain:
-			s.scheduleHeartbeat(50_000)
+		case w.heartbeatAgain:
+			w.scheduleHeartbeat(50_000)
 		case status != 200:
-			s.scheduleHeartbeat(200_000)
+			w.scheduleHeartbeat(200_000)
 		default:
 			again := gjson.GetBytes(body, "again_ms")
-			wait := s.b.deployment.beatMs
+			wait := w.b.deployment.beatMs
 			if again.Exists() {
 				wait = again.Int()
 			}
-			s.scheduleHeartbeat(max(wait, 5) * 1000)
+			w.scheduleHeartbeat(max(wait, 5) * 1000)
 		}
 	}
-	if s.deliver != nil {
-		s.deliver(mustJSON(doc), done)
+	if w.deliver != nil {
+		w.deliver(mustJSON(doc), done)
 		return
 	}
-	if !s.node.up { // the daemon is down
+	if !w.node.up { // the daemon is down
 		b.after(1000, func() { done(0, nil) })
 		return
 	}
-	b.call(s.node.Name, s.node, platformCall{op: "worker.beat", key: s.id, body: mustJSON(doc)}, 1000, func(status int, _ int64, body []byte) { done(status, body) })
+	b.call(w.node.Name, w.node, platformCall{op: "worker.beat", key: w.id, body: mustJSON(doc)}, 1000, func(status int, _ int64, body []byte) { done(status, body) })
 }
 
 // handleResponse handles the response to a heartbeat.
-func (s *platformWorker) handleResponse(body []byte, sentUs int64, announcedLeaving bool) {
-	b, a := s.b, gjson.ParseBytes(body)
+func (w *platformWorker) handleResponse(body []byte, sentUs int64, announcedLeaving bool) {
+	b, a := w.b, gjson.ParseBytes(body)
 	if announcedLeaving {
-		b.see(platformEvent{kind: eventLeaveAcked, worker: s.id, host: s.node.Name})
-		if !s.endScheduled {
-			s.endScheduled, s.leavesMs = true, b.nowMs()+2000
-			gen := s.gen
+		b.see(platformEvent{kind: eventLeaveAcked, worker: w.id, host: w.node.Name})
+		if !w.endScheduled {
+			w.endScheduled, w.leavesMs = true, b.nowMs()+2000
+			gen := w.gen
 			b.after(2_300_000, func() {
-				if s.gen != gen {
+				if w.gen != gen {
 					return
 				}
 				dead := func(int, int64, []byte) {
-					if s.gen == gen {
-						s.crash()
+					if w.gen == gen {
+						w.crash()
 					}
 				}
-				b.call(s.node.Name, s.node, platformCall{op: "worker.gone", key: s.id}, 1000, dead)
+				b.call(w.node.Name, w.node, platformCall{op: "worker.gone", key: w.id}, 1000, dead)
 			})
 		}
 	}
-	if seen := a.Get("seen").Int(); seen > 0 && len(s.ends) > 0 && s.ends[0].n <= seen {
-		b.see(platformEvent{kind: bSeen, worker: s.id, host: s.node.Name, n: seen})
-		s.ends = slices.DeleteFunc(s.ends, func(e platformEnd) bool { return e.n <= seen })
+	if seen := a.Get("seen").Int(); seen > 0 && len(w.ends) > 0 && w.ends[0].n <= seen {
+		b.see(platformEvent{kind: bSeen, worker: w.id, host: w.node.Name, n: seen})
+		w.ends = slices.DeleteFunc(w.ends, func(e platformEnd) bool { return e.n <= seen })
 	}
 	if hold := a.Get("hold_ms").Int(); hold > 0 {
 		until := sentUs + min(hold, b.deployment.holdMaxMs)*1000
-		if until > s.holdUs {
-			s.holdUs = until
-			s.scheduleHoldExpiry()
+		if until > w.holdUs {
+			w.holdUs = until
+			w.scheduleHoldExpiry()
 		}
 	}
 	for _, o := range a.Get("stop").Array() {
-		k := s.parseRunName(o)
-		if s.highestRun[s.taskKey(k)] < k.run {
-			s.highestRun[s.taskKey(k)] = k.run
+		k := w.parseRunName(o)
+		if w.highestRun[w.taskKey(k)] < k.run {
+			w.highestRun[w.taskKey(k)] = k.run
 		}
-		if r := s.runs[k]; r != nil && !r.stopping {
+		if r := w.runs[k]; r != nil && !r.stopping {
 			r.stopping = true
-			gen := s.gen
+			gen := w.gen
 			b.after(1000+b.rng.Int64N((b.deployment.stopMs-20)*1000), func() {
-				if s.gen == gen && !r.gone {
-					s.end(r, "stopped")
+				if w.gen == gen && !r.gone {
+					w.end(r, "stopped")
 				}
 			})
 		}
 	}
 	for _, o := range a.Get("start").Array() {
-		s.startRun(o)
+		w.startRun(o)
 	}
 }
 
-func (s *platformWorker) parseRunName(o gjson.Result) runName {
+func (w *platformWorker) parseRunName(o gjson.Result) runName {
 	return runName{o.Get("job").Str, taskName{int(o.Get("round").Int()), int(o.Get("step").Int()), int(o.Get("index").Int())}, o.Get("run").Int()}
 }
 
-func (s *platformWorker) startRun(o gjson.Result) {
-	b, k := s.b, s.parseRunName(o)
-	e := platformEvent{kind: eventOrdered, job: k.job, task: k.name, run: k.run, worker: s.id, host: s.node.Name, saved: o.Get("saved").Str, text: o.Get("payload").Str}
+func (w *platformWorker) startRun(o gjson.Result) {
+	b, k := w.b, w.parseRunName(o)
+	e := platformEvent{kind: eventOrdered, job: k.job, task: k.name, run: k.run, worker: w.id, host: w.node.Name, saved: o.Get("saved").Str, text: o.Get("payload").Str}
 	if p := o.Get("payload"); p.Type != gjson.String {
 		e.text = p.Raw
 	}
@@ -313,84 +313,84 @@
 		return // the checker reports it
 	}
 	step := &job.steps[k.name.step]
-	if s.clockUs() >= s.holdUs || s.runs[k] != nil {
+	if w.clockUs() >= w.holdUs || w.runs[k] != nil {
 		return // a start needs a hold, and a run starts only once
 	}
-	r := &platformRun{name: k.name, run: k.run, job: job, worker: s, step: step, startMs: b.nowMs(), saved: e.saved}
-	if k.run <= s.highestRun[s.taskKey(k)] || s.guards && !s.used.plus(step.room, 1).within(s.capacity) {
+	r := &platformRun{name: k.name, run: k.run, job: job, worker: w, step: step, startMs: b.nowMs(), saved: e.saved}
+	if k.run <= w.highestRun[w.taskKey(k)] || w.guards && !w.used.plus(step.room, 1).within(w.capacity) {
 		b.rejectedStarts++
-		s.addEnd(r, "turned_away")
+		w.addEnd(r, "turned_away")
 		return
 	}
-	s.used = s.used.plus(step.room, 1)
-	s.runs[k] = r
-	b.see(platformEvent{kind: bStarted, job: k.job, task: k.name, run: k.run, worker: s.id, host: s.node.Name})
+	w.used = w.used.plus(step.room, 1)
+	w.runs[k] = r
+	b.see(platformEvent{kind: bStarted, job: k.job, task: k.name, run: k.run, worker: w.id, host: w.node.Name})
 	b.joinExecution(r)
 }
 
 // addEnd adds an end, which heartbeats report until it is acknowledged.
-func (s *platformWorker) addEnd(r *platformRun, outcome string) {
-	s.endSeq++
-	s.ends = append(s.ends, platformEnd{s.endSeq, r, outcome, r.saved})
-	if s.heartbeatPending {
-		s.heartbeatAgain = true
+func (w *platformWorker) addEnd(r *platformRun, outcome string) {
+	w.endSeq++
+	w.ends = append(w.ends, platformEnd{w.endSeq, r, outcome, r.saved})
+	if w.heartbeatPending {
+		w.heartbeatAgain = true
 	} else {
-		s.scheduleHeartbeat(50_000)
+		w.scheduleHeartbeat(50_000)
 	}
 }
 
 // end ends a run with an outcome.
-func (s *platformWorker) end(r *platformRun, outcome string) {
+func (w *platformWorker) end(r *platformRun, outcome string) {
 	k := runName{r.job.id, r.name, r.run}
-	if s.runs[k] != r {
+	if w.runs[k] != r {
 		return
 	}
 	r.execution.updateProgress()
 	if outcome == "stopped" && r.step.saves {
 		r.execution.saveCheckpoint(r)
 	}
-	delete(s.runs, k)
+	delete(w.runs, k)
 	r.gone = true
-	s.used = s.used.plus(r.step.room, -1)
-	if tk := s.taskKey(k); s.highestRun[tk] < r.run {
-		s.highestRun[tk] = r.run
+	w.used = w.used.plus(r.step.room, -1)
+	if tk := w.taskKey(k); w.highestRun[tk] < r.run {
+		w.highestRun[tk] = r.run
 	}
-	s.b.see(platformEvent{kind: bEnded, job: r.job.id, task: r.name, run: r.run, worker: s.id, host: s.node.Name, text: outcome, n: s.endSeq + 1, saved: r.saved})
-	s.addEnd(r, outcome)
+	w.b.see(platformEvent{kind: bEnded, job: r.job.id, task: r.name, run: r.run, worker: w.id, host: w.node.Name, text: outcome, n: w.endSeq + 1, saved: r.saved})
+	w.addEnd(r, outcome)
 	if outcome == "ok" {
-		r.job.recordSuccess(s.b, r)
+		r.job.recordSuccess(w.b, r)
 	} else {
-		s.b.recordWaste(outcome, r)
+		w.b.recordWaste(outcome, r)
 	}
 	r.execution.removeRun(r, outcome == "ok")
 }
 
 // scheduleHoldExpiry ends all runs when the hold expires.
-func (s *platformWorker) scheduleHoldExpiry() {
-	s.holdGen++
-	gen, workerGen := s.holdGen, s.gen
-	left := int64(math.Ceil(float64(s.holdUs-s.clockUs())/(1-s.drift))) + 1
-	s.b.after(left, func() {
-		if s.gen != workerGen || s.holdGen != gen {
+func (w *platformWorker) scheduleHoldExpiry() {
+	w.holdGen++
+	gen, workerGen := w.holdGen, w.gen
+	left := int64(math.Ceil(float64(w.holdUs-w.clockUs())/(1-w.drift))) + 1
+	w.b.after(left, func() {
+		if w.gen != workerGen || w.holdGen != gen {
 			return
 		}
-		s.b.see(platformEvent{kind: bLapsed, worker: s.id, host: s.node.Name})
-		for _, k := range s.runNames() {
-			if r := s.runs[k]; r != nil {
-				s.end(r, "lapsed")
+		w.b.see(platformEvent{kind: bLapsed, worker: w.id, host: w.node.Name})
+		for _, k := range w.runNames() {
+			if r := w.runs[k]; r != nil {
+				w.end(r, "lapsed")
 			}
 		}
 	})
 }
 
 // setPace changes how fast the worker works.
-func (s *platformWorker) setPace(slow float64, hang bool) {
-	for _, k := range s.runNames() {
-		s.runs[k].execution.updateProgress()
+func (w *platformWorker) setPace(slow float64, hang bool) {
+	for _, k := range w.runNames() {
+		w.runs[k].execution.updateProgress()
 	}
-	s.slow, s.hang = slow, hang
-	for _, k := range s.runNames() {
-		s.runs[k].execution.scheduleNext()
+	w.slow, w.hang = slow, hang
+	for _, k := range w.runNames() {
+		w.runs[k].execution.scheduleNext()
 	}
 }
 
