--- a/internal/daemon/platformdays_troubles_test.go
+++ b/internal/daemon/platformdays_troubles_test.go
@@ -139,7 +139,7 @@
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		share, ms, callers := choose(r, 0.3, 0.7, 0.95), between(r, 4000, 20_000), r.IntN(2) == 0
-		return fmt.Sprintf("answers lost %.2f for %d ms, callers' too: %v", share, ms, callers), func(b *platformWorld) {
+		return fmt.Sprintf("responses to operators lost with %.2f for %d ms, to callers with half of that: %v", share, ms, callers), func(b *platformWorld) {
 			b.after(ms*1000, b.loseAnswers("operator", share))
 			if callers {
 				b.after(ms*1000, b.loseAnswers("caller", share/2))
@@ -151,14 +151,14 @@
 		if byMs > 5000 || byMs < -5000 {
 			share = 0.2 // due times can't be kept if most clocks are off by more than the checker allows
 		}
-		return fmt.Sprintf("clocks of %.1f step by %d ms for %d ms", share, byMs, ms), func(b *platformWorld) {
+		return fmt.Sprintf("clocks of a fraction %.1f of machines off by %d ms for %d ms", share, byMs, ms), func(b *platformWorld) {
 			for _, host := range b.shuffled(sortedKeys(b.nodes))[:int(share*float64(len(b.nodes)))] {
 				b.clockStep(host, byMs, ms)
 			}
 		}
 	},
 	func(*rand.Rand) (string, func(b *platformWorld)) {
-		return "seeds turn over", func(b *platformWorld) { b.replaceSeeds(b.shuffled(b.standing())) }
+		return "seeds replaced", func(b *platformWorld) { b.replaceSeeds(b.shuffled(b.standing())) }
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		times, ms := choose[int64](r, 3, 8), between(r, 3000, 8000)
@@ -256,7 +256,7 @@
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		when, power, count, down := choose(r, struckAcknowledged, struckSent, struckTaken), r.IntN(3) > 0, choose(r, 1, 2), between(r, 500, 3000)
-		return fmt.Sprintf("%d lost when an order is %s, power %v, for %d ms", count, when, power, down), func(b *platformWorld) {
+		return fmt.Sprintf("%d machines lost when a change is %s, power %v, for %d ms", count, when, power, down), func(b *platformWorld) {
 			b.whenLossAllowed(func() []string { return b.diskHosts[:1] }, func([]string) {
 				b.strike(when, func(host string) {
 					hit := []string{host}
@@ -432,15 +432,15 @@
 var changeFaults = []faultKind{
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		ms, gap := between(r, 3000, 20_000), choose[int64](r, 60, 200, 500)
-		return fmt.Sprintf("storm of changes for %d ms, each %d ms", ms, gap), func(b *platformWorld) { b.changeStorm(ms, gap) }
+		return fmt.Sprintf("storm of changes for %d ms, one every %d ms", ms, gap), func(b *platformWorld) { b.changeStorm(ms, gap) }
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		count, gap := 2+r.IntN(11), between(r, 300, 1500)
-		return fmt.Sprintf("%d races each %d ms", count, gap), func(b *platformWorld) { b.each(count, gap, b.racePair) }
+		return fmt.Sprintf("%d races of two changes, one every %d ms", count, gap), func(b *platformWorld) { b.each(count, gap, b.racePair) }
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		count, gap, kind := 1+r.IntN(8), between(r, 300, 1500), choose(r, sortedKeys(badChanges)...)
-		return fmt.Sprintf("%d bad changes (%s) each %d ms", count, kind, gap), func(b *platformWorld) {
+		return fmt.Sprintf("%d invalid changes (%s), one every %d ms", count, kind, gap), func(b *platformWorld) {
 			b.each(count, gap, func() { badChanges[kind](b) })
 		}
 	},
@@ -454,10 +454,10 @@
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		share, gap := choose(r, 0.3, 1), between(r, 600, 1500)
-		return fmt.Sprintf("SIGTERM to %.1f each %d ms", share, gap), func(b *platformWorld) { b.rollingRestart(share, gap) }
+		return fmt.Sprintf("SIGTERM to a fraction %.1f of machines, one every %d ms", share, gap), func(b *platformWorld) { b.rollingRestart(share, gap) }
 	},
 	func(*rand.Rand) (string, func(b *platformWorld)) {
-		return "seeds turn over", func(b *platformWorld) { b.replaceSeeds(b.shuffled(b.standing())) }
+		return "seeds replaced", func(b *platformWorld) { b.replaceSeeds(b.shuffled(b.standing())) }
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		short := r.IntN(2) == 0
@@ -469,7 +469,7 @@
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		count, gap := 1+r.IntN(5), between(r, 100, 1000)
-		return fmt.Sprintf("%d acknowledged changes come again each %d ms", count, gap), func(b *platformWorld) {
+		return fmt.Sprintf("%d acknowledged changes sent again, one every %d ms", count, gap), func(b *platformWorld) {
 			b.each(count, gap, func() { b.resendAcknowledged(1) })
 		}
 	},
@@ -512,7 +512,7 @@
 var networkFaults = []faultKind{
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		share, ms := choose(r, 0.2, 0.6), between(r, 2000, 7000)
-		return fmt.Sprintf("connections of %.1f reset for %d ms", share, ms), func(b *platformWorld) {
+		return fmt.Sprintf("connections of a fraction %.1f of machines reset for %d ms", share, ms), func(b *platformWorld) {
 			all := b.shuffled(sortedKeys(b.nodes))
 			b.resets(all[:int(share*float64(len(all)))], 0.7, ms)
 		}
@@ -542,7 +542,7 @@
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		hang := r.IntN(2) == 0
-		return fmt.Sprintf("workers slow, or stand still %v", hang), func(b *platformWorld) {
+		return fmt.Sprintf("workers slow down, or hang: %v", hang), func(b *platformWorld) {
 			for _, s := range b.someWorkers(0.2) {
 				b.paceFor(s, "grey", 4, hang, 6000)
 			}
@@ -558,6 +558,6 @@
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		kind, times := r.IntN(3), choose(r, 1.5, 2.5)
-		return fmt.Sprintf("%.1f times the usual of kind %d", times, kind), func(b *platformWorld) { b.crowd(kind, times, 4000) }
+		return fmt.Sprintf("%.1f times the usual load of kind %d", times, kind), func(b *platformWorld) { b.crowd(kind, times, 4000) }
 	},
 }
--- a/internal/daemon/platformtenants_campaign_test.go
+++ b/internal/daemon/platformtenants_campaign_test.go
@@ -41,20 +41,20 @@
 var tenantFaults = []faultKind{
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		i, times, ms := drawTenant(r), choose(r, 3.0, 10), between(r, 3000, 9000)
-		return fmt.Sprintf("tenant %d sends %.0f times its usual for %d ms", i, times, ms), func(b *platformWorld) {
+		return fmt.Sprintf("tenant %d sends %.0f times its usual load for %d ms", i, times, ms), func(b *platformWorld) {
 			b.raiseTenantLoad(b.tenants[i].name, times, ms)
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		i, count, gap := drawTenant(r), 1+r.IntN(6), between(r, 100, 1500)
-		return fmt.Sprintf("limit of tenant %d changes %d times each %d ms", i, count, gap), func(b *platformWorld) {
+		return fmt.Sprintf("limit of tenant %d changes %d times, once every %d ms", i, count, gap), func(b *platformWorld) {
 			percents := []int64{50, 10, 100, 25, 150, 100}
 			b.repeat(count, gap, func(k int) { b.setLimit(b.tenants[i].name, percents[k]) })
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		i, count, gap := drawTenant(r), 1+r.IntN(4), between(r, 300, 2500)
-		return fmt.Sprintf("keys of tenant %d turn over %d times each %d ms", i, count, gap), func(b *platformWorld) {
+		return fmt.Sprintf("keys of tenant %d replaced %d times, one step every %d ms", i, count, gap), func(b *platformWorld) {
 			b.repeat(2*count, gap, func(k int) {
 				if k%2 == 0 {
 					b.addKey(b.tenants[i].name)
@@ -104,13 +104,13 @@
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		share, loss, ms := choose(r, 0.2, 0.6), choose(r, 0.03, 0.15), between(r, 2000, 8000)
-		return fmt.Sprintf("links of %.1f lose %.2f for %d ms", share, loss, ms), func(b *platformWorld) {
+		return fmt.Sprintf("links of a fraction %.1f of machines lose %.2f of messages for %d ms", share, loss, ms), func(b *platformWorld) {
 			b.lossyLinks(b.drawHosts(share), loss, ms)
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		i, width := drawTenant(r), 2+r.IntN(5)
-		return fmt.Sprintf("gangs of %d of tenant %d, of which its limit holds two", width, i), func(b *platformWorld) {
+		return fmt.Sprintf("gangs of %d tasks of tenant %d, two of which fit its limit", width, i), func(b *platformWorld) {
 			limit := b.usualLimit(b.tenants[i].name)
 			for range 4 {
 				b.onlyTenant = b.tenants[i].name
