--- a/internal/daemon/platformdays_test.go
+++ b/internal/daemon/platformdays_test.go
@@ -142,7 +142,7 @@
 	for _, t := range d.faults {
 		out += fmt.Sprintf("\n  at %d ms %s", t.atMs, t.text)
 	}
-	return out + fmt.Sprintf("\n  closing: %s, down for %d ms", d.finalLoss, d.downMs)
+	return out + fmt.Sprintf("\n  final loss: %s, down for %d ms", d.finalLoss, d.downMs)
 }
 
 // trafficMs is how long a day lasts before its final loss.
@@ -282,7 +282,7 @@
 	var traces [2]uint64
 	t.Cleanup(func() { must.Eq(t, traces[0], traces[1]) })
 	for i := range traces {
-		t.Run(fmt.Sprint("play ", i), func(t *testing.T) {
+		t.Run(fmt.Sprint("run ", i), func(t *testing.T) {
 			t.Parallel()
 			traces[i] = drawDay(4, "loss").play(t).trace
 		})
--- a/internal/daemon/platformjudge_state_test.go
+++ b/internal/daemon/platformjudge_state_test.go
@@ -61,8 +61,8 @@
 	what string
 }
 
-func (b platformViolation) String() string {
-	return fmt.Sprintf("%s at %d ms: %s", b.rule, b.atMs, b.what)
+func (v platformViolation) String() string {
+	return fmt.Sprintf("%s at %d ms: %s", v.rule, v.atMs, v.what)
 }
 
 // observedRun is a run at a worker, as far as the history shows it.
--- a/internal/daemon/platformjudge_tenants_test.go
+++ b/internal/daemon/platformjudge_tenants_test.go
@@ -85,7 +85,7 @@
 	}
 	for d, most := range limit {
 		if most > 0 && r.room[d] > 0 && before[d]*100 > most*(100+quotaOverrunPercent) {
-			c.report("QUOTA", e.atMs, "%s of tenant %s makes its use %v, its limit is %v", what, r.tenant, c.running[r.tenant], limit)
+			c.report("QUOTA", e.atMs, "%s of tenant %s raises its use to %v, the limit is %v", what, r.tenant, c.running[r.tenant], limit)
 			return
 		}
 	}
--- a/internal/daemon/platformjudge_test.go
+++ b/internal/daemon/platformjudge_test.go
@@ -62,7 +62,7 @@
 	for _, id := range sortedKeys(c.jobs) {
 		c.checkStoppedAfterCancel(c.jobs[id])
 	}
-	slices.SortStableFunc(c.violations, func(a, b platformViolation) int { return int(a.atMs - b.atMs) })
+	slices.SortStableFunc(c.violations, func(a, v platformViolation) int { return int(a.atMs - v.atMs) })
 	return c.violations
 }
 
@@ -289,7 +289,7 @@
 	if !step.copies {
 		for _, o := range s.runs[e.task] {
 			if o.endOrder == 0 {
-				c.report("TWICE", e.atMs, "%s, run %d has been at %s since %d ms", what, o.run, o.worker, o.startMs)
+				c.report("TWICE", e.atMs, "%s started although run %d has been at %s since %d ms", what, o.run, o.worker, o.startMs)
 			}
 		}
 	}
@@ -298,7 +298,7 @@
 	c.startRunning(e, r, what)
 
 	if w.used = w.used.plus(step.room, 1); !w.facts.guards && !w.used.within(w.facts.capacity) {
-		c.report("LIMIT", e.atMs, "%s makes %v of %v", what, w.used, w.facts.capacity)
+		c.report("LIMIT", e.atMs, "%s raises the use to %v, the capacity is %v", what, w.used, w.facts.capacity)
 	}
 	for _, k := range sortedKeys(step.labels) {
 		if w.facts.labels[k] != step.labels[k] {
@@ -313,7 +313,7 @@
 			}
 		}
 		if there > step.perWorker {
-			c.report("ROUTE", e.atMs, "%s makes %d of its step there, the most is %d", what, there, step.perWorker)
+			c.report("ROUTE", e.atMs, "%s is number %d of its step there, the most is %d", what, there, step.perWorker)
 		}
 	}
 	if len(c.setups) > 0 && !slices.ContainsFunc(c.setups, func(o *observedSetup) bool { return o.setup.routesTo(s.queue.name, w.facts) }) {
@@ -322,28 +322,28 @@
 	for _, a := range step.after {
 		for i := range s.spec.steps[a].count {
 			if !s.succeededBefore(taskName{e.task.round, a, i}, e.order) {
-				c.report("ORDER", e.atMs, "%s before task %d of step %d ended well", what, i, a)
+				c.report("ORDER", e.atMs, "%s started before task %d of step %d ended well", what, i, a)
 				break
 			}
 		}
 	}
 	if due := s.spec.dueMs(e.task.round); e.atMs < due-c.bounds.early {
-		c.report("ORDER", e.atMs, "%s is due at %d ms", what, due)
+		c.report("ORDER", e.atMs, "%s started early, it is due at %d ms", what, due)
 	}
 	if s.cancelMs >= 0 && e.atMs > s.cancelMs+c.bounds.cancel && touch {
-		c.report("UNASKED", e.atMs, "%s, cancelled at %d ms", what, s.cancelMs)
+		c.report("UNASKED", e.atMs, "%s started although its job was cancelled at %d ms", what, s.cancelMs)
 	}
 	if w.leavingMs >= 0 && e.atMs > w.leavingMs+c.bounds.drain && touch {
-		c.report("DRAIN", e.atMs, "%s, which has been leaving since %d ms", what, w.leavingMs)
+		c.report("DRAIN", e.atMs, "%s started at a worker that has been leaving since %d ms", what, w.leavingMs)
 	}
 	for _, m := range c.evacuations[w.facts.zone] {
 		if touch && e.atMs > m.from+c.bounds.evacuation && e.atMs < m.to {
-			c.report("EVAC", e.atMs, "%s, zone %s has been evacuated since %d ms", what, w.facts.zone, m.from)
+			c.report("EVAC", e.atMs, "%s started although zone %s has been evacuated since %d ms", what, w.facts.zone, m.from)
 		}
 	}
 	completeMs := s.completeMs
 	if completeMs >= 0 && e.atMs > completeMs+1000 && touch {
-		c.report("TWICE", e.atMs, "%s, shown as complete at %d ms", what, completeMs)
+		c.report("TWICE", e.atMs, "%s started although its job was shown as complete at %d ms", what, completeMs)
 	}
 	// Whether an end is acknowledged may be known only later in the history.
 	c.deferredChecks = append(c.deferredChecks, func() {
@@ -353,7 +353,7 @@
 					continue
 				}
 				if !step.copies || touch && e.atMs > o.acknowledgedMs+1000 {
-					c.report("TWICE", e.atMs, "%s, run %d of %v ended well at %s at %d ms, acknowledged at %d ms", what, o.run, o.name, o.worker, o.endMs, o.acknowledgedMs)
+					c.report("TWICE", e.atMs, "%s started although run %d of %v ended well at %s at %d ms, acknowledged at %d ms", what, o.run, o.name, o.worker, o.endMs, o.acknowledgedMs)
 				}
 			}
 		}
@@ -368,10 +368,10 @@
 			}
 		}
 		if noted >= s.queue.allowedFailures && (!step.copies || touch && e.atMs > lastMs+1000) {
-			c.report("BUDGET", e.atMs, "%s after %d failures", what, noted)
+			c.report("BUDGET", e.atMs, "%s started after %d failures", what, noted)
 		}
 		if !s.mayBeAccepted {
-			c.report("REFUSED", e.atMs, "%s, and every submission was refused", what)
+			c.report("REFUSED", e.atMs, "%s started although every submission was refused", what)
 		}
 	})
 }
--- a/internal/daemon/platformunit_test.go
+++ b/internal/daemon/platformunit_test.go
@@ -79,7 +79,7 @@
 		}
 		n.onAllocation("d1", m)
 		for i := range job.Tasks {
-			must.Eq(t, taskPending, job.Tasks[i].State, must.Sprintf("task %d was placed though w%d leaves", i, gone))
+			must.Eq(t, taskPending, job.Tasks[i].State, must.Sprintf("task %d was placed although w%d is leaving", i, gone))
 		}
 		n.workers[fmt.Sprint("w", gone)].leaving = false
 		n.onAllocation("d1", m)
--- a/internal/daemon/platformworld_test.go
+++ b/internal/daemon/platformworld_test.go
@@ -307,7 +307,7 @@
 	for _, how := range sortedKeys(b.wastedCoreSeconds) {
 		out += fmt.Sprintf("%s %.0f core-s; ", how, b.wastedCoreSeconds[how])
 	}
-	return out + fmt.Sprintf("turned away %d; answers %v", b.rejectedStarts, b.responseCounts)
+	return out + fmt.Sprintf("%d rejected starts; responses %v", b.rejectedStarts, b.responseCounts)
 }
 
 // newScriptedWorld returns a world without daemons in which a function answers the
