--- a/internal/daemon/platformjudge_cases_test.go
+++ b/internal/daemon/platformjudge_cases_test.go
@@ -292,8 +292,8 @@
 			rule, _, _ := strings.Cut(name, " ")
 			found := checkPlatformHistory(inject(validPlatformHistory()), usualPlatformBounds)
 			must.SliceNotEmpty(t, found)
-			for _, v := range found {
-				must.Eq(t, rule, v.rule, must.Sprint(v))
+			for _, b := range found {
+				must.Eq(t, rule, b.rule, must.Sprint(b))
 			}
 		})
 	}
