--- a/internal/daemon/platformcampaign_test.go
+++ b/internal/daemon/platformcampaign_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// platformFaults are the users' troubles, for mixing them by chance. Each ends by itself.
+// platformFaults are faults and loads for random mixes. Each ends by itself.
 var platformFaults = map[string]func(b *platformWorld){
 	"crash": func(b *platformWorld) { b.crashFor(b.somePlatformWorker(), 500+b.rng.Int64N(5000)) },
 	"slow":  func(b *platformWorld) { b.paceFor(b.somePlatformWorker(), "slow", 2+5*b.rng.Float64(), false, 7000) },
@@ -59,13 +59,13 @@
 	"poison": func(b *platformWorld) {
 		for range 5 {
 			j := b.draw(&b.deployment.kinds[b.rng.IntN(3)])
-			b.doom(j)
+			b.makeHopeless(j)
 			b.submit(j)
 		}
 	},
 	"evacuate": func(b *platformWorld) {
-		site := b.nodes[b.some(b.spots)].Zone
-		b.order("site.empty", site, func() { b.after(7_000_000, func() { b.order("site.open", site, nil) }) })
+		zone := b.nodes[b.some(b.spots)].Zone
+		b.order("site.empty", zone, func() { b.after(7_000_000, func() { b.order("site.open", zone, nil) }) })
 	},
 	"race": func(b *platformWorld) {
 		base, version := b.version, b.version
@@ -80,7 +80,7 @@
 			}
 		}
 	},
-	"stop": func(b *platformWorld) { b.stopNicely(b.some(sortedKeys(b.nodes)), b.rng.Int64N(2000)) },
+	"stop": func(b *platformWorld) { b.stopGracefully(b.some(sortedKeys(b.nodes)), b.rng.Int64N(2000)) },
 	"slow disk": func(b *platformWorld) {
 		d := b.some(b.disks())
 		b.syncUs[d] = 20_000 + b.rng.Int64N(400_000)
@@ -90,8 +90,8 @@
 			b.calm("slow disk", d)
 		})
 	},
-	"after ack wipe": func(b *platformWorld) { // a daemon loses its disk, or power, right after it has acknowledged something
-		kind, wipe, armed := b.some([]string{bJobTried, bSetupAcked, bCancelAcked, bSeen, bEmptied}), b.share(0.6), true
+	"after ack wipe": func(b *platformWorld) { // a daemon loses its disk or power right after it has acknowledged something
+		kind, wipe, armed := b.some([]string{bJobTried, eventSetupAcked, eventCancelAcked, bSeen, eventZoneEvacuated}), b.share(0.6), true
 		b.onSee = func(e platformEvent) {
 			if !armed || e.kind != kind || kind == bJobTried && e.n >= 300 {
 				return
@@ -110,7 +110,7 @@
 				}
 			})
 		}
-		if kind == bSetupAcked {
+		if kind == eventSetupAcked {
 			b.change(nil)
 		}
 	},
@@ -134,24 +134,24 @@
 			b.after(i*80_000, func() { b.change(nil) })
 		}
 	},
-	"quick cuts": func(b *platformWorld) { // a side machine comes and goes
+	"quick cuts": func(b *platformWorld) { // short cuts of one worker's machine
 		host := b.some(b.spots)
 		for i := range int64(3) {
 			b.after(i*1_500_000, func() { b.after(200_000+b.rng.Int64N(1_200_000), b.cut(host)) })
 		}
 	},
-	"cut and killed": func(b *platformWorld) { // and started into the cut
+	"cut and killed": func(b *platformWorld) { // the daemon restarts while it is cut off
 		host := b.some(b.spots)
 		heal := b.cut(host)
 		b.after(100_000+b.rng.Int64N(7_000_000), func() { b.after(100_000+b.rng.Int64N(500_000), b.kill(host, false)) })
 		b.after(2_000_000+b.rng.Int64N(8_000_000), heal)
 	},
-	"replaced": func(b *platformWorld) { // its worker crashes while the daemon is away
+	"replaced": func(b *platformWorld) { // a worker crashes while its daemon is cut off
 		host := b.some(b.spots)
 		b.after(500_000+b.rng.Int64N(3_000_000), b.cut(host))
 		b.crashFor(b.byHost[host], 100+b.rng.Int64N(2000))
 	},
-	"failing": func(b *platformWorld) { // many tasks fail, some while their agent is cut off
+	"failing": func(b *platformWorld) { // many tasks fail, some of them while their agent is cut off
 		for range 20 {
 			j := b.simple(b.rng.IntN(3), 1+b.rng.IntN(4), amounts{b.deployment.capacity[0] / 32, b.deployment.capacity[1] / 32}, 300+1500*b.rng.Float64())
 			for n := range j.names() {
@@ -174,7 +174,7 @@
 	},
 }
 
-// TestPlatformCampaign mixes troubles by chance on top of usual traffic.
+// TestPlatformCampaign checks the users' rules under random mixes of faults on top of usual traffic.
 func TestPlatformCampaign(t *testing.T) {
 	count := platformCISeeds
 	if *seedsFlag > 0 {
@@ -186,23 +186,23 @@
 	}
 	for i := range count {
 		seed := *fromFlag + uint64(i)
-		site := chosenDeployments()[seed%2]
-		t.Run(fmt.Sprintf("%s-%d", site, seed), func(t *testing.T) {
+		deployment := chosenDeployments()[seed%2]
+		t.Run(fmt.Sprintf("%s-%d", deployment, seed), func(t *testing.T) {
 			t.Parallel()
-			b := formPlatform(t, seed, site)
-			var told []string
+			b := formPlatform(t, seed, deployment)
+			var played []string
 			b.day(4000)
 			for end := b.nowMs() + 25_000; b.nowMs() < end; {
 				b.run(500 + b.rng.Int64N(4000))
 				name := b.some(names)
-				told = append(told, fmt.Sprintf("%d:%s", b.nowMs(), name))
+				played = append(played, fmt.Sprintf("%d:%s", b.nowMs(), name))
 				platformFaults[name](b)
 			}
 			b.run(12_000)
 			b.finish(120_000)
 			verdictOfPlatform(t, b)
 			if t.Failed() {
-				t.Log("faults:", told)
+				t.Log("faults:", played)
 			}
 		})
 	}
--- a/internal/daemon/platformdays_test.go
+++ b/internal/daemon/platformdays_test.go
@@ -12,17 +12,17 @@
 	"github.com/tidwall/gjson"
 )
 
-// Random bad days on the users' platform: 6 to 11 troubles of every kind on top
-// of usual traffic and an operator's changes, a closing loss, and the read-back of
-// all that was accepted. A day is drawn from its number alone.
+// Random days on the users' platform: 6 to 11 faults of all kinds on top of usual
+// traffic and an operator's changes, a loss of machines at the end, and a read of all
+// that was accepted. A day is drawn from its number alone.
 
 var (
-	daysFlag  = flag.Int("days", 0, "how many bad days to play, from -from on; 0 for CI's fixed ones")
-	themeFlag = flag.String("theme", "all", "what the bad days are made of: all, control, loss, changes, network")
+	daysFlag  = flag.Int("days", 0, "number of random days to run, from -from on; 0 for the fixed days of CI")
+	themeFlag = flag.String("theme", "all", "kinds of faults of the random days: all, control, loss, changes, network")
 )
 
-// fiveMemberDeployments have a core of five on eight machines with disks, two of which
-// may be lost at once, as on the users' grown deployments.
+// fiveMemberDeployments have five core members on eight machines with disks, two of
+// which may be lost at once, as on the users' grown deployments.
 var fiveMemberDeployments = map[string]platformDeployment{"hakata five": fiveMemberDeployment()}
 
 func fiveMemberDeployment() platformDeployment {
@@ -33,28 +33,29 @@
 
 var dayDeployments = []string{"hakata", "ikenna", "hakata five"}
 
-// The longest that a trouble waits until so many losses are allowed, and how often it looks.
 const (
-	waitTurnMs = 20_000
-	lookMs     = 200
+	// A fault is skipped if it would exceed the allowed losses for this long.
+	maxLossWaitMs = 20_000
+	// How often a waiting fault checks the allowed losses.
+	lossCheckMs = 200
 )
 
-// ordersMost is how many changes an operator has under way at once.
-const ordersMost = 8
+// maxOpenChanges is how many changes an operator sends at once without a final response.
+const maxOpenChanges = 8
 
-var dayThemes = map[string][][]troubleKind{
-	"all":     {controlTroubles, lossTroubles, changeTroubles, networkTroubles},
-	"control": {controlTroubles, controlTroubles, changeTroubles},
-	"loss":    {lossTroubles, lossTroubles, changeTroubles},
-	"changes": {changeTroubles, changeTroubles, lossTroubles},
-	"network": {networkTroubles, networkTroubles, controlTroubles},
+var dayThemes = map[string][][]faultKind{
+	"all":     {controlFaults, lossFaults, changeFaults, networkFaults},
+	"control": {controlFaults, controlFaults, changeFaults},
+	"loss":    {lossFaults, lossFaults, changeFaults},
+	"changes": {changeFaults, changeFaults, lossFaults},
+	"network": {networkFaults, networkFaults, controlFaults},
 }
 
-// closings are the losses that a day ends with. Each strikes all at once and
-// brings the machines back after a while.
-var closings = map[string]func(b *platformWorld, downMs int64){
-	"power off all": func(b *platformWorld, downMs int64) { b.downAt(true, downMs) },
-	"kill all":      func(b *platformWorld, downMs int64) { b.downAt(false, downMs) },
+// finalLosses are the losses at the end of a day. Each hits all its machines at once and
+// brings them back after a while.
+var finalLosses = map[string]func(b *platformWorld, downMs int64){
+	"power off all": func(b *platformWorld, downMs int64) { b.stopAllAt(true, downMs) },
+	"kill all":      func(b *platformWorld, downMs int64) { b.stopAllAt(false, downMs) },
 	"wipe after an acknowledgement": func(b *platformWorld, downMs int64) {
 		b.settled()
 		b.wipeMost("", downMs)
@@ -64,8 +65,8 @@
 	"wipe after an acceptance": func(b *platformWorld, downMs int64) { b.wipeAt(struckTaken, true, downMs) },
 }
 
-// allDown takes all machines, and with their power the workers.
-func (b *platformWorld) allDown(power bool, downMs int64) {
+// stopAll stops all machines; a power loss takes their workers too.
+func (b *platformWorld) stopAll(power bool, downMs int64) {
 	for _, host := range sortedKeys(b.nodes) {
 		if b.nodes[host].removed {
 			continue
@@ -77,8 +78,8 @@
 	}
 }
 
-// wipeMost takes as many disks as may be lost; at times all other machines that
-// count lose power too.
+// wipeMost wipes as many disks as may be lost, and half of the time cuts the power of all
+// other machines with disks.
 func (b *platformWorld) wipeMost(first string, downMs int64) {
 	hosts := b.shuffled(b.diskHosts)
 	if i := slices.Index(hosts, first); i >= 0 {
@@ -92,7 +93,7 @@
 	}
 }
 
-// wipeAt is wipeMost at a moment around an order.
+// wipeAt is wipeMost at a given point of a change; if aimed, it wipes the machine that handles the change.
 func (b *platformWorld) wipeAt(when struck, aimed bool, downMs int64) {
 	b.strikeOnce(when, func(host string) {
 		if !aimed {
@@ -102,18 +103,18 @@
 	})
 }
 
-// downAt takes all machines once a change was acknowledged: when its operator has
-// heard so, or as the answer leaves.
-func (b *platformWorld) downAt(power bool, downMs int64) {
+// stopAllAt stops all machines once a change was acknowledged: after its operator received
+// the response, or as the response is sent.
+func (b *platformWorld) stopAllAt(power bool, downMs int64) {
 	if b.share(0.5) {
 		b.settled()
-		b.allDown(power, downMs)
+		b.stopAll(power, downMs)
 		return
 	}
-	b.strikeOnce(struckAcknowledged, func(string) { b.allDown(power, downMs) })
+	b.strikeOnce(struckAcknowledged, func(string) { b.stopAll(power, downMs) })
 }
 
-// strikeOnce is strike, done at last when nothing is acknowledged for long.
+// strikeOnce is strike, but runs do after 6 s if the awaited event doesn't happen.
 func (b *platformWorld) strikeOnce(when struck, do func(host string)) {
 	over := false
 	once := func(host string) {
@@ -127,44 +128,44 @@
 	once("")
 }
 
-// badDay is a day as its number draws it.
-type badDay struct {
-	number   uint64
-	site     string
-	troubles []dayTrouble
-	closing  string
-	downMs   int64
+// randomDay is a random day, drawn from its number.
+type randomDay struct {
+	number     uint64
+	deployment string
+	faults     []dayFault
+	finalLoss  string
+	downMs     int64
 }
 
-func (d *badDay) String() string {
-	out := fmt.Sprintf("day %d on %s", d.number, d.site)
-	for _, t := range d.troubles {
+func (d *randomDay) String() string {
+	out := fmt.Sprintf("day %d on %s", d.number, d.deployment)
+	for _, t := range d.faults {
 		out += fmt.Sprintf("\n  at %d ms %s", t.atMs, t.text)
 	}
-	return out + fmt.Sprintf("\n  closing: %s, down for %d ms", d.closing, d.downMs)
+	return out + fmt.Sprintf("\n  final loss: %s, down for %d ms", d.finalLoss, d.downMs)
 }
 
-// trafficMs is how long a day is before its closing loss.
+// trafficMs is how long a day lasts before its final loss.
 const trafficMs = 30_000
 
 // drawDay draws a day from its number alone.
-func drawDay(number uint64, theme string) *badDay {
+func drawDay(number uint64, theme string) *randomDay {
 	r := rand.New(rand.NewPCG(number, 31))
-	d := &badDay{number: number, site: dayDeployments[number%uint64(len(dayDeployments))]}
+	d := &randomDay{number: number, deployment: dayDeployments[number%uint64(len(dayDeployments))]}
 	for range 6 + r.IntN(6) {
 		kind := choose(r, choose(r, dayThemes[theme]...)...)
-		t := dayTrouble{atMs: between(r, 1000, trafficMs-2000)}
+		t := dayFault{atMs: between(r, 1000, trafficMs-2000)}
 		t.text, t.play = kind(r)
-		d.troubles = append(d.troubles, t)
+		d.faults = append(d.faults, t)
 	}
-	slices.SortStableFunc(d.troubles, func(a, b dayTrouble) int { return int(a.atMs - b.atMs) })
-	d.closing, d.downMs = choose(r, sortedKeys(closings)...), between(r, 800, 2000)
+	slices.SortStableFunc(d.faults, func(a, b dayFault) int { return int(a.atMs - b.atMs) })
+	d.finalLoss, d.downMs = choose(r, sortedKeys(finalLosses)...), between(r, 800, 2000)
 	return d
 }
 
-// play plays a day to its end.
-func (d *badDay) play(t *testing.T) *platformWorld {
-	b := formPlatform(t, d.number, d.site)
+// play runs a day to its end.
+func (d *randomDay) play(t *testing.T) *platformWorld {
+	b := formPlatform(t, d.number, d.deployment)
 	b.replaced = map[string]bool{}
 	b.whenAnswered(func(a sentAnswer) bool {
 		if a.call.Op == "setup.put" && a.accepted() {
@@ -172,18 +173,18 @@
 		}
 		return false
 	})
-	for _, trouble := range d.troubles {
-		b.after(trouble.atMs*1000, func() { trouble.play(b) })
+	for _, fault := range d.faults {
+		b.after(fault.atMs*1000, func() { fault.play(b) })
 	}
 	b.each(trafficMs/4000, 4000, func() { b.change(nil) })
 	b.day(trafficMs)
-	b.closing = true
+	b.noNewFaults = true
 	if b.tenants != nil {
 		b.restoreLimits()
 	}
-	b.until(2*waitTurnMs, func() bool { return !slices.ContainsFunc(b.diskHosts, b.lost) })
+	b.until(2*maxLossWaitMs, func() bool { return !slices.ContainsFunc(b.diskHosts, b.lost) })
 	b.see(platformEvent{kind: bLoss})
-	closings[d.closing](b, d.downMs)
+	finalLosses[d.finalLoss](b, d.downMs)
 	b.run(d.downMs + 20)
 	b.see(platformEvent{kind: bBack})
 	b.run(recoveryMs + 10_000)
@@ -192,13 +193,13 @@
 	return b
 }
 
-// The most tries and the pause between them when something is read back.
+// Reads at the end of a day are retried this often, with this pause.
 const (
 	readTries   = 8
 	readPauseMs = 400
 )
 
-// readBack asks for the setup and for each accepted job, until answered.
+// readBack reads the configuration and each accepted job, with retries.
 func (b *platformWorld) readBack() {
 	b.readSetup(readTries)
 	for _, id := range sortedKeys(b.jobs) {
@@ -214,9 +215,9 @@
 	b.call("operator", b.edge(), platformCall{op: "setup.get"}, 1000, func(status int, _ int64, body []byte) {
 		switch {
 		case status == 200:
-			b.see(platformEvent{kind: bSetupShown, n: gjson.GetBytes(body, "version").Int(), text: gjson.GetBytes(body, "setup.source.note").Str, askedMs: asked})
+			b.see(platformEvent{kind: eventSetupShown, n: gjson.GetBytes(body, "version").Int(), text: gjson.GetBytes(body, "setup.source.note").Str, requestedMs: asked})
 		case tries == 1:
-			b.see(platformEvent{kind: bSetupShown, n: -1, askedMs: asked})
+			b.see(platformEvent{kind: eventSetupShown, n: -1, requestedMs: asked})
 		default:
 			b.after(readPauseMs*1000, func() { b.readSetup(tries - 1) })
 		}
@@ -228,21 +229,21 @@
 	b.callOfJob(to, "queue.state", j, nil, func(status int, _ int64, body []byte) {
 		switch {
 		case status == 200:
-			b.see(platformEvent{kind: bJobShown, job: j.id, host: to.Name, text: gjson.GetBytes(body, "state").Str, askedMs: asked})
+			b.see(platformEvent{kind: eventStateShown, job: j.id, host: to.Name, text: gjson.GetBytes(body, "state").Str, requestedMs: asked})
 		case status == 410:
-			b.see(platformEvent{kind: bJobShown, job: j.id, host: to.Name, text: "unknown", askedMs: asked})
+			b.see(platformEvent{kind: eventStateShown, job: j.id, host: to.Name, text: "unknown", requestedMs: asked})
 		case tries == 1:
-			b.see(platformEvent{kind: bFinished, job: j.id})
+			b.see(platformEvent{kind: eventFinalState, job: j.id})
 		default:
 			b.after(readPauseMs*1000, func() { b.readJob(j, tries-1) })
 		}
 	})
 }
 
-// ciDays are what CI plays: one of each theme, over all sites.
+// ciDays are the days that CI runs: one of each theme, over all deployments.
 var ciDays = map[string][]uint64{"all": {1}, "control": {2}, "loss": {3}, "changes": {4}, "network": {5}}
 
-// TestBadDays plays random bad days: with -days so many of a theme, from -from on.
+// TestBadDays checks the users' rules on random days with faults; -days, -theme and -from choose others.
 func TestBadDays(t *testing.T) {
 	plan := ciDays
 	if *daysFlag > 0 {
@@ -262,15 +263,16 @@
 				if t.Failed() {
 					t.Log(d)
 				}
-				if b.leftOut > 0 {
-					t.Logf("%d strikes left out: too many machines were lost", b.leftOut)
+				if b.skippedFaults > 0 {
+					t.Logf("%d faults skipped: too many machines were lost", b.skippedFaults)
 				}
 			})
 		}
 	}
 }
 
-// A number always draws the same day, and a day always plays the same way.
+// A day can be reproduced from its number only if the same number draws the same day
+// and the day runs the same way each time.
 func TestBadDayIsDrawnFromItsNumber(t *testing.T) {
 	for theme := range dayThemes {
 		must.Eq(t, drawDay(7, theme).String(), drawDay(7, theme).String())
@@ -280,7 +282,7 @@
 	var traces [2]uint64
 	t.Cleanup(func() { must.Eq(t, traces[0], traces[1]) })
 	for i := range traces {
-		t.Run(fmt.Sprint("play ", i), func(t *testing.T) {
+		t.Run(fmt.Sprint("run ", i), func(t *testing.T) {
 			t.Parallel()
 			traces[i] = drawDay(4, "loss").play(t).trace
 		})
--- a/internal/daemon/platformjudge_tenants_test.go
+++ b/internal/daemon/platformjudge_tenants_test.go
@@ -1,29 +1,29 @@
 package daemon
 
-// The judge's rules on keys and limits of tenants.
+// These methods check the rules on keys and limits of tenants.
 
 const (
-	// The users' bound on what a tenant may have running beyond its limit, in percent, beside one task.
+	// The users' bound: a tenant may exceed its limit by this many percent plus one task.
 	quotaOverrunPercent = 10
 
 	statusUnauthorized = 401
 )
 
-// surelyInForce is the newest version that every machine in touch must know when a call or start
-// of a moment comes; 0 for none.
-func (j *platformJudge) surelyInForce(atMs int64) (version int64) {
-	for _, s := range j.setups {
-		if s.ackedMs >= 0 && s.ackedMs+j.bounds.config < atMs {
+// newestCertainVersion returns the newest version that every connected machine must have applied
+// at a time; 0 for none.
+func (c *platformChecker) newestCertainVersion(atMs int64) (version int64) {
+	for _, s := range c.setups {
+		if s.ackedMs >= 0 && s.ackedMs+c.bounds.config < atMs {
 			version = max(version, s.version)
 		}
 	}
 	return version
 }
 
-// maybeInForce gives the setups that may be in force somewhere between two moments.
-func (j *platformJudge) maybeInForce(fromMs, toMs int64) (setups []*platformSetup) {
-	floor := j.surelyInForce(fromMs)
-	for _, s := range j.setups {
+// possiblyInForce returns the configurations that may be in force on some machine between two times.
+func (c *platformChecker) possiblyInForce(fromMs, toMs int64) (setups []*platformSetup) {
+	floor := c.newestCertainVersion(fromMs)
+	for _, s := range c.setups {
 		if s.version >= floor && !s.refused && !s.setup.invalid && s.sentMs <= toMs {
 			setups = append(setups, s.setup)
 		}
@@ -31,37 +31,37 @@
 	return setups
 }
 
-// called judges whether a call with its key could be answered so.
-func (j *platformJudge) called(e *platformEvent) {
+// checkCall checks whether a call's status is possible for its key.
+func (c *platformChecker) checkCall(e *platformEvent) {
 	success := e.n >= 200 && e.n < 300
 	if !success && e.n != statusUnauthorized {
 		return
 	}
-	if success && !j.everAdmitted(e) {
-		j.breach("ROUTE", e.atMs, "a call of %s at %s succeeded with key %q, which no version held", e.job, e.host, e.key)
+	if success && !c.everAdmitted(e) {
+		c.report("ROUTE", e.atMs, "a call of %s at %s succeeded with key %q, which no version declared", e.job, e.host, e.key)
 		return
 	}
-	if !j.inTouch(e.host, e.atMs) || j.surelyInForce(e.askedMs) == 0 {
+	if !c.connected(e.host, e.atMs) || c.newestCertainVersion(e.requestedMs) == 0 {
 		return
 	}
-	for _, s := range j.maybeInForce(e.askedMs, e.atMs) {
+	for _, s := range c.possiblyInForce(e.requestedMs, e.atMs) {
 		if s.admits(e.queue.name, e.key) == success {
 			return
 		}
 	}
 	if success {
-		j.breach("CONFIG", e.atMs, "a call of %s at %s succeeded with key %q, which only older versions hold", e.job, e.host, e.key)
+		c.report("CONFIG", e.atMs, "a call of %s at %s succeeded with key %q, which only older versions declare", e.job, e.host, e.key)
 	} else {
-		j.breach("CONFIG", e.atMs, "a call of %s at %s got 401, though key %q is there", e.job, e.host, e.key)
+		c.report("CONFIG", e.atMs, "a call of %s at %s got 401 although key %q is valid", e.job, e.host, e.key)
 	}
 }
 
-// everAdmitted tells whether some version that was ever sent and not refused lets a call in.
-func (j *platformJudge) everAdmitted(e *platformEvent) bool {
-	if len(j.setups) == 0 {
+// everAdmitted reports whether some version that was sent and not refused admits the call.
+func (c *platformChecker) everAdmitted(e *platformEvent) bool {
+	if len(c.setups) == 0 {
 		return true
 	}
-	for _, s := range j.setups {
+	for _, s := range c.setups {
 		if !s.refused && !s.setup.invalid && s.setup.admits(e.queue.name, e.key) {
 			return true
 		}
@@ -69,42 +69,42 @@
 	return false
 }
 
-// startRunning counts a start, which may take its tenant over the highest limit that may be in
-// force by a tenth and one task at most.
-func (j *platformJudge) startRunning(e *platformEvent, r *seenRun, what string) {
-	spec := j.jobs[e.job].spec
+// startRunning counts a start against its tenant's limit. The start may exceed the highest limit
+// that may be in force by a tenth plus one task.
+func (c *platformChecker) startRunning(e *platformEvent, r *observedRun, what string) {
+	spec := c.jobs[e.job].spec
 	if spec.tenant == "" {
 		return
 	}
 	r.tenant, r.room = spec.tenant, spec.steps[e.task.step].room
-	before := j.running[r.tenant]
-	j.running[r.tenant] = before.plus(r.room, 1)
-	limit, known := j.highestLimit(r.tenant, e.atMs)
+	before := c.running[r.tenant]
+	c.running[r.tenant] = before.plus(r.room, 1)
+	limit, known := c.highestLimit(r.tenant, e.atMs)
 	if !known {
 		return
 	}
 	for d, most := range limit {
 		if most > 0 && r.room[d] > 0 && before[d]*100 > most*(100+quotaOverrunPercent) {
-			j.breach("QUOTA", e.atMs, "%s of tenant %s makes %v, its limit is %v", what, r.tenant, j.running[r.tenant], limit)
+			c.report("QUOTA", e.atMs, "%s of tenant %s raises its use to %v, the limit is %v", what, r.tenant, c.running[r.tenant], limit)
 			return
 		}
 	}
 }
 
-// stopRunning counts runs as over that did count.
-func (j *platformJudge) stopRunning(runs ...*seenRun) {
+// stopRunning stops counting runs against their tenants' limits.
+func (c *platformChecker) stopRunning(runs ...*observedRun) {
 	for _, r := range runs {
 		if r.tenant != "" {
-			j.running[r.tenant] = j.running[r.tenant].plus(r.room, -1)
+			c.running[r.tenant] = c.running[r.tenant].plus(r.room, -1)
 			r.tenant = ""
 		}
 	}
 }
 
-// highestLimit is the highest that a tenant may have at a moment, dimension by dimension, where 0
-// is none; known tells whether any version that may be in force declares the tenant.
-func (j *platformJudge) highestLimit(tenant string, atMs int64) (limit amounts, known bool) {
-	for _, s := range j.maybeInForce(atMs, atMs) {
+// highestLimit returns the highest limit that a tenant may have at a time, per dimension, where 0
+// is no limit. known reports whether any version that may be in force declares the tenant.
+func (c *platformChecker) highestLimit(tenant string, atMs int64) (limit amounts, known bool) {
+	for _, s := range c.possiblyInForce(atMs, atMs) {
 		t := s.tenant(tenant)
 		if t == nil {
 			continue
--- a/internal/daemon/platformscenario_test.go
+++ b/internal/daemon/platformscenario_test.go
@@ -9,53 +9,54 @@
 	"github.com/shoenig/test/must"
 )
 
-// placePlatformNode gives a daemon of the users' platform its place.
-func placePlatformNode(p *nodeConfig, site platformDeployment, side bool) {
-	p.Colocated, p.MaxHoldMs, p.GangWaitMs = side, site.holdMaxMs, site.gangWaitMs
-	p.CoreSize = site.coreSize
-	p.CheckpointIntervalMs, p.RestoreMs, p.SpreadFactor = int64(site.saveMs), site.restoreMs, site.spread
+// configurePlatformNode sets a daemon's settings by its deployment.
+func configurePlatformNode(p *nodeConfig, deployment platformDeployment, hasWorker bool) {
+	p.Colocated, p.MaxHoldMs, p.GangWaitMs = hasWorker, deployment.holdMaxMs, deployment.gangWaitMs
+	p.CoreSize = deployment.coreSize
+	p.CheckpointIntervalMs, p.RestoreMs, p.SpreadFactor = int64(deployment.saveMs), deployment.restoreMs, deployment.spread
 }
 
-// eventOf is a call as a daemon gets it.
-func eventOf(c platformCall) evRequest {
+// requestOf returns a call as a daemon receives it.
+func requestOf(c platformCall) evRequest {
 	return evRequest{Op: c.op, Key: c.key, Host: c.host, Path: c.path, Base: c.expect, Body: c.body, Credential: c.credential}
 }
 
-// formPlatform gives a world whose daemons have formed a fleet, with its setup
-// declared and its workers beating, at the moment when traffic begins.
-func formPlatform(t *testing.T, seed uint64, site string) *platformWorld {
-	b := newPlatformWorld(seed, site)
+// formPlatform returns a world whose daemons have formed a cluster, with the usual
+// configuration applied and workers sending heartbeats, just before traffic begins.
+func formPlatform(t *testing.T, seed uint64, deployment string) *platformWorld {
+	b := newPlatformWorld(seed, deployment)
 	b.keepLog = *dumpFlag != ""
 	b.watchReady()
-	must.True(t, b.until(20_000, func() bool { return b.holderOf("central") != nil }), must.Sprint("the fleet never formed"))
+	must.True(t, b.until(20_000, func() bool { return b.holderOf("central") != nil }), must.Sprint("the cluster never formed"))
 	b.putSetup(b.usualSetup(), 1, 0, nil)
-	must.True(t, b.until(5000, func() bool { return b.version == 1 }), must.Sprint("the first setup was not taken"))
-	for _, n := range b.nodes { // from here on they start into a fleet
+	must.True(t, b.until(5000, func() bool { return b.version == 1 }), must.Sprint("the first configuration was not accepted"))
+	for _, n := range b.nodes { // from here on they join an existing cluster
 		n.FirstStart = false
 	}
 	b.run(max(0, 10_000-b.nowMs()))
 	return b
 }
 
-// platformScenario is a directed run at both sizes. After it everything must come
-// to its end, and no rule may be broken.
+// platformScenario is a fixed sequence of faults or loads. After it all jobs must end,
+// and no rule may be broken.
 type platformScenario func(t *testing.T, b *platformWorld)
 
-// day runs the usual traffic, with lasting jobs in it, for so many ms.
+// day starts the usual traffic and a lasting job, and runs for ms.
 func (b *platformWorld) day(ms int64) {
 	b.traffic()
 	b.submit(b.lastingJob())
 	b.run(ms)
 }
 
-// holder gives the machine that holds a duty, or some edge machine.
-func (b *platformWorld) holder(duty string) string {
-	if n := b.holderOf(duty); n != nil {
+// holder returns the machine that holds a role, or else any edge machine.
+func (b *platformWorld) holder(role string) string {
+	if n := b.holderOf(role); n != nil {
 		return n.Name
 	}
 	return b.edges()[b.rng.IntN(b.deployment.edges)]
 }
 
+// someSlice returns the role of a random shard's owner.
 func (b *platformWorld) someSlice() string {
 	return "slice/" + b.some(b.nodes["d00"].sh.node.core.Shards)
 }
@@ -85,7 +86,7 @@
 		b.paceFor(b.worker(6), "slow", 4, false, 7000)
 		b.run(14_000)
 	},
-	"tasks stand still": func(t *testing.T, b *platformWorld) {
+	"tasks hang": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
 		b.paceFor(b.worker(3), "hang", 1, true, 5500)
 		b.run(2000)
@@ -223,7 +224,7 @@
 		allOf(undo)()
 		b.run(16_000)
 	},
-	"large jobs come at once": func(t *testing.T, b *platformWorld) {
+	"large jobs in a burst": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
 		for range 8 {
 			b.sendKind(0)
@@ -234,7 +235,7 @@
 		}
 		b.run(12_000)
 	},
-	"urgent jobs come at once": func(t *testing.T, b *platformWorld) {
+	"urgent jobs in a burst": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
 		for range 40 {
 			b.sendKind(2)
@@ -242,11 +243,11 @@
 		}
 		b.run(12_000)
 	},
-	"jobs that can't be done": func(t *testing.T, b *platformWorld) {
+	"jobs that can't succeed": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
 		for i := range 12 {
 			j := b.draw(&b.deployment.kinds[i%3])
-			b.doom(j)
+			b.makeHopeless(j)
 			b.submit(j)
 			b.run(200)
 		}
@@ -254,13 +255,13 @@
 	},
 	"a site emptied and opened": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
-		site := b.nodes[b.spots[0]].Zone
-		b.order("site.empty", site, nil)
+		zone := b.nodes[b.spots[0]].Zone
+		b.order("site.empty", zone, nil)
 		b.run(9000)
-		b.order("site.open", site, nil)
+		b.order("site.open", zone, nil)
 		b.run(8000)
 	},
-	"operators race": func(t *testing.T, b *platformWorld) {
+	"operators change concurrently": func(t *testing.T, b *platformWorld) {
 		b.day(4000)
 		for range 4 {
 			base, version := b.version, b.version
@@ -278,7 +279,7 @@
 		b.putSetup(bad, b.version+1, b.version, nil)
 		b.run(10_000)
 	},
-	"queues come and go": func(t *testing.T, b *platformWorld) {
+	"queues removed and added": func(t *testing.T, b *platformWorld) {
 		b.day(4000)
 		b.change(func(s *platformSetup) { s.queues = s.queues[:2] })
 		b.run(4000)
@@ -294,13 +295,13 @@
 	"daemons stopped in turn": func(t *testing.T, b *platformWorld) {
 		b.day(4000)
 		for i := range 5 {
-			b.stopNicely(b.edges()[(i*2+1)%b.deployment.edges], 0)
-			b.stopNicely(b.spots[i*2], 0)
+			b.stopGracefully(b.edges()[(i*2+1)%b.deployment.edges], 0)
+			b.stopGracefully(b.spots[i*2], 0)
 			b.run(1300)
 		}
 		b.run(14_000)
 	},
-	"a disk turns slow": func(t *testing.T, b *platformWorld) {
+	"a disk becomes slow": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
 		b.syncUs["d00"] = 300_000
 		b.trouble("slow disk", "d00")
@@ -309,12 +310,12 @@
 		b.calm("slow disk", "d00")
 		b.run(10_000)
 	},
-	"a whole site lost": func(t *testing.T, b *platformWorld) {
+	"a whole zone lost": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
 		var undo []func()
-		site := b.nodes[b.spots[1]].Zone
+		zone := b.nodes[b.spots[1]].Zone
 		for _, host := range sortedKeys(b.nodes) {
-			if b.nodes[host].Zone == site {
+			if b.nodes[host].Zone == zone {
 				undo = append(undo, b.kill(host, true))
 				if s := b.byHost[host]; s != nil {
 					b.crashFor(s, 6000)
@@ -325,13 +326,13 @@
 		allOf(undo)()
 		b.run(14_000)
 	},
-	"a whole site cut off": func(t *testing.T, b *platformWorld) {
+	"a whole zone cut off": func(t *testing.T, b *platformWorld) {
 		b.cutTogether = true
 		b.day(6000)
 		var hosts []string
-		site := b.nodes[b.spots[2]].Zone
+		zone := b.nodes[b.spots[2]].Zone
 		for _, host := range sortedKeys(b.nodes) {
-			if b.nodes[host].Zone == site {
+			if b.nodes[host].Zone == zone {
 				hosts = append(hosts, host)
 			}
 		}
@@ -340,7 +341,7 @@
 		heal()
 		b.run(14_000)
 	},
-	"accelerators are few": func(t *testing.T, b *platformWorld) {
+	"accelerators scarce": func(t *testing.T, b *platformWorld) {
 		for i := range 3 {
 			s := b.worker(i * 3)
 			s.crash()
@@ -356,7 +357,7 @@
 		}
 		b.run(10_000)
 	},
-	"side daemons killed while ends wait that were given up": func(t *testing.T, b *platformWorld) {
+	"side daemons killed while abandoned ends wait": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
 		for i := range 90 { // each task fails once
 			j := b.simple(i%3, 1, amounts{b.deployment.capacity[0] / 16, b.deployment.capacity[1] / 16}, 500+1000*b.rng.Float64())
@@ -396,14 +397,14 @@
 		b.run(1500)
 		hosts := b.spots[:6]
 		heal := b.cut(hosts...)
-		for i, host := range hosts { // the last answers hold their workers for longer than owners wait
+		for i, host := range hosts { // the last responses give workers a hold that lasts longer than owners wait
 			b.after(4_200_000+int64(i)*140_000, func() { b.after(5_000_000, b.kill(host, false)) })
 		}
 		b.run(11_000)
 		heal()
 		b.run(8000)
 	},
-	"many ends behind one that was given up": func(t *testing.T, b *platformWorld) {
+	"many ends behind an abandoned one": func(t *testing.T, b *platformWorld) {
 		b.day(3000)
 		small := amounts{b.deployment.capacity[0] / 64, b.deployment.capacity[1] / 64}
 		for i := range 40 {
@@ -420,7 +421,7 @@
 		must.Positive(t, b.total("ends_waited"))
 		b.run(6000)
 	},
-	"small jobs beside a gang that waits for room": func(t *testing.T, b *platformWorld) {
+	"small jobs beside a gang that waits for resources": func(t *testing.T, b *platformWorld) {
 		whole := amounts{b.deployment.capacity[0] * 3 / 4, b.deployment.capacity[1] * 3 / 4}
 		for range 4 {
 			b.submit(b.simple(0, 1, whole, 45_000))
@@ -431,7 +432,7 @@
 		b.submit(gang)
 		b.run(6000)
 		for range 3 {
-			j := b.submit(b.simple(1, 1, amounts{b.deployment.capacity[0] / 5, b.deployment.capacity[1] / 5}, 3000)) // long, so it gets a firm place
+			j := b.submit(b.simple(1, 1, amounts{b.deployment.capacity[0] / 5, b.deployment.capacity[1] / 5}, 3000)) // its estimate is long, so it gets a guaranteed place
 			b.run(8000)
 			must.Eq(t, "complete", j.state)
 		}
@@ -449,7 +450,7 @@
 		heal()
 		b.run(10_000)
 	},
-	"gangs, and an agent's end": func(t *testing.T, b *platformWorld) {
+	"gangs and a failed agent": func(t *testing.T, b *platformWorld) {
 		for i := range 10 {
 			j := b.simple(0, 5, amounts{b.deployment.capacity[0] / 8, b.deployment.capacity[1] / 8}, 3000)
 			j.steps[0].gang, j.steps[0].saves, j.steps[0].sameRack = true, true, i%2 == 0
@@ -466,7 +467,7 @@
 	},
 }
 
-var grownFlag = flag.Bool("grown", false, "run the users' platform at its grown sizes")
+var grownFlag = flag.Bool("grown", false, "simulate the users' platform at its grown sizes")
 
 func chosenDeployments() []string {
 	if *grownFlag {
@@ -475,22 +476,22 @@
 	return sortedKeys(platformDeployments)
 }
 
-// verdictOfPlatform judges a run and tells all that is needed to find the cause.
+// verdictOfPlatform reports the violations of a run and logs what is needed to find their cause.
 func verdictOfPlatform(t *testing.T, b *platformWorld) {
-	for i, x := range judgePlatform(b.events, b.deployment.bounds) {
+	for i, x := range checkPlatformHistory(b.events, b.deployment.bounds) {
 		if i < 8 {
 			t.Error(x)
 		}
 	}
 	t.Log(b.platformSummary())
-	if len(b.faults) > 0 {
-		t.Error("jobs were found faulty: ", b.faults)
+	if len(b.badRequestBodies) > 0 {
+		t.Error("jobs were rejected as malformed: ", b.badRequestBodies)
 	}
 	if *dumpFlag == "" || !t.Failed() {
 		return
 	}
 	for _, e := range b.events {
-		if e.job == *dumpFlag || e.worker == *dumpFlag || *dumpFlag == "trouble" && (e.kind == bTrouble || e.kind == bCalm) {
+		if e.job == *dumpFlag || e.worker == *dumpFlag || *dumpFlag == "trouble" && (e.kind == eventFaultBegan || e.kind == eventFaultEnded) {
 			t.Log(e.atMs, e.kind, e.job, e.task, e.worker, e.host, "run", e.run, "n", e.n, e.text, e.saved)
 		}
 	}
@@ -501,24 +502,24 @@
 	}
 }
 
-// TestPlatformScenarios runs each scenario at one of both sizes, by turns; with
-// -seeds and -from at both, and on those seeds.
+// TestPlatformScenarios runs each scenario on one of the two deployments in turn; with
+// -seeds and -from on both, with those seeds.
 func TestPlatformScenarios(t *testing.T) {
 	from, count := uint64(11), 1
 	if *seedsFlag > 0 {
 		from, count = *fromFlag, *seedsFlag
 	}
 	for turn, name := range sortedKeys(platformScenarios) {
-		sites := chosenDeployments()
+		deployments := chosenDeployments()
 		if *seedsFlag == 0 {
-			sites = sites[turn%2:][:1]
+			deployments = deployments[turn%2:][:1]
 		}
-		for _, site := range sites {
+		for _, deployment := range deployments {
 			for i := range count {
 				seed := from + uint64(i)
-				t.Run(fmt.Sprintf("%s/%s-%d", name, site, seed), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s/%s-%d", name, deployment, seed), func(t *testing.T) {
 					t.Parallel()
-					b := formPlatform(t, seed, site)
+					b := formPlatform(t, seed, deployment)
 					platformScenarios[name](t, b)
 					b.finish(120_000)
 					verdictOfPlatform(t, b)
--- a/internal/daemon/platformunit_test.go
+++ b/internal/daemon/platformunit_test.go
@@ -12,9 +12,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// What a queue says for tasks that name nothing of their own holds in all
-// rounds, and for whoever takes the job over from its record.
-func TestQueueDefaultsOutliveTheRecord(t *testing.T) {
+// A queue's defaults must apply to tasks in all rounds, also after another owner has
+// decoded the job from its record.
+func TestQueueDefaultsSurviveEncoding(t *testing.T) {
 	set, faults := configuration.Compile(1, []byte(`{"queues":[{"name":"q","default_failures":3,"default_limit_ms":7000}]}`))
 	must.SliceEmpty(t, faults)
 	for _, rounds := range []string{"", `,"rounds":3,"first_ms":1000,"period_ms":1000`} {
@@ -32,8 +32,8 @@
 	}
 }
 
-// A timed job that is cancelled before its last round is opened is not complete,
-// though all tasks so far ended well, or there were none.
+// A job with rounds that is cancelled before its last round is opened must not count as
+// complete, even if all its tasks so far ended well or it has none yet.
 func TestCancelledBetweenRounds(t *testing.T) {
 	for _, opened := range []int{0, 1, 3} {
 		j, faults := parseJob("j", "q", []byte(`{"payload":"x","steps":[{"name":"a","count":2,"room":1}],"rounds":3,"first_ms":1000,"period_ms":1000}`))
@@ -55,9 +55,9 @@
 	}
 }
 
-// A gang's places are taken all or none, whichever of its workers is not to be
-// had any more when the grant comes.
-func TestGangGrantIsWhole(t *testing.T) {
+// A gang must not be placed in part when one of its workers has become unavailable
+// before the allocation arrives.
+func TestGangAllocationIsAllOrNothing(t *testing.T) {
 	for gone := range 3 {
 		n := newNode(nodeConfig{Name: "d0"}, nil)
 		n.now = 100_000
@@ -79,7 +79,7 @@
 		}
 		n.onAllocation("d1", m)
 		for i := range job.Tasks {
-			must.Eq(t, taskPending, job.Tasks[i].State, must.Sprintf("task %d was placed though w%d leaves", i, gone))
+			must.Eq(t, taskPending, job.Tasks[i].State, must.Sprintf("task %d was placed although w%d is leaving", i, gone))
 		}
 		n.workers[fmt.Sprint("w", gone)].leaving = false
 		n.onAllocation("d1", m)
@@ -89,16 +89,16 @@
 	}
 }
 
-// What is placed at a worker that another has taken the place of comes back at once.
+// A placement at a worker that was replaced must be rejected at once.
 func TestReplacedWorkerRejectsPlaces(t *testing.T) {
 	n := newNode(nodeConfig{Name: "d0", Incarnation: 7}, nil)
 	n.now = 100_000
-	beat := func(id string) {
+	heartbeat := func(id string) {
 		n.now += 50
 		n.handleHeartbeat(&request{key: id, body: []byte(`{"seq":1,"site":"east","capacity":{"cpu":4},"running":[],"ended":[]}`)})
 	}
-	beat("w1")
-	beat("w2")
+	heartbeat("w1")
+	heartbeat("w2")
 	must.True(t, n.agents["w1"].replaced)
 	key := wire.AttemptKey{Job: "j", Task: uniformTaskID(0, 0, 1), Attempt: 1}
 	n.onPlacement("d1", &wire.Placement{Worker: "w1", AgentEpoch: 7, ShardEpoch: 1, AgentClockMs: n.now, Spec: wire.TaskSpec{Key: key, Shard: "s", Resources: resource.Amount{CPU: 1}}})
--- a/internal/daemon/platformworld_faults_test.go
+++ b/internal/daemon/platformworld_faults_test.go
@@ -6,47 +6,51 @@
 
 func (b *platformWorld) isCore(host string) bool { return b.nodes[host].Disk }
 
+// trouble records that a fault of a machine begins.
 func (b *platformWorld) trouble(text, host string) {
-	b.see(platformEvent{kind: bTrouble, host: host, text: text})
+	b.see(platformEvent{kind: eventFaultBegan, host: host, text: text})
 	b.troubled[host]++
-	b.coreMoved(host)
+	b.recordCoreChange(host)
 }
 
+// calm records that a fault of a machine ends.
 func (b *platformWorld) calm(text, host string) {
-	b.see(platformEvent{kind: bCalm, host: host, text: text})
+	b.see(platformEvent{kind: eventFaultEnded, host: host, text: text})
 	b.troubled[host]--
 	b.calmMs[host] = b.nowMs()
-	b.coreMoved(host)
+	b.recordCoreChange(host)
 }
 
-func (b *platformWorld) workerTrouble(text string, s *platformWorker) func() {
-	id := s.id
-	b.see(platformEvent{kind: bTrouble, worker: id, text: text})
-	return func() { b.see(platformEvent{kind: bCalm, worker: id, text: text}) }
+// workerTrouble records that a fault of a worker begins, and returns what records its end.
+func (b *platformWorld) workerTrouble(text string, target *platformWorker) func() {
+	id := target.id
+	b.see(platformEvent{kind: eventFaultBegan, worker: id, text: text})
+	return func() { b.see(platformEvent{kind: eventFaultEnded, worker: id, text: text}) }
 }
 
-// coreMoved notes what a change at a machine means for the core.
-func (b *platformWorld) coreMoved(host string) {
+// recordCoreChange records a change at a core machine, and whether the core has lost or regained its majority.
+func (b *platformWorld) recordCoreChange(host string) {
 	if host == "" || !b.isCore(host) {
 		return
 	}
 	b.see(platformEvent{kind: bCore, host: host})
-	stands := 0
+	healthy := 0
 	for _, h := range b.disks() {
 		if n := b.nodes[h]; n.up && b.nowUs >= n.frozenTo && !b.cutOff[h] {
-			stands++
+			healthy++
 		}
 	}
-	if lost := 2*stands <= b.deployment.disks; lost != b.coreLost {
+	if lost := 2*healthy <= b.deployment.disks; lost != b.coreLost {
 		b.coreLost = lost
-		kind := bCalm
+		kind := eventFaultEnded
 		if lost {
-			kind = bTrouble
+			kind = eventFaultBegan
 		}
 		b.see(platformEvent{kind: kind, text: "core"})
 	}
 }
 
+// kill ends a daemon, or cuts its machine's power, and returns what starts it again.
 func (b *platformWorld) kill(host string, power bool) func() {
 	n := b.nodes[host]
 	if n.up {
@@ -65,13 +69,13 @@
 	b.after(ms*1000+10, func() { b.calm("frozen", host) })
 }
 
-// cut cuts machines off from all others, though not from workers beside them
-// nor from callers.
+// cut cuts machines off from all others, but not from the workers beside them
+// or from callers, and returns what reconnects them.
 func (b *platformWorld) cut(hosts ...string) func() {
 	for _, h := range hosts {
 		b.cutOff[h] = true
 	}
-	b.redraw()
+	b.applyCuts()
 	for _, h := range hosts {
 		b.trouble("cut", h)
 	}
@@ -80,14 +84,15 @@
 			delete(b.cutOff, h)
 			delete(b.cutOneWay, h)
 		}
-		b.redraw()
+		b.applyCuts()
 		for _, h := range hosts {
 			b.calm("cut", h)
 		}
 	}
 }
 
-func (b *platformWorld) redraw() {
+// applyCuts applies the cuts to each pair of machines.
+func (b *platformWorld) applyCuts() {
 	b.cuts = map[[2]string]bool{}
 	for x := range b.cutOff {
 		for y := range b.nodes {
@@ -100,8 +105,8 @@
 	b.release()
 }
 
-// stopNicely is what the platform does around planned work.
-func (b *platformWorld) stopNicely(host string, downMs int64) {
+// stopGracefully stops a daemon as the platform does for planned maintenance, and starts it again.
+func (b *platformWorld) stopGracefully(host string, downMs int64) {
 	n := b.nodes[host]
 	n.event(evStop{})
 	b.trouble("stopped", host)
@@ -114,15 +119,15 @@
 	})
 }
 
-// wipe replaces a core machine by an empty one.
+// wipe replaces a core machine by one with an empty disk.
 func (b *platformWorld) wipe(host string, newAddr bool, downMs int64) {
 	n := b.nodes[host]
 	n.kill(true)
 	n.wipe()
 	b.trouble("wiped", host)
 	if newAddr {
-		n.Addr = "10.9.0." + fmt.Sprint(b.lives+b.textSeq%200) + ":7000"
-		b.lives++
+		n.Addr = "10.9.0." + fmt.Sprint(b.workerLives+b.savedPointSeq%200) + ":7000"
+		b.workerLives++
 	}
 	b.after(downMs*1000, func() {
 		n.start()
@@ -136,38 +141,39 @@
 	return b.worker(b.rng.IntN(len(b.spots)))
 }
 
-// crashFor ends a worker and lets a new one stand there after a while; 0 for never.
-func (b *platformWorld) crashFor(s *platformWorker, ms int64) {
-	calm := b.workerTrouble("crash", s)
-	s.crash()
+// crashFor crashes a worker and starts a new one in its place after a while; 0 for never.
+func (b *platformWorld) crashFor(w *platformWorker, ms int64) {
+	calm := b.workerTrouble("crash", w)
+	w.crash()
 	b.after(1000, calm)
 	if ms > 0 {
-		b.after(ms*1000, s.start)
+		b.after(ms*1000, w.start)
 	}
 }
 
-func (b *platformWorld) paceFor(s *platformWorker, text string, slow float64, hang bool, ms int64) {
-	calm := b.workerTrouble(text, s)
-	s.setPace(slow, hang)
+// paceFor slows a worker down, or lets it hang, for a while.
+func (b *platformWorld) paceFor(w *platformWorker, text string, slow float64, hang bool, ms int64) {
+	calm := b.workerTrouble(text, w)
+	w.setPace(slow, hang)
 	b.after(ms*1000, func() {
-		s.setPace(1, false)
+		w.setPace(1, false)
 		calm()
 	})
 }
 
-// leaves lets a worker go, in order or at short notice, and a new one come.
-func (b *platformWorld) leaves(s *platformWorker, short bool) {
-	if !s.up {
+// leaves lets a worker leave, gracefully or at short notice, and starts a new one in its place.
+func (b *platformWorld) leaves(w *platformWorker, short bool) {
+	if !w.up {
 		return
 	}
 	text := "leaving"
 	if short {
 		text = "short notice"
 	}
-	calm := b.workerTrouble(text, s)
-	s.leave(2000, short)
+	calm := b.workerTrouble(text, w)
+	w.leave(2000, short)
 	b.after(11_000_000, func() {
 		calm()
-		s.start()
+		w.start()
 	})
 }
--- a/internal/daemon/platformworld_workers_test.go
+++ b/internal/daemon/platformworld_workers_test.go
@@ -9,150 +9,150 @@
 	"github.com/tidwall/gjson"
 )
 
-// platformRun is one run at a worker.
+// platformRun is one run of a task at a worker.
 type platformRun struct {
-	name     taskName
-	run      int64
-	job      *platformJob
-	worker   *platformWorker
-	step     *platformStep
-	startMs  int64
-	saved    string
-	stopping bool
-	effort   *platformEffort
-	gone     bool
+	name      taskName
+	run       int64
+	job       *platformJob
+	worker    *platformWorker
+	step      *platformStep
+	startMs   int64
+	saved     string
+	stopping  bool
+	execution *platformExecution
+	gone      bool
 }
 
-// platformEffort is the work of a run, or of a whole gang, whose members begin
-// once all are there and end together.
-type platformEffort struct {
-	b         *platformWorld
-	name      gangName
-	members   []*platformRun
-	formed    bool
-	workMs    float64
-	doneMs    float64
-	savedMs   float64 // of it is saved
-	begunMs   float64 // done before this run
-	rate      float64
-	atUs      int64
-	readyUs   int64 // restored by then
-	failAtMs  float64
-	failing   *platformRun
-	byWorker  bool // it fails by its worker's fault
-	gen       int
-	sinceMs   int64
-	dissolved bool
+// platformExecution is the work of a run, or of a whole gang, whose members begin
+// once all have started and end together.
+type platformExecution struct {
+	b          *platformWorld
+	name       gangName
+	members    []*platformRun
+	formed     bool
+	workMs     float64
+	doneMs     float64
+	savedMs    float64 // the part of doneMs that is saved
+	resumedMs  float64 // the part of doneMs from earlier runs
+	rate       float64
+	atUs       int64
+	readyUs    int64 // when the checkpoint is restored
+	failAtMs   float64
+	failingRun *platformRun
+	byWorker   bool // the failure is its worker's fault
+	gen        int
+	sinceMs    int64
+	dissolved  bool
 }
 
-// platformWorker is a worker as the users' platform has them: it does what its
-// daemon tells it, and all of it ends when its hold runs out.
+// platformWorker is a worker of the users' platform: it follows its daemon's orders,
+// and ends all its runs when its hold expires.
 type platformWorker struct {
-	b        *platformWorld
-	node     *simNode
-	id       string
-	rack     string
-	labels   map[string]string
-	capacity amounts
-	factor   float64 // work takes that much longer here
-	slow     float64
-	hang     bool
-	failing  float64 // share of what begins there that fails by its fault
-	guards   bool
-	up       bool
-	gen      int
-	seq      int64
-	leaving  bool
-	leavesMs int64 // world time, -1 for unknown
-	dies     bool  // it is settled when it dies
-	bootUs   int64
-	drift    float64 // its clock is that much slow
-	holdUs   int64   // by its own clock
-	holdGen  int
-	runs     map[runName]*platformRun
-	floor    map[runName]int64 // by task: the highest run that ended here
-	ends     []platformEnd
-	endSeq   int64
-	out      bool // a beat is on its way
-	again    bool // something ended meanwhile
-	nextUs   int64
-	used     amounts
-	deliver  func(body []byte, cb func(status int, body []byte)) // instead of the network
+	b                *platformWorld
+	node             *simNode
+	id               string
+	rack             string
+	labels           map[string]string
+	capacity         amounts
+	factor           float64 // work takes longer here by this factor
+	slow             float64
+	hang             bool
+	failing          float64 // fraction of the runs that fail by the worker's fault
+	guards           bool
+	up               bool
+	gen              int
+	seq              int64
+	leaving          bool
+	leavesMs         int64 // simulated time; -1 if unknown
+	endScheduled     bool  // its end is scheduled
+	bootUs           int64
+	drift            float64 // its clock is slow by this fraction
+	holdUs           int64   // when the hold expires, by the worker's clock
+	holdGen          int
+	runs             map[runName]*platformRun
+	highestRun       map[runName]int64 // by task: the highest run that ended or was stopped here
+	ends             []platformEnd
+	endSeq           int64
+	heartbeatPending bool // a heartbeat has no response yet
+	heartbeatAgain   bool // a run ended meanwhile
+	nextHeartbeatUs  int64
+	used             amounts
+	deliver          func(body []byte, cb func(status int, body []byte)) // instead of the network
 }
 
 type platformEnd struct {
-	n     int64
-	run   *platformRun
-	how   string
-	saved string
+	n       int64
+	run     *platformRun
+	outcome string
+	saved   string
 }
 
-func (s *platformWorker) taskKey(r runName) runName { return runName{job: r.job, name: r.name} }
+func (w *platformWorker) taskKey(r runName) runName { return runName{job: r.job, name: r.name} }
 
-func (s *platformWorker) start() {
-	if s.up {
+func (w *platformWorker) start() {
+	if w.up {
 		return
 	}
-	b := s.b
-	b.lives++
-	s.up, s.id, s.seq, s.endSeq, s.leaving, s.leavesMs, s.dies = true, fmt.Sprintf("i-%03d", b.lives), 0, 0, false, -1, false
-	s.gen++
-	s.bootUs, s.drift, s.holdUs, s.nextUs, s.out, s.again = b.nowUs-b.rng.Int64N(1_000_000_000), b.rng.Float64()*0.02, 0, 0, false, false
-	s.runs, s.floor, s.ends, s.used = map[runName]*platformRun{}, map[runName]int64{}, nil, amounts{}
-	b.see(platformEvent{kind: bWorkerUp, worker: s.id, host: s.node.Name, facts: &workerFacts{capacity: s.capacity, labels: s.labels, site: s.node.Zone, rack: s.rack, guards: s.guards}})
-	s.heartbeatIn(b.rng.Int64N(50_000))
+	b := w.b
+	b.workerLives++
+	w.up, w.id, w.seq, w.endSeq, w.leaving, w.leavesMs, w.endScheduled = true, fmt.Sprintf("i-%03d", b.workerLives), 0, 0, false, -1, false
+	w.gen++
+	w.bootUs, w.drift, w.holdUs, w.nextHeartbeatUs, w.heartbeatPending, w.heartbeatAgain = b.nowUs-b.rng.Int64N(1_000_000_000), b.rng.Float64()*0.02, 0, 0, false, false
+	w.runs, w.highestRun, w.ends, w.used = map[runName]*platformRun{}, map[runName]int64{}, nil, amounts{}
+	b.see(platformEvent{kind: eventWorkerUp, worker: w.id, host: w.node.Name, facts: &workerFacts{capacity: w.capacity, labels: w.labels, zone: w.node.Zone, rack: w.rack, guards: w.guards}})
+	w.scheduleHeartbeat(b.rng.Int64N(50_000))
 }
 
-// clockUs is the worker's own steady clock.
-func (s *platformWorker) clockUs() int64 {
-	return int64(float64(s.b.nowUs-s.bootUs) * (1 - s.drift))
+// clockUs returns the worker's own monotonic clock.
+func (w *platformWorker) clockUs() int64 {
+	return int64(float64(w.b.nowUs-w.bootUs) * (1 - w.drift))
 }
 
-// crash ends it and all that runs there, without a word.
-func (s *platformWorker) crash() {
-	if !s.up {
+// crash ends the worker and all its runs without a report.
+func (w *platformWorker) crash() {
+	if !w.up {
 		return
 	}
-	s.up = false
-	s.gen++
-	s.b.see(platformEvent{kind: bWorkerDown, worker: s.id, host: s.node.Name})
-	for _, k := range s.runNames() {
-		r := s.runs[k]
-		delete(s.runs, k)
+	w.up = false
+	w.gen++
+	w.b.see(platformEvent{kind: eventWorkerDown, worker: w.id, host: w.node.Name})
+	for _, k := range w.runNames() {
+		r := w.runs[k]
+		delete(w.runs, k)
 		r.gone = true
-		s.b.wasted("crash", r)
-		r.effort.lost(r, false)
+		w.b.recordWaste("crash", r)
+		r.execution.removeRun(r, false)
 	}
 }
 
-// leave says that it is leaving; it dies leaveMs after that was acknowledged,
-// or with short notice that long from now whatever happens.
-func (s *platformWorker) leave(leaveMs int64, short bool) {
-	if !s.up || s.leaving {
+// leave announces that the worker leaves. It ends some time after the acknowledgement,
+// or, at short notice, leaveMs from now in any case.
+func (w *platformWorker) leave(leaveMs int64, short bool) {
+	if !w.up || w.leaving {
 		return
 	}
-	b, gen := s.b, s.gen
-	s.leaving = true
-	s.heartbeatIn(1000)
+	b, gen := w.b, w.gen
+	w.leaving = true
+	w.scheduleHeartbeat(1000)
 	if short {
-		s.leavesMs, s.dies = b.nowMs()+leaveMs, true
+		w.leavesMs, w.endScheduled = b.nowMs()+leaveMs, true
 		b.after(leaveMs*1000, func() {
-			if s.gen == gen {
-				s.crash()
+			if w.gen == gen {
+				w.crash()
 			}
 		})
 		return
 	}
-	b.after(7_000_000, func() { // with no acknowledgement it ends all the same
-		if s.gen == gen && !s.dies {
-			s.crash()
+	b.after(7_000_000, func() { // without an acknowledgement it ends after 7 s
+		if w.gen == gen && !w.endScheduled {
+			w.crash()
 		}
 	})
 }
 
-func (s *platformWorker) runNames() []runName {
-	out := make([]runName, 0, len(s.runs))
-	for k := range s.runs {
+func (w *platformWorker) runNames() []runName {
+	out := make([]runName, 0, len(w.runs))
+	for k := range w.runs {
 		out = append(out, k)
 	}
 	slices.SortFunc(out, func(a, b runName) int {
@@ -162,261 +162,261 @@
 	return out
 }
 
-// heartbeatIn lets the next beat go out in so many us, or sooner if one is due.
-func (s *platformWorker) heartbeatIn(us int64) {
-	if s.out {
+// scheduleHeartbeat schedules the next heartbeat after us microseconds, unless one is due sooner.
+func (w *platformWorker) scheduleHeartbeat(us int64) {
+	if w.heartbeatPending {
 		return
 	}
-	at := s.b.nowUs + us
-	if s.nextUs > s.b.nowUs && s.nextUs <= at {
+	at := w.b.nowUs + us
+	if w.nextHeartbeatUs > w.b.nowUs && w.nextHeartbeatUs <= at {
 		return
 	}
-	s.nextUs = at
-	gen := s.gen
-	s.b.after(us, func() {
-		if s.gen == gen && s.up && !s.out && s.nextUs == at {
-			s.sendHeartbeat()
+	w.nextHeartbeatUs = at
+	gen := w.gen
+	w.b.after(us, func() {
+		if w.gen == gen && w.up && !w.heartbeatPending && w.nextHeartbeatUs == at {
+			w.sendHeartbeat()
 		}
 	})
 }
 
-func (s *platformWorker) sendHeartbeat() {
-	b := s.b
-	s.out, s.again, s.nextUs = true, false, 0
-	s.seq++
+func (w *platformWorker) sendHeartbeat() {
+	b := w.b
+	w.heartbeatPending, w.heartbeatAgain, w.nextHeartbeatUs = true, false, 0
+	w.seq++
 	running, ended := []map[string]any{}, []map[string]any{}
 	entry := func(r *platformRun) map[string]any {
 		return map[string]any{"job": r.job.id, "round": r.name.round, "step": r.name.step, "index": r.name.index, "run": r.run}
 	}
-	for _, k := range s.runNames() {
-		r := s.runs[k]
-		r.effort.settle()
+	for _, k := range w.runNames() {
+		r := w.runs[k]
+		r.execution.updateProgress()
 		m := entry(r)
-		m["saved"], m["percent"] = r.saved, int(100*r.effort.doneMs/max(r.effort.workMs, 1))
+		m["saved"], m["percent"] = r.saved, int(100*r.execution.doneMs/max(r.execution.workMs, 1))
 		running = append(running, m)
 	}
-	for _, e := range s.ends[:min(500, len(s.ends))] {
+	for _, e := range w.ends[:min(500, len(w.ends))] {
 		m := entry(e.run)
-		m["n"], m["outcome"], m["saved"] = e.n, e.how, e.saved
+		m["n"], m["outcome"], m["saved"] = e.n, e.outcome, e.saved
 		ended = append(ended, m)
 	}
-	doc := map[string]any{"seq": s.seq, "site": s.node.Zone, "labels": s.labels, "rack": s.rack, "leaving": s.leaving, "running": running, "ended": ended,
-		"capacity": map[string]int64{"cpu": s.capacity[0], "memory": s.capacity[1], "accelerators": s.capacity[2]}}
-	if s.leaving {
+	doc := map[string]any{"seq": w.seq, "site": w.node.Zone, "labels": w.labels, "rack": w.rack, "leaving": w.leaving, "running": running, "ended": ended,
+		"capacity": map[string]int64{"cpu": w.capacity[0], "memory": w.capacity[1], "accelerators": w.capacity[2]}}
+	if w.leaving {
 		doc["leaves_ms"] = int64(2000)
-		if s.leavesMs >= 0 {
-			doc["leaves_ms"] = max(0, s.leavesMs-b.nowMs())
+		if w.leavesMs >= 0 {
+			doc["leaves_ms"] = max(0, w.leavesMs-b.nowMs())
 		}
 	}
 	if len(ended) > 0 {
-		b.see(platformEvent{kind: bListed, worker: s.id, host: s.node.Name, n: s.ends[len(ended)-1].n})
+		b.see(platformEvent{kind: bListed, worker: w.id, host: w.node.Name, n: w.ends[len(ended)-1].n})
 	}
-	gen, sentUs, said := s.gen, s.clockUs(), s.leaving
+	gen, sentUs, announcedLeaving := w.gen, w.clockUs(), w.leaving
 	done := func(status int, body []byte) {
-		if s.gen != gen {
+		if w.gen != gen {
 			return
 		}
-		s.out = false
+		w.heartbeatPending = false
 		if status == 200 {
-			s.take(body, sentUs, said)
+			w.handleResponse(body, sentUs, announcedLeaving)
 		}
 		switch {
-		case s.again:
-			s.heartbeatIn(50_000)
+		case w.heartbeatAgain:
+			w.scheduleHeartbeat(50_000)
 		case status != 200:
-			s.heartbeatIn(200_000)
+			w.scheduleHeartbeat(200_000)
 		default:
 			again := gjson.GetBytes(body, "again_ms")
-			wait := s.b.deployment.beatMs
+			wait := w.b.deployment.beatMs
 			if again.Exists() {
 				wait = again.Int()
 			}
-			s.heartbeatIn(max(wait, 5) * 1000)
+			w.scheduleHeartbeat(max(wait, 5) * 1000)
 		}
 	}
-	if s.deliver != nil {
-		s.deliver(mustJSON(doc), done)
+	if w.deliver != nil {
+		w.deliver(mustJSON(doc), done)
 		return
 	}
-	if !s.node.up { // nobody listens there
+	if !w.node.up { // the daemon is down
 		b.after(1000, func() { done(0, nil) })
 		return
 	}
-	b.call(s.node.Name, s.node, platformCall{op: "worker.beat", key: s.id, body: mustJSON(doc)}, 1000, func(status int, _ int64, body []byte) { done(status, body) })
+	b.call(w.node.Name, w.node, platformCall{op: "worker.beat", key: w.id, body: mustJSON(doc)}, 1000, func(status int, _ int64, body []byte) { done(status, body) })
 }
 
-// take does what an answer says.
-func (s *platformWorker) take(body []byte, sentUs int64, said bool) {
-	b, a := s.b, gjson.ParseBytes(body)
-	if said {
-		b.see(platformEvent{kind: bLeaving, worker: s.id, host: s.node.Name})
-		if !s.dies {
-			s.dies, s.leavesMs = true, b.nowMs()+2000
-			gen := s.gen
+// handleResponse handles the response to a heartbeat.
+func (w *platformWorker) handleResponse(body []byte, sentUs int64, announcedLeaving bool) {
+	b, a := w.b, gjson.ParseBytes(body)
+	if announcedLeaving {
+		b.see(platformEvent{kind: eventLeaveAcked, worker: w.id, host: w.node.Name})
+		if !w.endScheduled {
+			w.endScheduled, w.leavesMs = true, b.nowMs()+2000
+			gen := w.gen
 			b.after(2_300_000, func() {
-				if s.gen != gen {
+				if w.gen != gen {
 					return
 				}
 				dead := func(int, int64, []byte) {
-					if s.gen == gen {
-						s.crash()
+					if w.gen == gen {
+						w.crash()
 					}
 				}
-				b.call(s.node.Name, s.node, platformCall{op: "worker.gone", key: s.id}, 1000, dead)
+				b.call(w.node.Name, w.node, platformCall{op: "worker.gone", key: w.id}, 1000, dead)
 			})
 		}
 	}
-	if seen := a.Get("seen").Int(); seen > 0 && len(s.ends) > 0 && s.ends[0].n <= seen {
-		b.see(platformEvent{kind: bSeen, worker: s.id, host: s.node.Name, n: seen})
-		s.ends = slices.DeleteFunc(s.ends, func(e platformEnd) bool { return e.n <= seen })
+	if seen := a.Get("seen").Int(); seen > 0 && len(w.ends) > 0 && w.ends[0].n <= seen {
+		b.see(platformEvent{kind: bSeen, worker: w.id, host: w.node.Name, n: seen})
+		w.ends = slices.DeleteFunc(w.ends, func(e platformEnd) bool { return e.n <= seen })
 	}
 	if hold := a.Get("hold_ms").Int(); hold > 0 {
 		until := sentUs + min(hold, b.deployment.holdMaxMs)*1000
-		if until > s.holdUs {
-			s.holdUs = until
-			s.watchHold()
+		if until > w.holdUs {
+			w.holdUs = until
+			w.scheduleHoldExpiry()
 		}
 	}
 	for _, o := range a.Get("stop").Array() {
-		k := s.nameOf(o)
-		if s.floor[s.taskKey(k)] < k.run {
-			s.floor[s.taskKey(k)] = k.run
+		k := w.parseRunName(o)
+		if w.highestRun[w.taskKey(k)] < k.run {
+			w.highestRun[w.taskKey(k)] = k.run
 		}
-		if r := s.runs[k]; r != nil && !r.stopping {
+		if r := w.runs[k]; r != nil && !r.stopping {
 			r.stopping = true
-			gen := s.gen
+			gen := w.gen
 			b.after(1000+b.rng.Int64N((b.deployment.stopMs-20)*1000), func() {
-				if s.gen == gen && !r.gone {
-					s.end(r, "stopped")
+				if w.gen == gen && !r.gone {
+					w.end(r, "stopped")
 				}
 			})
 		}
 	}
 	for _, o := range a.Get("start").Array() {
-		s.startRun(o)
+		w.startRun(o)
 	}
 }
 
-func (s *platformWorker) nameOf(o gjson.Result) runName {
+func (w *platformWorker) parseRunName(o gjson.Result) runName {
 	return runName{o.Get("job").Str, taskName{int(o.Get("round").Int()), int(o.Get("step").Int()), int(o.Get("index").Int())}, o.Get("run").Int()}
 }
 
-func (s *platformWorker) startRun(o gjson.Result) {
-	b, k := s.b, s.nameOf(o)
-	e := platformEvent{kind: bOrdered, job: k.job, task: k.name, run: k.run, worker: s.id, host: s.node.Name, saved: o.Get("saved").Str, text: o.Get("payload").Str}
+func (w *platformWorker) startRun(o gjson.Result) {
+	b, k := w.b, w.parseRunName(o)
+	e := platformEvent{kind: eventOrdered, job: k.job, task: k.name, run: k.run, worker: w.id, host: w.node.Name, saved: o.Get("saved").Str, text: o.Get("payload").Str}
 	if p := o.Get("payload"); p.Type != gjson.String {
 		e.text = p.Raw
 	}
 	b.see(e)
 	job := b.jobs[k.job]
-	if job == nil || !job.has(k.name) {
-		return // the judge has it
+	if job == nil || !job.hasTask(k.name) {
+		return // the checker reports it
 	}
 	step := &job.steps[k.name.step]
-	if s.clockUs() >= s.holdUs || s.runs[k] != nil {
-		return // nothing is begun without a hold, and nothing twice
+	if w.clockUs() >= w.holdUs || w.runs[k] != nil {
+		return // a start needs a hold, and a run starts only once
 	}
-	r := &platformRun{name: k.name, run: k.run, job: job, worker: s, step: step, startMs: b.nowMs(), saved: e.saved}
-	if k.run <= s.floor[s.taskKey(k)] || s.guards && !s.used.plus(step.room, 1).within(s.capacity) {
-		b.turned++
-		s.list(r, "turned_away")
+	r := &platformRun{name: k.name, run: k.run, job: job, worker: w, step: step, startMs: b.nowMs(), saved: e.saved}
+	if k.run <= w.highestRun[w.taskKey(k)] || w.guards && !w.used.plus(step.room, 1).within(w.capacity) {
+		b.rejectedStarts++
+		w.addEnd(r, "turned_away")
 		return
 	}
-	s.used = s.used.plus(step.room, 1)
-	s.runs[k] = r
-	b.see(platformEvent{kind: bStarted, job: k.job, task: k.name, run: k.run, worker: s.id, host: s.node.Name})
-	b.join(r)
+	w.used = w.used.plus(step.room, 1)
+	w.runs[k] = r
+	b.see(platformEvent{kind: bStarted, job: k.job, task: k.name, run: k.run, worker: w.id, host: w.node.Name})
+	b.joinExecution(r)
 }
 
-// list adds an end that beats tell of until it is taken note of.
-func (s *platformWorker) list(r *platformRun, how string) {
-	s.endSeq++
-	s.ends = append(s.ends, platformEnd{s.endSeq, r, how, r.saved})
-	if s.out {
-		s.again = true
+// addEnd adds an end, which heartbeats report until it is acknowledged.
+func (w *platformWorker) addEnd(r *platformRun, outcome string) {
+	w.endSeq++
+	w.ends = append(w.ends, platformEnd{w.endSeq, r, outcome, r.saved})
+	if w.heartbeatPending {
+		w.heartbeatAgain = true
 	} else {
-		s.heartbeatIn(50_000)
+		w.scheduleHeartbeat(50_000)
 	}
 }
 
-// end ends a run here.
-func (s *platformWorker) end(r *platformRun, how string) {
+// end ends a run with an outcome.
+func (w *platformWorker) end(r *platformRun, outcome string) {
 	k := runName{r.job.id, r.name, r.run}
-	if s.runs[k] != r {
+	if w.runs[k] != r {
 		return
 	}
-	r.effort.settle()
-	if how == "stopped" && r.step.saves {
-		r.effort.save(r)
+	r.execution.updateProgress()
+	if outcome == "stopped" && r.step.saves {
+		r.execution.saveCheckpoint(r)
 	}
-	delete(s.runs, k)
+	delete(w.runs, k)
 	r.gone = true
-	s.used = s.used.plus(r.step.room, -1)
-	if tk := s.taskKey(k); s.floor[tk] < r.run {
-		s.floor[tk] = r.run
-	}
-	s.b.see(platformEvent{kind: bEnded, job: r.job.id, task: r.name, run: r.run, worker: s.id, host: s.node.Name, text: how, n: s.endSeq + 1, saved: r.saved})
-	s.list(r, how)
-	if how == "ok" {
-		r.job.ok(s.b, r)
+	w.used = w.used.plus(r.step.room, -1)
+	if tk := w.taskKey(k); w.highestRun[tk] < r.run {
+		w.highestRun[tk] = r.run
+	}
+	w.b.see(platformEvent{kind: bEnded, job: r.job.id, task: r.name, run: r.run, worker: w.id, host: w.node.Name, text: outcome, n: w.endSeq + 1, saved: r.saved})
+	w.addEnd(r, outcome)
+	if outcome == "ok" {
+		r.job.recordSuccess(w.b, r)
 	} else {
-		s.b.wasted(how, r)
+		w.b.recordWaste(outcome, r)
 	}
-	r.effort.lost(r, how == "ok")
+	r.execution.removeRun(r, outcome == "ok")
 }
 
-// watchHold ends everything once the hold is over.
-func (s *platformWorker) watchHold() {
-	s.holdGen++
-	gen, life := s.holdGen, s.gen
-	left := int64(math.Ceil(float64(s.holdUs-s.clockUs())/(1-s.drift))) + 1
-	s.b.after(left, func() {
-		if s.gen != life || s.holdGen != gen {
+// scheduleHoldExpiry ends all runs when the hold expires.
+func (w *platformWorker) scheduleHoldExpiry() {
+	w.holdGen++
+	gen, workerGen := w.holdGen, w.gen
+	left := int64(math.Ceil(float64(w.holdUs-w.clockUs())/(1-w.drift))) + 1
+	w.b.after(left, func() {
+		if w.gen != workerGen || w.holdGen != gen {
 			return
 		}
-		s.b.see(platformEvent{kind: bLapsed, worker: s.id, host: s.node.Name})
-		for _, k := range s.runNames() {
-			if r := s.runs[k]; r != nil {
-				s.end(r, "lapsed")
+		w.b.see(platformEvent{kind: bLapsed, worker: w.id, host: w.node.Name})
+		for _, k := range w.runNames() {
+			if r := w.runs[k]; r != nil {
+				w.end(r, "lapsed")
 			}
 		}
 	})
 }
 
-// setPace changes how fast it works.
-func (s *platformWorker) setPace(slow float64, hang bool) {
-	for _, k := range s.runNames() {
-		s.runs[k].effort.settle()
+// setPace changes how fast the worker works.
+func (w *platformWorker) setPace(slow float64, hang bool) {
+	for _, k := range w.runNames() {
+		w.runs[k].execution.updateProgress()
 	}
-	s.slow, s.hang = slow, hang
-	for _, k := range s.runNames() {
-		s.runs[k].effort.plan()
+	w.slow, w.hang = slow, hang
+	for _, k := range w.runNames() {
+		w.runs[k].execution.scheduleNext()
 	}
 }
 
-// join brings a run into its effort: its own, or that of its gang.
-func (b *platformWorld) join(r *platformRun) {
+// joinExecution adds a run to its execution: its own, or that of its gang.
+func (b *platformWorld) joinExecution(r *platformRun) {
 	name := gangName{job: r.job.id, round: r.name.round, step: r.name.step, run: r.run}
-	var e *platformEffort
+	var e *platformExecution
 	if r.step.gang {
 		if e = b.gangs[name]; e != nil && (e.dissolved || e.formed) {
 			e = nil
 		}
 	}
 	if e == nil {
-		e = &platformEffort{b: b, name: name, sinceMs: b.nowMs()}
+		e = &platformExecution{b: b, name: name, sinceMs: b.nowMs()}
 		if r.step.gang {
 			b.gangs[name] = e
 		}
 	}
-	r.effort = e
+	r.execution = e
 	e.members = append(e.members, r)
 	if !r.step.gang {
-		e.begin()
+		e.start()
 		return
 	}
 	if len(e.members) == r.step.count {
-		e.begin()
+		e.start()
 		return
 	}
 	b.after(b.deployment.gangWaitMs*1000, func() {
@@ -426,42 +426,43 @@
 	})
 }
 
-func (e *platformEffort) begin() {
+// start begins the work at the least progress that its members' checkpoints have.
+func (e *platformExecution) start() {
 	e.formed, e.atUs, e.readyUs = true, e.b.nowUs, e.b.nowUs
 	first := e.members[0]
 	for i, r := range e.members {
 		e.workMs = max(e.workMs, r.job.fates[r.name].workMs)
-		if p, ok := e.b.texts[r.saved]; ok && p.job == r.job.id && (i == 0 || p.doneMs < e.doneMs) {
+		if p, ok := e.b.savedPoints[r.saved]; ok && p.job == r.job.id && (i == 0 || p.doneMs < e.doneMs) {
 			e.doneMs = p.doneMs
 		}
 	}
 	if first.saved != "" {
 		e.readyUs += e.b.deployment.restoreMs * 1000
 	}
-	e.begunMs, e.savedMs = e.doneMs, e.doneMs
+	e.resumedMs, e.savedMs = e.doneMs, e.doneMs
 	if first.step.lasting {
 		e.workMs = 1e15
 	}
 	for _, r := range e.members {
 		f := r.job.fates[r.name]
 		if f.failed < len(f.fails) {
-			if at := f.fails[f.failed] * min(e.workMs, 20_000); e.failing == nil || at < e.failAtMs {
-				e.failing, e.failAtMs = r, at
+			if at := f.fails[f.failed] * min(e.workMs, 20_000); e.failingRun == nil || at < e.failAtMs {
+				e.failingRun, e.failAtMs = r, at
 			}
 		}
 	}
 	for _, r := range e.members {
 		if share := r.worker.failing; share > 0 && e.b.share(share) {
-			if at := e.b.rng.Float64() * min(e.workMs, 20_000); e.failing == nil || at < e.failAtMs {
-				e.failing, e.failAtMs, e.byWorker = r, at, true
+			if at := e.b.rng.Float64() * min(e.workMs, 20_000); e.failingRun == nil || at < e.failAtMs {
+				e.failingRun, e.failAtMs, e.byWorker = r, at, true
 			}
 		}
 	}
-	e.plan()
+	e.scheduleNext()
 }
 
-// speed is how much work is done a ms now.
-func (e *platformEffort) speed() float64 {
+// currentRate returns the current rate of work, in ms of work per ms.
+func (e *platformExecution) currentRate() float64 {
 	if !e.formed || e.dissolved || e.b.nowUs < e.readyUs {
 		return 0
 	}
@@ -484,8 +485,8 @@
 	return rate
 }
 
-// settle brings what is done up to now.
-func (e *platformEffort) settle() {
+// updateProgress updates the work done to the current time.
+func (e *platformExecution) updateProgress() {
 	if !e.formed || e.dissolved {
 		return
 	}
@@ -493,11 +494,11 @@
 	e.atUs = e.b.nowUs
 }
 
-// plan finds what happens next: a save, a failure or the end.
-func (e *platformEffort) plan() {
-	e.settle()
+// scheduleNext schedules what happens next: a checkpoint, a failure or the end.
+func (e *platformExecution) scheduleNext() {
+	e.updateProgress()
 	e.gen++
-	e.rate = e.speed()
+	e.rate = e.currentRate()
 	if !e.formed || e.dissolved {
 		return
 	}
@@ -505,7 +506,7 @@
 	if e.b.nowUs < e.readyUs {
 		e.b.after(e.readyUs-e.b.nowUs, func() {
 			if e.gen == gen {
-				e.plan()
+				e.scheduleNext()
 			}
 		})
 		return
@@ -515,7 +516,7 @@
 	}
 	first := e.members[0]
 	next, what := e.workMs, "ok"
-	if e.failing != nil && max(e.failAtMs, e.doneMs+1) < next {
+	if e.failingRun != nil && max(e.failAtMs, e.doneMs+1) < next {
 		next, what = max(e.failAtMs, e.doneMs+1), "failed"
 	}
 	if save := e.savedMs + e.b.deployment.saveMs; first.step.saves && save < next && what != "saved" {
@@ -525,20 +526,20 @@
 		if e.gen != gen {
 			return
 		}
-		e.settle()
+		e.updateProgress()
 		e.doneMs = max(e.doneMs, next)
 		switch what {
 		case "saved":
 			e.savedMs = next
 			for _, r := range e.members {
-				e.save(r)
+				e.saveCheckpoint(r)
 			}
-			e.plan()
+			e.scheduleNext()
 		case "failed":
 			if !e.byWorker {
-				e.failing.job.fates[e.failing.name].failed++
+				e.failingRun.job.fates[e.failingRun.name].failed++
 			}
-			e.failing.worker.end(e.failing, "failed")
+			e.failingRun.worker.end(e.failingRun, "failed")
 		default:
 			e.gen++
 			for _, r := range slices.Clone(e.members) {
@@ -548,22 +549,22 @@
 	})
 }
 
-// save renews the text that a run can be continued from.
-func (e *platformEffort) save(r *platformRun) {
+// saveCheckpoint writes a new checkpoint of a run.
+func (e *platformExecution) saveCheckpoint(r *platformRun) {
 	if !e.formed {
 		return
 	}
-	e.b.textSeq++
-	r.saved = fmt.Sprintf("%08x%s", e.b.textSeq, r.job.id)
-	e.b.texts[r.saved] = savedPoint{r.job.id, r.name, e.doneMs}
+	e.b.savedPointSeq++
+	r.saved = fmt.Sprintf("%08x%s", e.b.savedPointSeq, r.job.id)
+	e.b.savedPoints[r.saved] = savedPoint{r.job.id, r.name, e.doneMs}
 	e.savedMs = e.doneMs
-	e.b.see(platformEvent{kind: bSaved, job: r.job.id, task: r.name, run: r.run, worker: r.worker.id, host: r.worker.node.Name, saved: r.saved})
+	e.b.see(platformEvent{kind: eventCheckpointSaved, job: r.job.id, task: r.name, run: r.run, worker: r.worker.id, host: r.worker.node.Name, saved: r.saved})
 }
 
-// serveWorkerLost takes a member out that has ended. The others of a gang that was at
-// work end too, unless all end well together.
-func (e *platformEffort) lost(r *platformRun, well bool) {
-	e.settle()
+// removeRun removes a member whose run has ended. Unless it ended well, the other members
+// of a gang at work end soon after it.
+func (e *platformExecution) removeRun(r *platformRun, well bool) {
+	e.updateProgress()
 	e.members = slices.DeleteFunc(e.members, func(o *platformRun) bool { return o == r })
 	if well || !e.formed {
 		return
@@ -580,11 +581,11 @@
 	}
 }
 
-// wasted counts the core-seconds of work that came to nothing.
-func (b *platformWorld) wasted(how string, r *platformRun) {
+// recordWaste counts the core-seconds of a run whose work is lost; an accelerator counts as 8 cores.
+func (b *platformWorld) recordWaste(outcome string, r *platformRun) {
 	spent := float64(b.nowMs()-r.startMs) / 1000
-	if r.effort != nil && r.effort.formed {
-		spent -= max(0, r.effort.savedMs-r.effort.begunMs) / 1000
+	if r.execution != nil && r.execution.formed {
+		spent -= max(0, r.execution.savedMs-r.execution.resumedMs) / 1000
 	}
-	b.waste[how] += max(0, spent) * (float64(r.step.room[0])/1000 + 8*float64(r.step.room[2]))
+	b.wastedCoreSeconds[outcome] += max(0, spent) * (float64(r.step.room[0])/1000 + 8*float64(r.step.room[2]))
 }
