--- a/internal/daemon/job.go
+++ b/internal/daemon/job.go
@@ -90,7 +90,7 @@
 	// except when no other attempt was started in the meantime; then the entry is removed.
 	Abandoned []abandonedAttempt
 	// Tenant is the tenant whose key the job was submitted with. It is the last field, and a record omits it if it
-	// is empty: records from before tenants existed have the same form.
+	// is empty, so that records from before tenants existed can be decoded.
 	Tenant string
 }
 
@@ -223,7 +223,7 @@
 func (t *task) isTerminal() bool { return t.State >= taskEnded }
 
 // readySteps reports, for each step of each open round, whether all tasks that it depends on succeeded and the
-// record of that is committed. The index is that of stepIndex.
+// record of that is committed. The result is indexed by stepIndex.
 func (j *jobRecord) readySteps(committed int64) []bool {
 	rounds := max(int(j.RoundsOpened-j.FirstOpenRound), 1)
 	succeeded := make([]bool, rounds*len(j.Steps))
@@ -303,7 +303,7 @@
 	return j, true
 }
 
-// describe returns the job as replies show it. why returns the reason for which a task waits, or "".
+// describe returns the job as replies show it. waitReason returns why a task waits, or "" if it doesn't.
 func (j *jobRecord) describe(waitReason func(*task) string) map[string]any {
 	steps := make([]map[string]any, len(j.Steps))
 	for i, s := range j.Steps {
--- a/internal/daemon/job_explain.go
+++ b/internal/daemon/job_explain.go
@@ -43,8 +43,8 @@
 	return "waiting for room"
 }
 
-// explainNoWorker returns why no worker may run a task even if all were idle, or "" if one may.
-// It is the obstacle at the worker that comes nearest to running it.
+// explainNoWorker returns why no worker could run a task even if all were idle, or "" if one could. If workers have
+// different obstacles, it returns the least one, in the order of reasons.
 func (n *node) explainNoWorker(job *liveJob, t *task) string {
 	reasons := []string{"", "all allowed workers are leaving or in emptied sites", "all allowed workers are silent",
 		"no allowed worker has so much room", "no worker of its queue's group has the labels it needs"}
--- a/internal/daemon/job_parse.go
+++ b/internal/daemon/job_parse.go
@@ -77,8 +77,8 @@
 	},
 }}
 
-// parseJob checks the request body of a job and returns the job, or all faults by path. The queue is the one that
-// belongs to the address of the request; if that is empty, it is taken from the body.
+// parseJob checks the request body of a job and returns the job, or all faults by path. The argument queue is the queue
+// at the address of the request; if it is empty, the queue is taken from the body.
 //
 // Example: j, faults := parseJob("order-7", "checks", body)
 func parseJob(id, queue string, body []byte) (*jobRecord, []schema.Fault) {
--- a/internal/daemon/job_request.go
+++ b/internal/daemon/job_request.go
@@ -80,7 +80,7 @@
 			n.leases.PollSoon()
 			return
 		}
-		if req.queue != "" { // its address was resolved by another configuration; that daemon will have this one soon
+		if req.queue != "" { // another daemon resolved its address with an older configuration, and will have this one soon
 			n.reject(req, "the queue or the tenant is not in the newest setup")
 			return
 		}
@@ -223,8 +223,8 @@
 	n.fetchRecord(shard, &fetchOp{id: req.key, requests: []*request{req}})
 }
 
-// handleState responds with a job's state only. A final state is sent once it is committed, so that it can't be
-// taken back.
+// handleState responds with a job's state only. A final state is sent only once it is committed, since it could
+// otherwise be revoked.
 func (n *node) handleState(shard *ownedShard, req *request) {
 	job := shard.jobs[req.key]
 	if job == nil {
--- a/internal/daemon/job_schedule.go
+++ b/internal/daemon/job_schedule.go
@@ -10,7 +10,7 @@
 const (
 	dueMarginMs    = 50   // starts are delayed this much past the due time, since correct clocks may differ by it
 	workerSilentMs = 5000 // a worker without reports for this long counts as silent
-	limitMarginMs  = 5000 // delay past a trusted run limit after which an attempt on a silent worker is resolved
+	limitMarginMs  = 5000 // added to a trusted run limit before an attempt on a silent worker is resolved
 	openAheadMs    = 400  // a round is added to the job's record this long before it is due
 )
 
@@ -85,8 +85,8 @@
 	return pass
 }
 
-// mayStart reports whether a pending task may be placed now: its job is running, it is due, and the steps it depends on
-// have ended in the committed record.
+// mayStart reports whether a pending task may be placed now: its job is running, its backoff is over, it is due, the
+// steps that it depends on have ended in the committed record, and the configuration is fresh.
 func (n *node) mayStart(job *liveJob, i int, pass *schedulePass) bool {
 	t := &job.Tasks[i]
 	if job.State != jobRunning || pass.clusterTimeMs == 0 || pass.queue == nil || n.now < job.runtime[i].retryAtMs {
@@ -214,7 +214,8 @@
 }
 
 // tickColocatedTask resolves a task as lost if its worker's agent, which runs beside the worker, has been silent for
-// longer than it may keep attempts without an owner's reply. It also restarts a gang that didn't start completely.
+// longer than an agent may keep attempts without an owner's reply. It also restarts a gang that didn't start
+// completely.
 func (n *node) tickColocatedTask(shard *ownedShard, job *liveJob, i int, rt *taskRuntime, w *workerView) {
 	t := &job.Tasks[i]
 	receivedMs := shard.startMs
--- a/internal/daemon/job_timeline.go
+++ b/internal/daemon/job_timeline.go
@@ -41,8 +41,8 @@
 	sinceUnknown  = "it is over and its stages are not kept any more, or ended at a former owner"
 )
 
-// handleExplain replies with a job's timeline. If only the record of a finished job is left, its
-// stages are not known any more, and the reply states that.
+// handleExplain replies with a job's timeline. If only the record of a finished job is left, the reply
+// states that its stages are unknown.
 func (n *node) handleExplain(shard *ownedShard, req *request) {
 	job := shard.jobs[req.key]
 	if job == nil {
--- a/internal/daemon/job_trace.go
+++ b/internal/daemon/job_trace.go
@@ -7,8 +7,8 @@
 	"otterchute/internal/wire"
 )
 
-// An owner traces each of its jobs through its stages, see package jobtrace. It doesn't know the stages that passed
-// under a previous owner, and the trace says so.
+// An owner traces each of its jobs through its stages, see package jobtrace. The stages that passed under a previous
+// owner are unknown, and the trace indicates that.
 
 // endedAttempt is an attempt whose end was reported and is not committed yet.
 type endedAttempt struct {
@@ -21,8 +21,8 @@
 	agentEpoch uint64
 }
 
-// awaitCommit keeps an attempt's end, to acknowledge it to its agent when the given version of the record is at a
-// quorum.
+// awaitCommit keeps an attempt's end, to acknowledge it to its agent once the given version of the record is
+// committed.
 func (j *liveJob) awaitCommit(m *wire.AgentReport, end wire.AttemptStatus, version, nowMs int64) {
 	if slices.ContainsFunc(j.uncommittedEnds, func(e endedAttempt) bool { return e.status.Key == end.Key }) {
 		return
@@ -82,8 +82,8 @@
 	n.observeStage(job, class, jobtrace.Run, status.RanMs)
 }
 
-// traceCommitted records that a version of a job's record is at a quorum, and returns the ended attempts that it
-// contains and earlier ones did not.
+// traceCommitted records that a version of a job's record is committed, and returns the attempts whose ends this
+// version commits and no earlier one did.
 func (n *node) traceCommitted(job *liveJob, version int64) (committed []endedAttempt) {
 	if job.committed == 0 && job.trace != nil && job.trace.AdmittedMs != 0 {
 		job.trace.CommittedMs = n.now
@@ -102,7 +102,7 @@
 	return committed
 }
 
-// traceOutcome completes the trace of a job whose outcome is at a quorum, and keeps it with those of finished jobs.
+// traceOutcome completes the trace of a job whose outcome is committed, and keeps it with those of finished jobs.
 func (n *node) traceOutcome(shard *ownedShard, job *liveJob) {
 	trace := job.trace
 	if trace == nil {
@@ -118,7 +118,7 @@
 	shard.finishedTraces.Add(job.ID, trace)
 }
 
-// shiftTrace adapts the trace to the job's tasks after the given number was dropped from their front.
+// shiftTrace adapts the trace to the job's tasks after the given number of them was dropped at the front.
 func (j *liveJob) shiftTrace(dropped int) {
 	if j.trace != nil {
 		j.trace.Shift(dropped, len(j.Tasks))
--- a/internal/daemon/reconcile.go
+++ b/internal/daemon/reconcile.go
@@ -11,7 +11,7 @@
 
 const (
 	recallAfterMs      = 150  // a task queued this long at its worker is recalled if another worker could start it at once
-	gangStartTimeoutMs = 2000 // a gang not fully running by then is restarted, so that no member idles for long
+	gangStartTimeoutMs = 2000 // a gang not fully running this long after its first task is restarted: running tasks idle
 )
 
 // onAgentReport reconciles a shard's tasks with an agent's report: it records the ends of attempts, decides which of
@@ -95,8 +95,8 @@
 	return listed
 }
 
-// reconcilePlaced handles a task that is placed on a report's worker but missing from the report: it resolves the
-// attempt if that surely doesn't run, and otherwise sends the placement again.
+// reconcilePlaced handles a task that is placed on a report's worker but missing from the report. It resolves the
+// attempt if it is certain not to run, and otherwise sends the placement again.
 func (n *node) reconcilePlaced(
 	shard *ownedShard,
 	job *liveJob,
@@ -114,8 +114,8 @@
 	}
 	switch {
 	case m.Epoch > t.AgentEpoch && m.Rebuilt:
-		// The new agent was rebuilt from a report of the worker itself that began after the last command of the old
-		// agent could arrive.
+		// The new agent was rebuilt from a report of the worker itself. The worker made this report after the time at
+		// which a last order of the old agent could arrive.
 		n.resolveAttempt(shard, job, i, wire.ResultLost, 0)
 	case m.Epoch == t.AgentEpoch && job.State != jobRunning:
 		// The job was cancelled or failed. The attempt can't start any more once every placement of it, by this or a
@@ -158,7 +158,7 @@
 	late := job.isLateEnd(i, status)
 	if (status.Key.Attempt < t.Attempt || t.State != taskPlaced) && !late {
 		decision := job.decideSuperseded(t, status)
-		if decision == 0 { // such as a gang that ended with another member: wait for the commit
+		if decision == 0 { // such as a task that ended because its gang did: wait for the commit
 			job.awaitCommit(m, status, t.ChangedVersion, n.now)
 		}
 		return decision
@@ -276,11 +276,12 @@
 	return slices.Contains(j.Abandoned, abandonedAttempt{key.Task, key.Attempt})
 }
 
-// decideLateEnd decides, for the late end of an attempt whose job is finished, whether the attempt was superseded. It
-// looks at the job's record, which it reads from the core if it isn't in memory, and returns 0 meanwhile.
+// decideLateEnd returns the decision on the late end of an attempt whose job is finished. The end counts unless the
+// job's record lists the attempt as abandoned. If the record isn't in memory, it is read from the core, and the
+// decision is 0 until it has arrived.
 func (n *node) decideLateEnd(shard *ownedShard, key wire.AttemptKey) wire.Decision {
 	switch record := shard.finished[key.Job]; {
-	case record != nil && record.isAbandoned(key): // an end that counted after all is removed from the abandoned ones
+	case record != nil && record.isAbandoned(key): // a late end that was counted is no longer listed there
 		return wire.DecisionAcknowledged
 	case record != nil || shard.knownAbsent[key.Job]:
 		return wire.DecisionCounted
@@ -315,8 +316,8 @@
 	return false
 }
 
-// resolveReplaced resolves as lost the tasks placed on workers that the reporting worker has replaced: its heartbeats
-// come from the same machine, to a later incarnation of the same agent.
+// resolveReplaced resolves as lost the tasks placed on workers that the reporting worker has replaced. A worker has
+// replaced another if it runs on the same machine, beside a later incarnation of the same agent.
 func (n *node) resolveReplaced(shard *ownedShard, m *wire.AgentReport) {
 	if !m.Colocated || !m.Rebuilt {
 		return
--- a/internal/daemon/shard.go
+++ b/internal/daemon/shard.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	finishedKeepMs     = 600_000  // how long an owner answers for finished jobs from memory
+	finishedKeepMs     = 600_000  // how long an owner keeps finished jobs in memory
 	finishedMax        = 5000     // finished jobs an owner keeps in memory
 	shardJobsMax       = 4000     // live jobs a shard may have; see urgentSharePercent
 	urgentSharePercent = 25       // percent of a shard's jobs kept for queues above the lowest urgency
@@ -53,8 +53,8 @@
 	replicaLags        map[string]*replicaLag // member -> records it has not acknowledged
 	fetches            map[uint64]*fetchOp    // by operation ID
 	admitting          map[string]*fetchOp    // new jobs whose IDs are being looked up in the core
-	lateReadMs         map[string]int64       // when the record of a job was last read for a late end
-	knownAbsent        map[string]bool        // jobs of late ends that the core no longer has a record of
+	lateReadMs         map[string]int64       // job -> when its record was last read for decideLateEnd
+	knownAbsent        map[string]bool        // jobs of late ends that have no record in the core any more
 	liveByQueue        map[string]int
 	recordBytes        int                                    // of all live jobs' records
 	placedByWorker     map[string]map[taskRef]resource.Amount // worker -> tasks placed on it and their resources
@@ -65,15 +65,15 @@
 	allocationRequests int // allocation requests sent in this tick
 
 	nextBatchPlanMs   int64 // when the batch jobs are planned again
-	batchPlanVersion  int64 // version of the configuration that they were planned by
+	batchPlanVersion  int64 // configuration version of the last plan
 	batchStartsInTick int   // batch tasks placed in this tick
 	batchTriesInTick  int   // batch tasks considered in this tick
 	batchUseByWorker  map[queueOnWorker]resource.Amount
 	starvedMs         int64 // when a task that isn't a batch task last found no worker
 
 	shares tenantShares
-	// unlistedAttempts holds, by worker, attempts of gangs that ended with another member. They use their tenants'
-	// shares until their workers have reported the ends.
+	// unlistedAttempts holds, by worker, attempts that ended because another task of their gang ended. They use
+	// their tenants' shares until their workers have reported the ends, see holdUntilListed.
 	unlistedAttempts map[string]map[wire.AttemptKey]unlistedAttempt
 
 	tenantUsed map[string]resource.Amount // tenant -> resources of its placed tasks
@@ -170,8 +170,8 @@
 	checkpoint          string            // the newest reported checkpoint
 	restartGang         bool              // its gang is being restarted
 	runningSinceMs      int64             // when it was first reported as running
-	// limitVersion is the version of the configuration whose limits it was placed by. It is 0 if a
-	// former owner placed the task: an agent returns it unstarted if its tenant has a limit now.
+	// limitVersion is the version of the configuration under whose limits the task was placed. It is 0 if a
+	// former owner placed it: an agent then returns the task unstarted if its tenant has a limit.
 	limitVersion int64
 }
 
--- a/internal/daemon/shard_read.go
+++ b/internal/daemon/shard_read.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// onFetchResponse handles a core member's records: of a read without an owner, of a takeover, or of a fetchOp.
+// onFetchResponse handles the records that a core member returns for a read without an owner, for a takeover or for
+// a fetchOp.
 func (n *node) onFetchResponse(from string, m *wire.FetchResponse) {
 	if r := n.quorumReads[m.Op]; r != nil {
 		n.onQuorumRead(r, m.Op, from, m.Records)
@@ -65,7 +66,7 @@
 		delete(shard.fetches, m.Op)
 		delete(shard.admitting, fetch.id)
 		old, _ := decodeJob(fetch.newest)
-		if fetch.newest.Live { // all valid live jobs are loaded here: this is a stale replica or an abandoned write
+		if fetch.newest.Live { // all valid live jobs are in memory: this is a stale replica or an abandoned write
 			old = shard.finished[fetch.id]
 		}
 		n.onRecordFetched(shard, fetch, old)
--- a/internal/daemon/shard_takeover.go
+++ b/internal/daemon/shard_takeover.go
@@ -24,9 +24,10 @@
 	}
 }
 
-// mergeSeal merges the records that a majority of the members hold as live, or as finished without confirmation that a
-// majority has the end; the latter are finished again here. A record that is live at one member and missing from
-// another's response may have finished there, so it is fetched from that member before the shard is served.
+// mergeSeal merges a core member's seal response, and loads the shard once a majority has responded. A response has
+// the member's live records, and the finished ones for which the member has no confirmation that a majority stores the
+// end; this owner commits those ends again. A record that is live at one member and missing from another's response may
+// have finished at the other, so it is fetched from there before the shard is served.
 func (n *node) mergeSeal(from string, m *wire.SealResponse) {
 	shard := n.shards[m.Shard]
 	if shard == nil || m.Epoch != shard.epoch || shard.serving || shard.sealedRecords[from] != nil ||
@@ -73,8 +74,8 @@
 	}
 }
 
-// loadShard turns the merged records into live jobs and has them written under the owner's epoch. No job is confirmed
-// or placed before its record is committed.
+// loadShard turns the merged records into live jobs and has them written under the owner's epoch. No job is
+// acknowledged, and none of its tasks placed, before its record is committed.
 func (n *node) loadShard(shard *ownedShard) {
 	for _, id := range sortedKeys(shard.mergedRecords) {
 		r := shard.mergedRecords[id]
--- a/internal/daemon/shard_write.go
+++ b/internal/daemon/shard_write.go
@@ -13,10 +13,11 @@
 	// that a busy owner sends few large batches. The limit is needed since a batch may be lost.
 	commitHoldMs = 30
 	// deferredMs is how long a busy owner may delay the write of a change that nothing waits for, to combine it
-	// with others of the job. Workers list such ends in their reports meanwhile, and ends should be recorded
-	// within 100 ms, so it must stay well below that.
+	// with other changes of the job. Such a change is the end of an attempt (see awaitsStepTasks). Agents repeat
+	// the end in their reports until it is recorded, which should take at most 100 ms, so deferredMs must stay
+	// well below that.
 	deferredMs = 40
-	// busyWrites is the number of batches per tick from which on an owner counts as busy.
+	// busyWrites is the lowest number of batches per tick at which an owner counts as busy.
 	busyWrites = 4
 )
 
@@ -204,7 +205,7 @@
 	reply *wire.OwnerReply
 }
 
-// add adds the decisions on ends of attempts that a job's committed record has.
+// add adds the decisions on attempts whose ends are in a job's committed record.
 func (r endReplies) add(shard *ownedShard, job *liveJob, ends []endedAttempt) {
 	for _, end := range ends {
 		i, _, ok := job.position(end.status.Key.Task)
