--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -20,7 +20,7 @@
 	// workerReportMaxAgeMs bounds the age of the worker report that orders are based on: a worker that
 	// is leaving must get no new work after 2 s.
 	workerReportMaxAgeMs = 1500
-	orderTimeoutMs       = 700 // an order without an answer after this is closed and counts as unconfirmed
+	orderTimeoutMs       = 700 // the connection of an order without an answer is reset after this; it may have started
 )
 
 // workerAgent is the only sender of orders to one worker, and accounts for the worker's resources.
@@ -67,10 +67,10 @@
 	goneAtMs         int64            // when a worker that signed off has ended for certain; 0 if it has not
 	leavesAtMs       int64            // when a leaving worker ends all its attempts; 0 if unknown
 	replaced         bool             // another worker sends heartbeats to this daemon instead
-	lapseUntilMs     int64            // no hold is granted until this time, so that it lapses; 0 if none must
+	lapseUntilMs     int64            // no hold is granted before this time, so that the last one lapses; 0 otherwise
 	suspectUntilMs   int64
-	suspectCount     int64 // recent suspicions; it decays
-	adoptedMs        int64
+	suspectCount     int64                 // recent suspicions; it decays
+	adoptedMs        int64                 // when rebuilt was set
 	lastReports      map[string]sentReport // shard, "" for the central scheduler -> its last report
 	nextChangesMs    int64                 // no partial report is sent before this time
 	changesPending   bool                  // attempts have ended since the last report
@@ -101,9 +101,9 @@
 	orderSeq       int64 // sequence number of the heartbeat whose reply carried the order
 	percent        int64
 	lastProgressMs int64
-	endedLate      bool // ended by itself, possibly after its owner gave it up as lost
-	voided         bool // ended before a lapse of the hold that has happened since
-	adoptedMs      int64
+	endedLate      bool  // its owner may have resolved it as lost before it ended by itself
+	voided         bool  // the hold has lapsed since it was ordered, so its end is no longer late
+	adoptedMs      int64 // when it was adopted from the worker's list; 0 if it was placed here
 	reportedMs     int64 // when the end was last reported to the owner
 }
 
--- a/internal/daemon/agent_changes.go
+++ b/internal/daemon/agent_changes.go
@@ -6,20 +6,20 @@
 	"otterchute/internal/wire"
 )
 
-// A colocated agent learns twenty times a second which attempts have ended. It sends these changes to
-// the owners in partial reports, which leave out unchanged attempts. Full reports, from which owners
+// A colocated agent receives the ended attempts in heartbeats, twenty times a second. It sends these changes
+// to the owners in partial reports, which leave out unchanged attempts. Full reports, from which owners
 // detect missing attempts, are less frequent. A lost partial report costs only the wait for the next
 // one, since an end is reported again until it is acknowledged.
 
 const (
-	// fullReportMs is the interval of a colocated agent's full reports. An attempt may start while its
+	// fullReportMs is the interval of a colocated agent's full reports. An attempt may start only while its
 	// owner's confirmation is younger than ownerContactMs, and owners place tasks only at workers whose
-	// report is younger than that: two reports fit into this time.
+	// report is younger than that. Two full reports fit into ownerContactMs, so one may be lost.
 	fullReportMs = 600
 	// changesMs is the minimum interval between partial reports: at most one with each heartbeat of a
 	// busy worker.
 	changesMs = heartbeatMs * 9 / 10
-	// usageReportMs is the interval at which owners without changed attempts learn the resources that
+	// usageReportMs is the interval at which owners without changed attempts are sent the resources that
 	// other shards' attempts have taken or freed.
 	usageReportMs = 200
 	// centralReportMs is the interval of reports to the central scheduler. It must be shorter than
@@ -28,8 +28,9 @@
 	// aliveReportMs is the maximum interval between reports to an owner, so that a worker without
 	// changes does not appear silent (quietMs).
 	aliveReportMs = 300
-	// quietMs is the silence after which a worker is probably dead or cut off, as heartbeats come each
-	// heartbeatMs and reports each aliveReportMs. New work goes elsewhere, long before the loss is certain.
+	// quietMs is the silence after which a worker has probably failed or is cut off, as heartbeats arrive each
+	// heartbeatMs and reports each aliveReportMs. New work is then placed elsewhere, long before the loss is
+	// certain.
 	quietMs = 700
 	// endRepeatMs is the interval at which an unacknowledged end is reported again.
 	endRepeatMs = 250
@@ -131,7 +132,7 @@
 }
 
 // isQuiet reports whether a worker's last heartbeat is more than quietMs old: sinceMs is the age of the
-// agent's report, silentMs the age of the heartbeat when it was sent.
+// agent's report, silentMs the age of the heartbeat when that report was sent.
 func isQuiet(sinceMs, silentMs int64) bool { return sinceMs+silentMs > quietMs }
 
 // hasNewOwner reports whether a shard or the central scheduler that receives this agent's reports has
--- a/internal/daemon/agent_dispatch.go
+++ b/internal/daemon/agent_dispatch.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// maySendOrders reports whether this agent may send its worker orders now: it is certain to be the only
-// agent, it has the full list of what runs there, and the configuration and the worker's report are fresh.
+// maySendOrders reports whether this agent may send orders to its worker now: it is certain to be the only
+// agent, it has all attempts that may run there, and the configuration and the worker's report are fresh.
 func (n *node) maySendOrders(agent *workerAgent) bool {
 	if !n.isActiveAgent(agent) || !agent.rebuilt || n.now-agent.tokenMs > workerReportMaxAgeMs || !n.configFresh() {
 		return false
@@ -121,10 +121,10 @@
 	}
 	if attempt.spec.Class == wire.ClassGuaranteed {
 		n.preempt(agent, attempt, attempt.spec.Resources.Minus(*avail))
-		*avail = avail.Minus(attempt.spec.Resources) // free and freed resources are kept for it
+		*avail = avail.Minus(attempt.spec.Resources) // reserves the free and the preempted resources for it
 		return true
 	}
-	// A queueable task preempts only less urgent queues; batches at once, others after urgentWaitMs.
+	// A queueable task preempts only attempts of less urgent queues: batch tasks at once, others after urgentWaitMs.
 	n.preempt(agent, attempt, attempt.spec.Resources.Minus(*avail))
 	return n.now-attempt.queuedMs <= bypassMs
 }
@@ -258,7 +258,7 @@
 	})
 }
 
-// orderOutcomes maps how an order went, as orderSender.deliver returns it, to its effect on the attempt.
+// orderOutcomes maps the outcome of an order, as orderSender.deliver returns it, to its effect on the attempt.
 var orderOutcomes = map[string]func(*node, *workerAgent, *agentAttempt){
 	"started": func(n *node, _ *workerAgent, attempt *agentAttempt) {
 		if attempt.state == wire.AttemptOrdered {
@@ -280,7 +280,7 @@
 	"unknown": func(n *node, _ *workerAgent, attempt *agentAttempt) { n.count("orders_unconfirmed") },
 }
 
-// onOrder applies how a start order went.
+// onOrder applies the outcome of a start order.
 func (n *node) onOrder(e evOrder) {
 	agent := n.agents[e.Worker]
 	if agent == nil || e.Stop {
--- a/internal/daemon/agent_health.go
+++ b/internal/daemon/agent_health.go
@@ -14,8 +14,9 @@
 const (
 	// stallSuspectMs is how long a worker is suspect after work has stalled there, doubled each time.
 	stallSuspectMs = 3000
-	// failureSuspectMs is the same for a worker that fails its tasks. It is longer, since the worker is
-	// tried again with real tasks, and each failure costs one of their attempts.
+	// failureSuspectMs is how long a worker is suspect after it was ejected for failed tasks, doubled each
+	// time. It is longer than stallSuspectMs, since the worker is tried again with real tasks, and each
+	// failure costs one of their attempts.
 	failureSuspectMs = 10_000
 	suspectCountMax  = 4 // suspicions after which the duration no longer doubles
 )
--- a/internal/daemon/agent_report.go
+++ b/internal/daemon/agent_report.go
@@ -83,7 +83,7 @@
 // rejected.
 const pastIncarnationsMax = 8
 
-// applyReport updates the agent's attempts from a worker's report, and answers it.
+// applyReport updates the agent's attempts from a worker's report, and responds to it.
 func (n *node) applyReport(agent *workerAgent, req *request) {
 	if faults := schema.Check(req.body, reportFields); len(faults) > 0 {
 		n.rejectFaults(req, 400, 0, faults)
--- a/internal/daemon/agent_sync.go
+++ b/internal/daemon/agent_sync.go
@@ -8,8 +8,8 @@
 	"otterchute/internal/wire"
 )
 
-// onPlacement takes an attempt that an owner placed at this agent's worker, and rejects it where it can
-// never start here. A stale placement is dropped.
+// onPlacement queues an attempt that an owner placed at this agent's worker, or rejects it if it can't be
+// started here. A stale placement is dropped.
 func (n *node) onPlacement(_ string, m *wire.Placement) {
 	agent := n.agents[m.Worker]
 	if agent == nil || agent.epoch != m.AgentEpoch || !n.isActiveAgent(agent) && !agent.replaced ||
@@ -100,7 +100,8 @@
 	return false
 }
 
-// acknowledgeEnd records that an end is in its owner's record, or that the owner does not need it.
+// acknowledgeEnd records that the owner has committed an end or does not need it. A late end counts as
+// acknowledged only if the owner has counted it.
 func (n *node) acknowledgeEnd(agent *workerAgent, attempt *agentAttempt, decision wire.Decision) {
 	if attempt.state != wire.AttemptEnded || attempt.acked {
 		return
@@ -251,7 +252,7 @@
 	return max(a.orderedMs-a.queuedMs, 0)
 }
 
-// startMs returns the time from the order until the worker listed the attempt as running.
+// startMs returns the time from the order of an attempt until its start was reported; 0 if either is unknown.
 func (a *agentAttempt) startMs() int64 {
 	if a.orderedMs == 0 || a.startedMs == 0 {
 		return 0
@@ -282,7 +283,7 @@
 	}
 }
 
-// onPromotion makes a running queueable attempt guaranteed, if all guaranteed ones still fit.
+// onPromotion makes a running queueable attempt guaranteed, if all guaranteed ones then still fit the worker.
 func (n *node) onPromotion(_ string, m *wire.Promotion) {
 	agent := n.agents[m.Worker]
 	if agent == nil || agent.epoch != m.Epoch || !n.isActiveAgent(agent) {
--- a/internal/daemon/allocate.go
+++ b/internal/daemon/allocate.go
@@ -15,9 +15,10 @@
 	regrantAfterMs  = 400    // a task requested again this long after its grant gets a new one
 	spreadAfterMs   = 1500   // a gang that prefers one rack waits at least this long before it is spread over several
 	rackWaitPercent = 50     // percent of the extra run time over several racks that a gang waits for one rack
-	rackWaitMaxMs   = 15_000 // ms; upper bound of that wait
-	// busyPercent is the share of the fleet's resources in use below which no reservation holds, so that
-	// no job waits beside idle workers.
+	rackWaitMaxMs   = 15_000 // upper bound of the wait for one rack
+	// busyPercent is the percentage of the fleet's resources in use below which the fleet counts as idle. A
+	// request may then use reserved resources after backfillAfterMs, so that no job waits long beside idle
+	// workers.
 	busyPercent     = 55
 	backfillAfterMs = 2000 // a request that has waited this long may use reserved resources of an idle fleet
 	// allocationsPerMs is how many pairs of request and worker a pass may examine for each ms until the
@@ -30,7 +31,7 @@
 type allocationPass struct {
 	candidates []*scheduler.Candidate
 	reserved   map[string]bool // workers reserved for requests that come earlier in the order
-	idle       bool            // most of the fleet is free: requests don't wait long for reserved resources
+	idle       bool            // the fleet is mostly idle, see backfillAfterMs
 }
 
 // allocateSoon runs an allocation pass now, or leaves it to a later event if the last pass was too
@@ -75,7 +76,7 @@
 	search := n.newAssignment(request, queue, pass.reserved)
 	workers := search.Find(len(open), healthy)
 	if len(workers) == 0 && pass.idle && n.now-request.firstMs > backfillAfterMs {
-		// In a mostly idle fleet, reservations and headroom don't hold against a request that waited this long.
+		// In a mostly idle fleet, a request that has waited this long may use reserved resources and the headroom.
 		search.Reserved, search.Urgent, search.WaitsForRack = nil, true, n.waitsForRack(request, spreadAfterMs)
 		if workers = search.Find(len(open), healthy); len(workers) == 0 {
 			workers = search.Find(len(open), fitting)
@@ -136,7 +137,7 @@
 }
 
 // fittingWorkers returns the workers that a request's queue, labels and size allow, and the healthy ones
-// among them. If none is healthy, or most are suspect, all count as healthy.
+// among them. If none is healthy, or most are suspect, it returns all of them as healthy.
 func (n *node) fittingWorkers(
 	request *pendingAllocation,
 	queue *configuration.Queue,
--- a/internal/daemon/allocation_request.go
+++ b/internal/daemon/allocation_request.go
@@ -111,9 +111,9 @@
 // avoidedWorkersMax is the maximum number of workers in each of the lists Avoid and Suspect of a request.
 const avoidedWorkersMax = 32
 
-// avoidedWorkers returns the workers that requested tasks should not be placed at: avoided are those
-// where the tasks themselves last failed; suspected are those where other tasks of the job failed
-// recently and, if a task is on its last attempt, those with any recent failures.
+// avoidedWorkers returns the workers where requested tasks should not be placed: as avoided those where
+// the tasks themselves last failed, and as suspected those where any task of the job failed recently and,
+// if a requested task is on its last attempt, those with any recent failures.
 func (n *node) avoidedWorkers(job *liveJob, requested []wire.RequestedTask) (avoided, suspected []string) {
 	failed, suspects, lastAttempt := map[string]bool{}, map[string]bool{}, false
 	for _, r := range requested {
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -20,7 +20,7 @@
 	// Percent of a batch job's estimated time that is reserved for it, for preemptions, wrong estimates and the case
 	// that only half the capacity is available.
 	batchSlackPercent     = 200
-	batchMarginMs         = 60_000 // added to that time, for a lost worker, a change of owner and a retry
+	batchMarginMs         = 60_000 // added to the reserved time, for a lost worker, a change of owner and a retry
 	batchHeadroomPercent  = 25     // percent of a worker that stays free when a batch task starts there
 	spareWindowMs         = 3000   // batch tasks use only capacity that was spare for at least this long
 	batchStartsPerTick    = 4      // batch tasks that a shard places in one tick
@@ -47,7 +47,7 @@
 	AtAnyPrice bool // the job starts now at any price, to complete before its deadline
 }
 
-// planBatch decides when a job may start that was submitted or due at fromMs and needs needMs to complete.
+// planBatch decides when a job may start. The job was submitted or due at fromMs and needs needMs to complete.
 // It picks the cheapest price window that leaves needMs before the deadline, and the earliest of equally cheap ones.
 // Starts are spread over the first half of the usable part of the window, at a point derived from the job's id.
 func planBatch(rules *configuration.BatchRules, id string, fromMs, nowMs, needMs int64) batchPlan {
@@ -95,7 +95,7 @@
 	return queue.Batch
 }
 
-// batchRulesOfSpec returns the batch rules that apply to a task at a worker, or nil if it is no batch task.
+// batchRulesOfSpec returns the batch rules that apply to a task at a worker, or nil if it isn't a batch task.
 func (n *node) batchRulesOfSpec(spec *wire.TaskSpec) *configuration.BatchRules {
 	if queue := n.config.current.Queues[spec.Queue]; queue != nil && spec.Class == wire.ClassQueueable {
 		return queue.Batch
@@ -156,7 +156,7 @@
 			capacities[batch.job.Queue] = capacity
 		}
 		chainMs, workMs := n.batchRemaining(batch.job, capacity)
-		workAheadMs += workMs * float64(max(1, len(n.core.Shards))) // assumes that the other shards have as much
+		workAheadMs += workMs * float64(max(1, len(n.core.Shards))) // assumes that each other shard has as much work
 		needMs := (int64(workAheadMs)+chainMs)*batchSlackPercent/100 + batchMarginMs
 		newPlan := planBatch(batch.rules, batch.job.ID, batch.fromMs, clusterTimeMs, needMs)
 		if newPlan.AtAnyPrice && (batch.job.plan == nil || !batch.job.plan.AtAnyPrice) {
@@ -270,8 +270,9 @@
 }
 
 // batchFraction reports whether a batch task fits at a worker, within the share open to batches and beside the
-// headroom for more urgent work. It also returns the fraction of the worker that batch tasks of the queue use; the
-// worker with the lowest fraction is chosen.
+// headroom for more urgent work. It also returns the fraction of the worker that counts as used, and the worker with
+// the lowest fraction is chosen. For a job that starts at any price this is what all tasks use, for other jobs what the
+// batch tasks of the queue use.
 func (n *node) batchFraction(
 	shard *ownedShard, job *liveJob, t *task, worker string, sharePercent int64,
 ) (fraction float64, fits bool) {
@@ -348,7 +349,7 @@
 	return best
 }
 
-// explainHeld describes why a batch task has not started, and until when it is held; "" for a task of no batch job.
+// explainHeld describes why a batch task has not started, and until when it is held. It returns "" for other tasks.
 func (n *node) explainHeld(job *liveJob, t *task) string {
 	rules, p, clusterTimeMs := n.batchRules(&job.jobRecord), job.plan, n.clusterTime()
 	if rules == nil {
@@ -420,7 +421,7 @@
 	return n.now + batchRetryMs + n.rand().Int64N(batchRetryMs)
 }
 
-// meterKey is what core seconds of batch tasks are counted by.
+// meterKey identifies the contract and price under which core seconds of batch tasks are counted.
 type meterKey struct {
 	Contract string
 	Price    float64
@@ -475,8 +476,8 @@
 	}
 }
 
-// batchUse returns the resources that batch tasks use at the agent's worker, by queue. It leaves out the tasks of the
-// shard named by but, unless that is empty.
+// batchUse returns the resources that batch tasks use at the agent's worker, by queue. It leaves out the tasks of
+// exceptShard, unless that is empty.
 func (a *workerAgent) batchUse(n *node, exceptShard string) (out []wire.QueueUsage) {
 	sum := map[string]resource.Amount{}
 	for _, attempt := range a.attempts {
@@ -492,7 +493,7 @@
 }
 
 // loadWithoutBatches returns how many tasks other than batch tasks wait for their start at the agent's worker, and
-// the resources that remain beside these and the running ones.
+// the worker's capacity less the resources of all waiting and running tasks other than batch tasks.
 func (a *workerAgent) loadWithoutBatches(n *node) (waiting int64, spare resource.Amount) {
 	spare = a.capacity
 	for _, attempt := range a.attempts {
@@ -527,7 +528,7 @@
 	return w
 }
 
-// minimum returns the minimum, or nothing until a whole window has been observed.
+// minimum returns the minimum of both windows, or zero until a whole window has been observed.
 func (w spareWindow) minimum() resource.Amount {
 	if w.windows < 2 {
 		return resource.Amount{}
--- a/internal/daemon/central.go
+++ b/internal/daemon/central.go
@@ -14,13 +14,13 @@
 	rankIntervalMs    = 3000               // interval of the rounds of ranks and targets, as in the scheduling paper
 	rankStaleMs       = 3 * rankIntervalMs // ranks and targets are ignored after three missed rounds
 	allocationStaleMs = 3000               // requests that are not repeated within this time are dropped
-	grantTimeoutMs    = 2500               // a grant that the agent has not reported by then is released
+	grantTimeoutMs    = 2500               // a grant that the agent has not reported after this time is released
 	// centralRebuildMs is how long a new central scheduler collects reports before it grants anything:
 	// agents report each centralReportMs.
 	centralRebuildMs  = 500
 	unhealthyMs       = 10_000 // a slow worker gets no work for twice this long, doubled each time
 	unhealthyTimesMax = 5      // the duration is not doubled further after this many times
-	allocateAtOnceMax = 64     // up to this many pending requests each event runs a pass; beyond, only ticks do
+	allocateAtOnceMax = 64     // with more pending requests, only ticks run an allocation pass, not each message
 )
 
 // centralScheduler is the central scheduler, including the coordinator that computes ranks. It stores
@@ -35,7 +35,7 @@
 	round       int64
 	headroom    scheduler.HeadroomEstimator
 
-	nextAllocationMs int64 // events before this time leave the next pass to later ones
+	nextAllocationMs int64 // messages before this time run no allocation pass
 }
 
 // allocationKey identifies a request by its job and step: for a uniform step by the ID of its first task in
@@ -119,8 +119,8 @@
 	addedMs           map[string]int64   // worker -> estimated run time placed there by this daemon since the round
 }
 
-// rank returns a worker's rank: the coordinator's rank plus the estimates of what this daemon has placed
-// there since. While the coordinator's round is stale, only the latter counts.
+// rank returns a worker's rank: the coordinator's rank plus the estimates of the tasks that this daemon has
+// placed there since. While the coordinator's round is stale, it returns only the estimates.
 func (r *rankState) rank(n *node, worker string) int64 {
 	if r.ranks == nil || n.now-r.receivedMs > rankStaleMs {
 		return r.addedMs[worker]
@@ -147,8 +147,8 @@
 	}
 }
 
-// updateCentral applies an agent's report: it updates the worker's capacity and removes the grants that
-// the agent now holds as attempts.
+// updateCentral applies an agent's report: it updates the worker's capacity and removes the grants whose
+// attempts the agent now reports.
 func (n *node) updateCentral(_ string, m *wire.AgentReport) {
 	c := n.central
 	if c == nil {
@@ -163,7 +163,7 @@
 		return
 	}
 	w.AgentReport, w.receivedMs = *m, n.now
-	w.guaranteed, w.occupied = resource.Amount{}, m.OtherShards // all attempts count as other shards' here
+	w.guaranteed, w.occupied = resource.Amount{}, m.OtherShards // a report without a shard counts all attempts there
 	for _, status := range m.Attempts {
 		if status.Class != wire.ClassGuaranteed {
 			continue
--- a/internal/daemon/heartbeat.go
+++ b/internal/daemon/heartbeat.go
@@ -17,13 +17,13 @@
 	// ownerTimeoutMs is how long an agent keeps an attempt running without its owner's confirmation. It is
 	// longer than a takeover of the shard or a short partition.
 	ownerTimeoutMs   = 7000
-	staleStopMs      = 900    // unconfirmed attempts are stopped this long before that, to report the end in time
-	lapseMarginMs    = 300    // margin past the end of a hold for differences of clocks and message delays
+	staleStopMs      = 900    // unconfirmed attempts stop this long before ownerTimeoutMs, to report the end in time
+	lapseMarginMs    = 300    // margin after the end of a hold, for differences of clocks and message delays
 	driftPercent     = 2      // a worker's clock may run slow by this much
 	heartbeatMs      = 50     // interval of a worker's heartbeats; an order waits half of it on average
 	stallMs          = 1500   // work has stalled without progress for this long plus a tenth of its estimate
 	lastPercent      = 99     // the highest progress that a worker reports before an attempt ends
-	lateEndsMax      = 100    // ends that may wait behind a late one before the hold must lapse
+	lateEndsMax      = 100    // ends that may wait behind a late one; beyond, the hold must lapse
 	heartbeatEndsMax = 500    // most ends that one heartbeat lists
 	signOffDelayMs   = 500    // a worker that signed off has ended after this time
 	leaveStopMs      = 800    // checkpointing attempts stop this long before their worker leaves, to resume elsewhere
@@ -31,7 +31,7 @@
 )
 
 // A colocated agent is the only recipient of its worker's heartbeats, and sends its orders in the replies.
-// Heartbeats follow one another, so each one shows the effect of all orders in earlier replies.
+// A worker's heartbeats are sequential, so each one shows the effect of all orders in earlier replies.
 //
 // A reply grants a hold: the worker keeps its attempts running until the hold has passed without
 // another reply, and then ends them all (the hold lapses).
@@ -164,7 +164,7 @@
 	}
 	ended, differs := n.applyHeartbeatLists(agent, heartbeat, missed)
 	changed = changed || differs
-	if !agent.rebuilt { // attempts that a former agent here ordered are listed, or will never start
+	if !agent.rebuilt { // attempts ordered by a former agent of this daemon are in the lists, or will never start
 		agent.rebuilt, agent.adoptedMs = true, n.now
 		agent.holdUntilMs = n.now + holdMaxMs*(100+driftPercent)/100
 		n.log("agent_rebuilt", "worker", agent.worker, "epoch", agent.epoch, "held", len(agent.attempts))
@@ -241,7 +241,7 @@
 }
 
 // applyHeartbeatLists updates the agent's attempts from the worker's lists. If heartbeats were missed, the
-// time of changes since the last one is unknown. It reports whether attempts have ended, and whether
+// times of the changes since the last one are unknown. It reports whether attempts have ended, and whether
 // owners need a full report.
 func (n *node) applyHeartbeatLists(agent *workerAgent, heartbeat gjson.Result, missed bool) (ended, changed bool) {
 	running := map[wire.AttemptKey]bool{}
@@ -332,7 +332,7 @@
 	if saved := entry.Get("saved").Str; saved != "" {
 		attempt.spec.Checkpoint = saved
 	}
-	// An attempt given up as lost has ended by itself after all: its owner decides whether it still counts.
+	// An attempt that was resolved as lost has ended by itself: its owner decides whether this end still counts.
 	lost := attempt.state == wire.AttemptEnded && attempt.result == wire.ResultLost && !attempt.acked &&
 		finalOutcomes[outcome]
 	if attempt.state != wire.AttemptEnded || lost {
@@ -431,8 +431,8 @@
 	return tombstoned
 }
 
-// holdUntil returns when the worker's hold ends: at most ownerTimeoutMs after the oldest confirmation of an
-// attempt at the worker, and at once while the hold must lapse.
+// holdUntil returns when the worker's hold ends, at most ownerTimeoutMs after the oldest confirmation of an
+// attempt at the worker. It returns 0, so that no hold is granted, while the last one must lapse.
 func (n *node) holdUntil(agent *workerAgent) int64 {
 	if agent.lapseUntilMs != 0 {
 		return 0
@@ -457,9 +457,9 @@
 	return holdMaxMs
 }
 
-// recordOwnerReply records that an owner answered a report. If the owner did not answer for longer than
-// ownerTimeoutMs, or never answered this agent, it may have given up the attempts here; those that
-// ended by themselves meanwhile count only if the owner accepts them.
+// recordOwnerReply records an owner's reply to a report. If the owner did not reply for longer than
+// ownerTimeoutMs, or never replied to this agent, it may have resolved the attempts here as lost; those
+// that ended by themselves meanwhile count only if the owner accepts them.
 //
 // The silence is measured up to the arrival of the reply, not to the sending of the report: a report
 // delayed by a partition was sent in time but received too late.
@@ -481,7 +481,7 @@
 }
 
 // letHoldLapse lets the worker's hold lapse: an end whose attempt may have been replaced can be
-// acknowledged only after that. It is called only once many other ends wait behind it.
+// acknowledged only after that. It is called only when many other ends wait behind such an end.
 func (a *workerAgent) letHoldLapse() {
 	if a.lapseUntilMs == 0 {
 		a.lapseUntilMs = a.holdUntilMs + lapseMarginMs
@@ -505,7 +505,7 @@
 		if attempt.state != wire.AttemptRunning || attempt.stopMs != 0 || attempt.specUnknown {
 			continue
 		}
-		// A member of a gang waits for the others at its start and at its end, which is common to all.
+		// All members of a gang start and end together, so each one waits for the others at its start and its end.
 		waitsForGang := attempt.spec.Gang && (attempt.percent == 0 || attempt.percent >= lastPercent)
 		switch {
 		case !attempt.spec.LongRunning && !waitsForGang && attempt.percent < 100 &&
--- a/internal/daemon/tenant_shares.go
+++ b/internal/daemon/tenant_shares.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// yields reports whether a task's step must give up its reservation, which it kept for long, to the tenant's other
-// tasks.
+// yields reports whether a task's step has kept its reservation for so long that it must give it up to the tenant's
+// other tasks.
 func (s *tenantShares) yields(job *liveJob, i int, nowMs int64) bool {
 	b := s.borrowerFor(job.Tenant)
 	return b != nil && b.YieldReservation(job.Tenant, shareKey(job, i), nowMs)
@@ -167,7 +167,7 @@
 		return true
 	}
 	t := &job.Tasks[i]
-	for _, w := range n.workers { // any worker will do: the order does not matter
+	for _, w := range n.workers { // one such worker is enough, so the order does not matter
 		_, lacks := configuration.MissingLabel(w.labels, t.RequiredLabels)
 		if t.Resources.Fits(w.capacity) && !lacks && q.Matches(w.labels, w.zone) {
 			return true
@@ -228,7 +228,7 @@
 	for _, at := range sortedKeys(pass.shareWaits) {
 		wait := pass.shareWaits[at]
 		if !n.limits.Of(job.Tenant).AdmitsAlone(job.allocationUnit(wait.task), job.Tasks[wait.task].Resources) {
-			continue // only a higher limit helps; the limited number of claims is left to others
+			continue // it can't start under this limit; the number of claims is limited, so others use them
 		}
 		b.Claim(job.Tenant, shareKey(job, wait.task), wire.ShareClaim{
 			Job: job.ID, Urgency: n.precedence(job.Queue, job.excess), SubmittedMs: job.SubmitMs,
@@ -378,8 +378,8 @@
 
 // releaseListed releases the shares of unlisted attempts that a report shows as ended, or no longer contains.
 func (s *ownedShard) releaseListed(m *wire.AgentReport) {
-	runs := s.unlistedAttempts[m.Worker]
-	if len(runs) == 0 {
+	unlisted := s.unlistedAttempts[m.Worker]
+	if len(unlisted) == 0 {
 		return
 	}
 	live, ended := map[wire.AttemptKey]bool{}, map[wire.AttemptKey]bool{}
@@ -399,11 +399,11 @@
 	}
 }
 
-// releaseUnlisted releases the shares of those unlisted attempts at a worker for which over returns true.
-func (s *ownedShard) releaseUnlisted(worker string, over func(wire.AttemptKey, unlistedAttempt) bool) {
-	for key, run := range s.unlistedAttempts[worker] { // a sum: the order does not matter
-		if over(key, run) {
-			s.shares.release(run.tenant, run.amount)
+// releaseUnlisted releases the shares of those unlisted attempts at a worker for which shouldRelease returns true.
+func (s *ownedShard) releaseUnlisted(worker string, shouldRelease func(wire.AttemptKey, unlistedAttempt) bool) {
+	for key, attempt := range s.unlistedAttempts[worker] { // a sum: the order does not matter
+		if shouldRelease(key, attempt) {
+			s.shares.release(attempt.tenant, attempt.amount)
 			delete(s.unlistedAttempts[worker], key)
 		}
 	}
--- a/internal/daemon/tenant_status.go
+++ b/internal/daemon/tenant_status.go
@@ -241,7 +241,7 @@
 	return labels
 }
 
-// explainShare describes how a task waits for its tenant's limit; "" if it doesn't.
+// explainShare describes the usage of a tenant's limit for which a task waits. It returns "" if the task doesn't wait.
 func (n *node) explainShare(job *liveJob, i int) string {
 	shard := n.shards[n.shardOf(job.ID)]
 	if shard == nil || !job.waitsForShare || n.hasReservedShare(shard, job, i, job.allocationUnit(i)) {
--- a/internal/daemon/tenant_weight.go
+++ b/internal/daemon/tenant_weight.go
@@ -38,7 +38,8 @@
 	return scheduler.Precedence(n.config.current.Urgency(queue), excess)
 }
 
-// mayUseUrgentHeadroom reports whether tasks of a queue may use the headroom kept for the most urgent queues.
+// mayUseUrgentHeadroom reports whether tasks of a queue may use the headroom kept for the most urgent queues. Those of
+// excess jobs may not.
 func (n *node) mayUseUrgentHeadroom(q *configuration.Queue, excess bool) bool {
 	return !excess && n.isUrgent(q)
 }
--- a/internal/daemon/worker_choice.go
+++ b/internal/daemon/worker_choice.go
@@ -25,13 +25,13 @@
 	tasksByWorker  map[string]int32           // tasks of the step
 	views          []*workerView              // parallel to workers
 	workers        []scheduler.QueueCandidate // ordered by name
-	anyColocated   bool                       // colocated agents report their free resources often enough to use them
+	anyColocated   bool                       // some agents are colocated; their reports are frequent enough to rely on
 	mostSuspect    bool                       // most workers are suspect, so the cause lies elsewhere
 	loadChanges    uint64                     // the shard's counter of load changes when this was collected
 }
 
-// selectWorker is the local scheduler: it draws at random among the k allowed workers of lowest rank, and
-// returns the worker and among how many it was drawn.
+// selectWorker is the local scheduler: it selects a worker at random among the k allowed workers of lowest
+// rank, and returns it with the number of candidates.
 func (n *node) selectWorker(
 	shard *ownedShard, job *liveJob, i int, pass *schedulePass,
 ) (worker string, candidates int) {
@@ -136,9 +136,9 @@
 	return penalties
 }
 
-// ejectionPenalty returns the penalty of an ejected worker: a task rather waits for another worker, but not
-// while most of the fleet is free. In that case all other workers that it may use are full, and it must
-// not wait while resources are idle.
+// ejectionPenalty returns the penalty of an ejected worker. Normally a task waits for another worker rather
+// than use an ejected one. While most of the fleet is free, a task for which all other allowed workers are
+// full uses the ejected one, since it must not wait while resources are idle.
 func (n *node) ejectionPenalty() scheduler.Penalty {
 	if n.fleetIdle() {
 		return scheduler.PenaltySuspect
