--- a/internal/daemon/attempt_result.go
+++ b/internal/daemon/attempt_result.go
@@ -93,8 +93,8 @@
 // onLastAttempt reports whether one more failure fails the task.
 func (t *task) onLastAttempt() bool { return t.Failures > 0 && t.Failures+1 >= t.maxFailures() }
 
-// backoffMs returns how long a task waits after a failure. Some tasks of a large uniform step are bound to
-// fail, and the retry goes to another worker, so the first one is immediate.
+// backoffMs returns how long a task waits after a failure. Some tasks of a large uniform step are expected
+// to fail, and a retry uses another worker, so the first retry of such a task is immediate.
 func (n *node) backoffMs(step *jobStep, t *task) int64 {
 	waitMs := int64(backoffBaseMs) << min(t.Failures-1, 10)
 	switch {
@@ -106,8 +106,8 @@
 	return min(waitMs, backoffMaxMs)
 }
 
-// awaitsStepTasks reports whether the end of an attempt has no consequences yet: it succeeded, and
-// other tasks of its step have not ended.
+// awaitsStepTasks reports whether the end of an attempt allows nothing else to start yet: the attempt
+// succeeded, and other tasks of its step have not ended.
 func (j *liveJob) awaitsStepTasks(i int, result wire.AttemptResult) bool {
 	t := &j.Tasks[i]
 	step := &j.Steps[t.Step]
--- a/internal/daemon/catchup.go
+++ b/internal/daemon/catchup.go
@@ -19,8 +19,8 @@
 	sentMs   int64
 }
 
-// recordMissed notes which records a member did not acknowledge. Only IDs and
-// versions are kept, so that a member that stays away for long costs little memory.
+// recordMissed records which records a member did not acknowledge. Only IDs and
+// versions are kept, so that a member that is absent for long uses little memory.
 func (s *ownedShard) recordMissed(member string, records []statestore.Record) {
 	lag := s.replicaLags[member]
 	if lag == nil {
@@ -126,8 +126,8 @@
 
 // acceptMissedValue accepts a register value that another member has accepted and
 // this one has not. It has the same effect as a late accept message of the proposer.
-// Until then, only the members that accepted the value can form a majority for it, so
-// a read can't confirm it while one of them is away.
+// Until this member accepts the value, only the members that accepted it earlier count
+// towards a majority, so a read can't confirm it while one of them is away.
 func (n *node) acceptMissedValue(m *wire.RegisterValue) {
 	if !n.inCore() || !m.Complete {
 		return
--- a/internal/daemon/config_change.go
+++ b/internal/daemon/config_change.go
@@ -44,7 +44,7 @@
 	return register.Replace, codec.Append(nil, record)
 }
 
-// onZonesChange answers handleSetZone.
+// onZonesChange responds to the request that handleSetZone started.
 func (n *node) onZonesChange(change *registerChange, outcome register.Outcome) {
 	if change.request == nil {
 		return
@@ -61,7 +61,7 @@
 	n.respond(change.request, 200, 0, mustJSON(map[string]any{"emptied": append([]string{}, record.EmptiedZones...)}))
 }
 
-// onConfigChange answers handlePutConfig.
+// onConfigChange responds to the request that handlePutConfig started.
 func (n *node) onConfigChange(change *registerChange, outcome register.Outcome) {
 	var record configuration.Record
 	if change.request == nil || len(change.Value()) > 0 && codec.Unmarshal(change.Value(), &record) != nil {
@@ -116,10 +116,10 @@
 	return id, nil
 }
 
-// handleFindChange reports whether a configuration change was accepted, to a client
-// that no longer has the document: a change of single items whose base version is
-// long outdated. It runs a change of the register, so the value that it reports is
-// held by a majority.
+// handleFindChange reports whether a configuration change was accepted. It is for a
+// client that no longer has the document, since the change is one of single items and
+// its base version is long outdated. It runs a change of the register, so the value
+// that it reports is held by a majority.
 func (n *node) handleFindChange(req *request) {
 	if !n.leases.InContact() {
 		n.reject(req, "the core can't be reached from here")
@@ -151,7 +151,7 @@
 	return register.Refuse, nil
 }
 
-// onFindChange answers handleFindChange.
+// onFindChange responds to the request that handleFindChange started.
 func (n *node) onFindChange(change *registerChange, outcome register.Outcome) {
 	var record configuration.Record
 	switch {
--- a/internal/daemon/config_request.go
+++ b/internal/daemon/config_request.go
@@ -85,7 +85,7 @@
 }
 
 // handleGetConfig returns the configuration once it has been confirmed by a poll sent
-// after the request arrived. No client thus reads a version older than one that was
+// after the request arrived. Thus a client never reads a version that is older than one
 // acknowledged before its request.
 func (n *node) handleGetConfig(req *request) {
 	if !n.configConfirmedSince(req) {
--- a/internal/daemon/config_state.go
+++ b/internal/daemon/config_state.go
@@ -36,8 +36,8 @@
 // configConfirmedSince reports whether the configuration was confirmed by a poll sent
 // after a request arrived. If so, no version that was acknowledged before the request is
 // newer. Polls are compared by number, since times within one millisecond have no order.
-// After a freeze, a confirmation from before it is outdated even for a request that is
-// older still, hence the check of freshness.
+// Freshness is checked too: after a freeze, a confirmation from before the freeze is
+// outdated even if its poll was sent after the request arrived.
 func (n *node) configConfirmedSince(req *request) bool {
 	return n.config.confirmedPoll > req.pollsBefore && n.configFresh()
 }
--- a/internal/daemon/core_member.go
+++ b/internal/daemon/core_member.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	snapshotMinBytes = 8 << 20 // a snapshot of a smaller log is not worth its writes
+	snapshotMinBytes = 8 << 20 // a snapshot of a smaller log costs more writes than it saves
 )
 
 // persistCoreSet stores a newer core set on the disk. A former member doesn't store a
-// set without itself, so that it knows after a restart that it was a member.
+// set without itself, so that the disk still shows after a restart that it was a member.
 func (n *node) persistCoreSet(set quorum.Set) {
 	if stored := n.store.CoreSet(); set.Version > stored.Version &&
 		(set.Has(n.Name, n.DiskID) || !stored.Has(n.Name, n.DiskID)) {
--- a/internal/daemon/core_set.go
+++ b/internal/daemon/core_set.go
@@ -54,14 +54,14 @@
 	}
 }
 
-// onSealResponse merges a response, unless it was given under another core set.
+// onSealResponse merges a response, unless it was sent under another core set.
 func (n *node) onSealResponse(from string, m *wire.SealResponse) {
 	if m.SetVersion == n.core.Version {
 		n.mergeSeal(from, m)
 	}
 }
 
-// onWriteResponse applies a response, unless it was given under another core set.
+// onWriteResponse applies a response, unless it was sent under another core set.
 func (n *node) onWriteResponse(from string, m *wire.WriteResponse) {
 	if m.SetVersion == n.core.Version {
 		n.applyWriteResponse(from, m)
--- a/internal/daemon/disk_state.go
+++ b/internal/daemon/disk_state.go
@@ -7,8 +7,8 @@
 
 // onDisk handles a failure of the disk and its recovery. While the disk is failed, this
 // daemon belongs to no majority (see inCore) and reports to the others that it has no
-// disk. Its store is kept, ahead of the disk by the entries that are not written yet; no
-// response is sent from it until they are synced. The leases that it granted are kept too:
+// disk. Its store is kept. It is ahead of the disk by the entries that are not written yet,
+// and no response is sent from it until they are synced. The leases that it granted are kept too:
 // they were granted by this process and never depended on the disk, so further grants need
 // no delay.
 func (n *node) onDisk(e evDisk) {
--- a/internal/daemon/doctor.go
+++ b/internal/daemon/doctor.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	recheckDelayMs   = 2000 // before the second check; states that pass by themselves last less
+	recheckDelayMs   = 2000 // delay before the second check; temporary states are shorter than this
 	maxClockOffsetMs = 1000 // no network delay explains an offset beyond this
 	maxSyncMs        = 200  // a slower disk sync slows every change
 )
@@ -284,8 +284,8 @@
 		run: func(ctx context.Context, _ *flag.FlagSet) subcommands.ExitStatus {
 			findings, answered, resp, err := checkAllDaemons(ctx, *addressList)
 			if err == nil && resp.status == 200 && len(findings) > 0 {
-				// A state that passes by itself, such as a configuration declared just
-				// now, is no fault: only findings of both checks are reported.
+				// A temporary state, such as a configuration that was declared just now, is
+				// not a fault, so only findings of both checks are reported.
 				time.Sleep(recheckDelayMs * time.Millisecond)
 				var second []finding
 				if second, answered, resp, err = checkAllDaemons(ctx, *addressList); err == nil && resp.status == 200 {
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -32,8 +32,8 @@
 // Send sends a message to a daemon at its known address.
 func (h host) Send(to string, msg any) { h.send(to, msg) }
 
-// SendAt sends a message to the daemon of a name at an address, or to any daemon there if
-// the name is empty.
+// SendAt sends a message to the named daemon at an address, or to any daemon there if the
+// name is empty.
 func (h host) SendAt(to, addr string, msg any) {
 	if to == "" {
 		h.emit(effSend{Addr: addr, Dest: anyProcess, Msg: msg})
@@ -60,7 +60,7 @@
 	return self
 }
 
-// CoreSet returns the newest core set that this daemon knows.
+// CoreSet returns the newest core set that this daemon has received.
 func (h host) CoreSet() quorum.Set { return h.core }
 
 // AdoptCoreSet adopts a core set received from another daemon, if it is newer.
--- a/internal/daemon/identity.go
+++ b/internal/daemon/identity.go
@@ -18,7 +18,8 @@
 // any clock, and unlike the incarnation it never changes within a process.
 //
 //   - A request or an announcement is addressed to a daemon by name. Any process of that
-//     name may accept it; what must not outlive a process carries an epoch of its own.
+//     name may accept it. A message that must not take effect in a later process carries an
+//     epoch as well.
 //   - A response is addressed to the instance that sent the request. No other accepts it,
 //     so each response is matched to its own request or dropped.
 //   - Only gossip and digests may be sent to any process at an address, because the name of
@@ -101,7 +102,7 @@
 	return anyProcess // a response without a request is accepted by no process
 }
 
-// respondTo answers a request of an instance, also after its message was handled.
+// respondTo responds to a request of an instance. It may be called after the handler of the request has returned.
 func (n *node) respondTo(to peerInstance, msg any) {
 	e := n.sendEffect(to.name, msg).(effSend)
 	e.Dest = to.instance
--- a/internal/daemon/order_sender.go
+++ b/internal/daemon/order_sender.go
@@ -58,7 +58,7 @@
 // noRedirect returns the redirect itself as the answer.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// deliver sends one order and returns how it went, as a key of orderOutcomes.
+// deliver sends one order and returns its outcome, a key of orderOutcomes.
 //
 // Example: outcome := s.deliver(effOrder{Addr: "127.0.0.1:9000", NotAfterMs: now + 500, Body: body})
 func (s *orderSender) deliver(order effOrder) string {
--- a/internal/daemon/queue_counts.go
+++ b/internal/daemon/queue_counts.go
@@ -9,7 +9,8 @@
 	// queueCountsMs is the interval at which owners send the number of pending jobs of each queue to the
 	// daemons that serve callers.
 	queueCountsMs = 800
-	// queueCountsStaleMs is the age after which a count is not served: two lost messages and the latency.
+	// queueCountsStaleMs is the age after which a count is not served. It allows for the loss of a message and
+	// for the latency.
 	queueCountsStaleMs = 2000
 )
 
@@ -87,7 +88,7 @@
 	return count, len(n.core.Shards) > 0
 }
 
-// respondPending answers how many jobs of a queue wait for their first start.
+// respondPending responds with the number of a queue's jobs that wait for their first start.
 func (n *node) respondPending(req *request, queue string) {
 	count, known := n.pendingIn(queue)
 	if !known {
--- a/internal/daemon/reduce.go
+++ b/internal/daemon/reduce.go
@@ -20,7 +20,7 @@
 	"otterchute/internal/wire"
 )
 
-// nodeConfig holds the settings of a daemon and what it determines at its start.
+// nodeConfig holds the settings of a daemon and the values that are determined at its start.
 type nodeConfig struct {
 	Name        string
 	Incarnation uint64
@@ -183,7 +183,8 @@
 	workers         map[string]*workerView
 	estimates       scheduler.Estimates
 	nextEstimatesMs int64
-	// The counts that owners reported of each shard's queues, and when this daemon reports next.
+	// queueCounts holds the latest counts that each shard's owner sent; this daemon sends its own at
+	// nextQueueCountsMs.
 	queueCounts       map[string]*queueCounts
 	nextQueueCountsMs int64
 
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -201,8 +201,8 @@
 }
 
 // outcomeUnknown reports whether a rejection must not be passed on, because an earlier
-// attempt of the request may have taken effect. A client may only be told that its job was
-// not accepted if that is certain. A conflict with another job of the same ID is certain,
+// attempt of the request may have taken effect. A response may state that a job was not
+// accepted only if that is certain. A conflict with another job of the same ID is certain,
 // so its status is passed on.
 func (r *request) outcomeUnknown(status int) bool {
 	if r.queue == "" || !r.maybeApplied {
@@ -230,7 +230,7 @@
 	return mustJSON(map[string]any{"error": faults[0].Path + " " + faults[0].Reason, "faults": faults})
 }
 
-// forward forwards a request, once per daemon and at most forwardsMax times in total. Its
+// forward forwards a request, which may be forwarded at most forwardsMax times in total. The
 // timeout is far shorter than that of the client.
 func (n *node) forward(req *request, to string) {
 	if req.hops >= forwardsMax || to == n.Name || to == "" || !n.peers.Alive(to) {
@@ -281,7 +281,7 @@
 	n.respond(pending.request, int(m.Status), m.RetryAfterMs, m.Body)
 }
 
-// retryForwarded routes the requests again that wait for a daemon which has lost a role.
+// retryForwarded routes the requests again that were forwarded to a daemon that has since lost a role.
 func (n *node) retryForwarded(to string) {
 	for _, id := range sortedKeys(n.forwarded) {
 		if pending := n.forwarded[id]; pending.to == to && to != "" &&
--- a/internal/daemon/request_address.go
+++ b/internal/daemon/request_address.go
@@ -64,7 +64,7 @@
 	return "", config.Queues[queue].Open
 }
 
-// jobVisible reports whether a request may see a job. A call at an address sees the jobs of
+// jobVisible reports whether a request may access a job. A call at an address may access the jobs of
 // its queue, and with a key only those of the key's tenant. Jobs without a tenant, and those
 // of a tenant that is no longer declared, are visible to every permitted client. At an open
 // queue, a call without a key may read every job, since the key of the job's tenant may have
@@ -74,7 +74,7 @@
 	case req.queue == "":
 		return true
 	case job.Queue != req.queue && (req.op != "job.put" || n.config.current.Queues[job.Queue] != nil):
-		return false // a job that is submitted again is still found after its queue was renamed
+		return false // except for a job that is submitted again after its queue was renamed
 	case job.Tenant == "" || job.Tenant == req.tenant:
 		return true
 	case req.tenant == "" && req.op != "job.cancel":
--- a/internal/daemon/roles.go
+++ b/internal/daemon/roles.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// HolderLost routes the requests again that were forwarded to a daemon which has lost a role.
+// HolderLost routes the requests again that were forwarded to a daemon that has lost a role.
 func (h host) HolderLost(holder string) { h.retryForwarded(holder) }
 
 // RoundAnswered uses the responses of a poll round to confirm the configuration.
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -37,11 +37,11 @@
 	Data        string   // folder for the replicated state; empty on machines that store none
 	KeepHours   int64
 	ThresholdMs int64   // learned run times below it are queueable
-	KLowest     int64   // lowest-ranked workers that a queueable task may go to; 0 for a share
+	KLowest     int64   // number of lowest-ranked workers to choose among for a queueable task; 0 for a share of all
 	TargetSigma float64 // standard deviations above the mean rank in the delay target
 	LogLevel    string
 
-	CoreSize             int64 // disks that store the state
+	CoreSize             int64 // number of disks that store the replicated state
 	FirstStart           bool  // empty disks may form a core
 	Colocated            bool  // this daemon runs beside a worker and takes no role
 	MaxHoldMs            int64 // the longest time a worker holds its runs after a heartbeat reply
@@ -252,7 +252,8 @@
 	s.CoreSize = cmp.Or(int64(p.CoreSize), s.CoreSize)
 	s.Colocated = p.Colocated
 	s.MaxHoldMs, s.GangWaitMs = cmp.Or(p.MaxHoldMs, s.MaxHoldMs), cmp.Or(p.GangWaitMs, s.GangWaitMs)
-	s.CheckpointIntervalMs, s.RestoreMs = cmp.Or(p.CheckpointIntervalMs, s.CheckpointIntervalMs), cmp.Or(p.RestoreMs, s.RestoreMs)
+	s.CheckpointIntervalMs, s.RestoreMs =
+		cmp.Or(p.CheckpointIntervalMs, s.CheckpointIntervalMs), cmp.Or(p.RestoreMs, s.RestoreMs)
 	if p.SpreadFactor > 0 {
 		s.SpreadFactor = p.SpreadFactor
 	}
@@ -322,7 +323,8 @@
 	if s.KeepHours < 1 || s.KLowest < 0 || s.TargetSigma < 0 || s.ThresholdMs < -1 {
 		return invalidSetting("keep_hours, k_lowest, target_sigma, threshold_ms", "must be at least 1, 0, 0 and -1")
 	}
-	if s.CoreSize < 1 || s.MaxHoldMs < 1 || s.GangWaitMs < 1 || s.CheckpointIntervalMs < 1 || s.RestoreMs < 0 || s.SpreadFactor < 1 {
+	if s.CoreSize < 1 || s.MaxHoldMs < 1 || s.GangWaitMs < 1 || s.CheckpointIntervalMs < 1 || s.RestoreMs < 0 ||
+		s.SpreadFactor < 1 {
 		return invalidSetting(
 			"core_size, hold_most_ms, gang_wait_ms, save_ms, restore_ms, spread_factor",
 			"must be at least 1, 1, 1, 1, 0 and 1",
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -6,10 +6,10 @@
 	"otterchute/internal/wire"
 )
 
-// Handlers of status requests: whether this daemon is ready, and what it knows of the other
-// daemons, the leases, the workers and common faults.
+// Handlers of status requests: whether this daemon is ready, and its view of the other daemons,
+// the leases, the workers and common faults.
 
-// notReadyReason returns why this daemon should get no callers, or "" if it is ready.
+// notReadyReason returns why this daemon should receive no client traffic, or "" if it is ready.
 func (n *node) notReadyReason() string {
 	switch {
 	case n.core.Cluster == 0:
@@ -71,8 +71,8 @@
 	}))
 }
 
-// handleGetWorkers replies with all workers. Only the central scheduler knows them all, so other
-// daemons forward the request to it.
+// handleGetWorkers replies with all workers. Only the central scheduler receives reports of all of them,
+// so other daemons forward the request to it.
 func (n *node) handleGetWorkers(req *request) {
 	if !n.leases.Holds(lease.Central) {
 		holder, _ := n.leases.Holder(lease.Central)
@@ -167,7 +167,7 @@
 	return lost
 }
 
-// clockOffsets returns the offsets of the wall clocks from their median. Only core members know
+// clockOffsets returns the offsets of the wall clocks from their median. Only core members measure
 // them; elsewhere the result is empty.
 func (n *node) clockOffsets() map[string]int64 {
 	offsets := map[string]int64{}
@@ -180,7 +180,7 @@
 	return offsets
 }
 
-// leasesWithoutHolder returns the roles whose lease nobody holds.
+// leasesWithoutHolder returns the roles of shards and of the central scheduler whose lease has no holder.
 func (n *node) leasesWithoutHolder() []string {
 	vacant := []string{}
 	for _, shard := range n.core.Shards {
@@ -195,7 +195,7 @@
 }
 
 // unmatchedQueues returns the queues that no live worker matches. Only the central scheduler
-// knows all workers; elsewhere the result is empty.
+// receives reports of all workers; elsewhere the result is empty.
 func (n *node) unmatchedQueues() []string {
 	unmatched := []string{}
 	if len(n.workers) == 0 || n.central == nil {
--- a/internal/daemon/strain.go
+++ b/internal/daemon/strain.go
@@ -2,7 +2,7 @@
 
 const (
 	// overloadLateMs is the mean lateness of ticks above which a daemon is overloaded: its control thread
-	// falls behind. Polls and lease renewals still arrive in time, but there is little margin left.
+	// can't keep up. Polls and lease renewals still arrive in time, but there is little margin left.
 	overloadLateMs = 100
 	// overloadEndMs is the mean lateness below which the daemon has caught up.
 	overloadEndMs = 30
@@ -13,7 +13,7 @@
 	latenessWeight = 0.05
 )
 
-// overloadMeter measures how late a daemon's own control thread runs. Ticks are due each tickMs, and
+// overloadMeter measures how late the control thread of this daemon runs. Ticks are due each tickMs, and
 // events queued before a tick delay it.
 type overloadMeter struct {
 	lastMs      int64
--- a/internal/daemon/urgent_room.go
+++ b/internal/daemon/urgent_room.go
@@ -7,8 +7,8 @@
 	"otterchute/internal/wire"
 )
 
-// Tasks of the most urgent queues must start at once at any worker. The coordinator announces which share
-// of each worker other queues leave free for them (see scheduler.HeadroomEstimator). The central scheduler
+// Tasks of the most urgent queues must start at once at any worker. The coordinator announces the share of
+// each worker that other queues must leave free for them (see scheduler.HeadroomEstimator). The central scheduler
 // keeps this headroom free of guaranteed tasks, owners and agents keep it free of queueable ones.
 
 // isUrgent reports whether a queue is one of the most urgent ones.
