--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -84,7 +84,7 @@
 	state       wire.AttemptState
 	result      wire.AttemptResult
 	ranMs       int64
-	confirmedMs int64 // send time of the latest agent report on which the owner confirmed the attempt
+	confirmedMs int64 // send time of the latest report for which the owner confirmed the attempt
 	queuedMs    int64
 	orderedMs   int64
 	answeredMs  int64 // when the worker answered the order
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -254,7 +254,7 @@
 		})),
 		fx.Module("node", fx.Provide(provideExecutor), fx.Invoke(runExecutor)),
 		fx.Module("http", fx.Provide(newHTTPServer), fx.Invoke(runHTTPServer)),
-		// The platform comes last, so that it stops first, while what it needs still runs.
+		// The platform is the last module, so that it stops first, while the modules that it uses still run.
 		fx.Module("platform", fx.Invoke(runPlatform)),
 	)
 }
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -19,7 +19,7 @@
 	configForwardTimeoutMs = 2400 // for a change of the configuration, which a core member tries for changeTimeoutMs
 	forwardTimeoutMs       = 1200 // timeout of other forwarded requests
 	quorumReadTimeoutMs    = 500  // timeout of reading a job's state from the core
-	forwardsMax            = 2    // number of times that a request is forwarded at most
+	forwardsMax            = 2    // maximum number of times that a request is forwarded
 	requestsMax            = 4000 // requests in flight through one daemon; more are rejected
 	requestsPerRetry       = 5    // requests that add one retry to the budget: retries add at most 20% to the load
 	retriesPerTick         = 1    // retries added to the budget per tick, so that low traffic allows retries too
--- a/internal/daemon/shard.go
+++ b/internal/daemon/shard.go
@@ -32,7 +32,7 @@
 	sealedRecords  map[string]map[string]statestore.Record // core member -> its live records
 	sealSentMs     int64
 	missingRecords map[string]map[string]bool // members with a pending fetch of records missing from their seals
-	missingFetches map[uint64]string          // operation ID of such a fetch -> member
+	missingFetches map[uint64]string          // operation ID of a fetch of missing records -> member
 	mergedRecords  map[string]statestore.Record
 	// lastCompleteEpoch is the epoch of the last owner that had committed all live jobs under its epoch.
 	lastCompleteEpoch uint64
@@ -58,7 +58,7 @@
 	liveByQueue        map[string]int
 	recordBytes        int                                    // of all live jobs' records
 	placedByWorker     map[string]map[taskRef]resource.Amount // worker -> tasks placed on it and their resources
-	loadByWorker       map[string]resource.Amount             // worker -> the sum of those resources
+	loadByWorker       map[string]resource.Amount             // worker -> the resources of all tasks placed on it
 	loadChanges        uint64                                 // incremented with each change of placedByWorker
 	unsentConfirmedIDs []string                               // jobs whose ends are committed, not sent to the members yet
 	confirmedSentMs    int64
@@ -197,7 +197,7 @@
 	free           resource.Amount
 	capacity       resource.Amount
 	usedByOthers   map[string]resource.Amount   // shard -> resources that all other shards use there
-	batchUse       map[string][]wire.QueueUsage // shard -> the batch queues' part of that
+	batchUse       map[string][]wire.QueueUsage // shard -> what batch queues of all other shards use there
 	unstarted      int64                        // unstarted tasks that are not batch tasks
 	spare          spareWindow                  // the least capacity recently available to batch tasks
 	rack           string
--- a/internal/daemon/shard_write.go
+++ b/internal/daemon/shard_write.go
@@ -171,8 +171,8 @@
 	}
 }
 
-// tickWrites repeats unacknowledged writes. Of committed batches that a member has not acknowledged it keeps only the
-// IDs of the records, so that a member that is absent for long uses little memory.
+// tickWrites repeats unacknowledged writes. For a committed batch that a member has not acknowledged, it keeps only the
+// IDs and versions of the records, so that a member that is absent for long uses little memory.
 func (n *node) tickWrites(shard *ownedShard) {
 	for _, seq := range sortedKeys(shard.writes) {
 		batch := shard.writes[seq]
--- a/internal/daemon/tenant_shares.go
+++ b/internal/daemon/tenant_shares.go
@@ -153,7 +153,7 @@
 	}
 }
 
-// knowsLimit reports whether this daemon knows the limit of a job's tenant, or knows that the tenant was removed.
+// knowsLimit reports whether this daemon has the limit of a job's tenant, or the tenant was certainly removed.
 // A tenant that the configuration here doesn't declare may be declared by a newer version that hasn't arrived yet.
 // If the configuration was confirmed after the job arrived and doesn't declare the tenant, the tenant was removed.
 func (n *node) knowsLimit(job *liveJob) bool {
