--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -154,8 +154,7 @@
 	fs.Int64Var(&f.thresholdMs, "threshold-ms", defaults.ThresholdMs,
 		"learned run times below this are queueable; 0 makes all guaranteed, -1 all queueable")
 	fs.Int64Var(&f.kLowest, "k-lowest", defaults.KLowest,
-		"a queueable task goes to one of this many lowest-ranked workers; "+
-			"0 for a quarter of the allowed workers, at least 3 and at most 50")
+		"number of lowest-ranked workers for a queueable task; 0 for a quarter of those allowed, at least 3, at most 50")
 	fs.Float64Var(&f.targetSigma, "target-sigma", defaults.TargetSigma,
 		"the delay target is the mean rank plus this many standard deviations")
 	fs.Int64Var(&f.coreSize, "core-size", defaults.CoreSize,
