--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -12,38 +12,39 @@
 	"github.com/shoenig/test/must"
 )
 
-// Faults of disks, machines, connections and answers, each with an end. Those of
-// world serve every simulation; those of platformWorld tell the judge of them too.
+// Faults of disks, machines, connections and responses, each with an end. Those of world serve
+// every simulation; those of platformWorld also record the fault for the evaluation of the
+// run.
 
 const errDiskFull = "no space left on device"
 
-// cutWay is which way a machine that is cut off one way can't be passed.
+// cutWay is the direction in which a machine is cut off.
 type cutWay string
 
 const (
-	cutOutward cutWay = "outward" // it hears the others, and they don't hear it
-	cutInward  cutWay = "inward"  // they hear it
+	cutOutward cutWay = "outward" // it receives from the others but can't send to them
+	cutInward  cutWay = "inward"  // it can send to the others but receives nothing
 )
 
-// fillDisk lets every write and sync of a disk fail until undone. The disk is the
-// machine's: it stays full through restarts.
+// fillDisk makes every write and sync of a disk fail until undone. The disk stays full through
+// restarts.
 func (w *world) fillDisk(host string) (undo func()) {
 	d := w.nodes[host].disk
 	d.full = true
 	return func() { d.full = false }
 }
 
-// stallDisk lets a disk answer nothing for a while.
+// stallDisk makes a disk complete nothing for ms.
 func (w *world) stallDisk(host string, ms int64) { w.nodes[host].disk.stallUs = w.nowUs + ms*1000 }
 
-// slowDisk lets a disk take so many times as long.
+// slowDisk makes a disk slower by a factor.
 func (w *world) slowDisk(host string, times int64) (undo func()) {
 	w.syncUs[host] = 1250 * (times - 1)
 	return func() { delete(w.syncUs, host) }
 }
 
-// resetConnections resets a share of the connections of some machines: what is
-// under way on them is lost, both ways.
+// resetConnections resets a share of the connections of some machines. Messages in transit on
+// them are lost in both directions.
 func (w *world) resetConnections(hosts []string, share float64) {
 	for _, host := range hosts {
 		for _, other := range append(w.hosts(), "caller", "operator") {
@@ -54,13 +55,14 @@
 	}
 }
 
-// loseAnswers loses a share of the answers to a caller: what was asked for is done.
+// loseAnswers loses a share of the responses to a caller. The requests themselves are
+// executed.
 func (w *world) loseAnswers(to string, share float64) (undo func()) {
 	w.answerLoss[to] = share
 	return func() { delete(w.answerLoss, to) }
 }
 
-// sentAnswer is an answer as it leaves a daemon.
+// sentAnswer is a response as it leaves a daemon.
 type sentAnswer struct {
 	caller string
 	from   *simNode
@@ -70,26 +72,26 @@
 
 func (a sentAnswer) accepted() bool { return a.status >= 200 && a.status < 300 }
 
-// whenAnswered calls something at each answer that leaves a daemon, until it says
-// that it is over.
+// whenAnswered registers a callback for each response that leaves a daemon. It is removed once
+// it returns true.
 func (w *world) whenAnswered(see func(sentAnswer) (over bool)) { w.onAnswer = append(w.onAnswer, see) }
 
-// answerLeaves tells whether an answer is lost on its way.
+// answerLeaves runs the callbacks for a response and reports whether the response is lost.
 func (w *world) answerLeaves(a sentAnswer) (lost bool) {
 	w.onAnswer = slices.DeleteFunc(w.onAnswer, func(see func(sentAnswer) bool) bool { return see(a) })
 	share := w.answerLoss[a.caller]
 	return share > 0 && w.rng.Float64() < share
 }
 
-// stepClock makes a machine's time of day wrong by so many ms.
+// stepClock makes the wall clock of a machine wrong by ms.
 func (w *world) stepClock(host string, ms int64) (undo func()) {
 	n := w.nodes[host]
 	n.skewMs = ms
 	return func() { n.skewMs = 0 }
 }
 
-// install adds a machine like another one, with an empty disk and at a new
-// address. Whoever installs it names machines that stand now as its seeds.
+// install adds a machine like another one, with an empty disk and a new address. Its seeds are
+// machines that are running now.
 func (w *world) install(like *simNode, name string, number int, seeds []string) *simNode {
 	n := &simNode{w: w, disk: &simDisk{w: w, host: name}, nodeConfig: like.nodeConfig}
 	n.Name, n.Seeds, n.FirstStart = name, seeds, false
@@ -99,7 +101,7 @@
 	return n
 }
 
-// remove takes a machine away for good, with its disk.
+// remove takes a machine and its disk away for good.
 func (w *world) remove(host string) {
 	n := w.nodes[host]
 	if n.up {
@@ -108,7 +110,7 @@
 	n.removed, n.Disk = true, false
 }
 
-// stopOrKill sends SIGTERM, and SIGKILL once the grace is over.
+// stopOrKill sends SIGTERM, and SIGKILL after the grace period.
 func (n *simNode) stopOrKill(graceMs int64, ended func()) {
 	n.event(evStop{})
 	gen, over := n.gen, n.w.nowUs+graceMs*1000
@@ -127,23 +129,23 @@
 	wait()
 }
 
-// The users' bounds on losses.
+// Limits on simultaneous losses, as promised to the users.
 const (
 	lossEndsMs = 4000
 	graceMs    = 6000
 )
 
-// lossesAllowed is how many disk machines may be lost at once.
+// lossesAllowed returns how many machines with a disk may be lost at once.
 func (b *platformWorld) lossesAllowed() int { return (b.deployment.coreSize - 1) / 2 }
 
-// serveWorkerLost tells whether a disk machine counts as lost now: in trouble, or not yet
-// back for so long that it must have caught up.
+// lost reports whether a machine with a disk counts as lost now: it is faulty, or has not been
+// back long enough to have caught up.
 func (b *platformWorld) lost(host string) bool {
 	at, known := b.calmMs[host]
 	return b.troubled[host] > 0 || known && b.nowMs()-at < lossEndsMs
 }
 
-// mayLose tells whether some more machines may be lost now.
+// mayLose reports whether these further machines may be lost now.
 func (b *platformWorld) mayLose(hosts ...string) bool {
 	sum := 0
 	for _, host := range b.diskHosts {
@@ -154,7 +156,7 @@
 	return sum <= b.lossesAllowed()
 }
 
-// troubleFor tells the judge of a trouble that lasts so long, and ends it.
+// troubleFor records a fault, and undoes it after ms.
 func (b *platformWorld) troubleFor(text, host string, ms int64, undo func()) {
 	b.trouble(text, host)
 	b.after(ms*1000, func() {
@@ -176,12 +178,12 @@
 	b.troubleFor("disk slow", host, ms, b.slowDisk(host, times))
 }
 
-// clockStep lets a machine's time of day jump, and back.
+// clockStep sets a machine's wall clock wrong by byMs, and right again after ms.
 func (b *platformWorld) clockStep(host string, byMs, ms int64) {
 	b.troubleFor("clock", host, ms, b.stepClock(host, byMs))
 }
 
-// resets resets connections of some machines now and then, for a while.
+// resets resets connections of some machines repeatedly for a while.
 func (b *platformWorld) resets(hosts []string, share float64, ms int64) {
 	end := b.nowMs() + ms
 	for _, host := range hosts {
@@ -197,24 +199,24 @@
 	again()
 }
 
-// cutOne cuts a machine off one way.
+// cutOne cuts a machine off in one direction.
 func (b *platformWorld) cutOne(host string, way cutWay) (heal func()) {
 	b.cutOneWay[host] = way
 	return b.cut(host)
 }
 
-// cutZone cuts all machines of a zone off from the others, and not from each other.
+// cutZone cuts all machines of a zone off from the others, but not from each other.
 func (b *platformWorld) cutZone(zone string) (heal func()) {
 	b.cutTogether = true
 	return b.cut(b.zoneHosts(zone)...)
 }
 
-// zoneHosts gives the machines that stand in a zone.
+// zoneHosts returns the machines in a zone.
 func (b *platformWorld) zoneHosts(zone string) []string {
 	return slices.DeleteFunc(sortedKeys(b.nodes), func(host string) bool { return b.nodes[host].removed || b.nodes[host].Zone != zone })
 }
 
-// loseZone takes the power of a zone's machines and workers for a while.
+// loseZone cuts the power of the machines and workers of a zone for a while.
 func (b *platformWorld) loseZone(zone string, downMs int64) {
 	for _, host := range b.zoneHosts(zone) {
 		b.after((downMs+b.rng.Int64N(1500))*1000, b.kill(host, true))
@@ -224,12 +226,12 @@
 	}
 }
 
-// standing gives the machines at the edge that run.
+// standing returns the machines of the edge that are running.
 func (b *platformWorld) standing() []string {
 	return slices.DeleteFunc(b.edges(), func(host string) bool { return !b.nodes[host].up })
 }
 
-// successor installs a machine in the place of another one and starts it.
+// successor installs and starts a machine that replaces another one.
 func (b *platformWorld) successor(of string) *simNode {
 	b.newHosts++
 	var seeds []string
@@ -253,8 +255,8 @@
 	return n
 }
 
-// replacePlanned starts a new core machine with an empty disk at a new address;
-// the old one gets SIGTERM after a while, and ends.
+// replacePlanned starts a new core machine with an empty disk at a new address. The old one
+// gets SIGTERM after a while, and ends.
 func (b *platformWorld) replacePlanned(old string, gapMs int64) {
 	b.successor(old)
 	b.after(gapMs*1000, func() {
@@ -269,7 +271,7 @@
 	})
 }
 
-// replaceLost takes a core machine away for good; a new one comes after a while.
+// replaceLost removes a core machine for good. A new one is started after a while.
 func (b *platformWorld) replaceLost(old string, gapMs int64) {
 	b.nodes[old].kill(true)
 	b.trouble("removed", old)
@@ -279,24 +281,24 @@
 	})
 }
 
-// powerOf takes the power of some machines, or only kills them, for a while.
+// powerOf cuts the power of some machines for a while, or only kills their processes.
 func (b *platformWorld) powerOf(hosts []string, power bool, downMs int64) {
 	for _, host := range hosts {
 		b.after(downMs*1000, b.kill(host, power))
 	}
 }
 
-// struck says when a loss strikes that is aimed at an order.
+// struck says when a loss happens relative to an operator's or a caller's request.
 type struck string
 
 const (
-	struckSent         struck = "sent"         // 5 to 400 ms after a change was sent
-	struckAcknowledged struck = "acknowledged" // within 4 ms of the answer's leaving
-	struckTaken        struck = "taken"        // within 4 ms of a job's acceptance
+	struckSent         struck = "sent"         // 5 to 400 ms after a configuration change was sent
+	struckAcknowledged struck = "acknowledged" // within 4 ms after the response to a configuration change was sent
+	struckTaken        struck = "taken"        // within 4 ms after the response that accepts a job was sent
 )
 
-// strike does something to the machine that answers an order, at a moment around
-// that answer. The change of the setup it waits for is sent here.
+// strike applies a fault to the machine that answers a request, at a moment close to that
+// response. It sends the configuration change that it waits for.
 func (b *platformWorld) strike(when struck, do func(host string)) {
 	switch when {
 	case struckSent:
@@ -310,7 +312,7 @@
 	}
 }
 
-// atAnswer does something within 4 ms of the next good answer to an order.
+// atAnswer applies a fault within 4 ms of the next successful response to a request.
 func (b *platformWorld) atAnswer(op string, do func(host string)) {
 	b.whenAnswered(func(a sentAnswer) bool {
 		if a.call.Op != op || !a.accepted() {
@@ -325,22 +327,22 @@
 	})
 }
 
-// formedWorld gives a fleet with its first setup, shortly before traffic.
+// formedWorld returns a cluster with its first configuration, shortly before traffic begins.
 func formedWorld(t *testing.T, seed uint64) *platformWorld {
 	b := formPlatform(t, seed, "hakata")
 	b.run(2000)
 	return b
 }
 
-// putNow sends a change and gives whether it was acknowledged in time.
+// putNow sends a configuration change and reports whether it was acknowledged within ms.
 func (b *platformWorld) putNow(ms int64) bool {
 	before := b.version
 	b.change(nil)
 	return b.until(ms, func() bool { return b.version > before })
 }
 
-// A disk that is full acknowledges nothing, its member counts itself to no
-// majority, and once there is room it is what it was, with what was held up.
+// A full disk acknowledges nothing, and its daemon stops counting itself as a core member.
+// Once there is space it continues without a restart, with the writes that were held up.
 func TestFaultDiskFull(t *testing.T) {
 	b := formedWorld(t, 3)
 	n := b.nodes["d01"]
@@ -358,8 +360,8 @@
 	must.True(t, b.putNow(5000))
 }
 
-// Killed while its disk is full, a daemon starts from what was written; full again
-// at the next write it says so again, and a start with room brings it back.
+// A daemon that is killed while its disk is full starts from what was written. If the disk is
+// still full at the next write it leaves the core again; it returns once there is space.
 func TestFaultDiskFullAndKilled(t *testing.T) {
 	for _, power := range []bool{false, true} {
 		b := formedWorld(t, 5)
@@ -404,8 +406,8 @@
 	must.True(t, b.nodes["d02"].up)
 }
 
-// Of a batch that was not yet synced, a power loss leaves any first part, and
-// nothing of what waited behind it; a kill leaves all that was written.
+// A power loss keeps any prefix of a batch that was not yet synced and nothing of the entries
+// behind it; a kill keeps all that was written.
 func TestFaultTornBatch(t *testing.T) {
 	left := map[int]bool{}
 	stopped := func(seed uint64, power bool) int {
@@ -451,7 +453,8 @@
 	must.True(t, b.putNow(3000))
 }
 
-// An order whose answer was lost is sent again; what left the daemon is seen.
+// A configuration change whose response was lost is sent again and acknowledged each time.
+// Callbacks also see the responses that are lost.
 func TestFaultLostAnswers(t *testing.T) {
 	b := formedWorld(t, 8)
 	undo := b.loseAnswers("operator", 1)
@@ -468,7 +471,7 @@
 	must.True(t, b.until(3000, func() bool { return b.version > 1 }))
 }
 
-// A loss aimed at an answer strikes the machine that gave it, within 4 ms.
+// A fault aimed at a response hits the machine that sent it within 4 ms.
 func TestFaultStrike(t *testing.T) {
 	for i, when := range []struck{struckSent, struckAcknowledged, struckTaken} {
 		b := formedWorld(t, uint64(9+i))
@@ -495,7 +498,8 @@
 	}
 }
 
-// One way is cut, the other isn't; a reset loses only what is under way.
+// A path that is cut in one direction still works in the other; a reset loses only messages in
+// transit.
 func TestFaultCutsAndResets(t *testing.T) {
 	b := formedWorld(t, 12)
 	arrived := map[string]bool{}
--- a/internal/daemon/scenario_helpers_test.go
+++ b/internal/daemon/scenario_helpers_test.go
@@ -11,15 +11,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// scenario is one directed run: after it, all jobs must end and no rule be broken.
-// It is run at both sizes, whatever the size it was written for.
+// scenario is one directed run. Afterwards all jobs must end and no rule may be broken. It
+// runs at both sizes of deployment, whichever it was written for.
 type scenario struct {
 	dep    string
 	do     func(t *testing.T, w *world)
-	waitMs int64 // for all jobs to end afterwards
+	waitMs int64 // time for all jobs to end afterwards
 }
 
-// sameQueue gives the queue that stands at the same place in a deployment.
+// sameQueue returns the queue at the same position in the deployment of this run.
 func (w *world) sameQueue(name string) string {
 	for _, d := range historycheck.Deployments {
 		for i, q := range d.Queues {
@@ -31,15 +31,15 @@
 	return name
 }
 
-// oneTask makes a job of one task; its room is in sixteenths of a worker, so
-// that it presses alike at both sizes.
+// oneTask returns a job of one task. Its resources are in sixteenths of a worker, so that the
+// load is alike at both sizes.
 func (w *world) oneTask(queue string, ms, room, limitMs int64, allowed int) historycheck.Job {
 	room = room * w.dep.Cores / 16
 	return historycheck.Job{Queue: w.sameQueue(queue), Steps: []historycheck.Step{{Name: "s", Tasks: []historycheck.Task{{Name: fmt.Sprint("t", ms), Cores: room, LimitMs: limitMs,
 		AllowedFailures: allowed, Payload: historycheck.Work{Ms: ms}}}}}}
 }
 
-// endedIn counts the task ends of a stretch of simulated time.
+// endedIn counts the tasks that ended in a period of simulated time.
 func (w *world) endedIn(fromMs, toMs int64) int {
 	n := 0
 	for _, e := range w.history {
@@ -60,7 +60,7 @@
 	return n
 }
 
-// asked sends one ask and runs the world until it is answered.
+// asked sends one request and runs the simulation until it is answered.
 func (w *world) asked(from string, to *simNode, op, key string, body []byte) (status int, retryMs int64, answer []byte, tookMs int64) {
 	done, began := false, w.nowMs()
 	w.ask(from, to, op, key, body, 10_000, func(s int, r int64, b []byte) {
@@ -72,8 +72,8 @@
 	return
 }
 
-// killedAt has usual traffic run, kills the holder of a duty, and demands that
-// work goes on soon.
+// killedAt returns a scenario that kills the holder of a role during the usual traffic and
+// requires that work continues soon.
 func killedAt(duty string) func(*testing.T, *world) {
 	return func(t *testing.T, w *world) {
 		w.traffic(40_000)
@@ -90,11 +90,12 @@
 	}
 }
 
-// ownerCut finds a job whose owner is no core member, and gives what cuts that
-// owner off from the core, though not from agents.
+// ownerCut finds a job whose owner is not a core member, and returns a function that cuts this
+// owner off from the core but not from the agents.
 func (w *world) ownerCut(t *testing.T, make func() historycheck.Job) (*simJob, *simNode, func()) {
-	w.run(3000) // all agents are rebuilt by then
-	// Machines with a disk are preferred for slices: here each hands its own to one without.
+	w.run(3000) // all agents are rebuilt after this time
+	// Machines with a disk are preferred as owners, so each releases its own shards to one
+	// without.
 	for i, name := range []string{"d00", "d01", "d02"} {
 		n := w.nodes[name].sh.node
 		n.Colocated = true
@@ -121,7 +122,7 @@
 	return nil, nil, nil
 }
 
-// queuesFull teaches a short run time and then has every worker's queue filled.
+// queuesFull lets the cluster learn a short run time and then fills the queues of all workers.
 func (w *world) queuesFull() {
 	w.run(3000)
 	for range 12 {
--- a/internal/daemon/scenario_run_test.go
+++ b/internal/daemon/scenario_run_test.go
@@ -15,8 +15,8 @@
 
 var longFlag = flag.Int("long", 0, "minutes that a site is cut off in TestLongCut; 0 to leave it out")
 
-// A site is cut off for hours while the others go on and callers on both sides
-// send at their usual rate, and rejoins.
+// A zone is cut off for hours and rejoins while the others go on and callers on both sides
+// send at their usual rate.
 func TestLongCut(t *testing.T) {
 	if *longFlag == 0 {
 		t.Skip("only with -long")
@@ -36,8 +36,8 @@
 	t.Log(len(w.jobs), "jobs", w.counts())
 }
 
-// TestScenarios runs each scenario at both sizes; -seeds and -from name more
-// seeds than CI's one. What went dark for callers is reported with -v.
+// TestScenarios runs each scenario at both sizes. -seeds and -from select more seeds than CI's
+// one; -v prints how long the service was unavailable to callers.
 func TestScenarios(t *testing.T) {
 	from, count := uint64(11), 1
 	if *seedsFlag > 0 {
@@ -77,8 +77,8 @@
 	}
 }
 
-// A queue's share of a slice is bounded, the bounce comes at once and says when
-// to come back, and urgent queues still get in.
+// The share of a shard that one queue may use is bounded, an excess job is rejected at once
+// with a time for the retry, and urgent queues still get in.
 func TestOverloadIsRejected(t *testing.T) {
 	w := formed(t, 3, "ikenna")
 	bounced, entered := 0, 0
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -27,7 +27,7 @@
 		w.nodes["d01"].start()
 	}, 30_000},
 	"firm work stops queueable runs": {"ikenna", func(t *testing.T, w *world) {
-		for i := range 4 { // teach the run time
+		for i := range 4 { // lets the owners learn the run time
 			w.submit(w.oneTask("logbook", 1900, 1, 60_000, 3))
 			w.run(int64(3000 + i))
 		}
@@ -35,7 +35,7 @@
 			w.submit(w.oneTask("logbook", 1900, 1, 60_000, 3))
 		}
 		w.run(1200)
-		for range 40 { // unknown, so firm
+		for range 40 { // without an estimate, so placed by the central scheduler
 			w.submit(w.oneTask("signoff", 3300, 4, 60_000, 3))
 		}
 		w.run(4000)
@@ -86,7 +86,7 @@
 			return h != nil && h.Zone != "west"
 		}), must.Sprint("the slice of the cut-off site did not move"))
 		w.run(3000)
-		// The cut-off side says so at once, and when to come back.
+		// The side that is cut off rejects calls at once, with a time for the retry.
 		status, retryMs, _, tookMs := w.asked("d05", w.nodes["d02"], "job.put", "job-at-cut", []byte(`{"queue":"confirm","steps":[{"name":"a","tasks":[{"name":"t","room":1}]}]}`))
 		must.Eq(t, 503, status)
 		must.Positive(t, retryMs)
@@ -175,7 +175,7 @@
 		w.traffic(10_000)
 		w.run(8000)
 		for _, name := range []string{"w02", "w05"} {
-			w.workers[name].up = false // gone for good, without a word; its runs die with it
+			w.workers[name].up = false // removed for good without notice; its attempts end with it
 			w.workers[name].crash()
 		}
 		w.run(40_000)
@@ -217,7 +217,7 @@
 			w.nodes[old].start()
 			must.True(t, w.until(30_000, func() bool { return w.coreWhole() != nil }))
 		}
-		w.nodes["d09"].kill(false) // comes back with the old, dead seeds in its settings
+		w.nodes["d09"].kill(false) // restarts with only the old, dead seeds in its settings
 		w.nodes["d09"].start()
 		w.run(3000)
 	}, 30_000},
@@ -258,7 +258,7 @@
 		w.traffic(10_000)
 		w.run(5000)
 		for range 30 {
-			w.submit(w.oneTask("certify", 2000, 16, 60_000, 3)) // a whole worker each
+			w.submit(w.oneTask("certify", 2000, 16, 60_000, 3)) // each fills a whole worker
 		}
 		w.run(5000)
 	}, 150_000},
@@ -292,7 +292,7 @@
 func init() {
 	scenarios["owner can't write when it places"] = scenario{"hakata", func(t *testing.T, w *world) {
 		w.run(3000)
-		for range 15 { // each owner learns that this is short: it places it by itself
+		for range 15 { // each owner learns that this is short and then places it by itself
 			w.submit(w.oneTask("confirm", 400, 1, 20_000, 1))
 		}
 		j, owner, cut := w.ownerCut(t, func() historycheck.Job {
@@ -302,7 +302,7 @@
 		})
 		w.run(1400)
 		cut()
-		w.run(lease.DurationMs - 200) // it falls due here, while the owner's lease still holds
+		w.run(lease.DurationMs - 200) // it becomes due here, while the owner's lease is still valid
 		must.Zero(t, w.startsOf(j))
 		must.True(t, w.until(8000, func() bool { h := w.holderOf("slice/" + owner.sh.node.shardOf(j.id)); return h != nil && h != owner }))
 		w.run(2000)
@@ -419,7 +419,7 @@
 			all = append(all, w.submit(w.oneTask("signoff", 60_000, 4, 90_000, 1)))
 		}
 		w.run(3000)
-		for _, n := range w.nodesInOrder() { // no daemon hears any owner for a moment
+		for _, n := range w.nodesInOrder() { // for a moment no daemon receives anything from any owner
 			for _, s := range historycheck.Zones {
 				if h := w.holderOf("slice/" + s); h != nil && h != n {
 					w.cuts[[2]string{h.Name, n.Name}] = true
@@ -458,7 +458,7 @@
 func init() {
 	scenarios["shed and requeued elsewhere"] = scenario{"ikenna", func(t *testing.T, w *world) {
 		w.queuesFull()
-		w.workers["w02"].slow = 12 // its queue stands while the others' move on
+		w.workers["w02"].slow = 12 // its queue stalls while those of the others move on
 		w.run(20_000)
 		must.Positive(t, w.total("sheds"))
 		must.Positive(t, w.total("ends_shed"))
@@ -473,12 +473,12 @@
 		name := "slice/" + owner.sh.node.shardOf(j.id)
 		w.run(600)
 		w.cuts[[2]string{owner.Name, "d00"}], w.cuts[[2]string{owner.Name, "d02"}] = true, true
-		w.run(1200) // the run ends, and d01 alone stores it
+		w.run(1200) // the attempt ends, and only d01 stores the end
 		w.heal()
 		w.cutHost("d02")
 		w.cutHost(owner.Name)
 		must.True(t, w.until(8000, func() bool { h := w.holderOf(name); return h != nil && h != owner }))
-		w.run(2000) // d00 and d01 made up the new owner's mind; the worker forgets the end
+		w.run(2000) // the new owner recovers from d00 and d01; the worker forgets the end
 		second := w.holderOf(name)
 		w.heal()
 		w.nodes["d01"].kill(false)
@@ -501,13 +501,13 @@
 		w.run(600)
 		w.cutHost("d02")
 		must.True(t, w.until(3000, func() bool { _, open := w.runsAt(j); return !open }))
-		w.run(3500) // the others were told that a majority holds it
+		w.run(3500) // the others learn that a majority stores it
 		owner.kill(false)
 		must.True(t, w.until(8000, func() bool { h := w.holderOf(name); return h != nil && h != owner }))
 		w.run(1000)
-		w.heal() // d02 still holds the job alive, and nobody has told it
+		w.heal() // d02 still stores the job as live, and has not been told that it ended
 		owner.start()
-		w.run(70_000) // the others no longer keep it
+		w.run(70_000) // the others have deleted it
 		second := w.holderOf(name)
 		w.cutHost("d01")
 		second.kill(false)
@@ -522,7 +522,7 @@
 		spec := w.oneTask("confirm", 300, 1, 10_000, 1)
 		body, _ := json.Marshal(spec)
 		for i := range 6 {
-			id := fmt.Sprintf("j%05d", w.jobSeq+1) // what the next submit will call its job
+			id := fmt.Sprintf("j%05d", w.jobSeq+1) // the ID that the next submit will use
 			name := "slice/" + w.nodes["d00"].sh.node.shardOf(id)
 			owner := w.holderOf(name)
 			must.NotNil(t, owner)
@@ -535,7 +535,7 @@
 			for owner.sh.node.shards[name[6:]].jobs[id] == nil {
 				w.step()
 			}
-			for c := range membership.DefaultSize { // its write is on its way, and reaches one member only
+			for c := range membership.DefaultSize { // its write reaches one member only
 				if core := fmt.Sprintf("d%02d", c); core != lone {
 					w.cuts[[2]string{owner.Name, core}] = true
 				}
@@ -550,7 +550,7 @@
 			if lone == owner.Name {
 				owner.start()
 			}
-			for c := range membership.DefaultSize { // the lone member's word is among the first two that the new owner gets
+			for c := range membership.DefaultSize { // that member's answer is among the first two that the new owner receives
 				if core := fmt.Sprintf("d%02d", c); core != lone && core != second.Name {
 					w.hold[[2]string{core, second.Name}] = 30_000
 					break
--- a/internal/daemon/world_callers_test.go
+++ b/internal/daemon/world_callers_test.go
@@ -9,12 +9,12 @@
 	"github.com/tidwall/gjson"
 )
 
-// request sends an HTTP ask from a host to a daemon; cb gets status 0 on silence.
+// ask sends an HTTP request from a host to a daemon; cb gets status 0 on a timeout.
 func (w *world) ask(from string, to *simNode, op, key string, body []byte, waitMs int64, cb func(status int, retryMs int64, body []byte)) {
 	w.call(from, to, evRequest{Op: op, Key: key, Base: -1, Body: body}, waitMs, cb)
 }
 
-// call is ask for all that an ask may hold.
+// call is ask for requests with all their fields.
 func (w *world) call(from string, to *simNode, e evRequest, waitMs int64, cb func(status int, retryMs int64, body []byte)) {
 	done := false
 	finish := func(status int, retryMs int64, b []byte) {
@@ -55,13 +55,13 @@
 	sentMs int64
 	acked  bool
 	state  string
-	last   string // the last answer to its state
+	last   string // body of the last state response
 	cancel bool
 	gaveUp bool
 	tries  int
 }
 
-// submit sends a job, again after silence, and then asks for its state until it ends.
+// submit sends a job, retries it until it is answered, and then polls its state until it ends.
 func (w *world) submit(spec historycheck.Job) *simJob {
 	w.jobSeq++
 	j := &simJob{id: fmt.Sprintf("j%05d", w.jobSeq), spec: spec, sentMs: w.nowMs()}
@@ -69,7 +69,7 @@
 	w.jobs[j.id] = j
 	seen := j.spec
 	if seen.DueMs > 0 {
-		seen.DueMs -= wallStart // the history speaks in the world's time
+		seen.DueMs -= wallStart // the history uses simulated time
 	}
 	w.note(historycheck.Event{Kind: historycheck.JobSent, Job: j.id, Spec: &seen})
 	w.put(j)
@@ -132,7 +132,7 @@
 	})
 }
 
-// putSetup sends a setup version until it is finally answered.
+// putSetup sends a configuration version and retries until it is accepted or rejected.
 func (w *world) putSetup(version int64, s historycheck.Configuration, done func(status int)) {
 	body, _ := json.Marshal(s)
 	kept := &s
@@ -157,7 +157,7 @@
 	try()
 }
 
-// traffic sends the deployment's usual mix for so many ms.
+// traffic submits the deployment's usual mix of jobs for ms.
 func (w *world) traffic(ms int64) {
 	end := w.nowMs() + ms
 	var next func()
@@ -181,7 +181,8 @@
 	return v
 }
 
-// open gives the accepted jobs that have not ended as far as callers know.
+// open returns the accepted jobs that have not ended as far as callers know, with their
+// states.
 func (w *world) open() []string {
 	var out []string
 	for _, id := range sortedKeys(w.jobs) {
--- a/internal/daemon/world_node_test.go
+++ b/internal/daemon/world_node_test.go
@@ -11,7 +11,7 @@
 	"otterchute/internal/wire"
 )
 
-// simNode is one daemon's machine.
+// simNode is the machine of one daemon, with the daemon's process while it runs.
 type simNode struct {
 	nodeConfig
 	w        *world
@@ -26,14 +26,14 @@
 	asks     map[uint64]func(int, int64, []byte)
 	askSeq   uint64
 	incs     uint64
-	removed  bool // its machine is gone for good
+	removed  bool // the machine was removed for good
 }
 
 func (n *simNode) start() {
 	if n.up || n.removed {
 		return
 	}
-	if wait := n.disk.stallUs - n.w.nowUs; n.Disk && wait > 0 { // its log can't be read before
+	if wait := n.disk.stallUs - n.w.nowUs; n.Disk && wait > 0 { // the log can't be read before the stall ends
 		n.w.after(wait, n.start)
 		return
 	}
@@ -44,7 +44,7 @@
 	n.bootUs = n.w.nowUs - 1_000_000 - n.w.rng.Int64N(3_000_000_000)
 	p := n.nodeConfig
 	p.Incarnation = n.incs<<32 | uint64(n.w.nowMs())&0xffffffff
-	p.Instance = addresseeID(fmt.Sprintf("%s life %d", n.Name, n.gen)) // draws nothing, so that a seed's run stays as it was
+	p.Instance = addresseeID(fmt.Sprintf("%s life %d", n.Name, n.gen)) // not drawn at random, so that the runs of existing seeds stay the same
 	var st *statestore.Store
 	if p.Disk {
 		st = n.disk.load()
@@ -62,8 +62,8 @@
 	tick()
 }
 
-// later runs something at this machine, once it is awake, if it still is the
-// same process.
+// later runs do on this machine after us, or once the machine is no longer frozen, unless the
+// process has ended meanwhile.
 func (n *simNode) later(us int64, do func()) {
 	gen := n.gen
 	n.w.after(us, func() {
@@ -107,7 +107,7 @@
 	})
 }
 
-// kill ends the process; with power its unsynced writes are gone too.
+// kill ends the process. A power loss also loses unsynced writes.
 func (n *simNode) kill(power bool) {
 	n.up = false
 	n.gen++
@@ -124,7 +124,7 @@
 	frame := wire.EncodeFrame(head, msg)
 	n.w.digest.add(n.w.nowUs, n.Name, "send", nil, []byte(to), []byte(addr), frame)
 	if n.w.largest = max(n.w.largest, len(frame)); len(frame) > wire.MaxFrame {
-		return // the other end hangs up on it
+		return // the receiver would close the connection
 	}
 	n.w.msgs[reflect.TypeOf(msg).Elem().Name()]++
 	target := n.w.nodes[to]
@@ -192,13 +192,13 @@
 	}
 }
 
-// Order sends to a worker. The clock is read again at the moment of writing,
-// as the product does.
+// Order delivers an order to a worker. As in the product, the deadline is checked again just
+// before the order is sent.
 func (n *simNode) Order(e effOrder) {
 	n.w.digest.add(n.w.nowUs, n.Name, "order", []int64{e.NotAfterMs, boolNumber(e.Stop)}, []byte(e.Worker), []byte(e.Addr), codec.Append(nil, e.Key), e.Body)
 	if n.w.freezeOrders > 0 && !e.Stop {
 		n.w.freezeOrders--
-		n.freeze(9000) // between the check and the write
+		n.freeze(9000) // between the check and the send
 	}
 	n.later(100, func() {
 		result := func(outcome string) {
@@ -212,7 +212,7 @@
 		answered, leftUs := false, n.w.nowUs
 		n.w.carryTo(n.Name, sw.name, func() {
 			if n.w.nowUs-leftUs > orderTimeoutMs*1000 {
-				return // its connection was torn down by then, with all unread bytes
+				return // the connection was closed before, and unread bytes with it
 			}
 			outcome := sw.take(e)
 			n.w.carryTo(sw.name, n.Name, func() {
@@ -231,23 +231,22 @@
 	})
 }
 
-// simDisk stands in for the log in disk.go: a batch is written and synced before
-// the next one begins. What waits behind it is in memory only; of a batch under
-// way a power loss leaves any first part; and after a write that failed all is
-// held up until a later try succeeds.
+// simDisk simulates the log of disk.go. A batch is written and synced before the next one
+// begins; entries behind it are in memory only. A power loss keeps any prefix of the batch in
+// progress. After a failed write all callbacks wait until a retry succeeds.
 type simDisk struct {
 	w        *world
 	host     string
 	entries  [][]byte
 	synced   int
 	syncing  bool
-	batchEnd int // where the batch under way ends, counted with what was folded
+	batchEnd int // end of the batch in progress, as an index that also counts folded
 	waiting  []func()
 	wipes    int
-	folded   int // entries that snapshots took the place of, less what these take
+	folded   int // entries replaced by snapshots, minus the entries of those snapshots
 	full     bool
-	failed   bool  // a write failed, and is tried again
-	stallUs  int64 // nothing is answered before
+	failed   bool  // a write failed and is being retried
+	stallUs  int64 // the disk completes nothing before this time
 }
 
 func (d *simDisk) load() *statestore.Store {
@@ -305,14 +304,14 @@
 	d.sync(n)
 }
 
-// fail tells the daemon; all that waits is held up until a later try.
+// fail reports the failure to the daemon; all waiting callbacks wait for a successful retry.
 func (d *simDisk) fail(n *simNode, reason string) {
 	d.failed, d.syncing = true, false
 	n.event(evDisk{Failed: reason})
 	n.later(storage.MinRetryDelay.Microseconds(), func() { d.again(n, 2*storage.MinRetryDelay.Milliseconds()) })
 }
 
-// again tries a failed disk anew, as diskrecovery.go does.
+// again retries a failed disk with the backoff of diskrecovery.go.
 func (d *simDisk) again(n *simNode, nextMs int64) {
 	if d.full || d.stallUs > d.w.nowUs {
 		n.later(nextMs*1000, func() { d.again(n, min(2*nextMs, storage.MaxRetryDelay.Milliseconds())) })
@@ -341,19 +340,19 @@
 	wipes := d.wipes
 	n.later(20_000, func() {
 		if d.wipes != wipes {
-			return // of a disk that was emptied meanwhile
+			return // the disk was wiped meanwhile
 		}
 		if d.full || d.failed || d.stallUs > d.w.nowUs {
-			return // it failed; the log still holds all
+			return // the snapshot failed; the log still holds all entries
 		}
-		old := at - d.folded // another snapshot may have come before this one
+		old := at - d.folded // another snapshot may have been completed meanwhile
 		d.entries = append(dump, d.entries[old:]...)
 		d.synced = max(len(dump), d.synced-old+len(dump))
 		d.folded = at - len(dump)
 	})
 }
 
-// plant puts entries on the disk, synced, beside what its daemon writes.
+// plant puts synced entries on the disk that the daemon did not write.
 func (d *simDisk) plant(entries ...statestore.Entry) {
 	for _, e := range entries {
 		d.entries = append(d.entries, codec.Append(nil, e))
@@ -361,7 +360,7 @@
 	d.synced = len(d.entries)
 }
 
-// written is how many entries were handed to the operating system.
+// written returns the number of entries that were handed to the operating system.
 func (d *simDisk) written() int {
 	if d.syncing || d.failed {
 		return max(d.synced, min(d.batchEnd-d.folded, len(d.entries)))
@@ -369,7 +368,7 @@
 	return d.synced
 }
 
-// tear leaves any first part of what was written and not synced.
+// tear keeps any prefix of the entries that were written and not synced.
 func (d *simDisk) tear() {
 	kept := d.written()
 	if kept > d.synced {
@@ -378,8 +377,8 @@
 	d.entries = d.entries[:kept]
 }
 
-// stop ends the process that writes here. What it had not yet written is gone,
-// and with power any last part of what was not yet synced.
+// stop ends the process that writes here. Entries not yet written are lost; a power loss also
+// loses any suffix of those not yet synced.
 func (d *simDisk) stop(power bool) {
 	if power || d.failed {
 		d.tear()
--- a/internal/daemon/world_test.go
+++ b/internal/daemon/world_test.go
@@ -10,9 +10,9 @@
 	"otterchute/internal/membership"
 )
 
-// world is a whole cluster in one process: the shipped reducer and shell on a
-// simulated clock, network, disks, workers and callers. All is drawn from one
-// seed, so the same seed gives the same run.
+// world is a simulated cluster in one process: the real state machine and executor on a
+// simulated clock, network, disks, workers and callers. All randomness comes from one seed, so
+// the same seed gives the same run.
 type world struct {
 	rng          *rand.Rand
 	nowUs        int64
@@ -20,9 +20,9 @@
 	queue        happenings
 	nodes        map[string]*simNode
 	workers      map[string]*simWorker
-	cuts         map[[2]string]bool // one way, by host name
+	cuts         map[[2]string]bool // by sender and receiver host
 	lastUs       map[[2]string]int64
-	hold         map[[2]string]int64 // us that everything one way takes longer
+	hold         map[[2]string]int64 // extra delay in us, by sender and receiver host
 	history      []historycheck.Event
 	trace        uint64
 	digest       *runDigest
@@ -32,20 +32,21 @@
 	jobs         map[string]*simJob
 	jobSeq       int
 	syncUs       map[string]int64
-	holdUpMs     int64 // what was sent into a cut arrives after it, if it ends so soon; 0 for never
+	holdUpMs     int64 // messages sent into a cut arrive after it if it ends within this time; 0 drops them
 	heldUp       []heldUp
-	stray        int // one message in so many is held back for seconds; 0 for none
+	stray        int // one message in this many is delayed by up to 4 s and overtaken; 0 for none
 	doneAt       []int64
 	msgs         map[string]int
-	freezeOrders int // so many daemons freeze with an order in hand
+	freezeOrders int // number of daemons still to freeze between checking and sending a start order
 	trafficEnds  bool
-	largest      int // bytes of the largest frame so far
+	largest      int // size of the largest frame so far, in bytes
 	onNote       func(historycheck.Event)
-	resetUs      map[[2]string]int64 // when the connections one way were last reset
-	answerLoss   map[string]float64  // by caller, the share of answers lost on their way
+	resetUs      map[[2]string]int64 // time of the last connection reset, by sender and receiver host
+	answerLoss   map[string]float64  // by caller, the share of responses that are lost
 	onAnswer     []func(sentAnswer) (over bool)
 	onSend       func(from, to string, msg any, bytes int)
-	// detain tells how many us longer than others a message takes, past those sent after it.
+	// detain returns an extra delay in us for a message, which then may be overtaken by later
+	// ones; 0 for none.
 	detain func(from, to string, msg any) int64
 }
 
@@ -74,7 +75,8 @@
 	heap.Push(&w.queue, happening{w.nowUs + us, w.seq, do})
 }
 
-// nodesInOrder gives the daemons by name: a run must not depend on a map's order.
+// nodesInOrder returns the daemons sorted by name: a run must not depend on the order of a
+// map.
 func (w *world) nodesInOrder() []*simNode {
 	out := make([]*simNode, 0, len(w.nodes))
 	for _, name := range sortedKeys(w.nodes) {
@@ -85,7 +87,7 @@
 
 func (w *world) nowMs() int64 { return w.nowUs / 1000 }
 
-const wallStart = 1_800_000_000_000 // ms; any day will do
+const wallStart = 1_800_000_000_000 // ms; an arbitrary date
 
 func newWorld(seed uint64, dep historycheck.Deployment) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), nodes: map[string]*simNode{}, workers: map[string]*simWorker{}, cuts: map[[2]string]bool{},
@@ -118,14 +120,14 @@
 	return w
 }
 
-// step lets one thing happen.
+// step runs the next event.
 func (w *world) step() {
 	h := heap.Pop(&w.queue).(happening)
 	w.nowUs = h.atUs
 	h.do()
 }
 
-// run lets the world go on for so many simulated ms.
+// run advances the simulation by ms.
 func (w *world) run(ms int64) {
 	end := w.nowUs + ms*1000
 	for len(w.queue) > 0 && w.queue[0].atUs <= end {
@@ -134,7 +136,8 @@
 	w.nowUs = end
 }
 
-// until runs on until something holds, at most so many simulated ms.
+// until advances the simulation until holds returns true, for at most ms, and returns the last
+// result of holds.
 func (w *world) until(ms int64, holds func() bool) bool {
 	for end := w.nowMs() + ms; w.nowMs() < end; w.run(50) {
 		if holds() {
@@ -158,9 +161,9 @@
 	w.trace = h.Sum64()
 }
 
-// carry moves something from one host to another: in order on one
-// connection, lost if the way is cut when it leaves or when it would arrive,
-// or held up for as long as connections wait.
+// carryTo delivers a message between two hosts, in the order of sending for each pair. The
+// message is lost if the path is cut when it is sent or when it would arrive, unless holdUpMs
+// delays it until the cut ends.
 func (w *world) carryTo(from, to string, do func()) {
 	way := [2]string{from, to}
 	if w.cuts[way] {
@@ -173,14 +176,14 @@
 		at = w.nowUs + 5
 	}
 	if w.stray > 0 && w.rng.IntN(w.stray) == 0 {
-		at += w.rng.Int64N(4_000_000) // held in some buffer while others pass
+		at += w.rng.Int64N(4_000_000) // buffered somewhere while later messages pass
 	} else {
 		at = max(at, w.lastUs[way]+1)
 		w.lastUs[way] = at
 	}
 	w.after(at-w.nowUs, func() {
 		switch {
-		case w.resetUs[way] > leftUs: // gone with its connection
+		case w.resetUs[way] > leftUs: // lost with its connection
 		case w.cuts[way]:
 			w.holdUp(way, do)
 		default:
@@ -201,7 +204,8 @@
 	}
 }
 
-// release brings what a cut held up, where the way is open again, soon enough.
+// release delivers the messages that were held up by a cut that has ended, unless they waited
+// too long.
 func (w *world) release() {
 	var kept []heldUp
 	for _, h := range w.heldUp {
@@ -227,7 +231,7 @@
 	return w.workers[host].zone
 }
 
-// cutZone cuts a site off from all others, both ways.
+// cutZone cuts a zone off from all others in both directions.
 func (w *world) cutZone(site string) {
 	for _, a := range w.hosts() {
 		for _, b := range w.hosts() {
--- a/internal/daemon/world_worker_test.go
+++ b/internal/daemon/world_worker_test.go
@@ -8,7 +8,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// simWorker is a dumb back end: it runs whatever it is told.
+// simWorker is a backend without logic of its own: it executes whatever it is ordered to.
 type simWorker struct {
 	w        *world
 	name     string
@@ -63,7 +63,7 @@
 	tick()
 }
 
-// crash ends the worker's process and all its runs; the journal of ends stays.
+// crash ends the worker's process and all its attempts; the journal of ended attempts stays.
 func (s *simWorker) crash() {
 	s.up = false
 	s.gen++
@@ -95,7 +95,7 @@
 		outcome = "failed"
 	}
 	if o.Get("payload.stall").Bool() || s.w.rng.IntN(100) < s.stallPct {
-		return "started" // stands still until it is stopped
+		return "started" // it makes no progress until it is stopped
 	}
 	s.w.after(ms*1000, func() {
 		if s.up && r.gen == s.gen && s.running[id] == r {
