--- a/internal/daemon/ballot_test.go
+++ b/internal/daemon/ballot_test.go
@@ -14,8 +14,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// quorumOfThree is a core of three members that are spoken to one message at a
-// time, so that a test can lose, repeat and delay each of them.
+// quorumOfThree is a core of three members that receive one message at a time, so that a test
+// can lose, repeat and delay each message.
 type quorumOfThree struct {
 	set     quorum.Set
 	members map[string]*node
@@ -34,16 +34,16 @@
 	return q
 }
 
-// life begins a process of the proposer "p".
+// life starts a process of the proposer "p".
 func (q *quorumOfThree) life(number uint64) *node {
 	n := newNode(nodeConfig{Name: "p", Incarnation: number, Instance: number}, nil)
 	n.core = q.set
 	return n
 }
 
-// sentBy carries out an event and gives what is sent then, synced writes included.
-// The message is addressed to the present life, whichever it was meant for: ballots
-// must be safe without the check of addressees.
+// sentBy processes a message and returns what is sent, including after synced writes. The
+// message is always addressed to the current process: ballots must be safe without the check
+// of addressees.
 func sentBy(n *node, from string, msg any) []effSend {
 	head := wire.Header{From: from, Cluster: 9, To: addresseeID(n.Name)}
 	if responses[reflect.TypeOf(msg)] {
@@ -65,8 +65,8 @@
 	return out
 }
 
-// propose begins a change of the setup to version 1 with this queue, and gives
-// what is sent for it.
+// propose starts a change of the configuration to version 1 with this queue, and returns the
+// messages sent for it by member.
 func propose(n *node, queue string) (*registerChange, map[string]any) {
 	n.effects = nil
 	change := n.startChange("setup", "setup", queueSetup(queue, ""), 0)
@@ -92,9 +92,9 @@
 	return out
 }
 
-// A life that ended after one accept and the next one must not propose two
-// values under one ballot: a promise to the first, told twice, would count for
-// the second, and a late accept of the first would replace what was chosen.
+// A process that ended after one accept, and its successor, must not propose two values under
+// one ballot. Otherwise a repeated promise to the first process would count for the second,
+// and a late accept of the first would replace the chosen value.
 func TestBallotsAreUniqueOverInstances(t *testing.T) {
 	q := newQuorumOfThree()
 	answer := func(member string, msg any) any {
@@ -112,9 +112,9 @@
 
 	second := q.life(2)
 	op, prepares := propose(second, "right")
-	sentBy(second, "b", promiseB) // told again
+	sentBy(second, "b", promiseB) // a repeated message
 	accepts2 := sentTo(sentBy(second, "c", answer("c", prepares["c"])))
-	if len(accepts2) > 0 { // a majority, as it thinks
+	if len(accepts2) > 0 { // a majority, as far as the second process can tell
 		for _, m := range []string{"b", "c"} {
 			sentBy(second, m, answer(m, accepts2[m]))
 		}
@@ -131,7 +131,7 @@
 	must.Eq(t, register.Pending, op.Outcome())
 }
 
-// All tries of one life have ballots of their own too, whatever the register.
+// All tries of one process use different ballots, whatever the register.
 func TestBallotsAreUniqueWithinAnInstance(t *testing.T) {
 	n := newQuorumOfThree().life(1)
 	seen := map[register.Ballot]bool{}
@@ -148,7 +148,7 @@
 	}
 }
 
-// A member's promise, or that it accepted, leaves only once its disk has it.
+// A member sends its promise or its acceptance only after its disk has synced it.
 func TestAcceptorsAnswerAfterTheSync(t *testing.T) {
 	q := newQuorumOfThree()
 	b := register.Ballot{Round: 1, Proposer: "p", Instance: 1}
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// A selector against a worker's labels, and what looking up a kept answer would cost.
+// Evaluating a selector against a worker's labels, compared with looking up a cached result.
 func BenchmarkSelector(b *testing.B) {
 	c, _ := configuration.Compile(1, manyQueues(5000))
 	labels := []wire.Label{{Key: "disk", Value: "ssd"}, {Key: "tier", Value: "fast"}}
@@ -50,7 +50,7 @@
 	})
 }
 
-// One placing by a local scheduler among eleven workers, with many queues.
+// One placement by a local scheduler among eleven workers, with many queues.
 func BenchmarkPlacing(b *testing.B) {
 	n := newNode(nodeConfig{Name: "d00"}, nil)
 	c, _ := configuration.Compile(1, manyQueues(5000))
--- a/internal/daemon/campaign_faults_test.go
+++ b/internal/daemon/campaign_faults_test.go
@@ -10,7 +10,7 @@
 	"otterchute/internal/quorum"
 )
 
-// fault is one thing that goes wrong for a while. It gives what ends it.
+// worldFault starts a fault and returns what ends it.
 type worldFault func(w *world) (undo func())
 
 func (w *world) someNode() *simNode { return w.nodes[sortedKeys(w.nodes)[w.rng.IntN(len(w.nodes))]] }
@@ -21,8 +21,8 @@
 
 func (w *world) some(list []string) string { return list[w.rng.IntN(len(list))] }
 
-// coreWhole tells whether all three of the core stand and agree, so that one
-// of them may lose its disk.
+// coreWhole returns the core members if all of them are up and agree, so that one of them may
+// lose its disk, and nil otherwise.
 func (w *world) coreWhole() []*simNode {
 	var out []*simNode
 	var set quorum.Set
@@ -51,7 +51,7 @@
 	return n.start
 }
 
-// allOf undoes several things.
+// allOf returns a function that calls all of undo.
 func allOf(undo []func()) func() {
 	return func() {
 		for _, u := range undo {
@@ -77,7 +77,8 @@
 	return func() {}
 }
 
-// wipe takes a core member's disk and power, and brings it back empty.
+// wipeOne wipes the disk of a core member with a power loss. The returned function starts the
+// member again, at a new address if newAddr is set.
 func wipeOne(w *world, newAddr bool) func() {
 	core := w.coreWhole()
 	if core == nil {
@@ -86,7 +87,7 @@
 	n := core[w.rng.IntN(len(core))]
 	n.kill(true)
 	n.wipe()
-	if newAddr { // whoever installs it names machines that stand now as its seeds
+	if newAddr { // an operator would list machines that are running now
 		n.Seeds = []string{w.someNode().Addr, w.someNode().Addr, w.nodes["d05"].Addr}
 		n.Addr, n.HTTP = strings.Replace(n.Addr, "10.0.0", "10.0.1", 1), strings.Replace(n.HTTP, "10.0.0", "10.0.1", 1)
 	}
@@ -104,7 +105,7 @@
 			n.event(evStop{})
 		}
 		return func() {
-			if n.up && n.sh.node.leavingSinceMs != 0 { // it froze on its way out
+			if n.up && n.sh.node.leavingSinceMs != 0 { // it froze while it was shutting down
 				n.kill(false)
 			}
 			n.start()
@@ -169,7 +170,7 @@
 		w.resetConnections(w.hosts()[:1+w.rng.IntN(len(w.nodes))], 0.7)
 		return func() {}
 	},
-	"cut_one_way": func(w *world) func() { // a machine that hears all and isn't heard
+	"cut_one_way": func(w *world) func() { // a machine that receives from all others and can't send
 		host := w.someNode().Name
 		for _, other := range w.hosts() {
 			w.cuts[[2]string{host, other}] = other != host
@@ -185,14 +186,14 @@
 		return func() {}
 	},
 	"clock": func(w *world) func() { return w.jump(1) },
-	"clocks": func(w *world) func() { // two of the core and some others, together
+	"clocks": func(w *world) func() { // two core members and some others at once
 		undo := []func(){w.jump(1 + w.rng.IntN(4))}
 		for i := range 2 {
 			undo = append(undo, w.jumpOf(w.nodes[fmt.Sprintf("d%02d", i)]))
 		}
 		return allOf(undo)
 	},
-	"clock_restart": func(w *world) func() { // wrong already when it starts
+	"clock_restart": func(w *world) func() { // the clock is already wrong when the daemon starts
 		n := w.nodes[fmt.Sprintf("d%02d", w.rng.IntN(membership.DefaultSize))]
 		back := w.jumpOf(n)
 		n.kill(false)
@@ -231,7 +232,7 @@
 			}
 		}
 	},
-	"worker_taken": func(w *world) func() { // at short notice, with its journal and without
+	"worker_taken": func(w *world) func() { // at short notice, with its journal or without
 		s, over := w.someWorker(), false
 		s.leaving = true
 		taken := func() {
@@ -240,13 +241,13 @@
 			}
 			s.crash()
 			if len(s.ended) == 0 && w.rng.IntN(2) == 0 {
-				s.inc += 100 // nothing it alone knew is lost: a new machine of its name
+				s.inc += 100 // no result is lost: a new machine with the same name
 			}
 		}
 		w.after(w.rng.Int64N(1_000_000), taken)
 		return func() { taken(); over = true; s.start() }
 	},
-	"worker_cut": func(w *world) func() { // it carries on, while its tasks are cancelled, its site emptied, its agent moved
+	"worker_cut": func(w *world) func() { // it continues while its tasks are cancelled, its zone is emptied or its agent moves
 		s := w.someWorker()
 		w.cutHost(s.name)
 		var undo []func()
@@ -272,7 +273,7 @@
 		}
 		return w.heal
 	},
-	"moved": func(w *world) func() { // a machine that isn't core is replaced, at a new address
+	"moved": func(w *world) func() { // a machine outside the core is replaced, at a new address
 		n := w.someNode()
 		if n.Disk || !n.up {
 			return func() {}
@@ -281,7 +282,7 @@
 		n.Addr, n.HTTP = strings.Replace(n.Addr, "10.0.0", "10.0.2", 1), strings.Replace(n.HTTP, "10.0.0", "10.0.2", 1)
 		return n.start
 	},
-	"lost_after_ack": func(w *world) func() { // power, or a whole disk, right after a job, a cancel or an end was confirmed
+	"lost_after_ack": func(w *world) func() { // loss of power or of a disk right after a job or a cancellation was acknowledged or a task ended
 		kind, wipe := w.some([]string{historycheck.JobAcked, historycheck.CancelAcked, historycheck.End}), w.rng.IntN(2) == 0
 		undo, armed, over := func() {}, true, false
 		w.onNote = func(e historycheck.Event) {
@@ -312,10 +313,10 @@
 		}
 		return w.restoreSetup
 	},
-	"worker_vanishes": func(w *world) func() { // for good, until an operator says so; then a new one of its name comes
+	"worker_vanishes": func(w *world) func() { // for good, until an operator declares it lost; then a new one of the same name starts
 		s := w.someWorker()
 		if !s.up || len(s.ended) > 0 {
-			return func() {} // what it alone knows to have ended well would be lost with it: see docs/proof.md
+			return func() {} // results that only this worker knows would be lost with it: see docs/proof.md
 		}
 		s.crash()
 		return func() {
@@ -375,7 +376,7 @@
 		w.putSetup(w.setupVersion()+1, s, nil)
 		return w.restoreSetup
 	},
-	"race": func(w *world) func() { // operators racing, in a quick burst
+	"race": func(w *world) func() { // operators race in a quick burst
 		for i := range 4 {
 			s := w.dep.InitialConfiguration()
 			s.Note = fmt.Sprint("operator ", i, w.rng.IntN(1000))
@@ -383,7 +384,7 @@
 		}
 		return func() {}
 	},
-	"regroup": func(w *world) func() { // the first queue's group shrinks to some tier
+	"regroup": func(w *world) func() { // the first queue is restricted to the workers of one tier
 		s := w.dep.InitialConfiguration()
 		s.Queues = slices.Clone(s.Queues)
 		s.Queues[0].Selector = map[string][]string{"tier": {w.some([]string{"fast", "bulk"})}}
@@ -415,7 +416,7 @@
 	return func() {}
 }
 
-// jump makes the clocks of so many machines wrong, never of half of the fleet.
+// jump sets the clocks of count machines wrong, but never those of half of the cluster.
 func (w *world) jump(count int) func() {
 	var undo []func()
 	for range count {
@@ -438,7 +439,7 @@
 	return func() { n.skewMs = 0 }
 }
 
-// finalFaults are the hard losses that a day may end with. Each gives what
+// finalFaults are the hard losses that a campaign may end with. Each returns a function that
 // brings the machines back.
 var finalFaults = map[string]worldFault{
 	"power of all": func(w *world) func() { return w.killAll(true) },
@@ -486,8 +487,8 @@
 	},
 }
 
-// finalFault lets traffic be usual for a while, brings a hard loss about, and
-// goes on until work must be back.
+// finalFault runs the usual traffic for a while, applies a hard loss, and continues until work
+// must be back to normal.
 func (w *world) finalFault(name string) {
 	w.run(20_000)
 	w.note(historycheck.Event{Kind: historycheck.MachinesLost})
--- a/internal/daemon/campaign_test.go
+++ b/internal/daemon/campaign_test.go
@@ -23,7 +23,7 @@
 
 const ciSeeds = 16
 
-// restoreSetup declares the usual setup again, until it is accepted.
+// restoreSetup sends the usual configuration until it is accepted.
 func (w *world) restoreSetup() {
 	w.putSetup(w.setupVersion()+1, w.dep.InitialConfiguration(), func(status int) {
 		if status == 409 {
@@ -32,7 +32,7 @@
 	})
 }
 
-// spice makes some jobs late-due or in need of a label.
+// spice gives some jobs a delay, a due time or a label requirement.
 func spice(w *world, j historycheck.Job) historycheck.Job {
 	switch w.rng.IntN(12) {
 	case 0:
@@ -45,7 +45,7 @@
 	return j
 }
 
-// spicedTraffic is usual traffic until trafficEnds.
+// spicedTraffic submits the usual mix of jobs until trafficEnds is set.
 func (w *world) spicedTraffic() {
 	var next func()
 	next = func() {
@@ -57,7 +57,7 @@
 	next()
 }
 
-// watchSetups has an operator ask for the current version now and then.
+// watchSetups reads the current configuration version once a second, as an operator.
 func (w *world) watchSetups() {
 	asked := w.nowMs()
 	w.ask("operator", w.someNode(), "setup.get", "", nil, 2000, func(status int, _ int64, b []byte) {
@@ -68,8 +68,8 @@
 	w.after(1_000_000, w.watchSetups)
 }
 
-// campaign runs one seed: faults on top of usual traffic, then peace. It gives
-// what was wrong.
+// campaign runs one seed: faults on top of the usual traffic, then a period without faults. It
+// returns the problems found, the world, and the faults in order.
 func campaign(seed uint64, dep string, only []string) (bad []string, w *world, told []string) {
 	w = newWorld(seed, historycheck.Deployments[dep])
 	w.keepLog = true
--- a/internal/daemon/catchup_test.go
+++ b/internal/daemon/catchup_test.go
@@ -11,7 +11,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// largeSetup is a configuration of so many queues, each with a path of its own.
+// largeSetup returns a configuration of this many queues, each with its own path.
 func largeSetup(queues int) []byte {
 	var b bytes.Buffer
 	b.WriteString(`{"queues":[{"name":"q","urgency":1}`)
@@ -22,7 +22,7 @@
 	return b.Bytes()
 }
 
-// order has one more configuration taken.
+// order has one more configuration accepted.
 func (s *slotWorld) order(body []byte) {
 	s.t.Helper()
 	next := s.version + 1
@@ -32,7 +32,7 @@
 	s.version = next
 }
 
-// accept has so many more jobs taken.
+// accept has count more jobs accepted.
 func (s *slotWorld) accept(count int) {
 	s.t.Helper()
 	for range count {
@@ -45,7 +45,7 @@
 	}
 }
 
-// cancel ends some jobs that were taken.
+// cancel cancels accepted jobs.
 func (s *slotWorld) cancel(ids []string) {
 	s.t.Helper()
 	for _, id := range ids {
@@ -55,15 +55,15 @@
 	}
 }
 
-// lacks tells what a member holds in an older state than another one.
+// lacks lists what member holds in an older state than other.
 func (s *slotWorld) lacks(member, other *simNode) (out []string) {
 	mine, theirs := member.sh.node.store, other.sh.node.store
 	a, b := mine.Register("setup"), theirs.Register("setup")
 	if a.Accepted.Less(b.Accepted) {
 		out = append(out, fmt.Sprint("setup ", a.Accepted, " < ", b.Accepted))
 	}
-	// One ballot, one value: a member that caught up holds the history of the
-	// orders too, or one that comes again would be refused.
+	// One ballot has one value: a member that caught up also holds the history of accepted
+	// changes. Without it a repeated change would be rejected.
 	if a.Accepted == b.Accepted && !bytes.Equal(a.Value, b.Value) {
 		out = append(out, fmt.Sprintf("setup of %d bytes, not %d", len(a.Value), len(b.Value)))
 	}
@@ -79,10 +79,9 @@
 	return out
 }
 
-// A member that was away for hundreds of changes, some of them large, and for
-// jobs that came and ended, holds all again four seconds after its return. When
-// then another one loses its disk while the third loses power, all is there, and
-// nothing older is told.
+// A member that missed hundreds of changes, some of them large, and jobs that came and ended,
+// has caught up four seconds after its return. When another member then loses its disk while
+// the third loses power, nothing is lost and no older state is returned.
 func TestMemberCatchesUp(t *testing.T) {
 	for seed := range uint64(3) {
 		s := newSlotWorld(t, 40+seed, 3)
@@ -106,7 +105,7 @@
 		before := dark.sh.node.store.Register("setup").Accepted
 		away.start()
 		s.run(4000)
-		must.Eq(t, before, dark.sh.node.store.Register("setup").Accepted, s.why()) // it isn't written anew for all, nor read by all
+		must.Eq(t, before, dark.sh.node.store.Register("setup").Accepted, s.why()) // the register is neither rewritten nor read by all members
 		must.SliceEmpty(t, s.lacks(away, dark), s.why())
 		must.SliceEmpty(t, s.lacks(away, wiped), s.why())
 		wiped.kill(true)
@@ -114,7 +113,7 @@
 		dark.kill(true)
 		s.after(400_000, wiped.start)
 		s.after(600_000, dark.start)
-		for range 40 { // whoever answers tells the newest
+		for range 40 { // every successful answer returns the newest state
 			s.run(100)
 			if r := s.settle(s.asker(), evRequest{Op: "setup.get"}, 1000); r.status == 200 {
 				must.Eq(t, gjson.Get(last, "version").Int(), gjson.Get(r.body, "version").Int())
@@ -131,7 +130,8 @@
 	}
 }
 
-// What a member lacks is sent again until it is synced there, in bounded parts.
+// State that a member lacks is sent in bounded parts, and again until the member has synced
+// it.
 func TestCatchUpSurvivesLostMessages(t *testing.T) {
 	s := newSlotWorld(t, 50, 3)
 	core := s.newestSet().Members
@@ -141,15 +141,15 @@
 	s.run(1500)
 	away.start()
 	s.until(3000, func() bool { return s.total("catch_up_parts") > 0 })
-	away.kill(true) // with the part in hand
+	away.kill(true) // while a part is being written
 	s.run(200)
 	away.start()
 	s.run(4000)
 	must.SliceEmpty(t, s.lacks(away, other), s.why())
 }
 
-// A state is told from the core only where a majority agrees on it: not from a
-// member that has been away, nor from one that alone has a later one.
+// A state is read from the core only if a majority agrees on it, not from a member that has
+// been away or one that alone has a later state.
 func TestCoreReadNeedsAgreement(t *testing.T) {
 	s := newSlotWorld(t, 60, 3)
 	n := s.asker().sh.node
--- a/internal/daemon/copypace_test.go
+++ b/internal/daemon/copypace_test.go
@@ -13,8 +13,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A slice as full as it may be, with a large configuration beside it, is copied
-// in parts; with -measure it prints what each part takes of the control thread.
+// A full shard and a large configuration are copied in bounded parts. With -measure the test
+// prints how long each part takes on the control thread.
 func TestCopyOfFullShard(t *testing.T) {
 	st := statestore.New()
 	value := make([]byte, 6<<10)
--- a/internal/daemon/digest_test.go
+++ b/internal/daemon/digest_test.go
@@ -15,25 +15,25 @@
 
 var digestFlag = flag.String("digest", "", "file that takes one line for each simulated world: its seed, its size and a hash over all that left its daemons")
 
-// runDigests holds the digests of all worlds of this process.
+// runDigests holds the digests of all simulated clusters of this process.
 var runDigests struct {
 	mu  sync.Mutex
 	all []*runDigest
 }
 
-// runDigest hashes everything that leaves the daemons of one simulated world, in
-// order and with its simulated time: frames, disk writes, orders and HTTP
-// replies. Log text is left out. Two revisions with equal digests behave the
-// same in that run, whatever their names and packages are.
+// runDigest hashes everything that leaves the daemons of one simulated cluster, in order and
+// with its simulated time: frames, disk writes, orders and HTTP replies. Log text is left out.
+// Two revisions with equal digests behave the same in that run, even if names and packages
+// differ.
 //
-// A nil *runDigest takes no notice of anything.
+// A nil *runDigest ignores all calls.
 type runDigest struct {
 	label string
 	hash  hash.Hash
 	count int
 }
 
-// newRunDigest gives a world its digest, or nil where none is asked for.
+// newRunDigest returns the digest of a new world, or nil without -digest.
 func newRunDigest(label string) *runDigest {
 	if *digestFlag == "" {
 		return nil
@@ -69,8 +69,8 @@
 	return 0
 }
 
-// writeDigests writes the digests of all worlds in the order of their lines,
-// since tests that run side by side make their worlds in any order.
+// writeDigests writes the digests of all worlds, sorted by line because parallel tests create
+// their worlds in any order.
 func writeDigests(path string) error {
 	runDigests.mu.Lock()
 	defer runDigests.mu.Unlock()
--- a/internal/daemon/disk_test.go
+++ b/internal/daemon/disk_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// A core member whose disk failed no longer answers for the core.
+// A core member whose disk failed no longer counts toward a majority of the core.
 func TestFailedDiskStopsCounting(t *testing.T) {
 	w := formed(t, 2, "ikenna")
 	w.nodes["d01"].event(evDisk{Failed: "no space left"})
@@ -36,7 +36,7 @@
 	}
 }
 
-// messageType gives the type of a kind's messages.
+// messageType returns the type of the messages of a kind.
 func messageType(kind uint8) reflect.Type {
 	t, _ := wire.MessageType(kind)
 	return t
--- a/internal/daemon/docs_test.go
+++ b/internal/daemon/docs_test.go
@@ -16,7 +16,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// pagesOfRecord tell what was measured or found at its time, in the names of then.
+// pagesOfRecord describe past measurements and findings in the names of that time.
 var pagesOfRecord = []string{"docs/rounds.md"}
 
 var (
@@ -27,14 +27,14 @@
 	word       = regexp.MustCompile(`\w+`)
 )
 
-// metricPrefix stands before the name of each metric; _total after that of a counter.
+// metricPrefix is the prefix of each metric name; counters also end in _total.
 const metricPrefix = "otterchute_"
 
-// exampleFiles are named by pages as files that a reader writes.
+// exampleFiles are file names that pages use as examples; the repository doesn't contain them.
 var exampleFiles = []string{"setup.json", "job.json"}
 
-// namesInSources gives every identifier of the Go sources, each word of their string
-// literals, and each package's folder by its name.
+// namesInSources returns every identifier of the Go sources, each word of their string
+// literals, and the folder name of each package.
 func namesInSources(t *testing.T) (names map[string]bool) {
 	t.Helper()
 	names = map[string]bool{}
@@ -59,7 +59,7 @@
 	return names
 }
 
-// filesOfRepository gives the paths of all files, from the root.
+// filesOfRepository returns the paths of all files relative to the root.
 func filesOfRepository(t *testing.T) (files []string) {
 	t.Helper()
 	must.NoError(t, filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
@@ -74,8 +74,8 @@
 	return files
 }
 
-// namesFile reports whether a file of the repository ends in what a page calls it, which
-// may have a * in it.
+// namesFile reports whether a page's name for a file, which may contain a *, matches the end
+// of a path in the repository.
 func namesFile(files []string, said string) bool {
 	said = strings.TrimPrefix(said, "./")
 	return slices.ContainsFunc(files, func(path string) bool {
@@ -85,7 +85,8 @@
 	})
 }
 
-// namesPrefix reports whether some name begins as a page says with a trailing ….
+// namesPrefix reports whether some name begins with a prefix, which pages write with a
+// trailing ….
 func namesPrefix(names map[string]bool, prefix string) bool {
 	for name := range names {
 		if strings.HasPrefix(name, prefix) {
@@ -95,8 +96,8 @@
 	return false
 }
 
-// checkSpan tells what is wrong with a code span of a page: a file that doesn't exist, or
-// a name in the sources' case that they don't have. Other spans aren't judged.
+// checkSpan returns what is wrong with a code span of a page: a file that doesn't exist, or an
+// identifier that isn't in the sources. Other spans are not checked.
 func checkSpan(span string, files []string, names map[string]bool) string {
 	if fileName.MatchString(span) {
 		if !slices.Contains(exampleFiles, span) && !namesFile(files, span) {
--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -23,14 +23,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// The fixtures under testdata were written by the release of 2 December 2026,
-// before its sources were renamed and parted into packages. They are what that
-// release left on disks and sent to others: whatever is changed since must read
-// and write the same. They are written again, with -update-fixtures, only with a
-// change of a form that is meant and announced.
+// The fixtures under testdata were written by the release of 2 December 2026, before its
+// sources were renamed and split into packages. They hold what that release stored on disk and
+// sent over the network; later revisions must read and write the same. They are rewritten,
+// with -update-fixtures, only for an intended and announced change of a format.
 var updateFixtures = flag.Bool("update-fixtures", false, "write the files under testdata anew instead of comparing with them")
 
-// compareFixture compares a file under testdata with what it is to hold.
+// compareFixture compares a file under testdata with the current output.
 func compareFixture(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", filepath.FromSlash(name))
@@ -44,7 +43,7 @@
 	must.True(t, bytes.Equal(want, got), must.Sprintf("%s differs: %d bytes are\n%.2000s", name, len(got), got))
 }
 
-// sampleValue fills a value so that no two fields next to each other are alike.
+// sampleValue fills a value so that no two adjacent fields are equal.
 func sampleValue(v reflect.Value, next *uint64) {
 	*next++
 	n := *next
@@ -81,8 +80,8 @@
 	}
 }
 
-// Frames of each kind that the release before the renaming sent are read, and
-// written again to the same bytes.
+// Frames of each kind that the release of the fixtures sent are decoded, and encoded again to
+// the same bytes.
 func TestFixtureFrames(t *testing.T) {
 	for _, kind := range wire.Kinds() {
 		t.Run(fmt.Sprint(kind), func(t *testing.T) {
@@ -104,17 +103,17 @@
 	}
 }
 
-// fixtureMembers are the core members whose data folders are kept.
+// fixtureMembers are the core members whose data folders are kept as fixtures.
 var fixtureMembers = []string{"d00", "d01", "d02"}
 
-// storeSummary is what a data folder must be read as.
+// storeSummary describes the state read from a data folder.
 type storeSummary struct {
 	Disk      string
 	Cluster   string
 	CoreSet   string
 	Registers map[string]string
 	Slices    map[string]sliceSummary
-	Dump      string // hash over all entries that build the store again
+	Dump      string // hash of all entries that rebuild the store
 }
 
 type sliceSummary struct {
@@ -153,7 +152,7 @@
 	return out
 }
 
-// ballotText is a ballot as the fixtures have it.
+// ballotText returns a ballot in the notation of the fixtures.
 func ballotText(b register.Ballot) string {
 	return fmt.Sprintf("{Round:%d Proposer:%s Life:%d}", b.Round, b.Proposer, b.Instance)
 }
@@ -165,8 +164,8 @@
 	return fmt.Sprintf("%d bytes %x", len(b), sum[:8])
 }
 
-// writeFixtureFolder writes a member's entries as its daemon would: a segment,
-// a snapshot of all before it, more segments.
+// writeFixtureFolder writes a member's entries as its daemon would: a segment, a snapshot of
+// everything before it, and more segments.
 func writeFixtureFolder(t *testing.T, folder string, member *simNode) {
 	t.Helper()
 	must.NoError(t, os.MkdirAll(folder, 0o755))
@@ -192,7 +191,7 @@
 	must.NoError(t, os.Remove(filepath.Join(folder, "lock")))
 }
 
-// lastSegment gives the path of the newest segment that holds anything.
+// lastSegment returns the path of the newest segment that is not empty.
 func lastSegment(t *testing.T, dir string) (path string) {
 	t.Helper()
 	list, err := filepath.Glob(filepath.Join(dir, "log-*"))
@@ -206,7 +205,7 @@
 	return path
 }
 
-// writeFixtureFolders plays a short run and keeps the core members' disks.
+// writeFixtureFolders runs a short simulation and writes the core members' disks.
 func writeFixtureFolders(t *testing.T, root string) {
 	t.Helper()
 	w := formed(t, 1, "hakata")
@@ -233,7 +232,8 @@
 	must.NoError(t, os.Remove(filepath.Join(damaged, "lock")))
 }
 
-// copyOfFixture gives a member's data folder to open, which writes to it.
+// copyOfFixture returns a copy of a member's data folder, because opening a folder writes to
+// it.
 func copyOfFixture(t *testing.T, name string) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -241,7 +241,7 @@
 	return dir
 }
 
-// Data folders of the release before the renaming are read as the same state.
+// Data folders of the release of the fixtures are read as the same state.
 func TestFixtureDataFolders(t *testing.T) {
 	root := filepath.Join("testdata", "data")
 	if *updateFixtures {
@@ -265,7 +265,7 @@
 	}
 }
 
-// fixtureCalls are calls of callers, workers and operators, in order.
+// fixtureCalls are requests of callers, workers and operators, in order.
 var fixtureCalls = []evRequest{
 	{Op: "job.put", Key: "fix-1", Body: []byte(`{"queue":"confirm","steps":[{"name":"a","tasks":[{"name":"t","room":1,"payload":{"ms":300}}]}]}`)},
 	{Op: "job.put", Key: "fix-1", Body: []byte(`{"queue":"confirm","steps":[{"name":"a","tasks":[{"name":"t","room":2,"payload":{"ms":300}}]}]}`)},
@@ -287,7 +287,7 @@
 	{Op: "nothing", Key: "x"},
 }
 
-// Calls get the answers that the release before the renaming gave.
+// Requests get the same answers as from the release of the fixtures.
 func TestFixtureAnswers(t *testing.T) {
 	w := formed(t, 1, "hakata")
 	w.run(2000)
@@ -307,7 +307,7 @@
 	compareFixture(t, "answers.txt", out.Bytes())
 }
 
-// What programs and operators write by hand keeps its names.
+// Names in settings and configuration documents stay the same.
 func TestFixtureNames(t *testing.T) {
 	var out bytes.Buffer
 	for _, key := range sortedKeys(settingsFields.Fields) {
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -27,7 +27,7 @@
 	fleetSeedFlag = flag.Uint64("fleet-seed", 1, "of the faults")
 )
 
-// unrest is what goes wrong in a fleet of real processes, one thing at a time.
+// unrest applies faults to a cluster of real processes, one at a time.
 type unrest struct {
 	*fleet
 	rng     *rand.Rand
@@ -38,7 +38,7 @@
 
 func (u *unrest) some() int { return u.rng.IntN(len(u.addr)) }
 
-// whole tells whether all three of the core stand, so that one may lose its disk.
+// whole reports whether all three core members are alive, so that one may lose its disk.
 func (u *unrest) whole() bool {
 	_, b, err := u.call("GET", "/v1/soundness", "")
 	return err == nil && gjson.GetBytes(b, "core_size").Int() == membership.DefaultSize && gjson.GetBytes(b, "core_live").Int() == membership.DefaultSize &&
@@ -52,7 +52,7 @@
 	_ = u.out.Flush()
 }
 
-// declare races two operators for the next version.
+// declare has two operators race for the next configuration version.
 func (u *unrest) declare(dep historycheck.Deployment, empty []string) {
 	u.version++
 	for i := range 2 {
@@ -62,7 +62,7 @@
 		for range 40 {
 			status, b, err := u.call("PUT", fmt.Sprint("/v1/setups/", u.version), string(mustJSON(s)))
 			if err != nil || status == 503 || status == 429 {
-				continue // each try takes its own time
+				continue // each try waits for its own timeout
 			}
 			kind := historycheck.ConfigurationRejected
 			if status == 200 {
@@ -154,8 +154,8 @@
 	time.Sleep(time.Duration(loMs+u.rng.Int64N(hiMs-loMs)) * time.Millisecond)
 }
 
-// A whole fleet of real processes at a deployment's size, with its usual
-// traffic, while things go wrong; judged by verdict alone. It takes minutes.
+// A cluster of real processes at the size of a deployment runs its usual traffic under faults.
+// The separate checker of the histories must find no violation. The test takes minutes.
 func TestFleet(t *testing.T) {
 	dep, ok := historycheck.Deployments[*fleetFlag]
 	if !ok {
--- a/internal/daemon/formation_test.go
+++ b/internal/daemon/formation_test.go
@@ -17,7 +17,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// coreWorld is a world with disks in the sites of sitesOf, and a core of size.
+// coreWorld returns a world with a core of this size and disks in the zones of sitesOf.
 func coreWorld(seed uint64, size int, sitesOf []string, diskless int) *world {
 	w := newWorld(seed, historycheck.Deployment{Daemons: len(sitesOf) + diskless, Workers: 0, Cores: 4, JobsPerSec: 1})
 	for i, name := range sortedKeys(w.nodes) {
@@ -32,7 +32,7 @@
 	return w
 }
 
-// cluster gives the one core that all daemons that are up know, or nil.
+// cluster returns the core set if all daemons that are up agree on it, and nil otherwise.
 func (w *world) cluster() *quorum.Set {
 	var set *quorum.Set
 	for _, name := range sortedKeys(w.nodes) {
@@ -49,7 +49,7 @@
 	return set
 }
 
-// clusters counts the clusters that any daemon or disk took for formed.
+// clusters returns the IDs of all clusters that any daemon or disk considers formed.
 func (w *world) clusters() map[uint64]bool {
 	all := map[uint64]bool{}
 	for _, n := range w.nodesInOrder() {
@@ -82,8 +82,8 @@
 
 var eightDisks = []string{"east", "west", "mid", "far", "east", "west", "mid", "far"}
 
-// Eight disks in four sites, a core of five: one core, no site with a majority
-// of it, quickly.
+// Eight disks in four zones form one core of five within the time limits, with no majority of
+// it in one zone.
 func TestFormationOfFive(t *testing.T) {
 	worstFormed, worstServed := int64(0), int64(0)
 	for seed := range uint64(30) {
@@ -109,13 +109,13 @@
 	must.Less(t, 5000, worstServed)
 }
 
-// Gossip that arrives unevenly, daemons that start late, are killed half way,
-// or lose power: never two cores, and one in the end.
+// With uneven gossip and with daemons that start late, are killed or lose power during the
+// formation there are never two cores, and one in the end.
 func TestFormationNeverSplits(t *testing.T) {
 	for seed := range uint64(24) {
 		w := coreWorld(4000+seed, []int{3, 5}[seed%2], eightDisks, 4)
 		names := sortedKeys(w.nodes)
-		for _, a := range names { // some ways are slow, some cut for a while
+		for _, a := range names { // some paths are slow, others are cut for a while
 			for _, b := range names {
 				switch w.rng.IntN(5) {
 				case 0:
@@ -145,8 +145,8 @@
 	}
 }
 
-// The one that proposes dies for good right after all voted, or before: the
-// others bring the formation to its end, and another disk takes its place.
+// The proposer of a formation dies for good just before or after all members voted. The others
+// complete the formation, and another disk takes its place.
 func TestFormationOutlivesItsProposer(t *testing.T) {
 	for seed := range uint64(20) {
 		w := coreWorld(4200+seed, 5, eightDisks, 4)
@@ -159,7 +159,7 @@
 			}
 			return false
 		}))
-		for _, b := range sortedKeys(w.nodes) { // its word on the end reaches nobody
+		for _, b := range sortedKeys(w.nodes) { // its message about the outcome reaches nobody
 			w.cuts[[2]string{"d00", b}] = true
 		}
 		w.after(w.rng.Int64N(20_000), func() { first.kill(true) })
@@ -171,7 +171,7 @@
 	}
 }
 
-// Only a first start forms a core.
+// Only daemons with the first-start setting form a core.
 func TestFormationOnlyAtAFirstStart(t *testing.T) {
 	w := coreWorld(4300, 5, eightDisks, 2)
 	for _, n := range w.nodesInOrder() {
@@ -181,9 +181,9 @@
 	must.MapEmpty(t, w.clusters())
 }
 
-// A member of five comes back empty under its name and address: it is in again
-// within seconds, and what was acknowledged is there. So it is when two disks
-// of one site are lost at once, and then the rest one after the other.
+// A member of five that comes back with an empty disk under its name and address rejoins
+// within seconds without loss of acknowledged data. The same holds for two members lost at
+// once, and for all members one after the other.
 func TestFormationWipedMembers(t *testing.T) {
 	for seed := range uint64(10) {
 		w := coreWorld(4400+seed, 5, []string{"east", "west", "mid", "east", "west"}, 4)
@@ -230,7 +230,7 @@
 	}
 }
 
-// A member that never comes back is replaced by one spare, of its site if there is one.
+// A member that never comes back is replaced by one spare, from its zone if there is one.
 func TestFormationSpareOfTheZone(t *testing.T) {
 	w := coreWorld(4500, 5, eightDisks, 4)
 	must.True(t, w.until(20_000, w.allServed))
@@ -248,11 +248,11 @@
 		}
 	}
 	w.run(20_000)
-	must.Eq(t, set.Version+2, w.cluster().Version) // and none goes on
+	must.Eq(t, set.Version+2, w.cluster().Version) // and no further member is replaced
 }
 
-// A daemon whose clock was set back across a restart is heard again soon, also
-// at another address.
+// A daemon whose clock was set back across a restart is soon accepted by all others again,
+// also at another address.
 func TestIncarnationSetBack(t *testing.T) {
 	w := coreWorld(4600, 3, []string{"east", "west", "mid"}, 5)
 	must.True(t, w.until(20_000, w.allServed))
@@ -279,7 +279,7 @@
 	}
 }
 
-// Seeds that changed while running are used.
+// A running daemon uses seeds that were changed.
 func TestSeedsChange(t *testing.T) {
 	w := coreWorld(4700, 3, []string{"east", "west", "mid"}, 5)
 	w.nodes["d07"].Seeds = []string{"10.9.9.9:7000"}
@@ -289,13 +289,13 @@
 	must.True(t, w.until(2000, func() bool { return w.nodes["d07"].sh.node.peers.Len() == 7 }))
 }
 
-// told gives the log without the siblings that were met.
+// told returns the log without the events of newly discovered peers.
 func (w *world) told() string {
 	return "\n" + strings.Join(slices.DeleteFunc(slices.Clone(w.logs), func(s string) bool { return strings.Contains(s, "peer_new") }), "\n")
 }
 
-// What a member answered to an earlier try says nothing of a later one: between
-// the two it may have taken another's change.
+// An answer to an earlier try must not count for a later one: in between the member may have
+// accepted another proposer's change.
 func TestAnswersBelongToTheirTry(t *testing.T) {
 	w := served(t, 4800)
 	n := w.nodes["d00"].sh.node
@@ -331,8 +331,8 @@
 	must.Eq(t, register.Pending, change.Outcome())
 }
 
-// Acknowledgements of members under different core sets don't add up to a
-// majority: one that left may be back under its name with an empty disk.
+// Acknowledgements under different core sets don't add up to a majority: a removed member may
+// have returned under its name with an empty disk.
 func TestAcksBelongToTheirSet(t *testing.T) {
 	w := served(t, 4801)
 	n := w.holderOf("slice/east").sh.node
@@ -351,8 +351,8 @@
 	must.True(t, shard.writes[99].done)
 }
 
-// A job that was handed over and not answered may be kept: its caller is not
-// told that it was not taken.
+// A job whose forwarded submission was not answered may be stored, so its caller must not
+// receive a rejection.
 func TestUnansweredSubmitIsNotDenied(t *testing.T) {
 	w := served(t, 4802)
 	must.Eq(t, 200, w.settle(w.nodes["d00"], evRequest{Op: "setup.put", Key: "1", Base: 0, Body: queueSetup("a", `,"addresses":[{"host":"h","prefix":"/a/"}]`)}, 4000).status)
@@ -365,7 +365,7 @@
 		if owner == nil || owner == to {
 			continue
 		}
-		w.cuts[[2]string{owner.Name, to.Name}] = true // it gets there; the answer doesn't
+		w.cuts[[2]string{owner.Name, to.Name}] = true // the request arrives, the response doesn't
 		r := w.settle(to, evRequest{Op: "queue.submit", Host: "h", Path: "/a/" + id, Base: -1, Body: []byte(`{"queue":"a","steps":[{"tasks":[{"room":1}]}]}`)}, 5000)
 		must.Eq(t, 504, r.status, must.Sprint(r.body))
 		delete(w.cuts, [2]string{owner.Name, to.Name})
@@ -377,8 +377,8 @@
 	t.Fatal("no other owner was met")
 }
 
-// A disk that voted for one formation votes against any other that may stand
-// beside it, and keeps that vote also once the first has failed.
+// A disk that voted for one formation votes against any conflicting one, and keeps its vote
+// after the first has failed.
 func TestFormationOneVote(t *testing.T) {
 	n := newNode(nodeConfig{Name: "b", DiskID: 2, Disk: true, FirstStart: true}, statestore.New())
 	say := func(m *wire.FormRequest) *wire.FormResponse {
@@ -407,12 +407,12 @@
 	must.Eq(t, &wire.FormResponse{Cluster: 15, OK: true}, say(&wire.FormRequest{Set: set(15)}))
 }
 
-// A new member has copied a majority of those left before it is one.
+// A new member copies from a majority of the remaining members before it joins.
 func TestFormationCopiesAMajority(t *testing.T) {
 	for seed := range uint64(6) {
 		w := coreWorld(4900+seed, 5, []string{"east", "west", "mid", "far", "east"}, 4)
 		must.True(t, w.until(20_000, w.allServed))
-		for _, from := range []string{"d01", "d03", "d04"} { // slow, but no slower than a try of a change lasts
+		for _, from := range []string{"d01", "d03", "d04"} { // slow, but faster than the timeout of one try
 			w.hold[[2]string{from, "d02"}] = 400_000
 		}
 		w.nodes["d02"].kill(true)
--- a/internal/daemon/forms_test.go
+++ b/internal/daemon/forms_test.go
@@ -43,7 +43,7 @@
 	must.StrHasPrefix(t, "sight: is not a known field", err.Error())
 }
 
-// Every fault of a job is told by its path.
+// Every fault of a job is reported with its path.
 func TestJobFaults(t *testing.T) {
 	for body, path := range map[string]string{
 		`{`:                        "",
@@ -116,7 +116,7 @@
 	}
 }
 
-// Each text that guards.sh takes out still stands in the code.
+// Each text that guards.sh replaces still occurs in the code.
 func TestGuardsAreNotStale(t *testing.T) {
 	script, err := os.ReadFile("../../guards.sh")
 	must.NoError(t, err)
@@ -132,8 +132,8 @@
 	}
 }
 
-// An upstream becomes a queue, what is not carried over is listed by line, and
-// a broken file gives one line that names where.
+// An upstream becomes a queue, settings that can't be imported are listed by line, and a
+// broken file gives one line that names the position.
 func TestImport(t *testing.T) {
 	d, err := draftOf("worker_processes 4;\nhttp {\n upstream seats { server 10.0.0.1; queue 100; }\n server {\n  location / { proxy_pass http://seats/x; proxy_read_timeout 5s; proxy_next_upstream_tries 3; gzip on; }\n }\n}\n")
 	must.NoError(t, err)
--- a/internal/daemon/gossip_test.go
+++ b/internal/daemon/gossip_test.go
@@ -11,8 +11,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Once a core stands tables go by difference: a round costs a few bytes for each
-// daemon, beats still reach all, and what changes reaches all in full.
+// With a formed core gossip sends only differences: a round costs a few bytes for each daemon,
+// heartbeats still reach all, and changed entries reach all in full.
 func TestGossipByDifference(t *testing.T) {
 	w := newWorld(7, historycheck.Deployments["hakata"])
 	w.run(12_000)
--- a/internal/daemon/history_test.go
+++ b/internal/daemon/history_test.go
@@ -14,7 +14,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// operatorOrder is a whole setup as an operator sends it, or the same by items.
+// operatorOrder is a configuration change as an operator sends it: a whole document, or a
+// change by items.
 type operatorOrder struct {
 	version, base int64
 	queue         string
@@ -33,8 +34,8 @@
 	return evRequest{Op: "setup.put", Key: fmt.Sprint(o.version), Base: o.base, Digest: o.digest(), Body: queueSetup(o.queue, "")}
 }
 
-// again is how it comes once its base has passed: of a change by items the
-// whole can't be made any more.
+// again returns the request that repeats the change after its base has passed. The document of
+// a change by items can't be built any more, so only its digest is sent.
 func (o operatorOrder) again() evRequest {
 	e := o.put()
 	if o.byItems {
@@ -43,7 +44,7 @@
 	return e
 }
 
-// acknowledged sends an order to a daemon until it has a clear answer.
+// acknowledged sends a change to a daemon until the answer is final.
 func (w *world) acknowledged(t *testing.T, to *simNode, e evRequest) answered {
 	t.Helper()
 	var got answered
@@ -57,7 +58,7 @@
 	return got
 }
 
-// storm has so many orders accepted one after the other, at all daemons in turn.
+// storm has count changes accepted one after the other, at all daemons in turn.
 func (w *world) storm(t *testing.T, from operatorOrder, count int) (all []operatorOrder) {
 	t.Helper()
 	for i := range count {
@@ -70,7 +71,7 @@
 	return all
 }
 
-// resendAll sends orders again to every daemon: all are acknowledged.
+// resendAll sends changes again to every daemon, and requires that all are acknowledged.
 func (w *world) resendAll(t *testing.T, when string, orders ...operatorOrder) {
 	t.Helper()
 	for _, name := range sortedKeys(w.nodes) {
@@ -82,7 +83,8 @@
 	}
 }
 
-// refuseAll sends what was never accepted, and what is invalid, to every daemon.
+// refuseAll sends changes that were never accepted, and invalid ones, to every daemon, and
+// requires that all are rejected.
 func (w *world) refuseAll(t *testing.T, taken operatorOrder) {
 	t.Helper()
 	other := taken
@@ -102,9 +104,8 @@
 	}
 }
 
-// An order that was accepted is acknowledged again wherever it is sent, with
-// any number of changes since, after a restart of all daemons and after a
-// member lost its disk.
+// An accepted change that is sent again is acknowledged by every daemon, after any number of
+// later changes, after a restart of all daemons, and after a member lost its disk.
 func TestConfigChangesComeAgain(t *testing.T) {
 	w := served(t, 970)
 	first := operatorOrder{version: 3, base: 0, queue: "first"}
@@ -138,18 +139,18 @@
 	w.run(500)
 	lost.start()
 	must.True(t, w.until(30_000, func() bool { return lost.sh.node.inCore() && lost.sh.node.core.Version >= 3 }))
-	w.nodes["d01"].kill(true) // what is left is the new member and one that was there
+	w.nodes["d01"].kill(true) // the remaining core is the new member and one older one
 	w.run(3000)
 	delete(w.nodes, "d01")
 	w.resendAll(t, "after a member was replaced", first, all[150], all[299])
 }
 
-// Answers get lost and operators race: whatever was acknowledged, or seen in
-// force, is never refused, and what was refused was never in force.
+// Under lost answers and racing operators a change that was acknowledged or seen in force is
+// never rejected, and a rejected change was never in force.
 func TestConfigChangesComeAgainInRaces(t *testing.T) {
 	for seed := range uint64(6) {
 		w := served(t, 980+seed)
-		inForce := map[int64]string{} // version to queue, as any daemon had it
+		inForce := map[int64]string{} // queue by version, as seen at any daemon
 		look := func() {
 			for _, name := range sortedKeys(w.nodes) {
 				if n := w.nodes[name]; n.up && n.sh.node.config.record.Version > 0 {
@@ -163,7 +164,7 @@
 		}
 		answers := map[operatorOrder]int{}
 		open := 0
-		send := func(o operatorOrder) { // until it has a clear answer; half of the answers are lost
+		send := func(o operatorOrder) { // until the answer is final; half of the answers are lost
 			open++
 			var try func()
 			try = func() {
@@ -183,13 +184,13 @@
 			for i := range 3 {
 				send(operatorOrder{version: base + 1 + int64(i%2), base: base, queue: fmt.Sprint("r", round, "-", i)})
 			}
-			if round%4 == 3 { // a core member stops in the middle
+			if round%4 == 3 { // a core member is killed meanwhile
 				victim := w.nodes[fmt.Sprint("d0", round/4)]
 				w.after(w.rng.Int64N(30_000), func() { victim.kill(true) })
 				w.after(900_000, victim.start)
 			}
 			must.True(t, w.until(10_000, func() bool { look(); return w.setupVersion() > base }))
-			base = w.setupVersion() // the next ones build on it, whether its own operator was told or not
+			base = w.setupVersion() // later changes build on it, whether or not its own operator received the answer
 		}
 		must.True(t, w.until(60_000, func() bool { look(); return open == 0 }), must.Sprint(seed, open))
 		won := map[int64]int{}
@@ -210,7 +211,8 @@
 	}
 }
 
-// A daemon that no majority answers refuses nothing: 503 at once.
+// A daemon that can't reach a majority rejects no change as stale; it answers 503, and without
+// delay once the lack of contact is established.
 func TestConfigChangesAreNotRefusedWhileCutOff(t *testing.T) {
 	w := served(t, 995)
 	first := operatorOrder{version: 3, base: 0, queue: "first"}
@@ -242,13 +244,13 @@
 	}
 }
 
-// What the history costs: 33 bytes for each change at the members, and nothing
-// at those that read the setup.
+// Each change in the history costs 33 bytes at the members, and nothing at the daemons that
+// read the configuration.
 func TestConfigHistoryCost(t *testing.T) {
 	w := served(t, 996)
 	first := operatorOrder{version: 1, base: 0, queue: "first"}
 	must.Eq(t, 200, w.acknowledged(t, w.nodes["d00"], first.put()).status)
-	last := w.storm(t, first, configuration.MaxPastVersions) // from here on the list that is shown stays as long as it is
+	last := w.storm(t, first, configuration.MaxPastVersions) // the list that readers receive has its final length from here on
 	size := func() (kept, read int) {
 		w.run(1500)
 		n := w.nodes["d00"].sh.node
@@ -260,13 +262,13 @@
 	kept, read := size()
 	t.Logf("register %d bytes, then %d; read %d, then %d", keptBefore, kept, readBefore, read)
 	must.LessEq(t, 34*100, kept-keptBefore)
-	must.LessEq(t, 20, read-readBefore) // names of other lengths
+	must.LessEq(t, 20, read-readBefore) // allows for names of different lengths
 	for _, name := range sortedKeys(w.nodes) {
 		must.Zero(t, w.nodes[name].sh.node.config.record.AcceptedChanges.Count)
 	}
 }
 
-// An order so old that the history has let go of it has no clear answer.
+// A change that is too old for the history gets no final answer.
 func TestForgottenChangesAreNotRefused(t *testing.T) {
 	n := newQuorumOfThree().life(1)
 	value := configuration.Record{Version: 9000, AcceptedChanges: configuration.History{Base: 5000}}
--- a/internal/daemon/http_server_test.go
+++ b/internal/daemon/http_server_test.go
@@ -9,18 +9,17 @@
 	"github.com/shoenig/test/must"
 )
 
-// serverTaken gives a door and the shell behind it, whose control thread the test
-// plays: each posted job is run when the test says so.
+// serverTaken returns an HTTP server and its ports, and a function with which the test acts as
+// the control thread: each call runs one posted function.
 func serverTaken() (*httpServer, *processPorts, func()) {
 	l := newControlLoop(newSteadyClock())
 	ports := &processPorts{loop: l, pendingReplies: map[uint64]chan effReply{}}
 	l.executor = &executor{node: newNode(nodeConfig{Name: "a"}, nil), ports: ports}
-	l.executor.node.wokeMs = 1 << 40 // its first polls are under way: calls are held, not turned away
+	l.executor.node.wokeMs = 1 << 40 // its first polls are in progress: requests are held, not rejected
 	return &httpServer{loop: l}, ports, func() { (<-l.queue)(l.executor) }
 }
 
-// A caller gives up, and the reply to its call comes later: it reaches nobody,
-// and least of all the caller whose call came next.
+// A reply that arrives after its caller gave up is dropped, and never reaches the next caller.
 func TestServerLateReply(t *testing.T) {
 	for _, c := range []struct {
 		op     string
@@ -28,7 +27,7 @@
 	}{{"queue.submit", 504}, {"queue.cancel", 504}, {"queue.state", 503}} {
 		h, ports, run := serverTaken()
 		l := h.loop
-		l.executor.node.config.current.Version = 1 // calls wait for a newer confirmation of the setup
+		l.executor.node.config.current.Version = 1 // requests wait until the configuration is confirmed again
 		ctx, giveUp := context.WithCancel(context.Background())
 		first, second := make(chan effReply, 1), make(chan effReply, 1)
 		go func() { first <- h.request(ctx, evRequest{Op: c.op, Host: "h", Path: "/first"}) }()
@@ -37,7 +36,7 @@
 		giveUp()
 		must.Eq(t, c.status, (<-first).Status)
 		go func() { second <- h.request(context.Background(), evRequest{Op: c.op, Host: "h", Path: "/second"}) }()
-		run() // the first is given up on
+		run() // the first request is abandoned
 		must.MapNotContainsKey(t, ports.pendingReplies, 1)
 		ports.Reply(effReply{ID: 1, Status: 200, Body: []byte("first")})
 		run()
@@ -49,7 +48,8 @@
 	}
 }
 
-// Calls at once, answered in any order and some of them given up on, each get their own reply.
+// Concurrent requests, answered in any order and some of them abandoned, each get their own
+// reply.
 func TestServerManyAtOnce(t *testing.T) {
 	h, ports, _ := serverTaken()
 	h.loop.executor.node.config.current.Version = 1
@@ -78,7 +78,7 @@
 		case job := <-h.loop.queue:
 			job(h.loop.executor)
 			for _, req := range *held {
-				if req.id%3 != 0 || len(h.loop.queue) == 0 { // some wait for others that came later
+				if req.id%3 != 0 || len(h.loop.queue) == 0 { // some are answered only after later ones
 					ports.Reply(effReply{ID: req.id, Status: 200, Body: []byte(req.path)})
 				}
 			}
--- a/internal/daemon/identity_test.go
+++ b/internal/daemon/identity_test.go
@@ -15,12 +15,12 @@
 	"github.com/tidwall/gjson"
 )
 
-// jobBody is a job of one short task in the queue that the setup of deployment hakata has.
+// jobBody returns a job of one short task.
 func jobBody(queue string) []byte {
 	return fmt.Appendf(nil, `{"queue":%q,"steps":[{"name":"a","tasks":[{"name":"t","room":1,"payload":{"ms":50}}]}]}`, queue)
 }
 
-// idOwnedBy gives a job id whose slice a daemon holds.
+// idOwnedBy returns a job ID in a shard that this daemon owns.
 func idOwnedBy(w *world, owner *simNode, prefix string) string {
 	for i := 0; ; i++ {
 		id := fmt.Sprintf("%s-%d", prefix, i)
@@ -30,7 +30,7 @@
 	}
 }
 
-// frontAndOwner gives a daemon that owns no slice and one that does.
+// frontAndOwner returns a daemon that owns no shard and one that does.
 func frontAndOwner(t *testing.T, w *world) (front, owner *simNode) {
 	t.Helper()
 	for _, name := range sortedKeys(w.nodes) {
@@ -47,10 +47,9 @@
 	return front, owner
 }
 
-// A daemon is back within a second. The answer to a caller of its earlier life
-// comes late, under the number that a new caller's request bears by now. It
-// must not become the new caller's answer: here "taken" for a job that the
-// owner has never heard of.
+// A daemon restarts within a second, and the response to a caller of its earlier process
+// arrives late, under the number that a new caller's request now has. It must not be returned
+// to the new caller: that would acknowledge a job that the owner never received.
 func TestAnswerBelongsToItsInstance(t *testing.T) {
 	w := formed(t, 1, "hakata")
 	w.run(3000)
@@ -60,7 +59,7 @@
 	handed, withheld := false, 0
 	w.detain = func(from, to string, msg any) int64 {
 		switch m := msg.(type) {
-		case *wire.ForwardReply: // of the first life, until the second has handed a request over
+		case *wire.ForwardReply: // to the first process, until the second has forwarded a request
 			if from == owner.Name && to == front.Name && !handed {
 				withheld++
 				return 700_000
@@ -68,7 +67,7 @@
 		case *wire.Forward:
 			if from == front.Name && m.Key == second {
 				handed = true
-				return 400_000 // the owner knows nothing of it while the late answer comes
+				return 400_000 // the late response arrives before this request
 			}
 		}
 		return 0
@@ -78,7 +77,7 @@
 		w.run(100)
 		front.start()
 	}
-	restart() // its numbers begin anew
+	restart() // its numbers start again
 	w.until(2000, func() bool {
 		h, _ := front.sh.node.leases.Holder("slice/" + front.sh.node.shardOf(first))
 		return h == owner.Name
@@ -92,7 +91,7 @@
 		return h == owner.Name
 	}),
 		must.Sprint("the second life knows no owner in time"))
-	front.sh.node.forwardSeq = numbers - 1 // workers' reports may have taken numbers: the next one is that of the first caller
+	front.sh.node.forwardSeq = numbers - 1 // workers' reports may have used numbers: the next one is that of the first caller again
 	status, _, body, took := w.asked("caller", front, "job.put", second, jobBody(queue))
 	must.True(t, handed)
 	must.Eq(t, 201, status)
@@ -100,13 +99,13 @@
 	must.Positive(t, front.sh.node.counts["late_responses"])
 }
 
-// addressedTo tells whether a daemon takes a message with that addressee.
+// addressedTo reports whether a daemon accepts a message with this addressee.
 func addressedTo(n *node, to uint64, msg any) bool {
 	return n.acceptsFrame(wire.Header{From: "b", Instance: 77, To: to}, msg)
 }
 
-// A message is taken by the one it names only: a request by its name, a
-// response by the life that asked, a greeting by whoever listens.
+// A message is accepted only by its addressee: a request by daemon name, a response by the
+// process that sent the request, and a first contact by any process at the address.
 func TestMessageBelongsToItsAddressee(t *testing.T) {
 	n := newNode(nodeConfig{Name: "a", Incarnation: 5, Instance: 1234}, nil)
 	for _, kind := range wire.Kinds() {
@@ -119,14 +118,14 @@
 		must.False(t, addressedTo(n, addresseeID("b"), msg), must.Sprint(typ))
 		must.False(t, addressedTo(n, 1235, msg), must.Sprint(typ))
 	}
-	n.Incarnation = 99 // is raised within a life; the life is not
+	n.Incarnation = 99 // the incarnation may rise while the process stays the same
 	must.True(t, addressedTo(n, 1234, &wire.ForwardReply{}))
 	must.Positive(t, n.counts["late_responses"])
 	must.Positive(t, n.counts["messages_misaddressed"])
 }
 
-// A response bears the life of the request that it answers, whatever life the
-// asker has by then.
+// A response is addressed to the process that sent the request, even if a newer process runs
+// there now.
 func TestResponseBelongsToTheInstanceThatAsked(t *testing.T) {
 	w := formed(t, 2, "ikenna")
 	n := w.nodes["d01"].sh.node
@@ -155,7 +154,7 @@
 	}
 }
 
-// Frames of the form before are refused, whatever they hold, and not misread.
+// Frames of the former format are rejected, and never decoded as something else.
 func TestFormerFormIsRefused(t *testing.T) {
 	former := struct {
 		Magic         uint64
--- a/internal/daemon/incident_test.go
+++ b/internal/daemon/incident_test.go
@@ -11,10 +11,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// How long a run took is known only where both its start and its end were seen
-// when they happened. A daemon that stood still, or that began while the run was
-// at work, says so and nothing is learned from it: in the incidents such runs
-// counted as the daemon's own age, or as nothing.
+// A run time is known only if both the start and the end were observed as they happened. After
+// a freeze, or for an attempt found running at startup, nothing is learned. In the incidents
+// such attempts were recorded with the daemon's own age or with zero.
 func TestIncidentRunTimesThatNobodySaw(t *testing.T) {
 	key := wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}
 	ended := `,"ended":[{"n":1,"job":"j1","round":0,"step":0,"index":0,"run":1,"saved":"","outcome":"ok"}]`
@@ -59,8 +58,8 @@
 	must.Eq(t, 120.0, mean)
 }
 
-// A daemon that stood still says so and for how long: the logs of the incidents
-// told a freeze from a cut only by when a lease was seen to be over.
+// A daemon that was frozen logs this and for how long. In the logs of the incidents a freeze
+// could be told from a network cut only by the expiry of leases.
 func TestIncidentFreezeIsLogged(t *testing.T) {
 	n := newNode(nodeConfig{Name: "edge-1", Incarnation: 1, Zone: "east"}, nil)
 	var told []effLog
@@ -74,9 +73,9 @@
 	must.Eq(t, []effLog{{Event: "stood_still", Pairs: []any{"ms", int64(4900)}}}, told)
 }
 
-// After the daemon with the central scheduler dies, firm work starts as soon as the
-// agents have spoken to its successor: in each incident gangs stood still for a
-// second more, and queueable work that had begun meanwhile was stopped for them.
+// After the daemon with the central scheduler dies, guaranteed work starts as soon as the
+// agents have reported to its successor. In each incident gangs waited a second longer, and
+// queueable work that had started meanwhile was preempted for them.
 func TestIncidentSuccessorGrantsSoon(t *testing.T) {
 	b := formPlatform(t, 5, "ikenna")
 	dead := b.holder("central")
@@ -96,7 +95,7 @@
 	verdictOfPlatform(t, b)
 }
 
-// The users' grown deployments at a third of their size, with as much work for each worker.
+// The users' grown deployments at a third of their size, with the same load for each worker.
 var thirdOfGrownDeployments = map[string]platformDeployment{
 	"hakata grown": {name: "hakata grown", edges: 8, sides: 24, disks: 5, capacity: amounts{64000, 262144}, speeds: []float64{0.8, 1, 1.25}, holdMaxMs: 10_000, gangWaitMs: 4000, saveMs: 500,
 		restoreMs: 600, spread: 1.5, perSec: 17.4, rackSize: 9, service: "resale-engine", beatMs: 1500, tries: 5, callerMs: 1200, againMs: 150, stopMs: 200, kinds: []platformKind{
@@ -122,7 +121,7 @@
 		}},
 }
 
-// crowd sends more of one kind of job, x times as much as usual.
+// crowd submits more jobs of one kind, x times as many as usual.
 func (b *platformWorld) crowd(kind int, x float64, ms int64) {
 	sum := 0.0
 	for i := range b.deployment.kinds {
@@ -141,7 +140,7 @@
 	next()
 }
 
-// setups sends valid changes, a pair on the same version and a faulty one.
+// setups sends valid changes, a pair on the same version and an invalid one.
 func (b *platformWorld) setups(n int, gapMs int64) {
 	for i := range n {
 		b.after(int64(i)*gapMs*1000, func() {
@@ -155,7 +154,7 @@
 	}
 }
 
-// blackout takes the power of all machines and workers right after a setup was
+// blackout cuts the power of all machines and workers right after a configuration was
 // acknowledged; they come back one after the other.
 func (b *platformWorld) blackout(downMs, spreadMs int64) {
 	b.settled()
@@ -189,8 +188,8 @@
 	return out
 }
 
-// incidents are the mixes of faults reconstructed in docs/incidents.md, and the
-// least share of all jobs and rounds that must end within their aim.
+// incidents are the mixes of faults reconstructed in docs/incidents.md, with the minimum share
+// of all jobs and rounds that must end within their targets.
 var incidents = map[string]struct {
 	site  string
 	play  func(b *platformWorld)
@@ -281,7 +280,7 @@
 	}, 0.7},
 }
 
-// coreBlackout takes the power of all core machines right after a setup was
+// coreBlackout cuts the power of all core machines right after a configuration was
 // acknowledged; one of them comes back with an empty disk.
 func (b *platformWorld) coreBlackout(downMs int64) {
 	b.settled()
@@ -294,7 +293,7 @@
 	}
 }
 
-// settled sends a setup and waits until it was acknowledged.
+// settled sends a configuration and waits until it is acknowledged.
 func (b *platformWorld) settled() {
 	base := b.version
 	b.putSetup(b.usualSetup(), base+1, base, nil)
@@ -303,8 +302,8 @@
 	}
 }
 
-// TestIncidents brings the users' incidents about without their bench: no rule
-// may be broken, and so much must be done in time.
+// TestIncidents simulates the users' incidents: no rule may be broken, and the minimum share
+// of the work must be done in time.
 func TestIncidents(t *testing.T) {
 	from, count := uint64(3), 1
 	if *seedsFlag > 0 {
@@ -316,7 +315,7 @@
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
 				b := formPlatform(t, seed, incidents[name].site)
-				b.jobRng = rand.New(rand.NewPCG(seed, 11)) // the day is the same whatever changes in the product
+				b.jobRng = rand.New(rand.NewPCG(seed, 11)) // the jobs stay the same whatever changes in the product
 				incidents[name].play(b)
 				b.finish(120_000)
 				verdictOfPlatform(t, b)
--- a/internal/daemon/lease_test.go
+++ b/internal/daemon/lease_test.go
@@ -13,8 +13,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// holders names the daemons that may act on a duty at this moment: those whose
-// own clock says that their lease still runs, whether they are frozen or not.
+// holders returns the daemons that may act in a role now: those whose own clock says that
+// their lease is still valid, including frozen ones.
 func (w *world) holders(duty string) []string {
 	var out []string
 	for _, name := range sortedKeys(w.nodes) {
@@ -29,7 +29,7 @@
 	return out
 }
 
-// countsEpoch tells whether a daemon is counting a role's epoch up.
+// countsEpoch reports whether a daemon is raising the epoch of a role.
 func (n *node) countsEpoch(role string) bool {
 	for _, change := range n.changes {
 		if change.kind == "duty" && string(change.argument) == role {
@@ -39,7 +39,7 @@
 	return false
 }
 
-// lastPoll gives the newest round of polls among a daemon's effects.
+// lastPoll returns the newest poll among a daemon's effects.
 func lastPoll(t *testing.T, n *node) *wire.PollRequest {
 	t.Helper()
 	for _, e := range slices.Backward(n.effects) {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// heldOnce runs the world on and demands that never two daemons hold a duty.
+// heldOnce advances the simulation and requires that no role ever has two holders.
 func (w *world) heldOnce(t *testing.T, ms int64, duties ...string) {
 	t.Helper()
 	for end := w.nowMs() + ms; w.nowMs() < end; w.run(2) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// stepUntil runs the world on, one happening at a time, until something holds.
+// stepUntil advances the simulation event by event until holds returns true.
 func (w *world) stepUntil(ms int64, holds func() bool) bool {
 	for end := w.nowMs() + ms; w.nowMs() < end && !holds(); {
 		w.step()
@@ -73,7 +73,7 @@
 	return holds()
 }
 
-// oneWay cuts what one host sends another, or joins it again.
+// oneWay cuts or restores the path from one host to another.
 func (w *world) oneWay(from, to string, cut bool) {
 	if cut {
 		w.cuts[[2]string{from, to}] = true
@@ -82,9 +82,9 @@
 	}
 }
 
-// A member that started anew forgets its grants, and its register may lack the
-// newest epoch. Its grant must then not help a second holder to the duty, though
-// another member that did not grant the first one's lease knows that epoch.
+// A restarted member has lost its grants, and its register may lack the newest epoch. Its
+// grant must not give a role to a second holder, even if the other member that grants knows
+// that epoch but did not grant the first holder's lease.
 func TestLeaseOutlivesARestartedMember(t *testing.T) {
 	for seed := range uint64(6) {
 		w := served(t, 7100+seed)
@@ -97,7 +97,7 @@
 		must.True(t, w.stepUntil(100, func() bool { return first.sh.node.accepts("duty/" + name) }))
 		w.oneWay("d05", "d00", true)
 		must.True(t, w.stepUntil(100, func() bool { return first.sh.node.leases.Serves(name) }))
-		w.oneWay("d05", "d02", true) // no renewal gets there
+		w.oneWay("d05", "d02", true) // renewals don't reach this member
 		w.nodes["d00"].kill(false)
 		w.nodes["d00"].start()
 		second.sh.node.leases.Acquire(name)
@@ -110,7 +110,7 @@
 	}
 }
 
-// accepts tells whether a change of a register is in its second round.
+// accepts reports whether a change of a register is in its second phase.
 func (n *node) accepts(reg string) bool {
 	for _, id := range sortedKeys(n.changes) {
 		if change := n.changes[id]; change.Register == reg {
@@ -120,16 +120,16 @@
 	return false
 }
 
-// leaseFaults are what goes wrong around leases, each for a moment.
+// leaseFaults are short faults that affect leases.
 var leaseFaults = []func(w *world, core []string){
-	func(w *world, core []string) { // a member forgets its grants
+	func(w *world, core []string) { // a member loses its grants
 		n := w.nodes[w.some(core)]
 		if n.up {
 			n.kill(w.rng.IntN(2) == 0)
 		}
 		n.start()
 	},
-	func(w *world, _ []string) { // a daemon is back at once, now and then with its wall clock set back
+	func(w *world, _ []string) { // a daemon restarts at once, sometimes with its wall clock set back
 		n := w.someNode()
 		if n.up {
 			n.kill(false)
@@ -139,7 +139,7 @@
 		}
 		n.start()
 	},
-	func(w *world, core []string) { // a way is cut, one way
+	func(w *world, core []string) { // a path is cut in one direction
 		from, to := w.someNode().Name, w.some(core)
 		if w.rng.IntN(2) == 0 {
 			from, to = to, from
@@ -147,7 +147,7 @@
 		w.oneWay(from, to, true)
 		w.after(w.rng.Int64N(2_500_000), func() { w.oneWay(from, to, false) })
 	},
-	func(w *world, core []string) { // a member is cut off from one half of the others
+	func(w *world, core []string) { // a member can't send to half of the others
 		at := w.some(core)
 		for _, other := range sortedKeys(w.nodes) {
 			if other != at && w.rng.IntN(2) == 0 {
@@ -165,7 +165,7 @@
 		}
 	},
 	func(w *world, _ []string) { w.someNode().skewMs += w.rng.Int64N(40_000) - 20_000 },
-	func(w *world, _ []string) { // a holder hands a duty on
+	func(w *world, _ []string) { // a holder hands its roles to another daemon
 		if n := w.holderOf("slice/" + w.some([]string{"east", "west", "mid"})); n != nil {
 			for _, name := range n.sh.node.leases.Roles() {
 				if kind, _ := lease.SplitRole(name); kind == lease.KindShard && n.sh.node.leases.Serves(name) {
@@ -176,8 +176,8 @@
 	},
 }
 
-// Whatever is cut, frozen, restarted, delayed or has its clock moved, never two
-// daemons may act on one duty, at cores of three and of five.
+// Under cuts, freezes, restarts, delays and clock changes no role ever has two holders, with
+// cores of three and of five.
 func TestLeaseIsHeldOnce(t *testing.T) {
 	for seed := range uint64(seedsOr(6)) {
 		w := coreWorld(7200+*fromFlag+seed, 3+2*int(seed%2), []string{"east", "west", "mid", "east", "west", "mid"}, 4)
@@ -201,7 +201,7 @@
 	}
 }
 
-// members names the newest core's members.
+// members returns the members of the newest core.
 func (w *world) members() []string {
 	var set quorum.Set
 	for _, n := range w.nodesInOrder() {
@@ -212,7 +212,7 @@
 	return set.Names()
 }
 
-// seedsOr is how many seeds to run: those asked for, or CI's number.
+// seedsOr returns the number of seeds to run: that of -seeds, or else count.
 func seedsOr(count int) int {
 	if *seedsFlag > 0 {
 		return *seedsFlag
@@ -220,8 +220,8 @@
 	return count
 }
 
-// A daemon that raises its incarnation looks to the core as if its former life
-// were over, though it is the same process: it lets go of its leases first.
+// A daemon that raises its incarnation looks restarted to the core although its process goes
+// on, so it first releases its leases.
 func TestLeaseEndsWithItsIncarnation(t *testing.T) {
 	w := served(t, 7300)
 	first, second := w.nodes["d05"], w.nodes["d06"]
@@ -230,7 +230,7 @@
 	must.True(t, w.until(2000, func() bool { return first.sh.node.leases.Holds(name) }))
 	said := first.sh.node.peers.Self()
 	said.Incarnation++
-	for _, other := range sortedKeys(w.nodes) { // a daemon that is back tells of a life with a later clock
+	for _, other := range sortedKeys(w.nodes) { // the other daemons report a process with a later clock, as after a restart
 		if other != "d05" {
 			w.nodes[other].sh.node.onGossip("d07", &wire.Gossip{Self: said})
 		}
@@ -243,8 +243,8 @@
 	must.True(t, w.until(1000, func() bool { return second.sh.node.leases.Holds(name) }))
 }
 
-// A grant that was asked for before a duty was let go says nothing of the duty
-// when it is wanted again.
+// A grant that was requested before a role was released doesn't count when the role is
+// requested again.
 func TestLeaseRequestedBeforeItWasReleased(t *testing.T) {
 	w := served(t, 7301)
 	n := w.nodes["d05"].sh.node
@@ -267,8 +267,8 @@
 	must.False(t, n.countsEpoch(name))
 }
 
-// A lease that has run out is not brought back by a late grant, even before the
-// tick that drops it: others may have held the duty in between.
+// An expired lease is not revived by a late grant, even before the tick that drops it: others
+// may have held the role meanwhile.
 func TestLeaseThatRanOutIsNotRenewed(t *testing.T) {
 	w := served(t, 7302)
 	n := w.nodes["d05"].sh.node
@@ -291,8 +291,8 @@
 	must.False(t, n.leases.Serves(name))
 }
 
-// A member takes no release and renews no lease from a poll that a later one of
-// the same life has overtaken, and renews none under an epoch that has passed.
+// A member ignores releases and renewals in a poll that a later one of the same process has
+// overtaken, and renews no lease under a past epoch.
 func TestLeasePollsOutOfOrder(t *testing.T) {
 	n, say := coreMemberOf(t)
 	poll := func(from string, seq, epoch uint64, released bool) *wire.PollResponse {
@@ -304,15 +304,15 @@
 		return a
 	}
 	must.True(t, poll("x08", 5, 0, false).Granted[0])
-	must.Nil(t, poll("x08", 4, 0, true)) // held up on its way: the duty was taken anew since
+	must.Nil(t, poll("x08", 4, 0, true)) // delayed: the role has been acquired again since
 	must.False(t, poll("x09", 1, 0, false).Granted[0])
 	must.True(t, poll("x08", 6, 4, false).Granted[0])
 	n.store.Register("duty/slice/some").Value = codec.Append(nil, wire.RoleHolder{Name: "slice/some", Holder: "x09", Incarnation: 1, Epoch: 5})
 	must.False(t, poll("x08", 7, 4, false).Granted[0])
 }
 
-// A member that starts anew keeps to the core set on its disk, though a daemon
-// that missed the last change speaks to it first.
+// A restarted member keeps the core set on its disk, even if the first message comes from a
+// daemon that missed the last change.
 func TestRestartedMemberKeepsItsCoreSet(t *testing.T) {
 	w := served(t, 7303)
 	member := w.nodes["d01"]
@@ -332,8 +332,8 @@
 	must.Eq(t, next.Version, n.core.Version)
 }
 
-// A daemon beside a worker that starts again with its wall clock set back numbers
-// its agent below the former one's: owners must hear of the worker all the same.
+// A daemon with a colocated worker restarts with its wall clock set back, so its agent's epoch
+// is below the former one. The owners must still accept the worker's reports.
 func TestAgentOfAClockSetBack(t *testing.T) {
 	b := formPlatform(t, 7800, "hakata")
 	b.traffic()
@@ -343,7 +343,7 @@
 	n.kill(false)
 	n.incs = ^uint64(0) // its next incarnation is far below the last
 	b.run(300)
-	b.cutFrom(host, sortedKeys(b.nodes), true, true) // its worker's beats come before any word of its former life
+	b.cutFrom(host, sortedKeys(b.nodes), true, true) // the worker's heartbeats arrive before any message about the former process
 	n.start()
 	must.True(t, b.until(4000, func() bool { return n.sh.node.agents[worker] != nil }))
 	b.cuts = map[[2]string]bool{}
--- a/internal/daemon/linear_test.go
+++ b/internal/daemon/linear_test.go
@@ -13,8 +13,9 @@
 	"github.com/tidwall/gjson"
 )
 
-// readingNode gives a daemon that has just sent a poll, and what has the core
-// confirm its setup for its newest poll; read tells whether a read was answered.
+// readingNode returns a daemon that has just sent a poll. confirm has the core confirm the
+// configuration for the newest poll, and read reports whether a request was answered with a
+// status.
 func readingNode(t *testing.T, seed uint64) (n *node, confirm func(), read func(status int) bool) {
 	w := served(t, seed)
 	w.putAnywhere(t, 2, 0)
@@ -36,8 +37,8 @@
 	return n, confirm, read
 }
 
-// A poll that was sent in the millisecond in which a read came, but before it,
-// says nothing of what was acknowledged in between.
+// A poll sent in the same millisecond as a read, but before it, doesn't confirm what was
+// acknowledged in between.
 func TestReadWaitsForALaterPoll(t *testing.T) {
 	n, confirm, read := readingNode(t, 7500)
 	n.onRequest(evRequest{ID: 9, Op: "setup.get", Base: -1})
@@ -49,8 +50,8 @@
 	must.True(t, read(200))
 }
 
-// Where a daemon froze between a poll and its answers, these confirm nothing for
-// a call that is answered after it woke.
+// After a freeze between a poll and its responses, these confirm nothing for a request that is
+// answered after the freeze.
 func TestReadIsCheckedAfterAFreeze(t *testing.T) {
 	n, confirm, read := readingNode(t, 7501)
 	n.onRequest(evRequest{ID: 9, Op: "setup.get", Base: -1})
@@ -62,24 +63,24 @@
 	must.True(t, read(503))
 }
 
-// registerOp is one call of an operator in the history that is judged.
+// registerOp is one operation of an operator in the checked history.
 type registerOp struct {
-	sentUs, doneUs int64 // doneUs 0 while it has no answer
+	sentUs, doneUs int64 // doneUs is 0 without an answer
 	read           bool
-	version, base  int64 // of a read: what it gave
+	version, base  int64 // for a read: the version returned
 	text           string
 	status         int
-	current        int64 // that a refusal named
+	current        int64 // the version named by a rejection
 }
 
-// registerHistory collects the calls of all operators.
+// registerHistory collects the operations of all operators.
 type registerHistory struct {
 	w   *world
 	ops []*registerOp
 }
 
-// call has an operator send one call to some daemon; done gets its answer, or
-// none after the time that operators wait.
+// call sends one operation to a random daemon. done runs after the answer or the operator's
+// timeout.
 func (h *registerHistory) call(from string, op *registerOp, done func()) {
 	e := evRequest{Op: "setup.get", Base: -1}
 	if !op.read {
@@ -101,8 +102,8 @@
 	})
 }
 
-// operator reads and writes until the world's time is over: an order builds on
-// what was read last, has an uneven step, and is sent again until it is answered.
+// operator reads and writes until untilMs. A change builds on the version read last, raises it
+// by one to three, and is sent again until it is answered.
 func (h *registerHistory) operator(name string, untilMs int64) {
 	newest, count := int64(0), 0
 	var next func()
@@ -148,15 +149,15 @@
 	later(next)
 }
 
-// faults gives every way in which the history breaks the register's word:
-// what was acknowledged is seen by every later read, reads never go back, one
-// document stands under one number, one change builds on one version, what is
-// refused never stands, and a refusal names a version that stands instead.
+// faults returns the violations of linearizability in the history. Acknowledged changes are
+// visible to every later read, reads never go back, one version has one document, one version
+// has one accepted successor, a rejected change is never in force, and a rejection names a
+// version that is in force instead.
 func (h *registerHistory) faults() (out []string) {
 	bad := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	show := func(o *registerOp) string { return fmt.Sprintf("%+v", *o) }
 	stood, sent := map[int64]string{}, map[int64]map[string]int64{}
-	builtOn := map[int64]int64{} // base -> the version that was acknowledged on it
+	builtOn := map[int64]int64{} // accepted version by the version it builds on
 	answered := slices.DeleteFunc(slices.Clone(h.ops), func(o *registerOp) bool { return o.doneUs == 0 })
 	for _, o := range h.ops {
 		if o.read {
@@ -189,7 +190,7 @@
 	}
 	slices.SortFunc(answered, func(a, b *registerOp) int { return cmp.Compare(a.doneUs, b.doneUs) })
 	for _, o := range answered {
-		newest := int64(0) // acknowledged or read before this one was sent
+		newest := int64(0) // acknowledged or read before this operation was sent
 		for _, before := range answered {
 			if before.doneUs < o.sentUs && before.status == 200 {
 				newest = max(newest, before.version)
@@ -207,14 +208,15 @@
 	return out
 }
 
-// registerFaults go on beside the operators: leases' own and lost answers.
+// registerFaults are the faults while operators work: those of leases, lost answers, cuts and
+// long freezes.
 var registerFaults = append([]func(w *world, core []string){
-	func(w *world, _ []string) { // answers are lost on their way to an operator
+	func(w *world, _ []string) { // answers to an operator are lost
 		at, to := w.someNode().Name, fmt.Sprint("operator", w.rng.IntN(4))
 		w.oneWay(at, to, true)
 		w.after(w.rng.Int64N(3_000_000), func() { w.oneWay(at, to, false) })
 	},
-	func(w *world, _ []string) { // a daemon is cut off whole, for longer than a lease
+	func(w *world, _ []string) { // a daemon is cut off for longer than a lease
 		at, lastsUs := w.someNode().Name, 1_500_000+w.rng.Int64N(3_000_000)
 		out, in := w.rng.IntN(3) != 0, w.rng.IntN(3) != 0
 		w.cutFrom(at, sortedKeys(w.nodes), out, in)
@@ -228,9 +230,9 @@
 	func(w *world, _ []string) { w.someNode().freeze(2000 + w.rng.Int64N(9000)) },
 }, leaseFaults[:len(leaseFaults)-1]...)
 
-// Operators read and write the setup through daemons that are cut off, frozen,
-// killed and have their clocks moved, with answers lost and delayed: the setup
-// stays one register to all of them.
+// Operators read and write the configuration through daemons that are cut off, frozen, killed
+// and have their clocks changed, with answers lost and delayed. The configuration must remain
+// one linearizable register.
 func TestConfigIsLinearizable(t *testing.T) {
 	for seed := range uint64(seedsOr(8)) {
 		w := coreWorld(7600+*fromFlag+seed, 3+2*int(seed%2), []string{"east", "west", "mid", "east", "west", "mid"}, 4)
--- a/internal/daemon/measure_test.go
+++ b/internal/daemon/measure_test.go
@@ -12,7 +12,7 @@
 
 var measureFlag = flag.Bool("measure", false, "print measurements of both deployments in simulated time")
 
-// measured is what a run of usual traffic came to, in simulated ms.
+// measured is the result of a run of usual traffic, in simulated ms.
 type measured struct {
 	jobs, ended        int
 	p50, p99           int64
@@ -30,8 +30,8 @@
 	return v[min(len(v)-1, int(q*float64(len(v))))]
 }
 
-// measure runs the same jobs at the same times whatever the settings, so that
-// runs of one seed are pairs.
+// measure runs the same jobs at the same times whatever the settings, so that runs of one seed
+// can be compared in pairs.
 func measure(seed uint64, dep string, rate float64, change func(*nodeConfig), during func(*world)) measured {
 	d := historycheck.Deployments[dep]
 	w := newWorld(seed, d)
--- a/internal/daemon/membership_test.go
+++ b/internal/daemon/membership_test.go
@@ -16,23 +16,23 @@
 	"github.com/tidwall/gjson"
 )
 
-// slotWorld is a world whose core members come and go, with an operator and a
-// caller who remember what was acknowledged.
+// slotWorld is a world in which core members are replaced, with an operator and a caller that
+// record what was acknowledged.
 type slotWorld struct {
 	*world
 	t       *testing.T
 	size    int
 	seed    uint64
-	version int64 // of the newest configuration acknowledged
+	version int64 // the newest acknowledged configuration
 	jobs    []string
 	away    map[string]bool // machines that never come back
 }
 
-// losses is how many members may be lost at once.
+// losses returns how many members may be lost at once.
 func (s *slotWorld) losses() int { return (s.size - 1) / 2 }
 
-// newSlotWorld gives a served core of size members, all disks in use, and
-// daemons without a disk that newcomers are made of.
+// newSlotWorld returns a serving core of size members that uses all disks, and daemons without
+// a disk from which newcomers are made.
 func newSlotWorld(t *testing.T, seed uint64, size int) *slotWorld {
 	t.Helper()
 	s := &slotWorld{world: coreWorld(seed, size, []string{"east", "west", "mid", "east", "west"}[:size], 5), t: t, size: size, seed: seed, away: map[string]bool{}}
@@ -47,7 +47,7 @@
 
 func (s *slotWorld) why() must.Setting { return must.Sprint(s.size, s.seed, s.told()) }
 
-// asker is a daemon that stands through the whole run.
+// asker returns a daemon that runs during the whole test.
 func (s *slotWorld) asker() *simNode { return s.nodes[fmt.Sprintf("d%02d", s.size)] }
 
 // newcomer starts a machine with an empty disk at a new address.
@@ -60,7 +60,7 @@
 	return n
 }
 
-// acknowledge has one more configuration and one more job taken.
+// acknowledge has one more configuration and one more job accepted.
 func (s *slotWorld) acknowledge() {
 	s.t.Helper()
 	next := s.version + 1
@@ -76,7 +76,7 @@
 	s.jobs = append(s.jobs, id)
 }
 
-// keepsAll demands that all that was acknowledged is there, soon.
+// keepsAll requires that everything acknowledged can be read soon.
 func (s *slotWorld) keepsAll() {
 	s.t.Helper()
 	must.True(s.t, s.until(12_000, func() bool {
@@ -92,7 +92,7 @@
 	}
 }
 
-// full tells whether the core has all its members, each up and with a disk that works.
+// full reports whether the core has all its members, each up and with a working disk.
 func (s *slotWorld) full() bool {
 	c := s.cluster()
 	if c == nil || len(c.Members) != s.size {
@@ -106,8 +106,7 @@
 	return true
 }
 
-// wipeSome takes the disks of so many members at once, and brings the machines
-// back empty.
+// wipeSome wipes the disks of count members at once, and restarts the machines.
 func (s *slotWorld) wipeSome(count int, but ...*simNode) {
 	var from []*simNode
 	for _, m := range s.newestSet().Members {
@@ -124,7 +123,7 @@
 	}
 }
 
-// newestSet gives the newest core set that any daemon knows.
+// newestSet returns the newest core set that any running daemon knows.
 func (s *slotWorld) newestSet() (set quorum.Set) {
 	for _, name := range sortedKeys(s.nodes) {
 		if n := s.nodes[name]; n.up && n.sh.node.core.Version > set.Version {
@@ -134,10 +133,10 @@
 	return set
 }
 
-// member gives a member by its place in the set.
+// member returns a member by its position in the newest core set.
 func (s *slotWorld) member(i int) *simNode { return s.nodes[s.newestSet().Members[i].Name] }
 
-// gone takes a machine out for good.
+// gone removes a machine for good.
 func (s *slotWorld) gone(n *simNode) {
 	s.away[n.Name] = true
 	if n.up {
@@ -145,17 +144,17 @@
 	}
 }
 
-// fillDisk fills a member's disk for a while, in which it is written to.
+// fillDisk fills a member's disk for ms.
 func (s *slotWorld) fillDisk(n *simNode, ms int64) {
 	n.disk.full = true
 	s.after(ms*1000, func() { n.disk.full = false })
 }
 
-// catchUpMs is how long a new machine has until it counts.
+// catchUpMs is the time a new machine has to catch up before it counts.
 const catchUpMs = 4000
 
-// slotScenarios are runs in which members come and go, each followed by a loss of
-// as many disks as the core must bear, at a moment that the seed decides.
+// slotScenarios are runs in which members are replaced. Each is followed by a loss of as many
+// disks as the core must tolerate, at a time drawn from the seed.
 var slotScenarios = map[string]func(s *slotWorld){
 	"disk full, planned replacement, then wiped": func(s *slotWorld) {
 		leaving := s.member(s.rng.IntN(s.size))
@@ -197,7 +196,7 @@
 		s.newcomer(0)
 		s.run(catchUpMs)
 		leaving.event(evStop{})
-		if s.rng.IntN(2) == 0 { // in the middle of it, while the leaving one still is there
+		if s.rng.IntN(2) == 0 { // during the replacement, while the leaving member is still up
 			s.run(s.rng.Int64N(900))
 			if leaving.up {
 				s.wipeSome(s.losses())
@@ -228,7 +227,7 @@
 		s.run(s.rng.Int64N(1200))
 		fresh.kill(s.rng.IntN(2) == 0)
 		s.after(300_000+s.rng.Int64N(4_000_000), fresh.start)
-		s.acknowledge() // the others go on
+		s.acknowledge() // the others continue
 		must.True(s.t, s.until(membership.HandoverMs+500, func() bool { return !leaving.up }), s.why())
 		s.gone(leaving)
 		must.True(s.t, s.until(16_000, s.full), s.why())
@@ -251,7 +250,7 @@
 		s.acknowledge()
 		must.True(s.t, s.until(membership.HandoverMs+500, func() bool { return !leaving.up }), s.why())
 		s.gone(leaving)
-		s.acknowledge() // though the newcomer still stands still
+		s.acknowledge() // although the newcomer's disk is still stalled
 		must.Less(s.t, fresh.disk.stallUs, s.nowUs, s.why())
 		must.True(s.t, s.until(12_000, s.full), s.why())
 		s.acknowledge()
@@ -259,7 +258,7 @@
 	},
 	"the leaving member alone has what another lacks": func(s *slotWorld) {
 		leaving := s.member(0)
-		for i := range s.losses() { // these hear nothing of what is acknowledged now
+		for i := range s.losses() { // these don't store what is acknowledged now
 			s.member(1 + i).disk.stallUs = s.nowUs + 3_000_000
 		}
 		s.acknowledge()
@@ -268,7 +267,7 @@
 		leaving.event(evStop{})
 		must.True(s.t, s.until(membership.HandoverMs+500, func() bool { return !leaving.up }), s.why())
 		s.gone(leaving)
-		holders := s.newestSet().Members[:] // those that have it beside the newcomer
+		holders := s.newestSet().Members[:] // the members that have it, besides the newcomer
 		for range s.losses() {
 			for _, m := range holders {
 				if n := s.nodes[m.Name]; n.up && n.disk.stallUs == 0 && m.Name != holders[len(holders)-1].Name {
@@ -282,8 +281,8 @@
 	},
 }
 
-// Members come and go, and a second loss comes right then, at sizes 3 and 5:
-// nothing acknowledged is lost, and the core is full again soon.
+// Members are replaced and a second loss follows immediately, at sizes 3 and 5. Nothing
+// acknowledged is lost, and the core is complete again soon.
 func TestMembersComeAndGo(t *testing.T) {
 	count, from := 6, uint64(5000)
 	if *seedsFlag > 0 {
@@ -306,8 +305,8 @@
 	}
 }
 
-// Two members of five are lost for good, two newcomers come, and two more are
-// wiped as soon as these had their time.
+// Two members of five are lost for good, two newcomers start, and two more members are wiped
+// as soon as the newcomers had time to catch up.
 func TestTwoRepairsAtOnce(t *testing.T) {
 	for seed := range uint64(12) {
 		s := newSlotWorld(t, 5200+seed, 5)
@@ -329,8 +328,8 @@
 	}
 }
 
-// A newcomer that stands ready takes a seat soon after its member is surely
-// gone, and a leaving member's seat before that has ended.
+// A spare that has caught up replaces a member soon after that member is certainly gone, and a
+// leaving member before that member has ended.
 func TestSlotTakenSoon(t *testing.T) {
 	worstKilled, worstLeft := int64(0), int64(0)
 	for seed := range uint64(10) {
@@ -361,7 +360,7 @@
 	must.Less(t, 2000, worstLeft)
 }
 
-// A member that restarts keeps its seat, though a spare stands ready.
+// A restarted member stays in the core set although a spare is ready.
 func TestRestartingMemberKeepsItsSlot(t *testing.T) {
 	for seed := range uint64(8) {
 		s := newSlotWorld(t, 5400+seed, 3)
@@ -379,7 +378,7 @@
 	}
 }
 
-// A member whose disk is full and has room again is the member it was.
+// A member whose disk was full stays in the core set and works again once there is space.
 func TestFullDiskComesBack(t *testing.T) {
 	for seed := range uint64(8) {
 		s := newSlotWorld(t, 5500+seed, 3)
@@ -394,7 +393,7 @@
 		}
 		must.Eq(t, set.Version, s.newestSet().Version, s.why())
 		s.keepsAll()
-		a, b := s.member(0), s.member(1) // and two at different times, overlapping
+		a, b := s.member(0), s.member(1) // and two with overlapping faults
 		s.fillDisk(a, 3000)
 		s.run(1500)
 		s.fillDisk(b, 3000)
@@ -405,9 +404,9 @@
 	}
 }
 
-// The newest member of a set that is larger than full copies anew from f+1 others
-// under that set before the leaving one is removed: what these acknowledged
-// between its first copy and their hearing of the larger set is in no other copy.
+// The newest member of a larger set copies again from f+1 others under that set before the
+// leaving member is removed. Writes that these acknowledged between its first copy and their
+// adoption of the larger set are in no other copy.
 func TestCopiedAgainBeforeRemoval(t *testing.T) {
 	n := newNode(nodeConfig{Name: "d", Addr: "d:1", Instance: 7, Disk: true, DiskID: 4}, statestore.New())
 	n.store.Apply(statestore.Entry{Kind: statestore.EntryFormationVote, Value: quorum.Set{Cluster: 9}.Encode()})
@@ -451,8 +450,8 @@
 	must.True(t, removes)
 }
 
-// A successor whose disk stalls once it is in the larger set is taken out again
-// before the leaving member ends: the core goes on without either.
+// A successor whose disk stalls after it joined the larger set is removed again before the
+// leaving member ends: the core goes on without either.
 func TestStalledSuccessorIsTakenOut(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		s := newSlotWorld(t, 5600, size)
@@ -472,8 +471,8 @@
 	}
 }
 
-// A failing disk keeps its seat while a newcomer stands by, which goes to the
-// member that leaves.
+// A member with a failing disk stays in the core set while a newcomer is ready; the newcomer
+// replaces the member that leaves.
 func TestNewcomerTakesTheLeavingSlot(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		s := newSlotWorld(t, 5700, size)
@@ -495,7 +494,7 @@
 	}
 }
 
-// A member that loses its seat while it runs begins again as another disk.
+// A member that is removed from the core set while it runs starts over with a new disk ID.
 func TestFormerMemberStartsOver(t *testing.T) {
 	s := newSlotWorld(t, 5800, 3)
 	other := s.member(1)
@@ -510,9 +509,9 @@
 	must.True(t, s.full(), s.why())
 }
 
-// What a daemon does when it learns of the next set: changes of registers begin
-// anew, a new member isn't silent yet, and the newest member of a set that became
-// full grants no lease for as long as one may be held that it never knew of.
+// When a daemon adopts the next core set, changes of registers start again, a new member is
+// not yet unresponsive, and the newest member of a set that is back to its size grants no
+// lease until leases that it doesn't know of have expired.
 func TestNextSetIsLearned(t *testing.T) {
 	n := newNode(nodeConfig{Name: "d", Addr: "d:1", Disk: true, DiskID: 4}, statestore.New())
 	n.store.Apply(statestore.Entry{Kind: statestore.EntryFormationVote, Value: quorum.Set{Cluster: 9}.Encode()})
--- a/internal/daemon/orderbytes_test.go
+++ b/internal/daemon/orderbytes_test.go
@@ -16,15 +16,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// cutWorker takes orders and cuts or stalls the exchange at one byte of it.
+// cutWorker is a worker that resets or stalls the exchange of an order at a given byte.
 type cutWorker struct {
 	ln       net.Listener
-	request  int  // bytes read before the cut; -1 to read it whole
+	request  int  // bytes read before the cut; -1 to read all
 	response int  // bytes then written before the cut
-	stall    bool // say nothing more, instead of a reset
+	stall    bool // stall instead of a reset
 	mu       sync.Mutex
 	conns    int
-	told     int // whole orders that were read
+	told     int // complete orders read
 	done     chan struct{}
 }
 
@@ -68,10 +68,10 @@
 	_, _ = conn.Write([]byte(workerResponse)[:c.response])
 }
 
-// An order is reset or met with silence at each byte of it and of its answer.
-// The worker is told once at most, on one connection, and what the courier says
-// of it is true: "started" of an order that was read whole and answered,
-// "not_sent" only of one that never left.
+// The exchange of an order is reset or stalls at each byte of the request and of the response.
+// The order reaches the worker at most once, on one connection, and its outcome is correct:
+// "started" only for an order that was read and answered, "not_sent" only for one that never
+// left.
 func TestOrderCutAtEachByte(t *testing.T) {
 	order := []byte(`{"id":"job.0.0.1"}`)
 	whole := orderBytes(t, order)
@@ -91,11 +91,11 @@
 			what := fmt.Sprintf("cut at byte %d of the order, %d of the answer, stall %v: %q, told %d times on %d connections", request, response, stall, outcome, c.told, c.conns)
 			head := strings.Index(workerResponse, "{}")
 			want := "unknown"
-			if request < 0 && response >= head { // the status stands once its head is whole
+			if request < 0 && response >= head { // the status is known once the header is complete
 				want = "started"
 			}
 			if request == 0 && outcome == "not_sent" {
-				want = outcome // the line was gone before the first byte left
+				want = outcome // the connection was reset before the first byte was sent
 			}
 			if outcome != want || c.conns > 1 || c.told > 1 || want == "started" && c.told != 1 {
 				t.Error(what)
@@ -113,7 +113,7 @@
 	wg.Wait()
 }
 
-// orderBytes gives an order as it goes over the line.
+// orderBytes returns an order as it is sent over a connection.
 func orderBytes(t *testing.T, body []byte) []byte {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -139,8 +139,8 @@
 	return <-got
 }
 
-// An order goes to its worker alone: an answer that points elsewhere has it
-// told to nobody else, and to nobody twice.
+// An order is sent to its worker only and only once, even if the worker answers with a
+// redirect.
 func TestOrderIsNotSentOn(t *testing.T) {
 	for _, status := range []int{301, 302, 303, 307, 308} {
 		var first, second atomic.Int64
--- a/internal/daemon/path_test.go
+++ b/internal/daemon/path_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// formed gives a world that has formed and taken its first setup.
+// formed returns a world with a formed cluster and its first configuration.
 func formed(t *testing.T, seed uint64, dep string) *world {
 	t.Helper()
 	w := newWorld(seed, historycheck.Deployments[dep])
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -23,8 +23,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// runningTime counts the time in which this process got the processor when it asked
-// for it. Where nothing else keeps the machine busy that is the time of the wall.
+// runningTime counts the time during which this process could run when it was ready. On an
+// idle machine this is the wall clock time.
 type runningTime struct {
 	spent atomic.Int64 // ns
 	stop  chan struct{}
@@ -41,24 +41,24 @@
 			case <-r.stop:
 				return
 			case <-time.After(runningTimeStep):
-				r.spent.Add(int64(runningTimeStep)) // however late it comes
+				r.spent.Add(int64(runningTimeStep)) // however late it fires
 			}
 		}
 	}()
 	return r
 }
 
-// Tests take ports of this range, which lies below that of outgoing connections.
+// Ports for tests, below the range of outgoing connections.
 const (
 	testPortsFrom = 10_000
 	testPorts     = 18_000
 )
 
-// portOfThisProcess is where it looks for free ports, far from other processes that
-// run the same test.
+// portOfThisProcess returns the first port to try, far from those of other processes that run
+// the same test.
 func portOfThisProcess() int { return testPortsFrom + os.Getpid()%100*(testPorts/100) }
 
-// freeAddrs gives loopback addresses that nobody listens at, from a port on.
+// freeAddrs returns loopback addresses without a listener, starting at a port.
 func freeAddrs(from, count int) ([]string, error) {
 	var out []string
 	for port := from; len(out) < count && port < min(from+4*count+100, 32_000); port++ {
@@ -74,23 +74,23 @@
 	return out, nil
 }
 
-// fleet is a small fleet of real processes on loopback.
+// fleet is a small cluster of real processes on loopback.
 type fleet struct {
 	t     *testing.T
 	bin   string
 	dir   string
 	http  []string
 	addr  []string
-	seeds []string // of daemons started from now on
+	seeds []string // for daemons started from now on
 	lists []string // workers' addresses
 	cores int64
 	procs map[string]*exec.Cmd
 	clock *runningTime
 }
 
-// freePorts gives addresses that nobody listens at, below the range from which the
-// kernel takes the ports of outgoing connections: any process's may take one of those
-// before a daemon here listens at it, or while it is down. It gives none twice.
+// freePorts returns addresses without a listener. They are below the kernel's range for
+// outgoing connections, because a port in that range could be taken by any process before a
+// daemon listens on it, or while it is down. No address is returned twice.
 func freePorts(t *testing.T, n int) []string {
 	from := (portOfThisProcess() - testPortsFrom + int(portsGiven.Add(int64(n))) - n) % testPorts
 	addrs, err := freeAddrs(testPortsFrom+from, n)
@@ -98,7 +98,7 @@
 	_, port, _ := strings.Cut(addrs[n-1], ":")
 	last, err := strconv.Atoi(port)
 	must.NoError(t, err)
-	portsGiven.Add(int64(last - (testPortsFrom + from + n - 1))) // those that others listen at
+	portsGiven.Add(int64(last - (testPortsFrom + from + n - 1))) // skip the ports that were in use
 	return addrs
 }
 
@@ -154,9 +154,9 @@
 	return resp.StatusCode, b, err
 }
 
-// settled calls until an answer is final and as wanted, for at most 30 s of this
-// process's running time. ok is also told whether an earlier try was left without a
-// final answer: it may have been taken.
+// settled repeats a request until ok accepts a final answer, for at most 30 s of this
+// process's running time. again tells ok that an earlier try got no final answer and may have
+// been executed.
 func (f *fleet) settled(method, path, body string, ok func(status int, answer []byte, again bool) bool) {
 	f.t.Helper()
 	unclear := false
@@ -198,7 +198,7 @@
 	return f
 }
 
-// like tells whether every field of want stands in got; "…" stands for anything.
+// like reports whether every field of want is in got; "…" matches anything.
 func like(want, got any) bool {
 	switch w := want.(type) {
 	case map[string]any:
@@ -223,12 +223,12 @@
 	return want == "…" || want == got
 }
 
-// offsetOfNoon gives the offset in minutes of a place where it is about noon: the
-// page's night is far off there, whenever the test runs.
+// offsetOfNoon returns the offset in minutes of a place where it is about noon, so that the
+// night of the page's example is far off whenever the test runs.
 func offsetOfNoon(now time.Time) int { return 12*60 - (now.UTC().Hour()*60 + now.UTC().Minute()) }
 
-// The calls of docs/protocol.md, made to real processes, and then the daemons
-// killed one by one while a job waits.
+// Makes the calls of docs/protocol.md to real processes, and then kills the daemons one by one
+// while a job waits.
 func TestProcesses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -257,7 +257,7 @@
 			if json.Unmarshal(b, &got) != nil {
 				return false
 			}
-			if again && status == 201 && s == 200 { // the earlier try was taken: this one is told that it stands
+			if again && status == 201 && s == 200 { // the earlier try was executed: this one reports the existing job
 				must.Eq(t, gjson.Get(want, "id").Str, gjson.GetBytes(b, "id").Str, must.Sprint(block, string(b)))
 				return true
 			}
--- a/internal/daemon/product_test.go
+++ b/internal/daemon/product_test.go
@@ -14,8 +14,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// A daemon that can't do anything yet says so at once; a submit that was handed
-// to it and not answered is not called refused.
+// A daemon without a core answers 503 at once. A submission that was read but not answered is
+// reported as unknown (504), not as rejected.
 func TestProductBeforeTheCore(t *testing.T) {
 	l := newControlLoop(newSteadyClock())
 	ports := &processPorts{loop: l, log: logr.Discard(), pendingReplies: map[uint64]chan effReply{}, selfAddr: "127.0.0.1:7000", exit: func() {}}
@@ -38,8 +38,8 @@
 	must.Eq(t, 400, status)
 	status, _ = call(platform.Call{Op: "queue.submit", Body: make([]byte, bodyMaxBytes+1)})
 	must.Eq(t, 400, status)
-	// The calls above are answered before the control thread's first tick, which
-	// is what readiness is told by.
+	// The calls above are answered before the control thread's first tick, on which readiness is
+	// based.
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); {
 		status, reason = call(platform.Call{Op: "ready"})
 		must.Eq(t, 503, status)
@@ -57,8 +57,8 @@
 	must.Eq(t, 503, status)
 }
 
-// A slice that is let go of answers everyone who waits there: a call that was read
-// must not end without an answer, and a job that may be kept isn't called refused.
+// An owner that gives up a shard answers all requests waiting there: no request may end
+// without an answer, and a job that may be stored isn't reported as rejected.
 func TestShardThatMovesAnswersWhoWaits(t *testing.T) {
 	w := served(t, 4900)
 	must.Eq(t, 200, w.settle(w.nodes["d00"], evRequest{Op: "setup.put", Key: "1", Base: 0, Body: queueSetup("a", `,"addresses":[{"host":"h","prefix":"/a/"}]`)}, 4000).status)
--- a/internal/daemon/rules_test.go
+++ b/internal/daemon/rules_test.go
@@ -15,11 +15,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// withdrawnWords are words of our own, or of the users' pages, that hide a standard
-// term of the field; docs/glossary.md has the term for each.
+// withdrawnWords are terms private to this project or to the users' pages; docs/glossary.md
+// has the standard term for each.
 var withdrawnWords = regexp.MustCompile(`(^| )(asks?|aside|beats?|bounced?|courier|door|downstream|duty|duties|grant entry|guise|hand over|lap|mapping|mend|seats?|siblings?|sites?|soundness|told|verdict|wants)( |$)`)
 
-// identifierWords parts a name where the language's own case does.
+// identifierWords splits a name at its changes of case.
 //
 // Example: identifierWords("HTTPAskID") == "http ask id"
 func identifierWords(name string) string {
@@ -28,15 +28,14 @@
 	return strings.ToLower(strings.ReplaceAll(name, "_", " "))
 }
 
-// withdrawnLeft is how many identifiers declared in a folder still use such a word,
-// apart in sources and tests. The numbers only go down, see docs/ROADMAP.md: a
-// folder that isn't named here has none, and one that got better gets the lower
-// number at once.
+// withdrawnLeft counts the identifiers in a folder that still use such a word, for sources and
+// tests separately. A folder that isn't listed has none. The numbers only go down, see
+// docs/ROADMAP.md: after an improvement the number is lowered at once.
 var withdrawnLeft = map[string]int{
 	"internal/daemon tests": 59,
 }
 
-// folderOf names what a file counts for.
+// folderOf returns the key under which a file is counted.
 func folderOf(path string) string {
 	folder := filepath.ToSlash(filepath.Dir(strings.TrimPrefix(path, "../../")))
 	if strings.HasSuffix(path, "_test.go") {
@@ -45,7 +44,7 @@
 	return folder
 }
 
-// sourceFiles gives all Go files of the repository, tests too.
+// sourceFiles returns all Go files of the repository, including tests.
 func sourceFiles(t *testing.T) (files []string) {
 	t.Helper()
 	for _, root := range []string{"cmd", "internal", "platform"} {
@@ -60,9 +59,9 @@
 	return files
 }
 
-// The code keeps to its own rules: no new name that hides a term of the field,
-// an example in the comment of each public function, no child processes in the
-// daemon, and no library that would do the fleet's own work.
+// Checks the rules for the code: no new identifier with a withdrawn word, an example in the
+// comment of each exported function, no child processes in the daemon, and no library that
+// does the cluster's own work.
 func TestOwnRules(t *testing.T) {
 	files := sourceFiles(t)
 	must.Greater(t, 30, len(files))
--- a/internal/daemon/setup_test.go
+++ b/internal/daemon/setup_test.go
@@ -10,13 +10,13 @@
 	"github.com/tidwall/gjson"
 )
 
-// answered is what a call in the simulated world came to.
+// answered is the result of a request in the simulated world.
 type answered struct {
 	status int
 	body   string
 }
 
-// settle runs the world on until a call is answered.
+// settle runs the simulation until a request is answered.
 func (w *world) settle(to *simNode, e evRequest, waitMs int64) answered {
 	var got answered
 	done := false
@@ -25,7 +25,7 @@
 	return got
 }
 
-// served gives a world whose core, slices and polls stand.
+// served returns a world with a core and an owner for each shard.
 func served(t *testing.T, seed uint64) *world {
 	t.Helper()
 	w := newWorld(seed, historycheck.Deployments["hakata"])
@@ -45,8 +45,8 @@
 	return fmt.Appendf(nil, `{"queues":[{"name":%q,"urgency":1%s}]}`, name, extra)
 }
 
-// Two operators build on the same version with uneven steps: one wins, the
-// other's never takes effect, and the same one sent again is told it stands.
+// Two operators build on the same version with different steps. One succeeds, the others'
+// changes never take effect, and the accepted one is acknowledged when it is sent again.
 func TestConfigOperatorsRace(t *testing.T) {
 	for seed := range uint64(12) {
 		w := served(t, 900+seed)
@@ -83,7 +83,7 @@
 	}
 }
 
-// Before the first setup the version is 0; a site emptied then stays emptied.
+// Before the first configuration the version is 0; a zone emptied then stays empty.
 func TestSetupEmptiedZones(t *testing.T) {
 	for seed := range uint64(8) {
 		w := served(t, 940+seed)
@@ -110,12 +110,12 @@
 		must.Eq(t, 200, w.settle(w.nodes["d02"], evRequest{Op: "setup.put", Key: "4", Base: 3, Body: []byte(`{"queues":[],"empty_sites":["east"]}`)}, 4000).status)
 		must.Eq(t, 200, w.settle(w.nodes["d01"], evRequest{Op: "site.open", Key: "east"}, 4000).status)
 		w.run(1000)
-		must.Eq(t, map[string]bool{"mid": true, "east": true}, w.nodes["d00"].sh.node.config.current.EmptyZones) // the document's own word stays
+		must.Eq(t, map[string]bool{"mid": true, "east": true}, w.nodes["d00"].sh.node.config.current.EmptyZones) // the zone that the document itself empties stays empty
 	}
 }
 
-// An address that no queue has is only said to be unknown by a setup confirmed
-// after the call came; one that was just added is found at every daemon.
+// An address without a queue is reported as unknown only by a configuration confirmed after
+// the request arrived; an address that was just added is found at every daemon.
 func TestConfigAddressesAreSure(t *testing.T) {
 	w := served(t, 960)
 	at := func(op, path string) evRequest { return evRequest{Op: op, Host: "one.example", Path: path, Base: -1} }
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -8,8 +8,8 @@
 	"go.uber.org/fx"
 )
 
-// A daemon's parts are put together without waiting for each other: the counts
-// for Prometheus once asked a control thread that had not begun, for 4 s.
+// The daemon's modules are assembled without waiting for each other. The Prometheus counts
+// once waited 4 s for a control thread that had not started.
 func TestStartAtOnce(t *testing.T) {
 	ports := freePorts(t, 2)
 	s := defaultSettings()
