--- a/internal/daemon/campaign_faults_test.go
+++ b/internal/daemon/campaign_faults_test.go
@@ -247,7 +247,8 @@
 		w.after(w.rng.Int64N(1_000_000), taken)
 		return func() { taken(); over = true; s.start() }
 	},
-	"worker_cut": func(w *world) func() { // it continues while its tasks are cancelled, its zone is emptied or its agent moves
+	// It continues while its tasks are cancelled, its zone is emptied or its agent moves.
+	"worker_cut": func(w *world) func() {
 		s := w.someWorker()
 		w.cutHost(s.name)
 		var undo []func()
@@ -282,7 +283,8 @@
 		n.Addr, n.HTTP = strings.Replace(n.Addr, "10.0.0", "10.0.2", 1), strings.Replace(n.HTTP, "10.0.0", "10.0.2", 1)
 		return n.start
 	},
-	"lost_after_ack": func(w *world) func() { // loss of power or of a disk right after a job or a cancellation was acknowledged or a task ended
+	// Loss of power or of a disk right after a job or a cancellation was acknowledged or a task ended.
+	"lost_after_ack": func(w *world) func() {
 		kind, wipe := w.some([]string{historycheck.JobAcked, historycheck.CancelAcked, historycheck.End}), w.rng.IntN(2) == 0
 		undo, armed, over := func() {}, true, false
 		w.onNote = func(e historycheck.Event) {
@@ -313,7 +315,8 @@
 		}
 		return w.restoreSetup
 	},
-	"worker_vanishes": func(w *world) func() { // for good, until an operator declares it lost; then a new one of the same name starts
+	// For good, until an operator declares it lost; then a new one of the same name starts.
+	"worker_vanishes": func(w *world) func() {
 		s := w.someWorker()
 		if !s.up || len(s.ended) > 0 {
 			return func() {} // results that only this worker knows would be lost with it: see docs/proof.md
--- a/internal/daemon/catchup_test.go
+++ b/internal/daemon/catchup_test.go
@@ -105,7 +105,8 @@
 		before := dark.sh.node.store.Register("setup").Accepted
 		away.start()
 		s.run(4000)
-		must.Eq(t, before, dark.sh.node.store.Register("setup").Accepted, s.why()) // the register is neither rewritten nor read by all members
+		// The register is neither rewritten nor read by all members.
+		must.Eq(t, before, dark.sh.node.store.Register("setup").Accepted, s.why())
 		must.SliceEmpty(t, s.lacks(away, dark), s.why())
 		must.SliceEmpty(t, s.lacks(away, wiped), s.why())
 		wiped.kill(true)
--- a/internal/daemon/history_test.go
+++ b/internal/daemon/history_test.go
@@ -250,7 +250,8 @@
 	w := served(t, 996)
 	first := operatorOrder{version: 1, base: 0, queue: "first"}
 	must.Eq(t, 200, w.acknowledged(t, w.nodes["d00"], first.put()).status)
-	last := w.storm(t, first, configuration.MaxPastVersions) // the list that readers receive has its final length from here on
+	// The list that readers receive has its final length from here on.
+	last := w.storm(t, first, configuration.MaxPastVersions)
 	size := func() (kept, read int) {
 		w.run(1500)
 		n := w.nodes["d00"].sh.node
--- a/internal/daemon/identity_test.go
+++ b/internal/daemon/identity_test.go
@@ -91,7 +91,8 @@
 		return h == owner.Name
 	}),
 		must.Sprint("the second life knows no owner in time"))
-	front.sh.node.forwardSeq = numbers - 1 // workers' reports may have used numbers: the next one is that of the first caller again
+	// Workers' reports may have used numbers: the next one is that of the first caller again.
+	front.sh.node.forwardSeq = numbers - 1
 	status, _, body, took := w.asked("caller", front, "job.put", second, jobBody(queue))
 	must.True(t, handed)
 	must.Eq(t, 201, status)
--- a/internal/daemon/lease_test.go
+++ b/internal/daemon/lease_test.go
@@ -230,7 +230,8 @@
 	must.True(t, w.until(2000, func() bool { return first.sh.node.leases.Holds(name) }))
 	said := first.sh.node.peers.Self()
 	said.Incarnation++
-	for _, other := range sortedKeys(w.nodes) { // the other daemons report a process with a later clock, as after a restart
+	// The other daemons report a process with a later clock, as after a restart.
+	for _, other := range sortedKeys(w.nodes) {
 		if other != "d05" {
 			w.nodes[other].sh.node.onGossip("d07", &wire.Gossip{Self: said})
 		}
@@ -343,7 +344,8 @@
 	n.kill(false)
 	n.incs = ^uint64(0) // its next incarnation is far below the last
 	b.run(300)
-	b.cutFrom(host, sortedKeys(b.nodes), true, true) // the worker's heartbeats arrive before any message about the former process
+	// The worker's heartbeats arrive before any message about the former process.
+	b.cutFrom(host, sortedKeys(b.nodes), true, true)
 	n.start()
 	must.True(t, b.until(4000, func() bool { return n.sh.node.agents[worker] != nil }))
 	b.cuts = map[[2]string]bool{}
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -550,7 +550,8 @@
 			if lone == owner.Name {
 				owner.start()
 			}
-			for c := range membership.DefaultSize { // that member's answer is among the first two that the new owner receives
+			// That member's answer is among the first two that the new owner receives.
+			for c := range membership.DefaultSize {
 				if core := fmt.Sprintf("d%02d", c); core != lone && core != second.Name {
 					w.hold[[2]string{core, second.Name}] = 30_000
 					break
--- a/internal/daemon/setup_test.go
+++ b/internal/daemon/setup_test.go
@@ -110,7 +110,8 @@
 		must.Eq(t, 200, w.settle(w.nodes["d02"], evRequest{Op: "setup.put", Key: "4", Base: 3, Body: []byte(`{"queues":[],"empty_sites":["east"]}`)}, 4000).status)
 		must.Eq(t, 200, w.settle(w.nodes["d01"], evRequest{Op: "site.open", Key: "east"}, 4000).status)
 		w.run(1000)
-		must.Eq(t, map[string]bool{"mid": true, "east": true}, w.nodes["d00"].sh.node.config.current.EmptyZones) // the zone that the document itself empties stays empty
+		// The zone that the document itself empties stays empty.
+		must.Eq(t, map[string]bool{"mid": true, "east": true}, w.nodes["d00"].sh.node.config.current.EmptyZones)
 	}
 }
 
--- a/internal/daemon/world_node_test.go
+++ b/internal/daemon/world_node_test.go
@@ -44,7 +44,8 @@
 	n.bootUs = n.w.nowUs - 1_000_000 - n.w.rng.Int64N(3_000_000_000)
 	p := n.nodeConfig
 	p.Incarnation = n.incs<<32 | uint64(n.w.nowMs())&0xffffffff
-	p.Instance = addresseeID(fmt.Sprintf("%s life %d", n.Name, n.gen)) // not drawn at random, so that the runs of existing seeds stay the same
+	// Not drawn at random, so that the runs of existing seeds stay the same.
+	p.Instance = addresseeID(fmt.Sprintf("%s life %d", n.Name, n.gen))
 	var st *statestore.Store
 	if p.Disk {
 		st = n.disk.load()
