--- a/internal/daemon/ballot_test.go
+++ b/internal/daemon/ballot_test.go
@@ -118,15 +118,15 @@
 		for _, m := range []string{"b", "c"} {
 			sentBy(second, m, answer(m, accepts2[m]))
 		}
-		must.MapNotContainsKey(t, second.changes, op.ID, must.Sprint("the second order is acknowledged"))
+		must.MapNotContainsKey(t, second.changes, op.ID, must.Sprint("the second change is acknowledged"))
 		answer("b", accepts["b"]) // late
 		for _, m := range []string{"b", "c"} {
 			var d configuration.Record
 			must.NoError(t, codec.Unmarshal(q.members[m].store.Register("setup").Value, &d))
 			doc, _ := configuration.Inflate(d.Document)
-			must.StrContains(t, string(doc), "right", must.Sprint("what was acknowledged is gone at ", m))
+			must.StrContains(t, string(doc), "right", must.Sprint("the acknowledged change is lost at ", m))
 		}
-		t.Fatal("a promise to an earlier life was counted")
+		t.Fatal("a promise to an earlier process was counted")
 	}
 	must.Eq(t, register.Pending, op.Outcome())
 }
--- a/internal/daemon/campaign_test.go
+++ b/internal/daemon/campaign_test.go
@@ -18,7 +18,7 @@
 	seedsFlag = flag.Int("seeds", 0, "how many seeds of the campaign to run; 0 for CI's fixed set")
 	fromFlag  = flag.Uint64("from", 1, "first seed")
 	dumpFlag  = flag.String("dump", "", "on failure, print the logs and this job's history")
-	onlyFlag  = flag.String("faults", "", "only these faults, parted by commas")
+	onlyFlag  = flag.String("faults", "", "only these faults, separated by commas")
 )
 
 const ciSeeds = 16
@@ -74,7 +74,7 @@
 	w = newWorld(seed, historycheck.Deployments[dep])
 	w.keepLog = true
 	if !w.until(20_000, func() bool { return w.holderOf("central") != nil }) {
-		return []string{"the fleet never formed"}, w, nil
+		return []string{"the cluster never formed"}, w, nil
 	}
 	w.putSetup(1, w.dep.InitialConfiguration(), nil)
 	w.run(3000)
@@ -105,11 +105,11 @@
 	told = append(told, final)
 	w.finalFault(final)
 	if !w.until(120_000, func() bool { return len(w.open()) == 0 }) {
-		bad = append(bad, fmt.Sprintf("%d of %d jobs open long after peace: %v", len(w.open()), len(w.jobs), w.open()[:min(6, len(w.open()))]))
+		bad = append(bad, fmt.Sprintf("%d of %d jobs open long after the last fault: %v", len(w.open()), len(w.jobs), w.open()[:min(6, len(w.open()))]))
 	}
 	w.run(3000)
 	if w.coreWhole() == nil && !w.until(30_000, func() bool { return w.coreWhole() != nil }) {
-		bad = append(bad, "the core is not whole again long after peace")
+		bad = append(bad, "the core is incomplete long after the last fault")
 	}
 	for i, b := range historycheck.Check(w.history, historycheck.DefaultBounds) {
 		if i < 6 {
@@ -138,7 +138,7 @@
 			}
 			for _, r := range historycheck.Recoveries(w.history, historycheck.DefaultBounds) {
 				stateMs, entryMs := historycheck.LongestOutages(w.history)
-				t.Logf("%s, %s: share %.2f at worst; dark: states %d ms, entry %d ms", dep, told[len(told)-1], r.Share, stateMs, entryMs)
+				t.Logf("%s, %s: lowest share %.2f; longest outage: states %d ms, entry %d ms", dep, told[len(told)-1], r.Share, stateMs, entryMs)
 			}
 			if len(bad) > 0 {
 				t.Log("faults:", told)
@@ -150,7 +150,7 @@
 							t.Log("central", name, f.Capacity, f.guaranteed, f.occupied, f.unhealthyUntilMs-n.sh.node.now, f.WorkerReportFresh, f.Rebuilt, f.Leaving, n.sh.node.now-f.receivedMs, len(f.Attempts))
 						}
 						for k, request := range n.sh.node.central.pending {
-							t.Log("want", k, request.granted, request.Resources, request.Tasks, n.sh.node.now-request.lastMs, n.sh.node.now-request.firstMs)
+							t.Log("request", k, request.granted, request.Resources, request.Tasks, n.sh.node.now-request.lastMs, n.sh.node.now-request.firstMs)
 						}
 					}
 					for _, e := range w.history {
--- a/internal/daemon/digest_test.go
+++ b/internal/daemon/digest_test.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-var digestFlag = flag.String("digest", "", "file that takes one line for each simulated world: its seed, its size and a hash over all that left its daemons")
+var digestFlag = flag.String("digest", "", "file for one line per simulated cluster: its seed, its size and a hash over everything that left its daemons")
 
 // runDigests holds the digests of all simulated clusters of this process.
 var runDigests struct {
--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -348,7 +348,7 @@
 	n := b.nodes["d01"]
 	undo := b.fillDisk("d01")
 	synced := n.disk.synced
-	must.True(t, b.putNow(5000), must.Sprint("two disks of three take a change"))
+	must.True(t, b.putNow(5000), must.Sprint("two disks of three accept a change"))
 	b.run(1000)
 	must.True(t, n.disk.failed)
 	must.False(t, n.sh.node.inCore())
@@ -385,9 +385,9 @@
 func TestFaultDiskFullOfTwo(t *testing.T) {
 	b := formedWorld(t, 4)
 	undo := allOf([]func(){b.fillDisk("d00"), b.fillDisk("d02")})
-	must.False(t, b.putNow(6000), must.Sprint("one disk of three takes nothing"))
+	must.False(t, b.putNow(6000), must.Sprint("one disk of three accepts nothing"))
 	undo()
-	must.True(t, b.until(5000, func() bool { return b.version > 1 }), must.Sprint("it is taken once there is room"))
+	must.True(t, b.until(5000, func() bool { return b.version > 1 }), must.Sprint("it is accepted once there is space"))
 	must.True(t, b.putNow(5000))
 }
 
@@ -397,7 +397,7 @@
 	b.stallDisk("d01", 4000)
 	must.False(t, b.putNow(3000))
 	must.False(t, b.nodes["d00"].disk.failed)
-	must.True(t, b.until(6000, func() bool { return b.version > 1 }), must.Sprint("it goes on where it stood"))
+	must.True(t, b.until(6000, func() bool { return b.version > 1 }), must.Sprint("it continues after the stall"))
 	b.stallDisk("d02", 3000)
 	b.nodes["d02"].kill(true)
 	b.nodes["d02"].start()
@@ -419,8 +419,8 @@
 		d.append(n, []statestore.Entry{{}}, func() {})
 		w.run(10)
 		synced := d.synced
-		d.append(n, []statestore.Entry{{}, {}, {}}, func() { t.Error("it was acknowledged") })
-		d.append(n, []statestore.Entry{{}}, func() { t.Error("it was acknowledged") })
+		d.append(n, []statestore.Entry{{}, {}, {}}, func() { t.Error("a lost entry was acknowledged") })
+		d.append(n, []statestore.Entry{{}}, func() { t.Error("a lost entry was acknowledged") })
 		n.kill(power)
 		w.run(100)
 		return len(d.entries) - synced
@@ -437,7 +437,7 @@
 	b.replacePlanned("d01", 1000)
 	must.True(t, b.until(10_000, func() bool { return b.nodes["d01"].removed }))
 	must.Eq(t, []string{"d00", "n01", "d02"}, b.disks())
-	must.True(t, b.until(15_000, func() bool { return len(b.coreWhole()) == membership.DefaultSize }), must.Sprint("the new machine has the seat"))
+	must.True(t, b.until(15_000, func() bool { return len(b.coreWhole()) == membership.DefaultSize }), must.Sprint("the new machine replaces the old one in the core"))
 	must.True(t, b.nodes["n01"].sh.node.inCore())
 	b.nodes["d01"].start()
 	must.False(t, b.nodes["d01"].up)
@@ -466,7 +466,7 @@
 		return false
 	})
 	must.False(t, b.putNow(4000))
-	must.Greater(t, 1, taken, must.Sprint("each time it came again it was acknowledged"))
+	must.Greater(t, 1, taken, must.Sprint("each retry was acknowledged"))
 	undo()
 	must.True(t, b.until(3000, func() bool { return b.version > 1 }))
 }
--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -27,7 +27,7 @@
 // sources were renamed and split into packages. They hold what that release stored on disk and
 // sent over the network; later revisions must read and write the same. They are rewritten,
 // with -update-fixtures, only for an intended and announced change of a format.
-var updateFixtures = flag.Bool("update-fixtures", false, "write the files under testdata anew instead of comparing with them")
+var updateFixtures = flag.Bool("update-fixtures", false, "rewrite the files under testdata instead of comparing with them")
 
 // compareFixture compares a file under testdata with the current output.
 func compareFixture(t *testing.T, name string, got []byte) {
@@ -40,7 +40,7 @@
 	}
 	want, err := os.ReadFile(path)
 	must.NoError(t, err)
-	must.True(t, bytes.Equal(want, got), must.Sprintf("%s differs: %d bytes are\n%.2000s", name, len(got), got))
+	must.True(t, bytes.Equal(want, got), must.Sprintf("%s differs, got %d bytes:\n%.2000s", name, len(got), got))
 }
 
 // sampleValue fills a value so that no two adjacent fields are equal.
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -22,9 +22,9 @@
 )
 
 var (
-	fleetFlag     = flag.String("fleet", "", "deployment whose whole fleet of real processes is run under faults; empty to leave it out")
-	fleetSecsFlag = flag.Int("fleet-seconds", 120, "how long callers send in that run")
-	fleetSeedFlag = flag.Uint64("fleet-seed", 1, "of the faults")
+	fleetFlag     = flag.String("fleet", "", "deployment to run as real processes under faults; empty skips the test")
+	fleetSecsFlag = flag.Int("fleet-seconds", 120, "seconds during which callers submit jobs in that run")
+	fleetSeedFlag = flag.Uint64("fleet-seed", 1, "seed of the faults in that run")
 )
 
 // unrest applies faults to a cluster of real processes, one at a time.
--- a/internal/daemon/formation_test.go
+++ b/internal/daemon/formation_test.go
@@ -275,7 +275,7 @@
 			}
 			return true
 		}), must.Sprint(move))
-		t.Logf("moved %v: heard everywhere after %d ms", move, w.nowMs()-at)
+		t.Logf("moved %v: accepted everywhere after %d ms", move, w.nowMs()-at)
 	}
 }
 
@@ -374,7 +374,7 @@
 			return
 		}
 	}
-	t.Fatal("no other owner was met")
+	t.Fatal("no shard has another owner")
 }
 
 // A disk that voted for one formation votes against any conflicting one, and keeps its vote
--- a/internal/daemon/history_test.go
+++ b/internal/daemon/history_test.go
@@ -54,7 +54,7 @@
 		}
 		got = w.settle(to, e, 4000)
 		return got.status != 0 && got.status != 503
-	}), must.Sprint("no clear answer of ", to.Name, " ", got))
+	}), must.Sprint("no final answer from ", to.Name, " ", got))
 	return got
 }
 
@@ -157,7 +157,7 @@
 					d := n.sh.node.config.record
 					doc, _ := configuration.Inflate(d.Document)
 					queue := gjson.GetBytes(doc, "queues.0.name").Str
-					must.True(t, inForce[d.Version] == "" || inForce[d.Version] == queue, must.Sprint("two under ", d.Version))
+					must.True(t, inForce[d.Version] == "" || inForce[d.Version] == queue, must.Sprint("two documents under version ", d.Version))
 					inForce[d.Version] = queue
 				}
 			}
@@ -200,13 +200,13 @@
 				won[o.base]++
 				must.True(t, inForce[o.version] == o.queue || inForce[o.version] == "", must.Sprint(seed, o, inForce))
 			} else {
-				must.NotEq(t, o.queue, inForce[o.version], must.Sprint(seed, " refused, and in force: ", o))
+				must.NotEq(t, o.queue, inForce[o.version], must.Sprint(seed, " rejected, but in force: ", o))
 			}
 		}
 		must.Eq(t, 36, len(answers))
 		must.Eq(t, 12, len(won))
 		for b, count := range won {
-			must.Eq(t, 1, count, must.Sprint(seed, " acknowledged on ", b))
+			must.Eq(t, 1, count, must.Sprint(seed, " changes acknowledged on version ", b))
 		}
 	}
 }
--- a/internal/daemon/identity_test.go
+++ b/internal/daemon/identity_test.go
@@ -83,14 +83,14 @@
 		return h == owner.Name
 	})
 	w.ask("caller", front, "job.put", first, jobBody(queue), 5000, func(int, int64, []byte) {})
-	must.True(t, w.until(500, func() bool { return withheld > 0 }), must.Sprint("the owner answered nothing"))
+	must.True(t, w.until(500, func() bool { return withheld > 0 }), must.Sprint("the owner sent no answer"))
 	numbers := front.sh.node.forwardSeq
 	restart()
 	must.True(t, w.until(600, func() bool {
 		h, _ := front.sh.node.leases.Holder("slice/" + front.sh.node.shardOf(second))
 		return h == owner.Name
 	}),
-		must.Sprint("the second life knows no owner in time"))
+		must.Sprint("the second process found no owner in time"))
 	// Workers' reports may have used numbers: the next one is that of the first caller again.
 	front.sh.node.forwardSeq = numbers - 1
 	status, _, body, took := w.asked("caller", front, "job.put", second, jobBody(queue))
--- a/internal/daemon/incident_test.go
+++ b/internal/daemon/incident_test.go
@@ -26,13 +26,13 @@
 		beats   []lists
 		ranMs   int64
 	}{
-		"seen":                           {true, []lists{{50, running("j1", 0, 1, 1)}, {50, running("j1", 0, 1, 50)}, {50, ended}}, 100},
-		"over before the next beat":      {true, []lists{{60, ended}}, 60},
-		"over while the daemon froze":    {true, []lists{{3500, ended}}, 0},
-		"its end while the daemon froze": {true, []lists{{50, running("j1", 0, 1, 1)}, {3500, ended}}, 0},
-		"begun while the daemon froze":   {true, []lists{{3500, running("j1", 0, 1, 60)}, {50, ended}}, 0},
-		"found at work":                  {false, []lists{{50, running("j1", 0, 1, 60)}, {50, ended}}, 0},
-		"found at its end":               {false, []lists{{50, ended}}, 0},
+		"seen":                                {true, []lists{{50, running("j1", 0, 1, 1)}, {50, running("j1", 0, 1, 50)}, {50, ended}}, 100},
+		"ended before the next heartbeat":     {true, []lists{{60, ended}}, 60},
+		"ended while the daemon was frozen":   {true, []lists{{3500, ended}}, 0},
+		"its end while the daemon was frozen": {true, []lists{{50, running("j1", 0, 1, 1)}, {3500, ended}}, 0},
+		"started while the daemon was frozen": {true, []lists{{3500, running("j1", 0, 1, 60)}, {50, ended}}, 0},
+		"found running":                       {false, []lists{{50, running("j1", 0, 1, 60)}, {50, ended}}, 0},
+		"found ended":                         {false, []lists{{50, ended}}, 0},
 	} {
 		n, beat := pinned(t)
 		beat(100_000, "")
@@ -323,7 +323,7 @@
 				for _, row := range b.inAim() {
 					owed, done = owed+row[0], done+row[1]
 				}
-				t.Logf("%d of %d in aim: %.3f", done, owed, float64(done)/float64(owed))
+				t.Logf("%d of %d within their targets: %.3f", done, owed, float64(done)/float64(owed))
 				must.GreaterEq(t, incidents[name].share, float64(done)/float64(owed))
 			})
 		}
--- a/internal/daemon/lease_test.go
+++ b/internal/daemon/lease_test.go
@@ -59,7 +59,7 @@
 	for end := w.nowMs() + ms; w.nowMs() < end; w.run(2) {
 		for _, duty := range duties {
 			if held := w.holders(duty); len(held) > 1 {
-				t.Fatalf("at %d ms %s is held by %v", w.nowMs(), duty, held)
+				t.Fatalf("at %d ms %s has several holders: %v", w.nowMs(), duty, held)
 			}
 		}
 	}
@@ -197,7 +197,7 @@
 			taken += strings.Count(line, " role_taken ")
 			raised += strings.Count(line, " incarnation_raised ")
 		}
-		t.Logf("seed %d: duties taken %d times, incarnations raised %d times", seed, taken, raised)
+		t.Logf("seed %d: roles acquired %d times, incarnations raised %d times", seed, taken, raised)
 	}
 }
 
@@ -360,8 +360,8 @@
 		return true
 	}
 	at := b.nowMs()
-	must.True(t, b.until(4000, heard), must.Sprint("its agent is not heard of"))
-	t.Logf("heard after %d ms", b.nowMs()-at)
+	must.True(t, b.until(4000, heard), must.Sprint("the owners did not accept reports of its agent"))
+	t.Logf("accepted after %d ms", b.nowMs()-at)
 	b.run(2000)
 	must.True(t, heard())
 	b.finish(30_000)
--- a/internal/daemon/linear_test.go
+++ b/internal/daemon/linear_test.go
@@ -175,7 +175,7 @@
 			continue
 		}
 		if at, ok := sent[o.version][o.text]; o.read && (!ok || at > o.doneUs) {
-			bad("nobody sent this under this number: %s", show(o))
+			bad("no such document was sent under this version: %s", show(o))
 		}
 		if text, ok := stood[o.version]; ok && text != o.text {
 			bad("version %d was %q and %q", o.version, text, o.text)
@@ -198,11 +198,11 @@
 		}
 		switch {
 		case o.read && o.status == 200 && o.version < newest:
-			bad("version %d was known before this read: %s", newest, show(o))
+			bad("version %d was visible before this read: %s", newest, show(o))
 		case o.status == 409 && (o.current == o.base || o.current < newest || sent[o.current] == nil):
-			bad("a wrong refusal, where %d was known: %s", newest, show(o))
+			bad("wrong rejection although version %d was visible: %s", newest, show(o))
 		case o.status == 409 && stood[o.version] == o.text:
-			bad("a change that was accepted is refused: %s", show(o))
+			bad("an accepted change is rejected: %s", show(o))
 		}
 	}
 	return out
--- a/internal/daemon/membership_test.go
+++ b/internal/daemon/membership_test.go
@@ -171,7 +171,7 @@
 		s.run(s.rng.Int64N(40))
 		s.wipeSome(s.losses())
 	},
-	"disk full for long, replaced, then wiped": func(s *slotWorld) {
+	"disk full for 25 s, replaced, then wiped": func(s *slotWorld) {
 		other := s.member(s.rng.IntN(s.size))
 		s.fillDisk(other, 25_000)
 		s.acknowledge()
@@ -208,7 +208,7 @@
 			s.wipeSome(s.losses())
 		}
 	},
-	"planned replacement, the leaving one crashes": func(s *slotWorld) {
+	"planned replacement, the leaving member crashes": func(s *slotWorld) {
 		leaving := s.member(s.rng.IntN(s.size))
 		s.newcomer(0)
 		s.run(catchUpMs)
@@ -234,7 +234,7 @@
 		s.acknowledge()
 		s.wipeSome(s.losses())
 	},
-	"a spare's disk stalls in the copy": func(s *slotWorld) {
+	"spare's disk stalls during the copy": func(s *slotWorld) {
 		leaving := s.member(s.rng.IntN(s.size))
 		fresh := s.newcomer(0)
 		planned := s.rng.IntN(2) == 0
@@ -256,7 +256,7 @@
 		s.acknowledge()
 		s.wipeSome(s.losses())
 	},
-	"the leaving member alone has what another lacks": func(s *slotWorld) {
+	"only the leaving member has a write that another lacks": func(s *slotWorld) {
 		leaving := s.member(0)
 		for i := range s.losses() { // these don't store what is acknowledged now
 			s.member(1 + i).disk.stallUs = s.nowUs + 3_000_000
@@ -355,7 +355,7 @@
 			}
 		}
 	}
-	t.Logf("full again %d ms after a kill, %d ms after a stop, at most", worstKilled, worstLeft)
+	t.Logf("complete again %d ms after a kill, %d ms after a stop, at most", worstKilled, worstLeft)
 	must.Less(t, membership.UnresponsiveMs+2000, worstKilled)
 	must.Less(t, 2000, worstLeft)
 }
--- a/internal/daemon/orderbytes_test.go
+++ b/internal/daemon/orderbytes_test.go
@@ -88,7 +88,7 @@
 			_ = ln.Close()
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			what := fmt.Sprintf("cut at byte %d of the order, %d of the answer, stall %v: %q, told %d times on %d connections", request, response, stall, outcome, c.told, c.conns)
+			what := fmt.Sprintf("cut at byte %d of the order, %d of the answer, stall %v: %q, received %d times on %d connections", request, response, stall, outcome, c.told, c.conns)
 			head := strings.Index(workerResponse, "{}")
 			want := "unknown"
 			if request < 0 && response >= head { // the status is known once the header is complete
@@ -155,7 +155,7 @@
 		worker.Close()
 		other.Close()
 		must.Eq(t, 1, first.Load(), must.Sprint(status))
-		must.Zero(t, second.Load(), must.Sprint(status, " was sent on"))
+		must.Zero(t, second.Load(), must.Sprint(status, " was redirected"))
 		must.Eq(t, "unknown", outcome, must.Sprint(status))
 	}
 }
--- a/internal/daemon/path_test.go
+++ b/internal/daemon/path_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	w := newWorld(seed, historycheck.Deployments[dep])
 	w.keepLog = true
-	must.True(t, w.until(20_000, func() bool { return w.holderOf("central") != nil }), must.Sprint("the fleet never formed"))
+	must.True(t, w.until(20_000, func() bool { return w.holderOf("central") != nil }), must.Sprint("the cluster never formed"))
 	status := 0
 	w.putSetup(1, w.dep.InitialConfiguration(), func(s int) { status = s })
 	must.True(t, w.until(10_000, func() bool { return status != 0 }))
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -166,7 +166,7 @@
 			return
 		}
 		unclear = unclear || err != nil || status == 503
-		must.Less(f.t, end, f.clock.spent.Load(), must.Sprint(method, " ", path, " last gave ", status, " ", string(b), err))
+		must.Less(f.t, end, f.clock.spent.Load(), must.Sprint(method, " ", path, " last returned ", status, " ", string(b), err))
 	}
 }
 
--- a/internal/daemon/product_test.go
+++ b/internal/daemon/product_test.go
@@ -93,5 +93,5 @@
 		must.MapNotContainsKey(t, n.shards, name)
 		return
 	}
-	t.Fatal("no owner was met")
+	t.Fatal("no shard has an owner")
 }
--- a/internal/daemon/rules_test.go
+++ b/internal/daemon/rules_test.go
@@ -117,7 +117,7 @@
 	for _, file := range sortedKeys(found) {
 		now += fmt.Sprintf("\t%q: %d,\n", file, len(found[file]))
 		if len(found[file]) > withdrawnLeft[file] {
-			t.Errorf("%s declares %d such names, not %d: %v", file, len(found[file]), withdrawnLeft[file], found[file])
+			t.Errorf("%s declares %d identifiers with withdrawn words, not %d: %v", file, len(found[file]), withdrawnLeft[file], found[file])
 		}
 	}
 	for _, file := range sortedKeys(withdrawnLeft) {
@@ -126,7 +126,7 @@
 		}
 	}
 	if t.Failed() {
-		t.Log("as it is:\n" + now)
+		t.Log("current numbers:\n" + now)
 	}
 	mod, err := os.ReadFile("../../go.mod")
 	must.NoError(t, err)
--- a/internal/daemon/scenario_helpers_test.go
+++ b/internal/daemon/scenario_helpers_test.go
@@ -82,7 +82,7 @@
 		must.NotNil(t, n)
 		n.kill(false)
 		at := w.nowMs()
-		must.True(t, w.until(8000, func() bool { h := w.holderOf(duty); return h != nil && h != n }), must.Sprint("nobody took ", duty))
+		must.True(t, w.until(8000, func() bool { h := w.holderOf(duty); return h != nil && h != n }), must.Sprint("no new holder of ", duty))
 		w.run(15_000)
 		usual, after := w.endedIn(at-10_000, at), w.endedIn(at+6000, at+16_000)
 		must.GreaterEq(t, usual/2, after, must.Sprintf("%d tasks ended in 10 s before, %d from 6 s after", usual, after))
--- a/internal/daemon/scenario_run_test.go
+++ b/internal/daemon/scenario_run_test.go
@@ -13,7 +13,7 @@
 	"github.com/shoenig/test/must"
 )
 
-var longFlag = flag.Int("long", 0, "minutes that a site is cut off in TestLongCut; 0 to leave it out")
+var longFlag = flag.Int("long", 0, "minutes that a zone is cut off in TestLongCut; 0 skips it")
 
 // A zone is cut off for hours and rejoins while the others go on and callers on both sides
 // send at their usual rate.
@@ -67,7 +67,7 @@
 					allDone(t, w, s.waitMs)
 					verdictOf(t, w)
 					stateMs, entryMs := historycheck.LongestOutages(w.history)
-					t.Logf("dark: states %d ms, entry %d ms", stateMs, entryMs)
+					t.Logf("longest outage: states %d ms, entry %d ms", stateMs, entryMs)
 					if t.Failed() {
 						t.Log(w.counts())
 					}
@@ -105,5 +105,5 @@
 	must.LessEq(t, configuration.MaxQueueJobs*3, entered)
 	status, _, _, _ := w.asked("caller", w.nodes["d05"], "job.put", "urgent-1", []byte(`{"queue":"signoff","steps":[{"name":"a","tasks":[{"name":"t","room":1}]}]}`))
 	must.Eq(t, 201, status)
-	t.Log("entered", entered, "bounced", bounced)
+	t.Log("accepted", entered, "rejected", bounced)
 }
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -26,7 +26,7 @@
 		must.Positive(t, w.endedIn(at+4000, at+12_000))
 		w.nodes["d01"].start()
 	}, 30_000},
-	"firm work stops queueable runs": {"ikenna", func(t *testing.T, w *world) {
+	"guaranteed work preempts queueable attempts": {"ikenna", func(t *testing.T, w *world) {
 		for i := range 4 { // lets the owners learn the run time
 			w.submit(w.oneTask("logbook", 1900, 1, 60_000, 3))
 			w.run(int64(3000 + i))
@@ -59,7 +59,7 @@
 			must.Eq(t, "cancelled", j.state)
 		}
 	}, 10_000},
-	"sent again to every daemon": {"hakata", func(t *testing.T, w *world) {
+	"job resent to every daemon": {"hakata", func(t *testing.T, w *world) {
 		j := w.submit(w.oneTask("confirm", 300, 1, 10_000, 1))
 		for _, name := range sortedKeys(w.nodes) {
 			w.ask("caller", w.nodes[name], "job.put", j.id, j.body, 3000, func(status int, _ int64, _ []byte) {
@@ -76,7 +76,7 @@
 		status, _, _, _ = w.asked("caller", w.nodes["d09"], "job.get", "never-sent", nil)
 		must.Eq(t, 404, status)
 	}, 10_000},
-	"site cut off": {"hakata", func(t *testing.T, w *world) {
+	"zone cut off": {"hakata", func(t *testing.T, w *world) {
 		w.traffic(60_000)
 		w.run(8000)
 		w.cutZone("west")
@@ -84,7 +84,7 @@
 		must.True(t, w.until(8000, func() bool {
 			h := w.holderOf("slice/west")
 			return h != nil && h.Zone != "west"
-		}), must.Sprint("the slice of the cut-off site did not move"))
+		}), must.Sprint("the shard of the cut-off zone did not move"))
 		w.run(3000)
 		// The side that is cut off rejects calls at once, with a time for the retry.
 		status, retryMs, _, tookMs := w.asked("d05", w.nodes["d02"], "job.put", "job-at-cut", []byte(`{"queue":"confirm","steps":[{"name":"a","tasks":[{"name":"t","room":1}]}]}`))
@@ -97,11 +97,11 @@
 				started++
 			}
 		}
-		must.Zero(t, started, must.Sprint("the cut-off site started work it may not"))
+		must.Zero(t, started, must.Sprint("work was started in the cut-off zone"))
 		w.run(240_000)
 		w.heal()
 		healed := w.nowMs()
-		must.True(t, w.until(20_000, func() bool { h := w.holderOf("slice/west"); return h != nil && h.Zone == "west" }), must.Sprint("the slice did not go home"))
+		must.True(t, w.until(20_000, func() bool { h := w.holderOf("slice/west"); return h != nil && h.Zone == "west" }), must.Sprint("the shard did not return to its zone"))
 		w.traffic(10_000)
 		w.run(10_000)
 		back := 0
@@ -125,7 +125,7 @@
 		after := w.endedIn(back+12_000, back+22_000)
 		must.GreaterEq(t, usual/4, after, must.Sprintf("%d tasks in 10 s before, %d from 12 s after", usual, after))
 	}, 40_000},
-	"disk wiped right after a setup": {"ikenna", func(t *testing.T, w *world) {
+	"disk wiped right after a configuration change": {"ikenna", func(t *testing.T, w *world) {
 		for v := int64(2); v <= 7; v++ {
 			s, done := w.dep.InitialConfiguration(), 0
 			s.Note = fmt.Sprint("version ", v)
@@ -155,7 +155,7 @@
 			must.Eq(t, 1, wins, must.Sprint(got))
 		}
 	}, 1000},
-	"huge setup": {"ikenna", func(t *testing.T, w *world) {
+	"large configuration": {"ikenna", func(t *testing.T, w *world) {
 		s := w.dep.InitialConfiguration()
 		for i := range 5000 {
 			s.Queues = append(s.Queues, historycheck.Queue{Name: fmt.Sprintf("guild-%d", i), Selector: map[string][]string{"tier": {"fast"}}, Urgency: 1})
@@ -180,7 +180,7 @@
 		}
 		w.run(40_000)
 		open := len(w.open())
-		must.Positive(t, open, must.Sprint("nothing was running there"))
+		must.Positive(t, open, must.Sprint("no task was running on these workers"))
 		lost := int64(0)
 		for _, s := range historycheck.Zones {
 			for _, name := range []string{"w02", "w05"} {
@@ -191,7 +191,7 @@
 		}
 		must.Positive(t, lost)
 	}, 30_000},
-	"stopped nicely": {"hakata", func(t *testing.T, w *world) {
+	"graceful shutdown": {"hakata", func(t *testing.T, w *world) {
 		w.traffic(30_000)
 		w.run(10_000)
 		for _, duty := range []string{"slice/mid", "central", "agent/w03"} {
@@ -200,7 +200,7 @@
 			n.event(evStop{})
 			at := w.nowMs()
 			must.True(t, w.until(2000, func() bool { h := w.holderOf(duty); return h != nil && h != n }), must.Sprint("no successor for ", duty))
-			must.Less(t, lease.DurationMs, w.nowMs()-at, must.Sprint(duty, " waited for the lease"))
+			must.Less(t, lease.DurationMs, w.nowMs()-at, must.Sprint(duty, " waited for the lease to expire"))
 			must.True(t, w.until(shutdownTimeoutMs+500, func() bool { return !n.up }), must.Sprint("the daemon did not end"))
 			n.start()
 			w.run(3000)
@@ -228,7 +228,7 @@
 		w.run(17_000)
 		must.MapEmpty(t, w.workers["w04"].running)
 	}, 30_000},
-	"site emptied": {"hakata", func(t *testing.T, w *world) {
+	"zone emptied": {"hakata", func(t *testing.T, w *world) {
 		w.traffic(25_000)
 		w.run(8000)
 		s := w.dep.InitialConfiguration()
@@ -236,7 +236,7 @@
 		w.putSetup(2, s, nil)
 		w.run(17_000)
 	}, 30_000},
-	"hopeless and unmatched jobs hold up nobody": {"ikenna", func(t *testing.T, w *world) {
+	"failing and unmatched jobs delay no others": {"ikenna", func(t *testing.T, w *world) {
 		for range 20 {
 			j := w.oneTask("signoff", 100, 1, 5000, 3)
 			j.Steps[0].Tasks[0].Payload = historycheck.Work{Ms: 100, FailPct: 100}
@@ -262,7 +262,7 @@
 		}
 		w.run(5000)
 	}, 150_000},
-	"standing tasks": {"hakata", func(t *testing.T, w *world) {
+	"tasks without progress": {"hakata", func(t *testing.T, w *world) {
 		j := w.oneTask("confirm", 100, 1, 1500, 2)
 		j.Steps[0].Tasks[0].Payload = historycheck.Work{Stall: true}
 		var all []*simJob
@@ -275,7 +275,7 @@
 			must.Eq(t, 2, w.startsOf(s))
 		}
 	}, 5000},
-	"unsound worker gets less": {"hakata", func(t *testing.T, w *world) {
+	"failing worker gets less work": {"hakata", func(t *testing.T, w *world) {
 		w.traffic(70_000)
 		w.run(10_000)
 		w.workers["w06"].failPct = 90
@@ -284,13 +284,13 @@
 		others := w.workers["w08"].starts
 		w.run(40_000)
 		mine, theirs := w.workers["w06"].starts-before, w.workers["w08"].starts-others
-		must.Less(t, theirs/2, mine, must.Sprintf("%d starts at the failing worker, %d at a sound one", mine, theirs))
+		must.Less(t, theirs/2, mine, must.Sprintf("%d starts at the failing worker, %d at a healthy one", mine, theirs))
 		w.workers["w06"].failPct = 0
 	}, 60_000},
 }
 
 func init() {
-	scenarios["owner can't write when it places"] = scenario{"hakata", func(t *testing.T, w *world) {
+	scenarios["owner cut off from the core before a placement"] = scenario{"hakata", func(t *testing.T, w *world) {
 		w.run(3000)
 		for range 15 { // each owner learns that this is short and then places it by itself
 			w.submit(w.oneTask("confirm", 400, 1, 20_000, 1))
@@ -308,7 +308,7 @@
 		w.run(2000)
 		w.heal()
 	}, 20_000}
-	scenarios["owner can't write when a run ends"] = scenario{"hakata", func(t *testing.T, w *world) {
+	scenarios["owner cut off from the core before an attempt ends"] = scenario{"hakata", func(t *testing.T, w *world) {
 		j, owner, cut := w.ownerCut(t, func() historycheck.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
 		must.Eq(t, 1, w.startsOf(j))
 		w.run(600)
@@ -326,20 +326,20 @@
 		w.workers["w04"].leaving, w.workers["w07"].leaving = true, true
 		w.run(15_000)
 	}, 60_000}
-	scenarios["site emptied with full queues"] = scenario{"ikenna", func(t *testing.T, w *world) {
+	scenarios["zone emptied with full queues"] = scenario{"ikenna", func(t *testing.T, w *world) {
 		w.queuesFull()
 		s := w.dep.InitialConfiguration()
 		s.EmptyZones = []string{"mid"}
 		w.putSetup(2, s, nil)
 		w.run(15_000)
 	}, 60_000}
-	scenarios["group shrinks with full queues"] = scenario{"ikenna", func(t *testing.T, w *world) {
+	scenarios["selector narrowed with full queues"] = scenario{"ikenna", func(t *testing.T, w *world) {
 		w.queuesFull()
 		s := historycheck.Configuration{Queues: []historycheck.Queue{{Name: w.sameQueue("logbook"), Selector: map[string][]string{"tier": {"fast"}}, Urgency: 1}}}
 		w.putSetup(2, s, nil)
 		w.run(15_000)
 	}, 90_000}
-	scenarios["owner can't write when it is told to cancel"] = scenario{"hakata", func(t *testing.T, w *world) {
+	scenarios["owner cut off from the core before a cancellation"] = scenario{"hakata", func(t *testing.T, w *world) {
 		j, owner, cut := w.ownerCut(t, func() historycheck.Job {
 			j := w.oneTask("confirm", 400, 1, 20_000, 1)
 			j.DelayMs = 9000
@@ -359,7 +359,7 @@
 }
 
 func init() {
-	scenarios["a late write of a frozen owner"] = scenario{"hakata", func(t *testing.T, w *world) {
+	scenarios["late write of a frozen owner"] = scenario{"hakata", func(t *testing.T, w *world) {
 		j, owner, _ := w.ownerCut(t, func() historycheck.Job {
 			j := w.oneTask("confirm", 400, 1, 20_000, 1)
 			j.DelayMs = 12_000
@@ -380,7 +380,7 @@
 		w.hold = map[[2]string]int64{}
 		w.run(6000)
 	}, 20_000}
-	scenarios["core flickers while agents are cut off from it"] = scenario{"ikenna", func(t *testing.T, w *world) {
+	scenarios["core restarts while agents are cut off from it"] = scenario{"ikenna", func(t *testing.T, w *world) {
 		w.run(3000)
 		w.traffic(45_000)
 		for range 5 {
@@ -412,7 +412,7 @@
 const dayShare = 6 // workers whose agents are cut off in that scenario
 
 func init() {
-	scenarios["cancel's first word is lost"] = scenario{"ikenna", func(t *testing.T, w *world) {
+	scenarios["first cancel message lost"] = scenario{"ikenna", func(t *testing.T, w *world) {
 		w.run(3000)
 		var all []*simJob
 		for range 12 {
@@ -444,7 +444,7 @@
 }
 
 func init() {
-	scenarios["agents freeze with an order in hand"] = scenario{"hakata", func(t *testing.T, w *world) {
+	scenarios["agents freeze before sending an order"] = scenario{"hakata", func(t *testing.T, w *world) {
 		w.traffic(50_000)
 		w.run(5000)
 		for range 4 {
@@ -467,7 +467,7 @@
 }
 
 func init() {
-	scenarios["a finish that only one core member heard of"] = scenario{"hakata", func(t *testing.T, w *world) {
+	scenarios["end stored by only one core member"] = scenario{"hakata", func(t *testing.T, w *world) {
 		j, owner, _ := w.ownerCut(t, func() historycheck.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
 		must.Eq(t, 1, w.startsOf(j))
 		name := "slice/" + owner.sh.node.shardOf(j.id)
@@ -492,7 +492,7 @@
 }
 
 func init() {
-	scenarios["a member that missed an end, after the end's keeping is over"] = scenario{"hakata", func(t *testing.T, w *world) {
+	scenarios["member missed an end that was deleted since"] = scenario{"hakata", func(t *testing.T, w *world) {
 		for _, n := range w.nodesInOrder() {
 			n.FinishedKeepMs, n.sh.node.FinishedKeepMs = 20_000, 20_000
 		}
@@ -517,7 +517,7 @@
 		w.heal()
 		second.start()
 	}, 20_000}
-	scenarios["a job that only one member heard of, sent again"] = scenario{"hakata", func(t *testing.T, w *world) {
+	scenarios["job stored by only one member, resent"] = scenario{"hakata", func(t *testing.T, w *world) {
 		w.run(3000)
 		spec := w.oneTask("confirm", 300, 1, 10_000, 1)
 		body, _ := json.Marshal(spec)
--- a/internal/daemon/setup_test.go
+++ b/internal/daemon/setup_test.go
@@ -61,7 +61,7 @@
 		for name, status := range got {
 			must.SliceContains(t, []int{200, 409, 503}, status, must.Sprint(name))
 			if status == 200 {
-				must.Eq(t, "", won, must.Sprint("two won: ", name))
+				must.Eq(t, "", won, must.Sprint("two changes succeeded: ", name))
 				won = name
 			}
 		}
