--- a/internal/daemon/ballot_test.go
+++ b/internal/daemon/ballot_test.go
@@ -34,17 +34,17 @@
 	return q
 }
 
-// life starts a process of the proposer "p".
-func (q *quorumOfThree) life(number uint64) *node {
+// newProposer starts a process of the proposer "p".
+func (q *quorumOfThree) newProposer(number uint64) *node {
 	n := newNode(nodeConfig{Name: "p", Incarnation: number, Instance: number}, nil)
 	n.core = q.set
 	return n
 }
 
-// sentBy processes a message and returns what is sent, including after synced writes. The
+// sendsAfter processes a message and returns what is sent, including after synced writes. The
 // message is always addressed to the current process: ballots must be safe without the check
 // of addressees.
-func sentBy(n *node, from string, msg any) []effSend {
+func sendsAfter(n *node, from string, msg any) []effSend {
 	head := wire.Header{From: from, Cluster: 9, To: addresseeID(n.Name)}
 	if responses[reflect.TypeOf(msg)] {
 		head.To = n.Instance
@@ -71,10 +71,10 @@
 	n.effects = nil
 	change := n.startChange("setup", "setup", queueSetup(queue, ""), 0)
 	change.changeID = configuration.ChangeID{Version: 1}
-	return change, byMember(n.effects)
+	return change, sendsByMember(n.effects)
 }
 
-func byMember(effects []effect) map[string]any {
+func sendsByMember(effects []effect) map[string]any {
 	out := map[string]any{}
 	for _, e := range effects {
 		if s, ok := e.(effSend); ok {
@@ -84,7 +84,7 @@
 	return out
 }
 
-func sentTo(sends []effSend) map[string]any {
+func messagesByMember(sends []effSend) map[string]any {
 	out := map[string]any{}
 	for _, s := range sends {
 		out[s.To] = s.Msg
@@ -98,25 +98,25 @@
 func TestBallotsAreUniqueOverInstances(t *testing.T) {
 	q := newQuorumOfThree()
 	answer := func(member string, msg any) any {
-		sends := sentBy(q.members[member], "p", msg)
+		sends := sendsAfter(q.members[member], "p", msg)
 		must.Len(t, 1, sends)
 		return sends[0].Msg
 	}
 
-	first := q.life(1)
+	first := q.newProposer(1)
 	_, prepares := propose(first, "left")
 	promiseA, promiseB := answer("a", prepares["a"]), answer("b", prepares["b"])
-	sentBy(first, "a", promiseA)
-	accepts := sentTo(sentBy(first, "b", promiseB))
+	sendsAfter(first, "a", promiseA)
+	accepts := messagesByMember(sendsAfter(first, "b", promiseB))
 	answer("a", accepts["a"]) // the only one that arrives in time; then the process ends
 
-	second := q.life(2)
+	second := q.newProposer(2)
 	op, prepares := propose(second, "right")
-	sentBy(second, "b", promiseB) // a repeated message
-	accepts2 := sentTo(sentBy(second, "c", answer("c", prepares["c"])))
+	sendsAfter(second, "b", promiseB) // a repeated message
+	accepts2 := messagesByMember(sendsAfter(second, "c", answer("c", prepares["c"])))
 	if len(accepts2) > 0 { // a majority, as far as the second process can tell
 		for _, m := range []string{"b", "c"} {
-			sentBy(second, m, answer(m, accepts2[m]))
+			sendsAfter(second, m, answer(m, accepts2[m]))
 		}
 		must.MapNotContainsKey(t, second.changes, op.ID, must.Sprint("the second change is acknowledged"))
 		answer("b", accepts["b"]) // late
@@ -133,7 +133,7 @@
 
 // All tries of one process use different ballots, whatever the register.
 func TestBallotsAreUniqueWithinAnInstance(t *testing.T) {
-	n := newQuorumOfThree().life(1)
+	n := newQuorumOfThree().newProposer(1)
 	seen := map[register.Ballot]bool{}
 	for range 3 {
 		for _, queue := range []string{"left", "right"} {
@@ -152,15 +152,15 @@
 func TestAcceptorsAnswerAfterTheSync(t *testing.T) {
 	q := newQuorumOfThree()
 	b := register.Ballot{Round: 1, Proposer: "p", Instance: 1}
-	for _, ask := range []any{&register.Prepare{Op: 1, SetVersion: 1, Register: "setup", Ballot: b},
+	for _, request := range []any{&register.Prepare{Op: 1, SetVersion: 1, Register: "setup", Ballot: b},
 		&register.Accept{Op: 1, SetVersion: 1, Register: "setup", Ballot: b, Value: []byte("v")}} {
 		n := q.members["a"]
-		effects := reduce(n, event{NowMs: n.now + 1, Seed: 1, Body: evMsg{Head: wire.Header{From: "p", Cluster: 9, To: addresseeID("a")}, Msg: ask}})
+		effects := reduce(n, event{NowMs: n.now + 1, Seed: 1, Body: evMsg{Head: wire.Header{From: "p", Cluster: 9, To: addresseeID("a")}, Msg: request}})
 		must.Len(t, 1, effects)
-		kept, ok := effects[0].(effAppend)
+		appended, ok := effects[0].(effAppend)
 		must.True(t, ok)
-		must.Len(t, 1, kept.Entries)
-		must.Eq(t, b, kept.Entries[0].Ballot)
-		must.Len(t, 1, kept.Then)
+		must.Len(t, 1, appended.Entries)
+		must.Eq(t, b, appended.Entries[0].Ballot)
+		must.Len(t, 1, appended.Then)
 	}
 }
--- a/internal/daemon/campaign_faults_test.go
+++ b/internal/daemon/campaign_faults_test.go
@@ -13,9 +13,9 @@
 // worldFault starts a fault and returns what ends it.
 type worldFault func(w *world) (undo func())
 
-func (w *world) someNode() *simNode { return w.nodes[sortedKeys(w.nodes)[w.rng.IntN(len(w.nodes))]] }
+func (w *world) randomNode() *simNode { return w.nodes[sortedKeys(w.nodes)[w.rng.IntN(len(w.nodes))]] }
 
-func (w *world) someWorker() *simWorker {
+func (w *world) randomWorker() *simWorker {
 	return w.workers[sortedKeys(w.workers)[w.rng.IntN(len(w.workers))]]
 }
 
@@ -44,7 +44,8 @@
 	return out
 }
 
-func killed(w *world, n *simNode, power bool) func() {
+// killNode kills a daemon that runs, and returns a function that starts it again.
+func killNode(w *world, n *simNode, power bool) func() {
 	if n.up {
 		n.kill(power)
 	}
@@ -63,16 +64,16 @@
 func (w *world) killAll(power bool) func() {
 	var undo []func()
 	for _, name := range sortedKeys(w.nodes) {
-		undo = append(undo, killed(w, w.nodes[name], power))
+		undo = append(undo, killNode(w, w.nodes[name], power))
 	}
-	w.note(historycheck.Event{Kind: historycheck.WorkerUnreachable})
-	undo = append(undo, func() { w.note(historycheck.Event{Kind: historycheck.WorkerReachable}) })
+	w.record(historycheck.Event{Kind: historycheck.WorkerUnreachable})
+	undo = append(undo, func() { w.record(historycheck.Event{Kind: historycheck.WorkerReachable}) })
 	return allOf(undo)
 }
 
-func (w *world) killHolder(duty string) func() {
-	if n := w.holderOf(duty); n != nil {
-		return killed(w, n, false)
+func (w *world) killHolder(role string) func() {
+	if n := w.holderOf(role); n != nil {
+		return killNode(w, n, false)
 	}
 	return func() {}
 }
@@ -88,19 +89,19 @@
 	n.kill(true)
 	n.wipe()
 	if newAddr { // an operator would list machines that are running now
-		n.Seeds = []string{w.someNode().Addr, w.someNode().Addr, w.nodes["d05"].Addr}
+		n.Seeds = []string{w.randomNode().Addr, w.randomNode().Addr, w.nodes["d05"].Addr}
 		n.Addr, n.HTTP = strings.Replace(n.Addr, "10.0.0", "10.0.1", 1), strings.Replace(n.HTTP, "10.0.0", "10.0.1", 1)
 	}
 	return n.start
 }
 
 var worldFaults = map[string]worldFault{
-	"kill":         func(w *world) func() { return killed(w, w.someNode(), false) },
+	"kill":         func(w *world) func() { return killNode(w, w.randomNode(), false) },
 	"kill_central": func(w *world) func() { return w.killHolder("central") },
 	"kill_owner":   func(w *world) func() { return w.killHolder("slice/" + w.some(historycheck.Zones)) },
 	"kill_agent":   func(w *world) func() { return w.killHolder("agent/" + w.some(sortedKeys(w.workers))) },
 	"stop_nicely": func(w *world) func() {
-		n := w.someNode()
+		n := w.randomNode()
 		if n.up {
 			n.event(evStop{})
 		}
@@ -111,9 +112,9 @@
 			n.start()
 		}
 	},
-	"power_one": func(w *world) func() { return killed(w, w.someNode(), true) },
+	"power_one": func(w *world) func() { return killNode(w, w.randomNode(), true) },
 	"power_all": func(w *world) func() { return w.killAll(true) },
-	"freeze":    func(w *world) func() { w.someNode().freeze(500 + w.rng.Int64N(9000)); return func() {} },
+	"freeze":    func(w *world) func() { w.randomNode().freeze(500 + w.rng.Int64N(9000)); return func() {} },
 	"freeze_owner": func(w *world) func() {
 		if n := w.holderOf("slice/" + w.some(historycheck.Zones)); n != nil {
 			n.freeze(2000 + w.rng.Int64N(6000))
@@ -171,23 +172,23 @@
 		return func() {}
 	},
 	"cut_one_way": func(w *world) func() { // a machine that receives from all others and can't send
-		host := w.someNode().Name
+		host := w.randomNode().Name
 		for _, other := range w.hosts() {
 			w.cuts[[2]string{host, other}] = other != host
 		}
 		return w.heal
 	},
 	"seeds_turned": func(w *world) func() {
-		seeds := []string{w.someNode().Addr, w.someNode().Addr, w.someNode().Addr}
+		seeds := []string{w.randomNode().Addr, w.randomNode().Addr, w.randomNode().Addr}
 		for _, name := range sortedKeys(w.nodes) {
 			w.nodes[name].Seeds = seeds
 			w.nodes[name].event(evSeeds{Seeds: seeds})
 		}
 		return func() {}
 	},
-	"clock": func(w *world) func() { return w.jump(1) },
+	"clock": func(w *world) func() { return w.skewClocks(1) },
 	"clocks": func(w *world) func() { // two core members and some others at once
-		undo := []func(){w.jump(1 + w.rng.IntN(4))}
+		undo := []func(){w.skewClocks(1 + w.rng.IntN(4))}
 		for i := range 2 {
 			undo = append(undo, w.jumpOf(w.nodes[fmt.Sprintf("d%02d", i)]))
 		}
@@ -201,29 +202,29 @@
 		return back
 	},
 	"worker_crash": func(w *world) func() {
-		s := w.someWorker()
+		s := w.randomWorker()
 		if s.up {
 			s.crash()
 		}
 		return s.start
 	},
 	"worker_slow": func(w *world) func() {
-		s := w.someWorker()
-		s.slow = 4 + w.rng.Int64N(8)
-		return func() { s.slow = 1 }
+		s := w.randomWorker()
+		s.slowdown = 4 + w.rng.Int64N(8)
+		return func() { s.slowdown = 1 }
 	},
 	"worker_fails": func(w *world) func() {
-		s := w.someWorker()
+		s := w.randomWorker()
 		s.failPct = 30 + w.rng.IntN(60)
 		return func() { s.failPct = 0 }
 	},
 	"worker_stalls": func(w *world) func() {
-		s := w.someWorker()
+		s := w.randomWorker()
 		s.stallPct = 20
 		return func() { s.stallPct = 0 }
 	},
 	"worker_leaves": func(w *world) func() {
-		s := w.someWorker()
+		s := w.randomWorker()
 		s.leaving = true
 		return func() {
 			if s.up && s.leaving {
@@ -233,9 +234,9 @@
 		}
 	},
 	"worker_taken": func(w *world) func() { // at short notice, with its journal or without
-		s, over := w.someWorker(), false
+		s, over := w.randomWorker(), false
 		s.leaving = true
-		taken := func() {
+		takeAway := func() {
 			if !s.up || !s.leaving || over {
 				return
 			}
@@ -244,12 +245,12 @@
 				s.inc += 100 // no result is lost: a new machine with the same name
 			}
 		}
-		w.after(w.rng.Int64N(1_000_000), taken)
-		return func() { taken(); over = true; s.start() }
+		w.after(w.rng.Int64N(1_000_000), takeAway)
+		return func() { takeAway(); over = true; s.start() }
 	},
 	// It continues while its tasks are cancelled, its zone is emptied or its agent moves.
 	"worker_cut": func(w *world) func() {
-		s := w.someWorker()
+		s := w.randomWorker()
 		w.cutHost(s.name)
 		var undo []func()
 		for _, id := range sortedKeys(s.running) {
@@ -275,7 +276,7 @@
 		return w.heal
 	},
 	"moved": func(w *world) func() { // a machine outside the core is replaced, at a new address
-		n := w.someNode()
+		n := w.randomNode()
 		if n.Disk || !n.up {
 			return func() {}
 		}
@@ -317,31 +318,31 @@
 	},
 	// For good, until an operator declares it lost; then a new one of the same name starts.
 	"worker_vanishes": func(w *world) func() {
-		s := w.someWorker()
+		s := w.randomWorker()
 		if !s.up || len(s.ended) > 0 {
 			return func() {} // results that only this worker knows would be lost with it: see docs/proof.md
 		}
 		s.crash()
 		return func() {
-			var say func(site int)
-			say = func(site int) {
-				if site == len(historycheck.Zones) {
+			var declareLost func(zoneIndex int)
+			declareLost = func(zoneIndex int) {
+				if zoneIndex == len(historycheck.Zones) {
 					s.start()
 					return
 				}
-				w.ask("operator", w.someNode(), "worker.lost", historycheck.Zones[site]+"/"+s.name, nil, 2000, func(status int, _ int64, _ []byte) {
+				w.ask("operator", w.randomNode(), "worker.lost", historycheck.Zones[zoneIndex]+"/"+s.name, nil, 2000, func(status int, _ int64, _ []byte) {
 					if status == 200 {
-						site++
+						zoneIndex++
 					}
-					w.after(300_000, func() { say(site) })
+					w.after(300_000, func() { declareLost(zoneIndex) })
 				})
 			}
-			w.after(6_000_000, func() { say(0) })
+			w.after(6_000_000, func() { declareLost(0) })
 		}
 	},
 	"worker_freeze": func(w *world) func() {
-		s := w.someWorker()
-		s.frozenTo = w.nowUs + 1_000_000 + w.rng.Int64N(5_000_000)
+		s := w.randomWorker()
+		s.frozenUntilUs = w.nowUs + 1_000_000 + w.rng.Int64N(5_000_000)
 		return func() {}
 	},
 	"wave":        func(w *world) func() { return w.wave(-1, 40+w.rng.IntN(60)) },
@@ -403,7 +404,7 @@
 		for _, name := range names {
 			w.nodes[name].Seeds = seeds
 		}
-		return killed(w, w.someNode(), false)
+		return killNode(w, w.randomNode(), false)
 	},
 }
 
@@ -419,11 +420,11 @@
 	return func() {}
 }
 
-// jump sets the clocks of count machines wrong, but never those of half of the cluster.
-func (w *world) jump(count int) func() {
+// skewClocks sets the clocks of count machines wrong, but never those of half of the cluster.
+func (w *world) skewClocks(count int) func() {
 	var undo []func()
 	for range count {
-		undo = append(undo, w.jumpOf(w.someNode()))
+		undo = append(undo, w.jumpOf(w.randomNode()))
 	}
 	return allOf(undo)
 }
@@ -447,14 +448,14 @@
 var finalFaults = map[string]worldFault{
 	"power of all": func(w *world) func() { return w.killAll(true) },
 	"a whole site": func(w *world) func() {
-		site, undo := w.some(historycheck.Zones), []func(){}
+		zoneName, undo := w.some(historycheck.Zones), []func(){}
 		for _, name := range sortedKeys(w.nodes) {
-			if n := w.nodes[name]; n.Zone == site {
-				undo = append(undo, killed(w, n, true))
+			if n := w.nodes[name]; n.Zone == zoneName {
+				undo = append(undo, killNode(w, n, true))
 			}
 		}
 		for _, name := range sortedKeys(w.workers) {
-			if s := w.workers[name]; s.zone == site && s.up {
+			if s := w.workers[name]; s.zone == zoneName && s.up {
 				s.crash()
 				undo = append(undo, s.start)
 			}
@@ -462,24 +463,24 @@
 		return allOf(undo)
 	},
 	"two core machines": func(w *world) func() {
-		a, b := killed(w, w.nodes["d00"], true), killed(w, w.nodes["d02"], true)
+		a, b := killNode(w, w.nodes["d00"], true), killNode(w, w.nodes["d02"], true)
 		return func() { a(); b() }
 	},
 	"owner, central and their successors": func(w *world) func() {
 		var undo []func()
-		for _, duty := range []string{"slice/" + w.some(historycheck.Zones), "central"} {
-			n := w.holderOf(duty)
+		for _, role := range []string{"slice/" + w.some(historycheck.Zones), "central"} {
+			n := w.holderOf(role)
 			if n == nil {
 				continue
 			}
-			site := ""
-			if duty != "central" {
-				site = strings.TrimPrefix(duty, "slice/")
+			zoneName := ""
+			if role != "central" {
+				zoneName = strings.TrimPrefix(role, "slice/")
 			}
-			for _, name := range n.sh.node.leases.Candidates(duty, site)[:3] {
-				undo = append(undo, killed(w, w.nodes[name], false))
+			for _, name := range n.sh.node.leases.Candidates(role, zoneName)[:3] {
+				undo = append(undo, killNode(w, w.nodes[name], false))
 			}
-			undo = append(undo, killed(w, n, false))
+			undo = append(undo, killNode(w, n, false))
 		}
 		return allOf(undo)
 	},
@@ -494,12 +495,12 @@
 // must be back to normal.
 func (w *world) finalFault(name string) {
 	w.run(20_000)
-	w.note(historycheck.Event{Kind: historycheck.MachinesLost})
+	w.record(historycheck.Event{Kind: historycheck.MachinesLost})
 	undo := finalFaults[name](w)
 	w.run(1000 + w.rng.Int64N(9000))
 	undo()
-	w.note(historycheck.Event{Kind: historycheck.MachinesBack})
+	w.record(historycheck.Event{Kind: historycheck.MachinesBack})
 	w.run(historycheck.DefaultBounds.RecoveryMs + 14_000)
-	w.note(historycheck.Event{Kind: historycheck.TrafficEnds})
-	w.trafficEnds = true
+	w.record(historycheck.Event{Kind: historycheck.TrafficEnds})
+	w.trafficEnded = true
 }
--- a/internal/daemon/campaign_test.go
+++ b/internal/daemon/campaign_test.go
@@ -32,8 +32,8 @@
 	})
 }
 
-// spice gives some jobs a delay, a due time or a label requirement.
-func spice(w *world, j historycheck.Job) historycheck.Job {
+// varyJob gives some jobs a delay, a due time or a label requirement.
+func varyJob(w *world, j historycheck.Job) historycheck.Job {
 	switch w.rng.IntN(12) {
 	case 0:
 		j.DelayMs = 500 + w.rng.Int64N(4000)
@@ -45,32 +45,32 @@
 	return j
 }
 
-// spicedTraffic submits the usual mix of jobs until trafficEnds is set.
-func (w *world) spicedTraffic() {
+// variedTraffic submits the usual mix of jobs until trafficEnded is set.
+func (w *world) variedTraffic() {
 	var next func()
 	next = func() {
-		if !w.trafficEnds {
-			w.submit(spice(w, w.dep.RandomJob(w.rng)))
+		if !w.trafficEnded {
+			w.submit(varyJob(w, w.dep.RandomJob(w.rng)))
 			w.after(int64(w.rng.ExpFloat64()*1e6/w.dep.JobsPerSec), next)
 		}
 	}
 	next()
 }
 
-// watchSetups reads the current configuration version once a second, as an operator.
-func (w *world) watchSetups() {
-	asked := w.nowMs()
-	w.ask("operator", w.someNode(), "setup.get", "", nil, 2000, func(status int, _ int64, b []byte) {
+// pollConfigVersion reads the current configuration version once a second, as an operator.
+func (w *world) pollConfigVersion() {
+	requestedMs := w.nowMs()
+	w.ask("operator", w.randomNode(), "setup.get", "", nil, 2000, func(status int, _ int64, b []byte) {
 		if status == 200 {
-			w.note(historycheck.Event{Kind: historycheck.ConfigurationShown, Version: gjson.GetBytes(b, "version").Int(), RequestedMs: asked})
+			w.record(historycheck.Event{Kind: historycheck.ConfigurationShown, Version: gjson.GetBytes(b, "version").Int(), RequestedMs: requestedMs})
 		}
 	})
-	w.after(1_000_000, w.watchSetups)
+	w.after(1_000_000, w.pollConfigVersion)
 }
 
 // campaign runs one seed: faults on top of the usual traffic, then a period without faults. It
 // returns the problems found, the world, and the faults in order.
-func campaign(seed uint64, dep string, only []string) (bad []string, w *world, told []string) {
+func campaign(seed uint64, dep string, only []string) (problems []string, w *world, faults []string) {
 	w = newWorld(seed, historycheck.Deployments[dep])
 	w.keepLog = true
 	if !w.until(20_000, func() bool { return w.holderOf("central") != nil }) {
@@ -78,9 +78,9 @@
 	}
 	w.putSetup(1, w.dep.InitialConfiguration(), nil)
 	w.run(3000)
-	w.stray = 400
-	w.watchSetups()
-	w.spicedTraffic()
+	w.delayOneIn = 400
+	w.pollConfigVersion()
+	w.variedTraffic()
 	names := only
 	if len(names) == 0 {
 		names = sortedKeys(worldFaults)
@@ -89,7 +89,7 @@
 	for end := w.nowMs() + 45_000; w.nowMs() < end; {
 		w.run(500 + w.rng.Int64N(5000))
 		name := w.some(names)
-		told = append(told, fmt.Sprintf("%d:%s", w.nowMs(), name))
+		faults = append(faults, fmt.Sprintf("%d:%s", w.nowMs(), name))
 		u := sync.OnceFunc(worldFaults[name](w))
 		undo = append(undo, u)
 		w.after(1_000_000+w.rng.Int64N(12_000_000), u)
@@ -99,24 +99,24 @@
 	}
 	w.heal()
 	for _, s := range w.workers {
-		s.frozenTo = 0
+		s.frozenUntilUs = 0
 	}
 	final := w.some(sortedKeys(finalFaults))
-	told = append(told, final)
+	faults = append(faults, final)
 	w.finalFault(final)
 	if !w.until(120_000, func() bool { return len(w.open()) == 0 }) {
-		bad = append(bad, fmt.Sprintf("%d of %d jobs open long after the last fault: %v", len(w.open()), len(w.jobs), w.open()[:min(6, len(w.open()))]))
+		problems = append(problems, fmt.Sprintf("%d of %d jobs open long after the last fault: %v", len(w.open()), len(w.jobs), w.open()[:min(6, len(w.open()))]))
 	}
 	w.run(3000)
 	if w.coreWhole() == nil && !w.until(30_000, func() bool { return w.coreWhole() != nil }) {
-		bad = append(bad, "the core is incomplete long after the last fault")
+		problems = append(problems, "the core is incomplete long after the last fault")
 	}
 	for i, b := range historycheck.Check(w.history, historycheck.DefaultBounds) {
 		if i < 6 {
-			bad = append(bad, b.String())
+			problems = append(problems, b.String())
 		}
 	}
-	return bad, w, told
+	return problems, w, faults
 }
 
 func TestCampaign(t *testing.T) {
@@ -132,16 +132,16 @@
 		dep := []string{"hakata", "ikenna"}[seed%2]
 		t.Run(fmt.Sprintf("%s-%d", dep, seed), func(t *testing.T) {
 			t.Parallel()
-			bad, w, told := campaign(seed, dep, only)
-			for _, b := range bad {
+			problems, w, faults := campaign(seed, dep, only)
+			for _, b := range problems {
 				t.Error(b)
 			}
 			for _, r := range historycheck.Recoveries(w.history, historycheck.DefaultBounds) {
 				stateMs, entryMs := historycheck.LongestOutages(w.history)
-				t.Logf("%s, %s: lowest share %.2f; longest outage: states %d ms, entry %d ms", dep, told[len(told)-1], r.Share, stateMs, entryMs)
+				t.Logf("%s, %s: lowest share %.2f; longest outage: states %d ms, entry %d ms", dep, faults[len(faults)-1], r.Share, stateMs, entryMs)
 			}
-			if len(bad) > 0 {
-				t.Log("faults:", told)
+			if len(problems) > 0 {
+				t.Log("faults:", faults)
 				t.Log(w.counts())
 				if *dumpFlag != "" {
 					t.Log(w.jobs[*dumpFlag].last)
--- a/internal/daemon/catchup_test.go
+++ b/internal/daemon/catchup_test.go
@@ -23,40 +23,40 @@
 }
 
 // order has one more configuration accepted.
-func (s *slotWorld) order(body []byte) {
+func (s *coreChangeWorld) order(body []byte) {
 	s.t.Helper()
 	next := s.version + 1
 	must.True(s.t, s.until(15_000, func() bool {
-		return s.settle(s.asker(), evRequest{Op: "setup.put", Key: fmt.Sprint(next), Base: -1, Body: body}, 3000).status == 200
-	}), s.why())
+		return s.settle(s.observer(), evRequest{Op: "setup.put", Key: fmt.Sprint(next), Base: -1, Body: body}, 3000).status == 200
+	}), s.details())
 	s.version = next
 }
 
-// accept has count more jobs accepted.
-func (s *slotWorld) accept(count int) {
+// acceptJobs has count more jobs accepted.
+func (s *coreChangeWorld) acceptJobs(count int) {
 	s.t.Helper()
 	for range count {
 		id := fmt.Sprint("job", len(s.jobs))
 		must.True(s.t, s.until(15_000, func() bool {
-			status := s.settle(s.asker(), evRequest{Op: "job.put", Key: id, Base: -1, Body: []byte(`{"queue":"q","steps":[{"name":"s","tasks":[{"name":"t","room":1}]}]}`)}, 3000).status
+			status := s.settle(s.observer(), evRequest{Op: "job.put", Key: id, Base: -1, Body: []byte(`{"queue":"q","steps":[{"name":"s","tasks":[{"name":"t","room":1}]}]}`)}, 3000).status
 			return status == 200 || status == 201
-		}), s.why())
+		}), s.details())
 		s.jobs = append(s.jobs, id)
 	}
 }
 
-// cancel cancels accepted jobs.
-func (s *slotWorld) cancel(ids []string) {
+// cancelJobs cancels accepted jobs.
+func (s *coreChangeWorld) cancelJobs(ids []string) {
 	s.t.Helper()
 	for _, id := range ids {
 		must.True(s.t, s.until(15_000, func() bool {
-			return s.settle(s.asker(), evRequest{Op: "job.cancel", Key: id, Base: -1}, 3000).status < 300
-		}), s.why())
+			return s.settle(s.observer(), evRequest{Op: "job.cancel", Key: id, Base: -1}, 3000).status < 300
+		}), s.details())
 	}
 }
 
-// lacks lists what member holds in an older state than other.
-func (s *slotWorld) lacks(member, other *simNode) (out []string) {
+// missingState lists what member holds in an older state than other.
+func (s *coreChangeWorld) missingState(member, other *simNode) (out []string) {
 	mine, theirs := member.sh.node.store, other.sh.node.store
 	a, b := mine.Register("setup"), theirs.Register("setup")
 	if a.Accepted.Less(b.Accepted) {
@@ -84,12 +84,12 @@
 // the third loses power, nothing is lost and no older state is returned.
 func TestMemberCatchesUp(t *testing.T) {
 	for seed := range uint64(3) {
-		s := newSlotWorld(t, 40+seed, 3)
+		s := newCoreChangeWorld(t, 40+seed, 3)
 		core := s.newestSet().Members
 		first := int(seed) % 3
-		away, wiped, dark := s.nodes[core[first].Name], s.nodes[core[(first+1)%3].Name], s.nodes[core[(first+2)%3].Name]
-		s.accept(20)
-		away.kill(true)
+		absent, wiped, unpowered := s.nodes[core[first].Name], s.nodes[core[(first+1)%3].Name], s.nodes[core[(first+2)%3].Name]
+		s.acceptJobs(20)
+		absent.kill(true)
 		for i := range 300 {
 			if i%100 == 50 {
 				s.order(largeSetup(1500))
@@ -97,35 +97,35 @@
 				s.order(queueSetup("q", fmt.Sprintf(`,"quota":%d`, 1+i)))
 			}
 			if i%3 == 0 {
-				s.accept(1)
+				s.acceptJobs(1)
 			}
 		}
-		s.cancel(s.jobs[5:60])
-		last := s.settle(s.asker(), evRequest{Op: "setup.get"}, 2000).body
-		before := dark.sh.node.store.Register("setup").Accepted
-		away.start()
+		s.cancelJobs(s.jobs[5:60])
+		last := s.settle(s.observer(), evRequest{Op: "setup.get"}, 2000).body
+		before := unpowered.sh.node.store.Register("setup").Accepted
+		absent.start()
 		s.run(4000)
 		// The register is neither rewritten nor read by all members.
-		must.Eq(t, before, dark.sh.node.store.Register("setup").Accepted, s.why())
-		must.SliceEmpty(t, s.lacks(away, dark), s.why())
-		must.SliceEmpty(t, s.lacks(away, wiped), s.why())
+		must.Eq(t, before, unpowered.sh.node.store.Register("setup").Accepted, s.details())
+		must.SliceEmpty(t, s.missingState(absent, unpowered), s.details())
+		must.SliceEmpty(t, s.missingState(absent, wiped), s.details())
 		wiped.kill(true)
 		wiped.wipe()
-		dark.kill(true)
+		unpowered.kill(true)
 		s.after(400_000, wiped.start)
-		s.after(600_000, dark.start)
+		s.after(600_000, unpowered.start)
 		for range 40 { // every successful answer returns the newest state
 			s.run(100)
-			if r := s.settle(s.asker(), evRequest{Op: "setup.get"}, 1000); r.status == 200 {
+			if r := s.settle(s.observer(), evRequest{Op: "setup.get"}, 1000); r.status == 200 {
 				must.Eq(t, gjson.Get(last, "version").Int(), gjson.Get(r.body, "version").Int())
 			}
-			if r := s.settle(s.asker(), evRequest{Op: "job.get", Key: s.jobs[30], Base: -1}, 1000); r.status == 200 {
+			if r := s.settle(s.observer(), evRequest{Op: "job.get", Key: s.jobs[30], Base: -1}, 1000); r.status == 200 {
 				must.Eq(t, "cancelled", gjson.Get(r.body, "state").Str, must.Sprint(r.body))
 			}
 		}
-		s.keepsAll()
+		s.requireAllKept()
 		for _, id := range s.jobs[5:60] {
-			r := s.settle(s.asker(), evRequest{Op: "job.get", Key: id, Base: -1}, 2000)
+			r := s.settle(s.observer(), evRequest{Op: "job.get", Key: id, Base: -1}, 2000)
 			must.Eq(t, "cancelled", gjson.Get(r.body, "state").Str, must.Sprint(r.body))
 		}
 	}
@@ -134,26 +134,26 @@
 // State that a member lacks is sent in bounded parts, and again until the member has synced
 // it.
 func TestCatchUpSurvivesLostMessages(t *testing.T) {
-	s := newSlotWorld(t, 50, 3)
+	s := newCoreChangeWorld(t, 50, 3)
 	core := s.newestSet().Members
-	away, other := s.nodes[core[2].Name], s.nodes[core[0].Name]
-	away.kill(true)
-	s.accept(200)
+	absent, other := s.nodes[core[2].Name], s.nodes[core[0].Name]
+	absent.kill(true)
+	s.acceptJobs(200)
 	s.run(1500)
-	away.start()
+	absent.start()
 	s.until(3000, func() bool { return s.total("catch_up_parts") > 0 })
-	away.kill(true) // while a part is being written
+	absent.kill(true) // while a part is being written
 	s.run(200)
-	away.start()
+	absent.start()
 	s.run(4000)
-	must.SliceEmpty(t, s.lacks(away, other), s.why())
+	must.SliceEmpty(t, s.missingState(absent, other), s.details())
 }
 
 // A state is read from the core only if a majority agrees on it, not from a member that has
 // been away or one that alone has a later state.
 func TestCoreReadNeedsAgreement(t *testing.T) {
-	s := newSlotWorld(t, 60, 3)
-	n := s.asker().sh.node
+	s := newCoreChangeWorld(t, 60, 3)
+	n := s.observer().sh.node
 	stored := func(version int64, state jobStatus) statestore.Record {
 		j := jobRecord{ID: "j", Queue: "q", State: state, SubmitMs: 1, DoneMs: map[jobStatus]int64{jobCancelled: 9}[state], Version: version}
 		return statestore.Record{ID: "j", Epoch: 4, Version: version, Live: true, Value: j.encode()}
--- a/internal/daemon/compile_bench_test.go
+++ b/internal/daemon/compile_bench_test.go
@@ -8,7 +8,7 @@
 	"otterchute/internal/configuration"
 )
 
-func bigSetup(n int) []byte {
+func realisticSetup(n int) []byte {
 	var q, src []string
 	for i := range n {
 		q = append(q, fmt.Sprintf(`{"name":"r-a3hw%04d","addresses":[{"host":"nony24.example","prefix":"/lohu%d/"}],"selector":{"service":["huvo11a"]},"urgency":999,"default_failures":4,"latency_ms":2000,"stretch":2.2}`, i, i))
@@ -18,7 +18,7 @@
 }
 
 func BenchmarkCompileAddresses(b *testing.B) {
-	doc := bigSetup(400)
+	doc := realisticSetup(400)
 	b.Log(len(doc))
 	for b.Loop() {
 		configuration.Compile(3, doc)
--- a/internal/daemon/digest_test.go
+++ b/internal/daemon/digest_test.go
@@ -62,7 +62,7 @@
 	_, _ = d.hash.Write(b)
 }
 
-func boolNumber(b bool) int64 {
+func boolToInt(b bool) int64 {
 	if b {
 		return 1
 	}
--- a/internal/daemon/disk_test.go
+++ b/internal/daemon/disk_test.go
@@ -17,8 +17,8 @@
 	must.False(t, w.nodes["d01"].sh.node.inCore())
 	w.traffic(5000)
 	w.run(5000)
-	allDone(t, w, 20_000)
-	verdictOf(t, w)
+	requireAllDone(t, w, 20_000)
+	checkHistory(t, w)
 }
 
 func FuzzJob(f *testing.F) {
--- a/internal/daemon/docs_test.go
+++ b/internal/daemon/docs_test.go
@@ -76,12 +76,12 @@
 
 // namesFile reports whether a page's name for a file, which may contain a *, matches the end
 // of a path in the repository.
-func namesFile(files []string, said string) bool {
-	said = strings.TrimPrefix(said, "./")
+func namesFile(files []string, pageName string) bool {
+	pageName = strings.TrimPrefix(pageName, "./")
 	return slices.ContainsFunc(files, func(path string) bool {
-		whole, _ := filepath.Match(said, path)
-		base, _ := filepath.Match(said, filepath.Base(path))
-		return whole || base || strings.HasSuffix(path, "/"+said)
+		whole, _ := filepath.Match(pageName, path)
+		base, _ := filepath.Match(pageName, filepath.Base(path))
+		return whole || base || strings.HasSuffix(path, "/"+pageName)
 	})
 }
 
--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -35,7 +35,9 @@
 }
 
 // stallDisk makes a disk complete nothing for ms.
-func (w *world) stallDisk(host string, ms int64) { w.nodes[host].disk.stallUs = w.nowUs + ms*1000 }
+func (w *world) stallDisk(host string, ms int64) {
+	w.nodes[host].disk.stalledUntilUs = w.nowUs + ms*1000
+}
 
 // slowDisk makes a disk slower by a factor.
 func (w *world) slowDisk(host string, times int64) (undo func()) {
@@ -58,8 +60,8 @@
 // loseAnswers loses a share of the responses to a caller. The requests themselves are
 // executed.
 func (w *world) loseAnswers(to string, share float64) (undo func()) {
-	w.answerLoss[to] = share
-	return func() { delete(w.answerLoss, to) }
+	w.responseLoss[to] = share
+	return func() { delete(w.responseLoss, to) }
 }
 
 // sentAnswer is a response as it leaves a daemon.
@@ -74,12 +76,14 @@
 
 // whenAnswered registers a callback for each response that leaves a daemon. It is removed once
 // it returns true.
-func (w *world) whenAnswered(see func(sentAnswer) (over bool)) { w.onAnswer = append(w.onAnswer, see) }
+func (w *world) whenAnswered(observe func(sentAnswer) (over bool)) {
+	w.onResponse = append(w.onResponse, observe)
+}
 
-// answerLeaves runs the callbacks for a response and reports whether the response is lost.
-func (w *world) answerLeaves(a sentAnswer) (lost bool) {
-	w.onAnswer = slices.DeleteFunc(w.onAnswer, func(see func(sentAnswer) bool) bool { return see(a) })
-	share := w.answerLoss[a.caller]
+// responseLost runs the callbacks for a response and reports whether the response is lost.
+func (w *world) responseLost(a sentAnswer) (lost bool) {
+	w.onResponse = slices.DeleteFunc(w.onResponse, func(see func(sentAnswer) bool) bool { return see(a) })
+	share := w.responseLoss[a.caller]
 	return share > 0 && w.rng.Float64() < share
 }
 
@@ -113,11 +117,11 @@
 // stopOrKill sends SIGTERM, and SIGKILL after the grace period.
 func (n *simNode) stopOrKill(graceMs int64, ended func()) {
 	n.event(evStop{})
-	gen, over := n.gen, n.w.nowUs+graceMs*1000
+	process, over := n.process, n.w.nowUs+graceMs*1000
 	var wait func()
 	wait = func() {
 		switch {
-		case n.gen != gen || !n.up:
+		case n.process != process || !n.up:
 		case n.w.nowUs >= over:
 			n.kill(false)
 		default:
@@ -305,15 +309,15 @@
 		b.change(nil)
 		b.after(5000+b.rng.Int64N(395_000), func() { do(b.some(b.diskHosts)) })
 	case struckAcknowledged:
-		b.atAnswer("setup.put", do)
+		b.afterResponse("setup.put", do)
 		b.change(nil)
 	case struckTaken:
-		b.atAnswer("queue.submit", do)
+		b.afterResponse("queue.submit", do)
 	}
 }
 
-// atAnswer applies a fault within 4 ms of the next successful response to a request.
-func (b *platformWorld) atAnswer(op string, do func(host string)) {
+// afterResponse applies a fault within 4 ms of the next successful response to a request.
+func (b *platformWorld) afterResponse(op string, do func(host string)) {
 	b.whenAnswered(func(a sentAnswer) bool {
 		if a.call.Op != op || !a.accepted() {
 			return false
@@ -327,15 +331,15 @@
 	})
 }
 
-// formedWorld returns a cluster with its first configuration, shortly before traffic begins.
-func formedWorld(t *testing.T, seed uint64) *platformWorld {
+// formedPlatform returns a cluster with its first configuration, shortly before traffic begins.
+func formedPlatform(t *testing.T, seed uint64) *platformWorld {
 	b := formPlatform(t, seed, "hakata")
 	b.run(2000)
 	return b
 }
 
-// putNow sends a configuration change and reports whether it was acknowledged within ms.
-func (b *platformWorld) putNow(ms int64) bool {
+// changeAcknowledged sends a configuration change and reports whether it was acknowledged within ms.
+func (b *platformWorld) changeAcknowledged(ms int64) bool {
 	before := b.version
 	b.change(nil)
 	return b.until(ms, func() bool { return b.version > before })
@@ -344,37 +348,37 @@
 // A full disk acknowledges nothing, and its daemon stops counting itself as a core member.
 // Once there is space it continues without a restart, with the writes that were held up.
 func TestFaultDiskFull(t *testing.T) {
-	b := formedWorld(t, 3)
+	b := formedPlatform(t, 3)
 	n := b.nodes["d01"]
 	undo := b.fillDisk("d01")
 	synced := n.disk.synced
-	must.True(t, b.putNow(5000), must.Sprint("two disks of three accept a change"))
+	must.True(t, b.changeAcknowledged(5000), must.Sprint("two disks of three accept a change"))
 	b.run(1000)
 	must.True(t, n.disk.failed)
 	must.False(t, n.sh.node.inCore())
-	must.True(t, b.putNow(5000))
+	must.True(t, b.changeAcknowledged(5000))
 	must.LessEq(t, synced, n.disk.synced)
 	undo()
 	must.True(t, b.until(3000, func() bool { return n.sh.node.inCore() && n.disk.synced > synced }), must.Sprint("it is back without a restart"))
 	must.True(t, b.until(5000, func() bool { return len(b.coreWhole()) == membership.DefaultSize }))
-	must.True(t, b.putNow(5000))
+	must.True(t, b.changeAcknowledged(5000))
 }
 
 // A daemon that is killed while its disk is full starts from what was written. If the disk is
 // still full at the next write it leaves the core again; it returns once there is space.
 func TestFaultDiskFullAndKilled(t *testing.T) {
 	for _, power := range []bool{false, true} {
-		b := formedWorld(t, 5)
+		b := formedPlatform(t, 5)
 		n := b.nodes["d01"]
 		undo := b.fillDisk("d01")
-		must.True(t, b.putNow(5000))
+		must.True(t, b.changeAcknowledged(5000))
 		b.run(1000)
 		must.True(t, n.disk.failed)
 		synced, written := n.disk.synced, len(n.disk.entries)
 		n.kill(power)
 		must.Between(t, synced, len(n.disk.entries), written)
 		n.start()
-		must.True(t, b.putNow(5000))
+		must.True(t, b.changeAcknowledged(5000))
 		b.run(2000)
 		must.False(t, n.sh.node.inCore())
 		undo()
@@ -383,19 +387,19 @@
 }
 
 func TestFaultDiskFullOfTwo(t *testing.T) {
-	b := formedWorld(t, 4)
+	b := formedPlatform(t, 4)
 	undo := allOf([]func(){b.fillDisk("d00"), b.fillDisk("d02")})
-	must.False(t, b.putNow(6000), must.Sprint("one disk of three accepts nothing"))
+	must.False(t, b.changeAcknowledged(6000), must.Sprint("one disk of three accepts nothing"))
 	undo()
 	must.True(t, b.until(5000, func() bool { return b.version > 1 }), must.Sprint("it is accepted once there is space"))
-	must.True(t, b.putNow(5000))
+	must.True(t, b.changeAcknowledged(5000))
 }
 
 func TestFaultDiskStall(t *testing.T) {
-	b := formedWorld(t, 5)
+	b := formedPlatform(t, 5)
 	b.stallDisk("d00", 4000)
 	b.stallDisk("d01", 4000)
-	must.False(t, b.putNow(3000))
+	must.False(t, b.changeAcknowledged(3000))
 	must.False(t, b.nodes["d00"].disk.failed)
 	must.True(t, b.until(6000, func() bool { return b.version > 1 }), must.Sprint("it continues after the stall"))
 	b.stallDisk("d02", 3000)
@@ -433,7 +437,7 @@
 }
 
 func TestFaultPlannedReplacement(t *testing.T) {
-	b := formedWorld(t, 6)
+	b := formedPlatform(t, 6)
 	b.replacePlanned("d01", 1000)
 	must.True(t, b.until(10_000, func() bool { return b.nodes["d01"].removed }))
 	must.Eq(t, []string{"d00", "n01", "d02"}, b.disks())
@@ -444,19 +448,19 @@
 }
 
 func TestFaultUnplannedReplacement(t *testing.T) {
-	b := formedWorld(t, 7)
+	b := formedPlatform(t, 7)
 	b.replaceLost("d00", 500)
 	must.False(t, b.mayLose("d02"))
 	must.True(t, b.until(15_000, func() bool { return len(b.coreWhole()) == membership.DefaultSize }))
 	b.run(lossEndsMs)
 	must.True(t, b.mayLose("d02"))
-	must.True(t, b.putNow(3000))
+	must.True(t, b.changeAcknowledged(3000))
 }
 
 // A configuration change whose response was lost is sent again and acknowledged each time.
 // Callbacks also see the responses that are lost.
 func TestFaultLostAnswers(t *testing.T) {
-	b := formedWorld(t, 8)
+	b := formedPlatform(t, 8)
 	undo := b.loseAnswers("operator", 1)
 	taken := 0
 	b.whenAnswered(func(a sentAnswer) bool {
@@ -465,16 +469,16 @@
 		}
 		return false
 	})
-	must.False(t, b.putNow(4000))
+	must.False(t, b.changeAcknowledged(4000))
 	must.Greater(t, 1, taken, must.Sprint("each retry was acknowledged"))
 	undo()
 	must.True(t, b.until(3000, func() bool { return b.version > 1 }))
 }
 
 // A fault aimed at a response hits the machine that sent it within 4 ms.
-func TestFaultStrike(t *testing.T) {
+func TestFaultAimedAtResponse(t *testing.T) {
 	for i, when := range []struck{struckSent, struckAcknowledged, struckTaken} {
-		b := formedWorld(t, uint64(9+i))
+		b := formedPlatform(t, uint64(9+i))
 		b.traffic()
 		hit, leftMs := "", int64(0)
 		b.whenAnswered(func(a sentAnswer) bool {
@@ -501,9 +505,9 @@
 // A path that is cut in one direction still works in the other; a reset loses only messages in
 // transit.
 func TestFaultCutsAndResets(t *testing.T) {
-	b := formedWorld(t, 12)
+	b := formedPlatform(t, 12)
 	arrived := map[string]bool{}
-	try := func(from, to string) { b.carryTo(from, to, func() { arrived[from+" "+to] = true }) }
+	try := func(from, to string) { b.deliver(from, to, func() { arrived[from+" "+to] = true }) }
 	heal := b.cutOne("d01", cutOutward)
 	try("d01", "d00")
 	try("d00", "d01")
--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -112,11 +112,11 @@
 	Cluster   string
 	CoreSet   string
 	Registers map[string]string
-	Slices    map[string]sliceSummary
+	Slices    map[string]shardSummary
 	Dump      string // hash of all entries that rebuild the store
 }
 
-type sliceSummary struct {
+type shardSummary struct {
 	Sealed, Served uint64
 	Live           map[string]string
 	Finished       []string
@@ -125,14 +125,14 @@
 
 func summaryOf(identity string, st *statestore.Store) storeSummary {
 	out := storeSummary{Disk: strings.Replace(strings.TrimSpace(identity), " ", " from ", 1), Cluster: fmt.Sprintf("%x", st.Cluster()),
-		CoreSet: hashOf(st.CoreSet().Encode()), Registers: map[string]string{}, Slices: map[string]sliceSummary{}}
+		CoreSet: hashOf(st.CoreSet().Encode()), Registers: map[string]string{}, Slices: map[string]shardSummary{}}
 	for _, name := range st.RegisterNames() {
 		r := st.Register(name)
 		out.Registers[name] = fmt.Sprintf("%s %s %s", ballotText(r.Promised), ballotText(r.Accepted), hashOf(r.Value))
 	}
 	for _, name := range st.ShardNames() {
 		replica := st.Shard(name)
-		s := sliceSummary{Sealed: replica.SealedEpoch(), Served: replica.ServedEpoch(), Live: map[string]string{}, Finished: []string{}}
+		s := shardSummary{Sealed: replica.SealedEpoch(), Served: replica.ServedEpoch(), Live: map[string]string{}, Finished: []string{}}
 		finished := map[string]bool{}
 		replica.EachFinished(func(r statestore.Record) { finished[r.ID] = true })
 		s.Finished = append(s.Finished, sortedKeys(finished)...)
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -27,33 +27,33 @@
 	fleetSeedFlag = flag.Uint64("fleet-seed", 1, "seed of the faults in that run")
 )
 
-// unrest applies faults to a cluster of real processes, one at a time.
-type unrest struct {
+// faultInjector applies faults to a cluster of real processes, one at a time.
+type faultInjector struct {
 	*fleet
 	rng     *rand.Rand
-	out     *bufio.Writer
+	events  *bufio.Writer
 	version int64
-	told    map[string]int
+	counts  map[string]int
 }
 
-func (u *unrest) some() int { return u.rng.IntN(len(u.addr)) }
+func (u *faultInjector) randomDaemon() int { return u.rng.IntN(len(u.addr)) }
 
 // whole reports whether all three core members are alive, so that one may lose its disk.
-func (u *unrest) whole() bool {
+func (u *faultInjector) whole() bool {
 	_, b, err := u.call("GET", "/v1/soundness", "")
 	return err == nil && gjson.GetBytes(b, "core_size").Int() == membership.DefaultSize && gjson.GetBytes(b, "core_live").Int() == membership.DefaultSize &&
 		gjson.GetBytes(b, "core_contact_ms").Int() < 1000
 }
 
-func (u *unrest) note(e historycheck.Event) {
+func (u *faultInjector) note(e historycheck.Event) {
 	e.AtMs = time.Now().UnixMilli()
 	b, _ := json.Marshal(e)
-	_, _ = u.out.Write(append(b, '\n'))
-	_ = u.out.Flush()
+	_, _ = u.events.Write(append(b, '\n'))
+	_ = u.events.Flush()
 }
 
 // declare has two operators race for the next configuration version.
-func (u *unrest) declare(dep historycheck.Deployment, empty []string) {
+func (u *faultInjector) declare(dep historycheck.Deployment, empty []string) {
 	u.version++
 	for i := range 2 {
 		s := dep.InitialConfiguration()
@@ -76,36 +76,38 @@
 	}
 }
 
-func (u *unrest) signal(name string, sig syscall.Signal) { _ = u.procs[name].Process.Signal(sig) }
+func (u *faultInjector) signal(name string, sig syscall.Signal) {
+	_ = u.procs[name].Process.Signal(sig)
+}
 
-var unrests = map[string]func(u *unrest, dep historycheck.Deployment){
-	"killed": func(u *unrest, _ historycheck.Deployment) {
-		i := u.some()
+var processFaults = map[string]func(u *faultInjector, dep historycheck.Deployment){
+	"killed": func(u *faultInjector, _ historycheck.Deployment) {
+		i := u.randomDaemon()
 		_ = u.end(u.name(i), syscall.SIGKILL)
 		u.pause(500, 4000)
 		u.daemon(i)
 	},
-	"two killed": func(u *unrest, _ historycheck.Deployment) {
-		i := u.some()
+	"two killed": func(u *faultInjector, _ historycheck.Deployment) {
+		i := u.randomDaemon()
 		j := (i + 1 + u.rng.IntN(len(u.addr)-1)) % len(u.addr)
 		_, _ = u.end(u.name(i), syscall.SIGKILL), u.end(u.name(j), syscall.SIGKILL)
 		u.pause(500, 5000)
 		u.daemon(i)
 		u.daemon(j)
 	},
-	"frozen": func(u *unrest, _ historycheck.Deployment) {
-		name := u.name(u.some())
+	"frozen": func(u *faultInjector, _ historycheck.Deployment) {
+		name := u.name(u.randomDaemon())
 		u.signal(name, syscall.SIGSTOP)
 		u.pause(500, 9000)
 		u.signal(name, syscall.SIGCONT)
 	},
-	"stopped": func(u *unrest, _ historycheck.Deployment) {
-		i := u.some()
+	"stopped": func(u *faultInjector, _ historycheck.Deployment) {
+		i := u.randomDaemon()
 		must.NoError(u.t, u.end(u.name(i), syscall.SIGTERM))
 		u.pause(100, 2000)
 		u.daemon(i)
 	},
-	"empty and at a new address": func(u *unrest, _ historycheck.Deployment) {
+	"empty and at a new address": func(u *faultInjector, _ historycheck.Deployment) {
 		if !u.whole() {
 			return
 		}
@@ -117,40 +119,40 @@
 		u.pause(100, 3000)
 		u.daemon(i)
 	},
-	"moved": func(u *unrest, _ historycheck.Deployment) {
+	"moved": func(u *faultInjector, _ historycheck.Deployment) {
 		i := membership.DefaultSize + u.rng.IntN(len(u.addr)-membership.DefaultSize)
 		_ = u.end(u.name(i), syscall.SIGKILL)
 		u.addr[i] = freePorts(u.t, 1)[0]
 		u.daemon(i)
 	},
-	"worker crashed": func(u *unrest, _ historycheck.Deployment) {
+	"worker crashed": func(u *faultInjector, _ historycheck.Deployment) {
 		i := u.rng.IntN(11)
 		_ = u.end(fmt.Sprintf("w%02d", i), syscall.SIGTERM)
 		u.pause(100, 4000)
 		u.worker(i)
 	},
-	"worker frozen": func(u *unrest, _ historycheck.Deployment) {
+	"worker frozen": func(u *faultInjector, _ historycheck.Deployment) {
 		name := fmt.Sprintf("w%02d", u.rng.IntN(11))
 		u.signal(name, syscall.SIGSTOP)
 		u.pause(500, 6000)
 		u.signal(name, syscall.SIGCONT)
 	},
-	"worker leaves": func(u *unrest, _ historycheck.Deployment) {
+	"worker leaves": func(u *faultInjector, _ historycheck.Deployment) {
 		i := u.rng.IntN(11)
 		u.signal(fmt.Sprintf("w%02d", i), syscall.SIGUSR1)
 		u.pause(3000, 5000)
 		_ = u.end(fmt.Sprintf("w%02d", i), syscall.SIGTERM)
 		u.worker(i)
 	},
-	"operators race": func(u *unrest, dep historycheck.Deployment) { u.declare(dep, nil) },
-	"site emptied": func(u *unrest, dep historycheck.Deployment) {
+	"operators race": func(u *faultInjector, dep historycheck.Deployment) { u.declare(dep, nil) },
+	"site emptied": func(u *faultInjector, dep historycheck.Deployment) {
 		u.declare(dep, []string{historycheck.Zones[u.rng.IntN(3)]})
 		u.pause(6000, 8000)
 		u.declare(dep, nil)
 	},
 }
 
-func (u *unrest) pause(loMs, hiMs int64) {
+func (u *faultInjector) pause(loMs, hiMs int64) {
 	time.Sleep(time.Duration(loMs+u.rng.Int64N(hiMs-loMs)) * time.Millisecond)
 }
 
@@ -162,26 +164,26 @@
 		t.Skip("only with -fleet hakata or ikenna")
 	}
 	f := newFleet(t, dep.Daemons, dep.Workers, dep.Cores)
-	f.settled("GET", "/v1/workers", "", func(s int, _ []byte, _ bool) bool { return s == 200 })
+	f.callUntil("GET", "/v1/workers", "", func(s int, _ []byte, _ bool) bool { return s == 200 })
 	records := filepath.Join(f.dir, "records")
 	file, err := os.Create(filepath.Join(records, "operators.jsonl"))
 	must.NoError(t, err)
-	u := &unrest{fleet: f, rng: rand.New(rand.NewPCG(*fleetSeedFlag, 1)), out: bufio.NewWriter(file), told: map[string]int{}}
+	u := &faultInjector{fleet: f, rng: rand.New(rand.NewPCG(*fleetSeedFlag, 1)), events: bufio.NewWriter(file), counts: map[string]int{}}
 	u.declare(dep, nil)
 	caller := exec.Command(filepath.Join(f.bin, "otterchute-standin"), "downstream", "-deployment", dep.Name, "-daemons", strings.Join(f.http, ","), "-records", records,
 		"-seconds", fmt.Sprint(*fleetSecsFlag), "-settle", "90", "-seed", fmt.Sprint(*fleetSeedFlag), "-wave", "60", "-cancel", "30")
-	var said strings.Builder
-	caller.Stdout, caller.Stderr = &said, &said
+	var output strings.Builder
+	caller.Stdout, caller.Stderr = &output, &output
 	must.NoError(t, caller.Start())
 	for end := time.Now().Add(time.Duration(*fleetSecsFlag) * time.Second); time.Now().Before(end); {
 		u.pause(200, 2500)
-		names := sortedKeys(unrests)
+		names := sortedKeys(processFaults)
 		name := names[u.rng.IntN(len(names))]
-		u.told[name]++
-		unrests[name](u, dep)
+		u.counts[name]++
+		processFaults[name](u, dep)
 	}
 	err = caller.Wait()
-	t.Log(u.told)
-	t.Log(said.String())
+	t.Log(u.counts)
+	t.Log(output.String())
 	must.NoError(t, err)
 }
--- a/internal/daemon/formation_test.go
+++ b/internal/daemon/formation_test.go
@@ -18,13 +18,13 @@
 )
 
 // coreWorld returns a world with a core of this size and disks in the zones of sitesOf.
-func coreWorld(seed uint64, size int, sitesOf []string, diskless int) *world {
-	w := newWorld(seed, historycheck.Deployment{Daemons: len(sitesOf) + diskless, Workers: 0, Cores: 4, JobsPerSec: 1})
+func coreWorld(seed uint64, size int, zones []string, diskless int) *world {
+	w := newWorld(seed, historycheck.Deployment{Daemons: len(zones) + diskless, Workers: 0, Cores: 4, JobsPerSec: 1})
 	for i, name := range sortedKeys(w.nodes) {
 		n := w.nodes[name]
-		n.CoreSize, n.Disk = size, i < len(sitesOf)
+		n.CoreSize, n.Disk = size, i < len(zones)
 		if n.Disk {
-			n.Zone = sitesOf[i]
+			n.Zone = zones[i]
 			n.DiskID = w.rng.Uint64() | 1
 		}
 	}
@@ -88,17 +88,17 @@
 	worstFormed, worstServed := int64(0), int64(0)
 	for seed := range uint64(30) {
 		w := coreWorld(3000+seed, 5, eightDisks, 20)
-		must.True(t, w.until(20_000, func() bool { return w.cluster() != nil }), must.Sprint(seed, w.told()))
+		must.True(t, w.until(20_000, func() bool { return w.cluster() != nil }), must.Sprint(seed, w.relevantLogs()))
 		worstFormed = max(worstFormed, w.nowMs())
 		set := w.cluster()
 		must.Len(t, 5, set.Members)
 		must.Eq(t, []string{"east", "far", "mid", "west"}, set.Shards)
-		bySite := map[string]int{}
+		byZone := map[string]int{}
 		for _, m := range set.Members {
-			bySite[w.nodes[m.Name].Zone]++
+			byZone[w.nodes[m.Name].Zone]++
 		}
-		for site, k := range bySite {
-			must.LessEq(t, 2, k, must.Sprint(site))
+		for zone, k := range byZone {
+			must.LessEq(t, 2, k, must.Sprint(zone))
 		}
 		must.True(t, w.until(20_000, w.allServed), must.Sprint(seed))
 		worstServed = max(worstServed, w.nowMs())
@@ -139,9 +139,9 @@
 		}
 		for w.nowMs() < 25_000 {
 			w.run(500)
-			must.LessEq(t, 1, len(w.clusters()), must.Sprint(seed, w.told()))
+			must.LessEq(t, 1, len(w.clusters()), must.Sprint(seed, w.relevantLogs()))
 		}
-		must.True(t, w.until(20_000, func() bool { return w.cluster() != nil && w.allServed() }), must.Sprint(seed, w.told()))
+		must.True(t, w.until(20_000, func() bool { return w.cluster() != nil && w.allServed() }), must.Sprint(seed, w.relevantLogs()))
 	}
 }
 
@@ -165,7 +165,7 @@
 		w.after(w.rng.Int64N(20_000), func() { first.kill(true) })
 		must.True(t, w.until(40_000, func() bool {
 			return w.cluster() != nil && w.allServed() && len(w.cluster().Members) == 5 && !w.cluster().Has("d00", first.DiskID)
-		}), must.Sprint(seed, w.told()))
+		}), must.Sprint(seed, w.relevantLogs()))
 		first.sh = nil
 		must.MapLen(t, 1, w.clusters())
 	}
@@ -219,7 +219,7 @@
 					}
 				}
 				return true
-			}), must.Sprint(seed, lost, w.told()))
+			}), must.Sprint(seed, lost, w.relevantLogs()))
 			must.Less(t, 500+6000*int64(len(lost)), w.nowMs()-at, must.Sprint(lost))
 			r := w.settle(w.nodes["d05"], evRequest{Op: "setup.get"}, 3000)
 			must.Eq(t, version, gjson.Get(r.body, "version").Int(), must.Sprint(r.body))
@@ -236,7 +236,7 @@
 	must.True(t, w.until(20_000, w.allServed))
 	set := w.cluster()
 	lost := set.Members[2].Name
-	site := w.nodes[lost].Zone
+	zone := w.nodes[lost].Zone
 	w.nodes[lost].kill(true)
 	must.True(t, w.until(30_000, func() bool {
 		c := w.cluster()
@@ -244,7 +244,7 @@
 	}))
 	for _, m := range w.cluster().Members {
 		if !set.Has(m.Name, m.DiskID) {
-			must.Eq(t, site, w.nodes[m.Name].Zone)
+			must.Eq(t, zone, w.nodes[m.Name].Zone)
 		}
 	}
 	w.run(20_000)
@@ -262,7 +262,7 @@
 		if move {
 			n.Addr = "10.0.7.5:7000"
 		}
-		n.incs = ^uint64(0) // its next incarnation is far below the last
+		n.incarnations = ^uint64(0) // its next incarnation is far below the last
 		w.run(1500)
 		n.start()
 		must.Less(t, w.nodes["d00"].sh.node.peers.Get("d05").Incarnation, n.sh.node.Incarnation)
@@ -289,8 +289,8 @@
 	must.True(t, w.until(2000, func() bool { return w.nodes["d07"].sh.node.peers.Len() == 7 }))
 }
 
-// told returns the log without the events of newly discovered peers.
-func (w *world) told() string {
+// relevantLogs returns the log without the events of newly discovered peers.
+func (w *world) relevantLogs() string {
 	return "\n" + strings.Join(slices.DeleteFunc(slices.Clone(w.logs), func(s string) bool { return strings.Contains(s, "peer_new") }), "\n")
 }
 
@@ -357,7 +357,7 @@
 	w := served(t, 4802)
 	must.Eq(t, 200, w.settle(w.nodes["d00"], evRequest{Op: "setup.put", Key: "1", Base: 0, Body: queueSetup("a", `,"addresses":[{"host":"h","prefix":"/a/"}]`)}, 4000).status)
 	w.run(2000)
-	asked := 0
+	tried := 0
 	for i := range 40 {
 		id := fmt.Sprint("job", i)
 		to := w.nodes["d04"]
@@ -370,7 +370,7 @@
 		must.Eq(t, 504, r.status, must.Sprint(r.body))
 		delete(w.cuts, [2]string{owner.Name, to.Name})
 		w.run(5000)
-		if asked++; asked == 3 {
+		if tried++; tried == 3 {
 			return
 		}
 	}
@@ -381,7 +381,7 @@
 // after the first has failed.
 func TestFormationOneVote(t *testing.T) {
 	n := newNode(nodeConfig{Name: "b", DiskID: 2, Disk: true, FirstStart: true}, statestore.New())
-	say := func(m *wire.FormRequest) *wire.FormResponse {
+	request := func(m *wire.FormRequest) *wire.FormResponse {
 		var got *wire.FormResponse
 		for _, e := range reduce(n, event{NowMs: 1000, WallMs: 1000, Body: evMsg{Head: wire.Header{From: "a", To: addresseeID("b")}, Msg: m}}) {
 			if a, ok := e.(effAppend); ok {
@@ -397,14 +397,14 @@
 	set := func(id uint64) quorum.Set {
 		return quorum.Set{Cluster: id, Version: 1, Members: []quorum.Member{{Name: "a", DiskID: 1}, {Name: "b", DiskID: 2}, {Name: "c", DiskID: 3}}, Shards: []string{"x"}}
 	}
-	must.Eq(t, &wire.FormResponse{Cluster: 11, OK: true}, say(&wire.FormRequest{Set: set(11)}))
-	must.Eq(t, &wire.FormResponse{Cluster: 13}, say(&wire.FormRequest{Set: set(13)}))
+	must.Eq(t, &wire.FormResponse{Cluster: 11, OK: true}, request(&wire.FormRequest{Set: set(11)}))
+	must.Eq(t, &wire.FormResponse{Cluster: 13}, request(&wire.FormRequest{Set: set(13)}))
 	must.Eq(t, uint64(11), n.store.Formation().Cluster)
-	say(&wire.FormRequest{Set: set(11), Failed: true})
+	request(&wire.FormRequest{Set: set(11), Failed: true})
 	must.Eq(t, uint64(0), n.store.Cluster())
-	must.Eq(t, &wire.FormResponse{Cluster: 13}, say(&wire.FormRequest{Set: set(13)}))
-	must.Eq(t, &wire.FormResponse{Cluster: 11}, say(&wire.FormRequest{Set: set(11)}))
-	must.Eq(t, &wire.FormResponse{Cluster: 15, OK: true}, say(&wire.FormRequest{Set: set(15)}))
+	must.Eq(t, &wire.FormResponse{Cluster: 13}, request(&wire.FormRequest{Set: set(13)}))
+	must.Eq(t, &wire.FormResponse{Cluster: 11}, request(&wire.FormRequest{Set: set(11)}))
+	must.Eq(t, &wire.FormResponse{Cluster: 15, OK: true}, request(&wire.FormRequest{Set: set(15)}))
 }
 
 // A new member copies from a majority of the remaining members before it joins.
@@ -420,7 +420,7 @@
 		w.run(500)
 		w.logs = nil
 		w.nodes["d02"].start()
-		must.True(t, w.until(20_000, func() bool { c := w.cluster(); return c != nil && c.Has("d02", w.nodes["d02"].DiskID) }), must.Sprint(seed, w.told()))
+		must.True(t, w.until(20_000, func() bool { c := w.cluster(); return c != nil && c.Has("d02", w.nodes["d02"].DiskID) }), must.Sprint(seed, w.relevantLogs()))
 		copied := 0
 		for _, l := range w.logs {
 			if strings.Contains(l, " core_copied ") {
@@ -430,6 +430,6 @@
 				break
 			}
 		}
-		must.LessEq(t, copied, 3, must.Sprint(w.told()))
+		must.LessEq(t, copied, 3, must.Sprint(w.relevantLogs()))
 	}
 }
--- a/internal/daemon/forms_test.go
+++ b/internal/daemon/forms_test.go
@@ -65,9 +65,9 @@
 	}
 }
 
-func TestDoctorFinds(t *testing.T) {
-	sound := `{"core_size":3,"core_live":3,"core_contact_ms":100,"setup_confirmed":true,"setup_version":2}`
-	must.SliceEmpty(t, examine(map[string][]byte{"d1": []byte(sound)}))
+func TestDoctorChecks(t *testing.T) {
+	healthy := `{"core_size":3,"core_live":3,"core_contact_ms":100,"setup_confirmed":true,"setup_version":2}`
+	must.SliceEmpty(t, examine(map[string][]byte{"d1": []byte(healthy)}))
 	for check, word := range map[string]string{
 		"core below majority":   `{"core_size":3,"core_live":1,"setup_confirmed":true,"setup_version":1}`,
 		"core member missing":   `{"core_size":3,"core_live":2,"setup_confirmed":true,"setup_version":1}`,
--- a/internal/daemon/gossip_test.go
+++ b/internal/daemon/gossip_test.go
@@ -16,7 +16,7 @@
 func TestGossipByDifference(t *testing.T) {
 	w := newWorld(7, historycheck.Deployments["hakata"])
 	w.run(12_000)
-	told := func(of string, ok func(*cluster.Peer) bool) bool {
+	holdsElsewhere := func(of string, ok func(*cluster.Peer) bool) bool {
 		for _, name := range sortedKeys(w.nodes) {
 			if s := w.nodes[name].sh.node.peers.Get(of); name != of && (s == nil || !ok(s)) {
 				return false
@@ -25,18 +25,20 @@
 		return true
 	}
 	for _, name := range sortedKeys(w.nodes) {
-		must.True(t, told(name, func(s *cluster.Peer) bool { return w.nodes[name].sh.node.peers.Self().Heartbeat-s.Heartbeat <= 4 }), must.Sprint(name))
+		must.True(t, holdsElsewhere(name, func(s *cluster.Peer) bool { return w.nodes[name].sh.node.peers.Self().Heartbeat-s.Heartbeat <= 4 }), must.Sprint(name))
 	}
-	before, rounds := w.msgs[reflect.TypeFor[wire.Gossip]().Name()], w.msgs[reflect.TypeFor[wire.Digest]().Name()]
+	before, rounds := w.messages[reflect.TypeFor[wire.Gossip]().Name()], w.messages[reflect.TypeFor[wire.Digest]().Name()]
 	w.run(10_000)
-	must.Greater(t, 10*len(w.nodes), w.msgs[reflect.TypeFor[wire.Digest]().Name()]-rounds)
-	must.Less(t, (w.msgs[reflect.TypeFor[wire.Digest]().Name()]-rounds)/10, w.msgs[reflect.TypeFor[wire.Gossip]().Name()]-before)
+	must.Greater(t, 10*len(w.nodes), w.messages[reflect.TypeFor[wire.Digest]().Name()]-rounds)
+	must.Less(t, (w.messages[reflect.TypeFor[wire.Digest]().Name()]-rounds)/10, w.messages[reflect.TypeFor[wire.Gossip]().Name()]-before)
 
 	w.nodes["d07"].kill(false)
 	w.run(1000)
 	w.nodes["d07"].Zone = "moved"
 	w.nodes["d07"].start()
-	must.True(t, w.until(4000, func() bool { return told("d07", func(s *cluster.Peer) bool { return s.Zone == "moved" }) }))
+	must.True(t, w.until(4000, func() bool { return holdsElsewhere("d07", func(s *cluster.Peer) bool { return s.Zone == "moved" }) }))
 	w.nodes["d08"].sh.node.HTTP = "10.9.9.9:8000"
-	must.True(t, w.until(3000, func() bool { return told("d08", func(s *cluster.Peer) bool { return s.HTTPAddr == "10.9.9.9:8000" }) }))
+	must.True(t, w.until(3000, func() bool {
+		return holdsElsewhere("d08", func(s *cluster.Peer) bool { return s.HTTPAddr == "10.9.9.9:8000" })
+	}))
 }
--- a/internal/daemon/history_test.go
+++ b/internal/daemon/history_test.go
@@ -14,15 +14,15 @@
 	"github.com/tidwall/gjson"
 )
 
-// operatorOrder is a configuration change as an operator sends it: a whole document, or a
+// configChange is a change of the configuration as an operator sends it: a whole document, or a
 // change by items.
-type operatorOrder struct {
+type configChange struct {
 	version, base int64
 	queue         string
 	byItems       bool
 }
 
-func (o operatorOrder) digest() []byte {
+func (o configChange) digest() []byte {
 	if !o.byItems {
 		return nil
 	}
@@ -30,13 +30,13 @@
 	return sum[:]
 }
 
-func (o operatorOrder) put() evRequest {
+func (o configChange) put() evRequest {
 	return evRequest{Op: "setup.put", Key: fmt.Sprint(o.version), Base: o.base, Digest: o.digest(), Body: queueSetup(o.queue, "")}
 }
 
-// again returns the request that repeats the change after its base has passed. The document of
+// resend returns the request that repeats the change after its base has passed. The document of
 // a change by items can't be built any more, so only its digest is sent.
-func (o operatorOrder) again() evRequest {
+func (o configChange) resend() evRequest {
 	e := o.put()
 	if o.byItems {
 		e.Op, e.Body = "setup.taken", nil
@@ -44,8 +44,8 @@
 	return e
 }
 
-// acknowledged sends a change to a daemon until the answer is final.
-func (w *world) acknowledged(t *testing.T, to *simNode, e evRequest) answered {
+// finalAnswer sends a change to a daemon until the answer is final.
+func (w *world) finalAnswer(t *testing.T, to *simNode, e evRequest) answered {
 	t.Helper()
 	var got answered
 	must.True(t, w.until(20_000, func() bool {
@@ -59,11 +59,11 @@
 }
 
 // storm has count changes accepted one after the other, at all daemons in turn.
-func (w *world) storm(t *testing.T, from operatorOrder, count int) (all []operatorOrder) {
+func (w *world) storm(t *testing.T, from configChange, count int) (all []configChange) {
 	t.Helper()
 	for i := range count {
-		from = operatorOrder{version: from.version + 1 + int64(i%3), base: from.version, queue: fmt.Sprint("q", from.version, "-", i), byItems: i%2 == 1}
-		got := w.acknowledged(t, w.anyNode(i), from.put())
+		from = configChange{version: from.version + 1 + int64(i%3), base: from.version, queue: fmt.Sprint("q", from.version, "-", i), byItems: i%2 == 1}
+		got := w.finalAnswer(t, w.anyNode(i), from.put())
 		must.Eq(t, 200, got.status, must.Sprint(got))
 		must.Eq(t, from.version, gjson.Get(got.body, "version").Int())
 		all = append(all, from)
@@ -71,21 +71,21 @@
 	return all
 }
 
-// resendAll sends changes again to every daemon, and requires that all are acknowledged.
-func (w *world) resendAll(t *testing.T, when string, orders ...operatorOrder) {
+// requireResendsAcknowledged sends changes again to every daemon, and requires that all are acknowledged.
+func (w *world) requireResendsAcknowledged(t *testing.T, when string, orders ...configChange) {
 	t.Helper()
 	for _, name := range sortedKeys(w.nodes) {
 		for _, o := range orders {
-			got := w.acknowledged(t, w.nodes[name], o.again())
+			got := w.finalAnswer(t, w.nodes[name], o.resend())
 			must.Eq(t, 200, got.status, must.Sprint(when, " ", o, " at ", name, ": ", got.body))
 			must.Eq(t, o.version, gjson.Get(got.body, "version").Int())
 		}
 	}
 }
 
-// refuseAll sends changes that were never accepted, and invalid ones, to every daemon, and
-// requires that all are rejected.
-func (w *world) refuseAll(t *testing.T, taken operatorOrder) {
+// requireRejected sends changes that were never accepted, and invalid ones, to every daemon,
+// and requires that all are rejected.
+func (w *world) requireRejected(t *testing.T, taken configChange) {
 	t.Helper()
 	other := taken
 	other.queue = "never-accepted"
@@ -93,33 +93,33 @@
 	otherBase.base--
 	for _, name := range sortedKeys(w.nodes) {
 		to := w.nodes[name]
-		must.Eq(t, 409, w.acknowledged(t, to, other.put()).status)
-		must.Eq(t, 409, w.acknowledged(t, to, other.again()).status)
+		must.Eq(t, 409, w.finalAnswer(t, to, other.put()).status)
+		must.Eq(t, 409, w.finalAnswer(t, to, other.resend()).status)
 		if otherBase.base >= 0 {
-			must.Eq(t, 409, w.acknowledged(t, to, otherBase.put()).status)
+			must.Eq(t, 409, w.finalAnswer(t, to, otherBase.put()).status)
 		}
 		invalid := taken.put()
 		invalid.Body = []byte(`{"queues":[{"name":""}]}`)
-		must.Eq(t, 400, w.acknowledged(t, to, invalid).status)
+		must.Eq(t, 400, w.finalAnswer(t, to, invalid).status)
 	}
 }
 
 // An accepted change that is sent again is acknowledged by every daemon, after any number of
 // later changes, after a restart of all daemons, and after a member lost its disk.
-func TestConfigChangesComeAgain(t *testing.T) {
+func TestConfigResentChangesAreAcknowledged(t *testing.T) {
 	w := served(t, 970)
-	first := operatorOrder{version: 3, base: 0, queue: "first"}
-	must.Eq(t, 200, w.acknowledged(t, w.nodes["d00"], first.put()).status)
-	second := operatorOrder{version: 4, base: 3, queue: "second", byItems: true}
-	must.Eq(t, 200, w.acknowledged(t, w.nodes["d03"], second.put()).status)
-	w.resendAll(t, "one change later", first, second)
-	w.refuseAll(t, first)
+	first := configChange{version: 3, base: 0, queue: "first"}
+	must.Eq(t, 200, w.finalAnswer(t, w.nodes["d00"], first.put()).status)
+	second := configChange{version: 4, base: 3, queue: "second", byItems: true}
+	must.Eq(t, 200, w.finalAnswer(t, w.nodes["d03"], second.put()).status)
+	w.requireResendsAcknowledged(t, "one change later", first, second)
+	w.requireRejected(t, first)
 
 	all := w.storm(t, second, 60)
-	w.resendAll(t, "60 changes later", first, second, all[17], all[58], all[59])
-	w.refuseAll(t, all[30])
+	w.requireResendsAcknowledged(t, "60 changes later", first, second, all[17], all[58], all[59])
+	w.requireRejected(t, all[30])
 	all = append(all, w.storm(t, all[59], 240)...)
-	w.resendAll(t, "300 changes later", first, second, all[60], all[299])
+	w.requireResendsAcknowledged(t, "300 changes later", first, second, all[60], all[299])
 
 	for _, name := range sortedKeys(w.nodes) {
 		w.nodes[name].kill(true)
@@ -129,8 +129,8 @@
 		w.nodes[name].start()
 	}
 	w.run(5000)
-	w.resendAll(t, "after a restart of all", first, all[150], all[299])
-	w.refuseAll(t, all[150])
+	w.requireResendsAcknowledged(t, "after a restart of all", first, all[150], all[299])
+	w.requireRejected(t, all[150])
 
 	lost := w.nodes["d00"]
 	lost.kill(true)
@@ -142,16 +142,16 @@
 	w.nodes["d01"].kill(true) // the remaining core is the new member and one older one
 	w.run(3000)
 	delete(w.nodes, "d01")
-	w.resendAll(t, "after a member was replaced", first, all[150], all[299])
+	w.requireResendsAcknowledged(t, "after a member was replaced", first, all[150], all[299])
 }
 
 // Under lost answers and racing operators a change that was acknowledged or seen in force is
 // never rejected, and a rejected change was never in force.
-func TestConfigChangesComeAgainInRaces(t *testing.T) {
+func TestConfigResentChangesInRaces(t *testing.T) {
 	for seed := range uint64(6) {
 		w := served(t, 980+seed)
 		inForce := map[int64]string{} // queue by version, as seen at any daemon
-		look := func() {
+		observe := func() {
 			for _, name := range sortedKeys(w.nodes) {
 				if n := w.nodes[name]; n.up && n.sh.node.config.record.Version > 0 {
 					d := n.sh.node.config.record
@@ -162,9 +162,9 @@
 				}
 			}
 		}
-		answers := map[operatorOrder]int{}
+		answers := map[configChange]int{}
 		open := 0
-		send := func(o operatorOrder) { // until the answer is final; half of the answers are lost
+		send := func(o configChange) { // until the answer is final; half of the answers are lost
 			open++
 			var try func()
 			try = func() {
@@ -182,17 +182,17 @@
 		base := int64(0)
 		for round := range 12 {
 			for i := range 3 {
-				send(operatorOrder{version: base + 1 + int64(i%2), base: base, queue: fmt.Sprint("r", round, "-", i)})
+				send(configChange{version: base + 1 + int64(i%2), base: base, queue: fmt.Sprint("r", round, "-", i)})
 			}
 			if round%4 == 3 { // a core member is killed meanwhile
 				victim := w.nodes[fmt.Sprint("d0", round/4)]
 				w.after(w.rng.Int64N(30_000), func() { victim.kill(true) })
 				w.after(900_000, victim.start)
 			}
-			must.True(t, w.until(10_000, func() bool { look(); return w.setupVersion() > base }))
+			must.True(t, w.until(10_000, func() bool { observe(); return w.setupVersion() > base }))
 			base = w.setupVersion() // later changes build on it, whether or not its own operator received the answer
 		}
-		must.True(t, w.until(60_000, func() bool { look(); return open == 0 }), must.Sprint(seed, open))
+		must.True(t, w.until(60_000, func() bool { observe(); return open == 0 }), must.Sprint(seed, open))
 		won := map[int64]int{}
 		for o, status := range answers {
 			must.SliceContains(t, []int{200, 409}, status, must.Sprint(seed, o))
@@ -215,10 +215,10 @@
 // delay once the lack of contact is established.
 func TestConfigChangesAreNotRefusedWhileCutOff(t *testing.T) {
 	w := served(t, 995)
-	first := operatorOrder{version: 3, base: 0, queue: "first"}
-	second := operatorOrder{version: 4, base: 3, queue: "second"}
-	must.Eq(t, 200, w.acknowledged(t, w.nodes["d00"], first.put()).status)
-	must.Eq(t, 200, w.acknowledged(t, w.nodes["d01"], second.put()).status)
+	first := configChange{version: 3, base: 0, queue: "first"}
+	second := configChange{version: 4, base: 3, queue: "second"}
+	must.Eq(t, 200, w.finalAnswer(t, w.nodes["d00"], first.put()).status)
+	must.Eq(t, 200, w.finalAnswer(t, w.nodes["d01"], second.put()).status)
 	w.run(1000)
 	for _, name := range []string{"d00", "d04"} {
 		w.cutHost(name)
@@ -227,7 +227,7 @@
 		}
 		for _, afterMs := range []int64{0, 700, 2000, 20_000} {
 			w.run(afterMs)
-			for _, o := range []operatorOrder{first, {version: 3, base: 0, queue: "never"}} {
+			for _, o := range []configChange{first, {version: 3, base: 0, queue: "never"}} {
 				for _, e := range []evRequest{o.put(), {Op: "setup.taken", Key: "3", Base: 0, Digest: make([]byte, 32)}, {Op: "site.empty", Key: "west"}} {
 					at := w.nowMs()
 					got := w.settle(w.nodes[name], e, 4000)
@@ -240,7 +240,7 @@
 		}
 		w.heal()
 		w.run(3000)
-		must.Eq(t, 200, w.acknowledged(t, w.nodes[name], first.put()).status)
+		must.Eq(t, 200, w.finalAnswer(t, w.nodes[name], first.put()).status)
 	}
 }
 
@@ -248,8 +248,8 @@
 // read the configuration.
 func TestConfigHistoryCost(t *testing.T) {
 	w := served(t, 996)
-	first := operatorOrder{version: 1, base: 0, queue: "first"}
-	must.Eq(t, 200, w.acknowledged(t, w.nodes["d00"], first.put()).status)
+	first := configChange{version: 1, base: 0, queue: "first"}
+	must.Eq(t, 200, w.finalAnswer(t, w.nodes["d00"], first.put()).status)
 	// The list that readers receive has its final length from here on.
 	last := w.storm(t, first, configuration.MaxPastVersions)
 	size := func() (kept, read int) {
@@ -271,7 +271,7 @@
 
 // A change that is too old for the history gets no final answer.
 func TestForgottenChangesAreNotRefused(t *testing.T) {
-	n := newQuorumOfThree().life(1)
+	n := newQuorumOfThree().newProposer(1)
 	value := configuration.Record{Version: 9000, AcceptedChanges: configuration.History{Base: 5000}}
 	value.AcceptedChanges = value.AcceptedChanges.With(configuration.ChangeID{Version: 9000, Base: 5000})
 	for _, c := range []struct {
--- a/internal/daemon/http_server_test.go
+++ b/internal/daemon/http_server_test.go
@@ -9,9 +9,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// serverTaken returns an HTTP server and its ports, and a function with which the test acts as
-// the control thread: each call runs one posted function.
-func serverTaken() (*httpServer, *processPorts, func()) {
+// newTestServer returns an HTTP server and its ports, and a function with which the test acts
+// as the control thread: each call runs one posted function.
+func newTestServer() (*httpServer, *processPorts, func()) {
 	l := newControlLoop(newSteadyClock())
 	ports := &processPorts{loop: l, pendingReplies: map[uint64]chan effReply{}}
 	l.executor = &executor{node: newNode(nodeConfig{Name: "a"}, nil), ports: ports}
@@ -25,15 +25,15 @@
 		op     string
 		status int
 	}{{"queue.submit", 504}, {"queue.cancel", 504}, {"queue.state", 503}} {
-		h, ports, run := serverTaken()
+		h, ports, run := newTestServer()
 		l := h.loop
 		l.executor.node.config.current.Version = 1 // requests wait until the configuration is confirmed again
-		ctx, giveUp := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(context.Background())
 		first, second := make(chan effReply, 1), make(chan effReply, 1)
 		go func() { first <- h.request(ctx, evRequest{Op: c.op, Host: "h", Path: "/first"}) }()
 		run()
 		must.MapContainsKey(t, ports.pendingReplies, 1)
-		giveUp()
+		cancel()
 		must.Eq(t, c.status, (<-first).Status)
 		go func() { second <- h.request(context.Background(), evRequest{Op: c.op, Host: "h", Path: "/second"}) }()
 		run() // the first request is abandoned
@@ -50,8 +50,8 @@
 
 // Concurrent requests, answered in any order and some of them abandoned, each get their own
 // reply.
-func TestServerManyAtOnce(t *testing.T) {
-	h, ports, _ := serverTaken()
+func TestServerConcurrentRequests(t *testing.T) {
+	h, ports, _ := newTestServer()
 	h.loop.executor.node.config.current.Version = 1
 	const calls = 200
 	var wg sync.WaitGroup
--- a/internal/daemon/identity_test.go
+++ b/internal/daemon/identity_test.go
@@ -56,17 +56,17 @@
 	front, owner := frontAndOwner(t, w)
 	queue := w.dep.InitialConfiguration().Queues[0].Name
 	first, second := idOwnedBy(w, owner, "first"), idOwnedBy(w, owner, "second")
-	handed, withheld := false, 0
+	forwarded, withheld := false, 0
 	w.detain = func(from, to string, msg any) int64 {
 		switch m := msg.(type) {
 		case *wire.ForwardReply: // to the first process, until the second has forwarded a request
-			if from == owner.Name && to == front.Name && !handed {
+			if from == owner.Name && to == front.Name && !forwarded {
 				withheld++
 				return 700_000
 			}
 		case *wire.Forward:
 			if from == front.Name && m.Key == second {
-				handed = true
+				forwarded = true
 				return 400_000 // the late response arrives before this request
 			}
 		}
@@ -84,7 +84,7 @@
 	})
 	w.ask("caller", front, "job.put", first, jobBody(queue), 5000, func(int, int64, []byte) {})
 	must.True(t, w.until(500, func() bool { return withheld > 0 }), must.Sprint("the owner sent no answer"))
-	numbers := front.sh.node.forwardSeq
+	lastSeq := front.sh.node.forwardSeq
 	restart()
 	must.True(t, w.until(600, func() bool {
 		h, _ := front.sh.node.leases.Holder("slice/" + front.sh.node.shardOf(second))
@@ -92,9 +92,9 @@
 	}),
 		must.Sprint("the second process found no owner in time"))
 	// Workers' reports may have used numbers: the next one is that of the first caller again.
-	front.sh.node.forwardSeq = numbers - 1
+	front.sh.node.forwardSeq = lastSeq - 1
 	status, _, body, took := w.asked("caller", front, "job.put", second, jobBody(queue))
-	must.True(t, handed)
+	must.True(t, forwarded)
 	must.Eq(t, 201, status)
 	must.Eq(t, second, gjson.GetBytes(body, "id").Str, must.Sprintf("the answer after %d ms is another caller's: %s", took, body))
 	must.Positive(t, front.sh.node.counts["late_responses"])
@@ -131,7 +131,7 @@
 	w := formed(t, 2, "ikenna")
 	n := w.nodes["d01"].sh.node
 	var dest []uint64
-	look := func(effects []effect) {
+	collect := func(effects []effect) {
 		for _, e := range effects {
 			if s, ok := e.(effSend); ok && responses[reflect.TypeOf(s.Msg)] {
 				dest = append(dest, s.Dest)
@@ -145,9 +145,9 @@
 		before := len(dest)
 		for _, e := range reduce(n, event{NowMs: n.now, WallMs: n.wall, Seed: 1, Body: evMsg{Head: wire.Header{From: "b", Instance: 4321, To: addresseeID(n.Name)}, Msg: msg}}) {
 			if a, ok := e.(effAppend); ok {
-				look(a.Then)
+				collect(a.Then)
 			} else {
-				look([]effect{e})
+				collect([]effect{e})
 			}
 		}
 		must.Eq(t, before+1, len(dest), must.Sprintf("%T", msg))
@@ -156,7 +156,7 @@
 }
 
 // Frames of the former format are rejected, and never decoded as something else.
-func TestFormerFormIsRefused(t *testing.T) {
+func TestFormerFrameFormatIsRejected(t *testing.T) {
 	former := struct {
 		Magic         uint64
 		Version, Kind int32
--- a/internal/daemon/incident_test.go
+++ b/internal/daemon/incident_test.go
@@ -14,7 +14,7 @@
 // A run time is known only if both the start and the end were observed as they happened. After
 // a freeze, or for an attempt found running at startup, nothing is learned. In the incidents
 // such attempts were recorded with the daemon's own age or with zero.
-func TestIncidentRunTimesThatNobodySaw(t *testing.T) {
+func TestIncidentUnobservedRunTimes(t *testing.T) {
 	key := wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}
 	ended := `,"ended":[{"n":1,"job":"j1","round":0,"step":0,"index":0,"run":1,"saved":"","outcome":"ok"}]`
 	type lists struct {
@@ -23,7 +23,7 @@
 	}
 	for name, c := range map[string]struct {
 		ordered bool // by this daemon
-		beats   []lists
+		reports []lists
 		ranMs   int64
 	}{
 		"seen":                                {true, []lists{{50, running("j1", 0, 1, 1)}, {50, running("j1", 0, 1, 50)}, {50, ended}}, 100},
@@ -34,15 +34,15 @@
 		"found running":                       {false, []lists{{50, running("j1", 0, 1, 60)}, {50, ended}}, 0},
 		"found ended":                         {false, []lists{{50, ended}}, 0},
 	} {
-		n, beat := pinned(t)
-		beat(100_000, "")
-		beat(50, "")
+		n, heartbeat := pinned(t)
+		heartbeat(100_000, "")
+		heartbeat(50, "")
 		agent := n.agents["w1"]
 		if c.ordered {
 			agent.attempts[key] = &agentAttempt{state: wire.AttemptOrdered, ordered: true, orderedMs: n.now, orderSeq: agent.reportSeq, confirmedMs: n.now + 60_000, spec: wire.TaskSpec{Key: key, EstimateMs: 100}}
 		}
-		for _, l := range c.beats {
-			beat(l.afterMs, l.text)
+		for _, l := range c.reports {
+			heartbeat(l.afterMs, l.text)
 		}
 		attempt := agent.attempts[key]
 		must.Eq(t, wire.AttemptEnded, attempt.state, must.Sprint(name))
@@ -62,15 +62,15 @@
 // could be told from a network cut only by the expiry of leases.
 func TestIncidentFreezeIsLogged(t *testing.T) {
 	n := newNode(nodeConfig{Name: "edge-1", Incarnation: 1, Zone: "east"}, nil)
-	var told []effLog
+	var logged []effLog
 	for _, ms := range []int64{5_000_000, 5_000_100, 5_001_100, 5_006_000, 5_006_100} {
 		for _, e := range reduce(n, event{NowMs: ms, WallMs: ms, Seed: 1, Body: evTick{}}) {
 			if l, ok := e.(effLog); ok && l.Event == "stood_still" {
-				told = append(told, l)
+				logged = append(logged, l)
 			}
 		}
 	}
-	must.Eq(t, []effLog{{Event: "stood_still", Pairs: []any{"ms", int64(4900)}}}, told)
+	must.Eq(t, []effLog{{Event: "stood_still", Pairs: []any{"ms", int64(4900)}}}, logged)
 }
 
 // After the daemon with the central scheduler dies, guaranteed work starts as soon as the
@@ -140,8 +140,8 @@
 	next()
 }
 
-// setups sends valid changes, a pair on the same version and an invalid one.
-func (b *platformWorld) setups(n int, gapMs int64) {
+// sendConfigs sends valid changes, a pair on the same version and an invalid one.
+func (b *platformWorld) sendConfigs(n int, gapMs int64) {
 	for i := range n {
 		b.after(int64(i)*gapMs*1000, func() {
 			base := b.version
@@ -191,15 +191,15 @@
 // incidents are the mixes of faults reconstructed in docs/incidents.md, with the minimum share
 // of all jobs and rounds that must end within their targets.
 var incidents = map[string]struct {
-	site  string
-	play  func(b *platformWorld)
-	share float64
+	deploymentName string
+	simulate       func(b *platformWorld)
+	share          float64
 }{
 	"ticket resale": {"hakata", func(b *platformWorld) {
 		b.day(1500)
-		b.setups(4, 1000)
+		b.sendConfigs(4, 1000)
 		b.run(7500)
-		b.setups(1, 0)
+		b.sendConfigs(1, 0)
 		for _, w := range b.someWorkers(0.14) {
 			b.leaves(w, true)
 		}
@@ -214,7 +214,7 @@
 	}, 0.85},
 	"apprentice records": {"ikenna", func(b *platformWorld) {
 		b.day(5000)
-		b.setups(3, 1000)
+		b.sendConfigs(3, 1000)
 		b.run(3000)
 		b.killFor(b.edges()[5], false, 3500)
 		b.run(3000)
@@ -236,7 +236,7 @@
 	}, 0.7},
 	"grown ticket resale": {"hakata grown", func(b *platformWorld) {
 		b.day(2500)
-		b.setups(1, 0)
+		b.sendConfigs(1, 0)
 		b.run(3500)
 		heal := b.cut(b.holder(b.someSlice()))
 		b.after(5_500_000, heal)
@@ -247,7 +247,7 @@
 		b.run(600)
 		b.crowd(2, 2.1, 4000)
 		b.run(2600)
-		b.setups(2, 600)
+		b.sendConfigs(2, 600)
 		b.run(3800)
 		for _, w := range b.someWorkers(0.065) {
 			b.leaves(w, false)
@@ -258,7 +258,7 @@
 	}, 0.8},
 	"grown apprentice records": {"ikenna grown", func(b *platformWorld) {
 		b.day(2000)
-		b.setups(2, 1500)
+		b.sendConfigs(2, 1500)
 		b.run(4000)
 		slice := b.someSlice()
 		b.freeze(b.holder(slice), 5000)
@@ -314,9 +314,9 @@
 			seed := from + uint64(i)
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				b := formPlatform(t, seed, incidents[name].site)
+				b := formPlatform(t, seed, incidents[name].deploymentName)
 				b.jobRng = rand.New(rand.NewPCG(seed, 11)) // the jobs stay the same whatever changes in the product
-				incidents[name].play(b)
+				incidents[name].simulate(b)
 				b.finish(120_000)
 				verdictOfPlatform(t, b)
 				done, owed := 0, 0
--- a/internal/daemon/lease_test.go
+++ b/internal/daemon/lease_test.go
@@ -15,22 +15,22 @@
 
 // holders returns the daemons that may act in a role now: those whose own clock says that
 // their lease is still valid, including frozen ones.
-func (w *world) holders(duty string) []string {
+func (w *world) holders(role string) []string {
 	var out []string
 	for _, name := range sortedKeys(w.nodes) {
 		n := w.nodes[name]
 		if !n.up {
 			continue
 		}
-		if leases := n.sh.node.leases; leases.Serves(duty) && n.steadyMs() < leases.HeldUntilMs(duty) {
+		if leases := n.sh.node.leases; leases.Serves(role) && n.steadyMs() < leases.HeldUntilMs(role) {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// countsEpoch reports whether a daemon is raising the epoch of a role.
-func (n *node) countsEpoch(role string) bool {
+// raisesEpoch reports whether a daemon is raising the epoch of a role.
+func (n *node) raisesEpoch(role string) bool {
 	for _, change := range n.changes {
 		if change.kind == "duty" && string(change.argument) == role {
 			return true
@@ -53,13 +53,13 @@
 	return nil
 }
 
-// heldOnce advances the simulation and requires that no role ever has two holders.
-func (w *world) heldOnce(t *testing.T, ms int64, duties ...string) {
+// requireSingleHolder advances the simulation and requires that no role ever has two holders.
+func (w *world) requireSingleHolder(t *testing.T, ms int64, roles ...string) {
 	t.Helper()
 	for end := w.nowMs() + ms; w.nowMs() < end; w.run(2) {
-		for _, duty := range duties {
-			if held := w.holders(duty); len(held) > 1 {
-				t.Fatalf("at %d ms %s has several holders: %v", w.nowMs(), duty, held)
+		for _, role := range roles {
+			if held := w.holders(role); len(held) > 1 {
+				t.Fatalf("at %d ms %s has several holders: %v", w.nowMs(), role, held)
 			}
 		}
 	}
@@ -92,26 +92,26 @@
 		const name = "slice/spare"
 		w.oneWay("d05", "d02", true) // its poll reaches d00 and d01 only
 		first.sh.node.leases.Acquire(name)
-		must.True(t, w.stepUntil(1000, func() bool { return first.sh.node.countsEpoch(name) }))
+		must.True(t, w.stepUntil(1000, func() bool { return first.sh.node.raisesEpoch(name) }))
 		w.oneWay("d05", "d02", false) // its accept reaches d01 and d02 only
-		must.True(t, w.stepUntil(100, func() bool { return first.sh.node.accepts("duty/" + name) }))
+		must.True(t, w.stepUntil(100, func() bool { return first.sh.node.inAcceptPhase("duty/" + name) }))
 		w.oneWay("d05", "d00", true)
 		must.True(t, w.stepUntil(100, func() bool { return first.sh.node.leases.Serves(name) }))
 		w.oneWay("d05", "d02", true) // renewals don't reach this member
 		w.nodes["d00"].kill(false)
 		w.nodes["d00"].start()
 		second.sh.node.leases.Acquire(name)
-		w.heldOnce(t, 3000, name)
+		w.requireSingleHolder(t, 3000, name)
 		w.heal()
 		w.run(2 * lease.DurationMs)
 		second.sh.node.leases.Acquire(name)
 		must.True(t, w.until(1000, func() bool { return second.sh.node.leases.Holds(name) }))
-		w.heldOnce(t, 1000, name)
+		w.requireSingleHolder(t, 1000, name)
 	}
 }
 
-// accepts reports whether a change of a register is in its second phase.
-func (n *node) accepts(reg string) bool {
+// inAcceptPhase reports whether a change of a register is in its second phase.
+func (n *node) inAcceptPhase(reg string) bool {
 	for _, id := range sortedKeys(n.changes) {
 		if change := n.changes[id]; change.Register == reg {
 			return change.ValueBallot() == change.Ballot
@@ -130,17 +130,17 @@
 		n.start()
 	},
 	func(w *world, _ []string) { // a daemon restarts at once, sometimes with its wall clock set back
-		n := w.someNode()
+		n := w.randomNode()
 		if n.up {
 			n.kill(false)
 		}
-		if n.incs > 1 && w.rng.IntN(3) == 0 {
-			n.incs -= 2
+		if n.incarnations > 1 && w.rng.IntN(3) == 0 {
+			n.incarnations -= 2
 		}
 		n.start()
 	},
 	func(w *world, core []string) { // a path is cut in one direction
-		from, to := w.someNode().Name, w.some(core)
+		from, to := w.randomNode().Name, w.some(core)
 		if w.rng.IntN(2) == 0 {
 			from, to = to, from
 		}
@@ -156,20 +156,20 @@
 			}
 		}
 	},
-	func(w *world, _ []string) { w.someNode().freeze(100 + w.rng.Int64N(3000)) },
+	func(w *world, _ []string) { w.randomNode().freeze(100 + w.rng.Int64N(3000)) },
 	func(w *world, _ []string) {
-		for _, duty := range []string{"slice/east", "slice/west", "slice/mid", "central"} {
-			if n := w.holderOf(duty); n != nil && w.rng.IntN(2) == 0 {
+		for _, role := range []string{"slice/east", "slice/west", "slice/mid", "central"} {
+			if n := w.holderOf(role); n != nil && w.rng.IntN(2) == 0 {
 				n.freeze(500 + w.rng.Int64N(2000))
 			}
 		}
 	},
-	func(w *world, _ []string) { w.someNode().skewMs += w.rng.Int64N(40_000) - 20_000 },
+	func(w *world, _ []string) { w.randomNode().skewMs += w.rng.Int64N(40_000) - 20_000 },
 	func(w *world, _ []string) { // a holder hands its roles to another daemon
 		if n := w.holderOf("slice/" + w.some([]string{"east", "west", "mid"})); n != nil {
 			for _, name := range n.sh.node.leases.Roles() {
 				if kind, _ := lease.SplitRole(name); kind == lease.KindShard && n.sh.node.leases.Serves(name) {
-					n.sh.node.leases.HandOff(name, w.someNode().Name)
+					n.sh.node.leases.HandOff(name, w.randomNode().Name)
 				}
 			}
 		}
@@ -179,13 +179,13 @@
 // Under cuts, freezes, restarts, delays and clock changes no role ever has two holders, with
 // cores of three and of five.
 func TestLeaseIsHeldOnce(t *testing.T) {
-	for seed := range uint64(seedsOr(6)) {
+	for seed := range uint64(seedCount(6)) {
 		w := coreWorld(7200+*fromFlag+seed, 3+2*int(seed%2), []string{"east", "west", "mid", "east", "west", "mid"}, 4)
 		must.True(t, w.until(20_000, w.allServed))
-		w.stray = 40
+		w.delayOneIn = 40
 		for range 120 {
-			leaseFaults[w.rng.IntN(len(leaseFaults))](w, w.members())
-			w.heldOnce(t, 50+w.rng.Int64N(400), "slice/east", "slice/west", "slice/mid", "central")
+			leaseFaults[w.rng.IntN(len(leaseFaults))](w, w.coreMembers())
+			w.requireSingleHolder(t, 50+w.rng.Int64N(400), "slice/east", "slice/west", "slice/mid", "central")
 		}
 		for _, name := range sortedKeys(w.nodes) {
 			w.nodes[name].start()
@@ -201,8 +201,8 @@
 	}
 }
 
-// members returns the members of the newest core.
-func (w *world) members() []string {
+// coreMembers returns the members of the newest core.
+func (w *world) coreMembers() []string {
 	var set quorum.Set
 	for _, n := range w.nodesInOrder() {
 		if n.sh.node.core.Version > set.Version {
@@ -212,8 +212,8 @@
 	return set.Names()
 }
 
-// seedsOr returns the number of seeds to run: that of -seeds, or else count.
-func seedsOr(count int) int {
+// seedCount returns the number of seeds to run: that of -seeds, or else count.
+func seedCount(count int) int {
 	if *seedsFlag > 0 {
 		return *seedsFlag
 	}
@@ -228,19 +228,19 @@
 	const name = "slice/spare"
 	first.sh.node.leases.Acquire(name)
 	must.True(t, w.until(2000, func() bool { return first.sh.node.leases.Holds(name) }))
-	said := first.sh.node.peers.Self()
-	said.Incarnation++
+	entry := first.sh.node.peers.Self()
+	entry.Incarnation++
 	// The other daemons report a process with a later clock, as after a restart.
 	for _, other := range sortedKeys(w.nodes) {
 		if other != "d05" {
-			w.nodes[other].sh.node.onGossip("d07", &wire.Gossip{Self: said})
+			w.nodes[other].sh.node.onGossip("d07", &wire.Gossip{Self: entry})
 		}
 	}
-	first.event(evMsg{Head: wire.Header{From: "d07", Cluster: first.sh.node.core.Cluster}, Msg: &wire.Gossip{Self: w.nodes["d07"].sh.node.peers.Self(), Peers: []wire.Peer{said}}})
-	must.Greater(t, said.Incarnation, first.sh.node.Incarnation)
+	first.event(evMsg{Head: wire.Header{From: "d07", Cluster: first.sh.node.core.Cluster}, Msg: &wire.Gossip{Self: w.nodes["d07"].sh.node.peers.Self(), Peers: []wire.Peer{entry}}})
+	must.Greater(t, entry.Incarnation, first.sh.node.Incarnation)
 	w.cutHost("d05")
 	second.sh.node.leases.Acquire(name)
-	w.heldOnce(t, 3000, name)
+	w.requireSingleHolder(t, 3000, name)
 	must.True(t, w.until(1000, func() bool { return second.sh.node.leases.Holds(name) }))
 }
 
@@ -254,18 +254,18 @@
 	must.True(t, w.until(2000, func() bool { return n.leases.Holds(name) }))
 	n.leases.PollSoon()
 	n.tickPoll()
-	asked := lastPoll(t, n)
-	i := slices.IndexFunc(asked.Leases, func(h wire.LeaseRequest) bool { return h.Name == name })
+	request := lastPoll(t, n)
+	i := slices.IndexFunc(request.Leases, func(h wire.LeaseRequest) bool { return h.Name == name })
 	n.leases.Lose(name, "released")
 	n.leases.Acquire(name)
 	for _, m := range n.core.Names() {
-		a := &wire.PollResponse{Seq: n.leases.LatestRound(), SetVersion: n.core.Version, Granted: make([]bool, len(asked.Leases)), Epochs: make([]uint64, len(asked.Leases))}
+		a := &wire.PollResponse{Seq: n.leases.LatestRound(), SetVersion: n.core.Version, Granted: make([]bool, len(request.Leases)), Epochs: make([]uint64, len(request.Leases))}
 		a.Granted[i] = true
 		n.onPollResponse(m, a)
 	}
 	must.SliceContains(t, n.leases.Roles(), name)
 	must.False(t, n.leases.Serves(name))
-	must.False(t, n.countsEpoch(name))
+	must.False(t, n.raisesEpoch(name))
 }
 
 // An expired lease is not revived by a late grant, even before the tick that drops it: others
@@ -279,10 +279,10 @@
 	n.now += 850
 	n.leases.PollSoon()
 	n.tickPoll()
-	asked := lastPoll(t, n)
+	request := lastPoll(t, n)
 	n.now += 150
 	for _, m := range n.core.Names() {
-		a := &wire.PollResponse{Seq: n.leases.LatestRound(), SetVersion: n.core.Version, Granted: make([]bool, len(asked.Leases)), Epochs: make([]uint64, len(asked.Leases))}
+		a := &wire.PollResponse{Seq: n.leases.LatestRound(), SetVersion: n.core.Version, Granted: make([]bool, len(request.Leases)), Epochs: make([]uint64, len(request.Leases))}
 		for i := range a.Granted {
 			a.Granted[i] = true
 		}
@@ -295,13 +295,13 @@
 // A member ignores releases and renewals in a poll that a later one of the same process has
 // overtaken, and renews no lease under a past epoch.
 func TestLeasePollsOutOfOrder(t *testing.T) {
-	n, say := coreMemberOf(t)
+	n, send := coreMemberOf(t)
 	poll := func(from string, seq, epoch uint64, released bool) *wire.PollResponse {
 		m := &wire.PollRequest{Incarnation: 1, Seq: seq, SetVersion: n.core.Version, Leases: []wire.LeaseRequest{{Name: "slice/some", Epoch: epoch}}}
 		if released {
 			m.Leases, m.Releases = nil, []wire.LeaseRelease{{Name: "slice/some", Successor: "x09"}}
 		}
-		a, _ := say(from, m).(*wire.PollResponse)
+		a, _ := send(from, m).(*wire.PollResponse)
 		return a
 	}
 	must.True(t, poll("x08", 5, 0, false).Granted[0])
@@ -320,14 +320,14 @@
 	older := member.sh.node.core
 	next := older
 	next.Version++
-	tell := func(c quorum.Set) evMsg {
+	gossip := func(c quorum.Set) evMsg {
 		return evMsg{Head: wire.Header{From: "d09", Cluster: older.Cluster}, Msg: &wire.Gossip{Self: wire.Peer{Name: "d09", Incarnation: 1, Heartbeat: 1}, Core: c}}
 	}
-	member.event(tell(next))
+	member.event(gossip(next))
 	w.run(50)
 	member.kill(false)
 	n := newNode(member.nodeConfig, member.disk.load())
-	reduce(n, event{NowMs: 1000, WallMs: wallStart, Body: tell(older)})
+	reduce(n, event{NowMs: 1000, WallMs: wallStart, Body: gossip(older)})
 	must.NotEq(t, older.Version, n.core.Version)
 	reduce(n, event{NowMs: 1010, WallMs: wallStart, Body: evTick{}})
 	must.Eq(t, next.Version, n.core.Version)
@@ -335,21 +335,21 @@
 
 // A daemon with a colocated worker restarts with its wall clock set back, so its agent's epoch
 // is below the former one. The owners must still accept the worker's reports.
-func TestAgentOfAClockSetBack(t *testing.T) {
+func TestAgentAfterClockSetBack(t *testing.T) {
 	b := formPlatform(t, 7800, "hakata")
 	b.traffic()
 	b.run(4000)
 	host := b.spots[3]
 	n, worker := b.nodes[host], b.byHost[host].id
 	n.kill(false)
-	n.incs = ^uint64(0) // its next incarnation is far below the last
+	n.incarnations = ^uint64(0) // its next incarnation is far below the last
 	b.run(300)
 	// The worker's heartbeats arrive before any message about the former process.
 	b.cutFrom(host, sortedKeys(b.nodes), true, true)
 	n.start()
 	must.True(t, b.until(4000, func() bool { return n.sh.node.agents[worker] != nil }))
 	b.cuts = map[[2]string]bool{}
-	heard := func() bool {
+	accepted := func() bool {
 		agent := n.sh.node.agents[worker]
 		for _, s := range b.nodes["d00"].sh.node.core.Shards {
 			owner := b.holderOf("slice/" + s)
@@ -360,10 +360,10 @@
 		return true
 	}
 	at := b.nowMs()
-	must.True(t, b.until(4000, heard), must.Sprint("the owners did not accept reports of its agent"))
+	must.True(t, b.until(4000, accepted), must.Sprint("the owners did not accept reports of its agent"))
 	t.Logf("accepted after %d ms", b.nowMs()-at)
 	b.run(2000)
-	must.True(t, heard())
+	must.True(t, accepted())
 	b.finish(30_000)
 	verdictOfPlatform(t, b)
 }
--- a/internal/daemon/linear_test.go
+++ b/internal/daemon/linear_test.go
@@ -68,7 +68,7 @@
 	sentUs, doneUs int64 // doneUs is 0 without an answer
 	read           bool
 	version, base  int64 // for a read: the version returned
-	text           string
+	note           string
 	status         int
 	current        int64 // the version named by a rejection
 }
@@ -84,17 +84,17 @@
 func (h *registerHistory) call(from string, op *registerOp, done func()) {
 	e := evRequest{Op: "setup.get", Base: -1}
 	if !op.read {
-		e = evRequest{Op: "setup.put", Key: fmt.Sprint(op.version), Base: op.base, Body: fmt.Appendf(nil, `{"note":%q,"queues":[]}`, op.text)}
+		e = evRequest{Op: "setup.put", Key: fmt.Sprint(op.version), Base: op.base, Body: fmt.Appendf(nil, `{"note":%q,"queues":[]}`, op.note)}
 	}
 	op.sentUs = h.w.nowUs
 	h.ops = append(h.ops, op)
-	h.w.call(from, h.w.someNode(), e, 1000+h.w.rng.Int64N(2000), func(status int, _ int64, b []byte) {
+	h.w.call(from, h.w.randomNode(), e, 1000+h.w.rng.Int64N(2000), func(status int, _ int64, b []byte) {
 		if op.status = status; status != 0 {
 			op.doneUs = h.w.nowUs
 		}
 		switch {
 		case op.read && status == 200:
-			op.version, op.text = gjson.GetBytes(b, "version").Int(), gjson.GetBytes(b, "setup.note").Str
+			op.version, op.note = gjson.GetBytes(b, "version").Int(), gjson.GetBytes(b, "setup.note").Str
 		case status == 409:
 			op.current = gjson.GetBytes(b, "current").Int()
 		}
@@ -119,10 +119,10 @@
 	}
 	write := func() {
 		count++
-		version, text, tries := newest+1+h.w.rng.Int64N(3), fmt.Sprint(name, " ", count), 0
+		version, note, tries := newest+1+h.w.rng.Int64N(3), fmt.Sprint(name, " ", count), 0
 		var try func()
 		try = func() {
-			op := &registerOp{version: version, base: newest, text: text}
+			op := &registerOp{version: version, base: newest, note: note}
 			h.call(name, op, func() {
 				if tries++; op.status != 200 && op.status != 409 && tries < 12 && h.w.nowMs() < untilMs {
 					later(try)
@@ -149,14 +149,14 @@
 	later(next)
 }
 
-// faults returns the violations of linearizability in the history. Acknowledged changes are
+// violations returns the breaches of linearizability in the history. Acknowledged changes are
 // visible to every later read, reads never go back, one version has one document, one version
 // has one accepted successor, a rejected change is never in force, and a rejection names a
 // version that is in force instead.
-func (h *registerHistory) faults() (out []string) {
-	bad := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
-	show := func(o *registerOp) string { return fmt.Sprintf("%+v", *o) }
-	stood, sent := map[int64]string{}, map[int64]map[string]int64{}
+func (h *registerHistory) violations() (out []string) {
+	report := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
+	describe := func(o *registerOp) string { return fmt.Sprintf("%+v", *o) }
+	inForce, sent := map[int64]string{}, map[int64]map[string]int64{}
 	builtOn := map[int64]int64{} // accepted version by the version it builds on
 	answered := slices.DeleteFunc(slices.Clone(h.ops), func(o *registerOp) bool { return o.doneUs == 0 })
 	for _, o := range h.ops {
@@ -166,24 +166,24 @@
 		if sent[o.version] == nil {
 			sent[o.version] = map[string]int64{}
 		}
-		if at, ok := sent[o.version][o.text]; !ok || o.sentUs < at {
-			sent[o.version][o.text] = o.sentUs
+		if at, ok := sent[o.version][o.note]; !ok || o.sentUs < at {
+			sent[o.version][o.note] = o.sentUs
 		}
 	}
 	for _, o := range answered {
 		if o.status != 200 || o.read && o.version == 0 {
 			continue
 		}
-		if at, ok := sent[o.version][o.text]; o.read && (!ok || at > o.doneUs) {
-			bad("no such document was sent under this version: %s", show(o))
+		if at, ok := sent[o.version][o.note]; o.read && (!ok || at > o.doneUs) {
+			report("no such document was sent under this version: %s", describe(o))
 		}
-		if text, ok := stood[o.version]; ok && text != o.text {
-			bad("version %d was %q and %q", o.version, text, o.text)
+		if note, ok := inForce[o.version]; ok && note != o.note {
+			report("version %d was %q and %q", o.version, note, o.note)
 		}
-		stood[o.version] = o.text
+		inForce[o.version] = o.note
 		if !o.read {
 			if other, ok := builtOn[o.base]; ok && other != o.version {
-				bad("versions %d and %d were both acknowledged on %d", other, o.version, o.base)
+				report("versions %d and %d were both acknowledged on %d", other, o.version, o.base)
 			}
 			builtOn[o.base] = o.version
 		}
@@ -198,11 +198,11 @@
 		}
 		switch {
 		case o.read && o.status == 200 && o.version < newest:
-			bad("version %d was visible before this read: %s", newest, show(o))
+			report("version %d was visible before this read: %s", newest, describe(o))
 		case o.status == 409 && (o.current == o.base || o.current < newest || sent[o.current] == nil):
-			bad("wrong rejection although version %d was visible: %s", newest, show(o))
-		case o.status == 409 && stood[o.version] == o.text:
-			bad("an accepted change is rejected: %s", show(o))
+			report("wrong rejection although version %d was visible: %s", newest, describe(o))
+		case o.status == 409 && inForce[o.version] == o.note:
+			report("an accepted change is rejected: %s", describe(o))
 		}
 	}
 	return out
@@ -212,12 +212,12 @@
 // long freezes.
 var registerFaults = append([]func(w *world, core []string){
 	func(w *world, _ []string) { // answers to an operator are lost
-		at, to := w.someNode().Name, fmt.Sprint("operator", w.rng.IntN(4))
+		at, to := w.randomNode().Name, fmt.Sprint("operator", w.rng.IntN(4))
 		w.oneWay(at, to, true)
 		w.after(w.rng.Int64N(3_000_000), func() { w.oneWay(at, to, false) })
 	},
 	func(w *world, _ []string) { // a daemon is cut off for longer than a lease
-		at, lastsUs := w.someNode().Name, 1_500_000+w.rng.Int64N(3_000_000)
+		at, lastsUs := w.randomNode().Name, 1_500_000+w.rng.Int64N(3_000_000)
 		out, in := w.rng.IntN(3) != 0, w.rng.IntN(3) != 0
 		w.cutFrom(at, sortedKeys(w.nodes), out, in)
 		w.after(lastsUs, func() {
@@ -227,23 +227,23 @@
 			}
 		})
 	},
-	func(w *world, _ []string) { w.someNode().freeze(2000 + w.rng.Int64N(9000)) },
+	func(w *world, _ []string) { w.randomNode().freeze(2000 + w.rng.Int64N(9000)) },
 }, leaseFaults[:len(leaseFaults)-1]...)
 
 // Operators read and write the configuration through daemons that are cut off, frozen, killed
 // and have their clocks changed, with answers lost and delayed. The configuration must remain
 // one linearizable register.
 func TestConfigIsLinearizable(t *testing.T) {
-	for seed := range uint64(seedsOr(8)) {
+	for seed := range uint64(seedCount(8)) {
 		w := coreWorld(7600+*fromFlag+seed, 3+2*int(seed%2), []string{"east", "west", "mid", "east", "west", "mid"}, 4)
 		must.True(t, w.until(20_000, w.allServed))
-		w.stray = 100
+		w.delayOneIn = 100
 		h := &registerHistory{w: w}
 		for i := range 4 {
 			h.operator(fmt.Sprint("operator", i), w.nowMs()+60_000)
 		}
 		for range 120 {
-			registerFaults[w.rng.IntN(len(registerFaults))](w, w.members())
+			registerFaults[w.rng.IntN(len(registerFaults))](w, w.coreMembers())
 			w.run(100 + w.rng.Int64N(800))
 		}
 		for _, name := range sortedKeys(w.nodes) {
@@ -258,7 +258,7 @@
 		t.Logf("seed %d: %v", seed, counts)
 		must.Positive(t, counts["read 200"])
 		must.Positive(t, counts["write 200"])
-		for _, fault := range h.faults() {
+		for _, fault := range h.violations() {
 			t.Errorf("seed %d: %s", seed, fault)
 		}
 	}
--- a/internal/daemon/membership_test.go
+++ b/internal/daemon/membership_test.go
@@ -16,9 +16,9 @@
 	"github.com/tidwall/gjson"
 )
 
-// slotWorld is a world in which core members are replaced, with an operator and a caller that
-// record what was acknowledged.
-type slotWorld struct {
+// coreChangeWorld is a world in which core members are replaced, with an operator and a caller
+// that record what was acknowledged.
+type coreChangeWorld struct {
 	*world
 	t       *testing.T
 	size    int
@@ -28,30 +28,32 @@
 	away    map[string]bool // machines that never come back
 }
 
-// losses returns how many members may be lost at once.
-func (s *slotWorld) losses() int { return (s.size - 1) / 2 }
+// toleratedLosses returns how many members may be lost at once.
+func (s *coreChangeWorld) toleratedLosses() int { return (s.size - 1) / 2 }
 
-// newSlotWorld returns a serving core of size members that uses all disks, and daemons without
-// a disk from which newcomers are made.
-func newSlotWorld(t *testing.T, seed uint64, size int) *slotWorld {
+// newCoreChangeWorld returns a serving core of size members that uses all disks, and daemons
+// without a disk from which newcomers are made.
+func newCoreChangeWorld(t *testing.T, seed uint64, size int) *coreChangeWorld {
 	t.Helper()
-	s := &slotWorld{world: coreWorld(seed, size, []string{"east", "west", "mid", "east", "west"}[:size], 5), t: t, size: size, seed: seed, away: map[string]bool{}}
-	must.True(t, s.until(20_000, s.allServed), s.why())
+	s := &coreChangeWorld{world: coreWorld(seed, size, []string{"east", "west", "mid", "east", "west"}[:size], 5), t: t, size: size, seed: seed, away: map[string]bool{}}
+	must.True(t, s.until(20_000, s.allServed), s.details())
 	for _, n := range s.nodes {
 		n.FirstStart = false
 	}
 	s.run(1500)
-	s.acknowledge()
+	s.acceptMore()
 	return s
 }
 
-func (s *slotWorld) why() must.Setting { return must.Sprint(s.size, s.seed, s.told()) }
+func (s *coreChangeWorld) details() must.Setting {
+	return must.Sprint(s.size, s.seed, s.relevantLogs())
+}
 
-// asker returns a daemon that runs during the whole test.
-func (s *slotWorld) asker() *simNode { return s.nodes[fmt.Sprintf("d%02d", s.size)] }
+// observer returns a daemon that runs during the whole test.
+func (s *coreChangeWorld) observer() *simNode { return s.nodes[fmt.Sprintf("d%02d", s.size)] }
 
 // newcomer starts a machine with an empty disk at a new address.
-func (s *slotWorld) newcomer(i int) *simNode {
+func (s *coreChangeWorld) newcomer(i int) *simNode {
 	n := s.nodes[fmt.Sprintf("d%02d", s.size+1+i)]
 	n.kill(true)
 	n.Disk, n.Addr = true, fmt.Sprintf("10.7.0.%d:7000", i+1)
@@ -60,40 +62,40 @@
 	return n
 }
 
-// acknowledge has one more configuration and one more job accepted.
-func (s *slotWorld) acknowledge() {
+// acceptMore has one more configuration and one more job accepted.
+func (s *coreChangeWorld) acceptMore() {
 	s.t.Helper()
 	next := s.version + 1
 	must.True(s.t, s.until(15_000, func() bool {
-		return s.settle(s.asker(), evRequest{Op: "setup.put", Key: fmt.Sprint(next), Base: -1, Body: queueSetup("q", "")}, 3000).status == 200
-	}), s.why())
+		return s.settle(s.observer(), evRequest{Op: "setup.put", Key: fmt.Sprint(next), Base: -1, Body: queueSetup("q", "")}, 3000).status == 200
+	}), s.details())
 	s.version = next
 	id := fmt.Sprint("job", len(s.jobs))
 	must.True(s.t, s.until(15_000, func() bool {
-		status := s.settle(s.asker(), evRequest{Op: "job.put", Key: id, Base: -1, Body: []byte(`{"queue":"q","steps":[{"name":"s","tasks":[{"name":"t","room":1}]}]}`)}, 3000).status
+		status := s.settle(s.observer(), evRequest{Op: "job.put", Key: id, Base: -1, Body: []byte(`{"queue":"q","steps":[{"name":"s","tasks":[{"name":"t","room":1}]}]}`)}, 3000).status
 		return status == 200 || status == 201
-	}), s.why())
+	}), s.details())
 	s.jobs = append(s.jobs, id)
 }
 
-// keepsAll requires that everything acknowledged can be read soon.
-func (s *slotWorld) keepsAll() {
+// requireAllKept requires that everything acknowledged can be read soon.
+func (s *coreChangeWorld) requireAllKept() {
 	s.t.Helper()
 	must.True(s.t, s.until(12_000, func() bool {
-		r := s.settle(s.asker(), evRequest{Op: "setup.get"}, 2000)
+		r := s.settle(s.observer(), evRequest{Op: "setup.get"}, 2000)
 		return gjson.Get(r.body, "version").Int() == s.version
-	}), s.why())
+	}), s.details())
 	for _, id := range s.jobs {
 		last := answered{}
 		must.True(s.t, s.until(12_000, func() bool {
-			last = s.settle(s.asker(), evRequest{Op: "job.get", Key: id, Base: -1}, 2000)
+			last = s.settle(s.observer(), evRequest{Op: "job.get", Key: id, Base: -1}, 2000)
 			return last.status == 200
-		}), must.Sprint(id, last), s.why())
+		}), must.Sprint(id, last), s.details())
 	}
 }
 
-// full reports whether the core has all its members, each up and with a working disk.
-func (s *slotWorld) full() bool {
+// complete reports whether the core has all its members, each up and with a working disk.
+func (s *coreChangeWorld) complete() bool {
 	c := s.cluster()
 	if c == nil || len(c.Members) != s.size {
 		return false
@@ -106,11 +108,11 @@
 	return true
 }
 
-// wipeSome wipes the disks of count members at once, and restarts the machines.
-func (s *slotWorld) wipeSome(count int, but ...*simNode) {
+// wipeMembers wipes the disks of count members at once, and restarts the machines.
+func (s *coreChangeWorld) wipeMembers(count int, except ...*simNode) {
 	var from []*simNode
 	for _, m := range s.newestSet().Members {
-		if n := s.nodes[m.Name]; n.up && n.sh.node.leavingSinceMs == 0 && !slices.Contains(but, n) {
+		if n := s.nodes[m.Name]; n.up && n.sh.node.leavingSinceMs == 0 && !slices.Contains(except, n) {
 			from = append(from, n)
 		}
 	}
@@ -118,13 +120,13 @@
 	for _, n := range from[:min(count, len(from))] {
 		n.kill(true)
 		n.wipe()
-		n.disk.full, n.disk.stallUs = false, 0
+		n.disk.full, n.disk.stalledUntilUs = false, 0
 		s.after(500_000+s.rng.Int64N(1_500_000), n.start)
 	}
 }
 
 // newestSet returns the newest core set that any running daemon knows.
-func (s *slotWorld) newestSet() (set quorum.Set) {
+func (s *coreChangeWorld) newestSet() (set quorum.Set) {
 	for _, name := range sortedKeys(s.nodes) {
 		if n := s.nodes[name]; n.up && n.sh.node.core.Version > set.Version {
 			set = n.sh.node.core
@@ -134,10 +136,10 @@
 }
 
 // member returns a member by its position in the newest core set.
-func (s *slotWorld) member(i int) *simNode { return s.nodes[s.newestSet().Members[i].Name] }
+func (s *coreChangeWorld) member(i int) *simNode { return s.nodes[s.newestSet().Members[i].Name] }
 
-// gone removes a machine for good.
-func (s *slotWorld) gone(n *simNode) {
+// removeForGood removes a machine for good.
+func (s *coreChangeWorld) removeForGood(n *simNode) {
 	s.away[n.Name] = true
 	if n.up {
 		n.kill(true)
@@ -145,7 +147,7 @@
 }
 
 // fillDisk fills a member's disk for ms.
-func (s *slotWorld) fillDisk(n *simNode, ms int64) {
+func (s *coreChangeWorld) fillDisk(n *simNode, ms int64) {
 	n.disk.full = true
 	s.after(ms*1000, func() { n.disk.full = false })
 }
@@ -153,45 +155,45 @@
 // catchUpMs is the time a new machine has to catch up before it counts.
 const catchUpMs = 4000
 
-// slotScenarios are runs in which members are replaced. Each is followed by a loss of as many
+// memberScenarios are runs in which members are replaced. Each is followed by a loss of as many
 // disks as the core must tolerate, at a time drawn from the seed.
-var slotScenarios = map[string]func(s *slotWorld){
-	"disk full, planned replacement, then wiped": func(s *slotWorld) {
+var memberScenarios = map[string]func(s *coreChangeWorld){
+	"disk full, planned replacement, then wiped": func(s *coreChangeWorld) {
 		leaving := s.member(s.rng.IntN(s.size))
 		other := s.member(s.rng.IntN(s.size))
 		if other != leaving {
 			s.fillDisk(other, 300+s.rng.Int64N(2500))
 		}
-		s.acknowledge()
+		s.acceptMore()
 		s.newcomer(0)
 		s.run(catchUpMs + 2500)
-		s.acknowledge()
+		s.acceptMore()
 		leaving.event(evStop{})
-		must.True(s.t, s.until(membership.HandoverMs+500, func() bool { return !leaving.up }), s.why())
+		must.True(s.t, s.until(membership.HandoverMs+500, func() bool { return !leaving.up }), s.details())
 		s.run(s.rng.Int64N(40))
-		s.wipeSome(s.losses())
+		s.wipeMembers(s.toleratedLosses())
 	},
-	"disk full for 25 s, replaced, then wiped": func(s *slotWorld) {
+	"disk full for 25 s, replaced, then wiped": func(s *coreChangeWorld) {
 		other := s.member(s.rng.IntN(s.size))
 		s.fillDisk(other, 25_000)
-		s.acknowledge()
+		s.acceptMore()
 		s.newcomer(0)
-		must.True(s.t, s.until(20_000, s.full), s.why())
-		s.acknowledge()
+		must.True(s.t, s.until(20_000, s.complete), s.details())
+		s.acceptMore()
 		s.run(s.rng.Int64N(6000))
-		s.wipeSome(s.losses())
+		s.wipeMembers(s.toleratedLosses())
 	},
-	"killed for good, replaced, then wiped at once": func(s *slotWorld) {
+	"killed for good, replaced, then wiped at once": func(s *coreChangeWorld) {
 		lost := s.member(s.rng.IntN(s.size))
-		s.gone(lost)
+		s.removeForGood(lost)
 		s.run(s.rng.Int64N(4000))
-		s.acknowledge()
+		s.acceptMore()
 		s.newcomer(0)
 		s.run(catchUpMs)
-		s.acknowledge()
-		s.wipeSome(s.losses())
+		s.acceptMore()
+		s.wipeMembers(s.toleratedLosses())
 	},
-	"planned replacement, then wiped at once": func(s *slotWorld) {
+	"planned replacement, then wiped at once": func(s *coreChangeWorld) {
 		leaving := s.member(s.rng.IntN(s.size))
 		s.newcomer(0)
 		s.run(catchUpMs)
@@ -199,27 +201,27 @@
 		if s.rng.IntN(2) == 0 { // during the replacement, while the leaving member is still up
 			s.run(s.rng.Int64N(900))
 			if leaving.up {
-				s.wipeSome(s.losses())
+				s.wipeMembers(s.toleratedLosses())
 			}
 		}
-		must.True(s.t, s.until(membership.HandoverMs+500, func() bool { return !leaving.up }), s.why())
+		must.True(s.t, s.until(membership.HandoverMs+500, func() bool { return !leaving.up }), s.details())
 		s.away[leaving.Name] = true
-		if s.cluster() != nil && s.full() {
-			s.wipeSome(s.losses())
+		if s.cluster() != nil && s.complete() {
+			s.wipeMembers(s.toleratedLosses())
 		}
 	},
-	"planned replacement, the leaving member crashes": func(s *slotWorld) {
+	"planned replacement, the leaving member crashes": func(s *coreChangeWorld) {
 		leaving := s.member(s.rng.IntN(s.size))
 		s.newcomer(0)
 		s.run(catchUpMs)
 		leaving.event(evStop{})
 		s.run(s.rng.Int64N(1200))
-		s.gone(leaving)
-		must.True(s.t, s.until(catchUpMs, s.full), s.why())
-		s.acknowledge()
-		s.wipeSome(s.losses())
+		s.removeForGood(leaving)
+		must.True(s.t, s.until(catchUpMs, s.complete), s.details())
+		s.acceptMore()
+		s.wipeMembers(s.toleratedLosses())
 	},
-	"planned replacement, the newcomer crashes": func(s *slotWorld) {
+	"planned replacement, the newcomer crashes": func(s *coreChangeWorld) {
 		leaving := s.member(s.rng.IntN(s.size))
 		fresh := s.newcomer(0)
 		s.run(catchUpMs)
@@ -227,14 +229,14 @@
 		s.run(s.rng.Int64N(1200))
 		fresh.kill(s.rng.IntN(2) == 0)
 		s.after(300_000+s.rng.Int64N(4_000_000), fresh.start)
-		s.acknowledge() // the others continue
-		must.True(s.t, s.until(membership.HandoverMs+500, func() bool { return !leaving.up }), s.why())
-		s.gone(leaving)
-		must.True(s.t, s.until(16_000, s.full), s.why())
-		s.acknowledge()
-		s.wipeSome(s.losses())
+		s.acceptMore() // the others continue
+		must.True(s.t, s.until(membership.HandoverMs+500, func() bool { return !leaving.up }), s.details())
+		s.removeForGood(leaving)
+		must.True(s.t, s.until(16_000, s.complete), s.details())
+		s.acceptMore()
+		s.wipeMembers(s.toleratedLosses())
 	},
-	"spare's disk stalls during the copy": func(s *slotWorld) {
+	"spare's disk stalls during the copy": func(s *coreChangeWorld) {
 		leaving := s.member(s.rng.IntN(s.size))
 		fresh := s.newcomer(0)
 		planned := s.rng.IntN(2) == 0
@@ -243,34 +245,34 @@
 			leaving.event(evStop{})
 			s.run(s.rng.Int64N(700))
 		} else {
-			s.gone(leaving)
+			s.removeForGood(leaving)
 			s.run(1400 + s.rng.Int64N(1500))
 		}
-		fresh.disk.stallUs = s.nowUs + 9_000_000
-		s.acknowledge()
-		must.True(s.t, s.until(membership.HandoverMs+500, func() bool { return !leaving.up }), s.why())
-		s.gone(leaving)
-		s.acknowledge() // although the newcomer's disk is still stalled
-		must.Less(s.t, fresh.disk.stallUs, s.nowUs, s.why())
-		must.True(s.t, s.until(12_000, s.full), s.why())
-		s.acknowledge()
-		s.wipeSome(s.losses())
+		fresh.disk.stalledUntilUs = s.nowUs + 9_000_000
+		s.acceptMore()
+		must.True(s.t, s.until(membership.HandoverMs+500, func() bool { return !leaving.up }), s.details())
+		s.removeForGood(leaving)
+		s.acceptMore() // although the newcomer's disk is still stalled
+		must.Less(s.t, fresh.disk.stalledUntilUs, s.nowUs, s.details())
+		must.True(s.t, s.until(12_000, s.complete), s.details())
+		s.acceptMore()
+		s.wipeMembers(s.toleratedLosses())
 	},
-	"only the leaving member has a write that another lacks": func(s *slotWorld) {
+	"only the leaving member has a write that another lacks": func(s *coreChangeWorld) {
 		leaving := s.member(0)
-		for i := range s.losses() { // these don't store what is acknowledged now
-			s.member(1 + i).disk.stallUs = s.nowUs + 3_000_000
+		for i := range s.toleratedLosses() { // these don't store what is acknowledged now
+			s.member(1 + i).disk.stalledUntilUs = s.nowUs + 3_000_000
 		}
-		s.acknowledge()
+		s.acceptMore()
 		s.newcomer(0)
 		s.run(catchUpMs)
 		leaving.event(evStop{})
-		must.True(s.t, s.until(membership.HandoverMs+500, func() bool { return !leaving.up }), s.why())
-		s.gone(leaving)
+		must.True(s.t, s.until(membership.HandoverMs+500, func() bool { return !leaving.up }), s.details())
+		s.removeForGood(leaving)
 		holders := s.newestSet().Members[:] // the members that have it, besides the newcomer
-		for range s.losses() {
+		for range s.toleratedLosses() {
 			for _, m := range holders {
-				if n := s.nodes[m.Name]; n.up && n.disk.stallUs == 0 && m.Name != holders[len(holders)-1].Name {
+				if n := s.nodes[m.Name]; n.up && n.disk.stalledUntilUs == 0 && m.Name != holders[len(holders)-1].Name {
 					n.kill(true)
 					n.wipe()
 					s.after(1_000_000, n.start)
@@ -288,17 +290,17 @@
 	if *seedsFlag > 0 {
 		count, from = *seedsFlag, *fromFlag
 	}
-	for _, name := range sortedKeys(slotScenarios) {
+	for _, name := range sortedKeys(memberScenarios) {
 		for _, size := range []int{3, 5} {
 			t.Run(fmt.Sprintf("%s/%d", name, size), func(t *testing.T) {
 				t.Parallel()
 				for i := range count {
-					s := newSlotWorld(t, from+uint64(i), size)
-					slotScenarios[name](s)
-					s.keepsAll()
-					must.True(t, s.until(30_000, s.full), s.why())
-					s.acknowledge()
-					s.keepsAll()
+					s := newCoreChangeWorld(t, from+uint64(i), size)
+					memberScenarios[name](s)
+					s.requireAllKept()
+					must.True(t, s.until(30_000, s.complete), s.details())
+					s.acceptMore()
+					s.requireAllKept()
 				}
 			})
 		}
@@ -309,22 +311,22 @@
 // as soon as the newcomers had time to catch up.
 func TestTwoRepairsAtOnce(t *testing.T) {
 	for seed := range uint64(12) {
-		s := newSlotWorld(t, 5200+seed, 5)
+		s := newCoreChangeWorld(t, 5200+seed, 5)
 		at := s.rng.IntN(4)
 		first, second := s.member(at), s.member(at+1)
-		s.gone(first)
+		s.removeForGood(first)
 		s.run(s.rng.Int64N(500))
-		s.gone(second)
+		s.removeForGood(second)
 		s.run(s.rng.Int64N(2000))
 		s.newcomer(0)
 		s.run(s.rng.Int64N(300))
 		s.newcomer(1)
 		s.run(catchUpMs)
-		must.True(t, s.full(), s.why())
-		s.acknowledge()
-		s.wipeSome(2)
-		s.keepsAll()
-		must.True(t, s.until(30_000, s.full), s.why())
+		must.True(t, s.complete(), s.details())
+		s.acceptMore()
+		s.wipeMembers(2)
+		s.requireAllKept()
+		must.True(t, s.until(30_000, s.complete), s.details())
 	}
 }
 
@@ -334,7 +336,7 @@
 	worstKilled, worstLeft := int64(0), int64(0)
 	for seed := range uint64(10) {
 		for _, planned := range []bool{false, true} {
-			s := newSlotWorld(t, 5300+seed, 3+2*int(seed%2))
+			s := newCoreChangeWorld(t, 5300+seed, 3+2*int(seed%2))
 			lost := s.member(s.rng.IntN(s.size))
 			s.newcomer(0)
 			s.run(catchUpMs)
@@ -343,14 +345,14 @@
 				lost.event(evStop{})
 				id := lost.DiskID
 				for set := s.newestSet(); set.Has(lost.Name, id) || len(set.Members) != s.size; set = s.newestSet() {
-					must.True(t, lost.up && s.nowMs() < at+membership.HandoverMs, s.why())
+					must.True(t, lost.up && s.nowMs() < at+membership.HandoverMs, s.details())
 					s.step()
 				}
 				worstLeft = max(worstLeft, s.nowMs()-at)
-				must.True(t, s.until(shutdownTimeoutMs, func() bool { return !lost.up }), s.why())
+				must.True(t, s.until(shutdownTimeoutMs, func() bool { return !lost.up }), s.details())
 			} else {
-				s.gone(lost)
-				must.True(t, s.until(8000, s.full), s.why())
+				s.removeForGood(lost)
+				must.True(t, s.until(8000, s.complete), s.details())
 				worstKilled = max(worstKilled, s.nowMs()-at)
 			}
 		}
@@ -363,7 +365,7 @@
 // A restarted member stays in the core set although a spare is ready.
 func TestRestartingMemberKeepsItsSlot(t *testing.T) {
 	for seed := range uint64(8) {
-		s := newSlotWorld(t, 5400+seed, 3)
+		s := newCoreChangeWorld(t, 5400+seed, 3)
 		s.newcomer(0)
 		s.run(2000)
 		set := s.newestSet()
@@ -374,33 +376,33 @@
 			n.start()
 			s.run(3000)
 		}
-		must.Eq(t, set.Version, s.newestSet().Version, s.why())
+		must.Eq(t, set.Version, s.newestSet().Version, s.details())
 	}
 }
 
 // A member whose disk was full stays in the core set and works again once there is space.
 func TestFullDiskComesBack(t *testing.T) {
 	for seed := range uint64(8) {
-		s := newSlotWorld(t, 5500+seed, 3)
+		s := newCoreChangeWorld(t, 5500+seed, 3)
 		set := s.newestSet()
 		for i := range s.size { // one after the other: with two gone nothing can be acknowledged
 			n := s.member(i)
 			s.fillDisk(n, 3000)
-			s.acknowledge()
+			s.acceptMore()
 			s.run(500)
-			must.False(t, n.sh.node.inCore(), s.why())
-			must.True(t, s.until(6000, s.full), s.why())
+			must.False(t, n.sh.node.inCore(), s.details())
+			must.True(t, s.until(6000, s.complete), s.details())
 		}
-		must.Eq(t, set.Version, s.newestSet().Version, s.why())
-		s.keepsAll()
+		must.Eq(t, set.Version, s.newestSet().Version, s.details())
+		s.requireAllKept()
 		a, b := s.member(0), s.member(1) // and two with overlapping faults
 		s.fillDisk(a, 3000)
 		s.run(1500)
 		s.fillDisk(b, 3000)
 		s.run(1000)
-		must.True(t, s.until(6000, s.full), s.why())
-		s.acknowledge()
-		s.keepsAll()
+		must.True(t, s.until(6000, s.complete), s.details())
+		s.acceptMore()
+		s.requireAllKept()
 	}
 }
 
@@ -415,7 +417,7 @@
 	for i, name := range []string{"a", "b", "c"} {
 		n.peers.Record(wire.Peer{Name: name, Addr: name + ":1", Disk: true, DiskID: uint64(i + 1), Leaving: name == "c"}, nowMs)
 	}
-	var asked []*wire.CopyRequest
+	var requests []*wire.CopyRequest
 	removes := false
 	var step func(body any)
 	step = func(body any) {
@@ -429,7 +431,7 @@
 			case effSend:
 				switch m := e.Msg.(type) {
 				case *wire.CopyRequest:
-					asked = append(asked, m)
+					requests = append(requests, m)
 				case *register.Prepare:
 					removes = removes || m.Register == "core"
 				case *wire.CopyResponse:
@@ -439,35 +441,35 @@
 		}
 	}
 	step(evTick{})
-	must.Len(t, 3, asked)
-	must.Eq(t, 2, asked[0].SetVersion)
+	must.Len(t, 3, requests)
+	must.Eq(t, 2, requests[0].SetVersion)
 	must.False(t, removes)
-	step(evMsg{Head: wire.Header{From: "a", To: n.Instance}, Msg: &wire.CopyResponse{Op: asked[0].Op}})
+	step(evMsg{Head: wire.Header{From: "a", To: n.Instance}, Msg: &wire.CopyResponse{Op: requests[0].Op}})
 	nowMs += tickMs
 	step(evTick{})
 	must.False(t, removes)
-	step(evMsg{Head: wire.Header{From: "b", To: n.Instance}, Msg: &wire.CopyResponse{Op: asked[0].Op}})
+	step(evMsg{Head: wire.Header{From: "b", To: n.Instance}, Msg: &wire.CopyResponse{Op: requests[0].Op}})
 	must.True(t, removes)
 }
 
 // A successor whose disk stalls after it joined the larger set is removed again before the
 // leaving member ends: the core goes on without either.
-func TestStalledSuccessorIsTakenOut(t *testing.T) {
+func TestStalledSuccessorIsRemoved(t *testing.T) {
 	for _, size := range []int{3, 5} {
-		s := newSlotWorld(t, 5600, size)
+		s := newCoreChangeWorld(t, 5600, size)
 		leaving, fresh := s.member(1), s.newcomer(0)
 		s.run(catchUpMs)
 		leaving.event(evStop{})
 		for len(s.newestSet().Members) == size {
-			must.True(t, leaving.up, s.why())
+			must.True(t, leaving.up, s.details())
 			s.step()
 		}
-		fresh.disk.stallUs = s.nowUs + 20_000_000
-		must.True(t, s.until(membership.HandoverMs+500, func() bool { return !leaving.up }), s.why())
-		must.Len(t, size, s.newestSet().Members, s.why())
-		must.False(t, s.newestSet().Has(fresh.Name, fresh.DiskID), s.why())
-		s.acknowledge()
-		must.Less(t, fresh.disk.stallUs, s.nowUs, s.why())
+		fresh.disk.stalledUntilUs = s.nowUs + 20_000_000
+		must.True(t, s.until(membership.HandoverMs+500, func() bool { return !leaving.up }), s.details())
+		must.Len(t, size, s.newestSet().Members, s.details())
+		must.False(t, s.newestSet().Has(fresh.Name, fresh.DiskID), s.details())
+		s.acceptMore()
+		must.Less(t, fresh.disk.stalledUntilUs, s.nowUs, s.details())
 	}
 }
 
@@ -475,38 +477,38 @@
 // replaces the member that leaves.
 func TestNewcomerTakesTheLeavingSlot(t *testing.T) {
 	for _, size := range []int{3, 5} {
-		s := newSlotWorld(t, 5700, size)
+		s := newCoreChangeWorld(t, 5700, size)
 		set := s.newestSet()
 		failing, leaving := s.member(0), s.member(1)
 		id := leaving.DiskID
 		s.fillDisk(failing, 8500)
-		s.acknowledge()
+		s.acceptMore()
 		s.newcomer(0)
 		s.run(catchUpMs)
-		must.False(t, failing.sh.node.inCore(), s.why())
-		must.Eq(t, set.Version, s.newestSet().Version, s.why())
+		must.False(t, failing.sh.node.inCore(), s.details())
+		must.Eq(t, set.Version, s.newestSet().Version, s.details())
 		leaving.event(evStop{})
-		must.True(t, s.until(membership.HandoverMs+500, func() bool { return !leaving.up }), s.why())
-		must.True(t, s.newestSet().Has(failing.Name, failing.DiskID), s.why())
-		must.False(t, s.newestSet().Has(leaving.Name, id), s.why())
-		must.True(t, s.until(8000, s.full), s.why())
-		s.keepsAll()
+		must.True(t, s.until(membership.HandoverMs+500, func() bool { return !leaving.up }), s.details())
+		must.True(t, s.newestSet().Has(failing.Name, failing.DiskID), s.details())
+		must.False(t, s.newestSet().Has(leaving.Name, id), s.details())
+		must.True(t, s.until(8000, s.complete), s.details())
+		s.requireAllKept()
 	}
 }
 
 // A member that is removed from the core set while it runs starts over with a new disk ID.
 func TestFormerMemberStartsOver(t *testing.T) {
-	s := newSlotWorld(t, 5800, 3)
+	s := newCoreChangeWorld(t, 5800, 3)
 	other := s.member(1)
 	id := other.DiskID
 	s.fillDisk(other, 25_000)
-	s.acknowledge()
+	s.acceptMore()
 	s.newcomer(0)
-	must.True(t, s.until(20_000, func() bool { return s.full() && !s.newestSet().Has(other.Name, id) }), s.why())
+	must.True(t, s.until(20_000, func() bool { return s.complete() && !s.newestSet().Has(other.Name, id) }), s.details())
 	s.run(16_000)
-	must.NotEq(t, id, other.sh.node.DiskID, s.why())
-	must.True(t, other.up && other.sh.node.diskFailed == "", s.why())
-	must.True(t, s.full(), s.why())
+	must.NotEq(t, id, other.sh.node.DiskID, s.details())
+	must.True(t, other.up && other.sh.node.diskFailed == "", s.details())
+	must.True(t, s.complete(), s.details())
 }
 
 // When a daemon adopts the next core set, changes of registers start again, a new member is
--- a/internal/daemon/orderbytes_test.go
+++ b/internal/daemon/orderbytes_test.go
@@ -24,7 +24,7 @@
 	stall    bool // stall instead of a reset
 	mu       sync.Mutex
 	conns    int
-	told     int // complete orders read
+	received int // complete orders read
 	done     chan struct{}
 }
 
@@ -63,7 +63,7 @@
 		return
 	}
 	c.mu.Lock()
-	c.told++
+	c.received++
 	c.mu.Unlock()
 	_, _ = conn.Write([]byte(workerResponse)[:c.response])
 }
@@ -77,7 +77,7 @@
 	whole := orderBytes(t, order)
 	var wg sync.WaitGroup
 	clock := newSteadyClock()
-	play := func(request, response int, stall bool) {
+	deliverCut := func(request, response int, stall bool) {
 		wg.Go(func() {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			must.NoError(t, err)
@@ -88,7 +88,7 @@
 			_ = ln.Close()
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			what := fmt.Sprintf("cut at byte %d of the order, %d of the answer, stall %v: %q, received %d times on %d connections", request, response, stall, outcome, c.told, c.conns)
+			details := fmt.Sprintf("cut at byte %d of the order, %d of the answer, stall %v: %q, received %d times on %d connections", request, response, stall, outcome, c.received, c.conns)
 			head := strings.Index(workerResponse, "{}")
 			want := "unknown"
 			if request < 0 && response >= head { // the status is known once the header is complete
@@ -97,17 +97,17 @@
 			if request == 0 && outcome == "not_sent" {
 				want = outcome // the connection was reset before the first byte was sent
 			}
-			if outcome != want || c.conns > 1 || c.told > 1 || want == "started" && c.told != 1 {
-				t.Error(what)
+			if outcome != want || c.conns > 1 || c.received > 1 || want == "started" && c.received != 1 {
+				t.Error(details)
 			}
 		})
 	}
 	for _, stall := range []bool{false, true} {
 		for at := range len(whole) {
-			play(at, 0, stall)
+			deliverCut(at, 0, stall)
 		}
 		for at := range len(workerResponse) + 1 {
-			play(-1, at, stall)
+			deliverCut(-1, at, stall)
 		}
 	}
 	wg.Wait()
@@ -141,7 +141,7 @@
 
 // An order is sent to its worker only and only once, even if the worker answers with a
 // redirect.
-func TestOrderIsNotSentOn(t *testing.T) {
+func TestOrderIsNotRedirected(t *testing.T) {
 	for _, status := range []int{301, 302, 303, 307, 308} {
 		var first, second atomic.Int64
 		other := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { second.Add(1) }))
--- a/internal/daemon/path_test.go
+++ b/internal/daemon/path_test.go
@@ -23,7 +23,8 @@
 	return w
 }
 
-func verdictOf(t *testing.T, w *world) {
+// checkHistory requires that the history breaks no rule.
+func checkHistory(t *testing.T, w *world) {
 	t.Helper()
 	b := historycheck.Check(w.history, historycheck.DefaultBounds)
 	for i, x := range b {
@@ -33,7 +34,8 @@
 	}
 }
 
-func allDone(t *testing.T, w *world, ms int64) {
+// requireAllDone requires that all accepted jobs end within ms.
+func requireAllDone(t *testing.T, w *world, ms int64) {
 	t.Helper()
 	if !w.until(ms, func() bool { return len(w.open()) == 0 }) {
 		id, _, _ := strings.Cut(w.open()[0], ":")
@@ -41,13 +43,13 @@
 	}
 }
 
-func TestWholePath(t *testing.T) {
+func TestUsualTrafficCompletes(t *testing.T) {
 	for _, dep := range []string{"hakata", "ikenna"} {
 		w := formed(t, 1, dep)
 		w.traffic(30_000)
 		w.run(30_000)
-		allDone(t, w, 30_000)
-		verdictOf(t, w)
+		requireAllDone(t, w, 30_000)
+		checkHistory(t, w)
 		for _, id := range sortedKeys(w.jobs) {
 			must.Eq(t, "complete", w.jobs[id].state)
 		}
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -26,8 +26,8 @@
 // runningTime counts the time during which this process could run when it was ready. On an
 // idle machine this is the wall clock time.
 type runningTime struct {
-	spent atomic.Int64 // ns
-	stop  chan struct{}
+	elapsed atomic.Int64 // ns
+	stop    chan struct{}
 }
 
 const runningTimeStep = 10 * time.Millisecond
@@ -41,7 +41,7 @@
 			case <-r.stop:
 				return
 			case <-time.After(runningTimeStep):
-				r.spent.Add(int64(runningTimeStep)) // however late it fires
+				r.elapsed.Add(int64(runningTimeStep)) // however late it fires
 			}
 		}
 	}()
@@ -54,9 +54,9 @@
 	testPorts     = 18_000
 )
 
-// portOfThisProcess returns the first port to try, far from those of other processes that run
+// firstPort returns the first port to try, far from those of other processes that run
 // the same test.
-func portOfThisProcess() int { return testPortsFrom + os.Getpid()%100*(testPorts/100) }
+func firstPort() int { return testPortsFrom + os.Getpid()%100*(testPorts/100) }
 
 // freeAddrs returns loopback addresses without a listener, starting at a port.
 func freeAddrs(from, count int) ([]string, error) {
@@ -76,23 +76,23 @@
 
 // fleet is a small cluster of real processes on loopback.
 type fleet struct {
-	t     *testing.T
-	bin   string
-	dir   string
-	http  []string
-	addr  []string
-	seeds []string // for daemons started from now on
-	lists []string // workers' addresses
-	cores int64
-	procs map[string]*exec.Cmd
-	clock *runningTime
+	t           *testing.T
+	bin         string
+	dir         string
+	http        []string
+	addr        []string
+	seeds       []string // for daemons started from now on
+	workerAddrs []string // workers' addresses
+	cores       int64
+	procs       map[string]*exec.Cmd
+	clock       *runningTime
 }
 
 // freePorts returns addresses without a listener. They are below the kernel's range for
 // outgoing connections, because a port in that range could be taken by any process before a
 // daemon listens on it, or while it is down. No address is returned twice.
 func freePorts(t *testing.T, n int) []string {
-	from := (portOfThisProcess() - testPortsFrom + int(portsGiven.Add(int64(n))) - n) % testPorts
+	from := (firstPort() - testPortsFrom + int(portsGiven.Add(int64(n))) - n) % testPorts
 	addrs, err := freeAddrs(testPortsFrom+from, n)
 	must.NoError(t, err)
 	_, port, _ := strings.Cut(addrs[n-1], ":")
@@ -127,7 +127,7 @@
 func (f *fleet) worker(i int) {
 	name, tier, disk := fmt.Sprintf("w%02d", i), historycheck.WorkerLabels(i)["tier"], historycheck.WorkerLabels(i)["disk"]
 	at := i % len(f.http)
-	f.start(name, "otterchute-standin", "worker", "-name", name, "-site", historycheck.Zones[i%3], "-labels", "tier="+tier+",disk="+disk, "-listen", f.lists[i],
+	f.start(name, "otterchute-standin", "worker", "-name", name, "-site", historycheck.Zones[i%3], "-labels", "tier="+tier+",disk="+disk, "-listen", f.workerAddrs[i],
 		"-daemons", strings.Join(append(append([]string{}, f.http[at:]...), f.http[:at]...), ","), "-room", fmt.Sprint(f.cores),
 		"-record", filepath.Join(f.dir, "records", name+".jsonl"), "-journal", filepath.Join(f.dir, name+".journal"))
 }
@@ -154,19 +154,19 @@
 	return resp.StatusCode, b, err
 }
 
-// settled repeats a request until ok accepts a final answer, for at most 30 s of this
+// callUntil repeats a request until ok accepts a final answer, for at most 30 s of this
 // process's running time. again tells ok that an earlier try got no final answer and may have
 // been executed.
-func (f *fleet) settled(method, path, body string, ok func(status int, answer []byte, again bool) bool) {
+func (f *fleet) callUntil(method, path, body string, ok func(status int, answer []byte, again bool) bool) {
 	f.t.Helper()
 	unclear := false
-	for end := f.clock.spent.Load() + int64(30*time.Second); ; time.Sleep(50 * time.Millisecond) {
+	for end := f.clock.elapsed.Load() + int64(30*time.Second); ; time.Sleep(50 * time.Millisecond) {
 		status, b, err := f.call(method, path, body)
 		if err == nil && status != 503 && ok(status, b, unclear) {
 			return
 		}
 		unclear = unclear || err != nil || status == 503
-		must.Less(f.t, end, f.clock.spent.Load(), must.Sprint(method, " ", path, " last returned ", status, " ", string(b), err))
+		must.Less(f.t, end, f.clock.elapsed.Load(), must.Sprint(method, " ", path, " last returned ", status, " ", string(b), err))
 	}
 }
 
@@ -176,7 +176,7 @@
 	out, err := exec.Command("go", "build", "-o", f.bin+"/", "otterchute/cmd/otterchute", "otterchute/cmd/otterchute-standin").CombinedOutput()
 	must.NoError(t, err, must.Sprint(string(out)))
 	ports := freePorts(t, 2*daemons+workers)
-	f.addr, f.http, f.lists = ports[:daemons], ports[daemons:2*daemons], ports[2*daemons:]
+	f.addr, f.http, f.workerAddrs = ports[:daemons], ports[daemons:2*daemons], ports[2*daemons:]
 	f.seeds = append([]string{}, f.addr[:3]...)
 	t.Cleanup(func() {
 		for name := range f.procs {
@@ -198,14 +198,14 @@
 	return f
 }
 
-// like reports whether every field of want is in got; "…" matches anything.
-func like(want, got any) bool {
+// matches reports whether every field of want is in got; "…" matches anything.
+func matches(want, got any) bool {
 	switch w := want.(type) {
 	case map[string]any:
 		g, ok := got.(map[string]any)
 		for k := range w {
 			v, has := g[k]
-			ok = ok && has && like(w[k], v)
+			ok = ok && has && matches(w[k], v)
 		}
 		return ok
 	case []any:
@@ -214,7 +214,7 @@
 			return false
 		}
 		for i := range w {
-			if !like(w[i], g[i]) {
+			if !matches(w[i], g[i]) {
 				return false
 			}
 		}
@@ -237,22 +237,22 @@
 	must.NoError(t, err)
 	text := strings.ReplaceAll(string(doc), `"utc_offset_minutes": 60`, fmt.Sprintf(`"utc_offset_minutes": %d`, offsetOfNoon(time.Now())))
 	f := newFleet(t, 4, 2, 8)
-	f.settled("GET", "/v1/workers", "", func(s int, _ []byte, _ bool) bool { return s == 200 })
-	f.settled("GET", "/v1/setups/current", "", func(s int, _ []byte, _ bool) bool { return s == 200 })
-	f.settled("GET", "/v1/jobs/nothing", "", func(s int, _ []byte, _ bool) bool { return s == 404 })
+	f.callUntil("GET", "/v1/workers", "", func(s int, _ []byte, _ bool) bool { return s == 200 })
+	f.callUntil("GET", "/v1/setups/current", "", func(s int, _ []byte, _ bool) bool { return s == 200 })
+	f.callUntil("GET", "/v1/jobs/nothing", "", func(s int, _ []byte, _ bool) bool { return s == 404 })
 	calls := 0
 	for _, block := range strings.Split(text, "```http\n")[1:] {
 		block, _, _ = strings.Cut(block, "```")
-		ask, answer, ok := strings.Cut(block, "\n=> ")
+		request, answer, ok := strings.Cut(block, "\n=> ")
 		must.True(t, ok, must.Sprint(block))
-		line, body, _ := strings.Cut(ask, "\n")
+		line, body, _ := strings.Cut(request, "\n")
 		method, path, _ := strings.Cut(line, " ")
 		head, want, _ := strings.Cut(answer, "\n")
 		status, err := strconv.Atoi(strings.Fields(head)[0])
 		must.NoError(t, err)
 		var wanted any
 		must.NoError(t, json.Unmarshal([]byte(want), &wanted))
-		f.settled(method, path, body, func(s int, b []byte, again bool) bool {
+		f.callUntil(method, path, body, func(s int, b []byte, again bool) bool {
 			var got any
 			if json.Unmarshal(b, &got) != nil {
 				return false
@@ -262,10 +262,10 @@
 				return true
 			}
 			if strings.Contains(head, "until") {
-				return s == status && like(wanted, got)
+				return s == status && matches(wanted, got)
 			}
 			must.Eq(t, status, s, must.Sprint(block, string(b)))
-			must.True(t, like(wanted, got), must.Sprint(block, string(b)))
+			must.True(t, matches(wanted, got), must.Sprint(block, string(b)))
 			return true
 		})
 		calls++
@@ -275,12 +275,12 @@
 	for i := range 3 {
 		id := fmt.Sprintf("kill-%d", i)
 		body := `{"queue":"checks","steps":[{"name":"a","tasks":[{"name":"slow","room":1,"payload":{"ms":400}}]},{"name":"b","after":["a"],"tasks":[{"name":"slow","room":1,"payload":{"ms":400}}]}]}`
-		f.settled("PUT", "/v1/jobs/"+id, body, func(s int, _ []byte, _ bool) bool { return s == 201 || s == 200 })
+		f.callUntil("PUT", "/v1/jobs/"+id, body, func(s int, _ []byte, _ bool) bool { return s == 201 || s == 200 })
 		name := fmt.Sprintf("d%d", i)
 		_ = f.end(name, syscall.SIGKILL)
 		f.daemon(i)
-		f.settled("GET", "/v1/jobs/"+id, "", func(_ int, b []byte, _ bool) bool { return gjson.GetBytes(b, "state").Str == "complete" })
-		f.settled("GET", "/v1/soundness", "", func(_ int, b []byte, _ bool) bool { return gjson.GetBytes(b, "core_live").Int() == 3 })
+		f.callUntil("GET", "/v1/jobs/"+id, "", func(_ int, b []byte, _ bool) bool { return gjson.GetBytes(b, "state").Str == "complete" })
+		f.callUntil("GET", "/v1/soundness", "", func(_ int, b []byte, _ bool) bool { return gjson.GetBytes(b, "core_live").Int() == 3 })
 	}
 	starts := 0
 	for i := range 2 {
--- a/internal/daemon/product_test.go
+++ b/internal/daemon/product_test.go
@@ -16,7 +16,7 @@
 
 // A daemon without a core answers 503 at once. A submission that was read but not answered is
 // reported as unknown (504), not as rejected.
-func TestProductBeforeTheCore(t *testing.T) {
+func TestPlatformCallsBeforeTheCore(t *testing.T) {
 	l := newControlLoop(newSteadyClock())
 	ports := &processPorts{loop: l, log: logr.Discard(), pendingReplies: map[uint64]chan effReply{}, selfAddr: "127.0.0.1:7000", exit: func() {}}
 	l.executor = &executor{node: newNode(nodeConfig{Name: "d1", Addr: "127.0.0.1:7000", Zone: "east"}, nil), ports: ports}
@@ -59,7 +59,7 @@
 
 // An owner that gives up a shard answers all requests waiting there: no request may end
 // without an answer, and a job that may be stored isn't reported as rejected.
-func TestShardThatMovesAnswersWhoWaits(t *testing.T) {
+func TestMovedShardAnswersWaitingRequests(t *testing.T) {
 	w := served(t, 4900)
 	must.Eq(t, 200, w.settle(w.nodes["d00"], evRequest{Op: "setup.put", Key: "1", Base: 0, Body: queueSetup("a", `,"addresses":[{"host":"h","prefix":"/a/"}]`)}, 4000).status)
 	w.run(2000)
@@ -79,8 +79,8 @@
 		put, get := &request{id: 900001, op: "job.put", key: id, queue: "a"}, &request{id: 900002, op: "job.state", key: id, queue: "a"}
 		job.waiters = []waiter{{version: 1, request: put, status: 201}, {version: 1, request: get, status: 200}}
 		shard.jobs[id] = job
-		look := &request{id: 900003, op: "job.put", key: "other", queue: "a"}
-		shard.fetches[77] = &fetchOp{id: "other", job: &jobRecord{ID: "other"}, requests: []*request{look}}
+		fetching := &request{id: 900003, op: "job.put", key: "other", queue: "a"}
+		shard.fetches[77] = &fetchOp{id: "other", job: &jobRecord{ID: "other"}, requests: []*request{fetching}}
 		n.effects = nil
 		n.endShard(name)
 		got := map[uint64]int{}
--- a/internal/daemon/rules_test.go
+++ b/internal/daemon/rules_test.go
@@ -78,7 +78,7 @@
 				must.NotEq(t, `"plugin"`, imp.Path.Value, must.Sprint(path))
 			}
 		}
-		named := func(id *ast.Ident) {
+		checkName := func(id *ast.Ident) {
 			if withdrawnWords.MatchString(identifierWords(id.Name)) {
 				key := folderOf(path)
 				found[key] = append(found[key], id.Name)
@@ -87,25 +87,25 @@
 		ast.Inspect(f, func(n ast.Node) bool {
 			switch x := n.(type) {
 			case *ast.FuncDecl:
-				named(x.Name)
+				checkName(x.Name)
 				if x.Recv == nil && x.Name.IsExported() && !test {
 					must.StrContains(t, x.Doc.Text(), "Example:", must.Sprint(set.Position(x.Pos())))
 				}
 			case *ast.TypeSpec:
-				named(x.Name)
+				checkName(x.Name)
 			case *ast.Field:
 				for _, id := range x.Names {
-					named(id)
+					checkName(id)
 				}
 			case *ast.ValueSpec:
 				for _, id := range x.Names {
-					named(id)
+					checkName(id)
 				}
 			case *ast.AssignStmt:
 				if x.Tok == token.DEFINE {
 					for _, e := range x.Lhs {
 						if id, ok := e.(*ast.Ident); ok {
-							named(id)
+							checkName(id)
 						}
 					}
 				}
--- a/internal/daemon/scenario_helpers_test.go
+++ b/internal/daemon/scenario_helpers_test.go
@@ -14,13 +14,13 @@
 // scenario is one directed run. Afterwards all jobs must end and no rule may be broken. It
 // runs at both sizes of deployment, whichever it was written for.
 type scenario struct {
-	dep    string
-	do     func(t *testing.T, w *world)
-	waitMs int64 // time for all jobs to end afterwards
+	deployment string
+	run        func(t *testing.T, w *world)
+	waitMs     int64 // time for all jobs to end afterwards
 }
 
-// sameQueue returns the queue at the same position in the deployment of this run.
-func (w *world) sameQueue(name string) string {
+// equivalentQueue returns the queue at the same position in the deployment of this run.
+func (w *world) equivalentQueue(name string) string {
 	for _, d := range historycheck.Deployments {
 		for i, q := range d.Queues {
 			if q.Name == name {
@@ -33,9 +33,9 @@
 
 // oneTask returns a job of one task. Its resources are in sixteenths of a worker, so that the
 // load is alike at both sizes.
-func (w *world) oneTask(queue string, ms, room, limitMs int64, allowed int) historycheck.Job {
-	room = room * w.dep.Cores / 16
-	return historycheck.Job{Queue: w.sameQueue(queue), Steps: []historycheck.Step{{Name: "s", Tasks: []historycheck.Task{{Name: fmt.Sprint("t", ms), Cores: room, LimitMs: limitMs,
+func (w *world) oneTask(queue string, ms, sixteenths, limitMs int64, allowed int) historycheck.Job {
+	sixteenths = sixteenths * w.dep.Cores / 16
+	return historycheck.Job{Queue: w.equivalentQueue(queue), Steps: []historycheck.Step{{Name: "s", Tasks: []historycheck.Task{{Name: fmt.Sprint("t", ms), Cores: sixteenths, LimitMs: limitMs,
 		AllowedFailures: allowed, Payload: historycheck.Work{Ms: ms}}}}}}
 }
 
@@ -72,17 +72,17 @@
 	return
 }
 
-// killedAt returns a scenario that kills the holder of a role during the usual traffic and
+// killHolderOf returns a scenario that kills the holder of a role during the usual traffic and
 // requires that work continues soon.
-func killedAt(duty string) func(*testing.T, *world) {
+func killHolderOf(role string) func(*testing.T, *world) {
 	return func(t *testing.T, w *world) {
 		w.traffic(40_000)
 		w.run(15_000)
-		n := w.holderOf(duty)
+		n := w.holderOf(role)
 		must.NotNil(t, n)
 		n.kill(false)
 		at := w.nowMs()
-		must.True(t, w.until(8000, func() bool { h := w.holderOf(duty); return h != nil && h != n }), must.Sprint("no new holder of ", duty))
+		must.True(t, w.until(8000, func() bool { h := w.holderOf(role); return h != nil && h != n }), must.Sprint("no new holder of ", role))
 		w.run(15_000)
 		usual, after := w.endedIn(at-10_000, at), w.endedIn(at+6000, at+16_000)
 		must.GreaterEq(t, usual/2, after, must.Sprintf("%d tasks ended in 10 s before, %d from 6 s after", usual, after))
@@ -90,9 +90,9 @@
 	}
 }
 
-// ownerCut finds a job whose owner is not a core member, and returns a function that cuts this
-// owner off from the core but not from the agents.
-func (w *world) ownerCut(t *testing.T, make func() historycheck.Job) (*simJob, *simNode, func()) {
+// jobOfCutOffOwner finds a job whose owner is not a core member, and returns a function that
+// cuts this owner off from the core but not from the agents.
+func (w *world) jobOfCutOffOwner(t *testing.T, make func() historycheck.Job) (*simJob, *simNode, func()) {
 	w.run(3000) // all agents are rebuilt after this time
 	// Machines with a disk are preferred as owners, so each releases its own shards to one
 	// without.
@@ -122,8 +122,8 @@
 	return nil, nil, nil
 }
 
-// queuesFull lets the cluster learn a short run time and then fills the queues of all workers.
-func (w *world) queuesFull() {
+// fillQueues lets the cluster learn a short run time and then fills the queues of all workers.
+func (w *world) fillQueues() {
 	w.run(3000)
 	for range 12 {
 		w.submit(w.oneTask("logbook", 1900, 4, 60_000, 3))
--- a/internal/daemon/scenario_run_test.go
+++ b/internal/daemon/scenario_run_test.go
@@ -31,8 +31,8 @@
 	w.run(60_000)
 	must.NotNil(t, w.holderOf("slice/mid"))
 	must.Eq(t, "mid", w.holderOf("slice/mid").Zone)
-	allDone(t, w, 60_000)
-	verdictOf(t, w)
+	requireAllDone(t, w, 60_000)
+	checkHistory(t, w)
 	t.Log(len(w.jobs), "jobs", w.counts())
 }
 
@@ -63,9 +63,9 @@
 							}
 						}
 					})
-					s.do(t, w)
-					allDone(t, w, s.waitMs)
-					verdictOf(t, w)
+					s.run(t, w)
+					requireAllDone(t, w, s.waitMs)
+					checkHistory(t, w)
 					stateMs, entryMs := historycheck.LongestOutages(w.history)
 					t.Logf("longest outage: states %d ms, entry %d ms", stateMs, entryMs)
 					if t.Failed() {
@@ -81,18 +81,18 @@
 // with a time for the retry, and urgent queues still get in.
 func TestOverloadIsRejected(t *testing.T) {
 	w := formed(t, 3, "ikenna")
-	bounced, entered := 0, 0
+	rejected, accepted := 0, 0
 	for i := range 8000 {
 		body, _ := json.Marshal(w.oneTask("certify", 5000, 16, 60_000, 1))
 		began := w.nowMs()
 		w.ask("caller", w.anyNode(i), "job.put", fmt.Sprintf("crowd-%d", i), body, 5000, func(status int, retryMs int64, _ []byte) {
 			switch status {
 			case 429, 503:
-				bounced++
+				rejected++
 				must.Positive(t, retryMs)
 				must.Less(t, 2000, w.nowMs()-began)
 			case 201:
-				entered++
+				accepted++
 			}
 		})
 		if i%20 == 0 {
@@ -100,10 +100,10 @@
 		}
 	}
 	w.run(6000)
-	must.Positive(t, bounced)
-	must.Positive(t, entered)
-	must.LessEq(t, configuration.MaxQueueJobs*3, entered)
+	must.Positive(t, rejected)
+	must.Positive(t, accepted)
+	must.LessEq(t, configuration.MaxQueueJobs*3, accepted)
 	status, _, _, _ := w.asked("caller", w.nodes["d05"], "job.put", "urgent-1", []byte(`{"queue":"signoff","steps":[{"name":"a","tasks":[{"name":"t","room":1}]}]}`))
 	must.Eq(t, 201, status)
-	t.Log("accepted", entered, "rejected", bounced)
+	t.Log("accepted", accepted, "rejected", rejected)
 }
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -14,9 +14,9 @@
 )
 
 var scenarios = map[string]scenario{
-	"killed owner":   {"hakata", killedAt("slice/east"), 30_000},
-	"killed agent":   {"hakata", killedAt("agent/w04"), 40_000},
-	"killed central": {"hakata", killedAt("central"), 30_000},
+	"killed owner":   {"hakata", killHolderOf("slice/east"), 30_000},
+	"killed agent":   {"hakata", killHolderOf("agent/w04"), 40_000},
+	"killed central": {"hakata", killHolderOf("central"), 30_000},
 	"killed core member": {"ikenna", func(t *testing.T, w *world) {
 		w.traffic(30_000)
 		w.run(10_000)
@@ -194,13 +194,13 @@
 	"graceful shutdown": {"hakata", func(t *testing.T, w *world) {
 		w.traffic(30_000)
 		w.run(10_000)
-		for _, duty := range []string{"slice/mid", "central", "agent/w03"} {
-			n := w.holderOf(duty)
+		for _, role := range []string{"slice/mid", "central", "agent/w03"} {
+			n := w.holderOf(role)
 			must.NotNil(t, n)
 			n.event(evStop{})
 			at := w.nowMs()
-			must.True(t, w.until(2000, func() bool { h := w.holderOf(duty); return h != nil && h != n }), must.Sprint("no successor for ", duty))
-			must.Less(t, lease.DurationMs, w.nowMs()-at, must.Sprint(duty, " waited for the lease to expire"))
+			must.True(t, w.until(2000, func() bool { h := w.holderOf(role); return h != nil && h != n }), must.Sprint("no successor for ", role))
+			must.Less(t, lease.DurationMs, w.nowMs()-at, must.Sprint(role, " waited for the lease to expire"))
 			must.True(t, w.until(shutdownTimeoutMs+500, func() bool { return !n.up }), must.Sprint("the daemon did not end"))
 			n.start()
 			w.run(3000)
@@ -295,7 +295,7 @@
 		for range 15 { // each owner learns that this is short and then places it by itself
 			w.submit(w.oneTask("confirm", 400, 1, 20_000, 1))
 		}
-		j, owner, cut := w.ownerCut(t, func() historycheck.Job {
+		j, owner, cut := w.jobOfCutOffOwner(t, func() historycheck.Job {
 			j := w.oneTask("confirm", 400, 1, 20_000, 1)
 			j.DelayMs = 2000
 			return j
@@ -309,7 +309,7 @@
 		w.heal()
 	}, 20_000}
 	scenarios["owner cut off from the core before an attempt ends"] = scenario{"hakata", func(t *testing.T, w *world) {
-		j, owner, cut := w.ownerCut(t, func() historycheck.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
+		j, owner, cut := w.jobOfCutOffOwner(t, func() historycheck.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
 		must.Eq(t, 1, w.startsOf(j))
 		w.run(600)
 		cut()
@@ -322,25 +322,25 @@
 
 func init() {
 	scenarios["worker leaves with a full queue"] = scenario{"ikenna", func(t *testing.T, w *world) {
-		w.queuesFull()
+		w.fillQueues()
 		w.workers["w04"].leaving, w.workers["w07"].leaving = true, true
 		w.run(15_000)
 	}, 60_000}
 	scenarios["zone emptied with full queues"] = scenario{"ikenna", func(t *testing.T, w *world) {
-		w.queuesFull()
+		w.fillQueues()
 		s := w.dep.InitialConfiguration()
 		s.EmptyZones = []string{"mid"}
 		w.putSetup(2, s, nil)
 		w.run(15_000)
 	}, 60_000}
 	scenarios["selector narrowed with full queues"] = scenario{"ikenna", func(t *testing.T, w *world) {
-		w.queuesFull()
-		s := historycheck.Configuration{Queues: []historycheck.Queue{{Name: w.sameQueue("logbook"), Selector: map[string][]string{"tier": {"fast"}}, Urgency: 1}}}
+		w.fillQueues()
+		s := historycheck.Configuration{Queues: []historycheck.Queue{{Name: w.equivalentQueue("logbook"), Selector: map[string][]string{"tier": {"fast"}}, Urgency: 1}}}
 		w.putSetup(2, s, nil)
 		w.run(15_000)
 	}, 90_000}
 	scenarios["owner cut off from the core before a cancellation"] = scenario{"hakata", func(t *testing.T, w *world) {
-		j, owner, cut := w.ownerCut(t, func() historycheck.Job {
+		j, owner, cut := w.jobOfCutOffOwner(t, func() historycheck.Job {
 			j := w.oneTask("confirm", 400, 1, 20_000, 1)
 			j.DelayMs = 9000
 			return j
@@ -349,7 +349,7 @@
 		cut()
 		w.ask("caller", owner, "job.cancel", j.id, nil, 2000, func(status int, _ int64, _ []byte) {
 			if status == 200 {
-				w.note(historycheck.Event{Kind: historycheck.CancelAcked, Job: j.id})
+				w.record(historycheck.Event{Kind: historycheck.CancelAcked, Job: j.id})
 			}
 		})
 		must.True(t, w.until(8000, func() bool { h := w.holderOf("slice/" + owner.sh.node.shardOf(j.id)); return h != nil && h != owner }))
@@ -360,7 +360,7 @@
 
 func init() {
 	scenarios["late write of a frozen owner"] = scenario{"hakata", func(t *testing.T, w *world) {
-		j, owner, _ := w.ownerCut(t, func() historycheck.Job {
+		j, owner, _ := w.jobOfCutOffOwner(t, func() historycheck.Job {
 			j := w.oneTask("confirm", 400, 1, 20_000, 1)
 			j.DelayMs = 12_000
 			return j
@@ -370,7 +370,7 @@
 		}
 		w.ask("caller", owner, "job.cancel", j.id, nil, 30_000, func(status int, _ int64, _ []byte) {
 			if status == 200 {
-				w.note(historycheck.Event{Kind: historycheck.CancelAcked, Job: j.id})
+				w.record(historycheck.Event{Kind: historycheck.CancelAcked, Job: j.id})
 			}
 		})
 		w.run(5)
@@ -385,7 +385,7 @@
 		w.traffic(45_000)
 		for range 5 {
 			w.run(2000)
-			for i := range dayShare {
+			for i := range cutOffAgents {
 				h := w.holderOf(fmt.Sprintf("agent/w%02d", i))
 				if h == nil || h.Disk {
 					continue
@@ -409,7 +409,7 @@
 	}, 60_000}
 }
 
-const dayShare = 6 // workers whose agents are cut off in that scenario
+const cutOffAgents = 6 // workers whose agents are cut off in that scenario
 
 func init() {
 	scenarios["first cancel message lost"] = scenario{"ikenna", func(t *testing.T, w *world) {
@@ -448,27 +448,27 @@
 		w.traffic(50_000)
 		w.run(5000)
 		for range 4 {
-			w.freezeOrders = 1
+			w.freezesBeforeOrder = 1
 			w.run(11_000)
 		}
-		must.Zero(t, w.freezeOrders)
+		must.Zero(t, w.freezesBeforeOrder)
 	}, 60_000}
 }
 
 func init() {
 	scenarios["shed and requeued elsewhere"] = scenario{"ikenna", func(t *testing.T, w *world) {
-		w.queuesFull()
-		w.workers["w02"].slow = 12 // its queue stalls while those of the others move on
+		w.fillQueues()
+		w.workers["w02"].slowdown = 12 // its queue stalls while those of the others move on
 		w.run(20_000)
 		must.Positive(t, w.total("sheds"))
 		must.Positive(t, w.total("ends_shed"))
-		w.workers["w02"].slow = 1
+		w.workers["w02"].slowdown = 1
 	}, 90_000}
 }
 
 func init() {
 	scenarios["end stored by only one core member"] = scenario{"hakata", func(t *testing.T, w *world) {
-		j, owner, _ := w.ownerCut(t, func() historycheck.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
+		j, owner, _ := w.jobOfCutOffOwner(t, func() historycheck.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
 		must.Eq(t, 1, w.startsOf(j))
 		name := "slice/" + owner.sh.node.shardOf(j.id)
 		w.run(600)
@@ -496,7 +496,7 @@
 		for _, n := range w.nodesInOrder() {
 			n.FinishedKeepMs, n.sh.node.FinishedKeepMs = 20_000, 20_000
 		}
-		j, owner, _ := w.ownerCut(t, func() historycheck.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
+		j, owner, _ := w.jobOfCutOffOwner(t, func() historycheck.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
 		name := "slice/" + owner.sh.node.shardOf(j.id)
 		w.run(600)
 		w.cutHost("d02")
@@ -530,7 +530,7 @@
 			if owner.Disk {
 				lone = owner.Name
 			}
-			w.note(historycheck.Event{Kind: historycheck.JobSent, Job: id, Spec: &spec})
+			w.record(historycheck.Event{Kind: historycheck.JobSent, Job: id, Spec: &spec})
 			w.ask("early", owner, "job.put", id, body, 2000, func(int, int64, []byte) {})
 			for owner.sh.node.shards[name[6:]].jobs[id] == nil {
 				w.step()
--- a/internal/daemon/setup_test.go
+++ b/internal/daemon/setup_test.go
@@ -117,7 +117,7 @@
 
 // An address without a queue is reported as unknown only by a configuration confirmed after
 // the request arrived; an address that was just added is found at every daemon.
-func TestConfigAddressesAreSure(t *testing.T) {
+func TestConfigAddressesAreConfirmed(t *testing.T) {
 	w := served(t, 960)
 	at := func(op, path string) evRequest { return evRequest{Op: op, Host: "one.example", Path: path, Base: -1} }
 	must.Eq(t, 503, w.settle(w.nodes["d03"], at("queue.state", "/a/1"), 3000).status)
--- a/internal/daemon/world_callers_test.go
+++ b/internal/daemon/world_callers_test.go
@@ -24,19 +24,19 @@
 		}
 	}
 	w.after(waitMs*1000, func() { finish(0, 0, nil) })
-	w.carryTo(from, to.Name, func() {
+	w.deliver(from, to.Name, func() {
 		if !to.up {
 			return
 		}
-		to.awake(func() {
-			to.askSeq++
-			to.asks[to.askSeq] = func(status int, retryMs int64, b []byte) {
-				if w.answerLeaves(sentAnswer{from, to, e, status}) {
+		to.whenAwake(func() {
+			to.requestSeq++
+			to.pendingReplies[to.requestSeq] = func(status int, retryMs int64, b []byte) {
+				if w.responseLost(sentAnswer{from, to, e, status}) {
 					return
 				}
-				w.carryTo(to.Name, from, func() { finish(status, retryMs, b) })
+				w.deliver(to.Name, from, func() { finish(status, retryMs, b) })
 			}
-			e.ID = to.askSeq
+			e.ID = to.requestSeq
 			to.event(e)
 		})
 	})
@@ -49,16 +49,16 @@
 
 // simJob is a caller's view of one job.
 type simJob struct {
-	id     string
-	spec   historycheck.Job
-	body   []byte
-	sentMs int64
-	acked  bool
-	state  string
-	last   string // body of the last state response
-	cancel bool
-	gaveUp bool
-	tries  int
+	id          string
+	spec        historycheck.Job
+	body        []byte
+	sentMs      int64
+	acked       bool
+	state       string
+	last        string // body of the last state response
+	cancelAcked bool
+	gaveUp      bool
+	tries       int
 }
 
 // submit sends a job, retries it until it is answered, and then polls its state until it ends.
@@ -67,38 +67,38 @@
 	j := &simJob{id: fmt.Sprintf("j%05d", w.jobSeq), spec: spec, sentMs: w.nowMs()}
 	j.body, _ = json.Marshal(spec)
 	w.jobs[j.id] = j
-	seen := j.spec
-	if seen.DueMs > 0 {
-		seen.DueMs -= wallStart // the history uses simulated time
+	recorded := j.spec
+	if recorded.DueMs > 0 {
+		recorded.DueMs -= wallStart // the history uses simulated time
 	}
-	w.note(historycheck.Event{Kind: historycheck.JobSent, Job: j.id, Spec: &seen})
-	w.put(j)
+	w.record(historycheck.Event{Kind: historycheck.JobSent, Job: j.id, Spec: &recorded})
+	w.putJob(j)
 	return j
 }
 
-func (w *world) put(j *simJob) {
+func (w *world) putJob(j *simJob) {
 	j.tries++
 	w.ask("caller", w.anyNode(w.rng.IntN(1000)), "job.put", j.id, j.body, 2000, func(status int, retryMs int64, _ []byte) {
 		switch {
 		case status == 200 || status == 201:
 			if !j.acked {
 				j.acked = true
-				w.note(historycheck.Event{Kind: historycheck.JobAcked, Job: j.id})
+				w.record(historycheck.Event{Kind: historycheck.JobAcked, Job: j.id})
 			}
-			w.after(500_000, func() { w.get(j) })
+			w.after(500_000, func() { w.pollJob(j) })
 		case status == 400 || status == 409:
 			j.gaveUp, j.state = true, fmt.Sprint(status)
 		case j.tries > 200:
 			j.gaveUp = true
 		default:
-			w.note(historycheck.Event{Kind: historycheck.SubmissionFailed, Job: j.id})
-			w.after(max(retryMs, 500)*1000, func() { w.put(j) })
+			w.record(historycheck.Event{Kind: historycheck.SubmissionFailed, Job: j.id})
+			w.after(max(retryMs, 500)*1000, func() { w.putJob(j) })
 		}
 	})
 }
 
-func (w *world) get(j *simJob) {
-	asked := w.nowMs()
+func (w *world) pollJob(j *simJob) {
+	requestedMs := w.nowMs()
 	w.ask("caller", w.anyNode(w.rng.IntN(1000)), "job.get", j.id, nil, 2000, func(status int, _ int64, b []byte) {
 		state := gjson.GetBytes(b, "state").Str
 		j.last = string(b)
@@ -107,15 +107,15 @@
 		}
 		if state != "" {
 			j.state = state
-			w.note(historycheck.Event{Kind: historycheck.JobState, Job: j.id, Text: state, RequestedMs: asked})
+			w.record(historycheck.Event{Kind: historycheck.JobState, Job: j.id, Text: state, RequestedMs: requestedMs})
 		} else {
-			w.note(historycheck.Event{Kind: historycheck.StateUnavailable, Job: j.id})
+			w.record(historycheck.Event{Kind: historycheck.StateUnavailable, Job: j.id})
 		}
 		if state == "complete" || state == "failed" || state == "cancelled" {
-			w.doneAt = append(w.doneAt, w.nowMs())
+			w.doneAtMs = append(w.doneAtMs, w.nowMs())
 			return
 		}
-		w.after(700_000+w.rng.Int64N(300_000), func() { w.get(j) })
+		w.after(700_000+w.rng.Int64N(300_000), func() { w.pollJob(j) })
 	})
 }
 
@@ -123,8 +123,8 @@
 	w.ask("caller", w.anyNode(w.rng.IntN(1000)), "job.cancel", j.id, nil, 2000, func(status int, _ int64, _ []byte) {
 		switch status {
 		case 200:
-			j.cancel = true
-			w.note(historycheck.Event{Kind: historycheck.CancelAcked, Job: j.id})
+			j.cancelAcked = true
+			w.record(historycheck.Event{Kind: historycheck.CancelAcked, Job: j.id})
 		case 409, 404:
 		default:
 			w.after(500_000, func() { w.cancelJob(j) })
@@ -135,16 +135,16 @@
 // putSetup sends a configuration version and retries until it is accepted or rejected.
 func (w *world) putSetup(version int64, s historycheck.Configuration, done func(status int)) {
 	body, _ := json.Marshal(s)
-	kept := &s
-	w.note(historycheck.Event{Kind: historycheck.ConfigurationSent, Version: version, Configuration: kept})
+	stored := &s
+	w.record(historycheck.Event{Kind: historycheck.ConfigurationSent, Version: version, Configuration: stored})
 	var try func()
 	try = func() {
 		w.ask("operator", w.anyNode(w.rng.IntN(1000)), "setup.put", fmt.Sprint(version), body, 4000, func(status int, _ int64, b []byte) {
 			switch status {
 			case 200:
-				w.note(historycheck.Event{Kind: historycheck.ConfigurationAcked, Version: version, Configuration: kept})
+				w.record(historycheck.Event{Kind: historycheck.ConfigurationAcked, Version: version, Configuration: stored})
 			case 400, 409:
-				w.note(historycheck.Event{Kind: historycheck.ConfigurationRejected, Version: version, Configuration: kept})
+				w.record(historycheck.Event{Kind: historycheck.ConfigurationRejected, Version: version, Configuration: stored})
 			default:
 				w.after(500_000, try)
 				return
--- a/internal/daemon/world_node_test.go
+++ b/internal/daemon/world_node_test.go
@@ -14,47 +14,47 @@
 // simNode is the machine of one daemon, with the daemon's process while it runs.
 type simNode struct {
 	nodeConfig
-	w        *world
-	sh       *executor
-	gen      int
-	up       bool
-	frozenTo int64
-	inbox    []func()
-	bootUs   int64
-	skewMs   int64
-	disk     *simDisk
-	asks     map[uint64]func(int, int64, []byte)
-	askSeq   uint64
-	incs     uint64
-	removed  bool // the machine was removed for good
+	w              *world
+	sh             *executor
+	process        int // number of the current process, raised by each start and kill
+	up             bool
+	frozenTo       int64
+	inbox          []func()
+	bootUs         int64
+	skewMs         int64
+	disk           *simDisk
+	pendingReplies map[uint64]func(int, int64, []byte)
+	requestSeq     uint64
+	incarnations   uint64
+	removed        bool // the machine was removed for good
 }
 
 func (n *simNode) start() {
 	if n.up || n.removed {
 		return
 	}
-	if wait := n.disk.stallUs - n.w.nowUs; n.Disk && wait > 0 { // the log can't be read before the stall ends
+	if wait := n.disk.stalledUntilUs - n.w.nowUs; n.Disk && wait > 0 { // the log can't be read before the stall ends
 		n.w.after(wait, n.start)
 		return
 	}
 	n.up, n.frozenTo, n.inbox = true, 0, nil
-	n.gen++
-	n.incs++
-	n.asks = map[uint64]func(int, int64, []byte){}
+	n.process++
+	n.incarnations++
+	n.pendingReplies = map[uint64]func(int, int64, []byte){}
 	n.bootUs = n.w.nowUs - 1_000_000 - n.w.rng.Int64N(3_000_000_000)
 	p := n.nodeConfig
-	p.Incarnation = n.incs<<32 | uint64(n.w.nowMs())&0xffffffff
+	p.Incarnation = n.incarnations<<32 | uint64(n.w.nowMs())&0xffffffff
 	// Not drawn at random, so that the runs of existing seeds stay the same.
-	p.Instance = addresseeID(fmt.Sprintf("%s life %d", n.Name, n.gen))
+	p.Instance = addresseeID(fmt.Sprintf("%s life %d", n.Name, n.process))
 	var st *statestore.Store
 	if p.Disk {
 		st = n.disk.load()
 	}
 	n.sh = &executor{node: newNode(p, st), ports: n}
-	gen := n.gen
+	process := n.process
 	var tick func()
 	tick = func() {
-		if n.gen != gen || !n.up {
+		if n.process != process || !n.up {
 			return
 		}
 		n.event(evTick{})
@@ -66,15 +66,16 @@
 // later runs do on this machine after us, or once the machine is no longer frozen, unless the
 // process has ended meanwhile.
 func (n *simNode) later(us int64, do func()) {
-	gen := n.gen
+	process := n.process
 	n.w.after(us, func() {
-		if n.gen == gen && n.up {
-			n.awake(do)
+		if n.process == process && n.up {
+			n.whenAwake(do)
 		}
 	})
 }
 
-func (n *simNode) awake(do func()) {
+// whenAwake runs do now, or at the end of a freeze.
+func (n *simNode) whenAwake(do func()) {
 	if n.w.nowUs < n.frozenTo {
 		n.inbox = append(n.inbox, do)
 		return
@@ -82,25 +83,27 @@
 	do()
 }
 
+// freeze stops the process for ms; what it receives meanwhile is processed afterwards.
 func (n *simNode) freeze(ms int64) {
 	n.frozenTo = n.w.nowUs + ms*1000
-	gen := n.gen
+	process := n.process
 	n.w.after(ms*1000+1, func() {
-		if n.gen != gen || !n.up {
+		if n.process != process || !n.up {
 			return
 		}
-		box := n.inbox
+		queued := n.inbox
 		n.inbox = nil
-		for _, do := range box {
-			n.awake(do)
+		for _, do := range queued {
+			n.whenAwake(do)
 		}
 	})
 }
 
 func (n *simNode) steadyMs() int64 { return (n.w.nowUs - n.bootUs) / 1000 }
 
+// event has the daemon process an event.
 func (n *simNode) event(body any) {
-	n.awake(func() {
+	n.whenAwake(func() {
 		if !n.up {
 			return
 		}
@@ -111,10 +114,11 @@
 // kill ends the process. A power loss also loses unsynced writes.
 func (n *simNode) kill(power bool) {
 	n.up = false
-	n.gen++
+	n.process++
 	n.disk.stop(power)
 }
 
+// wipe replaces the disk by an empty one.
 func (n *simNode) wipe() {
 	n.disk.entries, n.disk.synced = nil, 0
 	n.disk.wipes++
@@ -127,7 +131,7 @@
 	if n.w.largest = max(n.w.largest, len(frame)); len(frame) > wire.MaxFrame {
 		return // the receiver would close the connection
 	}
-	n.w.msgs[reflect.TypeOf(msg).Elem().Name()]++
+	n.w.messages[reflect.TypeOf(msg).Elem().Name()]++
 	target := n.w.nodes[to]
 	if target == nil || target.Addr != addr {
 		target = nil
@@ -151,7 +155,7 @@
 		if err != nil {
 			panic(err)
 		}
-		n.w.traceOf(h.From, target.Name, h.Kind, len(frame))
+		n.w.addTrace(h.From, target.Name, h.Kind, len(frame))
 		target.event(evMsg{Head: h, Msg: m})
 	}
 	if n.w.detain != nil {
@@ -160,7 +164,7 @@
 			return
 		}
 	}
-	n.w.carryTo(n.Name, target.Name, arrive)
+	n.w.deliver(n.Name, target.Name, arrive)
 }
 
 func (n *simNode) Append(entries []statestore.Entry, done func()) { n.disk.append(n, entries, done) }
@@ -180,14 +184,14 @@
 
 func (n *simNode) Reply(e effReply) {
 	n.w.digest.add(n.w.nowUs, n.Name, "reply", []int64{int64(e.ID), int64(e.Status), e.RetryMs}, e.Body)
-	if cb := n.asks[e.ID]; cb != nil {
-		delete(n.asks, e.ID)
+	if cb := n.pendingReplies[e.ID]; cb != nil {
+		delete(n.pendingReplies, e.ID)
 		cb(e.Status, e.RetryMs, e.Body)
 	}
 }
 
 func (n *simNode) Log(event string, pairs []any) {
-	n.w.traceOf(n.Name, event, fmt.Sprint(pairs...))
+	n.w.addTrace(n.Name, event, fmt.Sprint(pairs...))
 	if n.w.keepLog {
 		n.w.logs = append(n.w.logs, fmt.Sprintf("%d %s %s %v", n.w.nowMs(), n.Name, event, pairs))
 	}
@@ -196,9 +200,9 @@
 // Order delivers an order to a worker. As in the product, the deadline is checked again just
 // before the order is sent.
 func (n *simNode) Order(e effOrder) {
-	n.w.digest.add(n.w.nowUs, n.Name, "order", []int64{e.NotAfterMs, boolNumber(e.Stop)}, []byte(e.Worker), []byte(e.Addr), codec.Append(nil, e.Key), e.Body)
-	if n.w.freezeOrders > 0 && !e.Stop {
-		n.w.freezeOrders--
+	n.w.digest.add(n.w.nowUs, n.Name, "order", []int64{e.NotAfterMs, boolToInt(e.Stop)}, []byte(e.Worker), []byte(e.Addr), codec.Append(nil, e.Key), e.Body)
+	if n.w.freezesBeforeOrder > 0 && !e.Stop {
+		n.w.freezesBeforeOrder--
 		n.freeze(9000) // between the check and the send
 	}
 	n.later(100, func() {
@@ -211,12 +215,12 @@
 		}
 		sw := n.w.workers[e.Worker]
 		answered, leftUs := false, n.w.nowUs
-		n.w.carryTo(n.Name, sw.name, func() {
+		n.w.deliver(n.Name, sw.name, func() {
 			if n.w.nowUs-leftUs > orderTimeoutMs*1000 {
 				return // the connection was closed before, and unread bytes with it
 			}
 			outcome := sw.take(e)
-			n.w.carryTo(sw.name, n.Name, func() {
+			n.w.deliver(sw.name, n.Name, func() {
 				if !answered {
 					answered = true
 					result(outcome)
@@ -236,18 +240,18 @@
 // begins; entries behind it are in memory only. A power loss keeps any prefix of the batch in
 // progress. After a failed write all callbacks wait until a retry succeeds.
 type simDisk struct {
-	w        *world
-	host     string
-	entries  [][]byte
-	synced   int
-	syncing  bool
-	batchEnd int // end of the batch in progress, as an index that also counts folded
-	waiting  []func()
-	wipes    int
-	folded   int // entries replaced by snapshots, minus the entries of those snapshots
-	full     bool
-	failed   bool  // a write failed and is being retried
-	stallUs  int64 // the disk completes nothing before this time
+	w              *world
+	host           string
+	entries        [][]byte
+	synced         int
+	syncing        bool
+	batchEnd       int // end of the batch in progress, as an index that also counts snapshotOffset
+	callbacks      []func()
+	wipes          int
+	snapshotOffset int // entries replaced by snapshots, minus the entries of those snapshots
+	full           bool
+	failed         bool  // a write failed and is being retried
+	stalledUntilUs int64 // the disk completes nothing before this time
 }
 
 func (d *simDisk) load() *statestore.Store {
@@ -259,7 +263,7 @@
 		}
 		st.Apply(e)
 	}
-	d.syncing, d.waiting, d.failed = false, nil, false
+	d.syncing, d.callbacks, d.failed = false, nil, false
 	return st
 }
 
@@ -268,31 +272,31 @@
 		d.entries = append(d.entries, codec.Append(nil, e))
 		n.w.digest.add(n.w.nowUs, n.Name, "append", nil, d.entries[len(d.entries)-1])
 	}
-	d.waiting = append(d.waiting, done)
+	d.callbacks = append(d.callbacks, done)
 	if len(entries) == 0 && !d.syncing && !d.failed && d.synced == len(d.entries) {
-		d.release(len(d.waiting))
+		d.runCallbacks(len(d.callbacks))
 		return
 	}
 	d.sync(n)
 }
 
 func (d *simDisk) sync(n *simNode) {
-	if d.syncing || d.failed || len(d.waiting) == 0 {
+	if d.syncing || d.failed || len(d.callbacks) == 0 {
 		return
 	}
 	d.syncing = true
-	d.batchEnd = d.folded + len(d.entries)
-	calls := len(d.waiting)
+	d.batchEnd = d.snapshotOffset + len(d.entries)
+	calls := len(d.callbacks)
 	if d.full {
 		n.later(100, func() { d.fail(n, errDiskFull) })
 		return
 	}
-	n.later(500+d.w.syncUs[d.host]+d.w.rng.Int64N(1500), func() { d.syncEnds(n, calls) })
+	n.later(500+d.w.syncUs[d.host]+d.w.rng.Int64N(1500), func() { d.syncEnded(n, calls) })
 }
 
-func (d *simDisk) syncEnds(n *simNode, calls int) {
-	if wait := d.stallUs - d.w.nowUs; wait > 0 {
-		n.later(wait, func() { d.syncEnds(n, calls) })
+func (d *simDisk) syncEnded(n *simNode, calls int) {
+	if wait := d.stalledUntilUs - d.w.nowUs; wait > 0 {
+		n.later(wait, func() { d.syncEnded(n, calls) })
 		return
 	}
 	if d.full {
@@ -300,8 +304,8 @@
 		return
 	}
 	d.syncing = false
-	d.synced = max(d.synced, min(d.batchEnd-d.folded, len(d.entries)))
-	d.release(calls)
+	d.synced = max(d.synced, min(d.batchEnd-d.snapshotOffset, len(d.entries)))
+	d.runCallbacks(calls)
 	d.sync(n)
 }
 
@@ -309,30 +313,30 @@
 func (d *simDisk) fail(n *simNode, reason string) {
 	d.failed, d.syncing = true, false
 	n.event(evDisk{Failed: reason})
-	n.later(storage.MinRetryDelay.Microseconds(), func() { d.again(n, 2*storage.MinRetryDelay.Milliseconds()) })
+	n.later(storage.MinRetryDelay.Microseconds(), func() { d.retry(n, 2*storage.MinRetryDelay.Milliseconds()) })
 }
 
-// again retries a failed disk with the backoff of diskrecovery.go.
-func (d *simDisk) again(n *simNode, nextMs int64) {
-	if d.full || d.stallUs > d.w.nowUs {
-		n.later(nextMs*1000, func() { d.again(n, min(2*nextMs, storage.MaxRetryDelay.Milliseconds())) })
+// retry tries a failed disk again with the backoff of diskrecovery.go.
+func (d *simDisk) retry(n *simNode, nextMs int64) {
+	if d.full || d.stalledUntilUs > d.w.nowUs {
+		n.later(nextMs*1000, func() { d.retry(n, min(2*nextMs, storage.MaxRetryDelay.Milliseconds())) })
 		return
 	}
 	d.failed, d.synced = false, len(d.entries)
-	d.release(len(d.waiting))
+	d.runCallbacks(len(d.callbacks))
 	n.event(evDisk{Recovered: true})
 }
 
-func (d *simDisk) release(calls int) {
-	ready := d.waiting[:calls]
-	d.waiting = slices.Clone(d.waiting[calls:])
+func (d *simDisk) runCallbacks(calls int) {
+	ready := d.callbacks[:calls]
+	d.callbacks = slices.Clone(d.callbacks[calls:])
 	for _, done := range ready {
 		done()
 	}
 }
 
 func (d *simDisk) snapshot(n *simNode, entries []statestore.Entry) {
-	at := d.folded + len(d.entries)
+	at := d.snapshotOffset + len(d.entries)
 	var dump [][]byte
 	for _, e := range entries {
 		dump = append(dump, codec.Append(nil, e))
@@ -343,13 +347,13 @@
 		if d.wipes != wipes {
 			return // the disk was wiped meanwhile
 		}
-		if d.full || d.failed || d.stallUs > d.w.nowUs {
+		if d.full || d.failed || d.stalledUntilUs > d.w.nowUs {
 			return // the snapshot failed; the log still holds all entries
 		}
-		old := at - d.folded // another snapshot may have been completed meanwhile
+		old := at - d.snapshotOffset // another snapshot may have been completed meanwhile
 		d.entries = append(dump, d.entries[old:]...)
 		d.synced = max(len(dump), d.synced-old+len(dump))
-		d.folded = at - len(dump)
+		d.snapshotOffset = at - len(dump)
 	})
 }
 
@@ -364,13 +368,13 @@
 // written returns the number of entries that were handed to the operating system.
 func (d *simDisk) written() int {
 	if d.syncing || d.failed {
-		return max(d.synced, min(d.batchEnd-d.folded, len(d.entries)))
+		return max(d.synced, min(d.batchEnd-d.snapshotOffset, len(d.entries)))
 	}
 	return d.synced
 }
 
-// tear keeps any prefix of the entries that were written and not synced.
-func (d *simDisk) tear() {
+// tearBatch keeps any prefix of the entries that were written and not synced.
+func (d *simDisk) tearBatch() {
 	kept := d.written()
 	if kept > d.synced {
 		kept = d.synced + d.w.rng.IntN(kept-d.synced+1)
@@ -382,9 +386,9 @@
 // loses any suffix of those not yet synced.
 func (d *simDisk) stop(power bool) {
 	if power || d.failed {
-		d.tear()
+		d.tearBatch()
 	}
 	d.entries = d.entries[:min(len(d.entries), d.written())]
 	d.synced = len(d.entries)
-	d.syncing, d.waiting, d.failed = false, nil, false
+	d.syncing, d.callbacks, d.failed = false, nil, false
 }
--- a/internal/daemon/world_test.go
+++ b/internal/daemon/world_test.go
@@ -14,65 +14,68 @@
 // simulated clock, network, disks, workers and callers. All randomness comes from one seed, so
 // the same seed gives the same run.
 type world struct {
-	rng          *rand.Rand
-	nowUs        int64
-	seq          int64
-	queue        happenings
-	nodes        map[string]*simNode
-	workers      map[string]*simWorker
-	cuts         map[[2]string]bool // by sender and receiver host
-	lastUs       map[[2]string]int64
-	hold         map[[2]string]int64 // extra delay in us, by sender and receiver host
-	history      []historycheck.Event
-	trace        uint64
-	digest       *runDigest
-	logs         []string
-	keepLog      bool
-	dep          historycheck.Deployment
-	jobs         map[string]*simJob
-	jobSeq       int
-	syncUs       map[string]int64
-	holdUpMs     int64 // messages sent into a cut arrive after it if it ends within this time; 0 drops them
-	heldUp       []heldUp
-	stray        int // one message in this many is delayed by up to 4 s and overtaken; 0 for none
-	doneAt       []int64
-	msgs         map[string]int
-	freezeOrders int // number of daemons still to freeze between checking and sending a start order
-	trafficEnds  bool
-	largest      int // size of the largest frame so far, in bytes
-	onNote       func(historycheck.Event)
-	resetUs      map[[2]string]int64 // time of the last connection reset, by sender and receiver host
-	answerLoss   map[string]float64  // by caller, the share of responses that are lost
-	onAnswer     []func(sentAnswer) (over bool)
-	onSend       func(from, to string, msg any, bytes int)
+	rng                *rand.Rand
+	nowUs              int64
+	seq                int64
+	queue              simEventQueue
+	nodes              map[string]*simNode
+	workers            map[string]*simWorker
+	cuts               map[[2]string]bool // by sender and receiver host
+	lastArrivalUs      map[[2]string]int64
+	hold               map[[2]string]int64 // extra delay in us, by sender and receiver host
+	history            []historycheck.Event
+	trace              uint64
+	digest             *runDigest
+	logs               []string
+	keepLog            bool
+	dep                historycheck.Deployment
+	jobs               map[string]*simJob
+	jobSeq             int
+	syncUs             map[string]int64
+	holdUpMs           int64 // messages sent into a cut arrive after it if it ends within this time; 0 drops them
+	heldMessages       []heldMessage
+	delayOneIn         int // one message in this many is delayed by up to 4 s and overtaken; 0 for none
+	doneAtMs           []int64
+	messages           map[string]int
+	freezesBeforeOrder int // number of daemons still to freeze between checking and sending a start order
+	trafficEnded       bool
+	largest            int // size of the largest frame so far, in bytes
+	onNote             func(historycheck.Event)
+	resetUs            map[[2]string]int64 // time of the last connection reset, by sender and receiver host
+	responseLoss       map[string]float64  // by caller, the share of responses that are lost
+	onResponse         []func(sentAnswer) (over bool)
+	onSend             func(from, to string, msg any, bytes int)
 	// detain returns an extra delay in us for a message, which then may be overtaken by later
 	// ones; 0 for none.
 	detain func(from, to string, msg any) int64
 }
 
-type happening struct {
+// simEvent is a function that runs at a simulated time; seq orders the events of one moment.
+type simEvent struct {
 	atUs, seq int64
 	do        func()
 }
 
-type happenings []happening
+// simEventQueue is a heap of events by time.
+type simEventQueue []simEvent
 
-func (h happenings) Len() int { return len(h) }
-func (h happenings) Less(i, j int) bool {
+func (h simEventQueue) Len() int { return len(h) }
+func (h simEventQueue) Less(i, j int) bool {
 	return h[i].atUs < h[j].atUs || h[i].atUs == h[j].atUs && h[i].seq < h[j].seq
 }
-func (h happenings) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *happenings) Push(x any)   { *h = append(*h, x.(happening)) }
-func (h *happenings) Pop() any {
+func (h simEventQueue) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *simEventQueue) Push(x any)   { *h = append(*h, x.(simEvent)) }
+func (h *simEventQueue) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return x
 }
 
+// after runs do after us of simulated time.
 func (w *world) after(us int64, do func()) {
 	w.seq++
-	heap.Push(&w.queue, happening{w.nowUs + us, w.seq, do})
+	heap.Push(&w.queue, simEvent{w.nowUs + us, w.seq, do})
 }
 
 // nodesInOrder returns the daemons sorted by name: a run must not depend on the order of a
@@ -91,8 +94,8 @@
 
 func newWorld(seed uint64, dep historycheck.Deployment) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), nodes: map[string]*simNode{}, workers: map[string]*simWorker{}, cuts: map[[2]string]bool{},
-		lastUs: map[[2]string]int64{}, hold: map[[2]string]int64{}, dep: dep, jobs: map[string]*simJob{}, syncUs: map[string]int64{},
-		resetUs: map[[2]string]int64{}, answerLoss: map[string]float64{}, msgs: map[string]int{}, trace: 14695981039346656037,
+		lastArrivalUs: map[[2]string]int64{}, hold: map[[2]string]int64{}, dep: dep, jobs: map[string]*simJob{}, syncUs: map[string]int64{},
+		resetUs: map[[2]string]int64{}, responseLoss: map[string]float64{}, messages: map[string]int{}, trace: 14695981039346656037,
 		digest: newRunDigest(fmt.Sprintf("seed %d daemons %d workers %d cores %d", seed, dep.Daemons, dep.Workers, dep.Cores))}
 	var seeds []string
 	for i := range 3 {
@@ -112,7 +115,7 @@
 		w.after(w.rng.Int64N(300_000), n.start)
 	}
 	for i := range dep.Workers {
-		sw := &simWorker{w: w, name: fmt.Sprintf("w%02d", i), zone: historycheck.Zones[i%3], labels: historycheck.WorkerLabels(i), capacity: dep.Cores, slow: 1,
+		sw := &simWorker{w: w, name: fmt.Sprintf("w%02d", i), zone: historycheck.Zones[i%3], labels: historycheck.WorkerLabels(i), capacity: dep.Cores, slowdown: 1,
 			running: map[string]*simRun{}, ended: map[string]*simRun{}}
 		w.workers[sw.name] = sw
 		w.after(500_000+w.rng.Int64N(300_000), sw.start)
@@ -122,7 +125,7 @@
 
 // step runs the next event.
 func (w *world) step() {
-	h := heap.Pop(&w.queue).(happening)
+	h := heap.Pop(&w.queue).(simEvent)
 	w.nowUs = h.atUs
 	h.do()
 }
@@ -147,7 +150,8 @@
 	return holds()
 }
 
-func (w *world) note(e historycheck.Event) {
+// record adds an event to the history that is checked after the run.
+func (w *world) record(e historycheck.Event) {
 	e.AtMs = w.nowMs()
 	w.history = append(w.history, e)
 	if w.onNote != nil {
@@ -155,71 +159,74 @@
 	}
 }
 
-func (w *world) traceOf(parts ...any) {
+// addTrace adds an event to the hash that tells two runs apart.
+func (w *world) addTrace(parts ...any) {
 	h := fnv.New64a()
 	fmt.Fprint(h, w.trace, w.nowUs, parts)
 	w.trace = h.Sum64()
 }
 
-// carryTo delivers a message between two hosts, in the order of sending for each pair. The
+// deliver carries a message between two hosts, in the order of sending for each pair. The
 // message is lost if the path is cut when it is sent or when it would arrive, unless holdUpMs
 // delays it until the cut ends.
-func (w *world) carryTo(from, to string, do func()) {
-	way := [2]string{from, to}
-	if w.cuts[way] {
-		w.holdUp(way, do)
+func (w *world) deliver(from, to string, do func()) {
+	path := [2]string{from, to}
+	if w.cuts[path] {
+		w.holdMessage(path, do)
 		return
 	}
 	leftUs := w.nowUs
-	at := w.nowUs + 150 + w.rng.Int64N(400) + w.hold[way]
+	at := w.nowUs + 150 + w.rng.Int64N(400) + w.hold[path]
 	if from == to {
 		at = w.nowUs + 5
 	}
-	if w.stray > 0 && w.rng.IntN(w.stray) == 0 {
+	if w.delayOneIn > 0 && w.rng.IntN(w.delayOneIn) == 0 {
 		at += w.rng.Int64N(4_000_000) // buffered somewhere while later messages pass
 	} else {
-		at = max(at, w.lastUs[way]+1)
-		w.lastUs[way] = at
+		at = max(at, w.lastArrivalUs[path]+1)
+		w.lastArrivalUs[path] = at
 	}
 	w.after(at-w.nowUs, func() {
 		switch {
-		case w.resetUs[way] > leftUs: // lost with its connection
-		case w.cuts[way]:
-			w.holdUp(way, do)
+		case w.resetUs[path] > leftUs: // lost with its connection
+		case w.cuts[path]:
+			w.holdMessage(path, do)
 		default:
 			do()
 		}
 	})
 }
 
-type heldUp struct {
-	way  [2]string
+// heldMessage is a message that a cut holds up.
+type heldMessage struct {
+	path [2]string
 	atUs int64
 	do   func()
 }
 
-func (w *world) holdUp(way [2]string, do func()) {
+// holdMessage keeps a message that was sent into a cut, if cuts hold messages up.
+func (w *world) holdMessage(path [2]string, do func()) {
 	if w.holdUpMs > 0 {
-		w.heldUp = append(w.heldUp, heldUp{way, w.nowUs, do})
+		w.heldMessages = append(w.heldMessages, heldMessage{path, w.nowUs, do})
 	}
 }
 
 // release delivers the messages that were held up by a cut that has ended, unless they waited
 // too long.
 func (w *world) release() {
-	var kept []heldUp
-	for _, h := range w.heldUp {
+	var kept []heldMessage
+	for _, h := range w.heldMessages {
 		switch {
 		case w.nowUs-h.atUs > w.holdUpMs*1000:
-		case w.cuts[h.way]:
+		case w.cuts[h.path]:
 			kept = append(kept, h)
 		default:
-			at := max(w.nowUs+w.rng.Int64N(200_000), w.lastUs[h.way]+1)
-			w.lastUs[h.way] = at
+			at := max(w.nowUs+w.rng.Int64N(200_000), w.lastArrivalUs[h.path]+1)
+			w.lastArrivalUs[h.path] = at
 			w.after(at-w.nowUs, h.do)
 		}
 	}
-	w.heldUp = kept
+	w.heldMessages = kept
 }
 
 func (w *world) hosts() []string { return append(sortedKeys(w.nodes), sortedKeys(w.workers)...) }
@@ -232,10 +239,10 @@
 }
 
 // cutZone cuts a zone off from all others in both directions.
-func (w *world) cutZone(site string) {
+func (w *world) cutZone(zone string) {
 	for _, a := range w.hosts() {
 		for _, b := range w.hosts() {
-			if (w.zoneOf(a) == site) != (w.zoneOf(b) == site) {
+			if (w.zoneOf(a) == zone) != (w.zoneOf(b) == zone) {
 				w.cuts[[2]string{a, b}] = true
 			}
 		}
@@ -244,7 +251,7 @@
 
 func (w *world) cutHost(host string) {
 	if w.workers[host] != nil {
-		w.note(historycheck.Event{Kind: historycheck.WorkerUnreachable, Worker: host})
+		w.record(historycheck.Event{Kind: historycheck.WorkerUnreachable, Worker: host})
 	}
 	for _, b := range w.hosts() {
 		if b != host {
@@ -256,19 +263,21 @@
 func (w *world) heal() {
 	w.cuts = map[[2]string]bool{}
 	for _, name := range sortedKeys(w.workers) {
-		w.note(historycheck.Event{Kind: historycheck.WorkerReachable, Worker: name})
+		w.record(historycheck.Event{Kind: historycheck.WorkerReachable, Worker: name})
 	}
 }
 
-func (w *world) holderOf(duty string) *simNode {
+// holderOf returns the daemon that holds a role and is not frozen, or nil.
+func (w *world) holderOf(role string) *simNode {
 	for _, name := range sortedKeys(w.nodes) {
-		if n := w.nodes[name]; n.up && w.nowUs >= n.frozenTo && n.sh.node.leases.Holds(duty) {
+		if n := w.nodes[name]; n.up && w.nowUs >= n.frozenTo && n.sh.node.leases.Holds(role) {
 			return n
 		}
 	}
 	return nil
 }
 
+// total sums a counter over all running daemons.
 func (w *world) total(count string) int64 {
 	sum := int64(0)
 	for _, n := range w.nodesInOrder() {
--- a/internal/daemon/world_worker_test.go
+++ b/internal/daemon/world_worker_test.go
@@ -10,52 +10,53 @@
 
 // simWorker is a backend without logic of its own: it executes whatever it is ordered to.
 type simWorker struct {
-	w        *world
-	name     string
-	zone     string
-	labels   map[string]string
-	capacity int64
-	up       bool
-	gen      int
-	inc      int
-	seq      int64
-	token    string
-	leaving  bool
-	slow     int64
-	failPct  int
-	stallPct int
-	frozenTo int64
-	running  map[string]*simRun
-	ended    map[string]*simRun
-	busy     bool
-	again    bool
-	use      int
-	starts   int
+	w             *world
+	name          string
+	zone          string
+	labels        map[string]string
+	capacity      int64
+	up            bool
+	process       int // number of the current process, raised by each start and crash
+	inc           int
+	reportSeq     int64
+	token         string
+	leaving       bool
+	slowdown      int64
+	failPct       int
+	stallPct      int
+	frozenUntilUs int64
+	running       map[string]*simRun
+	ended         map[string]*simRun
+	reporting     bool
+	reportAgain   bool
+	daemonIndex   int
+	starts        int
 }
 
+// simRun is an attempt that a worker executes or has ended.
 type simRun struct {
 	id, tag string
 	job     string
 	task    int
-	room    int64
+	cores   int64
 	startMs int64
 	ranMs   int64
 	outcome string
-	gen     int
+	process int // of the worker that runs it
 }
 
 func (s *simWorker) start() {
 	if s.up {
 		return
 	}
-	s.up, s.seq, s.token, s.busy, s.leaving = true, 0, "", false, false
-	s.gen++
+	s.up, s.reportSeq, s.token, s.reporting, s.leaving = true, 0, "", false, false
+	s.process++
 	s.inc++
-	s.w.note(historycheck.Event{Kind: historycheck.WorkerCapacity, Worker: s.name, Capacity: s.capacity, Labels: s.labels, Zone: s.zone})
-	gen := s.gen
+	s.w.record(historycheck.Event{Kind: historycheck.WorkerCapacity, Worker: s.name, Capacity: s.capacity, Labels: s.labels, Zone: s.zone})
+	process := s.process
 	var tick func()
 	tick = func() {
-		if s.gen == gen && s.up {
+		if s.process == process && s.up {
 			s.report()
 			s.w.after(300_000, tick)
 		}
@@ -66,16 +67,17 @@
 // crash ends the worker's process and all its attempts; the journal of ended attempts stays.
 func (s *simWorker) crash() {
 	s.up = false
-	s.gen++
+	s.process++
 	for _, id := range sortedKeys(s.running) {
 		r := s.running[id]
-		s.w.note(historycheck.Event{Kind: historycheck.End, Job: r.job, Task: r.task, Worker: s.name, Run: id, Text: "crash"})
+		s.w.record(historycheck.Event{Kind: historycheck.End, Job: r.job, Task: r.task, Worker: s.name, Run: id, Text: "crash"})
 	}
 	s.running = map[string]*simRun{}
 }
 
+// take executes an order and returns the outcome that its sender sees.
 func (s *simWorker) take(e effOrder) string {
-	if !s.up || s.w.nowUs < s.frozenTo {
+	if !s.up || s.w.nowUs < s.frozenUntilUs {
 		return "unknown"
 	}
 	id := gjson.GetBytes(e.Body, "id").Str
@@ -85,11 +87,11 @@
 	}
 	o := gjson.ParseBytes(e.Body)
 	job, task, _ := historycheck.ParseRun(id)
-	r := &simRun{id: id, tag: o.Get("tag").Str, job: job, task: task, room: o.Get("room").Int(), startMs: s.w.nowMs(), gen: s.gen}
+	r := &simRun{id: id, tag: o.Get("tag").Str, job: job, task: task, cores: o.Get("room").Int(), startMs: s.w.nowMs(), process: s.process}
 	s.running[id] = r
 	s.starts++
-	s.w.note(historycheck.Event{Kind: historycheck.Start, Job: job, Task: task, Worker: s.name, Run: id, Text: o.Get("class").Str})
-	ms := o.Get("payload.ms").Int() * s.slow
+	s.w.record(historycheck.Event{Kind: historycheck.Start, Job: job, Task: task, Worker: s.name, Run: id, Text: o.Get("class").Str})
+	ms := o.Get("payload.ms").Int() * s.slowdown
 	outcome := "ok"
 	if s.w.rng.IntN(100) < s.failPct || s.w.rng.IntN(100) < int(o.Get("payload.fail_pct").Int()) {
 		outcome = "failed"
@@ -98,7 +100,7 @@
 		return "started" // it makes no progress until it is stopped
 	}
 	s.w.after(ms*1000, func() {
-		if s.up && r.gen == s.gen && s.running[id] == r {
+		if s.up && r.process == s.process && s.running[id] == r {
 			s.finish(id, outcome)
 		}
 	})
@@ -113,17 +115,18 @@
 	delete(s.running, id)
 	r.outcome, r.ranMs = outcome, s.w.nowMs()-r.startMs
 	s.ended[id] = r
-	s.w.note(historycheck.Event{Kind: historycheck.End, Job: r.job, Task: r.task, Worker: s.name, Run: id, Text: outcome})
+	s.w.record(historycheck.Event{Kind: historycheck.End, Job: r.job, Task: r.task, Worker: s.name, Run: id, Text: outcome})
 	s.report()
 }
 
+// report sends the worker's state to a daemon, with one report in flight at a time.
 func (s *simWorker) report() {
-	if s.busy {
-		s.again = true
+	if s.reporting {
+		s.reportAgain = true
 		return
 	}
-	s.busy, s.again = true, false
-	s.seq++
+	s.reporting, s.reportAgain = true, false
+	s.reportSeq++
 	list := func(m map[string]*simRun) []map[string]any {
 		out := []map[string]any{}
 		for _, id := range sortedKeys(m) {
@@ -132,7 +135,7 @@
 			if r.outcome == "" {
 				ran = s.w.nowMs() - r.startMs
 			}
-			e := map[string]any{"id": id, "tag": r.tag, "room": r.room, "ran_ms": ran}
+			e := map[string]any{"id": id, "tag": r.tag, "room": r.cores, "ran_ms": ran}
 			if r.outcome != "" {
 				e["outcome"] = r.outcome
 			}
@@ -142,29 +145,29 @@
 	}
 	free := s.capacity
 	for _, r := range s.running {
-		free -= r.room
+		free -= r.cores
 	}
 	leaving := s.leaving
-	body := mustJSON(map[string]any{"incarnation": fmt.Sprintf("i%d", s.inc), "seq": s.seq, "address": s.name, "site": s.zone, "labels": s.labels,
+	body := mustJSON(map[string]any{"incarnation": fmt.Sprintf("i%d", s.inc), "seq": s.reportSeq, "address": s.name, "site": s.zone, "labels": s.labels,
 		"free": max(free, 0), "leaving": leaving, "token": s.token, "running": list(s.running), "ended": list(s.ended)})
-	gen := s.gen
-	s.w.ask(s.name, s.w.anyNode(s.use+int(s.name[2])), "worker.report", s.name, body, 2000, func(status int, _ int64, b []byte) {
-		if gen != s.gen {
+	process := s.process
+	s.w.ask(s.name, s.w.anyNode(s.daemonIndex+int(s.name[2])), "worker.report", s.name, body, 2000, func(status int, _ int64, b []byte) {
+		if process != s.process {
 			return
 		}
-		s.busy = false
+		s.reporting = false
 		if status == 200 {
 			s.token = gjson.GetBytes(b, "token").Str
 			for _, a := range gjson.GetBytes(b, "acked").Array() {
 				delete(s.ended, a.Str)
 			}
 			if leaving {
-				s.w.note(historycheck.Event{Kind: historycheck.WorkerLeaving, Worker: s.name})
+				s.w.record(historycheck.Event{Kind: historycheck.WorkerLeaving, Worker: s.name})
 			}
 		} else {
-			s.use++
+			s.daemonIndex++
 		}
-		if s.again {
+		if s.reportAgain {
 			s.w.after(5000, s.report)
 		}
 	})
