--- a/internal/daemon/lease_test.go
+++ b/internal/daemon/lease_test.go
@@ -13,7 +13,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// holders returns the daemons that may act in a role now: those whose own clock says that
+// holders returns the daemons that may act in a role now: those by whose own clock
 // their lease is still valid, including frozen ones.
 func (w *world) holders(role string) []string {
 	var out []string
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -505,7 +505,7 @@
 		owner.kill(false)
 		must.True(t, w.until(8000, func() bool { h := w.holderOf(name); return h != nil && h != owner }))
 		w.run(1000)
-		w.heal() // d02 still stores the job as live, and has not been told that it ended
+		w.heal() // d02 still stores the job as live, and has received no message about its end
 		owner.start()
 		w.run(70_000) // the others have deleted it
 		second := w.holderOf(name)
