--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -12,38 +12,41 @@
 	"github.com/shoenig/test/must"
 )
 
-// Faults of disks, machines, connections and answers, each with an end. Those of
-// world serve every simulation; those of platformWorld tell the judge of them too.
+// Faults of disks, machines, connections and responses, each with an end. Those of world serve
+// every simulation; those of platformWorld also record the fault for the evaluation of the
+// run.
 
 const errDiskFull = "no space left on device"
 
-// cutWay is which way a machine that is cut off one way can't be passed.
+// cutWay is the direction in which a machine is cut off.
 type cutWay string
 
 const (
-	cutOutward cutWay = "outward" // it hears the others, and they don't hear it
-	cutInward  cutWay = "inward"  // they hear it
+	cutOutward cutWay = "outward" // it receives from the others but can't send to them
+	cutInward  cutWay = "inward"  // it can send to the others but receives nothing
 )
 
-// fillDisk lets every write and sync of a disk fail until undone. The disk is the
-// machine's: it stays full through restarts.
+// fillDisk makes every write and sync of a disk fail until undone. The disk stays full through
+// restarts.
 func (w *world) fillDisk(host string) (undo func()) {
 	d := w.nodes[host].disk
 	d.full = true
 	return func() { d.full = false }
 }
 
-// stallDisk lets a disk answer nothing for a while.
-func (w *world) stallDisk(host string, ms int64) { w.nodes[host].disk.stallUs = w.nowUs + ms*1000 }
+// stallDisk makes a disk complete nothing for ms.
+func (w *world) stallDisk(host string, ms int64) {
+	w.nodes[host].disk.stalledUntilUs = w.nowUs + ms*1000
+}
 
-// slowDisk lets a disk take so many times as long.
+// slowDisk makes a disk slower by a factor.
 func (w *world) slowDisk(host string, times int64) (undo func()) {
 	w.syncUs[host] = 1250 * (times - 1)
 	return func() { delete(w.syncUs, host) }
 }
 
-// resetConnections resets a share of the connections of some machines: what is
-// under way on them is lost, both ways.
+// resetConnections resets a share of the connections of some machines. Messages in transit on
+// them are lost in both directions.
 func (w *world) resetConnections(hosts []string, share float64) {
 	for _, host := range hosts {
 		for _, other := range append(w.hosts(), "caller", "operator") {
@@ -54,13 +57,14 @@
 	}
 }
 
-// loseAnswers loses a share of the answers to a caller: what was asked for is done.
+// loseAnswers loses a share of the responses to a caller. The requests themselves are
+// executed.
 func (w *world) loseAnswers(to string, share float64) (undo func()) {
-	w.answerLoss[to] = share
-	return func() { delete(w.answerLoss, to) }
+	w.responseLoss[to] = share
+	return func() { delete(w.responseLoss, to) }
 }
 
-// sentAnswer is an answer as it leaves a daemon.
+// sentAnswer is a response as it leaves a daemon.
 type sentAnswer struct {
 	caller string
 	from   *simNode
@@ -70,26 +74,28 @@
 
 func (a sentAnswer) accepted() bool { return a.status >= 200 && a.status < 300 }
 
-// whenAnswered calls something at each answer that leaves a daemon, until it says
-// that it is over.
-func (w *world) whenAnswered(see func(sentAnswer) (over bool)) { w.onAnswer = append(w.onAnswer, see) }
+// whenAnswered registers a callback for each response that leaves a daemon. It is removed once
+// it returns true.
+func (w *world) whenAnswered(observe func(sentAnswer) (over bool)) {
+	w.onResponse = append(w.onResponse, observe)
+}
 
-// answerLeaves tells whether an answer is lost on its way.
-func (w *world) answerLeaves(a sentAnswer) (lost bool) {
-	w.onAnswer = slices.DeleteFunc(w.onAnswer, func(see func(sentAnswer) bool) bool { return see(a) })
-	share := w.answerLoss[a.caller]
+// responseLost runs the callbacks for a response and reports whether the response is lost.
+func (w *world) responseLost(a sentAnswer) (lost bool) {
+	w.onResponse = slices.DeleteFunc(w.onResponse, func(see func(sentAnswer) bool) bool { return see(a) })
+	share := w.responseLoss[a.caller]
 	return share > 0 && w.rng.Float64() < share
 }
 
-// stepClock makes a machine's time of day wrong by so many ms.
+// stepClock makes the wall clock of a machine wrong by ms.
 func (w *world) stepClock(host string, ms int64) (undo func()) {
 	n := w.nodes[host]
 	n.skewMs = ms
 	return func() { n.skewMs = 0 }
 }
 
-// install adds a machine like another one, with an empty disk and at a new
-// address. Whoever installs it names machines that stand now as its seeds.
+// install adds a machine like another one, with an empty disk and a new address. Its seeds are
+// machines that are running now.
 func (w *world) install(like *simNode, name string, number int, seeds []string) *simNode {
 	n := &simNode{w: w, disk: &simDisk{w: w, host: name}, nodeConfig: like.nodeConfig}
 	n.Name, n.Seeds, n.FirstStart = name, seeds, false
@@ -99,7 +105,7 @@
 	return n
 }
 
-// remove takes a machine away for good, with its disk.
+// remove takes a machine and its disk away for good.
 func (w *world) remove(host string) {
 	n := w.nodes[host]
 	if n.up {
@@ -108,14 +114,14 @@
 	n.removed, n.Disk = true, false
 }
 
-// stopOrKill sends SIGTERM, and SIGKILL once the grace is over.
+// stopOrKill sends SIGTERM, and SIGKILL after the grace period.
 func (n *simNode) stopOrKill(graceMs int64, ended func()) {
 	n.event(evStop{})
-	gen, over := n.gen, n.w.nowUs+graceMs*1000
+	process, over := n.process, n.w.nowUs+graceMs*1000
 	var wait func()
 	wait = func() {
 		switch {
-		case n.gen != gen || !n.up:
+		case n.process != process || !n.up:
 		case n.w.nowUs >= over:
 			n.kill(false)
 		default:
@@ -127,23 +133,23 @@
 	wait()
 }
 
-// The users' bounds on losses.
+// Limits on simultaneous losses, as promised to the users.
 const (
 	lossEndsMs = 4000
 	graceMs    = 6000
 )
 
-// lossesAllowed is how many disk machines may be lost at once.
+// lossesAllowed returns how many machines with a disk may be lost at once.
 func (b *platformWorld) lossesAllowed() int { return (b.deployment.coreSize - 1) / 2 }
 
-// serveWorkerLost tells whether a disk machine counts as lost now: in trouble, or not yet
-// back for so long that it must have caught up.
+// lost reports whether a machine with a disk counts as lost now: it is faulty, or has not been
+// back long enough to have caught up.
 func (b *platformWorld) lost(host string) bool {
 	at, known := b.calmMs[host]
 	return b.troubled[host] > 0 || known && b.nowMs()-at < lossEndsMs
 }
 
-// mayLose tells whether some more machines may be lost now.
+// mayLose reports whether these further machines may be lost now.
 func (b *platformWorld) mayLose(hosts ...string) bool {
 	sum := 0
 	for _, host := range b.diskHosts {
@@ -154,7 +160,7 @@
 	return sum <= b.lossesAllowed()
 }
 
-// troubleFor tells the judge of a trouble that lasts so long, and ends it.
+// troubleFor records a fault, and undoes it after ms.
 func (b *platformWorld) troubleFor(text, host string, ms int64, undo func()) {
 	b.trouble(text, host)
 	b.after(ms*1000, func() {
@@ -176,12 +182,12 @@
 	b.troubleFor("disk slow", host, ms, b.slowDisk(host, times))
 }
 
-// clockStep lets a machine's time of day jump, and back.
+// clockStep sets a machine's wall clock wrong by byMs, and right again after ms.
 func (b *platformWorld) clockStep(host string, byMs, ms int64) {
 	b.troubleFor("clock", host, ms, b.stepClock(host, byMs))
 }
 
-// resets resets connections of some machines now and then, for a while.
+// resets resets connections of some machines repeatedly for a while.
 func (b *platformWorld) resets(hosts []string, share float64, ms int64) {
 	end := b.nowMs() + ms
 	for _, host := range hosts {
@@ -197,24 +203,24 @@
 	again()
 }
 
-// cutOne cuts a machine off one way.
+// cutOne cuts a machine off in one direction.
 func (b *platformWorld) cutOne(host string, way cutWay) (heal func()) {
 	b.cutOneWay[host] = way
 	return b.cut(host)
 }
 
-// cutZone cuts all machines of a zone off from the others, and not from each other.
+// cutZone cuts all machines of a zone off from the others, but not from each other.
 func (b *platformWorld) cutZone(zone string) (heal func()) {
 	b.cutTogether = true
 	return b.cut(b.zoneHosts(zone)...)
 }
 
-// zoneHosts gives the machines that stand in a zone.
+// zoneHosts returns the machines in a zone.
 func (b *platformWorld) zoneHosts(zone string) []string {
 	return slices.DeleteFunc(sortedKeys(b.nodes), func(host string) bool { return b.nodes[host].removed || b.nodes[host].Zone != zone })
 }
 
-// loseZone takes the power of a zone's machines and workers for a while.
+// loseZone cuts the power of the machines and workers of a zone for a while.
 func (b *platformWorld) loseZone(zone string, downMs int64) {
 	for _, host := range b.zoneHosts(zone) {
 		b.after((downMs+b.rng.Int64N(1500))*1000, b.kill(host, true))
@@ -224,12 +230,12 @@
 	}
 }
 
-// standing gives the machines at the edge that run.
+// standing returns the machines of the edge that are running.
 func (b *platformWorld) standing() []string {
 	return slices.DeleteFunc(b.edges(), func(host string) bool { return !b.nodes[host].up })
 }
 
-// successor installs a machine in the place of another one and starts it.
+// successor installs and starts a machine that replaces another one.
 func (b *platformWorld) successor(of string) *simNode {
 	b.newHosts++
 	var seeds []string
@@ -253,8 +259,8 @@
 	return n
 }
 
-// replacePlanned starts a new core machine with an empty disk at a new address;
-// the old one gets SIGTERM after a while, and ends.
+// replacePlanned starts a new core machine with an empty disk at a new address. The old one
+// gets SIGTERM after a while, and ends.
 func (b *platformWorld) replacePlanned(old string, gapMs int64) {
 	b.successor(old)
 	b.after(gapMs*1000, func() {
@@ -269,7 +275,7 @@
 	})
 }
 
-// replaceLost takes a core machine away for good; a new one comes after a while.
+// replaceLost removes a core machine for good. A new one is started after a while.
 func (b *platformWorld) replaceLost(old string, gapMs int64) {
 	b.nodes[old].kill(true)
 	b.trouble("removed", old)
@@ -279,39 +285,39 @@
 	})
 }
 
-// powerOf takes the power of some machines, or only kills them, for a while.
+// powerOf cuts the power of some machines for a while, or only kills their processes.
 func (b *platformWorld) powerOf(hosts []string, power bool, downMs int64) {
 	for _, host := range hosts {
 		b.after(downMs*1000, b.kill(host, power))
 	}
 }
 
-// struck says when a loss strikes that is aimed at an order.
+// struck says when a loss happens relative to an operator's or a caller's request.
 type struck string
 
 const (
-	struckSent         struck = "sent"         // 5 to 400 ms after a change was sent
-	struckAcknowledged struck = "acknowledged" // within 4 ms of the answer's leaving
-	struckTaken        struck = "taken"        // within 4 ms of a job's acceptance
+	struckSent         struck = "sent"         // 5 to 400 ms after a configuration change was sent
+	struckAcknowledged struck = "acknowledged" // within 4 ms after the response to a configuration change was sent
+	struckTaken        struck = "taken"        // within 4 ms after the response that accepts a job was sent
 )
 
-// strike does something to the machine that answers an order, at a moment around
-// that answer. The change of the setup it waits for is sent here.
+// strike applies a fault to the machine that answers a request, at a moment close to that
+// response. It sends the configuration change that it waits for.
 func (b *platformWorld) strike(when struck, do func(host string)) {
 	switch when {
 	case struckSent:
 		b.change(nil)
 		b.after(5000+b.rng.Int64N(395_000), func() { do(b.some(b.diskHosts)) })
 	case struckAcknowledged:
-		b.atAnswer("setup.put", do)
+		b.afterResponse("setup.put", do)
 		b.change(nil)
 	case struckTaken:
-		b.atAnswer("queue.submit", do)
+		b.afterResponse("queue.submit", do)
 	}
 }
 
-// atAnswer does something within 4 ms of the next good answer to an order.
-func (b *platformWorld) atAnswer(op string, do func(host string)) {
+// afterResponse applies a fault within 4 ms of the next successful response to a request.
+func (b *platformWorld) afterResponse(op string, do func(host string)) {
 	b.whenAnswered(func(a sentAnswer) bool {
 		if a.call.Op != op || !a.accepted() {
 			return false
@@ -325,54 +331,54 @@
 	})
 }
 
-// formedWorld gives a fleet with its first setup, shortly before traffic.
-func formedWorld(t *testing.T, seed uint64) *platformWorld {
+// formedPlatform returns a cluster with its first configuration, shortly before traffic begins.
+func formedPlatform(t *testing.T, seed uint64) *platformWorld {
 	b := formPlatform(t, seed, "hakata")
 	b.run(2000)
 	return b
 }
 
-// putNow sends a change and gives whether it was acknowledged in time.
-func (b *platformWorld) putNow(ms int64) bool {
+// changeAcknowledged sends a configuration change and reports whether it was acknowledged within ms.
+func (b *platformWorld) changeAcknowledged(ms int64) bool {
 	before := b.version
 	b.change(nil)
 	return b.until(ms, func() bool { return b.version > before })
 }
 
-// A disk that is full acknowledges nothing, its member counts itself to no
-// majority, and once there is room it is what it was, with what was held up.
+// A full disk acknowledges nothing, and its daemon stops counting itself as a core member.
+// Once there is space it continues without a restart, with the writes that were held up.
 func TestFaultDiskFull(t *testing.T) {
-	b := formedWorld(t, 3)
+	b := formedPlatform(t, 3)
 	n := b.nodes["d01"]
 	undo := b.fillDisk("d01")
 	synced := n.disk.synced
-	must.True(t, b.putNow(5000), must.Sprint("two disks of three take a change"))
+	must.True(t, b.changeAcknowledged(5000), must.Sprint("two disks of three accept a change"))
 	b.run(1000)
 	must.True(t, n.disk.failed)
 	must.False(t, n.sh.node.inCore())
-	must.True(t, b.putNow(5000))
+	must.True(t, b.changeAcknowledged(5000))
 	must.LessEq(t, synced, n.disk.synced)
 	undo()
 	must.True(t, b.until(3000, func() bool { return n.sh.node.inCore() && n.disk.synced > synced }), must.Sprint("it is back without a restart"))
 	must.True(t, b.until(5000, func() bool { return len(b.coreWhole()) == membership.DefaultSize }))
-	must.True(t, b.putNow(5000))
+	must.True(t, b.changeAcknowledged(5000))
 }
 
-// Killed while its disk is full, a daemon starts from what was written; full again
-// at the next write it says so again, and a start with room brings it back.
+// A daemon that is killed while its disk is full starts from what was written. If the disk is
+// still full at the next write it leaves the core again; it returns once there is space.
 func TestFaultDiskFullAndKilled(t *testing.T) {
 	for _, power := range []bool{false, true} {
-		b := formedWorld(t, 5)
+		b := formedPlatform(t, 5)
 		n := b.nodes["d01"]
 		undo := b.fillDisk("d01")
-		must.True(t, b.putNow(5000))
+		must.True(t, b.changeAcknowledged(5000))
 		b.run(1000)
 		must.True(t, n.disk.failed)
 		synced, written := n.disk.synced, len(n.disk.entries)
 		n.kill(power)
 		must.Between(t, synced, len(n.disk.entries), written)
 		n.start()
-		must.True(t, b.putNow(5000))
+		must.True(t, b.changeAcknowledged(5000))
 		b.run(2000)
 		must.False(t, n.sh.node.inCore())
 		undo()
@@ -381,21 +387,21 @@
 }
 
 func TestFaultDiskFullOfTwo(t *testing.T) {
-	b := formedWorld(t, 4)
+	b := formedPlatform(t, 4)
 	undo := allOf([]func(){b.fillDisk("d00"), b.fillDisk("d02")})
-	must.False(t, b.putNow(6000), must.Sprint("one disk of three takes nothing"))
+	must.False(t, b.changeAcknowledged(6000), must.Sprint("one disk of three accepts nothing"))
 	undo()
-	must.True(t, b.until(5000, func() bool { return b.version > 1 }), must.Sprint("it is taken once there is room"))
-	must.True(t, b.putNow(5000))
+	must.True(t, b.until(5000, func() bool { return b.version > 1 }), must.Sprint("it is accepted once there is space"))
+	must.True(t, b.changeAcknowledged(5000))
 }
 
 func TestFaultDiskStall(t *testing.T) {
-	b := formedWorld(t, 5)
+	b := formedPlatform(t, 5)
 	b.stallDisk("d00", 4000)
 	b.stallDisk("d01", 4000)
-	must.False(t, b.putNow(3000))
+	must.False(t, b.changeAcknowledged(3000))
 	must.False(t, b.nodes["d00"].disk.failed)
-	must.True(t, b.until(6000, func() bool { return b.version > 1 }), must.Sprint("it goes on where it stood"))
+	must.True(t, b.until(6000, func() bool { return b.version > 1 }), must.Sprint("it continues after the stall"))
 	b.stallDisk("d02", 3000)
 	b.nodes["d02"].kill(true)
 	b.nodes["d02"].start()
@@ -404,8 +410,8 @@
 	must.True(t, b.nodes["d02"].up)
 }
 
-// Of a batch that was not yet synced, a power loss leaves any first part, and
-// nothing of what waited behind it; a kill leaves all that was written.
+// A power loss keeps any prefix of a batch that was not yet synced and nothing of the entries
+// behind it; a kill keeps all that was written.
 func TestFaultTornBatch(t *testing.T) {
 	left := map[int]bool{}
 	stopped := func(seed uint64, power bool) int {
@@ -417,8 +423,8 @@
 		d.append(n, []statestore.Entry{{}}, func() {})
 		w.run(10)
 		synced := d.synced
-		d.append(n, []statestore.Entry{{}, {}, {}}, func() { t.Error("it was acknowledged") })
-		d.append(n, []statestore.Entry{{}}, func() { t.Error("it was acknowledged") })
+		d.append(n, []statestore.Entry{{}, {}, {}}, func() { t.Error("a lost entry was acknowledged") })
+		d.append(n, []statestore.Entry{{}}, func() { t.Error("a lost entry was acknowledged") })
 		n.kill(power)
 		w.run(100)
 		return len(d.entries) - synced
@@ -431,29 +437,30 @@
 }
 
 func TestFaultPlannedReplacement(t *testing.T) {
-	b := formedWorld(t, 6)
+	b := formedPlatform(t, 6)
 	b.replacePlanned("d01", 1000)
 	must.True(t, b.until(10_000, func() bool { return b.nodes["d01"].removed }))
 	must.Eq(t, []string{"d00", "n01", "d02"}, b.disks())
-	must.True(t, b.until(15_000, func() bool { return len(b.coreWhole()) == membership.DefaultSize }), must.Sprint("the new machine has the seat"))
+	must.True(t, b.until(15_000, func() bool { return len(b.coreWhole()) == membership.DefaultSize }), must.Sprint("the new machine replaces the old one in the core"))
 	must.True(t, b.nodes["n01"].sh.node.inCore())
 	b.nodes["d01"].start()
 	must.False(t, b.nodes["d01"].up)
 }
 
 func TestFaultUnplannedReplacement(t *testing.T) {
-	b := formedWorld(t, 7)
+	b := formedPlatform(t, 7)
 	b.replaceLost("d00", 500)
 	must.False(t, b.mayLose("d02"))
 	must.True(t, b.until(15_000, func() bool { return len(b.coreWhole()) == membership.DefaultSize }))
 	b.run(lossEndsMs)
 	must.True(t, b.mayLose("d02"))
-	must.True(t, b.putNow(3000))
+	must.True(t, b.changeAcknowledged(3000))
 }
 
-// An order whose answer was lost is sent again; what left the daemon is seen.
+// A configuration change whose response was lost is sent again and acknowledged each time.
+// Callbacks also see the responses that are lost.
 func TestFaultLostAnswers(t *testing.T) {
-	b := formedWorld(t, 8)
+	b := formedPlatform(t, 8)
 	undo := b.loseAnswers("operator", 1)
 	taken := 0
 	b.whenAnswered(func(a sentAnswer) bool {
@@ -462,16 +469,16 @@
 		}
 		return false
 	})
-	must.False(t, b.putNow(4000))
-	must.Greater(t, 1, taken, must.Sprint("each time it came again it was acknowledged"))
+	must.False(t, b.changeAcknowledged(4000))
+	must.Greater(t, 1, taken, must.Sprint("each retry was acknowledged"))
 	undo()
 	must.True(t, b.until(3000, func() bool { return b.version > 1 }))
 }
 
-// A loss aimed at an answer strikes the machine that gave it, within 4 ms.
-func TestFaultStrike(t *testing.T) {
+// A fault aimed at a response hits the machine that sent it within 4 ms.
+func TestFaultAimedAtResponse(t *testing.T) {
 	for i, when := range []struck{struckSent, struckAcknowledged, struckTaken} {
-		b := formedWorld(t, uint64(9+i))
+		b := formedPlatform(t, uint64(9+i))
 		b.traffic()
 		hit, leftMs := "", int64(0)
 		b.whenAnswered(func(a sentAnswer) bool {
@@ -495,11 +502,12 @@
 	}
 }
 
-// One way is cut, the other isn't; a reset loses only what is under way.
+// A path that is cut in one direction still works in the other; a reset loses only messages in
+// transit.
 func TestFaultCutsAndResets(t *testing.T) {
-	b := formedWorld(t, 12)
+	b := formedPlatform(t, 12)
 	arrived := map[string]bool{}
-	try := func(from, to string) { b.carryTo(from, to, func() { arrived[from+" "+to] = true }) }
+	try := func(from, to string) { b.deliver(from, to, func() { arrived[from+" "+to] = true }) }
 	heal := b.cutOne("d01", cutOutward)
 	try("d01", "d00")
 	try("d00", "d01")
--- a/internal/daemon/identity_test.go
+++ b/internal/daemon/identity_test.go
@@ -15,12 +15,12 @@
 	"github.com/tidwall/gjson"
 )
 
-// jobBody is a job of one short task in the queue that the setup of deployment hakata has.
+// jobBody returns a job of one short task.
 func jobBody(queue string) []byte {
 	return fmt.Appendf(nil, `{"queue":%q,"steps":[{"name":"a","tasks":[{"name":"t","room":1,"payload":{"ms":50}}]}]}`, queue)
 }
 
-// idOwnedBy gives a job id whose slice a daemon holds.
+// idOwnedBy returns a job ID in a shard that this daemon owns.
 func idOwnedBy(w *world, owner *simNode, prefix string) string {
 	for i := 0; ; i++ {
 		id := fmt.Sprintf("%s-%d", prefix, i)
@@ -30,7 +30,7 @@
 	}
 }
 
-// frontAndOwner gives a daemon that owns no slice and one that does.
+// frontAndOwner returns a daemon that owns no shard and one that does.
 func frontAndOwner(t *testing.T, w *world) (front, owner *simNode) {
 	t.Helper()
 	for _, name := range sortedKeys(w.nodes) {
@@ -47,28 +47,27 @@
 	return front, owner
 }
 
-// A daemon is back within a second. The answer to a caller of its earlier life
-// comes late, under the number that a new caller's request bears by now. It
-// must not become the new caller's answer: here "taken" for a job that the
-// owner has never heard of.
+// A daemon restarts within a second, and the response to a caller of its earlier process
+// arrives late, under the number that a new caller's request now has. It must not be returned
+// to the new caller: that would acknowledge a job that the owner never received.
 func TestAnswerBelongsToItsInstance(t *testing.T) {
 	w := formed(t, 1, "hakata")
 	w.run(3000)
 	front, owner := frontAndOwner(t, w)
 	queue := w.dep.InitialConfiguration().Queues[0].Name
 	first, second := idOwnedBy(w, owner, "first"), idOwnedBy(w, owner, "second")
-	handed, withheld := false, 0
+	forwarded, withheld := false, 0
 	w.detain = func(from, to string, msg any) int64 {
 		switch m := msg.(type) {
-		case *wire.ForwardReply: // of the first life, until the second has handed a request over
-			if from == owner.Name && to == front.Name && !handed {
+		case *wire.ForwardReply: // to the first process, until the second has forwarded a request
+			if from == owner.Name && to == front.Name && !forwarded {
 				withheld++
 				return 700_000
 			}
 		case *wire.Forward:
 			if from == front.Name && m.Key == second {
-				handed = true
-				return 400_000 // the owner knows nothing of it while the late answer comes
+				forwarded = true
+				return 400_000 // the late response arrives before this request
 			}
 		}
 		return 0
@@ -78,35 +77,36 @@
 		w.run(100)
 		front.start()
 	}
-	restart() // its numbers begin anew
+	restart() // its numbers start again
 	w.until(2000, func() bool {
 		h, _ := front.sh.node.leases.Holder("slice/" + front.sh.node.shardOf(first))
 		return h == owner.Name
 	})
 	w.ask("caller", front, "job.put", first, jobBody(queue), 5000, func(int, int64, []byte) {})
-	must.True(t, w.until(500, func() bool { return withheld > 0 }), must.Sprint("the owner answered nothing"))
-	numbers := front.sh.node.forwardSeq
+	must.True(t, w.until(500, func() bool { return withheld > 0 }), must.Sprint("the owner sent no answer"))
+	lastSeq := front.sh.node.forwardSeq
 	restart()
 	must.True(t, w.until(600, func() bool {
 		h, _ := front.sh.node.leases.Holder("slice/" + front.sh.node.shardOf(second))
 		return h == owner.Name
 	}),
-		must.Sprint("the second life knows no owner in time"))
-	front.sh.node.forwardSeq = numbers - 1 // workers' reports may have taken numbers: the next one is that of the first caller
+		must.Sprint("the second process found no owner in time"))
+	// Workers' reports may have used numbers: the next one is that of the first caller again.
+	front.sh.node.forwardSeq = lastSeq - 1
 	status, _, body, took := w.asked("caller", front, "job.put", second, jobBody(queue))
-	must.True(t, handed)
+	must.True(t, forwarded)
 	must.Eq(t, 201, status)
 	must.Eq(t, second, gjson.GetBytes(body, "id").Str, must.Sprintf("the answer after %d ms is another caller's: %s", took, body))
 	must.Positive(t, front.sh.node.counts["late_responses"])
 }
 
-// addressedTo tells whether a daemon takes a message with that addressee.
+// addressedTo reports whether a daemon accepts a message with this addressee.
 func addressedTo(n *node, to uint64, msg any) bool {
 	return n.acceptsFrame(wire.Header{From: "b", Instance: 77, To: to}, msg)
 }
 
-// A message is taken by the one it names only: a request by its name, a
-// response by the life that asked, a greeting by whoever listens.
+// A message is accepted only by its addressee: a request by daemon name, a response by the
+// process that sent the request, and a first contact by any process at the address.
 func TestMessageBelongsToItsAddressee(t *testing.T) {
 	n := newNode(nodeConfig{Name: "a", Incarnation: 5, Instance: 1234}, nil)
 	for _, kind := range wire.Kinds() {
@@ -119,19 +119,19 @@
 		must.False(t, addressedTo(n, addresseeID("b"), msg), must.Sprint(typ))
 		must.False(t, addressedTo(n, 1235, msg), must.Sprint(typ))
 	}
-	n.Incarnation = 99 // is raised within a life; the life is not
+	n.Incarnation = 99 // the incarnation may rise while the process stays the same
 	must.True(t, addressedTo(n, 1234, &wire.ForwardReply{}))
 	must.Positive(t, n.counts["late_responses"])
 	must.Positive(t, n.counts["messages_misaddressed"])
 }
 
-// A response bears the life of the request that it answers, whatever life the
-// asker has by then.
+// A response is addressed to the process that sent the request, even if a newer process runs
+// there now.
 func TestResponseBelongsToTheInstanceThatAsked(t *testing.T) {
 	w := formed(t, 2, "ikenna")
 	n := w.nodes["d01"].sh.node
 	var dest []uint64
-	look := func(effects []effect) {
+	collect := func(effects []effect) {
 		for _, e := range effects {
 			if s, ok := e.(effSend); ok && responses[reflect.TypeOf(s.Msg)] {
 				dest = append(dest, s.Dest)
@@ -145,9 +145,9 @@
 		before := len(dest)
 		for _, e := range reduce(n, event{NowMs: n.now, WallMs: n.wall, Seed: 1, Body: evMsg{Head: wire.Header{From: "b", Instance: 4321, To: addresseeID(n.Name)}, Msg: msg}}) {
 			if a, ok := e.(effAppend); ok {
-				look(a.Then)
+				collect(a.Then)
 			} else {
-				look([]effect{e})
+				collect([]effect{e})
 			}
 		}
 		must.Eq(t, before+1, len(dest), must.Sprintf("%T", msg))
@@ -155,8 +155,8 @@
 	}
 }
 
-// Frames of the form before are refused, whatever they hold, and not misread.
-func TestFormerFormIsRefused(t *testing.T) {
+// Frames of the former format are rejected, and never decoded as something else.
+func TestFormerFrameFormatIsRejected(t *testing.T) {
 	former := struct {
 		Magic         uint64
 		Version, Kind int32
--- a/internal/daemon/incident_test.go
+++ b/internal/daemon/incident_test.go
@@ -11,11 +11,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// How long a run took is known only where both its start and its end were seen
-// when they happened. A daemon that stood still, or that began while the run was
-// at work, says so and nothing is learned from it: in the incidents such runs
-// counted as the daemon's own age, or as nothing.
-func TestIncidentRunTimesThatNobodySaw(t *testing.T) {
+// A run time is known only if both the start and the end were observed as they happened. After
+// a freeze, or for an attempt found running at startup, nothing is learned. In the incidents
+// such attempts were recorded with the daemon's own age or with zero.
+func TestIncidentUnobservedRunTimes(t *testing.T) {
 	key := wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}
 	ended := `,"ended":[{"n":1,"job":"j1","round":0,"step":0,"index":0,"run":1,"saved":"","outcome":"ok"}]`
 	type lists struct {
@@ -24,26 +23,26 @@
 	}
 	for name, c := range map[string]struct {
 		ordered bool // by this daemon
-		beats   []lists
+		reports []lists
 		ranMs   int64
 	}{
-		"seen":                           {true, []lists{{50, running("j1", 0, 1, 1)}, {50, running("j1", 0, 1, 50)}, {50, ended}}, 100},
-		"over before the next beat":      {true, []lists{{60, ended}}, 60},
-		"over while the daemon froze":    {true, []lists{{3500, ended}}, 0},
-		"its end while the daemon froze": {true, []lists{{50, running("j1", 0, 1, 1)}, {3500, ended}}, 0},
-		"begun while the daemon froze":   {true, []lists{{3500, running("j1", 0, 1, 60)}, {50, ended}}, 0},
-		"found at work":                  {false, []lists{{50, running("j1", 0, 1, 60)}, {50, ended}}, 0},
-		"found at its end":               {false, []lists{{50, ended}}, 0},
+		"seen":                                {true, []lists{{50, running("j1", 0, 1, 1)}, {50, running("j1", 0, 1, 50)}, {50, ended}}, 100},
+		"ended before the next heartbeat":     {true, []lists{{60, ended}}, 60},
+		"ended while the daemon was frozen":   {true, []lists{{3500, ended}}, 0},
+		"its end while the daemon was frozen": {true, []lists{{50, running("j1", 0, 1, 1)}, {3500, ended}}, 0},
+		"started while the daemon was frozen": {true, []lists{{3500, running("j1", 0, 1, 60)}, {50, ended}}, 0},
+		"found running":                       {false, []lists{{50, running("j1", 0, 1, 60)}, {50, ended}}, 0},
+		"found ended":                         {false, []lists{{50, ended}}, 0},
 	} {
-		n, beat := pinned(t)
-		beat(100_000, "")
-		beat(50, "")
+		n, heartbeat := pinned(t)
+		heartbeat(100_000, "")
+		heartbeat(50, "")
 		agent := n.agents["w1"]
 		if c.ordered {
 			agent.attempts[key] = &agentAttempt{state: wire.AttemptOrdered, ordered: true, orderedMs: n.now, orderSeq: agent.reportSeq, confirmedMs: n.now + 60_000, spec: wire.TaskSpec{Key: key, EstimateMs: 100}}
 		}
-		for _, l := range c.beats {
-			beat(l.afterMs, l.text)
+		for _, l := range c.reports {
+			heartbeat(l.afterMs, l.text)
 		}
 		attempt := agent.attempts[key]
 		must.Eq(t, wire.AttemptEnded, attempt.state, must.Sprint(name))
@@ -59,24 +58,24 @@
 	must.Eq(t, 120.0, mean)
 }
 
-// A daemon that stood still says so and for how long: the logs of the incidents
-// told a freeze from a cut only by when a lease was seen to be over.
+// A daemon that was frozen logs this and for how long. In the logs of the incidents a freeze
+// could be told from a network cut only by the expiry of leases.
 func TestIncidentFreezeIsLogged(t *testing.T) {
 	n := newNode(nodeConfig{Name: "edge-1", Incarnation: 1, Zone: "east"}, nil)
-	var told []effLog
+	var logged []effLog
 	for _, ms := range []int64{5_000_000, 5_000_100, 5_001_100, 5_006_000, 5_006_100} {
 		for _, e := range reduce(n, event{NowMs: ms, WallMs: ms, Seed: 1, Body: evTick{}}) {
 			if l, ok := e.(effLog); ok && l.Event == "stood_still" {
-				told = append(told, l)
+				logged = append(logged, l)
 			}
 		}
 	}
-	must.Eq(t, []effLog{{Event: "stood_still", Pairs: []any{"ms", int64(4900)}}}, told)
+	must.Eq(t, []effLog{{Event: "stood_still", Pairs: []any{"ms", int64(4900)}}}, logged)
 }
 
-// After the daemon with the central scheduler dies, firm work starts as soon as the
-// agents have spoken to its successor: in each incident gangs stood still for a
-// second more, and queueable work that had begun meanwhile was stopped for them.
+// After the daemon with the central scheduler dies, guaranteed work starts as soon as the
+// agents have reported to its successor. In each incident gangs waited a second longer, and
+// queueable work that had started meanwhile was preempted for them.
 func TestIncidentSuccessorGrantsSoon(t *testing.T) {
 	b := formPlatform(t, 5, "ikenna")
 	dead := b.holder("central")
@@ -96,7 +95,7 @@
 	verdictOfPlatform(t, b)
 }
 
-// The users' grown deployments at a third of their size, with as much work for each worker.
+// The users' grown deployments at a third of their size, with the same load for each worker.
 var thirdOfGrownDeployments = map[string]platformDeployment{
 	"hakata grown": {name: "hakata grown", edges: 8, sides: 24, disks: 5, capacity: amounts{64000, 262144}, speeds: []float64{0.8, 1, 1.25}, holdMaxMs: 10_000, gangWaitMs: 4000, saveMs: 500,
 		restoreMs: 600, spread: 1.5, perSec: 17.4, rackSize: 9, service: "resale-engine", beatMs: 1500, tries: 5, callerMs: 1200, againMs: 150, stopMs: 200, kinds: []platformKind{
@@ -122,7 +121,7 @@
 		}},
 }
 
-// crowd sends more of one kind of job, x times as much as usual.
+// crowd submits more jobs of one kind, x times as many as usual.
 func (b *platformWorld) crowd(kind int, x float64, ms int64) {
 	sum := 0.0
 	for i := range b.deployment.kinds {
@@ -141,8 +140,8 @@
 	next()
 }
 
-// setups sends valid changes, a pair on the same version and a faulty one.
-func (b *platformWorld) setups(n int, gapMs int64) {
+// sendConfigs sends valid changes, a pair on the same version and an invalid one.
+func (b *platformWorld) sendConfigs(n int, gapMs int64) {
 	for i := range n {
 		b.after(int64(i)*gapMs*1000, func() {
 			base := b.version
@@ -155,7 +154,7 @@
 	}
 }
 
-// blackout takes the power of all machines and workers right after a setup was
+// blackout cuts the power of all machines and workers right after a configuration was
 // acknowledged; they come back one after the other.
 func (b *platformWorld) blackout(downMs, spreadMs int64) {
 	b.settled()
@@ -189,18 +188,18 @@
 	return out
 }
 
-// incidents are the mixes of faults reconstructed in docs/incidents.md, and the
-// least share of all jobs and rounds that must end within their aim.
+// incidents are the mixes of faults reconstructed in docs/incidents.md, with the minimum share
+// of all jobs and rounds that must end within their targets.
 var incidents = map[string]struct {
-	site  string
-	play  func(b *platformWorld)
-	share float64
+	deploymentName string
+	simulate       func(b *platformWorld)
+	share          float64
 }{
 	"ticket resale": {"hakata", func(b *platformWorld) {
 		b.day(1500)
-		b.setups(4, 1000)
+		b.sendConfigs(4, 1000)
 		b.run(7500)
-		b.setups(1, 0)
+		b.sendConfigs(1, 0)
 		for _, w := range b.someWorkers(0.14) {
 			b.leaves(w, true)
 		}
@@ -215,7 +214,7 @@
 	}, 0.85},
 	"apprentice records": {"ikenna", func(b *platformWorld) {
 		b.day(5000)
-		b.setups(3, 1000)
+		b.sendConfigs(3, 1000)
 		b.run(3000)
 		b.killFor(b.edges()[5], false, 3500)
 		b.run(3000)
@@ -237,7 +236,7 @@
 	}, 0.7},
 	"grown ticket resale": {"hakata grown", func(b *platformWorld) {
 		b.day(2500)
-		b.setups(1, 0)
+		b.sendConfigs(1, 0)
 		b.run(3500)
 		heal := b.cut(b.holder(b.someSlice()))
 		b.after(5_500_000, heal)
@@ -248,7 +247,7 @@
 		b.run(600)
 		b.crowd(2, 2.1, 4000)
 		b.run(2600)
-		b.setups(2, 600)
+		b.sendConfigs(2, 600)
 		b.run(3800)
 		for _, w := range b.someWorkers(0.065) {
 			b.leaves(w, false)
@@ -259,7 +258,7 @@
 	}, 0.8},
 	"grown apprentice records": {"ikenna grown", func(b *platformWorld) {
 		b.day(2000)
-		b.setups(2, 1500)
+		b.sendConfigs(2, 1500)
 		b.run(4000)
 		slice := b.someSlice()
 		b.freeze(b.holder(slice), 5000)
@@ -281,7 +280,7 @@
 	}, 0.7},
 }
 
-// coreBlackout takes the power of all core machines right after a setup was
+// coreBlackout cuts the power of all core machines right after a configuration was
 // acknowledged; one of them comes back with an empty disk.
 func (b *platformWorld) coreBlackout(downMs int64) {
 	b.settled()
@@ -294,7 +293,7 @@
 	}
 }
 
-// settled sends a setup and waits until it was acknowledged.
+// settled sends a configuration and waits until it is acknowledged.
 func (b *platformWorld) settled() {
 	base := b.version
 	b.putSetup(b.usualSetup(), base+1, base, nil)
@@ -303,8 +302,8 @@
 	}
 }
 
-// TestIncidents brings the users' incidents about without their bench: no rule
-// may be broken, and so much must be done in time.
+// TestIncidents simulates the users' incidents: no rule may be broken, and the minimum share
+// of the work must be done in time.
 func TestIncidents(t *testing.T) {
 	from, count := uint64(3), 1
 	if *seedsFlag > 0 {
@@ -315,16 +314,16 @@
 			seed := from + uint64(i)
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				b := formPlatform(t, seed, incidents[name].site)
-				b.jobRng = rand.New(rand.NewPCG(seed, 11)) // the day is the same whatever changes in the product
-				incidents[name].play(b)
+				b := formPlatform(t, seed, incidents[name].deploymentName)
+				b.jobRng = rand.New(rand.NewPCG(seed, 11)) // the jobs stay the same whatever changes in the product
+				incidents[name].simulate(b)
 				b.finish(120_000)
 				verdictOfPlatform(t, b)
 				done, owed := 0, 0
 				for _, row := range b.inAim() {
 					owed, done = owed+row[0], done+row[1]
 				}
-				t.Logf("%d of %d in aim: %.3f", done, owed, float64(done)/float64(owed))
+				t.Logf("%d of %d within their targets: %.3f", done, owed, float64(done)/float64(owed))
 				must.GreaterEq(t, incidents[name].share, float64(done)/float64(owed))
 			})
 		}
--- a/internal/daemon/scenario_run_test.go
+++ b/internal/daemon/scenario_run_test.go
@@ -13,10 +13,10 @@
 	"github.com/shoenig/test/must"
 )
 
-var longFlag = flag.Int("long", 0, "minutes that a site is cut off in TestLongCut; 0 to leave it out")
+var longFlag = flag.Int("long", 0, "minutes that a zone is cut off in TestLongCut; 0 skips it")
 
-// A site is cut off for hours while the others go on and callers on both sides
-// send at their usual rate, and rejoins.
+// A zone is cut off for hours and rejoins while the others go on and callers on both sides
+// send at their usual rate.
 func TestLongCut(t *testing.T) {
 	if *longFlag == 0 {
 		t.Skip("only with -long")
@@ -31,13 +31,13 @@
 	w.run(60_000)
 	must.NotNil(t, w.holderOf("slice/mid"))
 	must.Eq(t, "mid", w.holderOf("slice/mid").Zone)
-	allDone(t, w, 60_000)
-	verdictOf(t, w)
+	requireAllDone(t, w, 60_000)
+	checkHistory(t, w)
 	t.Log(len(w.jobs), "jobs", w.counts())
 }
 
-// TestScenarios runs each scenario at both sizes; -seeds and -from name more
-// seeds than CI's one. What went dark for callers is reported with -v.
+// TestScenarios runs each scenario at both sizes. -seeds and -from select more seeds than CI's
+// one; -v prints how long the service was unavailable to callers.
 func TestScenarios(t *testing.T) {
 	from, count := uint64(11), 1
 	if *seedsFlag > 0 {
@@ -63,11 +63,11 @@
 							}
 						}
 					})
-					s.do(t, w)
-					allDone(t, w, s.waitMs)
-					verdictOf(t, w)
+					s.run(t, w)
+					requireAllDone(t, w, s.waitMs)
+					checkHistory(t, w)
 					stateMs, entryMs := historycheck.LongestOutages(w.history)
-					t.Logf("dark: states %d ms, entry %d ms", stateMs, entryMs)
+					t.Logf("longest outage: states %d ms, entry %d ms", stateMs, entryMs)
 					if t.Failed() {
 						t.Log(w.counts())
 					}
@@ -77,22 +77,22 @@
 	}
 }
 
-// A queue's share of a slice is bounded, the bounce comes at once and says when
-// to come back, and urgent queues still get in.
+// The share of a shard that one queue may use is bounded, an excess job is rejected at once
+// with a time for the retry, and urgent queues still get in.
 func TestOverloadIsRejected(t *testing.T) {
 	w := formed(t, 3, "ikenna")
-	bounced, entered := 0, 0
+	rejected, accepted := 0, 0
 	for i := range 8000 {
 		body, _ := json.Marshal(w.oneTask("certify", 5000, 16, 60_000, 1))
 		began := w.nowMs()
 		w.ask("caller", w.anyNode(i), "job.put", fmt.Sprintf("crowd-%d", i), body, 5000, func(status int, retryMs int64, _ []byte) {
 			switch status {
 			case 429, 503:
-				bounced++
+				rejected++
 				must.Positive(t, retryMs)
 				must.Less(t, 2000, w.nowMs()-began)
 			case 201:
-				entered++
+				accepted++
 			}
 		})
 		if i%20 == 0 {
@@ -100,10 +100,10 @@
 		}
 	}
 	w.run(6000)
-	must.Positive(t, bounced)
-	must.Positive(t, entered)
-	must.LessEq(t, configuration.MaxQueueJobs*3, entered)
+	must.Positive(t, rejected)
+	must.Positive(t, accepted)
+	must.LessEq(t, configuration.MaxQueueJobs*3, accepted)
 	status, _, _, _ := w.asked("caller", w.nodes["d05"], "job.put", "urgent-1", []byte(`{"queue":"signoff","steps":[{"name":"a","tasks":[{"name":"t","room":1}]}]}`))
 	must.Eq(t, 201, status)
-	t.Log("entered", entered, "bounced", bounced)
+	t.Log("accepted", accepted, "rejected", rejected)
 }
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -14,9 +14,9 @@
 )
 
 var scenarios = map[string]scenario{
-	"killed owner":   {"hakata", killedAt("slice/east"), 30_000},
-	"killed agent":   {"hakata", killedAt("agent/w04"), 40_000},
-	"killed central": {"hakata", killedAt("central"), 30_000},
+	"killed owner":   {"hakata", killHolderOf("slice/east"), 30_000},
+	"killed agent":   {"hakata", killHolderOf("agent/w04"), 40_000},
+	"killed central": {"hakata", killHolderOf("central"), 30_000},
 	"killed core member": {"ikenna", func(t *testing.T, w *world) {
 		w.traffic(30_000)
 		w.run(10_000)
@@ -26,8 +26,8 @@
 		must.Positive(t, w.endedIn(at+4000, at+12_000))
 		w.nodes["d01"].start()
 	}, 30_000},
-	"firm work stops queueable runs": {"ikenna", func(t *testing.T, w *world) {
-		for i := range 4 { // teach the run time
+	"guaranteed work preempts queueable attempts": {"ikenna", func(t *testing.T, w *world) {
+		for i := range 4 { // lets the owners learn the run time
 			w.submit(w.oneTask("logbook", 1900, 1, 60_000, 3))
 			w.run(int64(3000 + i))
 		}
@@ -35,7 +35,7 @@
 			w.submit(w.oneTask("logbook", 1900, 1, 60_000, 3))
 		}
 		w.run(1200)
-		for range 40 { // unknown, so firm
+		for range 40 { // without an estimate, so placed by the central scheduler
 			w.submit(w.oneTask("signoff", 3300, 4, 60_000, 3))
 		}
 		w.run(4000)
@@ -59,7 +59,7 @@
 			must.Eq(t, "cancelled", j.state)
 		}
 	}, 10_000},
-	"sent again to every daemon": {"hakata", func(t *testing.T, w *world) {
+	"job resent to every daemon": {"hakata", func(t *testing.T, w *world) {
 		j := w.submit(w.oneTask("confirm", 300, 1, 10_000, 1))
 		for _, name := range sortedKeys(w.nodes) {
 			w.ask("caller", w.nodes[name], "job.put", j.id, j.body, 3000, func(status int, _ int64, _ []byte) {
@@ -76,7 +76,7 @@
 		status, _, _, _ = w.asked("caller", w.nodes["d09"], "job.get", "never-sent", nil)
 		must.Eq(t, 404, status)
 	}, 10_000},
-	"site cut off": {"hakata", func(t *testing.T, w *world) {
+	"zone cut off": {"hakata", func(t *testing.T, w *world) {
 		w.traffic(60_000)
 		w.run(8000)
 		w.cutZone("west")
@@ -84,9 +84,9 @@
 		must.True(t, w.until(8000, func() bool {
 			h := w.holderOf("slice/west")
 			return h != nil && h.Zone != "west"
-		}), must.Sprint("the slice of the cut-off site did not move"))
+		}), must.Sprint("the shard of the cut-off zone did not move"))
 		w.run(3000)
-		// The cut-off side says so at once, and when to come back.
+		// The side that is cut off rejects calls at once, with a time for the retry.
 		status, retryMs, _, tookMs := w.asked("d05", w.nodes["d02"], "job.put", "job-at-cut", []byte(`{"queue":"confirm","steps":[{"name":"a","tasks":[{"name":"t","room":1}]}]}`))
 		must.Eq(t, 503, status)
 		must.Positive(t, retryMs)
@@ -97,11 +97,11 @@
 				started++
 			}
 		}
-		must.Zero(t, started, must.Sprint("the cut-off site started work it may not"))
+		must.Zero(t, started, must.Sprint("work was started in the cut-off zone"))
 		w.run(240_000)
 		w.heal()
 		healed := w.nowMs()
-		must.True(t, w.until(20_000, func() bool { h := w.holderOf("slice/west"); return h != nil && h.Zone == "west" }), must.Sprint("the slice did not go home"))
+		must.True(t, w.until(20_000, func() bool { h := w.holderOf("slice/west"); return h != nil && h.Zone == "west" }), must.Sprint("the shard did not return to its zone"))
 		w.traffic(10_000)
 		w.run(10_000)
 		back := 0
@@ -125,7 +125,7 @@
 		after := w.endedIn(back+12_000, back+22_000)
 		must.GreaterEq(t, usual/4, after, must.Sprintf("%d tasks in 10 s before, %d from 12 s after", usual, after))
 	}, 40_000},
-	"disk wiped right after a setup": {"ikenna", func(t *testing.T, w *world) {
+	"disk wiped right after a configuration change": {"ikenna", func(t *testing.T, w *world) {
 		for v := int64(2); v <= 7; v++ {
 			s, done := w.dep.InitialConfiguration(), 0
 			s.Note = fmt.Sprint("version ", v)
@@ -155,7 +155,7 @@
 			must.Eq(t, 1, wins, must.Sprint(got))
 		}
 	}, 1000},
-	"huge setup": {"ikenna", func(t *testing.T, w *world) {
+	"large configuration": {"ikenna", func(t *testing.T, w *world) {
 		s := w.dep.InitialConfiguration()
 		for i := range 5000 {
 			s.Queues = append(s.Queues, historycheck.Queue{Name: fmt.Sprintf("guild-%d", i), Selector: map[string][]string{"tier": {"fast"}}, Urgency: 1})
@@ -175,12 +175,12 @@
 		w.traffic(10_000)
 		w.run(8000)
 		for _, name := range []string{"w02", "w05"} {
-			w.workers[name].up = false // gone for good, without a word; its runs die with it
+			w.workers[name].up = false // removed for good without notice; its attempts end with it
 			w.workers[name].crash()
 		}
 		w.run(40_000)
 		open := len(w.open())
-		must.Positive(t, open, must.Sprint("nothing was running there"))
+		must.Positive(t, open, must.Sprint("no task was running on these workers"))
 		lost := int64(0)
 		for _, s := range historycheck.Zones {
 			for _, name := range []string{"w02", "w05"} {
@@ -191,16 +191,16 @@
 		}
 		must.Positive(t, lost)
 	}, 30_000},
-	"stopped nicely": {"hakata", func(t *testing.T, w *world) {
+	"graceful shutdown": {"hakata", func(t *testing.T, w *world) {
 		w.traffic(30_000)
 		w.run(10_000)
-		for _, duty := range []string{"slice/mid", "central", "agent/w03"} {
-			n := w.holderOf(duty)
+		for _, role := range []string{"slice/mid", "central", "agent/w03"} {
+			n := w.holderOf(role)
 			must.NotNil(t, n)
 			n.event(evStop{})
 			at := w.nowMs()
-			must.True(t, w.until(2000, func() bool { h := w.holderOf(duty); return h != nil && h != n }), must.Sprint("no successor for ", duty))
-			must.Less(t, lease.DurationMs, w.nowMs()-at, must.Sprint(duty, " waited for the lease"))
+			must.True(t, w.until(2000, func() bool { h := w.holderOf(role); return h != nil && h != n }), must.Sprint("no successor for ", role))
+			must.Less(t, lease.DurationMs, w.nowMs()-at, must.Sprint(role, " waited for the lease to expire"))
 			must.True(t, w.until(shutdownTimeoutMs+500, func() bool { return !n.up }), must.Sprint("the daemon did not end"))
 			n.start()
 			w.run(3000)
@@ -217,7 +217,7 @@
 			w.nodes[old].start()
 			must.True(t, w.until(30_000, func() bool { return w.coreWhole() != nil }))
 		}
-		w.nodes["d09"].kill(false) // comes back with the old, dead seeds in its settings
+		w.nodes["d09"].kill(false) // restarts with only the old, dead seeds in its settings
 		w.nodes["d09"].start()
 		w.run(3000)
 	}, 30_000},
@@ -228,7 +228,7 @@
 		w.run(17_000)
 		must.MapEmpty(t, w.workers["w04"].running)
 	}, 30_000},
-	"site emptied": {"hakata", func(t *testing.T, w *world) {
+	"zone emptied": {"hakata", func(t *testing.T, w *world) {
 		w.traffic(25_000)
 		w.run(8000)
 		s := w.dep.InitialConfiguration()
@@ -236,7 +236,7 @@
 		w.putSetup(2, s, nil)
 		w.run(17_000)
 	}, 30_000},
-	"hopeless and unmatched jobs hold up nobody": {"ikenna", func(t *testing.T, w *world) {
+	"failing and unmatched jobs delay no others": {"ikenna", func(t *testing.T, w *world) {
 		for range 20 {
 			j := w.oneTask("signoff", 100, 1, 5000, 3)
 			j.Steps[0].Tasks[0].Payload = historycheck.Work{Ms: 100, FailPct: 100}
@@ -258,11 +258,11 @@
 		w.traffic(10_000)
 		w.run(5000)
 		for range 30 {
-			w.submit(w.oneTask("certify", 2000, 16, 60_000, 3)) // a whole worker each
+			w.submit(w.oneTask("certify", 2000, 16, 60_000, 3)) // each fills a whole worker
 		}
 		w.run(5000)
 	}, 150_000},
-	"standing tasks": {"hakata", func(t *testing.T, w *world) {
+	"tasks without progress": {"hakata", func(t *testing.T, w *world) {
 		j := w.oneTask("confirm", 100, 1, 1500, 2)
 		j.Steps[0].Tasks[0].Payload = historycheck.Work{Stall: true}
 		var all []*simJob
@@ -275,7 +275,7 @@
 			must.Eq(t, 2, w.startsOf(s))
 		}
 	}, 5000},
-	"unsound worker gets less": {"hakata", func(t *testing.T, w *world) {
+	"failing worker gets less work": {"hakata", func(t *testing.T, w *world) {
 		w.traffic(70_000)
 		w.run(10_000)
 		w.workers["w06"].failPct = 90
@@ -284,32 +284,32 @@
 		others := w.workers["w08"].starts
 		w.run(40_000)
 		mine, theirs := w.workers["w06"].starts-before, w.workers["w08"].starts-others
-		must.Less(t, theirs/2, mine, must.Sprintf("%d starts at the failing worker, %d at a sound one", mine, theirs))
+		must.Less(t, theirs/2, mine, must.Sprintf("%d starts at the failing worker, %d at a healthy one", mine, theirs))
 		w.workers["w06"].failPct = 0
 	}, 60_000},
 }
 
 func init() {
-	scenarios["owner can't write when it places"] = scenario{"hakata", func(t *testing.T, w *world) {
+	scenarios["owner cut off from the core before a placement"] = scenario{"hakata", func(t *testing.T, w *world) {
 		w.run(3000)
-		for range 15 { // each owner learns that this is short: it places it by itself
+		for range 15 { // each owner learns that this is short and then places it by itself
 			w.submit(w.oneTask("confirm", 400, 1, 20_000, 1))
 		}
-		j, owner, cut := w.ownerCut(t, func() historycheck.Job {
+		j, owner, cut := w.jobOfCutOffOwner(t, func() historycheck.Job {
 			j := w.oneTask("confirm", 400, 1, 20_000, 1)
 			j.DelayMs = 2000
 			return j
 		})
 		w.run(1400)
 		cut()
-		w.run(lease.DurationMs - 200) // it falls due here, while the owner's lease still holds
+		w.run(lease.DurationMs - 200) // it becomes due here, while the owner's lease is still valid
 		must.Zero(t, w.startsOf(j))
 		must.True(t, w.until(8000, func() bool { h := w.holderOf("slice/" + owner.sh.node.shardOf(j.id)); return h != nil && h != owner }))
 		w.run(2000)
 		w.heal()
 	}, 20_000}
-	scenarios["owner can't write when a run ends"] = scenario{"hakata", func(t *testing.T, w *world) {
-		j, owner, cut := w.ownerCut(t, func() historycheck.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
+	scenarios["owner cut off from the core before an attempt ends"] = scenario{"hakata", func(t *testing.T, w *world) {
+		j, owner, cut := w.jobOfCutOffOwner(t, func() historycheck.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
 		must.Eq(t, 1, w.startsOf(j))
 		w.run(600)
 		cut()
@@ -322,25 +322,25 @@
 
 func init() {
 	scenarios["worker leaves with a full queue"] = scenario{"ikenna", func(t *testing.T, w *world) {
-		w.queuesFull()
+		w.fillQueues()
 		w.workers["w04"].leaving, w.workers["w07"].leaving = true, true
 		w.run(15_000)
 	}, 60_000}
-	scenarios["site emptied with full queues"] = scenario{"ikenna", func(t *testing.T, w *world) {
-		w.queuesFull()
+	scenarios["zone emptied with full queues"] = scenario{"ikenna", func(t *testing.T, w *world) {
+		w.fillQueues()
 		s := w.dep.InitialConfiguration()
 		s.EmptyZones = []string{"mid"}
 		w.putSetup(2, s, nil)
 		w.run(15_000)
 	}, 60_000}
-	scenarios["group shrinks with full queues"] = scenario{"ikenna", func(t *testing.T, w *world) {
-		w.queuesFull()
-		s := historycheck.Configuration{Queues: []historycheck.Queue{{Name: w.sameQueue("logbook"), Selector: map[string][]string{"tier": {"fast"}}, Urgency: 1}}}
+	scenarios["selector narrowed with full queues"] = scenario{"ikenna", func(t *testing.T, w *world) {
+		w.fillQueues()
+		s := historycheck.Configuration{Queues: []historycheck.Queue{{Name: w.equivalentQueue("logbook"), Selector: map[string][]string{"tier": {"fast"}}, Urgency: 1}}}
 		w.putSetup(2, s, nil)
 		w.run(15_000)
 	}, 90_000}
-	scenarios["owner can't write when it is told to cancel"] = scenario{"hakata", func(t *testing.T, w *world) {
-		j, owner, cut := w.ownerCut(t, func() historycheck.Job {
+	scenarios["owner cut off from the core before a cancellation"] = scenario{"hakata", func(t *testing.T, w *world) {
+		j, owner, cut := w.jobOfCutOffOwner(t, func() historycheck.Job {
 			j := w.oneTask("confirm", 400, 1, 20_000, 1)
 			j.DelayMs = 9000
 			return j
@@ -349,7 +349,7 @@
 		cut()
 		w.ask("caller", owner, "job.cancel", j.id, nil, 2000, func(status int, _ int64, _ []byte) {
 			if status == 200 {
-				w.note(historycheck.Event{Kind: historycheck.CancelAcked, Job: j.id})
+				w.record(historycheck.Event{Kind: historycheck.CancelAcked, Job: j.id})
 			}
 		})
 		must.True(t, w.until(8000, func() bool { h := w.holderOf("slice/" + owner.sh.node.shardOf(j.id)); return h != nil && h != owner }))
@@ -359,8 +359,8 @@
 }
 
 func init() {
-	scenarios["a late write of a frozen owner"] = scenario{"hakata", func(t *testing.T, w *world) {
-		j, owner, _ := w.ownerCut(t, func() historycheck.Job {
+	scenarios["late write of a frozen owner"] = scenario{"hakata", func(t *testing.T, w *world) {
+		j, owner, _ := w.jobOfCutOffOwner(t, func() historycheck.Job {
 			j := w.oneTask("confirm", 400, 1, 20_000, 1)
 			j.DelayMs = 12_000
 			return j
@@ -370,7 +370,7 @@
 		}
 		w.ask("caller", owner, "job.cancel", j.id, nil, 30_000, func(status int, _ int64, _ []byte) {
 			if status == 200 {
-				w.note(historycheck.Event{Kind: historycheck.CancelAcked, Job: j.id})
+				w.record(historycheck.Event{Kind: historycheck.CancelAcked, Job: j.id})
 			}
 		})
 		w.run(5)
@@ -380,12 +380,12 @@
 		w.hold = map[[2]string]int64{}
 		w.run(6000)
 	}, 20_000}
-	scenarios["core flickers while agents are cut off from it"] = scenario{"ikenna", func(t *testing.T, w *world) {
+	scenarios["core restarts while agents are cut off from it"] = scenario{"ikenna", func(t *testing.T, w *world) {
 		w.run(3000)
 		w.traffic(45_000)
 		for range 5 {
 			w.run(2000)
-			for i := range dayShare {
+			for i := range cutOffAgents {
 				h := w.holderOf(fmt.Sprintf("agent/w%02d", i))
 				if h == nil || h.Disk {
 					continue
@@ -409,17 +409,17 @@
 	}, 60_000}
 }
 
-const dayShare = 6 // workers whose agents are cut off in that scenario
+const cutOffAgents = 6 // workers whose agents are cut off in that scenario
 
 func init() {
-	scenarios["cancel's first word is lost"] = scenario{"ikenna", func(t *testing.T, w *world) {
+	scenarios["first cancel message lost"] = scenario{"ikenna", func(t *testing.T, w *world) {
 		w.run(3000)
 		var all []*simJob
 		for range 12 {
 			all = append(all, w.submit(w.oneTask("signoff", 60_000, 4, 90_000, 1)))
 		}
 		w.run(3000)
-		for _, n := range w.nodesInOrder() { // no daemon hears any owner for a moment
+		for _, n := range w.nodesInOrder() { // for a moment no daemon receives anything from any owner
 			for _, s := range historycheck.Zones {
 				if h := w.holderOf("slice/" + s); h != nil && h != n {
 					w.cuts[[2]string{h.Name, n.Name}] = true
@@ -444,41 +444,41 @@
 }
 
 func init() {
-	scenarios["agents freeze with an order in hand"] = scenario{"hakata", func(t *testing.T, w *world) {
+	scenarios["agents freeze before sending an order"] = scenario{"hakata", func(t *testing.T, w *world) {
 		w.traffic(50_000)
 		w.run(5000)
 		for range 4 {
-			w.freezeOrders = 1
+			w.freezesBeforeOrder = 1
 			w.run(11_000)
 		}
-		must.Zero(t, w.freezeOrders)
+		must.Zero(t, w.freezesBeforeOrder)
 	}, 60_000}
 }
 
 func init() {
 	scenarios["shed and requeued elsewhere"] = scenario{"ikenna", func(t *testing.T, w *world) {
-		w.queuesFull()
-		w.workers["w02"].slow = 12 // its queue stands while the others' move on
+		w.fillQueues()
+		w.workers["w02"].slowdown = 12 // its queue stalls while those of the others move on
 		w.run(20_000)
 		must.Positive(t, w.total("sheds"))
 		must.Positive(t, w.total("ends_shed"))
-		w.workers["w02"].slow = 1
+		w.workers["w02"].slowdown = 1
 	}, 90_000}
 }
 
 func init() {
-	scenarios["a finish that only one core member heard of"] = scenario{"hakata", func(t *testing.T, w *world) {
-		j, owner, _ := w.ownerCut(t, func() historycheck.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
+	scenarios["end stored by only one core member"] = scenario{"hakata", func(t *testing.T, w *world) {
+		j, owner, _ := w.jobOfCutOffOwner(t, func() historycheck.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
 		must.Eq(t, 1, w.startsOf(j))
 		name := "slice/" + owner.sh.node.shardOf(j.id)
 		w.run(600)
 		w.cuts[[2]string{owner.Name, "d00"}], w.cuts[[2]string{owner.Name, "d02"}] = true, true
-		w.run(1200) // the run ends, and d01 alone stores it
+		w.run(1200) // the attempt ends, and only d01 stores the end
 		w.heal()
 		w.cutHost("d02")
 		w.cutHost(owner.Name)
 		must.True(t, w.until(8000, func() bool { h := w.holderOf(name); return h != nil && h != owner }))
-		w.run(2000) // d00 and d01 made up the new owner's mind; the worker forgets the end
+		w.run(2000) // the new owner recovers from d00 and d01; the worker forgets the end
 		second := w.holderOf(name)
 		w.heal()
 		w.nodes["d01"].kill(false)
@@ -492,22 +492,22 @@
 }
 
 func init() {
-	scenarios["a member that missed an end, after the end's keeping is over"] = scenario{"hakata", func(t *testing.T, w *world) {
+	scenarios["member missed an end that was deleted since"] = scenario{"hakata", func(t *testing.T, w *world) {
 		for _, n := range w.nodesInOrder() {
 			n.FinishedKeepMs, n.sh.node.FinishedKeepMs = 20_000, 20_000
 		}
-		j, owner, _ := w.ownerCut(t, func() historycheck.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
+		j, owner, _ := w.jobOfCutOffOwner(t, func() historycheck.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
 		name := "slice/" + owner.sh.node.shardOf(j.id)
 		w.run(600)
 		w.cutHost("d02")
 		must.True(t, w.until(3000, func() bool { _, open := w.runsAt(j); return !open }))
-		w.run(3500) // the others were told that a majority holds it
+		w.run(3500) // the others learn that a majority stores it
 		owner.kill(false)
 		must.True(t, w.until(8000, func() bool { h := w.holderOf(name); return h != nil && h != owner }))
 		w.run(1000)
-		w.heal() // d02 still holds the job alive, and nobody has told it
+		w.heal() // d02 still stores the job as live, and has received no message about its end
 		owner.start()
-		w.run(70_000) // the others no longer keep it
+		w.run(70_000) // the others have deleted it
 		second := w.holderOf(name)
 		w.cutHost("d01")
 		second.kill(false)
@@ -517,12 +517,12 @@
 		w.heal()
 		second.start()
 	}, 20_000}
-	scenarios["a job that only one member heard of, sent again"] = scenario{"hakata", func(t *testing.T, w *world) {
+	scenarios["job stored by only one member, resent"] = scenario{"hakata", func(t *testing.T, w *world) {
 		w.run(3000)
 		spec := w.oneTask("confirm", 300, 1, 10_000, 1)
 		body, _ := json.Marshal(spec)
 		for i := range 6 {
-			id := fmt.Sprintf("j%05d", w.jobSeq+1) // what the next submit will call its job
+			id := fmt.Sprintf("j%05d", w.jobSeq+1) // the ID that the next submit will use
 			name := "slice/" + w.nodes["d00"].sh.node.shardOf(id)
 			owner := w.holderOf(name)
 			must.NotNil(t, owner)
@@ -530,12 +530,12 @@
 			if owner.Disk {
 				lone = owner.Name
 			}
-			w.note(historycheck.Event{Kind: historycheck.JobSent, Job: id, Spec: &spec})
+			w.record(historycheck.Event{Kind: historycheck.JobSent, Job: id, Spec: &spec})
 			w.ask("early", owner, "job.put", id, body, 2000, func(int, int64, []byte) {})
 			for owner.sh.node.shards[name[6:]].jobs[id] == nil {
 				w.step()
 			}
-			for c := range membership.DefaultSize { // its write is on its way, and reaches one member only
+			for c := range membership.DefaultSize { // its write reaches one member only
 				if core := fmt.Sprintf("d%02d", c); core != lone {
 					w.cuts[[2]string{owner.Name, core}] = true
 				}
@@ -550,7 +550,8 @@
 			if lone == owner.Name {
 				owner.start()
 			}
-			for c := range membership.DefaultSize { // the lone member's word is among the first two that the new owner gets
+			// That member's answer is among the first two that the new owner receives.
+			for c := range membership.DefaultSize {
 				if core := fmt.Sprintf("d%02d", c); core != lone && core != second.Name {
 					w.hold[[2]string{core, second.Name}] = 30_000
 					break
--- a/internal/daemon/world_node_test.go
+++ b/internal/daemon/world_node_test.go
@@ -11,49 +11,50 @@
 	"otterchute/internal/wire"
 )
 
-// simNode is one daemon's machine.
+// simNode is the machine of one daemon, with the daemon's process while it runs.
 type simNode struct {
 	nodeConfig
-	w        *world
-	sh       *executor
-	gen      int
-	up       bool
-	frozenTo int64
-	inbox    []func()
-	bootUs   int64
-	skewMs   int64
-	disk     *simDisk
-	asks     map[uint64]func(int, int64, []byte)
-	askSeq   uint64
-	incs     uint64
-	removed  bool // its machine is gone for good
+	w              *world
+	sh             *executor
+	process        int // number of the current process, raised by each start and kill
+	up             bool
+	frozenTo       int64
+	inbox          []func()
+	bootUs         int64
+	skewMs         int64
+	disk           *simDisk
+	pendingReplies map[uint64]func(int, int64, []byte)
+	requestSeq     uint64
+	incarnations   uint64
+	removed        bool // the machine was removed for good
 }
 
 func (n *simNode) start() {
 	if n.up || n.removed {
 		return
 	}
-	if wait := n.disk.stallUs - n.w.nowUs; n.Disk && wait > 0 { // its log can't be read before
+	if wait := n.disk.stalledUntilUs - n.w.nowUs; n.Disk && wait > 0 { // the log can't be read before the stall ends
 		n.w.after(wait, n.start)
 		return
 	}
 	n.up, n.frozenTo, n.inbox = true, 0, nil
-	n.gen++
-	n.incs++
-	n.asks = map[uint64]func(int, int64, []byte){}
+	n.process++
+	n.incarnations++
+	n.pendingReplies = map[uint64]func(int, int64, []byte){}
 	n.bootUs = n.w.nowUs - 1_000_000 - n.w.rng.Int64N(3_000_000_000)
 	p := n.nodeConfig
-	p.Incarnation = n.incs<<32 | uint64(n.w.nowMs())&0xffffffff
-	p.Instance = addresseeID(fmt.Sprintf("%s life %d", n.Name, n.gen)) // draws nothing, so that a seed's run stays as it was
+	p.Incarnation = n.incarnations<<32 | uint64(n.w.nowMs())&0xffffffff
+	// Not drawn at random, so that the runs of existing seeds stay the same.
+	p.Instance = addresseeID(fmt.Sprintf("%s life %d", n.Name, n.process))
 	var st *statestore.Store
 	if p.Disk {
 		st = n.disk.load()
 	}
 	n.sh = &executor{node: newNode(p, st), ports: n}
-	gen := n.gen
+	process := n.process
 	var tick func()
 	tick = func() {
-		if n.gen != gen || !n.up {
+		if n.process != process || !n.up {
 			return
 		}
 		n.event(evTick{})
@@ -62,18 +63,19 @@
 	tick()
 }
 
-// later runs something at this machine, once it is awake, if it still is the
-// same process.
+// later runs do on this machine after us, or once the machine is no longer frozen, unless the
+// process has ended meanwhile.
 func (n *simNode) later(us int64, do func()) {
-	gen := n.gen
+	process := n.process
 	n.w.after(us, func() {
-		if n.gen == gen && n.up {
-			n.awake(do)
+		if n.process == process && n.up {
+			n.whenAwake(do)
 		}
 	})
 }
 
-func (n *simNode) awake(do func()) {
+// whenAwake runs do now, or at the end of a freeze.
+func (n *simNode) whenAwake(do func()) {
 	if n.w.nowUs < n.frozenTo {
 		n.inbox = append(n.inbox, do)
 		return
@@ -81,25 +83,27 @@
 	do()
 }
 
+// freeze stops the process for ms; what it receives meanwhile is processed afterwards.
 func (n *simNode) freeze(ms int64) {
 	n.frozenTo = n.w.nowUs + ms*1000
-	gen := n.gen
+	process := n.process
 	n.w.after(ms*1000+1, func() {
-		if n.gen != gen || !n.up {
+		if n.process != process || !n.up {
 			return
 		}
-		box := n.inbox
+		queued := n.inbox
 		n.inbox = nil
-		for _, do := range box {
-			n.awake(do)
+		for _, do := range queued {
+			n.whenAwake(do)
 		}
 	})
 }
 
 func (n *simNode) steadyMs() int64 { return (n.w.nowUs - n.bootUs) / 1000 }
 
+// event has the daemon process an event.
 func (n *simNode) event(body any) {
-	n.awake(func() {
+	n.whenAwake(func() {
 		if !n.up {
 			return
 		}
@@ -107,13 +111,14 @@
 	})
 }
 
-// kill ends the process; with power its unsynced writes are gone too.
+// kill ends the process. A power loss also loses unsynced writes.
 func (n *simNode) kill(power bool) {
 	n.up = false
-	n.gen++
+	n.process++
 	n.disk.stop(power)
 }
 
+// wipe replaces the disk by an empty one.
 func (n *simNode) wipe() {
 	n.disk.entries, n.disk.synced = nil, 0
 	n.disk.wipes++
@@ -124,9 +129,9 @@
 	frame := wire.EncodeFrame(head, msg)
 	n.w.digest.add(n.w.nowUs, n.Name, "send", nil, []byte(to), []byte(addr), frame)
 	if n.w.largest = max(n.w.largest, len(frame)); len(frame) > wire.MaxFrame {
-		return // the other end hangs up on it
+		return // the receiver would close the connection
 	}
-	n.w.msgs[reflect.TypeOf(msg).Elem().Name()]++
+	n.w.messages[reflect.TypeOf(msg).Elem().Name()]++
 	target := n.w.nodes[to]
 	if target == nil || target.Addr != addr {
 		target = nil
@@ -150,7 +155,7 @@
 		if err != nil {
 			panic(err)
 		}
-		n.w.traceOf(h.From, target.Name, h.Kind, len(frame))
+		n.w.addTrace(h.From, target.Name, h.Kind, len(frame))
 		target.event(evMsg{Head: h, Msg: m})
 	}
 	if n.w.detain != nil {
@@ -159,7 +164,7 @@
 			return
 		}
 	}
-	n.w.carryTo(n.Name, target.Name, arrive)
+	n.w.deliver(n.Name, target.Name, arrive)
 }
 
 func (n *simNode) Append(entries []statestore.Entry, done func()) { n.disk.append(n, entries, done) }
@@ -179,26 +184,26 @@
 
 func (n *simNode) Reply(e effReply) {
 	n.w.digest.add(n.w.nowUs, n.Name, "reply", []int64{int64(e.ID), int64(e.Status), e.RetryMs}, e.Body)
-	if cb := n.asks[e.ID]; cb != nil {
-		delete(n.asks, e.ID)
+	if cb := n.pendingReplies[e.ID]; cb != nil {
+		delete(n.pendingReplies, e.ID)
 		cb(e.Status, e.RetryMs, e.Body)
 	}
 }
 
 func (n *simNode) Log(event string, pairs []any) {
-	n.w.traceOf(n.Name, event, fmt.Sprint(pairs...))
+	n.w.addTrace(n.Name, event, fmt.Sprint(pairs...))
 	if n.w.keepLog {
 		n.w.logs = append(n.w.logs, fmt.Sprintf("%d %s %s %v", n.w.nowMs(), n.Name, event, pairs))
 	}
 }
 
-// Order sends to a worker. The clock is read again at the moment of writing,
-// as the product does.
+// Order delivers an order to a worker. As in the product, the deadline is checked again just
+// before the order is sent.
 func (n *simNode) Order(e effOrder) {
-	n.w.digest.add(n.w.nowUs, n.Name, "order", []int64{e.NotAfterMs, boolNumber(e.Stop)}, []byte(e.Worker), []byte(e.Addr), codec.Append(nil, e.Key), e.Body)
-	if n.w.freezeOrders > 0 && !e.Stop {
-		n.w.freezeOrders--
-		n.freeze(9000) // between the check and the write
+	n.w.digest.add(n.w.nowUs, n.Name, "order", []int64{e.NotAfterMs, boolToInt(e.Stop)}, []byte(e.Worker), []byte(e.Addr), codec.Append(nil, e.Key), e.Body)
+	if n.w.freezesBeforeOrder > 0 && !e.Stop {
+		n.w.freezesBeforeOrder--
+		n.freeze(9000) // between the check and the send
 	}
 	n.later(100, func() {
 		result := func(outcome string) {
@@ -210,12 +215,12 @@
 		}
 		sw := n.w.workers[e.Worker]
 		answered, leftUs := false, n.w.nowUs
-		n.w.carryTo(n.Name, sw.name, func() {
+		n.w.deliver(n.Name, sw.name, func() {
 			if n.w.nowUs-leftUs > orderTimeoutMs*1000 {
-				return // its connection was torn down by then, with all unread bytes
+				return // the connection was closed before, and unread bytes with it
 			}
 			outcome := sw.take(e)
-			n.w.carryTo(sw.name, n.Name, func() {
+			n.w.deliver(sw.name, n.Name, func() {
 				if !answered {
 					answered = true
 					result(outcome)
@@ -231,23 +236,22 @@
 	})
 }
 
-// simDisk stands in for the log in disk.go: a batch is written and synced before
-// the next one begins. What waits behind it is in memory only; of a batch under
-// way a power loss leaves any first part; and after a write that failed all is
-// held up until a later try succeeds.
+// simDisk simulates the log of disk.go. A batch is written and synced before the next one
+// begins; entries behind it are in memory only. A power loss keeps any prefix of the batch in
+// progress. After a failed write all callbacks wait until a retry succeeds.
 type simDisk struct {
-	w        *world
-	host     string
-	entries  [][]byte
-	synced   int
-	syncing  bool
-	batchEnd int // where the batch under way ends, counted with what was folded
-	waiting  []func()
-	wipes    int
-	folded   int // entries that snapshots took the place of, less what these take
-	full     bool
-	failed   bool  // a write failed, and is tried again
-	stallUs  int64 // nothing is answered before
+	w              *world
+	host           string
+	entries        [][]byte
+	synced         int
+	syncing        bool
+	batchEnd       int // end of the batch in progress, as an index that also counts snapshotOffset
+	callbacks      []func()
+	wipes          int
+	snapshotOffset int // entries replaced by snapshots, minus the entries of those snapshots
+	full           bool
+	failed         bool  // a write failed and is being retried
+	stalledUntilUs int64 // the disk completes nothing before this time
 }
 
 func (d *simDisk) load() *statestore.Store {
@@ -259,7 +263,7 @@
 		}
 		st.Apply(e)
 	}
-	d.syncing, d.waiting, d.failed = false, nil, false
+	d.syncing, d.callbacks, d.failed = false, nil, false
 	return st
 }
 
@@ -268,31 +272,31 @@
 		d.entries = append(d.entries, codec.Append(nil, e))
 		n.w.digest.add(n.w.nowUs, n.Name, "append", nil, d.entries[len(d.entries)-1])
 	}
-	d.waiting = append(d.waiting, done)
+	d.callbacks = append(d.callbacks, done)
 	if len(entries) == 0 && !d.syncing && !d.failed && d.synced == len(d.entries) {
-		d.release(len(d.waiting))
+		d.runCallbacks(len(d.callbacks))
 		return
 	}
 	d.sync(n)
 }
 
 func (d *simDisk) sync(n *simNode) {
-	if d.syncing || d.failed || len(d.waiting) == 0 {
+	if d.syncing || d.failed || len(d.callbacks) == 0 {
 		return
 	}
 	d.syncing = true
-	d.batchEnd = d.folded + len(d.entries)
-	calls := len(d.waiting)
+	d.batchEnd = d.snapshotOffset + len(d.entries)
+	calls := len(d.callbacks)
 	if d.full {
 		n.later(100, func() { d.fail(n, errDiskFull) })
 		return
 	}
-	n.later(500+d.w.syncUs[d.host]+d.w.rng.Int64N(1500), func() { d.syncEnds(n, calls) })
+	n.later(500+d.w.syncUs[d.host]+d.w.rng.Int64N(1500), func() { d.syncEnded(n, calls) })
 }
 
-func (d *simDisk) syncEnds(n *simNode, calls int) {
-	if wait := d.stallUs - d.w.nowUs; wait > 0 {
-		n.later(wait, func() { d.syncEnds(n, calls) })
+func (d *simDisk) syncEnded(n *simNode, calls int) {
+	if wait := d.stalledUntilUs - d.w.nowUs; wait > 0 {
+		n.later(wait, func() { d.syncEnded(n, calls) })
 		return
 	}
 	if d.full {
@@ -300,39 +304,39 @@
 		return
 	}
 	d.syncing = false
-	d.synced = max(d.synced, min(d.batchEnd-d.folded, len(d.entries)))
-	d.release(calls)
+	d.synced = max(d.synced, min(d.batchEnd-d.snapshotOffset, len(d.entries)))
+	d.runCallbacks(calls)
 	d.sync(n)
 }
 
-// fail tells the daemon; all that waits is held up until a later try.
+// fail reports the failure to the daemon; all waiting callbacks wait for a successful retry.
 func (d *simDisk) fail(n *simNode, reason string) {
 	d.failed, d.syncing = true, false
 	n.event(evDisk{Failed: reason})
-	n.later(storage.MinRetryDelay.Microseconds(), func() { d.again(n, 2*storage.MinRetryDelay.Milliseconds()) })
+	n.later(storage.MinRetryDelay.Microseconds(), func() { d.retry(n, 2*storage.MinRetryDelay.Milliseconds()) })
 }
 
-// again tries a failed disk anew, as diskrecovery.go does.
-func (d *simDisk) again(n *simNode, nextMs int64) {
-	if d.full || d.stallUs > d.w.nowUs {
-		n.later(nextMs*1000, func() { d.again(n, min(2*nextMs, storage.MaxRetryDelay.Milliseconds())) })
+// retry tries a failed disk again with the backoff of diskrecovery.go.
+func (d *simDisk) retry(n *simNode, nextMs int64) {
+	if d.full || d.stalledUntilUs > d.w.nowUs {
+		n.later(nextMs*1000, func() { d.retry(n, min(2*nextMs, storage.MaxRetryDelay.Milliseconds())) })
 		return
 	}
 	d.failed, d.synced = false, len(d.entries)
-	d.release(len(d.waiting))
+	d.runCallbacks(len(d.callbacks))
 	n.event(evDisk{Recovered: true})
 }
 
-func (d *simDisk) release(calls int) {
-	ready := d.waiting[:calls]
-	d.waiting = slices.Clone(d.waiting[calls:])
+func (d *simDisk) runCallbacks(calls int) {
+	ready := d.callbacks[:calls]
+	d.callbacks = slices.Clone(d.callbacks[calls:])
 	for _, done := range ready {
 		done()
 	}
 }
 
 func (d *simDisk) snapshot(n *simNode, entries []statestore.Entry) {
-	at := d.folded + len(d.entries)
+	at := d.snapshotOffset + len(d.entries)
 	var dump [][]byte
 	for _, e := range entries {
 		dump = append(dump, codec.Append(nil, e))
@@ -341,19 +345,19 @@
 	wipes := d.wipes
 	n.later(20_000, func() {
 		if d.wipes != wipes {
-			return // of a disk that was emptied meanwhile
+			return // the disk was wiped meanwhile
 		}
-		if d.full || d.failed || d.stallUs > d.w.nowUs {
-			return // it failed; the log still holds all
+		if d.full || d.failed || d.stalledUntilUs > d.w.nowUs {
+			return // the snapshot failed; the log still holds all entries
 		}
-		old := at - d.folded // another snapshot may have come before this one
+		old := at - d.snapshotOffset // another snapshot may have been completed meanwhile
 		d.entries = append(dump, d.entries[old:]...)
 		d.synced = max(len(dump), d.synced-old+len(dump))
-		d.folded = at - len(dump)
+		d.snapshotOffset = at - len(dump)
 	})
 }
 
-// plant puts entries on the disk, synced, beside what its daemon writes.
+// plant puts synced entries on the disk that the daemon did not write.
 func (d *simDisk) plant(entries ...statestore.Entry) {
 	for _, e := range entries {
 		d.entries = append(d.entries, codec.Append(nil, e))
@@ -361,16 +365,16 @@
 	d.synced = len(d.entries)
 }
 
-// written is how many entries were handed to the operating system.
+// written returns the number of entries that were handed to the operating system.
 func (d *simDisk) written() int {
 	if d.syncing || d.failed {
-		return max(d.synced, min(d.batchEnd-d.folded, len(d.entries)))
+		return max(d.synced, min(d.batchEnd-d.snapshotOffset, len(d.entries)))
 	}
 	return d.synced
 }
 
-// tear leaves any first part of what was written and not synced.
-func (d *simDisk) tear() {
+// tearBatch keeps any prefix of the entries that were written and not synced.
+func (d *simDisk) tearBatch() {
 	kept := d.written()
 	if kept > d.synced {
 		kept = d.synced + d.w.rng.IntN(kept-d.synced+1)
@@ -378,13 +382,13 @@
 	d.entries = d.entries[:kept]
 }
 
-// stop ends the process that writes here. What it had not yet written is gone,
-// and with power any last part of what was not yet synced.
+// stop ends the process that writes here. Entries not yet written are lost; a power loss also
+// loses any suffix of those not yet synced.
 func (d *simDisk) stop(power bool) {
 	if power || d.failed {
-		d.tear()
+		d.tearBatch()
 	}
 	d.entries = d.entries[:min(len(d.entries), d.written())]
 	d.synced = len(d.entries)
-	d.syncing, d.waiting, d.failed = false, nil, false
+	d.syncing, d.callbacks, d.failed = false, nil, false
 }
