--- a/internal/daemon/archive_test.go
+++ b/internal/daemon/archive_test.go
@@ -35,17 +35,17 @@
 	const many = 20_000
 	for _, name := range []string{"d00", "d01", "d02"} {
 		for i := range many {
-			w.nodes[name].sh.node.store.Apply(finishedEntry("mid", i, wallStart+int64(i)))
+			w.nodes[name].executor.node.store.Apply(finishedEntry("mid", i, wallStart+int64(i)))
 		}
 	}
 	n := w.nodes["d02"]
 	n.kill(true)
 	n.wipe()
 	n.start()
-	w.largest = 0
-	must.True(t, w.until(30_000, func() bool { return w.coreWhole() != nil }))
-	must.GreaterEq(t, many, recordsIn(n.sh.node.store, "mid"))
-	must.Less(t, 3*statestore.ChunkBytes, w.largest)
+	w.largestFrame = 0
+	must.True(t, w.until(30_000, func() bool { return w.completeCore() != nil }))
+	must.GreaterEq(t, many, recordsIn(n.executor.node.store, "mid"))
+	must.Less(t, 3*statestore.ChunkBytes, w.largestFrame)
 }
 
 // Guards against live jobs of a shard that don't fit into the one message in which a new owner gets
@@ -71,9 +71,9 @@
 	n.kill(false)
 	must.True(t, w.until(8000, func() bool {
 		h := w.holderOf("slice/east")
-		return h != nil && h.sh.node.shards["east"].serving
+		return h != nil && h.executor.node.shards["east"].serving
 	}))
-	must.Less(t, wire.MaxFrame, w.largest)
+	must.Less(t, wire.MaxFrame, w.largestFrame)
 }
 
 // TestMeasureDay measures the memory and time that a day's jobs cost a core member.
@@ -89,7 +89,7 @@
 	}
 	slices := []string{"east", "mid", "west"}
 	before, dir := heap(), t.TempDir()
-	d, st, err := storage.Open(dir, 77, quiet)
+	d, st, err := storage.Open(dir, 77, discardLog)
 	must.NoError(t, err)
 	go d.Run(diskListener{func(func(*executor)) {}})
 	for i := range *dayFlag {
@@ -119,6 +119,6 @@
 			st.Apply(statestore.Entry{Kind: statestore.EntryExpire, Name: s, Epoch: uint64(wallStart + 3_600_000)})
 		}
 	})
-	took("start from the snapshot", func() { _, st, err = storage.Open(dir, 77, quiet) })
+	took("start from the snapshot", func() { _, st, err = storage.Open(dir, 77, discardLog) })
 	must.Eq(t, *dayFlag, recordsIn(st, "east")+recordsIn(st, "mid")+recordsIn(st, "west"))
 }
--- a/internal/daemon/batchnight_test.go
+++ b/internal/daemon/batchnight_test.go
@@ -81,7 +81,7 @@
 		}
 		j := b.submit(draw(trafficRand, &b.deployment.kinds[k]))
 		r.urgentJobs[j.queue.name] = append(r.urgentJobs[j.queue.name], j)
-		b.after(int64(trafficRand.ExpFloat64()*1e6/(b.deployment.perSec*p.trafficRate)), sendNext)
+		b.after(int64(trafficRand.ExpFloat64()*1e6/(b.deployment.jobsPerSecond*p.trafficRate)), sendNext)
 	}
 	sendNext()
 	if p.batches {
@@ -123,7 +123,7 @@
 func (r *nightRun) checkBatches(t *testing.T) {
 	t.Helper()
 	p, b := r.plan, r.platformWorld
-	verdictOfPlatform(t, b)
+	checkPlatformRun(t, b)
 	must.Len(t, p.jobs+p.tightJobs, r.batchJobs)
 	within := func(fromMs, toMs int64) (ms int64) {
 		for _, w := range p.windows {
@@ -144,11 +144,11 @@
 	}
 	for _, e := range b.events {
 		switch e.kind {
-		case bEnded:
+		case eventEnded:
 			unacknowledged[e.worker] = append(unacknowledged[e.worker], e)
-		case bLapsed:
+		case eventHoldExpired:
 			unacknowledged[e.worker] = nil
-		case bSeen:
+		case eventEndsAcknowledged:
 			unacknowledged[e.worker] = slices.DeleteFunc(unacknowledged[e.worker], func(o platformEvent) bool {
 				if o.n <= e.n && o.text == "ok" {
 					acknowledged[fmt.Sprint(o.job, o.task)]++
@@ -163,7 +163,7 @@
 		step := &j.steps[e.task.step]
 		name := runName{e.job, e.task, e.run}
 		switch e.kind {
-		case bStarted:
+		case eventStarted:
 			starts[name] = e.atMs
 			loads[e.worker+j.queue.name] = loads[e.worker+j.queue.name].plus(step.room, 1)
 			capacity := r.deployment.capacity
@@ -178,7 +178,7 @@
 					must.Positive(t, within(e.atMs-clockSlackMs, e.atMs+clockSlackMs), must.Sprint(e.job, " started between two windows, at ", e.atMs))
 				}
 			}
-		case bEnded:
+		case eventEnded:
 			loads[e.worker+j.queue.name] = loads[e.worker+j.queue.name].plus(step.room, -1)
 			if e.text == "ok" {
 				ends[fmt.Sprint(e.job, e.task)]++
@@ -201,7 +201,7 @@
 			late++
 			t.Errorf("%s of %s is late: sent at %d, complete at %d", j.id, j.queue.name, j.sentMs, j.lastOKMs[0])
 		}
-		for n := range j.names() {
+		for n := range j.taskNames() {
 			must.Between(t, 1-p.toleratedLosses, acknowledged[fmt.Sprint(j.id, n)], 1, must.Sprint("acknowledged successful ends: ", j.id, n))
 			must.Between(t, 1, ends[fmt.Sprint(j.id, n)], 1+p.toleratedLosses, must.Sprint("successful ends of ", j.id, n))
 			repeated += ends[fmt.Sprint(j.id, n)] - 1
@@ -270,39 +270,39 @@
 	faults := func(b *platformWorld) {
 		at := func(ms int64, f func()) { b.after((ms-b.nowMs())*1000, f) }
 		at(55_000, func() { // a core member has a wrong clock
-			undo := b.jumpOf(b.nodes["d01"])
-			b.trouble("clock", "d01")
+			undo := b.skewClock(b.nodes["d01"])
+			b.beginFault("clock", "d01")
 			at(100_000, func() {
 				undo()
-				b.calm("clock", "d01")
+				b.endFault("clock", "d01")
 			})
 		})
-		at(59_900, func() { b.after(5_000_000, b.kill(b.holder(b.someSlice()), false)) }) // an owner is killed as the window opens
-		at(75_000, func() {                                                               // the whole core loses power
+		at(59_900, func() { b.after(5_000_000, b.kill(b.holder(b.randomShardRole()), false)) }) // an owner is killed as the window opens
+		at(75_000, func() {                                                                     // the whole core loses power
 			var undo []func()
 			for _, host := range b.edges()[:3] {
 				undo = append(undo, b.kill(host, true))
 			}
 			b.after(1_500_000, allOf(undo))
 		})
-		at(88_000, func() { b.after(3_500_000, b.kill(b.spots[2], false)) })
-		at(95_000, func() { b.crashFor(b.worker(5), 4500) })
+		at(88_000, func() { b.after(3_500_000, b.kill(b.workerHosts[2], false)) })
+		at(95_000, func() { b.crashAndReplace(b.worker(5), 4500) })
 		at(185_000, func() {
-			zone := b.nodes[b.spots[0]].Zone
-			b.order("site.empty", zone, func() { b.after(9_000_000, func() { b.order("site.open", zone, nil) }) })
+			zone := b.nodes[b.workerHosts[0]].Zone
+			b.sendZoneCommand("site.empty", zone, func() { b.after(9_000_000, func() { b.sendZoneCommand("site.open", zone, nil) }) })
 		})
 		at(202_000, func() {
 			b.cutTogether = true
 			var hosts []string
 			for _, host := range sortedKeys(b.nodes) {
-				if b.nodes[host].Zone == b.nodes[b.spots[1]].Zone {
+				if b.nodes[host].Zone == b.nodes[b.workerHosts[1]].Zone {
 					hosts = append(hosts, host)
 				}
 			}
 			b.after(7_000_000, b.cut(hosts...))
 		})
 		at(218_000, func() { b.freeze(b.holder("central"), 3500) })
-		at(228_000, func() { b.after(4_000_000, b.kill(b.holder(b.someSlice()), true)) })
+		at(228_000, func() { b.after(4_000_000, b.kill(b.holder(b.randomShardRole()), true)) })
 	}
 	for _, deploymentName := range sortedKeys(platformDeployments) {
 		for i := range max(1, *seedsFlag) {
@@ -339,8 +339,8 @@
 				started, preempted := 0, 0
 				for _, e := range with.events {
 					if j := with.jobs[e.job]; j != nil && j.queue.prefix == "/a/" && e.atMs < p.untilMs {
-						started += map[bool]int{true: 1}[e.kind == bStarted]
-						preempted += map[bool]int{true: 1}[e.kind == bEnded && e.text == "stopped"]
+						started += map[bool]int{true: 1}[e.kind == eventStarted]
+						preempted += map[bool]int{true: 1}[e.kind == eventEnded && e.text == "stopped"]
 					}
 				}
 				t.Logf("%d batches late; during the traffic %d of their attempts started, %d were preempted", late, started, preempted)
@@ -375,13 +375,13 @@
 		if j.state != "complete" && (j.state != "failed" || !j.hopeless()) {
 			continue
 		}
-		if j.endMs-j.sentMs <= r.aimMs(j, 0) {
+		if j.endMs-j.sentMs <= r.targetMs(j, 0) {
 			a.withinTarget++
 		}
 		if j.state == "complete" {
 			took = append(took, j.lastOKMs[0]-j.sentMs)
 		}
 	}
-	a.p50, a.p95 = pick(took, 0.5), pick(took, 0.95)
+	a.p50, a.p95 = percentile(took, 0.5), percentile(took, 0.95)
 	return a
 }
--- a/internal/daemon/brief_test.go
+++ b/internal/daemon/brief_test.go
@@ -33,7 +33,7 @@
 func (w *world) requireThroughput(t *testing.T, what string, fromMs, toMs int64, usual int) {
 	t.Helper()
 	for at := fromMs; at+4000 <= toMs; at += 1000 {
-		must.GreaterEq(t, usual/10, w.endedIn(at, at+4000), must.Sprintf("%s: %d tasks ended in 10 s before, %d from %d to %d ms", what, usual, w.endedIn(at, at+4000), at, at+4000))
+		must.GreaterEq(t, usual/10, w.tasksEndedBetween(at, at+4000), must.Sprintf("%s: %d tasks ended in 10 s before, %d from %d to %d ms", what, usual, w.tasksEndedBetween(at, at+4000), at, at+4000))
 	}
 }
 
@@ -70,7 +70,7 @@
 				must.Positive(t, at, must.Sprint(d.j.id, " never started"))
 				must.LessEq(t, d.dueMs+2500, at, must.Sprint(d.j.id, " started late"))
 			}
-			for _, n := range w.nodesInOrder() {
+			for _, n := range w.sortedNodes() {
 				n.skewMs = 0
 			}
 			w.run(11_000)
@@ -80,7 +80,7 @@
 	scenarios["delays over a takeover while disks are slow"] = scenario{"ikenna", func(t *testing.T, w *world) {
 		w.run(3000)
 		for i := range membership.DefaultSize {
-			w.syncUs[fmt.Sprintf("d%02d", i)] = 400_000
+			w.extraSyncUs[fmt.Sprintf("d%02d", i)] = 400_000
 		}
 		w.traffic(30_000)
 		w.run(12_000) // all clock offsets are measured again, by replies that wait for the disks
@@ -90,18 +90,18 @@
 			w.submit(j)
 		}
 		w.run(1500)
-		w.syncUs = map[string]int64{}
+		w.extraSyncUs = map[string]int64{}
 		for _, s := range historycheck.Zones {
 			w.killHolder("slice/" + s)
 		}
 		w.run(12_000)
-		for _, n := range w.nodesInOrder() {
+		for _, n := range w.sortedNodes() {
 			n.start()
 		}
 	}, 30_000}
 
 	scenarios["a silent worker, with and without trust in its run limit"] = scenario{"hakata", func(t *testing.T, w *world) {
-		s := w.dep.InitialConfiguration()
+		s := w.deployment.InitialConfiguration()
 		s.Queues = append([]historycheck.Queue{}, s.Queues...)
 		s.Queues[1].TrustRunLimit = true
 		accepted := 0
@@ -119,10 +119,10 @@
 		must.Eq(t, "complete", trusted.state)
 		must.Eq(t, 2, w.startsOf(trusted))
 		must.Eq(t, "running", plain.state)
-		must.StrContains(t, plain.last, at)
-		must.StrContains(t, plain.last, "otterchute workers lost")
+		must.StrContains(t, plain.lastState, at)
+		must.StrContains(t, plain.lastState, "otterchute workers lost")
 		for _, zoneName := range historycheck.Zones {
-			status, _, _, _ := w.asked("operator", w.nodes["d09"], "worker.lost", zoneName+"/"+at, nil)
+			status, _, _, _ := w.requestAndWait("operator", w.nodes["d09"], "worker.lost", zoneName+"/"+at, nil)
 			must.Eq(t, 200, status)
 		}
 	}, 30_000}
@@ -147,7 +147,7 @@
 			}
 			for i := range 20 {
 				j := waiting[i%len(waiting)]
-				status, _, b, tookMs := w.asked("caller", w.nodes[fmt.Sprintf("d%02d", 3+i%14)], "job.get", j.id, nil)
+				status, _, b, tookMs := w.requestAndWait("caller", w.nodes[fmt.Sprintf("d%02d", 3+i%14)], "job.get", j.id, nil)
 				if other := w.nodes[fmt.Sprintf("d%02d", 3+i%14)]; other == n {
 					continue
 				}
@@ -167,8 +167,8 @@
 	scenarios["setup storm in a takeover"] = scenario{"ikenna", func(t *testing.T, w *world) {
 		w.traffic(30_000)
 		w.run(12_000)
-		usual := w.endedIn(w.nowMs()-10_000, w.nowMs())
-		s := w.dep.InitialConfiguration()
+		usual := w.tasksEndedBetween(w.nowMs()-10_000, w.nowMs())
+		s := w.deployment.InitialConfiguration()
 		for i := range 5000 {
 			s.Queues = append(s.Queues, historycheck.Queue{Name: fmt.Sprintf("guild-%d", i), Selector: map[string][]string{"tier": {"fast"}}, Urgency: int64(i % 7)})
 		}
@@ -183,7 +183,7 @@
 		must.True(t, w.until(20_000, func() bool { return open == 0 }), must.Sprint("a configuration change got no reply"))
 		w.run(max(0, at+18_000-w.nowMs()))
 		w.requireThroughput(t, "storm", at+12_000, at+18_000, usual)
-		for _, n := range w.nodesInOrder() {
+		for _, n := range w.sortedNodes() {
 			n.start()
 		}
 		j := w.submit(w.oneTask("guild-4999", 100, 1, 5000, 1))
@@ -205,7 +205,7 @@
 			}
 			s.crash()
 			if i > 0 && len(s.ended) == 0 { // without its journal: a new machine of the same name
-				s.ended, s.inc = map[string]*simRun{}, s.inc+100
+				s.ended, s.incarnation = map[string]*simAttempt{}, s.incarnation+100
 			}
 			w.run(2000)
 			s.start()
@@ -239,7 +239,7 @@
 				}
 			}
 			if how == "emptied" || how == "all" {
-				set := w.dep.InitialConfiguration()
+				set := w.deployment.InitialConfiguration()
 				set.EmptyZones = []string{s.zone}
 				w.putSetup(w.setupVersion()+1, set, nil)
 			}
@@ -256,7 +256,7 @@
 			w.heal()
 			w.run(9000)
 			w.restoreSetup()
-			must.True(t, w.until(60_000, func() bool { return len(w.open()) == 0 }), must.Sprint(how, w.open()))
+			must.True(t, w.until(60_000, func() bool { return len(w.openJobs()) == 0 }), must.Sprint(how, w.openJobs()))
 		}
 	}, 10_000}
 
@@ -266,13 +266,13 @@
 			w.run(8000)
 			w.wave(i, []int{400, 150, 40}[i])
 			w.run(200)
-			w.killHolder("slice/" + w.some(historycheck.Zones))
+			w.killHolder("slice/" + w.pickOne(historycheck.Zones))
 			w.killHolder("central")
 			w.workers["w06"].crash()
 			w.run(4000)
 			w.wave(i, []int{200, 80, 20}[i])
 			w.run(3000)
-			for _, n := range w.nodesInOrder() {
+			for _, n := range w.sortedNodes() {
 				n.start()
 			}
 			w.workers["w06"].start()
@@ -287,14 +287,14 @@
 	scenarios["a lone machine isolated, for each kind of duty"] = scenario{"hakata", func(t *testing.T, w *world) {
 		w.traffic(110_000)
 		w.run(12_000)
-		usual := w.endedIn(w.nowMs()-10_000, w.nowMs())
+		usual := w.tasksEndedBetween(w.nowMs()-10_000, w.nowMs())
 		for _, role := range []string{"central", "slice/west", "agent/w05", "core", "none"} {
 			n := w.holderOf(role)
 			if role == "core" {
 				n = w.nodes["d01"]
 			} else if role == "none" {
 				for _, name := range sortedKeys(w.nodes) {
-					if o := w.nodes[name]; !o.Disk && len(o.sh.node.leases.Roles()) == 0 {
+					if o := w.nodes[name]; !o.Disk && len(o.executor.node.leases.Roles()) == 0 {
 						n = o
 					}
 				}
@@ -334,13 +334,13 @@
 			w.run(400)
 			w.nodes[name].start()
 		}
-		must.True(t, w.until(40_000, func() bool { return w.coreWhole() != nil }), must.Sprint("the core is not whole"))
+		must.True(t, w.until(40_000, func() bool { return w.completeCore() != nil }), must.Sprint("the core is not whole"))
 		other := w.nodes["d11"] // one that is not a core member
 		other.kill(true)
 		other.Addr, other.HTTP = "10.0.3.11:7000", "10.0.3.11:8000"
 		other.start()
 		w.run(4000)
-		must.Eq(t, "10.0.3.11:7000", w.nodes["d14"].sh.node.peers.Get("d11").Addr)
+		must.Eq(t, "10.0.3.11:7000", w.nodes["d14"].executor.node.peers.Get("d11").Addr)
 	}, 90_000}
 
 	for _, loss := range []string{"power", "a disk"} {
@@ -350,7 +350,7 @@
 			for _, kind := range []string{historycheck.JobAcked, historycheck.CancelAcked, historycheck.End} {
 				for _, gapUs := range []int64{0, 300, 1500} {
 					armed, undo := true, func() {}
-					w.onNote = func(e historycheck.Event) {
+					w.onEvent = func(e historycheck.Event) {
 						if e.Kind == kind && armed {
 							armed = false
 							w.after(gapUs, func() {
@@ -367,9 +367,9 @@
 					w.cancelJob(j)
 					w.until(3000, func() bool { return !armed })
 					w.run(800)
-					w.onNote = nil
+					w.onEvent = nil
 					undo()
-					must.True(t, w.until(30_000, func() bool { return w.coreWhole() != nil }))
+					must.True(t, w.until(30_000, func() bool { return w.completeCore() != nil }))
 				}
 			}
 		}, 60_000}
@@ -404,7 +404,7 @@
 				return
 			}
 			sent++
-			w.ask("caller", w.anyNode(w.rng.IntN(1000)), "job.put", id, body, 2000, func(status int, _ int64, _ []byte) {
+			w.request("caller", w.anyNode(w.rng.IntN(1000)), "job.put", id, body, 2000, func(status int, _ int64, _ []byte) {
 				if status == 201 || status == 200 {
 					accepted++
 					return
@@ -449,13 +449,13 @@
 		{"siblings unreachable", func(w *world) { w.nodes["d10"].kill(false) }, 6000},
 		{"clock spread", func(w *world) { w.nodes["d11"].skewMs = 60_000 }, 3000},
 		{"unmatched queues", func(w *world) {
-			s := w.dep.InitialConfiguration()
+			s := w.deployment.InitialConfiguration()
 			s.Queues = append(s.Queues, historycheck.Queue{Name: "lone", Selector: map[string][]string{"tier": {"none"}}})
 			w.putSetup(2, s, nil)
 		}, 4000},
 		{"no setup", nil, 3000},
 		{"sites empty", func(w *world) {
-			s := w.dep.InitialConfiguration()
+			s := w.deployment.InitialConfiguration()
 			s.EmptyZones = []string{"mid"}
 			w.putSetup(2, s, nil)
 		}, 4000},
@@ -478,7 +478,7 @@
 			must.True(t, w.until(20_000, func() bool { return w.holderOf("central") != nil }))
 			w.run(4000)
 			if c.inject != nil {
-				w.putSetup(1, w.dep.InitialConfiguration(), nil)
+				w.putSetup(1, w.deployment.InitialConfiguration(), nil)
 				w.run(4000)
 				c.inject(w)
 			}
@@ -486,7 +486,7 @@
 			statuses := map[string][]byte{}
 			for _, name := range sortedKeys(w.nodes) {
 				if w.nodes[name].up {
-					_, _, statuses[name], _ = w.asked("operator", w.nodes[name], "soundness", "", nil)
+					_, _, statuses[name], _ = w.requestAndWait("operator", w.nodes[name], "soundness", "", nil)
 				}
 			}
 			var found []string
@@ -506,12 +506,12 @@
 // a worker without work is unknown.
 func (w *world) busiestWorker() (busiest string) {
 	most := int64(-1)
-	for _, n := range w.nodesInOrder() {
+	for _, n := range w.sortedNodes() {
 		if !n.up {
 			continue
 		}
-		for _, name := range sortedKeys(n.sh.node.agents) {
-			if ended := n.sh.node.agents[name].succeeded; ended > most {
+		for _, name := range sortedKeys(n.executor.node.agents) {
+			if ended := n.executor.node.agents[name].succeeded; ended > most {
 				busiest, most = name, ended
 			}
 		}
--- a/internal/daemon/campaign_faults_test.go
+++ b/internal/daemon/campaign_faults_test.go
@@ -19,22 +19,22 @@
 	return w.workers[sortedKeys(w.workers)[w.rng.IntN(len(w.workers))]]
 }
 
-func (w *world) some(list []string) string { return list[w.rng.IntN(len(list))] }
+func (w *world) pickOne(list []string) string { return list[w.rng.IntN(len(list))] }
 
-// coreWhole returns the core members if all of them are up and agree, so that one of them may
+// completeCore returns the core members if all of them are up and agree, so that one of them may
 // lose its disk, and nil otherwise.
-func (w *world) coreWhole() []*simNode {
+func (w *world) completeCore() []*simNode {
 	var out []*simNode
 	var set quorum.Set
 	for _, name := range sortedKeys(w.nodes) {
 		n := w.nodes[name]
-		if n.up && n.sh.node.core.Version > set.Version {
-			set = n.sh.node.core
+		if n.up && n.executor.node.core.Version > set.Version {
+			set = n.executor.node.core
 		}
 	}
 	for _, m := range set.Members {
 		n := w.nodes[m.Name]
-		if n.up && w.nowUs >= n.frozenTo && n.sh.node.inCore() && n.sh.node.core.Version == set.Version && n.sh.node.now-n.sh.node.leases.LastContactMs() < 1000 {
+		if n.up && w.nowUs >= n.frozenUntilUs && n.executor.node.inCore() && n.executor.node.core.Version == set.Version && n.executor.node.now-n.executor.node.leases.LastContactMs() < 1000 {
 			out = append(out, n)
 		}
 	}
@@ -81,7 +81,7 @@
 // wipeOne wipes the disk of a core member with a power loss. The returned function starts the
 // member again, at a new address if newAddr is set.
 func wipeOne(w *world, newAddr bool) func() {
-	core := w.coreWhole()
+	core := w.completeCore()
 	if core == nil {
 		return func() {}
 	}
@@ -98,15 +98,15 @@
 var worldFaults = map[string]worldFault{
 	"kill":         func(w *world) func() { return killNode(w, w.randomNode(), false) },
 	"kill_central": func(w *world) func() { return w.killHolder("central") },
-	"kill_owner":   func(w *world) func() { return w.killHolder("slice/" + w.some(historycheck.Zones)) },
-	"kill_agent":   func(w *world) func() { return w.killHolder("agent/" + w.some(sortedKeys(w.workers))) },
+	"kill_owner":   func(w *world) func() { return w.killHolder("slice/" + w.pickOne(historycheck.Zones)) },
+	"kill_agent":   func(w *world) func() { return w.killHolder("agent/" + w.pickOne(sortedKeys(w.workers))) },
 	"stop_nicely": func(w *world) func() {
 		n := w.randomNode()
 		if n.up {
 			n.event(evStop{})
 		}
 		return func() {
-			if n.up && n.sh.node.leavingSinceMs != 0 { // it froze while it was shutting down
+			if n.up && n.executor.node.leavingSinceMs != 0 { // it froze while it was shutting down
 				n.kill(false)
 			}
 			n.start()
@@ -116,25 +116,25 @@
 	"power_all": func(w *world) func() { return w.killAll(true) },
 	"freeze":    func(w *world) func() { w.randomNode().freeze(500 + w.rng.Int64N(9000)); return func() {} },
 	"freeze_owner": func(w *world) func() {
-		if n := w.holderOf("slice/" + w.some(historycheck.Zones)); n != nil {
+		if n := w.holderOf("slice/" + w.pickOne(historycheck.Zones)); n != nil {
 			n.freeze(2000 + w.rng.Int64N(6000))
 		}
 		return func() {}
 	},
 	"freeze_agent": func(w *world) func() {
-		if n := w.holderOf("agent/" + w.some(sortedKeys(w.workers))); n != nil {
+		if n := w.holderOf("agent/" + w.pickOne(sortedKeys(w.workers))); n != nil {
 			n.freeze(1000 + w.rng.Int64N(6000))
 		}
 		return func() {}
 	},
 	"wipe":      func(w *world) func() { return wipeOne(w, false) },
 	"wipe_move": func(w *world) func() { return wipeOne(w, true) },
-	"cut_site":  func(w *world) func() { w.cutZone(w.some(historycheck.Zones)); return w.heal },
-	"cut_host":  func(w *world) func() { w.cutHost(w.some(w.hosts())); return w.heal },
+	"cut_site":  func(w *world) func() { w.cutZone(w.pickOne(historycheck.Zones)); return w.heal },
+	"cut_host":  func(w *world) func() { w.cutHost(w.pickOne(w.hosts())); return w.heal },
 	"cut_some": func(w *world) func() {
 		hosts := w.hosts()
 		for range 1 + w.rng.IntN(40) {
-			w.cuts[[2]string{w.some(hosts), w.some(hosts)}] = true
+			w.cuts[[2]string{w.pickOne(hosts), w.pickOne(hosts)}] = true
 		}
 		return w.heal
 	},
@@ -150,14 +150,14 @@
 	},
 	"slow_disk": func(w *world) func() {
 		d := fmt.Sprintf("d%02d", w.rng.IntN(membership.DefaultSize))
-		w.syncUs[d] = 50_000 + w.rng.Int64N(900_000)
-		return func() { delete(w.syncUs, d) }
+		w.extraSyncUs[d] = 50_000 + w.rng.Int64N(900_000)
+		return func() { delete(w.extraSyncUs, d) }
 	},
 	"slow_disks": func(w *world) func() {
 		for i := range membership.DefaultSize {
-			w.syncUs[fmt.Sprintf("d%02d", i)] = 20_000 + w.rng.Int64N(400_000)
+			w.extraSyncUs[fmt.Sprintf("d%02d", i)] = 20_000 + w.rng.Int64N(400_000)
 		}
-		return func() { w.syncUs = map[string]int64{} }
+		return func() { w.extraSyncUs = map[string]int64{} }
 	},
 	"disk_full": func(w *world) func() { return w.fillDisk(fmt.Sprintf("d%02d", w.rng.IntN(membership.DefaultSize))) },
 	"disk_stall": func(w *world) func() {
@@ -165,7 +165,7 @@
 		return func() {}
 	},
 	"answers_lost": func(w *world) func() {
-		return allOf([]func(){w.loseAnswers("operator", 0.7), w.loseAnswers("caller", 0.3)})
+		return allOf([]func(){w.loseResponses("operator", 0.7), w.loseResponses("caller", 0.3)})
 	},
 	"resets": func(w *world) func() {
 		w.resetConnections(w.hosts()[:1+w.rng.IntN(len(w.nodes))], 0.7)
@@ -190,13 +190,13 @@
 	"clocks": func(w *world) func() { // two core members and some others at once
 		undo := []func(){w.skewClocks(1 + w.rng.IntN(4))}
 		for i := range 2 {
-			undo = append(undo, w.jumpOf(w.nodes[fmt.Sprintf("d%02d", i)]))
+			undo = append(undo, w.skewClock(w.nodes[fmt.Sprintf("d%02d", i)]))
 		}
 		return allOf(undo)
 	},
 	"clock_restart": func(w *world) func() { // the clock is already wrong when the daemon starts
 		n := w.nodes[fmt.Sprintf("d%02d", w.rng.IntN(membership.DefaultSize))]
-		back := w.jumpOf(n)
+		back := w.skewClock(n)
 		n.kill(false)
 		n.start()
 		return back
@@ -242,7 +242,7 @@
 			}
 			s.crash()
 			if len(s.ended) == 0 && w.rng.IntN(2) == 0 {
-				s.inc += 100 // no result is lost: a new machine with the same name
+				s.incarnation += 100 // no result is lost: a new machine with the same name
 			}
 		}
 		w.after(w.rng.Int64N(1_000_000), takeAway)
@@ -259,7 +259,7 @@
 			}
 		}
 		if w.rng.IntN(2) == 0 {
-			set := w.dep.InitialConfiguration()
+			set := w.deployment.InitialConfiguration()
 			set.EmptyZones = []string{s.zone}
 			w.putSetup(w.setupVersion()+1, set, nil)
 			undo = append(undo, w.restoreSetup)
@@ -270,7 +270,7 @@
 		return allOf(append(undo, w.heal))
 	},
 	"isolated_duty": func(w *world) func() {
-		if n := w.holderOf(w.some([]string{"central", "slice/" + w.some(historycheck.Zones), "agent/" + w.some(sortedKeys(w.workers))})); n != nil {
+		if n := w.holderOf(w.pickOne([]string{"central", "slice/" + w.pickOne(historycheck.Zones), "agent/" + w.pickOne(sortedKeys(w.workers))})); n != nil {
 			w.cutHost(n.Name)
 		}
 		return w.heal
@@ -286,9 +286,9 @@
 	},
 	// Loss of power or of a disk right after a job or a cancellation was acknowledged or a task ended.
 	"lost_after_ack": func(w *world) func() {
-		kind, wipe := w.some([]string{historycheck.JobAcked, historycheck.CancelAcked, historycheck.End}), w.rng.IntN(2) == 0
+		kind, wipe := w.pickOne([]string{historycheck.JobAcked, historycheck.CancelAcked, historycheck.End}), w.rng.IntN(2) == 0
 		undo, armed, over := func() {}, true, false
-		w.onNote = func(e historycheck.Event) {
+		w.onEvent = func(e historycheck.Event) {
 			if e.Kind != kind || !armed {
 				return
 			}
@@ -303,10 +303,10 @@
 				}
 			})
 		}
-		return func() { over, w.onNote = true, nil; undo() }
+		return func() { over, w.onEvent = true, nil; undo() }
 	},
 	"storm": func(w *world) func() { // quick bursts by two operators, with many queues
-		s := w.dep.InitialConfiguration()
+		s := w.deployment.InitialConfiguration()
 		for i := range 300 {
 			s.Queues = append(s.Queues, historycheck.Queue{Name: fmt.Sprint("guild-", i), Selector: map[string][]string{"tier": {"fast"}}, Urgency: int64(i % 5)})
 		}
@@ -330,7 +330,7 @@
 					s.start()
 					return
 				}
-				w.ask("operator", w.randomNode(), "worker.lost", historycheck.Zones[zoneIndex]+"/"+s.name, nil, 2000, func(status int, _ int64, _ []byte) {
+				w.request("operator", w.randomNode(), "worker.lost", historycheck.Zones[zoneIndex]+"/"+s.name, nil, 2000, func(status int, _ int64, _ []byte) {
 					if status == 200 {
 						zoneIndex++
 					}
@@ -350,21 +350,21 @@
 	"wave_large":  func(w *world) func() { return w.wave(2, 10+w.rng.IntN(10)) },
 	"hopeless": func(w *world) func() {
 		for range 5 {
-			j := w.dep.JobKinds[0].Make(w.rng)
+			j := w.deployment.JobKinds[0].Make(w.rng)
 			j.Steps[0].Tasks[0].Payload = historycheck.Work{Ms: 100, FailPct: 100}
 			w.submit(j)
 		}
 		return func() {}
 	},
 	"standing": func(w *world) func() {
-		j := w.dep.JobKinds[0].Make(w.rng)
+		j := w.deployment.JobKinds[0].Make(w.rng)
 		j.Steps[0].Tasks[0].Payload = historycheck.Work{Stall: true}
 		j.Steps[0].Tasks[0].LimitMs, j.Steps[0].Tasks[0].AllowedFailures = 2000, 2
 		w.submit(j)
 		return func() {}
 	},
 	"cancels": func(w *world) func() {
-		for _, o := range w.open() {
+		for _, o := range w.openJobs() {
 			if w.rng.IntN(3) == 0 {
 				id, _, _ := strings.Cut(o, ":")
 				if w.jobs[id].acked {
@@ -375,23 +375,23 @@
 		return func() {}
 	},
 	"empty_site": func(w *world) func() {
-		s := w.dep.InitialConfiguration()
-		s.EmptyZones = []string{w.some(historycheck.Zones)}
+		s := w.deployment.InitialConfiguration()
+		s.EmptyZones = []string{w.pickOne(historycheck.Zones)}
 		w.putSetup(w.setupVersion()+1, s, nil)
 		return w.restoreSetup
 	},
 	"race": func(w *world) func() { // operators race in a quick burst
 		for i := range 4 {
-			s := w.dep.InitialConfiguration()
+			s := w.deployment.InitialConfiguration()
 			s.Note = fmt.Sprint("operator ", i, w.rng.IntN(1000))
 			w.putSetup(w.setupVersion()+1+int64(i/3), s, nil)
 		}
 		return func() {}
 	},
 	"regroup": func(w *world) func() { // the first queue is restricted to the workers of one tier
-		s := w.dep.InitialConfiguration()
+		s := w.deployment.InitialConfiguration()
 		s.Queues = slices.Clone(s.Queues)
-		s.Queues[0].Selector = map[string][]string{"tier": {w.some([]string{"fast", "bulk"})}}
+		s.Queues[0].Selector = map[string][]string{"tier": {w.pickOne([]string{"fast", "bulk"})}}
 		w.putSetup(w.setupVersion()+1, s, nil)
 		return w.restoreSetup
 	},
@@ -399,7 +399,7 @@
 		names := sortedKeys(w.nodes)
 		var seeds []string
 		for range 3 {
-			seeds = append(seeds, w.nodes[w.some(names)].Addr)
+			seeds = append(seeds, w.nodes[w.pickOne(names)].Addr)
 		}
 		for _, name := range names {
 			w.nodes[name].Seeds = seeds
@@ -412,9 +412,9 @@
 func (w *world) wave(kind, count int) func() {
 	for range count {
 		if kind < 0 {
-			w.submit(w.dep.RandomJob(w.rng))
+			w.submit(w.deployment.RandomJob(w.rng))
 		} else {
-			w.submit(w.dep.JobKinds[kind].Make(w.rng))
+			w.submit(w.deployment.JobKinds[kind].Make(w.rng))
 		}
 	}
 	return func() {}
@@ -424,14 +424,14 @@
 func (w *world) skewClocks(count int) func() {
 	var undo []func()
 	for range count {
-		undo = append(undo, w.jumpOf(w.randomNode()))
+		undo = append(undo, w.skewClock(w.randomNode()))
 	}
 	return allOf(undo)
 }
 
-func (w *world) jumpOf(n *simNode) func() {
+func (w *world) skewClock(n *simNode) func() {
 	wrong := 0
-	for _, o := range w.nodesInOrder() {
+	for _, o := range w.sortedNodes() {
 		if o.skewMs != 0 {
 			wrong++
 		}
@@ -448,7 +448,7 @@
 var finalFaults = map[string]worldFault{
 	"power of all": func(w *world) func() { return w.killAll(true) },
 	"a whole site": func(w *world) func() {
-		zoneName, undo := w.some(historycheck.Zones), []func(){}
+		zoneName, undo := w.pickOne(historycheck.Zones), []func(){}
 		for _, name := range sortedKeys(w.nodes) {
 			if n := w.nodes[name]; n.Zone == zoneName {
 				undo = append(undo, killNode(w, n, true))
@@ -468,7 +468,7 @@
 	},
 	"owner, central and their successors": func(w *world) func() {
 		var undo []func()
-		for _, role := range []string{"slice/" + w.some(historycheck.Zones), "central"} {
+		for _, role := range []string{"slice/" + w.pickOne(historycheck.Zones), "central"} {
 			n := w.holderOf(role)
 			if n == nil {
 				continue
@@ -477,7 +477,7 @@
 			if role != "central" {
 				zoneName = strings.TrimPrefix(role, "slice/")
 			}
-			for _, name := range n.sh.node.leases.Candidates(role, zoneName)[:3] {
+			for _, name := range n.executor.node.leases.Candidates(role, zoneName)[:3] {
 				undo = append(undo, killNode(w, w.nodes[name], false))
 			}
 			undo = append(undo, killNode(w, n, false))
--- a/internal/daemon/campaign_test.go
+++ b/internal/daemon/campaign_test.go
@@ -25,7 +25,7 @@
 
 // restoreSetup sends the usual configuration until it is accepted.
 func (w *world) restoreSetup() {
-	w.putSetup(w.setupVersion()+1, w.dep.InitialConfiguration(), func(status int) {
+	w.putSetup(w.setupVersion()+1, w.deployment.InitialConfiguration(), func(status int) {
 		if status == 409 {
 			w.after(400_000, w.restoreSetup)
 		}
@@ -50,8 +50,8 @@
 	var next func()
 	next = func() {
 		if !w.trafficEnded {
-			w.submit(varyJob(w, w.dep.RandomJob(w.rng)))
-			w.after(int64(w.rng.ExpFloat64()*1e6/w.dep.JobsPerSec), next)
+			w.submit(varyJob(w, w.deployment.RandomJob(w.rng)))
+			w.after(int64(w.rng.ExpFloat64()*1e6/w.deployment.JobsPerSec), next)
 		}
 	}
 	next()
@@ -60,7 +60,7 @@
 // pollConfigVersion reads the current configuration version once a second, as an operator.
 func (w *world) pollConfigVersion() {
 	requestedMs := w.nowMs()
-	w.ask("operator", w.randomNode(), "setup.get", "", nil, 2000, func(status int, _ int64, b []byte) {
+	w.request("operator", w.randomNode(), "setup.get", "", nil, 2000, func(status int, _ int64, b []byte) {
 		if status == 200 {
 			w.record(historycheck.Event{Kind: historycheck.ConfigurationShown, Version: gjson.GetBytes(b, "version").Int(), RequestedMs: requestedMs})
 		}
@@ -72,11 +72,11 @@
 // returns the problems found, the world, and the faults in order.
 func campaign(seed uint64, dep string, only []string) (problems []string, w *world, faults []string) {
 	w = newWorld(seed, historycheck.Deployments[dep])
-	w.keepLog = true
+	w.keepLogs = true
 	if !w.until(20_000, func() bool { return w.holderOf("central") != nil }) {
 		return []string{"the cluster never formed"}, w, nil
 	}
-	w.putSetup(1, w.dep.InitialConfiguration(), nil)
+	w.putSetup(1, w.deployment.InitialConfiguration(), nil)
 	w.run(3000)
 	w.delayOneIn = 400
 	w.pollConfigVersion()
@@ -88,7 +88,7 @@
 	var undo []func()
 	for end := w.nowMs() + 45_000; w.nowMs() < end; {
 		w.run(500 + w.rng.Int64N(5000))
-		name := w.some(names)
+		name := w.pickOne(names)
 		faults = append(faults, fmt.Sprintf("%d:%s", w.nowMs(), name))
 		u := sync.OnceFunc(worldFaults[name](w))
 		undo = append(undo, u)
@@ -101,14 +101,14 @@
 	for _, s := range w.workers {
 		s.frozenUntilUs = 0
 	}
-	final := w.some(sortedKeys(finalFaults))
+	final := w.pickOne(sortedKeys(finalFaults))
 	faults = append(faults, final)
 	w.finalFault(final)
-	if !w.until(120_000, func() bool { return len(w.open()) == 0 }) {
-		problems = append(problems, fmt.Sprintf("%d of %d jobs open long after the last fault: %v", len(w.open()), len(w.jobs), w.open()[:min(6, len(w.open()))]))
+	if !w.until(120_000, func() bool { return len(w.openJobs()) == 0 }) {
+		problems = append(problems, fmt.Sprintf("%d of %d jobs open long after the last fault: %v", len(w.openJobs()), len(w.jobs), w.openJobs()[:min(6, len(w.openJobs()))]))
 	}
 	w.run(3000)
-	if w.coreWhole() == nil && !w.until(30_000, func() bool { return w.coreWhole() != nil }) {
+	if w.completeCore() == nil && !w.until(30_000, func() bool { return w.completeCore() != nil }) {
 		problems = append(problems, "the core is incomplete long after the last fault")
 	}
 	for i, b := range historycheck.Check(w.history, historycheck.DefaultBounds) {
@@ -144,13 +144,13 @@
 				t.Log("faults:", faults)
 				t.Log(w.counts())
 				if *dumpFlag != "" {
-					t.Log(w.jobs[*dumpFlag].last)
+					t.Log(w.jobs[*dumpFlag].lastState)
 					if n := w.holderOf("central"); n != nil {
-						for name, f := range n.sh.node.central.workers {
-							t.Log("central", name, f.Capacity, f.guaranteed, f.occupied, f.unhealthyUntilMs-n.sh.node.now, f.WorkerReportFresh, f.Rebuilt, f.Leaving, n.sh.node.now-f.receivedMs, len(f.Attempts))
+						for name, f := range n.executor.node.central.workers {
+							t.Log("central", name, f.Capacity, f.guaranteed, f.occupied, f.unhealthyUntilMs-n.executor.node.now, f.WorkerReportFresh, f.Rebuilt, f.Leaving, n.executor.node.now-f.receivedMs, len(f.Attempts))
 						}
-						for k, request := range n.sh.node.central.pending {
-							t.Log("request", k, request.granted, request.Resources, request.Tasks, n.sh.node.now-request.lastMs, n.sh.node.now-request.firstMs)
+						for k, request := range n.executor.node.central.pending {
+							t.Log("request", k, request.granted, request.Resources, request.Tasks, n.executor.node.now-request.lastMs, n.executor.node.now-request.firstMs)
 						}
 					}
 					for _, e := range w.history {
--- a/internal/daemon/catchup_test.go
+++ b/internal/daemon/catchup_test.go
@@ -22,12 +22,12 @@
 	return b.Bytes()
 }
 
-// order has one more configuration accepted.
-func (s *coreChangeWorld) order(body []byte) {
+// acceptConfig has one more configuration accepted.
+func (s *coreChangeWorld) acceptConfig(body []byte) {
 	s.t.Helper()
 	next := s.version + 1
 	must.True(s.t, s.until(15_000, func() bool {
-		return s.settle(s.observer(), evRequest{Op: "setup.put", Key: fmt.Sprint(next), Base: -1, Body: body}, 3000).status == 200
+		return s.callAndWait(s.observer(), evRequest{Op: "setup.put", Key: fmt.Sprint(next), Base: -1, Body: body}, 3000).status == 200
 	}), s.details())
 	s.version = next
 }
@@ -38,7 +38,7 @@
 	for range count {
 		id := fmt.Sprint("job", len(s.jobs))
 		must.True(s.t, s.until(15_000, func() bool {
-			status := s.settle(s.observer(), evRequest{Op: "job.put", Key: id, Base: -1, Body: []byte(`{"queue":"q","steps":[{"name":"s","tasks":[{"name":"t","room":1}]}]}`)}, 3000).status
+			status := s.callAndWait(s.observer(), evRequest{Op: "job.put", Key: id, Base: -1, Body: []byte(`{"queue":"q","steps":[{"name":"s","tasks":[{"name":"t","room":1}]}]}`)}, 3000).status
 			return status == 200 || status == 201
 		}), s.details())
 		s.jobs = append(s.jobs, id)
@@ -50,14 +50,14 @@
 	s.t.Helper()
 	for _, id := range ids {
 		must.True(s.t, s.until(15_000, func() bool {
-			return s.settle(s.observer(), evRequest{Op: "job.cancel", Key: id, Base: -1}, 3000).status < 300
+			return s.callAndWait(s.observer(), evRequest{Op: "job.cancel", Key: id, Base: -1}, 3000).status < 300
 		}), s.details())
 	}
 }
 
 // missingState lists what member holds in an older state than other.
 func (s *coreChangeWorld) missingState(member, other *simNode) (out []string) {
-	mine, theirs := member.sh.node.store, other.sh.node.store
+	mine, theirs := member.executor.node.store, other.executor.node.store
 	a, b := mine.Register("setup"), theirs.Register("setup")
 	if a.Accepted.Less(b.Accepted) {
 		out = append(out, fmt.Sprint("setup ", a.Accepted, " < ", b.Accepted))
@@ -92,21 +92,21 @@
 		absent.kill(true)
 		for i := range 300 {
 			if i%100 == 50 {
-				s.order(largeSetup(1500))
+				s.acceptConfig(largeSetup(1500))
 			} else {
-				s.order(queueSetup("q", fmt.Sprintf(`,"quota":%d`, 1+i)))
+				s.acceptConfig(queueSetup("q", fmt.Sprintf(`,"quota":%d`, 1+i)))
 			}
 			if i%3 == 0 {
 				s.acceptJobs(1)
 			}
 		}
 		s.cancelJobs(s.jobs[5:60])
-		last := s.settle(s.observer(), evRequest{Op: "setup.get"}, 2000).body
-		before := unpowered.sh.node.store.Register("setup").Accepted
+		last := s.callAndWait(s.observer(), evRequest{Op: "setup.get"}, 2000).body
+		before := unpowered.executor.node.store.Register("setup").Accepted
 		absent.start()
 		s.run(4000)
 		// The register is neither rewritten nor read by all members.
-		must.Eq(t, before, unpowered.sh.node.store.Register("setup").Accepted, s.details())
+		must.Eq(t, before, unpowered.executor.node.store.Register("setup").Accepted, s.details())
 		must.SliceEmpty(t, s.missingState(absent, unpowered), s.details())
 		must.SliceEmpty(t, s.missingState(absent, wiped), s.details())
 		wiped.kill(true)
@@ -116,16 +116,16 @@
 		s.after(600_000, unpowered.start)
 		for range 40 { // every successful answer returns the newest state
 			s.run(100)
-			if r := s.settle(s.observer(), evRequest{Op: "setup.get"}, 1000); r.status == 200 {
+			if r := s.callAndWait(s.observer(), evRequest{Op: "setup.get"}, 1000); r.status == 200 {
 				must.Eq(t, gjson.Get(last, "version").Int(), gjson.Get(r.body, "version").Int())
 			}
-			if r := s.settle(s.observer(), evRequest{Op: "job.get", Key: s.jobs[30], Base: -1}, 1000); r.status == 200 {
+			if r := s.callAndWait(s.observer(), evRequest{Op: "job.get", Key: s.jobs[30], Base: -1}, 1000); r.status == 200 {
 				must.Eq(t, "cancelled", gjson.Get(r.body, "state").Str, must.Sprint(r.body))
 			}
 		}
 		s.requireAllKept()
 		for _, id := range s.jobs[5:60] {
-			r := s.settle(s.observer(), evRequest{Op: "job.get", Key: id, Base: -1}, 2000)
+			r := s.callAndWait(s.observer(), evRequest{Op: "job.get", Key: id, Base: -1}, 2000)
 			must.Eq(t, "cancelled", gjson.Get(r.body, "state").Str, must.Sprint(r.body))
 		}
 	}
@@ -153,7 +153,7 @@
 // been away or one that alone has a later state.
 func TestCoreReadNeedsAgreement(t *testing.T) {
 	s := newCoreChangeWorld(t, 60, 3)
-	n := s.observer().sh.node
+	n := s.observer().executor.node
 	stored := func(version int64, state jobStatus) statestore.Record {
 		j := jobRecord{ID: "j", Queue: "q", State: state, SubmitMs: 1, DoneMs: map[jobStatus]int64{jobCancelled: 9}[state], Version: version}
 		return statestore.Record{ID: "j", Epoch: 4, Version: version, Live: true, Value: j.encode()}
--- a/internal/daemon/cold_test.go
+++ b/internal/daemon/cold_test.go
@@ -22,7 +22,7 @@
 			roles := append([]string{"central", "slice/east", "slice/mid", "slice/west"}, agentRoles(w)...)
 			if fault != "first start" {
 				w.until(20_000, func() bool { return w.holderOf("central") != nil })
-				w.putSetup(1, w.dep.InitialConfiguration(), nil)
+				w.putSetup(1, w.deployment.InitialConfiguration(), nil)
 				w.traffic(60_000)
 				w.run(15_000)
 				if fault == "power of all" {
@@ -45,7 +45,7 @@
 						continue
 					}
 					kind, _ := lease.SplitRole(d)
-					if kind == lease.KindAgent && !h.sh.node.agents[d[6:]].rebuilt {
+					if kind == lease.KindAgent && !h.executor.node.agents[d[6:]].rebuilt {
 						continue
 					}
 					done[d] = w.nowMs() - at
@@ -66,8 +66,8 @@
 				startMs = append(startMs, w.history[from+i].AtMs-at)
 			}
 		}
-		t.Logf("| %s | shards %d / %d | agents rebuilt %d / %d | central %d / %d | first start %d / %d |", fault, pick(shardsMs, .5), pick(shardsMs, 1),
-			pick(agentsMs, .5), pick(agentsMs, 1), pick(centralMs, .5), pick(centralMs, 1), pick(startMs, .5), pick(startMs, 1))
+		t.Logf("| %s | shards %d / %d | agents rebuilt %d / %d | central %d / %d | first start %d / %d |", fault, percentile(shardsMs, .5), percentile(shardsMs, 1),
+			percentile(agentsMs, .5), percentile(agentsMs, 1), percentile(centralMs, .5), percentile(centralMs, 1), percentile(startMs, .5), percentile(startMs, 1))
 	}
 }
 
--- a/internal/daemon/credential_test.go
+++ b/internal/daemon/credential_test.go
@@ -37,7 +37,7 @@
 
 func newCredentialWorld(t *testing.T, seed uint64, keys ...string) *credentialWorld {
 	t.Helper()
-	w := &credentialWorld{world: served(t, seed)}
+	w := &credentialWorld{world: servingWorld(t, seed)}
 	w.change(t, keys...)
 	w.run(2000)
 	return w
@@ -65,7 +65,7 @@
 		"source":  map[string]any{"tenants": []map[string]any{{"name": "a", "apiKeys": keys}}},
 	})
 	for range 20 {
-		got := w.settle(w.nodes["d00"], evRequest{Op: "setup.put", Key: fmt.Sprint(w.version), Base: w.version - 1, Body: doc}, 2000)
+		got := w.callAndWait(w.nodes["d00"], evRequest{Op: "setup.put", Key: fmt.Sprint(w.version), Base: w.version - 1, Body: doc}, 2000)
 		if got.status == 200 {
 			return
 		}
@@ -120,7 +120,7 @@
 
 // delayPolls delays the core members' replies to a daemon's polls.
 func (w *credentialWorld) delayPolls(host string, ms int64) {
-	w.detain = func(_, to string, msg any) int64 {
+	w.extraDelayUs = func(_, to string, msg any) int64 {
 		if _, ok := msg.(*wire.PollResponse); ok && to == host {
 			return ms * 1000
 		}
@@ -130,7 +130,7 @@
 
 // delayValues delays configuration documents on their way to a daemon.
 func (w *credentialWorld) delayValues(host string, ms int64) {
-	w.detain = func(_, to string, msg any) int64 {
+	w.extraDelayUs = func(_, to string, msg any) int64 {
 		if _, ok := msg.(*wire.RegisterValue); ok && to == host {
 			return ms * 1000
 		}
@@ -153,7 +153,7 @@
 				changedMs := w.nowMs()
 				w.callFor(3200, "kept", "new", "old")
 				w.heal()
-				w.detain = nil
+				w.extraDelayUs = nil
 				w.run(5000)
 				for _, c := range w.calls {
 					details := must.Sprintf("seed %d: %s, key %s, %d ms after the acknowledgement: %d", seed, c.host, c.key, c.sentMs-changedMs, c.status)
@@ -180,22 +180,22 @@
 	n := w.nodes[host]
 	for range 40 {
 		w.run(37)
-		must.True(t, n.sh.node.configFresh())
-		sentBefore, confirmedBy, done := n.sh.node.leases.LatestRound(), uint64(0), false
+		must.True(t, n.executor.node.configFresh())
+		sentBefore, confirmedBy, done := n.executor.node.leases.LatestRound(), uint64(0), false
 		w.call("caller", n, evRequest{Op: "queue.state", Host: "h.example", Path: "/p/none", Base: -1, Credential: "unknown"}, 3000, func(status int, _ int64, _ []byte) {
 			must.Eq(t, 401, status)
 			done = true
 		})
 		w.until(3000, func() bool {
 			if !done {
-				confirmedBy = n.sh.node.config.confirmedPoll
+				confirmedBy = n.executor.node.config.confirmedPoll
 			}
 			return done
 		})
 		must.True(t, done)
 		must.Greater(t, sentBefore, confirmedBy)
 	}
-	must.Positive(t, n.sh.node.counts["calls_unauthenticated"])
+	must.Positive(t, n.executor.node.counts["calls_unauthenticated"])
 	w.cutFrom(host, w.members(), true, true)
 	w.callFor(4000, "unknown")
 	w.run(4000)
@@ -212,7 +212,7 @@
 	w := newCredentialWorld(t, 23, "kept", "")
 	job := []byte(`{"steps":[{"name":"a","count":1,"room":1,"estimate_ms":50}]}`)
 	callAt := func(op, path, key string) int {
-		return w.settle(w.nodes["d00"], evRequest{Op: op, Host: "h.example", Path: path, Base: -1, Body: job, Credential: key}, 4000).status
+		return w.callAndWait(w.nodes["d00"], evRequest{Op: op, Host: "h.example", Path: path, Base: -1, Body: job, Credential: key}, 4000).status
 	}
 	for _, key := range []string{"", "unknown", digestOf("kept"), "KEPT"} {
 		for _, op := range []string{"queue.submit", "queue.state", "queue.cancel"} {
@@ -235,8 +235,8 @@
 // Guards against leaked keys: a caller's key, known or not, must not appear in log lines, messages
 // between daemons, disk entries, replies or names of counts.
 func TestKeysDoNotLeak(t *testing.T) {
-	w := &credentialWorld{world: served(t, 29)}
-	w.keepLog = true
+	w := &credentialWorld{world: servingWorld(t, 29)}
+	w.keepLogs = true
 	var leaks []string
 	find := func(where string, text []byte) {
 		for _, key := range []string{"kept-3c1b7f", "unknown-9ac04d"} {
@@ -255,7 +255,7 @@
 	for i, key := range []string{"kept-3c1b7f", "unknown-9ac04d"} {
 		for _, host := range sortedKeys(w.nodes) {
 			for _, op := range []string{"queue.submit", "queue.state", "queue.cancel"} {
-				got := w.settle(w.nodes[host], evRequest{Op: op, Host: "h.example", Path: "/p/job-" + host, Base: -1, Body: job, Credential: key}, 4000)
+				got := w.callAndWait(w.nodes[host], evRequest{Op: op, Host: "h.example", Path: "/p/job-" + host, Base: -1, Body: job, Credential: key}, 4000)
 				must.Eq(t, i == 1, got.status == 401, must.Sprint(host, " ", op, " ", got))
 				find("a reply", []byte(got.body))
 			}
@@ -269,9 +269,9 @@
 			find("the disk of "+host, entry)
 		}
 		for _, op := range []string{"soundness", "members", "workers"} {
-			find(op, []byte(w.settle(w.nodes[host], evRequest{Op: op, Base: -1}, 2000).body))
+			find(op, []byte(w.callAndWait(w.nodes[host], evRequest{Op: op, Base: -1}, 2000).body))
 		}
-		find("the counts of "+host, []byte(strings.Join(sortedKeys(w.nodes[host].sh.node.counts), " ")))
+		find("the counts of "+host, []byte(strings.Join(sortedKeys(w.nodes[host].executor.node.counts), " ")))
 	}
 	must.Positive(t, len(w.logs))
 	must.SliceEmpty(t, leaks)
--- a/internal/daemon/cutoff_test.go
+++ b/internal/daemon/cutoff_test.go
@@ -44,17 +44,17 @@
 			continue
 		}
 		if out {
-			w.oneWay(at, other, true)
+			w.setCut(at, other, true)
 		}
 		if in {
-			w.oneWay(other, at, true)
+			w.setCut(other, at, true)
 		}
 	}
 }
 
 func (w *world) twoOtherMembers(at string) []string {
 	var out []string
-	for _, m := range w.nodes[at].sh.node.core.Names() {
+	for _, m := range w.nodes[at].executor.node.core.Names() {
 		if m != at && len(out) < 2 {
 			out = append(out, m)
 		}
@@ -78,7 +78,7 @@
 	t.Helper()
 	for _, name := range []string{"d06", "d07", "d08", "d01"} {
 		e := evRequest{Op: "setup.put", Key: fmt.Sprint(version), Base: base, Body: queueSetup("a", fmt.Sprintf(`%s,"max_limit_ms":%d`, queueAddresses, version))}
-		if w.settle(w.nodes[name], e, 4000).status == 200 {
+		if w.callAndWait(w.nodes[name], e, 4000).status == 200 {
 			return
 		}
 	}
@@ -105,13 +105,13 @@
 }
 
 func checkCutOffReplies(t *testing.T, seed uint64, kind, at string, durationMs int64) {
-	w := served(t, seed)
+	w := servingWorld(t, seed)
 	n, version := w.nodes[at], int64(2)
 	w.putAnywhere(t, version, 0)
 	w.run(1000)
-	must.SliceContains(t, []int{200, 201}, w.settle(w.nodes["d07"], queueCall("queue.submit", "j1"), 3000).status)
+	must.SliceContains(t, []int{200, 201}, w.callAndWait(w.nodes["d07"], queueCall("queue.submit", "j1"), 3000).status)
 	must.True(t, w.until(20_000, func() bool {
-		return gjson.Get(w.settle(w.nodes["d07"], queueCall("queue.state", "j1"), 3000).body, "state").Str == "complete"
+		return gjson.Get(w.callAndWait(w.nodes["d07"], queueCall("queue.state", "j1"), 3000).body, "state").Str == "complete"
 	}))
 	w.run(1000)
 	cutKinds[kind](w, at)
@@ -129,11 +129,11 @@
 	}
 	unanswered, lastReply := 0, ""
 	probe := func(name string, e evRequest) {
-		sent, frozenToUs := w.nowMs(), n.frozenTo
+		sent, frozenToUs := w.nowMs(), n.frozenUntilUs
 		unanswered++
 		w.call("caller", n, e, 15_000, func(status int, retryMs int64, b []byte) {
 			unanswered--
-			from := max(sent, frozenToUs/1000, n.frozenTo/1000)
+			from := max(sent, frozenToUs/1000, n.frozenUntilUs/1000)
 			lastReply = fmt.Sprintf("%s, sent %d ms after the cut, answered after %d ms: %d %s", name, sent-cutMs, w.nowMs()-from, status, b)
 			outcomeUnknown := name == "submit" && status == 504
 			if sent > cutMs+lease.DurationMs && (status != 503 && !outcomeUnknown || retryMs <= 0) {
@@ -152,7 +152,7 @@
 		probe("submit", queueCall("queue.submit", fmt.Sprint("k", i)))
 		w.run(durationMs / 40)
 		if i%10 == 5 {
-			current := w.settle(w.nodes["d07"], evRequest{Op: "setup.get"}, 3000) // a command from before the lease ended may have taken effect
+			current := w.callAndWait(w.nodes["d07"], evRequest{Op: "setup.get"}, 3000) // a command from before the lease ended may have taken effect
 			must.Eq(t, 200, current.status)
 			w.putAnywhere(t, max(version, gjson.Get(current.body, "version").Int())+2000, gjson.Get(current.body, "version").Int())
 			version = gjson.Get(current.body, "version").Int() + 2000
@@ -210,17 +210,17 @@
 func TestReadThroughAFreeze(t *testing.T) {
 	for seed := range uint64(6) {
 		for _, at := range []string{"d01", "d05"} {
-			w := served(t, 7900+seed)
+			w := servingWorld(t, 7900+seed)
 			w.putAnywhere(t, 2, 0)
 			w.run(1000)
 			n := w.nodes[at]
-			var got []answered
+			var got []callResult
 			w.call("caller", n, evRequest{Op: "setup.get", Base: -1}, 20_000, func(status int, _ int64, b []byte) {
-				got = append(got, answered{status, string(b)})
+				got = append(got, callResult{status, string(b)})
 			})
-			must.True(t, w.stepUntil(1000, func() bool { return len(n.sh.node.config.awaiting) > 0 }))
-			polls := n.sh.node.leases.LatestRound()
-			must.True(t, w.stepUntil(1000, func() bool { return n.sh.node.leases.LatestRound() > polls }))
+			must.True(t, w.stepUntil(1000, func() bool { return len(n.executor.node.config.awaiting) > 0 }))
+			polls := n.executor.node.leases.LatestRound()
+			must.True(t, w.stepUntil(1000, func() bool { return n.executor.node.leases.LatestRound() > polls }))
 			n.freeze(9000) // its poll is on its way; the reply waits for it
 			w.run(2000)
 			w.putAnywhere(t, 3, 2)
@@ -238,20 +238,20 @@
 // a new owner may have accepted the job meanwhile.
 func TestUnknownJobThroughAFreeze(t *testing.T) {
 	for seed := range uint64(6) {
-		w := served(t, 7920+seed)
+		w := servingWorld(t, 7920+seed)
 		w.putAnywhere(t, 2, 0)
 		w.run(1000)
-		owner := w.holderOf("slice/" + w.nodes["d00"].sh.node.shardOf("j9"))
-		var got []answered
+		owner := w.holderOf("slice/" + w.nodes["d00"].executor.node.shardOf("j9"))
+		var got []callResult
 		w.call("caller", owner, queueCall("queue.state", "j9"), 20_000, func(status int, _ int64, b []byte) {
-			got = append(got, answered{status, string(b)})
+			got = append(got, callResult{status, string(b)})
 		})
-		shard := owner.sh.node.shards[w.nodes["d00"].sh.node.shardOf("j9")]
+		shard := owner.executor.node.shards[w.nodes["d00"].executor.node.shardOf("j9")]
 		must.True(t, w.stepUntil(1000, func() bool { return len(shard.fetches) > 0 }))
 		owner.freeze(9000)
 		w.run(4000)
 		must.True(t, w.until(4000, func() bool {
-			status := w.settle(w.nodes["d07"], queueCall("queue.submit", "j9"), 1000).status
+			status := w.callAndWait(w.nodes["d07"], queueCall("queue.submit", "j9"), 1000).status
 			return status == 200 || status == 201
 		}))
 		must.True(t, w.until(12_000, func() bool { return len(got) > 0 }))
--- a/internal/daemon/disk_test.go
+++ b/internal/daemon/disk_test.go
@@ -14,7 +14,7 @@
 	w := formed(t, 2, "ikenna")
 	w.nodes["d01"].event(evDisk{Failed: "no space left"})
 	w.run(1000)
-	must.False(t, w.nodes["d01"].sh.node.inCore())
+	must.False(t, w.nodes["d01"].executor.node.inCore())
 	w.traffic(5000)
 	w.run(5000)
 	requireAllDone(t, w, 20_000)
--- a/internal/daemon/durability_test.go
+++ b/internal/daemon/durability_test.go
@@ -26,11 +26,11 @@
 func (b *platformWorld) readAllJobs() {
 	for _, id := range sortedKeys(b.jobs) {
 		if j := b.jobs[id]; j.acked {
-			b.look(j)
+			b.readState(j)
 			b.run(20)
 		}
 	}
-	b.run(b.deployment.callerMs)
+	b.run(b.deployment.callTimeoutMs)
 }
 
 // Guards against finished jobs that are dropped too early. A job whose last end is reported right after
@@ -57,8 +57,8 @@
 		}
 		must.True(t, b.until(20_000, ended))
 		for _, host := range b.disks() {
-			for _, name := range b.nodes[host].sh.node.store.ShardNames() {
-				b.nodes[host].sh.node.store.Shard(name).EachFinished(func(r statestore.Record) {
+			for _, name := range b.nodes[host].executor.node.store.ShardNames() {
+				b.nodes[host].executor.node.store.Shard(name).EachFinished(func(r statestore.Record) {
 					must.Greater(t, int64(wallStart), r.DoneMs, must.Sprint(host, " records ", r.ID, " as done at ", r.DoneMs))
 				})
 			}
@@ -68,7 +68,7 @@
 		for _, j := range jobs {
 			must.True(t, !j.acked || j.state == "complete", must.Sprintf("job %s is reported as %s", j.id, j.state))
 		}
-		verdictOfPlatform(t, b)
+		checkPlatformRun(t, b)
 	}
 }
 
@@ -89,33 +89,33 @@
 			b := formPlatform(t, seed, deploymentName)
 			b.traffic()
 			accepted := 1 + b.rng.IntN(40)
-			b.onSee = func(e platformEvent) {
-				if e.kind != bJobTried || e.n >= 300 {
+			b.onEvent = func(e platformEvent) {
+				if e.kind != eventJobResponse || e.n >= 300 {
 					return
 				}
 				if accepted--; accepted != 0 {
 					return
 				}
-				b.onSee = nil
+				b.onEvent = nil
 				b.after(b.rng.Int64N(400_000), func() {
 					b.after(400_000+b.rng.Int64N(1_600_000), b.killCore(true))
 				})
 			}
 			b.run(6000)
-			b.onSee = nil
+			b.onEvent = nil
 			for range 2 {
 				platformFaults["slow disk"](b)
 				b.run(5000)
 			}
-			b.after(300_000+b.rng.Int64N(1_000_000), b.killCore(b.share(0.5)))
+			b.after(300_000+b.rng.Int64N(1_000_000), b.killCore(b.chance(0.5)))
 			b.run(6000)
-			if b.coreWhole() != nil {
-				b.wipe(b.some(b.disks()), b.share(0.5), 300+b.rng.Int64N(2000))
+			if b.completeCore() != nil {
+				b.wipe(b.pickOne(b.disks()), b.chance(0.5), 300+b.rng.Int64N(2000))
 			}
 			b.run(8000)
 			b.finish(120_000)
 			b.readAllJobs()
-			verdictOfPlatform(t, b)
+			checkPlatformRun(t, b)
 		})
 	}
 }
@@ -133,19 +133,19 @@
 	source.disk.plant(statestore.Entry{Kind: statestore.EntryExpire, Name: "mid", Epoch: uint64(keepFrom)})
 	source.kill(false)
 	source.start()
-	sourceShard := source.sh.node.store.Shard("mid")
+	sourceShard := source.executor.node.store.Shard("mid")
 	firstChunk := sourceShard.FirstChunk()
 	must.Greater(t, 3, firstChunk)
 	kept := sourceShard.Finished()
 	must.Greater(t, many-expired-1, kept)
 
 	joiner := w.nodes["d02"]
-	must.True(t, w.until(10_000, func() bool { return w.coreWhole() != nil }))
+	must.True(t, w.until(10_000, func() bool { return w.completeCore() != nil }))
 	joiner.kill(true)
 	joiner.wipe()
 	joiner.start()
 	copyChunk := func() uint64 {
-		if at := joiner.sh.node.members.CopyCursor("d00"); at.Shard == "mid" {
+		if at := joiner.executor.node.members.CopyCursor("d00"); at.Shard == "mid" {
 			return at.Chunk
 		}
 		return 0
@@ -155,12 +155,12 @@
 	}
 	must.Greater(t, firstChunk, copyChunk())
 	source.disk.entries, source.disk.synced = nil, 0 // as left by a snapshot
-	source.disk.plant(source.sh.node.store.Dump()...)
+	source.disk.plant(source.executor.node.store.Dump()...)
 	source.kill(false)
 	source.start()
-	must.Less(t, firstChunk, source.sh.node.store.Shard("mid").FirstChunk())
-	must.True(t, w.until(30_000, func() bool { return w.coreWhole() != nil }))
-	must.Eq(t, kept, joiner.sh.node.store.Shard("mid").Finished())
+	must.Less(t, firstChunk, source.executor.node.store.Shard("mid").FirstChunk())
+	must.True(t, w.until(30_000, func() bool { return w.completeCore() != nil }))
+	must.Eq(t, kept, joiner.executor.node.store.Shard("mid").Finished())
 }
 
 // Guards against finished jobs that are dropped by a wrong clock: they expire by the time of a majority
@@ -181,19 +181,19 @@
 	w.nodes["d00"].start()
 	member.start()
 	w.run(25_000)
-	must.Eq(t, 100, member.sh.node.store.Shard("mid").Finished())
+	must.Eq(t, 100, member.executor.node.store.Shard("mid").Finished())
 	member.skewMs = 0
 	w.heal()
 	w.run(25_000)
 	for _, name := range []string{"d00", "d01"} {
-		must.Eq(t, 100, w.nodes[name].sh.node.store.Shard("mid").Finished(), must.Sprint(name))
+		must.Eq(t, 100, w.nodes[name].executor.node.store.Shard("mid").Finished(), must.Sprint(name))
 	}
 	for _, name := range sortedKeys(w.nodes) { // once a week has passed they are dropped
 		w.nodes[name].skewMs = week
 	}
 	w.run(30_000)
 	for _, name := range []string{"d00", "d01"} {
-		must.Zero(t, w.nodes[name].sh.node.store.Shard("mid").Finished(), must.Sprint(name))
+		must.Zero(t, w.nodes[name].executor.node.store.Shard("mid").Finished(), must.Sprint(name))
 	}
 }
 
@@ -201,7 +201,7 @@
 // If one member has the job as finished and another as live, the remaining members must decide.
 func TestStateFromCoreDoesNotGoBack(t *testing.T) {
 	w := formed(t, 4, "ikenna")
-	n := w.nodes["d05"].sh.node
+	n := w.nodes["d05"].executor.node
 	held := func(state jobStatus, version, doneMs int64) []statestore.Record {
 		j := &jobRecord{ID: "j", Queue: "q", State: state, Version: version, DoneMs: doneMs}
 		return []statestore.Record{{ID: "j", Epoch: 1, Version: version, Live: doneMs == 0, DoneMs: doneMs, Value: j.encode()}}
--- a/internal/daemon/entering_test.go
+++ b/internal/daemon/entering_test.go
@@ -15,8 +15,8 @@
 	w := formed(t, 1, "hakata")
 	w.run(3000)
 	_, owner := frontAndOwner(t, w)
-	id, queue := idOwnedBy(w, owner, "job"), w.dep.InitialConfiguration().Queues[0].Name
-	w.detain = func(_, _ string, msg any) int64 {
+	id, queue := idOwnedBy(w, owner, "job"), w.deployment.InitialConfiguration().Queues[0].Name
+	w.extraDelayUs = func(_, _ string, msg any) int64 {
 		if _, ok := msg.(*wire.FetchResponse); ok {
 			return 100_000 // delays the lookup
 		}
@@ -28,7 +28,7 @@
 	}
 	got := map[string]reply{}
 	send := func(op string, body []byte) {
-		w.ask("caller", owner, op, id, body, 5000, func(status int, _ int64, b []byte) { got[op] = reply{status, b} })
+		w.request("caller", owner, op, id, body, 5000, func(status int, _ int64, b []byte) { got[op] = reply{status, b} })
 		w.run(5)
 	}
 	send("job.put", jobBody(queue))
@@ -41,7 +41,7 @@
 	must.SliceContains(t, []string{"pending", "cancelled"}, gjson.GetBytes(got["job.state"].body, "state").Str) // the cancel is in progress
 	must.Eq(t, 200, got["job.get"].status, must.Sprint(string(got["job.get"].body)))
 	must.Eq(t, 200, got["job.cancel"].status, must.Sprint(string(got["job.cancel"].body)))
-	status, _, body, _ := w.asked("caller", owner, "job.state", id, nil)
+	status, _, body, _ := w.requestAndWait("caller", owner, "job.state", id, nil)
 	must.Eq(t, 200, status)
 	must.Eq(t, "cancelled", gjson.GetBytes(body, "state").Str)
 }
@@ -52,8 +52,8 @@
 	w := formed(t, 1, "hakata")
 	w.run(3000)
 	_, owner := frontAndOwner(t, w)
-	id, queue := idOwnedBy(w, owner, "job"), w.dep.InitialConfiguration().Queues[0].Name
-	w.detain = func(_, _ string, msg any) int64 {
+	id, queue := idOwnedBy(w, owner, "job"), w.deployment.InitialConfiguration().Queues[0].Name
+	w.extraDelayUs = func(_, _ string, msg any) int64 {
 		if _, ok := msg.(*wire.FetchResponse); ok {
 			return 100_000
 		}
@@ -61,14 +61,14 @@
 	}
 	got := map[string]int{}
 	send := func(op string, body []byte) {
-		w.ask("caller", owner, op, id, body, 5000, func(status int, _ int64, _ []byte) { got[op] = status })
+		w.request("caller", owner, op, id, body, 5000, func(status int, _ int64, _ []byte) { got[op] = status })
 		w.run(5)
 	}
 	send("job.put", jobBody(queue))
 	send("job.state", nil)
 	send("job.cancel", nil)
-	owner.sh.node.config.confirmedMs = -1 << 40 // the configuration is unconfirmed when the lookup ends
-	w.detain = func(_, _ string, msg any) int64 {
+	owner.executor.node.config.confirmedMs = -1 << 40 // the configuration is unconfirmed when the lookup ends
+	w.extraDelayUs = func(_, _ string, msg any) int64 {
 		if _, ok := msg.(*wire.PollResponse); ok {
 			return 2_000_000
 		}
--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -18,12 +18,12 @@
 
 const errDiskFull = "no space left on device"
 
-// cutWay is the direction in which a machine is cut off.
-type cutWay string
+// cutDirection is the direction in which a machine is cut off.
+type cutDirection string
 
 const (
-	cutOutward cutWay = "outward" // it receives from the others but can't send to them
-	cutInward  cutWay = "inward"  // it can send to the others but receives nothing
+	cutOutward cutDirection = "outward" // it receives from the others but can't send to them
+	cutInward  cutDirection = "inward"  // it can send to the others but receives nothing
 )
 
 // fillDisk makes every write and sync of a disk fail until undone. The disk stays full through
@@ -41,8 +41,8 @@
 
 // slowDisk makes a disk slower by a factor.
 func (w *world) slowDisk(host string, times int64) (undo func()) {
-	w.syncUs[host] = 1250 * (times - 1)
-	return func() { delete(w.syncUs, host) }
+	w.extraSyncUs[host] = 1250 * (times - 1)
+	return func() { delete(w.extraSyncUs, host) }
 }
 
 // resetConnections resets a share of the connections of some machines. Messages in transit on
@@ -57,32 +57,32 @@
 	}
 }
 
-// loseAnswers loses a share of the responses to a caller. The requests themselves are
+// loseResponses loses a share of the responses to a caller. The requests themselves are
 // executed.
-func (w *world) loseAnswers(to string, share float64) (undo func()) {
+func (w *world) loseResponses(to string, share float64) (undo func()) {
 	w.responseLoss[to] = share
 	return func() { delete(w.responseLoss, to) }
 }
 
-// sentAnswer is a response as it leaves a daemon.
-type sentAnswer struct {
+// sentResponse is a response as it leaves a daemon.
+type sentResponse struct {
 	caller string
 	from   *simNode
 	call   evRequest
 	status int
 }
 
-func (a sentAnswer) accepted() bool { return a.status >= 200 && a.status < 300 }
+func (a sentResponse) accepted() bool { return a.status >= 200 && a.status < 300 }
 
-// whenAnswered registers a callback for each response that leaves a daemon. It is removed once
+// onEachResponse registers a callback for each response that leaves a daemon. It is removed once
 // it returns true.
-func (w *world) whenAnswered(observe func(sentAnswer) (over bool)) {
+func (w *world) onEachResponse(observe func(sentResponse) (over bool)) {
 	w.onResponse = append(w.onResponse, observe)
 }
 
 // responseLost runs the callbacks for a response and reports whether the response is lost.
-func (w *world) responseLost(a sentAnswer) (lost bool) {
-	w.onResponse = slices.DeleteFunc(w.onResponse, func(see func(sentAnswer) bool) bool { return see(a) })
+func (w *world) responseLost(a sentResponse) (lost bool) {
+	w.onResponse = slices.DeleteFunc(w.onResponse, func(see func(sentResponse) bool) bool { return see(a) })
 	share := w.responseLoss[a.caller]
 	return share > 0 && w.rng.Float64() < share
 }
@@ -145,8 +145,8 @@
 // lost reports whether a machine with a disk counts as lost now: it is faulty, or has not been
 // back long enough to have caught up.
 func (b *platformWorld) lost(host string) bool {
-	at, known := b.calmMs[host]
-	return b.troubled[host] > 0 || known && b.nowMs()-at < lossEndsMs
+	at, known := b.faultFreeSinceMs[host]
+	return b.activeFaults[host] > 0 || known && b.nowMs()-at < lossEndsMs
 }
 
 // mayLose reports whether these further machines may be lost now.
@@ -160,38 +160,38 @@
 	return sum <= b.lossesAllowed()
 }
 
-// troubleFor records a fault, and undoes it after ms.
-func (b *platformWorld) troubleFor(text, host string, ms int64, undo func()) {
-	b.trouble(text, host)
+// faultFor records a fault, and undoes it after ms.
+func (b *platformWorld) faultFor(text, host string, ms int64, undo func()) {
+	b.beginFault(text, host)
 	b.after(ms*1000, func() {
 		undo()
-		b.calm(text, host)
+		b.endFault(text, host)
 	})
 }
 
 func (b *platformWorld) diskFull(host string, ms int64) {
-	b.troubleFor("disk full", host, ms, b.fillDisk(host))
+	b.faultFor("disk full", host, ms, b.fillDisk(host))
 }
 
 func (b *platformWorld) diskStall(host string, ms int64) {
 	b.stallDisk(host, ms)
-	b.troubleFor("disk stalled", host, ms, func() {})
+	b.faultFor("disk stalled", host, ms, func() {})
 }
 
 func (b *platformWorld) diskSlow(host string, times, ms int64) {
-	b.troubleFor("disk slow", host, ms, b.slowDisk(host, times))
+	b.faultFor("disk slow", host, ms, b.slowDisk(host, times))
 }
 
 // clockStep sets a machine's wall clock wrong by byMs, and right again after ms.
 func (b *platformWorld) clockStep(host string, byMs, ms int64) {
-	b.troubleFor("clock", host, ms, b.stepClock(host, byMs))
+	b.faultFor("clock", host, ms, b.stepClock(host, byMs))
 }
 
 // resets resets connections of some machines repeatedly for a while.
 func (b *platformWorld) resets(hosts []string, share float64, ms int64) {
 	end := b.nowMs() + ms
 	for _, host := range hosts {
-		b.troubleFor("reset", host, ms, func() {})
+		b.faultFor("reset", host, ms, func() {})
 	}
 	var again func()
 	again = func() {
@@ -204,7 +204,7 @@
 }
 
 // cutOne cuts a machine off in one direction.
-func (b *platformWorld) cutOne(host string, way cutWay) (heal func()) {
+func (b *platformWorld) cutOne(host string, way cutDirection) (heal func()) {
 	b.cutOneWay[host] = way
 	return b.cut(host)
 }
@@ -225,13 +225,13 @@
 	for _, host := range b.zoneHosts(zone) {
 		b.after((downMs+b.rng.Int64N(1500))*1000, b.kill(host, true))
 		if s := b.byHost[host]; s != nil {
-			b.crashFor(s, downMs+b.rng.Int64N(1500))
+			b.crashAndReplace(s, downMs+b.rng.Int64N(1500))
 		}
 	}
 }
 
-// standing returns the machines of the edge that are running.
-func (b *platformWorld) standing() []string {
+// runningEdges returns the machines of the edge that are running.
+func (b *platformWorld) runningEdges() []string {
 	return slices.DeleteFunc(b.edges(), func(host string) bool { return !b.nodes[host].up })
 }
 
@@ -239,7 +239,7 @@
 func (b *platformWorld) successor(of string) *simNode {
 	b.newHosts++
 	var seeds []string
-	for _, host := range b.standing() {
+	for _, host := range b.runningEdges() {
 		if len(seeds) < 3 {
 			seeds = append(seeds, b.nodes[host].Addr)
 		}
@@ -254,8 +254,8 @@
 	}
 	b.checkReady(name)
 	n.start()
-	b.calmMs[name] = b.nowMs()
-	b.see(platformEvent{kind: bCore, host: name})
+	b.faultFreeSinceMs[name] = b.nowMs()
+	b.record(platformEvent{kind: eventCoreChanged, host: name})
 	return n
 }
 
@@ -267,9 +267,9 @@
 		if b.nodes[old].removed {
 			return
 		}
-		b.trouble("stopped", old)
+		b.beginFault("stopped", old)
 		b.nodes[old].stopOrKill(graceMs, func() {
-			b.calm("stopped", old)
+			b.endFault("stopped", old)
 			b.remove(old)
 		})
 	})
@@ -278,7 +278,7 @@
 // replaceLost removes a core machine for good. A new one is started after a while.
 func (b *platformWorld) replaceLost(old string, gapMs int64) {
 	b.nodes[old].kill(true)
-	b.trouble("removed", old)
+	b.beginFault("removed", old)
 	b.after(gapMs*1000, func() {
 		b.remove(old)
 		b.successor(old)
@@ -292,38 +292,38 @@
 	}
 }
 
-// struck says when a loss happens relative to an operator's or a caller's request.
-type struck string
+// lossTiming says when a loss happens relative to an operator's or a caller's request.
+type lossTiming string
 
 const (
-	struckSent         struck = "sent"         // 5 to 400 ms after a configuration change was sent
-	struckAcknowledged struck = "acknowledged" // within 4 ms after the response to a configuration change was sent
-	struckTaken        struck = "taken"        // within 4 ms after the response that accepts a job was sent
+	lossAfterSend       lossTiming = "sent"         // 5 to 400 ms after a configuration change was sent
+	lossAfterAck        lossTiming = "acknowledged" // within 4 ms after the response to a configuration change was sent
+	lossAfterAcceptance lossTiming = "taken"        // within 4 ms after the response that accepts a job was sent
 )
 
-// strike applies a fault to the machine that answers a request, at a moment close to that
+// loseAtResponse applies a fault to the machine that answers a request, at a moment close to that
 // response. It sends the configuration change that it waits for.
-func (b *platformWorld) strike(when struck, do func(host string)) {
+func (b *platformWorld) loseAtResponse(when lossTiming, do func(host string)) {
 	switch when {
-	case struckSent:
+	case lossAfterSend:
 		b.change(nil)
-		b.after(5000+b.rng.Int64N(395_000), func() { do(b.some(b.diskHosts)) })
-	case struckAcknowledged:
+		b.after(5000+b.rng.Int64N(395_000), func() { do(b.pickOne(b.diskHosts)) })
+	case lossAfterAck:
 		b.afterResponse("setup.put", do)
 		b.change(nil)
-	case struckTaken:
+	case lossAfterAcceptance:
 		b.afterResponse("queue.submit", do)
 	}
 }
 
 // afterResponse applies a fault within 4 ms of the next successful response to a request.
 func (b *platformWorld) afterResponse(op string, do func(host string)) {
-	b.whenAnswered(func(a sentAnswer) bool {
+	b.onEachResponse(func(a sentResponse) bool {
 		if a.call.Op != op || !a.accepted() {
 			return false
 		}
 		within := int64(4000)
-		if b.share(0.5) { // before a disk can have synced anything more
+		if b.chance(0.5) { // before a disk can have synced anything more
 			within = 400
 		}
 		b.after(b.rng.Int64N(within), func() { do(a.from.Name) })
@@ -355,12 +355,12 @@
 	must.True(t, b.changeAcknowledged(5000), must.Sprint("two disks of three accept a change"))
 	b.run(1000)
 	must.True(t, n.disk.failed)
-	must.False(t, n.sh.node.inCore())
+	must.False(t, n.executor.node.inCore())
 	must.True(t, b.changeAcknowledged(5000))
 	must.LessEq(t, synced, n.disk.synced)
 	undo()
-	must.True(t, b.until(3000, func() bool { return n.sh.node.inCore() && n.disk.synced > synced }), must.Sprint("it is back without a restart"))
-	must.True(t, b.until(5000, func() bool { return len(b.coreWhole()) == membership.DefaultSize }))
+	must.True(t, b.until(3000, func() bool { return n.executor.node.inCore() && n.disk.synced > synced }), must.Sprint("it is back without a restart"))
+	must.True(t, b.until(5000, func() bool { return len(b.completeCore()) == membership.DefaultSize }))
 	must.True(t, b.changeAcknowledged(5000))
 }
 
@@ -380,9 +380,9 @@
 		n.start()
 		must.True(t, b.changeAcknowledged(5000))
 		b.run(2000)
-		must.False(t, n.sh.node.inCore())
+		must.False(t, n.executor.node.inCore())
 		undo()
-		must.True(t, b.until(8000, func() bool { return len(b.coreWhole()) == membership.DefaultSize }))
+		must.True(t, b.until(8000, func() bool { return len(b.completeCore()) == membership.DefaultSize }))
 	}
 }
 
@@ -441,8 +441,8 @@
 	b.replacePlanned("d01", 1000)
 	must.True(t, b.until(10_000, func() bool { return b.nodes["d01"].removed }))
 	must.Eq(t, []string{"d00", "n01", "d02"}, b.disks())
-	must.True(t, b.until(15_000, func() bool { return len(b.coreWhole()) == membership.DefaultSize }), must.Sprint("the new machine replaces the old one in the core"))
-	must.True(t, b.nodes["n01"].sh.node.inCore())
+	must.True(t, b.until(15_000, func() bool { return len(b.completeCore()) == membership.DefaultSize }), must.Sprint("the new machine replaces the old one in the core"))
+	must.True(t, b.nodes["n01"].executor.node.inCore())
 	b.nodes["d01"].start()
 	must.False(t, b.nodes["d01"].up)
 }
@@ -451,7 +451,7 @@
 	b := formedPlatform(t, 7)
 	b.replaceLost("d00", 500)
 	must.False(t, b.mayLose("d02"))
-	must.True(t, b.until(15_000, func() bool { return len(b.coreWhole()) == membership.DefaultSize }))
+	must.True(t, b.until(15_000, func() bool { return len(b.completeCore()) == membership.DefaultSize }))
 	b.run(lossEndsMs)
 	must.True(t, b.mayLose("d02"))
 	must.True(t, b.changeAcknowledged(3000))
@@ -461,9 +461,9 @@
 // Callbacks also see the responses that are lost.
 func TestFaultLostAnswers(t *testing.T) {
 	b := formedPlatform(t, 8)
-	undo := b.loseAnswers("operator", 1)
+	undo := b.loseResponses("operator", 1)
 	taken := 0
-	b.whenAnswered(func(a sentAnswer) bool {
+	b.onEachResponse(func(a sentResponse) bool {
 		if a.call.Op == "setup.put" && a.accepted() {
 			taken++
 		}
@@ -477,21 +477,21 @@
 
 // A fault aimed at a response hits the machine that sent it within 4 ms.
 func TestFaultAimedAtResponse(t *testing.T) {
-	for i, when := range []struck{struckSent, struckAcknowledged, struckTaken} {
+	for i, when := range []lossTiming{lossAfterSend, lossAfterAck, lossAfterAcceptance} {
 		b := formedPlatform(t, uint64(9+i))
 		b.traffic()
 		hit, leftMs := "", int64(0)
-		b.whenAnswered(func(a sentAnswer) bool {
-			if when == struckAcknowledged && a.call.Op == "setup.put" || when == struckTaken && a.call.Op == "queue.submit" && a.accepted() {
+		b.onEachResponse(func(a sentResponse) bool {
+			if when == lossAfterAck && a.call.Op == "setup.put" || when == lossAfterAcceptance && a.call.Op == "queue.submit" && a.accepted() {
 				leftMs = b.nowMs()
 				return true
 			}
 			return false
 		})
-		b.strike(when, func(host string) {
+		b.loseAtResponse(when, func(host string) {
 			hit = host
 			b.powerOf([]string{host}, true, 500)
-			if when != struckSent {
+			if when != lossAfterSend {
 				must.LessEq(t, leftMs+4, b.nowMs())
 			}
 		})
--- a/internal/daemon/fence_test.go
+++ b/internal/daemon/fence_test.go
@@ -15,7 +15,7 @@
 // returns its reply.
 func coreMemberOf(t *testing.T) (*node, func(from string, msg any) any) {
 	w := formed(t, 4, "ikenna")
-	n := w.nodes["d01"].sh.node
+	n := w.nodes["d01"].executor.node
 	return n, func(from string, msg any) any {
 		var back any
 		collect := func(effects []effect) {
@@ -125,7 +125,7 @@
 
 	w := formed(t, 4, "ikenna")
 	must.True(t, w.until(5000, func() bool { return w.holderOf("slice/east") != nil }))
-	owner := w.holderOf("slice/east").sh.node
+	owner := w.holderOf("slice/east").executor.node
 	owner.startShard("east", 99)
 	var wrote []statestore.Record
 	for from, recs := range map[string][]statestore.Record{"d00": nil, "d01": {finished}} {
--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -157,7 +157,7 @@
 	return fmt.Sprintf("{Round:%d Proposer:%s Life:%d}", b.Round, b.Proposer, b.Instance)
 }
 
-func quiet(string, ...any) {}
+func discardLog(string, ...any) {}
 
 func hashOf(b []byte) string {
 	sum := sha256.Sum256(b)
@@ -169,7 +169,7 @@
 func writeFixtureFolder(t *testing.T, folder string, member *simNode) {
 	t.Helper()
 	must.NoError(t, os.MkdirAll(folder, 0o755))
-	d, _, err := storage.Open(folder, member.DiskID, quiet)
+	d, _, err := storage.Open(folder, member.DiskID, discardLog)
 	must.NoError(t, err)
 	go d.Run(diskListener{func(do func(*executor)) { do(&executor{node: newNode(nodeConfig{}, nil)}) }})
 	st := statestore.New()
@@ -225,7 +225,7 @@
 	must.NoError(t, err)
 	b[len(b)/2] ^= 0xff
 	must.NoError(t, os.WriteFile(path, b, 0o600))
-	d, _, err := storage.Open(damaged, 99, quiet) // quarantines the files
+	d, _, err := storage.Open(damaged, 99, discardLog) // quarantines the files
 	must.NoError(t, err)
 	go d.Run(diskListener{})
 	d.Close()
@@ -251,7 +251,7 @@
 	for _, name := range append([]string{"damaged"}, fixtureMembers...) {
 		t.Run(name, func(t *testing.T) {
 			dir := copyOfFixture(t, name)
-			d, st, err := storage.Open(dir, 77, quiet)
+			d, st, err := storage.Open(dir, 77, discardLog)
 			must.NoError(t, err)
 			go d.Run(diskListener{func(func(*executor)) {}})
 			defer d.Close()
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -38,8 +38,8 @@
 
 func (u *faultInjector) randomDaemon() int { return u.rng.IntN(len(u.addr)) }
 
-// whole reports whether all three core members are alive, so that one may lose its disk.
-func (u *faultInjector) whole() bool {
+// coreComplete reports whether all three core members are alive, so that one may lose its disk.
+func (u *faultInjector) coreComplete() bool {
 	_, b, err := u.call("GET", "/v1/soundness", "")
 	return err == nil && gjson.GetBytes(b, "core_size").Int() == membership.DefaultSize && gjson.GetBytes(b, "core_live").Int() == membership.DefaultSize &&
 		gjson.GetBytes(b, "core_contact_ms").Int() < 1000
@@ -52,8 +52,8 @@
 	_ = u.events.Flush()
 }
 
-// declare has two operators race for the next configuration version.
-func (u *faultInjector) declare(dep historycheck.Deployment, empty []string) {
+// raceConfigs has two operators race for the next configuration version.
+func (u *faultInjector) raceConfigs(dep historycheck.Deployment, empty []string) {
 	u.version++
 	for i := range 2 {
 		s := dep.InitialConfiguration()
@@ -108,7 +108,7 @@
 		u.daemon(i)
 	},
 	"empty and at a new address": func(u *faultInjector, _ historycheck.Deployment) {
-		if !u.whole() {
+		if !u.coreComplete() {
 			return
 		}
 		i := u.rng.IntN(membership.DefaultSize)
@@ -144,11 +144,11 @@
 		_ = u.end(fmt.Sprintf("w%02d", i), syscall.SIGTERM)
 		u.worker(i)
 	},
-	"operators race": func(u *faultInjector, dep historycheck.Deployment) { u.declare(dep, nil) },
+	"operators race": func(u *faultInjector, dep historycheck.Deployment) { u.raceConfigs(dep, nil) },
 	"site emptied": func(u *faultInjector, dep historycheck.Deployment) {
-		u.declare(dep, []string{historycheck.Zones[u.rng.IntN(3)]})
+		u.raceConfigs(dep, []string{historycheck.Zones[u.rng.IntN(3)]})
 		u.pause(6000, 8000)
-		u.declare(dep, nil)
+		u.raceConfigs(dep, nil)
 	},
 }
 
@@ -169,7 +169,7 @@
 	file, err := os.Create(filepath.Join(records, "operators.jsonl"))
 	must.NoError(t, err)
 	u := &faultInjector{fleet: f, rng: rand.New(rand.NewPCG(*fleetSeedFlag, 1)), events: bufio.NewWriter(file), counts: map[string]int{}}
-	u.declare(dep, nil)
+	u.raceConfigs(dep, nil)
 	caller := exec.Command(filepath.Join(f.bin, "otterchute-standin"), "downstream", "-deployment", dep.Name, "-daemons", strings.Join(f.http, ","), "-records", records,
 		"-seconds", fmt.Sprint(*fleetSecsFlag), "-settle", "90", "-seed", fmt.Sprint(*fleetSeedFlag), "-wave", "60", "-cancel", "30")
 	var output strings.Builder
--- a/internal/daemon/formation_test.go
+++ b/internal/daemon/formation_test.go
@@ -28,7 +28,7 @@
 			n.DiskID = w.rng.Uint64() | 1
 		}
 	}
-	w.keepLog = true
+	w.keepLogs = true
 	return w
 }
 
@@ -40,7 +40,7 @@
 		if !n.up {
 			continue
 		}
-		c := n.sh.node.core
+		c := n.executor.node.core
 		if c.Cluster == 0 || set != nil && (c.Cluster != set.Cluster || c.Version != set.Version) {
 			return nil
 		}
@@ -52,14 +52,14 @@
 // clusters returns the IDs of all clusters that any daemon or disk considers formed.
 func (w *world) clusters() map[uint64]bool {
 	all := map[uint64]bool{}
-	for _, n := range w.nodesInOrder() {
-		if n.sh == nil {
+	for _, n := range w.sortedNodes() {
+		if n.executor == nil {
 			continue
 		}
-		if c := n.sh.node.core.Cluster; c != 0 {
+		if c := n.executor.node.core.Cluster; c != 0 {
 			all[c] = true
 		}
-		if st := n.sh.node.store; st != nil && st.CoreSet().Version != 0 {
+		if st := n.executor.node.store; st != nil && st.CoreSet().Version != 0 {
 			all[st.CoreSet().Cluster] = true
 		}
 	}
@@ -73,7 +73,7 @@
 	}
 	for _, s := range c.Shards {
 		h := w.holderOf("slice/" + s)
-		if h == nil || !h.sh.node.shards[s].serving {
+		if h == nil || !h.executor.node.shards[s].serving {
 			return false
 		}
 	}
@@ -119,14 +119,14 @@
 			for _, b := range names {
 				switch w.rng.IntN(5) {
 				case 0:
-					w.hold[[2]string{a, b}] = w.rng.Int64N(900_000)
+					w.pathDelayUs[[2]string{a, b}] = w.rng.Int64N(900_000)
 				case 1:
 					w.cuts[[2]string{a, b}] = true
 				}
 			}
 		}
 		w.after(w.rng.Int64N(3_000_000), func() { w.cuts = map[[2]string]bool{} })
-		w.after(w.rng.Int64N(4_000_000), func() { w.hold = map[[2]string]int64{} })
+		w.after(w.rng.Int64N(4_000_000), func() { w.pathDelayUs = map[[2]string]int64{} })
 		for range 3 {
 			w.after(300_000+w.rng.Int64N(3_000_000), func() {
 				n := w.nodes[names[w.rng.IntN(len(names))]]
@@ -153,7 +153,7 @@
 		first := w.nodes["d00"]
 		must.True(t, w.until(10_000, func() bool {
 			for _, name := range sortedKeys(w.nodes) {
-				if n := w.nodes[name]; name != "d00" && n.up && n.sh.node.store != nil && n.sh.node.store.Formation().Cluster != 0 {
+				if n := w.nodes[name]; name != "d00" && n.up && n.executor.node.store != nil && n.executor.node.store.Formation().Cluster != 0 {
 					return true
 				}
 			}
@@ -166,7 +166,7 @@
 		must.True(t, w.until(40_000, func() bool {
 			return w.cluster() != nil && w.allServed() && len(w.cluster().Members) == 5 && !w.cluster().Has("d00", first.DiskID)
 		}), must.Sprint(seed, w.relevantLogs()))
-		first.sh = nil
+		first.executor = nil
 		must.MapLen(t, 1, w.clusters())
 	}
 }
@@ -174,7 +174,7 @@
 // Only daemons with the first-start setting form a core.
 func TestFormationOnlyAtAFirstStart(t *testing.T) {
 	w := coreWorld(4300, 5, eightDisks, 2)
-	for _, n := range w.nodesInOrder() {
+	for _, n := range w.sortedNodes() {
 		n.FirstStart = false
 	}
 	w.run(15_000)
@@ -191,9 +191,9 @@
 		version := int64(0)
 		put := func() {
 			version++
-			got := answered{}
+			got := callResult{}
 			must.True(t, w.until(15_000, func() bool {
-				got = w.settle(w.anyNode(int(version)+5), evRequest{Op: "setup.put", Key: fmt.Sprint(version), Base: -1, Body: queueSetup(fmt.Sprint("q", version), "")}, 4000)
+				got = w.callAndWait(w.anyNode(int(version)+5), evRequest{Op: "setup.put", Key: fmt.Sprint(version), Base: -1, Body: queueSetup(fmt.Sprint("q", version), "")}, 4000)
 				return got.status == 200
 			}), must.Sprint(got))
 		}
@@ -221,7 +221,7 @@
 				return true
 			}), must.Sprint(seed, lost, w.relevantLogs()))
 			must.Less(t, 500+6000*int64(len(lost)), w.nowMs()-at, must.Sprint(lost))
-			r := w.settle(w.nodes["d05"], evRequest{Op: "setup.get"}, 3000)
+			r := w.callAndWait(w.nodes["d05"], evRequest{Op: "setup.get"}, 3000)
 			must.Eq(t, version, gjson.Get(r.body, "version").Int(), must.Sprint(r.body))
 			if i == 4 { // all five were replaced since the last change
 				put()
@@ -265,11 +265,11 @@
 		n.incarnations = ^uint64(0) // its next incarnation is far below the last
 		w.run(1500)
 		n.start()
-		must.Less(t, w.nodes["d00"].sh.node.peers.Get("d05").Incarnation, n.sh.node.Incarnation)
+		must.Less(t, w.nodes["d00"].executor.node.peers.Get("d05").Incarnation, n.executor.node.Incarnation)
 		at := w.nowMs()
 		must.True(t, w.until(4000, func() bool {
 			for _, name := range sortedKeys(w.nodes) {
-				if s := w.nodes[name].sh.node.peers.Get("d05"); name != "d05" && (s == nil || s.Incarnation != n.sh.node.Incarnation || s.Addr != n.Addr) {
+				if s := w.nodes[name].executor.node.peers.Get("d05"); name != "d05" && (s == nil || s.Incarnation != n.executor.node.Incarnation || s.Addr != n.Addr) {
 					return false
 				}
 			}
@@ -284,9 +284,9 @@
 	w := coreWorld(4700, 3, []string{"east", "west", "mid"}, 5)
 	w.nodes["d07"].Seeds = []string{"10.9.9.9:7000"}
 	w.run(5000)
-	must.Zero(t, w.nodes["d07"].sh.node.peers.Len())
+	must.Zero(t, w.nodes["d07"].executor.node.peers.Len())
 	w.nodes["d07"].event(evSeeds{Seeds: []string{"10.9.9.9:7000", w.nodes["d02"].Addr}})
-	must.True(t, w.until(2000, func() bool { return w.nodes["d07"].sh.node.peers.Len() == 7 }))
+	must.True(t, w.until(2000, func() bool { return w.nodes["d07"].executor.node.peers.Len() == 7 }))
 }
 
 // relevantLogs returns the log without the events of newly discovered peers.
@@ -297,8 +297,8 @@
 // An answer to an earlier try must not count for a later one: in between the member may have
 // accepted another proposer's change.
 func TestAnswersBelongToTheirTry(t *testing.T) {
-	w := served(t, 4800)
-	n := w.nodes["d00"].sh.node
+	w := servingWorld(t, 4800)
+	n := w.nodes["d00"].executor.node
 	n.effects = nil
 	change := n.startChange("setup", "setup", queueSetup("a", ""), 0)
 	change.changeID = configuration.ChangeID{Version: 1}
@@ -334,8 +334,8 @@
 // Acknowledgements under different core sets don't add up to a majority: a removed member may
 // have returned under its name with an empty disk.
 func TestAcksBelongToTheirSet(t *testing.T) {
-	w := served(t, 4801)
-	n := w.holderOf("slice/east").sh.node
+	w := servingWorld(t, 4801)
+	n := w.holderOf("slice/east").executor.node
 	shard := n.shards["east"]
 	shard.writes[99] = &writeBatch{acked: map[string]bool{"d00": true}}
 	old := n.core.Version
@@ -354,19 +354,19 @@
 // A job whose forwarded submission was not answered may be stored, so its caller must not
 // receive a rejection.
 func TestUnansweredSubmitIsNotDenied(t *testing.T) {
-	w := served(t, 4802)
-	must.Eq(t, 200, w.settle(w.nodes["d00"], evRequest{Op: "setup.put", Key: "1", Base: 0, Body: queueSetup("a", `,"addresses":[{"host":"h","prefix":"/a/"}]`)}, 4000).status)
+	w := servingWorld(t, 4802)
+	must.Eq(t, 200, w.callAndWait(w.nodes["d00"], evRequest{Op: "setup.put", Key: "1", Base: 0, Body: queueSetup("a", `,"addresses":[{"host":"h","prefix":"/a/"}]`)}, 4000).status)
 	w.run(2000)
 	tried := 0
 	for i := range 40 {
 		id := fmt.Sprint("job", i)
 		to := w.nodes["d04"]
-		owner := w.holderOf("slice/" + to.sh.node.shardOf(id))
+		owner := w.holderOf("slice/" + to.executor.node.shardOf(id))
 		if owner == nil || owner == to {
 			continue
 		}
 		w.cuts[[2]string{owner.Name, to.Name}] = true // the request arrives, the response doesn't
-		r := w.settle(to, evRequest{Op: "queue.submit", Host: "h", Path: "/a/" + id, Base: -1, Body: []byte(`{"queue":"a","steps":[{"tasks":[{"room":1}]}]}`)}, 5000)
+		r := w.callAndWait(to, evRequest{Op: "queue.submit", Host: "h", Path: "/a/" + id, Base: -1, Body: []byte(`{"queue":"a","steps":[{"tasks":[{"room":1}]}]}`)}, 5000)
 		must.Eq(t, 504, r.status, must.Sprint(r.body))
 		delete(w.cuts, [2]string{owner.Name, to.Name})
 		w.run(5000)
@@ -413,7 +413,7 @@
 		w := coreWorld(4900+seed, 5, []string{"east", "west", "mid", "far", "east"}, 4)
 		must.True(t, w.until(20_000, w.allServed))
 		for _, from := range []string{"d01", "d03", "d04"} { // slow, but faster than the timeout of one try
-			w.hold[[2]string{from, "d02"}] = 400_000
+			w.pathDelayUs[[2]string{from, "d02"}] = 400_000
 		}
 		w.nodes["d02"].kill(true)
 		w.nodes["d02"].wipe()
--- a/internal/daemon/gossip_test.go
+++ b/internal/daemon/gossip_test.go
@@ -18,14 +18,14 @@
 	w.run(12_000)
 	holdsElsewhere := func(of string, ok func(*cluster.Peer) bool) bool {
 		for _, name := range sortedKeys(w.nodes) {
-			if s := w.nodes[name].sh.node.peers.Get(of); name != of && (s == nil || !ok(s)) {
+			if s := w.nodes[name].executor.node.peers.Get(of); name != of && (s == nil || !ok(s)) {
 				return false
 			}
 		}
 		return true
 	}
 	for _, name := range sortedKeys(w.nodes) {
-		must.True(t, holdsElsewhere(name, func(s *cluster.Peer) bool { return w.nodes[name].sh.node.peers.Self().Heartbeat-s.Heartbeat <= 4 }), must.Sprint(name))
+		must.True(t, holdsElsewhere(name, func(s *cluster.Peer) bool { return w.nodes[name].executor.node.peers.Self().Heartbeat-s.Heartbeat <= 4 }), must.Sprint(name))
 	}
 	before, rounds := w.messages[reflect.TypeFor[wire.Gossip]().Name()], w.messages[reflect.TypeFor[wire.Digest]().Name()]
 	w.run(10_000)
@@ -37,7 +37,7 @@
 	w.nodes["d07"].Zone = "moved"
 	w.nodes["d07"].start()
 	must.True(t, w.until(4000, func() bool { return holdsElsewhere("d07", func(s *cluster.Peer) bool { return s.Zone == "moved" }) }))
-	w.nodes["d08"].sh.node.HTTP = "10.9.9.9:8000"
+	w.nodes["d08"].executor.node.HTTP = "10.9.9.9:8000"
 	must.True(t, w.until(3000, func() bool {
 		return holdsElsewhere("d08", func(s *cluster.Peer) bool { return s.HTTPAddr == "10.9.9.9:8000" })
 	}))
--- a/internal/daemon/grey_test.go
+++ b/internal/daemon/grey_test.go
@@ -11,10 +11,10 @@
 // failTasksOf makes workers fail a share of their tasks for some ms, while they appear healthy.
 func (b *platformWorld) failTasksOf(workers []*platformWorker, share float64, ms int64) {
 	for _, s := range workers {
-		calm := b.workerTrouble("failing", s)
-		s.failing = share
+		calm := b.beginWorkerFault("failing", s)
+		s.failureRate = share
 		b.after(ms*1000, func() {
-			s.failing = 0
+			s.failureRate = 0
 			calm()
 		})
 	}
@@ -44,9 +44,9 @@
 	for _, s := range failing {
 		isFailing[s.node.Name] = true
 	}
-	for _, host := range b.spots {
+	for _, host := range b.workerHosts {
 		if n := b.nodes[host]; n.up && !isFailing[host] {
-			falseEjections += n.sh.node.counts["workers_ejected"]
+			falseEjections += n.executor.node.counts["workers_ejected"]
 		}
 	}
 	return failed, jobs, falseEjections
@@ -60,7 +60,7 @@
 		t.Logf("%d of %d jobs failed; healthy workers were ejected %d times", failed, jobs, falseEjections)
 		must.LessEq(t, jobs/100, failed, must.Sprintf("of %d jobs", jobs))
 		must.LessEq(t, 3, falseEjections)
-		verdictOfPlatform(t, b)
+		checkPlatformRun(t, b)
 	})
 }
 
@@ -70,7 +70,7 @@
 	off, err := scheduler.ParseSet("eject_unhealthy,avoid_last")
 	must.NoError(t, err)
 	for _, n := range b.nodes {
-		n.sh.node.Policies = off
+		n.executor.node.Policies = off
 	}
 	failed, jobs, _ := failingWorkersDay(b)
 	must.Greater(t, jobs/100, failed, must.Sprintf("of %d jobs", jobs))
--- a/internal/daemon/heartbeat_test.go
+++ b/internal/daemon/heartbeat_test.go
@@ -11,9 +11,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// pinned returns a daemon that is the agent of worker w1, and a function that sends the worker's
+// agentOfWorker returns a daemon that is the agent of worker w1, and a function that sends the worker's
 // next heartbeat some time later and returns the reply.
-func pinned(t *testing.T) (*node, func(afterMs int64, lists string) heartbeatReply) {
+func agentOfWorker(t *testing.T) (*node, func(afterMs int64, lists string) heartbeatReply) {
 	n := newNode(nodeConfig{Name: "side-1", Incarnation: 7, Zone: "east", MaxHoldMs: defaultMaxHoldMs}, nil)
 	n.core = quorum.Set{Cluster: 1, Version: 1, Members: []quorum.Member{{Name: "d00", DiskID: 1}}, Shards: []string{"east"}}
 	seq := int64(0)
@@ -33,7 +33,7 @@
 	}
 }
 
-func running(job string, index, run, percent int) string {
+func runningList(job string, index, run, percent int) string {
 	return fmt.Sprintf(`,"running":[{"job":"%s","round":0,"step":0,"index":%d,"run":%d,"saved":"","percent":%d}]`, job, index, run, percent)
 }
 
@@ -45,30 +45,30 @@
 		percent int
 		stops   int
 	}{{true, 99, 0}, {true, 50, 1}, {true, 0, 0}, {false, 50, 1}, {false, 99, 1}} {
-		n, heartbeat := pinned(t)
-		heartbeat(100, running("j1", 0, 1, c.percent))
+		n, heartbeat := agentOfWorker(t)
+		heartbeat(100, runningList("j1", 0, 1, c.percent))
 		attempt := n.agents["w1"].attempts[wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}]
 		attempt.specUnknown, attempt.confirmedMs, attempt.spec.Gang, attempt.spec.EstimateMs = false, n.now+60_000, c.gang, 1000
-		heartbeat(100, running("j1", 0, 1, c.percent))
-		must.Len(t, c.stops, heartbeat(stallMs+200, running("j1", 0, 1, c.percent)).Stop, must.Sprint(c))
+		heartbeat(100, runningList("j1", 0, 1, c.percent))
+		must.Len(t, c.stops, heartbeat(stallMs+200, runningList("j1", 0, 1, c.percent)).Stop, must.Sprint(c))
 	}
 }
 
 // An attempt that was ordered in a reply and is missing from the next heartbeat was never started. An
 // attempt without confirmation is held no longer than its owner's last reply is valid.
 func TestHoldEndsWithTheOwnersConfirmation(t *testing.T) {
-	n, heartbeat := pinned(t)
+	n, heartbeat := agentOfWorker(t)
 	must.Eq(t, int64(holdMaxMs), heartbeat(100, "").HoldMs)
-	a := heartbeat(50, running("j1", 0, 1, 10))
+	a := heartbeat(50, runningList("j1", 0, 1, 10))
 	must.Eq(t, int64(0), a.HoldMs) // found running without a reply from its owner; the hold of an earlier reply applies
 	agent := n.agents["w1"]
 	attempt := agent.attempts[wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}]
 	attempt.specUnknown, attempt.confirmedMs = false, n.now
-	must.Eq(t, int64(holdMaxMs), heartbeat(50, running("j1", 0, 1, 20)).HoldMs)
-	a = heartbeat(ownerTimeoutMs-1500, running("j1", 0, 1, 30))
+	must.Eq(t, int64(holdMaxMs), heartbeat(50, runningList("j1", 0, 1, 20)).HoldMs)
+	a = heartbeat(ownerTimeoutMs-1500, runningList("j1", 0, 1, 30))
 	must.Eq(t, int64(1450), a.HoldMs)
 	must.Len(t, 0, a.Stop)
-	must.Eq(t, int64(0), heartbeat(1600, running("j1", 0, 1, 40)).HoldMs)
+	must.Eq(t, int64(0), heartbeat(1600, runningList("j1", 0, 1, 40)).HoldMs)
 
 	agent.attempts[wire.AttemptKey{Job: "j2", Task: uniformTaskID(0, 0, 1), Attempt: 3}] = &agentAttempt{state: wire.AttemptOrdered, orderSeq: agent.reportSeq, confirmedMs: n.now, spec: wire.TaskSpec{Key: wire.AttemptKey{Job: "j2", Task: uniformTaskID(0, 0, 1), Attempt: 3}}}
 	heartbeat(50, "")
@@ -78,8 +78,8 @@
 // Another worker at the same address means that the former has crashed. An end is acknowledged to the
 // worker only once its owner has recorded it.
 func TestWorkerReplacedAtItsAddress(t *testing.T) {
-	n, heartbeat := pinned(t)
-	heartbeat(100, running("j1", 0, 1, 10))
+	n, heartbeat := agentOfWorker(t)
+	heartbeat(100, runningList("j1", 0, 1, 10))
 	key := wire.AttemptKey{Job: "j1", Task: uniformTaskID(0, 0, 0), Attempt: 1}
 	ended := `,"ended":[{"n":1,"job":"j1","round":0,"step":0,"index":0,"run":1,"saved":"","outcome":"ok"}]`
 	must.Eq(t, int64(0), heartbeat(50, ended).AcknowledgedEnds)
@@ -87,7 +87,7 @@
 	n.agents["w1"].attempts[key].acked = true
 	must.Eq(t, int64(1), heartbeat(50, ended).AcknowledgedEnds)
 
-	heartbeat(50, running("j1", 1, 1, 10))
+	heartbeat(50, runningList("j1", 1, 1, 10))
 	reduce(n, event{NowMs: n.now + 50, WallMs: 1, Body: evRequest{ID: 99, Op: "worker.beat", Key: "w2", Base: -1, Body: []byte(`{"seq":1,"site":"east","capacity":{"cpu":1,"memory":1,"accelerators":0}}`)}})
 	old := n.agents["w1"]
 	must.True(t, old.replaced)
@@ -104,8 +104,8 @@
 		name  string
 		lists string // content of the next heartbeat
 		state wire.AttemptState
-	}{{"the reply arrived", running("j1", 0, 1, 0), wire.AttemptRunning}, {"the reply was lost", "", wire.AttemptEnded}} {
-		n, heartbeat := pinned(t)
+	}{{"the reply arrived", runningList("j1", 0, 1, 0), wire.AttemptRunning}, {"the reply was lost", "", wire.AttemptEnded}} {
+		n, heartbeat := agentOfWorker(t)
 		heartbeat(100, "")
 		agent := n.agents["w1"]
 		attempt := &agentAttempt{state: wire.AttemptOrdered, orderSeq: agent.reportSeq + 1, confirmedMs: n.now + 60_000, spec: wire.TaskSpec{Key: key, Payload: []byte(`"text"`)}}
--- a/internal/daemon/history_test.go
+++ b/internal/daemon/history_test.go
@@ -45,21 +45,21 @@
 }
 
 // finalAnswer sends a change to a daemon until the answer is final.
-func (w *world) finalAnswer(t *testing.T, to *simNode, e evRequest) answered {
+func (w *world) finalAnswer(t *testing.T, to *simNode, e evRequest) callResult {
 	t.Helper()
-	var got answered
+	var got callResult
 	must.True(t, w.until(20_000, func() bool {
 		if !to.up {
 			return false
 		}
-		got = w.settle(to, e, 4000)
+		got = w.callAndWait(to, e, 4000)
 		return got.status != 0 && got.status != 503
 	}), must.Sprint("no final answer from ", to.Name, " ", got))
 	return got
 }
 
-// storm has count changes accepted one after the other, at all daemons in turn.
-func (w *world) storm(t *testing.T, from configChange, count int) (all []configChange) {
+// acceptChanges has count changes accepted one after the other, at all daemons in turn.
+func (w *world) acceptChanges(t *testing.T, from configChange, count int) (all []configChange) {
 	t.Helper()
 	for i := range count {
 		from = configChange{version: from.version + 1 + int64(i%3), base: from.version, queue: fmt.Sprint("q", from.version, "-", i), byItems: i%2 == 1}
@@ -107,7 +107,7 @@
 // An accepted change that is sent again is acknowledged by every daemon, after any number of
 // later changes, after a restart of all daemons, and after a member lost its disk.
 func TestConfigResentChangesAreAcknowledged(t *testing.T) {
-	w := served(t, 970)
+	w := servingWorld(t, 970)
 	first := configChange{version: 3, base: 0, queue: "first"}
 	must.Eq(t, 200, w.finalAnswer(t, w.nodes["d00"], first.put()).status)
 	second := configChange{version: 4, base: 3, queue: "second", byItems: true}
@@ -115,10 +115,10 @@
 	w.requireResendsAcknowledged(t, "one change later", first, second)
 	w.requireRejected(t, first)
 
-	all := w.storm(t, second, 60)
+	all := w.acceptChanges(t, second, 60)
 	w.requireResendsAcknowledged(t, "60 changes later", first, second, all[17], all[58], all[59])
 	w.requireRejected(t, all[30])
-	all = append(all, w.storm(t, all[59], 240)...)
+	all = append(all, w.acceptChanges(t, all[59], 240)...)
 	w.requireResendsAcknowledged(t, "300 changes later", first, second, all[60], all[299])
 
 	for _, name := range sortedKeys(w.nodes) {
@@ -138,7 +138,7 @@
 	lost.FirstStart = false
 	w.run(500)
 	lost.start()
-	must.True(t, w.until(30_000, func() bool { return lost.sh.node.inCore() && lost.sh.node.core.Version >= 3 }))
+	must.True(t, w.until(30_000, func() bool { return lost.executor.node.inCore() && lost.executor.node.core.Version >= 3 }))
 	w.nodes["d01"].kill(true) // the remaining core is the new member and one older one
 	w.run(3000)
 	delete(w.nodes, "d01")
@@ -149,12 +149,12 @@
 // never rejected, and a rejected change was never in force.
 func TestConfigResentChangesInRaces(t *testing.T) {
 	for seed := range uint64(6) {
-		w := served(t, 980+seed)
+		w := servingWorld(t, 980+seed)
 		inForce := map[int64]string{} // queue by version, as seen at any daemon
 		observe := func() {
 			for _, name := range sortedKeys(w.nodes) {
-				if n := w.nodes[name]; n.up && n.sh.node.config.record.Version > 0 {
-					d := n.sh.node.config.record
+				if n := w.nodes[name]; n.up && n.executor.node.config.record.Version > 0 {
+					d := n.executor.node.config.record
 					doc, _ := configuration.Inflate(d.Document)
 					queue := gjson.GetBytes(doc, "queues.0.name").Str
 					must.True(t, inForce[d.Version] == "" || inForce[d.Version] == queue, must.Sprint("two documents under version ", d.Version))
@@ -214,7 +214,7 @@
 // A daemon that can't reach a majority rejects no change as stale; it answers 503, and without
 // delay once the lack of contact is established.
 func TestConfigChangesAreNotRefusedWhileCutOff(t *testing.T) {
-	w := served(t, 995)
+	w := servingWorld(t, 995)
 	first := configChange{version: 3, base: 0, queue: "first"}
 	second := configChange{version: 4, base: 3, queue: "second"}
 	must.Eq(t, 200, w.finalAnswer(t, w.nodes["d00"], first.put()).status)
@@ -230,7 +230,7 @@
 			for _, o := range []configChange{first, {version: 3, base: 0, queue: "never"}} {
 				for _, e := range []evRequest{o.put(), {Op: "setup.taken", Key: "3", Base: 0, Digest: make([]byte, 32)}, {Op: "site.empty", Key: "west"}} {
 					at := w.nowMs()
-					got := w.settle(w.nodes[name], e, 4000)
+					got := w.callAndWait(w.nodes[name], e, 4000)
 					must.Eq(t, 503, got.status, must.Sprint(name, " ", afterMs, " ", e.Op, " ", got.body))
 					if afterMs > ownerContactMs {
 						must.Less(t, 120, w.nowMs()-at)
@@ -247,25 +247,25 @@
 // Each change in the history costs 33 bytes at the members, and nothing at the daemons that
 // read the configuration.
 func TestConfigHistoryCost(t *testing.T) {
-	w := served(t, 996)
+	w := servingWorld(t, 996)
 	first := configChange{version: 1, base: 0, queue: "first"}
 	must.Eq(t, 200, w.finalAnswer(t, w.nodes["d00"], first.put()).status)
 	// The list that readers receive has its final length from here on.
-	last := w.storm(t, first, configuration.MaxPastVersions)
+	last := w.acceptChanges(t, first, configuration.MaxPastVersions)
 	size := func() (kept, read int) {
 		w.run(1500)
-		n := w.nodes["d00"].sh.node
+		n := w.nodes["d00"].executor.node
 		r := n.store.Register("setup")
 		return len(r.Value), len(n.config.readerCopy.Value(r))
 	}
 	keptBefore, readBefore := size()
-	w.storm(t, last[len(last)-1], 100)
+	w.acceptChanges(t, last[len(last)-1], 100)
 	kept, read := size()
 	t.Logf("register %d bytes, then %d; read %d, then %d", keptBefore, kept, readBefore, read)
 	must.LessEq(t, 34*100, kept-keptBefore)
 	must.LessEq(t, 20, read-readBefore) // allows for names of different lengths
 	for _, name := range sortedKeys(w.nodes) {
-		must.Zero(t, w.nodes[name].sh.node.config.record.AcceptedChanges.Count)
+		must.Zero(t, w.nodes[name].executor.node.config.record.AcceptedChanges.Count)
 	}
 }
 
--- a/internal/daemon/identity_test.go
+++ b/internal/daemon/identity_test.go
@@ -24,7 +24,7 @@
 func idOwnedBy(w *world, owner *simNode, prefix string) string {
 	for i := 0; ; i++ {
 		id := fmt.Sprintf("%s-%d", prefix, i)
-		if w.holderOf("slice/"+owner.sh.node.shardOf(id)) == owner {
+		if w.holderOf("slice/"+owner.executor.node.shardOf(id)) == owner {
 			return id
 		}
 	}
@@ -36,7 +36,7 @@
 	for _, name := range sortedKeys(w.nodes) {
 		n := w.nodes[name]
 		switch {
-		case len(n.sh.node.shards) > 0:
+		case len(n.executor.node.shards) > 0:
 			owner = n
 		case !n.Disk:
 			front = n
@@ -54,10 +54,10 @@
 	w := formed(t, 1, "hakata")
 	w.run(3000)
 	front, owner := frontAndOwner(t, w)
-	queue := w.dep.InitialConfiguration().Queues[0].Name
+	queue := w.deployment.InitialConfiguration().Queues[0].Name
 	first, second := idOwnedBy(w, owner, "first"), idOwnedBy(w, owner, "second")
 	forwarded, withheld := false, 0
-	w.detain = func(from, to string, msg any) int64 {
+	w.extraDelayUs = func(from, to string, msg any) int64 {
 		switch m := msg.(type) {
 		case *wire.ForwardReply: // to the first process, until the second has forwarded a request
 			if from == owner.Name && to == front.Name && !forwarded {
@@ -79,25 +79,25 @@
 	}
 	restart() // its numbers start again
 	w.until(2000, func() bool {
-		h, _ := front.sh.node.leases.Holder("slice/" + front.sh.node.shardOf(first))
+		h, _ := front.executor.node.leases.Holder("slice/" + front.executor.node.shardOf(first))
 		return h == owner.Name
 	})
-	w.ask("caller", front, "job.put", first, jobBody(queue), 5000, func(int, int64, []byte) {})
+	w.request("caller", front, "job.put", first, jobBody(queue), 5000, func(int, int64, []byte) {})
 	must.True(t, w.until(500, func() bool { return withheld > 0 }), must.Sprint("the owner sent no answer"))
-	lastSeq := front.sh.node.forwardSeq
+	lastSeq := front.executor.node.forwardSeq
 	restart()
 	must.True(t, w.until(600, func() bool {
-		h, _ := front.sh.node.leases.Holder("slice/" + front.sh.node.shardOf(second))
+		h, _ := front.executor.node.leases.Holder("slice/" + front.executor.node.shardOf(second))
 		return h == owner.Name
 	}),
 		must.Sprint("the second process found no owner in time"))
 	// Workers' reports may have used numbers: the next one is that of the first caller again.
-	front.sh.node.forwardSeq = lastSeq - 1
-	status, _, body, took := w.asked("caller", front, "job.put", second, jobBody(queue))
+	front.executor.node.forwardSeq = lastSeq - 1
+	status, _, body, took := w.requestAndWait("caller", front, "job.put", second, jobBody(queue))
 	must.True(t, forwarded)
 	must.Eq(t, 201, status)
 	must.Eq(t, second, gjson.GetBytes(body, "id").Str, must.Sprintf("the answer after %d ms is another caller's: %s", took, body))
-	must.Positive(t, front.sh.node.counts["late_responses"])
+	must.Positive(t, front.executor.node.counts["late_responses"])
 }
 
 // addressedTo reports whether a daemon accepts a message with this addressee.
@@ -129,7 +129,7 @@
 // there now.
 func TestResponseBelongsToTheInstanceThatAsked(t *testing.T) {
 	w := formed(t, 2, "ikenna")
-	n := w.nodes["d01"].sh.node
+	n := w.nodes["d01"].executor.node
 	var dest []uint64
 	collect := func(effects []effect) {
 		for _, e := range effects {
--- a/internal/daemon/incident_test.go
+++ b/internal/daemon/incident_test.go
@@ -26,15 +26,15 @@
 		reports []lists
 		ranMs   int64
 	}{
-		"seen":                                {true, []lists{{50, running("j1", 0, 1, 1)}, {50, running("j1", 0, 1, 50)}, {50, ended}}, 100},
+		"seen":                                {true, []lists{{50, runningList("j1", 0, 1, 1)}, {50, runningList("j1", 0, 1, 50)}, {50, ended}}, 100},
 		"ended before the next heartbeat":     {true, []lists{{60, ended}}, 60},
 		"ended while the daemon was frozen":   {true, []lists{{3500, ended}}, 0},
-		"its end while the daemon was frozen": {true, []lists{{50, running("j1", 0, 1, 1)}, {3500, ended}}, 0},
-		"started while the daemon was frozen": {true, []lists{{3500, running("j1", 0, 1, 60)}, {50, ended}}, 0},
-		"found running":                       {false, []lists{{50, running("j1", 0, 1, 60)}, {50, ended}}, 0},
+		"its end while the daemon was frozen": {true, []lists{{50, runningList("j1", 0, 1, 1)}, {3500, ended}}, 0},
+		"started while the daemon was frozen": {true, []lists{{3500, runningList("j1", 0, 1, 60)}, {50, ended}}, 0},
+		"found running":                       {false, []lists{{50, runningList("j1", 0, 1, 60)}, {50, ended}}, 0},
 		"found ended":                         {false, []lists{{50, ended}}, 0},
 	} {
-		n, heartbeat := pinned(t)
+		n, heartbeat := agentOfWorker(t)
 		heartbeat(100_000, "")
 		heartbeat(50, "")
 		agent := n.agents["w1"]
@@ -50,7 +50,7 @@
 		must.Eq(t, c.ranMs, attempt.ranMs, must.Sprint(name))
 	}
 
-	n, _ := pinned(t)
+	n, _ := agentOfWorker(t)
 	job := &liveJob{jobRecord: jobRecord{Queue: "q", Steps: []jobStep{{Uniform: true}}}}
 	n.recordRunTime(job, &task{EstimateHintMs: 1000}, 1200)
 	n.recordRunTime(job, &task{EstimateHintMs: 1000}, 0)
@@ -86,50 +86,50 @@
 	gang.steps[0].gang = true
 	b.submit(gang)
 	started := func() bool {
-		return slices.ContainsFunc(b.events, func(e platformEvent) bool { return e.kind == bStarted && e.job == gang.id })
+		return slices.ContainsFunc(b.events, func(e platformEvent) bool { return e.kind == eventStarted && e.job == gang.id })
 	}
 	must.True(t, b.until(3000, started))
 	must.Less(t, 2*leasedReportMs+300, b.nowMs()-heldMs)
 	undo()
 	b.finish(30_000)
-	verdictOfPlatform(t, b)
+	checkPlatformRun(t, b)
 }
 
 // The users' grown deployments at a third of their size, with the same load for each worker.
-var thirdOfGrownDeployments = map[string]platformDeployment{
-	"hakata grown": {name: "hakata grown", edges: 8, sides: 24, disks: 5, capacity: amounts{64000, 262144}, speeds: []float64{0.8, 1, 1.25}, holdMaxMs: 10_000, gangWaitMs: 4000, saveMs: 500,
-		restoreMs: 600, spread: 1.5, perSec: 17.4, rackSize: 9, service: "resale-engine", beatMs: 1500, tries: 5, callerMs: 1200, againMs: 150, stopMs: 200, kinds: []platformKind{
+var scaledGrownDeployments = map[string]platformDeployment{
+	"hakata grown": {name: "hakata grown", edges: 8, workerHosts: 24, disks: 5, capacity: amounts{64000, 262144}, speeds: []float64{0.8, 1, 1.25}, holdMaxMs: 10_000, gangWaitMs: 4000, saveMs: 500,
+		restoreMs: 600, spread: 1.5, jobsPerSecond: 17.4, rackSize: 9, service: "resale-engine", heartbeatMs: 1500, maxTries: 5, callTimeoutMs: 1200, retryMs: 150, stopMs: 200, kinds: []platformKind{
 			{queue: platformQueue{"promoter-verify", "nony24.example", "/lohu930/", 60, 4, 2000, 2.2, "resale-engine"}, weight: 0.959, steps: [2]float64{1.2, 3}, width: [2]float64{20, 40},
-				cpu: [2]float64{11000, 34000}, mem: [2]float64{21000, 63000}, workMs: [2]float64{6200, 16000}, estOff: 0.5, gang: 1, sameRack: 0.7, saves: 0.5, labels: 0.2,
-				timed: 0.06, everyMs: 4500, times: 8, fails: 0.001, hopeless: 0.01},
+				cpu: [2]float64{11000, 34000}, mem: [2]float64{21000, 63000}, workMs: [2]float64{6200, 16000}, estimateError: 0.5, gang: 1, sameRack: 0.7, saves: 0.5, labels: 0.2,
+				timed: 0.06, periodMs: 4500, maxRounds: 8, fails: 0.001, hopeless: 0.01},
 			{queue: platformQueue{"price-refresh", "ficu95.example", "/pufi791/", 30, 3, 4000, 3.2, "resale-engine"}, weight: 4.15, steps: [2]float64{1.5, 3.8}, width: [2]float64{25, 60},
-				cpu: [2]float64{3200, 9600}, mem: [2]float64{4600, 14000}, workMs: [2]float64{1800, 3600}, estOff: 0.5, cancel: 0.05, copies: 0.2,
-				timed: 0.06, everyMs: 3000, times: 6, fails: 0.02, hopeless: 0.01},
+				cpu: [2]float64{3200, 9600}, mem: [2]float64{4600, 14000}, workMs: [2]float64{1800, 3600}, estimateError: 0.5, cancel: 0.05, copies: 0.2,
+				timed: 0.06, periodMs: 3000, maxRounds: 6, fails: 0.02, hopeless: 0.01},
 			{queue: platformQueue{"seat-confirm", "nony24.example", "/pule252/", 90, 2, 1200, 1.5, "resale-engine"}, weight: 48.5, steps: [2]float64{1, 2.5}, width: [2]float64{3, 12},
-				cpu: [2]float64{4600, 14000}, mem: [2]float64{6600, 20000}, workMs: [2]float64{640, 2000}, estOff: 0.2, gang: 0.3, timed: 0.01, everyMs: 2000, times: 4, fails: 0.02},
+				cpu: [2]float64{4600, 14000}, mem: [2]float64{6600, 20000}, workMs: [2]float64{640, 2000}, estimateError: 0.2, gang: 0.3, timed: 0.01, periodMs: 2000, maxRounds: 4, fails: 0.02},
 		}},
-	"ikenna grown": {name: "ikenna grown", edges: 7, sides: 20, disks: 5, capacity: amounts{16000, 65536}, speeds: []float64{1, 1, 1.3}, holdMaxMs: 6000, gangWaitMs: 4000, saveMs: 2000,
-		restoreMs: 600, spread: 3, perSec: 9.6, rackSize: 9, service: "ledger-svc", beatMs: 800, tries: 5, callerMs: 1200, againMs: 150, stopMs: 200, kinds: []platformKind{
+	"ikenna grown": {name: "ikenna grown", edges: 7, workerHosts: 20, disks: 5, capacity: amounts{16000, 65536}, speeds: []float64{1, 1, 1.3}, holdMaxMs: 6000, gangWaitMs: 4000, saveMs: 2000,
+		restoreMs: 600, spread: 3, jobsPerSecond: 9.6, rackSize: 9, service: "ledger-svc", heartbeatMs: 800, maxTries: 5, callTimeoutMs: 1200, retryMs: 150, stopMs: 200, kinds: []platformKind{
 			{queue: platformQueue{"cert-issue", "guild.example", "/certs/", 60, 4, 1500, 2.2, "ledger-svc"}, weight: 0.915, steps: [2]float64{1.2, 3}, width: [2]float64{20, 40},
-				cpu: [2]float64{2900, 8600}, mem: [2]float64{8200, 25000}, workMs: [2]float64{5000, 12000}, estOff: 0.2, gang: 1, sameRack: 0.7, saves: 0.5, labels: 0.2,
-				timed: 0.06, everyMs: 4500, times: 8, fails: 0.011},
+				cpu: [2]float64{2900, 8600}, mem: [2]float64{8200, 25000}, workMs: [2]float64{5000, 12000}, estimateError: 0.2, gang: 1, sameRack: 0.7, saves: 0.5, labels: 0.2,
+				timed: 0.06, periodMs: 4500, maxRounds: 8, fails: 0.011},
 			{queue: platformQueue{"logbook-sync", "guild.example", "/logbook/", 30, 3, 4000, 3.2, "ledger-svc"}, weight: 3.17, steps: [2]float64{1.5, 3.8}, width: [2]float64{25, 60},
-				cpu: [2]float64{800, 2400}, mem: [2]float64{2300, 6900}, workMs: [2]float64{1800, 4500}, estOff: 0.2, cancel: 0.05, copies: 0.2,
-				timed: 0.06, everyMs: 4500, times: 6, fails: 0.005, hopeless: 0.03},
+				cpu: [2]float64{800, 2400}, mem: [2]float64{2300, 6900}, workMs: [2]float64{1800, 4500}, estimateError: 0.2, cancel: 0.05, copies: 0.2,
+				timed: 0.06, periodMs: 4500, maxRounds: 6, fails: 0.005, hopeless: 0.03},
 			{queue: platformQueue{"signoff-check", "masters.example", "/signoff/", 90, 4, 800, 1.5, "ledger-svc"}, weight: 23.6, steps: [2]float64{1, 2.5}, width: [2]float64{3, 12},
-				cpu: [2]float64{1100, 3400}, mem: [2]float64{3300, 9800}, workMs: [2]float64{1000, 2500}, estOff: 0.2, gang: 0.3, timed: 0.01, everyMs: 4500, times: 4, fails: 0.005, hopeless: 0.01},
+				cpu: [2]float64{1100, 3400}, mem: [2]float64{3300, 9800}, workMs: [2]float64{1000, 2500}, estimateError: 0.2, gang: 0.3, timed: 0.01, periodMs: 4500, maxRounds: 4, fails: 0.005, hopeless: 0.01},
 		}},
 }
 
-// crowd submits more jobs of one kind, x times as many as usual.
-func (b *platformWorld) crowd(kind int, x float64, ms int64) {
+// extraJobs submits more jobs of one kind, x times as many as usual.
+func (b *platformWorld) extraJobs(kind int, x float64, ms int64) {
 	sum := 0.0
 	for i := range b.deployment.kinds {
 		sum += b.deployment.kinds[i].weight
 	}
-	perSec, end := (x-1)*b.deployment.perSec*b.pace*b.deployment.kinds[kind].weight/sum, b.nowMs()+ms
+	perSec, end := (x-1)*b.deployment.jobsPerSecond*b.trafficFactor*b.deployment.kinds[kind].weight/sum, b.nowMs()+ms
 	var next, one func()
-	next = func() { b.drawing(one) }
+	next = func() { b.withJobRand(one) }
 	one = func() {
 		if b.nowMs() >= end {
 			return
@@ -157,12 +157,12 @@
 // blackout cuts the power of all machines and workers right after a configuration was
 // acknowledged; they come back one after the other.
 func (b *platformWorld) blackout(downMs, spreadMs int64) {
-	b.settled()
+	b.acknowledgedConfig()
 	for _, host := range sortedKeys(b.nodes) {
 		undo := b.kill(host, true)
 		s := b.byHost[host]
 		if s != nil {
-			b.crashFor(s, 0)
+			b.crashAndReplace(s, 0)
 		}
 		b.after((downMs+b.rng.Int64N(spreadMs))*1000, func() {
 			undo()
@@ -180,8 +180,8 @@
 // someWorkers draws a share of all workers, at least one.
 func (b *platformWorld) someWorkers(share float64) []*platformWorker {
 	var out []*platformWorker
-	b.drawing(func() {
-		for _, i := range b.rng.Perm(len(b.spots))[:max(1, int(share*float64(len(b.spots))+0.5))] {
+	b.withJobRand(func() {
+		for _, i := range b.rng.Perm(len(b.workerHosts))[:max(1, int(share*float64(len(b.workerHosts))+0.5))] {
 			out = append(out, b.worker(i))
 		}
 	})
@@ -201,13 +201,13 @@
 		b.run(7500)
 		b.sendConfigs(1, 0)
 		for _, w := range b.someWorkers(0.14) {
-			b.leaves(w, true)
+			b.leaveAndReplace(w, true)
 		}
 		b.killFor(b.holder("central"), false, 600)
 		b.run(1500)
-		b.crowd(2, 2.1, 4000)
+		b.extraJobs(2, 2.1, 4000)
 		b.run(2500)
-		b.leaves(b.somePlatformWorker(), false)
+		b.leaveAndReplace(b.somePlatformWorker(), false)
 		b.run(20_000)
 		b.blackout(1500, 400)
 		b.run(16_000)
@@ -219,15 +219,15 @@
 		b.killFor(b.edges()[5], false, 3500)
 		b.run(3000)
 		for _, w := range b.someWorkers(0.09) {
-			b.crashFor(w, 4500)
+			b.crashAndReplace(w, 4500)
 		}
-		b.crowd(2, 2.1, 4000)
+		b.extraJobs(2, 2.1, 4000)
 		b.run(3300)
-		b.killFor(b.holder(b.someSlice()), true, 2500)
+		b.killFor(b.holder(b.randomShardRole()), true, 2500)
 		b.run(700)
-		b.leaves(b.somePlatformWorker(), false)
+		b.leaveAndReplace(b.somePlatformWorker(), false)
 		b.run(7000)
-		heal := b.cut(b.spots[5], b.spots[8])
+		heal := b.cut(b.workerHosts[5], b.workerHosts[8])
 		b.run(5500)
 		heal()
 		b.run(6500)
@@ -238,19 +238,19 @@
 		b.day(2500)
 		b.sendConfigs(1, 0)
 		b.run(3500)
-		heal := b.cut(b.holder(b.someSlice()))
+		heal := b.cut(b.holder(b.randomShardRole()))
 		b.after(5_500_000, heal)
 		b.run(2400)
 		for _, w := range b.someWorkers(0.08) {
-			b.paceFor(w, "hang", 1, true, 6500)
+			b.slowFor(w, "hang", 1, true, 6500)
 		}
 		b.run(600)
-		b.crowd(2, 2.1, 4000)
+		b.extraJobs(2, 2.1, 4000)
 		b.run(2600)
 		b.sendConfigs(2, 600)
 		b.run(3800)
 		for _, w := range b.someWorkers(0.065) {
-			b.leaves(w, false)
+			b.leaveAndReplace(w, false)
 		}
 		b.run(9000)
 		b.coreBlackout(1450)
@@ -260,7 +260,7 @@
 		b.day(2000)
 		b.sendConfigs(2, 1500)
 		b.run(4000)
-		slice := b.someSlice()
+		slice := b.randomShardRole()
 		b.freeze(b.holder(slice), 5000)
 		b.run(200)
 		for _, host := range b.edges()[b.deployment.edges-3:] {
@@ -268,11 +268,11 @@
 		}
 		b.run(800)
 		for _, w := range b.someWorkers(0.12) {
-			b.crashFor(w, 5500)
+			b.crashAndReplace(w, 5500)
 		}
 		b.run(8500)
 		for _, w := range b.someWorkers(0.1) {
-			b.leaves(w, false)
+			b.leaveAndReplace(w, false)
 		}
 		b.run(9000)
 		b.coreBlackout(1650)
@@ -283,9 +283,9 @@
 // coreBlackout cuts the power of all core machines right after a configuration was
 // acknowledged; one of them comes back with an empty disk.
 func (b *platformWorld) coreBlackout(downMs int64) {
-	b.settled()
+	b.acknowledgedConfig()
 	core := b.edges()[:b.deployment.disks]
-	b.wipe(b.some(core[1:]), false, downMs)
+	b.wipe(b.pickOne(core[1:]), false, downMs)
 	for _, host := range core {
 		if b.nodes[host].up {
 			b.killFor(host, true, downMs)
@@ -293,8 +293,8 @@
 	}
 }
 
-// settled sends a configuration and waits until it is acknowledged.
-func (b *platformWorld) settled() {
+// acknowledgedConfig sends a configuration and waits until it is acknowledged.
+func (b *platformWorld) acknowledgedConfig() {
 	base := b.version
 	b.putSetup(b.usualSetup(), base+1, base, nil)
 	for end := b.nowMs() + 4000; b.version == base && b.nowMs() < end; {
@@ -315,12 +315,12 @@
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
 				b := formPlatform(t, seed, incidents[name].deploymentName)
-				b.jobRng = rand.New(rand.NewPCG(seed, 11)) // the jobs stay the same whatever changes in the product
+				b.jobRand = rand.New(rand.NewPCG(seed, 11)) // the jobs stay the same whatever changes in the product
 				incidents[name].simulate(b)
 				b.finish(120_000)
-				verdictOfPlatform(t, b)
+				checkPlatformRun(t, b)
 				done, owed := 0, 0
-				for _, row := range b.inAim() {
+				for _, row := range b.withinTarget() {
 					owed, done = owed+row[0], done+row[1]
 				}
 				t.Logf("%d of %d within their targets: %.3f", done, owed, float64(done)/float64(owed))
--- a/internal/daemon/job_timeline_test.go
+++ b/internal/daemon/job_timeline_test.go
@@ -12,7 +12,7 @@
 // explain returns a job's timeline as `otterchute job explain` gets it from an edge daemon.
 func (b *platformWorld) explain(t *testing.T, id string) (timeline jobTimeline, status int) {
 	t.Helper()
-	got := b.settle(b.nodes[b.edgeHosts[len(b.edgeHosts)-1]], evRequest{Op: "job.explain", Key: id, Base: -1}, 3000)
+	got := b.callAndWait(b.nodes[b.edgeHosts[len(b.edgeHosts)-1]], evRequest{Op: "job.explain", Key: id, Base: -1}, 3000)
 	if got.status == 200 {
 		must.NoError(t, json.Unmarshal([]byte(got.body), &timeline), must.Sprint(got.body))
 	}
@@ -58,7 +58,7 @@
 	must.Greater(t, explained, observed)
 	seen := map[jobtrace.Stage]uint64{}
 	for _, name := range sortedKeys(b.nodes) {
-		stages := b.nodes[name].sh.node.stages.Snapshot()
+		stages := b.nodes[name].executor.node.stages.Snapshot()
 		for key, h := range stages {
 			seen[key.Stage] += h.Count()
 		}
@@ -82,7 +82,7 @@
 	b.kill(owner.Name, false)
 	must.True(t, b.until(15_000, func() bool {
 		after := b.holderOf("slice/" + before.Shard)
-		return after != nil && after.Name != before.Owner && after.sh.node.shards[before.Shard].serving
+		return after != nil && after.Name != before.Owner && after.executor.node.shards[before.Shard].serving
 	}))
 	after, status := b.explain(t, lasting.id)
 	must.Eq(t, 200, status)
--- a/internal/daemon/lease_test.go
+++ b/internal/daemon/lease_test.go
@@ -22,7 +22,7 @@
 		if !n.up {
 			continue
 		}
-		if leases := n.sh.node.leases; leases.Serves(role) && n.steadyMs() < leases.HeldUntilMs(role) {
+		if leases := n.executor.node.leases; leases.Serves(role) && n.steadyMs() < leases.HeldUntilMs(role) {
 			out = append(out, name)
 		}
 	}
@@ -73,8 +73,8 @@
 	return holds()
 }
 
-// oneWay cuts or restores the path from one host to another.
-func (w *world) oneWay(from, to string, cut bool) {
+// setCut cuts or restores the path from one host to another.
+func (w *world) setCut(from, to string, cut bool) {
 	if cut {
 		w.cuts[[2]string{from, to}] = true
 	} else {
@@ -87,25 +87,25 @@
 // that epoch but did not grant the first holder's lease.
 func TestLeaseOutlivesARestartedMember(t *testing.T) {
 	for seed := range uint64(6) {
-		w := served(t, 7100+seed)
+		w := servingWorld(t, 7100+seed)
 		first, second := w.nodes["d05"], w.nodes["d06"]
 		const name = "slice/spare"
-		w.oneWay("d05", "d02", true) // its poll reaches d00 and d01 only
-		first.sh.node.leases.Acquire(name)
-		must.True(t, w.stepUntil(1000, func() bool { return first.sh.node.raisesEpoch(name) }))
-		w.oneWay("d05", "d02", false) // its accept reaches d01 and d02 only
-		must.True(t, w.stepUntil(100, func() bool { return first.sh.node.inAcceptPhase("duty/" + name) }))
-		w.oneWay("d05", "d00", true)
-		must.True(t, w.stepUntil(100, func() bool { return first.sh.node.leases.Serves(name) }))
-		w.oneWay("d05", "d02", true) // renewals don't reach this member
+		w.setCut("d05", "d02", true) // its poll reaches d00 and d01 only
+		first.executor.node.leases.Acquire(name)
+		must.True(t, w.stepUntil(1000, func() bool { return first.executor.node.raisesEpoch(name) }))
+		w.setCut("d05", "d02", false) // its accept reaches d01 and d02 only
+		must.True(t, w.stepUntil(100, func() bool { return first.executor.node.inAcceptPhase("duty/" + name) }))
+		w.setCut("d05", "d00", true)
+		must.True(t, w.stepUntil(100, func() bool { return first.executor.node.leases.Serves(name) }))
+		w.setCut("d05", "d02", true) // renewals don't reach this member
 		w.nodes["d00"].kill(false)
 		w.nodes["d00"].start()
-		second.sh.node.leases.Acquire(name)
+		second.executor.node.leases.Acquire(name)
 		w.requireSingleHolder(t, 3000, name)
 		w.heal()
 		w.run(2 * lease.DurationMs)
-		second.sh.node.leases.Acquire(name)
-		must.True(t, w.until(1000, func() bool { return second.sh.node.leases.Holds(name) }))
+		second.executor.node.leases.Acquire(name)
+		must.True(t, w.until(1000, func() bool { return second.executor.node.leases.Holds(name) }))
 		w.requireSingleHolder(t, 1000, name)
 	}
 }
@@ -123,7 +123,7 @@
 // leaseFaults are short faults that affect leases.
 var leaseFaults = []func(w *world, core []string){
 	func(w *world, core []string) { // a member loses its grants
-		n := w.nodes[w.some(core)]
+		n := w.nodes[w.pickOne(core)]
 		if n.up {
 			n.kill(w.rng.IntN(2) == 0)
 		}
@@ -140,19 +140,19 @@
 		n.start()
 	},
 	func(w *world, core []string) { // a path is cut in one direction
-		from, to := w.randomNode().Name, w.some(core)
+		from, to := w.randomNode().Name, w.pickOne(core)
 		if w.rng.IntN(2) == 0 {
 			from, to = to, from
 		}
-		w.oneWay(from, to, true)
-		w.after(w.rng.Int64N(2_500_000), func() { w.oneWay(from, to, false) })
+		w.setCut(from, to, true)
+		w.after(w.rng.Int64N(2_500_000), func() { w.setCut(from, to, false) })
 	},
 	func(w *world, core []string) { // a member can't send to half of the others
-		at := w.some(core)
+		at := w.pickOne(core)
 		for _, other := range sortedKeys(w.nodes) {
 			if other != at && w.rng.IntN(2) == 0 {
-				w.oneWay(at, other, true)
-				w.after(w.rng.Int64N(2_500_000), func() { w.oneWay(at, other, false) })
+				w.setCut(at, other, true)
+				w.after(w.rng.Int64N(2_500_000), func() { w.setCut(at, other, false) })
 			}
 		}
 	},
@@ -166,10 +166,10 @@
 	},
 	func(w *world, _ []string) { w.randomNode().skewMs += w.rng.Int64N(40_000) - 20_000 },
 	func(w *world, _ []string) { // a holder hands its roles to another daemon
-		if n := w.holderOf("slice/" + w.some([]string{"east", "west", "mid"})); n != nil {
-			for _, name := range n.sh.node.leases.Roles() {
-				if kind, _ := lease.SplitRole(name); kind == lease.KindShard && n.sh.node.leases.Serves(name) {
-					n.sh.node.leases.HandOff(name, w.randomNode().Name)
+		if n := w.holderOf("slice/" + w.pickOne([]string{"east", "west", "mid"})); n != nil {
+			for _, name := range n.executor.node.leases.Roles() {
+				if kind, _ := lease.SplitRole(name); kind == lease.KindShard && n.executor.node.leases.Serves(name) {
+					n.executor.node.leases.HandOff(name, w.randomNode().Name)
 				}
 			}
 		}
@@ -204,9 +204,9 @@
 // coreMembers returns the members of the newest core.
 func (w *world) coreMembers() []string {
 	var set quorum.Set
-	for _, n := range w.nodesInOrder() {
-		if n.sh.node.core.Version > set.Version {
-			set = n.sh.node.core
+	for _, n := range w.sortedNodes() {
+		if n.executor.node.core.Version > set.Version {
+			set = n.executor.node.core
 		}
 	}
 	return set.Names()
@@ -223,32 +223,32 @@
 // A daemon that raises its incarnation looks restarted to the core although its process goes
 // on, so it first releases its leases.
 func TestLeaseEndsWithItsIncarnation(t *testing.T) {
-	w := served(t, 7300)
+	w := servingWorld(t, 7300)
 	first, second := w.nodes["d05"], w.nodes["d06"]
 	const name = "slice/spare"
-	first.sh.node.leases.Acquire(name)
-	must.True(t, w.until(2000, func() bool { return first.sh.node.leases.Holds(name) }))
-	entry := first.sh.node.peers.Self()
+	first.executor.node.leases.Acquire(name)
+	must.True(t, w.until(2000, func() bool { return first.executor.node.leases.Holds(name) }))
+	entry := first.executor.node.peers.Self()
 	entry.Incarnation++
 	// The other daemons report a process with a later clock, as after a restart.
 	for _, other := range sortedKeys(w.nodes) {
 		if other != "d05" {
-			w.nodes[other].sh.node.onGossip("d07", &wire.Gossip{Self: entry})
+			w.nodes[other].executor.node.onGossip("d07", &wire.Gossip{Self: entry})
 		}
 	}
-	first.event(evMsg{Head: wire.Header{From: "d07", Cluster: first.sh.node.core.Cluster}, Msg: &wire.Gossip{Self: w.nodes["d07"].sh.node.peers.Self(), Peers: []wire.Peer{entry}}})
-	must.Greater(t, entry.Incarnation, first.sh.node.Incarnation)
+	first.event(evMsg{Head: wire.Header{From: "d07", Cluster: first.executor.node.core.Cluster}, Msg: &wire.Gossip{Self: w.nodes["d07"].executor.node.peers.Self(), Peers: []wire.Peer{entry}}})
+	must.Greater(t, entry.Incarnation, first.executor.node.Incarnation)
 	w.cutHost("d05")
-	second.sh.node.leases.Acquire(name)
+	second.executor.node.leases.Acquire(name)
 	w.requireSingleHolder(t, 3000, name)
-	must.True(t, w.until(1000, func() bool { return second.sh.node.leases.Holds(name) }))
+	must.True(t, w.until(1000, func() bool { return second.executor.node.leases.Holds(name) }))
 }
 
 // A grant that was requested before a role was released doesn't count when the role is
 // requested again.
 func TestLeaseRequestedBeforeItWasReleased(t *testing.T) {
-	w := served(t, 7301)
-	n := w.nodes["d05"].sh.node
+	w := servingWorld(t, 7301)
+	n := w.nodes["d05"].executor.node
 	const name = "slice/spare"
 	n.leases.Acquire(name)
 	must.True(t, w.until(2000, func() bool { return n.leases.Holds(name) }))
@@ -271,8 +271,8 @@
 // An expired lease is not revived by a late grant, even before the tick that drops it: others
 // may have held the role meanwhile.
 func TestLeaseThatRanOutIsNotRenewed(t *testing.T) {
-	w := served(t, 7302)
-	n := w.nodes["d05"].sh.node
+	w := servingWorld(t, 7302)
+	n := w.nodes["d05"].executor.node
 	const name = "slice/spare"
 	n.leases.Acquire(name)
 	must.True(t, w.until(2000, func() bool { return n.leases.Holds(name) }))
@@ -315,9 +315,9 @@
 // A restarted member keeps the core set on its disk, even if the first message comes from a
 // daemon that missed the last change.
 func TestRestartedMemberKeepsItsCoreSet(t *testing.T) {
-	w := served(t, 7303)
+	w := servingWorld(t, 7303)
 	member := w.nodes["d01"]
-	older := member.sh.node.core
+	older := member.executor.node.core
 	next := older
 	next.Version++
 	gossip := func(c quorum.Set) evMsg {
@@ -339,7 +339,7 @@
 	b := formPlatform(t, 7800, "hakata")
 	b.traffic()
 	b.run(4000)
-	host := b.spots[3]
+	host := b.workerHosts[3]
 	n, worker := b.nodes[host], b.byHost[host].id
 	n.kill(false)
 	n.incarnations = ^uint64(0) // its next incarnation is far below the last
@@ -347,13 +347,13 @@
 	// The worker's heartbeats arrive before any message about the former process.
 	b.cutFrom(host, sortedKeys(b.nodes), true, true)
 	n.start()
-	must.True(t, b.until(4000, func() bool { return n.sh.node.agents[worker] != nil }))
+	must.True(t, b.until(4000, func() bool { return n.executor.node.agents[worker] != nil }))
 	b.cuts = map[[2]string]bool{}
 	accepted := func() bool {
-		agent := n.sh.node.agents[worker]
-		for _, s := range b.nodes["d00"].sh.node.core.Shards {
+		agent := n.executor.node.agents[worker]
+		for _, s := range b.nodes["d00"].executor.node.core.Shards {
 			owner := b.holderOf("slice/" + s)
-			if agent == nil || owner == nil || owner.sh.node.workers[worker] == nil || owner.sh.node.workers[worker].epoch != agent.epoch {
+			if agent == nil || owner == nil || owner.executor.node.workers[worker] == nil || owner.executor.node.workers[worker].epoch != agent.epoch {
 				return false
 			}
 		}
@@ -365,5 +365,5 @@
 	b.run(2000)
 	must.True(t, accepted())
 	b.finish(30_000)
-	verdictOfPlatform(t, b)
+	checkPlatformRun(t, b)
 }
--- a/internal/daemon/linear_test.go
+++ b/internal/daemon/linear_test.go
@@ -17,10 +17,10 @@
 // configuration for the newest poll, and read reports whether a request was answered with a
 // status.
 func readingNode(t *testing.T, seed uint64) (n *node, confirm func(), read func(status int) bool) {
-	w := served(t, seed)
+	w := servingWorld(t, seed)
 	w.putAnywhere(t, 2, 0)
 	w.run(1000)
-	n = w.nodes["d05"].sh.node
+	n = w.nodes["d05"].executor.node
 	n.now, n.effects = n.now+lease.PollIntervalMs, nil
 	n.leases.PollSoon()
 	n.tickPoll()
@@ -213,8 +213,8 @@
 var registerFaults = append([]func(w *world, core []string){
 	func(w *world, _ []string) { // answers to an operator are lost
 		at, to := w.randomNode().Name, fmt.Sprint("operator", w.rng.IntN(4))
-		w.oneWay(at, to, true)
-		w.after(w.rng.Int64N(3_000_000), func() { w.oneWay(at, to, false) })
+		w.setCut(at, to, true)
+		w.after(w.rng.Int64N(3_000_000), func() { w.setCut(at, to, false) })
 	},
 	func(w *world, _ []string) { // a daemon is cut off for longer than a lease
 		at, lastsUs := w.randomNode().Name, 1_500_000+w.rng.Int64N(3_000_000)
@@ -222,8 +222,8 @@
 		w.cutFrom(at, sortedKeys(w.nodes), out, in)
 		w.after(lastsUs, func() {
 			for _, other := range sortedKeys(w.nodes) {
-				w.oneWay(at, other, false)
-				w.oneWay(other, at, false)
+				w.setCut(at, other, false)
+				w.setCut(other, at, false)
 			}
 		})
 	},
--- a/internal/daemon/measure_test.go
+++ b/internal/daemon/measure_test.go
@@ -22,7 +22,7 @@
 	counts                              string
 }
 
-func pick(v []int64, q float64) int64 {
+func percentile(v []int64, q float64) int64 {
 	if len(v) == 0 {
 		return 0
 	}
@@ -54,7 +54,7 @@
 	w.run(20_000)
 	during(w)
 	w.run(40_000)
-	w.until(120_000, func() bool { return len(w.open()) == 0 })
+	w.until(120_000, func() bool { return len(w.openJobs()) == 0 })
 	sent, first, last := map[string]int64{}, map[string]bool{}, map[string]int64{}
 	queue := map[string]string{}
 	var guaranteed, queueable, all, urgent []int64
@@ -85,8 +85,8 @@
 			}
 		}
 	}
-	m.p50, m.p99, m.urgent50, m.urgent99 = pick(all, .5), pick(all, .99), pick(urgent, .5), pick(urgent, .99)
-	m.firstGuaranteed50, m.firstGuaranteed99, m.firstQueueable50, m.firstQueueable99 = pick(guaranteed, .5), pick(guaranteed, .99), pick(queueable, .5), pick(queueable, .99)
+	m.p50, m.p99, m.urgent50, m.urgent99 = percentile(all, .5), percentile(all, .99), percentile(urgent, .5), percentile(urgent, .99)
+	m.firstGuaranteed50, m.firstGuaranteed99, m.firstQueueable50, m.firstQueueable99 = percentile(guaranteed, .5), percentile(guaranteed, .99), percentile(queueable, .5), percentile(queueable, .99)
 	n := float64(max(1, m.ended))
 	messages := 0
 	for _, c := range w.messages {
@@ -104,7 +104,7 @@
 	defaults, noFault := func(*nodeConfig) {}, func(*world) {}
 	wave := func(w *world) {
 		for range 300 {
-			w.submit(w.dep.RandomJob(w.rng))
+			w.submit(w.deployment.RandomJob(w.rng))
 		}
 	}
 	type row struct {
--- a/internal/daemon/membership_test.go
+++ b/internal/daemon/membership_test.go
@@ -67,12 +67,12 @@
 	s.t.Helper()
 	next := s.version + 1
 	must.True(s.t, s.until(15_000, func() bool {
-		return s.settle(s.observer(), evRequest{Op: "setup.put", Key: fmt.Sprint(next), Base: -1, Body: queueSetup("q", "")}, 3000).status == 200
+		return s.callAndWait(s.observer(), evRequest{Op: "setup.put", Key: fmt.Sprint(next), Base: -1, Body: queueSetup("q", "")}, 3000).status == 200
 	}), s.details())
 	s.version = next
 	id := fmt.Sprint("job", len(s.jobs))
 	must.True(s.t, s.until(15_000, func() bool {
-		status := s.settle(s.observer(), evRequest{Op: "job.put", Key: id, Base: -1, Body: []byte(`{"queue":"q","steps":[{"name":"s","tasks":[{"name":"t","room":1}]}]}`)}, 3000).status
+		status := s.callAndWait(s.observer(), evRequest{Op: "job.put", Key: id, Base: -1, Body: []byte(`{"queue":"q","steps":[{"name":"s","tasks":[{"name":"t","room":1}]}]}`)}, 3000).status
 		return status == 200 || status == 201
 	}), s.details())
 	s.jobs = append(s.jobs, id)
@@ -82,13 +82,13 @@
 func (s *coreChangeWorld) requireAllKept() {
 	s.t.Helper()
 	must.True(s.t, s.until(12_000, func() bool {
-		r := s.settle(s.observer(), evRequest{Op: "setup.get"}, 2000)
+		r := s.callAndWait(s.observer(), evRequest{Op: "setup.get"}, 2000)
 		return gjson.Get(r.body, "version").Int() == s.version
 	}), s.details())
 	for _, id := range s.jobs {
-		last := answered{}
+		last := callResult{}
 		must.True(s.t, s.until(12_000, func() bool {
-			last = s.settle(s.observer(), evRequest{Op: "job.get", Key: id, Base: -1}, 2000)
+			last = s.callAndWait(s.observer(), evRequest{Op: "job.get", Key: id, Base: -1}, 2000)
 			return last.status == 200
 		}), must.Sprint(id, last), s.details())
 	}
@@ -101,7 +101,7 @@
 		return false
 	}
 	for _, m := range c.Members {
-		if n := s.nodes[m.Name]; !n.up || !n.sh.node.inCore() {
+		if n := s.nodes[m.Name]; !n.up || !n.executor.node.inCore() {
 			return false
 		}
 	}
@@ -112,7 +112,7 @@
 func (s *coreChangeWorld) wipeMembers(count int, except ...*simNode) {
 	var from []*simNode
 	for _, m := range s.newestSet().Members {
-		if n := s.nodes[m.Name]; n.up && n.sh.node.leavingSinceMs == 0 && !slices.Contains(except, n) {
+		if n := s.nodes[m.Name]; n.up && n.executor.node.leavingSinceMs == 0 && !slices.Contains(except, n) {
 			from = append(from, n)
 		}
 	}
@@ -128,8 +128,8 @@
 // newestSet returns the newest core set that any running daemon knows.
 func (s *coreChangeWorld) newestSet() (set quorum.Set) {
 	for _, name := range sortedKeys(s.nodes) {
-		if n := s.nodes[name]; n.up && n.sh.node.core.Version > set.Version {
-			set = n.sh.node.core
+		if n := s.nodes[name]; n.up && n.executor.node.core.Version > set.Version {
+			set = n.executor.node.core
 		}
 	}
 	return set
@@ -390,7 +390,7 @@
 			s.fillDisk(n, 3000)
 			s.acceptMore()
 			s.run(500)
-			must.False(t, n.sh.node.inCore(), s.details())
+			must.False(t, n.executor.node.inCore(), s.details())
 			must.True(t, s.until(6000, s.complete), s.details())
 		}
 		must.Eq(t, set.Version, s.newestSet().Version, s.details())
@@ -485,7 +485,7 @@
 		s.acceptMore()
 		s.newcomer(0)
 		s.run(catchUpMs)
-		must.False(t, failing.sh.node.inCore(), s.details())
+		must.False(t, failing.executor.node.inCore(), s.details())
 		must.Eq(t, set.Version, s.newestSet().Version, s.details())
 		leaving.event(evStop{})
 		must.True(t, s.until(membership.HandoverMs+500, func() bool { return !leaving.up }), s.details())
@@ -506,8 +506,8 @@
 	s.newcomer(0)
 	must.True(t, s.until(20_000, func() bool { return s.complete() && !s.newestSet().Has(other.Name, id) }), s.details())
 	s.run(16_000)
-	must.NotEq(t, id, other.sh.node.DiskID, s.details())
-	must.True(t, other.up && other.sh.node.diskFailed == "", s.details())
+	must.NotEq(t, id, other.executor.node.DiskID, s.details())
+	must.True(t, other.up && other.executor.node.diskFailed == "", s.details())
 	must.True(t, s.complete(), s.details())
 }
 
--- a/internal/daemon/newrules_test.go
+++ b/internal/daemon/newrules_test.go
@@ -37,19 +37,19 @@
 		b.traffic()
 		b.run(2000 + b.rng.Int64N(3000))
 		disks := b.shuffled(b.diskHosts)
-		if b.share(0.5) { // one disk is newer than the others
+		if b.chance(0.5) { // one disk is newer than the others
 			b.wipe(disks[len(disks)-1], false, 500)
 			b.run(12_000)
 		}
-		moment := []struck{struckSent, struckAcknowledged, struckTaken}[b.rng.IntN(3)]
+		moment := []lossTiming{lossAfterSend, lossAfterAck, lossAfterAcceptance}[b.rng.IntN(3)]
 		downMs := 800 + b.rng.Int64N(1200)
 		b.each(4, 700, func() { b.change(nil) })
 		b.strikeOnce(moment, func(host string) {
 			first := slices.Index(disks, host)
-			if first > 0 && b.share(0.5) { // hit the daemon that acknowledged
+			if first > 0 && b.chance(0.5) { // hit the daemon that acknowledged
 				disks[0], disks[first] = disks[first], disks[0]
 			}
-			b.see(platformEvent{kind: bLoss})
+			b.record(platformEvent{kind: eventLoss})
 			lost := disks[:b.lossesAllowed()]
 			for _, h := range lost {
 				b.wipe(h, false, downMs)
@@ -60,16 +60,16 @@
 				}
 				b.powerOf([]string{h}, true, downMs)
 				if s := b.byHost[h]; s != nil {
-					b.crashFor(s, downMs+20)
+					b.crashAndReplace(s, downMs+20)
 				}
 			}
 		})
 		b.run(downMs + 20)
-		b.see(platformEvent{kind: bBack})
+		b.record(platformEvent{kind: eventLossRepaired})
 		b.run(recoveryMs + 10_000)
 		b.finish(120_000)
 		b.readBack()
-		verdictOfPlatform(t, b)
+		checkPlatformRun(t, b)
 	})
 }
 
@@ -89,20 +89,20 @@
 			}
 		}
 		for _, host := range b.diskHosts {
-			b.trouble("split", host)
+			b.beginFault("split", host)
 		}
 		b.each(6, 500, func() { b.change(nil) })
 		b.each(10, 400, func() { b.readAnywhere(t) })
 		b.run(6000)
 		b.cuts = map[[2]string]bool{}
-		b.release()
+		b.releaseHeld()
 		for _, host := range b.diskHosts {
-			b.calm("split", host)
+			b.endFault("split", host)
 		}
 		b.run(recoveryMs)
 		b.finish(120_000)
 		b.readBack()
-		verdictOfPlatform(t, b)
+		checkPlatformRun(t, b)
 	})
 }
 
@@ -131,14 +131,14 @@
 		b.each(30, 300, func() { b.change(nil) })
 		b.each(30, 310, func() { b.readAnywhere(t) })
 		for range 4 {
-			host := b.some(b.edgeHosts)
+			host := b.pickOne(b.edgeHosts)
 			switch b.rng.IntN(3) {
 			case 0:
 				b.after(2_500_000, b.cut(host))
 			case 1:
 				b.freeze(host, 1500)
 			case 2:
-				b.after(600_000, b.kill(host, b.share(0.5)))
+				b.after(600_000, b.kill(host, b.chance(0.5)))
 			}
 			b.run(3000)
 		}
@@ -155,14 +155,14 @@
 		listedMs, waits := map[string]map[int64]int64{}, []int64{}
 		for _, e := range b.events {
 			switch e.kind {
-			case bListed:
+			case eventEndsReported:
 				if listedMs[e.worker] == nil {
 					listedMs[e.worker] = map[int64]int64{}
 				}
 				for n := e.n; n > 0 && listedMs[e.worker][n] == 0; n-- {
 					listedMs[e.worker][n] = e.atMs
 				}
-			case bSeen:
+			case eventEndsAcknowledged:
 				for n := e.n; n > 0 && listedMs[e.worker][n] > 0; n-- {
 					waits = append(waits, e.atMs-listedMs[e.worker][n])
 					listedMs[e.worker][n] = -1
@@ -184,7 +184,7 @@
 	eachRequirementSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
 		whole := b.deployment.capacity
 		var jobs []*platformJob
-		for range 3 * len(b.spots) { // each takes a whole worker, so that most wait
+		for range 3 * len(b.workerHosts) { // each takes a whole worker, so that most wait
 			jobs = append(jobs, b.submit(b.simple(0, 1, amounts{whole[0] * 9 / 10, whole[1] / 2}, 30_000)))
 		}
 		b.run(6000)
@@ -211,7 +211,7 @@
 			}
 		})
 		b.run(3000)
-		b.after(2_000_000, b.kill(b.holder(b.someSlice()), false))
+		b.after(2_000_000, b.kill(b.holder(b.randomShardRole()), false))
 		b.run(5000)
 		must.Greater(t, 5*len(b.edgeHosts), answers)
 	})
@@ -219,7 +219,7 @@
 
 // runsOf returns the workers that run a task of a job now.
 func (b *platformWorld) runsOf(id string) (hosts []string) {
-	for _, host := range b.spots {
+	for _, host := range b.workerHosts {
 		for k := range b.byHost[host].runs {
 			if k.job == id {
 				hosts = append(hosts, host)
@@ -238,13 +238,13 @@
 		for range 4 {
 			s := b.somePlatformWorker()
 			kinds := map[string]string{"a": "b", "b": "a"}
-			b.crashFor(s, 700)
+			b.crashAndReplace(s, 700)
 			labels := map[string]string{"service": s.labels["service"], "kind": kinds[s.labels["kind"]]}
 			s.labels, s.capacity = labels, amounts{s.capacity[0] / 2, s.capacity[1]}
 			b.run(2500)
 		}
 		b.finish(120_000)
-		verdictOfPlatform(t, b)
+		checkPlatformRun(t, b)
 	})
 }
 
@@ -256,13 +256,13 @@
 		lasting.fates[taskName{0, 0, 0}].fails, lasting.fates[taskName{0, 0, 1}].fails = nil, nil
 		b.run(2000)
 		room := b.deployment.capacity
-		for range 12 * len(b.spots) {
+		for range 12 * len(b.workerHosts) {
 			b.submit(b.simple(2, 1, amounts{room[0] / 5, room[1] / 16}, 3500))
 		}
 		b.run(4000)
 		hosts := b.runsOf(lasting.id)
 		must.SliceNotEmpty(t, hosts)
-		b.crashFor(b.byHost[hosts[0]], 500)
+		b.crashAndReplace(b.byHost[hosts[0]], 500)
 		b.run(9000)
 		must.Eq(t, 2, len(b.runsOf(lasting.id)), must.Sprint("both tasks must run"))
 	})
--- a/internal/daemon/orderbytes_test.go
+++ b/internal/daemon/orderbytes_test.go
@@ -39,11 +39,11 @@
 		c.mu.Lock()
 		c.conns++
 		c.mu.Unlock()
-		go c.take(conn.(*net.TCPConn))
+		go c.exchange(conn.(*net.TCPConn))
 	}
 }
 
-func (c *cutWorker) take(conn *net.TCPConn) {
+func (c *cutWorker) exchange(conn *net.TCPConn) {
 	defer func() {
 		if c.stall {
 			<-c.done
--- a/internal/daemon/outcome_test.go
+++ b/internal/daemon/outcome_test.go
@@ -36,8 +36,8 @@
 // another that owns shards.
 func addressedWorld(t *testing.T) (w *world, front, owner *simNode) {
 	t.Helper()
-	w = served(t, 11)
-	status := w.settle(w.nodes["d00"], evRequest{Op: "setup.put", Key: "1", Base: -1,
+	w = servingWorld(t, 11)
+	status := w.callAndWait(w.nodes["d00"], evRequest{Op: "setup.put", Key: "1", Base: -1,
 		Body: queueSetup("q", `,"addresses":[{"host":"h.example","prefix":"/p/"}]`)}, 5000).status
 	must.Eq(t, 200, status)
 	w.run(2000)
@@ -113,7 +113,7 @@
 				w, front, owner := addressedWorld(t)
 				id := idOwnedBy(w, owner, "job")
 				injected := false
-				w.detain = func(_, _ string, msg any) int64 {
+				w.extraDelayUs = func(_, _ string, msg any) int64 {
 					if injected || !step.matches(msg) {
 						return 0
 					}
@@ -121,16 +121,16 @@
 					return fault.inject(w, front, owner)
 				}
 				send := func(to *simNode) int {
-					return w.settle(to, evRequest{Op: "queue.submit", Host: "h.example", Path: "/p/" + id, Base: -1,
+					return w.callAndWait(to, evRequest{Op: "queue.submit", Host: "h.example", Path: "/p/" + id, Base: -1,
 						Body: []byte(`{"steps":[{"name":"a","count":1,"room":1,"estimate_ms":50}]}`)}, 4000).status
 				}
 				first := send(front)
 				must.True(t, injected, must.Sprint("no such message in this exchange"))
 				w.run(6000)
-				w.detain = nil
+				w.extraDelayUs = nil
 				jobState := func() (status int, state string) {
 					for range 20 {
-						got := w.settle(w.nodes["d00"], evRequest{Op: "queue.state", Host: "h.example", Path: "/p/" + id, Base: -1}, 3000)
+						got := w.callAndWait(w.nodes["d00"], evRequest{Op: "queue.state", Host: "h.example", Path: "/p/" + id, Base: -1}, 3000)
 						if got.status == 200 || got.status == 410 {
 							return got.status, gjson.Get(got.body, "state").Str
 						}
@@ -154,8 +154,8 @@
 				must.SliceContains(t, []int{200, 201}, second)
 				must.True(t, w.until(20_000, func() bool { return w.startsOfID(id) > 0 }), must.Sprint("the job was accepted and never runs"))
 				records := 0
-				for _, n := range w.nodesInOrder() {
-					for _, shard := range n.sh.node.shards {
+				for _, n := range w.sortedNodes() {
+					for _, shard := range n.executor.node.shards {
 						if shard.jobs[id] != nil || shard.finished[id] != nil {
 							records++
 						}
@@ -179,14 +179,14 @@
 			t.Run(step.name+"/"+fault.name, func(t *testing.T) {
 				w, front, owner := addressedWorld(t)
 				id := idOwnedBy(w, owner, "job")
-				call := func(to *simNode, op string) answered {
-					return w.settle(to, evRequest{Op: op, Host: "h.example", Path: "/p/" + id, Base: -1,
+				call := func(to *simNode, op string) callResult {
+					return w.callAndWait(to, evRequest{Op: op, Host: "h.example", Path: "/p/" + id, Base: -1,
 						Body: []byte(`{"steps":[{"name":"a","count":1,"room":1,"lasting":true}]}`)}, 4000)
 				}
 				must.Eq(t, 201, call(front, "queue.submit").status)
 				must.True(t, w.until(20_000, func() bool { return w.startsOfID(id) > 0 }))
 				injected := false
-				w.detain = func(_, _ string, msg any) int64 {
+				w.extraDelayUs = func(_, _ string, msg any) int64 {
 					if injected || !step.matches(msg) {
 						return 0
 					}
@@ -196,7 +196,7 @@
 				first := call(front, "queue.cancel").status
 				must.True(t, injected)
 				w.run(6000)
-				w.detain = nil
+				w.extraDelayUs = nil
 				state := func() string {
 					for range 20 {
 						if got := call(w.nodes["d00"], "queue.state"); got.status == 200 {
--- a/internal/daemon/patch_test.go
+++ b/internal/daemon/patch_test.go
@@ -14,7 +14,7 @@
 	for seed := range uint64(4) {
 		b := formPlatform(t, 7100+seed, "hakata")
 		lost, patches, wholeBytes, patchBytes := 0, 0, 0, 0
-		b.detain = func(_, to string, msg any) int64 {
+		b.extraDelayUs = func(_, to string, msg any) int64 {
 			w, ok := msg.(*wire.WriteRequest)
 			if !ok {
 				return 0
@@ -38,11 +38,11 @@
 		must.Less(t, 2*wholeBytes+1<<20, patchBytes)
 		must.Positive(t, b.total("writes_lacking"))
 		b.finish(60_000)
-		verdictOfPlatform(t, b)
+		checkPlatformRun(t, b)
 		b.run(3000)
-		first := b.nodes[b.diskHosts[0]].sh.node.store
+		first := b.nodes[b.diskHosts[0]].executor.node.store
 		for _, host := range b.diskHosts[1:] {
-			other := b.nodes[host].sh.node.store
+			other := b.nodes[host].executor.node.store
 			for _, name := range other.ShardNames() {
 				must.Eq(t, len(other.Shard(name).Live()), len(first.Shard(name).Live()), must.Sprint(seed, host, name))
 				for _, r := range other.Shard(name).Live() {
--- a/internal/daemon/path_test.go
+++ b/internal/daemon/path_test.go
@@ -14,10 +14,10 @@
 func formed(t *testing.T, seed uint64, dep string) *world {
 	t.Helper()
 	w := newWorld(seed, historycheck.Deployments[dep])
-	w.keepLog = true
+	w.keepLogs = true
 	must.True(t, w.until(20_000, func() bool { return w.holderOf("central") != nil }), must.Sprint("the cluster never formed"))
 	status := 0
-	w.putSetup(1, w.dep.InitialConfiguration(), func(s int) { status = s })
+	w.putSetup(1, w.deployment.InitialConfiguration(), func(s int) { status = s })
 	must.True(t, w.until(10_000, func() bool { return status != 0 }))
 	must.Eq(t, 200, status)
 	return w
@@ -37,9 +37,9 @@
 // requireAllDone requires that all accepted jobs end within ms.
 func requireAllDone(t *testing.T, w *world, ms int64) {
 	t.Helper()
-	if !w.until(ms, func() bool { return len(w.open()) == 0 }) {
-		id, _, _ := strings.Cut(w.open()[0], ":")
-		t.Errorf("%d of %d jobs still open: %v; the first: %s", len(w.open()), len(w.jobs), w.open()[:min(5, len(w.open()))], w.jobs[id].last)
+	if !w.until(ms, func() bool { return len(w.openJobs()) == 0 }) {
+		id, _, _ := strings.Cut(w.openJobs()[0], ":")
+		t.Errorf("%d of %d jobs still open: %v; the first: %s", len(w.openJobs()), len(w.jobs), w.openJobs()[:min(5, len(w.openJobs()))], w.jobs[id].lastState)
 	}
 }
 
--- a/internal/daemon/platformcampaign_test.go
+++ b/internal/daemon/platformcampaign_test.go
@@ -8,39 +8,39 @@
 
 // platformFaults are faults and loads for random mixes. Each ends by itself.
 var platformFaults = map[string]func(b *platformWorld){
-	"crash": func(b *platformWorld) { b.crashFor(b.somePlatformWorker(), 500+b.rng.Int64N(5000)) },
-	"slow":  func(b *platformWorld) { b.paceFor(b.somePlatformWorker(), "slow", 2+5*b.rng.Float64(), false, 7000) },
-	"hang":  func(b *platformWorld) { b.paceFor(b.somePlatformWorker(), "hang", 1, true, 5500) },
-	"leave": func(b *platformWorld) { b.leaves(b.somePlatformWorker(), false) },
-	"spot":  func(b *platformWorld) { b.leaves(b.somePlatformWorker(), true) },
+	"crash": func(b *platformWorld) { b.crashAndReplace(b.somePlatformWorker(), 500+b.rng.Int64N(5000)) },
+	"slow":  func(b *platformWorld) { b.slowFor(b.somePlatformWorker(), "slow", 2+5*b.rng.Float64(), false, 7000) },
+	"hang":  func(b *platformWorld) { b.slowFor(b.somePlatformWorker(), "hang", 1, true, 5500) },
+	"leave": func(b *platformWorld) { b.leaveAndReplace(b.somePlatformWorker(), false) },
+	"spot":  func(b *platformWorld) { b.leaveAndReplace(b.somePlatformWorker(), true) },
 	"side kill": func(b *platformWorld) {
-		b.after(100_000+b.rng.Int64N(6_000_000), b.kill(b.some(b.spots), b.share(0.5)))
+		b.after(100_000+b.rng.Int64N(6_000_000), b.kill(b.pickOne(b.workerHosts), b.chance(0.5)))
 	},
-	"side freeze": func(b *platformWorld) { b.freeze(b.some(b.spots), 300+b.rng.Int64N(8000)) },
+	"side freeze": func(b *platformWorld) { b.freeze(b.pickOne(b.workerHosts), 300+b.rng.Int64N(8000)) },
 	"side cut": func(b *platformWorld) {
-		b.after(500_000+b.rng.Int64N(9_000_000), b.cut(b.some(b.spots)))
+		b.after(500_000+b.rng.Int64N(9_000_000), b.cut(b.pickOne(b.workerHosts)))
 	},
 	"edge kill": func(b *platformWorld) {
-		b.after(100_000+b.rng.Int64N(6_000_000), b.kill(b.some(b.edges()), b.share(0.5)))
+		b.after(100_000+b.rng.Int64N(6_000_000), b.kill(b.pickOne(b.edges()), b.chance(0.5)))
 	},
-	"edge freeze": func(b *platformWorld) { b.freeze(b.some(b.edges()), 300+b.rng.Int64N(6000)) },
-	"edge cut":    func(b *platformWorld) { b.after(500_000+b.rng.Int64N(6_000_000), b.cut(b.some(b.edges()))) },
+	"edge freeze": func(b *platformWorld) { b.freeze(b.pickOne(b.edges()), 300+b.rng.Int64N(6000)) },
+	"edge cut":    func(b *platformWorld) { b.after(500_000+b.rng.Int64N(6_000_000), b.cut(b.pickOne(b.edges()))) },
 	"owner kill": func(b *platformWorld) {
-		b.after(100_000+b.rng.Int64N(6_000_000), b.kill(b.holder(b.someSlice()), b.share(0.5)))
+		b.after(100_000+b.rng.Int64N(6_000_000), b.kill(b.holder(b.randomShardRole()), b.chance(0.5)))
 	},
-	"owner freeze": func(b *platformWorld) { b.freeze(b.holder(b.someSlice()), 1000+b.rng.Int64N(5000)) },
-	"owner cut":    func(b *platformWorld) { b.after(500_000+b.rng.Int64N(6_000_000), b.cut(b.holder(b.someSlice()))) },
+	"owner freeze": func(b *platformWorld) { b.freeze(b.holder(b.randomShardRole()), 1000+b.rng.Int64N(5000)) },
+	"owner cut":    func(b *platformWorld) { b.after(500_000+b.rng.Int64N(6_000_000), b.cut(b.holder(b.randomShardRole()))) },
 	"central kill": func(b *platformWorld) {
-		b.after(100_000+b.rng.Int64N(6_000_000), b.kill(b.holder("central"), b.share(0.5)))
+		b.after(100_000+b.rng.Int64N(6_000_000), b.kill(b.holder("central"), b.chance(0.5)))
 	},
 	"wipe": func(b *platformWorld) {
-		if b.coreWhole() != nil {
-			b.wipe(b.some(b.disks()), b.share(0.5), 300+b.rng.Int64N(3000))
+		if b.completeCore() != nil {
+			b.wipe(b.pickOne(b.disks()), b.chance(0.5), 300+b.rng.Int64N(3000))
 		}
 	},
 	"power all": func(b *platformWorld) {
 		var undo []func()
-		power := b.share(0.5)
+		power := b.chance(0.5)
 		for _, host := range sortedKeys(b.nodes) {
 			undo = append(undo, b.kill(host, power))
 		}
@@ -64,8 +64,8 @@
 		}
 	},
 	"evacuate": func(b *platformWorld) {
-		zone := b.nodes[b.some(b.spots)].Zone
-		b.order("site.empty", zone, func() { b.after(7_000_000, func() { b.order("site.open", zone, nil) }) })
+		zone := b.nodes[b.pickOne(b.workerHosts)].Zone
+		b.sendZoneCommand("site.empty", zone, func() { b.after(7_000_000, func() { b.sendZoneCommand("site.open", zone, nil) }) })
 	},
 	"race": func(b *platformWorld) {
 		base, version := b.version, b.version
@@ -75,30 +75,30 @@
 	},
 	"cancels": func(b *platformWorld) {
 		for _, o := range b.open() {
-			if j := b.jobs[o[:16]]; b.share(0.2) {
+			if j := b.jobs[o[:16]]; b.chance(0.2) {
 				b.cancel(j)
 			}
 		}
 	},
-	"stop": func(b *platformWorld) { b.stopGracefully(b.some(sortedKeys(b.nodes)), b.rng.Int64N(2000)) },
+	"stop": func(b *platformWorld) { b.stopGracefully(b.pickOne(sortedKeys(b.nodes)), b.rng.Int64N(2000)) },
 	"slow disk": func(b *platformWorld) {
-		d := b.some(b.disks())
-		b.syncUs[d] = 20_000 + b.rng.Int64N(400_000)
-		b.trouble("slow disk", d)
+		d := b.pickOne(b.disks())
+		b.extraSyncUs[d] = 20_000 + b.rng.Int64N(400_000)
+		b.beginFault("slow disk", d)
 		b.after(5_500_000, func() {
-			b.syncUs[d] = 0
-			b.calm("slow disk", d)
+			b.extraSyncUs[d] = 0
+			b.endFault("slow disk", d)
 		})
 	},
 	"after ack wipe": func(b *platformWorld) { // a daemon loses its disk or power right after it has acknowledged something
-		kind, wipe, armed := b.some([]string{bJobTried, eventSetupAcked, eventCancelAcked, bSeen, eventZoneEvacuated}), b.share(0.6), true
-		b.onSee = func(e platformEvent) {
-			if !armed || e.kind != kind || kind == bJobTried && e.n >= 300 {
+		kind, wipe, armed := b.pickOne([]string{eventJobResponse, eventSetupAcked, eventCancelAcked, eventEndsAcknowledged, eventZoneEvacuated}), b.chance(0.6), true
+		b.onEvent = func(e platformEvent) {
+			if !armed || e.kind != kind || kind == eventJobResponse && e.n >= 300 {
 				return
 			}
-			armed, b.onSee = false, nil
+			armed, b.onEvent = false, nil
 			b.after(b.rng.Int64N(3000), func() {
-				core := b.coreWhole()
+				core := b.completeCore()
 				if core == nil {
 					return
 				}
@@ -117,14 +117,14 @@
 	"flap": func(b *platformWorld) {
 		s := b.somePlatformWorker()
 		for i := range int64(4) {
-			b.after(i*1_400_000, func() { b.crashFor(s, 700) })
+			b.after(i*1_400_000, func() { b.crashAndReplace(s, 700) })
 		}
 	},
 	"herd kill": func(b *platformWorld) {
 		var undo []func()
 		for _, host := range sortedKeys(b.nodes) {
-			if b.share(0.45) {
-				undo = append(undo, b.kill(host, b.share(0.5)))
+			if b.chance(0.45) {
+				undo = append(undo, b.kill(host, b.chance(0.5)))
 			}
 		}
 		b.after(1_400_000, allOf(undo))
@@ -135,41 +135,41 @@
 		}
 	},
 	"quick cuts": func(b *platformWorld) { // short cuts of one worker's machine
-		host := b.some(b.spots)
+		host := b.pickOne(b.workerHosts)
 		for i := range int64(3) {
 			b.after(i*1_500_000, func() { b.after(200_000+b.rng.Int64N(1_200_000), b.cut(host)) })
 		}
 	},
 	"cut and killed": func(b *platformWorld) { // the daemon restarts while it is cut off
-		host := b.some(b.spots)
+		host := b.pickOne(b.workerHosts)
 		heal := b.cut(host)
 		b.after(100_000+b.rng.Int64N(7_000_000), func() { b.after(100_000+b.rng.Int64N(500_000), b.kill(host, false)) })
 		b.after(2_000_000+b.rng.Int64N(8_000_000), heal)
 	},
 	"replaced": func(b *platformWorld) { // a worker crashes while its daemon is cut off
-		host := b.some(b.spots)
+		host := b.pickOne(b.workerHosts)
 		b.after(500_000+b.rng.Int64N(3_000_000), b.cut(host))
-		b.crashFor(b.byHost[host], 100+b.rng.Int64N(2000))
+		b.crashAndReplace(b.byHost[host], 100+b.rng.Int64N(2000))
 	},
 	"failing": func(b *platformWorld) { // many tasks fail, some of them while their agent is cut off
 		for range 20 {
 			j := b.simple(b.rng.IntN(3), 1+b.rng.IntN(4), amounts{b.deployment.capacity[0] / 32, b.deployment.capacity[1] / 32}, 300+1500*b.rng.Float64())
-			for n := range j.names() {
+			for n := range j.taskNames() {
 				for range b.rng.IntN(3) {
 					j.fates[n].fails = append(j.fates[n].fails, b.rng.Float64())
 				}
 			}
 			b.submit(j)
 		}
-		b.after(1_000_000+b.rng.Int64N(8_000_000), b.cut(b.some(b.spots)))
+		b.after(1_000_000+b.rng.Int64N(8_000_000), b.cut(b.pickOne(b.workerHosts)))
 	},
 	"clock": func(b *platformWorld) {
-		n := b.nodes[b.some(sortedKeys(b.nodes))]
-		undo := b.jumpOf(n)
-		b.trouble("clock", n.Name)
+		n := b.nodes[b.pickOne(sortedKeys(b.nodes))]
+		undo := b.skewClock(n)
+		b.beginFault("clock", n.Name)
 		b.after(5_000_000, func() {
 			undo()
-			b.calm("clock", n.Name)
+			b.endFault("clock", n.Name)
 		})
 	},
 }
@@ -194,13 +194,13 @@
 			b.day(4000)
 			for end := b.nowMs() + 25_000; b.nowMs() < end; {
 				b.run(500 + b.rng.Int64N(4000))
-				name := b.some(names)
+				name := b.pickOne(names)
 				played = append(played, fmt.Sprintf("%d:%s", b.nowMs(), name))
 				platformFaults[name](b)
 			}
 			b.run(12_000)
 			b.finish(120_000)
-			verdictOfPlatform(t, b)
+			checkPlatformRun(t, b)
 			if t.Failed() {
 				t.Log("faults:", played)
 			}
--- a/internal/daemon/platformdays_test.go
+++ b/internal/daemon/platformdays_test.go
@@ -57,12 +57,12 @@
 	"power off all": func(b *platformWorld, downMs int64) { b.stopAllAt(true, downMs) },
 	"kill all":      func(b *platformWorld, downMs int64) { b.stopAllAt(false, downMs) },
 	"wipe after an acknowledgement": func(b *platformWorld, downMs int64) {
-		b.settled()
+		b.acknowledgedConfig()
 		b.wipeMost("", downMs)
 	},
-	"wipe of who acknowledges": func(b *platformWorld, downMs int64) { b.wipeAt(struckAcknowledged, true, downMs) },
-	"wipe after sending":       func(b *platformWorld, downMs int64) { b.wipeAt(struckSent, false, downMs) },
-	"wipe after an acceptance": func(b *platformWorld, downMs int64) { b.wipeAt(struckTaken, true, downMs) },
+	"wipe of who acknowledges": func(b *platformWorld, downMs int64) { b.wipeAt(lossAfterAck, true, downMs) },
+	"wipe after sending":       func(b *platformWorld, downMs int64) { b.wipeAt(lossAfterSend, false, downMs) },
+	"wipe after an acceptance": func(b *platformWorld, downMs int64) { b.wipeAt(lossAfterAcceptance, true, downMs) },
 }
 
 // stopAll stops all machines; a power loss takes their workers too.
@@ -73,7 +73,7 @@
 		}
 		b.powerOf([]string{host}, power, downMs)
 		if s := b.byHost[host]; s != nil && power {
-			b.crashFor(s, downMs+20)
+			b.crashAndReplace(s, downMs+20)
 		}
 	}
 }
@@ -88,13 +88,13 @@
 	for _, host := range hosts[:b.lossesAllowed()] {
 		b.wipe(host, false, downMs)
 	}
-	if b.share(0.5) {
+	if b.chance(0.5) {
 		b.powerOf(hosts[b.lossesAllowed():], true, downMs)
 	}
 }
 
 // wipeAt is wipeMost at a given point of a change; if aimed, it wipes the machine that handles the change.
-func (b *platformWorld) wipeAt(when struck, aimed bool, downMs int64) {
+func (b *platformWorld) wipeAt(when lossTiming, aimed bool, downMs int64) {
 	b.strikeOnce(when, func(host string) {
 		if !aimed {
 			host = ""
@@ -106,16 +106,16 @@
 // stopAllAt stops all machines once a change was acknowledged: after its operator received
 // the response, or as the response is sent.
 func (b *platformWorld) stopAllAt(power bool, downMs int64) {
-	if b.share(0.5) {
-		b.settled()
+	if b.chance(0.5) {
+		b.acknowledgedConfig()
 		b.stopAll(power, downMs)
 		return
 	}
-	b.strikeOnce(struckAcknowledged, func(string) { b.stopAll(power, downMs) })
+	b.strikeOnce(lossAfterAck, func(string) { b.stopAll(power, downMs) })
 }
 
 // strikeOnce is strike, but runs do after 6 s if the awaited event doesn't happen.
-func (b *platformWorld) strikeOnce(when struck, do func(host string)) {
+func (b *platformWorld) strikeOnce(when lossTiming, do func(host string)) {
 	over := false
 	once := func(host string) {
 		if !over {
@@ -123,7 +123,7 @@
 			do(host)
 		}
 	}
-	b.strike(when, once)
+	b.loseAtResponse(when, once)
 	b.until(6000, func() bool { return over })
 	once("")
 }
@@ -167,7 +167,7 @@
 func (d *randomDay) play(t *testing.T) *platformWorld {
 	b := formPlatform(t, d.number, d.deployment)
 	b.replaced = map[string]bool{}
-	b.whenAnswered(func(a sentAnswer) bool {
+	b.onEachResponse(func(a sentResponse) bool {
 		if a.call.Op == "setup.put" && a.accepted() {
 			b.lastAcknowledger = a.from.Name
 		}
@@ -183,10 +183,10 @@
 		b.restoreLimits()
 	}
 	b.until(2*maxLossWaitMs, func() bool { return !slices.ContainsFunc(b.diskHosts, b.lost) })
-	b.see(platformEvent{kind: bLoss})
+	b.record(platformEvent{kind: eventLoss})
 	finalLosses[d.finalLoss](b, d.downMs)
 	b.run(d.downMs + 20)
-	b.see(platformEvent{kind: bBack})
+	b.record(platformEvent{kind: eventLossRepaired})
 	b.run(recoveryMs + 10_000)
 	b.finish(120_000)
 	b.readBack()
@@ -215,9 +215,9 @@
 	b.call("operator", b.edge(), platformCall{op: "setup.get"}, 1000, func(status int, _ int64, body []byte) {
 		switch {
 		case status == 200:
-			b.see(platformEvent{kind: eventSetupShown, n: gjson.GetBytes(body, "version").Int(), text: gjson.GetBytes(body, "setup.source.note").Str, requestedMs: asked})
+			b.record(platformEvent{kind: eventSetupShown, n: gjson.GetBytes(body, "version").Int(), text: gjson.GetBytes(body, "setup.source.note").Str, requestedMs: asked})
 		case tries == 1:
-			b.see(platformEvent{kind: eventSetupShown, n: -1, requestedMs: asked})
+			b.record(platformEvent{kind: eventSetupShown, n: -1, requestedMs: asked})
 		default:
 			b.after(readPauseMs*1000, func() { b.readSetup(tries - 1) })
 		}
@@ -229,11 +229,11 @@
 	b.callOfJob(to, "queue.state", j, nil, func(status int, _ int64, body []byte) {
 		switch {
 		case status == 200:
-			b.see(platformEvent{kind: eventStateShown, job: j.id, host: to.Name, text: gjson.GetBytes(body, "state").Str, requestedMs: asked})
+			b.record(platformEvent{kind: eventStateShown, job: j.id, host: to.Name, text: gjson.GetBytes(body, "state").Str, requestedMs: asked})
 		case status == 410:
-			b.see(platformEvent{kind: eventStateShown, job: j.id, host: to.Name, text: "unknown", requestedMs: asked})
+			b.record(platformEvent{kind: eventStateShown, job: j.id, host: to.Name, text: "unknown", requestedMs: asked})
 		case tries == 1:
-			b.see(platformEvent{kind: eventFinalState, job: j.id})
+			b.record(platformEvent{kind: eventFinalState, job: j.id})
 		default:
 			b.after(readPauseMs*1000, func() { b.readJob(j, tries-1) })
 		}
@@ -259,7 +259,7 @@
 				t.Parallel()
 				d := drawDay(number, theme)
 				b := d.play(t)
-				verdictOfPlatform(t, b)
+				checkPlatformRun(t, b)
 				if t.Failed() {
 					t.Log(d)
 				}
--- a/internal/daemon/platformdays_troubles_test.go
+++ b/internal/daemon/platformdays_troubles_test.go
@@ -25,10 +25,10 @@
 
 // coreTargets choose the core machine that a fault hits.
 var coreTargets = map[string]func(b *platformWorld) string{
-	"any":     func(b *platformWorld) string { return b.some(b.diskHosts) },
+	"any":     func(b *platformWorld) string { return b.pickOne(b.diskHosts) },
 	"leader":  func(b *platformWorld) string { return b.diskHostOr(b.lastAcknowledger) },
 	"central": func(b *platformWorld) string { return b.diskHostOr(b.holder("central")) },
-	"owner":   func(b *platformWorld) string { return b.diskHostOr(b.holder(b.someSlice())) },
+	"owner":   func(b *platformWorld) string { return b.diskHostOr(b.holder(b.randomShardRole())) },
 }
 
 // diskHostOr returns the machine if it has a disk, or else any that has.
@@ -36,7 +36,7 @@
 	if slices.Contains(b.diskHosts, host) {
 		return host
 	}
-	return b.some(b.diskHosts)
+	return b.pickOne(b.diskHosts)
 }
 
 // whenLossAllowed runs a fault of some machines once so many may be lost. It is skipped
@@ -140,9 +140,9 @@
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		share, ms, callers := choose(r, 0.3, 0.7, 0.95), between(r, 4000, 20_000), r.IntN(2) == 0
 		return fmt.Sprintf("responses to operators lost with %.2f for %d ms, to callers with half of that: %v", share, ms, callers), func(b *platformWorld) {
-			b.after(ms*1000, b.loseAnswers("operator", share))
+			b.after(ms*1000, b.loseResponses("operator", share))
 			if callers {
-				b.after(ms*1000, b.loseAnswers("caller", share/2))
+				b.after(ms*1000, b.loseResponses("caller", share/2))
 			}
 		}
 	},
@@ -158,7 +158,7 @@
 		}
 	},
 	func(*rand.Rand) (string, func(b *platformWorld)) {
-		return "seeds replaced", func(b *platformWorld) { b.replaceSeeds(b.shuffled(b.standing())) }
+		return "seeds replaced", func(b *platformWorld) { b.replaceSeeds(b.shuffled(b.runningEdges())) }
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		times, ms := choose[int64](r, 3, 8), between(r, 3000, 8000)
@@ -175,7 +175,7 @@
 	if way == "both" {
 		heal = b.cut(host)
 	} else {
-		heal = b.cutOne(host, cutWay(way))
+		heal = b.cutOne(host, cutDirection(way))
 	}
 	b.after(ms*1000, heal)
 	switch restart {
@@ -187,8 +187,8 @@
 			b.powerOf(b.shuffled(others)[:len(others)/2], false, 100)
 		})
 	case "seeds":
-		b.replaceSeeds(append([]string{host}, b.shuffled(b.standing())...))
-		b.powerOf(b.shuffled(b.spots)[:2], false, 100)
+		b.replaceSeeds(append([]string{host}, b.shuffled(b.runningEdges())...))
+		b.powerOf(b.shuffled(b.workerHosts)[:2], false, 100)
 	}
 }
 
@@ -220,15 +220,15 @@
 		}
 	}
 	for _, way := range ways {
-		b.hold[way] = 2000 * times
+		b.pathDelayUs[way] = 2000 * times
 	}
-	b.troubleFor("slow", host, ms, func() {
+	b.faultFor("slow", host, ms, func() {
 		for _, way := range ways {
-			delete(b.hold, way)
+			delete(b.pathDelayUs, way)
 		}
 	})
 	for at := int64(1000); at < ms; at += 1000 {
-		b.after(at*1000, func() { b.see(platformEvent{kind: bCore, host: host}) })
+		b.after(at*1000, func() { b.record(platformEvent{kind: eventCoreChanged, host: host}) })
 	}
 }
 
@@ -243,7 +243,7 @@
 		down, aimed := between(r, 1000, 4000), r.IntN(2) == 0
 		return fmt.Sprintf("wipe after an acknowledgement for %d ms, aimed %v", down, aimed), func(b *platformWorld) {
 			b.whenLossAllowed(func() []string { return b.diskHosts[:1] }, func([]string) {
-				b.strike(struckAcknowledged, func(host string) {
+				b.loseAtResponse(lossAfterAck, func(host string) {
 					if !aimed {
 						host = ""
 					}
@@ -255,10 +255,10 @@
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
-		when, power, count, down := choose(r, struckAcknowledged, struckSent, struckTaken), r.IntN(3) > 0, choose(r, 1, 2), between(r, 500, 3000)
+		when, power, count, down := choose(r, lossAfterAck, lossAfterSend, lossAfterAcceptance), r.IntN(3) > 0, choose(r, 1, 2), between(r, 500, 3000)
 		return fmt.Sprintf("%d machines lost when a change is %s, power %v, for %d ms", count, when, power, down), func(b *platformWorld) {
 			b.whenLossAllowed(func() []string { return b.diskHosts[:1] }, func([]string) {
-				b.strike(when, func(host string) {
+				b.loseAtResponse(when, func(host string) {
 					hit := []string{host}
 					for _, other := range b.shuffled(b.diskHosts) {
 						if len(hit) < count && other != host {
@@ -278,7 +278,7 @@
 		return fmt.Sprintf("all core machines lost for %d ms, power %v, at an acceptance %v", down, power || taken, taken), func(b *platformWorld) {
 			b.whenNoneLost(func() {
 				if taken {
-					b.strike(struckTaken, func(string) { b.powerOf(b.disks(), true, down) })
+					b.loseAtResponse(lossAfterAcceptance, func(string) { b.powerOf(b.disks(), true, down) })
 				} else {
 					b.powerOf(b.disks(), power, down)
 				}
@@ -378,7 +378,7 @@
 		if b.nowMs() >= end || b.noNewFaults {
 			return
 		}
-		if b.openChanges == 0 || b.openChanges < maxOpenChanges && b.share(0.1) {
+		if b.openChanges == 0 || b.openChanges < maxOpenChanges && b.chance(0.1) {
 			b.change(nil)
 		}
 		b.after(gapMs*1000, next)
@@ -457,13 +457,13 @@
 		return fmt.Sprintf("SIGTERM to a fraction %.1f of machines, one every %d ms", share, gap), func(b *platformWorld) { b.rollingRestart(share, gap) }
 	},
 	func(*rand.Rand) (string, func(b *platformWorld)) {
-		return "seeds replaced", func(b *platformWorld) { b.replaceSeeds(b.shuffled(b.standing())) }
+		return "seeds replaced", func(b *platformWorld) { b.replaceSeeds(b.shuffled(b.runningEdges())) }
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		short := r.IntN(2) == 0
 		return fmt.Sprintf("workers leave, short %v", short), func(b *platformWorld) {
 			for _, s := range b.someWorkers(0.15) {
-				b.leaves(s, short)
+				b.leaveAndReplace(s, short)
 			}
 		}
 	},
@@ -478,7 +478,7 @@
 		return fmt.Sprintf("zone %d evacuated", at), func(b *platformWorld) {
 			zone := historycheck.Zones[at]
 			if len(b.evacuatedZones) == 0 {
-				b.order("site.empty", zone, func() { b.after(7_000_000, func() { b.order("site.open", zone, nil) }) })
+				b.sendZoneCommand("site.empty", zone, func() { b.after(7_000_000, func() { b.sendZoneCommand("site.open", zone, nil) }) })
 			}
 		}
 	},
@@ -500,11 +500,11 @@
 	if !n.up {
 		return
 	}
-	b.trouble("stopped", host)
+	b.beginFault("stopped", host)
 	n.stopOrKill(graceMs, func() {
 		b.after(300_000, func() {
 			n.start()
-			b.calm("stopped", host)
+			b.endFault("stopped", host)
 		})
 	})
 }
@@ -544,7 +544,7 @@
 		hang := r.IntN(2) == 0
 		return fmt.Sprintf("workers slow down, or hang: %v", hang), func(b *platformWorld) {
 			for _, s := range b.someWorkers(0.2) {
-				b.paceFor(s, "grey", 4, hang, 6000)
+				b.slowFor(s, "grey", 4, hang, 6000)
 			}
 		}
 	},
@@ -552,12 +552,12 @@
 		back := choose[int64](r, 4000, 0)
 		return fmt.Sprintf("workers crash, back after %d ms", back), func(b *platformWorld) {
 			for _, s := range b.someWorkers(0.15) {
-				b.crashFor(s, back)
+				b.crashAndReplace(s, back)
 			}
 		}
 	},
 	func(r *rand.Rand) (string, func(b *platformWorld)) {
 		kind, times := r.IntN(3), choose(r, 1.5, 2.5)
-		return fmt.Sprintf("%.1f times the usual load of kind %d", times, kind), func(b *platformWorld) { b.crowd(kind, times, 4000) }
+		return fmt.Sprintf("%.1f times the usual load of kind %d", times, kind), func(b *platformWorld) { b.extraJobs(kind, times, 4000) }
 	},
 }
--- a/internal/daemon/platformjudge_cases_test.go
+++ b/internal/daemon/platformjudge_cases_test.go
@@ -28,41 +28,41 @@
 	add(100, platformEvent{kind: eventSetupSent, n: 1, base: 0, setup: setup})
 	add(200, platformEvent{kind: eventSetupAcked, n: 1, base: 0, setup: setup})
 	add(10_000, platformEvent{kind: eventJobSent, job: "j", spec: job, queue: q})
-	add(10_010, platformEvent{kind: bJobTried, job: "j", host: "e", n: 201, requestedMs: 10_000})
+	add(10_010, platformEvent{kind: eventJobResponse, job: "j", host: "e", n: 201, requestedMs: 10_000})
 	begin := func(at int64, worker string, step, index int, n int64, saved string) {
 		e := run(at, eventOrdered, worker, step, index, n)
 		e.saved = saved
-		h = append(h, e, run(at, bStarted, worker, step, index, n))
+		h = append(h, e, run(at, eventStarted, worker, step, index, n))
 	}
 	finish := func(at int64, worker string, step, index int, run int64, n int64, how string) {
-		add(at, platformEvent{kind: bEnded, job: "j", task: taskName{0, step, index}, run: run, worker: worker, host: "on-" + worker, text: how, n: n})
+		add(at, platformEvent{kind: eventEnded, job: "j", task: taskName{0, step, index}, run: run, worker: worker, host: "on-" + worker, text: how, n: n})
 	}
 	begin(11_000, "w1", 0, 0, 1, "")
 	begin(11_000, "w2", 0, 1, 1, "")
 	finish(11_500, "w1", 0, 0, 1, 1, "failed")
-	add(11_550, platformEvent{kind: bListed, worker: "w1", n: 1})
-	add(11_600, platformEvent{kind: bSeen, worker: "w1", n: 1})
+	add(11_550, platformEvent{kind: eventEndsReported, worker: "w1", n: 1})
+	add(11_600, platformEvent{kind: eventEndsAcknowledged, worker: "w1", n: 1})
 	begin(11_650, "w1", 0, 0, 2, "")
 	finish(12_000, "w2", 0, 1, 1, 1, "ok")
 	finish(12_100, "w1", 0, 0, 2, 2, "ok")
-	add(12_150, platformEvent{kind: bListed, worker: "w1", n: 2})
-	add(12_150, platformEvent{kind: bListed, worker: "w2", n: 1})
-	add(12_200, platformEvent{kind: bSeen, worker: "w1", n: 2})
-	add(12_200, platformEvent{kind: bSeen, worker: "w2", n: 1})
+	add(12_150, platformEvent{kind: eventEndsReported, worker: "w1", n: 2})
+	add(12_150, platformEvent{kind: eventEndsReported, worker: "w2", n: 1})
+	add(12_200, platformEvent{kind: eventEndsAcknowledged, worker: "w1", n: 2})
+	add(12_200, platformEvent{kind: eventEndsAcknowledged, worker: "w2", n: 1})
 	begin(12_300, "w1", 1, 0, 1, "")
 	begin(12_310, "w2", 1, 1, 1, "")
 	add(13_300, platformEvent{kind: eventCheckpointSaved, job: "j", task: taskName{0, 1, 0}, run: 1, worker: "w1", saved: "abc"})
 	finish(13_400, "w1", 1, 0, 1, 3, "lapsed")
-	add(13_400, platformEvent{kind: bLapsed, worker: "w1"})
+	add(13_400, platformEvent{kind: eventHoldExpired, worker: "w1"})
 	finish(13_410, "w2", 1, 1, 1, 2, "broken")
-	add(13_450, platformEvent{kind: bListed, worker: "w1", n: 3})
-	add(13_450, platformEvent{kind: bListed, worker: "w2", n: 2})
+	add(13_450, platformEvent{kind: eventEndsReported, worker: "w1", n: 3})
+	add(13_450, platformEvent{kind: eventEndsReported, worker: "w2", n: 2})
 	begin(13_500, "w1", 1, 0, 2, "abc")
 	begin(13_500, "w2", 1, 1, 2, "abc")
 	finish(14_500, "w1", 1, 0, 2, 4, "ok")
 	finish(14_500, "w2", 1, 1, 2, 3, "ok")
-	add(14_550, platformEvent{kind: bListed, worker: "w1", n: 4})
-	add(14_600, platformEvent{kind: bSeen, worker: "w1", n: 4})
+	add(14_550, platformEvent{kind: eventEndsReported, worker: "w1", n: 4})
+	add(14_600, platformEvent{kind: eventEndsAcknowledged, worker: "w1", n: 4})
 	add(14_700, platformEvent{kind: eventStateShown, job: "j", host: "e", text: "complete", requestedMs: 14_690})
 	return h
 }
@@ -105,7 +105,7 @@
 	}
 	loneGang := func(h []platformEvent) []platformEvent { // its other member never starts
 		h = drop(h, func(e platformEvent) bool { return e.atMs > 12_300 })
-		return append(h, platformEvent{atMs: 15_300, kind: bEnded, job: "j", task: taskName{0, 1, 0}, run: 1, worker: "w1", host: "on-w1", text: "alone", n: 3})
+		return append(h, platformEvent{atMs: 15_300, kind: eventEnded, job: "j", task: taskName{0, 1, 0}, run: 1, worker: "w1", host: "on-w1", text: "alone", n: 3})
 	}
 	other := &platformSetup{queues: []platformQueue{{name: "q", host: "h", prefix: "/other/", service: "s"}}, note: "other"}
 	injections := map[string]func([]platformEvent) []platformEvent{
@@ -117,28 +117,28 @@
 		"LIMIT in accelerators": func(h []platformEvent) []platformEvent { h[0].facts.capacity[2] = 0; return h },
 		"LIMIT while an end isn't reported": func(h []platformEvent) []platformEvent {
 			h[0].facts.capacity = amounts{3, 3, 1}
-			return drop(h, func(e platformEvent) bool { return e.kind == bListed && e.worker == "w1" && e.n == 1 })
+			return drop(h, func(e platformEvent) bool { return e.kind == eventEndsReported && e.worker == "w1" && e.n == 1 })
 		},
 		"TWICE at once": func(h []platformEvent) []platformEvent {
 			job(h).steps[0].perWorker = 0
-			return insertEvent(roomy(h), run(11_200, bStarted, "w2", 0, 0, 3))
+			return insertEvent(roomy(h), run(11_200, eventStarted, "w2", 0, 0, 3))
 		},
 		"TWICE after a successful end": func(h []platformEvent) []platformEvent {
-			return insertEvent(h, run(12_150, bStarted, "w2", 0, 0, 3))
+			return insertEvent(h, run(12_150, eventStarted, "w2", 0, 0, 3))
 		},
 		"TWICE after another member's successful end": func(h []platformEvent) []platformEvent {
-			return insertEvent(roomy(h), run(14_620, bStarted, "w2", 1, 1, 3))
+			return insertEvent(roomy(h), run(14_620, eventStarted, "w2", 1, 1, 3))
 		},
 		"TWICE of copies, over a second later": func(h []platformEvent) []platformEvent {
 			job(h).steps[0].copies = true
-			return insertEvent(h, run(13_300, bStarted, "w2", 0, 0, 3))
+			return insertEvent(h, run(13_300, eventStarted, "w2", 0, 0, 3))
 		},
 		"TWICE after it was shown as complete": func(h []platformEvent) []platformEvent {
 			job(h).steps[0].copies = true
-			return append(drop(h, func(e platformEvent) bool { return e.kind == bSeen }), run(15_800, bStarted, "w2", 0, 0, 3))
+			return append(drop(h, func(e platformEvent) bool { return e.kind == eventEndsAcknowledged }), run(15_800, eventStarted, "w2", 0, 0, 3))
 		},
 		"ORDER": func(h []platformEvent) []platformEvent {
-			find(h, bEnded, "w2", 0, 1, 1).atMs = 12_400
+			find(h, eventEnded, "w2", 0, 1, 1).atMs = 12_400
 			slices.SortStableFunc(h, func(a, b platformEvent) int { return int(a.atMs - b.atMs) })
 			return h
 		},
@@ -149,8 +149,8 @@
 		"ROUTE":          func(h []platformEvent) []platformEvent { h[0].facts.labels["service"] = "other"; return h },
 		"ROUTE by label": func(h []platformEvent) []platformEvent { h[0].facts.labels["kind"] = "b"; return h },
 		"ROUTE by count": func(h []platformEvent) []platformEvent {
-			find(h, bStarted, "w2", 0, 1, 1).worker = "w1"
-			find(h, bEnded, "w2", 0, 1, 1).worker = "w1"
+			find(h, eventStarted, "w2", 0, 1, 1).worker = "w1"
+			find(h, eventEnded, "w2", 0, 1, 1).worker = "w1"
 			return roomy(h)
 		},
 		"BUDGET": func(h []platformEvent) []platformEvent {
@@ -159,10 +159,10 @@
 		},
 		"BUDGET of a gang": func(h []platformEvent) []platformEvent {
 			job(h).queue.allowedFailures = 1
-			find(h, bEnded, "w1", 0, 0, 1).text = "ok"
+			find(h, eventEnded, "w1", 0, 0, 1).text = "ok"
 			h = drop(h, func(e platformEvent) bool { return e.task == taskName{0, 0, 0} && e.run == 2 })
-			find(h, bEnded, "w2", 1, 1, 1).text = "failed"
-			return insertEvent(h, platformEvent{atMs: 13_460, kind: bSeen, worker: "w2", n: 2})
+			find(h, eventEnded, "w2", 1, 1, 1).text = "failed"
+			return insertEvent(h, platformEvent{atMs: 13_460, kind: eventEndsAcknowledged, worker: "w2", n: 2})
 		},
 		"GANG": loneGang,
 		"UNASKED": func(h []platformEvent) []platformEvent {
@@ -189,7 +189,7 @@
 			return insertEvent(h, platformEvent{atMs: 10_200, kind: eventCancelAcked, job: "j"})
 		},
 		"UNASKED still running": func(h []platformEvent) []platformEvent {
-			find(h, bEnded, "w2", 0, 1, 1).atMs = 15_000
+			find(h, eventEnded, "w2", 0, 1, 1).atMs = 15_000
 			return insertEvent(h, platformEvent{atMs: 11_100, kind: eventCancelAcked, job: "j"})
 		},
 		"REFUSED": func(h []platformEvent) []platformEvent { h[5].n = 503; return h },
@@ -268,23 +268,23 @@
 				platformEvent{atMs: 30_000, kind: eventSetupShown, n: 2, text: "another", requestedMs: 29_000})
 		},
 		"LOST refused when sent again": func(h []platformEvent) []platformEvent {
-			return append(h, platformEvent{atMs: 20_000, kind: eventJobAccepted, job: "j", n: 201}, platformEvent{atMs: 20_010, kind: bJobTried, job: "j", host: "e", n: 409, requestedMs: 20_005})
+			return append(h, platformEvent{atMs: 20_000, kind: eventJobAccepted, job: "j", n: 201}, platformEvent{atMs: 20_010, kind: eventJobResponse, job: "j", host: "e", n: 409, requestedMs: 20_005})
 		},
 		"RECOVER calls": func(h []platformEvent) []platformEvent {
-			h = append(h, platformEvent{atMs: 20_000, kind: bLoss}, platformEvent{atMs: 21_000, kind: bBack})
+			h = append(h, platformEvent{atMs: 20_000, kind: eventLoss}, platformEvent{atMs: 21_000, kind: eventLossRepaired})
 			return append(h, platformEvent{atMs: 33_500, kind: eventJobSent, job: "k", spec: h[4].spec, queue: h[4].queue})
 		},
 		"RECOVER tasks": func(h []platformEvent) []platformEvent {
-			h = append(h, platformEvent{atMs: 20_000, kind: bLoss}, platformEvent{atMs: 21_000, kind: bBack})
+			h = append(h, platformEvent{atMs: 20_000, kind: eventLoss}, platformEvent{atMs: 21_000, kind: eventLossRepaired})
 			return append(h, platformEvent{atMs: 33_500, kind: eventJobSent, job: "k", spec: h[4].spec, queue: h[4].queue},
-				platformEvent{atMs: 33_510, kind: bJobTried, job: "k", host: "e", n: 201, requestedMs: 33_500})
+				platformEvent{atMs: 33_510, kind: eventJobResponse, job: "k", host: "e", n: 201, requestedMs: 33_500})
 		},
 		"CONFIG no such queue": func(h []platformEvent) []platformEvent {
-			return append(h, platformEvent{atMs: 20_000, kind: bJobTried, job: "j", host: "e", n: 404, requestedMs: 19_990})
+			return append(h, platformEvent{atMs: 20_000, kind: eventJobResponse, job: "j", host: "e", n: 404, requestedMs: 19_990})
 		},
 		"CONFIG a dropped queue": func(h []platformEvent) []platformEvent {
 			h = append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupAcked, n: 2, base: 1, setup: other})
-			return append(h, platformEvent{atMs: 23_000, kind: eventJobSent, job: "k", spec: h[4].spec, queue: h[4].queue}, platformEvent{atMs: 23_010, kind: bJobTried, job: "k", host: "e", n: 201, requestedMs: 23_000})
+			return append(h, platformEvent{atMs: 23_000, kind: eventJobSent, job: "k", spec: h[4].spec, queue: h[4].queue}, platformEvent{atMs: 23_010, kind: eventJobResponse, job: "k", host: "e", n: 201, requestedMs: 23_000})
 		},
 	}
 	for name, inject := range injections {
@@ -302,11 +302,11 @@
 		"copies at once": func(h []platformEvent) []platformEvent {
 			job(h).steps[0].copies, job(h).steps[0].perWorker = true, 0
 			h[1].facts.capacity = amounts{64, 64, 8}
-			return insertEvent(h, run(11_200, bStarted, "w2", 0, 0, 3))
+			return insertEvent(h, run(11_200, eventStarted, "w2", 0, 0, 3))
 		},
 		"a successful end hidden by an expired hold": func(h []platformEvent) []platformEvent {
 			h[1].facts.capacity, job(h).steps[0].perWorker = amounts{64, 64, 8}, 0
-			return insertEvent(insertEvent(h, platformEvent{atMs: 12_120, kind: bLapsed, worker: "w1"}), run(12_180, bStarted, "w2", 0, 0, 3))
+			return insertEvent(insertEvent(h, platformEvent{atMs: 12_120, kind: eventHoldExpired, worker: "w1"}), run(12_180, eventStarted, "w2", 0, 0, 3))
 		},
 		"a start at a leaving worker by a machine without contact": func(h []platformEvent) []platformEvent {
 			return insertEvent(insertEvent(insertEvent(h, platformEvent{atMs: 5000, kind: eventLeaveAcked, worker: "w1", host: "on-w1"}), platformEvent{atMs: 9500, kind: eventFaultBegan, host: "on-w1", text: "cut"}),
@@ -323,7 +323,7 @@
 			return drop(h, func(e platformEvent) bool { return e.kind == eventStateShown })
 		},
 		"unknown while the core is unsettled": func(h []platformEvent) []platformEvent {
-			return insertEvent(insertEvent(h, platformEvent{atMs: 13_200, kind: eventStateShown, job: "j", host: "e", text: "unknown", requestedMs: 13_100}), platformEvent{atMs: 11_300, kind: bCore, host: "d00"})
+			return insertEvent(insertEvent(h, platformEvent{atMs: 13_200, kind: eventStateShown, job: "j", host: "e", text: "unknown", requestedMs: 13_100}), platformEvent{atMs: 11_300, kind: eventCoreChanged, host: "d00"})
 		},
 		"a change whose response was lost, acknowledged when sent again": func(h []platformEvent) []platformEvent {
 			return append(h, platformEvent{atMs: 20_000, kind: eventSetupSent, n: 2, base: 1, setup: other}, platformEvent{atMs: 20_001, kind: eventSetupAccepted, n: 2, base: 1, setup: other},
--- a/internal/daemon/platformjudge_setups_test.go
+++ b/internal/daemon/platformjudge_setups_test.go
@@ -142,7 +142,7 @@
 		if s.completeMs < 0 {
 			s.completeMs = e.atMs
 		}
-		for name := range s.spec.names() {
+		for name := range s.spec.taskNames() {
 			if s.spec.steps[name.step].lasting || !s.succeededBefore(name, e.order) {
 				c.report("MIXED", e.atMs, "%s is shown as complete, but task %v has not ended well", e.job, name)
 				return
--- a/internal/daemon/platformjudge_state_test.go
+++ b/internal/daemon/platformjudge_state_test.go
@@ -246,7 +246,7 @@
 
 // mayFail reports whether a task has used up its allowed failures.
 func (s *observedJob) mayFail() bool {
-	for name := range s.spec.names() {
+	for name := range s.spec.taskNames() {
 		if len(s.runs[name]) > 0 && len(s.failures(name)) >= s.queue.allowedFailures {
 			return true
 		}
--- a/internal/daemon/platformjudge_tenants_cases_test.go
+++ b/internal/daemon/platformjudge_tenants_cases_test.go
@@ -20,12 +20,12 @@
 		{atMs: 100, kind: eventSetupSent, n: 1, base: 0, setup: setup},
 		{atMs: 200, kind: eventSetupAcked, n: 1, base: 0, setup: setup},
 		{atMs: 10_000, kind: eventJobSent, job: "j", spec: job, queue: q},
-		{atMs: 10_010, kind: bJobTried, job: "j", host: "e", n: 201, requestedMs: 10_000},
+		{atMs: 10_010, kind: eventJobResponse, job: "j", host: "e", n: 201, requestedMs: 10_000},
 		callWith("one", 201, 10_000),
-		tenantRun(11_000, bStarted, "w1", 0), tenantRun(11_000, bStarted, "w2", 1),
-		tenantEnd(12_000, "w1", 0, "ok", 1), {atMs: 12_050, kind: bListed, worker: "w1", n: 1},
-		tenantRun(12_100, bStarted, "w1", 2),
-		tenantEnd(13_000, "w2", 1, "ok", 1), {atMs: 13_050, kind: bListed, worker: "w2", n: 1},
+		tenantRun(11_000, eventStarted, "w1", 0), tenantRun(11_000, eventStarted, "w2", 1),
+		tenantEnd(12_000, "w1", 0, "ok", 1), {atMs: 12_050, kind: eventEndsReported, worker: "w1", n: 1},
+		tenantRun(12_100, eventStarted, "w1", 2),
+		tenantEnd(13_000, "w2", 1, "ok", 1), {atMs: 13_050, kind: eventEndsReported, worker: "w2", n: 1},
 	}
 	return append(h, callWith("one", 200, 14_000))
 }
@@ -47,7 +47,7 @@
 }
 
 func tenantEnd(atMs int64, worker string, index int, how string, number int64) platformEvent {
-	e := tenantRun(atMs, bEnded, worker, index)
+	e := tenantRun(atMs, eventEnded, worker, index)
 	e.text, e.n = how, number
 	return e
 }
@@ -102,25 +102,25 @@
 			return insertAll(append(h, changeTo(swapped, 20_000, 20_100)...), callWith("one", 200, 22_200))
 		},
 		"QUOTA in cpu": func(h []platformEvent) []platformEvent {
-			return insertAll(h, tenantRun(12_500, bStarted, "w1", 3), tenantRun(12_600, bStarted, "w1", 4))
+			return insertAll(h, tenantRun(12_500, eventStarted, "w1", 3), tenantRun(12_600, eventStarted, "w1", 4))
 		},
 		"QUOTA in memory": func(h []platformEvent) []platformEvent {
 			h[2].setup.tenants[0].limit = amounts{0, 7}
-			return insertAll(h, tenantRun(12_500, bStarted, "w1", 3))
+			return insertAll(h, tenantRun(12_500, eventStarted, "w1", 3))
 		},
 		"QUOTA by a machine without contact": func(h []platformEvent) []platformEvent {
 			return insertAll(h, platformEvent{atMs: 12_400, kind: eventFaultBegan, host: "on-w1", text: "cut"},
-				tenantRun(12_500, bStarted, "w1", 3), tenantRun(12_600, bStarted, "w1", 4))
+				tenantRun(12_500, eventStarted, "w1", 3), tenantRun(12_600, eventStarted, "w1", 4))
 		},
 		"QUOTA while an end isn't reported": func(h []platformEvent) []platformEvent {
-			return insertAll(h, tenantRun(13_010, bStarted, "w2", 3), tenantRun(13_020, bStarted, "w2", 4))
+			return insertAll(h, tenantRun(13_010, eventStarted, "w2", 3), tenantRun(13_020, eventStarted, "w2", 4))
 		},
 		"QUOTA over a limit that was lowered": func(h []platformEvent) []platformEvent {
-			return insertAll(append(h, changeTo(low, 14_500, 14_600)...), tenantRun(16_700, bStarted, "w1", 3))
+			return insertAll(append(h, changeTo(low, 14_500, 14_600)...), tenantRun(16_700, eventStarted, "w1", 3))
 		},
 		"QUOTA over a limit that was not raised yet": func(h []platformEvent) []platformEvent {
-			return insertAll(append(h, changeTo(roomy, 14_500, 14_600)...), tenantRun(14_400, bStarted, "w1", 3),
-				tenantRun(14_410, bStarted, "w1", 4), tenantRun(14_420, bStarted, "w1", 5))
+			return insertAll(append(h, changeTo(roomy, 14_500, 14_600)...), tenantRun(14_400, eventStarted, "w1", 3),
+				tenantRun(14_410, eventStarted, "w1", 4), tenantRun(14_420, eventStarted, "w1", 5))
 		},
 	}
 	for name, inject := range injections {
@@ -140,7 +140,7 @@
 	roomy, low, swapped := tenantSetup(amounts{1000, 1000}, "one"), tenantSetup(amounts{4, 10}, "one"), tenantSetup(amounts{10, 10}, "two")
 	allowed := map[string]func([]platformEvent) []platformEvent{
 		"one task beyond the limit": func(h []platformEvent) []platformEvent {
-			return insertAll(h, tenantRun(12_500, bStarted, "w1", 3))
+			return insertAll(h, tenantRun(12_500, eventStarted, "w1", 3))
 		},
 		"a key revoked just now": func(h []platformEvent) []platformEvent {
 			return insertAll(append(h, changeTo(swapped, 20_000, 20_100)...), callWith("one", 200, 22_000), callWith("two", 401, 22_000))
@@ -159,26 +159,26 @@
 			return insertAll(h, callWith("guessed", 401, 14_000))
 		},
 		"a start under a limit that a sent version raises": func(h []platformEvent) []platformEvent {
-			return insertAll(append(h, changeTo(roomy, 14_500, 30_000)...), tenantRun(14_600, bStarted, "w1", 3),
-				tenantRun(14_610, bStarted, "w1", 4), tenantRun(14_620, bStarted, "w1", 5))
+			return insertAll(append(h, changeTo(roomy, 14_500, 30_000)...), tenantRun(14_600, eventStarted, "w1", 3),
+				tenantRun(14_610, eventStarted, "w1", 4), tenantRun(14_620, eventStarted, "w1", 5))
 		},
 		"a start under a limit that was lowered just now": func(h []platformEvent) []platformEvent {
-			return insertAll(append(h, changeTo(low, 14_500, 14_600)...), tenantRun(16_500, bStarted, "w1", 3))
+			return insertAll(append(h, changeTo(low, 14_500, 14_600)...), tenantRun(16_500, eventStarted, "w1", 3))
 		},
 		"starts after an end was reported": func(h []platformEvent) []platformEvent {
-			return insertAll(h, tenantRun(13_060, bStarted, "w2", 3), tenantRun(13_070, bStarted, "w2", 4))
+			return insertAll(h, tenantRun(13_060, eventStarted, "w2", 3), tenantRun(13_070, eventStarted, "w2", 4))
 		},
 		"a start after a crash": func(h []platformEvent) []platformEvent {
 			return insertAll(h, platformEvent{atMs: 12_400, kind: eventWorkerDown, worker: "w1", host: "on-w1"},
-				tenantRun(12_500, bStarted, "w2", 3), tenantRun(12_600, bStarted, "w2", 4))
+				tenantRun(12_500, eventStarted, "w2", 3), tenantRun(12_600, eventStarted, "w2", 4))
 		},
 		"a start after a hold expired": func(h []platformEvent) []platformEvent {
-			return insertAll(h, platformEvent{atMs: 12_400, kind: bLapsed, worker: "w1", host: "on-w1"}, tenantEnd(12_400, "w1", 2, "lapsed", 2),
-				tenantRun(12_500, bStarted, "w2", 3), tenantRun(12_600, bStarted, "w2", 4))
+			return insertAll(h, platformEvent{atMs: 12_400, kind: eventHoldExpired, worker: "w1", host: "on-w1"}, tenantEnd(12_400, "w1", 2, "lapsed", 2),
+				tenantRun(12_500, eventStarted, "w2", 3), tenantRun(12_600, eventStarted, "w2", 4))
 		},
 		"a tenant without a limit": func(h []platformEvent) []platformEvent {
 			h[2].setup.tenants[0].limit = amounts{}
-			return insertAll(h, tenantRun(12_500, bStarted, "w1", 3), tenantRun(12_600, bStarted, "w1", 4), tenantRun(12_700, bStarted, "w1", 5))
+			return insertAll(h, tenantRun(12_500, eventStarted, "w1", 3), tenantRun(12_600, eventStarted, "w1", 4), tenantRun(12_700, eventStarted, "w1", 5))
 		},
 	}
 	for name, change := range allowed {
--- a/internal/daemon/platformjudge_test.go
+++ b/internal/daemon/platformjudge_test.go
@@ -12,37 +12,37 @@
 
 // Kinds of platformEvents.
 const (
-	eventJobSent         = "job_sent"      // first submission; spec, queue
-	bJobTried            = "job_tried"     // response to one submission; n is the status, 0 for none
-	eventStateShown      = "job_shown"     // text is the state, "unknown" for a 410
-	eventCancelSent      = "cancel_sent"   //
-	eventCancelAcked     = "cancel_acked"  //
-	eventWorkerUp        = "worker_up"     // facts
-	eventWorkerDown      = "worker_down"   // the worker and all its runs ended
-	eventOrdered         = "ordered"       // a worker received a start order; text is the payload
-	bStarted             = "started"       // the run started
-	bEnded               = "ended"         // n is the number of the end at this worker, text its outcome
-	bListed              = "listed"        // a heartbeat reported the ends up to n
-	bSeen                = "seen"          // a response acknowledged the ends up to n
-	bLapsed              = "lapsed"        // a worker's hold expired
-	eventCheckpointSaved = "saved"         // a run saved a checkpoint; saved is its text
-	eventLeaveAcked      = "leaving"       // a heartbeat that announces the worker's departure was acknowledged
-	eventZoneEvacuated   = "emptied"       // evacuation acknowledged; text is the zone
-	eventZoneReopened    = "opened"        // end of an evacuation sent; it may be in force from now on
-	eventSetupSent       = "setup_sent"    // n is the version, base the version it replaces
-	eventSetupAcked      = "setup_acked"   //
-	eventSetupRefused    = "setup_refused" // final
-	eventSetupAccepted   = "setup_taken"   // a daemon sent its acknowledgement, received or not; host
-	eventSetupShown      = "setup_shown"   // n is the version, -1 for no response; text is its note
-	eventJobAccepted     = "job_taken"     // a daemon sent the acceptance of a job, received or not
-	bLoss                = "loss"          // the loss at the end of a day
-	bBack                = "back"          // the machines of that loss are back
-	eventFaultBegan      = "trouble"       // a fault of host, of worker, or of all begins; text names it
-	eventFaultEnded      = "calm"          // the fault with that text and place ends
-	bCore                = "core"          // a core machine was killed, started, frozen, resumed, cut off or reconnected
-	eventFinalState      = "finished"      // last read of a job; text is its state, "" for no response
-	eventCallAnswered    = "called"        // response to a call of a job; key, queue, n is the status
-	eventJobStuck        = "stuck"         // nothing of a job runs although resources are free
+	eventJobSent          = "job_sent"      // first submission; spec, queue
+	eventJobResponse      = "job_tried"     // response to one submission; n is the status, 0 for none
+	eventStateShown       = "job_shown"     // text is the state, "unknown" for a 410
+	eventCancelSent       = "cancel_sent"   //
+	eventCancelAcked      = "cancel_acked"  //
+	eventWorkerUp         = "worker_up"     // facts
+	eventWorkerDown       = "worker_down"   // the worker and all its runs ended
+	eventOrdered          = "ordered"       // a worker received a start order; text is the payload
+	eventStarted          = "started"       // the run started
+	eventEnded            = "ended"         // n is the number of the end at this worker, text its outcome
+	eventEndsReported     = "listed"        // a heartbeat reported the ends up to n
+	eventEndsAcknowledged = "seen"          // a response acknowledged the ends up to n
+	eventHoldExpired      = "lapsed"        // a worker's hold expired
+	eventCheckpointSaved  = "saved"         // a run saved a checkpoint; saved is its text
+	eventLeaveAcked       = "leaving"       // a heartbeat that announces the worker's departure was acknowledged
+	eventZoneEvacuated    = "emptied"       // evacuation acknowledged; text is the zone
+	eventZoneReopened     = "opened"        // end of an evacuation sent; it may be in force from now on
+	eventSetupSent        = "setup_sent"    // n is the version, base the version it replaces
+	eventSetupAcked       = "setup_acked"   //
+	eventSetupRefused     = "setup_refused" // final
+	eventSetupAccepted    = "setup_taken"   // a daemon sent its acknowledgement, received or not; host
+	eventSetupShown       = "setup_shown"   // n is the version, -1 for no response; text is its note
+	eventJobAccepted      = "job_taken"     // a daemon sent the acceptance of a job, received or not
+	eventLoss             = "loss"          // the loss at the end of a day
+	eventLossRepaired     = "back"          // the machines of that loss are back
+	eventFaultBegan       = "trouble"       // a fault of host, of worker, or of all begins; text names it
+	eventFaultEnded       = "calm"          // the fault with that text and place ends
+	eventCoreChanged      = "core"          // a core machine was killed, started, frozen, resumed, cut off or reconnected
+	eventFinalState       = "finished"      // last read of a job; text is its state, "" for no response
+	eventCallAnswered     = "called"        // response to a call of a job; key, queue, n is the status
+	eventJobStuck         = "stuck"         // nothing of a job runs although resources are free
 )
 
 // checkPlatformHistory returns all violations in a history.
@@ -75,8 +75,8 @@
 		c.jobs[e.job] = &observedJob{id: e.job, spec: e.spec, queue: e.queue, sentMs: e.atMs, cancelMs: -1, completeMs: -1, runs: map[taskName][]*observedRun{},
 			saved: map[string]taskName{}, gangSaved: map[[3]int64]string{}}
 	},
-	bJobTried:       (*platformChecker).checkSubmission,
-	eventStateShown: (*platformChecker).checkShownState,
+	eventJobResponse: (*platformChecker).checkSubmission,
+	eventStateShown:  (*platformChecker).checkShownState,
 	eventCancelSent: func(c *platformChecker, e *platformEvent) {
 		if s := c.jobs[e.job]; s != nil && !s.cancelSent {
 			s.cancelSent, s.cancelSentMs = true, e.atMs
@@ -101,9 +101,9 @@
 		w.open, w.ends, w.unlisted = map[runName]*observedRun{}, nil, nil
 	},
 	eventOrdered: (*platformChecker).checkOrder,
-	bStarted:     (*platformChecker).checkStart,
-	bEnded:       (*platformChecker).checkEnd,
-	bListed: func(c *platformChecker, e *platformEvent) {
+	eventStarted: (*platformChecker).checkStart,
+	eventEnded:   (*platformChecker).checkEnd,
+	eventEndsReported: func(c *platformChecker, e *platformEvent) {
 		w := c.workers[e.worker]
 		w.unlisted = slices.DeleteFunc(w.unlisted, func(r *observedRun) bool {
 			if r.endNumber > e.n {
@@ -116,7 +116,7 @@
 			return true
 		})
 	},
-	bSeen: func(c *platformChecker, e *platformEvent) {
+	eventEndsAcknowledged: func(c *platformChecker, e *platformEvent) {
 		w := c.workers[e.worker]
 		w.ends = slices.DeleteFunc(w.ends, func(r *observedRun) bool {
 			if r.endNumber <= e.n && !r.lapsed {
@@ -125,7 +125,7 @@
 			return r.endNumber <= e.n
 		})
 	},
-	bLapsed: func(c *platformChecker, e *platformEvent) {
+	eventHoldExpired: func(c *platformChecker, e *platformEvent) {
 		for _, r := range c.workers[e.worker].ends {
 			r.lapsed = true
 		}
@@ -184,8 +184,8 @@
 			s.accepted = true
 		}
 	},
-	bLoss: func(c *platformChecker, e *platformEvent) { c.lossMs = e.atMs },
-	bBack: func(c *platformChecker, e *platformEvent) { c.backMs = e.atMs },
+	eventLoss:         func(c *platformChecker, e *platformEvent) { c.lossMs = e.atMs },
+	eventLossRepaired: func(c *platformChecker, e *platformEvent) { c.backMs = e.atMs },
 	eventSetupShown: func(c *platformChecker, e *platformEvent) {
 		newest := int64(0)
 		for _, s := range c.setups {
@@ -226,7 +226,7 @@
 			}
 		}
 	},
-	bCore: func(c *platformChecker, e *platformEvent) { c.core = append(c.core, e.atMs) },
+	eventCoreChanged: func(c *platformChecker, e *platformEvent) { c.core = append(c.core, e.atMs) },
 	eventFinalState: func(c *platformChecker, e *platformEvent) {
 		s := c.jobs[e.job]
 		if s == nil || !s.acked {
