--- a/internal/daemon/platformscenario_test.go
+++ b/internal/daemon/platformscenario_test.go
@@ -25,7 +25,7 @@
 // configuration applied and workers sending heartbeats, just before traffic begins.
 func formPlatform(t *testing.T, seed uint64, deployment string) *platformWorld {
 	b := newPlatformWorld(seed, deployment)
-	b.keepLog = *dumpFlag != ""
+	b.keepLogs = *dumpFlag != ""
 	b.watchReady()
 	must.True(t, b.until(20_000, func() bool { return b.holderOf("central") != nil }), must.Sprint("the cluster never formed"))
 	b.putSetup(b.usualSetup(), 1, 0, nil)
@@ -56,9 +56,9 @@
 	return b.edges()[b.rng.IntN(b.deployment.edges)]
 }
 
-// someSlice returns the role of a random shard's owner.
-func (b *platformWorld) someSlice() string {
-	return "slice/" + b.some(b.nodes["d00"].sh.node.core.Shards)
+// randomShardRole returns the role of a random shard's owner.
+func (b *platformWorld) randomShardRole() string {
+	return "slice/" + b.pickOne(b.nodes["d00"].executor.node.core.Shards)
 }
 
 var platformScenarios = map[string]platformScenario{
@@ -67,51 +67,51 @@
 	},
 	"workers crash": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
-		b.crashFor(b.worker(1), 4500)
+		b.crashAndReplace(b.worker(1), 4500)
 		b.run(2000)
-		b.crashFor(b.worker(4), 4500)
-		b.crashFor(b.worker(5), 400)
+		b.crashAndReplace(b.worker(4), 4500)
+		b.crashAndReplace(b.worker(5), 400)
 		b.run(12_000)
 	},
 	"workers gone for good": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
-		b.crashFor(b.worker(2), 0)
+		b.crashAndReplace(b.worker(2), 0)
 		b.run(3000)
-		b.crashFor(b.worker(7), 0)
+		b.crashAndReplace(b.worker(7), 0)
 		b.run(12_000)
 	},
 	"workers slow": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
-		b.paceFor(b.worker(0), "slow", 6.5, false, 7000)
-		b.paceFor(b.worker(6), "slow", 4, false, 7000)
+		b.slowFor(b.worker(0), "slow", 6.5, false, 7000)
+		b.slowFor(b.worker(6), "slow", 4, false, 7000)
 		b.run(14_000)
 	},
 	"tasks hang": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
-		b.paceFor(b.worker(3), "hang", 1, true, 5500)
+		b.slowFor(b.worker(3), "hang", 1, true, 5500)
 		b.run(2000)
-		b.paceFor(b.worker(8), "hang", 1, true, 5500)
+		b.slowFor(b.worker(8), "hang", 1, true, 5500)
 		b.run(12_000)
 	},
 	"workers leave": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
-		b.leaves(b.worker(2), false)
+		b.leaveAndReplace(b.worker(2), false)
 		b.run(2500)
-		b.leaves(b.worker(9), false)
+		b.leaveAndReplace(b.worker(9), false)
 		b.run(14_000)
 	},
 	"workers leave at short notice": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
-		b.leaves(b.worker(2), true)
-		b.leaves(b.worker(5), true)
+		b.leaveAndReplace(b.worker(2), true)
+		b.leaveAndReplace(b.worker(5), true)
 		b.run(4000)
-		b.leaves(b.worker(9), true)
+		b.leaveAndReplace(b.worker(9), true)
 		b.run(14_000)
 	},
 	"side daemons killed and started": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
 		for i, ms := range []int64{300, 1500, 3500, 9000} {
-			undo := b.kill(b.spots[i*2], i%2 == 0)
+			undo := b.kill(b.workerHosts[i*2], i%2 == 0)
 			b.after(ms*1000, undo)
 			b.run(1500)
 		}
@@ -120,28 +120,28 @@
 	"side daemons freeze": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
 		for i, ms := range []int64{700, 1300, 3500, 8000} {
-			b.freeze(b.spots[i*2+1], ms)
+			b.freeze(b.workerHosts[i*2+1], ms)
 			b.run(1500)
 		}
 		b.run(12_000)
 	},
 	"side machines cut off while workers run on": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
-		heal := b.cut(b.spots[1], b.spots[6])
+		heal := b.cut(b.workerHosts[1], b.workerHosts[6])
 		b.run(5000)
 		heal()
 		b.run(4000)
-		heal = b.cut(b.spots[3])
+		heal = b.cut(b.workerHosts[3])
 		b.run(9000)
 		heal()
 		b.run(8000)
 	},
 	"a side machine cut off, its tasks cancelled": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
-		heal := b.cut(b.spots[1], b.spots[6])
+		heal := b.cut(b.workerHosts[1], b.workerHosts[6])
 		for _, i := range []int{1, 6} {
 			for _, k := range b.worker(i).runNames() {
-				if j := b.jobs[k.job]; j.acked && !j.lasting() && b.share(0.5) {
+				if j := b.jobs[k.job]; j.acked && !j.lasting() && b.chance(0.5) {
 					b.cancel(j)
 				}
 			}
@@ -152,21 +152,21 @@
 	},
 	"owner killed": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
-		b.after(3_500_000, b.kill(b.holder(b.someSlice()), false))
+		b.after(3_500_000, b.kill(b.holder(b.randomShardRole()), false))
 		b.run(8000)
-		b.after(500_000, b.kill(b.holder(b.someSlice()), true))
+		b.after(500_000, b.kill(b.holder(b.randomShardRole()), true))
 		b.run(12_000)
 	},
 	"owner freezes": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
-		b.freeze(b.holder(b.someSlice()), 4000)
+		b.freeze(b.holder(b.randomShardRole()), 4000)
 		b.run(8000)
-		b.freeze(b.holder(b.someSlice()), 1800)
+		b.freeze(b.holder(b.randomShardRole()), 1800)
 		b.run(12_000)
 	},
 	"owner cut off": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
-		heal := b.cut(b.holder(b.someSlice()))
+		heal := b.cut(b.holder(b.randomShardRole()))
 		b.run(5500)
 		heal()
 		b.run(12_000)
@@ -255,10 +255,10 @@
 	},
 	"a site emptied and opened": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
-		zone := b.nodes[b.spots[0]].Zone
-		b.order("site.empty", zone, nil)
+		zone := b.nodes[b.workerHosts[0]].Zone
+		b.sendZoneCommand("site.empty", zone, nil)
 		b.run(9000)
-		b.order("site.open", zone, nil)
+		b.sendZoneCommand("site.open", zone, nil)
 		b.run(8000)
 	},
 	"operators change concurrently": func(t *testing.T, b *platformWorld) {
@@ -296,29 +296,29 @@
 		b.day(4000)
 		for i := range 5 {
 			b.stopGracefully(b.edges()[(i*2+1)%b.deployment.edges], 0)
-			b.stopGracefully(b.spots[i*2], 0)
+			b.stopGracefully(b.workerHosts[i*2], 0)
 			b.run(1300)
 		}
 		b.run(14_000)
 	},
 	"a disk becomes slow": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
-		b.syncUs["d00"] = 300_000
-		b.trouble("slow disk", "d00")
+		b.extraSyncUs["d00"] = 300_000
+		b.beginFault("slow disk", "d00")
 		b.run(6000)
-		b.syncUs["d00"] = 0
-		b.calm("slow disk", "d00")
+		b.extraSyncUs["d00"] = 0
+		b.endFault("slow disk", "d00")
 		b.run(10_000)
 	},
 	"a whole zone lost": func(t *testing.T, b *platformWorld) {
 		b.day(6000)
 		var undo []func()
-		zone := b.nodes[b.spots[1]].Zone
+		zone := b.nodes[b.workerHosts[1]].Zone
 		for _, host := range sortedKeys(b.nodes) {
 			if b.nodes[host].Zone == zone {
 				undo = append(undo, b.kill(host, true))
 				if s := b.byHost[host]; s != nil {
-					b.crashFor(s, 6000)
+					b.crashAndReplace(s, 6000)
 				}
 			}
 		}
@@ -330,7 +330,7 @@
 		b.cutTogether = true
 		b.day(6000)
 		var hosts []string
-		zone := b.nodes[b.spots[2]].Zone
+		zone := b.nodes[b.workerHosts[2]].Zone
 		for _, host := range sortedKeys(b.nodes) {
 			if b.nodes[host].Zone == zone {
 				hosts = append(hosts, host)
@@ -365,7 +365,7 @@
 			b.submit(j)
 			b.run(20)
 		}
-		hosts := b.spots[:6]
+		hosts := b.workerHosts[:6]
 		heal := b.cut(hosts...)
 		b.run(7000)
 		heal()
@@ -380,7 +380,7 @@
 			b.submit(b.simple(i%3, 1, amounts{b.deployment.capacity[0] / 16, b.deployment.capacity[1] / 16}, 1500+1500*b.rng.Float64()))
 			b.run(20)
 		}
-		hosts := b.spots[:4]
+		hosts := b.workerHosts[:4]
 		for _, host := range hosts {
 			b.kill(host, false)()
 		}
@@ -395,7 +395,7 @@
 			b.submit(b.simple(i%3, 3, amounts{b.deployment.capacity[0] / 16, b.deployment.capacity[1] / 16}, 14_000))
 		}
 		b.run(1500)
-		hosts := b.spots[:6]
+		hosts := b.workerHosts[:6]
 		heal := b.cut(hosts...)
 		for i, host := range hosts { // the last responses give workers a hold that lasts longer than owners wait
 			b.after(4_200_000+int64(i)*140_000, func() { b.after(5_000_000, b.kill(host, false)) })
@@ -411,7 +411,7 @@
 			b.submit(b.simple(i%3, 2, small, 1500))
 		}
 		b.run(300)
-		heal := b.cut(b.spots[:3]...)
+		heal := b.cut(b.workerHosts[:3]...)
 		b.run(7500)
 		heal()
 		for i := range 160 {
@@ -440,12 +440,12 @@
 		must.MapNotEmpty(t, gang.okTasks)
 	},
 	"guarding workers": func(t *testing.T, b *platformWorld) {
-		for _, host := range b.spots {
+		for _, host := range b.workerHosts {
 			b.byHost[host].guards = true
 		}
 		b.day(6000)
-		b.after(700_000, b.kill(b.spots[4], false))
-		heal := b.cut(b.spots[2])
+		b.after(700_000, b.kill(b.workerHosts[4], false))
+		heal := b.cut(b.workerHosts[2])
 		b.run(5000)
 		heal()
 		b.run(10_000)
@@ -458,9 +458,9 @@
 			b.run(200)
 		}
 		b.run(1500)
-		b.after(400_000, b.kill(b.spots[0], false))
-		b.freeze(b.spots[4], 3500)
-		heal := b.cut(b.spots[7])
+		b.after(400_000, b.kill(b.workerHosts[0], false))
+		b.freeze(b.workerHosts[4], 3500)
+		heal := b.cut(b.workerHosts[7])
 		b.run(4500)
 		heal()
 		b.run(10_000)
@@ -476,8 +476,8 @@
 	return sortedKeys(platformDeployments)
 }
 
-// verdictOfPlatform reports the violations of a run and logs what is needed to find their cause.
-func verdictOfPlatform(t *testing.T, b *platformWorld) {
+// checkPlatformRun reports the violations of a run and logs what is needed to find their cause.
+func checkPlatformRun(t *testing.T, b *platformWorld) {
 	for i, x := range checkPlatformHistory(b.events, b.deployment.bounds) {
 		if i < 8 {
 			t.Error(x)
@@ -522,7 +522,7 @@
 					b := formPlatform(t, seed, deployment)
 					platformScenarios[name](t, b)
 					b.finish(120_000)
-					verdictOfPlatform(t, b)
+					checkPlatformRun(t, b)
 				})
 			}
 		}
--- a/internal/daemon/platformtenants_campaign_test.go
+++ b/internal/daemon/platformtenants_campaign_test.go
@@ -35,7 +35,7 @@
 // counterTargets choose the machine that a fault of a tenant's counting hits.
 var counterTargets = map[string]func(b *platformWorld, tenant string) string{
 	"counter": func(b *platformWorld, tenant string) string { return b.counterHost(tenant) },
-	"owner":   func(b *platformWorld, _ string) string { return b.holder(b.someSlice()) },
+	"owner":   func(b *platformWorld, _ string) string { return b.holder(b.randomShardRole()) },
 }
 
 var tenantFaults = []faultKind{
@@ -79,7 +79,7 @@
 		i, share := drawTenant(r), choose(r, 0.3, 1)
 		return fmt.Sprintf("%.1f of tenant %d's jobs cancelled", share, i), func(b *platformWorld) {
 			for _, o := range b.open() {
-				if j := b.jobs[o[:16]]; j.tenant == b.tenants[i].name && !j.lasting() && b.share(share) {
+				if j := b.jobs[o[:16]]; j.tenant == b.tenants[i].name && !j.lasting() && b.chance(share) {
 					b.cancel(j)
 				}
 			}
@@ -180,7 +180,7 @@
 			t.Parallel()
 			d := tenantDay(number)
 			b := d.play(t)
-			verdictOfPlatform(t, b)
+			checkPlatformRun(t, b)
 			if t.Failed() {
 				t.Log(d)
 			}
--- a/internal/daemon/platformtenants_scenario_test.go
+++ b/internal/daemon/platformtenants_scenario_test.go
@@ -36,7 +36,7 @@
 func (b *platformWorld) checkUrgent(t *testing.T) {
 	firstMs := map[string]int64{}
 	for _, e := range b.events {
-		if e.kind == bStarted && firstMs[e.job] == 0 {
+		if e.kind == eventStarted && firstMs[e.job] == 0 {
 			firstMs[e.job] = e.atMs
 		}
 	}
@@ -134,9 +134,9 @@
 	"owners killed while they hold shares": func(_ *testing.T, b *platformWorld) {
 		b.raiseTenantLoad(b.largestTenant(), 3, 16_000)
 		b.day(8000)
-		b.after(3_500_000, b.kill(b.holder(b.someSlice()), false))
+		b.after(3_500_000, b.kill(b.holder(b.randomShardRole()), false))
 		b.run(3000)
-		b.after(2_500_000, b.kill(b.holder(b.someSlice()), true))
+		b.after(2_500_000, b.kill(b.holder(b.randomShardRole()), true))
 		b.run(7000)
 		b.submitUrgentOfAll("after owners were killed", b.largestTenant())
 		b.run(6000)
@@ -159,7 +159,7 @@
 		b.day(6000)
 		b.diskStall(b.diskHostOr(b.counterHost(b.largestTenant())), 4000)
 		b.run(1500)
-		b.diskStall(b.some(b.diskHosts), 3000)
+		b.diskStall(b.pickOne(b.diskHosts), 3000)
 		b.run(9000)
 		b.submitUrgentOfAll("the disks work again", b.largestTenant())
 		b.run(6000)
@@ -187,7 +187,7 @@
 				b.submit(j)
 			})
 			b.run(2000)
-			b.after(1_500_000, b.cut(b.some(b.edges())))
+			b.after(1_500_000, b.cut(b.pickOne(b.edges())))
 			b.run(5000)
 		}
 		b.submitUrgentOfAll("keys were revoked")
@@ -224,7 +224,7 @@
 		for range 3 {
 			b.run(3000)
 			for _, o := range b.open() {
-				if j := b.jobs[o[:16]]; j.tenant == b.largestTenant() && !j.lasting() && b.share(0.8) {
+				if j := b.jobs[o[:16]]; j.tenant == b.largestTenant() && !j.lasting() && b.chance(0.8) {
 					b.cancel(j)
 				}
 			}
@@ -255,7 +255,7 @@
 		b.setLimit(tenant, 1000)
 		b.run(3000)
 		b.onlyTenant = tenant
-		for range 10 * len(b.spots) { // twice as many as fit
+		for range 10 * len(b.workerHosts) { // twice as many as fit
 			j := b.simple(2, 1, room, 6000)
 			j.steps[0].estimateMs = 1500
 			b.submit(j)
@@ -325,7 +325,7 @@
 					tenantScenarios[name](t, b)
 					b.finish(120_000)
 					b.checkUrgent(t)
-					verdictOfPlatform(t, b)
+					checkPlatformRun(t, b)
 				})
 			}
 		}
--- a/internal/daemon/platformtenants_test.go
+++ b/internal/daemon/platformtenants_test.go
@@ -37,12 +37,12 @@
 }
 
 func sharedDeployment(of, name string) platformDeployment {
-	s := thirdOfGrownDeployments[of]
+	s := scaledGrownDeployments[of]
 	s.name, s.coreSize, s.bounds = name, s.disks, usualPlatformBounds
 	s.bounds.contact, s.bounds.drain, s.bounds.config, s.bounds.cancel = 4000, 2500, 2500, 4000
 	mean := s.meanUse()
 	for i, share := range tenantShareSizes() {
-		t := platformTenant{name: fmt.Sprintf("tenant-%02d", i), weight: limitTimesMean * share * s.perSec}
+		t := platformTenant{name: fmt.Sprintf("tenant-%02d", i), weight: limitTimesMean * share * s.jobsPerSecond}
 		t.keys = []string{"key-0-of-" + t.name}
 		for d := range 2 {
 			t.limit[d] = int64(limitTimesMean * share * mean[d])
@@ -76,7 +76,7 @@
 		sum += k.weight
 	}
 	for _, k := range s.kinds {
-		tasksAtWork := s.perSec * k.weight / sum * k.steps[0] * k.width[0] * k.workMs[0] / 1000
+		tasksAtWork := s.jobsPerSecond * k.weight / sum * k.steps[0] * k.width[0] * k.workMs[0] / 1000
 		use[0] += tasksAtWork * k.cpu[0]
 		use[1] += tasksAtWork * k.mem[0]
 	}
@@ -196,9 +196,9 @@
 func (b *platformWorld) callOfJob(to *simNode, op string, j *platformJob, body []byte, cb func(status int, retryMs int64, body []byte)) {
 	sentMs, key := b.nowMs(), j.key
 	call := platformCall{op: op, host: j.queue.host, path: j.queue.prefix + j.id, body: body, credential: key}
-	b.call("caller", to, call, b.deployment.callerMs, func(status int, retryMs int64, answer []byte) {
+	b.call("caller", to, call, b.deployment.callTimeoutMs, func(status int, retryMs int64, answer []byte) {
 		if b.tenants != nil {
-			b.see(platformEvent{kind: eventCallAnswered, job: j.id, host: to.Name, queue: j.queue, key: key, n: int64(status), requestedMs: sentMs})
+			b.record(platformEvent{kind: eventCallAnswered, job: j.id, host: to.Name, queue: j.queue, key: key, n: int64(status), requestedMs: sentMs})
 		}
 		if status == 401 {
 			j.key = b.newestKey(j.tenant)
@@ -210,7 +210,7 @@
 // tenantUse returns the resources of each tenant's runs.
 func (b *platformWorld) tenantUse() map[string]amounts {
 	use := map[string]amounts{}
-	for _, host := range b.spots {
+	for _, host := range b.workerHosts {
 		for _, r := range b.byHost[host].runs {
 			use[r.job.tenant] = use[r.job.tenant].plus(r.step.room, 1)
 		}
@@ -248,7 +248,7 @@
 func (b *platformWorld) someDaemon() *node {
 	for _, host := range sortedKeys(b.nodes) {
 		if b.nodes[host].up {
-			return b.nodes[host].sh.node
+			return b.nodes[host].executor.node
 		}
 	}
 	return nil
@@ -302,9 +302,9 @@
 	end := b.nowMs() + ms
 	perSec := (times - 1) * tenantNamed(b.tenants, tenant).weight / limitTimesMean
 	var next, one func()
-	next = func() { b.drawing(one) }
+	next = func() { b.withJobRand(one) }
 	one = func() {
-		if b.nowMs() >= end || b.closed {
+		if b.nowMs() >= end || b.callersStopped {
 			return
 		}
 		kind := &b.deployment.kinds[b.kindByWeight()]
@@ -321,18 +321,18 @@
 // loss do, and resets some connections.
 func (b *platformWorld) lossyLinks(hosts []string, share float64, ms int64) {
 	const retransmitUs = 200_000
-	b.detain = func(from, to string, _ any) int64 {
+	b.extraDelayUs = func(from, to string, _ any) int64 {
 		if !slices.Contains(hosts, from) && !slices.Contains(hosts, to) {
 			return 0
 		}
 		late := int64(0)
-		for wait := int64(retransmitUs); wait < 2_000_000 && b.share(share); wait *= 2 {
+		for wait := int64(retransmitUs); wait < 2_000_000 && b.chance(share); wait *= 2 {
 			late += wait
 		}
 		return late
 	}
 	for _, host := range hosts {
-		b.troubleFor("lossy", host, ms, func() { b.detain = nil })
+		b.faultFor("lossy", host, ms, func() { b.extraDelayUs = nil })
 	}
 	b.resets(hosts, share, ms)
 }
--- a/internal/daemon/platformworld_callers_test.go
+++ b/internal/daemon/platformworld_callers_test.go
@@ -65,7 +65,7 @@
 	}
 	j.sentMs, j.okTasks, j.lastOKMs = b.nowMs(), map[taskName]int64{}, map[int]int64{}
 	b.jobs[j.id] = j
-	b.see(platformEvent{kind: eventJobSent, job: j.id, spec: j, queue: j.queue})
+	b.record(platformEvent{kind: eventJobSent, job: j.id, spec: j, queue: j.queue})
 	b.send(j)
 	return j
 }
@@ -75,18 +75,18 @@
 	asked, to := b.nowMs(), b.edge()
 	b.callOfJob(to, "queue.submit", j, j.body(), func(status int, retryMs int64, body []byte) {
 		b.responseCounts[fmt.Sprint("submit ", status)]++
-		b.see(platformEvent{kind: bJobTried, job: j.id, host: to.Name, n: int64(status), requestedMs: asked})
+		b.record(platformEvent{kind: eventJobResponse, job: j.id, host: to.Name, n: int64(status), requestedMs: asked})
 		switch {
 		case status >= 200 && status < 300:
 			j.acked = true
 			b.after(600_000+b.rng.Int64N(600_000), func() { b.poll(j) })
-		case status == 404 || status == 400 || status == 409 || status == 401 || j.tries >= b.deployment.tries:
+		case status == 404 || status == 400 || status == 409 || status == 401 || j.tries >= b.deployment.maxTries:
 			j.gaveUp = true
 			if status == 400 && len(b.badRequestBodies) < 5 {
 				b.badRequestBodies = append(b.badRequestBodies, string(body))
 			}
 		default:
-			b.after(max(retryMs, b.deployment.againMs)*1000, func() { b.send(j) })
+			b.after(max(retryMs, b.deployment.retryMs)*1000, func() { b.send(j) })
 		}
 	})
 }
@@ -95,12 +95,12 @@
 	if j.final() {
 		return
 	}
-	b.look(j)
+	b.readState(j)
 	b.after(800_000+b.rng.Int64N(600_000), func() { b.poll(j) })
 }
 
-// look reads a job's state once.
-func (b *platformWorld) look(j *platformJob) {
+// readState reads a job's state once.
+func (b *platformWorld) readState(j *platformJob) {
 	asked, to := b.nowMs(), b.edge()
 	b.callOfJob(to, "queue.state", j, nil, func(status int, _ int64, body []byte) {
 		b.responseCounts[fmt.Sprint("state ", status)]++
@@ -114,7 +114,7 @@
 		if state == "" {
 			return
 		}
-		b.see(platformEvent{kind: eventStateShown, job: j.id, host: to.Name, text: state, requestedMs: asked})
+		b.record(platformEvent{kind: eventStateShown, job: j.id, host: to.Name, text: state, requestedMs: asked})
 		if j.final() {
 			return
 		}
@@ -123,7 +123,7 @@
 			j.endMs = b.nowMs()
 		} else if len(j.okTasks) == j.requiredSuccesses() && !j.finalReadSent {
 			j.finalReadSent = true
-			b.after(150_000, func() { b.look(j) })
+			b.after(150_000, func() { b.readState(j) })
 		}
 	})
 }
@@ -132,16 +132,16 @@
 	if j.final() {
 		return
 	}
-	b.see(platformEvent{kind: eventCancelSent, job: j.id})
+	b.record(platformEvent{kind: eventCancelSent, job: j.id})
 	b.callOfJob(b.edge(), "queue.cancel", j, nil, func(status int, retryMs int64, _ []byte) {
 		b.responseCounts[fmt.Sprint("cancel ", status)]++
 		switch status {
 		case 200:
 			j.cancelled = true
-			b.see(platformEvent{kind: eventCancelAcked, job: j.id})
+			b.record(platformEvent{kind: eventCancelAcked, job: j.id})
 		case 404, 409, 410:
 		default:
-			b.after(max(retryMs, b.deployment.againMs)*1000, func() { b.cancel(j) })
+			b.after(max(retryMs, b.deployment.retryMs)*1000, func() { b.cancel(j) })
 		}
 	})
 }
@@ -161,7 +161,7 @@
 
 // putSetupAt is putSetup whose first tries go to one machine.
 func (b *platformWorld) putSetupAt(host string, tries int, s *platformSetup, version, base int64, done func(status int)) {
-	b.see(platformEvent{kind: eventSetupSent, n: version, base: base, setup: s})
+	b.record(platformEvent{kind: eventSetupSent, n: version, base: base, setup: s})
 	o := &sentSetup{setup: s, version: version, base: base, body: s.body()}
 	b.sentSetups[string(o.body)] = o
 	b.sentSetupList = append(b.sentSetupList, o)
@@ -193,29 +193,29 @@
 		switch status {
 		case 200:
 			o.acked = true
-			b.see(platformEvent{kind: eventSetupAcked, n: o.version, base: o.base, setup: o.setup})
+			b.record(platformEvent{kind: eventSetupAcked, n: o.version, base: o.base, setup: o.setup})
 			if o.version > b.version {
 				b.version, b.setup = o.version, o.setup
 			}
 		case 400, 409:
-			b.see(platformEvent{kind: eventSetupRefused, n: o.version, base: o.base, setup: o.setup})
+			b.record(platformEvent{kind: eventSetupRefused, n: o.version, base: o.base, setup: o.setup})
 		}
 		done(status, retryMs)
 	})
 }
 
 // recordAcceptance records what a daemon acknowledges, whether the response arrives or not.
-func (b *platformWorld) recordAcceptance(a sentAnswer) (over bool) {
+func (b *platformWorld) recordAcceptance(a sentResponse) (over bool) {
 	if !a.accepted() {
 		return false
 	}
 	switch a.call.Op {
 	case "setup.put":
 		if o := b.sentSetups[string(a.call.Body)]; o != nil {
-			b.see(platformEvent{kind: eventSetupAccepted, n: o.version, base: o.base, setup: o.setup, host: a.from.Name})
+			b.record(platformEvent{kind: eventSetupAccepted, n: o.version, base: o.base, setup: o.setup, host: a.from.Name})
 		}
 	case "queue.submit":
-		b.see(platformEvent{kind: eventJobAccepted, job: a.call.Path[strings.LastIndex(a.call.Path, "/")+1:], host: a.from.Name})
+		b.record(platformEvent{kind: eventJobAccepted, job: a.call.Path[strings.LastIndex(a.call.Path, "/")+1:], host: a.from.Name})
 	}
 	return false
 }
@@ -238,10 +238,10 @@
 	b.putSetup(s, b.version+1+b.rng.Int64N(3), b.version, nil)
 }
 
-// order sends site.empty or site.open for a zone until it is acknowledged.
-func (b *platformWorld) order(op, zone string, then func()) {
+// sendZoneCommand sends site.empty or site.open for a zone until it is acknowledged.
+func (b *platformWorld) sendZoneCommand(op, zone string, then func()) {
 	if op == "site.open" {
-		b.see(platformEvent{kind: eventZoneReopened, text: zone})
+		b.record(platformEvent{kind: eventZoneReopened, text: zone})
 	} else {
 		b.evacuatedZones[zone] = true
 	}
@@ -254,7 +254,7 @@
 				return
 			}
 			if op == "site.empty" {
-				b.see(platformEvent{kind: eventZoneEvacuated, text: zone})
+				b.record(platformEvent{kind: eventZoneEvacuated, text: zone})
 			} else {
 				delete(b.evacuatedZones, zone)
 			}
--- a/internal/daemon/platformworld_faults_test.go
+++ b/internal/daemon/platformworld_faults_test.go
@@ -6,26 +6,26 @@
 
 func (b *platformWorld) isCore(host string) bool { return b.nodes[host].Disk }
 
-// trouble records that a fault of a machine begins.
-func (b *platformWorld) trouble(text, host string) {
-	b.see(platformEvent{kind: eventFaultBegan, host: host, text: text})
-	b.troubled[host]++
+// beginFault records that a fault of a machine begins.
+func (b *platformWorld) beginFault(text, host string) {
+	b.record(platformEvent{kind: eventFaultBegan, host: host, text: text})
+	b.activeFaults[host]++
 	b.recordCoreChange(host)
 }
 
-// calm records that a fault of a machine ends.
-func (b *platformWorld) calm(text, host string) {
-	b.see(platformEvent{kind: eventFaultEnded, host: host, text: text})
-	b.troubled[host]--
-	b.calmMs[host] = b.nowMs()
+// endFault records that a fault of a machine ends.
+func (b *platformWorld) endFault(text, host string) {
+	b.record(platformEvent{kind: eventFaultEnded, host: host, text: text})
+	b.activeFaults[host]--
+	b.faultFreeSinceMs[host] = b.nowMs()
 	b.recordCoreChange(host)
 }
 
-// workerTrouble records that a fault of a worker begins, and returns what records its end.
-func (b *platformWorld) workerTrouble(text string, target *platformWorker) func() {
+// beginWorkerFault records that a fault of a worker begins, and returns what records its end.
+func (b *platformWorld) beginWorkerFault(text string, target *platformWorker) func() {
 	id := target.id
-	b.see(platformEvent{kind: eventFaultBegan, worker: id, text: text})
-	return func() { b.see(platformEvent{kind: eventFaultEnded, worker: id, text: text}) }
+	b.record(platformEvent{kind: eventFaultBegan, worker: id, text: text})
+	return func() { b.record(platformEvent{kind: eventFaultEnded, worker: id, text: text}) }
 }
 
 // recordCoreChange records a change at a core machine, and whether the core has lost or regained its majority.
@@ -33,10 +33,10 @@
 	if host == "" || !b.isCore(host) {
 		return
 	}
-	b.see(platformEvent{kind: bCore, host: host})
+	b.record(platformEvent{kind: eventCoreChanged, host: host})
 	healthy := 0
 	for _, h := range b.disks() {
-		if n := b.nodes[h]; n.up && b.nowUs >= n.frozenTo && !b.cutOff[h] {
+		if n := b.nodes[h]; n.up && b.nowUs >= n.frozenUntilUs && !b.cutOff[h] {
 			healthy++
 		}
 	}
@@ -46,7 +46,7 @@
 		if lost {
 			kind = eventFaultBegan
 		}
-		b.see(platformEvent{kind: kind, text: "core"})
+		b.record(platformEvent{kind: kind, text: "core"})
 	}
 }
 
@@ -56,17 +56,17 @@
 	if n.up {
 		n.kill(power)
 	}
-	b.trouble("killed", host)
+	b.beginFault("killed", host)
 	return func() {
 		n.start()
-		b.calm("killed", host)
+		b.endFault("killed", host)
 	}
 }
 
 func (b *platformWorld) freeze(host string, ms int64) {
 	b.nodes[host].freeze(ms)
-	b.trouble("frozen", host)
-	b.after(ms*1000+10, func() { b.calm("frozen", host) })
+	b.beginFault("frozen", host)
+	b.after(ms*1000+10, func() { b.endFault("frozen", host) })
 }
 
 // cut cuts machines off from all others, but not from the workers beside them
@@ -77,7 +77,7 @@
 	}
 	b.applyCuts()
 	for _, h := range hosts {
-		b.trouble("cut", h)
+		b.beginFault("cut", h)
 	}
 	return func() {
 		for _, h := range hosts {
@@ -86,7 +86,7 @@
 		}
 		b.applyCuts()
 		for _, h := range hosts {
-			b.calm("cut", h)
+			b.endFault("cut", h)
 		}
 	}
 }
@@ -102,20 +102,20 @@
 			}
 		}
 	}
-	b.release()
+	b.releaseHeld()
 }
 
 // stopGracefully stops a daemon as the platform does for planned maintenance, and starts it again.
 func (b *platformWorld) stopGracefully(host string, downMs int64) {
 	n := b.nodes[host]
 	n.event(evStop{})
-	b.trouble("stopped", host)
+	b.beginFault("stopped", host)
 	b.after((6000+downMs)*1000, func() {
-		if n.up && n.sh.node.leavingSinceMs != 0 {
+		if n.up && n.executor.node.leavingSinceMs != 0 {
 			n.kill(false)
 		}
 		n.start()
-		b.calm("stopped", host)
+		b.endFault("stopped", host)
 	})
 }
 
@@ -124,26 +124,28 @@
 	n := b.nodes[host]
 	n.kill(true)
 	n.wipe()
-	b.trouble("wiped", host)
+	b.beginFault("wiped", host)
 	if newAddr {
 		n.Addr = "10.9.0." + fmt.Sprint(b.workerLives+b.savedPointSeq%200) + ":7000"
 		b.workerLives++
 	}
 	b.after(downMs*1000, func() {
 		n.start()
-		b.calm("wiped", host)
+		b.endFault("wiped", host)
 	})
 }
 
-func (b *platformWorld) worker(i int) *platformWorker { return b.byHost[b.spots[i%len(b.spots)]] }
+func (b *platformWorld) worker(i int) *platformWorker {
+	return b.byHost[b.workerHosts[i%len(b.workerHosts)]]
+}
 
 func (b *platformWorld) somePlatformWorker() *platformWorker {
-	return b.worker(b.rng.IntN(len(b.spots)))
+	return b.worker(b.rng.IntN(len(b.workerHosts)))
 }
 
-// crashFor crashes a worker and starts a new one in its place after a while; 0 for never.
-func (b *platformWorld) crashFor(w *platformWorker, ms int64) {
-	calm := b.workerTrouble("crash", w)
+// crashAndReplace crashes a worker and starts a new one in its place after a while; 0 for never.
+func (b *platformWorld) crashAndReplace(w *platformWorker, ms int64) {
+	calm := b.beginWorkerFault("crash", w)
 	w.crash()
 	b.after(1000, calm)
 	if ms > 0 {
@@ -151,9 +153,9 @@
 	}
 }
 
-// paceFor slows a worker down, or lets it hang, for a while.
-func (b *platformWorld) paceFor(w *platformWorker, text string, slow float64, hang bool, ms int64) {
-	calm := b.workerTrouble(text, w)
+// slowFor slows a worker down, or lets it hang, for a while.
+func (b *platformWorld) slowFor(w *platformWorker, text string, slow float64, hang bool, ms int64) {
+	calm := b.beginWorkerFault(text, w)
 	w.setPace(slow, hang)
 	b.after(ms*1000, func() {
 		w.setPace(1, false)
@@ -161,8 +163,8 @@
 	})
 }
 
-// leaves lets a worker leave, gracefully or at short notice, and starts a new one in its place.
-func (b *platformWorld) leaves(w *platformWorker, short bool) {
+// leaveAndReplace lets a worker leave, gracefully or at short notice, and starts a new one in its place.
+func (b *platformWorld) leaveAndReplace(w *platformWorker, short bool) {
 	if !w.up {
 		return
 	}
@@ -170,7 +172,7 @@
 	if short {
 		text = "short notice"
 	}
-	calm := b.workerTrouble(text, w)
+	calm := b.beginWorkerFault(text, w)
 	w.leave(2000, short)
 	b.after(11_000_000, func() {
 		calm()
--- a/internal/daemon/platformworld_jobs_test.go
+++ b/internal/daemon/platformworld_jobs_test.go
@@ -53,8 +53,8 @@
 	failed int
 }
 
-// names iterates over all tasks of a job.
-func (j *platformJob) names() iter.Seq[taskName] {
+// taskNames iterates over all tasks of a job.
+func (j *platformJob) taskNames() iter.Seq[taskName] {
 	return func(yield func(taskName) bool) {
 		for k := range max(j.rounds, 1) {
 			for s := range j.steps {
@@ -142,7 +142,7 @@
 	j.okTasks[n] = r.run
 	j.lastOKMs[r.name.round] = b.nowMs()
 	if len(j.okTasks) == j.requiredSuccesses() {
-		b.after(20_000+b.rng.Int64N(80_000), func() { b.look(j) })
+		b.after(20_000+b.rng.Int64N(80_000), func() { b.readState(j) })
 	}
 }
 
@@ -159,8 +159,8 @@
 	return sum * max(j.rounds, 1)
 }
 
-// share returns true with probability p.
-func (b *platformWorld) share(p float64) bool { return b.rng.Float64() < p }
+// chance returns true with probability p.
+func (b *platformWorld) chance(p float64) bool { return b.rng.Float64() < p }
 
 // drawLogNormal draws from a log-normal distribution with a mean and an upper bound.
 func (b *platformWorld) drawLogNormal(of [2]float64, spread float64) float64 {
@@ -171,31 +171,31 @@
 func (b *platformWorld) draw(k *platformKind) *platformJob {
 	j := &platformJob{queue: &k.queue, fates: map[taskName]*platformFate{}}
 	b.assignTenant(j)
-	gang, label := b.share(k.gang), ""
-	if b.share(k.labels) {
-		label = b.some([]string{"a", "b"})
+	gang, label := b.chance(k.gang), ""
+	if b.chance(k.labels) {
+		label = b.pickOne([]string{"a", "b"})
 	}
-	if b.share(k.timed) {
-		j.rounds, j.periodMs, j.firstMs = 2+b.rng.IntN(max(1, min(k.times, 4)-1)), k.everyMs, b.nowMs()+500+b.rng.Int64N(2500)
+	if b.chance(k.timed) {
+		j.rounds, j.periodMs, j.firstMs = 2+b.rng.IntN(max(1, min(k.maxRounds, 4)-1)), k.periodMs, b.nowMs()+500+b.rng.Int64N(2500)
 	}
 	for i := range int(max(1, math.Round(b.drawLogNormal(k.steps, 0.4)))) {
 		s := platformStep{count: max(1, int(math.Round(b.drawLogNormal(k.width, 0.8)))), room: amounts{int64(max(100, b.drawLogNormal(k.cpu, 0.45))), int64(max(128, b.drawLogNormal(k.mem, 0.6)))},
-			gang: gang, saves: b.share(k.saves), copies: !gang && b.share(k.copies)}
+			gang: gang, saves: b.chance(k.saves), copies: !gang && b.chance(k.copies)}
 		if label != "" {
 			s.labels = map[string]string{"kind": label}
 		}
 		if gang {
-			s.sameRack = b.share(k.sameRack)
-			fits := min(b.deployment.capacity[0]/s.room[0], b.deployment.capacity[1]/s.room[1]) * int64(b.deployment.sides) * 4 / 10
+			s.sameRack = b.chance(k.sameRack)
+			fits := min(b.deployment.capacity[0]/s.room[0], b.deployment.capacity[1]/s.room[1]) * int64(b.deployment.workerHosts) * 4 / 10
 			if label != "" {
 				fits /= 2
 			}
 			s.count = max(2, min(s.count, int(fits)))
 		} else {
-			if b.share(0.2) {
-				s.near = fmt.Sprintf("r%d", b.rng.IntN((b.deployment.sides+b.deployment.rackSize-1)/b.deployment.rackSize))
+			if b.chance(0.2) {
+				s.near = fmt.Sprintf("r%d", b.rng.IntN((b.deployment.workerHosts+b.deployment.rackSize-1)/b.deployment.rackSize))
 			}
-			if b.share(0.1) {
+			if b.chance(0.1) {
 				s.perWorker = 1 + b.rng.IntN(3)
 			}
 		}
@@ -204,19 +204,19 @@
 		}
 		b.fitTenantLimit(j, &s)
 		mean := b.drawLogNormal(k.workMs, 0.5)
-		s.estimateMs = int64(max(50, mean*(1+k.estOff*(2*b.rng.Float64()-1))))
+		s.estimateMs = int64(max(50, mean*(1+k.estimateError*(2*b.rng.Float64()-1))))
 		j.steps = append(j.steps, s)
 		for round := range max(j.rounds, 1) {
 			for t := range s.count {
 				f := &platformFate{workMs: max(20, mean*(0.7+0.6*b.rng.Float64()))}
-				if b.share(k.fails) && (!gang || t < 3) { // a gang fails as a whole
+				if b.chance(k.fails) && (!gang || t < 3) { // a gang fails as a whole
 					f.fails = []float64{b.rng.Float64()}
 				}
 				j.fates[taskName{round, i, t}] = f
 			}
 		}
 	}
-	if b.share(k.hopeless) {
+	if b.chance(k.hopeless) {
 		b.makeHopeless(j)
 	}
 	return j
@@ -251,11 +251,11 @@
 	return j
 }
 
-// drawing draws jobs, and the targets of faults, from jobRng if there is one.
-func (b *platformWorld) drawing(do func()) {
-	if b.jobRng != nil {
-		b.rng, b.jobRng = b.jobRng, b.rng
-		defer func() { b.rng, b.jobRng = b.jobRng, b.rng }()
+// withJobRand draws jobs, and the targets of faults, from jobRand if there is one.
+func (b *platformWorld) withJobRand(do func()) {
+	if b.jobRand != nil {
+		b.rng, b.jobRand = b.jobRand, b.rng
+		defer func() { b.rng, b.jobRand = b.jobRand, b.rng }()
 	}
 	do()
 }
@@ -263,13 +263,13 @@
 // traffic submits the deployment's mix of jobs until callers stop.
 func (b *platformWorld) traffic() {
 	var next, one func()
-	next = func() { b.drawing(one) }
+	next = func() { b.withJobRand(one) }
 	one = func() {
-		if b.closed {
+		if b.callersStopped {
 			return
 		}
 		b.sendKind(b.kindByWeight())
-		b.after(int64(b.rng.ExpFloat64()*1e6/(b.deployment.perSec*b.pace)), next)
+		b.after(int64(b.rng.ExpFloat64()*1e6/(b.deployment.jobsPerSecond*b.trafficFactor)), next)
 	}
 	next()
 }
@@ -291,7 +291,7 @@
 func (b *platformWorld) sendKind(k int) *platformJob {
 	kind := &b.deployment.kinds[k]
 	j := b.submit(b.draw(kind))
-	if b.share(kind.cancel) {
+	if b.chance(kind.cancel) {
 		b.after(200_000+b.rng.Int64N(4_000_000), func() {
 			if j.acked {
 				b.cancel(j)
@@ -301,9 +301,9 @@
 	return j
 }
 
-// aimMs returns the users' target time for one round of a job: the stretch times its
+// targetMs returns the users' target time for one round of a job: the stretch times its
 // longest chain of work on healthy workers near its data, plus the queue's latency.
-func (b *platformWorld) aimMs(j *platformJob, round int) int64 {
+func (b *platformWorld) targetMs(j *platformJob, round int) int64 {
 	done := make([]float64, len(j.steps))
 	longest := 0.0
 	for i, s := range j.steps {
@@ -321,7 +321,7 @@
 		}
 		waves := 1.0
 		for d := range 2 {
-			if quarter := float64(b.deployment.capacity[d]) * float64(b.deployment.sides) / 4; s.room[d] > 0 {
+			if quarter := float64(b.deployment.capacity[d]) * float64(b.deployment.workerHosts) / 4; s.room[d] > 0 {
 				waves = max(waves, math.Ceil(float64(s.room[d])*float64(s.count)/quarter))
 			}
 		}
@@ -331,8 +331,8 @@
 	return int64(j.queue.stretch*longest) + j.queue.latencyMs
 }
 
-// inAim returns by queue how many jobs or rounds were due, were done within their target, and were done at all.
-func (b *platformWorld) inAim() map[string][3]int {
+// withinTarget returns by queue how many jobs or rounds were due, were done within their target, and were done at all.
+func (b *platformWorld) withinTarget() map[string][3]int {
 	out := map[string][3]int{}
 	for _, id := range sortedKeys(b.jobs) {
 		j := b.jobs[id]
@@ -348,7 +348,7 @@
 			row[0]++
 			if end > 0 && (j.state == "complete" || j.state == "failed" && j.hopeless()) {
 				row[2]++
-				if end-from <= b.aimMs(j, k) {
+				if end-from <= b.targetMs(j, k) {
 					row[1]++
 				}
 			}
--- a/internal/daemon/platformworld_test.go
+++ b/internal/daemon/platformworld_test.go
@@ -23,7 +23,7 @@
 	*world
 	deployment        platformDeployment
 	byHost            map[string]*platformWorker
-	spots             []string // machines that have a worker beside the daemon
+	workerHosts       []string // machines that have a worker beside the daemon
 	events            []platformEvent
 	jobs              map[string]*platformJob
 	gangs             map[gangName]*platformExecution
@@ -31,12 +31,12 @@
 	savedPointSeq     int
 	version           int64 // of the last configuration acknowledged
 	setup             *platformSetup
-	closed            bool // callers submit no more jobs
+	callersStopped    bool // callers submit no more jobs
 	workerLives       int
 	wastedCoreSeconds map[string]float64 // wasted core-seconds, by outcome of the run
 	rejectedStarts    int
-	pace              float64        // multiplies the usual rate of traffic
-	jobRng            *rand.Rand     // if set, jobs are drawn from it, so that they don't depend on the other draws
+	trafficFactor     float64        // multiplies the usual rate of traffic
+	jobRand           *rand.Rand     // if set, jobs are drawn from it, so that they don't depend on the other draws
 	missedReadiness   map[string]int // failed readiness checks in a row, by edge daemon
 	responseCounts    map[string]int
 	badRequestBodies  []string
@@ -45,10 +45,10 @@
 	// cutTogether lets machines of one zone that are cut off reach each other.
 	cutTogether      bool
 	coreLost         bool
-	onSee            func(platformEvent)
+	onEvent          func(platformEvent)
 	edgeHosts        []string
 	diskHosts        []string
-	cutOneWay        map[string]cutWay // direction of the cut, for machines cut off in one direction only
+	cutOneWay        map[string]cutDirection // direction of the cut, for machines cut off in one direction only
 	newHosts         int
 	sentSetups       map[string]*sentSetup // by body
 	sentSetupList    []*sentSetup
@@ -57,8 +57,8 @@
 	lastAcknowledger string           // host that last acknowledged a change
 	replaced         map[string]bool  // machines whose replacement has begun
 	openChanges      int              // changes without a final response
-	troubled         map[string]int   // number of active faults, by machine
-	calmMs           map[string]int64 // when the machine's last fault ended, or the machine first started
+	activeFaults     map[string]int   // number of active faults, by machine
+	faultFreeSinceMs map[string]int64 // when the machine's last fault ended, or the machine first started
 	tenants          []platformTenant // as the operator currently declares them
 	onlyTenant       string           // if set, all drawn jobs belong to it
 	createdKeys      int
@@ -84,12 +84,12 @@
 }
 
 func newPlatformWorldOf(seed uint64, deployment platformDeployment) *platformWorld {
-	dep := historycheck.Deployment{Name: deployment.name, Daemons: deployment.edges + deployment.sides}
+	dep := historycheck.Deployment{Name: deployment.name, Daemons: deployment.edges + deployment.workerHosts}
 	b := &platformWorld{world: newWorld(seed, dep), deployment: deployment, byHost: map[string]*platformWorker{}, jobs: map[string]*platformJob{}, gangs: map[gangName]*platformExecution{},
-		savedPoints: map[string]savedPoint{}, wastedCoreSeconds: map[string]float64{}, responseCounts: map[string]int{}, cutOff: map[string]bool{}, evacuatedZones: map[string]bool{}, pace: 1,
-		tenants: copyTenants(deployment.tenants), cutOneWay: map[string]cutWay{}, sentSetups: map[string]*sentSetup{}, troubled: map[string]int{}, calmMs: map[string]int64{}}
-	b.holdUpMs = wire.UserTimeoutMs
-	b.whenAnswered(b.recordAcceptance)
+		savedPoints: map[string]savedPoint{}, wastedCoreSeconds: map[string]float64{}, responseCounts: map[string]int{}, cutOff: map[string]bool{}, evacuatedZones: map[string]bool{}, trafficFactor: 1,
+		tenants: copyTenants(deployment.tenants), cutOneWay: map[string]cutDirection{}, sentSetups: map[string]*sentSetup{}, activeFaults: map[string]int{}, faultFreeSinceMs: map[string]int64{}}
+	b.maxHeldMs = wire.UserTimeoutMs
+	b.onEachResponse(b.recordAcceptance)
 	b.edgeHosts, b.diskHosts = sortedKeys(b.nodes)[:deployment.edges], sortedKeys(b.nodes)[:deployment.disks]
 	for i, host := range sortedKeys(b.nodes) {
 		p := &b.nodes[host].nodeConfig
@@ -100,7 +100,7 @@
 		if i < deployment.edges {
 			continue
 		}
-		b.spots = append(b.spots, host)
+		b.workerHosts = append(b.workerHosts, host)
 		k := i - deployment.edges
 		worker := &platformWorker{b: b, node: b.nodes[host], rack: fmt.Sprintf("r%d", k/deployment.rackSize), labels: map[string]string{"service": deployment.service, "kind": []string{"a", "b"}[k%2]},
 			capacity: deployment.capacity, factor: deployment.speeds[k%len(deployment.speeds)], slow: 1}
@@ -114,12 +114,12 @@
 
 func (b *platformWorld) disks() []string { return slices.Clone(b.diskHosts) }
 
-// see appends an event to the history.
-func (b *platformWorld) see(e platformEvent) {
+// record appends an event to the history.
+func (b *platformWorld) record(e platformEvent) {
 	e.atMs = b.nowMs()
 	b.events = append(b.events, e)
-	if b.onSee != nil {
-		b.onSee(e)
+	if b.onEvent != nil {
+		b.onEvent(e)
 	}
 }
 
@@ -138,7 +138,7 @@
 func (b *platformWorld) detectStuckJobs() {
 	var used, all amounts
 	var free []*platformWorker
-	for _, host := range b.spots {
+	for _, host := range b.workerHosts {
 		if s := b.byHost[host]; s.up && !s.leaving {
 			used, all = used.plus(s.used, 1), all.plus(s.capacity, 1)
 			free = append(free, s)
@@ -146,7 +146,7 @@
 	}
 	busy := 2*used[0] >= all[0] || 2*used[1] >= all[1]
 	running := map[string]bool{}
-	for _, host := range b.spots {
+	for _, host := range b.workerHosts {
 		for k := range b.byHost[host].runs {
 			running[k.job] = true
 		}
@@ -164,7 +164,7 @@
 		if b.nowMs()-j.idleSinceMs >= 3000 && !j.stuck {
 			j.stuck = true
 			b.logCentralState(id)
-			b.see(platformEvent{kind: eventJobStuck, job: id, text: fmt.Sprintf("nothing has run since %d ms although resources are free", j.idleSinceMs)})
+			b.record(platformEvent{kind: eventJobStuck, job: id, text: fmt.Sprintf("nothing has run since %d ms although resources are free", j.idleSinceMs)})
 		}
 	}
 }
@@ -172,13 +172,13 @@
 // logCentralState logs the central scheduler's view of a job and of all workers.
 func (b *platformWorld) logCentralState(id string) {
 	n := b.holderOf("central")
-	if n == nil || !b.keepLog {
+	if n == nil || !b.keepLogs {
 		return
 	}
 	logf := func(format string, args ...any) {
 		b.logs = append(b.logs, fmt.Sprintf("%d %s %s ", b.nowMs(), n.Name, id)+fmt.Sprintf(format, args...))
 	}
-	c, now := n.sh.node.central, n.sh.node.now
+	c, now := n.executor.node.central, n.executor.node.now
 	for _, name := range sortedKeys(c.workers) {
 		w := c.workers[name]
 		logf("worker %s: last report %d ms ago, rebuilt %v fresh %v leaving %v suspect %v unhealthy for %d ms, capacity %v guaranteed %v occupied %v granted %v attempts %d", name, now-w.receivedMs, w.Rebuilt, w.WorkerReportFresh, w.Leaving,
@@ -189,16 +189,16 @@
 	}
 	for _, name := range sortedKeys(b.nodes) {
 		if b.nodes[name].up {
-			b.logAgentState(b.nodes[name].sh.node, id, logf)
+			b.logAgentState(b.nodes[name].executor.node, id, logf)
 		}
 	}
 	for _, name := range sortedKeys(b.nodes) {
 		if !b.nodes[name].up {
 			continue
 		}
-		for _, shard := range b.nodes[name].sh.node.shards {
+		for _, shard := range b.nodes[name].executor.node.shards {
 			if job := shard.jobs[id]; job != nil {
-				o := b.nodes[name].sh.node
+				o := b.nodes[name].executor.node
 				for i := range job.Tasks {
 					t, r := &job.Tasks[i], &job.runtime[i]
 					logf("owner %s task %d.%d.%d state %s attempt %d class %s failures %d at %s, retry in %d ms, requested %d ms ago, committed %v", name, t.Round, t.Step, t.IndexInStep, t.State.String(), t.Attempt,
@@ -262,7 +262,7 @@
 
 // finish stops traffic, waits until all jobs have ended, and reads the configuration back.
 func (b *platformWorld) finish(waitMs int64) {
-	b.closed = true
+	b.callersStopped = true
 	for _, id := range sortedKeys(b.jobs) {
 		if j := b.jobs[id]; j.acked && j.lasting() {
 			b.cancel(j)
@@ -274,13 +274,13 @@
 	}
 	for _, o := range b.open() {
 		j := b.jobs[o[:16]]
-		b.see(platformEvent{kind: eventFinalState, job: j.id, text: j.state})
+		b.record(platformEvent{kind: eventFinalState, job: j.id, text: j.state})
 	}
 	asked := b.nowMs()
 	for range 3 {
 		b.call("operator", b.edge(), platformCall{op: "setup.get"}, 1000, func(status int, _ int64, body []byte) {
 			if status == 200 {
-				b.see(platformEvent{kind: eventSetupShown, n: gjson.GetBytes(body, "version").Int(), text: gjson.GetBytes(body, "setup.source.note").Str, requestedMs: asked})
+				b.record(platformEvent{kind: eventSetupShown, n: gjson.GetBytes(body, "version").Int(), text: gjson.GetBytes(body, "setup.source.note").Str, requestedMs: asked})
 			}
 		})
 	}
@@ -289,7 +289,7 @@
 
 // platformSummary returns figures of a run for the log.
 func (b *platformWorld) platformSummary() string {
-	aims := b.inAim()
+	aims := b.withinTarget()
 	out := ""
 	for _, q := range sortedKeys(aims) {
 		a := aims[q]
@@ -315,7 +315,7 @@
 func newScriptedWorld(t *testing.T, answer func(w *platformWorker, heartbeat gjson.Result) map[string]any) *platformWorld {
 	b := newPlatformWorld(5, "ikenna")
 	b.queue = nil // no daemon starts
-	for _, host := range b.spots {
+	for _, host := range b.workerHosts {
 		w := b.byHost[host]
 		w.factor = 1
 		w.deliver = func(body []byte, cb func(int, []byte)) {
@@ -345,7 +345,7 @@
 // runEnds lists the ends of a job's runs, with times rounded down to 100 ms.
 func (b *platformWorld) runEnds(j *platformJob) (out []string) {
 	for _, e := range b.events {
-		if e.kind == bEnded && e.job == j.id {
+		if e.kind == eventEnded && e.job == j.id {
 			out = append(out, fmt.Sprintf("%d.%d %s@%d", e.task.index, e.run, e.text, e.atMs/100*100))
 		}
 	}
@@ -391,7 +391,7 @@
 			b.registerJob(j)
 		}
 		answer := respondByScript(&b, lines, holdMs)
-		for _, host := range b.spots {
+		for _, host := range b.workerHosts {
 			s := b.byHost[host]
 			s.deliver = func(body []byte, cb func(int, []byte)) {
 				a := answer(s, gjson.ParseBytes(body))
@@ -508,12 +508,12 @@
 	t.Run("leaves gracefully, or at short notice", func(t *testing.T) {
 		_, jobs := alone(9000, nil)
 		w := play(3000, []scriptedResponse{{0, 500, start(order(0, 1, ""))}}, 700, jobs)
-		w.leaves(w.worker(0), false)
+		w.leaveAndReplace(w.worker(0), false)
 		w.run(2200)
 		must.True(t, w.worker(0).up)
 		w.run(2200)
 		must.False(t, w.worker(0).up)
-		w.leaves(w.worker(1), true)
+		w.leaveAndReplace(w.worker(1), true)
 		w.run(2100)
 		must.False(t, w.worker(1).up)
 		id := w.worker(1).id
--- a/internal/daemon/platformworld_workers_test.go
+++ b/internal/daemon/platformworld_workers_test.go
@@ -57,7 +57,7 @@
 	factor           float64 // work takes longer here by this factor
 	slow             float64
 	hang             bool
-	failing          float64 // fraction of the runs that fail by the worker's fault
+	failureRate      float64 // fraction of the runs that fail by the worker's fault
 	guards           bool
 	up               bool
 	gen              int
@@ -99,7 +99,7 @@
 	w.gen++
 	w.bootUs, w.drift, w.holdUs, w.nextHeartbeatUs, w.heartbeatPending, w.heartbeatAgain = b.nowUs-b.rng.Int64N(1_000_000_000), b.rng.Float64()*0.02, 0, 0, false, false
 	w.runs, w.highestRun, w.ends, w.used = map[runName]*platformRun{}, map[runName]int64{}, nil, amounts{}
-	b.see(platformEvent{kind: eventWorkerUp, worker: w.id, host: w.node.Name, facts: &workerFacts{capacity: w.capacity, labels: w.labels, zone: w.node.Zone, rack: w.rack, guards: w.guards}})
+	b.record(platformEvent{kind: eventWorkerUp, worker: w.id, host: w.node.Name, facts: &workerFacts{capacity: w.capacity, labels: w.labels, zone: w.node.Zone, rack: w.rack, guards: w.guards}})
 	w.scheduleHeartbeat(b.rng.Int64N(50_000))
 }
 
@@ -115,7 +115,7 @@
 	}
 	w.up = false
 	w.gen++
-	w.b.see(platformEvent{kind: eventWorkerDown, worker: w.id, host: w.node.Name})
+	w.b.record(platformEvent{kind: eventWorkerDown, worker: w.id, host: w.node.Name})
 	for _, k := range w.runNames() {
 		r := w.runs[k]
 		delete(w.runs, k)
@@ -209,7 +209,7 @@
 		}
 	}
 	if len(ended) > 0 {
-		b.see(platformEvent{kind: bListed, worker: w.id, host: w.node.Name, n: w.ends[len(ended)-1].n})
+		b.record(platformEvent{kind: eventEndsReported, worker: w.id, host: w.node.Name, n: w.ends[len(ended)-1].n})
 	}
 	gen, sentUs, announcedLeaving := w.gen, w.clockUs(), w.leaving
 	done := func(status int, body []byte) {
@@ -227,7 +227,7 @@
 			w.scheduleHeartbeat(200_000)
 		default:
 			again := gjson.GetBytes(body, "again_ms")
-			wait := w.b.deployment.beatMs
+			wait := w.b.deployment.heartbeatMs
 			if again.Exists() {
 				wait = again.Int()
 			}
@@ -249,7 +249,7 @@
 func (w *platformWorker) handleResponse(body []byte, sentUs int64, announcedLeaving bool) {
 	b, a := w.b, gjson.ParseBytes(body)
 	if announcedLeaving {
-		b.see(platformEvent{kind: eventLeaveAcked, worker: w.id, host: w.node.Name})
+		b.record(platformEvent{kind: eventLeaveAcked, worker: w.id, host: w.node.Name})
 		if !w.endScheduled {
 			w.endScheduled, w.leavesMs = true, b.nowMs()+2000
 			gen := w.gen
@@ -267,7 +267,7 @@
 		}
 	}
 	if seen := a.Get("seen").Int(); seen > 0 && len(w.ends) > 0 && w.ends[0].n <= seen {
-		b.see(platformEvent{kind: bSeen, worker: w.id, host: w.node.Name, n: seen})
+		b.record(platformEvent{kind: eventEndsAcknowledged, worker: w.id, host: w.node.Name, n: seen})
 		w.ends = slices.DeleteFunc(w.ends, func(e platformEnd) bool { return e.n <= seen })
 	}
 	if hold := a.Get("hold_ms").Int(); hold > 0 {
@@ -307,7 +307,7 @@
 	if p := o.Get("payload"); p.Type != gjson.String {
 		e.text = p.Raw
 	}
-	b.see(e)
+	b.record(e)
 	job := b.jobs[k.job]
 	if job == nil || !job.hasTask(k.name) {
 		return // the checker reports it
@@ -324,7 +324,7 @@
 	}
 	w.used = w.used.plus(step.room, 1)
 	w.runs[k] = r
-	b.see(platformEvent{kind: bStarted, job: k.job, task: k.name, run: k.run, worker: w.id, host: w.node.Name})
+	b.record(platformEvent{kind: eventStarted, job: k.job, task: k.name, run: k.run, worker: w.id, host: w.node.Name})
 	b.joinExecution(r)
 }
 
@@ -355,7 +355,7 @@
 	if tk := w.taskKey(k); w.highestRun[tk] < r.run {
 		w.highestRun[tk] = r.run
 	}
-	w.b.see(platformEvent{kind: bEnded, job: r.job.id, task: r.name, run: r.run, worker: w.id, host: w.node.Name, text: outcome, n: w.endSeq + 1, saved: r.saved})
+	w.b.record(platformEvent{kind: eventEnded, job: r.job.id, task: r.name, run: r.run, worker: w.id, host: w.node.Name, text: outcome, n: w.endSeq + 1, saved: r.saved})
 	w.addEnd(r, outcome)
 	if outcome == "ok" {
 		r.job.recordSuccess(w.b, r)
@@ -374,7 +374,7 @@
 		if w.gen != workerGen || w.holdGen != gen {
 			return
 		}
-		w.b.see(platformEvent{kind: bLapsed, worker: w.id, host: w.node.Name})
+		w.b.record(platformEvent{kind: eventHoldExpired, worker: w.id, host: w.node.Name})
 		for _, k := range w.runNames() {
 			if r := w.runs[k]; r != nil {
 				w.end(r, "lapsed")
@@ -452,7 +452,7 @@
 		}
 	}
 	for _, r := range e.members {
-		if share := r.worker.failing; share > 0 && e.b.share(share) {
+		if share := r.worker.failureRate; share > 0 && e.b.chance(share) {
 			if at := e.b.rng.Float64() * min(e.workMs, 20_000); e.failingRun == nil || at < e.failAtMs {
 				e.failingRun, e.failAtMs, e.byWorker = r, at, true
 			}
@@ -558,7 +558,7 @@
 	r.saved = fmt.Sprintf("%08x%s", e.b.savedPointSeq, r.job.id)
 	e.b.savedPoints[r.saved] = savedPoint{r.job.id, r.name, e.doneMs}
 	e.savedMs = e.doneMs
-	e.b.see(platformEvent{kind: eventCheckpointSaved, job: r.job.id, task: r.name, run: r.run, worker: r.worker.id, host: r.worker.node.Name, saved: r.saved})
+	e.b.record(platformEvent{kind: eventCheckpointSaved, job: r.job.id, task: r.name, run: r.run, worker: r.worker.id, host: r.worker.node.Name, saved: r.saved})
 }
 
 // removeRun removes a member whose run has ended. Unless it ended well, the other members
--- a/internal/daemon/product_test.go
+++ b/internal/daemon/product_test.go
@@ -60,16 +60,16 @@
 // An owner that gives up a shard answers all requests waiting there: no request may end
 // without an answer, and a job that may be stored isn't reported as rejected.
 func TestMovedShardAnswersWaitingRequests(t *testing.T) {
-	w := served(t, 4900)
-	must.Eq(t, 200, w.settle(w.nodes["d00"], evRequest{Op: "setup.put", Key: "1", Base: 0, Body: queueSetup("a", `,"addresses":[{"host":"h","prefix":"/a/"}]`)}, 4000).status)
+	w := servingWorld(t, 4900)
+	must.Eq(t, 200, w.callAndWait(w.nodes["d00"], evRequest{Op: "setup.put", Key: "1", Base: 0, Body: queueSetup("a", `,"addresses":[{"host":"h","prefix":"/a/"}]`)}, 4000).status)
 	w.run(2000)
 	for i := range 40 {
 		id := fmt.Sprint("job", i)
-		owner := w.holderOf("slice/" + w.nodes["d00"].sh.node.shardOf(id))
+		owner := w.holderOf("slice/" + w.nodes["d00"].executor.node.shardOf(id))
 		if owner == nil {
 			continue
 		}
-		n := owner.sh.node
+		n := owner.executor.node
 		name := n.shardOf(id)
 		for _, m := range n.core.Names() { // nothing is committed
 			w.cuts[[2]string{owner.Name, m}] = m != owner.Name
--- a/internal/daemon/quiet_test.go
+++ b/internal/daemon/quiet_test.go
@@ -9,12 +9,12 @@
 // placedAtWorker returns all tasks that owners have placed on a worker now.
 func (b *platformWorld) placedAtWorker(worker string) map[taskRef]bool {
 	placed := map[taskRef]bool{}
-	for _, n := range b.nodesInOrder() {
+	for _, n := range b.sortedNodes() {
 		if !n.up {
 			continue
 		}
-		for _, name := range sortedKeys(n.sh.node.shards) {
-			for _, ref := range n.sh.node.shards[name].tasksPlacedOn(worker) {
+		for _, name := range sortedKeys(n.executor.node.shards) {
+			for _, ref := range n.executor.node.shards[name].tasksPlacedOn(worker) {
 				placed[ref] = true
 			}
 		}
@@ -33,7 +33,7 @@
 		if seed < 2 {
 			b.after(2_500_000, b.cut(s.node.Name))
 		} else {
-			b.crashFor(s, 2500)
+			b.crashAndReplace(s, 2500)
 		}
 		worker := s.id
 		b.run(quietMs + 2*tickMs + 50)
@@ -43,6 +43,6 @@
 			must.MapContainsKey(t, before, ref, must.Sprintf("seed %d: %v was placed on a silent worker", seed, ref))
 		}
 		b.finish(120_000)
-		verdictOfPlatform(t, b)
+		checkPlatformRun(t, b)
 	}
 }
--- a/internal/daemon/scenario_helpers_test.go
+++ b/internal/daemon/scenario_helpers_test.go
@@ -24,7 +24,7 @@
 	for _, d := range historycheck.Deployments {
 		for i, q := range d.Queues {
 			if q.Name == name {
-				return w.dep.Queues[i].Name
+				return w.deployment.Queues[i].Name
 			}
 		}
 	}
@@ -34,13 +34,13 @@
 // oneTask returns a job of one task. Its resources are in sixteenths of a worker, so that the
 // load is alike at both sizes.
 func (w *world) oneTask(queue string, ms, sixteenths, limitMs int64, allowed int) historycheck.Job {
-	sixteenths = sixteenths * w.dep.Cores / 16
+	sixteenths = sixteenths * w.deployment.Cores / 16
 	return historycheck.Job{Queue: w.equivalentQueue(queue), Steps: []historycheck.Step{{Name: "s", Tasks: []historycheck.Task{{Name: fmt.Sprint("t", ms), Cores: sixteenths, LimitMs: limitMs,
 		AllowedFailures: allowed, Payload: historycheck.Work{Ms: ms}}}}}}
 }
 
-// endedIn counts the tasks that ended in a period of simulated time.
-func (w *world) endedIn(fromMs, toMs int64) int {
+// tasksEndedBetween counts the tasks that ended in a period of simulated time.
+func (w *world) tasksEndedBetween(fromMs, toMs int64) int {
 	n := 0
 	for _, e := range w.history {
 		if e.Kind == historycheck.End && e.Text == "ok" && e.AtMs >= fromMs && e.AtMs < toMs {
@@ -60,10 +60,10 @@
 	return n
 }
 
-// asked sends one request and runs the simulation until it is answered.
-func (w *world) asked(from string, to *simNode, op, key string, body []byte) (status int, retryMs int64, answer []byte, tookMs int64) {
+// requestAndWait sends one request and runs the simulation until it is answered.
+func (w *world) requestAndWait(from string, to *simNode, op, key string, body []byte) (status int, retryMs int64, answer []byte, tookMs int64) {
 	done, began := false, w.nowMs()
-	w.ask(from, to, op, key, body, 10_000, func(s int, r int64, b []byte) {
+	w.request(from, to, op, key, body, 10_000, func(s int, r int64, b []byte) {
 		done, status, retryMs, answer, tookMs = true, s, r, b, w.nowMs()-began
 	})
 	for !done {
@@ -84,7 +84,7 @@
 		at := w.nowMs()
 		must.True(t, w.until(8000, func() bool { h := w.holderOf(role); return h != nil && h != n }), must.Sprint("no new holder of ", role))
 		w.run(15_000)
-		usual, after := w.endedIn(at-10_000, at), w.endedIn(at+6000, at+16_000)
+		usual, after := w.tasksEndedBetween(at-10_000, at), w.tasksEndedBetween(at+6000, at+16_000)
 		must.GreaterEq(t, usual/2, after, must.Sprintf("%d tasks ended in 10 s before, %d from 6 s after", usual, after))
 		n.start()
 	}
@@ -97,7 +97,7 @@
 	// Machines with a disk are preferred as owners, so each releases its own shards to one
 	// without.
 	for i, name := range []string{"d00", "d01", "d02"} {
-		n := w.nodes[name].sh.node
+		n := w.nodes[name].executor.node
 		n.Colocated = true
 		for _, role := range n.leases.Roles() {
 			if kind, _ := lease.SplitRole(role); kind == lease.KindShard && n.leases.Serves(role) {
@@ -109,7 +109,7 @@
 	for range 20 {
 		j := w.submit(make())
 		w.run(400)
-		n := w.holderOf("slice/" + w.nodes["d00"].sh.node.shardOf(j.id))
+		n := w.holderOf("slice/" + w.nodes["d00"].executor.node.shardOf(j.id))
 		if n != nil && !n.Disk {
 			return j, n, func() {
 				for i := range membership.DefaultSize {
--- a/internal/daemon/scenario_run_test.go
+++ b/internal/daemon/scenario_run_test.go
@@ -22,7 +22,7 @@
 		t.Skip("only with -long")
 	}
 	w := formed(t, 4+*fromFlag, "ikenna")
-	w.keepLog = false
+	w.keepLogs = false
 	w.traffic(int64(*longFlag)*60_000 + 60_000)
 	w.run(10_000)
 	w.cutZone("mid")
@@ -85,7 +85,7 @@
 	for i := range 8000 {
 		body, _ := json.Marshal(w.oneTask("certify", 5000, 16, 60_000, 1))
 		began := w.nowMs()
-		w.ask("caller", w.anyNode(i), "job.put", fmt.Sprintf("crowd-%d", i), body, 5000, func(status int, retryMs int64, _ []byte) {
+		w.request("caller", w.anyNode(i), "job.put", fmt.Sprintf("crowd-%d", i), body, 5000, func(status int, retryMs int64, _ []byte) {
 			switch status {
 			case 429, 503:
 				rejected++
@@ -103,7 +103,7 @@
 	must.Positive(t, rejected)
 	must.Positive(t, accepted)
 	must.LessEq(t, configuration.MaxQueueJobs*3, accepted)
-	status, _, _, _ := w.asked("caller", w.nodes["d05"], "job.put", "urgent-1", []byte(`{"queue":"signoff","steps":[{"name":"a","tasks":[{"name":"t","room":1}]}]}`))
+	status, _, _, _ := w.requestAndWait("caller", w.nodes["d05"], "job.put", "urgent-1", []byte(`{"queue":"signoff","steps":[{"name":"a","tasks":[{"name":"t","room":1}]}]}`))
 	must.Eq(t, 201, status)
 	t.Log("accepted", accepted, "rejected", rejected)
 }
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -23,7 +23,7 @@
 		w.nodes["d01"].kill(true)
 		at := w.nowMs()
 		w.run(12_000)
-		must.Positive(t, w.endedIn(at+4000, at+12_000))
+		must.Positive(t, w.tasksEndedBetween(at+4000, at+12_000))
 		w.nodes["d01"].start()
 	}, 30_000},
 	"guaranteed work preempts queueable attempts": {"ikenna", func(t *testing.T, w *world) {
@@ -62,18 +62,18 @@
 	"job resent to every daemon": {"hakata", func(t *testing.T, w *world) {
 		j := w.submit(w.oneTask("confirm", 300, 1, 10_000, 1))
 		for _, name := range sortedKeys(w.nodes) {
-			w.ask("caller", w.nodes[name], "job.put", j.id, j.body, 3000, func(status int, _ int64, _ []byte) {
+			w.request("caller", w.nodes[name], "job.put", j.id, j.body, 3000, func(status int, _ int64, _ []byte) {
 				must.SliceContains(t, []int{200, 201, 503}, status)
 			})
 		}
 		w.run(6000)
 		must.Eq(t, 1, w.startsOf(j))
-		status, _, _, _ := w.asked("caller", w.nodes["d07"], "job.put", j.id, j.body)
+		status, _, _, _ := w.requestAndWait("caller", w.nodes["d07"], "job.put", j.id, j.body)
 		must.Eq(t, 200, status)
 		other, _ := json.Marshal(w.oneTask("confirm", 301, 1, 10_000, 1))
-		status, _, _, _ = w.asked("caller", w.nodes["d08"], "job.put", j.id, other)
+		status, _, _, _ = w.requestAndWait("caller", w.nodes["d08"], "job.put", j.id, other)
 		must.Eq(t, 409, status)
-		status, _, _, _ = w.asked("caller", w.nodes["d09"], "job.get", "never-sent", nil)
+		status, _, _, _ = w.requestAndWait("caller", w.nodes["d09"], "job.get", "never-sent", nil)
 		must.Eq(t, 404, status)
 	}, 10_000},
 	"zone cut off": {"hakata", func(t *testing.T, w *world) {
@@ -87,7 +87,7 @@
 		}), must.Sprint("the shard of the cut-off zone did not move"))
 		w.run(3000)
 		// The side that is cut off rejects calls at once, with a time for the retry.
-		status, retryMs, _, tookMs := w.asked("d05", w.nodes["d02"], "job.put", "job-at-cut", []byte(`{"queue":"confirm","steps":[{"name":"a","tasks":[{"name":"t","room":1}]}]}`))
+		status, retryMs, _, tookMs := w.requestAndWait("d05", w.nodes["d02"], "job.put", "job-at-cut", []byte(`{"queue":"confirm","steps":[{"name":"a","tasks":[{"name":"t","room":1}]}]}`))
 		must.Eq(t, 503, status)
 		must.Positive(t, retryMs)
 		must.Less(t, 1500, tookMs)
@@ -116,24 +116,24 @@
 		w.traffic(60_000)
 		w.run(15_000)
 		at := w.nowMs()
-		usual := w.endedIn(at-10_000, at)
+		usual := w.tasksEndedBetween(at-10_000, at)
 		undo := worldFaults["power_all"](w)
 		w.run(2000)
 		undo()
 		back := w.nowMs()
 		w.run(22_000)
-		after := w.endedIn(back+12_000, back+22_000)
+		after := w.tasksEndedBetween(back+12_000, back+22_000)
 		must.GreaterEq(t, usual/4, after, must.Sprintf("%d tasks in 10 s before, %d from 12 s after", usual, after))
 	}, 40_000},
 	"disk wiped right after a configuration change": {"ikenna", func(t *testing.T, w *world) {
 		for v := int64(2); v <= 7; v++ {
-			s, done := w.dep.InitialConfiguration(), 0
+			s, done := w.deployment.InitialConfiguration(), 0
 			s.Note = fmt.Sprint("version ", v)
 			w.putSetup(v, s, func(status int) { done = status })
 			must.True(t, w.until(5000, func() bool { return done != 0 }))
 			must.Eq(t, 200, done)
 			wipeOne(w, v%2 == 0)()
-			must.True(t, w.until(30_000, func() bool { return w.coreWhole() != nil }), must.Sprint("the wiped disk did not come back into the core"))
+			must.True(t, w.until(30_000, func() bool { return w.completeCore() != nil }), must.Sprint("the wiped disk did not come back into the core"))
 			must.Eq(t, v, w.setupVersion())
 		}
 	}, 1000},
@@ -141,7 +141,7 @@
 		for v := int64(2); v <= 11; v++ {
 			var got []int
 			for i := range 3 {
-				s := w.dep.InitialConfiguration()
+				s := w.deployment.InitialConfiguration()
 				s.Note = fmt.Sprint("operator ", i)
 				w.putSetup(v, s, func(status int) { got = append(got, status) })
 			}
@@ -156,7 +156,7 @@
 		}
 	}, 1000},
 	"large configuration": {"ikenna", func(t *testing.T, w *world) {
-		s := w.dep.InitialConfiguration()
+		s := w.deployment.InitialConfiguration()
 		for i := range 5000 {
 			s.Queues = append(s.Queues, historycheck.Queue{Name: fmt.Sprintf("guild-%d", i), Selector: map[string][]string{"tier": {"fast"}}, Urgency: 1})
 		}
@@ -169,7 +169,7 @@
 		j := w.submit(w.oneTask("guild-4999", 100, 1, 5000, 1))
 		w.run(8000)
 		must.Eq(t, "complete", j.state)
-		must.Positive(t, w.endedIn(at+2000, at+8000))
+		must.Positive(t, w.tasksEndedBetween(at+2000, at+8000))
 	}, 30_000},
 	"vanished worker": {"hakata", func(t *testing.T, w *world) {
 		w.traffic(10_000)
@@ -179,12 +179,12 @@
 			w.workers[name].crash()
 		}
 		w.run(40_000)
-		open := len(w.open())
+		open := len(w.openJobs())
 		must.Positive(t, open, must.Sprint("no task was running on these workers"))
 		lost := int64(0)
 		for _, s := range historycheck.Zones {
 			for _, name := range []string{"w02", "w05"} {
-				status, _, b, _ := w.asked("operator", w.nodes["d09"], "worker.lost", s+"/"+name, nil)
+				status, _, b, _ := w.requestAndWait("operator", w.nodes["d09"], "worker.lost", s+"/"+name, nil)
 				must.Eq(t, 200, status)
 				lost += gjson.GetBytes(b, "tasks").Int()
 			}
@@ -215,7 +215,7 @@
 			w.nodes[old].Addr = "10.0.9." + old[2:] + ":7000"
 			w.run(2000)
 			w.nodes[old].start()
-			must.True(t, w.until(30_000, func() bool { return w.coreWhole() != nil }))
+			must.True(t, w.until(30_000, func() bool { return w.completeCore() != nil }))
 		}
 		w.nodes["d09"].kill(false) // restarts with only the old, dead seeds in its settings
 		w.nodes["d09"].start()
@@ -231,7 +231,7 @@
 	"zone emptied": {"hakata", func(t *testing.T, w *world) {
 		w.traffic(25_000)
 		w.run(8000)
-		s := w.dep.InitialConfiguration()
+		s := w.deployment.InitialConfiguration()
 		s.EmptyZones = []string{"mid"}
 		w.putSetup(2, s, nil)
 		w.run(17_000)
@@ -247,13 +247,13 @@
 		l := w.submit(lone)
 		w.traffic(20_000)
 		w.run(45_000)
-		must.Eq(t, []string{l.id + ":running"}, w.open())
-		must.StrContains(t, l.last, "labels it needs")
+		must.Eq(t, []string{l.id + ":running"}, w.openJobs())
+		must.StrContains(t, l.lastState, "labels it needs")
 		w.cancelJob(l)
 	}, 10_000},
 	"wave": {"ikenna", func(t *testing.T, w *world) {
 		for range 500 {
-			w.submit(w.dep.RandomJob(w.rng))
+			w.submit(w.deployment.RandomJob(w.rng))
 		}
 		w.traffic(10_000)
 		w.run(5000)
@@ -304,7 +304,10 @@
 		cut()
 		w.run(lease.DurationMs - 200) // it becomes due here, while the owner's lease is still valid
 		must.Zero(t, w.startsOf(j))
-		must.True(t, w.until(8000, func() bool { h := w.holderOf("slice/" + owner.sh.node.shardOf(j.id)); return h != nil && h != owner }))
+		must.True(t, w.until(8000, func() bool {
+			h := w.holderOf("slice/" + owner.executor.node.shardOf(j.id))
+			return h != nil && h != owner
+		}))
 		w.run(2000)
 		w.heal()
 	}, 20_000}
@@ -313,7 +316,10 @@
 		must.Eq(t, 1, w.startsOf(j))
 		w.run(600)
 		cut()
-		must.True(t, w.until(8000, func() bool { h := w.holderOf("slice/" + owner.sh.node.shardOf(j.id)); return h != nil && h != owner }))
+		must.True(t, w.until(8000, func() bool {
+			h := w.holderOf("slice/" + owner.executor.node.shardOf(j.id))
+			return h != nil && h != owner
+		}))
 		w.run(2 * tombstoneMs)
 		must.Eq(t, 1, w.startsOf(j))
 		w.heal()
@@ -328,7 +334,7 @@
 	}, 60_000}
 	scenarios["zone emptied with full queues"] = scenario{"ikenna", func(t *testing.T, w *world) {
 		w.fillQueues()
-		s := w.dep.InitialConfiguration()
+		s := w.deployment.InitialConfiguration()
 		s.EmptyZones = []string{"mid"}
 		w.putSetup(2, s, nil)
 		w.run(15_000)
@@ -347,12 +353,15 @@
 		})
 		w.run(1000)
 		cut()
-		w.ask("caller", owner, "job.cancel", j.id, nil, 2000, func(status int, _ int64, _ []byte) {
+		w.request("caller", owner, "job.cancel", j.id, nil, 2000, func(status int, _ int64, _ []byte) {
 			if status == 200 {
 				w.record(historycheck.Event{Kind: historycheck.CancelAcked, Job: j.id})
 			}
 		})
-		must.True(t, w.until(8000, func() bool { h := w.holderOf("slice/" + owner.sh.node.shardOf(j.id)); return h != nil && h != owner }))
+		must.True(t, w.until(8000, func() bool {
+			h := w.holderOf("slice/" + owner.executor.node.shardOf(j.id))
+			return h != nil && h != owner
+		}))
 		w.heal()
 		w.run(10_000)
 	}, 20_000}
@@ -366,18 +375,21 @@
 			return j
 		})
 		for i := range membership.DefaultSize {
-			w.hold[[2]string{owner.Name, fmt.Sprintf("d%02d", i)}] = 6_000_000
+			w.pathDelayUs[[2]string{owner.Name, fmt.Sprintf("d%02d", i)}] = 6_000_000
 		}
-		w.ask("caller", owner, "job.cancel", j.id, nil, 30_000, func(status int, _ int64, _ []byte) {
+		w.request("caller", owner, "job.cancel", j.id, nil, 30_000, func(status int, _ int64, _ []byte) {
 			if status == 200 {
 				w.record(historycheck.Event{Kind: historycheck.CancelAcked, Job: j.id})
 			}
 		})
 		w.run(5)
 		owner.freeze(8000)
-		must.True(t, w.until(8000, func() bool { h := w.holderOf("slice/" + owner.sh.node.shardOf(j.id)); return h != nil && h != owner }))
+		must.True(t, w.until(8000, func() bool {
+			h := w.holderOf("slice/" + owner.executor.node.shardOf(j.id))
+			return h != nil && h != owner
+		}))
 		w.run(10_000)
-		w.hold = map[[2]string]int64{}
+		w.pathDelayUs = map[[2]string]int64{}
 		w.run(6000)
 	}, 20_000}
 	scenarios["core restarts while agents are cut off from it"] = scenario{"ikenna", func(t *testing.T, w *world) {
@@ -419,7 +431,7 @@
 			all = append(all, w.submit(w.oneTask("signoff", 60_000, 4, 90_000, 1)))
 		}
 		w.run(3000)
-		for _, n := range w.nodesInOrder() { // for a moment no daemon receives anything from any owner
+		for _, n := range w.sortedNodes() { // for a moment no daemon receives anything from any owner
 			for _, s := range historycheck.Zones {
 				if h := w.holderOf("slice/" + s); h != nil && h != n {
 					w.cuts[[2]string{h.Name, n.Name}] = true
@@ -427,8 +439,8 @@
 			}
 		}
 		for _, j := range all {
-			owner := w.holderOf("slice/" + w.nodes["d00"].sh.node.shardOf(j.id))
-			w.ask("caller", owner, "job.cancel", j.id, nil, 2000, func(int, int64, []byte) {})
+			owner := w.holderOf("slice/" + w.nodes["d00"].executor.node.shardOf(j.id))
+			w.request("caller", owner, "job.cancel", j.id, nil, 2000, func(int, int64, []byte) {})
 		}
 		w.run(800)
 		w.heal()
@@ -470,7 +482,7 @@
 	scenarios["end stored by only one core member"] = scenario{"hakata", func(t *testing.T, w *world) {
 		j, owner, _ := w.jobOfCutOffOwner(t, func() historycheck.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
 		must.Eq(t, 1, w.startsOf(j))
-		name := "slice/" + owner.sh.node.shardOf(j.id)
+		name := "slice/" + owner.executor.node.shardOf(j.id)
 		w.run(600)
 		w.cuts[[2]string{owner.Name, "d00"}], w.cuts[[2]string{owner.Name, "d02"}] = true, true
 		w.run(1200) // the attempt ends, and only d01 stores the end
@@ -493,11 +505,11 @@
 
 func init() {
 	scenarios["member missed an end that was deleted since"] = scenario{"hakata", func(t *testing.T, w *world) {
-		for _, n := range w.nodesInOrder() {
-			n.FinishedKeepMs, n.sh.node.FinishedKeepMs = 20_000, 20_000
+		for _, n := range w.sortedNodes() {
+			n.FinishedKeepMs, n.executor.node.FinishedKeepMs = 20_000, 20_000
 		}
 		j, owner, _ := w.jobOfCutOffOwner(t, func() historycheck.Job { return w.oneTask("confirm", 1500, 1, 20_000, 1) })
-		name := "slice/" + owner.sh.node.shardOf(j.id)
+		name := "slice/" + owner.executor.node.shardOf(j.id)
 		w.run(600)
 		w.cutHost("d02")
 		must.True(t, w.until(3000, func() bool { _, open := w.runsAt(j); return !open }))
@@ -523,7 +535,7 @@
 		body, _ := json.Marshal(spec)
 		for i := range 6 {
 			id := fmt.Sprintf("j%05d", w.jobSeq+1) // the ID that the next submit will use
-			name := "slice/" + w.nodes["d00"].sh.node.shardOf(id)
+			name := "slice/" + w.nodes["d00"].executor.node.shardOf(id)
 			owner := w.holderOf(name)
 			must.NotNil(t, owner)
 			lone := fmt.Sprintf("d%02d", i%membership.DefaultSize)
@@ -531,8 +543,8 @@
 				lone = owner.Name
 			}
 			w.record(historycheck.Event{Kind: historycheck.JobSent, Job: id, Spec: &spec})
-			w.ask("early", owner, "job.put", id, body, 2000, func(int, int64, []byte) {})
-			for owner.sh.node.shards[name[6:]].jobs[id] == nil {
+			w.request("early", owner, "job.put", id, body, 2000, func(int, int64, []byte) {})
+			for owner.executor.node.shards[name[6:]].jobs[id] == nil {
 				w.step()
 			}
 			for c := range membership.DefaultSize { // its write reaches one member only
@@ -553,13 +565,13 @@
 			// That member's answer is among the first two that the new owner receives.
 			for c := range membership.DefaultSize {
 				if core := fmt.Sprintf("d%02d", c); core != lone && core != second.Name {
-					w.hold[[2]string{core, second.Name}] = 30_000
+					w.pathDelayUs[[2]string{core, second.Name}] = 30_000
 					break
 				}
 			}
 			w.submit(spec)
 			w.run(1000)
-			w.hold = map[[2]string]int64{}
+			w.pathDelayUs = map[[2]string]int64{}
 			w.run(4000)
 			owner.start()
 			w.run(3000)
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -21,9 +21,9 @@
 func fleetOf(daemons int) platformDeployment {
 	deployment := platformDeploymentOf("hakata-grown")
 	deployment.name, deployment.edges = fmt.Sprint("fleet-", daemons), daemons/5
-	deployment.sides = daemons - deployment.edges
+	deployment.workerHosts = daemons - deployment.edges
 	deployment.disks, deployment.coreSize = 5, 5
-	deployment.perSec = float64(deployment.sides) / 2
+	deployment.jobsPerSecond = float64(deployment.workerHosts) / 2
 	return deployment
 }
 
@@ -78,7 +78,7 @@
 		switch {
 		case n.Colocated:
 			roles[name] = countedSide
-		case n.up && (len(n.sh.node.shards) > 0 || n.sh.node.central != nil || n.sh.node.inCore()):
+		case n.up && (len(n.executor.node.shards) > 0 || n.executor.node.central != nil || n.executor.node.inCore()):
 			roles[name] = countedOwner
 		default:
 			roles[name] = countedEdge
@@ -114,7 +114,7 @@
 	quiet = countFleet(b, 8000)
 	b.traffic()
 	wave = countFleet(b, 6000)
-	b.closed = true
+	b.callersStopped = true
 	var some []*simNode
 	for i, name := range sortedKeys(b.nodes) {
 		if n := b.nodes[name]; i%10 == 9 && !n.Disk {
--- a/internal/daemon/tenant_keys_test.go
+++ b/internal/daemon/tenant_keys_test.go
@@ -70,8 +70,8 @@
 }
 
 func newTenantWorld(t *testing.T, seed uint64) *tenantWorld {
-	w := &tenantWorld{world: served(t, seed), t: t}
-	w.keepLog = true
+	w := &tenantWorld{world: servingWorld(t, seed), t: t}
+	w.keepLogs = true
 	w.declare(keyedSetup(nil, tenantA, tenantB))
 	w.run(2000)
 	return w
@@ -82,7 +82,7 @@
 	w.t.Helper()
 	w.version++
 	call := evRequest{Op: "setup.put", Key: fmt.Sprint(w.version), Base: w.version - 1, Body: document}
-	must.Eq(w.t, 200, w.settle(w.nodes["d00"], call, 4000).status)
+	must.Eq(w.t, 200, w.callAndWait(w.nodes["d00"], call, 4000).status)
 }
 
 func tenantJob(payload string, tasks int) []byte {
@@ -90,8 +90,8 @@
 }
 
 // at makes a call with a key at a daemon.
-func (w *tenantWorld) at(daemon, op, path, key string, body []byte) answered {
-	return w.settle(w.nodes[daemon], evRequest{Op: op, Host: "h", Path: path, Credential: key, Body: body, Base: -1}, tenantCallMs)
+func (w *tenantWorld) at(daemon, op, path, key string, body []byte) callResult {
+	return w.callAndWait(w.nodes[daemon], evRequest{Op: op, Host: "h", Path: path, Credential: key, Body: body, Base: -1}, tenantCallMs)
 }
 
 func (w *tenantWorld) submit(daemon, path, key string) int {
@@ -121,11 +121,11 @@
 func (w *tenantWorld) recordedTenant(id string) string {
 	w.t.Helper()
 	var newest statestore.Record
-	for _, n := range w.nodesInOrder() {
-		if !n.up || n.sh.node.store == nil {
+	for _, n := range w.sortedNodes() {
+		if !n.up || n.executor.node.store == nil {
 			continue
 		}
-		if r, known := n.sh.node.store.Shard(n.sh.node.shardOf(id)).Get(id); known && newest.OlderThan(r) {
+		if r, known := n.executor.node.store.Shard(n.executor.node.shardOf(id)).Get(id); known && newest.OlderThan(r) {
 			newest = r
 		}
 	}
@@ -148,7 +148,7 @@
 			} {
 				refused++
 				got := w.at(daemon, call.op, call.path, key, tenantJob("x", 1))
-				must.Eq(t, answered{401, `{"error":"no tenant has this key"}`}, got, must.Sprintf("%s %s with %.20q at %s", call.op, call.path, key, daemon))
+				must.Eq(t, callResult{401, `{"error":"no tenant has this key"}`}, got, must.Sprintf("%s %s with %.20q at %s", call.op, call.path, key, daemon))
 			}
 			must.Eq(t, 410, w.state("d00", path, "key-a1"))
 		}
@@ -161,7 +161,7 @@
 }
 
 // stateOnly returns the state in a reply, without its other fields.
-func stateOnly(a answered) string {
+func stateOnly(a callResult) string {
 	return fmt.Sprintf(`{"state":%q}`, gjson.Get(a.body, "state").Str)
 }
 
@@ -230,7 +230,7 @@
 		must.Eq(t, 200, w.state(daemon, "/seats/j", "key-a2"), must.Sprint("by another key of its tenant"))
 		must.Eq(t, 200, w.submit(daemon, "/seats/j", "key-a2"), must.Sprint("it is the same job"))
 		must.Eq(t, 410, w.state(daemon, "/public/j", "key-a1"), must.Sprint("the job is in another queue"))
-		must.Eq(t, 200, w.settle(w.nodes[daemon], evRequest{Op: "job.get", Key: "j", Base: -1}, tenantCallMs).status, must.Sprint("operators see all"))
+		must.Eq(t, 200, w.callAndWait(w.nodes[daemon], evRequest{Op: "job.get", Key: "j", Base: -1}, tenantCallMs).status, must.Sprint("operators see all"))
 	}
 	must.Eq(t, 201, w.submit("d00", "/seats/j", "key-a1"))
 	for _, daemon := range sortedKeys(w.nodes) {
@@ -319,7 +319,7 @@
 	paths := w.submitSome("key-a1")
 	must.Eq(t, 200, w.cancel("d00", paths[0], "key-a1"))
 	w.run(2000)
-	for _, n := range w.nodesInOrder() {
+	for _, n := range w.sortedNodes() {
 		n.FirstStart = false
 		n.kill(true)
 		w.after(500_000, n.start)
@@ -334,19 +334,19 @@
 	for i := range 20 {
 		id := fmt.Sprint("job", i)
 		w := newTenantWorld(t, 5370+uint64(i))
-		owner := w.holderOf("slice/" + w.nodes["d00"].sh.node.shardOf(id))
+		owner := w.holderOf("slice/" + w.nodes["d00"].executor.node.shardOf(id))
 		if owner == nil || owner.Name == "d00" {
 			continue
 		}
 		withheld := true
-		w.detain = func(_, to string, msg any) int64 {
+		w.extraDelayUs = func(_, to string, msg any) int64 {
 			if _, ok := msg.(*wire.RegisterValue); ok && withheld && to == owner.Name {
 				return 300_000_000 // it never arrives
 			}
 			return 0
 		}
 		w.declare(keyedSetup(nil, tenantA, tenantB, testTenant{"late", []string{"key-late"}}))
-		if owner.sh.node.config.current.Version == w.version { // it accepted the change itself
+		if owner.executor.node.config.current.Version == w.version { // it accepted the change itself
 			continue
 		}
 		must.Eq(t, 503, w.submit("d00", "/seats/"+id, "key-late"))
@@ -407,7 +407,7 @@
 	must.Eq(t, 200, w.submit("d03", "/seats/j", "key-a1"))
 	must.Eq(t, 200, w.cancel("d03", "/seats/j", "key-a1"))
 
-	n, theirs := w.nodes["d03"].sh.node, &jobRecord{Queue: "seats", Tenant: "not known here"}
+	n, theirs := w.nodes["d03"].executor.node, &jobRecord{Queue: "seats", Tenant: "not known here"}
 	req := &request{op: "job.state", queue: "seats", tenant: tenantB.name}
 	must.True(t, n.jobVisible(req, theirs))
 	n.config.confirmedMs -= configFreshMs + 1
@@ -425,13 +425,13 @@
 	shown := strings.Join(w.logs, "\n")
 	for _, e := range []evRequest{{Op: "job.get", Key: "j"}, {Op: "job.explain", Key: "j"}, {Op: "setup.get"}, {Op: "soundness"}, {Op: "members"}, {Op: "workers"}, {Op: "tenants"}} {
 		e.Base = -1
-		shown += w.settle(w.nodes["d03"], e, tenantCallMs).body
+		shown += w.callAndWait(w.nodes["d03"], e, tenantCallMs).body
 	}
-	for _, n := range w.nodesInOrder() {
+	for _, n := range w.sortedNodes() {
 		for _, entry := range n.disk.entries {
 			shown += string(entry)
 		}
-		shown += strings.Join(sortedKeys(n.sh.node.counts), "\n")
+		shown += strings.Join(sortedKeys(n.executor.node.counts), "\n")
 	}
 	must.StrContains(t, shown, tenantA.name)
 	must.StrNotContains(t, shown, "key-a1")
@@ -465,7 +465,7 @@
 func TestTenantInNoEarlierRecord(t *testing.T) {
 	read := 0
 	for _, name := range fixtureMembers {
-		_, st, err := storage.Open(copyOfFixture(t, name), 77, quiet)
+		_, st, err := storage.Open(copyOfFixture(t, name), 77, discardLog)
 		must.NoError(t, err)
 		for _, shard := range st.ShardNames() {
 			for _, r := range st.Shard(shard).Live() {
--- a/internal/daemon/tenant_status_test.go
+++ b/internal/daemon/tenant_status_test.go
@@ -27,7 +27,7 @@
 	must.NoError(t, json.Unmarshal(weightedSetup(map[string]float64{"calm": 50, "tight": 50}), &doc))
 	for _, tenant := range doc["tenants"].([]any) {
 		if tenant := tenant.(map[string]any); tenant["name"] == "tight" {
-			tenant["limit"] = map[string]any{"cpu": workers * l.dep.Cores}
+			tenant["limit"] = map[string]any{"cpu": workers * l.deployment.Cores}
 		}
 	}
 	return mustJSON(doc)
@@ -37,7 +37,7 @@
 func (l *tenantLoad) overview(t *testing.T, to *simNode) (overview tenantOverview, raw string) {
 	t.Helper()
 	r := gatherTenants(context.Background(), func(_ context.Context, e evRequest) effReply {
-		got := l.settle(to, e, 3000)
+		got := l.callAndWait(to, e, 3000)
 		return effReply{Status: got.status, Body: []byte(got.body)}
 	})
 	must.Eq(t, 200, r.Status, must.Sprint(string(r.Body)))
@@ -61,7 +61,7 @@
 // or digests.
 func TestOperatorsSeeTenantAtItsLimit(t *testing.T) {
 	l := newTenantLoad(t, 7400, fleetWeights)
-	must.Eq(t, 200, l.settle(l.nodes["d00"], evRequest{Op: "setup.put", Key: "2", Base: 1, Body: limitedSetup(t, l.world, 2)}, 4000).status)
+	must.Eq(t, 200, l.callAndWait(l.nodes["d00"], evRequest{Op: "setup.put", Key: "2", Base: 1, Body: limitedSetup(t, l.world, 2)}, 4000).status)
 	l.run(4000)
 	l.sendEvenly("fast", "tight", 10, 4000)
 	l.sendEvenly("fast", "calm", 1, 4000)
@@ -69,7 +69,7 @@
 	for _, name := range []string{"d00", "d07"} {
 		overview, raw := l.overview(t, l.nodes[name])
 		tight, calm := overview.tenant(t, "tight"), overview.tenant(t, "calm")
-		limit := resource.Amount{CPU: 2 * l.dep.Cores}
+		limit := resource.Amount{CPU: 2 * l.deployment.Cores}
 		must.Eq(t, limit, tight.Limit)
 		must.True(t, tight.Complete)
 		must.SliceEmpty(t, overview.Incomplete)
@@ -93,8 +93,8 @@
 		must.StrNotContains(t, raw, "digest")
 	}
 	statuses := map[string][]byte{}
-	for _, n := range l.nodesInOrder() {
-		statuses[n.Name] = []byte(l.settle(n, evRequest{Op: "soundness", Base: -1}, 3000).body)
+	for _, n := range l.sortedNodes() {
+		statuses[n.Name] = []byte(l.callAndWait(n, evRequest{Op: "soundness", Base: -1}, 3000).body)
 	}
 	found := runHealthChecks(statuses)
 	must.SliceContainsFunc(t, found, "tenant at its limit", func(f finding, check string) bool {
@@ -105,9 +105,9 @@
 	}
 	last := l.sent[len(l.sent)-2]
 	must.Eq(t, "tight", last.tenant)
-	explained := l.settle(l.nodes["d05"], evRequest{Op: "job.explain", Key: last.id, Base: -1}, 3000).body
+	explained := l.callAndWait(l.nodes["d05"], evRequest{Op: "job.explain", Key: last.id, Base: -1}, 3000).body
 	waits := gjson.Get(explained, "tasks.0.waits").Str
-	must.StrHasPrefix(t, fmt.Sprintf("waiting for the limit of tenant tight, %d: here it uses ", 2*l.dep.Cores), waits, must.Sprint(explained))
+	must.StrHasPrefix(t, fmt.Sprintf("waiting for the limit of tenant tight, %d: here it uses ", 2*l.deployment.Cores), waits, must.Sprint(explained))
 }
 
 // doctor reports a counter that has had no report from a shard for some seconds.
@@ -115,7 +115,7 @@
 	l := newTenantLoad(t, 7500, fleetWeights)
 	owner := l.holderOf("slice/east")
 	must.NotNil(t, owner)
-	n := owner.sh.node
+	n := owner.executor.node
 	must.MapEmpty(t, n.counterHealth())
 	n.shareReports["east"]["west"] = n.now - reportSilentMs - 1
 	found := runHealthChecks(map[string][]byte{"d": mustJSON(map[string]any{"counters": n.counterHealth()})})
@@ -126,11 +126,11 @@
 
 // Without tenants counters report no fault and no metrics.
 func TestNoTenantsNoMetrics(t *testing.T) {
-	w := served(t, 7600)
+	w := servingWorld(t, 7600)
 	w.run(8000)
-	for _, n := range w.nodesInOrder() {
-		must.MapEmpty(t, n.sh.node.counterHealth())
-		must.MapEmpty(t, n.sh.node.tenantMetrics())
+	for _, n := range w.sortedNodes() {
+		must.MapEmpty(t, n.executor.node.counterHealth())
+		must.MapEmpty(t, n.executor.node.tenantMetrics())
 	}
 }
 
--- a/internal/daemon/tenant_weight_test.go
+++ b/internal/daemon/tenant_weight_test.go
@@ -47,7 +47,7 @@
 func (l *tenantLoad) send(queue, tenant string) {
 	j := &weightedJob{id: fmt.Sprintf("%s-%04d", tenant, len(l.sent)), tenant: tenant, sentMs: l.nowMs()}
 	l.sent = append(l.sent, j)
-	body := fmt.Appendf(nil, `{"queue":%q,"steps":[{"name":"s","tasks":[{"name":"t","room":%d,"limit_ms":60000,"payload":{"ms":1000}}]}]}`, queue, l.dep.Cores)
+	body := fmt.Appendf(nil, `{"queue":%q,"steps":[{"name":"s","tasks":[{"name":"t","room":%d,"limit_ms":60000,"payload":{"ms":1000}}]}]}`, queue, l.deployment.Cores)
 	l.call("caller", l.anyNode(len(l.sent)), evRequest{
 		Op: "queue.submit", Host: "h", Path: "/" + queue + "/" + j.id, Base: -1, Body: body, Credential: tenant,
 	}, 3000, func(status int, retryMs int64, _ []byte) { j.status, j.retryMs = status, retryMs })
@@ -87,8 +87,8 @@
 // newTenantLoad returns a cluster with weighted tenants.
 func newTenantLoad(t *testing.T, seed uint64, weights map[string]float64) *tenantLoad {
 	t.Helper()
-	w := served(t, seed)
-	must.Eq(t, 200, w.settle(w.nodes["d00"], evRequest{Op: "setup.put", Key: "1", Base: 0, Body: weightedSetup(weights)}, 4000).status)
+	w := servingWorld(t, seed)
+	must.Eq(t, 200, w.callAndWait(w.nodes["d00"], evRequest{Op: "setup.put", Key: "1", Base: 0, Body: weightedSetup(weights)}, 4000).status)
 	w.run(4000)
 	return &tenantLoad{world: w}
 }
@@ -96,7 +96,7 @@
 // overloadByOneTenant has one tenant send five times what the fleet can run, and two others few jobs, and waits for
 // all accepted jobs to end.
 func (l *tenantLoad) overloadByOneTenant() {
-	l.sendEvenly("fast", "hot", 5*int64(l.dep.Workers), 10_000)
+	l.sendEvenly("fast", "hot", 5*int64(l.deployment.Workers), 10_000)
 	l.sendEvenly("slow", "calm", 2, 10_000)
 	l.sendEvenly("fast", "small", 1, 10_000)
 	l.run(10_000)
@@ -143,8 +143,8 @@
 	l := newTenantLoad(t, 7100, fleetWeights)
 	off, err := scheduler.ParseSet(string(scheduler.TenantWeight))
 	must.NoError(t, err)
-	for _, n := range l.nodesInOrder() {
-		n.sh.node.Policies = off
+	for _, n := range l.sortedNodes() {
+		n.executor.node.Policies = off
 	}
 	l.overloadByOneTenant()
 	for _, tenant := range []string{"calm", "small"} {
--- a/internal/daemon/worker_kind_test.go
+++ b/internal/daemon/worker_kind_test.go
@@ -13,7 +13,7 @@
 	eachRequirementSeed(t, []string{"hakata", "ikenna"}, func(t *testing.T, b *platformWorld) {
 		b.traffic()
 		for range 12 { // enough tasks for each worker to have some
-			b.submit(b.simple(1, 2*len(b.spots), amounts{b.deployment.capacity[0] / 4, 100}, 4000))
+			b.submit(b.simple(1, 2*len(b.workerHosts), amounts{b.deployment.capacity[0] / 4, 100}, 4000))
 		}
 		b.run(2000)
 		others := b.someWorkers(0.4)
@@ -23,7 +23,7 @@
 			s.crash()
 			s.labels = maps.Clone(s.labels)
 			s.labels["service"] = "elsewhere"
-			if b.share(0.5) { // restarted at once, before its absence is noticed
+			if b.chance(0.5) { // restarted at once, before its absence is noticed
 				s.start()
 			} else {
 				b.after(b.rng.Int64N(1_500_000), s.start)
@@ -44,6 +44,6 @@
 		}
 		must.Positive(t, used, must.Sprint("the workers must serve the queues again"))
 		b.finish(120_000)
-		verdictOfPlatform(t, b)
+		checkPlatformRun(t, b)
 	})
 }
--- a/internal/daemon/world_callers_test.go
+++ b/internal/daemon/world_callers_test.go
@@ -9,8 +9,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// ask sends an HTTP request from a host to a daemon; cb gets status 0 on a timeout.
-func (w *world) ask(from string, to *simNode, op, key string, body []byte, waitMs int64, cb func(status int, retryMs int64, body []byte)) {
+// request sends an HTTP request from a host to a daemon; cb gets status 0 on a timeout.
+func (w *world) request(from string, to *simNode, op, key string, body []byte, waitMs int64, cb func(status int, retryMs int64, body []byte)) {
 	w.call(from, to, evRequest{Op: op, Key: key, Base: -1, Body: body}, waitMs, cb)
 }
 
@@ -31,7 +31,7 @@
 		to.whenAwake(func() {
 			to.requestSeq++
 			to.pendingReplies[to.requestSeq] = func(status int, retryMs int64, b []byte) {
-				if w.responseLost(sentAnswer{from, to, e, status}) {
+				if w.responseLost(sentResponse{from, to, e, status}) {
 					return
 				}
 				w.deliver(to.Name, from, func() { finish(status, retryMs, b) })
@@ -55,7 +55,7 @@
 	sentMs      int64
 	acked       bool
 	state       string
-	last        string // body of the last state response
+	lastState   string // body of the last state response
 	cancelAcked bool
 	gaveUp      bool
 	tries       int
@@ -78,7 +78,7 @@
 
 func (w *world) putJob(j *simJob) {
 	j.tries++
-	w.ask("caller", w.anyNode(w.rng.IntN(1000)), "job.put", j.id, j.body, 2000, func(status int, retryMs int64, _ []byte) {
+	w.request("caller", w.anyNode(w.rng.IntN(1000)), "job.put", j.id, j.body, 2000, func(status int, retryMs int64, _ []byte) {
 		switch {
 		case status == 200 || status == 201:
 			if !j.acked {
@@ -99,9 +99,9 @@
 
 func (w *world) pollJob(j *simJob) {
 	requestedMs := w.nowMs()
-	w.ask("caller", w.anyNode(w.rng.IntN(1000)), "job.get", j.id, nil, 2000, func(status int, _ int64, b []byte) {
+	w.request("caller", w.anyNode(w.rng.IntN(1000)), "job.get", j.id, nil, 2000, func(status int, _ int64, b []byte) {
 		state := gjson.GetBytes(b, "state").Str
-		j.last = string(b)
+		j.lastState = string(b)
 		if status == 404 {
 			state = "unknown"
 		}
@@ -120,7 +120,7 @@
 }
 
 func (w *world) cancelJob(j *simJob) {
-	w.ask("caller", w.anyNode(w.rng.IntN(1000)), "job.cancel", j.id, nil, 2000, func(status int, _ int64, _ []byte) {
+	w.request("caller", w.anyNode(w.rng.IntN(1000)), "job.cancel", j.id, nil, 2000, func(status int, _ int64, _ []byte) {
 		switch status {
 		case 200:
 			j.cancelAcked = true
@@ -139,7 +139,7 @@
 	w.record(historycheck.Event{Kind: historycheck.ConfigurationSent, Version: version, Configuration: stored})
 	var try func()
 	try = func() {
-		w.ask("operator", w.anyNode(w.rng.IntN(1000)), "setup.put", fmt.Sprint(version), body, 4000, func(status int, _ int64, b []byte) {
+		w.request("operator", w.anyNode(w.rng.IntN(1000)), "setup.put", fmt.Sprint(version), body, 4000, func(status int, _ int64, b []byte) {
 			switch status {
 			case 200:
 				w.record(historycheck.Event{Kind: historycheck.ConfigurationAcked, Version: version, Configuration: stored})
@@ -165,25 +165,25 @@
 		if w.nowMs() >= end {
 			return
 		}
-		w.submit(w.dep.RandomJob(w.rng))
-		w.after(int64(w.rng.ExpFloat64()*1e6/w.dep.JobsPerSec), next)
+		w.submit(w.deployment.RandomJob(w.rng))
+		w.after(int64(w.rng.ExpFloat64()*1e6/w.deployment.JobsPerSec), next)
 	}
 	next()
 }
 
 func (w *world) setupVersion() int64 {
 	v := int64(0)
-	for _, n := range w.nodesInOrder() {
+	for _, n := range w.sortedNodes() {
 		if n.up {
-			v = max(v, n.sh.node.config.record.Version)
+			v = max(v, n.executor.node.config.record.Version)
 		}
 	}
 	return v
 }
 
-// open returns the accepted jobs that have not ended as far as callers know, with their
+// openJobs returns the accepted jobs that have not ended as far as callers know, with their
 // states.
-func (w *world) open() []string {
+func (w *world) openJobs() []string {
 	var out []string
 	for _, id := range sortedKeys(w.jobs) {
 		if j := w.jobs[id]; !j.gaveUp && j.state != "complete" && j.state != "failed" && j.state != "cancelled" {
--- a/internal/daemon/world_node_test.go
+++ b/internal/daemon/world_node_test.go
@@ -15,10 +15,10 @@
 type simNode struct {
 	nodeConfig
 	w              *world
-	sh             *executor
+	executor       *executor
 	process        int // number of the current process, raised by each start and kill
 	up             bool
-	frozenTo       int64
+	frozenUntilUs  int64
 	inbox          []func()
 	bootUs         int64
 	skewMs         int64
@@ -37,7 +37,7 @@
 		n.w.after(wait, n.start)
 		return
 	}
-	n.up, n.frozenTo, n.inbox = true, 0, nil
+	n.up, n.frozenUntilUs, n.inbox = true, 0, nil
 	n.process++
 	n.incarnations++
 	n.pendingReplies = map[uint64]func(int, int64, []byte){}
@@ -50,7 +50,7 @@
 	if p.Disk {
 		st = n.disk.load()
 	}
-	n.sh = &executor{node: newNode(p, st), ports: n}
+	n.executor = &executor{node: newNode(p, st), ports: n}
 	process := n.process
 	var tick func()
 	tick = func() {
@@ -76,7 +76,7 @@
 
 // whenAwake runs do now, or at the end of a freeze.
 func (n *simNode) whenAwake(do func()) {
-	if n.w.nowUs < n.frozenTo {
+	if n.w.nowUs < n.frozenUntilUs {
 		n.inbox = append(n.inbox, do)
 		return
 	}
@@ -85,7 +85,7 @@
 
 // freeze stops the process for ms; what it receives meanwhile is processed afterwards.
 func (n *simNode) freeze(ms int64) {
-	n.frozenTo = n.w.nowUs + ms*1000
+	n.frozenUntilUs = n.w.nowUs + ms*1000
 	process := n.process
 	n.w.after(ms*1000+1, func() {
 		if n.process != process || !n.up {
@@ -107,7 +107,7 @@
 		if !n.up {
 			return
 		}
-		n.sh.step(event{NowMs: n.steadyMs(), WallMs: wallStart + n.w.nowMs() + n.skewMs, Seed: n.w.rng.Uint64(), Body: body})
+		n.executor.step(event{NowMs: n.steadyMs(), WallMs: wallStart + n.w.nowMs() + n.skewMs, Seed: n.w.rng.Uint64(), Body: body})
 	})
 }
 
@@ -128,7 +128,7 @@
 func (n *simNode) Send(head wire.Header, to, addr string, msg any) {
 	frame := wire.EncodeFrame(head, msg)
 	n.w.digest.add(n.w.nowUs, n.Name, "send", nil, []byte(to), []byte(addr), frame)
-	if n.w.largest = max(n.w.largest, len(frame)); len(frame) > wire.MaxFrame {
+	if n.w.largestFrame = max(n.w.largestFrame, len(frame)); len(frame) > wire.MaxFrame {
 		return // the receiver would close the connection
 	}
 	n.w.messages[reflect.TypeOf(msg).Elem().Name()]++
@@ -158,8 +158,8 @@
 		n.w.addTrace(h.From, target.Name, h.Kind, len(frame))
 		target.event(evMsg{Head: h, Msg: m})
 	}
-	if n.w.detain != nil {
-		if us := n.w.detain(n.Name, target.Name, msg); us > 0 {
+	if n.w.extraDelayUs != nil {
+		if us := n.w.extraDelayUs(n.Name, target.Name, msg); us > 0 {
 			n.w.after(us, arrive)
 			return
 		}
@@ -192,7 +192,7 @@
 
 func (n *simNode) Log(event string, pairs []any) {
 	n.w.addTrace(n.Name, event, fmt.Sprint(pairs...))
-	if n.w.keepLog {
+	if n.w.keepLogs {
 		n.w.logs = append(n.w.logs, fmt.Sprintf("%d %s %s %v", n.w.nowMs(), n.Name, event, pairs))
 	}
 }
@@ -219,7 +219,7 @@
 			if n.w.nowUs-leftUs > orderTimeoutMs*1000 {
 				return // the connection was closed before, and unread bytes with it
 			}
-			outcome := sw.take(e)
+			outcome := sw.execute(e)
 			n.w.deliver(sw.name, n.Name, func() {
 				if !answered {
 					answered = true
@@ -291,7 +291,7 @@
 		n.later(100, func() { d.fail(n, errDiskFull) })
 		return
 	}
-	n.later(500+d.w.syncUs[d.host]+d.w.rng.Int64N(1500), func() { d.syncEnded(n, calls) })
+	n.later(500+d.w.extraSyncUs[d.host]+d.w.rng.Int64N(1500), func() { d.syncEnded(n, calls) })
 }
 
 func (d *simDisk) syncEnded(n *simNode, calls int) {
--- a/internal/daemon/world_test.go
+++ b/internal/daemon/world_test.go
@@ -22,32 +22,32 @@
 	workers            map[string]*simWorker
 	cuts               map[[2]string]bool // by sender and receiver host
 	lastArrivalUs      map[[2]string]int64
-	hold               map[[2]string]int64 // extra delay in us, by sender and receiver host
+	pathDelayUs        map[[2]string]int64 // extra delay in us, by sender and receiver host
 	history            []historycheck.Event
 	trace              uint64
 	digest             *runDigest
 	logs               []string
-	keepLog            bool
-	dep                historycheck.Deployment
+	keepLogs           bool
+	deployment         historycheck.Deployment
 	jobs               map[string]*simJob
 	jobSeq             int
-	syncUs             map[string]int64
-	holdUpMs           int64 // messages sent into a cut arrive after it if it ends within this time; 0 drops them
+	extraSyncUs        map[string]int64
+	maxHeldMs          int64 // messages sent into a cut arrive after it if it ends within this time; 0 drops them
 	heldMessages       []heldMessage
 	delayOneIn         int // one message in this many is delayed by up to 4 s and overtaken; 0 for none
 	doneAtMs           []int64
 	messages           map[string]int
 	freezesBeforeOrder int // number of daemons still to freeze between checking and sending a start order
 	trafficEnded       bool
-	largest            int // size of the largest frame so far, in bytes
-	onNote             func(historycheck.Event)
+	largestFrame       int // size of the largest frame so far, in bytes
+	onEvent            func(historycheck.Event)
 	resetUs            map[[2]string]int64 // time of the last connection reset, by sender and receiver host
 	responseLoss       map[string]float64  // by caller, the share of responses that are lost
-	onResponse         []func(sentAnswer) (over bool)
+	onResponse         []func(sentResponse) (over bool)
 	onSend             func(from, to string, msg any, bytes int)
-	// detain returns an extra delay in us for a message, which then may be overtaken by later
+	// extraDelayUs returns an extra delay in us for a message, which then may be overtaken by later
 	// ones; 0 for none.
-	detain func(from, to string, msg any) int64
+	extraDelayUs func(from, to string, msg any) int64
 }
 
 // simEvent is a function that runs at a simulated time; seq orders the events of one moment.
@@ -78,9 +78,9 @@
 	heap.Push(&w.queue, simEvent{w.nowUs + us, w.seq, do})
 }
 
-// nodesInOrder returns the daemons sorted by name: a run must not depend on the order of a
+// sortedNodes returns the daemons sorted by name: a run must not depend on the order of a
 // map.
-func (w *world) nodesInOrder() []*simNode {
+func (w *world) sortedNodes() []*simNode {
 	out := make([]*simNode, 0, len(w.nodes))
 	for _, name := range sortedKeys(w.nodes) {
 		out = append(out, w.nodes[name])
@@ -94,7 +94,7 @@
 
 func newWorld(seed uint64, dep historycheck.Deployment) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), nodes: map[string]*simNode{}, workers: map[string]*simWorker{}, cuts: map[[2]string]bool{},
-		lastArrivalUs: map[[2]string]int64{}, hold: map[[2]string]int64{}, dep: dep, jobs: map[string]*simJob{}, syncUs: map[string]int64{},
+		lastArrivalUs: map[[2]string]int64{}, pathDelayUs: map[[2]string]int64{}, deployment: dep, jobs: map[string]*simJob{}, extraSyncUs: map[string]int64{},
 		resetUs: map[[2]string]int64{}, responseLoss: map[string]float64{}, messages: map[string]int{}, trace: 14695981039346656037,
 		digest: newRunDigest(fmt.Sprintf("seed %d daemons %d workers %d cores %d", seed, dep.Daemons, dep.Workers, dep.Cores))}
 	var seeds []string
@@ -116,7 +116,7 @@
 	}
 	for i := range dep.Workers {
 		sw := &simWorker{w: w, name: fmt.Sprintf("w%02d", i), zone: historycheck.Zones[i%3], labels: historycheck.WorkerLabels(i), capacity: dep.Cores, slowdown: 1,
-			running: map[string]*simRun{}, ended: map[string]*simRun{}}
+			running: map[string]*simAttempt{}, ended: map[string]*simAttempt{}}
 		w.workers[sw.name] = sw
 		w.after(500_000+w.rng.Int64N(300_000), sw.start)
 	}
@@ -154,8 +154,8 @@
 func (w *world) record(e historycheck.Event) {
 	e.AtMs = w.nowMs()
 	w.history = append(w.history, e)
-	if w.onNote != nil {
-		w.onNote(e)
+	if w.onEvent != nil {
+		w.onEvent(e)
 	}
 }
 
@@ -167,7 +167,7 @@
 }
 
 // deliver carries a message between two hosts, in the order of sending for each pair. The
-// message is lost if the path is cut when it is sent or when it would arrive, unless holdUpMs
+// message is lost if the path is cut when it is sent or when it would arrive, unless maxHeldMs
 // delays it until the cut ends.
 func (w *world) deliver(from, to string, do func()) {
 	path := [2]string{from, to}
@@ -176,7 +176,7 @@
 		return
 	}
 	leftUs := w.nowUs
-	at := w.nowUs + 150 + w.rng.Int64N(400) + w.hold[path]
+	at := w.nowUs + 150 + w.rng.Int64N(400) + w.pathDelayUs[path]
 	if from == to {
 		at = w.nowUs + 5
 	}
@@ -206,18 +206,18 @@
 
 // holdMessage keeps a message that was sent into a cut, if cuts hold messages up.
 func (w *world) holdMessage(path [2]string, do func()) {
-	if w.holdUpMs > 0 {
+	if w.maxHeldMs > 0 {
 		w.heldMessages = append(w.heldMessages, heldMessage{path, w.nowUs, do})
 	}
 }
 
-// release delivers the messages that were held up by a cut that has ended, unless they waited
+// releaseHeld delivers the messages that were held up by a cut that has ended, unless they waited
 // too long.
-func (w *world) release() {
+func (w *world) releaseHeld() {
 	var kept []heldMessage
 	for _, h := range w.heldMessages {
 		switch {
-		case w.nowUs-h.atUs > w.holdUpMs*1000:
+		case w.nowUs-h.atUs > w.maxHeldMs*1000:
 		case w.cuts[h.path]:
 			kept = append(kept, h)
 		default:
@@ -270,7 +270,7 @@
 // holderOf returns the daemon that holds a role and is not frozen, or nil.
 func (w *world) holderOf(role string) *simNode {
 	for _, name := range sortedKeys(w.nodes) {
-		if n := w.nodes[name]; n.up && w.nowUs >= n.frozenTo && n.sh.node.leases.Holds(role) {
+		if n := w.nodes[name]; n.up && w.nowUs >= n.frozenUntilUs && n.executor.node.leases.Holds(role) {
 			return n
 		}
 	}
@@ -280,9 +280,9 @@
 // total sums a counter over all running daemons.
 func (w *world) total(count string) int64 {
 	sum := int64(0)
-	for _, n := range w.nodesInOrder() {
+	for _, n := range w.sortedNodes() {
 		if n.up {
-			sum += n.sh.node.counts[count]
+			sum += n.executor.node.counts[count]
 		}
 	}
 	return sum
--- a/internal/daemon/world_worker_test.go
+++ b/internal/daemon/world_worker_test.go
@@ -17,7 +17,7 @@
 	capacity      int64
 	up            bool
 	process       int // number of the current process, raised by each start and crash
-	inc           int
+	incarnation   int
 	reportSeq     int64
 	token         string
 	leaving       bool
@@ -25,16 +25,16 @@
 	failPct       int
 	stallPct      int
 	frozenUntilUs int64
-	running       map[string]*simRun
-	ended         map[string]*simRun
+	running       map[string]*simAttempt
+	ended         map[string]*simAttempt
 	reporting     bool
 	reportAgain   bool
 	daemonIndex   int
 	starts        int
 }
 
-// simRun is an attempt that a worker executes or has ended.
-type simRun struct {
+// simAttempt is an attempt that a worker executes or has ended.
+type simAttempt struct {
 	id, tag string
 	job     string
 	task    int
@@ -51,7 +51,7 @@
 	}
 	s.up, s.reportSeq, s.token, s.reporting, s.leaving = true, 0, "", false, false
 	s.process++
-	s.inc++
+	s.incarnation++
 	s.w.record(historycheck.Event{Kind: historycheck.WorkerCapacity, Worker: s.name, Capacity: s.capacity, Labels: s.labels, Zone: s.zone})
 	process := s.process
 	var tick func()
@@ -72,11 +72,11 @@
 		r := s.running[id]
 		s.w.record(historycheck.Event{Kind: historycheck.End, Job: r.job, Task: r.task, Worker: s.name, Run: id, Text: "crash"})
 	}
-	s.running = map[string]*simRun{}
+	s.running = map[string]*simAttempt{}
 }
 
-// take executes an order and returns the outcome that its sender sees.
-func (s *simWorker) take(e effOrder) string {
+// execute executes an order and returns the outcome that its sender sees.
+func (s *simWorker) execute(e effOrder) string {
 	if !s.up || s.w.nowUs < s.frozenUntilUs {
 		return "unknown"
 	}
@@ -87,7 +87,7 @@
 	}
 	o := gjson.ParseBytes(e.Body)
 	job, task, _ := historycheck.ParseRun(id)
-	r := &simRun{id: id, tag: o.Get("tag").Str, job: job, task: task, cores: o.Get("room").Int(), startMs: s.w.nowMs(), process: s.process}
+	r := &simAttempt{id: id, tag: o.Get("tag").Str, job: job, task: task, cores: o.Get("room").Int(), startMs: s.w.nowMs(), process: s.process}
 	s.running[id] = r
 	s.starts++
 	s.w.record(historycheck.Event{Kind: historycheck.Start, Job: job, Task: task, Worker: s.name, Run: id, Text: o.Get("class").Str})
@@ -127,7 +127,7 @@
 	}
 	s.reporting, s.reportAgain = true, false
 	s.reportSeq++
-	list := func(m map[string]*simRun) []map[string]any {
+	list := func(m map[string]*simAttempt) []map[string]any {
 		out := []map[string]any{}
 		for _, id := range sortedKeys(m) {
 			r := m[id]
@@ -148,10 +148,10 @@
 		free -= r.cores
 	}
 	leaving := s.leaving
-	body := mustJSON(map[string]any{"incarnation": fmt.Sprintf("i%d", s.inc), "seq": s.reportSeq, "address": s.name, "site": s.zone, "labels": s.labels,
+	body := mustJSON(map[string]any{"incarnation": fmt.Sprintf("i%d", s.incarnation), "seq": s.reportSeq, "address": s.name, "site": s.zone, "labels": s.labels,
 		"free": max(free, 0), "leaving": leaving, "token": s.token, "running": list(s.running), "ended": list(s.ended)})
 	process := s.process
-	s.w.ask(s.name, s.w.anyNode(s.daemonIndex+int(s.name[2])), "worker.report", s.name, body, 2000, func(status int, _ int64, b []byte) {
+	s.w.request(s.name, s.w.anyNode(s.daemonIndex+int(s.name[2])), "worker.report", s.name, body, 2000, func(status int, _ int64, b []byte) {
 		if process != s.process {
 			return
 		}
